--- /dev/null
+++ b/tests/surface_cli.rs
@@ -0,0 +1,840 @@
+//! Pins the command line as scripts and operators see it: help texts, exit statuses, messages on standard error, and
+//! the output of `check`, `store` and `fleet`. Every expected text is written out, so that no renaming in the code can
+//! change what the program prints.
+
+use postproxy_ledger::{Attempt, Fate, Record, Stage, job_key, result_key};
+use postproxy_store::{Change, Engine, Options, OsDisk};
+use std::fs;
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
+use std::path::{Path, PathBuf};
+use std::process::{Command, Stdio};
+use std::sync::{PoisonError, RwLock};
+use std::thread::{self, JoinHandle};
+
+/// What one run of the program came to.
+#[derive(Debug, PartialEq)]
+struct Run {
+    status: Option<i32>,
+    stdout: String,
+    stderr: String,
+}
+
+/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative paths only.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let folder =
+            Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("surface-cli-{name}-{}", std::process::id()));
+        fs::create_dir_all(&folder).expect("the folder is made");
+        Self(folder)
+    }
+
+    fn write(&self, file: &str, text: &str) {
+        fs::write(self.0.join(file), text).expect("the file is written");
+    }
+
+    fn command(&self, args: &[&str]) -> Command {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
+        command.args(args).env_clear().current_dir(&self.0);
+        command
+    }
+
+    fn run(&self, args: &[&str]) -> Run {
+        outcome(&mut self.command(args))
+    }
+
+    fn assert_prints(&self, args: &[&str], stdout: &str) {
+        assert_eq!(self.run(args), done(stdout), "{args:?}");
+    }
+
+    fn assert_fails(&self, args: &[&str], stderr: &str) {
+        assert_eq!(self.run(args), failed(stderr), "{args:?}");
+    }
+
+    /// Asserts that `serve` with this configuration ends at once with this message.
+    fn assert_serve_fails(&self, args: &[&str], config: &str, stderr: &str) {
+        self.write("config.json", config);
+        let mut command = self.command(&[&["serve"], args].concat());
+        assert_eq!(outcome(command.env("RELAY_CONFIG", "config.json")), failed(stderr), "{args:?}");
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// A child that another test starts inherits the lock on a store's folder until it executes its program. So no child is
+/// started while a test fills a store: else that store would still be held when the test looks at it.
+static STARTING: RwLock<()> = RwLock::new(());
+
+fn outcome(command: &mut Command) -> Run {
+    command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    let starting = STARTING.read().unwrap_or_else(PoisonError::into_inner);
+    let child = command.spawn().expect("the program starts");
+    drop(starting);
+    let output = child.wait_with_output().expect("the program ends");
+    Run {
+        status: output.status.code(),
+        stdout: String::from_utf8(output.stdout).expect("text"),
+        stderr: String::from_utf8(output.stderr).expect("text"),
+    }
+}
+
+fn done(stdout: &str) -> Run {
+    Run { status: Some(0), stdout: stdout.into(), stderr: String::new() }
+}
+
+fn failed(stderr: &str) -> Run {
+    Run { status: Some(1), stdout: String::new(), stderr: stderr.into() }
+}
+
+fn assert_prints(args: &[&str], stdout: &str) {
+    Folder::new(&format!("prints-{}", args.join("-"))).assert_prints(args, stdout);
+}
+
+/// Asserts that these arguments are wrong usage: exit status 2 and this message.
+fn assert_wrong_usage(args: &[&str], stderr: &str) {
+    let run = Folder::new(&format!("usage-{}", args.join("-"))).run(args);
+    assert_eq!(run, Run { status: Some(2), stdout: String::new(), stderr: stderr.into() }, "{args:?}");
+}
+
+// The store.
+
+/// 1 January 2100, in milliseconds of Unix time: no record expires before.
+const EXPIRES: u64 = 4_102_444_800_000;
+
+fn job(key: Option<&str>, stage: Stage, attempts: &[(&str, Fate)]) -> Vec<u8> {
+    let attempt = |(worker, fate): &(&str, Fate)| Attempt { worker: (*worker).into(), fate: *fate };
+    let record = Record {
+        class: "day-plan".into(),
+        key: key.map(str::to_owned),
+        digest: [0xab; 32],
+        stage,
+        attempts: attempts.iter().map(attempt).collect(),
+        deadline: 1_700_000_000_123,
+        until: EXPIRES,
+    };
+    record.encode()
+}
+
+/// One record of each kind that a node keeps, in the order in which they are written.
+fn records() -> Vec<(Vec<u8>, Vec<u8>)> {
+    let all_fates = [("s-1", Fate::Out), ("s-2", Fate::NeverRan), ("s-3", Fate::MayHaveRun)];
+    let list = br#"{"discovery":"127.0.0.1:8500","revision":3,"members":[]}"#;
+    vec![
+        (job_key("job-open"), job(Some("key-1"), Stage::Open, &all_fates)),
+        (job_key("job-kept"), job(None, Stage::Served(true), &all_fates[2..])),
+        (job_key("job-too-long"), job(None, Stage::Served(false), &all_fates[2..])),
+        (job_key("job-failed"), job(None, Stage::Failed, &[])),
+        (result_key("job-kept"), b"via cesis".to_vec()),
+        (b"j/unreadable".to_vec(), vec![9, b'x']),
+        (b"f/list".to_vec(), list.to_vec()),
+        (b"f/bans".to_vec(), vec![1, 3, b's', b'-', b'1', 1, 7, 1, 0, 0xff]),
+        (b"a/hard".to_vec(), vec![1, 2, 3]),
+        (b"c/seat".to_vec(), vec![b'v', 0]),
+        (b"s/start".to_vec(), vec![2]),
+    ]
+}
+
+fn open_store(folder: &Folder, names: &[&str]) -> Engine<OsDisk> {
+    let disk = |name: &&str| OsDisk::new(&folder.0.join(name)).expect("a folder");
+    let disks = names.iter().map(disk).collect();
+    Engine::open(disks, Options::default(), "process 1 (a test)", 7, 0).expect("a store").0
+}
+
+fn put(engine: &mut Engine<OsDisk>, key: &[u8], value: &[u8]) {
+    engine.append(&[Change::Put { key, value, until: EXPIRES }]).expect("room");
+    engine.commit().expect("durable");
+}
+
+/// Writes records to a store, which is closed and released at the end.
+fn write_store(folder: &Folder, names: &[&str], records: &[(Vec<u8>, Vec<u8>)]) {
+    let _no_child_starts = STARTING.write().unwrap_or_else(PoisonError::into_inner);
+    let mut engine = open_store(folder, names);
+    records.iter().for_each(|(key, value)| put(&mut engine, key, value));
+}
+
+fn fill_store(folder: &Folder, names: &[&str]) {
+    write_store(folder, names, &records());
+}
+
+/// The only segment file of a store.
+fn segment_file(folder: &Folder, name: &str) -> PathBuf {
+    let files = fs::read_dir(folder.0.join(name)).expect("a folder").flatten().map(|file| file.path());
+    files.into_iter().find(|path| path.extension().is_some_and(|end| end == "seg")).expect("a segment")
+}
+
+/// Changes one byte of a file, so that the frame around it is damaged.
+fn damage(file: &Path, at: usize) {
+    let mut bytes = fs::read(file).expect("the file is read");
+    bytes[at] ^= 1;
+    fs::write(file, bytes).expect("the file is written");
+}
+
+#[test]
+fn store_dump_prints_an_object_for_each_record() {
+    let folder = Folder::new("dump");
+    fill_store(&folder, &["data"]);
+    let digest = "abababababababababababababababababababababababababababababababab";
+    let expected = r#"{"attempts":[{"fate":"Out","worker":"s-1"},{"fate":"NeverRan","worker":"s-2"},{"fate":"MayHaveRun","worker":"s-3"}],"class":"day-plan","deadline_ms":1700000000123,"digest":"DIGEST","job":"job-open","key":"key-1","stage":"Open","until_ms":4102444800000}
+{"attempts":[{"fate":"MayHaveRun","worker":"s-3"}],"class":"day-plan","deadline_ms":1700000000123,"digest":"DIGEST","job":"job-kept","key":null,"stage":"Served(true)","until_ms":4102444800000}
+{"attempts":[{"fate":"MayHaveRun","worker":"s-3"}],"class":"day-plan","deadline_ms":1700000000123,"digest":"DIGEST","job":"job-too-long","key":null,"stage":"Served(false)","until_ms":4102444800000}
+{"attempts":[],"class":"day-plan","deadline_ms":1700000000123,"digest":"DIGEST","job":"job-failed","key":null,"stage":"Failed","until_ms":4102444800000}
+{"bytes":9,"key":"r/job-kept","value":"via cesis"}
+{"bytes":2,"key":"j/unreadable","value":"\tx"}
+{"bytes":56,"key":"f/list","value":"{\"discovery\":\"127.0.0.1:8500\",\"revision\":3,\"members\":[]}"}
+{"bytes":10,"key":"f/bans","value":"\u0001\u0003s-1\u0001\u0007\u0001\u0000�"}
+{"bytes":3,"key":"a/hard","value":"\u0001\u0002\u0003"}
+{"bytes":2,"key":"c/seat","value":"v\u0000"}
+{"bytes":1,"key":"s/start","value":"\u0002"}
+"#;
+    folder.assert_prints(&["store", "dump", "data"], &expected.replace("DIGEST", digest));
+}
+
+#[test]
+fn store_stat_prints_figures() {
+    let folder = Folder::new("stat");
+    fill_store(&folder, &["data"]);
+    folder.assert_prints(
+        &["store", "stat", "data"],
+        "\
+records      11
+live bytes   872
+file bytes   936
+segments     1
+index bytes  720 beside the keys
+torn bytes   0
+",
+    );
+}
+
+#[test]
+fn store_verify_counts_records() {
+    let folder = Folder::new("verify");
+    fill_store(&folder, &["data"]);
+    folder.assert_prints(&["store", "verify", "data"], "11 records in 1 segments, 936 bytes\n");
+}
+
+#[test]
+fn store_verify_counts_torn_bytes() {
+    let folder = Folder::new("torn");
+    fill_store(&folder, &["data"]);
+    let file = segment_file(&folder, "data");
+    let mut bytes = fs::read(&file).expect("the file is read");
+    bytes.extend([1; 5]);
+    fs::write(&file, bytes).expect("the file is written");
+    folder.assert_prints(
+        &["store", "verify", "data"],
+        "\
+11 records in 1 segments, 936 bytes
+32028 bytes behind the last record, which nobody was promised
+",
+    );
+}
+
+#[test]
+fn store_verify_names_lost_records_and_fails() {
+    let folder = Folder::new("lost");
+    fill_store(&folder, &["data"]);
+    damage(&segment_file(&folder, "data"), 70);
+    let expected = Run {
+        status: Some(1),
+        stdout: "\
+10 records in 1 segments, 936 bytes
+segment 1: frames 1 to 1 are lost
+segment 1: damaged
+"
+        .into(),
+        stderr: "postproxy: data: acknowledged records are lost\n".into(),
+    };
+    assert_eq!(folder.run(&["store", "verify", "data"]), expected);
+}
+
+#[test]
+fn store_verify_repairs_from_the_mirror() {
+    let folder = Folder::new("mirror");
+    fill_store(&folder, &["data", "copy"]);
+    damage(&segment_file(&folder, "data"), 70);
+    folder.assert_prints(
+        &["store", "verify", "data", "--mirror", "copy"],
+        "\
+11 records in 1 segments, 936 bytes
+data/0000000000000001.seg: made whole from its copy
+",
+    );
+}
+
+#[test]
+fn store_compact_prints_sizes_before_and_after() {
+    let folder = Folder::new("compact");
+    let list = (b"f/list".to_vec(), vec![b'x'; 1000]);
+    write_store(&folder, &["data"], &vec![list; 20]);
+    folder.assert_prints(&["store", "compact", "data"], "20964 bytes before, 1142 after\n");
+}
+
+#[test]
+fn store_in_use_names_its_holder() {
+    let folder = Folder::new("held");
+    let _engine = open_store(&folder, &["data"]);
+    let stderr = "postproxy: store: data: data is held by process 1 (a test)\n";
+    for action in ["verify", "dump", "compact", "stat"] {
+        folder.assert_fails(&["store", action, "data"], stderr);
+    }
+}
+
+#[test]
+fn store_that_is_not_there_is_not_made() {
+    let folder = Folder::new("absent");
+    let stderr = "postproxy: data: No such file or directory (os error 2)\n";
+    folder.assert_fails(&["store", "stat", "data"], stderr);
+    assert!(!folder.0.join("data").exists());
+}
+
+#[test]
+fn store_that_is_a_file_is_rejected() {
+    let folder = Folder::new("file");
+    folder.write("data", "");
+    folder.assert_fails(&["store", "stat", "data"], "postproxy: data: is no folder\n");
+}
+
+// The operator's file.
+
+#[test]
+fn check_says_that_a_good_file_is_sound() {
+    let folder = Folder::new("check-good");
+    folder.write("operator.json", r#"{"log": {"format": "json", "levels": "info"}}"#);
+    folder.write("config.json", include_str!("../examples/config.json"));
+    folder.assert_prints(&["check", "operator.json"], "operator.json: sound\n");
+    folder.assert_prints(&["check", "operator.json", "--config", "config.json"], "operator.json: sound\n");
+}
+
+#[test]
+fn check_names_the_place_in_a_bad_operator_file() {
+    let folder = Folder::new("check-bad");
+    folder.write("operator.json", "{\n  \"log\": {\"fromat\": \"json\"}\n}");
+    let stderr = "postproxy: operator.json: log.fromat: 'fromat' is not known here; the nearest name is 'format' at line 2 column 18\n";
+    folder.assert_fails(&["check", "operator.json"], stderr);
+}
+
+#[test]
+fn check_names_the_place_in_a_bad_configuration() {
+    let folder = Folder::new("check-config");
+    folder.write("operator.json", "{}");
+    let config =
+        include_str!("../examples/config.json").replace("\"max-attempts\": 3", "\"max-attempts\": 0");
+    folder.write("config.json", &config);
+    let stderr = "postproxy: config.json: settings.limits.max-attempts must be at least 1 (settings.range: give the key that is named a value as it must be, and start the node or signal it to reload again)\n";
+    folder.assert_fails(&["check", "operator.json", "--config", "config.json"], stderr);
+}
+
+#[test]
+fn check_names_files_that_can_not_be_read() {
+    let folder = Folder::new("check-absent");
+    folder.write("operator.json", "{}");
+    folder.assert_fails(
+        &["check", "absent.json"],
+        "postproxy: reading absent.json: No such file or directory (os error 2)\n",
+    );
+    folder.assert_fails(
+        &["check", "operator.json", "--config", "absent.json"],
+        "postproxy: reading absent.json: No such file or directory (os error 2)\n",
+    );
+}
+
+// The fleet.
+
+/// Answers one request as a node's management API would, and returns the head and body of that request.
+fn management_api(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let answer = move || {
+        let (mut stream, _) = listener.accept().expect("a caller");
+        let mut request = Vec::new();
+        while !request.ends_with(b"\r\n\r\n") {
+            let mut byte = [0];
+            stream.read_exact(&mut byte).expect("a request");
+            request.extend(byte);
+        }
+        let length = body.len();
+        write!(stream, "HTTP/1.1 {status}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}")
+            .expect("the response is written");
+        String::from_utf8(request).expect("text")
+    };
+    (address, thread::spawn(answer))
+}
+
+/// Runs a `fleet` command against a management API that gives this response; returns the run and the request line.
+fn fleet(name: &str, args: &[&str], status: &'static str, body: &'static str) -> (Run, String) {
+    let (address, served) = management_api(status, body);
+    let folder = Folder::new(name);
+    let run = folder.run(&[&["fleet"], args, &["--mgmt", &address.to_string()]].concat());
+    let request = served.join().expect("one request");
+    let line = request.lines().next().unwrap_or_default().to_owned();
+    let stderr = run.stderr.replace(&address.to_string(), "ADDRESS");
+    (Run { stderr, ..run }, line)
+}
+
+const FULL_PICTURE: &str = r#"{"cluster":"yard","node":"n0","member":true,"namesake":null,"standing":"some pairs cut","reasons":["n0 does not hear n2"],"members":[{"name":"n0","address":"10.0.0.1:7946","incarnation":4,"state":"here","voter":true,"leads":true},{"name":"n1","address":"10.0.0.2:7946","incarnation":2,"state":"suspect","voter":true},{"name":"n2","address":"[fd00::3]:7946","incarnation":1,"state":"left","voter":false,"leads":false}],"unheard":["n2"],"ill":1.25,"missed_s":3.04,"bans":["s-1","s-2"],"dropped":{"cluster":2,"length":1}}
+"#;
+
+#[test]
+fn fleet_members_prints_a_table() {
+    let expected = "\
+n0 of yard: some pairs cut
+  n0 does not hear n2
+node                 state    votes  address                incarnation
+n0                   here     yes    10.0.0.1:7946          4
+n1                   suspect  yes    10.0.0.2:7946          2
+n2                   left            [fd00::3]:7946         1
+not heard directly: n2
+out of use for the fleet: s-1, s-2
+this process missed 3.0 s; 1.2 of 8 from well
+datagrams and streams dropped: cluster 2, length 1
+";
+    let (run, request) = fleet("members-table", &["members"], "200 OK", FULL_PICTURE);
+    assert_eq!(run, done(expected));
+    assert_eq!(request, "GET /v1/fleet/members HTTP/1.1");
+}
+
+#[test]
+fn fleet_members_prints_json_as_the_node_gave_it() {
+    let (run, request) = fleet("members-json", &["members", "--json"], "200 OK", FULL_PICTURE);
+    assert_eq!(run, done(FULL_PICTURE));
+    assert_eq!(request, "GET /v1/fleet/members HTTP/1.1");
+}
+
+#[test]
+fn fleet_members_says_that_the_node_is_no_member_yet() {
+    let body = r#"{"cluster":"yard","node":"n0","member":false,"namesake":null,"standing":"alone","reasons":[],"members":[],"unheard":[],"ill":0.0,"missed_s":0.0,"bans":[],"dropped":{}}"#;
+    let expected = "\
+n0 of yard: alone
+  no member yet
+node                 state    votes  address                incarnation
+";
+    assert_eq!(fleet("no-member", &["members"], "200 OK", body).0, done(expected));
+}
+
+#[test]
+fn fleet_members_names_the_process_that_has_the_same_name() {
+    let body = r#"{"cluster":"yard","node":"n0","member":false,"namesake":"10.0.0.9:7946","standing":"alone","reasons":[],"members":[],"unheard":[],"ill":0.0,"missed_s":0.0,"bans":[],"dropped":{}}"#;
+    let expected = "\
+n0 of yard: alone
+  no member: the process at 10.0.0.9:7946 has this name, too
+node                 state    votes  address                incarnation
+";
+    assert_eq!(fleet("namesake", &["members"], "200 OK", body).0, done(expected));
+}
+
+#[test]
+fn fleet_members_prints_what_the_node_rejects() {
+    let (run, _) = fleet("members-404", &["members"], "404 Not Found", "no fleet\n");
+    assert_eq!(run, failed("postproxy: ADDRESS: no fleet\n"));
+}
+
+#[test]
+fn fleet_members_rejects_a_picture_that_lacks_a_key() {
+    let (run, _) = fleet("members-short", &["members"], "200 OK", r#"{"cluster":"yard"}"#);
+    assert_eq!(run, failed("postproxy: missing field `node` at line 1 column 18\n"));
+}
+
+#[test]
+fn fleet_members_names_the_address_that_nobody_listens_at() {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
+    drop(listener);
+    let expected = format!("postproxy: {address}: Connection refused (os error 111)\n");
+    Folder::new("members-nobody").assert_fails(&["fleet", "members", "--mgmt", &address], &expected);
+}
+
+#[test]
+fn fleet_forget_prints_the_outcome() {
+    let forget = ["forget", "n 2"];
+    let (run, request) = fleet("forget-200", &forget, "200 OK", "{}");
+    assert_eq!(run, done("n 2 is forgotten\n"));
+    assert_eq!(request, "POST /v1/fleet/members/n%202/forget HTTP/1.1");
+    let (run, _) = fleet("forget-409", &forget, "409 Conflict", "");
+    assert_eq!(run, failed("postproxy: n 2: it has not failed; end it, then ask again\n"));
+    let (run, _) = fleet("forget-404", &forget, "404 Not Found", "no such node\n");
+    assert_eq!(run, failed("postproxy: n 2: no such node\n"));
+}
+
+// Starting a node.
+
+/// A configuration of a node on free ports of loopback, with more keys in front.
+fn config(more: &str) -> String {
+    format!(
+        r#"{{{more}"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7", "settings": {{}}}}"#
+    )
+}
+
+#[test]
+fn serve_without_a_configuration_fails() {
+    let folder = Folder::new("serve-none");
+    let stderr = "postproxy: RELAY_CONFIG names no configuration file\n";
+    folder.assert_fails(&["serve"], stderr);
+    folder.assert_fails(&[], stderr);
+}
+
+#[test]
+fn serve_names_an_operator_file_that_can_not_be_read() {
+    let folder = Folder::new("serve-operator");
+    let stderr = "postproxy: reading absent.json: No such file or directory (os error 2)\n";
+    folder.assert_serve_fails(&["--operator", "absent.json"], &config(""), stderr);
+    folder.write("config.json", &config(""));
+    let mut command = folder.command(&["serve"]);
+    command.env("RELAY_CONFIG", "config.json").env("POSTPROXY_OPERATOR", "absent.json");
+    assert_eq!(outcome(&mut command), failed(stderr));
+}
+
+#[test]
+fn serve_rejects_log_levels_that_name_none() {
+    let stderr = "postproxy: 'info,postproxy=lound' names no levels: error parsing level filter: expected one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\", or a number 0-5\n";
+    let folder = Folder::new("serve-levels");
+    folder.assert_serve_fails(&["--log-levels", "info,postproxy=lound"], &config(""), stderr);
+}
+
+#[test]
+fn serve_names_the_address_that_is_taken() {
+    let folder = Folder::new("serve-taken");
+    let taken = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
+    let address = taken.local_addr().expect("an address");
+    let stderr = format!("postproxy: listening on {address}: Address already in use (os error 98)\n");
+    let listen = config("").replace("127.0.0.1:0", &address.to_string());
+    folder.assert_serve_fails(&[], &listen, &stderr);
+    folder.assert_serve_fails(&[], &config(&format!(r#""mgmt": "{address}", "#)), &stderr);
+}
+
+#[test]
+fn serve_names_the_fleet_address_that_is_taken() {
+    let folder = Folder::new("serve-fleet-taken");
+    let taken = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
+    let address = taken.local_addr().expect("an address");
+    let operator = format!(r#"{{"fleet": {{"cluster": "c", "listen": "{address}", "voters": ["n0"]}}}}"#);
+    folder.write("operator.json", &operator);
+    let stderr = format!("postproxy: fleet.listen: {address}: Address already in use (os error 98)\n");
+    folder.assert_serve_fails(&["--operator", "operator.json", "--log-levels", "off"], &config(""), &stderr);
+}
+
+#[test]
+fn serve_rejects_a_node_name_that_is_no_member_name() {
+    let folder = Folder::new("serve-name");
+    let operator = r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0"]}}"#;
+    folder.write("operator.json", operator);
+    let stderr = "postproxy: fleet: the node's name '' must have 1 to 64 bytes\n";
+    let unnamed = config("").replace("n0", "");
+    folder.assert_serve_fails(&["--operator", "operator.json"], &unnamed, stderr);
+}
+
+#[test]
+fn serve_rejects_a_voter_without_a_store() {
+    let folder = Folder::new("serve-voter");
+    let operator =
+        r#"{"duties": {}, "fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0", "n1", "n2"]}}"#;
+    folder.write("operator.json", operator);
+    let stderr =
+        "postproxy: duties: this node votes, and its promises must outlive it: it needs the section store\n";
+    folder.assert_serve_fails(&["--operator", "operator.json"], &config(""), stderr);
+}
+
+#[test]
+fn serve_names_the_holder_of_its_store() {
+    let folder = Folder::new("serve-held");
+    let _engine = open_store(&folder, &["data"]);
+    folder.write("operator.json", r#"{"store": {"folder": "data"}}"#);
+    let stderr = "postproxy: store: data: data is held by process 1 (a test)\n";
+    folder.assert_serve_fails(&["--operator", "operator.json"], &config(""), stderr);
+}
+
+// Wrong usage and help.
+
+#[test]
+fn version_is_printed() {
+    assert_prints(&["--version"], "postproxy 0.1.0\n");
+}
+
+#[test]
+fn an_unknown_command_is_wrong_usage() {
+    let stderr = "error: unrecognized subcommand 'swerve'
+
+  tip: a similar subcommand exists: 'serve'
+
+Usage: postproxy [COMMAND]
+
+For more information, try '--help'.
+";
+    assert_wrong_usage(&["swerve"], stderr);
+}
+
+#[test]
+fn an_unknown_log_format_is_wrong_usage() {
+    let stderr = "error: invalid value 'xml' for '--log-format <FORMAT>'
+  [possible values: text, json]
+
+For more information, try '--help'.
+";
+    assert_wrong_usage(&["serve", "--log-format", "xml"], stderr);
+}
+
+#[test]
+fn a_missing_argument_is_wrong_usage() {
+    let stderr = "error: the following required arguments were not provided:
+  --mgmt <ADDR>
+
+Usage: postproxy fleet members --mgmt <ADDR>
+
+For more information, try '--help'.
+";
+    assert_wrong_usage(&["fleet", "members"], stderr);
+}
+
+#[test]
+fn figures_of_a_trial_have_a_range() {
+    let jobs = "error: invalid value '0' for '--jobs <JOBS>': 0 is not in 1..=10000
+
+For more information, try '--help'.
+";
+    assert_wrong_usage(&["try", "--jobs", "0"], jobs);
+    let clients = "error: invalid value '257' for '--clients <CLIENTS>': 257 is not in 1..=256
+
+For more information, try '--help'.
+";
+    assert_wrong_usage(&["try", "--clients", "257"], clients);
+    let nodes = "error: invalid value '2' for '--fleet <NODES>': 2 is not in 3..=9
+
+For more information, try '--help'.
+";
+    assert_wrong_usage(&["try", "--fleet", "2"], nodes);
+}
+
+#[test]
+fn help_of_the_program() {
+    let text = r"A node that sits beside each submitter and pushes its jobs to workers by lottery, and the module that decides
+
+Usage: postproxy [COMMAND]
+
+Commands:
+  serve        Run a node until SIGTERM or SIGINT; RELAY_CONFIG names its configuration
+  check        Say what is wrong with an operator's file, or that nothing is
+  store        Look at a store's files, with its node stopped
+  fleet        Ask a running node about the other nodes
+  try          Try it all in one process: discovery, four workers, a node, and jobs of two classes
+  completions  Print a script that completes this program's words in a shell
+  help         Print this message or the help of the given subcommand(s)
+
+Options:
+  -h, --help     Print help
+  -V, --version  Print version
+
+Exit status: 0 done, 1 failed, 2 wrong usage.
+";
+    assert_prints(&["--help"], text);
+}
+
+#[test]
+fn help_of_serve() {
+    let text = r"Run a node until SIGTERM or SIGINT; RELAY_CONFIG names its configuration
+
+Usage: postproxy serve [OPTIONS]
+
+Options:
+      --operator <FILE>
+          The operator's file: which parts of the program are on
+          
+          [env: POSTPROXY_OPERATOR=]
+
+      --log-format <FORMAT>
+          How lines of the log look; goes before the operator's file
+
+          Possible values:
+          - text: For people
+          - json: An object a line
+
+      --log-levels <LEVELS>
+          Levels by module, such as info,postproxy::net::back::farm=debug; goes before the operator's file
+
+  -h, --help
+          Print help (see a summary with '-h')
+";
+    assert_prints(&["serve", "--help"], text);
+}
+
+#[test]
+fn help_of_check() {
+    let text = r"Say what is wrong with an operator's file, or that nothing is
+
+Usage: postproxy check [OPTIONS] <FILE>
+
+Arguments:
+  <FILE>  The operator's file
+
+Options:
+      --config <FILE>  A node's configuration to check with it
+  -h, --help           Print help
+";
+    assert_prints(&["check", "--help"], text);
+}
+
+#[test]
+fn help_of_store() {
+    let text = r"Look at a store's files, with its node stopped
+
+Usage: postproxy store <COMMAND>
+
+Commands:
+  verify   Read every record and say what is damaged, torn or lost; with a mirror, repair it
+  dump     Print every record as an object a line
+  compact  Give back the space of all that is not live
+  stat     Print figures
+  help     Print this message or the help of the given subcommand(s)
+
+Options:
+  -h, --help  Print help
+";
+    assert_prints(&["store", "--help"], text);
+}
+
+#[test]
+fn help_of_store_verify() {
+    let text = r"Read every record and say what is damaged, torn or lost; with a mirror, repair it
+
+Usage: postproxy store verify [OPTIONS] <DIR>
+
+Arguments:
+  <DIR>  The store's folder
+
+Options:
+      --mirror <DIR>  Its mirror's folder
+  -h, --help          Print help
+";
+    assert_prints(&["store", "verify", "--help"], text);
+}
+
+#[test]
+fn help_of_store_dump() {
+    let text = r"Print every record as an object a line
+
+Usage: postproxy store dump [OPTIONS] <DIR>
+
+Arguments:
+  <DIR>  The store's folder
+
+Options:
+      --mirror <DIR>  Its mirror's folder
+  -h, --help          Print help
+";
+    assert_prints(&["store", "dump", "--help"], text);
+}
+
+#[test]
+fn help_of_store_compact() {
+    let text = r"Give back the space of all that is not live
+
+Usage: postproxy store compact [OPTIONS] <DIR>
+
+Arguments:
+  <DIR>  The store's folder
+
+Options:
+      --mirror <DIR>  Its mirror's folder
+  -h, --help          Print help
+";
+    assert_prints(&["store", "compact", "--help"], text);
+}
+
+#[test]
+fn help_of_store_stat() {
+    let text = r"Print figures
+
+Usage: postproxy store stat [OPTIONS] <DIR>
+
+Arguments:
+  <DIR>  The store's folder
+
+Options:
+      --mirror <DIR>  Its mirror's folder
+  -h, --help          Print help
+";
+    assert_prints(&["store", "stat", "--help"], text);
+}
+
+#[test]
+fn help_of_fleet() {
+    let text = r"Ask a running node about the other nodes
+
+Usage: postproxy fleet <COMMAND>
+
+Commands:
+  members  Who is there, who has failed or left, and how things stand, as one node sees it
+  forget   Counts a node that has failed no more, at all nodes: it will not come back
+  help     Print this message or the help of the given subcommand(s)
+
+Options:
+  -h, --help  Print help
+";
+    assert_prints(&["fleet", "--help"], text);
+}
+
+#[test]
+fn help_of_fleet_members() {
+    let text = r"Who is there, who has failed or left, and how things stand, as one node sees it
+
+Usage: postproxy fleet members [OPTIONS] --mgmt <ADDR>
+
+Options:
+      --mgmt <ADDR>  Where the node's operators call
+      --json         As the node tells it, in JSON
+      --watch        Again every second, until this program is ended
+  -h, --help         Print help
+";
+    assert_prints(&["fleet", "members", "--help"], text);
+}
+
+#[test]
+fn help_of_fleet_forget() {
+    let text = r"Counts a node that has failed no more, at all nodes: it will not come back
+
+Usage: postproxy fleet forget --mgmt <ADDR> <NAME>
+
+Arguments:
+  <NAME>  The name of the node that will not come back
+
+Options:
+      --mgmt <ADDR>  Where the operators of some other node call
+  -h, --help         Print help
+";
+    assert_prints(&["fleet", "forget", "--help"], text);
+}
+
+#[test]
+fn help_of_try() {
+    let text = r"Try it all in one process: discovery, four workers, a node, and jobs of two classes
+
+Usage: postproxy try [OPTIONS]
+
+Options:
+      --jobs <JOBS>        How many jobs of each class [default: 20]
+      --clients <CLIENTS>  How many clients at once [default: 4]
+      --fleet <NODES>      So many nodes, as processes that know each other: some are killed and stopped while jobs run
+  -h, --help               Print help
+";
+    assert_prints(&["try", "--help"], text);
+}
+
+#[test]
+fn help_of_completions() {
+    let text = r"Print a script that completes this program's words in a shell
+
+Usage: postproxy completions <SHELL>
+
+Arguments:
+  <SHELL>  The shell [possible values: bash, elvish, fish, powershell, zsh]
+
+Options:
+  -h, --help  Print help
+";
+    assert_prints(&["completions", "--help"], text);
+}
