--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand};
 use postproxy::net::back::keeper;
 use postproxy::operator::StoreSection;
-use postproxy_ledger::{Record, job_id};
+use postproxy_ledger::{Fate, Record, Stage, job_id};
 use postproxy_store::{Engine, OsDisk, Recovery};
 use std::io::Write;
 
@@ -94,6 +94,25 @@
     Err(format!("{}: acknowledged records are lost", folder.dir).into())
 }
 
+/// The word for an attempt's outcome in the output of `dump`, which scripts read: it stays when the type is renamed.
+fn fate_word(fate: Fate) -> &'static str {
+    match fate {
+        Fate::Out => "Out",
+        Fate::NeverRan => "NeverRan",
+        Fate::MayHaveRun => "MayHaveRun",
+    }
+}
+
+/// The word for a job's stage in the output of `dump`, which scripts read: it stays when the type is renamed.
+fn stage_word(stage: Stage) -> &'static str {
+    match stage {
+        Stage::Open => "Open",
+        Stage::Served(true) => "Served(true)",
+        Stage::Served(false) => "Served(false)",
+        Stage::Failed => "Failed",
+    }
+}
+
 fn dump(folder: &Folder) -> Result<(), Failure> {
     let (mut engine, _) = folder.open()?;
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
@@ -106,10 +125,10 @@
                 let attempts: Vec<_> = record
                     .attempts
                     .iter()
-                    .map(|a| serde_json::json!({"worker": a.worker, "fate": format!("{:?}", a.fate)}))
+                    .map(|a| serde_json::json!({"worker": a.worker, "fate": fate_word(a.fate)}))
                     .collect();
                 serde_json::json!({"job": id, "class": record.class, "key": record.key, "digest": digest,
-                    "stage": format!("{:?}", record.stage), "attempts": attempts,
+                    "stage": stage_word(record.stage), "attempts": attempts,
                     "deadline_ms": record.deadline, "until_ms": record.until})
             }
             None => serde_json::json!({"key": name, "bytes": value.len(),
