--- /dev/null
+++ b/crates/council/tests/surface_errors.rs
@@ -0,0 +1,48 @@
+//! Pins the messages, codes and remedies of this crate's errors, and the form in which one is shown. They are read by
+//! operators and scripts and must not change with a name in the code.
+
+use postproxy_council::{Error, Refusal};
+use postproxy_remedy::{Remedy, Told};
+
+#[test]
+fn every_error_has_its_message_and_code() {
+    let cases = [
+        (
+            Error::NoMajority(vec!["n1".into(), "n2".into()]),
+            "not decided in time; voters not heard: n1, n2",
+            "duties.no_majority",
+        ),
+        (Error::NoMajority(vec![]), "not decided in time; voters not heard: none", "duties.no_majority"),
+        (Error::Busy, "too many calls wait", "duties.busy"),
+        (Error::NoVoters, "no node votes", "duties.no_voters"),
+        (Error::Refused(Refusal::Owned("n1".into(), 7)), "n1 owns it under token 7", "duties.owned"),
+        (Error::Refused(Refusal::Stale(Some(8))), "the token is over: it is 8 now", "duties.stale"),
+        (Error::Refused(Refusal::Unknown), "nobody knows this duty", "duties.unknown"),
+        (
+            Error::Refused(Refusal::Malformed),
+            "a name must have 1 to 64 bytes, a value at most 65536",
+            "duties.malformed",
+        ),
+        (Error::Refused(Refusal::Full), "no more duties can be remembered", "duties.full"),
+        (Error::Refused(Refusal::Old), "a later call of this client has been answered", "duties.old"),
+        (Error::WouldStop { living: 1, of: 3 }, "it would leave 1 living voters of 3", "voters.would_stop"),
+        (Error::Count, "two to seven nodes vote", "voters.count"),
+        (Error::Nobody, "no node of that name is known", "voters.nobody"),
+        (Error::Name, "a name must have 1 to 64 bytes", "voters.name"),
+        (Error::Elsewhere("n2".into()), "n2 leads", "voters.elsewhere"),
+    ];
+    for (error, message, code) in cases {
+        assert_eq!((error.to_string().as_str(), error.code()), (message, code));
+    }
+}
+
+#[test]
+fn an_error_is_shown_with_its_subject_code_message_and_remedy() {
+    let expected = Told {
+        error: "duties".into(),
+        code: "duties.busy".into(),
+        what: "too many calls wait".into(),
+        remedy: "wait a second and ask again".into(),
+    };
+    assert_eq!(Error::Busy.told(), expected);
+}
--- /dev/null
+++ b/crates/inherit/tests/surface_errors.rs
@@ -0,0 +1,27 @@
+//! Pins the messages with which a node's start says why an inherited descriptor is not taken over. They must not change
+//! with a name in the code.
+
+use postproxy_inherit::Problem;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+
+#[test]
+fn every_problem_has_its_message() {
+    let other = SocketAddr::from(([127, 0, 0, 1], 80));
+    let cases = [
+        (Problem::Number, "is no number of a descriptor above 2"),
+        (Problem::Taken, "was taken over before"),
+        (Problem::Closed, "names a descriptor that is not open"),
+        (Problem::NoSocket, "names a descriptor that is no socket"),
+        (Problem::NotListening, "names a socket that does not listen for streams"),
+        (Problem::Elsewhere(Some(other)), "names a socket that listens at 127.0.0.1:80"),
+        (Problem::Elsewhere(None), "names a socket that listens at no internet address"),
+        (
+            Problem::System(ErrorKind::PermissionDenied),
+            "names a socket that can't be used: permission denied",
+        ),
+    ];
+    for (problem, message) in cases {
+        assert_eq!(problem.to_string(), message);
+    }
+}
--- /dev/null
+++ b/crates/members/tests/surface_errors.rs
@@ -0,0 +1,49 @@
+//! Pins the words with which the log and the management API name dropped datagrams, the state of the cluster and its
+//! nodes. They must not change with a name in the code.
+
+use postproxy_members::packet::Flaw;
+use postproxy_members::{Identity, Standing};
+
+#[test]
+fn reasons_to_drop_a_datagram_have_their_words() {
+    let flaws = [Flaw::Foreign, Flaw::Version, Flaw::Cluster, Flaw::Damaged, Flaw::Unknown];
+    let expected = ["foreign", "another version", "another cluster", "damaged", "not understood"];
+    assert_eq!(flaws.map(Flaw::word), expected);
+}
+
+#[test]
+fn states_of_the_cluster_have_their_words_and_reasons() {
+    let names = || vec!["n1".to_owned(), "n2".to_owned()];
+    let cases = [
+        (Standing::Alone, "alone", vec![]),
+        (Standing::Whole, "whole", vec![]),
+        (Standing::SomeCut(vec![("n0".into(), "n1".into())]), "some pairs cut", vec!["n0 does not hear n1"]),
+        (Standing::Failed(names()), "some failed", vec!["n1 has failed", "n2 has failed"]),
+        (
+            Standing::Majority(names()),
+            "cut off with a majority",
+            vec!["n1 is not reached", "n2 is not reached"],
+        ),
+        (
+            Standing::Minority(names()),
+            "cut off with a minority",
+            vec!["voter n1 is not reached", "voter n2 is not reached"],
+        ),
+        (
+            Standing::NoMajority(names()),
+            "no majority anywhere",
+            vec!["voter n1 is not reached", "voter n2 is not reached"],
+        ),
+    ];
+    for (standing, word, reasons) in cases {
+        assert_eq!((standing.word(), standing.to_string().as_str()), (word, word));
+        assert_eq!(standing.reasons(), reasons);
+    }
+}
+
+#[test]
+fn a_node_is_named_with_its_address_and_incarnation() {
+    let address = ([127, 0, 0, 1], 7946).into();
+    let identity = Identity { name: "n1".into(), address, incarnation: 3, life: 9 };
+    assert_eq!(identity.to_string(), "n1 at 127.0.0.1:7946, incarnation 3");
+}
--- /dev/null
+++ b/tests/surface_errors.rs
@@ -0,0 +1,253 @@
+//! Pins what errors look like outside of the program: every code with its remedy, the body and status with which the
+//! management API shows each error, the messages of the error types, and what the drill program prints. All are written
+//! out, so that no renaming in the code can change what operators and scripts read.
+
+use postproxy::interface::SettingsError;
+use postproxy::net::peers::affairs::refusal;
+use postproxy::net::words::Answer;
+use postproxy::operator::Problem;
+use postproxy::wire::WireError;
+use postproxy_council::{Error, Refusal};
+use postproxy_remedy::{Remedy, Told};
+use std::io::Write;
+use std::process::{Command, Stdio};
+
+#[test]
+fn codes_of_the_audit_have_their_remedies() {
+    let expected = [(
+        "audit.fork",
+        "see which of the two the source of this version holds; end whatever else speaks in its name",
+    )];
+    assert_eq!(postproxy_audit::REMEDIES, expected);
+}
+
+#[test]
+fn codes_of_coordination_have_their_remedies() {
+    let expected = [
+        (
+            "duties.no_majority",
+            "ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back",
+        ),
+        ("duties.busy", "wait a second and ask again"),
+        ("duties.no_voters", "name voters in the section fleet of every node, and start them"),
+        ("duties.owned", "ask its owner to release it, or hand it on"),
+        ("duties.stale", "nothing: another owner has it, and the old one has stopped"),
+        ("duties.unknown", "see GET /v1/fleet/owners for the duties that there are"),
+        ("duties.malformed", "give a name of 1 to 64 bytes"),
+        ("duties.full", "no more than 4096 duties can be known: end parts that make them"),
+        ("duties.old", "nothing: a later call of the same node has been answered"),
+        (
+            "voters.would_stop",
+            "start voters that are down first, or remove a dead one instead of a living one",
+        ),
+        ("voters.count", "remove a seat before another is added; two voters are the least"),
+        ("voters.nobody", "see GET /v1/fleet/members for the names; the node must be there to get a seat"),
+        ("voters.name", "give a name of 1 to 64 bytes"),
+        ("voters.elsewhere", "ask again: who leads has just changed"),
+    ];
+    assert_eq!(postproxy_council::REMEDIES, expected);
+}
+
+#[test]
+fn codes_of_settings_have_their_remedies() {
+    let expected = [
+        (
+            "settings.malformed",
+            "correct the value at the key that is named, and start the node or signal it to reload again",
+        ),
+        (
+            "settings.word",
+            "give the key that is named one of the words that are listed, and start the node or signal it to reload again",
+        ),
+        (
+            "settings.range",
+            "give the key that is named a value as it must be, and start the node or signal it to reload again",
+        ),
+    ];
+    assert_eq!(postproxy::interface::REMEDIES, expected);
+}
+
+/// Asserts the status and the body with which the management API rejects a call that came to this.
+fn assert_rejection(error: Error, status: u16, body: &str) {
+    assert_eq!(refusal(&error), (status, format!("{body}\n")));
+}
+
+#[test]
+fn calls_that_are_not_decided_are_shown_with_status_503() {
+    assert_rejection(
+        Error::NoMajority(vec!["n1".into(), "n2".into()]),
+        503,
+        r#"{"error":"duties","code":"duties.no_majority","what":"not decided in time; voters not heard: n1, n2","remedy":"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back"}"#,
+    );
+    assert_rejection(
+        Error::NoMajority(vec![]),
+        503,
+        r#"{"error":"duties","code":"duties.no_majority","what":"not decided in time; voters not heard: none","remedy":"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back"}"#,
+    );
+    assert_rejection(
+        Error::Busy,
+        503,
+        r#"{"error":"duties","code":"duties.busy","what":"too many calls wait","remedy":"wait a second and ask again"}"#,
+    );
+    assert_rejection(
+        Error::NoVoters,
+        503,
+        r#"{"error":"duties","code":"duties.no_voters","what":"no node votes","remedy":"name voters in the section fleet of every node, and start them"}"#,
+    );
+    assert_rejection(
+        Error::Elsewhere("n2".into()),
+        503,
+        r#"{"error":"voters","code":"voters.elsewhere","what":"n2 leads","remedy":"ask again: who leads has just changed"}"#,
+    );
+}
+
+#[test]
+fn calls_that_the_state_forbids_are_shown_with_status_409() {
+    assert_rejection(
+        Error::Refused(Refusal::Owned("n1".into(), 7)),
+        409,
+        r#"{"error":"duties","code":"duties.owned","what":"n1 owns it under token 7","remedy":"ask its owner to release it, or hand it on"}"#,
+    );
+    assert_rejection(
+        Error::Refused(Refusal::Stale(Some(8))),
+        409,
+        r#"{"error":"duties","code":"duties.stale","what":"the token is over: it is 8 now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
+    );
+    assert_rejection(
+        Error::Refused(Refusal::Stale(None)),
+        409,
+        r#"{"error":"duties","code":"duties.stale","what":"the token is over: nobody owns it now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
+    );
+    assert_rejection(
+        Error::Refused(Refusal::Malformed),
+        409,
+        r#"{"error":"duties","code":"duties.malformed","what":"a name must have 1 to 64 bytes, a value at most 65536","remedy":"give a name of 1 to 64 bytes"}"#,
+    );
+    assert_rejection(
+        Error::Refused(Refusal::Full),
+        409,
+        r#"{"error":"duties","code":"duties.full","what":"no more duties can be remembered","remedy":"no more than 4096 duties can be known: end parts that make them"}"#,
+    );
+    assert_rejection(
+        Error::Refused(Refusal::Old),
+        409,
+        r#"{"error":"duties","code":"duties.old","what":"a later call of this client has been answered","remedy":"nothing: a later call of the same node has been answered"}"#,
+    );
+}
+
+#[test]
+fn changes_of_the_voters_that_are_not_possible_are_shown_with_status_409() {
+    assert_rejection(
+        Error::WouldStop { living: 1, of: 3 },
+        409,
+        r#"{"error":"voters","code":"voters.would_stop","what":"it would leave 1 living voters of 3","remedy":"start voters that are down first, or remove a dead one instead of a living one"}"#,
+    );
+    assert_rejection(
+        Error::Count,
+        409,
+        r#"{"error":"voters","code":"voters.count","what":"two to seven nodes vote","remedy":"remove a seat before another is added; two voters are the least"}"#,
+    );
+}
+
+#[test]
+fn calls_for_what_is_not_there_are_shown_with_status_404() {
+    assert_rejection(
+        Error::Refused(Refusal::Unknown),
+        404,
+        r#"{"error":"duties","code":"duties.unknown","what":"nobody knows this duty","remedy":"see GET /v1/fleet/owners for the duties that there are"}"#,
+    );
+    assert_rejection(
+        Error::Nobody,
+        404,
+        r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; the node must be there to get a seat"}"#,
+    );
+}
+
+#[test]
+fn a_name_that_is_none_is_shown_with_status_400() {
+    assert_rejection(
+        Error::Name,
+        400,
+        r#"{"error":"voters","code":"voters.name","what":"a name must have 1 to 64 bytes","remedy":"give a name of 1 to 64 bytes"}"#,
+    );
+}
+
+#[test]
+fn settings_errors_are_shown_with_code_and_remedy() {
+    let shown = |error: SettingsError| {
+        let Told { error, code, what, remedy } = error.told();
+        [error, code, what, remedy]
+    };
+    let word = SettingsError::Word { path: "report.via".into(), found: "x\"".into(), want: "a, b" };
+    let expected = [
+        "settings",
+        "settings.word",
+        r#"settings.report.via must be one of a, b, and is "x\"""#,
+        "give the key that is named one of the words that are listed, and start the node or signal it to reload again",
+    ];
+    assert_eq!(shown(word), expected);
+    let expected = [
+        "settings",
+        "settings.range",
+        "settings.tick must be above 0",
+        "give the key that is named a value as it must be, and start the node or signal it to reload again",
+    ];
+    assert_eq!(shown(SettingsError::Range { key: "tick", want: "above 0" }), expected);
+    let malformed = postproxy::interface::Settings::from_json("[").expect_err("no JSON");
+    let expected = [
+        "settings",
+        "settings.malformed",
+        "settings: EOF while parsing a list at line 1 column 1",
+        "correct the value at the key that is named, and start the node or signal it to reload again",
+    ];
+    assert_eq!(shown(malformed), expected);
+}
+
+#[test]
+fn problems_of_the_operator_file_begin_with_their_place() {
+    let problem = Problem { path: "store.folder".into(), what: "names no folder".into() };
+    assert_eq!(problem.to_string(), "store.folder: names no folder");
+}
+
+#[test]
+fn answers_have_their_words_in_logs() {
+    let words = [Answer::Served(vec![]), Answer::Unavailable(1.0), Answer::Failed, Answer::Held]
+        .map(|answer| answer.word());
+    assert_eq!(words, ["served", "unavailable", "failed", "held"]);
+}
+
+#[test]
+fn errors_of_the_batch_protocol_have_their_messages() {
+    let cases = [
+        (WireError::Io(std::io::Error::other("gone")), "reading a batch: gone"),
+        (WireError::Truncated, "input ended within a batch"),
+        (WireError::Short(3), "record of code 3 is shorter than its fields"),
+        (WireError::Long(4), "record of code 4 is longer than its fields"),
+        (WireError::UnknownCode(99), "unknown event code 99"),
+        (WireError::Value { field: "outcome", value: 77 }, "field outcome can't be 77"),
+        (WireError::Count, "a batch's count or size does not fit its records"),
+        (WireError::Clock, "a batch's clock is not a finite number"),
+    ];
+    for (error, expected) in cases {
+        assert_eq!(error.to_string(), expected);
+    }
+}
+
+/// What the drill program comes to with this input: its exit status and standard error.
+fn drill(input: &[u8]) -> (Option<i32>, String) {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy-drill"));
+    command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::piped());
+    let mut child = command.spawn().expect("the program starts");
+    child.stdin.take().expect("a pipe").write_all(input).expect("the input is written");
+    let output = child.wait_with_output().expect("the program ends");
+    (output.status.code(), String::from_utf8(output.stderr).expect("text"))
+}
+
+#[test]
+fn the_drill_program_prints_its_error_and_ends_with_status_1() {
+    assert_eq!(drill(b""), (Some(0), String::new()));
+    let truncated = (Some(1), "postproxy-drill: input ended within a batch\n".to_owned());
+    assert_eq!(drill(b"\x01\0\0"), truncated);
+    let count = (Some(1), "postproxy-drill: a batch's count or size does not fit its records\n".to_owned());
+    assert_eq!(drill(&[0; 20]), count);
+}
