--- /dev/null
+++ b/tests/surface_management.rs
@@ -0,0 +1,466 @@
+//! Pins the management API as an operator's program sees it: for each path the complete answer, byte for byte.
+//!
+//! The answers come from whole nodes on loopback sockets. Status lines, header fields, words and JSON keys are literal here, and
+//! none of them follows the rename of a Rust item: if one of these tests fails after a rename, mend the code (for JSON keys with
+//! `#[serde(rename)]`), not the literal. Ports, times and drawn numbers are replaced by a word before the comparison. The number
+//! and digest of the kind `program` follow the package's version, and change with a release.
+
+use postproxy::net::peers::affairs::refusal;
+use postproxy::net::peers::audit::Audit;
+use postproxy::net::peers::fleet::{Picture, Shown};
+use postproxy::net::{Config, Node};
+use postproxy::operator::{AuditSection, DutiesSection, FleetSection, StoreSection};
+use postproxy_audit::{Kind, Settings, Source, Stand, Word};
+use postproxy_council::{Error, Refusal};
+use postproxy_faults::addresses;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::unix::net::UnixStream;
+use std::path::PathBuf;
+use std::thread::{JoinHandle, sleep};
+use std::time::{Duration, Instant};
+
+/// No answer in these tests takes nearly so long.
+const LIMIT: Duration = Duration::from_secs(20);
+
+/// A whole node with one worker in its list, `s-0`, which is never called.
+struct TestNode {
+    management: SocketAddr,
+    stop: UnixStream,
+    thread: JoinHandle<()>,
+    /// Keeps discovery's port: calls to it are never answered.
+    _discovery: TcpListener,
+}
+
+impl TestNode {
+    fn start(change: impl FnOnce(&mut Config)) -> Self {
+        let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let text = format!(
+            r#"{{"name":"n0","listen":"127.0.0.1:0","mgmt":"127.0.0.1:0","discovery":"{}","seed":"8c1f",
+            "known":{{"revision":41,"complete":true,"members":[{{"id":"s-0","host_port":"127.0.0.1:9","locality":"riga",
+                "flavor":"m2","cell":1,"phase":"in_service","size":1.0,"up_since_ms":0}}]}},
+            "settings":{{"balancers":1,"discovery":"on_request","dcs":["riga"],"machine-types":["m2"],
+                "services":[{{"name":"render","effect":"pure"}}]}}}}"#,
+            discovery.local_addr().expect("an address")
+        );
+        let mut config = Config::from_json(&text, |_| None).expect("a configuration");
+        change(&mut config);
+        let (stop, signal) = UnixStream::pair().expect("a pair");
+        let (tell, told) = std::sync::mpsc::channel();
+        let thread = std::thread::spawn(move || {
+            let mut node = Node::new(config, signal).expect("a node");
+            tell.send(node.door().expect("a management address")).expect("the test waits");
+            node.run().expect("it runs");
+        });
+        let management = told.recv_timeout(LIMIT).expect("the node starts");
+        Self { management, stop, thread, _discovery: discovery }
+    }
+
+    /// The complete answer to these bytes.
+    fn exchange(&self, request: &str) -> String {
+        let mut stream = TcpStream::connect(self.management).expect("a connection");
+        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
+        stream.write_all(request.as_bytes()).expect("it is written");
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).expect("an answer and the connection's end");
+        answer
+    }
+
+    fn ask(&self, method: &str, path: &str) -> String {
+        self.exchange(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
+    }
+
+    fn get(&self, path: &str) -> String {
+        self.ask("GET", path)
+    }
+
+    fn post(&self, path: &str) -> String {
+        self.ask("POST", path)
+    }
+
+    /// Asks until the answer is as wanted.
+    fn until(&self, method: &str, path: &str, wanted: impl Fn(&str) -> bool) -> String {
+        let start = Instant::now();
+        loop {
+            let answer = self.ask(method, path);
+            if wanted(&answer) {
+                return answer;
+            }
+            assert!(start.elapsed() < LIMIT, "{path}: {answer}");
+            sleep(Duration::from_millis(20));
+        }
+    }
+
+    fn stop(mut self) {
+        self.stop.write_all(b"x").expect("a signal");
+        self.thread.join().expect("the node ends in good order");
+    }
+}
+
+/// The section `fleet` of a node that knows no other.
+fn fleet_section(voters: &[&str]) -> FleetSection {
+    serde_json::from_value(serde_json::json!({"cluster": "riga", "listen": "127.0.0.1:0", "voters": voters}))
+        .expect("a section")
+}
+
+/// An empty folder for a node's store.
+fn store_section(name: &str) -> StoreSection {
+    let folder =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("surface-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    serde_json::from_value(serde_json::json!({"folder": folder})).expect("a section")
+}
+
+/// Replaces the number or text behind each `"key":` by `VARIES`.
+fn varying(text: &str, keys: &[&str]) -> String {
+    let mut text = text.to_owned();
+    for key in keys {
+        let mark = format!("\"{key}\":");
+        let parts: Vec<&str> = text.split(&mark).collect();
+        let rest = |part: &&str| {
+            let end = part.find([',', '}']).expect("a value ends");
+            format!("VARIES{}", &part[end..])
+        };
+        let rest: Vec<String> = parts[1..].iter().map(rest).collect();
+        let all: Vec<String> = std::iter::once(parts[0].to_owned()).chain(rest).collect();
+        text = all.join(&mark);
+    }
+    text
+}
+
+/// The same of an answer whose head tells the size of a body that varies.
+fn varying_answer(answer: &str, keys: &[&str]) -> String {
+    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let size = format!("Content-Length: {}\r\n", body.len());
+    assert!(head.contains(&size), "{head}");
+    format!("{}\r\n\r\n{}", head.replace(&size, "Content-Length: VARIES\r\n"), varying(body, keys))
+}
+
+/// Replaces the hashes of a trail, which hold its times.
+fn varying_hashes(text: &str) -> String {
+    let mut text = text.to_owned();
+    for (start, end) in [("\"hash\":[", "]"), ("\"head\":\"", "\"")] {
+        let parts: Vec<&str> = text.split(start).collect();
+        let rest = |part: &&str| part[part.find(end).expect("a hash ends")..].to_owned();
+        let rest: Vec<String> = parts[1..].iter().map(rest).collect();
+        let all: Vec<String> = std::iter::once(parts[0].to_owned()).chain(rest).collect();
+        text = all.join(&format!("{start}VARIES"));
+    }
+    text
+}
+
+const YES: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nyes\n";
+const NOT_NOW: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 8\r\nConnection: close\r\n\r\nnot now\n";
+const NOBODY: &str =
+    "HTTP/1.1 404 Not Found\r\nContent-Length: 21\r\nConnection: close\r\n\r\nnobody has that name\n";
+const LIVES: &str =
+    "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\nConnection: close\r\n\r\nit has not failed\n";
+const NO_FLEET: &str =
+    "HTTP/1.1 404 Not Found\r\nContent-Length: 26\r\nConnection: close\r\n\r\nthis node knows no others\n";
+const NO_AUDIT: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 33\r\nConnection: close\r\n\r\nthe section audit is not on here\n";
+const NO_DUTIES: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 34\r\nConnection: close\r\n\r\nthe section duties is not on here\n";
+const UNKNOWN_PATH: &str =
+    "HTTP/1.1 404 Not Found\r\nContent-Length: 16\r\nConnection: close\r\n\r\nno call of mine\n";
+const WRONG_NAME: &str =
+    "HTTP/1.1 400 Bad Request\r\nContent-Length: 16\r\nConnection: close\r\n\r\nno call of mine\n";
+const BAD_REQUEST: &str =
+    "HTTP/1.1 400 Bad Request\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n";
+const ONLY_GET: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 16\r\nAllow: GET, HEAD\r\nConnection: close\r\n\r\nno call of mine\n";
+const ONLY_POST: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 16\r\nAllow: POST\r\nConnection: close\r\n\r\nno call of mine\n";
+
+/// A node that holds a list from before its start serves once discovery has been asked, or has been silent for 2.2 s.
+#[test]
+fn the_readiness_check_answers_with_these_bytes_before_and_after_the_start() {
+    let node = TestNode::start(|_| {});
+    assert_eq!(node.get("/v1/readyz"), NOT_NOW);
+    assert_eq!(node.until("GET", "/v1/readyz", |answer| answer != NOT_NOW), YES);
+    assert_eq!(
+        node.ask("HEAD", "/v1/readyz"),
+        "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+    );
+    node.stop();
+}
+
+#[test]
+fn drain_and_activate_answer_with_these_bytes() {
+    let node = TestNode::start(|_| {});
+    assert_eq!(node.post("/v1/node/drain"), YES);
+    assert_eq!(node.post("/v1/node/activate"), YES);
+    node.stop();
+}
+
+#[test]
+fn suspend_and_resume_of_a_known_and_an_unknown_worker_answer_with_these_bytes() {
+    let node = TestNode::start(|_| {});
+    assert_eq!(node.post("/v1/route-workers/s-0/suspend"), YES);
+    assert_eq!(node.post("/v1/route-workers/s-0/resume"), YES);
+    assert_eq!(node.post("/v1/route-workers/s-9/suspend"), NOBODY);
+    assert_eq!(node.post("/v1/route-workers/s-9/resume"), NOBODY);
+    node.stop();
+}
+
+#[test]
+fn suspend_in_a_fleet_of_one_answers_with_these_bytes() {
+    let node = TestNode::start(|config| config.fleet = Some(fleet_section(&[])));
+    let held = "HTTP/1.1 200 OK\r\nContent-Length: 21\r\nConnection: close\r\n\r\nyes, at 1 of 1 nodes\n";
+    assert_eq!(node.post("/v1/route-workers/s-0/suspend"), held);
+    assert_eq!(node.post("/v1/route-workers/s-0/resume"), held);
+    node.stop();
+}
+
+#[test]
+fn a_node_without_the_sections_says_so_with_these_bytes() {
+    let node = TestNode::start(|_| {});
+    assert_eq!(node.get("/v1/fleet/members"), NO_FLEET);
+    assert_eq!(node.post("/v1/fleet/members/n1/forget"), NO_FLEET);
+    assert_eq!(node.get("/v1/fleet/versions"), NO_AUDIT);
+    assert_eq!(node.get("/v1/fleet/audit"), NO_AUDIT);
+    assert_eq!(node.get("/v1/fleet/owners"), NO_DUTIES);
+    assert_eq!(node.post("/v1/fleet/owners/bans/release"), NO_DUTIES);
+    assert_eq!(node.post("/v1/fleet/owners/bans/hand/n1"), NO_DUTIES);
+    assert_eq!(node.post("/v1/fleet/voters/n1/add"), NO_DUTIES);
+    assert_eq!(node.post("/v1/fleet/voters/n1/remove"), NO_DUTIES);
+    node.stop();
+}
+
+#[test]
+fn what_is_no_call_is_answered_with_these_bytes() {
+    let node = TestNode::start(|_| {});
+    assert_eq!(node.get("/v1/nothing"), UNKNOWN_PATH);
+    assert_eq!(node.post("/v1/readyz"), ONLY_GET);
+    assert_eq!(node.post("/v1/fleet/members"), ONLY_GET);
+    assert_eq!(node.get("/v1/node/drain"), ONLY_POST);
+    assert_eq!(node.get("/v1/route-workers/s-0/suspend"), ONLY_POST);
+    assert_eq!(node.post("/v1/route-workers/%zz/suspend"), WRONG_NAME);
+    assert_eq!(node.exchange("what is this\r\n\r\n"), BAD_REQUEST);
+    assert_eq!(
+        node.exchange("GET /v1/readyz HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
+        "HTTP/1.1 413 Content Too Large\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n"
+    );
+    let long = format!("GET /v1/readyz HTTP/1.1\r\nX: {}", "x".repeat(20_000));
+    assert_eq!(
+        node.exchange(&long),
+        "HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n"
+    );
+    node.stop();
+}
+
+#[test]
+fn the_members_of_a_fleet_of_one_are_shown_with_these_bytes() {
+    let node = TestNode::start(|config| config.fleet = Some(fleet_section(&["n0"])));
+    let answer = node.until("GET", "/v1/fleet/members", |answer| answer.contains("\"member\":true"));
+    assert_eq!(
+        varying_answer(&answer, &["address", "incarnation", "ill", "missed_s"]),
+        "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
+         {\"cluster\":\"riga\",\"node\":\"n0\",\"member\":true,\"namesake\":null,\"standing\":\"alone\",\"reasons\":[],\
+         \"members\":[{\"name\":\"n0\",\"address\":VARIES,\"incarnation\":VARIES,\"state\":\"here\",\"voter\":true,\
+         \"leads\":false}],\"unheard\":[],\"ill\":VARIES,\"missed_s\":VARIES,\"bans\":[],\"dropped\":{}}\n"
+    );
+    assert_eq!(node.post("/v1/fleet/members/n9/forget"), NOBODY);
+    node.stop();
+}
+
+#[test]
+fn the_versions_and_the_trail_of_a_node_are_shown_with_these_bytes() {
+    let node = TestNode::start(|config| {
+        config.fleet = Some(fleet_section(&[]));
+        config.audit = Some(AuditSection { discovery: Some("riga".into()), ..AuditSection::default() });
+    });
+    assert_eq!(
+        node.get("/v1/fleet/versions"),
+        "HTTP/1.1 200 OK\r\nContent-Length: 283\r\nConnection: close\r\n\r\n\
+         [{\"node\":\"n0\",\"state\":\"current\",\"heard_ms\":0,\"behind_ms\":0,\"versions\":[\
+         {\"kind\":\"list\",\"generation\":\"266c4e1a869f7830\",\"number\":41,\"digest\":\"8dc6b8b6817d9b78\",\"behind_by\":0},\
+         {\"kind\":\"program\",\"generation\":\"0000000000000000\",\"number\":1000,\"digest\":\"ec9a9a2b720a9b06\",\"behind_by\":0}]}]\n"
+    );
+    let answer = node.get("/v1/fleet/audit");
+    assert_eq!(
+        varying_hashes(&varying_answer(&answer, &["at_ms"])),
+        "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
+         {\"node\":\"n0\",\"view\":3,\"head\":\"VARIES\",\"acts\":0,\"records\":[\
+         {\"view\":1,\"at_ms\":VARIES,\"what\":\"began\",\"acts\":0,\"hash\":[VARIES]},\
+         {\"view\":2,\"at_ms\":VARIES,\"what\":{\"adopted\":[\"program\",{\"generation\":0,\"number\":1000,\"digest\":17049108850752002822},\"own\"]},\"acts\":0,\"hash\":[VARIES]},\
+         {\"view\":3,\"at_ms\":VARIES,\"what\":{\"adopted\":[\"list\",{\"generation\":2768673746760726576,\"number\":41,\"digest\":10216055898732600184},\"own\"]},\"acts\":0,\"hash\":[VARIES]}]}\n"
+    );
+    node.stop();
+}
+
+/// Two nodes' versions with every field away from its default, in a time that is told.
+#[test]
+fn versions_and_trail_of_a_node_that_is_behind_have_this_json() {
+    let mut audit = Audit::new(Settings { beat_ms: 400 }, "n0", 1000.0, 7);
+    audit.peers(["n1".to_owned()].into());
+    let stand = |number| Stand { generation: 0xab, number, digest: 0xcd };
+    audit.adopt(1001.0, Kind::List, stand(41), Source::Peer("n1".into()), 3);
+    let heads = Word::Heads(vec![(Kind::List, stand(44))]);
+    audit.heard(1002.0, "n1", &postcard::to_stdvec(&heads).expect("bytes"));
+    assert_eq!(
+        audit.versions(1002.5),
+        "[{\"node\":\"n0\",\"state\":\"behind\",\"heard_ms\":0,\"behind_ms\":500,\"versions\":[\
+         {\"kind\":\"list\",\"generation\":\"00000000000000ab\",\"number\":41,\"digest\":\"00000000000000cd\",\"behind_by\":3},\
+         {\"kind\":\"program\",\"generation\":\"0000000000000000\",\"number\":1000,\"digest\":\"ec9a9a2b720a9b06\",\"behind_by\":0}]},\
+         {\"node\":\"n1\",\"state\":\"current\",\"heard_ms\":500,\"behind_ms\":0,\"versions\":[\
+         {\"kind\":\"list\",\"generation\":\"00000000000000ab\",\"number\":44,\"digest\":\"00000000000000cd\",\"behind_by\":0}]}]\n"
+    );
+    assert_eq!(
+        audit.trail(2),
+        "{\"node\":\"n0\",\"view\":3,\"head\":\"b2b72c4e5bef79f9ff2c309b4ad7deec09c7199934b81524882ee69f096c819d\",\"acts\":2,\"records\":[\
+         {\"view\":1,\"at_ms\":1000000,\"what\":\"began\",\"acts\":0,\"hash\":[57,111,95,104,27,27,234,3,192,81,76,54,35,161,136,18,15,132,82,68,96,158,14,192,90,11,131,207,57,228,16,169]},\
+         {\"view\":2,\"at_ms\":1000000,\"what\":{\"adopted\":[\"program\",{\"generation\":0,\"number\":1000,\"digest\":17049108850752002822},\"own\"]},\"acts\":0,\"hash\":[75,166,32,209,125,56,74,157,191,208,26,177,244,184,193,58,7,171,221,204,75,200,11,179,7,138,129,26,112,194,100,136]},\
+         {\"view\":3,\"at_ms\":1001000,\"what\":{\"adopted\":[\"list\",{\"generation\":171,\"number\":41,\"digest\":205},{\"peer\":\"n1\"}]},\"acts\":3,\"hash\":[178,183,44,78,91,239,121,249,255,44,48,155,74,215,222,236,9,199,25,153,52,184,21,36,136,46,230,159,9,108,129,157]}]}\n"
+    );
+}
+
+/// Two voters, each a whole node, that hear each other.
+fn two_voters() -> [TestNode; 2] {
+    let at: Vec<SocketAddr> = addresses(2).into_iter().map(|ip| SocketAddr::new(ip, 8090)).collect();
+    [0, 1].map(|n| {
+        TestNode::start(|config| {
+            config.name = format!("n{n}");
+            config.store = Some(store_section(&config.name));
+            config.fleet =
+                Some(FleetSection { listen: at[n], seeds: at.clone(), ..fleet_section(&["n0", "n1"]) });
+            config.duties = Some(DutiesSection::default());
+        })
+    })
+}
+
+#[test]
+fn the_owners_and_the_calls_on_them_are_answered_with_these_bytes() {
+    let [node, other] = two_voters();
+    let path = "/v1/fleet/owners";
+    let owned = |answer: &str| answer.contains("\"owner\":\"n");
+    other.until("GET", path, owned);
+    node.until("GET", path, owned);
+    assert_eq!(node.post("/v1/fleet/owners/bans/hand/n0"), YES);
+    let acts = |answer: &str| answer.contains("\"next\":null") && !answer.contains("\"left_ms\":null");
+    let answer = node.until("GET", path, acts);
+    assert_eq!(
+        varying_answer(&answer, &["leader", "place", "token", "left_ms"]),
+        "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
+         {\"node\":\"n0\",\"votes\":true,\"why\":null,\"leader\":VARIES,\"place\":VARIES,\"voters\":[\
+         {\"seat\":1,\"node\":\"n0\",\"heard\":true,\"lost\":false},{\"seat\":2,\"node\":\"n1\",\"heard\":true,\"lost\":false}],\
+         \"duties\":[{\"duty\":\"bans\",\"owner\":\"n0\",\"token\":VARIES,\"next\":null,\"value_bytes\":0,\"left_ms\":VARIES}],\
+         \"token\":VARIES}\n"
+    );
+    assert_eq!(
+        node.post("/v1/fleet/owners/nothing/release"),
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 141\r\nConnection: close\r\n\r\n\
+         {\"error\":\"duties\",\"code\":\"duties.unknown\",\"what\":\"nobody knows this duty\",\"remedy\":\"see GET /v1/fleet/owners for the duties that there are\"}\n"
+    );
+    assert_eq!(
+        node.post("/v1/fleet/voters/n9/add"),
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 170\r\nConnection: close\r\n\r\n\
+         {\"error\":\"voters\",\"code\":\"voters.nobody\",\"what\":\"no node of that name is known\",\"remedy\":\"see GET /v1/fleet/members for the names; the node must be there to get a seat\"}\n"
+    );
+    assert_eq!(
+        node.post("/v1/fleet/voters/n1/remove"),
+        "HTTP/1.1 409 Conflict\r\nContent-Length: 149\r\nConnection: close\r\n\r\n\
+         {\"error\":\"voters\",\"code\":\"voters.count\",\"what\":\"two to seven nodes vote\",\"remedy\":\"remove a seat before another is added; two voters are the least\"}\n"
+    );
+    assert_eq!(node.post("/v1/fleet/members/n1/forget"), LIVES);
+    assert_eq!(node.post("/v1/fleet/owners/bans/release"), YES);
+    let answer = node.until("GET", "/v1/fleet/members", |answer| answer.contains("\"leads\":true"));
+    let keys = ["address", "incarnation", "leads", "ill", "missed_s"];
+    assert_eq!(
+        varying_answer(&answer, &keys),
+        "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
+         {\"cluster\":\"riga\",\"node\":\"n0\",\"member\":true,\"namesake\":null,\"standing\":\"whole\",\"reasons\":[],\"members\":[\
+         {\"name\":\"n0\",\"address\":VARIES,\"incarnation\":VARIES,\"state\":\"here\",\"voter\":true,\"leads\":VARIES},\
+         {\"name\":\"n1\",\"address\":VARIES,\"incarnation\":VARIES,\"state\":\"alive\",\"voter\":true,\"leads\":VARIES}],\"unheard\":[],\"ill\":VARIES,\"missed_s\":VARIES,\"bans\":[],\"dropped\":{}}\n"
+    );
+    node.stop();
+    other.stop();
+}
+
+/// Pins a rejected call's status beside its body, whose other forms the crate `council` pins.
+#[test]
+fn each_rejected_call_has_this_status() {
+    let status = |error: &Error| refusal(error).0;
+    let stop = Error::WouldStop { living: 1, of: 3 };
+    for error in [Error::NoMajority(Vec::new()), Error::Busy, Error::NoVoters, Error::Elsewhere("n1".into())]
+    {
+        assert_eq!(status(&error), 503, "{error}");
+    }
+    for error in [Error::Nobody, Error::Refused(Refusal::Unknown)] {
+        assert_eq!(status(&error), 404, "{error}");
+    }
+    assert_eq!(status(&Error::Name), 400);
+    let refused = [
+        Refusal::Owned("n1".into(), 7),
+        Refusal::Stale(None),
+        Refusal::Malformed,
+        Refusal::Full,
+        Refusal::Old,
+    ];
+    for error in refused.map(Error::Refused).into_iter().chain([stop, Error::Count]) {
+        assert_eq!(status(&error), 409, "{error}");
+    }
+    assert_eq!(
+        refusal(&Error::Name),
+        (
+            400,
+            "{\"error\":\"voters\",\"code\":\"voters.name\",\"what\":\"a name must have 1 to 64 bytes\",\
+             \"remedy\":\"give a name of 1 to 64 bytes\"}\n"
+                .to_owned()
+        )
+    );
+}
+
+fn member(state: &str, voter: bool, leads: bool) -> Shown {
+    let address = "10.0.0.4:8080".parse().expect("an address");
+    Shown { name: "n0".into(), address, incarnation: 12, state: state.into(), voter, leads }
+}
+
+fn picture() -> Picture {
+    Picture {
+        cluster: "riga".into(),
+        node: "n0".into(),
+        member: false,
+        namesake: Some("10.0.0.9:8080".parse().expect("an address")),
+        standing: "some failed".into(),
+        reasons: vec!["n1 has failed".into()],
+        members: vec![member("here", true, true), member("left", false, false)],
+        unheard: vec!["n2".into()],
+        ill: 0.5,
+        missed_s: 1.25,
+        bans: vec!["s-1".into()],
+        dropped: [("foreign".to_owned(), 3)].into(),
+    }
+}
+
+/// The value is written as this text, and this text is read as the value.
+fn pinned(value: &Picture, text: &str) {
+    assert_eq!(serde_json::to_string(value).expect("JSON"), text);
+    assert_eq!(&serde_json::from_str::<Picture>(text).expect("a value"), value);
+}
+
+#[test]
+fn a_picture_of_the_members_with_every_field_has_this_json() {
+    pinned(
+        &picture(),
+        "{\"cluster\":\"riga\",\"node\":\"n0\",\"member\":false,\"namesake\":\"10.0.0.9:8080\",\
+         \"standing\":\"some failed\",\"reasons\":[\"n1 has failed\"],\"members\":[\
+         {\"name\":\"n0\",\"address\":\"10.0.0.4:8080\",\"incarnation\":12,\"state\":\"here\",\"voter\":true,\"leads\":true},\
+         {\"name\":\"n0\",\"address\":\"10.0.0.4:8080\",\"incarnation\":12,\"state\":\"left\",\"voter\":false,\"leads\":false}],\
+         \"unheard\":[\"n2\"],\"ill\":0.5,\"missed_s\":1.25,\"bans\":[\"s-1\"],\"dropped\":{\"foreign\":3}}",
+    );
+}
+
+#[test]
+fn a_picture_of_the_members_with_nothing_to_tell_has_this_json() {
+    let (reasons, members, unheard, bans) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (namesake, dropped) = (None, Default::default());
+    pinned(
+        &Picture { namesake, reasons, members, unheard, bans, dropped, ..picture() },
+        "{\"cluster\":\"riga\",\"node\":\"n0\",\"member\":false,\"namesake\":null,\"standing\":\"some failed\",\
+         \"reasons\":[],\"members\":[],\"unheard\":[],\"ill\":0.5,\"missed_s\":1.25,\"bans\":[],\"dropped\":{}}",
+    );
+}
+
+#[test]
+fn a_member_from_a_version_without_the_leader_is_read() {
+    let text = r#"{"name":"n0","address":"10.0.0.4:8080","incarnation":12,"state":"here","voter":true}"#;
+    assert_eq!(serde_json::from_str::<Shown>(text).expect("a member"), member("here", true, false));
+}
