--- /dev/null
+++ b/tests/surface_http.rs
@@ -0,0 +1,407 @@
+//! Pins what the node sends over HTTP to clients, workers and discovery, byte for byte, and the fields that it reads from them.
+//!
+//! The test plays all three on real loopback sockets and compares complete messages with literal text: request lines, header
+//! fields with their order and case, status lines, bodies. None of it follows the rename of a Rust item: if one of these tests
+//! fails after a rename, mend the code, not the literal. Ports and times vary; they are replaced by a word before the comparison.
+
+mod bed;
+
+use bed::{ACCEPTED, Bed, Peer, list};
+use postproxy::interface::{Entry, Health, Settings};
+use postproxy::net::back::worker_list::List;
+use postproxy::net::front::clients::{Wanted, call, wanted, wording};
+use postproxy::net::ground::http;
+use postproxy::net::words::{JobCall, JobState, Member, Payload, Submission};
+use std::io::Write as _;
+use std::net::TcpListener;
+
+/// The next whole message on a connection, as its bytes.
+fn message(peer: &mut Peer) -> String {
+    loop {
+        let text = String::from_utf8(peer.input.clone()).expect("text");
+        if let Some((head, rest)) = text.split_once("\r\n\r\n") {
+            let field = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
+            let size: usize = field.map_or(0, |size| size.parse().expect("a size"));
+            if rest.len() >= size {
+                let whole = text[..head.len() + 4 + size].to_owned();
+                peer.input.drain(..whole.len());
+                return whole;
+            }
+        }
+        assert!(peer.more(), "the connection ended after {text:?}");
+    }
+}
+
+/// The first message after these bytes on a connection of its own.
+fn answer(bed: &Bed, request: &str) -> String {
+    let mut client = Peer::to(bed.node);
+    client.write(request);
+    message(&mut client)
+}
+
+/// A message in which the port of this listener and the number in a field are replaced by a word.
+fn varying(text: &str, listener: &TcpListener, field: &str) -> String {
+    let host = format!("Host: {}\r\n", listener.local_addr().expect("an address"));
+    let text = text.replace(&host, "Host: 127.0.0.1:PORT\r\n");
+    varying_field(&text, field)
+}
+
+/// A message in which the number in a field, which has three decimals, is replaced by a word.
+fn varying_field(text: &str, field: &str) -> String {
+    let start = format!("\r\n{field}: ");
+    let Some((before, rest)) = text.split_once(&start) else { return text.to_owned() };
+    let (value, after) = rest.split_once("\r\n").expect("a line ends");
+    let (whole, decimals) = value.split_once('.').expect("decimals");
+    assert!(whole.parse::<u32>().is_ok() && decimals.len() == 3, "{value}");
+    assert!(decimals.parse::<u32>().is_ok(), "{value}");
+    format!("{before}{start}SECONDS\r\n{after}")
+}
+
+/// The request that a worker receives for a client's request.
+fn forwarded(request: &str) -> String {
+    let bed = Bed::new(1, 256);
+    let mut client = Peer::to(bed.node);
+    client.write(request);
+    let text = message(&mut Peer::accept(&bed.workers[0]));
+    let text = varying(&text, &bed.workers[0], "X-Deadline");
+    drop(client);
+    bed.stop();
+    text
+}
+
+#[test]
+fn a_forwarded_job_reaches_the_worker_with_these_bytes() {
+    let request = "POST /render/a?b=c HTTP/1.1\r\nhost: x\r\nx-request-id: one\r\nidempotency-key: k 1\r\n\
+                   x-deadline: 5\r\nX-Tenant: t\r\nX-Cost-Hint: 1000\r\nX-Extras: slots=1,memory=2\r\nX-Retry: 1\r\n\
+                   Cookie: k=ff\r\nX-Other: y\r\ncontent-length: 4\r\n\r\nbody";
+    assert_eq!(
+        forwarded(&request.replace("k 1", "k-1")),
+        "POST /render/a?b=c HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nX-Request-Id: one\r\nX-Deadline: SECONDS\r\n\
+         Idempotency-Key: k-1\r\nContent-Length: 4\r\n\r\nbody"
+    );
+}
+
+#[test]
+fn a_forwarded_job_without_key_and_body_reaches_the_worker_with_these_bytes() {
+    assert_eq!(
+        forwarded("POST /render HTTP/1.1\r\nX-Request-Id: one\r\n\r\n"),
+        "POST /render HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nX-Request-Id: one\r\nX-Deadline: SECONDS\r\n\
+         Content-Length: 0\r\n\r\n"
+    );
+}
+
+#[test]
+fn a_forwarded_job_that_came_in_chunks_reaches_the_worker_with_these_bytes() {
+    assert_eq!(
+        forwarded(
+            "POST /render HTTP/1.1\r\nX-Request-Id: one\r\nTransfer-Encoding: chunked\r\n\r\n\
+             2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
+        ),
+        "POST /render HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nX-Request-Id: one\r\nX-Deadline: SECONDS\r\n\
+         Content-Length: 4\r\n\r\nbody"
+    );
+}
+
+#[test]
+fn a_cancelled_job_reaches_the_worker_with_these_bytes() {
+    let bed = Bed::new(1, 256);
+    let mut client = Peer::to(bed.node);
+    client.submit("one");
+    let mut worker = Peer::accept(&bed.workers[0]);
+    message(&mut worker);
+    worker.write(ACCEPTED);
+    // Once a call-back is answered, the 202 before it has been read.
+    assert_eq!(bed.call("one", 0, r#""state":"running","share":0.5"#), 200);
+    drop(client);
+    assert_eq!(
+        varying(&message(&mut worker), &bed.workers[0], "-"),
+        "DELETE /jobs/one HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n"
+    );
+    bed.stop();
+}
+
+#[test]
+fn a_load_probe_reaches_the_worker_with_these_bytes() {
+    let bed = Bed::with(1, 256, &[], |settings| {
+        settings["limits"]["may-probe"] = true.into();
+        settings["report"]["via"] = "probe".into();
+    });
+    let mut client = Peer::to(bed.node);
+    client.submit("one");
+    assert_eq!(
+        varying(&message(&mut Peer::accept(&bed.workers[0])), &bed.workers[0], "-"),
+        "GET /-/load HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n"
+    );
+    drop(client);
+    bed.stop();
+}
+
+#[test]
+fn the_calls_to_discovery_have_these_bytes() {
+    let bed = Bed::new(1, 256);
+    let mut discovery = Peer::accept(&bed.discovery);
+    let next = |peer: &mut Peer| varying(&message(peer), &bed.discovery, "-");
+    assert_eq!(
+        next(&mut discovery),
+        "GET /api/targets?since=41&timeout_ms=1 HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n",
+        "the first call does not wait"
+    );
+    list(&mut discovery, r#"{"revision":42,"complete":false,"members":[]}"#);
+    let watch = next(&mut discovery);
+    let (before, rest) = watch.split_once("timeout_ms=").expect("a watch");
+    let (wait, after) = rest.split_once(' ').expect("a target ends");
+    assert!((2600..=3400).contains(&wait.parse::<u32>().expect("a number")), "{wait}");
+    assert_eq!(before, "GET /api/targets?since=42&");
+    assert_eq!(after, "HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n");
+    bed.stop();
+}
+
+#[test]
+fn the_call_for_the_whole_list_has_these_bytes() {
+    let bed = Bed::new(0, 256);
+    assert_eq!(
+        varying(&message(&mut Peer::accept(&bed.discovery)), &bed.discovery, "-"),
+        "GET /api/targets HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n"
+    );
+    bed.stop();
+}
+
+#[test]
+fn a_result_reaches_the_client_and_its_call_back_the_worker_with_these_bytes() {
+    let mut bed = Bed::new(1, 256);
+    let mut client = Peer::to(bed.node);
+    client.submit("one");
+    let mut worker = Peer::accept(&bed.workers[0]);
+    message(&mut worker);
+    worker.write(ACCEPTED);
+    let body = r#"{"id":"one","from":"s-0","state":"done","result":"r"}"#;
+    let call = format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    assert_eq!(answer(&bed, &call), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(message(&mut client), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr");
+    // Told to stop, it closes behind each answer.
+    client.submit("two");
+    message(&mut worker);
+    worker.write(ACCEPTED);
+    bed.stop.write_all(b"x").expect("a signal");
+    while answer(&bed, READY).starts_with("HTTP/1.1 200") {}
+    assert_eq!(
+        answer(&bed, &call.replace(r#""id":"one""#, r#""id":"two""#)),
+        "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+    );
+    assert_eq!(message(&mut client), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nr");
+    bed.thread.join().expect("the node ends in good order");
+}
+
+const READY: &str = "GET /-/ready HTTP/1.1\r\n\r\n";
+
+#[test]
+fn the_readiness_check_answers_with_these_bytes() {
+    let mut bed = Bed::new(1, 256);
+    let mut discovery = Peer::accept(&bed.discovery);
+    message(&mut discovery);
+    list(&mut discovery, r#"{"revision":42,"complete":false,"members":[]}"#);
+    message(&mut discovery);
+    assert_eq!(answer(&bed, READY), "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n");
+    assert_eq!(answer(&bed, &READY.replace("GET", "HEAD")), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(
+        answer(&bed, &READY.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")),
+        "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\nready\n"
+    );
+    assert_eq!(
+        answer(&bed, &READY.replace("GET", "DELETE")),
+        "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 13\r\nAllow: GET, HEAD\r\nConnection: close\r\n\r\nwrong method\n"
+    );
+    // A job in flight keeps the node there when it is told to stop.
+    let mut client = Peer::to(bed.node);
+    client.submit("one");
+    message(&mut Peer::accept(&bed.workers[0]));
+    bed.stop.write_all(b"x").expect("a signal");
+    let mut not_ready = answer(&bed, READY);
+    while not_ready.starts_with("HTTP/1.1 200") {
+        not_ready = answer(&bed, READY);
+    }
+    assert_eq!(
+        not_ready,
+        "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 10\r\nConnection: close\r\n\r\nnot ready\n"
+    );
+    drop(client);
+    bed.thread.join().expect("the node ends in good order");
+}
+
+#[test]
+fn a_rejected_job_is_answered_with_these_bytes() {
+    let rejected = |advice: bool| {
+        let bed = Bed::with(1, 256, &[], |settings| {
+            settings["limits"]["retry-after"] = advice.into();
+            settings["limits"]["max-retry-after"] = 2.0.into();
+        });
+        let mut discovery = Peer::accept(&bed.discovery);
+        message(&mut discovery);
+        list(&mut discovery, r#"{"revision":42,"complete":true,"members":[]}"#);
+        message(&mut discovery);
+        let request = "POST /render HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 0.3\r\n\r\n";
+        let text = answer(&bed, request);
+        bed.stop();
+        varying_field(&text, "Retry-After")
+    };
+    assert_eq!(
+        rejected(true),
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 12\r\nRetry-After: SECONDS\r\n\r\nunavailable\n"
+    );
+    assert_eq!(
+        rejected(false),
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 12\r\n\r\nunavailable\n"
+    );
+}
+
+#[test]
+fn a_failed_job_and_a_duplicate_are_answered_with_these_bytes() {
+    let bed = Bed::with(1, 256, &[], |settings| settings["services"][0]["effect"] = "side_effect".into());
+    let mut client = Peer::to(bed.node);
+    client.submit("one");
+    let mut worker = Peer::accept(&bed.workers[0]);
+    message(&mut worker);
+    worker.write(ACCEPTED);
+    let mut second = Peer::to(bed.node);
+    second.submit("one");
+    assert_eq!(
+        message(&mut second),
+        "HTTP/1.1 409 Conflict\r\nContent-Length: 13\r\nConnection: close\r\n\r\nheld already\n"
+    );
+    assert_eq!(bed.call("one", 0, r#""state":"lost""#), 200);
+    assert_eq!(message(&mut client), "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 7\r\n\r\nfailed\n");
+    bed.stop();
+}
+
+#[test]
+fn bad_requests_are_answered_with_these_bytes() {
+    let bed = Bed::new(1, 256);
+    let bad = "HTTP/1.1 400 Bad Request\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n";
+    assert_eq!(answer(&bed, "what is this\r\n\r\n"), bad);
+    assert_eq!(answer(&bed, "POST /render HTTP/1.1\r\nContent-Length: 0\r\n\r\n"), bad);
+    assert_eq!(answer(&bed, "POST /v1/job-events HTTP/1.1\r\nContent-Length: 4\r\n\r\nnone"), bad);
+    assert_eq!(
+        answer(&bed, "POST /nowhere HTTP/1.1\r\nX-Request-Id: a\r\n\r\n"),
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 13\r\nConnection: close\r\n\r\nunknown path\n"
+    );
+    let only_post = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 13\r\nAllow: POST\r\nConnection: close\r\n\r\nwrong method\n";
+    assert_eq!(answer(&bed, "GET /render HTTP/1.1\r\n\r\n"), only_post);
+    assert_eq!(answer(&bed, "GET /v1/job-events HTTP/1.1\r\n\r\n"), only_post);
+    assert_eq!(
+        answer(&bed, "POST /render HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"),
+        "HTTP/1.1 413 Content Too Large\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n"
+    );
+    assert_eq!(
+        answer(&bed, &format!("GET /-/ready HTTP/1.1\r\nX-Long: {}", "x".repeat(http::MOST_HEAD))),
+        "HTTP/1.1 431 Request Header Fields Too Large\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n"
+    );
+    bed.stop();
+}
+
+#[test]
+fn half_a_request_is_answered_with_these_bytes() {
+    let bed = Bed::new(1, 256);
+    assert_eq!(
+        answer(&bed, "POST /render HTTP/1.1\r\nX-Requ"),
+        "HTTP/1.1 408 Request Timeout\r\nContent-Length: 9\r\nConnection: close\r\n\r\ntoo slow\n"
+    );
+    bed.stop();
+}
+
+#[test]
+fn a_body_that_waits_for_word_is_asked_for_with_these_bytes() {
+    let bed = Bed::new(1, 256);
+    let head =
+        "POST /render HTTP/1.1\r\nX-Request-Id: one\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n";
+    assert_eq!(answer(&bed, head), "HTTP/1.1 100 Continue\r\n\r\n");
+    bed.stop();
+}
+
+fn settings() -> Settings {
+    let text =
+        r#"{"dcs":["riga"],"machine-types":["m1","m2"],"services":[{"name":"render"},{"name":"commit"}]}"#;
+    Settings::from_json(text).expect("settings")
+}
+
+#[test]
+fn a_job_is_read_from_these_header_fields() {
+    let text = "POST /commit/a?b=c HTTP/1.1\r\nX-Request-Id: one\r\nIdempotency-Key: k-1\r\nX-Deadline: 5\r\nX-Tenant: t\r\n\
+                X-Cost-Hint: 1500000\r\nX-Extras: slots=2, memory=3\r\nX-Retry: 1\r\nCookie: a=b; k=ff\r\n\
+                Content-Length: 4\r\n\r\nbody";
+    let Ok(http::Read::Whole(request, _)) = http::read_request(text.as_bytes()) else { panic!("a request") };
+    let payload = Payload {
+        id: "one".into(),
+        method: "POST".into(),
+        target: "/commit/a?b=c".into(),
+        idempotency_key: Some("k-1".into()),
+        body: b"body".to_vec(),
+    };
+    let submission = Submission {
+        payload,
+        class: 1,
+        tenant: Some("t".into()),
+        key: 255,
+        budget: Some(5.0),
+        hint: Some(1.5),
+        slots: Some(2.0),
+        memory: Some(3.0),
+        repeat: true,
+    };
+    assert_eq!(wanted(request, &settings(), true), Wanted::Request(Box::new(submission)));
+}
+
+/// A call-back is read from these fields, and passed on to another process of this node in these.
+#[test]
+fn a_call_back_has_this_json() {
+    let of =
+        |state| JobCall { id: "one".into(), from: "s-0".into(), state, load: vec![("queue".into(), 3.0)] };
+    let pinned = |state: JobState, text: &str| {
+        let call_back = of(state);
+        assert_eq!(String::from_utf8(wording(&call_back)).expect("text"), text);
+        assert_eq!(call(text.as_bytes()), Some(call_back));
+    };
+    pinned(JobState::Started, r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"started"}"#);
+    pinned(
+        JobState::Running(0.5),
+        r#"{"from":"s-0","id":"one","load":{"queue":3.0},"share":0.5,"state":"running"}"#,
+    );
+    pinned(
+        JobState::Done(b"r".to_vec()),
+        r#"{"from":"s-0","id":"one","load":{"queue":3.0},"result":"r","state":"done"}"#,
+    );
+    pinned(JobState::Failed, r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"failed"}"#);
+    pinned(JobState::Returned, r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"returned"}"#);
+    pinned(JobState::Lost, r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"lost"}"#);
+    pinned(JobState::Unknown, r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"unknown"}"#);
+    let bare = JobCall { load: Vec::new(), ..of(JobState::Running(0.0)) };
+    assert_eq!(call(br#"{"id":"one","from":"s-0","state":"running"}"#), Some(bare));
+}
+
+#[test]
+fn a_member_of_discoverys_list_is_read_from_these_fields() {
+    let text = |phase: &str| {
+        format!(
+            r#"{{"revision":41,"complete":true,"members":[{{"id":"s-0","host_port":"10.0.0.4:80","locality":"riga",
+            "flavor":"m2","cell":3,"phase":"{phase}","size":1.5,"up_since_ms":2500}}]}}"#
+        )
+    };
+    for (phase, health) in
+        [("in_service", Health::Ready), ("terminated", Health::Gone), ("leaving", Health::Draining)]
+    {
+        let list = List::from_json(text(phase).as_bytes()).expect("a list");
+        assert_eq!((list.revision, list.complete), (41, true));
+        let identity = 0x817cdb195c3fc0d7;
+        let entry = Entry {
+            identity,
+            zone: 0,
+            kind: 1,
+            cell: 3,
+            health,
+            size: 1.5,
+            started: 2.5,
+            ..Entry::default()
+        };
+        let address = "10.0.0.4:80".parse().expect("an address");
+        assert_eq!(list.members(&settings()), [Member { id: "s-0".into(), address, entry }]);
+    }
+}
