--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -312,13 +312,14 @@
     );
 }
 
-/// Two voters, each a whole node, that hear each other.
-fn two_voters() -> [TestNode; 2] {
-    let at: Vec<SocketAddr> = addresses(2).into_iter().map(|ip| SocketAddr::new(ip, 8090)).collect();
-    [0, 1].map(|n| {
+/// So many whole nodes that hear each other, of which the first two vote.
+fn nodes<const COUNT: usize>(test: &str) -> [TestNode; COUNT] {
+    let at: Vec<SocketAddr> =
+        addresses(COUNT as u8).into_iter().map(|ip| SocketAddr::new(ip, 8090)).collect();
+    std::array::from_fn(|n| {
         TestNode::start(|config| {
             config.name = format!("n{n}");
-            config.store = Some(store_section(&config.name));
+            config.store = Some(store_section(&format!("{test}-{n}")));
             config.fleet =
                 Some(FleetSection { listen: at[n], seeds: at.clone(), ..fleet_section(&["n0", "n1"]) });
             config.duties = Some(DutiesSection::default());
@@ -326,9 +327,50 @@
     })
 }
 
+#[test]
+fn a_voter_that_is_added_and_removed_is_shown_with_these_bytes() {
+    let [first, second, third] = nodes("voters");
+    third.until("GET", "/v1/fleet/owners", |answer| answer.contains("\"owner\":\"n"));
+    let answer = third.get("/v1/fleet/owners");
+    assert_eq!(
+        varying_answer(&answer, &["leader", "place", "owner", "token", "left_ms"]),
+        "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
+         {\"node\":\"n2\",\"votes\":false,\"why\":null,\"leader\":VARIES,\"place\":VARIES,\"voters\":[\
+         {\"seat\":1,\"node\":\"n0\",\"heard\":null,\"lost\":false},{\"seat\":2,\"node\":\"n1\",\"heard\":null,\"lost\":false}],\
+         \"duties\":[{\"duty\":\"bans\",\"owner\":VARIES,\"token\":VARIES,\"next\":null,\"value_bytes\":0,\"left_ms\":VARIES}],\
+         \"token\":VARIES}\n"
+    );
+    assert_eq!(
+        first.until("POST", "/v1/fleet/voters/n2/add", |answer| !answer.contains("voters.nobody")),
+        YES
+    );
+    // It has the log, not the seat alone: one that is removed before that is a matter of its own, and no surface.
+    let follows = |answer: &str| answer.contains("\"votes\":true") && !answer.contains("\"place\":0,");
+    third.until("GET", "/v1/fleet/owners", follows);
+    assert_eq!(first.post("/v1/fleet/voters/n2/remove"), YES);
+    let answer = third.until("GET", "/v1/fleet/owners", |answer| answer.contains("\"votes\":false"));
+    assert!(answer.contains("\"votes\":false,\"why\":\"Removed\","), "{answer}");
+    third.stop();
+    first.stop();
+    second.stop();
+}
+
+#[test]
+fn a_call_without_a_majority_is_answered_with_these_bytes() {
+    let [node, other] = nodes("majority");
+    node.until("GET", "/v1/fleet/owners", |answer| answer.contains("\"owner\":\"n"));
+    other.stop();
+    assert_eq!(
+        node.until("POST", "/v1/fleet/owners/bans/hand/n0", |answer| !answer.ends_with("yes\n")),
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 271\r\nConnection: close\r\n\r\n\
+         {\"error\":\"duties\",\"code\":\"duties.no_majority\",\"what\":\"not decided in time; voters not heard: n1\",\"remedy\":\"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back\"}\n"
+    );
+    node.stop();
+}
+
 #[test]
 fn the_owners_and_the_calls_on_them_are_answered_with_these_bytes() {
-    let [node, other] = two_voters();
+    let [node, other] = nodes("owners");
     let path = "/v1/fleet/owners";
     let owned = |answer: &str| answer.contains("\"owner\":\"n");
     other.until("GET", path, owned);
