--- /dev/null
+++ b/crates/handover/tests/surface_bytes.rs
@@ -0,0 +1,218 @@
+//! Pins the bytes that two processes of one node exchange during a handover: the greeting, the frames, and every message.
+//! During an upgrade the older process may run an older version of the program, so these bytes must not change with a
+//! rename. The literals were written by the version before the renames.
+
+use postproxy_handover::{
+    Fault, HELLO, Link, MOST_FRAME, Message, News, Role, Tale, VERSION, frame, greeting,
+};
+
+/// Returns the bytes as lower-case hexadecimal digits.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Returns the bytes that the hexadecimal digits stand for.
+fn unhex(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    pairs.map(byte).collect()
+}
+
+/// Asserts that the message is encoded as this literal, in a frame with its length, and decoded from it.
+#[track_caller]
+fn pin(message: Message, literal: &str) {
+    let bytes = postcard::to_stdvec(&message).expect("an encoded message");
+    assert_eq!(hex(&bytes), literal, "{message:?}");
+    assert_eq!(postcard::from_bytes::<Message>(&unhex(literal)).expect("a message"), message);
+    let length = format!("{:08x}", literal.len() / 2);
+    assert_eq!(hex(&frame(&message)), length + literal, "{message:?}");
+}
+
+#[test]
+fn greeting_and_limits_are_unchanged() {
+    assert_eq!(HELLO, b"ppho\r\n");
+    assert_eq!(VERSION, 1);
+    assert_eq!(MOST_FRAME, 8_388_608);
+    assert_eq!(hex(&greeting()), "7070686f0d0a0001");
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    pin(
+        Message::Hello { name: "n-1".into(), listen: "127.0.0.1:7070".into() },
+        "00036e2d310e3132372e302e302e313a37303730",
+    );
+    pin(Message::Hello { name: String::new(), listen: String::new() }, "000000");
+    pin(Message::Told, "02");
+    pin(Message::Holds(300), "03ac02");
+    pin(Message::Call { number: 5, body: vec![1, 2, 255] }, "0405030102ff");
+    pin(Message::Call { number: u64::MAX, body: Vec::new() }, "04ffffffffffffffffff0100");
+    pin(Message::Called { number: 6, known: true }, "050601");
+    pin(Message::Called { number: 7, known: false }, "050700");
+    pin(Message::Client { input: b"GET".to_vec(), useful: true }, "060347455401");
+    pin(Message::Client { input: Vec::new(), useful: false }, "060000");
+    pin(Message::Job { job: vec![9, 8], input: vec![7], closes: true }, "07020908010701");
+    pin(Message::Job { job: Vec::new(), input: Vec::new(), closes: false }, "07000000");
+    pin(Message::Leaves, "08");
+}
+
+#[test]
+fn state_updates_keep_their_bytes() {
+    pin(Message::Tale(Tale::Use { worker: "w-1".into(), again: true }), "010003772d3101");
+    pin(Message::Tale(Tale::Use { worker: "w-2".into(), again: false }), "010003772d3200");
+    pin(Message::Tale(Tale::Drain { on: true, ago: 1.5 }), "0101010000c03f");
+    pin(Message::Tale(Tale::Drain { on: false, ago: 0.0 }), "01010000000000");
+    pin(Message::Tale(Tale::List(vec![3, 4, 5])), "010203030405");
+    pin(Message::Tale(Tale::List(Vec::new())), "010200");
+    pin(Message::Tale(Tale::Taken { id: "j-1".into(), counts: true }), "0103036a2d3101");
+    pin(Message::Tale(Tale::Taken { id: "j-2".into(), counts: false }), "0103036a2d3200");
+    let (id, worker) = ("j-3".to_owned(), "w-3".to_owned());
+    let sent = Tale::Sent { id, attempt: 515, worker, need: 2.5, work: 0.25, ago: 0.125, counts: true };
+    pin(Message::Tale(sent), "0104036a2d33830403772d33000020400000803e0000003e01");
+    let (id, worker) = (String::new(), String::new());
+    let sent = Tale::Sent { id, attempt: 0, worker, need: 1.0, work: 0.0, ago: 0.0, counts: false };
+    pin(Message::Tale(sent), "01040000000000803f000000000000000000");
+    pin(Message::Tale(Tale::Ended { id: "j-4".into(), attempt: 2 }), "0105036a2d3402");
+    pin(Message::Tale(Tale::Over { id: "j-5".into() }), "0106036a2d35");
+    pin(
+        Message::Tale(Tale::Past { taken: vec![0.5, 4.0], further: vec![8.0] }),
+        "0107020000003f000080400100000041",
+    );
+    pin(Message::Tale(Tale::Past { taken: Vec::new(), further: Vec::new() }), "01070000");
+}
+
+/// A link of this role, of the node `n-1` that listens at port 7070.
+fn link(role: Role) -> Link {
+    Link::new(role, "n-1", "127.0.0.1:7070", 0.0)
+}
+
+/// The error that comes of these bytes at a link of the newer process.
+#[track_caller]
+fn fault(digits: &str) -> Fault {
+    link(Role::Newer).receive(&unhex(digits), &mut Vec::new()).expect_err("an error")
+}
+
+#[test]
+fn damaged_bytes_keep_their_errors() {
+    assert_eq!(fault("7070686f0d0b"), Fault::Foreign);
+    assert_eq!(fault("00"), Fault::Foreign);
+    assert_eq!(fault("7070686f0d0a0002"), Fault::Version(2));
+    assert_eq!(fault("7070686f0d0a000100800001"), Fault::Long(8_388_609));
+    // An empty body, a variant that does not exist, a string that is cut, and a byte too many.
+    assert_eq!(fault("7070686f0d0a000100000000"), Fault::Malformed);
+    assert_eq!(fault("7070686f0d0a00010000000109"), Fault::Malformed);
+    assert_eq!(fault("7070686f0d0a00010000000300036e"), Fault::Malformed);
+    assert_eq!(fault("7070686f0d0a0001000000020200"), Fault::Malformed);
+    // A variant of the inner enum that does not exist.
+    assert_eq!(fault("7070686f0d0a0001000000020108"), Fault::Malformed);
+    // `Told` before `Hello`; and a `Hello` of another node.
+    assert_eq!(fault("7070686f0d0a00010000000102"), Fault::OutOfTurn);
+    assert_eq!(fault("7070686f0d0a00010000000500016e0178"), Fault::OtherNode("n at x".into()));
+}
+
+#[test]
+fn error_texts_are_unchanged() {
+    assert_eq!(Fault::Foreign.to_string(), "it speaks another language");
+    assert_eq!(Fault::Version(2).to_string(), "it speaks version 2, this is 1");
+    assert_eq!(Fault::Long(9).to_string(), "a message of 9 bytes is too long");
+    assert_eq!(Fault::Malformed.to_string(), "a message that can't be read");
+    assert_eq!(Fault::OutOfTurn.to_string(), "a message that can't come now");
+    assert_eq!(Fault::OtherNode("n at x".into()).to_string(), "it is n at x");
+    assert_eq!(Fault::Stalled.to_string(), "it took too long");
+}
+
+/// The messages that the older process of a node writes during a handover, in their order.
+fn conversation() -> Vec<Message> {
+    let (id, worker) = ("j-1".to_owned(), "w-1".to_owned());
+    let sent = Tale::Sent { id, attempt: 1, worker, need: 2.0, work: 0.5, ago: 0.25, counts: false };
+    vec![
+        Message::Hello { name: "n-1".into(), listen: "127.0.0.1:7070".into() },
+        Message::Tale(Tale::Use { worker: "w-9".into(), again: false }),
+        Message::Tale(Tale::Past { taken: vec![1.0], further: vec![2.0] }),
+        Message::Tale(Tale::Taken { id: "j-1".into(), counts: false }),
+        Message::Tale(sent),
+        Message::Tale(Tale::List(vec![1, 2])),
+        Message::Told,
+        Message::Holds(17),
+        Message::Call { number: 1, body: b"{}".to_vec() },
+        Message::Called { number: 1, known: true },
+        Message::Leaves,
+        Message::Client { input: b"GET /".to_vec(), useful: true },
+        Message::Job { job: vec![1, 2, 3], input: b"P".to_vec(), closes: true },
+        Message::Tale(Tale::Ended { id: "j-1".into(), attempt: 1 }),
+        Message::Tale(Tale::Over { id: "j-1".into() }),
+    ]
+}
+
+/// All bytes of that conversation: the greeting, then one frame a line.
+const RECORDED: &str = concat!(
+    "7070686f0d0a0001",                                         // greeting
+    "0000001400036e2d310e3132372e302e302e313a37303730",         // Hello
+    "00000007010003772d3900",                                   // Tale::Use
+    "0000000c0107010000803f0100000040",                         // Tale::Past
+    "000000070103036a2d3100",                                   // Tale::Taken
+    "000000180104036a2d310103772d31000000400000003f0000803e00", // Tale::Sent
+    "000000050102020102",                                       // Tale::List
+    "0000000102",                                               // Told
+    "000000020311",                                             // Holds
+    "000000050401027b7d",                                       // Call
+    "00000003050101",                                           // Called
+    "0000000108",                                               // Leaves
+    "000000080605474554202f01",                                 // Client
+    "000000080703010203015001",                                 // Job
+    "000000070105036a2d3101",                                   // Tale::Ended
+    "000000060106036a2d31",                                     // Tale::Over
+);
+
+#[test]
+fn older_process_writes_the_recorded_bytes() {
+    let frames = conversation().iter().flat_map(frame).collect::<Vec<u8>>();
+    assert_eq!(hex(&[greeting(), frames].concat()), RECORDED);
+}
+
+/// The bytes are read in pieces of every size.
+#[test]
+fn newer_process_reads_the_recorded_conversation() {
+    let recorded = unhex(RECORDED);
+    let sent = conversation().into_iter().filter_map(|message| match message {
+        Message::Tale(tale @ Tale::Sent { .. }) => Some(News::Tale(tale)),
+        _ => None,
+    });
+    let expected: Vec<News> = [
+        News::Greeted,
+        News::Tale(Tale::Use { worker: "w-9".into(), again: false }),
+        News::Tale(Tale::Past { taken: vec![1.0], further: vec![2.0] }),
+        News::Tale(Tale::Taken { id: "j-1".into(), counts: false }),
+    ]
+    .into_iter()
+    .chain(sent)
+    .chain([
+        News::Tale(Tale::List(vec![1, 2])),
+        News::Told,
+        News::Holds(17),
+        News::Call(1, b"{}".to_vec()),
+        News::Called(44, true),
+        News::Leaves,
+        News::Client(b"GET /".to_vec(), true),
+        News::Job(vec![1, 2, 3], b"P".to_vec(), true),
+        News::Tale(Tale::Ended { id: "j-1".into(), attempt: 1 }),
+        News::Tale(Tale::Over { id: "j-1".into() }),
+    ])
+    .collect();
+    for size in 1..=recorded.len() {
+        let mut link = link(Role::Newer);
+        link.call(0.0, 44, Vec::new());
+        let mut news = Vec::new();
+        recorded.chunks(size).for_each(|part| link.receive(part, &mut news).expect("sound bytes"));
+        assert_eq!(news, expected, "pieces of {size} bytes");
+        assert!(link.joined() && link.leaves());
+    }
+}
+
+#[test]
+fn newer_process_writes_the_same_bytes() {
+    let mut link = link(Role::Newer);
+    assert_eq!(hex(&frame(&link.hello())), "0000001400036e2d310e3132372e302e302e313a37303730");
+    assert_eq!(hex(&frame(&link.call(0.0, 9, vec![10]))), "000000040401010a");
+    assert_eq!(hex(&frame(&link.call(0.0, 9, vec![11]))), "000000040402010b", "calls are counted from 1");
+}
