--- /dev/null
+++ b/crates/store/tests/surface_bytes.rs
@@ -0,0 +1,150 @@
+//! Pins the files of the store: their names, the segment header, frames and changes, as bytes written by the engine to a
+//! simulated disk and read back from literal bytes. A data directory of an older version of the program must be readable.
+//! The literals were written by the version before the renames.
+
+use postproxy_store::frame::{self, Frame, Header, Unread};
+use postproxy_store::sim::{Faults, SimDisk};
+use postproxy_store::{Batch, Change, Disk, Engine, OpenError, Options, Recovery};
+
+/// Returns the bytes as lower-case hexadecimal digits.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Returns the bytes that the hexadecimal digits stand for.
+fn unhex(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    pairs.map(byte).collect()
+}
+
+/// Asserts that the change is written as this literal, and read from it.
+#[track_caller]
+fn pin(change: Change<'_>, literal: &str) {
+    let mut bytes = Vec::new();
+    change.encode(&mut bytes);
+    assert_eq!(hex(&bytes), literal, "{change:?}");
+    assert_eq!(Change::decode(&unhex(literal)), Some((change, literal.len() / 2)));
+}
+
+#[test]
+fn changes_keep_their_bytes() {
+    pin(
+        Change::Put { key: b"j/a", value: b"value", until: 0x0102_0304_0506_0708 },
+        "0103000500000008070605040302016a2f6176616c7565",
+    );
+    pin(Change::Put { key: b"", value: b"", until: 0 }, "010000000000000000000000000000");
+    pin(Change::Delete { key: b"r/bc" }, "020400722f6263");
+    pin(Change::Delete { key: b"" }, "020000");
+    pin(Change::Mark { oldest: 0x1112_1314_1516_1718 }, "031817161514131211");
+    assert_eq!(Change::decode(&[4]), None);
+    assert_eq!(Change::decode(&[0]), None);
+}
+
+#[test]
+fn sizes_and_version_are_unchanged() {
+    assert_eq!((frame::HEADER, frame::FRAME, frame::VERSION), (64, 24, 1));
+    assert_eq!((frame::MOST_CONTENT, frame::MOST_KEY), (16_777_216, 1024));
+    assert_eq!(Batch::new().put(b"a", b"bc", 1).delete(b"d").size(), 22);
+}
+
+/// A header in which every field differs.
+const HEADER: Header = Header {
+    store: 0x0102_0304_0506_0708,
+    segment: 0x1112_1314_1516_1718,
+    oldest: 0x2122_2324_2526_2728,
+    before: 0x3132_3334_3536_3738,
+    first: 0x4142_4344_4546_4748,
+};
+const HEADER_BYTES: &str = "50505853544f52450100000042f1fb58080706050403020118171615141312112827262524232221383736353433323148474645444342410000000000000000";
+
+#[test]
+fn segment_header_keeps_its_bytes() {
+    assert_eq!(hex(&HEADER.encode()), HEADER_BYTES);
+    assert_eq!(Header::decode(&unhex(HEADER_BYTES)), Ok(HEADER));
+    assert!(unhex(HEADER_BYTES).starts_with(b"PPXSTORE\x01\0\0\0"));
+}
+
+#[test]
+fn headers_of_other_versions_and_damaged_headers_keep_their_errors() {
+    // The same header with format version 2 and the checksum that goes with it.
+    let newer = "50505853544f5245020000004d9aa4b1080706050403020118171615141312112827262524232221383736353433323148474645444342410000000000000000";
+    assert_eq!(Header::decode(&unhex(newer)), Err(Unread::Version(2)));
+    let mut foreign = unhex(HEADER_BYTES);
+    foreign[0] = b'Q';
+    assert_eq!(Header::decode(&foreign), Err(Unread::Damaged));
+}
+
+/// A frame of segment 9 with a put and a delete.
+const FRAME_BYTES: &str =
+    "17000000b7479408030200000000000002000000010100000101000300000005000000000000006b76616c02010064";
+
+#[test]
+fn frame_keeps_its_bytes() {
+    let changes = [Change::Put { key: b"k", value: b"val", until: 5 }, Change::Delete { key: b"d" }];
+    let mut bytes = Vec::new();
+    frame::encode(9, 0x0203, 0x0201, &mut bytes, |out| changes.iter().for_each(|c| c.encode(out)));
+    assert_eq!(hex(&bytes), FRAME_BYTES);
+    let read = unhex(FRAME_BYTES);
+    let read = Frame::decode(9, &read, 0).expect("a frame");
+    assert_eq!((read.seq, read.durable), (0x0203, 0x0201));
+    assert!(frame::changes(read.content).map(|(_, change)| change).eq(changes));
+    assert_eq!(Frame::decode(8, &unhex(FRAME_BYTES), 0), None, "the checksum covers the segment's number");
+}
+
+/// Opens a store on this disk; a new one gets the number 77.
+fn open(disk: &SimDisk) -> Result<(Engine<SimDisk>, Recovery), OpenError> {
+    let options = Options { segment: 192, most: 0, slack: 100.0 };
+    Engine::open(vec![disk.clone()], options, "a test", 77, 1_000)
+}
+
+/// The files of a store that the engine has written: names and content.
+const FILES: &[(&str, &str)] = &[
+    (
+        "0000000000000001.seg",
+        "50505853544f524501000000e8979f214d00000000000000010000000000000001000000000000000000000000000000010000000000000000000000000000001500000099416ec1010000000000000001000000010100000103000300000000000000000000006a2f616f6e651b0000004638cbb502000000000000000100000001010000010300030000002823000000000000722f6174776f0203006a2f613d000000e27615be03000000000000000100000001010000010600280000000000000000000000662f6c69737407070707070707070707070707070707070707070707070707070707070707070707070707070707",
+    ),
+    (
+        "0000000000000002.seg",
+        "50505853544f5245010000004b241f824d0000000000000002000000000000000100000000000000f500000000000000040000000000000000000000000000001a000000ed3ded5904000000000000000100000001010000010600050000000000000000000000662f62616e737468726565000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
+    ),
+];
+
+#[test]
+fn engine_writes_the_recorded_files() {
+    let disk = SimDisk::new(Faults::default(), 1);
+    let (mut engine, _) = open(&disk).expect("a store");
+    let batches: [&[Change<'_>]; 4] = [
+        &[Change::Put { key: b"j/a", value: b"one", until: 0 }],
+        &[Change::Put { key: b"r/a", value: b"two", until: 9_000 }, Change::Delete { key: b"j/a" }],
+        &[Change::Put { key: b"f/list", value: &[7; 40], until: 0 }],
+        &[Change::Put { key: b"f/bans", value: b"three", until: 0 }],
+    ];
+    for batch in batches {
+        engine.append(batch).expect("room");
+        engine.commit().expect("a sound disk");
+    }
+    let names = disk.list().expect("names");
+    let files: Vec<(String, String)> =
+        names.into_iter().map(|name| (name.clone(), hex(&disk.content(&name)))).collect();
+    let recorded = |(name, content): &(&str, &str)| (name.to_string(), content.to_string());
+    assert_eq!(files, FILES.iter().map(recorded).collect::<Vec<_>>());
+}
+
+#[test]
+fn engine_reads_the_recorded_files() {
+    let disk = SimDisk::new(Faults::default(), 1);
+    for (name, content) in FILES {
+        disk.set_content(name, Some(unhex(content)));
+    }
+    let (mut engine, _) = open(&disk).expect("a store");
+    assert_eq!(engine.stat().live, 3);
+    assert_eq!(engine.get(b"j/a").expect("a read"), None);
+    assert_eq!(engine.get(b"r/a").expect("a read"), Some(b"two".to_vec()));
+    assert_eq!(engine.get(b"f/list").expect("a read"), Some(vec![7; 40]));
+    assert_eq!(engine.get(b"f/bans").expect("a read"), Some(b"three".to_vec()));
+    drop(engine);
+    let (mut engine, _) = Engine::open(vec![disk], Options::default(), "a test", 77, 9_001).expect("a store");
+    assert_eq!(engine.stat().live, 2, "what has expired is gone");
+    assert_eq!(engine.get(b"r/a").expect("a read"), None);
+}
