--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -11,6 +11,8 @@
 mod error;
 mod seat;
 mod talk;
+#[cfg(test)]
+mod tests;
 
 pub use council::{Council, Event, MOST_CALLS, Out, Owned, Settings, Shown, View};
 pub use error::{Error, REMEDIES, Why};
