--- a/crates/members/src/members.rs
+++ b/crates/members/src/members.rs
@@ -18,6 +18,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+#[cfg(test)]
+mod tests;
+
 /// What a node is told of its fleet at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
--- /dev/null
+++ b/crates/members/tests/surface_bytes.rs
@@ -0,0 +1,141 @@
+//! Pins the datagrams between members: the envelope, every kind of message, marks of workers out of use, and the words that
+//! the gossip carries. Nodes of a fleet may run different versions, so these bytes must not change with a rename. The
+//! literals were written by the version before the renames.
+
+use postproxy_members::packet::{Flaw, MOST, Message, VERSION, cluster, decode, decode_word, encode};
+use postproxy_members::{Bans, Identity, MOST_NAME, Mark};
+use std::net::SocketAddr;
+
+/// Returns the bytes as lower-case hexadecimal digits.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Returns the bytes that the hexadecimal digits stand for.
+fn unhex(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    pairs.map(byte).collect()
+}
+
+/// The sender of all datagrams here.
+fn sender() -> Identity {
+    let address = "127.0.0.1:7070".parse().expect("an address");
+    Identity { name: "n-1".into(), address, incarnation: 300, life: u64::MAX }
+}
+
+/// The sender, encoded.
+const SENDER: &str = "036e2d31007f0000019e37ac02ffffffffffffffffff01";
+
+/// Asserts that the message is encoded as this literal, and that a datagram of it is the envelope, the sender and it.
+#[track_caller]
+fn pin(message: Message, literal: &str) {
+    let bytes = postcard::to_stdvec(&message).expect("an encoded message");
+    assert_eq!(hex(&bytes), literal, "{message:?}");
+    let datagram = encode(0x0102_0304, &sender(), &message);
+    assert_eq!(hex(&datagram[..7]), "504d0104030201", "P M, the version, the cluster");
+    assert_eq!(datagram[7..11], crc32fast::hash(&datagram[11..]).to_le_bytes(), "the checksum");
+    assert_eq!(hex(&datagram[11..]), SENDER.to_owned() + literal);
+    let sum = crc32fast::hash(&unhex(&(SENDER.to_owned() + literal))).to_le_bytes();
+    let literal = ["504d0104030201", &hex(&sum), SENDER, literal].concat();
+    assert_eq!(decode(0x0102_0304, &unhex(&literal)), Ok((sender(), message)));
+}
+
+#[test]
+fn version_limits_and_cluster_number_are_unchanged() {
+    assert_eq!((VERSION, MOST, MOST_NAME), (1, 1400, 64));
+    assert_eq!(cluster("fleet"), 2690522695);
+    assert_eq!(cluster(""), 0);
+}
+
+#[test]
+fn messages_keep_their_bytes() {
+    let mark = Mark { life: 301, given: 2, undone: 1 };
+    pin(Message::Swim(vec![1, 2, 255]), "00030102ff");
+    pin(Message::Swim(Vec::new()), "0000");
+    pin(Message::Hello(300, 0x0102_0304_0506_0708), "01ac02888e98a8c0e0808101");
+    pin(Message::Ask, "02");
+    pin(Message::Record(Some(sender())), "0301036e2d31007f0000019e37ac02ffffffffffffffffff01");
+    pin(Message::Record(None), "0300");
+    pin(Message::Sign(4), "0404");
+    pin(Message::Signed(5), "0505");
+    pin(Message::Suspected(6, 515), "06068304");
+    pin(Message::Leaves, "07");
+    pin(Message::Bans(vec![("w-1".into(), mark)], true), "080103772d31ad02020101");
+    pin(Message::Bans(Vec::new(), false), "080000");
+    pin(Message::Held(7), "0907");
+    pin(Message::Hold(8, vec![("w-2".into(), mark)]), "0a080103772d32ad020201");
+    pin(Message::Hold(9, Vec::new()), "0a0900");
+    pin(Message::Gone(vec![("n-2".into(), 10)]), "0b01036e2d320a");
+    pin(Message::Gone(Vec::new()), "0b00");
+    pin(Message::Part(vec![11, 12]), "0c020b0c");
+    pin(Message::Part(Vec::new()), "0c00");
+}
+
+/// A whole datagram: `Ask`.
+const DATAGRAM: &str = "504d01040302015dcc674e036e2d31007f0000019e37ac02ffffffffffffffffff0102";
+
+#[test]
+fn whole_datagram_keeps_its_bytes() {
+    assert_eq!(hex(&encode(0x0102_0304, &sender(), &Message::Ask)), DATAGRAM);
+    assert_eq!(decode(0x0102_0304, &unhex(DATAGRAM)), Ok((sender(), Message::Ask)));
+}
+
+#[test]
+fn datagrams_of_others_and_damaged_ones_keep_their_errors() {
+    let sound = unhex(DATAGRAM);
+    let changed = |at: usize| {
+        let mut bytes = sound.clone();
+        bytes[at] ^= 1;
+        decode(0x0102_0304, &bytes)
+    };
+    assert_eq!(changed(0), Err(Flaw::Foreign));
+    assert_eq!(changed(1), Err(Flaw::Foreign));
+    assert_eq!(changed(2), Err(Flaw::Version));
+    (3..7).for_each(|at| assert_eq!(changed(at), Err(Flaw::Cluster)));
+    (7..sound.len()).for_each(|at| assert_eq!(changed(at), Err(Flaw::Damaged)));
+    assert_eq!(decode(0x0102_0304, &sound[..10]), Err(Flaw::Foreign));
+    assert_eq!(decode(0x0102_0304, &sound[..11]), Err(Flaw::Damaged));
+    assert_eq!(decode(0x0102_0305, &sound), Err(Flaw::Cluster));
+    // Sound checksums: a message that does not exist, a byte too many, a sender without a name.
+    let with = |rest: &str| {
+        let rest = unhex(rest);
+        let sum = crc32fast::hash(&rest).to_le_bytes();
+        decode(0x0102_0304, &[&unhex("504d0104030201"), &sum[..], &rest].concat())
+    };
+    assert_eq!(with(&(SENDER.to_owned() + "0d")), Err(Flaw::Unknown));
+    assert_eq!(with(&(SENDER.to_owned() + "0200")), Err(Flaw::Unknown));
+    assert_eq!(with(&("00".to_owned() + &SENDER[8..] + "02")), Err(Flaw::Unknown));
+    // Longer than a datagram may be; over a stream it is read.
+    let long = encode(0x0102_0304, &sender(), &Message::Part(vec![0; 1400]));
+    assert_eq!(decode(0x0102_0304, &long), Err(Flaw::Damaged));
+    assert!(decode_word(0x0102_0304, &long).is_ok());
+}
+
+#[test]
+fn identity_of_an_ipv6_address_keeps_its_bytes() {
+    let address: SocketAddr = "[::1]:7070".parse().expect("an address");
+    let identity = Identity { address, ..sender() };
+    let literal = "036e2d3101000000000000000000000000000000019e37ac02ffffffffffffffffff01";
+    assert_eq!(hex(&postcard::to_stdvec(&identity).expect("an encoded identity")), literal);
+    assert_eq!(postcard::from_bytes::<Identity>(&unhex(literal)), Ok(identity));
+}
+
+/// Nodes compare these digests: each must come to the same number at every version.
+#[test]
+fn digest_of_suspended_workers_is_unchanged() {
+    let mut bans = Bans::default();
+    assert_eq!(format!("{:016x}", bans.digest()), "cbf29ce484222325");
+    bans.merge("w-1", Mark { life: 301, given: 2, undone: 1 });
+    bans.merge("w-2", Mark { life: 302, given: 3, undone: 3 });
+    assert_eq!(format!("{:016x}", bans.digest()), "f593dd39b26adc4e");
+}
+
+/// The value that a node stores under `f/bans`.
+#[test]
+fn stored_marks_keep_their_bytes() {
+    let marks = vec![("w-1".to_owned(), Mark { life: 301, given: 2, undone: 1 })];
+    let literal = "0103772d31ad020201";
+    assert_eq!(hex(&postcard::to_stdvec(&marks).expect("encoded marks")), literal);
+    assert_eq!(postcard::from_bytes::<Vec<(String, Mark)>>(&unhex(literal)), Ok(marks));
+}
