--- /dev/null
+++ b/crates/audit/tests/surface_bytes.rs
@@ -0,0 +1,139 @@
+//! Pins the messages between nodes on versions, and the records of the audit log: their bytes, their JSON and the hashes
+//! that chain them. Nodes of a fleet may run different versions, so none of it must change with a rename. The literals were
+//! written by the version before the renames.
+
+use postproxy_audit::{
+    Kind, Line, MOST_HEADS, Record, Ruling, Source, Stand, State, Trail, What, Word, digest,
+};
+use serde::{Serialize, de::DeserializeOwned};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+/// Returns the bytes as lower-case hexadecimal digits.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Returns the bytes that the hexadecimal digits stand for.
+fn unhex(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    pairs.map(byte).collect()
+}
+
+/// Asserts that the value is encoded as this literal, and decoded from it.
+#[track_caller]
+fn pin<T: Debug + DeserializeOwned + PartialEq + Serialize>(value: T, literal: &str) {
+    let bytes = postcard::to_stdvec(&value).expect("an encoded value");
+    assert_eq!(hex(&bytes), literal, "{value:?}");
+    assert_eq!(postcard::from_bytes::<T>(&unhex(literal)).expect("a value"), value);
+}
+
+/// Asserts that the value has this JSON, and is read from it.
+#[track_caller]
+fn pin_json<T: Debug + DeserializeOwned + PartialEq + Serialize>(value: T, json: &str) {
+    assert_eq!(serde_json::to_string(&value).expect("JSON"), json);
+    assert_eq!(serde_json::from_str::<T>(json).expect("a value"), value);
+}
+
+const STAND: Stand = Stand { generation: 300, number: 2, digest: u64::MAX };
+
+#[test]
+fn messages_keep_their_bytes() {
+    pin(
+        Word::Heads(vec![(Kind::List, STAND), (Kind::Program, Stand { number: 3, ..STAND })]),
+        "000200ac0202ffffffffffffffffff0101ac0203ffffffffffffffffff01",
+    );
+    pin(Word::Heads(Vec::new()), "0000");
+    pin(Word::Want(Kind::List, 4, 5), "01000405");
+    pin(Word::Want(Kind::Program, 4, 5), "01010405");
+    assert_eq!(MOST_HEADS, 16);
+}
+
+#[test]
+fn version_digest_is_unchanged() {
+    assert_eq!(format!("{:016x}", digest([&b"ab"[..], &b"c"[..]])), "43ee655579de01ca");
+    assert_eq!(format!("{:016x}", digest([&b""[..]; 0])), "e3b0c44298fc1c14");
+}
+
+#[test]
+fn records_keep_their_bytes() {
+    let hash = std::array::from_fn(|at| at as u8);
+    let record = |what| Record { view: 300, at_ms: 1_700_000_000_000, what, acts: 7, hash };
+    pin(
+        record(What::Began),
+        "ac0280d095ffbc310007000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f",
+    );
+    pin(
+        record(What::Adopted(Kind::List, STAND, Source::Own)),
+        "ac0280d095ffbc310100ac0202ffffffffffffffffff010007000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f",
+    );
+    pin(
+        record(What::Adopted(Kind::Program, STAND, Source::Peer("n-2".into()))),
+        "ac0280d095ffbc310101ac0202ffffffffffffffffff0101036e2d3207000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f",
+    );
+    pin(
+        record(What::Folded(8)),
+        "ac0280d095ffbc31020807000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f",
+    );
+}
+
+#[test]
+fn hashes_of_records_are_unchanged() {
+    let mut trail = Trail::new(1000, 3);
+    trail.act(2);
+    trail.adopted(2000, Kind::List, STAND, Source::Own);
+    trail.adopted(3000, Kind::Program, STAND, Source::Peer("n-2".into()));
+    assert_eq!(hex(&trail.head()), "de2d855c83ef907a262c4381cc6f189f689e1ea8fde426d9d54f4d15672160c8");
+    trail.adopted(4000, Kind::List, Stand { number: 3, ..STAND }, Source::Own);
+    assert_eq!(hex(&trail.head()), "9396ccc54918bccb9984eea1060bce571ee05e1509b93df2e2e3572a59c694f9");
+    // The oldest two records have become one.
+    let (records, _) = trail.records();
+    let records: Vec<Record> = records.cloned().collect();
+    assert_eq!(records[0].what, What::Folded(2));
+    assert_eq!(hex(&records[0].hash), "f73c319b206de8ba7ecefc174dc3122a132e77bc7aa357ae79708b280e450f5a");
+    assert_eq!(Trail::check(&records), Ok(()));
+}
+
+#[test]
+fn records_keep_their_json() {
+    pin_json(Kind::List, r#""list""#);
+    pin_json(Kind::Program, r#""program""#);
+    pin_json(STAND, r#"{"generation":300,"number":2,"digest":18446744073709551615}"#);
+    pin_json(What::Began, r#""began""#);
+    pin_json(
+        What::Adopted(Kind::List, STAND, Source::Own),
+        r#"{"adopted":["list",{"generation":300,"number":2,"digest":18446744073709551615},"own"]}"#,
+    );
+    pin_json(What::Folded(8), r#"{"folded":8}"#);
+    pin_json(Source::Peer("n-2".into()), r#"{"peer":"n-2"}"#);
+    let record = Record { view: 1, at_ms: 2, what: What::Began, acts: 3, hash: [0; 32] };
+    let zeros = ["0"; 32].join(",");
+    pin_json(record, &format!(r#"{{"view":1,"at_ms":2,"what":"began","acts":3,"hash":[{zeros}]}}"#));
+}
+
+#[test]
+fn states_keep_their_bytes_and_json() {
+    pin(State::Current, "00");
+    pin(State::Behind, "01");
+    pin(State::Out, "02");
+    pin(State::CatchingUp, "03");
+    pin_json(State::Current, r#""current""#);
+    pin_json(State::Behind, r#""behind""#);
+    pin_json(State::Out, r#""out""#);
+    pin_json(State::CatchingUp, r#""catchingup""#);
+}
+
+/// The ruling is the value of the duty `audit`, which is stored in the replicated log.
+#[test]
+fn ruling_keeps_its_bytes() {
+    let line: Line = (Kind::List, 300);
+    let ruling = Ruling {
+        floors: BTreeMap::from([(line, 2)]),
+        out: BTreeMap::from([("n-1".to_owned(), BTreeSet::from([line]))]),
+        times: BTreeMap::from([("n-2".to_owned(), 3)]),
+        held: BTreeMap::from([((Kind::Program, 4), 5)]),
+    };
+    pin(ruling, "0100ac020201036e2d310100ac0201036e2d320301010405");
+    pin(Ruling::default(), "00000000");
+}
