--- a/src/net/hub/takeover.rs
+++ b/src/net/hub/takeover.rs
@@ -8,6 +8,9 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
+#[cfg(test)]
+mod tests;
+
 /// So many of the latest requests and further attempts are told to another process: budgets count no more.
 const MOST_PAST: usize = 8192;
 
@@ -16,7 +19,7 @@
 const CLOCKS_APART: f64 = 0.05;
 
 /// A request on its way to another process of this node.
-#[derive(Deserialize, Serialize)]
+#[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct Moved {
     /// The time there.
     pub(super) now: f64,
@@ -30,7 +33,7 @@
     pub(super) carried: Carried,
 }
 
-#[derive(Deserialize, Serialize)]
+#[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct MovedAttempt {
     pub(super) worker: String,
     pub(super) sent: f64,
--- /dev/null
+++ b/src/net/hub/takeover/tests.rs
@@ -0,0 +1,147 @@
+//! Pins the bytes of a request that moves to another process of the node: the field `job` of the handover's message `Job`.
+//! The other process may run another version of the program, so these bytes must not change with a rename. The literals
+//! were written by the version before the renames.
+
+use super::{Moved, MovedAttempt};
+use crate::interface::{Carried, WorkerId};
+use crate::net::words::Payload;
+use crate::request::{Attempt, Request, State};
+use serde::{Serialize, de::DeserializeOwned};
+use std::fmt::Debug;
+
+/// Returns the bytes as lower-case hexadecimal digits.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Returns the bytes that the hexadecimal digits stand for.
+fn unhex(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    pairs.map(byte).collect()
+}
+
+/// Asserts that the value is encoded as this literal, and decoded from it.
+#[track_caller]
+fn pin<T: Debug + DeserializeOwned + PartialEq + Serialize>(value: T, literal: &str) {
+    let bytes = postcard::to_stdvec(&value).expect("an encoded value");
+    assert_eq!(hex(&bytes), literal, "{value:?}");
+    assert_eq!(postcard::from_bytes::<T>(&unhex(literal)).expect("a value"), value);
+}
+
+fn payload() -> Payload {
+    Payload {
+        id: "j-1".into(),
+        method: "POST".into(),
+        target: "/render".into(),
+        idempotency_key: Some("k-1".into()),
+        body: vec![1, 2, 255],
+    }
+}
+
+fn attempt(state: State) -> Attempt {
+    Attempt {
+        worker: 300,
+        home: (2, 515),
+        sent: 1.5,
+        state,
+        started: Some(2.5),
+        heard: 3.5,
+        promised: true,
+        cancelled: false,
+    }
+}
+
+fn request() -> Request {
+    Request {
+        class: 1,
+        need: 2.0,
+        memory: 0.25,
+        work: 0.5,
+        least: 0.125,
+        first: 100.0,
+        deadline: 112.0,
+        attempts: vec![attempt(State::Out)],
+        pool: vec![3, 4],
+        sample: vec![5],
+        sample_until: 101.0,
+        rounds: 301,
+        pass: Some(6),
+        rolled: 7,
+        look: 102.0,
+        streaming: true,
+        ..Request::default()
+    }
+}
+
+#[test]
+fn payload_keeps_its_bytes() {
+    pin(payload(), "036a2d3104504f5354072f72656e64657201036b2d31030102ff");
+    pin(Payload::default(), "0000000000");
+}
+
+#[test]
+fn attempts_keep_their_bytes_in_every_state() {
+    pin(attempt(State::Out), "ac02028304000000000000f83f000100000000000004400000000000000c400100");
+    pin(attempt(State::NeverRan), "ac02028304000000000000f83f010100000000000004400000000000000c400100");
+    pin(attempt(State::MayHaveRun), "ac02028304000000000000f83f020100000000000004400000000000000c400100");
+    pin(
+        Attempt { started: None, promised: false, cancelled: true, ..attempt(State::Out) },
+        "ac02028304000000000000f83f00000000000000000c400001",
+    );
+}
+
+#[test]
+fn request_record_keeps_its_bytes() {
+    pin(
+        request(),
+        "010000000000000040000000000000d03f000000000000e03f000000000000c03f00000000000059400000000000005c4001ac02028304000000000000f83f000100000000000004400000000000000c40010002030401050000000000405940ad02010607000000000080594001",
+    );
+    pin(
+        Request::default(),
+        "000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
+    );
+}
+
+#[test]
+fn subject_and_keyless_flag_are_not_encoded() {
+    let bytes = postcard::to_stdvec(&request()).expect("an encoded request");
+    let marked = Request { subject: Some(9), keyless: true, ..request() };
+    assert_eq!(postcard::to_stdvec(&marked).expect("an encoded request"), bytes);
+}
+
+#[test]
+fn moved_request_keeps_its_bytes() {
+    let workers = vec![WorkerId { address: [127, 0, 0, 1], port: 9000 }];
+    let out = MovedAttempt { worker: "w-1".into(), sent: 1.5, until: 9.5, written: true, ended: false };
+    let moved = Moved {
+        now: 103.0,
+        payload: payload(),
+        class: 1,
+        deadline: 112.0,
+        attempts: vec![out],
+        may_have_run: true,
+        need: 2.0,
+        hint: Some(0.5),
+        carried: Carried { request: request(), workers },
+    };
+    pin(
+        moved,
+        "0000000000c05940036a2d3104504f5354072f72656e64657201036b2d31030102ff010000000000005c400103772d31000000000000f83f0000000000002340010001000000000000004001000000000000e03f010000000000000040000000000000d03f000000000000e03f000000000000c03f00000000000059400000000000005c4001ac02028304000000000000f83f000100000000000004400000000000000c40010002030401050000000000405940ad02010607000000000080594001017f000001a846",
+    );
+    let moved = Moved {
+        now: 0.0,
+        payload: Payload::default(),
+        class: 0,
+        deadline: 0.0,
+        attempts: Vec::new(),
+        may_have_run: false,
+        need: 0.0,
+        hint: None,
+        carried: Carried { request: Request::default(), workers: Vec::new() },
+    };
+    pin(
+        moved,
+        "00000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
+    );
+}
--- a/src/net/peers/handover.rs
+++ b/src/net/peers/handover.rs
@@ -14,6 +14,9 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
+#[cfg(test)]
+mod tests;
+
 /// How often links are looked at, while there are any.
 const LOOK: f64 = 0.02;
 /// What may wait to be written on a link; beyond that the other side has stalled.
--- /dev/null
+++ b/src/net/peers/handover/tests.rs
@@ -0,0 +1,13 @@
+//! Pins the name of the socket on which two processes of a node meet: the other one may run another version of the program.
+
+use super::meeting;
+use std::path::Path;
+
+#[test]
+fn socket_keeps_its_name() {
+    let name = |node: &str| meeting(Path::new("/run/postproxy"), node).display().to_string();
+    assert_eq!(name("node-1_a"), "/run/postproxy/postproxy-node-1_a.handover");
+    assert_eq!(name("a b/c.d:e"), "/run/postproxy/postproxy-abcde.handover");
+    assert_eq!(name(&"x".repeat(41)), format!("/run/postproxy/postproxy-{}.handover", "x".repeat(40)));
+    assert_eq!(name(""), "/run/postproxy/postproxy-.handover");
+}
--- /dev/null
+++ b/tests/surface_bytes.rs
@@ -0,0 +1,185 @@
+//! Pins the keys and values that a node itself stores (the list of workers, the workers out of use, what the coordination
+//! service has it keep), and the list of workers as nodes pass it on. A node reads what an older version stored, and other
+//! nodes may run other versions, so none of it must change with a rename. The literals were written by the version before
+//! the renames.
+
+use postproxy::Settings;
+use postproxy::net::back::keeper::{Keeper, open};
+use postproxy::net::back::worker_list::{Kept, List, WorkerList};
+use postproxy::net::ground::reactor::Reactor;
+use postproxy::net::peers::audit;
+use postproxy::operator::StoreSection;
+use postproxy_council::Change;
+use postproxy_store::Change as Stored;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Returns the bytes as lower-case hexadecimal digits.
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Returns the bytes that the hexadecimal digits stand for.
+fn unhex(digits: &str) -> Vec<u8> {
+    let pairs = digits.as_bytes().chunks(2);
+    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    pairs.map(byte).collect()
+}
+
+/// A folder that is removed at the end of its test.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Self {
+        let folder = std::env::temp_dir().join(format!("postproxy-surface-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Self(folder)
+    }
+
+    /// The settings of a store in this folder.
+    fn store(&self) -> StoreSection {
+        let text = format!(r#"{{"folder": {:?}}}"#, self.0);
+        serde_json::from_str(&text).expect("sound settings")
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The list of workers as it is stored.
+const LIST: &str = concat!(
+    r#"{"discovery":"127.0.0.1:8500","revision":7,"members":["#,
+    r#"{"id":"w-1","host_port":"127.0.0.1:9001","locality":"here","flavor":"small","cell":2,"#,
+    r#""phase":"in_service","size":3.5,"up_since_ms":1700000000000.0},"#,
+    r#"{"id":"w-2","host_port":"127.0.0.1:9002","locality":"","flavor":"","cell":65535,"#,
+    r#""phase":"terminated","size":0.0,"up_since_ms":0.0}]}"#,
+);
+
+/// The same list as discovery sends it, without what may be left out.
+const DISCOVERED: &str = concat!(
+    r#"{"revision":7,"complete":true,"members":["#,
+    r#"{"id":"w-1","host_port":"127.0.0.1:9001","locality":"here","flavor":"small","cell":2,"#,
+    r#""phase":"in_service","size":3.5,"up_since_ms":1700000000000},"#,
+    r#"{"id":"w-2","host_port":"127.0.0.1:9002","phase":"terminated"}]}"#,
+);
+
+/// The same list as nodes pass it on: its number, its digest, its members.
+const PASSED: &str = "07aabdc4c99ba4cad2e0010203772d310e3132372e302e302e313a39303031046865726505736d616c6c020a696e5f736572766963650000000000000c4000008056febc784203772d320e3132372e302e302e313a393030320000ffff030a7465726d696e6174656400000000000000000000000000000000";
+
+fn discovery() -> SocketAddr {
+    "127.0.0.1:8500".parse().expect("an address")
+}
+
+fn settings() -> Settings {
+    Settings::from_json(r#"{"services": [{"name": "render", "effect": "pure"}]}"#).expect("sound settings")
+}
+
+/// A node's list of workers that begins with the list above.
+fn worker_list(text: &str, revision: u64) -> WorkerList {
+    let list = List::from_json(text.as_bytes()).expect("a list");
+    let mut workers = WorkerList::new(discovery(), settings(), Some(revision), 1);
+    workers.hold(Some(&list));
+    workers
+}
+
+#[test]
+fn stored_list_of_workers_keeps_its_text() {
+    let kept = worker_list(DISCOVERED, 7).kept().expect("a list");
+    assert_eq!(String::from_utf8(kept).expect("text"), LIST);
+    let read = Kept::from_json(LIST.as_bytes()).expect("a stored list");
+    let list = read.or(None, discovery()).expect("a list with workers");
+    assert_eq!((list.revision, list.complete), (7, true));
+    let mut again = WorkerList::new(discovery(), settings(), Some(7), 1);
+    again.hold(Some(&list));
+    assert_eq!(again.kept().expect("a list"), LIST.as_bytes());
+}
+
+#[test]
+fn passed_on_list_of_workers_keeps_its_bytes() {
+    let workers = worker_list(DISCOVERED, 7);
+    let (number, digest) = workers.version().expect("a version");
+    assert_eq!((number, format!("{digest:016x}")), (7, "e0a52921b9311eaa".to_owned()));
+    assert_eq!(hex(&workers.body().expect("a list")), PASSED);
+}
+
+#[test]
+fn passed_on_list_of_workers_is_read() {
+    let mut reactor = Reactor::new(0.0).expect("a poller");
+    let mut workers = worker_list(DISCOVERED, 6);
+    let (number, digest) = workers.take(&mut reactor, &unhex(PASSED)).expect("a newer list");
+    assert_eq!((number, format!("{digest:016x}")), (7, "e0a52921b9311eaa".to_owned()));
+    assert_eq!(reactor.queue.len(), 1, "the list is told to the core");
+}
+
+#[test]
+fn prefix_and_generation_of_passed_on_lists_are_unchanged() {
+    assert_eq!(audit::PREFIX, [0x50, 0x41, 0x01]);
+    assert_eq!(format!("{:016x}", audit::generation("127.0.0.1:8500")), "a797c7cee270e152");
+}
+
+/// All keys and values of a store.
+fn content(section: &StoreSection) -> BTreeMap<String, String> {
+    let (mut engine, _) = open(section, "a test").expect("a store");
+    let mut content = BTreeMap::new();
+    let show = |key: &[u8], value: &[u8]| {
+        content.insert(String::from_utf8_lossy(key).into_owned(), hex(value));
+    };
+    engine.scan(show).expect("a sound disk");
+    content
+}
+
+#[test]
+fn node_writes_its_keys() {
+    let folder = Folder::new("writes");
+    let mut reactor = Reactor::new(0.0).expect("a poller");
+    let (mut keeper, _, _) = Keeper::start(&mut reactor, &folder.store(), "n-1").expect("a store");
+    keeper.keep_list(&[1, 2]);
+    keeper.keep_bans(&[3, 4]);
+    let change = |key: &[u8], value: Option<Vec<u8>>| Change { key: key.to_vec(), value };
+    let changes = [
+        change(b"a/hard", Some(vec![5])),
+        change(b"c/seat", Some(vec![6])),
+        change(b"s/start", Some(vec![7])),
+    ];
+    assert!(keeper.keep_council(&changes));
+    assert!(keeper.keep_council(&[change(b"s/start", None)]));
+    drop(keeper); // waits for its writes
+    let expected = [("a/hard", "05"), ("c/seat", "06"), ("f/bans", "0304"), ("f/list", "0102")];
+    let expected = expected.map(|(key, value)| (key.to_owned(), value.to_owned()));
+    assert_eq!(content(&folder.store()), BTreeMap::from(expected));
+}
+
+/// A record of a served job, as `crates/ledger` pins it.
+const RECORD: &str = "01016301016b070707070707070707070707070707070707070707070707070707070707070701010203772d310203772d320080eb06d881e201";
+
+#[test]
+fn node_reads_its_keys() {
+    let folder = Folder::new("reads");
+    let (mut engine, _) = open(&folder.store(), "a test").expect("a store");
+    let record = unhex(RECORD);
+    let put = |key, value| Stored::Put { key, value, until: 0 };
+    let puts = [
+        put(b"f/list", LIST.as_bytes()),
+        put(b"f/bans", &[3, 4]),
+        put(b"a/hard", &[5]),
+        put(b"c/seat", &[6]),
+        put(b"s/start", &[7]),
+        put(b"j/a", &record),
+        put(b"r/a", b"result"),
+    ];
+    engine.append(&puts).expect("room");
+    engine.commit().expect("a sound disk");
+    drop(engine);
+    let mut reactor = Reactor::new(0.0).expect("a poller");
+    let (_keeper, ledger, mut found) = Keeper::start(&mut reactor, &folder.store(), "n-1").expect("a store");
+    assert_eq!(ledger.len(), 1);
+    assert!(found.list.is_some());
+    assert_eq!(found.bans, [3, 4]);
+    found.council.sort();
+    let council = [(&b"a/hard"[..], 5), (b"c/seat", 6), (b"s/start", 7)];
+    assert_eq!(found.council, council.map(|(key, value)| (key.to_vec(), vec![value])));
+}
