--- a/crates/store/tests/surface_bytes.rs
+++ b/crates/store/tests/surface_bytes.rs
@@ -4,7 +4,7 @@
 
 use postproxy_store::frame::{self, Frame, Header, Unread};
 use postproxy_store::sim::{Faults, SimDisk};
-use postproxy_store::{Batch, Change, Disk, Engine, OpenError, Options, Recovery};
+use postproxy_store::{Batch, Change, Disk, Engine, OpenError, Options, OsDisk, Recovery};
 
 /// Returns the bytes as lower-case hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
@@ -148,3 +148,17 @@
     assert_eq!(engine.stat().live, 2, "what has expired is gone");
     assert_eq!(engine.get(b"r/a").expect("a read"), None);
 }
+
+#[test]
+fn files_in_a_folder_keep_their_names() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let disk = OsDisk::new(folder.path()).expect("a disk");
+    let (mut engine, _) = Engine::open(vec![disk], Options::default(), "a test", 77, 1_000).expect("a store");
+    engine.append(&[Change::Delete { key: b"k" }]).expect("room");
+    engine.commit().expect("a sound disk");
+    let names = std::fs::read_dir(folder.path()).expect("a folder");
+    let mut names: Vec<_> = names.map(|entry| entry.expect("an entry").file_name()).collect();
+    names.sort();
+    assert_eq!(names, ["0000000000000001.seg", "LOCK"]);
+    drop(engine);
+}
