--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -463,12 +463,13 @@
             out.push(Out::Event(Event::Owner(name.clone(), None)));
         }
         self.owners = owners;
-        // A duty that another owns by now, or nobody under a later token.
+        // The latest granted token tells whether this copy of the log already contains the grant. If it does and the duty is not
+        // this node's under that token, then the lease has ended: another node owns the duty, or it was released elsewhere.
+        let latest_token = self.state().token();
         for (duty, token) in self.holder.all() {
             let own =
                 self.owners.get(&duty).is_some_and(|(owner, of)| *owner == self.set.name && *of == token);
-            let later = self.owners.get(&duty).is_some_and(|(_, of)| *of > token);
-            if !own && later {
+            if !own && token <= latest_token {
                 self.give_up(now, &duty, token, out);
             }
         }
--- a/crates/council/tests/fleet.rs
+++ b/crates/council/tests/fleet.rs
@@ -162,3 +162,32 @@
     );
     sim.waits(2000, "another has it", |sim| sim.owners_of("bans").first().is_some_and(|n| *n != 3));
 }
+
+/// An operator's release at another node reaches the owner through the log alone. The owner must stop acting as soon as its own
+/// copy of the log shows the release, not with its next renewal, and must leave the duty to the other nodes for a lease.
+#[test]
+fn an_owner_stops_acting_once_its_log_shows_a_release_made_elsewhere() {
+    for seed in range("0..40") {
+        let mut sim = steady(3, 0, seed);
+        let owner = sim.owners_of("bans")[0];
+        let elsewhere = (owner + 1) % 3;
+        let permit = |sim: &Sim| sim.nodes[owner].council.as_ref()?.may(sim.clock(owner), "bans");
+        let token = permit(&sim).map_or(0, |permit| permit.token());
+        let release = Call::Release("bans".into(), token);
+        let released =
+            sim.asks(elsewhere, |council, now, ticket, out| council.call(now, ticket, release, out));
+        assert_eq!(released, Some(Ok(())), "seed {seed}");
+        let mut next_owner = None;
+        for _ in 0..300 {
+            let state = sim.nodes[owner].council.as_ref().map(Council::state);
+            let known = state.and_then(|state| state.duty("bans")).and_then(|duty| duty.owner.clone());
+            let knows_release = known.as_ref().is_none_or(|(_, known)| *known != token);
+            assert!(!knows_release || permit(&sim).is_none(), "seed {seed}: it acts on after the release");
+            next_owner = next_owner.or(known.filter(|(_, known)| *known > token));
+            sim.step();
+        }
+        let next_owner = next_owner.map(|(name, _)| name);
+        assert!(next_owner.is_some(), "seed {seed}: {}", sim.picture());
+        assert_ne!(next_owner, Some(format!("n{owner}")), "seed {seed}");
+    }
+}
