--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -30,13 +30,18 @@
     nodes.iter().copied().filter(|n| owned(fleet, *n).is_some_and(|duty| duty.left_ms.is_some())).collect()
 }
 
-/// Waits until one of these nodes alone owns the duty, under a token above this one; who, and the token.
+/// Waits until one of these nodes alone may act for the duty and knows itself as its owner, under a token above this one; who, and the
+/// token. Whether a node may act and under which token is read from one answer of it. With two answers, a node that stops acting in
+/// between could be taken for the holder of the next owner's token.
 fn owner(fleet: &Fleet, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
     let so = wait(MOST, || {
-        let acting = acting(fleet, nodes);
-        let token = acting.first().and_then(|n| owned(fleet, *n)?.token);
-        found = acting.first().copied().zip(token.filter(|token| *token > above));
+        let duties = nodes.iter().filter_map(|n| Some((*n, owned(fleet, *n)?)));
+        let acting: Vec<(usize, Owned)> = duties.filter(|(_, duty)| duty.left_ms.is_some()).collect();
+        found = acting.first().and_then(|(n, duty)| {
+            let owns = duty.owner.as_ref() == Some(&fleet.nodes[*n].name);
+            Some((*n, duty.token.filter(|token| owns && *token > above)?))
+        });
         acting.len() == 1 && found.is_some()
     });
     assert!(so, "{what}: {}", fleet.told());
