--- /dev/null
+++ b/tests/decisions/text.rs
@@ -0,0 +1,155 @@
+//! Events and actions as lines of text that don't depend on the names of Rust types; numbers are written exactly.
+
+use postproxy::{
+    Action, Carried, Elsewhere, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId,
+};
+
+fn worker_text(worker: WorkerId) -> String {
+    let [a, b, c, d] = worker.address;
+    format!("{a}.{b}.{c}.{d}:{}", worker.port)
+}
+
+fn list_kind_text(kind: ListKind) -> &'static str {
+    match kind {
+        ListKind::Delta => "delta",
+        ListKind::Full => "full",
+        ListKind::Cached => "cached",
+        ListKind::Passed => "passed",
+        ListKind::Failed => "failed",
+    }
+}
+
+fn entry_text(entry: &Entry) -> String {
+    let health = match entry.health {
+        Health::Ready => "ready",
+        Health::Draining => "draining",
+        Health::Gone => "gone",
+    };
+    let Entry { zone, kind, cell, identity, size, started, .. } = entry;
+    let worker = worker_text(entry.worker);
+    format!("{worker}/{zone}/{kind}/{cell}/{health}/{identity:x}/{size:?}/{started:?}")
+}
+
+fn request_text(new: &NewRequest) -> String {
+    format!(
+        "request {} class {} tenant {} key {} budget {:?} hint {} slots {:?} memory {:?} repeat {} keyless {}",
+        new.request,
+        new.class,
+        new.tenant,
+        new.key,
+        new.budget,
+        new.hint.map_or("none".into(), |hint| format!("{hint:?}")),
+        new.slots,
+        new.memory,
+        new.repeat,
+        new.keyless,
+    )
+}
+
+fn outcome_text(outcome: Outcome) -> String {
+    match outcome {
+        Outcome::Ok => "ok".into(),
+        Outcome::Error => "error".into(),
+        Outcome::Full => "full".into(),
+        Outcome::Timeout => "timeout".into(),
+        Outcome::ConnectFailed => "connect-failed".into(),
+        Outcome::Reset => "reset".into(),
+        Outcome::Cancelled => "cancelled".into(),
+        Outcome::Moot => "never-sent".into(),
+        Outcome::Unknown(code) => format!("code-{code}"),
+    }
+}
+
+fn note_text(note: Note) -> String {
+    match note {
+        Note::Started => "started".into(),
+        Note::Progress(share) => format!("progress {share:?}"),
+        Note::Other => "other".into(),
+    }
+}
+
+fn report_text(report: &[f32]) -> String {
+    report.iter().map(|figure| format!("{figure:?}")).collect::<Vec<_>>().join(",")
+}
+
+fn times_text(times: &[f64]) -> String {
+    times.iter().map(|at| format!("{at:?}")).collect::<Vec<_>>().join(",")
+}
+
+fn sibling_text(news: &Elsewhere) -> String {
+    match news {
+        Elsewhere::Past { taken, further } => {
+            format!("taken [{}] further [{}]", times_text(taken), times_text(further))
+        }
+        Elsewhere::Sent { request, attempt, worker, need, work, sent } => {
+            let work = work.map_or("none".into(), |work| format!("{work:?}"));
+            format!(
+                "sent {request}.{attempt} to {} slots {need:?} work {work} at {sent:?}",
+                worker_text(*worker)
+            )
+        }
+        Elsewhere::Ended { request, attempt, worker } => {
+            format!("ended {request}.{attempt} at {}", worker_text(*worker))
+        }
+    }
+}
+
+/// The bytes in which a request goes to another process.
+fn carried_text(carried: &Carried) -> String {
+    let bytes = postcard::to_allocvec(carried).expect("a carried request is written to memory");
+    hex(&bytes)
+}
+
+/// Bytes as hexadecimal digits.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The line of an event at a time.
+pub fn event_line(now: f64, event: &Event) -> String {
+    let text = match event {
+        Event::List { kind, entries } => {
+            let entries: Vec<String> = entries.iter().map(entry_text).collect();
+            format!("list {} {}", list_kind_text(*kind), entries.join(" "))
+        }
+        Event::Request(new) => request_text(new),
+        Event::Streaming { request, attempt } => format!("streaming {request}.{attempt}"),
+        Event::Note { request, attempt, note } => format!("note {request}.{attempt} {}", note_text(*note)),
+        Event::Outcome { request, attempt, worker, outcome, elapsed, closed, report } => format!(
+            "outcome {request}.{attempt} {} {} after {elapsed:?} closed {closed} report [{}]",
+            worker_text(*worker),
+            outcome_text(*outcome),
+            report_text(report)
+        ),
+        Event::ClientGone { request } => format!("client-gone {request}"),
+        Event::Use { worker, again } => format!("use {} {again}", worker_text(*worker)),
+        Event::Balancers(count) => format!("balancers {count}"),
+        Event::Elsewhere(news) => format!("sibling {}", sibling_text(news)),
+        Event::Carried { request, carried } => format!("carried {request} {}", carried_text(carried)),
+        Event::Timer { token } => format!("timer {token:x}"),
+        Event::Probed { worker, outcome, elapsed, report } => format!(
+            "probed {} {} after {elapsed:?} report [{}]",
+            worker_text(*worker),
+            outcome_text(*outcome),
+            report_text(report)
+        ),
+        Event::Peer => "peer".into(),
+    };
+    format!("{now:?} {text}")
+}
+
+/// The line of an action.
+pub fn action_line(action: &Action) -> String {
+    let text = match action {
+        Action::Watch => "watch".into(),
+        Action::Send { request, worker, timeout } => {
+            format!("send {request} to {} timeout {timeout:?}", worker_text(*worker))
+        }
+        Action::Cancel { request, attempt } => format!("cancel {request}.{attempt}"),
+        Action::Refuse { request, retry_after } => format!("refuse {request} retry-after {retry_after:?}"),
+        Action::Fail { request } => format!("fail {request}"),
+        Action::Timer { at, token } => format!("timer {token:x} at {at:?}"),
+        Action::Probe { worker } => format!("probe {}", worker_text(*worker)),
+    };
+    format!("  {text}")
+}
