--- a/tests/data_directory/mod.rs
+++ b/tests/data_directory/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod jobs;
 pub mod node;
+pub mod worker;
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
