--- a/tests/decisions/scenario.rs
+++ b/tests/decisions/scenario.rs
@@ -21,6 +21,8 @@
     pub settings: &'static str,
     /// Longest budget of each class, in seconds.
     pub budgets: &'static [f64],
+    /// Share of the requests with half the longest budget.
+    pub short_budgets: f64,
     /// Mean work of each class, in seconds.
     pub works: &'static [f64],
     /// Class whose answers are streams.
@@ -38,14 +40,22 @@
     pub requests: u64,
     /// Mean requests a second outside of bursts.
     pub rate: f64,
+    /// Times that rate, in bursts.
+    pub burst: f64,
     /// Subjects that requests are about; 0 for none.
     pub subjects: u64,
     /// Share of the requests without an idempotency key.
     pub keyless: f64,
     /// Share of the attempts that end in a fault.
     pub faults: f64,
+    /// Share of the attempts that run thirty times as long as they should, without a word.
+    pub hangs: f64,
+    /// Most jobs that other dispatchers hold at a worker.
+    pub others: usize,
     /// Mean seconds between changes of the worker list.
     pub list_change: f64,
+    /// Share of the calls for the list that fail.
+    pub failed_watches: f64,
     /// Share of the list changes that are restarts of a worker.
     pub restarts: f64,
     /// Workers tell when a job starts.
@@ -54,6 +64,8 @@
     pub progress: f64,
     /// An operator, a sibling process and handovers take part, which the wire has no form for.
     pub operator: bool,
+    /// Handovers to new processes are among what the operator does.
+    pub handovers: bool,
     /// Lines of the run that its recording has in full.
     pub lines_in_full: usize,
 }
@@ -63,6 +75,7 @@
     seed: 0,
     settings: "{}",
     budgets: &[4.0, 4.0, 4.0],
+    short_budgets: 0.2,
     works: &[0.1, 0.2, 0.1],
     streams: None,
     pushed_out: None,
@@ -73,14 +86,19 @@
     queue: 8,
     requests: 2500,
     rate: 60.0,
+    burst: 2.0,
     subjects: 0,
     keyless: 0.1,
     faults: 0.05,
+    hangs: 0.01,
+    others: 0,
     list_change: 0.7,
+    failed_watches: 0.4,
     restarts: 0.2,
     tells_start: false,
     progress: 0.0,
     operator: false,
+    handovers: true,
     lines_in_full: 160,
 };
 
@@ -91,15 +109,23 @@
         free_slots(),
         no_reports(),
         probes(),
+        slow_probes(),
         subjects(),
         priorities(),
         cold_starts(),
+        cold_starts_in_a_large_share(),
         late_worth(),
+        marked_retries(),
         zones(),
+        zones_without_reports(),
         full_after_begin(),
         large_fleet(),
         operators(),
         overload_without_cancel(),
+        suspended_workers(),
+        few_requests(),
+        silent_jobs(),
+        silent_jobs_at_a_price(),
     ]
 }
 
@@ -179,6 +205,29 @@
     }
 }
 
+/// Probes are sent again before the answer to the last one has come, and discovery fails often.
+fn slow_probes() -> Scenario {
+    Scenario {
+        name: "slow-probes",
+        seed: 31,
+        settings: r#"{"balancers": 6, "discovery": "on_request", "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.5, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "cell", "memory-span": 3.0, "aim": 0.5, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.5, "deadline": 4.0}],
+            "report": {"fields": ["outstanding", "x0"], "via": "probe"},
+            "limits": {"cancel": true, "may-probe": true, "max-attempts": 3, "dial-timeout": 0.03},
+            "rules": {"must-ask-in": 1.0},
+            "extra": {"report-x0": "free slots"}}"#,
+        report: &[InFlight, FreeSlots],
+        answers_report: false,
+        workers: 6,
+        requests: 1500,
+        list_change: 6.0,
+        failed_watches: 0.9,
+        ..COMMON
+    }
+}
+
 fn subjects() -> Scenario {
     Scenario {
         name: "subjects",
@@ -241,6 +290,31 @@
     }
 }
 
+/// One of many dispatchers has most of the traffic.
+fn cold_starts_in_a_large_share() -> Scenario {
+    Scenario {
+        name: "cold-starts-in-a-large-share",
+        seed: 28,
+        settings: r#"{"balancers": 16, "weight-source": "size", "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.4, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "all", "memory-span": 3.0, "aim": 0.4, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.4, "deadline": 4.0}],
+            "report": {"fields": ["outstanding", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "max-attempts": 3},
+            "rules": {"cold": 8.0, "cold-from": 0.1, "fall-multiple": 2.0, "tip-after": 0.5},
+            "extra": {"report-x0": "free slots"}}"#,
+        report: &[InFlight, FreeSlots],
+        restarts: 0.6,
+        list_change: 0.4,
+        workers: 10,
+        slots: 3,
+        requests: 4500,
+        rate: 30.0,
+        burst: 12.0,
+        ..COMMON
+    }
+}
+
 fn late_worth() -> Scenario {
     Scenario {
         name: "late-worth",
@@ -261,6 +335,25 @@
     }
 }
 
+fn marked_retries() -> Scenario {
+    Scenario {
+        name: "marked-retries",
+        seed: 29,
+        settings: r#"{"balancers": 3, "client-habits": {"marks-retry": true}, "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.3, "aim-stretch": 2.0, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "all", "memory-span": 2.0, "aim": 0.3, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.3, "deadline": 4.0, "late-value": 0.5}],
+            "report": {"fields": ["backlog", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "max-attempts": 3, "retry-after": true, "max-retry-after": 0.2},
+            "extra": {"report-x0": "free slots"}}"#,
+        short_budgets: 0.12,
+        report: &[Queue, FreeSlots],
+        requests: 3500,
+        rate: 170.0,
+        ..COMMON
+    }
+}
+
 fn zones() -> Scenario {
     Scenario {
         name: "zones",
@@ -280,6 +373,23 @@
     }
 }
 
+fn zones_without_reports() -> Scenario {
+    Scenario {
+        name: "zones-without-reports",
+        seed: 30,
+        settings: r#"{"balancers": 2, "zone": 1, "dcs": ["a", "b", "c"], "services": [
+            {"name": "any", "effect": "pure", "aim": 0.5, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "zone", "memory-span": 3.0, "aim": 0.5, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.5, "deadline": 4.0}],
+            "limits": {"cancel": true, "max-attempts": 3},
+            "prices": {"cross-zone": 0.05}}"#,
+        workers: 9,
+        rate: 70.0,
+        requests: 1500,
+        ..COMMON
+    }
+}
+
 fn full_after_begin() -> Scenario {
     Scenario {
         name: "full-after-begin",
@@ -363,3 +473,87 @@
         ..COMMON
     }
 }
+
+fn suspended_workers() -> Scenario {
+    Scenario {
+        name: "suspended-workers",
+        seed: 27,
+        settings: r#"{"balancers": 2, "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.5, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "all", "memory-span": 3.0, "aim": 0.5, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.5, "deadline": 4.0}],
+            "report": {"fields": ["backlog", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "max-attempts": 3},
+            "rules": {"cold": 15.0, "cold-from": 0.03, "fall-multiple": 2.0, "tip-after": 1.0},
+            "extra": {"report-x0": "free slots"}}"#,
+        report: &[Queue, FreeSlots],
+        workers: 30,
+        requests: 5000,
+        rate: 120.0,
+        operator: true,
+        handovers: false,
+        ..COMMON
+    }
+}
+
+fn few_requests() -> Scenario {
+    Scenario {
+        name: "few-requests",
+        seed: 24,
+        settings: r#"{"balancers": 12, "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.5, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "all", "memory-span": 3.0, "aim": 0.5, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.5, "deadline": 4.0}],
+            "report": {"fields": ["outstanding", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "second-copies": true, "max-attempts": 3},
+            "extra": {"report-x0": "free slots"}}"#,
+        report: &[InFlight, FreeSlots],
+        requests: 400,
+        rate: 6.0,
+        others: 6,
+        ..COMMON
+    }
+}
+
+fn silent_jobs() -> Scenario {
+    Scenario {
+        name: "silent-jobs",
+        seed: 25,
+        settings: r#"{"balancers": 3, "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.4, "deadline": 4.0, "late-value": 0.5},
+            {"name": "keyed", "effect": "token", "dedup-scope": "all", "memory-span": 3.0, "aim": 0.4, "deadline": 4.0,
+             "late-value": 0.5},
+            {"name": "once", "effect": "side_effect", "aim": 0.4, "deadline": 4.0, "late-value": 0.5}],
+            "report": {"fields": ["backlog", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "second-copies": true, "max-attempts": 3},
+            "extra": {"report-x0": "free slots", "progress": 0.0625}}"#,
+        report: &[Queue, FreeSlots],
+        workers: 16,
+        requests: 1000,
+        hangs: 0.45,
+        progress: 0.0625,
+        ..COMMON
+    }
+}
+
+fn silent_jobs_at_a_price() -> Scenario {
+    Scenario {
+        name: "silent-jobs-at-a-price",
+        seed: 26,
+        settings: r#"{"balancers": 3, "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.4, "deadline": 4.0, "late-value": 0.5},
+            {"name": "keyed", "effect": "token", "dedup-scope": "zone", "memory-span": 3.0, "aim": 0.4, "deadline": 4.0,
+             "late-value": 0.5},
+            {"name": "once", "effect": "side_effect", "aim": 0.4, "deadline": 4.0, "late-value": 0.5}],
+            "report": {"fields": ["backlog", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "second-copies": true, "max-attempts": 3},
+            "prices": {"waste": 0.1},
+            "extra": {"report-x0": "free slots", "progress": 0.0625}}"#,
+        report: &[Queue, FreeSlots],
+        workers: 16,
+        requests: 1000,
+        hangs: 0.2,
+        progress: 0.0625,
+        ..COMMON
+    }
+}
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -208,7 +208,7 @@
         let model = self.requests.get_mut(&request).expect("a request that arrived");
         let (key, work) = ((request, model.attempts), model.work);
         model.attempts += 1;
-        let hangs = self.random.chance(0.01);
+        let hangs = self.random.chance(self.scenario.hangs);
         self.attempts.insert(key, AttemptModel { worker, sent: self.now, work, hangs });
         if self.random.chance(self.scenario.faults) {
             let (after, outcome) = self.fault();
@@ -305,14 +305,14 @@
         let request = NewRequest { request: self.next_id(), ..self.new_request(class, budget) };
         self.submit(request);
         let burst = ((seconds(self.now) - START) / BURST) as u64 % 2 == 1;
-        let rate = self.scenario.rate * if burst { 2.0 } else { 0.7 };
+        let rate = self.scenario.rate * if burst { self.scenario.burst } else { 0.7 };
         let after = self.random.uniform() * 2.0 / rate;
         self.plan(after, Pending::Arrival);
     }
 
     fn budget(&mut self, class: u8) -> f64 {
         let most = self.scenario.budgets[class as usize];
-        if self.random.chance(0.2) { most * 0.5 } else { most }
+        if self.random.chance(self.scenario.short_budgets) { most * 0.5 } else { most }
     }
 
     fn new_request(&mut self, class: u8, budget: f64) -> NewRequest {
@@ -459,8 +459,10 @@
         if self.random.chance(0.03) {
             return vec![f32::NAN; self.scenario.report.len()];
         }
+        let others = if self.scenario.others > 0 { self.random.below(self.scenario.others + 1) } else { 0 };
         let model = &self.workers[worker];
-        let (running, waiting) = (model.running.len(), model.waiting.len());
+        let running = (model.running.len() + others).min(model.slots);
+        let waiting = model.running.len() + others - running + model.waiting.len();
         let figure = |figure: &Figure| match figure {
             Figure::Queue => waiting as f32,
             Figure::InFlight => (running + waiting) as f32,
@@ -557,7 +559,7 @@
     }
 
     fn watched(&mut self) {
-        if self.random.chance(0.4) {
+        if self.random.chance(self.scenario.failed_watches) {
             self.tell(&Event::List { kind: ListKind::Failed, entries: Vec::new() });
         } else {
             self.list(ListKind::Full);
@@ -571,7 +573,8 @@
         self.plan(after, Pending::Operator);
         let worker = self.random.below(self.workers.len());
         match self.random.below(10) {
-            0 => self.hand_over(),
+            0 if self.scenario.handovers => self.hand_over(),
+            0 => {}
             1 => {
                 let count = 1 + self.random.below(5) as u32;
                 self.tell(&Event::Balancers(count));
