--- a/tests/decisions/scenario.rs
+++ b/tests/decisions/scenario.rs
@@ -58,6 +58,8 @@
     pub failed_watches: f64,
     /// Share of the list changes that are restarts of a worker.
     pub restarts: f64,
+    /// Seconds between a worker's start and its return to the list.
+    pub start_delay: f64,
     /// Workers tell when a job starts.
     pub tells_start: bool,
     /// Seconds between progress notes; 0 for none.
@@ -95,6 +97,7 @@
     list_change: 0.7,
     failed_watches: 0.4,
     restarts: 0.2,
+    start_delay: 0.0,
     tells_start: false,
     progress: 0.0,
     operator: false,
@@ -118,6 +121,7 @@
         marked_retries(),
         zones(),
         zones_without_reports(),
+        coarse_clock(),
         full_after_begin(),
         large_fleet(),
         operators(),
@@ -377,7 +381,7 @@
     Scenario {
         name: "zones-without-reports",
         seed: 30,
-        settings: r#"{"balancers": 2, "zone": 1, "dcs": ["a", "b", "c"], "services": [
+        settings: r#"{"balancers": 1, "zone": 1, "dcs": ["a", "b", "c"], "services": [
             {"name": "any", "effect": "pure", "aim": 0.5, "deadline": 4.0},
             {"name": "keyed", "effect": "token", "dedup-scope": "zone", "memory-span": 3.0, "aim": 0.5, "deadline": 4.0},
             {"name": "once", "effect": "side_effect", "aim": 0.5, "deadline": 4.0}],
@@ -390,6 +394,26 @@
     }
 }
 
+/// Times are known to a thirty-second of a second only, and further attempts have a small budget.
+fn coarse_clock() -> Scenario {
+    Scenario {
+        name: "coarse-clock",
+        seed: 32,
+        settings: r#"{"balancers": 2, "tick": 0.03125, "services": [
+            {"name": "safe", "effect": "pure", "aim": 0.5, "deadline": 4.0},
+            {"name": "keyed", "effect": "token", "dedup-scope": "all", "memory-span": 3.0, "aim": 0.5, "deadline": 4.0},
+            {"name": "once", "effect": "side_effect", "aim": 0.5, "deadline": 4.0}],
+            "report": {"fields": ["backlog", "x0"], "via": "answers"},
+            "limits": {"cancel": true, "second-copies": true, "max-attempts": 4},
+            "rules": {"spare-attempts": 1, "repeat-ratio": 0.15, "look-back": 1.0},
+            "extra": {"report-x0": "free slots"}}"#,
+        report: &[Queue, FreeSlots],
+        requests: 2000,
+        faults: 0.2,
+        ..COMMON
+    }
+}
+
 fn full_after_begin() -> Scenario {
     Scenario {
         name: "full-after-begin",
@@ -490,6 +514,7 @@
         workers: 30,
         requests: 5000,
         rate: 120.0,
+        start_delay: 0.5,
         operator: true,
         handovers: false,
         ..COMMON
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -552,7 +552,7 @@
         let model = &mut self.workers[worker];
         model.failing = false;
         if model.entry.health == Health::Gone {
-            model.entry.started = now;
+            model.entry.started = now - self.scenario.start_delay;
         }
         model.entry.health = Health::Ready;
         self.entry_changed(worker);
