--- a/benches/node.rs
+++ b/benches/node.rs
@@ -15,8 +15,8 @@
 
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
-use postproxy::operator::{FleetSection, Operator, StoreSection};
-use postproxy::standin::{Discovery, Worker, ask};
+use postproxy::operator_config::{FleetSection, Operator, StoreSection};
+use postproxy::stand_ins::{Discovery, Worker, ask};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -42,7 +42,7 @@
 fn fleet() -> Vec<FleetSection> {
     // Addresses of their own: a port that is free for datagrams may be taken for streams.
     let seeds: Vec<String> =
-        postproxy_faults::addresses(3).into_iter().map(|ip| format!("{ip}:7946")).collect();
+        postproxy_fault_injection::addresses(3).into_iter().map(|ip| format!("{ip}:7946")).collect();
     let section = |at: &String| {
         let fleet = serde_json::json!({"cluster": "bench", "listen": at, "seeds": seeds, "voters": ["n0"]});
         let text = serde_json::json!({"fleet": fleet}).to_string();
@@ -126,7 +126,7 @@
 /// Calls at discovery of so many processes that start at once: all in 5 s without a list, the most in a tenth of a second
 /// from the second second on, and the same in the first second after there is a list.
 fn mass(count: usize, fleet: bool) {
-    let own = postproxy_faults::addresses(count as u8);
+    let own = postproxy_fault_injection::addresses(count as u8);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = listener.local_addr().expect("an address");
     let (tell, calls) = mpsc::channel();
@@ -165,7 +165,7 @@
             let text = if fleet { serde_json::json!({"fleet": section}) } else { serde_json::json!({}) };
             std::fs::write(&operator, text.to_string()).expect("it is written");
             let (config, operator) = (config.display().to_string(), operator.display().to_string());
-            postproxy_faults::Process::start(
+            postproxy_fault_injection::Process::start(
                 env!("CARGO_BIN_EXE_postproxy").as_ref(),
                 &["serve", "--operator", &operator],
                 &[("RELAY_CONFIG", &config)],
--- a/benches/hub.rs
+++ b/benches/request_manager.rs
@@ -3,10 +3,10 @@
 //!     cargo bench --bench hub
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use postproxy::net::hub::requests::Hub;
-use postproxy::net::words::{
+use postproxy::net::messages::{
     AttemptEnd, Command, Input, JobCall, JobState, Load, Member, Payload, Submission,
 };
+use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
 use tracing_subscriber::EnvFilter;
 
@@ -17,8 +17,9 @@
     "report": {"fields": ["backlog", "x0"], "via": "answers"},
     "extra": {"report-x0": "free slots"}}"#;
 
-fn hub() -> Hub {
-    let mut hub = Hub::new(Settings::from_json(SETTINGS).expect("sound settings"), 7).expect("a hub");
+fn hub() -> RequestManager {
+    let mut hub =
+        RequestManager::new(Settings::from_json(SETTINGS).expect("sound settings"), 7).expect("a hub");
     let member = |n: u16| Member {
         id: format!("s-{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
@@ -30,7 +31,7 @@
 }
 
 /// One job from its arrival to its end.
-fn job(hub: &mut Hub, n: u64, now: f64) {
+fn job(hub: &mut RequestManager, n: u64, now: f64) {
     let payload = Payload { id: format!("job-{n}"), method: "POST".into(), ..Payload::default() };
     let mut out = Vec::new();
     hub.handle(now, Input::Arrived(n, Submission { payload, ..Submission::default() }), &mut out);
--- a/crates/council/src/council.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,10 +1,13 @@
 //! The whole of it: seat, duties, calls.
 
-use crate::error::{Error, Why};
-use crate::seat::{Bench, Do};
-use crate::talk::{Picture, Talk, decode, encode};
-use postproxy_agreement::{Change, Refused, Seating, Voter};
-use postproxy_duties::{Answer, Call, Command, Granter, Holder, MOST_NAME, Permit, State, Times, Token};
+use crate::error::{Error, NotVotingReason};
+use crate::message::{FollowerSnapshot, Message, decode, encode};
+use crate::replica::{Replica, ReplicaOutput};
+use postproxy_leases::{
+    Command, FencingToken, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable, LeaseTiming, MAX_NAME_BYTES,
+    Operation, Response,
+};
+use postproxy_replicated_log::{MembershipChange, ProposalRejected, StorageChange, Voter};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -19,7 +22,7 @@
 /// The same for a renewal: the next one asks for what is owned then.
 const RENEWAL: u64 = 1000;
 /// Calls that wait here at most, and others' that wait to be decided.
-pub const MOST_CALLS: usize = 64;
+pub const MAX_QUEUED_CALLS: usize = 64;
 const MOST_OTHERS: usize = 4096;
 /// A voter that has said nothing for longer is not counted among the living.
 const HEARD: u64 = 2000;
@@ -39,18 +42,18 @@
     /// The nodes that vote where no log has said otherwise.
     pub founders: BTreeSet<String>,
     /// Leases.
-    pub times: Times,
+    pub times: LeaseTiming,
     /// The duties that this node stands for.
     pub duties: BTreeSet<String>,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// Send this to that node; it must arrive, or the loss be told by [`Council::reconnected`].
+pub enum Output {
+    /// Send this to that node; it must arrive, or the loss be told by [`Coordinator::reconnected`].
     Send(String, Vec<u8>),
-    /// Write these, all or none, in the order of their numbers; [`Council::durable`] is told when they are.
-    Write(u64, Vec<Change>),
+    /// Write these, all or none, in the order of their numbers; [`Coordinator::durable`] is told when they are.
+    Write(u64, Vec<StorageChange>),
     /// Something is new.
     Event(Event),
 }
@@ -59,19 +62,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A call of this ticket has come to this.
-    Answered(u64, Result<Answer, Error>),
+    Answered(u64, Result<Response, Error>),
     /// A change of the voters of this ticket has come to this.
     Seated(u64, Result<(), Error>),
     /// This node owns a duty under this token, with this value.
-    Gained(String, Token, Vec<u8>),
+    Gained(String, FencingToken, Vec<u8>),
     /// It owns it no more, as of this token.
-    Lost(String, Token),
+    Lost(String, FencingToken),
     /// Who owns a duty has changed; nobody does, or this node under this token.
-    Owner(String, Option<(String, Token)>),
+    Owner(String, Option<(String, FencingToken)>),
     /// Who leads the log has changed, as far as this node knows.
     Leader(Option<String>),
     /// Whether this node votes has changed; why not, if not.
-    Votes(Option<Why>),
+    Votes(Option<NotVotingReason>),
     /// What is decided has changed.
     Decided,
     /// A pause: nothing that was thought to be owned counts until it is renewed.
@@ -80,13 +83,13 @@
 
 /// A duty as the door shows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Owned {
+pub struct LeaseStatus {
     /// Its name.
     pub duty: String,
     /// Who owns it, under which token.
     pub owner: Option<String>,
     /// See above.
-    pub token: Option<Token>,
+    pub token: Option<FencingToken>,
     /// Who is to own it next.
     pub next: Option<String>,
     /// The size of its value, in bytes.
@@ -97,7 +100,7 @@
 
 /// A seat as the door shows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Shown {
+pub struct ReplicaStatus {
     /// Its number.
     pub seat: u64,
     /// The node that has it.
@@ -110,26 +113,26 @@
 
 /// What the door shows.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct View {
+pub struct Status {
     /// The node that tells.
     pub node: String,
     /// Whether it votes; why not, if it has or had a seat.
     pub votes: bool,
     /// See above.
-    pub why: Option<Why>,
+    pub why: Option<NotVotingReason>,
     /// Who leads the log.
     pub leader: Option<String>,
     /// The place of the log that this node knows.
     pub place: u64,
     /// Who votes.
-    pub voters: Vec<Shown>,
+    pub voters: Vec<ReplicaStatus>,
     /// Who owns what.
-    pub duties: Vec<Owned>,
+    pub duties: Vec<LeaseStatus>,
     /// The latest token.
-    pub token: Token,
+    pub token: FencingToken,
 }
 
-struct Open {
+struct PendingCall {
     ticket: u64,
     command: Command,
     asked: u64,
@@ -137,7 +140,7 @@
     until: u64,
 }
 
-struct Wanted {
+struct PendingChange {
     /// The node that asked, and its ticket; none for this one.
     by: (Option<String>, u64),
     add: bool,
@@ -146,35 +149,35 @@
 }
 
 /// A node's part in what the fleet decides.
-pub struct Council {
+pub struct Coordinator {
     set: Settings,
     founding: u64,
     life: u64,
     draws: Pcg64Mcg,
-    bench: Bench,
-    granter: Granter,
+    bench: Replica,
+    granter: LeaseGranter,
     expired: u64,
-    holder: Holder,
+    holder: LeaseHolder,
     /// Numbers of calls; the one that waits for its answer, and those behind it.
     number: u64,
-    open: Option<Open>,
-    queue: VecDeque<(u64, Call, u64)>,
+    open: Option<PendingCall>,
+    queue: VecDeque<(u64, Operation, u64)>,
     /// Others' calls that are on their way through this voter's log: whom to tell.
     others: BTreeMap<(String, u64, u64), String>,
     /// What was told to a node that does not vote.
-    picture: Picture,
+    picture: FollowerSnapshot,
     /// When each voter was heard last, and who has lost its promises.
     heard: BTreeMap<u64, u64>,
     lost: BTreeSet<u64>,
-    changes: Vec<Wanted>,
+    changes: Vec<PendingChange>,
     /// This node's own changes that another is asked to make: when it was asked last, and until when it is tried.
     asked: BTreeMap<u64, (bool, String, u64, u64)>,
     /// Duties seen free, and when this node asks for each.
     free: BTreeMap<String, u64>,
     /// What was told last of owners, the leader, and the vote.
-    owners: BTreeMap<String, (String, Token)>,
+    owners: BTreeMap<String, (String, FencingToken)>,
     leader: Option<String>,
-    votes: Option<Why>,
+    votes: Option<NotVotingReason>,
     tick: u64,
     follow: u64,
     remind: u64,
@@ -182,7 +185,7 @@
     turn: usize,
 }
 
-impl Council {
+impl Coordinator {
     /// A node's part, in a new life of its process, from what it had kept (keys that begin with `a/`, `c/` or `s/`). The life must
     /// differ from every other's.
     pub fn new(
@@ -190,14 +193,14 @@
         now: u64,
         life: u64,
         kept: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> Self {
         let founders: BTreeMap<u64, String> = (1..).zip(set.founders.iter().cloned()).collect();
         let mut todo = Vec::new();
-        let bench = Bench::new(&set.name, life, founders, kept.into_iter().collect(), &mut todo);
-        let (granter, holder) = (Granter::new(set.times), Holder::new(set.times));
-        let founding = crate::talk::founding(&set.cluster, &set.founders);
-        let (picture, votes) = (Picture::default(), Some(Why::NoSeat));
+        let bench = Replica::new(&set.name, life, founders, kept.into_iter().collect(), &mut todo);
+        let (granter, holder) = (LeaseGranter::new(set.times), LeaseHolder::new(set.times));
+        let founding = crate::message::founding(&set.cluster, &set.founders);
+        let (picture, votes) = (FollowerSnapshot::default(), Some(NotVotingReason::NoSeat));
         let mut council = Self {
             set,
             founding,
@@ -230,7 +233,7 @@
     }
 
     /// What has been decided, as far as this node knows.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &LeaseTable {
         self.bench.voter().map_or(&self.picture.state, |voter| &voter.state().0)
     }
 
@@ -240,7 +243,7 @@
     }
 
     /// Whether this node may act for a duty now; asked before each effect.
-    pub fn may(&self, now: u64, duty: &str) -> Option<Permit> {
+    pub fn may(&self, now: u64, duty: &str) -> Option<LeasePermit> {
         self.holder.may(now, duty)
     }
 
@@ -269,9 +272,9 @@
     }
 
     /// A turn of the loop: at least every 250 ms while it owns anything.
-    pub fn turn(&mut self, now: u64, out: &mut Vec<Out>) {
+    pub fn turn(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.holder.turn(now) {
-            out.push(Out::Event(Event::Paused));
+            out.push(Output::Event(Event::Paused));
         }
         if now < self.tick {
             return;
@@ -289,25 +292,25 @@
     }
 
     /// All writes up to this one are durable.
-    pub fn durable(&mut self, now: u64, number: u64, out: &mut Vec<Out>) {
+    pub fn durable(&mut self, now: u64, number: u64, out: &mut Vec<Output>) {
         let mut todo = Vec::new();
         self.bench.durable(number, &mut todo);
         self.carry(now, todo, out);
     }
 
     /// What was on the way to and from a node may be lost.
-    pub fn reconnected(&mut self, now: u64, name: &str, out: &mut Vec<Out>) {
+    pub fn reconnected(&mut self, now: u64, name: &str, out: &mut Vec<Output>) {
         let mut todo = Vec::new();
         self.bench.reconnected(name, &mut todo);
         self.carry(now, todo, out);
     }
 
     /// Puts a call to the log; what it comes to is told with its ticket, which is above 0.
-    pub fn call(&mut self, now: u64, ticket: u64, call: Call, out: &mut Vec<Out>) {
-        if self.queue.len() >= MOST_CALLS {
-            return out.push(Out::Event(Event::Answered(ticket, Err(Error::Busy))));
+    pub fn call(&mut self, now: u64, ticket: u64, call: Operation, out: &mut Vec<Output>) {
+        if self.queue.len() >= MAX_QUEUED_CALLS {
+            return out.push(Output::Event(Event::Answered(ticket, Err(Error::Busy))));
         }
-        if let Call::Release(duty, token) = &call {
+        if let Operation::Release(duty, token) = &call {
             self.give_up(now, duty, *token, out);
         }
         self.queue.push_back((ticket, call, now + PATIENCE));
@@ -315,16 +318,16 @@
     }
 
     /// Gives a node a seat, or takes it away; what becomes of it is told with the ticket.
-    pub fn seating(&mut self, now: u64, ticket: u64, add: bool, name: &str, out: &mut Vec<Out>) {
-        if name.is_empty() || name.len() > MOST_NAME {
-            return out.push(Out::Event(Event::Seated(ticket, Err(Error::Name))));
+    pub fn seating(&mut self, now: u64, ticket: u64, add: bool, name: &str, out: &mut Vec<Output>) {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return out.push(Output::Event(Event::Seated(ticket, Err(Error::Name))));
         }
         self.asked.insert(ticket, (add, name.to_owned(), 0, now + PATIENCE));
         self.reseat(now, out);
     }
 
     /// Another node says something; `false` if it is no word of this founding's.
-    pub fn receive(&mut self, now: u64, from: &str, bytes: &[u8], out: &mut Vec<Out>) -> bool {
+    pub fn receive(&mut self, now: u64, from: &str, bytes: &[u8], out: &mut Vec<Output>) -> bool {
         let Some(talk) = decode(self.founding, bytes) else { return false };
         let seat = self.seats().iter().find(|(_, name)| *name == from).map(|(seat, _)| *seat);
         if let Some(seat) = seat {
@@ -332,38 +335,40 @@
         }
         let mut todo = Vec::new();
         match talk {
-            Talk::Admission(of, to, say) if seat == Some(of) => self.bench.admission(of, to, say, &mut todo),
+            Message::Admission(of, to, say) if seat == Some(of) => {
+                self.bench.admission(of, to, say, &mut todo)
+            }
             // One that has no seat any more, or speaks for one that it had before, is told so.
-            Talk::Log(life, bytes) => match (seat, postproxy_agreement::promise(&bytes).0) {
+            Message::Log(life, bytes) => match (seat, postproxy_replicated_log::promise(&bytes).0) {
                 (Some(seat), of) if of == seat || of == 0 => {
                     self.bench.log(seat, life, &bytes, &mut todo);
                 }
                 _ => self.tell_seats(from, out),
             },
-            Talk::Admission(..) => self.tell_seats(from, out),
-            Talk::Seats(place, seats) => self.bench.told(place, seats, &mut todo),
-            Talk::Lost(of) => {
+            Message::Admission(..) => self.tell_seats(from, out),
+            Message::Seats(place, seats) => self.bench.told(place, seats, &mut todo),
+            Message::Lost(of) => {
                 if seat == Some(of) {
                     self.lost.insert(of);
                 }
             }
-            Talk::Call(command) => self.pass_on(now, from, command, out),
-            Talk::Came(life, number, answer) => {
+            Message::Operation(command) => self.pass_on(now, from, command, out),
+            Message::Came(life, number, answer) => {
                 if life == self.life {
                     self.came(now, number, answer, out);
                 }
             }
-            Talk::Seating(ticket, add, name) => {
+            Message::MembershipChange(ticket, add, name) => {
                 self.seating_for(now, Some(from.to_owned()), ticket, add, name, out)
             }
-            Talk::Seated(ticket, came) => self.seated(ticket, came, out),
-            Talk::Follow(place) => self.show(from, place, out),
-            Talk::Decided(picture) => {
+            Message::Seated(ticket, came) => self.seated(ticket, came, out),
+            Message::Follow(place) => self.show(from, place, out),
+            Message::Decided(picture) => {
                 if picture.place >= self.picture.place && self.bench.voter().is_none() {
                     let seats = picture.seats.clone();
                     self.picture = *picture;
                     self.bench.told(self.picture.place, seats, &mut todo);
-                    todo.push(Do::Decided);
+                    todo.push(ReplicaOutput::Decided);
                 }
             }
         }
@@ -372,17 +377,17 @@
     }
 
     /// What the door shows.
-    pub fn view(&self, now: u64) -> View {
+    pub fn view(&self, now: u64) -> Status {
         let voter = self.bench.voter();
         let fresh = |seat: &u64| *seat == self.bench.id() || self.heard_of(now, *seat);
-        let shown = |(seat, node): (&u64, &String)| Shown {
+        let shown = |(seat, node): (&u64, &String)| ReplicaStatus {
             seat: *seat,
             node: node.clone(),
             heard: voter.map(|_| fresh(seat)),
             lost: self.lost.contains(seat)
-                || *seat == self.bench.id() && self.bench.why() == Some(&Why::Lost),
+                || *seat == self.bench.id() && self.bench.why() == Some(&NotVotingReason::Lost),
         };
-        let owned = |(name, duty): (&str, &postproxy_duties::Duty)| Owned {
+        let owned = |(name, duty): (&str, &postproxy_leases::Lease)| LeaseStatus {
             duty: name.to_owned(),
             owner: duty.owner.as_ref().map(|(owner, _)| owner.clone()),
             token: duty.owner.as_ref().map(|(_, token)| *token),
@@ -390,10 +395,10 @@
             value_bytes: duty.value.len(),
             left_ms: self.holder.may(now, name).map(|permit| permit.left()),
         };
-        View {
+        Status {
             node: self.set.name.clone(),
             votes: voter.is_some(),
-            why: self.bench.why().filter(|why| **why != Why::NoSeat).cloned(),
+            why: self.bench.why().filter(|why| **why != NotVotingReason::NoSeat).cloned(),
             leader: self.leader().cloned(),
             place: self.place(),
             voters: self.seats().iter().map(shown).collect(),
@@ -406,8 +411,8 @@
         self.heard.get(&seat).is_some_and(|at| at + HEARD > now)
     }
 
-    fn say(&self, to: &str, talk: &Talk, out: &mut Vec<Out>) {
-        out.push(Out::Send(to.to_owned(), encode(self.founding, talk)));
+    fn say(&self, to: &str, talk: &Message, out: &mut Vec<Output>) {
+        out.push(Output::Send(to.to_owned(), encode(self.founding, talk)));
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -415,13 +420,13 @@
     }
 
     /// Does what the seat wants done.
-    fn carry(&mut self, now: u64, todo: Vec<Do>, out: &mut Vec<Out>) {
+    fn carry(&mut self, now: u64, todo: Vec<ReplicaOutput>, out: &mut Vec<Output>) {
         let mut decided = false;
         for one in todo {
             match one {
-                Do::Send(to, talk) => self.say(&to, &talk, out),
-                Do::Write(number, changes) => out.push(Out::Write(number, changes)),
-                Do::Decided => decided = true,
+                ReplicaOutput::Send(to, talk) => self.say(&to, &talk, out),
+                ReplicaOutput::Write(number, changes) => out.push(Output::Write(number, changes)),
+                ReplicaOutput::Decided => decided = true,
             }
         }
         if decided {
@@ -431,36 +436,36 @@
     }
 
     /// Tells who leads and whether this node votes, where that is new.
-    fn notice(&mut self, out: &mut Vec<Out>) {
+    fn notice(&mut self, out: &mut Vec<Output>) {
         let leader = self.leader().cloned();
         if leader != self.leader {
             self.leader.clone_from(&leader);
-            out.push(Out::Event(Event::Leader(leader)));
+            out.push(Output::Event(Event::Leader(leader)));
         }
         let votes = self.bench.why().cloned();
         if votes != self.votes {
             self.votes.clone_from(&votes);
-            out.push(Out::Event(Event::Votes(votes)));
+            out.push(Output::Event(Event::Votes(votes)));
         }
     }
 
     /// What is decided has changed: owners, and answers to calls.
-    fn decided(&mut self, now: u64, out: &mut Vec<Out>) {
+    fn decided(&mut self, now: u64, out: &mut Vec<Output>) {
         if let Some(voter) = self.bench.voter() {
             self.granter.applied(now, &voter.state().0);
         }
-        let owners: BTreeMap<String, (String, Token)> = self
+        let owners: BTreeMap<String, (String, FencingToken)> = self
             .state()
             .duties()
             .filter_map(|(name, duty)| Some((name.to_owned(), duty.owner.clone()?)))
             .collect();
         for (name, owner) in &owners {
             if self.owners.get(name) != Some(owner) {
-                out.push(Out::Event(Event::Owner(name.clone(), Some(owner.clone()))));
+                out.push(Output::Event(Event::Owner(name.clone(), Some(owner.clone()))));
             }
         }
         for name in self.owners.keys().filter(|name| !owners.contains_key(*name)) {
-            out.push(Out::Event(Event::Owner(name.clone(), None)));
+            out.push(Output::Event(Event::Owner(name.clone(), None)));
         }
         self.owners = owners;
         // A duty that another owns by now, or nobody under a later token.
@@ -488,22 +493,22 @@
         }
         for (name, life, number, to, answer) in told {
             self.others.remove(&(name, life, number));
-            self.say(&to, &Talk::Came(life, number, answer), out);
+            self.say(&to, &Message::Came(life, number, answer), out);
         }
-        out.push(Out::Event(Event::Decided));
+        out.push(Output::Event(Event::Decided));
     }
 
     /// Duty lost, as of this token.
-    fn give_up(&mut self, now: u64, duty: &str, token: Token, out: &mut Vec<Out>) {
+    fn give_up(&mut self, now: u64, duty: &str, token: FencingToken, out: &mut Vec<Output>) {
         if self.holder.all().iter().any(|(name, own)| name == duty && *own <= token) {
             self.holder.lost(duty, token);
             self.free.insert(duty.to_owned(), now + self.set.times.lease);
-            out.push(Out::Event(Event::Lost(duty.to_owned(), token)));
+            out.push(Output::Event(Event::Lost(duty.to_owned(), token)));
         }
     }
 
     /// Leases that are over, where this node leads.
-    fn expire(&mut self, now: u64, out: &mut Vec<Out>) {
+    fn expire(&mut self, now: u64, out: &mut Vec<Output>) {
         let leads = self.bench.voter().is_some_and(Voter::leads);
         self.granter.lead(leads);
         if let Some(call) = self.granter.due(now) {
@@ -519,8 +524,8 @@
     }
 
     /// Asks for what this node stands for, and for what it has been handed.
-    fn stand(&mut self, now: u64, out: &mut Vec<Out>) {
-        if self.place() == 0 || self.open.is_some() && self.queue.len() >= MOST_CALLS / 2 {
+    fn stand(&mut self, now: u64, out: &mut Vec<Output>) {
+        if self.place() == 0 || self.open.is_some() && self.queue.len() >= MAX_QUEUED_CALLS / 2 {
             return;
         }
         let held: BTreeSet<String> = self.holder.all().into_iter().map(|(duty, _)| duty).collect();
@@ -529,20 +534,20 @@
         let wanted = self.set.duties.iter().filter(|duty| owner(duty).is_none()).chain(mine);
         let wanted: BTreeSet<String> = wanted.filter(|duty| !held.contains(*duty)).cloned().collect();
         self.free.retain(|duty, until| wanted.contains(duty) || *until > now);
-        let asks = |call: &Call, duty: &String| matches!(call, Call::Acquire(of) | Call::Release(of, _) if of == duty);
+        let asks = |call: &Operation, duty: &String| matches!(call, Operation::Acquire(of) | Operation::Release(of, _) if of == duty);
         for duty in wanted {
             let after = self.draw(SPREAD);
             let at = *self.free.entry(duty.clone()).or_insert(now + after);
             let asked = self.open.as_ref().is_some_and(|open| asks(&open.command.call, &duty));
             if at <= now && !asked && !self.queue.iter().any(|(_, call, _)| asks(call, &duty)) {
                 self.free.insert(duty.clone(), now + RENEWAL);
-                self.call(now, 0, Call::Acquire(duty), out);
+                self.call(now, 0, Operation::Acquire(duty), out);
             }
         }
     }
 
     /// Makes the next call, or the open one again; a renewal goes before all others.
-    fn ask(&mut self, now: u64, out: &mut Vec<Out>) {
+    fn ask(&mut self, now: u64, out: &mut Vec<Output>) {
         if let Some(open) = self.open.take_if(|open| open.until <= now) {
             self.answered(open.ticket, Err(self.nobody(now)), out);
         }
@@ -553,11 +558,11 @@
         for (ticket, ..) in over {
             self.answered(ticket, Err(self.nobody(now)), out);
         }
-        let renewal = |call: &Call| matches!(call, Call::Renew(_));
+        let renewal = |call: &Operation| matches!(call, Operation::Renew(_));
         if self.open.is_none() {
             let renew = self.holder.renew_at().is_some_and(|at| at <= now);
             let next = if renew {
-                Some((0, Call::Renew(self.holder.all()), now + RENEWAL))
+                Some((0, Operation::Renew(self.holder.all()), now + RENEWAL))
             } else {
                 self.queue.pop_front()
             };
@@ -566,7 +571,7 @@
             self.number += 1;
             let (node, life, number) = (self.set.name.clone(), self.life, self.number);
             let command = Command { node, life, number, call };
-            self.open = Some(Open { ticket, command, asked: now, sent: 0, until });
+            self.open = Some(PendingCall { ticket, command, asked: now, sent: 0, until });
         }
         let Some(open) = self.open.as_mut().filter(|open| open.sent == 0 || open.sent + AGAIN <= now) else {
             return;
@@ -579,7 +584,7 @@
             let _ = self.bench.propose(&command, &mut todo);
             self.carry(now, todo, out);
         } else if let Some(to) = self.some_voter() {
-            self.say(&to, &Talk::Call(command), out);
+            self.say(&to, &Message::Operation(command), out);
         }
     }
 
@@ -601,22 +606,22 @@
         Error::NoMajority(silent.map(|(_, name)| name.clone()).collect())
     }
 
-    fn answered(&mut self, ticket: u64, came: Result<Answer, Error>, out: &mut Vec<Out>) {
+    fn answered(&mut self, ticket: u64, came: Result<Response, Error>, out: &mut Vec<Output>) {
         if ticket > 0 {
-            out.push(Out::Event(Event::Answered(ticket, came)));
+            out.push(Output::Event(Event::Answered(ticket, came)));
         }
     }
 
     /// The open call has come to this.
-    fn came(&mut self, now: u64, number: u64, answer: Answer, out: &mut Vec<Out>) {
+    fn came(&mut self, now: u64, number: u64, answer: Response, out: &mut Vec<Output>) {
         let Some(open) = self.open.take_if(|open| open.command.number == number) else { return };
         match (&open.command.call, &answer) {
-            (Call::Acquire(duty), Answer::Owns(token, value)) => {
+            (Operation::Acquire(duty), Response::Owns(token, value)) => {
                 self.free.remove(duty);
                 self.holder.granted(open.asked, duty, *token);
-                out.push(Out::Event(Event::Gained(duty.clone(), *token, value.clone())));
+                out.push(Output::Event(Event::Gained(duty.clone(), *token, value.clone())));
             }
-            (Call::Renew(all), Answer::Renewed(renewed, lost)) => {
+            (Operation::Renew(all), Response::Renewed(renewed, lost)) => {
                 for (duty, token) in all {
                     if lost.contains(duty) {
                         self.give_up(now, duty, *token, out);
@@ -625,7 +630,7 @@
                         // An operator wants it elsewhere.
                         if let Some(next) = next.clone() {
                             self.give_up(now, duty, *token, out);
-                            let hand = Call::Hand(duty.clone(), Some(*token), next);
+                            let hand = Operation::Hand(duty.clone(), Some(*token), next);
                             self.queue.push_front((0, hand, now + PATIENCE));
                         }
                     }
@@ -634,7 +639,7 @@
             _ => {}
         }
         let came = match answer {
-            Answer::Refused(refusal) => Err(Error::Refused(refusal)),
+            Response::Refused(refusal) => Err(Error::Rejected(refusal)),
             answer => Ok(answer),
         };
         self.answered(open.ticket, came, out);
@@ -642,12 +647,15 @@
     }
 
     /// Another node's call.
-    fn pass_on(&mut self, now: u64, from: &str, command: Command, out: &mut Vec<Out>) {
-        if command.node != from || matches!(command.call, Call::Expire(_)) || self.bench.voter().is_none() {
+    fn pass_on(&mut self, now: u64, from: &str, command: Command, out: &mut Vec<Output>) {
+        if command.node != from
+            || matches!(command.call, Operation::Expire(_))
+            || self.bench.voter().is_none()
+        {
             return;
         }
         if let Some(answer) = self.state().answer(&command.node, command.life, command.number).cloned() {
-            return self.say(from, &Talk::Came(command.life, command.number, answer), out);
+            return self.say(from, &Message::Came(command.life, command.number, answer), out);
         }
         if self.others.len() < MOST_OTHERS {
             self.others.insert((command.node.clone(), command.life, command.number), from.to_owned());
@@ -658,26 +666,26 @@
         }
     }
 
-    fn tell_seats(&self, to: &str, out: &mut Vec<Out>) {
+    fn tell_seats(&self, to: &str, out: &mut Vec<Output>) {
         if let Some(voter) = self.bench.voter() {
-            self.say(to, &Talk::Seats(voter.place(), voter.seats().clone()), out);
+            self.say(to, &Message::Seats(voter.place(), voter.seats().clone()), out);
         }
     }
 
     /// A node that does not vote wants to know what is decided.
-    fn show(&self, to: &str, known: u64, out: &mut Vec<Out>) {
+    fn show(&self, to: &str, known: u64, out: &mut Vec<Output>) {
         let Some(voter) = self.bench.voter().filter(|voter| voter.place() >= known) else { return };
         let leader = self.leader().cloned();
         let (place, seats, state) = (voter.place(), voter.seats().clone(), voter.state().0.clone());
-        self.say(to, &Talk::Decided(Box::new(Picture { place, leader, seats, state })), out);
+        self.say(to, &Message::Decided(Box::new(FollowerSnapshot { place, leader, seats, state })), out);
     }
 
     /// What goes on between nodes that vote and others, now and then.
-    fn follow(&mut self, now: u64, out: &mut Vec<Out>) {
+    fn follow(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.bench.voter().is_none() && self.follow <= now {
             self.follow = now + FOLLOW;
             if let Some(to) = self.some_voter() {
-                self.say(&to, &Talk::Follow(self.picture.place), out);
+                self.say(&to, &Message::Follow(self.picture.place), out);
             }
         }
         if self.remind > now {
@@ -691,9 +699,9 @@
         let others: Vec<(u64, String)> =
             self.seats().iter().map(|(seat, name)| (*seat, name.clone())).collect();
         let others: Vec<_> = others.into_iter().filter(|(_, name)| *name != self.set.name).collect();
-        if matches!(self.bench.why(), Some(Why::Lost | Why::Damaged(_))) {
+        if matches!(self.bench.why(), Some(NotVotingReason::Lost | NotVotingReason::Damaged(_))) {
             for (_, name) in &others {
-                self.say(name, &Talk::Lost(self.bench.id()), out);
+                self.say(name, &Message::Lost(self.bench.id()), out);
             }
         }
         if self.bench.voter().is_some_and(Voter::leads) {
@@ -713,7 +721,7 @@
         ticket: u64,
         add: bool,
         name: String,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         let leads = self.bench.voter().is_some_and(Voter::leads);
         if !leads {
@@ -725,19 +733,19 @@
         }
         let by = (by, ticket);
         if !self.changes.iter().any(|change| change.by == by) {
-            self.changes.push(Wanted { by, add, name, until: now + PATIENCE });
+            self.changes.push(PendingChange { by, add, name, until: now + PATIENCE });
         }
     }
 
-    fn tell_seated(&mut self, by: &(Option<String>, u64), came: Result<(), Error>, out: &mut Vec<Out>) {
+    fn tell_seated(&mut self, by: &(Option<String>, u64), came: Result<(), Error>, out: &mut Vec<Output>) {
         match &by.0 {
-            Some(to) => self.say(to, &Talk::Seated(by.1, came), out),
+            Some(to) => self.say(to, &Message::Seated(by.1, came), out),
             None => self.seated(by.1, came, out),
         }
     }
 
     /// A change that this node asked for has come to this.
-    fn seated(&mut self, ticket: u64, came: Result<(), Error>, out: &mut Vec<Out>) {
+    fn seated(&mut self, ticket: u64, came: Result<(), Error>, out: &mut Vec<Output>) {
         match came {
             // It is asked for again, there; till its time is up.
             Err(Error::Elsewhere(leader)) if self.asked.contains_key(&ticket) => {
@@ -745,14 +753,14 @@
             }
             came => {
                 if self.asked.remove(&ticket).is_some() {
-                    out.push(Out::Event(Event::Seated(ticket, came)));
+                    out.push(Output::Event(Event::Seated(ticket, came)));
                 }
             }
         }
     }
 
     /// Goes on with changes of the voters: level, not edge, so that a new leader or a lost word changes nothing.
-    fn reseat(&mut self, now: u64, out: &mut Vec<Out>) {
+    fn reseat(&mut self, now: u64, out: &mut Vec<Output>) {
         for (ticket, (add, name, at, until)) in self.asked.clone() {
             if until <= now {
                 let why = self.nobody(now);
@@ -763,7 +771,7 @@
                 }
                 let to = self.leader().filter(|leader| **leader != self.set.name).cloned();
                 match to.or_else(|| if self.bench.voter().is_none() { self.some_voter() } else { None }) {
-                    Some(to) => self.say(&to, &Talk::Seating(ticket, add, name), out),
+                    Some(to) => self.say(&to, &Message::MembershipChange(ticket, add, name), out),
                     None => self.seating_for(now, None, ticket, add, name, out),
                 }
             }
@@ -781,7 +789,7 @@
     }
 
     /// A step of a change of the voters; what it has come to, if it is at its end.
-    fn step(&mut self, now: u64, change: &Wanted, out: &mut Vec<Out>) -> Option<Result<(), Error>> {
+    fn step(&mut self, now: u64, change: &PendingChange, out: &mut Vec<Output>) -> Option<Result<(), Error>> {
         let voter = self.bench.voter()?;
         let seats = voter.seats().clone();
         let seat = seats.iter().find(|(_, name)| **name == change.name).map(|(seat, _)| *seat);
@@ -801,22 +809,22 @@
                 if living * 2 <= of {
                     return Some(Err(Error::WouldStop { living, of }));
                 }
-                Seating::Remove(seat)
+                MembershipChange::Remove(seat)
             }
             (true, None) => {
                 let (living, of) = (living(None), seats.len() + 1);
                 if living * 2 <= of {
                     return Some(Err(Error::WouldStop { living, of }));
                 }
-                Seating::Add(change.name.clone())
+                MembershipChange::Add(change.name.clone())
             }
         };
         let mut todo = Vec::new();
         let came = self.bench.seat(&what, &mut todo);
         self.carry(now, todo, out);
         match came {
-            Err(Refused::Count) => Some(Err(Error::Count)),
-            Err(Refused::Elsewhere(seat)) => {
+            Err(ProposalRejected::Count) => Some(Err(Error::Count)),
+            Err(ProposalRejected::Elsewhere(seat)) => {
                 Some(Err(seats.get(&seat).cloned().map_or(Error::NoVoters, Error::Elsewhere)))
             }
             // It holds once the log says so; what can't be done now is tried again.
@@ -825,7 +833,7 @@
     }
 }
 
-impl std::fmt::Debug for Council {
+impl std::fmt::Debug for Coordinator {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
--- a/crates/council/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -1,11 +1,11 @@
 //! What can go wrong with a call, and what an operator can do.
 
-use postproxy_duties::Refusal;
+use postproxy_leases::Rejection;
 use serde::{Deserialize, Serialize};
 
 /// Why a node does not vote although it has, or had, a seat.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Why {
+pub enum NotVotingReason {
     /// It has none.
     #[default]
     NoSeat,
@@ -33,7 +33,7 @@
     NoVoters,
     /// The state of duties forbids it.
     #[error("{0}")]
-    Refused(Refusal),
+    Rejected(Rejection),
     /// A change of the voters would leave no majority of those that live.
     #[error("it would leave {living} living voters of {of}")]
     WouldStop {
@@ -60,7 +60,7 @@
     if names.is_empty() { "none".to_owned() } else { names.join(", ") }
 }
 
-postproxy_remedy::remedies! {
+postproxy_diagnostics::diagnostics! {
     Error, REMEDIES:
     Self::NoMajority(_) => "duties.no_majority",
         "ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back";
@@ -68,17 +68,17 @@
         "wait a second and ask again";
     Self::NoVoters => "duties.no_voters",
         "name voters in the section fleet of every node, and start them";
-    Self::Refused(Refusal::Owned(..)) => "duties.owned",
+    Self::Rejected(Rejection::Owned(..)) => "duties.owned",
         "ask its owner to release it, or hand it on";
-    Self::Refused(Refusal::Stale(_)) => "duties.stale",
+    Self::Rejected(Rejection::StaleToken(_)) => "duties.stale",
         "nothing: another owner has it, and the old one has stopped";
-    Self::Refused(Refusal::Unknown) => "duties.unknown",
+    Self::Rejected(Rejection::Unknown) => "duties.unknown",
         "see GET /v1/fleet/owners for the duties that there are";
-    Self::Refused(Refusal::Malformed) => "duties.malformed",
+    Self::Rejected(Rejection::Malformed) => "duties.malformed",
         "give a name of 1 to 64 bytes";
-    Self::Refused(Refusal::Full) => "duties.full",
+    Self::Rejected(Rejection::Full) => "duties.full",
         "no more than 4096 duties can be known: end parts that make them";
-    Self::Refused(Refusal::Old) => "duties.old",
+    Self::Rejected(Rejection::Old) => "duties.old",
         "nothing: a later call of the same node has been answered";
     Self::WouldStop { .. } => "voters.would_stop",
         "start voters that are down first, or remove a dead one instead of a living one";
--- a/crates/council/src/talk.rs
+++ b/crates/coordination/src/message.rs
@@ -1,8 +1,8 @@
 //! What nodes say to each other about what they decide.
 
 use crate::error::Error;
-use postproxy_agreement::admission::Say;
-use postproxy_duties::{Answer, Command, State};
+use postproxy_leases::{Command, LeaseTable, Response};
+use postproxy_replicated_log::admission::AdmissionMessage;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,9 +11,9 @@
 
 /// What one node says to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Talk {
+pub enum Message {
     /// From a seat to a seat, on who may vote.
-    Admission(u64, u64, Say),
+    Admission(u64, u64, AdmissionMessage),
     /// From voter to voter, in this life of the sender's: the log's own.
     Log(u64, Vec<u8>),
     /// Who votes, as of this place of the log.
@@ -21,22 +21,22 @@
     /// The sender's seat has lost its promises.
     Lost(u64),
     /// A call to the log.
-    Call(Command),
+    Operation(Command),
     /// What the receiver's call of this life and number came to.
-    Came(u64, u64, Answer),
+    Came(u64, u64, Response),
     /// A node gets a seat, or loses it: the sender's ticket.
-    Seating(u64, bool, String),
+    MembershipChange(u64, bool, String),
     /// What became of that.
     Seated(u64, Result<(), Error>),
     /// A node without a vote asks for what is decided, and has this.
     Follow(u64),
     /// It is this.
-    Decided(Box<Picture>),
+    Decided(Box<FollowerSnapshot>),
 }
 
 /// What has been decided, for nodes that do not vote.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Picture {
+pub struct FollowerSnapshot {
     /// As of this place of the log.
     pub place: u64,
     /// Who leads, if the teller knows.
@@ -44,7 +44,7 @@
     /// Who votes.
     pub seats: BTreeMap<u64, String>,
     /// Who owns what.
-    pub state: State,
+    pub state: LeaseTable,
 }
 
 /// A number that tells one set of founders from another: voters of two sets are two fleets, whose words must not meet.
@@ -55,14 +55,14 @@
 }
 
 /// A word of this founding.
-pub fn encode(founding: u64, talk: &Talk) -> Vec<u8> {
+pub fn encode(founding: u64, talk: &Message) -> Vec<u8> {
     // Writing to memory fails at nothing but its end.
     postcard::to_extend(&(founding, talk), PREFIX.to_vec()).unwrap_or_default()
 }
 
 /// Reads a word; `None` if it is another founding's, or none.
-pub fn decode(founding: u64, bytes: &[u8]) -> Option<Talk> {
+pub fn decode(founding: u64, bytes: &[u8]) -> Option<Message> {
     let rest = bytes.strip_prefix(&PREFIX)?;
-    let ((of, talk), left) = postcard::take_from_bytes::<(u64, Talk)>(rest).ok()?;
+    let ((of, talk), left) = postcard::take_from_bytes::<(u64, Message)>(rest).ok()?;
     (of == founding && left.is_empty()).then_some(talk)
 }
--- a/crates/council/src/seat.rs
+++ b/crates/coordination/src/replica.rs
@@ -1,18 +1,20 @@
 //! A node's seat among the voters: whether it has one, whether it may vote, and what it has promised.
 
-use crate::error::Why;
-use crate::talk::Talk;
-use postproxy_agreement::admission::{Act, Admission, Say, Verdict};
-use postproxy_agreement::{Change, Fold, Out as Said, Refused, Seating, Voter};
-use postproxy_duties::{Command, State};
+use crate::error::NotVotingReason;
+use crate::message::Message;
+use postproxy_leases::{Command, LeaseTable};
+use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict};
+use postproxy_replicated_log::{
+    MembershipChange, Output as Said, ProposalRejected, StateMachine, StorageChange, Voter,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The log's words are commands on duties.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Book(pub State);
+pub struct LeaseStateMachine(pub LeaseTable);
 
-impl Fold for Book {
+impl StateMachine for LeaseStateMachine {
     fn apply(&mut self, word: &[u8]) {
         // What can't be read says nothing, at every voter alike.
         if let Ok(command) = postcard::from_bytes::<Command>(word) {
@@ -22,11 +24,11 @@
 }
 
 /// What a seat wants done.
-pub enum Do {
+pub enum ReplicaOutput {
     /// To that node.
-    Send(String, Talk),
-    /// Write these; [`Bench::durable`] is told this number.
-    Write(u64, Vec<Change>),
+    Send(String, Message),
+    /// Write these; [`Replica::durable`] is told this number.
+    Write(u64, Vec<StorageChange>),
     /// What is decided has changed.
     Decided,
 }
@@ -44,7 +46,7 @@
 type Kept = BTreeMap<Vec<u8>, Vec<u8>>;
 
 /// A seat, and all that goes with it.
-pub struct Bench {
+pub struct Replica {
     name: String,
     life: u64,
     founders: BTreeMap<u64, String>,
@@ -52,8 +54,8 @@
     id: u64,
     founder: bool,
     admission: Option<Admission>,
-    voter: Option<Voter<Book>>,
-    why: Why,
+    voter: Option<Voter<LeaseStateMachine>>,
+    why: NotVotingReason,
     /// What was kept of the log, until it votes; and the keys that are there now, to be cleared with the seat.
     kept: Kept,
     /// Who votes, and as of which place, as far as it has been told.
@@ -62,7 +64,7 @@
     waiting: VecDeque<(u64, Of)>,
 }
 
-impl Bench {
+impl Replica {
     /// From what was kept (keys that begin with `a/`, `c/` or `s/`); a founder with nothing kept takes the seat that the
     /// settings give it.
     pub fn new(
@@ -70,7 +72,7 @@
         life: u64,
         founders: BTreeMap<u64, String>,
         kept: Kept,
-        out: &mut Vec<Do>,
+        out: &mut Vec<ReplicaOutput>,
     ) -> Self {
         let seat = kept.get(SEAT).and_then(|bytes| postcard::from_bytes::<(u64, bool)>(bytes).ok());
         let own = founders.iter().find(|(_, founder)| *founder == name).map(|(id, _)| (*id, true));
@@ -84,7 +86,7 @@
             founder,
             admission: None,
             voter: None,
-            why: Why::NoSeat,
+            why: NotVotingReason::NoSeat,
             kept,
             numbers: 0,
             waiting: VecDeque::new(),
@@ -106,9 +108,9 @@
         if !ids.contains(&self.id) {
             ids.push(self.id);
         }
-        let log = postproxy_agreement::stored(&self.kept);
+        let log = postproxy_replicated_log::stored(&self.kept);
         self.admission = Some(Admission::new(self.id, self.life, &ids, log, promises));
-        self.why = Why::Waits;
+        self.why = NotVotingReason::Waits;
     }
 
     /// Its number; 0 for none.
@@ -117,12 +119,12 @@
     }
 
     /// The voter, if it votes.
-    pub fn voter(&self) -> Option<&Voter<Book>> {
+    pub fn voter(&self) -> Option<&Voter<LeaseStateMachine>> {
         self.voter.as_ref()
     }
 
     /// Why it does not vote.
-    pub fn why(&self) -> Option<&Why> {
+    pub fn why(&self) -> Option<&NotVotingReason> {
         self.voter.is_none().then_some(&self.why)
     }
 
@@ -135,7 +137,7 @@
         }
     }
 
-    fn write(&mut self, of: Of, changes: Vec<Change>, out: &mut Vec<Do>) {
+    fn write(&mut self, of: Of, changes: Vec<StorageChange>, out: &mut Vec<ReplicaOutput>) {
         for change in &changes {
             match &change.value {
                 Some(value) if self.voter.is_none() => {
@@ -152,11 +154,11 @@
         }
         self.numbers += 1;
         self.waiting.push_back((self.numbers, of));
-        out.push(Do::Write(self.numbers, changes));
+        out.push(ReplicaOutput::Write(self.numbers, changes));
     }
 
     /// All writes up to this one are durable.
-    pub fn durable(&mut self, number: u64, out: &mut Vec<Do>) {
+    pub fn durable(&mut self, number: u64, out: &mut Vec<ReplicaOutput>) {
         while let Some((_, of)) = self.waiting.pop_front_if(|(at, _)| *at <= number) {
             match of {
                 Of::Seat => {}
@@ -169,33 +171,39 @@
     }
 
     /// Has the admission take something in, and does what comes of it.
-    fn admit(&mut self, act: impl FnOnce(&mut Admission, &mut Vec<Act>), out: &mut Vec<Do>) {
+    fn admit(
+        &mut self,
+        act: impl FnOnce(&mut Admission, &mut Vec<AdmissionEffect>),
+        out: &mut Vec<ReplicaOutput>,
+    ) {
         let Some(admission) = &mut self.admission else { return };
         let mut acts = Vec::new();
         act(admission, &mut acts);
         let verdict = admission.verdict();
         for act in acts {
             match act {
-                Act::Say(to, say) => {
+                AdmissionEffect::AdmissionMessage(to, say) => {
                     if let Some(name) = self.seats().1.get(&to).cloned() {
-                        out.push(Do::Send(name, Talk::Admission(self.id, to, say)));
+                        out.push(ReplicaOutput::Send(name, Message::Admission(self.id, to, say)));
                     }
                 }
-                Act::Write(number, changes) => self.write(Of::Admission(number), changes, out),
+                AdmissionEffect::Write(number, changes) => self.write(Of::Admission(number), changes, out),
             }
         }
         match verdict {
-            Verdict::Vote if self.voter.is_none() && self.why == Why::Waits => self.begin(out),
-            Verdict::Lost if self.why != Why::Lost => {
-                (self.voter, self.why) = (None, Why::Lost);
-                out.push(Do::Decided);
+            AdmissionVerdict::Vote if self.voter.is_none() && self.why == NotVotingReason::Waits => {
+                self.begin(out)
+            }
+            AdmissionVerdict::Lost if self.why != NotVotingReason::Lost => {
+                (self.voter, self.why) = (None, NotVotingReason::Lost);
+                out.push(ReplicaOutput::Decided);
             }
             _ => {}
         }
     }
 
     /// Begins to vote.
-    fn begin(&mut self, out: &mut Vec<Do>) {
+    fn begin(&mut self, out: &mut Vec<ReplicaOutput>) {
         let log = self.kept.iter().filter(|(key, _)| key.starts_with(b"a/"));
         let log: Vec<_> = log.map(|(key, value)| (key.clone(), value.clone())).collect();
         let founders = if self.founder { self.founders.clone() } else { BTreeMap::new() };
@@ -203,38 +211,38 @@
             Ok((voter, said)) => {
                 self.voter = Some(voter);
                 self.heed(said, out);
-                out.push(Do::Decided);
+                out.push(ReplicaOutput::Decided);
             }
-            Err(damage) => self.why = Why::Damaged(damage.0),
+            Err(damage) => self.why = NotVotingReason::Damaged(damage.0),
         }
     }
 
     /// Has the voter take something in, and does what comes of it.
     fn vote<T>(
         &mut self,
-        act: impl FnOnce(&mut Voter<Book>, &mut Vec<Said>) -> T,
-        out: &mut Vec<Do>,
+        act: impl FnOnce(&mut Voter<LeaseStateMachine>, &mut Vec<Said>) -> T,
+        out: &mut Vec<ReplicaOutput>,
     ) -> Option<T> {
         let voter = self.voter.as_mut()?;
         let mut said = Vec::new();
         let came = act(voter, &mut said);
         self.heed(said, out);
         if let Some(why) = self.voter.as_ref().and_then(Voter::ended) {
-            self.why = Why::Damaged(why.to_owned());
+            self.why = NotVotingReason::Damaged(why.to_owned());
             self.voter = None;
-            out.push(Do::Decided);
+            out.push(ReplicaOutput::Decided);
         }
         Some(came)
     }
 
-    fn heed(&mut self, said: Vec<Said>, out: &mut Vec<Do>) {
+    fn heed(&mut self, said: Vec<Said>, out: &mut Vec<ReplicaOutput>) {
         let mut decided = false;
         for one in said {
             match one {
                 Said::Write(number, changes) => self.write(Of::Voter(number), changes, out),
                 Said::Send(to, bytes) => {
                     if let Some(name) = self.seats().1.get(&to).cloned() {
-                        out.push(Do::Send(name, Talk::Log(self.life, bytes)));
+                        out.push(ReplicaOutput::Send(name, Message::Log(self.life, bytes)));
                     }
                 }
                 Said::Decided(..) | Said::Skipped(_) => decided = true,
@@ -245,7 +253,7 @@
             }
         }
         if decided {
-            out.push(Do::Decided);
+            out.push(ReplicaOutput::Decided);
         }
     }
 
@@ -260,8 +268,8 @@
     }
 
     /// A tick: twenty a second.
-    pub fn tick(&mut self, out: &mut Vec<Do>) {
-        if matches!(self.why, Why::Waits) {
+    pub fn tick(&mut self, out: &mut Vec<ReplicaOutput>) {
+        if matches!(self.why, NotVotingReason::Waits) {
             self.admit(Admission::tick, out);
         }
         self.vote(Voter::tick, out);
@@ -273,7 +281,7 @@
     }
 
     /// A seat says something on who may vote.
-    pub fn admission(&mut self, from: u64, to: u64, say: Say, out: &mut Vec<Do>) {
+    pub fn admission(&mut self, from: u64, to: u64, say: AdmissionMessage, out: &mut Vec<ReplicaOutput>) {
         if to == self.id {
             self.admit(|admission, acts| admission.receive(from, say, acts), out);
         }
@@ -281,21 +289,24 @@
 
     /// A voter says something on the log; whether it was taken in.
     /// Words of a life whose start is not known here count for nothing: what it comes back with is looked at first.
-    pub fn log(&mut self, from: u64, life: u64, bytes: &[u8], out: &mut Vec<Do>) -> bool {
+    pub fn log(&mut self, from: u64, life: u64, bytes: &[u8], out: &mut Vec<ReplicaOutput>) -> bool {
         let Some(admission) = &mut self.admission else { return false };
         if !admission.knows(from, life) {
             if let Some(name) = self.seats().1.get(&from).cloned() {
-                out.push(Do::Send(name, Talk::Admission(self.id, from, Say::Again)));
+                out.push(ReplicaOutput::Send(
+                    name,
+                    Message::Admission(self.id, from, AdmissionMessage::Again),
+                ));
             }
             return false;
         }
-        let (_, term, place) = postproxy_agreement::promise(bytes);
+        let (_, term, place) = postproxy_replicated_log::promise(bytes);
         admission.heard(from, term, place);
         self.vote(|voter, said| voter.receive(bytes, said), out).unwrap_or_default()
     }
 
     /// What was on the way to and from a node may be lost.
-    pub fn reconnected(&mut self, name: &str, out: &mut Vec<Do>) {
+    pub fn reconnected(&mut self, name: &str, out: &mut Vec<ReplicaOutput>) {
         let seat = self.seats().1.iter().find(|(_, of)| *of == name).map(|(id, _)| *id);
         if let Some(seat) = seat.filter(|seat| *seat != self.id) {
             self.vote(|voter, said| voter.reconnected(seat, said), out);
@@ -303,18 +314,26 @@
     }
 
     /// Puts a word to the log.
-    pub fn propose(&mut self, command: &Command, out: &mut Vec<Do>) -> Result<(), Refused> {
+    pub fn propose(
+        &mut self,
+        command: &Command,
+        out: &mut Vec<ReplicaOutput>,
+    ) -> Result<(), ProposalRejected> {
         let word = postcard::to_stdvec(command).unwrap_or_default();
-        self.vote(|voter, said| voter.propose(word, said), out).unwrap_or(Err(Refused::Leaderless))
+        self.vote(|voter, said| voter.propose(word, said), out).unwrap_or(Err(ProposalRejected::Leaderless))
     }
 
     /// Changes who votes.
-    pub fn seat(&mut self, change: &Seating, out: &mut Vec<Do>) -> Result<(), Refused> {
-        self.vote(|voter, said| voter.seat(change, said), out).unwrap_or(Err(Refused::Leaderless))
+    pub fn seat(
+        &mut self,
+        change: &MembershipChange,
+        out: &mut Vec<ReplicaOutput>,
+    ) -> Result<(), ProposalRejected> {
+        self.vote(|voter, said| voter.seat(change, said), out).unwrap_or(Err(ProposalRejected::Leaderless))
     }
 
     /// Another node tells who votes as of a place of the log. What this one's own log says goes before.
-    pub fn told(&mut self, place: u64, seats: BTreeMap<u64, String>, out: &mut Vec<Do>) {
+    pub fn told(&mut self, place: u64, seats: BTreeMap<u64, String>, out: &mut Vec<ReplicaOutput>) {
         if place <= self.seats().0 {
             return;
         }
@@ -336,23 +355,24 @@
     }
 
     /// Its seat is over; it may have got another.
-    fn leave(&mut self, next: u64, out: &mut Vec<Do>) {
+    fn leave(&mut self, next: u64, out: &mut Vec<ReplicaOutput>) {
         (self.voter, self.admission) = (None, None);
         let gone = |key: &[u8]| key.starts_with(b"a/") || key.starts_with(b"s/");
         let clear = self.kept.keys().filter(|key| gone(key));
-        let mut changes: Vec<Change> = clear.map(|key| Change { key: key.clone(), value: None }).collect();
+        let mut changes: Vec<StorageChange> =
+            clear.map(|key| StorageChange { key: key.clone(), value: None }).collect();
         changes.push(seat_change(next, false));
         // What others said of seats is told again when they start.
         self.waiting.clear();
-        (self.id, self.founder, self.why) = (next, false, Why::Removed);
+        (self.id, self.founder, self.why) = (next, false, NotVotingReason::Removed);
         self.write(Of::Seat, changes, out);
         if next > 0 {
             self.ask();
         }
-        out.push(Do::Decided);
+        out.push(ReplicaOutput::Decided);
     }
 }
 
-fn seat_change(id: u64, founder: bool) -> Change {
-    Change { key: SEAT.to_vec(), value: postcard::to_stdvec(&(id, founder)).ok() }
+fn seat_change(id: u64, founder: bool) -> StorageChange {
+    StorageChange { key: SEAT.to_vec(), value: postcard::to_stdvec(&(id, founder)).ok() }
 }
--- a/crates/council/tests/fleet.rs
+++ b/crates/coordination/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use postproxy_council::{Call, Council, Error, Why};
+use postproxy_coordination::{Coordinator, Error, NotVotingReason, Operation};
 use sim::{DUTIES, Node, Sim, Without};
 
 fn range(least: &str) -> std::ops::Range<u64> {
@@ -44,10 +44,11 @@
             }
         }
         // Whoever has lost its promises gets a seat anew, and then whoever was made to give its own up: all founders vote in the end.
-        let votes = |sim: &Sim, n: usize| sim.nodes[n].council.as_ref().is_some_and(Council::votes);
+        let votes = |sim: &Sim, n: usize| sim.nodes[n].council.as_ref().is_some_and(Coordinator::votes);
         for _ in 0..20 {
-            let lost =
-                |n: &usize| sim.nodes[*n].council.as_ref().is_some_and(|c| c.view(0).why == Some(Why::Lost));
+            let lost = |n: &usize| {
+                sim.nodes[*n].council.as_ref().is_some_and(|c| c.view(0).why == Some(NotVotingReason::Lost))
+            };
             let without = (0..sim.nodes.len())
                 .find(lost)
                 .or_else(|| (0..sim.founders.len()).find(|n| !votes(&sim, *n)));
@@ -64,12 +65,13 @@
             let Some((n, clock)) = owner.map(|n| (n, sim.clock(n))) else { return false };
             let permit = sim.nodes[n].council.as_ref().and_then(|council| council.may(clock, "audit"));
             value = sim.now.to_be_bytes().to_vec();
-            let call = Call::Save("audit".into(), permit.map_or(0, |permit| permit.token()), value.clone());
+            let call =
+                Operation::Save("audit".into(), permit.map_or(0, |permit| permit.token()), value.clone());
             sim.asks(n, |council, now, ticket, out| council.call(now, ticket, call, out)) == Some(Ok(()))
         });
         assert!(saved, "seed {seed}: nothing is saved: {}", sim.picture());
         let knows = move |node: &Node| {
-            let state = node.council.as_ref().map(Council::state);
+            let state = node.council.as_ref().map(Coordinator::state);
             state.and_then(|state| state.duty("audit")).is_some_and(|duty| duty.value == value)
         };
         sim.waits(10_000, "all know the value", |sim| sim.nodes.iter().all(&knows));
@@ -104,7 +106,7 @@
 fn a_change_that_would_stop_the_voters_is_refused() {
     let mut sim = steady(3, 1, 3);
     assert_eq!(sim.seats(true, "n3"), Some(Ok(())));
-    sim.waits(5000, "n3 votes", |sim| sim.nodes[3].council.as_ref().is_some_and(Council::votes));
+    sim.waits(5000, "n3 votes", |sim| sim.nodes[3].council.as_ref().is_some_and(Coordinator::votes));
     assert_eq!(sim.seats(true, "n3"), Some(Ok(())), "twice is once");
     assert_eq!(sim.seats(false, "n3"), Some(Ok(())));
     sim.waits(5000, "n3 votes no more", |sim| sim.nodes[3].council.as_ref().is_some_and(|c| !c.votes()));
@@ -125,20 +127,20 @@
     sim.kill(0);
     sim.kill(1);
     sim.waits(8000, "it stops", |sim| DUTIES.iter().all(|duty| sim.owners_of(duty).is_empty()));
-    let came =
-        sim.asks(2, |council, now, ticket, out| council.call(now, ticket, Call::Acquire("x".into()), out));
+    let came = sim
+        .asks(2, |council, now, ticket, out| council.call(now, ticket, Operation::Acquire("x".into()), out));
     assert_eq!(came, Some(Err(Error::NoMajority(vec!["n0".into(), "n1".into()]))));
     // The second of two waits behind the first, and has its time all the same.
     let asked = sim.now;
     let mut two = Vec::new();
     let clock = sim.clock(2);
     if let Some(council) = &mut sim.nodes[2].council {
-        council.call(clock, 1001, Call::Acquire("y".into()), &mut two);
+        council.call(clock, 1001, Operation::Acquire("y".into()), &mut two);
     }
     sim.carry(2, two);
     (0..200).for_each(|_| sim.step());
-    let came =
-        sim.asks(2, |council, now, ticket, out| council.call(now, ticket, Call::Acquire("z".into()), out));
+    let came = sim
+        .asks(2, |council, now, ticket, out| council.call(now, ticket, Operation::Acquire("z".into()), out));
     assert!(
         matches!(came, Some(Err(Error::NoMajority(_)))) && sim.now < asked + 7300,
         "{came:?} after {}",
@@ -148,14 +150,14 @@
     sim.waits(15_000, "owners", |sim| DUTIES.iter().all(|duty| sim.owners_of(duty).len() == 1));
     // Handed on by an operator's word at any node, to one that does not vote; and released.
     let n = sim.owners_of("bans")[0];
-    let hand = Call::Hand("bans".into(), None, "n3".into());
+    let hand = Operation::Hand("bans".into(), None, "n3".into());
     assert_eq!(sim.asks(4, |council, now, ticket, out| council.call(now, ticket, hand, out)), Some(Ok(())));
     sim.waits(6000, "n3 has it", |sim| sim.owners_of("bans") == [3]);
     assert_ne!(n, 3);
     let clock = sim.clock(3);
     let token =
         sim.nodes[3].council.as_ref().and_then(|c| c.may(clock, "bans")).map_or(0, |permit| permit.token());
-    let release = Call::Release("bans".into(), token);
+    let release = Operation::Release("bans".into(), token);
     assert_eq!(
         sim.asks(3, |council, now, ticket, out| council.call(now, ticket, release, out)),
         Some(Ok(()))
--- a/crates/council/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -3,8 +3,10 @@
 //! directions and lose what was on the way, disks that take their time, deaths that lose what was not durable, stores that are
 //! lost or set back, stops between check and effect, clocks up to 2 % apart, voters removed and added by calls.
 
-use postproxy_council::{Change, Council, Effect, Error, Event, Fence, Out, Settings, Times, Why};
-use postproxy_faults::Timeline;
+use postproxy_coordination::{
+    Coordinator, Effect, Error, Event, Fence, LeaseTiming, NotVotingReason, Output, Settings, StorageChange,
+};
+use postproxy_fault_injection::Timeline;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -17,11 +19,11 @@
 
 #[derive(Default)]
 pub struct Node {
-    pub council: Option<Council>,
+    pub council: Option<Coordinator>,
     pub kept: Kept,
     /// The store as it was at some earlier time.
     pub old: Option<Kept>,
-    pub writes: VecDeque<(u64, u64, Vec<Change>)>,
+    pub writes: VecDeque<(u64, u64, Vec<StorageChange>)>,
     pub slow: bool,
     pub stopped: u64,
     pub rate: i64,
@@ -102,11 +104,12 @@
             name: format!("n{n}"),
             cluster: "test".into(),
             founders: self.founders.clone(),
-            times: Times::default(),
+            times: LeaseTiming::default(),
             duties: DUTIES.iter().map(|duty| (*duty).to_owned()).collect(),
         };
         let mut out = Vec::new();
-        let council = Council::new(settings, self.clock(n), self.lives, self.nodes[n].kept.clone(), &mut out);
+        let council =
+            Coordinator::new(settings, self.clock(n), self.lives, self.nodes[n].kept.clone(), &mut out);
         self.nodes[n].council = Some(council);
         self.timeline.state(self.now, n, "");
         self.carry(n, out);
@@ -138,31 +141,31 @@
         }
     }
 
-    pub fn carry(&mut self, n: usize, out: Vec<Out>) {
+    pub fn carry(&mut self, n: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Out::Send(to, bytes) => {
+                Output::Send(to, bytes) => {
                     let to: usize = to[1..].parse().expect("a node");
                     let at = self.now + 1 + self.draw(10);
                     let link = self.links.entry((n, to)).or_default();
                     let at = link.back().map_or(0, |(at, _)| *at).max(at);
                     link.push_back((at, bytes));
                 }
-                Out::Write(number, changes) => {
+                Output::Write(number, changes) => {
                     let took = if self.nodes[n].slow { 50 + self.draw(2000) } else { 1 + self.draw(20) };
                     let at = self.nodes[n].writes.back().map_or(0, |(at, ..)| *at).max(self.now + took);
                     self.nodes[n].writes.push_back((at, number, changes));
                 }
-                Out::Event(Event::Answered(ticket, came)) => {
+                Output::Event(Event::Answered(ticket, came)) => {
                     self.nodes[n].answers.insert(ticket, came.map(|_| ()));
                 }
-                Out::Event(Event::Seated(ticket, came)) => {
+                Output::Event(Event::Seated(ticket, came)) => {
                     self.nodes[n].answers.insert(ticket, came);
                 }
-                Out::Event(Event::Lost(duty, token)) if duty == "audit" => {
+                Output::Event(Event::Lost(duty, token)) if duty == "audit" => {
                     self.timeline.event(self.now, n, format!("gives up {token}"));
                 }
-                Out::Event(Event::Gained(duty, _, value)) => {
+                Output::Event(Event::Gained(duty, _, value)) => {
                     let value = value.try_into().map(u64::from_be_bytes).unwrap_or_default();
                     let before = self.nodes[n].values.insert(duty.clone(), value);
                     assert!(
@@ -171,8 +174,8 @@
                         self.seed
                     );
                 }
-                Out::Event(Event::Votes(Some(Why::Lost))) => self.seen[0] = true,
-                Out::Event(_) => {}
+                Output::Event(Event::Votes(Some(NotVotingReason::Lost))) => self.seen[0] = true,
+                Output::Event(_) => {}
             }
         }
         let Some(council) = &self.nodes[n].council else { return };
@@ -279,7 +282,7 @@
     pub fn asks(
         &mut self,
         n: usize,
-        act: impl FnOnce(&mut Council, u64, u64, &mut Vec<Out>),
+        act: impl FnOnce(&mut Coordinator, u64, u64, &mut Vec<Output>),
     ) -> Option<Result<(), Error>> {
         self.tickets += 1;
         let (ticket, clock, mut out) = (self.tickets, self.clock(n), Vec::new());
@@ -347,7 +350,7 @@
     /// Whether all seats vote and all nodes are there and in touch: one store more lost is one at a time.
     pub fn all_vote(&self) -> bool {
         let there = |node: &Node| node.council.is_some() && node.stopped <= self.now;
-        let votes = |node: &Node| node.council.as_ref().is_some_and(Council::votes);
+        let votes = |node: &Node| node.council.as_ref().is_some_and(Coordinator::votes);
         let seats = self
             .nodes
             .iter()
--- a/crates/remedy/src/lib.rs
+++ b/crates/diagnostics/src/lib.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// An error with a remedy.
-pub trait Remedy: std::error::Error {
+pub trait Diagnostic: std::error::Error {
     /// What it is about, and a word for it: `SUBJECT.WORD`. It never changes.
     fn code(&self) -> &'static str;
 
@@ -15,9 +15,9 @@
     fn remedy(&self) -> &'static str;
 
     /// As it is shown.
-    fn told(&self) -> Told {
+    fn told(&self) -> ErrorBody {
         let code = self.code();
-        Told {
+        ErrorBody {
             error: code.split('.').next().unwrap_or_default().to_owned(),
             code: code.to_owned(),
             what: self.to_string(),
@@ -28,7 +28,7 @@
 
 /// An error as the door shows it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Told {
+pub struct ErrorBody {
     /// What it is about.
     pub error: String,
     /// Its code.
@@ -41,9 +41,9 @@
 
 /// Gives an error type its codes and remedies, each pattern with its own, and a constant of this name that lists them all.
 #[macro_export]
-macro_rules! remedies {
+macro_rules! diagnostics {
     ($type:ty, $all:ident: $($pattern:pat => $code:literal, $remedy:literal;)+) => {
-        impl $crate::Remedy for $type {
+        impl $crate::Diagnostic for $type {
             fn code(&self) -> &'static str {
                 match self {
                     $($pattern => $code,)+
--- a/crates/faults/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -9,7 +9,7 @@
 
 /// A promise that was broken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub promise: &'static str,
     /// When, in seconds from the history's start.
@@ -22,7 +22,7 @@
     pub place: Option<(String, usize)>,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "at {:.3} s: {}: {}; the step before: {}", self.at, self.promise, self.seen, self.step)?;
         match &self.place {
@@ -46,10 +46,10 @@
 /// # Errors
 ///
 /// The first of these that is broken.
-pub fn answers(history: &History, most_runs: u32) -> Result<(), Broken> {
+pub fn answers(history: &History, most_runs: u32) -> Result<(), Violation> {
     let events = history.all();
     let broken = |promise, at, seen: String| {
-        Err(Broken { promise, at, seen, step: step_before(&events, at), place: None })
+        Err(Violation { promise, at, seen, step: step_before(&events, at), place: None })
     };
     let (mut asked, mut answered) = (BTreeMap::new(), BTreeSet::new());
     let mut touched: BTreeMap<usize, f64> = BTreeMap::new();
@@ -103,9 +103,9 @@
 /// # Errors
 ///
 /// The first of these words that has no cause.
-pub fn blame(history: &History, logs: &[(usize, String, String)]) -> Result<(), Broken> {
+pub fn blame(history: &History, logs: &[(usize, String, String)]) -> Result<(), Violation> {
     let events = history.all();
-    let mut first: Option<Broken> = None;
+    let mut first: Option<Violation> = None;
     for (n, name, log) in logs {
         for (line, text) in log.lines().enumerate() {
             let Some((before, after)) = text.split_once("a node has failed name=\"n") else { continue };
@@ -115,7 +115,7 @@
             if caused(&events, at, *n, whom) || first.as_ref().is_some_and(|first| first.at <= at) {
                 continue;
             }
-            first = Some(Broken {
+            first = Some(Violation {
                 promise: "nobody is blamed without a cause",
                 at,
                 seen: format!("n{n} calls n{whom} failed"),
--- a/crates/faults/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -14,7 +14,7 @@
 mod schedule;
 mod timeline;
 
-pub use check::Broken;
+pub use check::Violation;
 pub use history::{Event, History};
 pub use net::{Link, Net, addresses};
 pub use process::Process;
--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -13,7 +13,7 @@
 /// Why a peer's bytes can't be gone by.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum Fault {
+pub enum DecodeError {
     /// It does not speak this language at all.
     Foreign,
     /// It speaks another version.
@@ -30,7 +30,7 @@
     Stalled,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Foreign => write!(f, "it speaks another language"),
@@ -44,7 +44,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DecodeError {}
 
 /// What each side sends first.
 pub fn greeting() -> Vec<u8> {
@@ -79,17 +79,17 @@
     }
 
     /// The next message, if it is whole.
-    pub fn next(&mut self) -> Result<Option<Message>, Fault> {
+    pub fn next(&mut self) -> Result<Option<Message>, DecodeError> {
         let rest = &self.bytes[self.taken..];
         if !self.greeted {
             let size = rest.len().min(HELLO.len());
             if rest[..size] != HELLO[..size] {
-                return Err(Fault::Foreign);
+                return Err(DecodeError::Foreign);
             }
             let Some(version) = rest.get(HELLO.len()..HELLO.len() + 2) else { return Ok(None) };
             let version = u16::from_be_bytes([version[0], version[1]]);
             if version != VERSION {
-                return Err(Fault::Version(version));
+                return Err(DecodeError::Version(version));
             }
             (self.greeted, self.taken) = (true, self.taken + HELLO.len() + 2);
             return self.next();
@@ -97,12 +97,12 @@
         let Some(size) = rest.get(..4) else { return Ok(None) };
         let size = u32::from_be_bytes([size[0], size[1], size[2], size[3]]);
         if size as usize > MOST_FRAME {
-            return Err(Fault::Long(size));
+            return Err(DecodeError::Long(size));
         }
         let Some(body) = rest.get(4..4 + size as usize) else { return Ok(None) };
-        let (message, left) = postcard::take_from_bytes(body).map_err(|_| Fault::Malformed)?;
+        let (message, left) = postcard::take_from_bytes(body).map_err(|_| DecodeError::Malformed)?;
         if !left.is_empty() {
-            return Err(Fault::Malformed);
+            return Err(DecodeError::Malformed);
         }
         self.taken += 4 + size as usize;
         Ok(Some(message))
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -4,14 +4,14 @@
 mod codec;
 mod link;
 
-pub use codec::{Fault, HELLO, MOST_FRAME, VERSION, frame, greeting};
-pub use link::{Link, News, Role};
+pub use codec::{DecodeError, HELLO, MOST_FRAME, VERSION, frame, greeting};
+pub use link::{Link, LinkEvent, Role};
 
 use serde::{Deserialize, Serialize};
 
 /// What one process has to say about its work.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Tale {
+pub enum StateUpdate {
     /// An operator takes a worker out of use, or back into it.
     Use {
         /// Its name.
@@ -84,7 +84,7 @@
         listen: String,
     },
     /// News of its work.
-    Tale(Tale),
+    StateUpdate(StateUpdate),
     /// The older side has told all that was so when it was greeted.
     Told,
     /// The sender holds no more descriptors than this until it says otherwise.
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -1,7 +1,7 @@
 //! The state of one link between two processes of a node.
 
-use crate::codec::{Fault, Reader};
-use crate::{Message, Tale};
+use crate::codec::{DecodeError, Reader};
+use crate::{Message, StateUpdate};
 use std::collections::BTreeMap;
 
 /// How long the older side may take to greet and to tell all, in seconds. The newer one is owed to its operators
@@ -21,11 +21,11 @@
 
 /// What comes of a message, or of time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum LinkEvent {
     /// The other side has greeted: it is told all that is so now.
     Greeted,
     /// News of the other side's work.
-    Tale(Tale),
+    StateUpdate(StateUpdate),
     /// All has been told that was so at the greeting.
     Told,
     /// The other side holds at most so many descriptors.
@@ -119,10 +119,10 @@
     /// # Errors
     ///
     /// If so: the link is to be dropped.
-    pub fn late(&self, now: f64) -> Result<(), Fault> {
+    pub fn late(&self, now: f64) -> Result<(), DecodeError> {
         let greeting = self.state != State::Joined && now - self.since > GREETING;
         let word = self.calls.values().any(|(_, since)| now - since > WORD);
-        if greeting || word { Err(Fault::Stalled) } else { Ok(()) }
+        if greeting || word { Err(DecodeError::Stalled) } else { Ok(()) }
     }
 
     /// The older side has told all: from here on both tell what changes.
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// If they can't be gone by: the link is to be dropped. What came before the fault counts.
-    pub fn receive(&mut self, bytes: &[u8], news: &mut Vec<News>) -> Result<(), Fault> {
+    pub fn receive(&mut self, bytes: &[u8], news: &mut Vec<LinkEvent>) -> Result<(), DecodeError> {
         self.reader.push(bytes);
         while let Some(message) = self.reader.next()? {
             news.push(self.take(message)?);
@@ -145,37 +145,39 @@
         Ok(())
     }
 
-    fn take(&mut self, message: Message) -> Result<News, Fault> {
+    fn take(&mut self, message: Message) -> Result<LinkEvent, DecodeError> {
         Ok(match (self.state, message) {
             (State::Greeting, Message::Hello { name, listen }) => {
                 if (&name, &listen) != (&self.name, &self.listen) {
-                    return Err(Fault::OtherNode(format!("{name} at {listen}")));
+                    return Err(DecodeError::OtherNode(format!("{name} at {listen}")));
                 }
                 self.state = State::Telling;
-                News::Greeted
+                LinkEvent::Greeted
             }
-            (State::Greeting, _) | (_, Message::Hello { .. }) => return Err(Fault::OutOfTurn),
+            (State::Greeting, _) | (_, Message::Hello { .. }) => return Err(DecodeError::OutOfTurn),
             (State::Telling, Message::Told) if self.role == Role::Newer => {
                 self.state = State::Joined;
-                News::Told
+                LinkEvent::Told
             }
-            (_, Message::Told) => return Err(Fault::OutOfTurn),
-            (_, Message::Tale(tale)) => News::Tale(tale),
-            (_, Message::Holds(most)) => News::Holds(most),
-            (_, Message::Call { number, body }) => News::Call(number, body),
+            (_, Message::Told) => return Err(DecodeError::OutOfTurn),
+            (_, Message::StateUpdate(tale)) => LinkEvent::StateUpdate(tale),
+            (_, Message::Holds(most)) => LinkEvent::Holds(most),
+            (_, Message::Call { number, body }) => LinkEvent::Call(number, body),
             (_, Message::Called { number, known }) => {
-                let (who, _) = self.calls.remove(&number).ok_or(Fault::OutOfTurn)?;
-                News::Called(who, known)
+                let (who, _) = self.calls.remove(&number).ok_or(DecodeError::OutOfTurn)?;
+                LinkEvent::Called(who, known)
             }
             // Only a side that leaves gives its connections away.
-            (State::Joined, Message::Client { input, useful }) if self.leaves => News::Client(input, useful),
+            (State::Joined, Message::Client { input, useful }) if self.leaves => {
+                LinkEvent::Client(input, useful)
+            }
             (State::Joined, Message::Job { job, input, closes }) if self.leaves => {
-                News::Job(job, input, closes)
+                LinkEvent::Job(job, input, closes)
             }
-            (_, Message::Client { .. } | Message::Job { .. }) => return Err(Fault::OutOfTurn),
+            (_, Message::Client { .. } | Message::Job { .. }) => return Err(DecodeError::OutOfTurn),
             (_, Message::Leaves) => {
                 self.leaves = true;
-                News::Leaves
+                LinkEvent::Leaves
             }
         })
     }
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -1,7 +1,7 @@
 //! Two links against each other, cut anywhere, and one against whatever bytes come. Fixed seeds.
 
 use postproxy_handover::{
-    Fault, HELLO, Link, MOST_FRAME, Message, News, Role, Tale, VERSION, frame, greeting,
+    DecodeError, HELLO, Link, LinkEvent, MOST_FRAME, Message, Role, StateUpdate, VERSION, frame, greeting,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -15,7 +15,7 @@
     [greeting(), frame(&link.hello())].concat()
 }
 
-fn received(link: &mut Link, bytes: &[u8]) -> Result<Vec<News>, Fault> {
+fn received(link: &mut Link, bytes: &[u8]) -> Result<Vec<LinkEvent>, DecodeError> {
     let mut news = Vec::new();
     link.receive(bytes, &mut news).map(|()| news)
 }
@@ -23,29 +23,29 @@
 /// Both sides after the greeting, the older one has told all.
 fn joined() -> (Link, Link) {
     let (mut older, mut newer) = (link(Role::Older), link(Role::Newer));
-    assert_eq!(received(&mut older, &first(&newer)), Ok(vec![News::Greeted]));
-    assert_eq!(received(&mut newer, &first(&older)), Ok(vec![News::Greeted]));
+    assert_eq!(received(&mut older, &first(&newer)), Ok(vec![LinkEvent::Greeted]));
+    assert_eq!(received(&mut newer, &first(&older)), Ok(vec![LinkEvent::Greeted]));
     assert!(!older.joined() && !newer.joined());
     older.told();
-    assert_eq!(received(&mut newer, &frame(&Message::Told)), Ok(vec![News::Told]));
+    assert_eq!(received(&mut newer, &frame(&Message::Told)), Ok(vec![LinkEvent::Told]));
     assert!(older.joined() && newer.joined());
     (older, newer)
 }
 
-fn tale() -> impl Strategy<Value = Tale> {
+fn tale() -> impl Strategy<Value = StateUpdate> {
     let id = "[a-z0-9]{0,12}";
     prop_oneof![
-        (id, any::<bool>()).prop_map(|(worker, again)| Tale::Use { worker, again }),
-        (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| Tale::Drain { on, ago }),
-        proptest::collection::vec(any::<u8>(), 0..600).prop_map(Tale::List),
-        (id, any::<bool>()).prop_map(|(id, counts)| Tale::Taken { id, counts }),
+        (id, any::<bool>()).prop_map(|(worker, again)| StateUpdate::Use { worker, again }),
+        (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| StateUpdate::Drain { on, ago }),
+        proptest::collection::vec(any::<u8>(), 0..600).prop_map(StateUpdate::List),
+        (id, any::<bool>()).prop_map(|(id, counts)| StateUpdate::Taken { id, counts }),
         (id, any::<u16>(), id, 0f32..9.0, any::<bool>()).prop_map(|(id, attempt, worker, ago, counts)| {
-            Tale::Sent { id, attempt, worker, need: 1.0, work: 0.5, ago, counts }
+            StateUpdate::Sent { id, attempt, worker, need: 1.0, work: 0.5, ago, counts }
         }),
-        (id, any::<u16>()).prop_map(|(id, attempt)| Tale::Ended { id, attempt }),
-        id.prop_map(|id| Tale::Over { id }),
+        (id, any::<u16>()).prop_map(|(id, attempt)| StateUpdate::Ended { id, attempt }),
+        id.prop_map(|id| StateUpdate::Over { id }),
         proptest::collection::vec(0f32..9.0, 0..50)
-            .prop_map(|taken| Tale::Past { taken, further: vec![1.0] }),
+            .prop_map(|taken| StateUpdate::Past { taken, further: vec![1.0] }),
     ]
 }
 
@@ -61,14 +61,14 @@
     let cuts = proptest::collection::vec(1usize..40, 1..20);
     run(400, (proptest::collection::vec(tale(), 0..20), cuts), |(tales, cuts)| {
         let (_, mut newer) = joined();
-        let bytes: Vec<u8> = tales.iter().flat_map(|t| frame(&Message::Tale(t.clone()))).collect();
+        let bytes: Vec<u8> = tales.iter().flat_map(|t| frame(&Message::StateUpdate(t.clone()))).collect();
         let (mut news, mut rest, mut cuts) = (Vec::new(), &bytes[..], cuts.iter().cycle());
         while !rest.is_empty() {
             let size = rest.len().min(*cuts.next().expect("a cycle"));
             newer.receive(&rest[..size], &mut news).expect("sound messages");
             rest = &rest[size..];
         }
-        prop_assert_eq!(news, tales.into_iter().map(News::Tale).collect::<Vec<_>>());
+        prop_assert_eq!(news, tales.into_iter().map(LinkEvent::StateUpdate).collect::<Vec<_>>());
         Ok(())
     });
 }
@@ -94,14 +94,14 @@
 fn what_can_not_be_gone_by_is_named() {
     let mut other = HELLO.to_vec();
     other.extend((VERSION + 1).to_be_bytes());
-    assert_eq!(received(&mut link(Role::Older), &other), Err(Fault::Version(VERSION + 1)));
-    assert_eq!(received(&mut link(Role::Older), b"GET / HTTP/1.1"), Err(Fault::Foreign));
+    assert_eq!(received(&mut link(Role::Older), &other), Err(DecodeError::Version(VERSION + 1)));
+    assert_eq!(received(&mut link(Role::Older), b"GET / HTTP/1.1"), Err(DecodeError::Foreign));
     let foreign = Link::new(Role::Newer, "n2", "127.0.0.1:80", 100.0);
-    assert!(matches!(received(&mut link(Role::Older), &first(&foreign)), Err(Fault::OtherNode(_))));
+    assert!(matches!(received(&mut link(Role::Older), &first(&foreign)), Err(DecodeError::OtherNode(_))));
     let long = [greeting(), (MOST_FRAME as u32 + 1).to_be_bytes().to_vec()].concat();
-    assert_eq!(received(&mut link(Role::Older), &long), Err(Fault::Long(MOST_FRAME as u32 + 1)));
+    assert_eq!(received(&mut link(Role::Older), &long), Err(DecodeError::Long(MOST_FRAME as u32 + 1)));
     let early = [greeting(), frame(&Message::Leaves)].concat();
-    assert_eq!(received(&mut link(Role::Older), &early), Err(Fault::OutOfTurn));
+    assert_eq!(received(&mut link(Role::Older), &early), Err(DecodeError::OutOfTurn));
     let client = Message::Client { input: Vec::new(), useful: true };
     let job = Message::Job { job: vec![1], input: Vec::new(), closes: false };
     let (mut older, mut newer) = joined();
@@ -113,20 +113,20 @@
         job.clone(),
     ] {
         let (_, mut newer) = joined();
-        assert_eq!(received(&mut newer, &frame(&message)), Err(Fault::OutOfTurn), "{message:?}");
+        assert_eq!(received(&mut newer, &frame(&message)), Err(DecodeError::OutOfTurn), "{message:?}");
     }
     assert_eq!(
         received(&mut older, &frame(&Message::Told)),
-        Err(Fault::OutOfTurn),
+        Err(DecodeError::OutOfTurn),
         "only the newer is told all"
     );
-    assert_eq!(received(&mut newer, &frame(&Message::Leaves)), Ok(vec![News::Leaves]));
-    assert_eq!(received(&mut newer, &frame(&client)), Ok(vec![News::Client(Vec::new(), true)]));
-    assert_eq!(received(&mut newer, &frame(&job)), Ok(vec![News::Job(vec![1], Vec::new(), false)]));
+    assert_eq!(received(&mut newer, &frame(&Message::Leaves)), Ok(vec![LinkEvent::Leaves]));
+    assert_eq!(received(&mut newer, &frame(&client)), Ok(vec![LinkEvent::Client(Vec::new(), true)]));
+    assert_eq!(received(&mut newer, &frame(&job)), Ok(vec![LinkEvent::Job(vec![1], Vec::new(), false)]));
     let mut empty = 0u32.to_be_bytes().to_vec();
-    assert_eq!(received(&mut newer, &empty), Err(Fault::Malformed));
+    assert_eq!(received(&mut newer, &empty), Err(DecodeError::Malformed));
     empty = [3u32.to_be_bytes().to_vec(), vec![255, 255, 255]].concat();
-    assert_eq!(received(&mut joined().0, &empty), Err(Fault::Malformed));
+    assert_eq!(received(&mut joined().0, &empty), Err(DecodeError::Malformed));
 }
 
 /// Guards against a word that reaches another call, a call that waits for ever, and a greeting that does.
@@ -136,18 +136,18 @@
     let one = newer.call(100.0, 11, b"a".to_vec());
     let two = newer.call(100.5, 22, b"b".to_vec());
     let news = received(&mut older, &[frame(&one), frame(&two)].concat()).expect("calls");
-    let [News::Call(first, a), News::Call(second, b)] = &news[..] else { panic!("{news:?}") };
+    let [LinkEvent::Call(first, a), LinkEvent::Call(second, b)] = &news[..] else { panic!("{news:?}") };
     assert_eq!((&a[..], &b[..], newer.waiting()), (&b"a"[..], &b"b"[..], vec![11, 22]));
     let word = frame(&Message::Called { number: *second, known: true });
-    assert_eq!(received(&mut newer, &word), Ok(vec![News::Called(22, true)]));
-    assert_eq!(received(&mut newer, &word), Err(Fault::OutOfTurn), "one word a call");
+    assert_eq!(received(&mut newer, &word), Ok(vec![LinkEvent::Called(22, true)]));
+    assert_eq!(received(&mut newer, &word), Err(DecodeError::OutOfTurn), "one word a call");
     assert!(newer.late(101.9).is_ok());
-    assert_eq!((newer.late(102.1), newer.waiting()), (Err(Fault::Stalled), vec![11]));
+    assert_eq!((newer.late(102.1), newer.waiting()), (Err(DecodeError::Stalled), vec![11]));
     let word = frame(&Message::Called { number: *first, known: false });
     let mut newer_two = joined().1;
     assert!(received(&mut newer_two, &word).is_err());
     assert!(link(Role::Newer).late(100.9).is_ok());
-    assert_eq!(link(Role::Newer).late(101.1), Err(Fault::Stalled));
+    assert_eq!(link(Role::Newer).late(101.1), Err(DecodeError::Stalled));
     assert!(older.late(500.0).is_ok(), "a link on which nothing is owed lasts");
 }
 
@@ -181,7 +181,7 @@
         for (what, newer, size) in steps {
             let (at, to) = (usize::from(newer), usize::from(!newer));
             let message = match what {
-                0 => Some(Message::Tale(Tale::Over { id: format!("{who}") })),
+                0 => Some(Message::StateUpdate(StateUpdate::Over { id: format!("{who}") })),
                 1 => Some(Message::Holds(size as u32)),
                 2 => {
                     who += 1;
@@ -220,25 +220,25 @@
                 let news = match message {
                     Message::Hello { .. } => {
                         model.greeted = true;
-                        Some(News::Greeted)
+                        Some(LinkEvent::Greeted)
                     }
                     Message::Told => {
                         model.told = true;
-                        Some(News::Told)
+                        Some(LinkEvent::Told)
                     }
-                    Message::Tale(tale) => Some(News::Tale(tale)),
-                    Message::Holds(most) => Some(News::Holds(most)),
-                    Message::Call { number, body } => Some(News::Call(number, body)),
+                    Message::StateUpdate(tale) => Some(LinkEvent::StateUpdate(tale)),
+                    Message::Holds(most) => Some(LinkEvent::Holds(most)),
+                    Message::Call { number, body } => Some(LinkEvent::Call(number, body)),
                     Message::Called { number, known } => {
                         let waits = model.calls.iter().position(|(n, _)| *n == number);
-                        waits.map(|i| News::Called(model.calls.remove(i).1, known))
+                        waits.map(|i| LinkEvent::Called(model.calls.remove(i).1, known))
                     }
                     Message::Leaves => {
                         model.leaves = true;
-                        Some(News::Leaves)
+                        Some(LinkEvent::Leaves)
                     }
                     Message::Client { input, useful } if joined && model.leaves => {
-                        Some(News::Client(input, useful))
+                        Some(LinkEvent::Client(input, useful))
                     }
                     _ => None,
                 };
--- a/crates/ledger/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,8 +1,8 @@
 //! What a node remembers of jobs beyond its own life.
 //!
-//! A [`Ledger`] decides; it does no I/O and has no clock. It is told what becomes of the jobs that are kept, and
+//! A [`RequestLog`] decides; it does no I/O and has no clock. It is told what becomes of the jobs that are kept, and
 //! says what is to be written, in [`Write`]s that belong together. After a start it is given what was written
-//! and says what a client that comes back is owed ([`Standing`]), and what a late call-back settles.
+//! and says what a client that comes back is owed ([`Lookup`]), and what a late call-back settles.
 //!
 //! What holds whatever dies when:
 //!
@@ -14,7 +14,7 @@
 
 mod record;
 
-pub use record::{Attempt, Fate, Record, Stage, job_id, job_key, result_key};
+pub use record::{Attempt, AttemptOutcome, Record, Stage, job_id, job_key, result_key};
 use std::collections::{BTreeSet, HashMap};
 
 /// One change to what is kept.
@@ -57,7 +57,7 @@
 
 /// A job as its client asks for it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct RequestIdentity<'a> {
     /// Its id.
     pub id: &'a str,
     /// What lets a repeat be known.
@@ -70,7 +70,7 @@
 
 /// What is owed to a client that asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Lookup {
     /// Nothing is known of this job: it runs.
     New,
     /// It runs now, under this id: wait for it.
@@ -87,7 +87,7 @@
 
 /// What a worker's call-back on a job of an earlier life settles.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum Resolution {
     /// Nothing.
     Nothing,
     /// It was served.
@@ -100,7 +100,7 @@
 
 /// What a call-back says of a job's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word<'a> {
+pub enum Completion<'a> {
     /// Done; the result.
     Done(&'a [u8]),
     /// It ended in an error, or was killed.
@@ -120,7 +120,7 @@
 
 /// All jobs that are kept.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct RequestLog {
     limits: Limits,
     /// Boxed: a table that grows moves all its entries in one turn of whoever asks.
     jobs: HashMap<String, Box<Job>>,
@@ -133,7 +133,7 @@
     (seconds * 1000.0).max(0.0) as u64
 }
 
-impl Ledger {
+impl RequestLog {
     /// An empty one.
     pub fn new(limits: Limits) -> Self {
         Self { limits, ..Self::default() }
@@ -215,19 +215,19 @@
     }
 
     /// What is owed to a client that asks for this.
-    pub fn standing(&self, asked: &Asked<'_>) -> Standing {
+    pub fn standing(&self, asked: &RequestIdentity<'_>) -> Lookup {
         let by_key = || self.by_key.get(&(asked.class.to_owned(), asked.key?.to_owned())).map(String::as_str);
         let id = if self.jobs.contains_key(asked.id) { Some(asked.id) } else { by_key() };
-        let Some((id, job)) = id.and_then(|id| Some((id, self.jobs.get(id)?))) else { return Standing::New };
+        let Some((id, job)) = id.and_then(|id| Some((id, self.jobs.get(id)?))) else { return Lookup::New };
         let id = id.to_owned();
         if job.record.digest != asked.digest || job.record.class != asked.class {
-            return Standing::Conflict;
+            return Lookup::Conflict;
         }
         match job.record.stage {
-            Stage::Served(true) => Standing::Served(id),
-            Stage::Served(false) | Stage::Failed => Standing::Failed,
-            Stage::Open if job.running => Standing::Running(id),
-            Stage::Open => Standing::InDoubt(id),
+            Stage::Served(true) => Lookup::Served(id),
+            Stage::Served(false) | Stage::Failed => Lookup::Failed,
+            Stage::Open if job.running => Lookup::Running(id),
+            Stage::Open => Lookup::InDoubt(id),
         }
     }
 
@@ -245,7 +245,13 @@
 
     /// An attempt is about to be sent to a worker: what has to be durable first, or at least be on its way, by
     /// the care that the class is owed. `deadline` is when the client stops waiting.
-    pub fn intend(&mut self, now: f64, asked: &Asked<'_>, worker: &str, deadline: f64) -> Vec<Write> {
+    pub fn intend(
+        &mut self,
+        now: f64,
+        asked: &RequestIdentity<'_>,
+        worker: &str,
+        deadline: f64,
+    ) -> Vec<Write> {
         let deadline = ms(deadline);
         let until = self.until(asked.class, now, deadline);
         let mut record = match self.unset(asked.id) {
@@ -261,7 +267,7 @@
             },
         };
         record.until = until;
-        record.attempts.push(Attempt { worker: worker.into(), fate: Fate::Out });
+        record.attempts.push(Attempt { worker: worker.into(), fate: AttemptOutcome::Out });
         self.keep(asked.id, record, true)
     }
 
@@ -274,13 +280,14 @@
     /// The attempt of this number has ended without serving the job; whether it may have run.
     pub fn ended(&mut self, now: f64, id: &str, attempt: usize, may_have_run: bool) -> Vec<Write> {
         let out = self.jobs.get(id).is_some_and(|job| {
-            job.running && job.record.attempts.get(attempt).is_some_and(|a| a.fate == Fate::Out)
+            job.running && job.record.attempts.get(attempt).is_some_and(|a| a.fate == AttemptOutcome::Out)
         });
         if !out {
             return Vec::new();
         }
         let Some(mut job) = self.unset(id) else { return Vec::new() };
-        job.record.attempts[attempt].fate = if may_have_run { Fate::MayHaveRun } else { Fate::NeverRan };
+        job.record.attempts[attempt].fate =
+            if may_have_run { AttemptOutcome::MayHaveRun } else { AttemptOutcome::NeverRan };
         job.record.until = self.until(&job.record.class, now, job.record.deadline);
         self.keep(id, job.record, job.running)
     }
@@ -316,40 +323,40 @@
     }
 
     /// A worker's word on a job of an earlier life; what it settles, and what is to be written.
-    pub fn word(&mut self, now: f64, id: &str, from: &str, word: Word<'_>) -> (Settled, Vec<Write>) {
-        let nothing = (Settled::Nothing, Vec::new());
+    pub fn word(&mut self, now: f64, id: &str, from: &str, word: Completion<'_>) -> (Resolution, Vec<Write>) {
+        let nothing = (Resolution::Nothing, Vec::new());
         let Some(job) = self.jobs.get_mut(id).filter(|job| Self::doubtful(job)) else { return nothing };
         // A worker has one attempt of a job at a time; what it says is of its last one.
-        let of = |a: &&mut Attempt| a.worker == from && a.fate == Fate::Out;
+        let of = |a: &&mut Attempt| a.worker == from && a.fate == AttemptOutcome::Out;
         let Some(attempt) = job.record.attempts.iter_mut().rev().find(of) else { return nothing };
         match word {
-            Word::Done(result) => {
-                attempt.fate = Fate::MayHaveRun;
-                (Settled::Served, self.served(now, id, result))
+            Completion::Done(result) => {
+                attempt.fate = AttemptOutcome::MayHaveRun;
+                (Resolution::Served, self.served(now, id, result))
             }
-            Word::Returned => {
-                attempt.fate = Fate::NeverRan;
+            Completion::Returned => {
+                attempt.fate = AttemptOutcome::NeverRan;
                 if !job.record.may_have_run() {
-                    return (Settled::NeverRan, self.remove(id));
+                    return (Resolution::NeverRan, self.remove(id));
                 }
                 self.still_open(now, id)
             }
-            Word::Failed => {
-                attempt.fate = Fate::MayHaveRun;
+            Completion::Failed => {
+                attempt.fate = AttemptOutcome::MayHaveRun;
                 self.still_open(now, id)
             }
         }
     }
 
     /// After a word that did not serve a job in doubt: it has failed, unless another attempt is still out.
-    fn still_open(&mut self, now: f64, id: &str) -> (Settled, Vec<Write>) {
-        let Some(mut job) = self.unset(id) else { return (Settled::Nothing, Vec::new()) };
-        let out = job.record.attempts.iter().any(|a| a.fate == Fate::Out);
+    fn still_open(&mut self, now: f64, id: &str) -> (Resolution, Vec<Write>) {
+        let Some(mut job) = self.unset(id) else { return (Resolution::Nothing, Vec::new()) };
+        let out = job.record.attempts.iter().any(|a| a.fate == AttemptOutcome::Out);
         if !out {
             job.record.stage = Stage::Failed;
         }
         job.record.until = self.until(&job.record.class, now, job.record.deadline);
-        let settled = if out { Settled::Nothing } else { Settled::Failed };
+        let settled = if out { Resolution::Nothing } else { Resolution::Failed };
         (settled, self.keep(id, job.record, false))
     }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -7,7 +7,7 @@
 
 /// What is known of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// Its end was not told: after a restart it may have run, run still, or be done.
     Out,
     /// It never ran.
@@ -22,7 +22,7 @@
     /// The worker, as the list names it.
     pub worker: String,
     /// What is known of it.
-    pub fate: Fate,
+    pub fate: AttemptOutcome,
 }
 
 /// How far a job has come.
@@ -58,7 +58,7 @@
 impl Record {
     /// Whether an attempt may have run, or may yet.
     pub fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.fate != Fate::NeverRan)
+        self.attempts.iter().any(|attempt| attempt.fate != AttemptOutcome::NeverRan)
     }
 
     /// Its bytes.
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -1,13 +1,15 @@
 //! The ledger against a model: random steps, a death after any of them with any part of the last writes lost.
 
-use postproxy_ledger::{Asked, Ledger, Limits, Settled, Standing, Word, Write, result_key};
+use postproxy_idempotency::{
+    Completion, Limits, Lookup, RequestIdentity, RequestLog, Resolution, Write, result_key,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
 const DIGEST: [u8; 32] = [7; 32];
 
-fn asked<'a>(id: &'a str, key: Option<&'a str>) -> Asked<'a> {
-    Asked { id, key, class: "day-plan", digest: DIGEST }
+fn asked<'a>(id: &'a str, key: Option<&'a str>) -> RequestIdentity<'a> {
+    RequestIdentity { id, key, class: "day-plan", digest: DIGEST }
 }
 
 /// What is on the disk.
@@ -24,8 +26,8 @@
         }
     }
 
-    fn start(&mut self, limits: Limits) -> Ledger {
-        let mut ledger = Ledger::new(limits);
+    fn start(&mut self, limits: Limits) -> RequestLog {
+        let mut ledger = RequestLog::new(limits);
         for (key, value) in &self.0 {
             ledger.load(key, value);
         }
@@ -38,50 +40,54 @@
 /// Guards against a returning client's getting anything but what its job has come to.
 #[test]
 fn a_returning_client_gets_what_its_job_came_to() {
-    let (mut disk, mut ledger) = (Disk::default(), Ledger::new(Limits::default()));
-    let look = |ledger: &Ledger, id, key| ledger.standing(&asked(id, key));
-    assert_eq!(look(&ledger, "a", Some("k")), Standing::New);
+    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
+    let look = |ledger: &RequestLog, id, key| ledger.standing(&asked(id, key));
+    assert_eq!(look(&ledger, "a", Some("k")), Lookup::New);
     disk.write(ledger.intend(100.0, &asked("a", Some("k")), "w-1", 112.0));
-    assert_eq!(look(&ledger, "b", Some("k")), Standing::Running("a".into()));
+    assert_eq!(look(&ledger, "b", Some("k")), Lookup::Running("a".into()));
     let mut other = asked("b", Some("k"));
     other.digest = [8; 32];
-    assert_eq!(ledger.standing(&other), Standing::Conflict);
+    assert_eq!(ledger.standing(&other), Lookup::Conflict);
     let mut ledger = disk.start(Limits::default());
     assert_eq!(ledger.in_doubt(), 1);
-    assert_eq!(look(&ledger, "b", Some("k")), Standing::InDoubt("a".into()));
-    assert_eq!(look(&ledger, "a", None), Standing::InDoubt("a".into()));
+    assert_eq!(look(&ledger, "b", Some("k")), Lookup::InDoubt("a".into()));
+    assert_eq!(look(&ledger, "a", None), Lookup::InDoubt("a".into()));
     // Another worker's word is not this one's.
-    assert_eq!(ledger.word(101.0, "a", "w-2", Word::Done(b"x")).0, Settled::Nothing);
-    let (settled, writes) = ledger.word(101.0, "a", "w-1", Word::Done(b"result"));
-    assert_eq!((settled, ledger.in_doubt()), (Settled::Served, 0));
+    assert_eq!(ledger.word(101.0, "a", "w-2", Completion::Done(b"x")).0, Resolution::Nothing);
+    let (settled, writes) = ledger.word(101.0, "a", "w-1", Completion::Done(b"result"));
+    assert_eq!((settled, ledger.in_doubt()), (Resolution::Served, 0));
     disk.write(writes);
-    assert_eq!(ledger.word(102.0, "a", "w-1", Word::Failed).0, Settled::Nothing, "it is settled");
+    assert_eq!(ledger.word(102.0, "a", "w-1", Completion::Failed).0, Resolution::Nothing, "it is settled");
     let ledger = disk.start(Limits::default());
-    assert_eq!(look(&ledger, "c", Some("k")), Standing::Served("a".into()));
+    assert_eq!(look(&ledger, "c", Some("k")), Lookup::Served("a".into()));
     assert_eq!(disk.0.get(&result_key("a")).map(Vec::as_slice), Some(&b"result"[..]));
 }
 
 /// Guards against a second run because a word proves less than it seems to, and against none though nothing ran.
 #[test]
 fn only_a_job_that_never_ran_runs_afresh() {
-    let (mut disk, mut ledger) = (Disk::default(), Ledger::new(Limits::default()));
+    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
     disk.write(ledger.intend(100.0, &asked("a", None), "w-1", 112.0));
     disk.write(ledger.ended(100.1, "a", 0, false));
     let fresh = disk.start(Limits::default());
-    assert_eq!(fresh.standing(&asked("a", None)), Standing::New, "it was handed back before the end");
+    assert_eq!(fresh.standing(&asked("a", None)), Lookup::New, "it was handed back before the end");
     assert!(disk.0.is_empty());
     disk.write(ledger.intend(100.2, &asked("a", None), "w-2", 112.0));
     let mut ledger = disk.start(Limits::default());
-    assert_eq!(ledger.word(101.0, "a", "w-1", Word::Returned).0, Settled::Nothing, "of an earlier attempt");
-    let (settled, writes) = ledger.word(101.0, "a", "w-2", Word::Returned);
+    assert_eq!(
+        ledger.word(101.0, "a", "w-1", Completion::Returned).0,
+        Resolution::Nothing,
+        "of an earlier attempt"
+    );
+    let (settled, writes) = ledger.word(101.0, "a", "w-2", Completion::Returned);
     disk.write(writes);
-    assert_eq!(settled, Settled::NeverRan);
-    assert_eq!(ledger.standing(&asked("a", None)), Standing::New);
+    assert_eq!(settled, Resolution::NeverRan);
+    assert_eq!(ledger.standing(&asked("a", None)), Lookup::New);
     disk.write(ledger.intend(102.0, &asked("a", None), "w-1", 112.0));
     disk.write(ledger.ended(103.0, "a", 0, true));
     disk.write(ledger.over(103.0, "a"));
-    assert_eq!(ledger.standing(&asked("a", None)), Standing::Failed);
-    assert_eq!(disk.start(Limits::default()).standing(&asked("a", None)), Standing::Failed);
+    assert_eq!(ledger.standing(&asked("a", None)), Lookup::Failed);
+    assert_eq!(disk.start(Limits::default()).standing(&asked("a", None)), Lookup::Failed);
 }
 
 /// Guards against results beyond the limit, a full ledger that drops a job in doubt, and one that is full for
@@ -94,17 +100,17 @@
         retention_of: HashMap::from([("day-plan".into(), 50.0)]),
         retention: 9.0,
     };
-    let (mut disk, mut ledger) = (Disk::default(), Ledger::new(limits.clone()));
+    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(limits.clone()));
     disk.write(ledger.intend(100.0, &asked("a", None), "w", 112.0));
     disk.write(ledger.intend(100.0, &asked("b", None), "w", 112.0));
     assert_eq!(ledger.make_room(), None, "both may still run");
     let mut doubts = disk.start(limits.clone());
     assert_eq!((doubts.make_room(), doubts.in_doubt()), (None, 2));
     disk.write(ledger.served(101.0, "b", b"far too long"));
-    assert_eq!(ledger.standing(&asked("b", None)), Standing::Failed, "its result is not kept");
+    assert_eq!(ledger.standing(&asked("b", None)), Lookup::Failed, "its result is not kept");
     assert!(!disk.0.contains_key(&result_key("b")));
     disk.write(ledger.make_room().expect("one is settled"));
-    assert_eq!((ledger.len(), ledger.standing(&asked("b", None))), (1, Standing::New));
+    assert_eq!((ledger.len(), ledger.standing(&asked("b", None))), (1, Lookup::New));
     let mut ledger = disk.start(limits);
     ledger.expire(149.9);
     assert_eq!(ledger.len(), 1);
@@ -115,13 +121,13 @@
 /// Guards against forgetting what could not be written while the disk was full.
 #[test]
 fn what_was_refused_is_written_when_the_disk_is_back() {
-    let (mut disk, mut ledger) = (Disk::default(), Ledger::new(Limits::default()));
+    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
     disk.write(ledger.intend(100.0, &asked("a", None), "w", 112.0));
     drop(ledger.served(101.0, "a", b"lost"));
     ledger.unwritten("a");
     disk.write(ledger.rewrite());
     assert_eq!(ledger.rewrite(), []);
-    assert_eq!(disk.start(Limits::default()).standing(&asked("a", None)), Standing::Failed);
+    assert_eq!(disk.start(Limits::default()).standing(&asked("a", None)), Lookup::Failed);
 }
 
 #[derive(Clone, Debug)]
@@ -152,7 +158,7 @@
     /// lost at a death.
     #[test]
     fn a_job_that_may_have_run_never_runs_again(steps in steps()) {
-        let (mut disk, mut ledger) = (Disk::default(), Ledger::new(Limits::default()));
+        let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
         let mut unsynced: Vec<Vec<Write>> = Vec::new();
         // Of each job: how often it may have run; whether its attempt is out in this life, and its number.
         let (mut runs, mut out, mut tries) = ([0u32; 4], [None::<usize>; 4], [0usize; 4]);
@@ -166,18 +172,18 @@
                     let standing = ledger.standing(&asked(&id, None));
                     let at = n as usize;
                     match standing {
-                        Standing::New => {
+                        Lookup::New => {
                             prop_assert_eq!(runs[at], 0, "{} would run again", id);
                             // Group commit: what was written before is durable with it.
                             unsynced.drain(..).for_each(|writes| disk.write(writes));
                             disk.write(ledger.intend(now, &asked(&id, None), "w", now + 10.0));
                             (runs[at], out[at], tries[at]) = (1, Some(0), 1);
                         }
-                        Standing::Running(_) => prop_assert!(out[at].is_some()),
+                        Lookup::Running(_) => prop_assert!(out[at].is_some()),
                         // It may be that nothing ran, if the word of that was lost: no harm but a failure.
-                        Standing::InDoubt(_) | Standing::Failed => prop_assert!(out[at].is_none()),
-                        Standing::Served(_) => prop_assert!(served[at]),
-                        Standing::Conflict => prop_assert!(false, "no other request has this id"),
+                        Lookup::InDoubt(_) | Lookup::Failed => prop_assert!(out[at].is_none()),
+                        Lookup::Served(_) => prop_assert!(served[at]),
+                        Lookup::Conflict => prop_assert!(false, "no other request has this id"),
                     }
                 }
                 Step::NeverRan(n) => {
@@ -201,8 +207,8 @@
                         unsynced.push(ledger.served(now, &id, b"result"));
                         served[at] = true;
                     } else if runs[at] > 0 && !served[at] {
-                        let (settled, writes) = ledger.word(now, &id, "w", Word::Done(b"result"));
-                        served[at] = settled == Settled::Served;
+                        let (settled, writes) = ledger.word(now, &id, "w", Completion::Done(b"result"));
+                        served[at] = settled == Resolution::Served;
                         unsynced.push(writes);
                     }
                 }
@@ -214,8 +220,8 @@
                     // What was served and is not known to be is in doubt, or failed: never new.
                     for n in 0..4 {
                         let standing = ledger.standing(&asked(&format!("job-{n}"), None));
-                        prop_assert!(runs[n] == 0 || standing != Standing::New, "job-{} is forgotten", n);
-                        served[n] &= matches!(standing, Standing::Served(_));
+                        prop_assert!(runs[n] == 0 || standing != Lookup::New, "job-{} is forgotten", n);
+                        served[n] &= matches!(standing, Lookup::Served(_));
                     }
                 }
             }
--- a/crates/inherit/src/lib.rs
+++ b/crates/inherited-listener/src/lib.rs
@@ -10,7 +10,7 @@
 /// Why a number names no listener that can be taken over.
 #[derive(Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum Problem {
+pub enum InheritError {
     /// No number of a descriptor that a program is started with: 0 to 2 are its standard streams.
     Number,
     /// It was taken over before.
@@ -27,7 +27,7 @@
     System(std::io::ErrorKind),
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for InheritError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Number => write!(f, "is no number of a descriptor above 2"),
@@ -42,20 +42,20 @@
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for InheritError {}
 
 static TAKEN: Mutex<Vec<RawFd>> = Mutex::new(Vec::new());
 
 /// The socket of this number. Call it before the program opens descriptors of its own.
-fn socket(text: &str) -> Result<Socket, Problem> {
-    let number: RawFd = text.parse().ok().filter(|number| *number > 2).ok_or(Problem::Number)?;
-    let mut taken = TAKEN.lock().map_err(|_| Problem::Taken)?;
+fn socket(text: &str) -> Result<Socket, InheritError> {
+    let number: RawFd = text.parse().ok().filter(|number| *number > 2).ok_or(InheritError::Number)?;
+    let mut taken = TAKEN.lock().map_err(|_| InheritError::Taken)?;
     if taken.contains(&number) {
-        return Err(Problem::Taken);
+        return Err(InheritError::Taken);
     }
-    let what = std::fs::read_link(format!("/proc/self/fd/{number}")).map_err(|_| Problem::Closed)?;
+    let what = std::fs::read_link(format!("/proc/self/fd/{number}")).map_err(|_| InheritError::Closed)?;
     if !what.to_string_lossy().starts_with("socket:") {
-        return Err(Problem::NoSocket);
+        return Err(InheritError::NoSocket);
     }
     taken.push(number);
     // SAFETY: the descriptor is open, as its link in /proc has just shown, and so was it when this process began:
@@ -72,16 +72,16 @@
 /// # Errors
 ///
 /// If it is not open, is no socket that listens for streams, or listens elsewhere.
-pub fn listener(text: &str, at: SocketAddr) -> Result<TcpListener, Problem> {
+pub fn listener(text: &str, at: SocketAddr) -> Result<TcpListener, InheritError> {
     let socket = socket(text)?;
-    let system = |error: std::io::Error| Problem::System(error.kind());
+    let system = |error: std::io::Error| InheritError::System(error.kind());
     let streams = socket.r#type().map_err(system)? == Type::STREAM;
     if !streams || !socket.is_listener().map_err(system)? {
-        return Err(Problem::NotListening);
+        return Err(InheritError::NotListening);
     }
     let local = socket.local_addr().map_err(system)?.as_socket();
     if local != Some(at) {
-        return Err(Problem::Elsewhere(local));
+        return Err(InheritError::Elsewhere(local));
     }
     socket.set_nonblocking(true).map_err(system)?;
     socket.set_cloexec(true).map_err(system)?;
@@ -104,9 +104,9 @@
     fn only_a_listener_at_the_address_is_taken_over_and_once() {
         let free = |owned: OwnedFd| owned.into_raw_fd().to_string();
         for text in ["", "x", "-1", "0", "2", "3.5", "99999999999"] {
-            assert_eq!(listener(text, any()).err(), Some(Problem::Number), "{text}");
+            assert_eq!(listener(text, any()).err(), Some(InheritError::Number), "{text}");
         }
-        assert_eq!(listener("987654", any()).err(), Some(Problem::Closed));
+        assert_eq!(listener("987654", any()).err(), Some(InheritError::Closed));
         // All are opened first: the number of one that was refused and closed would be given out again.
         let file = std::fs::File::open("/dev/null").expect("a file");
         let datagrams = UdpSocket::bind(any()).expect("a port");
@@ -114,13 +114,13 @@
         let at = real.local_addr().expect("an address");
         let client = TcpStream::connect(at).expect("a connection");
         let other = real.try_clone().expect("a second descriptor");
-        assert_eq!(listener(&free(file.into()), any()).err(), Some(Problem::NoSocket));
-        assert_eq!(listener(&free(datagrams.into()), any()).err(), Some(Problem::NotListening));
-        assert_eq!(listener(&free(client.into()), any()).err(), Some(Problem::NotListening));
-        assert_eq!(listener(&free(other.into()), any()).err(), Some(Problem::Elsewhere(Some(at))));
+        assert_eq!(listener(&free(file.into()), any()).err(), Some(InheritError::NoSocket));
+        assert_eq!(listener(&free(datagrams.into()), any()).err(), Some(InheritError::NotListening));
+        assert_eq!(listener(&free(client.into()), any()).err(), Some(InheritError::NotListening));
+        assert_eq!(listener(&free(other.into()), any()).err(), Some(InheritError::Elsewhere(Some(at))));
         let number = free(real.into());
         let taken = listener(&number, at).expect("the listener");
-        assert_eq!(listener(&number, at).err(), Some(Problem::Taken));
+        assert_eq!(listener(&number, at).err(), Some(InheritError::Taken));
         let peer = TcpStream::connect(at).expect("another connection");
         assert!(taken.accept().is_ok(), "the first one waits");
         assert!(std::iter::repeat_with(|| taken.accept()).take(1000).any(|a| a.is_ok()));
--- a/crates/duties/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,7 +1,7 @@
 //! What stands before every effect.
 
-use crate::holder::Permit;
-use crate::state::Token;
+use crate::holder::LeasePermit;
+use crate::state::FencingToken;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Effect<T> {
     duty: String,
-    token: Token,
+    token: FencingToken,
     what: T,
 }
 
 impl<T> Effect<T> {
     /// An effect under a permit.
-    pub fn new(permit: &Permit, what: T) -> Self {
+    pub fn new(permit: &LeasePermit, what: T) -> Self {
         Self { duty: permit.duty().to_owned(), token: permit.token(), what }
     }
 
@@ -27,35 +27,35 @@
     }
 
     /// Its token.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 }
 
 /// An effect comes from an owner that is none any more.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Stale {
+pub struct StaleToken {
     /// The duty.
     pub duty: String,
     /// The token that came.
-    pub token: Token,
+    pub token: FencingToken,
     /// The highest that has been seen.
-    pub seen: Token,
+    pub seen: FencingToken,
 }
 
-impl fmt::Display for Stale {
+impl fmt::Display for StaleToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { duty, token, seen } = self;
         write!(f, "token {token} of '{duty}' is over: {seen} has been seen")
     }
 }
 
-impl std::error::Error for Stale {}
+impl std::error::Error for StaleToken {}
 
 /// The highest token seen of each duty.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Fence {
-    seen: BTreeMap<String, Token>,
+    seen: BTreeMap<String, FencingToken>,
     /// Effects refused so far.
     refused: u64,
 }
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// If a higher token has been seen.
-    pub fn admit<T>(&mut self, effect: Effect<T>) -> Result<T, Stale> {
+    pub fn admit<T>(&mut self, effect: Effect<T>) -> Result<T, StaleToken> {
         let Effect { duty, token, what } = effect;
         self.learn(&duty, token)?;
         Ok(what)
@@ -78,11 +78,11 @@
     /// # Errors
     ///
     /// If a higher one has been seen.
-    pub fn learn(&mut self, duty: &str, token: Token) -> Result<(), Stale> {
+    pub fn learn(&mut self, duty: &str, token: FencingToken) -> Result<(), StaleToken> {
         match self.seen.get_mut(duty) {
             Some(seen) if *seen > token => {
                 self.refused += 1;
-                Err(Stale { duty: duty.to_owned(), token, seen: *seen })
+                Err(StaleToken { duty: duty.to_owned(), token, seen: *seen })
             }
             Some(seen) => {
                 *seen = token;
@@ -96,7 +96,7 @@
     }
 
     /// The highest token seen of a duty.
-    pub fn known(&self, duty: &str) -> Option<Token> {
+    pub fn known(&self, duty: &str) -> Option<FencingToken> {
         self.seen.get(duty).copied()
     }
 
--- a/crates/duties/src/granter.rs
+++ b/crates/leases/src/granter.rs
@@ -1,7 +1,7 @@
 //! The time of whoever leads the log: it says when a lease is over, by its own clock alone.
 
-use crate::Times;
-use crate::state::{Call, State, Token};
+use crate::LeaseTiming;
+use crate::state::{FencingToken, LeaseTable, Operation};
 use std::collections::BTreeMap;
 
 /// What is proposed and not applied is proposed again after this, in milliseconds.
@@ -10,18 +10,18 @@
 /// Leases as one voter sees them. It counts each from when it has itself applied the grant or the renewal, which is after the
 /// owner asked, wherever it is applied: so a voter that comes to lead need not wait for more than what is left.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Granter {
-    times: Times,
+pub struct LeaseGranter {
+    times: LeaseTiming,
     /// Of each duty that is owned: its token, its renewals, and when this node has seen them so first.
-    seen: BTreeMap<String, (Token, u64, u64)>,
+    seen: BTreeMap<String, (FencingToken, u64, u64)>,
     leads: bool,
     /// What has been proposed, and when: not again each turn.
     proposed: BTreeMap<String, (u64, u64)>,
 }
 
-impl Granter {
+impl LeaseGranter {
     /// One that does not lead and has applied nothing.
-    pub fn new(times: Times) -> Self {
+    pub fn new(times: LeaseTiming) -> Self {
         Self { times, seen: BTreeMap::new(), leads: false, proposed: BTreeMap::new() }
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Takes in what the log has come to, after commands were applied.
-    pub fn applied(&mut self, now: u64, state: &State) {
+    pub fn applied(&mut self, now: u64, state: &LeaseTable) {
         self.seen.retain(|name, _| state.duty(name).is_some_and(|duty| duty.owner.is_some()));
         for (name, duty) in state.duties() {
             let Some((_, token)) = &duty.owner else { continue };
@@ -58,17 +58,17 @@
     }
 
     /// The leases that are over, to be put to the log.
-    pub fn due(&mut self, now: u64) -> Option<Call> {
+    pub fn due(&mut self, now: u64) -> Option<Operation> {
         if !self.leads {
             return None;
         }
         let all =
             self.seen.iter().filter(|(name, (_, renewals, since))| self.over(name, *renewals, *since) <= now);
-        let over: Vec<(String, Token, u64)> =
+        let over: Vec<(String, FencingToken, u64)> =
             all.map(|(name, (token, renewals, _))| (name.clone(), *token, *renewals)).collect();
         for (name, _, renewals) in &over {
             self.proposed.insert(name.clone(), (*renewals, now));
         }
-        (!over.is_empty()).then_some(Call::Expire(over))
+        (!over.is_empty()).then_some(Operation::Expire(over))
     }
 }
--- a/crates/duties/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,25 +1,25 @@
 //! The time of a node that owns duties: whether it may still act, by its own clock alone.
 
-use crate::Times;
-use crate::state::Token;
+use crate::LeaseTiming;
+use crate::state::FencingToken;
 use std::collections::BTreeMap;
 
 /// That a node may act now for a duty. It is good for the effect that is made at once, not for one that is made later.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Permit {
+pub struct LeasePermit {
     duty: String,
-    token: Token,
+    token: FencingToken,
     left: u64,
 }
 
-impl Permit {
+impl LeasePermit {
     /// The duty.
     pub fn duty(&self) -> &str {
         &self.duty
     }
 
     /// The token to act under.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -31,15 +31,15 @@
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Held {
-    token: Token,
+    token: FencingToken,
     /// By this clock; none where it must be renewed before anything is done.
     until: Option<u64>,
 }
 
 /// What a node owns.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Holder {
-    times: Times,
+pub struct LeaseHolder {
+    times: LeaseTiming,
     held: BTreeMap<String, Held>,
     /// When the latest turn was.
     turn: Option<u64>,
@@ -47,9 +47,9 @@
     since: u64,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// One that owns nothing.
-    pub fn new(times: Times) -> Self {
+    pub fn new(times: LeaseTiming) -> Self {
         Self { times, held: BTreeMap::new(), turn: None, since: 0 }
     }
 
@@ -67,7 +67,7 @@
 
     /// A grant has come, or a renewal, that was asked for then: the lease counts from before it was asked. An answer to what
     /// was asked before a pause counts for nothing.
-    pub fn granted(&mut self, asked: u64, duty: &str, token: Token) {
+    pub fn granted(&mut self, asked: u64, duty: &str, token: FencingToken) {
         let until = (asked >= self.since).then(|| asked + self.times.owner());
         let held = self.held.entry(duty.to_owned()).or_insert(Held { token, until });
         if held.token < token {
@@ -78,23 +78,23 @@
     }
 
     /// A duty is this node's no more, as of this token: refused, released, lost, or handed on.
-    pub fn lost(&mut self, duty: &str, token: Token) {
+    pub fn lost(&mut self, duty: &str, token: FencingToken) {
         if self.held.get(duty).is_some_and(|held| held.token <= token) {
             self.held.remove(duty);
         }
     }
 
     /// Whether it may act now; asked before each effect.
-    pub fn may(&self, now: u64, duty: &str) -> Option<Permit> {
+    pub fn may(&self, now: u64, duty: &str) -> Option<LeasePermit> {
         let held = self.held.get(duty)?;
         // The same as in `turn`, for who asks in the middle of one.
         let awake = self.turn.is_some_and(|last| now <= last + self.times.late);
         let left = held.until?.checked_sub(now).filter(|left| *left > 0 && awake)?;
-        Some(Permit { duty: duty.to_owned(), token: held.token, left })
+        Some(LeasePermit { duty: duty.to_owned(), token: held.token, left })
     }
 
     /// All that it believes to own, to be renewed at once; also what has to be, after a pause.
-    pub fn all(&self) -> Vec<(String, Token)> {
+    pub fn all(&self) -> Vec<(String, FencingToken)> {
         self.held.iter().map(|(duty, held)| (duty.clone(), held.token)).collect()
     }
 
--- a/crates/duties/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,11 +1,11 @@
 //! Work that one node does for all: a duty. Who owns it, under which token, and until when.
 //!
-//! [`State`] is what all voters hold the same, a fold over the agreed log: it knows no time. [`Granter`] is the time of
-//! whoever leads the log, and says when a lease is over; [`Holder`] is the time of a node that owns duties, and says
+//! [`LeaseTable`] is what all voters hold the same, a fold over the agreed log: it knows no time. [`LeaseGranter`] is the time of
+//! whoever leads the log, and says when a lease is over; [`LeaseHolder`] is the time of a node that owns duties, and says
 //! whether it may still act. No clock is compared with another's. [`Fence`] stands before every effect and refuses a token
 //! below the highest that it has seen: safety rests on that alone, never on time.
 //!
-//! An [`Effect`] can only be made with a [`Permit`], and a permit only comes from a holder whose lease still runs. The
+//! An [`Effect`] can only be made with a [`LeasePermit`], and a permit only comes from a holder whose lease still runs. The
 //! design note is `docs/design/duties.md`.
 
 #![forbid(unsafe_code)]
@@ -16,14 +16,17 @@
 mod holder;
 mod state;
 
-pub use fence::{Effect, Fence, Stale};
-pub use granter::Granter;
-pub use holder::{Holder, Permit};
-pub use state::{Answer, Call, Command, Duty, MOST_DUTIES, MOST_NAME, MOST_VALUE, Refusal, State, Token};
+pub use fence::{Effect, Fence, StaleToken};
+pub use granter::LeaseGranter;
+pub use holder::{LeaseHolder, LeasePermit};
+pub use state::{
+    Command, FencingToken, Lease, LeaseTable, MAX_LEASES, MAX_NAME_BYTES, MAX_VALUE_BYTES, Operation,
+    Rejection, Response,
+};
 
 /// What leases go by, in milliseconds; the same at all nodes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Times {
+pub struct LeaseTiming {
     /// How long a lease runs from its grant or renewal.
     pub lease: u64,
     /// By how much one machine's clock may run faster or slower than true time, in thousandths.
@@ -32,13 +35,13 @@
     pub late: u64,
 }
 
-impl Default for Times {
+impl Default for LeaseTiming {
     fn default() -> Self {
         Self { lease: 3000, drift: 20, late: 500 }
     }
 }
 
-impl Times {
+impl LeaseTiming {
     /// How long an owner takes its lease for, by its own clock.
     pub fn owner(&self) -> u64 {
         self.lease * (1000 - self.drift.min(999)) / 1000
--- a/crates/duties/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,7 +1,9 @@
 //! Nodes that own duties, in told time from seeds: the real state at each voter, the real granters, holders and fences; the log
 //! between them is one that decides in one order, late and with another leader now and then. Clocks run up to 2 % apart.
 
-use postproxy_duties::{Answer, Call, Command, Effect, Fence, Granter, Holder, State, Times};
+use postproxy_leases::{
+    Command, Effect, Fence, LeaseGranter, LeaseHolder, LeaseTable, LeaseTiming, Operation, Response,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -15,7 +17,7 @@
     name: String,
     /// Thousandths by which its clock is fast or slow.
     rate: i64,
-    holder: Holder,
+    holder: LeaseHolder,
     life: u64,
     number: u64,
     /// The call that waits for its answer: when it was first asked by its clock, when it was sent last, and it.
@@ -30,15 +32,15 @@
 
 /// A voter: what it has applied, and its leases.
 struct Voter {
-    state: State,
-    granter: Granter,
+    state: LeaseTable,
+    granter: LeaseGranter,
     applied: usize,
 }
 
 #[derive(Debug)]
 enum What {
-    Call(usize, Command),
-    Answer(usize, u64, u64, Answer),
+    Operation(usize, Command),
+    Response(usize, u64, u64, Response),
     Effect(usize, Effect<Work>),
 }
 
@@ -62,12 +64,12 @@
 impl Sim {
     fn new(count: usize, seed: u64) -> Self {
         let mut draws = Pcg64Mcg::seed_from_u64(seed);
-        let times = Times::default();
+        let times = LeaseTiming::default();
         let nodes = (0..count)
             .map(|n| Node {
                 name: format!("n{n}"),
                 rate: (draws.next_u64() % 41) as i64 - 20,
-                holder: Holder::new(times),
+                holder: LeaseHolder::new(times),
                 life: 1,
                 number: 0,
                 open: None,
@@ -78,7 +80,7 @@
                 cut: false,
             })
             .collect();
-        let voter = || Voter { state: State::default(), granter: Granter::new(times), applied: 0 };
+        let voter = || Voter { state: LeaseTable::default(), granter: LeaseGranter::new(times), applied: 0 };
         let (log, on_the_way, done) = Default::default();
         Self {
             now: 100_000,
@@ -131,7 +133,7 @@
                 *sent = clock;
                 let command = command.clone();
                 if !node.cut {
-                    self.send(60, What::Call(n, command));
+                    self.send(60, What::Operation(n, command));
                 }
             }
         } else {
@@ -139,27 +141,27 @@
             let renew = node.holder.renew_at().is_some_and(|at| at <= clock);
             let free = DUTIES.iter().find(|duty| !held.iter().any(|(name, _)| name == *duty));
             let call = match free {
-                _ if renew => Some(Call::Renew(held.clone())),
-                Some(duty) if clock.is_multiple_of(7) => Some(Call::Acquire((*duty).to_owned())),
+                _ if renew => Some(Operation::Renew(held.clone())),
+                Some(duty) if clock.is_multiple_of(7) => Some(Operation::Acquire((*duty).to_owned())),
                 _ => held.first().filter(|_| clock.is_multiple_of(11)).map(|(name, token)| {
                     let count = node.counts.get(name).copied().unwrap_or_default();
                     if clock.is_multiple_of(5) {
-                        Call::Release(name.clone(), *token)
+                        Operation::Release(name.clone(), *token)
                     } else {
-                        Call::Save(name.clone(), *token, count.to_be_bytes().to_vec())
+                        Operation::Save(name.clone(), *token, count.to_be_bytes().to_vec())
                     }
                 }),
             };
             if let Some(call) = call {
                 node.number += 1;
                 // Who gives it up stops before it says so.
-                if let Call::Release(name, token) = &call {
+                if let Operation::Release(name, token) = &call {
                     node.holder.lost(name, *token);
                 }
                 let command = Command { node: node.name.clone(), life: node.life, number: node.number, call };
                 node.open = Some((clock, clock, command.clone()));
                 if !node.cut {
-                    self.send(60, What::Call(n, command));
+                    self.send(60, What::Operation(n, command));
                 }
             }
         }
@@ -183,25 +185,25 @@
 
     fn take(&mut self, what: What) {
         match what {
-            What::Call(n, command) => {
+            What::Operation(n, command) => {
                 if !self.nodes[n].cut {
                     let at = self.now + 5 + self.draw(30);
                     let last = self.log.last().map_or(0, |(at, _)| *at);
                     self.log.push((at.max(last), command));
                 }
             }
-            What::Answer(n, life, number, answer) => {
+            What::Response(n, life, number, answer) => {
                 let node = &mut self.nodes[n];
                 let open =
                     node.open.take_if(|(_, _, command)| (command.life, command.number) == (life, number));
                 let Some((asked, _, command)) = open else { return };
                 match (command.call, answer) {
-                    (Call::Acquire(duty), Answer::Owns(token, value)) => {
+                    (Operation::Acquire(duty), Response::Owns(token, value)) => {
                         let count = value.try_into().map_or(0, u64::from_be_bytes);
                         node.counts.insert(duty.clone(), count);
                         node.holder.granted(asked, &duty, token);
                     }
-                    (Call::Renew(all), Answer::Renewed(renewed, lost)) => {
+                    (Operation::Renew(all), Response::Renewed(renewed, lost)) => {
                         for (duty, token) in all {
                             if lost.contains(&duty) {
                                 node.holder.lost(&duty, token);
@@ -210,7 +212,7 @@
                             }
                         }
                     }
-                    (Call::Save(duty, token, _), Answer::Refused(_)) => node.holder.lost(&duty, token),
+                    (Operation::Save(duty, token, _), Response::Refused(_)) => node.holder.lost(&duty, token),
                     _ => {}
                 }
             }
@@ -232,7 +234,7 @@
         for (at, what) in due {
             match &what {
                 // What comes to a process that is stopped waits for it.
-                What::Answer(n, ..) if !self.awake(*n) => self.on_the_way.push((at + 10, what)),
+                What::Response(n, ..) if !self.awake(*n) => self.on_the_way.push((at + 10, what)),
                 _ => self.take(what),
             }
         }
@@ -250,7 +252,7 @@
                 voter.granter.applied(now, &voter.state);
                 let n = self.nodes.iter().position(|node| node.name == command.node && !node.dead);
                 if let Some(n) = n.filter(|n| v == self.leader && !self.nodes[*n].cut) {
-                    self.send(60, What::Answer(n, command.life, command.number, answer));
+                    self.send(60, What::Response(n, command.life, command.number, answer));
                 }
             }
             let leads = v == self.leader;
@@ -280,7 +282,7 @@
             0 => self.nodes[n].until = self.now + self.draw(8000),
             1 => {
                 let node = &mut self.nodes[n];
-                (node.dead, node.open, node.holder) = (true, None, Holder::new(Times::default()));
+                (node.dead, node.open, node.holder) = (true, None, LeaseHolder::new(LeaseTiming::default()));
                 node.checked.clear();
             }
             2 => {
@@ -342,7 +344,7 @@
             effects += done.len();
         }
         let mut saved: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut state = State::default();
+        let mut state = LeaseTable::default();
         for (_, command) in &sim.log {
             state.apply(command);
             for (name, duty) in state.duties() {
--- a/crates/duties/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -2,7 +2,10 @@
 //! may come to lead, a place where effects arrive; calls, answers and effects are lost, late and out of order, nodes stop at
 //! any moment, also between the check and the effect. Time is a few ticks. Each guard is taken out in turn, and must be missed.
 
-use postproxy_duties::{Answer, Call, Command, Effect, Fence, Granter, Holder, Permit, State, Times};
+use postproxy_leases::{
+    Command, Effect, Fence, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable, LeaseTiming, Operation,
+    Response,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// What is taken out of the protocol.
@@ -23,16 +26,16 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct World {
     now: u64,
-    state: State,
-    granters: [Granter; 2],
-    holders: [Holder; 2],
+    state: LeaseTable,
+    granters: [LeaseGranter; 2],
+    holders: [LeaseHolder; 2],
     /// Calls that each node has made.
     numbers: [u64; 2],
     asleep: [bool; 2],
     /// Calls on their way, with who makes them and when.
     calls: Vec<(usize, u64, Command)>,
-    answers: Vec<(usize, u64, Call, Answer)>,
-    checked: [Option<Permit>; 2],
+    answers: Vec<(usize, u64, Operation, Response)>,
+    checked: [Option<LeasePermit>; 2],
     effects: Vec<Effect<usize>>,
     fence: Fence,
     /// Effects done: the token, and whose.
@@ -48,7 +51,7 @@
     Acquire(usize),
     Renew(usize),
     Apply(usize),
-    Answer(usize),
+    Response(usize),
     Expire(usize),
     Check(usize),
     Send(usize),
@@ -59,7 +62,7 @@
     without: Without,
     ticks: u64,
     calls: [u64; 2],
-    times: Times,
+    times: LeaseTiming,
 }
 
 const DUTY: &str = "d";
@@ -69,7 +72,7 @@
 impl Duties {
     fn new(without: Without, ticks: u64, calls: [u64; 2]) -> Self {
         // A lease of 2 ticks, clocks alike, a pause is more than a tick.
-        Self { without, ticks, calls, times: Times { lease: 2, drift: 0, late: 1 } }
+        Self { without, ticks, calls, times: LeaseTiming { lease: 2, drift: 0, late: 1 } }
     }
 }
 
@@ -78,15 +81,15 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut holders = [Holder::new(self.times), Holder::new(self.times)];
+        let mut holders = [LeaseHolder::new(self.times), LeaseHolder::new(self.times)];
         holders.iter_mut().for_each(|holder| {
             holder.turn(0);
         });
-        let mut granters = [Granter::new(self.times), Granter::new(self.times)];
+        let mut granters = [LeaseGranter::new(self.times), LeaseGranter::new(self.times)];
         granters.iter_mut().for_each(|granter| granter.lead(true));
         vec![World {
             now: 0,
-            state: State::default(),
+            state: LeaseTable::default(),
             granters,
             holders,
             numbers: [0; 2],
@@ -127,7 +130,7 @@
         // One that is lost is one that is never applied.
         steps.extend((0..world.calls.len()).map(Step::Apply));
         let awake = |i: &usize| !world.asleep[world.answers[*i].0];
-        steps.extend((0..world.answers.len()).filter(awake).map(Step::Answer));
+        steps.extend((0..world.answers.len()).filter(awake).map(Step::Response));
         steps.extend((0..world.effects.len()).map(Step::Arrive));
         // Whichever voter leads.
         steps.extend([0, 1].into_iter().filter(|_| world.expired < 2).map(Step::Expire));
@@ -159,14 +162,15 @@
             }
             Step::Acquire(n) | Step::Renew(n) => {
                 let all = world.holders[n].all();
-                let call = if all.is_empty() { Call::Acquire(DUTY.into()) } else { Call::Renew(all) };
+                let call =
+                    if all.is_empty() { Operation::Acquire(DUTY.into()) } else { Operation::Renew(all) };
                 world.numbers[n] += 1;
                 let command = Command { node: format!("n{n}"), life: 1, number: world.numbers[n], call };
                 world.calls.push((n, now, command));
             }
             Step::Apply(i) => {
                 let (n, asked, mut command) = world.calls.remove(i);
-                if let Call::Expire(all) = &mut command.call
+                if let Operation::Expire(all) = &mut command.call
                     && self.without.renewal
                 {
                     // What was seen is taken for what there is by now.
@@ -179,13 +183,13 @@
                 }
                 self.applied(&mut world);
             }
-            Step::Answer(i) => {
+            Step::Response(i) => {
                 let (n, asked, call, answer) = world.answers.remove(i);
                 let asked = if self.without.asked { now } else { asked };
                 let holder = &mut world.holders[n];
                 match (call, answer) {
-                    (_, Answer::Owns(token, _)) => holder.granted(asked, DUTY, token),
-                    (Call::Renew(all), Answer::Renewed(renewed, lost)) => {
+                    (_, Response::Owns(token, _)) => holder.granted(asked, DUTY, token),
+                    (Operation::Renew(all), Response::Renewed(renewed, lost)) => {
                         for (name, token) in all {
                             if renewed.iter().any(|(of, _)| *of == name) {
                                 holder.granted(asked, &name, token);
@@ -200,7 +204,7 @@
             Step::Expire(leader) => {
                 let call = if self.without.wait {
                     // It counts from nothing.
-                    let mut granter = Granter::new(self.times);
+                    let mut granter = LeaseGranter::new(self.times);
                     granter.applied(0, &world.state);
                     granter.lead(true);
                     granter.due(now + 100)?
--- a/crates/duties/tests/state.rs
+++ b/crates/leases/tests/state.rs
@@ -1,21 +1,21 @@
 //! The state, the holder and the granter by themselves: each answer of each call, and time at its edges.
 
-use postproxy_duties::{
-    Answer, Call, Command, Effect, Fence, Granter, Holder, MOST_DUTIES, MOST_NAME, MOST_VALUE, Refusal,
-    Stale, State, Times,
+use postproxy_leases::{
+    Command, Effect, Fence, LeaseGranter, LeaseHolder, LeaseTable, LeaseTiming, MAX_LEASES, MAX_NAME_BYTES,
+    MAX_VALUE_BYTES, Operation, Rejection, Response, StaleToken,
 };
 
 struct Log {
-    state: State,
+    state: LeaseTable,
     number: u64,
 }
 
 impl Log {
     fn new() -> Self {
-        Self { state: State::default(), number: 0 }
+        Self { state: LeaseTable::default(), number: 0 }
     }
 
-    fn call(&mut self, node: &str, call: Call) -> Answer {
+    fn call(&mut self, node: &str, call: Operation) -> Response {
         self.number += 1;
         self.state.apply(&Command { node: node.into(), life: 1, number: self.number, call })
     }
@@ -33,47 +33,53 @@
 #[test]
 fn each_call_comes_to_its_answer() {
     let mut log = Log::new();
-    let refused = Answer::Refused;
-    assert_eq!(log.call("a", Call::Release(d(), 1)), refused(Refusal::Unknown));
-    assert_eq!(log.call("a", Call::Hand(d(), None, "b".into())), refused(Refusal::Unknown));
-    assert_eq!(log.call("a", Call::Acquire(d())), Answer::Owns(1, Vec::new()));
-    assert_eq!(log.call("b", Call::Acquire(d())), refused(Refusal::Owned("a".into(), 1)));
-    assert_eq!(log.call("a", Call::Save(d(), 1, b"x".to_vec())), Answer::Done);
-    assert_eq!(log.call("b", Call::Save(d(), 2, b"y".to_vec())), refused(Refusal::Stale(Some(1))));
+    let refused = Response::Refused;
+    assert_eq!(log.call("a", Operation::Release(d(), 1)), refused(Rejection::Unknown));
+    assert_eq!(log.call("a", Operation::Hand(d(), None, "b".into())), refused(Rejection::Unknown));
+    assert_eq!(log.call("a", Operation::Acquire(d())), Response::Owns(1, Vec::new()));
+    assert_eq!(log.call("b", Operation::Acquire(d())), refused(Rejection::Owned("a".into(), 1)));
+    assert_eq!(log.call("a", Operation::Save(d(), 1, b"x".to_vec())), Response::Done);
+    assert_eq!(
+        log.call("b", Operation::Save(d(), 2, b"y".to_vec())),
+        refused(Rejection::StaleToken(Some(1)))
+    );
     // In a new life it owns it anew: what the earlier one still does is refused.
-    assert_eq!(log.call("a", Call::Acquire(d())), Answer::Owns(2, b"x".to_vec()));
-    assert_eq!(log.call("a", Call::Save(d(), 1, b"y".to_vec())), refused(Refusal::Stale(Some(2))));
+    assert_eq!(log.call("a", Operation::Acquire(d())), Response::Owns(2, b"x".to_vec()));
+    assert_eq!(
+        log.call("a", Operation::Save(d(), 1, b"y".to_vec())),
+        refused(Rejection::StaleToken(Some(2)))
+    );
     let both = vec![(d(), 2), ("e".into(), 2)];
     assert_eq!(
-        log.call("a", Call::Renew(both.clone())),
-        Answer::Renewed(vec![(d(), None)], vec!["e".into()])
+        log.call("a", Operation::Renew(both.clone())),
+        Response::Renewed(vec![(d(), None)], vec!["e".into()])
     );
     assert_eq!(
-        log.call("b", Call::Renew(both)),
-        Answer::Renewed(Vec::new(), vec![d(), "e".into()]),
+        log.call("b", Operation::Renew(both)),
+        Response::Renewed(Vec::new(), vec![d(), "e".into()]),
         "not its own"
     );
     // Wanted by an operator: it is told to the owner, who hands it on; a release does so, too.
-    assert_eq!(log.call("b", Call::Hand(d(), None, "c".into())), Answer::Done);
+    assert_eq!(log.call("b", Operation::Hand(d(), None, "c".into())), Response::Done);
     assert_eq!(log.owner("d"), Some(("a".into(), 2)));
     assert_eq!(
-        log.call("a", Call::Renew(vec![(d(), 2)])),
-        Answer::Renewed(vec![(d(), Some("c".into()))], Vec::new())
+        log.call("a", Operation::Renew(vec![(d(), 2)])),
+        Response::Renewed(vec![(d(), Some("c".into()))], Vec::new())
     );
-    assert_eq!(log.call("a", Call::Release(d(), 2)), Answer::Done);
+    assert_eq!(log.call("a", Operation::Release(d(), 2)), Response::Done);
     assert_eq!(log.owner("d"), Some(("c".into(), 3)));
-    assert_eq!(log.call("a", Call::Release(d(), 2)), refused(Refusal::Stale(Some(3))));
-    assert_eq!(log.call("c", Call::Hand(d(), Some(3), "a".into())), Answer::Done);
+    assert_eq!(log.call("a", Operation::Release(d(), 2)), refused(Rejection::StaleToken(Some(3))));
+    assert_eq!(log.call("c", Operation::Hand(d(), Some(3), "a".into())), Response::Done);
     assert_eq!(log.owner("d"), Some(("a".into(), 4)), "by its owner: at once");
     // An expiry that has not seen a renewal, or is of an earlier owner, ends nothing.
     let renewals = log.state.duty("d").expect("it is there").renewals;
-    log.call("a", Call::Renew(vec![(d(), 4)]));
-    log.call("v", Call::Expire(vec![(d(), 4, renewals), (d(), 3, renewals + 1), ("e".into(), 1, 1)]));
+    log.call("a", Operation::Renew(vec![(d(), 4)]));
+    log.call("v", Operation::Expire(vec![(d(), 4, renewals), (d(), 3, renewals + 1), ("e".into(), 1, 1)]));
     assert_eq!(log.owner("d"), Some(("a".into(), 4)));
-    log.call("v", Call::Expire(vec![(d(), 4, renewals + 1)]));
+    log.call("v", Operation::Expire(vec![(d(), 4, renewals + 1)]));
     assert_eq!(log.owner("d"), None);
-    assert_eq!(log.call("a", Call::Save(d(), 4, Vec::new())), refused(Refusal::Stale(None)));
-    assert_eq!(log.call("b", Call::Acquire(d())), Answer::Owns(5, b"x".to_vec()));
+    assert_eq!(log.call("a", Operation::Save(d(), 4, Vec::new())), refused(Rejection::StaleToken(None)));
+    assert_eq!(log.call("b", Operation::Acquire(d())), Response::Owns(5, b"x".to_vec()));
     assert_eq!(log.state.token(), 5);
 }
 
@@ -81,40 +87,40 @@
 #[test]
 fn what_is_malformed_or_too_much_is_refused() {
     let mut log = Log::new();
-    let malformed = Answer::Refused(Refusal::Malformed);
-    for name in ["", &"x".repeat(MOST_NAME + 1)] {
-        assert_eq!(log.call("a", Call::Acquire(name.into())), malformed);
-        assert_eq!(log.call(name, Call::Acquire(d())), malformed);
+    let malformed = Response::Refused(Rejection::Malformed);
+    for name in ["", &"x".repeat(MAX_NAME_BYTES + 1)] {
+        assert_eq!(log.call("a", Operation::Acquire(name.into())), malformed);
+        assert_eq!(log.call(name, Operation::Acquire(d())), malformed);
     }
-    log.call("a", Call::Acquire(d()));
-    assert_eq!(log.call("a", Call::Hand(d(), Some(1), String::new())), malformed);
-    assert_eq!(log.call("a", Call::Save(d(), 1, vec![0; MOST_VALUE + 1])), malformed);
-    for n in 1..MOST_DUTIES {
-        assert!(matches!(log.call("a", Call::Acquire(format!("d{n}"))), Answer::Owns(..)));
+    log.call("a", Operation::Acquire(d()));
+    assert_eq!(log.call("a", Operation::Hand(d(), Some(1), String::new())), malformed);
+    assert_eq!(log.call("a", Operation::Save(d(), 1, vec![0; MAX_VALUE_BYTES + 1])), malformed);
+    for n in 1..MAX_LEASES {
+        assert!(matches!(log.call("a", Operation::Acquire(format!("d{n}"))), Response::Owns(..)));
     }
-    assert_eq!(log.call("a", Call::Acquire("one more".into())), Answer::Refused(Refusal::Full));
-    assert_eq!(log.state.duties().count(), MOST_DUTIES);
+    assert_eq!(log.call("a", Operation::Acquire("one more".into())), Response::Refused(Rejection::Full));
+    assert_eq!(log.state.duties().count(), MAX_LEASES);
 }
 
 /// Guards against a call that is carried out twice because its answer was lost, and one that comes late.
 #[test]
 fn a_call_that_is_repeated_comes_to_what_it_came_to() {
-    let mut state = State::default();
+    let mut state = LeaseTable::default();
     let command = |life, number, call| Command { node: "a".into(), life, number, call };
-    let first = command(1, 1, Call::Acquire(d()));
-    assert_eq!(state.apply(&first), Answer::Owns(1, Vec::new()));
-    assert_eq!(state.apply(&first), Answer::Owns(1, Vec::new()), "no second token");
-    assert_eq!(state.apply(&command(1, 2, Call::Release(d(), 1))), Answer::Done);
-    assert_eq!(state.apply(&first), Answer::Refused(Refusal::Old));
+    let first = command(1, 1, Operation::Acquire(d()));
+    assert_eq!(state.apply(&first), Response::Owns(1, Vec::new()));
+    assert_eq!(state.apply(&first), Response::Owns(1, Vec::new()), "no second token");
+    assert_eq!(state.apply(&command(1, 2, Operation::Release(d(), 1))), Response::Done);
+    assert_eq!(state.apply(&first), Response::Refused(Rejection::Old));
     assert_eq!(state.duty("d").and_then(|duty| duty.owner.clone()), None);
     assert_eq!(
-        state.apply(&command(2, 1, Call::Acquire(d()))),
-        Answer::Owns(2, Vec::new()),
+        state.apply(&command(2, 1, Operation::Acquire(d()))),
+        Response::Owns(2, Vec::new()),
         "another life's numbers"
     );
     // Clients that come and go are forgotten in the order of their last call.
     for n in 0..5000u64 {
-        state.apply(&Command { node: format!("n{n}"), life: 1, number: 1, call: Call::Acquire(d()) });
+        state.apply(&Command { node: format!("n{n}"), life: 1, number: 1, call: Operation::Acquire(d()) });
     }
     assert!(postcard::to_stdvec(&state).expect("bytes").len() < 200_000);
 }
@@ -122,7 +128,7 @@
 /// Guards against a lease that runs too long by its owner's clock, or that an answer from before a pause gives back.
 #[test]
 fn a_lease_ends_by_the_owners_own_clock_and_a_late_turn_voids_it() {
-    let mut holder = Holder::new(Times::default());
+    let mut holder = LeaseHolder::new(LeaseTiming::default());
     holder.turn(10_000);
     assert_eq!(holder.may(10_000, "d"), None);
     holder.granted(10_000, "d", 7);
@@ -159,16 +165,16 @@
 /// Guards against a granter that ends a lease before its owner has, that never does, or that proposes it each turn.
 #[test]
 fn a_granter_ends_a_lease_once_it_has_seen_it_run_out() {
-    let (mut log, mut granter) = (Log::new(), Granter::new(Times::default()));
-    log.call("a", Call::Acquire(d()));
+    let (mut log, mut granter) = (Log::new(), LeaseGranter::new(LeaseTiming::default()));
+    log.call("a", Operation::Acquire(d()));
     granter.applied(1000, &log.state);
     assert_eq!((granter.next(), granter.due(9000)), (None, None), "it does not lead");
     granter.lead(true);
     assert_eq!((granter.next(), granter.due(4059)), (Some(4060), None));
-    log.call("a", Call::Renew(vec![(d(), 1)]));
+    log.call("a", Operation::Renew(vec![(d(), 1)]));
     granter.applied(2000, &log.state);
     assert_eq!(granter.due(5059), None);
-    let over = Call::Expire(vec![(d(), 1, 2)]);
+    let over = Operation::Expire(vec![(d(), 1, 2)]);
     assert_eq!(granter.due(5060), Some(over.clone()));
     assert_eq!((granter.due(5061), granter.next()), (None, Some(6060)), "it is on its way");
     assert_eq!(granter.due(6060), Some(over.clone()), "it was lost");
@@ -180,7 +186,7 @@
 /// Guards against an old owner whose effect is taken, and against a fence that forgets or refuses its own.
 #[test]
 fn a_fence_takes_no_token_below_the_highest() {
-    let mut holder = Holder::new(Times::default());
+    let mut holder = LeaseHolder::new(LeaseTiming::default());
     holder.turn(0);
     let mut effect = |token, what| {
         holder.granted(0, "d", token);
@@ -191,7 +197,7 @@
     let mut fence = Fence::default();
     assert_eq!(fence.admit(old), Ok("old"));
     assert_eq!(fence.admit(new), Ok("new"));
-    let stale = Stale { duty: d(), token: 3, seen: 5 };
+    let stale = StaleToken { duty: d(), token: 3, seen: 5 };
     assert_eq!(fence.admit(older), Err(stale.clone()));
     assert_eq!(stale.to_string(), "token 3 of 'd' is over: 5 has been seen");
     // What it knows is kept, and is enough.
--- a/crates/members/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -1,10 +1,10 @@
-//! Measures fleets in simulation, with told time: `cargo run --release -p postproxy-members --example measure -- 3 10 30`.
+//! Measures fleets in simulation, with told time: `cargo run --release -p postproxy-membership --example measure -- 3 10 30`.
 //! Prints the table of `docs/measure/members.md`; seeds are fixed.
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
-use postproxy_members::{News, Settings, Standing};
+use postproxy_membership::{ClusterHealth, MembershipEvent, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sim::Sim;
@@ -52,7 +52,7 @@
     let from = sim.now;
     let sent: Vec<(u64, u64)> = sim.nodes.iter().map(|n| (n.sent, n.bytes)).collect();
     sim.run(quiet);
-    let wrong = sim.told(from, |news| matches!(news, News::Failed(_))) as f64 / count as f64;
+    let wrong = sim.told(from, |news| matches!(news, MembershipEvent::Failed(_))) as f64 / count as f64;
     let share = 1.0 / (quiet * count as f64);
     let datagrams: u64 = sim.nodes.iter().zip(&sent).map(|(n, (before, _))| n.sent - before).sum();
     let bytes: u64 = sim.nodes.iter().zip(&sent).map(|(n, (_, before))| n.bytes - before).sum();
@@ -70,7 +70,8 @@
         let (name, killed) = (sim.nodes[victim].name.clone(), sim.now);
         sim.kill(victim);
         let told = |node: &sim::Node| {
-            let about = |news: &News| matches!(news, News::Failed(id) if *id.name == *name);
+            let about =
+                |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if *id.name == *name);
             let mut recent = node.news.iter().rev().take_while(|(at, _)| *at > killed);
             recent.find(|(_, news)| about(news)).map(|(at, _)| at - killed)
         };
@@ -130,13 +131,13 @@
             println!(
                 "{:.1} h, {pauses} pauses, {} wrongly failed",
                 (sim.now - from) / 3600.0,
-                sim.told(from, |n| matches!(n, News::Failed(_)))
+                sim.told(from, |n| matches!(n, MembershipEvent::Failed(_)))
             );
         }
     }
     println!(
         "10 h, {pauses} pauses: {} wrongly failed",
-        sim.told(from, |news| matches!(news, News::Failed(_)))
+        sim.told(from, |news| matches!(news, MembershipEvent::Failed(_)))
     );
 }
 
@@ -159,7 +160,7 @@
         } else {
             never += 1;
         }
-        if sim.until(120.0, |sim| sim.agree() && sim.all_stand(&Standing::Whole)) {
+        if sim.until(120.0, |sim| sim.agree() && sim.all_stand(&ClusterHealth::Whole)) {
             whole.push(sim.now - from);
         }
         sim.faults.loss = 0.0;
--- a/crates/members/src/standing.rs
+++ b/crates/membership/src/cluster_health.rs
@@ -1,6 +1,6 @@
 //! How things stand, from the list and from who hears whom. An opinion.
 
-use crate::hearing;
+use crate::reachability;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -11,7 +11,7 @@
     pub me: String,
     /// It is no member: the name is another's, or it has not joined.
     pub apart: bool,
-    /// Members, this node among them, in the order of [`hearing::order`].
+    /// Members, this node among them, in the order of [`reachability::order`].
     pub members: Vec<String>,
     /// Nodes that have failed, and those that have left.
     pub failed: BTreeSet<String>,
@@ -25,7 +25,7 @@
 
 /// How things stand.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClusterHealth {
     /// No other member is known, or this node is none.
     Alone,
     /// All members that have not left are there and heard.
@@ -42,7 +42,7 @@
     NoMajority(Vec<String>),
 }
 
-impl Standing {
+impl ClusterHealth {
     /// A word for logs and the door.
     pub fn word(&self) -> &'static str {
         match self {
@@ -70,7 +70,7 @@
     }
 }
 
-impl fmt::Display for Standing {
+impl fmt::Display for ClusterHealth {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.word())
     }
@@ -94,7 +94,7 @@
         let Some(from) = self.members.iter().find(|name| *name == from) else { return BTreeSet::new() };
         let (mut found, mut next) = (BTreeSet::from([from.as_str()]), vec![from]);
         while let Some(at) = next.pop() {
-            for other in hearing::pairs(&self.members, &self.voters, at) {
+            for other in reachability::pairs(&self.members, &self.voters, at) {
                 if !cut(at, other) && !cut(other, at) && found.insert(other) {
                     next.push(other);
                 }
@@ -104,9 +104,9 @@
     }
 
     /// How things stand.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> ClusterHealth {
         if self.apart || self.members.len() + self.failed.len() <= 1 {
-            return Standing::Alone;
+            return ClusterHealth::Alone;
         }
         let reached = self.reached(&self.me);
         let missing = |names: &BTreeSet<String>| {
@@ -125,21 +125,21 @@
             // Voters that are not members may have a majority where they are, unless they are too few.
             let elsewhere = possible - here.iter().filter(|v| !self.left.contains(*v)).count();
             if possible < majority || largest.max(elsewhere) < majority {
-                return Standing::NoMajority(missing(&self.voters));
+                return ClusterHealth::NoMajority(missing(&self.voters));
             }
             let mine = here.iter().filter(|voter| reached.contains(voter.as_str())).count();
             if mine < majority {
-                return Standing::Minority(missing(&self.voters));
+                return ClusterHealth::Minority(missing(&self.voters));
             }
             let all: BTreeSet<String> = self.members.iter().chain(&self.failed).cloned().collect();
             let away: Vec<String> = missing(&all);
             if !away.is_empty() {
-                return Standing::Majority(away);
+                return ClusterHealth::Majority(away);
             }
         } else if !self.failed.is_empty() {
-            return Standing::Failed(self.failed.iter().cloned().collect());
+            return ClusterHealth::Failed(self.failed.iter().cloned().collect());
         }
         let cuts = self.cuts();
-        if cuts.is_empty() { Standing::Whole } else { Standing::SomeCut(cuts) }
+        if cuts.is_empty() { ClusterHealth::Whole } else { ClusterHealth::SomeCut(cuts) }
     }
 }
--- a/crates/members/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// The longest name of a node, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// One life of a node.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
--- a/crates/members/src/time.rs
+++ b/crates/membership/src/local_clock.rs
@@ -11,7 +11,7 @@
 
 /// Own time, beside the clock that is told.
 #[derive(Debug)]
-pub struct OwnTime {
+pub struct LocalClock {
     /// The latest time told.
     told: f64,
     own: f64,
@@ -21,7 +21,7 @@
     missed: f64,
 }
 
-impl OwnTime {
+impl LocalClock {
     /// Begins now.
     pub fn new(now: f64) -> Self {
         Self { told: now, own: 0.0, ill: 0.0, missed: 0.0 }
--- a/crates/members/src/members.rs
+++ b/crates/membership/src/membership.rs
@@ -1,11 +1,11 @@
 //! The machine: told datagrams and the time, it says what to send, what is new, and when to be called again.
 
-use crate::bans::{Bans, Fnv, Mark};
-use crate::hearing::{self, Hearing, MOST_COMPLAINTS};
+use crate::cluster_health::{ClusterHealth, Known};
 use crate::identity::Identity;
-use crate::packet::{self, Flaw, MOST_INSIDE, Message};
-use crate::standing::{Known, Standing};
-use crate::time::OwnTime;
+use crate::local_clock::LocalClock;
+use crate::packet::{self, DecodeError, MOST_INSIDE, Message};
+use crate::reachability::{self, MOST_COMPLAINTS, Reachability};
+use crate::suspended_workers::{Fnv, SuspendedWorkers, Suspension};
 use foca::{AccumulatingRuntime, Foca, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -96,18 +96,18 @@
 
 /// What comes of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Send this datagram.
     Send(SocketAddr, Vec<u8>),
     /// Have this arrive at this node, over a stream; lost, it is said again later.
     Tell(Identity, Vec<u8>),
     /// Something is new.
-    News(News),
+    MembershipEvent(MembershipEvent),
 }
 
 /// Why a node can't be forgotten.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Refused {
+pub enum Rejection {
     /// Nobody of that name is known.
     Nobody,
     /// It has not failed.
@@ -118,7 +118,7 @@
 
 /// What is new.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum MembershipEvent {
     /// A node is a member now.
     Up(Identity),
     /// It is the same node in a new life or at another address.
@@ -132,7 +132,7 @@
     /// The name is borne by another process, there; this node goes on alone.
     Namesake(SocketAddr),
     /// How things stand has changed.
-    Standing(Standing),
+    ClusterHealth(ClusterHealth),
     /// A worker is out of use, or back in it.
     Ban(String, bool),
     /// Under this ticket: the ban holds at so many of so many nodes.
@@ -158,7 +158,7 @@
 
 /// A node as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum MemberState {
     /// A member.
     Alive,
     /// A member that did not answer; it may still say that it lives.
@@ -171,7 +171,7 @@
 
 /// What is passed on from node to node.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-enum Word {
+enum GossipMessage {
     /// A life of a node does not hear these, in its so-manieth word on it.
     Deaf(String, u64, u32, Vec<String>),
     /// A life of a node has left.
@@ -192,7 +192,7 @@
 
 /// What a node has said of whom it does not hear.
 #[derive(Debug)]
-struct Complaint {
+struct ReachabilityReport {
     life: u64,
     number: u32,
     deaf: BTreeSet<String>,
@@ -202,26 +202,26 @@
 
 /// What nodes have said of themselves and of workers.
 #[derive(Debug, Default)]
-struct Told {
+struct GossipState {
     /// Own time.
     now: f64,
     /// By node, its latest complaint.
-    deaf: BTreeMap<String, Complaint>,
+    deaf: BTreeMap<String, ReachabilityReport>,
     left: BTreeMap<String, u64>,
     /// Nodes that operators have said will not come back, each up to this incarnation. It only grows, so that all agree.
     gone: BTreeMap<String, u64>,
-    bans: Bans,
+    bans: SuspendedWorkers,
     /// Bans that have changed and are still to be told.
     changed: Vec<String>,
     /// Something has come that the standing may hang on.
     fresh: bool,
 }
 
-impl Told {
+impl GossipState {
     /// Takes a word in; its key if it is new, and is to be passed on.
-    fn take(&mut self, word: Word) -> Option<Key> {
+    fn take(&mut self, word: GossipMessage) -> Option<Key> {
         match word {
-            Word::Deaf(name, life, number, names) => {
+            GossipMessage::Deaf(name, life, number, names) => {
                 let known = self.deaf.get(&name);
                 if known.is_some_and(|known| known.life == life && known.number >= number)
                     || names.len() > MOST_COMPLAINTS
@@ -229,11 +229,12 @@
                     return None;
                 }
                 self.fresh = true;
-                let complaint = Complaint { life, number, deaf: names.into_iter().collect(), at: self.now };
+                let complaint =
+                    ReachabilityReport { life, number, deaf: names.into_iter().collect(), at: self.now };
                 self.deaf.insert(name.clone(), complaint);
                 Some(Key::Deaf(name))
             }
-            Word::Left(name, life) => {
+            GossipMessage::Left(name, life) => {
                 let new = self.left.insert(name.clone(), life) != Some(life);
                 self.fresh |= new;
                 new.then_some(Key::Left(name, life))
@@ -242,16 +243,16 @@
     }
 
     /// Takes in a mark.
-    fn ban(&mut self, worker: &str, mark: Mark) {
+    fn ban(&mut self, worker: &str, mark: Suspension) {
         if self.bans.merge(worker, mark) {
             self.changed.push(worker.to_owned());
         }
     }
 }
 
-struct Spread(Rc<RefCell<Told>>);
+struct GossipHandler(Rc<RefCell<GossipState>>);
 
-impl foca::BroadcastHandler<Identity> for Spread {
+impl foca::BroadcastHandler<Identity> for GossipHandler {
     type Key = Key;
     type Error = Infallible;
 
@@ -284,33 +285,33 @@
 }
 
 /// A member of a fleet, or one that would be.
-pub struct Members {
+pub struct Membership {
     settings: Settings,
     cluster: u32,
     me: Identity,
-    foca: Foca<Identity, PostcardCodec, Pcg64Mcg, Spread>,
+    foca: Foca<Identity, PostcardCodec, Pcg64Mcg, GossipHandler>,
     runtime: AccumulatingRuntime<Identity>,
-    told: Rc<RefCell<Told>>,
-    time: OwnTime,
+    told: Rc<RefCell<GossipState>>,
+    time: LocalClock,
     /// By own time in microseconds, then in the order in which they were set.
     timers: BTreeMap<(u64, u64), Due>,
     next_timer: u64,
     stage: Stage,
     /// All that are known to be or to have been, but for this node, each with its state.
-    table: BTreeMap<String, (Identity, Life)>,
-    hearing: Hearing,
+    table: BTreeMap<String, (Identity, MemberState)>,
+    hearing: Reachability,
     /// The number of the latest hello, and of the latest word on whom this node does not hear.
     hello: u64,
     complaint: u32,
     /// Whom it has said that it does not hear.
     said: BTreeSet<String>,
-    standing: Standing,
+    standing: ClusterHealth,
     /// It is about to be seen anew.
     stands_soon: bool,
     tickets: BTreeMap<u64, Ticket>,
     next_ticket: u64,
     /// Datagrams dropped, by why.
-    dropped: BTreeMap<Flaw, u64>,
+    dropped: BTreeMap<DecodeError, u64>,
     draws: Pcg64Mcg,
     /// When all was last told to a node over a stream, by own time.
     told_all: BTreeMap<String, f64>,
@@ -346,7 +347,7 @@
     }
 }
 
-impl Members {
+impl Membership {
     /// Begins: asks the seeds who has its name. `started` is Unix time in ms, `seed` draws the life and all else.
     pub fn new(
         settings: Settings,
@@ -359,9 +360,9 @@
         let mut draws = Pcg64Mcg::seed_from_u64(seed);
         let life = rand::Rng::next_u64(&mut draws);
         let me = Identity { name: name.into(), address, incarnation: started, life };
-        let told = Rc::new(RefCell::new(Told::default()));
+        let told = Rc::new(RefCell::new(GossipState::default()));
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6d65_6d62_6572_7321);
-        let spread = Spread(told.clone());
+        let spread = GossipHandler(told.clone());
         let foca = Foca::with_custom_broadcast(me.clone(), config(&settings, 3), rng, PostcardCodec, spread);
         let mut members = Self {
             cluster: packet::cluster(&settings.cluster),
@@ -370,16 +371,16 @@
             foca,
             runtime: AccumulatingRuntime::new(),
             told,
-            time: OwnTime::new(now),
+            time: LocalClock::new(now),
             timers: BTreeMap::new(),
             next_timer: 0,
             stage: Stage::Asking(ASKING),
             table: BTreeMap::new(),
-            hearing: Hearing::default(),
+            hearing: Reachability::default(),
             hello: 0,
             complaint: 0,
             said: BTreeSet::new(),
-            standing: Standing::Alone,
+            standing: ClusterHealth::Alone,
             stands_soon: false,
             tickets: BTreeMap::new(),
             next_ticket: 1,
@@ -402,7 +403,7 @@
     }
 
     /// The time has come that [`Self::next`] told, or another.
-    pub fn due(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn due(&mut self, now: f64, out: &mut Vec<Output>) {
         let own = self.advance(now);
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= micros(own) + 2) {
             let due = entry.remove();
@@ -412,7 +413,7 @@
     }
 
     /// A datagram has come.
-    pub fn receive(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Out>) {
+    pub fn receive(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Output>) {
         let own = self.advance(now);
         match packet::decode(self.cluster, bytes) {
             Ok((from, message)) => self.take(own, from, message, out),
@@ -422,14 +423,14 @@
     }
 
     /// A word has come over a stream.
-    pub fn told(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Out>) {
+    pub fn told(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Output>) {
         let own = self.advance(now);
         match packet::decode_word(self.cluster, bytes) {
             // Only what is told this way: all else is in datagrams, and its way through them is part of what it means.
-            Ok((from, message @ (Message::Bans(..) | Message::Gone(_)))) => {
+            Ok((from, message @ (Message::SuspendedWorkers(..) | Message::Gone(_)))) => {
                 self.take(own, from, message, out)
             }
-            Ok(_) => *self.dropped.entry(Flaw::Unknown).or_default() += 1,
+            Ok(_) => *self.dropped.entry(DecodeError::Unknown).or_default() += 1,
             Err(flaw) => *self.dropped.entry(flaw).or_default() += 1,
         }
         self.settle(out);
@@ -441,18 +442,18 @@
     /// # Errors
     ///
     /// If it is not known, or has not failed.
-    pub fn forget(&mut self, now: f64, name: &str, out: &mut Vec<Out>) -> Result<(), Refused> {
+    pub fn forget(&mut self, now: f64, name: &str, out: &mut Vec<Output>) -> Result<(), Rejection> {
         self.advance(now);
-        let (id, state) = self.table.get(name).ok_or(Refused::Nobody)?;
+        let (id, state) = self.table.get(name).ok_or(Rejection::Nobody)?;
         let incarnation = id.incarnation;
         match state {
-            Life::Alive | Life::Suspect => return Err(Refused::Lives),
-            Life::Left => return Ok(()),
-            Life::Failed => {}
+            MemberState::Alive | MemberState::Suspect => return Err(Rejection::Lives),
+            MemberState::Left => return Ok(()),
+            MemberState::Failed => {}
         }
         self.learn_gone(vec![(name.to_owned(), incarnation)], out);
         if !self.told.borrow().gone.contains_key(name) {
-            return Err(Refused::Full);
+            return Err(Rejection::Full);
         }
         let word = Message::Gone(vec![(name.to_owned(), incarnation)]);
         let peers: Vec<SocketAddr> = self.alive().map(|peer| peer.address).collect();
@@ -461,17 +462,17 @@
         Ok(())
     }
 
-    fn learn_gone(&mut self, names: Vec<(String, u64)>, out: &mut Vec<Out>) {
+    fn learn_gone(&mut self, names: Vec<(String, u64)>, out: &mut Vec<Output>) {
         for (name, incarnation) in names {
             let mut told = self.told.borrow_mut();
             let room = told.gone.len() < MOST_GONE || told.gone.contains_key(&name);
-            if !room || name.is_empty() || name.len() > crate::identity::MOST_NAME {
+            if !room || name.is_empty() || name.len() > crate::identity::MAX_NAME_BYTES {
                 continue;
             }
             let known = told.gone.entry(name.clone()).or_default();
             *known = incarnation.max(*known);
             drop(told);
-            let failed = self.table.get(&name).filter(|(_, state)| *state == Life::Failed);
+            let failed = self.table.get(&name).filter(|(_, state)| *state == MemberState::Failed);
             if let Some(life) = failed.map(|(id, _)| id.life) {
                 self.verdict(&name, life, out);
             }
@@ -485,7 +486,7 @@
 
     /// Says a word of another part of the program to a node that is there; it may get lost. `false` if it is too long, or there
     /// is no such node.
-    pub fn say_part(&mut self, name: &str, word: &[u8], out: &mut Vec<Out>) -> bool {
+    pub fn say_part(&mut self, name: &str, word: &[u8], out: &mut Vec<Output>) -> bool {
         let to = self.alive().find(|peer| &*peer.name == name).map(|peer| peer.address);
         let Some(to) = to.filter(|_| word.len() <= packet::MOST_INSIDE && self.is_in()) else { return false };
         self.send(to, &Message::Part(word.to_vec()), out);
@@ -493,10 +494,10 @@
     }
 
     /// Leaves in good order.
-    pub fn leave(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn leave(&mut self, now: f64, out: &mut Vec<Output>) {
         self.advance(now);
         if self.stage == Stage::In {
-            let left = Word::Left(self.me.name.to_string(), self.me.life);
+            let left = GossipMessage::Left(self.me.name.to_string(), self.me.life);
             self.say(&left);
             let _ = self.foca.leave_cluster(&mut self.runtime);
             let told: Vec<SocketAddr> = self.alive().map(|peer| peer.address).take(TOLD_LEAVING).collect();
@@ -509,9 +510,9 @@
         self.flush(out);
     }
 
-    /// Takes a worker out of use, or back into it, for the fleet. The ticket is told in [`News::Held`] within
+    /// Takes a worker out of use, or back into it, for the fleet. The ticket is told in [`MembershipEvent::Held`] within
     /// half a second; `None` if no more can be remembered.
-    pub fn employ(&mut self, now: f64, worker: &str, again: bool, out: &mut Vec<Out>) -> Option<u64> {
+    pub fn employ(&mut self, now: f64, worker: &str, again: bool, out: &mut Vec<Output>) -> Option<u64> {
         let own = self.advance(now);
         let marks = {
             let mut told = self.told.borrow_mut();
@@ -525,7 +526,7 @@
         };
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let tells: Vec<(String, Mark)> = marks.iter().map(|mark| (worker.to_owned(), *mark)).collect();
+        let tells: Vec<(String, Suspension)> = marks.iter().map(|mark| (worker.to_owned(), *mark)).collect();
         let peers: Vec<Identity> = self.alive().cloned().collect();
         for part in parts(&tells, MOST_BANS) {
             for peer in &peers {
@@ -545,20 +546,20 @@
     }
 
     /// Has a ticket told now, whoever has not answered yet.
-    pub fn press(&mut self, now: f64, ticket: u64, out: &mut Vec<Out>) {
+    pub fn press(&mut self, now: f64, ticket: u64, out: &mut Vec<Output>) {
         self.advance(now);
         self.held(ticket, true, out);
     }
 
     /// Takes in bans that were kept beyond a life.
-    pub fn restore(&mut self, marks: impl IntoIterator<Item = (String, Mark)>) {
+    pub fn restore(&mut self, marks: impl IntoIterator<Item = (String, Suspension)>) {
         for (worker, mark) in marks {
             self.told.borrow_mut().ban(&worker, mark);
         }
     }
 
     /// All that is known of bans, to be kept.
-    pub fn bans(&self) -> Vec<(String, Mark)> {
+    pub fn bans(&self) -> Vec<(String, Suspension)> {
         self.told.borrow().bans.marks().map(|(worker, mark)| (worker.to_owned(), mark)).collect()
     }
 
@@ -600,18 +601,18 @@
     }
 
     /// All others that are or were known.
-    pub fn others(&self) -> impl Iterator<Item = (&Identity, Life)> {
+    pub fn others(&self) -> impl Iterator<Item = (&Identity, MemberState)> {
         let suspects = self.foca.iter_members().filter(|member| member.state() == State::Suspect);
         let suspects: BTreeSet<&str> = suspects.map(|member| &*member.id().name).collect();
         self.table.values().map(move |(identity, state)| {
-            let suspect = *state == Life::Alive && suspects.contains(&*identity.name);
-            (identity, if suspect { Life::Suspect } else { *state })
+            let suspect = *state == MemberState::Alive && suspects.contains(&*identity.name);
+            (identity, if suspect { MemberState::Suspect } else { *state })
         })
     }
 
     /// How many nodes may be there, this one among them: members and those that have failed and not left.
     pub fn count(&self) -> usize {
-        1 + self.table.values().filter(|(_, state)| *state != Life::Left).count()
+        1 + self.table.values().filter(|(_, state)| *state != MemberState::Left).count()
     }
 
     /// This node's place by name among the members that it knows, from 0, and their number.
@@ -621,7 +622,7 @@
     }
 
     /// How things stand.
-    pub fn standing(&self) -> &Standing {
+    pub fn standing(&self) -> &ClusterHealth {
         &self.standing
     }
 
@@ -631,7 +632,7 @@
     }
 
     /// Datagrams dropped, by why.
-    pub fn dropped(&self) -> &BTreeMap<Flaw, u64> {
+    pub fn dropped(&self) -> &BTreeMap<DecodeError, u64> {
         &self.dropped
     }
 
@@ -641,7 +642,7 @@
     }
 
     fn alive(&self) -> impl Iterator<Item = &Identity> {
-        let alive = |state: &Life| matches!(state, Life::Alive | Life::Suspect);
+        let alive = |state: &MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
         self.table.values().filter(move |(_, state)| alive(state)).map(|(identity, _)| identity)
     }
 
@@ -661,18 +662,18 @@
         rand::Rng::next_u64(&mut self.draws)
     }
 
-    fn send(&self, to: SocketAddr, message: &Message, out: &mut Vec<Out>) {
-        out.push(Out::Send(to, packet::encode(self.cluster, &self.me, message)));
+    fn send(&self, to: SocketAddr, message: &Message, out: &mut Vec<Output>) {
+        out.push(Output::Send(to, packet::encode(self.cluster, &self.me, message)));
     }
 
     /// Has a word passed on from node to node.
-    fn say(&mut self, word: &Word) {
+    fn say(&mut self, word: &GossipMessage) {
         if let Ok(bytes) = postcard::to_stdvec(word) {
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
 
-    fn fire(&mut self, own: f64, due: Due, out: &mut Vec<Out>) {
+    fn fire(&mut self, own: f64, due: Due, out: &mut Vec<Output>) {
         match due {
             Due::Swim(timer) => {
                 // What it refuses is a timer of an earlier life.
@@ -709,7 +710,7 @@
     }
 
     /// Tells suspects that they are, so that those who live can say so in time.
-    fn warn(&self, out: &mut Vec<Out>) {
+    fn warn(&self, out: &mut Vec<Output>) {
         let suspects = self.foca.iter_members().filter(|member| member.state() == State::Suspect);
         for member in suspects.take(WARNED) {
             let suspected = Message::Suspected(member.id().life, member.incarnation());
@@ -718,7 +719,7 @@
     }
 
     /// Asks seeds, and goes on on the way to being a member.
-    fn ask(&mut self, own: f64, out: &mut Vec<Out>) {
+    fn ask(&mut self, own: f64, out: &mut Vec<Output>) {
         let again = match self.stage.clone() {
             Stage::Gone => return,
             Stage::Asking(until) if own >= until => {
@@ -751,14 +752,14 @@
         self.timer(own + again, Due::Ask);
     }
 
-    fn ask_seeds(&self, out: &mut Vec<Out>) {
+    fn ask_seeds(&self, out: &mut Vec<Output>) {
         for seed in self.settings.seeds.iter().filter(|seed| **seed != self.me.address) {
             self.send(*seed, &Message::Ask, out);
         }
     }
 
     /// Becomes a member, above the incarnation that is told.
-    fn enter(&mut self, own: f64, above: Option<u64>, out: &mut Vec<Out>) {
+    fn enter(&mut self, own: f64, above: Option<u64>, out: &mut Vec<Output>) {
         let incarnation = above.map_or(self.me.incarnation, |above| self.me.incarnation.max(above + 1));
         if incarnation != self.me.incarnation {
             self.me.incarnation = incarnation;
@@ -790,15 +791,15 @@
         self.timer(own + FILL, Due::Fill(times - 1, peers.len()));
     }
 
-    fn say_hello(&mut self, own: f64, out: &mut Vec<Out>) {
+    fn say_hello(&mut self, own: f64, out: &mut Vec<Output>) {
         self.timers.retain(|_, due| *due != Due::Hello);
         self.timer(own + self.settings.hello, Due::Hello);
         if self.stage != Stage::In {
             return;
         }
         let names = self.alive().map(|peer| peer.name.to_string()).chain([self.me.name.to_string()]);
-        let order = hearing::order(names);
-        let pairs = hearing::pairs(&order, &self.settings.voters, &self.me.name);
+        let order = reachability::order(names);
+        let pairs = reachability::pairs(&order, &self.settings.voters, &self.me.name);
         self.hello += 1;
         let hello = Message::Hello(self.hello, self.sum());
         let pairs: Vec<String> = pairs.into_iter().cloned().collect();
@@ -819,11 +820,11 @@
         self.complaint += 1;
         self.said = self.hearing.deaf().cloned().collect();
         let names: Vec<String> = self.hearing.deaf().take(MOST_COMPLAINTS).cloned().collect();
-        self.say(&Word::Deaf(self.me.name.to_string(), self.me.life, self.complaint, names));
+        self.say(&GossipMessage::Deaf(self.me.name.to_string(), self.me.life, self.complaint, names));
     }
 
     /// Compares the bans with one that is drawn, who may know more.
-    fn compare(&mut self, out: &mut Vec<Out>) {
+    fn compare(&mut self, out: &mut Vec<Output>) {
         let peers: Vec<SocketAddr> = self.alive().map(|peer| peer.address).collect();
         if self.stage == Stage::In && !peers.is_empty() {
             let at = self.draw() % peers.len() as u64;
@@ -834,14 +835,14 @@
     }
 
     /// Tells a node all that is compared: in a datagram where it fits one, else over a stream.
-    fn tell_all(&mut self, own: f64, to: &Identity, back: bool, out: &mut Vec<Out>) {
+    fn tell_all(&mut self, own: f64, to: &Identity, back: bool, out: &mut Vec<Output>) {
         let gone: Vec<(String, u64)> = {
             let told = self.told.borrow();
             told.gone.iter().map(|(name, incarnation)| (name.clone(), *incarnation)).collect()
         };
         let all = self.bans();
-        let small =
-            parts(&all, MOST_BANS).len() <= 1 && gone.len() <= MOST_BANS / (crate::identity::MOST_NAME + 16);
+        let small = parts(&all, MOST_BANS).len() <= 1
+            && gone.len() <= MOST_BANS / (crate::identity::MAX_NAME_BYTES + 16);
         if !small {
             let last = self.told_all.get(&*to.name).copied();
             if last.is_some_and(|at| own - at < TELL_AGAIN) {
@@ -854,18 +855,19 @@
             parts.push(Vec::new());
         }
         let last = parts.len().saturating_sub(1);
-        let bans = parts.into_iter().enumerate().map(|(n, part)| Message::Bans(part, back && n == last));
+        let bans =
+            parts.into_iter().enumerate().map(|(n, part)| Message::SuspendedWorkers(part, back && n == last));
         let gone = (!gone.is_empty()).then_some(Message::Gone(gone));
         for message in gone.into_iter().chain(bans) {
             if small {
                 self.send(to.address, &message, out);
             } else {
-                out.push(Out::Tell(to.clone(), packet::encode(self.cluster, &self.me, &message)));
+                out.push(Output::Tell(to.clone(), packet::encode(self.cluster, &self.me, &message)));
             }
         }
     }
 
-    fn take(&mut self, own: f64, from: Identity, message: Message, out: &mut Vec<Out>) {
+    fn take(&mut self, own: f64, from: Identity, message: Message, out: &mut Vec<Output>) {
         if self.stage == Stage::Gone {
             return;
         }
@@ -894,7 +896,7 @@
                 if matches!(self.stage, Stage::In) {
                     // What it refuses is meant for an earlier life, or is cut.
                     if self.foca.handle_data(&bytes, &mut self.runtime).is_err() {
-                        *self.dropped.entry(Flaw::Unknown).or_default() += 1;
+                        *self.dropped.entry(DecodeError::Unknown).or_default() += 1;
                     }
                 }
             }
@@ -912,16 +914,16 @@
             }
             Message::Leaves => {
                 // Said on to those whom the one that leaves has not told itself.
-                self.say(&Word::Left(from.name.to_string(), from.life));
+                self.say(&GossipMessage::Left(from.name.to_string(), from.life));
             }
-            Message::Bans(marks, back) => {
+            Message::SuspendedWorkers(marks, back) => {
                 self.learn(marks);
                 if back {
                     self.tell_all(own, &from, false, out);
                 }
             }
             Message::Gone(names) => self.learn_gone(names, out),
-            Message::Part(word) => out.push(Out::News(News::Part(from, word))),
+            Message::Part(word) => out.push(Output::MembershipEvent(MembershipEvent::Part(from, word))),
             Message::Hold(ticket, marks) => {
                 self.learn(marks);
                 self.send(from.address, &Message::Held(ticket), out);
@@ -937,14 +939,14 @@
         }
     }
 
-    fn learn(&mut self, marks: Vec<(String, Mark)>) {
+    fn learn(&mut self, marks: Vec<(String, Suspension)>) {
         for (worker, mark) in marks {
             self.told.borrow_mut().ban(&worker, mark);
         }
     }
 
     /// Another life that bears this node's name says something: an earlier one of its own, late, or another process.
-    fn namesake_says(&mut self, own: f64, from: &Identity, message: &Message, out: &mut Vec<Out>) {
+    fn namesake_says(&mut self, own: f64, from: &Identity, message: &Message, out: &mut Vec<Output>) {
         match message {
             // It asks for a sign before it joins, or in order to know whether it may.
             Message::Sign(number) if self.stage == Stage::In || self.me.beats(from) => {
@@ -955,7 +957,7 @@
                     && wanted == number
                 {
                     self.stage = Stage::Apart(from.address, own + 5.0 * ASK_AGAIN);
-                    out.push(Out::News(News::Namesake(from.address)));
+                    out.push(Output::MembershipEvent(MembershipEvent::Namesake(from.address)));
                 }
             }
             // A member by that name, elsewhere: the record of who counts is the higher one's.
@@ -967,7 +969,7 @@
     }
 
     /// Somebody's word on who has this node's name.
-    fn record(&mut self, own: f64, from: &Identity, holder: Option<Identity>, out: &mut Vec<Out>) {
+    fn record(&mut self, own: f64, from: &Identity, holder: Option<Identity>, out: &mut Vec<Output>) {
         match (&self.stage, holder) {
             (Stage::Asking(_), None) => {
                 self.enter(own, None, out);
@@ -988,7 +990,7 @@
     }
 
     /// Another life is said to have the name: an earlier one of this node's own, or another process that is there.
-    fn contest(&mut self, own: f64, holder: Identity, out: &mut Vec<Out>) {
+    fn contest(&mut self, own: f64, holder: Identity, out: &mut Vec<Output>) {
         if holder.address == self.me.address {
             // Two can't be at one address: that was this node itself.
             return self.enter(own, Some(holder.incarnation), out);
@@ -1008,18 +1010,18 @@
     }
 
     /// Tells at how many nodes a ban holds, if all have said so or the time is up.
-    fn held(&mut self, ticket: u64, up: bool, out: &mut Vec<Out>) {
+    fn held(&mut self, ticket: u64, up: bool, out: &mut Vec<Output>) {
         let Some(open) = self.tickets.get(&ticket) else { return };
         if up || open.held.len() == open.asked.len() {
             let (held, of) = (1 + open.held.len(), self.count());
             self.tickets.remove(&ticket);
             self.timers.retain(|_, due| *due != Due::Held(ticket));
-            out.push(Out::News(News::Held(ticket, held, of)));
+            out.push(Output::MembershipEvent(MembershipEvent::Held(ticket, held, of)));
         }
     }
 
     /// Hands out what the library wants done.
-    fn flush(&mut self, out: &mut Vec<Out>) {
+    fn flush(&mut self, out: &mut Vec<Output>) {
         let own = self.time.own();
         loop {
             while let Some((to, bytes)) = self.runtime.to_send() {
@@ -1033,24 +1035,24 @@
         }
     }
 
-    fn heed(&mut self, own: f64, news: OwnedNotification<Identity>, out: &mut Vec<Out>) {
+    fn heed(&mut self, own: f64, news: OwnedNotification<Identity>, out: &mut Vec<Output>) {
         match news {
             OwnedNotification::MemberUp(id) => {
                 self.told.borrow_mut().left.remove(&*id.name);
-                self.put(id.clone(), Life::Alive);
-                out.push(Out::News(News::Up(id)));
+                self.put(id.clone(), MemberState::Alive);
+                out.push(Output::MembershipEvent(MembershipEvent::Up(id)));
             }
             OwnedNotification::Rename(_, id)
                 if self.table.get(&*id.name).is_some_and(|(known, _)| *known != id) =>
             {
-                self.put(id.clone(), Life::Alive);
-                out.push(Out::News(News::Moved(id)));
+                self.put(id.clone(), MemberState::Alive);
+                out.push(Output::MembershipEvent(MembershipEvent::Moved(id)));
             }
             OwnedNotification::MemberDown(id) => {
                 let left = self.told.borrow().left.get(&*id.name) == Some(&id.life);
                 let life = id.life;
                 // Until it is known which of the two, it counts as one that may still be there.
-                self.put(id.clone(), Life::Suspect);
+                self.put(id.clone(), MemberState::Suspect);
                 if left {
                     self.verdict(&id.name, life, out);
                 } else {
@@ -1061,40 +1063,44 @@
                 // Others have called this life failed: the next one begins at once.
                 let above = self.me.incarnation;
                 self.enter(own, Some(above), out);
-                out.push(Out::News(News::Returned(self.me.incarnation)));
+                out.push(Output::MembershipEvent(MembershipEvent::Returned(self.me.incarnation)));
             }
             _ => {}
         }
     }
 
     /// Tells that a node has failed or left, if it is still away.
-    fn verdict(&mut self, name: &str, life: u64, out: &mut Vec<Out>) {
+    fn verdict(&mut self, name: &str, life: u64, out: &mut Vec<Output>) {
         let told = self.told.borrow();
         let said = told.left.get(name) == Some(&life);
         let gone = told.gone.get(name).copied();
         drop(told);
         let Some((id, state)) = self.table.get_mut(name).filter(|(id, _)| id.life == life) else { return };
-        if *state == Life::Alive {
+        if *state == MemberState::Alive {
             return;
         }
         let left = said || gone.is_some_and(|up_to| id.incarnation <= up_to);
-        *state = if left { Life::Left } else { Life::Failed };
-        out.push(Out::News(if left { News::Left(id.clone()) } else { News::Failed(id.clone()) }));
+        *state = if left { MemberState::Left } else { MemberState::Failed };
+        out.push(Output::MembershipEvent(if left {
+            MembershipEvent::Left(id.clone())
+        } else {
+            MembershipEvent::Failed(id.clone())
+        }));
         self.told.borrow_mut().fresh = true;
     }
 
-    fn put(&mut self, id: Identity, state: Life) {
+    fn put(&mut self, id: Identity, state: MemberState) {
         self.table.insert(id.name.to_string(), (id, state));
         self.told.borrow_mut().fresh = true;
     }
 
     /// Brings all that hangs on other news up to date.
-    fn settle(&mut self, out: &mut Vec<Out>) {
+    fn settle(&mut self, out: &mut Vec<Output>) {
         self.flush(out);
         let mut told = self.told.borrow_mut();
         for worker in std::mem::take(&mut told.changed) {
             let on = told.bans.holds(&worker);
-            out.push(Out::News(News::Ban(worker, on)));
+            out.push(Output::MembershipEvent(MembershipEvent::Ban(worker, on)));
         }
         let fresh = std::mem::take(&mut told.fresh);
         drop(told);
@@ -1104,20 +1110,20 @@
     }
 
     /// Sees how things stand.
-    fn stand(&mut self, out: &mut Vec<Out>) {
+    fn stand(&mut self, out: &mut Vec<Output>) {
         self.stands_soon = false;
         let _ = self.foca.set_config(config(&self.settings, self.table.len() + 1));
         let standing = self.known().standing();
         if standing != self.standing {
             self.standing = standing.clone();
-            out.push(Out::News(News::Standing(standing)));
+            out.push(Output::MembershipEvent(MembershipEvent::ClusterHealth(standing)));
         }
     }
 
     /// What the standing is derived from.
     pub fn known(&self) -> Known {
         let told = self.told.borrow();
-        let of = |state: Life| {
+        let of = |state: MemberState| {
             self.table.values().filter(move |(_, s)| *s == state).map(|(id, _)| id.name.to_string())
         };
         let names = self.alive().map(|peer| peer.name.to_string()).chain([self.me.name.to_string()]);
@@ -1129,9 +1135,9 @@
         Known {
             me: self.me.name.to_string(),
             apart: self.stage != Stage::In,
-            members: hearing::order(names),
-            failed: of(Life::Failed).collect(),
-            left: of(Life::Left).collect(),
+            members: reachability::order(names),
+            failed: of(MemberState::Failed).collect(),
+            left: of(MemberState::Left).collect(),
             voters: self.settings.voters.clone(),
             deaf: deaf.map(|(name, complaint)| (name.clone(), complaint.deaf.clone())).collect(),
         }
@@ -1139,7 +1145,7 @@
 }
 
 /// Bans in parts of at most so many bytes each.
-fn parts(all: &[(String, Mark)], most: usize) -> Vec<Vec<(String, Mark)>> {
+fn parts(all: &[(String, Suspension)], most: usize) -> Vec<Vec<(String, Suspension)>> {
     let (mut parts, mut size) = (Vec::new(), 0);
     for (worker, mark) in all {
         let takes = worker.len() + 24;
