--- a/crates/members/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -2,8 +2,8 @@
 //!
 //! `P M`, version, cluster (4 bytes), checksum of what follows (4 bytes), then the sender and the message by postcard.
 
-use crate::bans::Mark;
-use crate::identity::{Identity, MOST_NAME};
+use crate::identity::{Identity, MAX_NAME_BYTES};
+use crate::suspended_workers::Suspension;
 use serde::{Deserialize, Serialize};
 
 /// The longest datagram, in bytes.
@@ -12,7 +12,7 @@
 pub const VERSION: u8 = 1;
 const HEAD: usize = 11;
 /// What is left for the message inside after the envelope and the longest sender.
-pub const MOST_INSIDE: usize = MOST - HEAD - MOST_NAME - 48;
+pub const MOST_INSIDE: usize = MOST - HEAD - MAX_NAME_BYTES - 48;
 
 /// A cluster's number in the envelope.
 pub fn cluster(name: &str) -> u32 {
@@ -39,11 +39,11 @@
     /// The sender leaves in good order.
     Leaves,
     /// Some of what is known of workers out of use; whether all that the other has is wanted back.
-    Bans(Vec<(String, Mark)>, bool),
+    SuspendedWorkers(Vec<(String, Suspension)>, bool),
     /// The bans of this ticket hold at the sender.
     Held(u64),
     /// Hold these bans and say so under this ticket.
-    Hold(u64, Vec<(String, Mark)>),
+    Hold(u64, Vec<(String, Suspension)>),
     /// Nodes that operators have said will not come back, each up to this incarnation.
     Gone(Vec<(String, u64)>),
     /// A word of another part of the program.
@@ -52,7 +52,7 @@
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Flaw {
+pub enum DecodeError {
     /// It is no datagram of this program's.
     Foreign,
     /// Another version's.
@@ -65,7 +65,7 @@
     Unknown,
 }
 
-impl Flaw {
+impl DecodeError {
     /// As logs and the door name it.
     pub fn word(self) -> &'static str {
         match self {
@@ -98,8 +98,8 @@
 /// # Errors
 ///
 /// Why it is to be dropped.
-pub fn decode(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), Flaw> {
-    if bytes.len() > MOST { Err(Flaw::Damaged) } else { decode_word(cluster, bytes) }
+pub fn decode(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), DecodeError> {
+    if bytes.len() > MOST { Err(DecodeError::Damaged) } else { decode_word(cluster, bytes) }
 }
 
 /// Reads the same of a stream, where it may be longer.
@@ -107,22 +107,22 @@
 /// # Errors
 ///
 /// Why it is to be dropped.
-pub fn decode_word(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), Flaw> {
+pub fn decode_word(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), DecodeError> {
     if bytes.len() < HEAD || bytes[..2] != *b"PM" {
-        return Err(Flaw::Foreign);
+        return Err(DecodeError::Foreign);
     }
     if bytes[2] != VERSION {
-        return Err(Flaw::Version);
+        return Err(DecodeError::Version);
     }
     if bytes[3..7] != cluster.to_le_bytes() {
-        return Err(Flaw::Cluster);
+        return Err(DecodeError::Cluster);
     }
     let rest = &bytes[HEAD..];
     if bytes[7..HEAD] != crc32fast::hash(rest).to_le_bytes() {
-        return Err(Flaw::Damaged);
+        return Err(DecodeError::Damaged);
     }
     let (read, left): ((Identity, Message), _) =
-        postcard::take_from_bytes(rest).map_err(|_| Flaw::Unknown)?;
-    let sound = left.is_empty() && (1..=MOST_NAME).contains(&read.0.name.len());
-    if sound { Ok(read) } else { Err(Flaw::Unknown) }
+        postcard::take_from_bytes(rest).map_err(|_| DecodeError::Unknown)?;
+    let sound = left.is_empty() && (1..=MAX_NAME_BYTES).contains(&read.0.name.len());
+    if sound { Ok(read) } else { Err(DecodeError::Unknown) }
 }
--- a/crates/members/src/hearing.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,6 +1,6 @@
 //! Who hears whom directly: whom this node should hear, whom it does not, and what others say of themselves.
 
-use crate::bans::Fnv;
+use crate::suspended_workers::Fnv;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Up to so many nodes each hears every other.
@@ -45,13 +45,13 @@
 
 /// What this node hears.
 #[derive(Debug, Default)]
-pub struct Hearing {
+pub struct Reachability {
     heard: BTreeMap<String, Heard>,
     /// Whom it should hear and does not.
     deaf: BTreeSet<String>,
 }
 
-impl Hearing {
+impl Reachability {
     /// It should hear these now; who is new among them has from now on to be heard.
     pub fn should(&mut self, now: f64, names: &[String]) {
         self.heard.retain(|name, _| names.contains(name));
--- a/crates/members/src/bans.rs
+++ b/crates/membership/src/suspended_workers.rs
@@ -6,7 +6,7 @@
 
 /// The suspends that one life of a node has given for one worker: how many, and how many of them are undone.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Mark {
+pub struct Suspension {
     /// The life that gave them.
     pub life: u64,
     /// Suspends given.
@@ -17,19 +17,19 @@
 
 /// What is known of workers out of use.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Bans {
+pub struct SuspendedWorkers {
     /// By worker and life: given and undone.
     marks: BTreeMap<String, BTreeMap<u64, (u32, u32)>>,
 }
 
 /// The longest name of a worker that is taken in, in bytes.
-pub const MOST_WORKER: usize = 256;
+pub const MAX_WORKER_NAME_BYTES: usize = 256;
 /// So many workers are remembered at most; a suspend beyond is refused, not forgotten.
 pub const MOST: usize = 4096;
 /// So many lives are remembered for one worker; what is beyond comes from no sound node.
 const MOST_LIVES: usize = 1024;
 
-impl Bans {
+impl SuspendedWorkers {
     /// Whether a worker is out of use.
     pub fn holds(&self, worker: &str) -> bool {
         self.marks.get(worker).is_some_and(|lives| lives.values().any(|(given, undone)| given > undone))
@@ -46,7 +46,7 @@
     }
 
     /// Takes a worker out of use on the word of this life; gives what is to be told, or `None` if there is no room.
-    pub fn suspend(&mut self, life: u64, worker: &str) -> Option<Mark> {
+    pub fn suspend(&mut self, life: u64, worker: &str) -> Option<Suspension> {
         if !self.room(worker, life) {
             return None;
         }
@@ -54,25 +54,25 @@
         if given <= undone {
             *given = undone.saturating_add(1);
         }
-        Some(Mark { life, given: *given, undone: *undone })
+        Some(Suspension { life, given: *given, undone: *undone })
     }
 
     /// Undoes all suspends of a worker that are known here; gives what is to be told.
-    pub fn resume(&mut self, worker: &str) -> Vec<Mark> {
+    pub fn resume(&mut self, worker: &str) -> Vec<Suspension> {
         let Some(lives) = self.marks.get_mut(worker) else { return Vec::new() };
         let undone = lives.iter_mut().filter(|(_, (given, undone))| given > undone);
         undone
             .map(|(life, (given, undone))| {
                 *undone = *given;
-                Mark { life: *life, given: *given, undone: *undone }
+                Suspension { life: *life, given: *given, undone: *undone }
             })
             .collect()
     }
 
     /// Takes in what another knows; whether the worker's use has changed by it.
-    pub fn merge(&mut self, worker: &str, mark: Mark) -> bool {
+    pub fn merge(&mut self, worker: &str, mark: Suspension) -> bool {
         if worker.is_empty()
-            || worker.len() > MOST_WORKER
+            || worker.len() > MAX_WORKER_NAME_BYTES
             || mark.undone > mark.given
             || !self.room(worker, mark.life)
         {
@@ -85,9 +85,9 @@
     }
 
     /// All that is known, worker by worker.
-    pub fn marks(&self) -> impl Iterator<Item = (&str, Mark)> {
+    pub fn marks(&self) -> impl Iterator<Item = (&str, Suspension)> {
         self.marks.iter().flat_map(|(worker, lives)| {
-            let mark = |(life, (given, undone)): (&u64, &(u32, u32))| Mark {
+            let mark = |(life, (given, undone)): (&u64, &(u32, u32))| Suspension {
                 life: *life,
                 given: *given,
                 undone: *undone,
--- a/crates/members/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use postproxy_members::{News, Settings, Standing};
+use postproxy_membership::{ClusterHealth, MembershipEvent, Settings};
 use sim::{Faults, Sim, address};
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
     Settings { voters: (0..count).map(|n| format!("n{n}")).collect(), ..Settings::default() }
 }
 
-fn failed(news: &News) -> bool {
-    matches!(news, News::Failed(_))
+fn failed(news: &MembershipEvent) -> bool {
+    matches!(news, MembershipEvent::Failed(_))
 }
 
 /// Guards against a node that some never hear of, whatever the order of the starts and with seeds that are down, wrong or
@@ -37,7 +37,7 @@
             sim.run(wait);
         }
         assert!(sim.until(30.0, Sim::agree), "seed {seed}");
-        assert!(sim.until(10.0, |sim| sim.all_stand(&Standing::Whole)), "seed {seed}");
+        assert!(sim.until(10.0, |sim| sim.all_stand(&ClusterHealth::Whole)), "seed {seed}");
         assert_eq!(sim.told(0.0, failed), 0, "seed {seed}");
     }
 }
@@ -48,11 +48,13 @@
     let mut sim = Sim::new(10, 5, Settings::default());
     assert!(sim.until(30.0, Sim::agree));
     sim.kill(3);
-    let told = |sim: &Sim| sim.told(0.0, |news| matches!(news, News::Failed(id) if &*id.name == "n3"));
+    let told =
+        |sim: &Sim| sim.told(0.0, |news| matches!(news, MembershipEvent::Failed(id) if &*id.name == "n3"));
     assert!(sim.until(10.0, |sim| sim.agree() && told(sim) == 9), "all know of the death");
     let at = sim.now;
     sim.leave(4);
-    let told = |sim: &Sim| sim.told(at, |news| matches!(news, News::Left(id) if &*id.name == "n4"));
+    let told =
+        |sim: &Sim| sim.told(at, |news| matches!(news, MembershipEvent::Left(id) if &*id.name == "n4"));
     assert!(sim.until(10.0, |sim| sim.agree() && told(sim) == 8), "all know of the leave");
     sim.run(5.0);
     assert_eq!(sim.told(at, failed), 0, "{:?}", sim.nodes.iter().map(|n| &n.news).collect::<Vec<_>>());
@@ -66,7 +68,7 @@
         assert!(sim.until(30.0, Sim::agree));
         let at = sim.now;
         sim.leave(7);
-        let told = |sim: &Sim| sim.told(at, |news| matches!(news, News::Left(_)));
+        let told = |sim: &Sim| sim.told(at, |news| matches!(news, MembershipEvent::Left(_)));
         assert!(sim.until(10.0, |sim| told(sim) == 39), "seed {seed}: {}", told(&sim));
         assert_eq!(sim.told(at, failed), 0, "seed {seed}");
     }
@@ -101,7 +103,8 @@
             sim.run(pause + 0.0015);
         }
         sim.run(10.0);
-        let of_others = |news: &News| matches!(news, News::Failed(id) if &*id.name != "n2");
+        let of_others =
+            |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if &*id.name != "n2");
         assert_eq!(sim.told(at, of_others), 0, "seed {seed}");
         assert!(sim.agree(), "seed {seed}");
     }
@@ -121,10 +124,15 @@
         sim.run(10.0);
         let blamed = sim.nodes[2].news.iter().filter(|(t, news)| *t >= at && failed(news)).count();
         assert_eq!(blamed, 0, "pause {pause}: {:?}", sim.nodes[2].news);
-        let of_others = |news: &News| matches!(news, News::Failed(id) if &*id.name != "n2");
+        let of_others =
+            |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if &*id.name != "n2");
         assert_eq!(sim.told(at, of_others), 0, "pause {pause}");
         if pause > 10.0 {
-            let back = sim.nodes[2].news.iter().filter(|(_, news)| matches!(news, News::Returned(_))).count();
+            let back = sim.nodes[2]
+                .news
+                .iter()
+                .filter(|(_, news)| matches!(news, MembershipEvent::Returned(_)))
+                .count();
             assert_eq!(back, 1, "pause {pause}");
         }
     }
@@ -224,16 +232,16 @@
     for (count, side) in cases {
         for seed in 0..5 {
             let mut sim = Sim::new(count, seed, voters(count));
-            assert!(sim.until(30.0, |sim| sim.all_stand(&Standing::Whole)), "{count} {seed}");
+            assert!(sim.until(30.0, |sim| sim.all_stand(&ClusterHealth::Whole)), "{count} {seed}");
             let rest: Vec<usize> = (0..count).filter(|n| !side.contains(n)).collect();
             sim.part(side, &rest);
             let stands = |sim: &Sim| {
                 sim.living().all(|(n, _, m)| {
                     let mine = if side.contains(&n) { side.len() } else { rest.len() };
                     match m.standing() {
-                        Standing::Majority(away) => 2 * mine > count && away.len() == count - mine,
-                        Standing::Minority(away) => 2 * mine < count && away.len() == count - mine,
-                        Standing::NoMajority(away) => 2 * mine == count && away.len() == count - mine,
+                        ClusterHealth::Majority(away) => 2 * mine > count && away.len() == count - mine,
+                        ClusterHealth::Minority(away) => 2 * mine < count && away.len() == count - mine,
+                        ClusterHealth::NoMajority(away) => 2 * mine == count && away.len() == count - mine,
                         _ => false,
                     }
                 })
@@ -242,7 +250,7 @@
             sim.run(30.0);
             assert!(stands(&sim), "{count} {side:?} {seed}: it stays so");
             sim.heal();
-            let whole = sim.until(30.0, |sim| sim.agree() && sim.all_stand(&Standing::Whole));
+            let whole = sim.until(30.0, |sim| sim.agree() && sim.all_stand(&ClusterHealth::Whole));
             assert!(whole, "{count} {seed}: healed {}", sim.picture());
         }
     }
@@ -262,17 +270,17 @@
     type Cut = fn(&mut Sim) -> Vec<(&'static str, &'static str)>;
     for (name, cut) in [("one way", one_way as Cut), ("a line", line as Cut)] {
         let mut sim = Sim::new(3, 4, voters(3));
-        assert!(sim.until(30.0, |sim| sim.all_stand(&Standing::Whole)));
+        assert!(sim.until(30.0, |sim| sim.all_stand(&ClusterHealth::Whole)));
         let at = sim.now;
         let pairs: Vec<(String, String)> =
             cut(&mut sim).into_iter().map(|(a, b)| (a.to_owned(), b.to_owned())).collect();
-        let standing = Standing::SomeCut(pairs);
+        let standing = ClusterHealth::SomeCut(pairs);
         assert!(sim.until(20.0, |sim| sim.all_stand(&standing)), "{name}");
         sim.run(60.0);
         assert!(sim.all_stand(&standing), "{name}: it stays so");
         assert_eq!(sim.told(at, failed), 0, "{name}");
         sim.heal();
-        assert!(sim.until(20.0, |sim| sim.all_stand(&Standing::Whole)), "{name}: healed");
+        assert!(sim.until(20.0, |sim| sim.all_stand(&ClusterHealth::Whole)), "{name}: healed");
     }
 }
 
@@ -282,7 +290,7 @@
 fn a_complaint_that_was_taken_back_unheard_is_over_in_time() {
     for seed in 0..10 {
         let mut sim = Sim::new(5, seed, voters(5));
-        assert!(sim.until(30.0, |sim| sim.all_stand(&Standing::Whole)));
+        assert!(sim.until(30.0, |sim| sim.all_stand(&ClusterHealth::Whole)));
         sim.cut.insert((4, 2));
         sim.cut.insert((4, 3));
         sim.run(4.0);
@@ -293,7 +301,7 @@
         let wait = 0.5 + sim.uniform() * 3.0;
         sim.run(wait);
         sim.heal();
-        let whole = sim.until(40.0, |sim| sim.agree() && sim.all_stand(&Standing::Whole));
+        let whole = sim.until(40.0, |sim| sim.agree() && sim.all_stand(&ClusterHealth::Whole));
         assert!(whole, "seed {seed}: {}", sim.picture());
     }
 }
@@ -403,7 +411,7 @@
 /// can't come back because it was forgotten.
 #[test]
 fn who_is_gone_for_good_is_forgotten_also_by_those_who_did_not_hear_it() {
-    use postproxy_members::Refused;
+    use postproxy_membership::Rejection;
     for seed in 0..10 {
         let mut sim = Sim::new(5, seed, Settings::default());
         assert!(sim.until(30.0, Sim::agree));
@@ -413,8 +421,8 @@
             sim.deliver(n, out);
             said
         };
-        assert_eq!(forget(&mut sim, 0, "n4"), Err(Refused::Lives), "it lives");
-        assert_eq!(forget(&mut sim, 0, "n9"), Err(Refused::Nobody));
+        assert_eq!(forget(&mut sim, 0, "n4"), Err(Rejection::Lives), "it lives");
+        assert_eq!(forget(&mut sim, 0, "n9"), Err(Rejection::Nobody));
         sim.kill(4);
         let failed =
             |sim: &Sim| sim.living().all(|(_, _, m)| m.count() == 5 && m.known().failed.contains("n4"));
--- a/crates/members/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -1,17 +1,19 @@
 //! The parts of the machine, each by itself: datagrams, own time, bans.
 
-use postproxy_members::hearing::Hearing;
-use postproxy_members::packet::{self, Flaw, Message};
-use postproxy_members::{Bans, Identity, Mark, Members, Out, OwnTime, Settings};
+use postproxy_membership::packet::{self, DecodeError, Message};
+use postproxy_membership::reachability::Reachability;
+use postproxy_membership::{
+    Identity, LocalClock, Membership, Output, Settings, SuspendedWorkers, Suspension,
+};
 use proptest::prelude::*;
 
 fn identity(name: &str) -> Identity {
     Identity { name: name.into(), address: ([10, 0, 0, 1], 7000).into(), incarnation: 5, life: 9 }
 }
 
-fn machine() -> Members {
+fn machine() -> Membership {
     let settings = Settings { cluster: "riga".into(), ..Settings::default() };
-    Members::new(settings, "a", ([10, 0, 0, 2], 7000).into(), 1, 1, 100.0)
+    Membership::new(settings, "a", ([10, 0, 0, 2], 7000).into(), 1, 1, 100.0)
 }
 
 /// Sentence 6: guards against a datagram that is believed though it is cut, changed, another cluster's or version's.
@@ -29,13 +31,13 @@
         assert!(packet::decode(cluster, &changed).is_err(), "bit {bit}");
     }
     let other = packet::encode(packet::cluster("liepaja"), &identity("b"), &Message::Ask);
-    assert_eq!(packet::decode(cluster, &other), Err(Flaw::Cluster));
+    assert_eq!(packet::decode(cluster, &other), Err(DecodeError::Cluster));
     let mut newer = sound.clone();
     newer[2] += 1;
-    assert_eq!(packet::decode(cluster, &newer), Err(Flaw::Version));
+    assert_eq!(packet::decode(cluster, &newer), Err(DecodeError::Version));
     for name in ["", &"x".repeat(65)] {
         let nameless = packet::encode(cluster, &identity(name), &Message::Ask);
-        assert_eq!(packet::decode(cluster, &nameless), Err(Flaw::Unknown));
+        assert_eq!(packet::decode(cluster, &nameless), Err(DecodeError::Unknown));
     }
     // A library's packet that claims 10,000 members, in a sound envelope.
     let (mut members, mut out) = (machine(), Vec::new());
@@ -52,14 +54,14 @@
     members.receive(102.0, &other, &mut out);
     members.receive(102.0, b"", &mut out);
     assert_eq!(members.others().count(), 0);
-    let dropped: Vec<(Flaw, u64)> = members.dropped().iter().map(|(flaw, n)| (*flaw, *n)).collect();
-    assert_eq!(dropped, [(Flaw::Foreign, 1), (Flaw::Cluster, 1), (Flaw::Unknown, 1)]);
+    let dropped: Vec<(DecodeError, u64)> = members.dropped().iter().map(|(flaw, n)| (*flaw, *n)).collect();
+    assert_eq!(dropped, [(DecodeError::Foreign, 1), (DecodeError::Cluster, 1), (DecodeError::Unknown, 1)]);
 }
 
 /// Guards against a pause that counts as time, and against a starved process that trusts its time-outs.
 #[test]
 fn a_pause_is_no_time_and_after_it_time_goes_slower() {
-    let mut time = OwnTime::new(0.0);
+    let mut time = LocalClock::new(0.0);
     assert!((time.at(1.0, Some(1.0)) - 1.0).abs() < 1e-9, "on time, all counts");
     let before = time.own();
     let own = time.at(61.0, Some(before + 0.1));
@@ -85,11 +87,11 @@
     proptest::collection::vec((0u8..3, 0u64..3, 0u32..4, 0u32..4), 0..24)
 }
 
-fn merged(marks: &[(u8, u64, u32, u32)]) -> Bans {
-    let mut bans = Bans::default();
+fn merged(marks: &[(u8, u64, u32, u32)]) -> SuspendedWorkers {
+    let mut bans = SuspendedWorkers::default();
     for (worker, life, given, undone) in marks {
         let (given, undone) = (*given, *undone.min(given));
-        bans.merge(&format!("w-{worker}"), Mark { life: *life, given, undone });
+        bans.merge(&format!("w-{worker}"), Suspension { life: *life, given, undone });
     }
     bans
 }
@@ -125,7 +127,7 @@
 /// A suspend wins over a resume that had not heard of it; a resume undoes all that it has heard of, given however often.
 #[test]
 fn a_resume_undoes_what_it_has_heard_of_and_no_more() {
-    let (mut one, mut two) = (Bans::default(), Bans::default());
+    let (mut one, mut two) = (SuspendedWorkers::default(), SuspendedWorkers::default());
     let mark = one.suspend(1, "w").expect("room");
     assert_eq!(one.suspend(1, "w"), Some(mark), "given twice is given once");
     two.merge("w", mark);
@@ -148,7 +150,7 @@
 /// Guards against an old hello, sent again by the network, that makes a node heard which is not.
 #[test]
 fn an_old_hello_counts_for_nothing() {
-    let mut hearing = Hearing::default();
+    let mut hearing = Reachability::default();
     hearing.should(0.0, &["b".to_owned()]);
     hearing.hear(1.0, "b", 7, 5);
     hearing.hear(3.0, "b", 7, 5);
@@ -194,7 +196,7 @@
         members.due(next, &mut out);
     }
     let sizes =
-        out.iter().filter_map(|out| if let Out::Send(_, bytes) = out { Some(bytes.len()) } else { None });
+        out.iter().filter_map(|out| if let Output::Send(_, bytes) = out { Some(bytes.len()) } else { None });
     let sizes: Vec<usize> = sizes.collect();
     assert!(!sizes.is_empty() && sizes.iter().all(|size| *size <= packet::MOST), "{sizes:?}");
 }
--- a/crates/members/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use postproxy_members::{Members, News, Out, Settings, Standing};
+use postproxy_membership::{ClusterHealth, Membership, MembershipEvent, Output, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -29,12 +29,12 @@
 pub struct Node {
     pub name: String,
     pub address: SocketAddr,
-    pub members: Option<Members>,
+    pub members: Option<Membership>,
     /// Until when the process is stopped.
     pub paused: f64,
     /// What its clock shows is the simulation's time by this.
     pub rate: f64,
-    pub news: Vec<(f64, News)>,
+    pub news: Vec<(f64, MembershipEvent)>,
     /// What waits for a process that is stopped.
     inbox: Vec<Vec<u8>>,
     wakes: u64,
@@ -45,7 +45,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Arrive(usize, Vec<u8>),
-    Told(usize, Vec<u8>),
+    GossipState(usize, Vec<u8>),
     Wake(usize, u64),
 }
 
@@ -137,7 +137,8 @@
         let seed = self.draws.next_u64();
         let node = &mut self.nodes[n];
         let now = self.now * node.rate;
-        node.members = Some(Members::new(self.settings.clone(), &node.name, node.address, clock, seed, now));
+        node.members =
+            Some(Membership::new(self.settings.clone(), &node.name, node.address, clock, seed, now));
         node.paused = 0.0;
         node.inbox.clear();
         self.wake(n);
@@ -162,7 +163,7 @@
         self.nodes[n].paused = self.now + seconds;
     }
 
-    pub fn members(&mut self, n: usize) -> &mut Members {
+    pub fn members(&mut self, n: usize) -> &mut Membership {
         self.nodes[n].members.as_mut().expect("it lives")
     }
 
@@ -201,27 +202,27 @@
     }
 
     /// Does what a call to a node's machine has given.
-    pub fn deliver(&mut self, n: usize, out: Vec<Out>) {
+    pub fn deliver(&mut self, n: usize, out: Vec<Output>) {
         self.carry(n, out);
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Out>) {
+    fn carry(&mut self, n: usize, out: Vec<Output>) {
         for out in out {
             match out {
-                Out::News(news) => {
+                Output::MembershipEvent(news) => {
                     let now = self.now;
                     self.nodes[n].news.push((now, news));
                 }
                 // A stream goes on after a cut, or is dropped with its node: both come to a way without loss here.
-                Out::Tell(to, bytes) => {
+                Output::Tell(to, bytes) => {
                     self.told += 1;
                     let Some(&to) = self.by_address.get(&to.address) else { continue };
                     if !self.cut.contains(&(n, to)) {
                         let way = 0.001 + self.uniform() * self.faults.late;
-                        self.push(self.now + way, What::Told(to, bytes));
+                        self.push(self.now + way, What::GossipState(to, bytes));
                     }
                 }
-                Out::Send(to, bytes) => {
+                Output::Send(to, bytes) => {
                     let node = &mut self.nodes[n];
                     node.sent += 1;
                     node.bytes += bytes.len() as u64 + 28; // with the heads of UDP and IP
@@ -245,7 +246,7 @@
         let node = &mut self.nodes[n];
         node.wakes += 1;
         let (number, paused, rate) = (node.wakes, node.paused, node.rate);
-        if let Some(at) = node.members.as_ref().and_then(Members::next) {
+        if let Some(at) = node.members.as_ref().and_then(Membership::next) {
             self.push((at / rate).max(paused).max(self.now), What::Wake(n, number));
         }
     }
@@ -285,7 +286,7 @@
                     members.due(now, &mut out);
                     n
                 }
-                What::Told(n, bytes) => {
+                What::GossipState(n, bytes) => {
                     let node = &mut self.nodes[n];
                     let now = self.now * node.rate;
                     let Some(members) = node.members.as_mut().filter(|_| self.now >= node.paused) else {
@@ -308,7 +309,7 @@
                     n
                 }
             };
-            let news = out.iter().any(|out| matches!(out, Out::News(_)));
+            let news = out.iter().any(|out| matches!(out, Output::MembershipEvent(_)));
             self.carry(n, out);
             if news && holds(self) {
                 return true;
@@ -317,7 +318,7 @@
         holds(self)
     }
 
-    pub fn living(&self) -> impl Iterator<Item = (usize, &Node, &Members)> {
+    pub fn living(&self) -> impl Iterator<Item = (usize, &Node, &Membership)> {
         self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, node, node.members.as_ref()?)))
     }
 
@@ -332,27 +333,28 @@
 
     /// What each that lives takes for so, for a test's message.
     pub fn picture(&self) -> String {
-        let of =
-            |(_, node, m): (usize, &Node, &Members)| format!("{} {} {:?}\n", node.name, m.is_in(), m.known());
+        let of = |(_, node, m): (usize, &Node, &Membership)| {
+            format!("{} {} {:?}\n", node.name, m.is_in(), m.known())
+        };
         self.living().map(of).collect()
     }
 
-    pub fn all_stand(&self, standing: &Standing) -> bool {
+    pub fn all_stand(&self, standing: &ClusterHealth) -> bool {
         self.living().all(|(_, _, members)| members.standing() == standing)
     }
 
     /// How often one of these news came after a time, over all nodes.
-    pub fn told(&self, since: f64, wanted: impl Fn(&News) -> bool) -> usize {
+    pub fn told(&self, since: f64, wanted: impl Fn(&MembershipEvent) -> bool) -> usize {
         let all = self.nodes.iter().flat_map(|node| &node.news);
         all.filter(|(at, news)| *at > since && wanted(news)).count()
     }
 }
 
 /// The names of those whom a node takes for members.
-pub fn known(members: &Members) -> impl Iterator<Item = &str> {
-    use postproxy_members::Life;
+pub fn known(members: &Membership) -> impl Iterator<Item = &str> {
+    use postproxy_membership::MemberState;
     members
         .others()
-        .filter(|(_, life)| matches!(life, Life::Alive | Life::Suspect))
+        .filter(|(_, life)| matches!(life, MemberState::Alive | MemberState::Suspect))
         .map(|(identity, _)| &*identity.name)
 }
--- a/crates/agreement/src/admission.rs
+++ b/crates/replicated-log/src/admission.rs
@@ -11,14 +11,14 @@
 //! for as long; or, of the same start, if they have been started anew. To wait for
 //! all without an end would leave three voters without a majority once one has died for good and another is started anew.
 
-use crate::gate::Gate;
-use crate::memory::Change;
+use crate::durability_gate::DurabilityGate;
+use crate::storage::StorageChange;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What voters say to each other before they vote.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Say {
+pub enum AdmissionMessage {
     /// Who has kept nothing asks: what is known of my number?
     Who,
     /// The highest start known of the asker, 0 for none.
@@ -35,7 +35,7 @@
 
 /// What may be done.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionVerdict {
     /// Not known yet.
     Wait,
     /// It may vote.
@@ -46,11 +46,11 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum AdmissionEffect {
     /// Say this to that voter.
-    Say(u64, Say),
+    AdmissionMessage(u64, AdmissionMessage),
     /// Write these; [`Admission::durable`] is told when they are.
-    Write(u64, Vec<Change>),
+    Write(u64, Vec<StorageChange>),
 }
 
 /// Of one voter, from its start on.
@@ -72,11 +72,11 @@
     seen: BTreeSet<u64>,
     /// Ticks since its start was told first.
     waited: u64,
-    verdict: Verdict,
+    verdict: AdmissionVerdict,
     /// Its own start's write, until that is durable.
     starting: Option<(u64, u64)>,
     /// Answers, each with to whom.
-    answers: Gate<(u64, Say)>,
+    answers: DurabilityGate<(u64, AdmissionMessage)>,
 }
 
 /// So many ticks others are waited for who say nothing.
@@ -119,14 +119,14 @@
             empty: BTreeSet::new(),
             seen: BTreeSet::new(),
             waited: 0,
-            verdict: Verdict::Wait,
+            verdict: AdmissionVerdict::Wait,
             starting: start.map(|start| (0, start + 1)),
-            answers: Gate::default(),
+            answers: DurabilityGate::default(),
         }
     }
 
     /// What may be done.
-    pub fn verdict(&self) -> Verdict {
+    pub fn verdict(&self) -> AdmissionVerdict {
         self.verdict
     }
 
@@ -157,10 +157,10 @@
         self.voters.iter().copied().filter(|voter| *voter != self.me)
     }
 
-    fn write(&mut self, key: Vec<u8>, numbers: &[u64], out: &mut Vec<Act>) -> u64 {
+    fn write(&mut self, key: Vec<u8>, numbers: &[u64], out: &mut Vec<AdmissionEffect>) -> u64 {
         let write = self.answers.write();
         let value = Some(numbers.iter().flat_map(|number| number.to_be_bytes()).collect());
-        out.push(Act::Write(write, vec![Change { key, value }]));
+        out.push(AdmissionEffect::Write(write, vec![StorageChange { key, value }]));
         write
     }
 
@@ -168,14 +168,14 @@
     fn judge(&mut self) {
         let all = self.seen.len() + 1 == self.voters.len();
         let enough = self.seen.len() + 1 > self.voters.len() / 2 && self.waited >= GRACE;
-        if self.verdict == Verdict::Wait && (all || enough) {
-            self.verdict = Verdict::Vote;
+        if self.verdict == AdmissionVerdict::Wait && (all || enough) {
+            self.verdict = AdmissionVerdict::Vote;
         }
     }
 
     /// A tick, some ten a second: asks and tells again until all have heard, or it must not vote.
-    pub fn tick(&mut self, out: &mut Vec<Act>) {
-        if self.verdict == Verdict::Lost {
+    pub fn tick(&mut self, out: &mut Vec<AdmissionEffect>) {
+        if self.verdict == AdmissionVerdict::Lost {
             return;
         }
         if self.start.is_some() {
@@ -187,16 +187,16 @@
             self.starting = Some((write, start));
         }
         let say = match (self.start, self.starting) {
-            (Some(start), _) => Say::Started(start, self.life, self.log),
+            (Some(start), _) => AdmissionMessage::Started(start, self.life, self.log),
             (None, Some(_)) => return,
-            (None, None) => Say::Who,
+            (None, None) => AdmissionMessage::Who,
         };
         let unheard: Vec<u64> = self.others().filter(|voter| !self.seen.contains(voter)).collect();
-        out.extend(unheard.into_iter().map(|voter| Act::Say(voter, say)));
+        out.extend(unheard.into_iter().map(|voter| AdmissionEffect::AdmissionMessage(voter, say)));
     }
 
     /// All writes up to this one are durable.
-    pub fn durable(&mut self, number: u64, out: &mut Vec<Act>) {
+    pub fn durable(&mut self, number: u64, out: &mut Vec<AdmissionEffect>) {
         self.answers.durable(number);
         if let Some((_, start)) = self.starting.take_if(|(write, _)| *write > 0 && *write <= number) {
             self.start = Some(start);
@@ -206,42 +206,46 @@
     }
 
     /// Gives the answers that may be given.
-    fn answer(&mut self, out: &mut Vec<Act>) {
+    fn answer(&mut self, out: &mut Vec<AdmissionEffect>) {
         while let Some((to, say)) = self.answers.free() {
-            out.push(Act::Say(to, say));
+            out.push(AdmissionEffect::AdmissionMessage(to, say));
         }
     }
 
     /// A voter says something.
-    pub fn receive(&mut self, from: u64, say: Say, out: &mut Vec<Act>) {
+    pub fn receive(&mut self, from: u64, say: AdmissionMessage, out: &mut Vec<AdmissionEffect>) {
         if !self.others().any(|voter| voter == from) {
             return;
         }
         let known = self.known.get(&from).copied().unwrap_or((0, 0));
         match say {
-            Say::Who => out.push(Act::Say(from, Say::Known(known.0))),
+            AdmissionMessage::Who => {
+                out.push(AdmissionEffect::AdmissionMessage(from, AdmissionMessage::Known(known.0)))
+            }
             // It has said to have more than it has now: its store is an older one of the same start.
-            Say::Started(start, _, log) if start > known.0 && self.promised(from, log) => {
-                out.push(Act::Say(from, Say::Old(start)));
+            AdmissionMessage::Started(start, _, log) if start > known.0 && self.promised(from, log) => {
+                out.push(AdmissionEffect::AdmissionMessage(from, AdmissionMessage::Old(start)));
             }
-            Say::Started(start, life, _) if start > known.0 => {
+            AdmissionMessage::Started(start, life, _) if start > known.0 => {
                 self.heard.remove(&from);
                 self.known.insert(from, (start, life));
                 self.write([KNOWN, &from.to_be_bytes()].concat(), &[start, life], out);
-                self.answers.hold((from, Say::Seen(start)));
+                self.answers.hold((from, AdmissionMessage::Seen(start)));
             }
             // Told again: the answer was lost, or its write is under way.
-            Say::Started(start, life, _) if (start, life) == known => {
-                self.answers.hold((from, Say::Seen(start)));
+            AdmissionMessage::Started(start, life, _) if (start, life) == known => {
+                self.answers.hold((from, AdmissionMessage::Seen(start)));
                 self.answer(out);
             }
-            Say::Started(start, ..) => out.push(Act::Say(from, Say::Old(start))),
-            Say::Known(start) => {
-                if self.start.is_some() || self.starting.is_some() || self.verdict != Verdict::Wait {
+            AdmissionMessage::Started(start, ..) => {
+                out.push(AdmissionEffect::AdmissionMessage(from, AdmissionMessage::Old(start)))
+            }
+            AdmissionMessage::Known(start) => {
+                if self.start.is_some() || self.starting.is_some() || self.verdict != AdmissionVerdict::Wait {
                     return;
                 }
                 if start > 0 {
-                    self.verdict = Verdict::Lost;
+                    self.verdict = AdmissionVerdict::Lost;
                     return;
                 }
                 self.empty.insert(from);
@@ -251,19 +255,19 @@
                 }
             }
             // Who asks may have an older store than when it said that it had seen it.
-            Say::Again => {
+            AdmissionMessage::Again => {
                 self.seen.remove(&from);
             }
-            Say::Seen(start) => {
+            AdmissionMessage::Seen(start) => {
                 if self.start == Some(start) {
                     self.seen.insert(from);
                     self.judge();
                 }
             }
-            Say::Old(start) => {
+            AdmissionMessage::Old(start) => {
                 // Also after it was let vote: better late.
                 if self.start == Some(start) {
-                    self.verdict = Verdict::Lost;
+                    self.verdict = AdmissionVerdict::Lost;
                 }
             }
         }
--- a/crates/agreement/src/gate.rs
+++ b/crates/replicated-log/src/durability_gate.rs
@@ -4,19 +4,19 @@
 
 /// Counts writes, and holds back what rests on them.
 #[derive(Debug)]
-pub struct Gate<T> {
+pub struct DurabilityGate<T> {
     written: u64,
     durable: u64,
     held: VecDeque<(u64, T)>,
 }
 
-impl<T> Default for Gate<T> {
+impl<T> Default for DurabilityGate<T> {
     fn default() -> Self {
         Self { written: 0, durable: 0, held: VecDeque::new() }
     }
 }
 
-impl<T> Gate<T> {
+impl<T> DurabilityGate<T> {
     /// The number of another write.
     pub fn write(&mut self) -> u64 {
         self.written += 1;
--- a/crates/agreement/src/memory.rs
+++ b/crates/replicated-log/src/storage.rs
@@ -1,6 +1,6 @@
 //! The log as it is in memory, with each change noted as it is to be kept.
 
-use crate::Fold;
+use crate::StateMachine;
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
@@ -9,7 +9,7 @@
 
 /// A change of what is kept: a key, and its value or none any more.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Change {
+pub struct StorageChange {
     /// The key; all begin with `a/`.
     pub key: Vec<u8>,
     /// Its value.
@@ -19,7 +19,7 @@
 /// What was kept can't be gone by.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the log of the voters: {0}")]
-pub struct Damage(pub String);
+pub struct CorruptLog(pub String);
 
 /// Where the log of founders begins: a place that is folded from the start, so that who is added later gets a state, never a
 /// log from its first word without the voters that it began with.
@@ -38,7 +38,7 @@
 /// What all entries up to a place come to.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(bound = "")]
-pub struct Folded<F: Fold> {
+pub struct StateSnapshot<F: StateMachine> {
     pub state: F,
     /// How many words that is: the library's own entries are none.
     pub words: u64,
@@ -48,15 +48,15 @@
     pub highest: u64,
 }
 
-/// How `Folded` is kept.
+/// How `StateSnapshot` is kept.
 #[derive(Deserialize, Serialize)]
 #[serde(bound = "")]
-struct Kept<F: Fold> {
+struct Kept<F: StateMachine> {
     index: u64,
     term: u64,
     compacted: (u64, u64),
     voters: Vec<u8>,
-    folded: Folded<F>,
+    folded: StateSnapshot<F>,
 }
 
 /// The term of a log that was kept, and where it ends; what can't be read counts as nothing.
@@ -77,7 +77,7 @@
 
 /// The log in memory.
 #[derive(Debug)]
-pub struct Memory<F: Fold> {
+pub struct LogStorage<F: StateMachine> {
     log: Vec<Entry>,
     /// The last place that is no more in the log, and its term.
     compacted: (u64, u64),
@@ -85,8 +85,8 @@
     pub voters: ConfState,
     /// What has been applied, up to this place.
     pub applied: u64,
-    pub folded: Folded<F>,
-    changes: Vec<Change>,
+    pub folded: StateSnapshot<F>,
+    changes: Vec<StorageChange>,
 }
 
 fn bytes(message: &impl protobuf::Message) -> Vec<u8> {
@@ -94,30 +94,30 @@
     message.write_to_bytes().unwrap_or_default()
 }
 
-fn read<M: protobuf::Message>(what: &str, value: &[u8]) -> std::result::Result<M, Damage> {
-    M::parse_from_bytes(value).map_err(|_| Damage(format!("{what} can't be read")))
+fn read<M: protobuf::Message>(what: &str, value: &[u8]) -> std::result::Result<M, CorruptLog> {
+    M::parse_from_bytes(value).map_err(|_| CorruptLog(format!("{what} can't be read")))
 }
 
-impl<F: Fold> Memory<F> {
+impl<F: StateMachine> LogStorage<F> {
     /// As it was kept. With nothing kept, the founders'; with no founders, that of one who waits to be told.
     pub fn restore(
         founders: &BTreeMap<u64, String>,
         kept: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
-    ) -> std::result::Result<Self, Damage> {
+    ) -> std::result::Result<Self, CorruptLog> {
         let mut memory = Self {
             log: Vec::new(),
             compacted: (0, 0),
             hard: HardState::default(),
             voters: ConfState::default(),
             applied: 0,
-            folded: Folded::default(),
+            folded: StateSnapshot::default(),
             changes: Vec::new(),
         };
         let (mut words, mut any) = (BTreeMap::new(), false);
         for (key, value) in kept {
             any = true;
             if let Some(index) = key.strip_prefix(LOG) {
-                let index = index.try_into().map_err(|_| Damage("a place has no number".into()))?;
+                let index = index.try_into().map_err(|_| CorruptLog("a place has no number".into()))?;
                 words.insert(u64::from_be_bytes(index), read::<Entry>("a word", &value)?);
                 continue;
             }
@@ -125,16 +125,16 @@
                 HARD => memory.hard = read("the promise", &value)?,
                 FOLDED => {
                     let Ok((kept, [])) = postcard::take_from_bytes::<Kept<F>>(&value) else {
-                        return Err(Damage("what is folded can't be read".into()));
+                        return Err(CorruptLog("what is folded can't be read".into()));
                     };
                     memory.voters = read("the voters", &kept.voters)?;
                     (memory.applied, memory.compacted, memory.folded) =
                         (kept.index, kept.compacted, kept.folded);
                     if kept.index < kept.compacted.0 || memory.voters.get_voters().is_empty() {
-                        return Err(Damage("what is folded contradicts itself".into()));
+                        return Err(CorruptLog("what is folded contradicts itself".into()));
                     }
                 }
-                key => return Err(Damage(format!("{} is nothing of it", String::from_utf8_lossy(key)))),
+                key => return Err(CorruptLog(format!("{} is nothing of it", String::from_utf8_lossy(key)))),
             }
         }
         if !any && !founders.is_empty() {
@@ -143,12 +143,14 @@
         for (index, entry) in words {
             let next = memory.last() + 1;
             if index != next || entry.index != index {
-                return Err(Damage(format!("place {next} is missing: {index} is the next that is there")));
+                return Err(CorruptLog(format!(
+                    "place {next} is missing: {index} is the next that is there"
+                )));
             }
             memory.log.push(entry);
         }
         if memory.applied > memory.last() || memory.hard.commit > memory.last() {
-            return Err(Damage("more is decided than is there".into()));
+            return Err(CorruptLog("more is decided than is there".into()));
         }
         Ok(memory)
     }
@@ -165,11 +167,11 @@
     }
 
     fn put(&mut self, key: &[u8], value: Option<Vec<u8>>) {
-        self.changes.push(Change { key: key.to_vec(), value });
+        self.changes.push(StorageChange { key: key.to_vec(), value });
     }
 
     /// What is to be written now.
-    pub fn take(&mut self) -> Vec<Change> {
+    pub fn take(&mut self) -> Vec<StorageChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -215,7 +217,7 @@
 
     /// Takes a state in place of all that is there; `false` if it can't be read.
     pub fn take_over(&mut self, snapshot: &Snapshot) -> bool {
-        let Ok((folded, [])) = postcard::take_from_bytes::<Folded<F>>(snapshot.get_data()) else {
+        let Ok((folded, [])) = postcard::take_from_bytes::<StateSnapshot<F>>(snapshot.get_data()) else {
             return false;
         };
         let meta = snapshot.get_metadata();
@@ -248,7 +250,7 @@
     }
 }
 
-impl<F: Fold> Storage for Memory<F> {
+impl<F: StateMachine> Storage for LogStorage<F> {
     fn initial_state(&self) -> Result<RaftState> {
         Ok(RaftState::new(self.hard.clone(), self.voters.clone()))
     }
--- a/crates/agreement/src/voter.rs
+++ b/crates/replicated-log/src/voter.rs
@@ -1,8 +1,8 @@
 //! One voter.
 
-use crate::Fold;
-use crate::gate::Gate;
-use crate::memory::{Change, Damage, Memory};
+use crate::StateMachine;
+use crate::durability_gate::DurabilityGate;
+use crate::storage::{CorruptLog, LogStorage, StorageChange};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChange, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType};
 use raft::{Config, RawNode, SnapshotStatus, StateRole};
@@ -10,9 +10,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// The longest word, in bytes.
-pub const MOST_WORD: usize = 256 << 10;
+pub const MAX_ENTRY_BYTES: usize = 256 << 10;
 /// Seats, at most.
-pub const MOST_SEATS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 /// So many words are folded at a time.
 const FOLD: u64 = 512;
 /// Inputs that wait for a disk; beyond it nothing new is taken in.
@@ -29,9 +29,9 @@
 
 /// What is to be done, or has come of it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Write these, all or none, in the order of their numbers; [`Voter::durable`] is told when they are.
-    Write(u64, Vec<Change>),
+    Write(u64, Vec<StorageChange>),
     /// Send this to that voter.
     Send(u64, Vec<u8>),
     /// A word is decided, at this place from 1 on: [`Voter::state`] has it in.
@@ -44,7 +44,7 @@
 
 /// Why a word is not proposed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum Refused {
+pub enum ProposalRejected {
     /// It is longer than any may be.
     #[error("it is too long")]
     Long,
@@ -70,7 +70,7 @@
 
 /// A change of who votes.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Seating {
+pub enum MembershipChange {
     /// This node gets a seat, with a number that none has had.
     Add(String),
     /// The seat of this number is taken away.
@@ -84,14 +84,14 @@
 }
 
 /// One voter, by the number of its seat.
-pub struct Voter<F: Fold> {
+pub struct Voter<F: StateMachine> {
     me: u64,
-    raft: RawNode<Memory<F>>,
-    gate: Gate<Held>,
+    raft: RawNode<LogStorage<F>>,
+    gate: DurabilityGate<Held>,
     ended: Option<String>,
 }
 
-impl<F: Fold> Voter<F> {
+impl<F: StateMachine> Voter<F> {
     /// The voter of this seat, from what it had kept. With nothing kept it is one of these founders; with no founders given, one
     /// that has been added and waits to be told. **One that has voted before and comes back with less than it had kept must
     /// not be this number any more** ([`crate::admission`] says): it may break what it has promised. What comes of it is to be
@@ -104,20 +104,20 @@
         me: u64,
         founders: &BTreeMap<u64, String>,
         kept: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
-    ) -> Result<(Self, Vec<Out>), Damage> {
+    ) -> Result<(Self, Vec<Output>), CorruptLog> {
         let sound = founders.is_empty() || founders.contains_key(&me) && !founders.contains_key(&0);
-        if !sound || me == 0 || founders.len() > MOST_SEATS {
-            return Err(Damage(format!(
-                "voter {me} of {founders:?}: up to {MOST_SEATS} numbers above 0, its own among them"
+        if !sound || me == 0 || founders.len() > MAX_VOTERS {
+            return Err(CorruptLog(format!(
+                "voter {me} of {founders:?}: up to {MAX_VOTERS} numbers above 0, its own among them"
             )));
         }
-        let memory = Memory::<F>::restore(founders, kept)?;
+        let memory = LogStorage::<F>::restore(founders, kept)?;
         let config = Config {
             id: me,
             election_tick: ELECTION,
             heartbeat_tick: HEARTBEAT,
-            min_election_tick: ELECTION + STAGGER * (me % MOST_SEATS as u64) as usize,
-            max_election_tick: ELECTION + STAGGER * (me % MOST_SEATS as u64) as usize + 1,
+            min_election_tick: ELECTION + STAGGER * (me % MAX_VOTERS as u64) as usize,
+            max_election_tick: ELECTION + STAGGER * (me % MAX_VOTERS as u64) as usize + 1,
             applied: memory.applied,
             max_size_per_msg: MESSAGE,
             max_uncommitted_size: UNDECIDED,
@@ -127,8 +127,8 @@
             ..Config::default()
         };
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let raft = RawNode::new(&config, memory, &quiet).map_err(|error| Damage(error.to_string()))?;
-        let mut voter = Self { me, raft, gate: Gate::default(), ended: None };
+        let raft = RawNode::new(&config, memory, &quiet).map_err(|error| CorruptLog(error.to_string()))?;
+        let mut voter = Self { me, raft, gate: DurabilityGate::default(), ended: None };
         // What was kept is durable: what is decided of it holds at once.
         let mut out = Vec::new();
         voter.pass(&mut out);
@@ -181,7 +181,7 @@
     }
 
     /// A tick: they come evenly, some twenty a second.
-    pub fn tick(&mut self, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, out: &mut Vec<Output>) {
         // One whose disk does not come to an end says nothing new meanwhile: others will see to it.
         if self.gate.held() < MOST_HELD {
             self.guarded(|raft| {
@@ -193,7 +193,7 @@
 
     /// A message of a voter has come; one that can't be read or is none that could have been sent is passed over, and `false`
     /// is given.
-    pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Out>) -> bool {
+    pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Output>) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
         // A proposal keeps its first sender's number and may come back to it, where who leads has changed.
         let own = message.from == self.me && message.get_msg_type() != MessageType::MsgPropose;
@@ -211,7 +211,7 @@
     }
 
     /// Messages to and from a voter may have been lost: its connection was made anew.
-    pub fn reconnected(&mut self, voter: u64, out: &mut Vec<Out>) {
+    pub fn reconnected(&mut self, voter: u64, out: &mut Vec<Output>) {
         self.guarded(|raft| {
             raft.report_unreachable(voter);
             raft.report_snapshot(voter, SnapshotStatus::Failure);
@@ -225,15 +225,15 @@
     /// # Errors
     ///
     /// If it is not even tried.
-    pub fn propose(&mut self, word: Vec<u8>, out: &mut Vec<Out>) -> Result<(), Refused> {
-        if word.len() > MOST_WORD {
-            return Err(Refused::Long);
+    pub fn propose(&mut self, word: Vec<u8>, out: &mut Vec<Output>) -> Result<(), ProposalRejected> {
+        if word.len() > MAX_ENTRY_BYTES {
+            return Err(ProposalRejected::Long);
         }
         self.open()?;
         let mut proposed = false;
         self.guarded(|raft| proposed = raft.propose(Vec::new(), word).is_ok());
         self.pass(out);
-        if proposed { Ok(()) } else { Err(Refused::Busy) }
+        if proposed { Ok(()) } else { Err(ProposalRejected::Busy) }
     }
 
     /// Changes who votes; it holds once [`Voter::seats`] says so. One change is made at a time, and by who leads.
@@ -241,33 +241,33 @@
     /// # Errors
     ///
     /// If it is not even tried.
-    pub fn seat(&mut self, change: &Seating, out: &mut Vec<Out>) -> Result<(), Refused> {
+    pub fn seat(&mut self, change: &MembershipChange, out: &mut Vec<Output>) -> Result<(), ProposalRejected> {
         self.open()?;
         if !self.leads() {
-            return Err(self.leader().map_or(Refused::Leaderless, Refused::Elsewhere));
+            return Err(self.leader().map_or(ProposalRejected::Leaderless, ProposalRejected::Elsewhere));
         }
         if self.raft.raft.has_pending_conf() {
-            return Err(Refused::Changing);
+            return Err(ProposalRejected::Changing);
         }
         let (seats, mut cc, mut name) = (self.seats(), ConfChange::default(), String::new());
         match change {
-            Seating::Add(_) if seats.len() >= MOST_SEATS => return Err(Refused::Count),
-            Seating::Add(node) if seats.values().any(|name| name == node) => return Ok(()),
-            Seating::Add(node) => {
+            MembershipChange::Add(_) if seats.len() >= MAX_VOTERS => return Err(ProposalRejected::Count),
+            MembershipChange::Add(node) if seats.values().any(|name| name == node) => return Ok(()),
+            MembershipChange::Add(node) => {
                 cc.set_change_type(ConfChangeType::AddNode);
                 cc.node_id = self.raft.store().folded.highest + 1;
                 name.clone_from(node);
             }
-            Seating::Remove(seat) if !seats.contains_key(seat) => return Ok(()),
-            Seating::Remove(_) if seats.len() <= 2 => return Err(Refused::Count),
-            Seating::Remove(seat) if *seat == self.me => {
+            MembershipChange::Remove(seat) if !seats.contains_key(seat) => return Ok(()),
+            MembershipChange::Remove(_) if seats.len() <= 2 => return Err(ProposalRejected::Count),
+            MembershipChange::Remove(seat) if *seat == self.me => {
                 // Another leads first, that takes the seat away then.
                 let other = seats.keys().copied().find(|seat| *seat != self.me).unwrap_or_default();
                 self.guarded(|raft| raft.transfer_leader(other));
                 self.pass(out);
-                return Err(Refused::Changing);
+                return Err(ProposalRejected::Changing);
             }
-            Seating::Remove(seat) => {
+            MembershipChange::Remove(seat) => {
                 cc.set_change_type(ConfChangeType::RemoveNode);
                 cc.node_id = *seat;
             }
@@ -275,27 +275,27 @@
         let mut proposed = false;
         self.guarded(|raft| proposed = raft.propose_conf_change(name.into_bytes(), cc).is_ok());
         self.pass(out);
-        if proposed { Ok(()) } else { Err(Refused::Busy) }
+        if proposed { Ok(()) } else { Err(ProposalRejected::Busy) }
     }
 
-    fn open(&self) -> Result<(), Refused> {
+    fn open(&self) -> Result<(), ProposalRejected> {
         if self.ended.is_some() {
-            return Err(Refused::Ended);
+            return Err(ProposalRejected::Ended);
         }
         if self.gate.held() >= MOST_HELD {
-            return Err(Refused::Busy);
+            return Err(ProposalRejected::Busy);
         }
-        self.leader().map(|_| ()).ok_or(Refused::Leaderless)
+        self.leader().map(|_| ()).ok_or(ProposalRejected::Leaderless)
     }
 
     /// All writes up to this one are durable.
-    pub fn durable(&mut self, number: u64, out: &mut Vec<Out>) {
+    pub fn durable(&mut self, number: u64, out: &mut Vec<Output>) {
         self.gate.durable(number);
         self.pass(out);
     }
 
     /// The library ends the process where it finds its log contradicting itself: here it ends this process's vote.
-    fn guarded(&mut self, act: impl FnOnce(&mut RawNode<Memory<F>>)) {
+    fn guarded(&mut self, act: impl FnOnce(&mut RawNode<LogStorage<F>>)) {
         if self.ended.is_some() {
             return;
         }
@@ -309,7 +309,7 @@
 
     /// Takes what an input has led to: changes to be written, and what may be told once they are durable. A leader's own
     /// messages may go before: that others have a word makes no promise of its own.
-    fn pass(&mut self, out: &mut Vec<Out>) {
+    fn pass(&mut self, out: &mut Vec<Output>) {
         loop {
             while let Some(held) = self.gate.free() {
                 self.guarded(|raft| raft.on_persist_ready(held.ready));
@@ -344,8 +344,8 @@
             });
             match over {
                 Some(true) => {
-                    out.push(Out::Skipped(self.told()));
-                    out.push(Out::Seats);
+                    out.push(Output::Skipped(self.told()));
+                    out.push(Output::Seats);
                 }
                 Some(false) => self.ended = Some("a state of the leader's can't be read".to_owned()),
                 None => {}
@@ -358,7 +358,7 @@
             }
             let changes = self.raft.mut_store().take();
             if !changes.is_empty() {
-                out.push(Out::Write(self.gate.write(), changes));
+                out.push(Output::Write(self.gate.write(), changes));
             }
             self.send(at_once, out);
             self.gate.hold(Held { ready: number, messages: later });
@@ -366,13 +366,13 @@
         let changes = self.raft.mut_store().take();
         if !changes.is_empty() {
             // What the founders begin with.
-            out.push(Out::Write(self.gate.write(), changes));
+            out.push(Output::Write(self.gate.write(), changes));
         }
     }
 
-    fn send(&mut self, messages: Vec<Message>, out: &mut Vec<Out>) {
+    fn send(&mut self, messages: Vec<Message>, out: &mut Vec<Output>) {
         for message in messages {
-            out.push(Out::Send(message.to, message.write_to_bytes().unwrap_or_default()));
+            out.push(Output::Send(message.to, message.write_to_bytes().unwrap_or_default()));
             if message.get_msg_type() == MessageType::MsgSnapshot {
                 // Whether it arrives is seen by what comes next: till then the leader would wait for ever.
                 self.guarded(|raft| raft.report_snapshot(message.to, SnapshotStatus::Finish));
@@ -380,7 +380,7 @@
         }
     }
 
-    fn apply(&mut self, mut entry: Entry, out: &mut Vec<Out>) {
+    fn apply(&mut self, mut entry: Entry, out: &mut Vec<Output>) {
         let word = entry.take_data();
         match entry.get_entry_type() {
             EntryType::EntryNormal => {
@@ -390,7 +390,7 @@
                 if !word.is_empty() {
                     store.folded.words += 1;
                     store.folded.state.apply(&word);
-                    out.push(Out::Decided(store.folded.words, word.to_vec()));
+                    out.push(Output::Decided(store.folded.words, word.to_vec()));
                 }
             }
             EntryType::EntryConfChange | EntryType::EntryConfChangeV2 => {
@@ -415,7 +415,7 @@
                     } else {
                         seats.remove(&change.node_id);
                     }
-                    out.push(Out::Seats);
+                    out.push(Output::Seats);
                 }
                 // The library's leader goes on without a seat, and ends the process at its next write.
                 if self.leads() && !self.seats().contains_key(&self.me) {
@@ -431,7 +431,7 @@
         match change.get_change_type() {
             ConfChangeType::AddNode => {
                 let new = change.node_id > folded.highest && !folded.seats.values().any(|seat| seat == name);
-                new && folded.seats.len() < MOST_SEATS
+                new && folded.seats.len() < MAX_VOTERS
             }
             ConfChangeType::RemoveNode => {
                 folded.seats.contains_key(&change.node_id) && folded.seats.len() > 2
--- a/crates/agreement/tests/admission.rs
+++ b/crates/replicated-log/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Voters that come back with all, less or nothing of what they had kept: who may vote, and that nobody else does.
 
-use postproxy_agreement::Change;
-use postproxy_agreement::admission::{Act, Admission, Say, Verdict};
+use postproxy_replicated_log::StorageChange;
+use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
     admission: Option<Admission>,
     kept: Kept,
     /// Writes on their way, with when they are durable.
-    writes: Vec<(u64, u64, Vec<Change>)>,
+    writes: Vec<(u64, u64, Vec<StorageChange>)>,
     /// The store as it was at some earlier time.
     old: Option<Kept>,
     /// What it has today is less than it once had kept.
@@ -25,7 +25,7 @@
     now: u64,
     draws: Pcg64Mcg,
     nodes: Vec<Node>,
-    words: Vec<(u64, usize, usize, Say)>,
+    words: Vec<(u64, usize, usize, AdmissionMessage)>,
     lives: u64,
 }
 
@@ -54,10 +54,10 @@
         self.nodes[n].writes.clear();
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Act>) {
+    fn carry(&mut self, n: usize, out: Vec<AdmissionEffect>) {
         for act in out {
             match act {
-                Act::Write(number, changes) => {
+                AdmissionEffect::Write(number, changes) => {
                     let at = self.nodes[n]
                         .writes
                         .last()
@@ -65,7 +65,7 @@
                         .max(self.now + 1 + self.draw(4));
                     self.nodes[n].writes.push((at, number, changes));
                 }
-                Act::Say(to, say) => {
+                AdmissionEffect::AdmissionMessage(to, say) => {
                     // Lost, late and out of order.
                     if self.draw(10) > 0 {
                         let at = self.now + 1 + self.draw(8);
@@ -105,7 +105,7 @@
                 if now.is_multiple_of(5) {
                     admission.tick(&mut out);
                 }
-                if admission.verdict() == Verdict::Vote {
+                if admission.verdict() == AdmissionVerdict::Vote {
                     assert!(!node.less, "voter {n} votes with less than it had kept");
                     node.voted = true;
                 }
@@ -118,7 +118,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    fn verdicts(&self) -> Vec<Option<Verdict>> {
+    fn verdicts(&self) -> Vec<Option<AdmissionVerdict>> {
         self.nodes.iter().map(|node| node.admission.as_ref().map(Admission::verdict)).collect()
     }
 }
@@ -132,7 +132,7 @@
         let mut sim = Sim::new([3, 5, 7][seed as usize % 3], seed);
         sim.run(200);
         assert!(
-            sim.verdicts().iter().all(|v| *v == Some(Verdict::Vote)),
+            sim.verdicts().iter().all(|v| *v == Some(AdmissionVerdict::Vote)),
             "seed {seed}: born: {:?}",
             sim.verdicts()
         );
@@ -151,7 +151,7 @@
         }
         sim.run(200);
         assert!(
-            sim.verdicts().iter().all(|v| *v == Some(Verdict::Vote)),
+            sim.verdicts().iter().all(|v| *v == Some(AdmissionVerdict::Vote)),
             "seed {seed}: back: {:?}",
             sim.verdicts()
         );
@@ -175,7 +175,7 @@
         sim.run(300);
         assert_eq!(
             sim.nodes[n].admission.as_ref().map(Admission::verdict),
-            Some(Verdict::Lost),
+            Some(AdmissionVerdict::Lost),
             "seed {seed}"
         );
         // The others die and come back, all at once, without it: they are not held up by it.
@@ -184,7 +184,7 @@
             sim.start(other);
         }
         sim.run(300);
-        let votes = sim.verdicts().iter().filter(|v| **v == Some(Verdict::Vote)).count();
+        let votes = sim.verdicts().iter().filter(|v| **v == Some(AdmissionVerdict::Vote)).count();
         assert_eq!(votes, sim.nodes.len() - 1, "seed {seed}: {:?}", sim.verdicts());
     }
     assert!(lost > 100 && older > 100, "{lost} lost, {older} older");
@@ -197,39 +197,54 @@
     let (mut admission, mut out) = (Admission::new(1, 77, &[1, 2, 3], (0, 0), kept), Vec::new());
     admission.tick(&mut out);
     let key = b"s/start".to_vec();
-    let write = Change { key, value: Some(5u64.to_be_bytes().to_vec()) };
-    assert_eq!(out, [Act::Write(1, vec![write])]);
+    let write = StorageChange { key, value: Some(5u64.to_be_bytes().to_vec()) };
+    assert_eq!(out, [AdmissionEffect::Write(1, vec![write])]);
     out.clear();
     admission.tick(&mut out);
-    admission.receive(9, Say::Seen(5), &mut out);
-    admission.receive(2, Say::Seen(5), &mut out);
-    assert_eq!((&out[..], admission.verdict()), (&[][..], Verdict::Wait), "it has not started");
-    admission.receive(3, Say::Started(8, 1, (0, 0)), &mut out);
-    assert!(matches!(out[..], [Act::Write(2, _)]), "{out:?}");
+    admission.receive(9, AdmissionMessage::Seen(5), &mut out);
+    admission.receive(2, AdmissionMessage::Seen(5), &mut out);
+    assert_eq!((&out[..], admission.verdict()), (&[][..], AdmissionVerdict::Wait), "it has not started");
+    admission.receive(3, AdmissionMessage::Started(8, 1, (0, 0)), &mut out);
+    assert!(matches!(out[..], [AdmissionEffect::Write(2, _)]), "{out:?}");
     out.clear();
-    admission.receive(3, Say::Started(8, 1, (0, 0)), &mut out);
+    admission.receive(3, AdmissionMessage::Started(8, 1, (0, 0)), &mut out);
     assert_eq!(out, [], "again, while it is not kept");
     admission.durable(1, &mut out);
-    assert_eq!(out, [Act::Say(2, Say::Started(5, 77, (0, 0))), Act::Say(3, Say::Started(5, 77, (0, 0)))]);
+    assert_eq!(
+        out,
+        [
+            AdmissionEffect::AdmissionMessage(2, AdmissionMessage::Started(5, 77, (0, 0))),
+            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Started(5, 77, (0, 0)))
+        ]
+    );
     out.clear();
     admission.durable(2, &mut out);
-    assert_eq!(out, [Act::Say(3, Say::Seen(8)), Act::Say(3, Say::Seen(8))]);
+    assert_eq!(
+        out,
+        [
+            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Seen(8)),
+            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Seen(8))
+        ]
+    );
     out.clear();
-    admission.receive(3, Say::Started(8, 2, (0, 0)), &mut out);
-    admission.receive(3, Say::Started(7, 1, (0, 0)), &mut out);
+    admission.receive(3, AdmissionMessage::Started(8, 2, (0, 0)), &mut out);
+    admission.receive(3, AdmissionMessage::Started(7, 1, (0, 0)), &mut out);
     assert_eq!(
         out,
-        [Act::Say(3, Say::Old(8)), Act::Say(3, Say::Old(7))],
+        [
+            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Old(8)),
+            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Old(7))
+        ],
         "another process, or an older start"
     );
-    admission.receive(2, Say::Seen(4), &mut out);
-    assert_eq!(admission.verdict(), Verdict::Wait, "of an earlier start");
-    admission.receive(2, Say::Seen(5), &mut out);
-    assert_eq!(admission.verdict(), Verdict::Wait, "enough, and the third may know more");
-    admission.receive(3, Say::Seen(5), &mut out);
-    assert_eq!(admission.verdict(), Verdict::Vote);
-    admission.receive(3, Say::Old(5), &mut out);
-    assert_eq!(admission.verdict(), Verdict::Lost, "better late than never");
+    admission.receive(2, AdmissionMessage::Seen(4), &mut out);
+    assert_eq!(admission.verdict(), AdmissionVerdict::Wait, "of an earlier start");
+    admission.receive(2, AdmissionMessage::Seen(5), &mut out);
+    assert_eq!(admission.verdict(), AdmissionVerdict::Wait, "enough, and the third may know more");
+    admission.receive(3, AdmissionMessage::Seen(5), &mut out);
+    assert_eq!(admission.verdict(), AdmissionVerdict::Vote);
+    admission.receive(3, AdmissionMessage::Old(5), &mut out);
+    assert_eq!(admission.verdict(), AdmissionVerdict::Lost, "better late than never");
 }
 
 /// Guards against three voters without a majority for ever, once one has died for good and another was started anew.
@@ -243,16 +258,16 @@
         sim.run(20);
         sim.start(1);
         sim.run(100);
-        assert_eq!(sim.verdicts()[1], Some(Verdict::Wait), "seed {seed}: it waits");
+        assert_eq!(sim.verdicts()[1], Some(AdmissionVerdict::Wait), "seed {seed}: it waits");
         sim.run(400);
-        assert_eq!(sim.verdicts()[1], Some(Verdict::Vote), "seed {seed}");
+        assert_eq!(sim.verdicts()[1], Some(AdmissionVerdict::Vote), "seed {seed}");
         // With one store lost and one voter away there is no majority: it must not make one.
         sim.kill(1);
         sim.nodes[1].kept.clear();
         sim.nodes[1].less = true;
         sim.start(1);
         sim.run(600);
-        assert_ne!(sim.verdicts()[1], Some(Verdict::Vote), "seed {seed}");
+        assert_ne!(sim.verdicts()[1], Some(AdmissionVerdict::Vote), "seed {seed}");
     }
 }
 
@@ -270,7 +285,7 @@
         sim.kill(0);
         sim.start(0);
         sim.run(400);
-        assert_eq!(sim.verdicts()[0], Some(Verdict::Vote), "seed {seed}");
+        assert_eq!(sim.verdicts()[0], Some(AdmissionVerdict::Vote), "seed {seed}");
         (0..3).for_each(|n| sim.kill(n));
         sim.run(20); // what was on the way is gone
         sim.start(3);
@@ -279,9 +294,9 @@
         sim.nodes[0].less = true;
         sim.start(0);
         sim.run(600);
-        assert_eq!(sim.verdicts()[0], Some(Verdict::Wait), "seed {seed}: it asks on");
+        assert_eq!(sim.verdicts()[0], Some(AdmissionVerdict::Wait), "seed {seed}: it asks on");
         sim.start(1);
         sim.run(100);
-        assert_eq!(sim.verdicts()[0], Some(Verdict::Lost), "seed {seed}");
+        assert_eq!(sim.verdicts()[0], Some(AdmissionVerdict::Lost), "seed {seed}");
     }
 }
--- a/crates/agreement/tests/voters.rs
+++ b/crates/replicated-log/tests/voters.rs
@@ -1,7 +1,7 @@
 //! Voters in told time from seeds: links that are cut in one or both directions and lose what was on the way, disks that take
 //! their time, deaths that lose what was not durable yet, stops. Each place of the log must hold one word, for ever.
 
-use postproxy_agreement::{Fold, Out, Refused, Voter};
+use postproxy_replicated_log::{Output, ProposalRejected, StateMachine, Voter};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 struct Sum(u64, u64);
 
-impl Fold for Sum {
+impl StateMachine for Sum {
     fn apply(&mut self, word: &[u8]) {
         self.0 += 1;
         self.1 =
@@ -29,7 +29,7 @@
     voter: Option<Voter<Sum>>,
     kept: Kept,
     /// Writes on their way to the disk: when they are durable.
-    writes: VecDeque<(u64, u64, Vec<postproxy_agreement::Change>)>,
+    writes: VecDeque<(u64, u64, Vec<postproxy_replicated_log::StorageChange>)>,
     slow: bool,
     stopped: u64,
     inbox: Vec<(usize, Vec<u8>)>,
@@ -142,10 +142,10 @@
         }
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Out>) {
+    fn carry(&mut self, n: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Out::Write(number, changes) => {
+                Output::Write(number, changes) => {
                     let took = if self.nodes[n].slow { 50 + self.draw(2000) } else { 1 + self.draw(20) };
                     let at = self.nodes[n].writes.back().map_or(0, |(at, _, _)| *at).max(self.now + took);
                     self.nodes[n].writes.push_back((at, number, changes));
@@ -157,14 +157,14 @@
                         self.carry(n, out);
                     }
                 }
-                Out::Send(to, bytes) => {
+                Output::Send(to, bytes) => {
                     let link = (n, to as usize - 1);
                     let at = self.now + 1 + self.draw(10);
                     let at =
                         self.links.get(&link).and_then(|queue| queue.back()).map_or(0, |(at, _)| *at).max(at);
                     self.links.entry(link).or_default().push_back((at, bytes));
                 }
-                Out::Decided(place, word) => {
+                Output::Decided(place, word) => {
                     let state =
                         self.nodes[n].voter.as_ref().map(|voter| voter.state().clone()).unwrap_or_default();
                     match self.log.get(&place) {
@@ -182,8 +182,8 @@
                     let told = self.nodes[n].voter.as_ref().map_or(0, Voter::told);
                     self.check(n, told, state);
                 }
-                Out::Seats => {}
-                Out::Skipped(_) => {
+                Output::Seats => {}
+                Output::Skipped(_) => {
                     let state =
                         self.nodes[n].voter.as_ref().map(|voter| voter.state().clone()).unwrap_or_default();
                     let told = self.nodes[n].voter.as_ref().map_or(0, Voter::told);
@@ -495,7 +495,10 @@
     }
     let mut out = Vec::new();
     let voter = sim.nodes[0].voter.as_mut().expect("it lives");
-    assert_eq!(voter.propose(vec![0; postproxy_agreement::MOST_WORD + 1], &mut out), Err(Refused::Long));
+    assert_eq!(
+        voter.propose(vec![0; postproxy_replicated_log::MAX_ENTRY_BYTES + 1], &mut out),
+        Err(ProposalRejected::Long)
+    );
     for n in 0..2000u32 {
         let bytes: Vec<u8> =
             (0..n % 40).map(|at| (n.wrapping_mul(2_654_435_761) >> (at % 24)) as u8).collect();
--- a/crates/streams/src/codec.rs
+++ b/crates/streams/src/codec.rs
@@ -43,7 +43,7 @@
 
 /// Why a connection's bytes can't be gone by.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Flaw {
+pub enum DecodeError {
     /// It is no stream of this program's.
     Foreign,
     /// It speaks another version.
@@ -62,7 +62,7 @@
     Crowded,
 }
 
-impl Flaw {
+impl DecodeError {
     /// As logs and the door name it.
     pub fn word(self) -> &'static str {
         match self {
@@ -114,19 +114,19 @@
     /// # Errors
     ///
     /// Why the connection is to be dropped.
-    pub fn packet(&mut self) -> Result<Option<Packet>, Flaw> {
+    pub fn packet(&mut self) -> Result<Option<Packet>, DecodeError> {
         if !self.greeted {
             let rest = &self.bytes[self.taken..];
             let size = rest.len().min(GREETING.len());
             let words = size.min(GREETING.len() - 2);
             if rest[..words] != GREETING[..words] {
-                return Err(Flaw::Foreign);
+                return Err(DecodeError::Foreign);
             }
             if size < GREETING.len() {
                 return Ok(None);
             }
             if rest[..size] != *GREETING {
-                return Err(Flaw::Version);
+                return Err(DecodeError::Version);
             }
             self.greeted = true;
             self.taken += size;
@@ -136,20 +136,20 @@
         let number = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let size = number(0) as usize;
         if size > MOST_WORD + BESIDE {
-            return Err(Flaw::Long);
+            return Err(DecodeError::Long);
         }
         let Some(body) = rest.get(..size) else { return Ok(None) };
         if crc32fast::hash(body) != number(4) {
-            return Err(Flaw::Damaged);
+            return Err(DecodeError::Damaged);
         }
-        let (packet, left) = postcard::take_from_bytes(body).map_err(|_| Flaw::Unknown)?;
+        let (packet, left) = postcard::take_from_bytes(body).map_err(|_| DecodeError::Unknown)?;
         let sound = match &packet {
             Packet::Hello { from, to, .. } => from.len() <= MOST_NAME && to.len() <= MOST_NAME,
             Packet::Word(_, word) => word.len() <= MOST_WORD,
             _ => true,
         };
         if !left.is_empty() || !sound {
-            return Err(Flaw::Unknown);
+            return Err(DecodeError::Unknown);
         }
         self.taken += HEAD + size;
         Ok(Some(packet))
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -14,5 +14,5 @@
 mod codec;
 mod streams;
 
-pub use codec::{Flaw, GREETING, MOST_WORD, Packet, Reader, frame};
-pub use streams::{Do, Full, MOST_IN, MOST_OUT, MOST_QUEUED, Streams};
+pub use codec::{DecodeError, GREETING, MOST_WORD, Packet, Reader, frame};
+pub use streams::{Effect, MOST_IN, MOST_OUT, MOST_QUEUED, QueueFull, Streams};
--- a/crates/streams/src/streams.rs
+++ b/crates/streams/src/streams.rs
@@ -1,6 +1,6 @@
 //! All streams of a node.
 
-use crate::codec::{Flaw, GREETING, MOST_WORD, Packet, Reader, frame};
+use crate::codec::{DecodeError, GREETING, MOST_WORD, Packet, Reader, frame};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
 
 /// What is to be done, or has come.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Do {
+pub enum Effect {
     /// Connect to this node, there; it is told by [`Streams::dialled`] and [`Streams::opened`].
     Dial(String, SocketAddr),
     /// Write to this connection.
@@ -47,7 +47,7 @@
 
 /// No more is queued for this node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Full;
+pub struct QueueFull;
 
 #[derive(Debug, PartialEq)]
 enum State {
@@ -111,7 +111,7 @@
     seen: BTreeMap<(String, u64), Seen>,
     uses: u64,
     next_session: u64,
-    flaws: BTreeMap<Flaw, u64>,
+    flaws: BTreeMap<DecodeError, u64>,
 }
 
 impl Streams {
@@ -132,7 +132,7 @@
     }
 
     /// Connections dropped, by why.
-    pub fn flaws(&self) -> &BTreeMap<Flaw, u64> {
+    pub fn flaws(&self) -> &BTreeMap<DecodeError, u64> {
         &self.flaws
     }
 
@@ -157,8 +157,8 @@
         to: &str,
         at: SocketAddr,
         word: Vec<u8>,
-        out: &mut Vec<Do>,
-    ) -> Result<(), Full> {
+        out: &mut Vec<Effect>,
+    ) -> Result<(), QueueFull> {
         let session = self.next_session;
         let entry = self.out.entry(to.to_owned()).or_insert_with(|| {
             self.next_session += 1;
@@ -179,7 +179,7 @@
         });
         let room = entry.bytes + word.len() <= MOST_QUEUED && entry.queue.len() < MOST_WORDS;
         if word.len() > MOST_WORD || !room {
-            return Err(Full);
+            return Err(QueueFull);
         }
         entry.address = at;
         entry.bytes += word.len();
@@ -189,20 +189,20 @@
     }
 
     /// Gives a node up: what is queued for it is dropped.
-    pub fn forget(&mut self, to: &str, out: &mut Vec<Do>) {
+    pub fn forget(&mut self, to: &str, out: &mut Vec<Effect>) {
         if let Some(gone) = self.out.remove(to)
             && let State::Dialing(Some(key), _) | State::Greeting(key, _) | State::Open(key) = gone.state
         {
             self.keys.remove(&key);
-            out.push(Do::Close(key));
+            out.push(Effect::Close(key));
         }
     }
 
     /// A connection to a node is being made under this key; none if it can't even be started.
-    pub fn dialled(&mut self, now: f64, to: &str, key: Option<usize>, out: &mut Vec<Do>) {
+    pub fn dialled(&mut self, now: f64, to: &str, key: Option<usize>, out: &mut Vec<Effect>) {
         let Some(entry) = self.out.get_mut(to).filter(|e| matches!(e.state, State::Dialing(None, _))) else {
             // Given up in the meantime.
-            out.extend(key.map(Do::Close));
+            out.extend(key.map(Effect::Close));
             return;
         };
         match key {
@@ -215,7 +215,7 @@
     }
 
     /// A connection has been made that was dialled.
-    pub fn opened(&mut self, now: f64, key: usize, out: &mut Vec<Do>) {
+    pub fn opened(&mut self, now: f64, key: usize, out: &mut Vec<Effect>) {
         let Some(to) = self.keys.get(&key) else { return };
         let Some(entry) = self.out.get_mut(to) else { return };
         if let State::Dialing(..) = entry.state {
@@ -228,12 +228,12 @@
                 session: entry.session,
                 to: to.clone(),
             };
-            out.push(Do::Write(key, [&GREETING[..], &frame(&hello)].concat()));
+            out.push(Effect::Write(key, [&GREETING[..], &frame(&hello)].concat()));
         }
     }
 
     /// Another node has connected; one that said nothing may have to go for it.
-    pub fn accepted(&mut self, now: f64, key: usize, out: &mut Vec<Do>) {
+    pub fn accepted(&mut self, now: f64, key: usize, out: &mut Vec<Effect>) {
         if self.incoming.len() >= MOST_IN {
             // One that has not said who it is goes first, else the one that has been silent for the longest.
             let oldest = self.incoming.iter().min_by(|(_, a), (_, b)| {
@@ -242,7 +242,7 @@
                     .unwrap_or(std::cmp::Ordering::Equal)
             });
             if let Some((&oldest, _)) = oldest {
-                self.drop_incoming(oldest, Some(Flaw::Crowded), out);
+                self.drop_incoming(oldest, Some(DecodeError::Crowded), out);
             }
         }
         let stream = Incoming { reader: Reader::default(), from: None, heard: now, unfinished: Some(now) };
@@ -255,7 +255,7 @@
     }
 
     /// Bytes have come on a connection.
-    pub fn received(&mut self, now: f64, key: usize, bytes: &[u8], out: &mut Vec<Do>) {
+    pub fn received(&mut self, now: f64, key: usize, bytes: &[u8], out: &mut Vec<Effect>) {
         let result = if self.keys.contains_key(&key) {
             self.answered(now, key, bytes, out)
         } else {
@@ -263,7 +263,7 @@
         };
         if let Err(flaw) = result {
             *self.flaws.entry(flaw).or_default() += 1;
-            out.push(Do::Close(key));
+            out.push(Effect::Close(key));
             self.ended(now, key);
         }
     }
@@ -286,7 +286,7 @@
     }
 
     /// The time has come that [`Self::next`] told, or another.
-    pub fn due(&mut self, now: f64, out: &mut Vec<Do>) {
+    pub fn due(&mut self, now: f64, out: &mut Vec<Effect>) {
         let names: Vec<String> = self
             .out
             .iter()
@@ -304,13 +304,13 @@
             .map(|(key, s)| (*key, s.unfinished.is_some()))
             .collect();
         for (key, stalled) in late {
-            self.drop_incoming(key, stalled.then_some(Flaw::Stalled), out);
+            self.drop_incoming(key, stalled.then_some(DecodeError::Stalled), out);
         }
     }
 
-    fn drop_incoming(&mut self, key: usize, flaw: Option<Flaw>, out: &mut Vec<Do>) {
+    fn drop_incoming(&mut self, key: usize, flaw: Option<DecodeError>, out: &mut Vec<Effect>) {
         if self.incoming.remove(&key).is_some() {
-            out.push(Do::Close(key));
+            out.push(Effect::Close(key));
             if let Some(flaw) = flaw {
                 *self.flaws.entry(flaw).or_default() += 1;
             }
@@ -318,7 +318,7 @@
     }
 
     /// Does what a node is owed now: an attempt, words, the end of what stalls or lies idle.
-    fn go_on(&mut self, now: f64, to: &str, out: &mut Vec<Do>) {
+    fn go_on(&mut self, now: f64, to: &str, out: &mut Vec<Effect>) {
         let dialled = self.out.values().filter(|e| !matches!(e.state, State::Apart(_))).count();
         let Some(entry) = self.out.get_mut(to) else { return };
         match entry.state {
@@ -327,23 +327,23 @@
                     entry.state = State::Apart(now + LONGEST_WAIT);
                 } else {
                     entry.state = State::Dialing(None, now);
-                    out.push(Do::Dial(to.to_owned(), entry.address));
+                    out.push(Effect::Dial(to.to_owned(), entry.address));
                 }
             }
             State::Apart(_) => {}
             State::Dialing(key, since) => {
                 if now - since >= GREETING_TIME {
-                    self.give_up(now, to, key, Some(Flaw::Stalled), out);
+                    self.give_up(now, to, key, Some(DecodeError::Stalled), out);
                 }
             }
             State::Greeting(key, since) => {
                 if now - since >= GREETING_TIME {
-                    self.give_up(now, to, Some(key), Some(Flaw::Stalled), out);
+                    self.give_up(now, to, Some(key), Some(DecodeError::Stalled), out);
                 }
             }
             State::Open(key) => {
                 if entry.written > 0 && now >= entry.stalled() {
-                    return self.give_up(now, to, Some(key), Some(Flaw::Stalled), out);
+                    return self.give_up(now, to, Some(key), Some(DecodeError::Stalled), out);
                 }
                 if entry.queue.is_empty() && now - entry.since >= IDLE {
                     return self.give_up(now, to, Some(key), None, out);
@@ -353,13 +353,20 @@
         }
     }
 
-    fn give_up(&mut self, now: f64, to: &str, key: Option<usize>, flaw: Option<Flaw>, out: &mut Vec<Do>) {
+    fn give_up(
+        &mut self,
+        now: f64,
+        to: &str,
+        key: Option<usize>,
+        flaw: Option<DecodeError>,
+        out: &mut Vec<Effect>,
+    ) {
         if let Some(flaw) = flaw {
             *self.flaws.entry(flaw).or_default() += 1;
         }
         if let Some(key) = key {
             self.keys.remove(&key);
-            out.push(Do::Close(key));
+            out.push(Effect::Close(key));
         }
         if let Some(entry) = self.out.get_mut(to) {
             entry.apart(now);
@@ -367,7 +374,13 @@
     }
 
     /// The other side of a connection that was dialled says something.
-    fn answered(&mut self, now: f64, key: usize, bytes: &[u8], out: &mut Vec<Do>) -> Result<(), Flaw> {
+    fn answered(
+        &mut self,
+        now: f64,
+        key: usize,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) -> Result<(), DecodeError> {
         let Some(to) = self.keys.get(&key).cloned() else { return Ok(()) };
         let next_session = self.next_session;
         let Some(entry) = self.out.get_mut(&to) else { return Ok(()) };
@@ -382,7 +395,7 @@
                         entry.apart(now);
                         (entry.state, entry.wait) = (State::Apart(now), FIRST_WAIT);
                         self.keys.remove(&key);
-                        out.extend([Do::Close(key), Do::Anew(to.clone(), life)]);
+                        out.extend([Effect::Close(key), Effect::Anew(to.clone(), life)]);
                         return Ok(());
                     }
                     entry.acknowledge(now, got)?;
@@ -390,7 +403,7 @@
                     (entry.state, entry.wait, entry.since) = (State::Open(key), FIRST_WAIT, now);
                 }
                 (State::Open(_), Packet::Got(number)) => entry.acknowledge(now, number)?,
-                _ => return Err(Flaw::Unknown),
+                _ => return Err(DecodeError::Unknown),
             }
         }
         if let State::Open(key) = entry.state {
@@ -400,7 +413,13 @@
     }
 
     /// A node that has connected says something.
-    fn heard(&mut self, now: f64, key: usize, bytes: &[u8], out: &mut Vec<Do>) -> Result<(), Flaw> {
+    fn heard(
+        &mut self,
+        now: f64,
+        key: usize,
+        bytes: &[u8],
+        out: &mut Vec<Effect>,
+    ) -> Result<(), DecodeError> {
         let Some(stream) = self.incoming.get_mut(&key) else { return Ok(()) };
         stream.heard = now;
         stream.reader.push(bytes);
@@ -410,37 +429,37 @@
             match (stream.from.clone(), packet) {
                 (None, Packet::Hello { cluster, from, life, session, to }) => {
                     if cluster != self.cluster || to != self.name || from == self.name || from.is_empty() {
-                        return Err(Flaw::Other);
+                        return Err(DecodeError::Other);
                     }
                     self.uses += 1;
                     let id = (from.clone(), life);
                     let seen = self.seen.entry(id).or_insert(Seen { session, got: 0, used: 0 });
                     seen.used = self.uses;
                     if session < seen.session {
-                        return Err(Flaw::Unknown); // a late one of a session that is over
+                        return Err(DecodeError::Unknown); // a late one of a session that is over
                     }
                     if session > seen.session {
                         (seen.session, seen.got) = (session, 0);
                     }
                     let welcome = Packet::Welcome { life: self.life, got: seen.got };
-                    out.push(Do::Write(key, [&GREETING[..], &frame(&welcome)].concat()));
+                    out.push(Effect::Write(key, [&GREETING[..], &frame(&welcome)].concat()));
                     stream.from = Some((from.clone(), life, session));
                     twin = Some(from);
                 }
                 (Some((from, life, session)), Packet::Word(number, word)) => {
                     let seen =
                         self.seen.get_mut(&(from.clone(), life)).filter(|seen| seen.session == session);
-                    let seen = seen.ok_or(Flaw::Unknown)?;
+                    let seen = seen.ok_or(DecodeError::Unknown)?;
                     if number > seen.got + 1 {
-                        return Err(Flaw::Unknown);
+                        return Err(DecodeError::Unknown);
                     }
                     if number == seen.got + 1 {
                         seen.got = number;
-                        out.push(Do::Arrived(from, life, word));
+                        out.push(Effect::Arrived(from, life, word));
                     }
                     acknowledge = Some(seen.got);
                 }
-                _ => return Err(Flaw::Unknown),
+                _ => return Err(DecodeError::Unknown),
             }
         }
         // Who sends a byte now and then has not gone on with its packet.
@@ -451,7 +470,7 @@
             (false, true, _) => Some(now),
         };
         if let Some(got) = acknowledge {
-            out.push(Do::Write(key, frame(&Packet::Got(got))));
+            out.push(Effect::Write(key, frame(&Packet::Got(got))));
         }
         if let Some(name) = twin {
             let twins: Vec<usize> = self
@@ -469,7 +488,7 @@
         if self.held() > MOST_HELD {
             let most =
                 self.incoming.iter().max_by_key(|(_, stream)| stream.reader.held()).map(|(key, _)| *key);
-            most.into_iter().for_each(|key| self.drop_incoming(key, Some(Flaw::Crowded), out));
+            most.into_iter().for_each(|key| self.drop_incoming(key, Some(DecodeError::Crowded), out));
         }
         Ok(())
     }
@@ -503,10 +522,10 @@
         }
     }
 
-    fn acknowledge(&mut self, now: f64, got: u64) -> Result<(), Flaw> {
-        let count = (got + 1).checked_sub(self.first).ok_or(Flaw::Unknown)? as usize;
+    fn acknowledge(&mut self, now: f64, got: u64) -> Result<(), DecodeError> {
+        let count = (got + 1).checked_sub(self.first).ok_or(DecodeError::Unknown)? as usize;
         if count > self.queue.len() {
-            return Err(Flaw::Unknown);
+            return Err(DecodeError::Unknown);
         }
         for word in self.queue.drain(..count) {
             self.bytes -= word.len();
@@ -522,7 +541,7 @@
         Ok(())
     }
 
-    fn write(&mut self, now: f64, key: usize, out: &mut Vec<Do>) {
+    fn write(&mut self, now: f64, key: usize, out: &mut Vec<Effect>) {
         let mut bytes = Vec::new();
         while self.flying < WINDOW
             && let Some(word) = self.queue.get(self.written)
@@ -535,7 +554,7 @@
             self.flying += word.len();
         }
         if !bytes.is_empty() {
-            out.push(Do::Write(key, bytes));
+            out.push(Effect::Write(key, bytes));
         }
     }
 }
--- a/crates/streams/tests/streams.rs
+++ b/crates/streams/tests/streams.rs
@@ -1,6 +1,8 @@
 //! Streams between nodes over connections that break anywhere, in told time from seeds; and bytes that no node sends.
 
-use postproxy_streams::{Do, Flaw, GREETING, MOST_IN, MOST_QUEUED, MOST_WORD, Packet, Streams, frame};
+use postproxy_streams::{
+    DecodeError, Effect, GREETING, MOST_IN, MOST_QUEUED, MOST_WORD, Packet, Streams, frame,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -68,10 +70,10 @@
         said
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Do>) {
+    fn carry(&mut self, n: usize, out: Vec<Effect>) {
         for one in out {
             match one {
-                Do::Dial(to, at) => {
+                Effect::Dial(to, at) => {
                     let peer = (0..self.nodes.len()).find(|n| address(*n) == at).expect("a node");
                     assert_eq!(to, format!("n{peer}"));
                     let key = self.next_key;
@@ -85,22 +87,22 @@
                     self.nodes[n].dialled(self.now, &to, Some(key), &mut out);
                     self.carry(n, out);
                 }
-                Do::Write(key, bytes) => {
+                Effect::Write(key, bytes) => {
                     if let Some(wire) = self.wires.iter_mut().find(|w| w.ends.contains(&(n, Some(key)))) {
                         let side = usize::from(wire.ends[1] == (n, Some(key)));
                         wire.pipes[side].bytes.extend(bytes);
                     }
                 }
-                Do::Close(key) => {
+                Effect::Close(key) => {
                     if let Some(at) = self.wires.iter().position(|w| w.ends.contains(&(n, Some(key)))) {
                         self.cut(at, Some(n));
                     }
                 }
-                Do::Arrived(from, life, word) => {
+                Effect::Arrived(from, life, word) => {
                     let number = u64::from_be_bytes(word[..8].try_into().expect("eight bytes"));
                     self.arrived.entry((n, self.lives[n], from, life)).or_default().push(number);
                 }
-                Do::Anew(to, _) => self.anew.push((n, to)),
+                Effect::Anew(to, _) => self.anew.push((n, to)),
             }
         }
     }
@@ -242,17 +244,17 @@
 }
 
 /// What a node makes of one connection's bytes: what arrived, and why it was dropped.
-fn heard(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Option<Flaw>) {
+fn heard(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, Option<DecodeError>) {
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     streams.accepted(0.0, 1, &mut out);
     for piece in pieces {
-        if !out.contains(&Do::Close(1)) {
+        if !out.contains(&Effect::Close(1)) {
             streams.received(0.0, 1, piece, &mut out);
         }
     }
     let words = out
         .iter()
-        .filter_map(|one| if let Do::Arrived(_, _, word) = one { Some(word.clone()) } else { None });
+        .filter_map(|one| if let Effect::Arrived(_, _, word) = one { Some(word.clone()) } else { None });
     (words.collect(), streams.flaws().keys().next().copied())
 }
 
@@ -272,25 +274,25 @@
     junk.extend(crc32fast::hash(&unknown).to_be_bytes());
     junk.append(&mut unknown);
     let long = [0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0];
-    let cases: Vec<(&str, Vec<u8>, Flaw)> = vec![
-        ("HTTP", b"GET / HTTP/1.1\r\n\r\n".to_vec(), Flaw::Foreign),
-        ("another version", version, Flaw::Version),
-        ("another cluster", other(8, "n1", "n0"), Flaw::Other),
-        ("for another node", other(7, "n1", "n9"), Flaw::Other),
-        ("from itself", other(7, "n0", "n0"), Flaw::Other),
-        ("from nobody", other(7, "", "n0"), Flaw::Other),
-        ("a name too long", other(7, &"x".repeat(65), "n0"), Flaw::Unknown),
-        ("4 GiB", [&hello(1)[..], &long].concat(), Flaw::Long),
-        ("4 GiB at once", [&GREETING[..], &long].concat(), Flaw::Long),
-        ("a word first", [&GREETING[..], &word].concat(), Flaw::Unknown),
-        ("a gap", [&hello(1)[..], &frame(&Packet::Word(2, Vec::new()))].concat(), Flaw::Unknown),
-        ("hello twice", [&hello(1)[..], &hello(1)[8..]].concat(), Flaw::Unknown),
-        ("an answer", [&hello(1)[..], &frame(&Packet::Got(1))].concat(), Flaw::Unknown),
-        ("no packet", [&hello(1)[..], &junk].concat(), Flaw::Unknown),
+    let cases: Vec<(&str, Vec<u8>, DecodeError)> = vec![
+        ("HTTP", b"GET / HTTP/1.1\r\n\r\n".to_vec(), DecodeError::Foreign),
+        ("another version", version, DecodeError::Version),
+        ("another cluster", other(8, "n1", "n0"), DecodeError::Other),
+        ("for another node", other(7, "n1", "n9"), DecodeError::Other),
+        ("from itself", other(7, "n0", "n0"), DecodeError::Other),
+        ("from nobody", other(7, "", "n0"), DecodeError::Other),
+        ("a name too long", other(7, &"x".repeat(65), "n0"), DecodeError::Unknown),
+        ("4 GiB", [&hello(1)[..], &long].concat(), DecodeError::Long),
+        ("4 GiB at once", [&GREETING[..], &long].concat(), DecodeError::Long),
+        ("a word first", [&GREETING[..], &word].concat(), DecodeError::Unknown),
+        ("a gap", [&hello(1)[..], &frame(&Packet::Word(2, Vec::new()))].concat(), DecodeError::Unknown),
+        ("hello twice", [&hello(1)[..], &hello(1)[8..]].concat(), DecodeError::Unknown),
+        ("an answer", [&hello(1)[..], &frame(&Packet::Got(1))].concat(), DecodeError::Unknown),
+        ("no packet", [&hello(1)[..], &junk].concat(), DecodeError::Unknown),
         (
             "a word too long",
             [&hello(1)[..], &frame(&Packet::Word(1, vec![0; MOST_WORD + 1]))].concat(),
-            Flaw::Unknown,
+            DecodeError::Unknown,
         ),
     ];
     for (what, bytes, flaw) in cases {
@@ -320,19 +322,19 @@
     for (what, bytes) in cases {
         let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
         streams.say(0.0, "n1", address(1), b"hi".to_vec(), &mut out).expect("room");
-        assert_eq!(out, [Do::Dial("n1".into(), address(1))]);
+        assert_eq!(out, [Effect::Dial("n1".into(), address(1))]);
         streams.dialled(0.0, "n1", Some(3), &mut out);
         streams.opened(0.0, 3, &mut out);
         let welcome = frame(&Packet::Welcome { life: 9, got: 0 });
         streams.received(0.0, 3, &[&GREETING[..], &welcome].concat(), &mut out);
         out.clear();
         streams.received(0.0, 3, &bytes, &mut out);
-        assert_eq!(out, [Do::Close(3)], "{what}");
+        assert_eq!(out, [Effect::Close(3)], "{what}");
         assert_eq!(streams.queued("n1"), (1, 2), "{what}");
         // Another attempt comes, and then the word again.
         let at = streams.next().expect("an attempt");
         streams.due(at, &mut out);
-        assert_eq!(out.last(), Some(&Do::Dial("n1".into(), address(1))), "{what}");
+        assert_eq!(out.last(), Some(&Effect::Dial("n1".into(), address(1))), "{what}");
     }
 }
 
@@ -347,9 +349,9 @@
         streams.received(0.0, 1, &whole[..cut], &mut out);
         streams.due(2.5, &mut out);
         let between = cut == whole.len() || cut == hello(1).len();
-        assert_eq!(out.contains(&Do::Close(1)), !between, "cut at {cut}");
+        assert_eq!(out.contains(&Effect::Close(1)), !between, "cut at {cut}");
         streams.due(60.5, &mut out);
-        assert!(out.contains(&Do::Close(1)), "idle, cut at {cut}");
+        assert!(out.contains(&Effect::Close(1)), "idle, cut at {cut}");
     }
     // A byte every 0.5 s is no greeting.
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
@@ -359,7 +361,7 @@
         streams.received(now, 1, &whole[n as usize..][..1], &mut out);
         streams.due(now, &mut out);
     }
-    assert!(out.contains(&Do::Close(1)), "it trickles");
+    assert!(out.contains(&Effect::Close(1)), "it trickles");
     // 128 KiB a second is.
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     streams.accepted(0.0, 1, &mut out);
@@ -370,27 +372,27 @@
         streams.due(now, &mut out);
         streams.received(now, 1, piece, &mut out);
     }
-    assert!(out.iter().any(|one| matches!(one, Do::Arrived(_, _, word) if word.len() == MOST_WORD)));
+    assert!(out.iter().any(|one| matches!(one, Effect::Arrived(_, _, word) if word.len() == MOST_WORD)));
     // Who does not greet, or does not acknowledge, is dialled anew.
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     streams.say(0.0, "n1", address(1), b"hi".to_vec(), &mut out).expect("room");
     streams.dialled(0.0, "n1", Some(3), &mut out);
     streams.due(1.0, &mut out);
-    assert!(out.contains(&Do::Close(3)), "no connection");
+    assert!(out.contains(&Effect::Close(3)), "no connection");
     streams.due(1.1, &mut out);
     streams.dialled(1.1, "n1", Some(5), &mut out);
     streams.opened(1.1, 5, &mut out);
     streams.due(2.2, &mut out);
-    assert!(out.contains(&Do::Close(5)), "no greeting");
+    assert!(out.contains(&Effect::Close(5)), "no greeting");
     streams.due(2.5, &mut out);
     streams.dialled(2.5, "n1", Some(7), &mut out);
     streams.opened(2.5, 7, &mut out);
     let welcome = [&GREETING[..], &frame(&Packet::Welcome { life: 9, got: 0 })].concat();
     streams.received(2.6, 7, &welcome, &mut out);
     streams.due(4.0, &mut out);
-    assert!(!out.contains(&Do::Close(7)), "it may take its time");
+    assert!(!out.contains(&Effect::Close(7)), "it may take its time");
     streams.due(4.7, &mut out);
-    assert!(out.contains(&Do::Close(7)), "no acknowledgement");
+    assert!(out.contains(&Effect::Close(7)), "no acknowledgement");
 }
 
 /// Guards against queues, windows, connections and half-sent packets that grow without end.
@@ -409,7 +411,7 @@
     let welcome = [&GREETING[..], &frame(&Packet::Welcome { life: 9, got: 0 })].concat();
     streams.received(0.0, 3, &welcome, &mut out);
     let written: usize =
-        out.iter().map(|one| if let Do::Write(_, bytes) = one { bytes.len() } else { 0 }).sum();
+        out.iter().map(|one| if let Effect::Write(_, bytes) = one { bytes.len() } else { 0 }).sum();
     assert!((200_000..400_000).contains(&written), "what is on its way is bounded: {written}");
     // Silent connections make room for others, and half-sent packets are bounded over all.
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
@@ -426,7 +428,7 @@
         streams.received(0.0, key, &frame(&Packet::Word(1, vec![0; MOST_WORD]))[..MOST_WORD - 1], &mut out);
     }
     assert!(streams.held() <= 17 << 20, "{}", streams.held());
-    assert!(streams.flaws()[&Flaw::Crowded] >= 40);
+    assert!(streams.flaws()[&DecodeError::Crowded] >= 40);
 }
 
 /// Guards against a session that is over and comes late, or one that begins where an earlier one ended.
@@ -438,16 +440,16 @@
     // A newer session of the same life: its first word is a new one, and the older connection is over.
     streams.accepted(0.0, 2, &mut out);
     streams.received(0.0, 2, &[&hello(5)[..], &frame(&Packet::Word(1, b"b".to_vec()))].concat(), &mut out);
-    assert!(out.contains(&Do::Close(1)));
+    assert!(out.contains(&Effect::Close(1)));
     streams.accepted(0.0, 3, &mut out);
     out.clear();
     streams.received(0.0, 3, &[&hello(4)[..], &frame(&Packet::Word(2, b"c".to_vec()))].concat(), &mut out);
-    assert_eq!(out, [Do::Close(3)]);
+    assert_eq!(out, [Effect::Close(3)]);
     // The same session on another connection goes on where it was.
     streams.accepted(0.0, 4, &mut out);
     out.clear();
     let again = [frame(&Packet::Word(1, b"b".to_vec())), frame(&Packet::Word(2, b"d".to_vec()))].concat();
     streams.received(0.0, 4, &[&hello(5)[..], &again].concat(), &mut out);
-    let arrived: Vec<&Do> = out.iter().filter(|one| matches!(one, Do::Arrived(..))).collect();
-    assert_eq!(arrived, [&Do::Arrived("n1".into(), 5, b"d".to_vec())]);
+    let arrived: Vec<&Effect> = out.iter().filter(|one| matches!(one, Effect::Arrived(..))).collect();
+    assert_eq!(arrived, [&Effect::Arrived("n1".into(), 5, b"d".to_vec())]);
 }
--- a/crates/audit/src/auditor.rs
+++ b/crates/version-tracking/src/auditor.rs
@@ -1,11 +1,11 @@
 //! Who is behind, who is shut out, and who is let back: the decisions of whoever owns the duty `audit`.
 
-use crate::version::{Kind, Stand};
+use crate::version::{Kind, VersionRecord};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Whose numbers: a kind, and a generation of it.
-pub type Line = (Kind, u64);
+pub type VersionLine = (Kind, u64);
 
 /// What an auditor goes by, in milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -33,39 +33,39 @@
     /// It does not, and is told by the others.
     Behind,
     /// It is shut out.
-    Out,
+    Output,
     /// It has caught up, and is waited for a while.
     CatchingUp,
 }
 
 /// What has been ruled: the value of the duty, which only the holder of its newest token can change.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Ruling {
+pub struct VersionDecisions {
     /// Acts under less are refused by whoever carries them out. A floor only grows.
-    pub floors: BTreeMap<Line, u64>,
+    pub floors: BTreeMap<VersionLine, u64>,
     /// Who is shut out, in which line.
-    pub out: BTreeMap<String, BTreeSet<Line>>,
+    pub out: BTreeMap<String, BTreeSet<VersionLine>>,
     /// How often a node was shut out.
     pub times: BTreeMap<String, u32>,
     /// Versions that are held to be at fault, each with its number: nobody is shut out for them until an operator says so.
-    pub held: BTreeMap<Line, u64>,
+    pub held: BTreeMap<VersionLine, u64>,
 }
 
 /// What is new.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum AuditorEvent {
     /// How it is with a node has changed, for this reason.
-    Changed(String, Line, State, String),
+    Changed(String, VersionLine, State, String),
     /// The brake: to shut out those who are behind this version would leave no majority, or most can't adopt it. It is the
     /// version that is at fault.
-    Held(Line, u64, String),
+    Held(VersionLine, u64, String),
     /// The ruling has changed: it is to be saved under the owner's token before anybody is told.
     Ruled,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
-    stand: Stand,
+struct NodeVersion {
+    stand: VersionRecord,
     state: State,
     since: u64,
 }
@@ -75,22 +75,22 @@
 pub struct Auditor {
     limits: Limits,
     members: BTreeSet<String>,
-    seen: BTreeMap<(String, Kind), Seen>,
+    seen: BTreeMap<(String, Kind), NodeVersion>,
     /// What a majority of a line holds, since when; and what the newest is that anybody holds, since when.
-    majority: BTreeMap<Line, (u64, u64)>,
-    newest: BTreeMap<Line, (u64, u64)>,
-    ruling: Ruling,
+    majority: BTreeMap<VersionLine, (u64, u64)>,
+    newest: BTreeMap<VersionLine, (u64, u64)>,
+    ruling: VersionDecisions,
 }
 
 impl Auditor {
     /// One who goes on from what was ruled before; what nodes hold it has to hear anew, and it waits for each as for a new one.
-    pub fn new(limits: Limits, ruling: Ruling) -> Self {
+    pub fn new(limits: Limits, ruling: VersionDecisions) -> Self {
         let (members, seen, majority, newest) = Default::default();
         Self { limits, members, seen, majority, newest, ruling }
     }
 
     /// What has been ruled.
-    pub fn ruling(&self) -> &Ruling {
+    pub fn ruling(&self) -> &VersionDecisions {
         &self.ruling
     }
 
@@ -106,24 +106,25 @@
     }
 
     /// A node holds this now.
-    pub fn heard(&mut self, now: u64, node: &str, kind: Kind, stand: Stand) {
+    pub fn heard(&mut self, now: u64, node: &str, kind: Kind, stand: VersionRecord) {
         if !self.members.contains(node) {
             return;
         }
         let out = self.ruling.out.get(node).is_some_and(|lines| lines.iter().any(|(of, _)| *of == kind));
-        let state = if out { State::Out } else { State::Current };
-        let seen = self.seen.entry((node.to_owned(), kind)).or_insert(Seen { stand, state, since: now });
+        let state = if out { State::Output } else { State::Current };
+        let seen =
+            self.seen.entry((node.to_owned(), kind)).or_insert(NodeVersion { stand, state, since: now });
         seen.stand = stand;
     }
 
     /// An operator says that a version which was held is not at fault.
-    pub fn release(&mut self, line: Line) -> bool {
+    pub fn release(&mut self, line: VersionLine) -> bool {
         self.ruling.held.remove(&line).is_some()
     }
 
     /// What a majority of those in a line holds, and the newest that any holds.
     fn held(&mut self, now: u64) {
-        let mut lines: BTreeMap<Line, Vec<u64>> = BTreeMap::new();
+        let mut lines: BTreeMap<VersionLine, Vec<u64>> = BTreeMap::new();
         for ((_, kind), seen) in &self.seen {
             lines.entry((*kind, seen.stand.generation)).or_default().push(seen.stand.number);
         }
@@ -140,11 +141,11 @@
     }
 
     /// Decides. To be called some times a second.
-    pub fn turn(&mut self, now: u64) -> Vec<Verdict> {
+    pub fn turn(&mut self, now: u64) -> Vec<AuditorEvent> {
         self.held(now);
         let before = self.ruling.clone();
         let mut verdicts = self.faulty(now);
-        let mut due: BTreeMap<Line, Vec<String>> = BTreeMap::new();
+        let mut due: BTreeMap<VersionLine, Vec<String>> = BTreeMap::new();
         for ((node, kind), seen) in &mut self.seen {
             let line = (*kind, seen.stand.generation);
             let Some((number, since)) = self.majority.get(&line).copied() else { continue };
@@ -161,10 +162,10 @@
                     due.entry(line).or_default().push(node.clone());
                     continue;
                 }
-                State::Out if caught_up => (State::CatchingUp, format!("it holds {}", seen.stand.number)),
+                State::Output if caught_up => (State::CatchingUp, format!("it holds {}", seen.stand.number)),
                 // One that falters again while it is waited for begins anew.
                 State::CatchingUp if !caught_up => {
-                    (State::Out, format!("it holds {} again", seen.stand.number))
+                    (State::Output, format!("it holds {} again", seen.stand.number))
                 }
                 State::CatchingUp if now >= seen.since + (self.limits.back_ms << times) => {
                     (State::Current, "let back".to_owned())
@@ -178,20 +179,20 @@
                 lines.retain(|(of, _)| of != kind);
             }
             (seen.state, seen.since) = (next, now);
-            verdicts.push(Verdict::Changed(node.clone(), line, next, why));
+            verdicts.push(AuditorEvent::Changed(node.clone(), line, next, why));
         }
         for (line, nodes) in due {
             self.shut_out(now, line, nodes, &mut verdicts);
         }
         self.ruling.out.retain(|_, lines| !lines.is_empty());
         if self.ruling != before {
-            verdicts.push(Verdict::Ruled);
+            verdicts.push(AuditorEvent::Ruled);
         }
         verdicts
     }
 
     /// A version that few hold and most could not adopt for long is at fault.
-    fn faulty(&mut self, now: u64) -> Vec<Verdict> {
+    fn faulty(&mut self, now: u64) -> Vec<AuditorEvent> {
         let late = self.limits.lag_ms + self.limits.grace_ms;
         let mut verdicts = Vec::new();
         for (line, (number, since)) in &self.newest {
@@ -199,14 +200,20 @@
             let held = self.ruling.held.get(line).is_some_and(|held| held >= number);
             if most < *number && now >= since + late && !held {
                 self.ruling.held.insert(*line, *number);
-                verdicts.push(Verdict::Held(*line, *number, format!("most still hold {most}")));
+                verdicts.push(AuditorEvent::Held(*line, *number, format!("most still hold {most}")));
             }
         }
         verdicts
     }
 
     /// Shuts out those who were behind for too long, unless that would leave no majority of members.
-    fn shut_out(&mut self, now: u64, line: Line, nodes: Vec<String>, verdicts: &mut Vec<Verdict>) {
+    fn shut_out(
+        &mut self,
+        now: u64,
+        line: VersionLine,
+        nodes: Vec<String>,
+        verdicts: &mut Vec<AuditorEvent>,
+    ) {
         let number = self.majority.get(&line).map_or(0, |(number, _)| *number);
         if self.ruling.held.get(&line).is_some_and(|held| *held >= number) {
             return;
@@ -220,7 +227,7 @@
             self.ruling.held.insert(line, number);
             let why =
                 format!("to shut out {} would leave {left} of {}", nodes.join(", "), self.members.len());
-            return verdicts.push(Verdict::Held(line, number, why));
+            return verdicts.push(AuditorEvent::Held(line, number, why));
         }
         let floor = self.ruling.floors.entry(line).or_default();
         *floor = number.max(*floor);
@@ -228,12 +235,12 @@
             self.ruling.out.entry(node.clone()).or_default().insert(line);
             *self.ruling.times.entry(node.clone()).or_default() += 1;
             if let Some(seen) = self.seen.get_mut(&(node.clone(), line.0)) {
-                (seen.state, seen.since) = (State::Out, now);
+                (seen.state, seen.since) = (State::Output, now);
             }
-            verdicts.push(Verdict::Changed(
+            verdicts.push(AuditorEvent::Changed(
                 node,
                 line,
-                State::Out,
+                State::Output,
                 format!("it is below the floor {number}"),
             ));
         }
--- a/crates/audit/src/lib.rs
+++ b/crates/version-tracking/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which node acts on which version of what, and how one that is behind is brought up.
 //!
-//! [`Desk`] is a node's own: the versions that it holds, its trail of them, what it says to others and hears. [`Auditor`] is the
+//! [`VersionTracker`] is a node's own: the versions that it holds, its trail of them, what it says to others and hears. [`Auditor`] is the
 //! owner's of the duty `audit`: who is behind, shut out, let back. They have no socket and no clock. The design note is `docs/design/audit.md`.
 
 #![forbid(unsafe_code)]
@@ -12,12 +12,12 @@
     "see which of the two the source of this version holds; end whatever else speaks in its name",
 )];
 
+mod audit_log;
 mod auditor;
-mod desk;
-mod trail;
+mod tracker;
 mod version;
 
-pub use auditor::{Auditor, Limits, Line, Ruling, State, Verdict};
-pub use desk::{Desk, Event, Known, MOST_HEADS, Out, Settings, Word};
-pub use trail::{Broken, Record, Source, Trail, What};
-pub use version::{Digest, Kind, Stand, digest};
+pub use audit_log::{AuditEntry, AuditEvent, AuditLog, BrokenChain, Source};
+pub use auditor::{Auditor, AuditorEvent, Limits, State, VersionDecisions, VersionLine};
+pub use tracker::{Event, Known, MOST_HEADS, Message, Output, Settings, VersionTracker};
+pub use version::{Digest, Kind, VersionRecord, digest};
--- a/crates/audit/src/desk.rs
+++ b/crates/version-tracking/src/tracker.rs
@@ -1,7 +1,7 @@
 //! A node's own versions, and what it hears of others'.
 
-use crate::trail::{Source, Trail};
-use crate::version::{Kind, Stand};
+use crate::audit_log::{AuditLog, Source};
+use crate::version::{Kind, VersionRecord};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -23,18 +23,18 @@
 
 /// What one node says to another; small.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Word {
+pub enum Message {
     /// What the sender holds.
-    Heads(Vec<(Kind, Stand)>),
+    Heads(Vec<(Kind, VersionRecord)>),
     /// It wants what this is a version of, where it is newer than this number of this generation.
     Want(Kind, u64, u64),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// Say this to that node; it may get lost.
-    Say(String, Word),
+    Say(String, Message),
     /// Have that node get what this node holds of a kind, in full.
     Give(String, Kind),
     /// Something is new.
@@ -45,11 +45,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// This node is behind in a kind: that node has this version.
-    Behind(Kind, String, Stand),
+    Behind(Kind, String, VersionRecord),
     /// It is no more.
-    BroughtUp(Kind, Source, Stand),
+    BroughtUp(Kind, Source, VersionRecord),
     /// One number means two things: here, and at that node.
-    Fork(Kind, String, Stand, Stand),
+    Fork(Kind, String, VersionRecord, VersionRecord),
 }
 
 /// What is known of a node.
@@ -58,34 +58,34 @@
     /// When it was heard last.
     pub at: u64,
     /// What it held then.
-    pub heads: BTreeMap<Kind, Stand>,
+    pub heads: BTreeMap<Kind, VersionRecord>,
 }
 
 /// A node's own.
 #[derive(Debug)]
-pub struct Desk {
+pub struct VersionTracker {
     set: Settings,
     draws: Pcg64Mcg,
-    heads: BTreeMap<Kind, Stand>,
-    trail: Trail,
+    heads: BTreeMap<Kind, VersionRecord>,
+    trail: AuditLog,
     /// Others that may be asked.
     peers: BTreeSet<String>,
     known: BTreeMap<String, Known>,
     /// Kinds in which this node is behind: since when, by whose word, what they have, and when it was asked for last.
-    behind: BTreeMap<Kind, (u64, String, Stand, u64)>,
+    behind: BTreeMap<Kind, (u64, String, VersionRecord, u64)>,
     /// Forks that were told: of each kind the number.
     forks: BTreeMap<(Kind, String), u64>,
     beat: u64,
 }
 
-impl Desk {
+impl VersionTracker {
     /// One that holds nothing yet.
     pub fn new(set: Settings, now: u64, seed: u64) -> Self {
         Self {
             set,
             draws: Pcg64Mcg::seed_from_u64(seed),
             heads: BTreeMap::new(),
-            trail: Trail::new(now, MOST_RECORDS),
+            trail: AuditLog::new(now, MOST_RECORDS),
             peers: BTreeSet::new(),
             known: BTreeMap::new(),
             behind: BTreeMap::new(),
@@ -95,17 +95,17 @@
     }
 
     /// What it holds.
-    pub fn heads(&self) -> &BTreeMap<Kind, Stand> {
+    pub fn heads(&self) -> &BTreeMap<Kind, VersionRecord> {
         &self.heads
     }
 
     /// Its trail.
-    pub fn trail(&self) -> &Trail {
+    pub fn trail(&self) -> &AuditLog {
         &self.trail
     }
 
     /// What is known of others, and in what this node is behind: since when, and what others have.
-    pub fn known(&self) -> (&BTreeMap<String, Known>, impl Iterator<Item = (Kind, u64, Stand)>) {
+    pub fn known(&self) -> (&BTreeMap<String, Known>, impl Iterator<Item = (Kind, u64, VersionRecord)>) {
         (&self.known, self.behind.iter().map(|(kind, (since, _, stand, _))| (*kind, *since, *stand)))
     }
 
@@ -128,7 +128,14 @@
 
     /// The node acts on this version from now on. **Nothing older ever goes before newer of one generation**: `false`, and nothing
     /// changes, if this is that.
-    pub fn adopt(&mut self, now: u64, kind: Kind, stand: Stand, source: Source, out: &mut Vec<Out>) -> bool {
+    pub fn adopt(
+        &mut self,
+        now: u64,
+        kind: Kind,
+        stand: VersionRecord,
+        source: Source,
+        out: &mut Vec<Output>,
+    ) -> bool {
         let held = self.heads.get(&kind);
         if held.is_some_and(|held| held.generation == stand.generation && held.number > stand.number) {
             return false;
@@ -138,35 +145,35 @@
         }
         self.heads.insert(kind, stand);
         self.trail.adopted(now, kind, stand, source.clone());
-        let over = |(_, _, wanted, _): &mut (u64, String, Stand, u64)| {
+        let over = |(_, _, wanted, _): &mut (u64, String, VersionRecord, u64)| {
             wanted.generation != stand.generation || wanted.number <= stand.number
         };
         if let Some(behind) = self.behind.get_mut(&kind)
             && over(behind)
         {
             self.behind.remove(&kind);
-            out.push(Out::Event(Event::BroughtUp(kind, source, stand)));
+            out.push(Output::Event(Event::BroughtUp(kind, source, stand)));
         }
         // News go on at once: who is behind hears of them before the next beat.
         (0..2).for_each(|_| self.tell_one(out));
         true
     }
 
-    fn tell_one(&mut self, out: &mut Vec<Out>) {
+    fn tell_one(&mut self, out: &mut Vec<Output>) {
         let count = self.peers.len();
         if count > 0 && !self.heads.is_empty() {
             let at = self.draws.next_u64() as usize % count;
             let to = self.peers.iter().nth(at).cloned();
-            out.extend(to.map(|to| Out::Say(to, self.told())));
+            out.extend(to.map(|to| Output::Say(to, self.told())));
         }
     }
 
-    fn told(&self) -> Word {
-        Word::Heads(self.heads.iter().map(|(kind, stand)| (*kind, *stand)).collect())
+    fn told(&self) -> Message {
+        Message::Heads(self.heads.iter().map(|(kind, stand)| (*kind, *stand)).collect())
     }
 
-    /// The time has come that [`Desk::next`] told, or another.
-    pub fn due(&mut self, now: u64, out: &mut Vec<Out>) {
+    /// The time has come that [`VersionTracker::next`] told, or another.
+    pub fn due(&mut self, now: u64, out: &mut Vec<Output>) {
         if now < self.beat {
             return;
         }
@@ -184,39 +191,46 @@
         }
     }
 
-    fn want(&mut self, now: u64, kind: Kind, from: String, out: &mut Vec<Out>) {
+    fn want(&mut self, now: u64, kind: Kind, from: String, out: &mut Vec<Output>) {
         let Some((_, _, stand, asked)) = self.behind.get_mut(&kind) else { return };
         *asked = now;
         let held = self.heads.get(&kind).filter(|held| held.generation == stand.generation);
         let (generation, number) = (stand.generation, held.map_or(0, |held| held.number));
-        out.push(Out::Say(from, Word::Want(kind, generation, number)));
+        out.push(Output::Say(from, Message::Want(kind, generation, number)));
     }
 
     /// A node says something.
-    pub fn heard(&mut self, now: u64, from: &str, word: Word, out: &mut Vec<Out>) {
+    pub fn heard(&mut self, now: u64, from: &str, word: Message, out: &mut Vec<Output>) {
         match word {
-            Word::Want(kind, generation, number) => {
+            Message::Want(kind, generation, number) => {
                 let held = self.heads.get(&kind);
                 if held.is_some_and(|held| held.generation == generation && held.number > number) {
-                    out.push(Out::Give(from.to_owned(), kind));
+                    out.push(Output::Give(from.to_owned(), kind));
                 }
             }
-            Word::Heads(heads) if heads.len() <= MOST_HEADS => {
+            Message::Heads(heads) if heads.len() <= MOST_HEADS => {
                 let mut tell = false;
                 for (kind, stand) in &heads {
                     tell |= self.compare(now, from, *kind, *stand, out);
                 }
                 self.known.insert(from.to_owned(), Known { at: now, heads: heads.into_iter().collect() });
                 if tell {
-                    out.push(Out::Say(from.to_owned(), self.told()));
+                    out.push(Output::Say(from.to_owned(), self.told()));
                 }
             }
-            Word::Heads(_) => {}
+            Message::Heads(_) => {}
         }
     }
 
     /// Another's version beside this one's; whether that node is behind and is to be told so.
-    fn compare(&mut self, now: u64, from: &str, kind: Kind, stand: Stand, out: &mut Vec<Out>) -> bool {
+    fn compare(
+        &mut self,
+        now: u64,
+        from: &str,
+        kind: Kind,
+        stand: VersionRecord,
+        out: &mut Vec<Output>,
+    ) -> bool {
         // Of a generation that this node does not hold nothing is taken.
         let Some(held) = self.heads.get(&kind).copied().filter(|held| held.generation == stand.generation)
         else {
@@ -225,14 +239,14 @@
         if stand.number == held.number && stand.digest != held.digest {
             let told = self.forks.insert((kind, from.to_owned()), stand.number);
             if told != Some(stand.number) {
-                out.push(Out::Event(Event::Fork(kind, from.to_owned(), held, stand)));
+                out.push(Output::Event(Event::Fork(kind, from.to_owned(), held, stand)));
             }
         } else if stand.number > held.number {
             let known = self.behind.get(&kind).map(|(_, _, wanted, asked)| (*wanted, *asked));
             if known.is_none_or(|(wanted, asked)| stand.number > wanted.number || asked + AGAIN <= now) {
                 let since = self.behind.get(&kind).map_or(now, |behind| behind.0);
                 if known.is_none() {
-                    out.push(Out::Event(Event::Behind(kind, from.to_owned(), stand)));
+                    out.push(Output::Event(Event::Behind(kind, from.to_owned(), stand)));
                 }
                 self.behind.insert(kind, (since, from.to_owned(), stand, now));
                 self.want(now, kind, from.to_owned(), out);
--- a/crates/audit/src/version.rs
+++ b/crates/version-tracking/src/version.rs
@@ -28,7 +28,7 @@
 
 /// A version that a node holds. Numbers are compared within one generation alone: another discovery counts anew.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct Stand {
+pub struct VersionRecord {
     /// Whose numbers these are.
     pub generation: u64,
     /// The number.
--- a/crates/audit/tests/auditor.rs
+++ b/crates/version-tracking/tests/auditor.rs
@@ -1,27 +1,29 @@
 //! The auditor over fleets in told time from seeds: nodes that lag, flap, stop and come back, versions that nobody can adopt, owners that
 //! change.
 
-use postproxy_audit::{Auditor, Kind, Limits, Line, Ruling, Stand, State, Verdict};
+use postproxy_version_tracking::{
+    Auditor, AuditorEvent, Kind, Limits, State, VersionDecisions, VersionLine, VersionRecord,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-const LINE: Line = (Kind::List, 1);
+const LINE: VersionLine = (Kind::List, 1);
 
-fn stand(number: u64) -> Stand {
-    Stand { generation: 1, number, digest: number }
+fn stand(number: u64) -> VersionRecord {
+    VersionRecord { generation: 1, number, digest: number }
 }
 
 struct Fleet {
     now: u64,
     auditor: Auditor,
     numbers: Vec<u64>,
-    verdicts: Vec<Verdict>,
+    verdicts: Vec<AuditorEvent>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Self {
-        let mut auditor = Auditor::new(Limits::default(), Ruling::default());
+        let mut auditor = Auditor::new(Limits::default(), VersionDecisions::default());
         auditor.members(members(count));
         Self { now: 1000, auditor, numbers: vec![1; count], verdicts: Vec::new() }
     }
@@ -61,7 +63,7 @@
     assert_eq!(fleet.state(4), Some(State::Behind));
     assert!(fleet.auditor.ruling().out.is_empty(), "not before its grace is over");
     fleet.run(3000);
-    assert_eq!(fleet.state(4), Some(State::Out));
+    assert_eq!(fleet.state(4), Some(State::Output));
     assert_eq!(fleet.auditor.ruling().floors.get(&LINE), Some(&2));
     let waits = |fleet: &mut Fleet| {
         fleet.numbers[4] = *fleet.numbers.iter().max().expect("a number");
@@ -76,7 +78,7 @@
     assert!(fleet.auditor.ruling().out.is_empty());
     fleet.numbers = vec![3, 3, 3, 3, 2];
     fleet.run(6000);
-    assert_eq!(fleet.state(4), Some(State::Out));
+    assert_eq!(fleet.state(4), Some(State::Output));
     let second = waits(&mut fleet);
     assert!(first < 1300 && second > first + 900, "{first} ms, then {second} ms");
     // The next owner goes on from what was ruled.
@@ -85,7 +87,7 @@
     let mut next = Auditor::new(Limits::default(), fleet.auditor.ruling().clone());
     next.members(members(5));
     next.heard(fleet.now, "n4", Kind::List, stand(3));
-    assert_eq!(next.state("n4", Kind::List), Some(State::Out));
+    assert_eq!(next.state("n4", Kind::List), Some(State::Output));
 }
 
 /// *If shutting out would leave no majority, or most can't adopt a version, it is the version that is at fault*: nobody is shut out until an
@@ -101,7 +103,7 @@
         let held = fleet
             .verdicts
             .iter()
-            .filter(|v| matches!(v, Verdict::Held(LINE, number, _) if *number == newest));
+            .filter(|v| matches!(v, AuditorEvent::Held(LINE, number, _) if *number == newest));
         assert_eq!(held.count(), 1, "named once: {numbers:?}: {:?}", fleet.verdicts);
     }
     // Two of five are shut out; a third would leave no majority.
@@ -154,10 +156,14 @@
             assert!(now >= floor, "seed {seed}: the floor fell");
             floor = now;
         }
-        let early = fleet.verdicts.windows(2).any(|two| matches!(&two[0], Verdict::Changed(_, _, State::Current, _)
-            if matches!(&two[1], Verdict::Changed(node, _, State::Out, _) if matches!(&two[0], Verdict::Changed(of, ..) if of == node))));
+        let early = fleet.verdicts.windows(2).any(|two| matches!(&two[0], AuditorEvent::Changed(_, _, State::Current, _)
+            if matches!(&two[1], AuditorEvent::Changed(node, _, State::Output, _) if matches!(&two[0], AuditorEvent::Changed(of, ..) if of == node))));
         assert!(!early, "seed {seed}: out without having been behind");
-        outs += fleet.verdicts.iter().filter(|v| matches!(v, Verdict::Changed(_, _, State::Out, _))).count();
+        outs += fleet
+            .verdicts
+            .iter()
+            .filter(|v| matches!(v, AuditorEvent::Changed(_, _, State::Output, _)))
+            .count();
         fleet.numbers = vec![newest; count];
         fleet.run(40_000);
         assert!(fleet.auditor.ruling().out.is_empty(), "seed {seed}: {:?}", fleet.auditor.ruling());
--- a/crates/audit/tests/desk.rs
+++ b/crates/version-tracking/tests/tracker.rs
@@ -1,13 +1,16 @@
 //! Desks of a fleet in told time from seeds: lists that change, nodes whose discovery is stuck, silent or another one, words that are
 //! lost and late, nodes that stop and start anew, cuts.
 
-use postproxy_audit::{Desk, Event, Kind, Out, Settings, Source, Stand, Trail, What, Word, digest};
+use postproxy_version_tracking::{
+    AuditEvent, AuditLog, Event, Kind, Message, Output, Settings, Source, VersionRecord, VersionTracker,
+    digest,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Node {
-    desk: Desk,
+    desk: VersionTracker,
     /// Whose discovery it asks, and whether that tells it anything.
     generation: u64,
     stuck: bool,
@@ -22,7 +25,7 @@
     now: u64,
     draws: Pcg64Mcg,
     nodes: Vec<Node>,
-    words: Vec<(u64, usize, usize, Result<Word, Stand>)>,
+    words: Vec<(u64, usize, usize, Result<Message, VersionRecord>)>,
     loss: u64,
     /// The number of each generation's list, and when it came to be.
     lists: BTreeMap<u64, (u64, u64)>,
@@ -31,14 +34,18 @@
     brought_up: usize,
 }
 
-fn stand(generation: u64, number: u64) -> Stand {
-    Stand { generation, number, digest: digest([&generation.to_le_bytes()[..], &number.to_le_bytes()]) }
+fn stand(generation: u64, number: u64) -> VersionRecord {
+    VersionRecord {
+        generation,
+        number,
+        digest: digest([&generation.to_le_bytes()[..], &number.to_le_bytes()]),
+    }
 }
 
 impl Sim {
     fn new(count: usize, seed: u64) -> Self {
         let node = |n: usize| Node {
-            desk: Desk::new(Settings { beat_ms: 400 }, 1000, seed << 16 | n as u64),
+            desk: VersionTracker::new(Settings { beat_ms: 400 }, 1000, seed << 16 | n as u64),
             generation: 1,
             stuck: false,
             stopped: 0,
@@ -71,7 +78,7 @@
         let (now, generation) = (self.now, self.nodes[n].generation);
         let node = &mut self.nodes[n];
         node.lives += 1;
-        node.desk = Desk::new(Settings { beat_ms: 400 }, now, (n as u64) << 32 | node.lives);
+        node.desk = VersionTracker::new(Settings { beat_ms: 400 }, now, (n as u64) << 32 | node.lives);
         node.desk.peers(others);
         node.highest = 0;
         // A stuck discovery tells its first list alone.
@@ -79,7 +86,7 @@
         self.adopt(n, stand(generation, number), Source::Own);
     }
 
-    fn adopt(&mut self, n: usize, stand: Stand, source: Source) {
+    fn adopt(&mut self, n: usize, stand: VersionRecord, source: Source) {
         let (now, mut out) = (self.now, Vec::new());
         let node = &mut self.nodes[n];
         if node.desk.adopt(now, Kind::List, stand, source, &mut out) {
@@ -89,10 +96,10 @@
         self.carry(n, out);
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Out>) {
+    fn carry(&mut self, n: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Out::Say(to, word) => {
+                Output::Say(to, word) => {
                     self.said += 1;
                     let to: usize = to.parse().expect("a node");
                     let lost = self.draw(100) < self.loss || self.nodes[n].cut || self.nodes[to].cut;
@@ -102,15 +109,15 @@
                         self.words.push((at, n, to, Ok(word)));
                     }
                 }
-                Out::Give(to, Kind::List) => {
+                Output::Give(to, Kind::List) => {
                     let held = self.nodes[n].desk.heads()[&Kind::List];
                     let at = self.now + 1 + self.draw(20);
                     self.words.push((at, n, to.parse().expect("a node"), Err(held)));
                 }
-                Out::Give(..) => {}
-                Out::Event(Event::Fork(..)) => self.forks += 1,
-                Out::Event(Event::BroughtUp(..)) => self.brought_up += 1,
-                Out::Event(Event::Behind(..)) => {}
+                Output::Give(..) => {}
+                Output::Event(Event::Fork(..)) => self.forks += 1,
+                Output::Event(Event::BroughtUp(..)) => self.brought_up += 1,
+                Output::Event(Event::Behind(..)) => {}
             }
         }
     }
@@ -218,7 +225,7 @@
         assert_eq!(sim.forks, 0, "seed {seed}");
         for node in &sim.nodes {
             let records: Vec<_> = node.desk.trail().records().0.cloned().collect();
-            assert_eq!(Trail::check(&records), Ok(()), "seed {seed}");
+            assert_eq!(AuditLog::check(&records), Ok(()), "seed {seed}");
         }
         brought_up += sim.brought_up;
     }
@@ -265,7 +272,7 @@
 /// Guards against a fork that nobody names or that is named for ever, and a flood of kinds.
 #[test]
 fn one_number_with_two_meanings_is_named_once() {
-    let mut desk = Desk::new(Settings { beat_ms: 400 }, 0, 1);
+    let mut desk = VersionTracker::new(Settings { beat_ms: 400 }, 0, 1);
     desk.peers(BTreeSet::from(["b".to_owned()]));
     let mut out = Vec::new();
     assert!(desk.adopt(1, Kind::List, stand(1, 5), Source::Own, &mut out));
@@ -275,33 +282,33 @@
     );
     assert!(desk.adopt(2, Kind::List, stand(2, 1), Source::Own, &mut out), "another discovery counts anew");
     assert!(desk.adopt(3, Kind::List, stand(1, 5), Source::Own, &mut out));
-    let other = Stand { digest: 7, ..stand(1, 5) };
+    let other = VersionRecord { digest: 7, ..stand(1, 5) };
     for _ in 0..3 {
-        desk.heard(10, "b", Word::Heads(vec![(Kind::List, other)]), &mut out);
+        desk.heard(10, "b", Message::Heads(vec![(Kind::List, other)]), &mut out);
     }
-    let forks = out.iter().filter(|one| matches!(one, Out::Event(Event::Fork(..)))).count();
+    let forks = out.iter().filter(|one| matches!(one, Output::Event(Event::Fork(..)))).count();
     assert_eq!(forks, 1);
     out.clear();
-    desk.heard(11, "b", Word::Heads(vec![(Kind::List, stand(1, 9)); 17]), &mut out);
-    desk.heard(11, "b", Word::Heads(vec![(Kind::List, stand(3, 9))]), &mut out);
-    desk.heard(11, "b", Word::Want(Kind::List, 3, 0), &mut out);
+    desk.heard(11, "b", Message::Heads(vec![(Kind::List, stand(1, 9)); 17]), &mut out);
+    desk.heard(11, "b", Message::Heads(vec![(Kind::List, stand(3, 9))]), &mut out);
+    desk.heard(11, "b", Message::Want(Kind::List, 3, 0), &mut out);
     assert_eq!(out, [], "too many, another generation");
 }
 
 /// Guards against a trail that is changed anywhere and still holds together, and one that grows without end.
 #[test]
 fn a_trail_changed_anywhere_is_seen_and_old_records_are_folded() {
-    let mut trail = Trail::new(5, 8);
+    let mut trail = AuditLog::new(5, 8);
     for n in 1..=40u64 {
         trail.act(n);
         trail.adopted(5 + n, Kind::List, stand(1, n), Source::Own);
         let records: Vec<_> = trail.records().0.cloned().collect();
-        assert!(records.len() <= 8 && Trail::check(&records).is_ok(), "{n}");
+        assert!(records.len() <= 8 && AuditLog::check(&records).is_ok(), "{n}");
         let acts: u64 = records.iter().map(|record| record.acts).sum();
         assert_eq!(acts, (1..=n).sum::<u64>(), "what is folded still counts its acts");
     }
     let records: Vec<_> = trail.records().0.cloned().collect();
-    assert!(matches!(records[0].what, What::Folded(34)), "{:?}", records[0]);
+    assert!(matches!(records[0].what, AuditEvent::Folded(34)), "{:?}", records[0]);
     // The first one's own text is gone; its hash, and all after it, can't be changed unseen.
     for at in 1..records.len() {
         for what in 0..5 {
@@ -309,12 +316,12 @@
             match what {
                 0 => bad[at].acts += 1,
                 1 => bad[at].at_ms ^= 1,
-                2 => bad[at].what = What::Adopted(Kind::List, stand(1, 99), Source::Own),
+                2 => bad[at].what = AuditEvent::Adopted(Kind::List, stand(1, 99), Source::Own),
                 3 => bad[at].hash[31] ^= 1,
                 _ => drop(bad.remove(at)),
             }
             let last = at + 1 == records.len() && what == 4;
-            assert!(last || Trail::check(&bad).is_err(), "{at} {what}");
+            assert!(last || AuditLog::check(&bad).is_err(), "{at} {what}");
         }
     }
 }
--- a/src/bin/postproxy-drill.rs
+++ b/src/bin/postproxy-drill.rs
@@ -1,7 +1,7 @@
 //! Adapter between the bench's wire and the decision module: a map of dispatchers, batch in, reply out.
 #![forbid(unsafe_code)]
 
-use postproxy::wire::{Record, Reply, read_batch};
+use postproxy::simulator_protocol::{Record, Reply, read_batch};
 use postproxy::{Dispatcher, Settings};
 use std::collections::BTreeMap;
 use std::error::Error;
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -2,8 +2,8 @@
 
 use super::Failure;
 use clap::{Args, Subcommand};
-use postproxy::net::peers::fleet::Picture;
-use postproxy::standin::ask;
+use postproxy::net::cluster::service::ClusterStatus;
+use postproxy::stand_ins::ask;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -87,7 +87,7 @@
 }
 
 /// What one node sees, for people.
-pub fn table(picture: &Picture) -> String {
+pub fn table(picture: &ClusterStatus) -> String {
     let mut out = String::new();
     let mut line = |text: String| {
         // Writing to a string fails at nothing.
--- a/src/cli/fleet_trial.rs
+++ b/src/cli/fleet_trial.rs
@@ -2,8 +2,8 @@
 //! killed, one is stopped, a worker is taken out of use, and in the end all leave.
 
 use super::{Failure, fleet};
-use postproxy::net::peers::fleet::Picture;
-use postproxy::standin::{Discovery, Worker, ask};
+use postproxy::net::cluster::service::ClusterStatus;
+use postproxy::stand_ins::{Discovery, Worker, ask};
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -43,7 +43,7 @@
         }
     }
 
-    fn picture(&self) -> Option<Picture> {
+    fn picture(&self) -> Option<ClusterStatus> {
         let answer = ask(self.door, "GET", "/v1/fleet/members", &[], b"").ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
@@ -110,7 +110,7 @@
 }
 
 /// Waits until all of these see what is asked for, and says how long it took.
-fn until(what: &str, nodes: &[&Node], holds: impl Fn(&Picture) -> bool) -> Result<(), Failure> {
+fn until(what: &str, nodes: &[&Node], holds: impl Fn(&ClusterStatus) -> bool) -> Result<(), Failure> {
     let start = Instant::now();
     while !nodes.iter().all(|node| node.picture().is_some_and(|picture| holds(&picture))) {
         if start.elapsed() > MOST {
@@ -125,12 +125,13 @@
 
 fn whole(nodes: &[Node]) -> Result<(), Failure> {
     let all: Vec<&Node> = nodes.iter().collect();
-    let up =
-        |picture: &Picture| picture.members.iter().filter(|m| ["here", "alive"].contains(&&*m.state)).count();
+    let up = |picture: &ClusterStatus| {
+        picture.members.iter().filter(|m| ["here", "alive"].contains(&&*m.state)).count()
+    };
     until("all know all, and hear them", &all, |p| p.standing == "whole" && up(p) == nodes.len())
 }
 
-fn state(picture: &Picture, name: &str) -> String {
+fn state(picture: &ClusterStatus, name: &str) -> String {
     let node = picture.members.iter().find(|node| node.name == name);
     node.map(|node| node.state.clone()).unwrap_or_default()
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,9 +7,9 @@
 mod trial;
 
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
-use postproxy::logs::Format;
+use postproxy::logging::Format;
 use postproxy::net::Config;
-use postproxy::operator::Operator;
+use postproxy::operator_config::Operator;
 
 /// What a command ends with when it fails.
 pub type Failure = Box<dyn std::error::Error>;
@@ -58,7 +58,7 @@
     /// How lines of the log look; goes before the operator's file
     #[arg(long, value_name = "FORMAT")]
     log_format: Option<LogFormat>,
-    /// Levels by module, such as info,postproxy::net::back::farm=debug; goes before the operator's file
+    /// Levels by module, such as info,postproxy::net::upstream::worker_list=debug; goes before the operator's file
     #[arg(long, value_name = "LEVELS")]
     log_levels: Option<String>,
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,9 +1,9 @@
 //! `postproxy serve`: one node in this process, until a signal ends it.
 
 use super::{Failure, Serve};
-use postproxy::logs;
+use postproxy::logging;
 use postproxy::net::{Config, Node};
-use postproxy::operator::Operator;
+use postproxy::operator_config::Operator;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 
@@ -25,7 +25,7 @@
     let log = &mut operator.log;
     log.format = args.log_format.map_or(log.format, Into::into);
     log.levels = args.log_levels.unwrap_or_else(|| log.levels.clone());
-    let _written_at_the_end = logs::start(log)?;
+    let _written_at_the_end = logging::start(log)?;
     config.store = operator.store;
     config.fleet = operator.fleet;
     config.duties = operator.duties;
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -2,9 +2,9 @@
 
 use super::Failure;
 use clap::{Args, Subcommand};
-use postproxy::net::back::keeper;
-use postproxy::operator::StoreSection;
-use postproxy_ledger::{Record, job_id};
+use postproxy::net::store_adapter;
+use postproxy::operator_config::StoreSection;
+use postproxy_idempotency::{Record, job_id};
 use postproxy_store::{Engine, OsDisk, Recovery};
 use std::io::Write;
 
@@ -39,7 +39,7 @@
         }
         let section = StoreSection::of(&self.dir, self.mirror.as_deref());
         let holder = format!("process {} (postproxy store)", std::process::id());
-        Ok(keeper::open(&section, &holder)?)
+        Ok(store_adapter::open(&section, &holder)?)
     }
 }
 
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
-use postproxy::standin::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, ask};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/src/policy.rs
+++ b/src/decision/dispatcher.rs
@@ -1,11 +1,11 @@
-//! Every decision of a dispatcher. What goes in and comes out is in `src/interface.rs`.
+//! Every decision of a dispatcher. What goes in and comes out is in `src/decision/interface.rs`.
 //! The ordinary path is the lottery of SNS: a job goes to a worker drawn at random, with tickets
 //! 1 / (load + correction + 1), the correction counting this dispatcher's own jobs, which are taken off what
 //! a report tells of the load.
 
-use crate::interface::*;
-use crate::random::Random;
-use crate::state::{Attempt, Carried, Known, Own, Report, Request, State, Worker};
+use crate::decision::interface::*;
+use crate::decision::random::Random;
+use crate::decision::state::{Attempt, Known, MigratedRequest, Own, Report, Request, State, Worker};
 use std::collections::BTreeMap;
 
 // Times are in usual jobs (the smoothed running time of a job here) where no other unit is named.
@@ -105,8 +105,8 @@
             }
             Event::Use { worker, again } => self.employ(*worker, *again),
             Event::Balancers(count) => self.set.balancers = *count,
-            Event::Elsewhere(news) => self.known.elsewhere(news),
-            Event::Carried { request, carried } => self.carry_on(*request, carried),
+            Event::SiblingEvent(news) => self.known.elsewhere(news),
+            Event::MigratedRequest { request, carried } => self.carry_on(*request, carried),
             Event::Peer => {}
         }
         out.append(&mut self.out);
@@ -717,12 +717,12 @@
     }
 
     /// Lets a request go to another process of this node, with what is noted of it; nothing is called back.
-    pub fn release(&mut self, id: RequestId) -> Option<Carried> {
+    pub fn release(&mut self, id: RequestId) -> Option<MigratedRequest> {
         self.requests.remove(&id).map(|r| self.known.release(id, r))
     }
 
     /// Goes on with a request of another process, as if its attempts had been sent from here.
-    fn carry_on(&mut self, id: RequestId, carried: &Carried) {
+    fn carry_on(&mut self, id: RequestId, carried: &MigratedRequest) {
         let Some(r) = self.known.carry_on(id, carried, self.set.classes.len()) else { return };
         self.out.push(Action::Timer { at: r.deadline, token: ANSWER | id });
         self.requests.insert(id, r);
--- a/src/interface.rs
+++ b/src/decision/interface.rs
@@ -3,7 +3,7 @@
 //! Times are seconds. Absent figures are zero unless a type says otherwise; figures that are not
 //! finite or below zero are treated as absent by the module.
 
-pub use crate::request::{Carried, RequestId, WorkerId};
+pub use crate::decision::request::{MigratedRequest, RequestId, WorkerId};
 use std::fmt;
 
 /// What may be done with a request that may already have run.
@@ -270,7 +270,7 @@
 
 impl std::error::Error for SettingsError {}
 
-postproxy_remedy::remedies! { SettingsError, REMEDIES:
+postproxy_diagnostics::diagnostics! { SettingsError, REMEDIES:
     SettingsError::Json(_) => "settings.malformed", "correct the value at the key that is named, and start the node or signal it to reload again";
     SettingsError::Word { .. } => "settings.word", "give the key that is named one of the words that are listed, and start the node or signal it to reload again";
     SettingsError::Range { .. } => "settings.range", "give the key that is named a value as it must be, and start the node or signal it to reload again";
@@ -404,7 +404,7 @@
 
 /// What another process of this node does with the same workers: limits and budgets are one node's.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Elsewhere {
+pub enum SiblingEvent {
     /// It took requests, and made further attempts, at these times.
     Past {
         /// Requests.
@@ -498,13 +498,13 @@
     /// So many dispatchers may send to the workers, in place of what the settings say.
     Balancers(u32),
     /// News of another process of this node, which takes over or is taken over.
-    Elsewhere(Elsewhere),
+    SiblingEvent(SiblingEvent),
     /// A request of another process of this node goes on here.
-    Carried {
+    MigratedRequest {
         /// Its number here.
         request: RequestId,
         /// What was noted of it there.
-        carried: Box<Carried>,
+        carried: Box<MigratedRequest>,
     },
     /// A timer came due.
     Timer {
--- a/src/request.rs
+++ b/src/decision/request.rs
@@ -69,13 +69,13 @@
 
 /// A request on its way to another process of this node.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Carried {
+pub struct MigratedRequest {
     pub(crate) request: Request,
     /// The worker of each attempt.
     pub workers: Vec<WorkerId>,
 }
 
-impl Carried {
+impl MigratedRequest {
     /// Says whether the request carries a key, which its payload tells and its record does not.
     pub fn set_keyless(&mut self, keyless: bool) {
         self.request.keyless = keyless;
--- a/src/settings.rs
+++ b/src/decision/settings.rs
@@ -1,7 +1,9 @@
 //! Settings from the JSON text that a dispatcher gets at its start. Unknown keys are skipped; missing ones
 //! get the defaults written here.
 
-use crate::interface::{Class, Effect, Field, Group, Reports, RetryBudget, Settings, SettingsError};
+use crate::decision::interface::{
+    Class, Effect, Field, Group, Reports, RetryBudget, Settings, SettingsError,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
--- a/src/state.rs
+++ b/src/decision/state.rs
@@ -1,10 +1,10 @@
-//! What a dispatcher remembers: plain types of `src/policy.rs`, without any decision.
+//! What a dispatcher remembers: plain types of `src/decision/dispatcher.rs`, without any decision.
 
-use crate::affinity;
-use crate::interface::{
-    Class, Elsewhere, Entry, Field, Health, ListKind, RequestId, Settings, WorkerId, sound,
+use crate::decision::affinity;
+use crate::decision::interface::{
+    Class, Entry, Field, Health, ListKind, RequestId, Settings, SiblingEvent, WorkerId, sound,
 };
-pub use crate::request::{Attempt, Carried, Request, State};
+pub use crate::decision::request::{Attempt, MigratedRequest, Request, State};
 use std::collections::{BTreeMap, VecDeque};
 
 /// No window of a cold worker's budget that another process's sends may count for is longer, in seconds.
@@ -326,16 +326,16 @@
     }
 
     /// A request that goes to another process, and with it the own sends.
-    pub fn release(&mut self, id: RequestId, request: Request) -> Carried {
+    pub fn release(&mut self, id: RequestId, request: Request) -> MigratedRequest {
         self.workers.iter_mut().for_each(|w| w.own.retain(|o| o.key.0 != id));
         let workers = request.attempts.iter().map(|a| self.workers[a.worker].entry.worker).collect();
         let fresh = (Vec::new(), Vec::new(), 0, None, 0, 0.0);
         let (pool, sample, rounds, pass, rolled, look) = fresh;
-        Carried { request: Request { pool, sample, rounds, pass, rolled, look, ..request }, workers }
+        MigratedRequest { request: Request { pool, sample, rounds, pass, rolled, look, ..request }, workers }
     }
 
     /// A request that comes from another process, and with it its sends; `None` if it can't be one.
-    pub fn carry_on(&mut self, id: RequestId, carried: &Carried, classes: usize) -> Option<Request> {
+    pub fn carry_on(&mut self, id: RequestId, carried: &MigratedRequest, classes: usize) -> Option<Request> {
         let mut request = carried.request.clone();
         let figures =
             [request.need, request.memory, request.work, request.least, request.first, request.deadline];
@@ -365,20 +365,20 @@
     }
 
     /// News of another process of this node: what it holds at workers weighs like own jobs, budgets are common.
-    pub fn elsewhere(&mut self, news: &Elsewhere) {
+    pub fn elsewhere(&mut self, news: &SiblingEvent) {
         match news {
-            Elsewhere::Past { taken, further } => {
+            SiblingEvent::Past { taken, further } => {
                 self.taken.merge(taken);
                 self.further.merge(further);
             }
-            Elsewhere::Sent { request, attempt, worker, need, work, sent } => {
+            SiblingEvent::Sent { request, attempt, worker, need, work, sent } => {
                 let (key, work) = ((*request, *attempt), work.unwrap_or(self.usual));
                 if let Some(&w) = self.index.get(worker) {
                     self.workers[w].own.push(Own { key, need: *need, work, sent: *sent, until: None });
                     self.workers[w].note_sent(*sent, work, MOST_WINDOW);
                 }
             }
-            Elsewhere::Ended { request, attempt, worker } => {
+            SiblingEvent::Ended { request, attempt, worker } => {
                 if let Some(&w) = self.index.get(worker) {
                     self.workers[w].own.retain(|o| o.key != (*request, *attempt));
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,21 +21,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod affinity;
-pub mod interface;
-pub mod logs;
+pub mod decision;
+pub mod logging;
 pub mod net;
-pub mod operator;
-pub mod policy;
-pub mod random;
-mod request;
-pub mod settings;
-pub mod standin;
-mod state;
-pub mod wire;
+pub mod operator_config;
+pub mod simulator_protocol;
+pub mod stand_ins;
 
-pub use interface::*;
-pub use policy::Dispatcher;
+pub use decision::dispatcher::Dispatcher;
+pub use decision::interface::*;
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/src/logs.rs
+++ b/src/logging.rs
@@ -26,7 +26,7 @@
 pub struct Log {
     /// `text` or `json`.
     pub format: Format,
-    /// Levels by module, such as `info,postproxy::net::back::farm=debug`. Requests have spans at `debug`.
+    /// Levels by module, such as `info,postproxy::net::upstream::worker_list=debug`. Requests have spans at `debug`.
     pub levels: String,
 }
 
@@ -83,7 +83,7 @@
     #[test]
     fn levels_are_checked() {
         let log = |levels: &str| Log { levels: levels.into(), ..Log::default() };
-        assert_eq!(log("warn,postproxy::net::back::farm=debug").check(), Ok(()));
+        assert_eq!(log("warn,postproxy::net::upstream::worker_list=debug").check(), Ok(()));
         let error = log("info,postproxy=lound").check().expect_err("no level");
         assert!(error.contains("lound"), "{error}");
     }
--- a/src/net/peers/affairs.rs
+++ b/src/net/cluster/coordination.rs
@@ -1,8 +1,10 @@
-//! What the nodes decide together: it carries words, writes and the time to and from the machine in `postproxy-council`, and
+//! What the nodes decide together: it carries words, writes and the time to and from the machine in `postproxy-coordination`, and
 //! words what the operators' door is asked of it.
 
-use postproxy_council::{Answer, Call, Change, Council, Error, Event, Out, Settings, View};
-use postproxy_remedy::{Remedy, Told};
+use postproxy_coordination::{
+    Coordinator, Error, Event, Operation, Output, Response, Settings, Status, StorageChange,
+};
+use postproxy_diagnostics::{Diagnostic, ErrorBody};
 use std::collections::{HashMap, HashSet};
 
 /// A write that the disk refused is tried again after this, in seconds.
@@ -10,7 +12,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum AdminRequest {
     /// That whoever owns this duty gives it up.
     Release(String),
     /// That this node owns this duty.
@@ -24,8 +26,8 @@
 pub enum Do {
     /// Send this to that node.
     Send(String, Vec<u8>),
-    /// Write these; [`Affairs::written`] is told what became of it.
-    Write(Vec<Change>),
+    /// Write these; [`CoordinationService::written`] is told what became of it.
+    Write(Vec<StorageChange>),
     /// Answer a caller at the door.
     Tell(usize, u16, String),
 }
@@ -33,21 +35,21 @@
 /// Writes, one batch on its way at a time: what is refused goes again before anything later, so that the disk never holds a
 /// later change without an earlier one.
 #[derive(Debug, Default)]
-struct Scribe {
-    behind: (u64, Vec<Change>),
-    flying: Option<(u64, Vec<Change>)>,
+struct WriteQueue {
+    behind: (u64, Vec<StorageChange>),
+    flying: Option<(u64, Vec<StorageChange>)>,
     /// When the disk is tried again, after a refusal.
     again: Option<f64>,
 }
 
-impl Scribe {
-    fn push(&mut self, number: u64, changes: Vec<Change>) {
+impl WriteQueue {
+    fn push(&mut self, number: u64, changes: Vec<StorageChange>) {
         self.behind.0 = number;
         self.behind.1.extend(changes);
     }
 
     /// The next batch, if one may go.
-    fn next(&mut self, now: f64) -> Option<Vec<Change>> {
+    fn next(&mut self, now: f64) -> Option<Vec<StorageChange>> {
         if self.again.is_some_and(|at| at > now) {
             return None;
         }
@@ -73,9 +75,9 @@
 }
 
 /// A node's part in what is decided.
-pub struct Affairs {
-    council: Council,
-    scribe: Scribe,
+pub struct CoordinationService {
+    council: Coordinator,
+    scribe: WriteQueue,
     ticket: u64,
     /// Callers at the door, by ticket.
     callers: HashMap<u64, usize>,
@@ -94,24 +96,24 @@
         Error::NoMajority(_) | Error::Busy | Error::NoVoters | Error::Elsewhere(_) => 503,
         Error::Nobody => 404,
         Error::Name => 400,
-        Error::Refused(postproxy_council::Refusal::Unknown) => 404,
-        Error::Refused(_) | Error::WouldStop { .. } | Error::Count => 409,
+        Error::Rejected(postproxy_coordination::Rejection::Unknown) => 404,
+        Error::Rejected(_) | Error::WouldStop { .. } | Error::Count => 409,
     };
     (status, worded(&error.told()))
 }
 
-fn worded(told: &Told) -> String {
+fn worded(told: &ErrorBody) -> String {
     serde_json::to_string(told).unwrap_or_default() + "\n"
 }
 
-impl Affairs {
+impl CoordinationService {
     /// From what was kept, in this life of the process.
     pub fn new(settings: Settings, now: f64, life: u64, kept: Vec<(Vec<u8>, Vec<u8>)>) -> (Self, Vec<Do>) {
         let mut out = Vec::new();
-        let council = Council::new(settings, ms(now), life, kept, &mut out);
+        let council = Coordinator::new(settings, ms(now), life, kept, &mut out);
         let mut affairs = Self {
             council,
-            scribe: Scribe::default(),
+            scribe: WriteQueue::default(),
             ticket: 0,
             callers: HashMap::new(),
             lost: HashSet::new(),
@@ -138,7 +140,7 @@
     /// Another node says something; `None` if it is no word of its.
     pub fn receive(&mut self, now: f64, from: &str, bytes: &[u8]) -> Option<Vec<Do>> {
         let mut out = Vec::new();
-        let ours = bytes.starts_with(&postproxy_council::PREFIX);
+        let ours = bytes.starts_with(&postproxy_coordination::PREFIX);
         if ours && !self.council.receive(ms(now), from, bytes, &mut out) {
             tracing::debug!(from, "a word of other founders: dropped");
         }
@@ -160,31 +162,31 @@
     }
 
     /// A caller at the door asks for something.
-    pub fn ask(&mut self, now: f64, caller: usize, ask: Ask) -> Vec<Do> {
+    pub fn ask(&mut self, now: f64, caller: usize, ask: AdminRequest) -> Vec<Do> {
         self.ticket += 1;
         self.callers.insert(self.ticket, caller);
         let (now_ms, mut out) = (ms(now), Vec::new());
         match ask {
-            Ask::Release(duty) => {
+            AdminRequest::Release(duty) => {
                 let token =
                     self.council.state().duty(&duty).and_then(|duty| duty.owner.as_ref()).map(|(_, t)| *t);
                 self.council.call(
                     now_ms,
                     self.ticket,
-                    Call::Release(duty, token.unwrap_or_default()),
+                    Operation::Release(duty, token.unwrap_or_default()),
                     &mut out,
                 );
             }
-            Ask::Hand(duty, to) => {
-                self.council.call(now_ms, self.ticket, Call::Hand(duty, None, to), &mut out);
+            AdminRequest::Hand(duty, to) => {
+                self.council.call(now_ms, self.ticket, Operation::Hand(duty, None, to), &mut out);
             }
-            Ask::Voter(name, add) => self.council.seating(now_ms, self.ticket, add, &name, &mut out),
+            AdminRequest::Voter(name, add) => self.council.seating(now_ms, self.ticket, add, &name, &mut out),
         }
         self.carry(now, out)
     }
 
     /// What the door shows.
-    pub fn view(&self, now: f64) -> View {
+    pub fn view(&self, now: f64) -> Status {
         self.council.view(ms(now))
     }
 
@@ -205,19 +207,19 @@
         })
     }
 
-    fn carry(&mut self, now: f64, out: Vec<Out>) -> Vec<Do> {
+    fn carry(&mut self, now: f64, out: Vec<Output>) -> Vec<Do> {
         let mut todo = Vec::new();
         for one in out {
             match one {
-                Out::Send(to, bytes) => todo.push(Do::Send(to, bytes)),
-                Out::Write(number, changes) => self.scribe.push(number, changes),
-                Out::Event(Event::Answered(ticket, came)) => {
+                Output::Send(to, bytes) => todo.push(Do::Send(to, bytes)),
+                Output::Write(number, changes) => self.scribe.push(number, changes),
+                Output::Event(Event::Answered(ticket, came)) => {
                     todo.extend(self.tell(ticket, came.map(|answer| said(&answer).to_owned())));
                 }
-                Out::Event(Event::Seated(ticket, came)) => {
+                Output::Event(Event::Seated(ticket, came)) => {
                     todo.extend(self.tell(ticket, came.map(|()| "yes\n".to_owned())));
                 }
-                Out::Event(event) => log(&event),
+                Output::Event(event) => log(&event),
             }
         }
         todo.extend(self.scribe.next(now).map(Do::Write));
@@ -225,9 +227,9 @@
     }
 }
 
-fn said(answer: &Answer) -> &'static str {
+fn said(answer: &Response) -> &'static str {
     match answer {
-        Answer::Refused(_) => "no\n",
+        Response::Refused(_) => "no\n",
         _ => "yes\n",
     }
 }
@@ -254,8 +256,8 @@
     /// Guards against a later write that is durable where an earlier one was refused.
     #[test]
     fn what_the_disk_refused_goes_again_before_anything_later() {
-        let change = |n: u8| Change { key: vec![n], value: None };
-        let mut scribe = Scribe::default();
+        let change = |n: u8| StorageChange { key: vec![n], value: None };
+        let mut scribe = WriteQueue::default();
         scribe.push(1, vec![change(1)]);
         assert_eq!(scribe.next(0.0), Some(vec![change(1)]));
         scribe.push(2, vec![change(2)]);
--- a/src/net/peers/wires.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -1,8 +1,8 @@
 //! The connections that streams between nodes go over: it moves bytes, and the machine in `postproxy-streams` decides.
 
-use crate::net::ground::connection::{Callbacks, Connection, State};
-use crate::net::ground::reactor::{self, Owner, Reactor};
-use postproxy_streams::{Do, Flaw, Full, Streams};
+use crate::net::transport::connection::{Callbacks, Connection, State};
+use crate::net::transport::reactor::{self, Owner, Reactor};
+use postproxy_streams::{DecodeError, Effect, QueueFull, Streams};
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 
 /// A word that has come, or that a node is in a new life.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Heard {
+pub enum PeerMessage {
     /// This life of this node says this.
     Word(String, u64, Vec<u8>),
     /// What was queued for an earlier life of this node is dropped.
@@ -46,7 +46,7 @@
 }
 
 /// The connections to other nodes.
-pub struct Wires {
+pub struct PeerConnections {
     listener: TcpListener,
     key: usize,
     /// Connections are made from here, where it is one address.
@@ -57,7 +57,7 @@
     read: (f64, usize),
 }
 
-impl Wires {
+impl PeerConnections {
     /// Listens there for this life of a node.
     ///
     /// # Errors
@@ -72,7 +72,7 @@
     }
 
     /// Connections dropped, by why.
-    pub fn flaws(&self) -> &std::collections::BTreeMap<Flaw, u64> {
+    pub fn flaws(&self) -> &std::collections::BTreeMap<DecodeError, u64> {
         self.streams.flaws()
     }
 
@@ -92,7 +92,7 @@
         to: &str,
         at: SocketAddr,
         word: Vec<u8>,
-    ) -> Result<(), Full> {
+    ) -> Result<(), QueueFull> {
         let mut out = Vec::new();
         self.streams.say(reactor.now, to, at, word, &mut out)?;
         // Nothing arrives by saying something.
@@ -108,14 +108,20 @@
     }
 
     /// The time has come that [`Self::next`] told, or another.
-    pub fn due(&mut self, reactor: &mut Reactor) -> Vec<Heard> {
+    pub fn due(&mut self, reactor: &mut Reactor) -> Vec<PeerMessage> {
         let mut out = Vec::new();
         self.streams.due(reactor.now, &mut out);
         self.carry(reactor, out)
     }
 
     /// A socket can be read or written, if it is one of these.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) -> Vec<Heard> {
+    pub fn ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) -> Vec<PeerMessage> {
         if key == self.key {
             return self.accept(reactor);
         }
@@ -147,7 +153,7 @@
         self.sockets.values().for_each(|connection| reactor.forget(connection.stream()));
     }
 
-    fn accept(&mut self, reactor: &mut Reactor) -> Vec<Heard> {
+    fn accept(&mut self, reactor: &mut Reactor) -> Vec<PeerMessage> {
         let mut heard = Vec::new();
         for _ in 0..ACCEPTS {
             // An error is that of one caller, who is gone, or of a descriptor, which the next turn may have.
@@ -177,7 +183,7 @@
         }
     }
 
-    fn dial(&mut self, reactor: &mut Reactor, to: &str, at: SocketAddr, out: &mut Vec<Do>) {
+    fn dial(&mut self, reactor: &mut Reactor, to: &str, at: SocketAddr, out: &mut Vec<Effect>) {
         let stream = reactor::dial_from(self.from, at);
         let made = stream.and_then(|stream| Ok((reactor.register(&stream, Owner::Peers)?, stream)));
         let key = made.ok().map(|(key, stream)| {
@@ -189,13 +195,13 @@
         self.streams.dialled(reactor.now, to, key, out);
     }
 
-    fn carry(&mut self, reactor: &mut Reactor, mut out: Vec<Do>) -> Vec<Heard> {
+    fn carry(&mut self, reactor: &mut Reactor, mut out: Vec<Effect>) -> Vec<PeerMessage> {
         let mut heard = Vec::new();
         while !out.is_empty() {
             for one in std::mem::take(&mut out) {
                 match one {
-                    Do::Dial(to, at) => self.dial(reactor, &to, at, &mut out),
-                    Do::Write(key, bytes) => {
+                    Effect::Dial(to, at) => self.dial(reactor, &to, at, &mut out),
+                    Effect::Write(key, bytes) => {
                         let Some(connection) = self.sockets.get_mut(&key) else { continue };
                         let mut events = Events::default();
                         connection.send(&bytes, &mut events);
@@ -203,13 +209,13 @@
                         let ended = events.ended || unread && self.streams.is_incoming(key);
                         self.look(reactor, key, ended);
                     }
-                    Do::Close(key) => {
+                    Effect::Close(key) => {
                         if let Some(connection) = self.sockets.remove(&key) {
                             reactor.forget(connection.stream());
                         }
                     }
-                    Do::Arrived(from, life, word) => heard.push(Heard::Word(from, life, word)),
-                    Do::Anew(name, _) => heard.push(Heard::Anew(name)),
+                    Effect::Arrived(from, life, word) => heard.push(PeerMessage::Word(from, life, word)),
+                    Effect::Anew(name, _) => heard.push(PeerMessage::Anew(name)),
                 }
             }
         }
@@ -224,19 +230,20 @@
     use std::io::{Read, Write};
     use std::time::{Duration, Instant};
 
-    fn node(name: &str, life: u64) -> (Reactor, Wires) {
+    fn node(name: &str, life: u64) -> (Reactor, PeerConnections) {
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
         let at = "127.0.0.1:0".parse().expect("an address");
-        let wires = Wires::start(&mut reactor, at, Streams::new(7, name, life)).expect("it listens");
+        let wires =
+            PeerConnections::start(&mut reactor, at, Streams::new(7, name, life)).expect("it listens");
         (reactor, wires)
     }
 
-    fn at(wires: &Wires) -> SocketAddr {
+    fn at(wires: &PeerConnections) -> SocketAddr {
         wires.listener.local_addr().expect("an address")
     }
 
     /// One turn of a node's loop, so much later; what was heard, and how long it took.
-    fn turn(reactor: &mut Reactor, wires: &mut Wires) -> (Vec<Heard>, Duration) {
+    fn turn(reactor: &mut Reactor, wires: &mut PeerConnections) -> (Vec<PeerMessage>, Duration) {
         reactor.now += 0.01;
         reactor.timer(reactor.now + 0.01, reactor::Due::Peers(0));
         let mut events = Vec::new();
@@ -264,7 +271,7 @@
             }
             let (heard, _) = turn(&mut rb, &mut b);
             got.extend(heard.into_iter().map(|heard| match heard {
-                Heard::Word(from, 1, word) if from == "a" => word,
+                PeerMessage::Word(from, 1, word) if from == "a" => word,
                 other => panic!("{other:?}"),
             }));
             turn(&mut ra, &mut a);
@@ -279,7 +286,7 @@
         assert!(a.say(&mut ra, "b", at(&c), b"for the earlier life".to_vec()).is_ok());
         let (mut anew, mut heard) = (false, Vec::new());
         for _ in 0..2000 {
-            let told = turn(&mut ra, &mut a).0.contains(&Heard::Anew("b".into()));
+            let told = turn(&mut ra, &mut a).0.contains(&PeerMessage::Anew("b".into()));
             if told && !std::mem::replace(&mut anew, true) {
                 assert!(a.say(&mut ra, "b", at(&c), b"anew".to_vec()).is_ok());
             }
@@ -288,7 +295,7 @@
                 break;
             }
         }
-        assert_eq!(heard, [Heard::Word("a".into(), 1, b"anew".to_vec())]);
+        assert_eq!(heard, [PeerMessage::Word("a".into(), 1, b"anew".to_vec())]);
     }
 
     /// Guards against streams that stall, flood, or claim 4 GiB and hold up the loop, or stand in the way of a sound one.
@@ -330,13 +337,16 @@
             }
             turn(&mut ra, &mut a);
             let (words, took) = turn(&mut rb, &mut b);
-            heard += words.iter().filter(|word| matches!(word, Heard::Word(from, ..) if from == "a")).count();
+            heard += words
+                .iter()
+                .filter(|word| matches!(word, PeerMessage::Word(from, ..) if from == "a"))
+                .count();
             longest = longest.max(took);
         }
         assert_eq!(heard, 100, "all of the sound node's words arrive");
         let flaws = b.flaws();
-        assert_eq!(flaws.get(&Flaw::Long), Some(&1));
-        assert!(flaws.get(&Flaw::Stalled).is_some_and(|n| *n >= 19), "{flaws:?}");
+        assert_eq!(flaws.get(&DecodeError::Long), Some(&1));
+        assert!(flaws.get(&DecodeError::Stalled).is_some_and(|n| *n >= 19), "{flaws:?}");
         liar.set_nonblocking(false).expect("a setting");
         let mut rest = Vec::new();
         let ended = liar.read_to_end(&mut rest);
--- a/src/net/peers/fleet.rs
+++ b/src/net/cluster/service.rs
@@ -1,16 +1,16 @@
 //! The other nodes: it moves datagrams and words over streams to and from the machine that knows who is there, and words
 //! what the operators' door is asked.
 
-use crate::net::back::keeper::Found;
-use crate::net::ground::reactor::{Due, Owner, Reactor};
-use crate::net::peers::affairs::{self, Affairs, Ask};
-use crate::net::peers::audit::{self, Audit};
-use crate::net::peers::wires::{Heard, Wires};
-use crate::operator::{AuditSection, DutiesSection, FleetSection};
-use postproxy_audit::{Kind, Source, Stand};
-use postproxy_council::Change;
-use postproxy_members::{Life, Mark, Members, News, Out, Refused};
+use crate::net::cluster::coordination::{self, AdminRequest, CoordinationService};
+use crate::net::cluster::peer_connections::{PeerConnections, PeerMessage};
+use crate::net::cluster::versions::{self, Audit};
+use crate::net::store_adapter::RecoveredState;
+use crate::net::transport::reactor::{Due, Owner, Reactor};
+use crate::operator_config::{AuditSection, DutiesSection, FleetSection};
+use postproxy_coordination::StorageChange;
+use postproxy_membership::{MemberState, Membership, MembershipEvent, Output, Rejection, Suspension};
 use postproxy_streams::Streams;
+use postproxy_version_tracking::{Kind, Source, VersionRecord};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -41,11 +41,11 @@
     Held(usize, usize, usize),
     /// It knows what the fleet has said: what this node alone knows of workers is to be told.
     Settled,
-    /// Write these; [`Fleet::written`] is told what became of it.
-    Write(Vec<Change>),
+    /// Write these; [`ClusterService::written`] is told what became of it.
+    Write(Vec<StorageChange>),
     /// Answer a caller at the door.
     Tell(usize, u16, String),
-    /// That node wants what this one holds of a kind: [`Fleet::give`].
+    /// That node wants what this one holds of a kind: [`ClusterService::give`].
     Give(String, Kind),
     /// That node passes on a list of this generation.
     Passed(String, u64, Vec<u8>),
@@ -53,7 +53,7 @@
 
 /// A node as the door shows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Shown {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// Where it is.
@@ -71,7 +71,7 @@
 
 /// What the door shows of the fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Picture {
+pub struct ClusterStatus {
     /// The fleet's name.
     pub cluster: String,
     /// The name of the node that tells.
@@ -85,7 +85,7 @@
     /// Why.
     pub reasons: Vec<String>,
     /// All that are known, this node first.
-    pub members: Vec<Shown>,
+    pub members: Vec<MemberStatus>,
     /// Nodes that it should hear directly and does not.
     pub unheard: Vec<String>,
     /// How far this process is from well (0 to 8), and the seconds that it has missed.
@@ -101,12 +101,12 @@
 struct Place {
     socket: UdpSocket,
     key: usize,
-    members: Members,
-    wires: Wires,
+    members: Membership,
+    peer_connections: PeerConnections,
     /// Lists that others have passed on, to be looked at: by whom, of which generation.
     passed: Vec<(String, u64, Vec<u8>)>,
     /// What the nodes decide together, where that is on.
-    affairs: Option<Affairs>,
+    coordination: Option<CoordinationService>,
     /// Which node acts on which version, where that is on.
     audit: Option<Audit>,
     /// When it is settled, if that is to come.
@@ -115,29 +115,33 @@
 
 impl Place {
     /// Takes in what has come over streams.
-    fn heed(&mut self, now: f64, heard: Vec<Heard>, out: &mut Vec<Out>) -> Vec<affairs::Do> {
+    fn heed(&mut self, now: f64, heard: Vec<PeerMessage>, out: &mut Vec<Output>) -> Vec<coordination::Do> {
         let mut todo = Vec::new();
         for heard in heard {
             match heard {
-                Heard::Word(from, _, word) if word.starts_with(&audit::PREFIX) => {
+                PeerMessage::Word(from, _, word) if word.starts_with(&versions::PREFIX) => {
                     if self.audit.is_some()
                         && let Ok((generation, body)) =
-                            postcard::take_from_bytes::<u64>(&word[audit::PREFIX.len()..])
+                            postcard::take_from_bytes::<u64>(&word[versions::PREFIX.len()..])
                     {
                         self.passed.push((from, generation, body.to_vec()));
                     }
                 }
-                Heard::Word(from, _, word) => {
-                    match self.affairs.as_mut().and_then(|affairs| affairs.receive(now, &from, &word)) {
+                PeerMessage::Word(from, _, word) => {
+                    match self
+                        .coordination
+                        .as_mut()
+                        .and_then(|coordination| coordination.receive(now, &from, &word))
+                    {
                         Some(more) => todo.extend(more),
                         None => self.members.told(now, &word, out),
                     }
                 }
                 // What was dropped is told again when digests differ.
-                Heard::Anew(name) => {
+                PeerMessage::Anew(name) => {
                     tracing::debug!(name, "a node in a new life: what waited for it is dropped");
-                    if let Some(affairs) = &mut self.affairs {
-                        affairs.reconnected(&name);
+                    if let Some(coordination) = &mut self.coordination {
+                        coordination.reconnected(&name);
                     }
                 }
             }
@@ -153,12 +157,14 @@
     /// Datagrams and streams dropped, by why.
     fn dropped(&self) -> std::collections::BTreeMap<String, u64> {
         let datagrams = self.members.dropped().iter().map(|(flaw, n)| (flaw.word().to_owned(), *n));
-        datagrams.chain(self.wires.flaws().iter().map(|(flaw, n)| (flaw.word().to_owned(), *n))).collect()
+        datagrams
+            .chain(self.peer_connections.flaws().iter().map(|(flaw, n)| (flaw.word().to_owned(), *n)))
+            .collect()
     }
 }
 
 /// The other nodes.
-pub struct Fleet {
+pub struct ClusterService {
     section: FleetSection,
     duties: Option<DutiesSection>,
     audit: Option<AuditSection>,
@@ -168,7 +174,7 @@
     /// It has let go.
     over: bool,
     /// What is kept from an earlier life.
-    restored: Vec<(String, Mark)>,
+    restored: Vec<(String, Suspension)>,
     /// The same of what the nodes decide together.
     council: Vec<(Vec<u8>, Vec<u8>)>,
     /// Looks asked for: the latest, and when it comes.
@@ -183,7 +189,7 @@
     logged: (u64, f64),
 }
 
-impl Fleet {
+impl ClusterService {
     /// Takes its place among the nodes; where an older process of this node may hold it, waits for that.
     ///
     /// # Errors
@@ -194,10 +200,10 @@
         section: FleetSection,
         (duties, audit): (Option<DutiesSection>, Option<AuditSection>),
         name: &str,
-        kept: Found,
+        kept: RecoveredState,
         shared: bool,
     ) -> Result<(Self, Vec<Event>), String> {
-        if name.is_empty() || name.len() > postproxy_members::MOST_NAME {
+        if name.is_empty() || name.len() > postproxy_membership::MAX_NAME_BYTES {
             return Err(format!("fleet: the node's name '{name}' must have 1 to 64 bytes"));
         }
         let restored = postcard::from_bytes(&kept.bans).unwrap_or_default();
@@ -231,49 +237,52 @@
         Ok((fleet, events))
     }
 
-    fn take_place(&mut self, reactor: &mut Reactor) -> std::io::Result<Vec<affairs::Do>> {
+    fn take_place(&mut self, reactor: &mut Reactor) -> std::io::Result<Vec<coordination::Do>> {
         // The life must differ from every other's: from the system's own chance, not from the seed.
         let seed = RandomState::new().build_hasher().finish();
-        let (socket, wires) = self.sockets(reactor, seed)?;
+        let (socket, peer_connections) = self.sockets(reactor, seed)?;
         let key = reactor.register(&socket, Owner::Peers)?;
         reactor.rearm(&socket, key, (true, false));
         let told = self.section.told(socket.local_addr()?);
         let started = (reactor.now * 1000.0) as u64;
-        let mut members = Members::new(self.section.settings(), &self.name, told, started, seed, reactor.now);
+        let mut members =
+            Membership::new(self.section.settings(), &self.name, told, started, seed, reactor.now);
         members.restore(self.restored.drain(..));
         self.kept = members.digest();
         tracing::info!(name = self.name, address = %told, cluster = self.section.cluster, "among the nodes");
         let settled = reactor.now + SETTLED;
-        let council = self.duties.as_ref().map(|section| postproxy_council::Settings {
+        let council = self.duties.as_ref().map(|section| postproxy_coordination::Settings {
             name: self.name.clone(),
             cluster: self.section.cluster.clone(),
             founders: self.section.voters.iter().cloned().collect(),
-            times: postproxy_council::Times { lease: section.lease_ms, ..Default::default() },
+            times: postproxy_coordination::LeaseTiming { lease: section.lease_ms, ..Default::default() },
             duties: ["bans".to_owned()].into(),
         });
         let kept = std::mem::take(&mut self.council);
-        let (affairs, todo) = council.map(|set| Affairs::new(set, reactor.now, seed, kept)).unzip();
+        let (coordination, todo) =
+            council.map(|set| CoordinationService::new(set, reactor.now, seed, kept)).unzip();
         let audit = self.audit.as_ref().map(|section| {
-            let set = postproxy_audit::Settings { beat_ms: section.beat_ms };
+            let set = postproxy_version_tracking::Settings { beat_ms: section.beat_ms };
             Audit::new(set, &self.name, reactor.now, seed)
         });
         let passed = Vec::new();
-        self.place = Some(Place { socket, key, members, wires, passed, affairs, audit, settled });
+        self.place =
+            Some(Place { socket, key, members, peer_connections, passed, coordination, audit, settled });
         Ok(todo.unwrap_or_default())
     }
 
     /// A socket for datagrams and a listener for streams, at one address.
-    fn sockets(&self, reactor: &mut Reactor, life: u64) -> std::io::Result<(UdpSocket, Wires)> {
-        let cluster = postproxy_members::packet::cluster(&self.section.cluster);
+    fn sockets(&self, reactor: &mut Reactor, life: u64) -> std::io::Result<(UdpSocket, PeerConnections)> {
+        let cluster = postproxy_membership::packet::cluster(&self.section.cluster);
         let mut choices = if self.section.listen.port() == 0 { CHOICES } else { 1 };
         loop {
             let socket = UdpSocket::bind(self.section.listen)?;
             socket.set_nonblocking(true)?;
             let streams = Streams::new(cluster, &self.name, life);
             choices -= 1;
-            match Wires::start(reactor, socket.local_addr()?, streams) {
+            match PeerConnections::start(reactor, socket.local_addr()?, streams) {
                 Err(error) if choices > 0 && error.kind() == ErrorKind::AddrInUse => {}
-                wires => return Ok((socket, wires?)),
+                peer_connections => return Ok((socket, peer_connections?)),
             }
         }
     }
@@ -286,9 +295,9 @@
         let at = match &self.place {
             Some(place) => [
                 place.members.next(),
-                place.wires.next(),
+                place.peer_connections.next(),
                 Some(place.settled),
-                place.affairs.as_ref().map(Affairs::next),
+                place.coordination.as_ref().map(CoordinationService::next),
                 place.audit.as_ref().map(Audit::next),
             ]
             .into_iter()
@@ -325,10 +334,10 @@
             for (ticket, _) in self.callers.iter().filter(|(_, (_, until))| *until <= reactor.now) {
                 place.members.press(reactor.now, *ticket, &mut out);
             }
-            let heard = place.wires.due(reactor);
+            let heard = place.peer_connections.due(reactor);
             todo.extend(place.heed(reactor.now, heard, &mut out));
-            if let Some(affairs) = place.affairs.as_mut() {
-                todo.extend(affairs.turn(reactor.now));
+            if let Some(coordination) = place.coordination.as_mut() {
+                todo.extend(coordination.turn(reactor.now));
             }
             if let Some(audit) = place.audit.as_mut() {
                 told = audit.due(reactor.now);
@@ -347,15 +356,15 @@
     }
 
     /// Says what the audit wants said; what is wanted of this node goes up.
-    fn tell(&mut self, told: Vec<audit::Do>, out: &mut Vec<Out>) -> Vec<Event> {
+    fn tell(&mut self, told: Vec<versions::Do>, out: &mut Vec<Output>) -> Vec<Event> {
         let mut events = Vec::new();
         for one in told {
             match (one, &mut self.place) {
-                (audit::Do::Say(to, bytes), Some(place)) => {
+                (versions::Do::Say(to, bytes), Some(place)) => {
                     place.members.say_part(&to, &bytes, out);
                 }
-                (audit::Do::Give(to, kind), _) => events.push(Event::Give(to, kind)),
-                (audit::Do::Say(..), None) => {}
+                (versions::Do::Give(to, kind), _) => events.push(Event::Give(to, kind)),
+                (versions::Do::Say(..), None) => {}
             }
         }
         events
@@ -367,7 +376,13 @@
     }
 
     /// The node acts on this list from now on, after so many acts on what it held before.
-    pub fn acts_on(&mut self, reactor: &mut Reactor, stand: Stand, source: Source, acts: u64) -> Vec<Event> {
+    pub fn acts_on(
+        &mut self,
+        reactor: &mut Reactor,
+        stand: VersionRecord,
+        source: Source,
+        acts: u64,
+    ) -> Vec<Event> {
         let audit = self.place.as_mut().and_then(|place| place.audit.as_mut());
         let told = audit.map(|audit| audit.adopt(reactor.now, Kind::List, stand, source, acts));
         let mut out = Vec::new();
@@ -379,16 +394,16 @@
     /// The generation of lists that this node's configuration names.
     pub fn generation(&self, discovery: SocketAddr) -> u64 {
         let name = self.audit.as_ref().and_then(|section| section.discovery.clone());
-        audit::generation(&name.unwrap_or_else(|| discovery.to_string()))
+        versions::generation(&name.unwrap_or_else(|| discovery.to_string()))
     }
 
     /// Passes a list of this generation on.
     pub fn give(&mut self, reactor: &mut Reactor, to: &str, generation: u64, body: &[u8]) {
         let Some(place) = &mut self.place else { return };
-        let word = postcard::to_extend(&generation, audit::PREFIX.to_vec()).unwrap_or_default();
+        let word = postcard::to_extend(&generation, versions::PREFIX.to_vec()).unwrap_or_default();
         if let Some(at) = place.address(to) {
             // One that is too much or gets lost is asked for again.
-            let _ = place.wires.say(reactor, to, at, [&word[..], body].concat());
+            let _ = place.peer_connections.say(reactor, to, at, [&word[..], body].concat());
         }
     }
 
@@ -403,23 +418,25 @@
     }
 
     /// Does what is decided together.
-    fn do_all(&mut self, reactor: &mut Reactor, todo: Vec<affairs::Do>) -> Vec<Event> {
+    fn do_all(&mut self, reactor: &mut Reactor, todo: Vec<coordination::Do>) -> Vec<Event> {
         let mut events = Vec::new();
         for one in todo {
             match one {
-                affairs::Do::Send(to, bytes) => {
+                coordination::Do::Send(to, bytes) => {
                     let Some(place) = &mut self.place else { continue };
                     // One that is not there hears nothing, and is told anew what counts when it is.
                     let Some(at) = place.address(&to) else { continue };
-                    if place.wires.say(reactor, &to, at, bytes).is_err() {
+                    if place.peer_connections.say(reactor, &to, at, bytes).is_err() {
                         tracing::debug!(to, "too much waits for a node: not told");
-                        if let Some(affairs) = &mut place.affairs {
-                            affairs.reconnected(&to);
+                        if let Some(coordination) = &mut place.coordination {
+                            coordination.reconnected(&to);
                         }
                     }
                 }
-                affairs::Do::Write(changes) => events.push(Event::Write(changes)),
-                affairs::Do::Tell(caller, status, words) => events.push(Event::Tell(caller, status, words)),
+                coordination::Do::Write(changes) => events.push(Event::Write(changes)),
+                coordination::Do::Tell(caller, status, words) => {
+                    events.push(Event::Tell(caller, status, words))
+                }
             }
         }
         events
@@ -427,27 +444,28 @@
 
     /// What became of a write that was given with [`Event::Write`].
     pub fn written(&mut self, reactor: &mut Reactor, well: bool) -> Vec<Event> {
-        let affairs = self.place.as_mut().and_then(|place| place.affairs.as_mut());
-        let todo = affairs.map(|affairs| affairs.written(reactor.now, well)).unwrap_or_default();
+        let coordination = self.place.as_mut().and_then(|place| place.coordination.as_mut());
+        let todo =
+            coordination.map(|coordination| coordination.written(reactor.now, well)).unwrap_or_default();
         let events = self.do_all(reactor, todo);
         self.plan(reactor);
         events
     }
 
     /// A caller at the door asks for something that the nodes decide together; `None` where they decide nothing.
-    pub fn ask(&mut self, reactor: &mut Reactor, caller: usize, ask: Ask) -> Option<Vec<Event>> {
-        if let Ask::Voter(name, true) = &ask
+    pub fn ask(&mut self, reactor: &mut Reactor, caller: usize, ask: AdminRequest) -> Option<Vec<Event>> {
+        if let AdminRequest::Voter(name, true) = &ask
             && self
                 .place
                 .as_ref()
-                .is_some_and(|place| place.affairs.is_some() && place.address(name).is_none())
+                .is_some_and(|place| place.coordination.is_some() && place.address(name).is_none())
             && *name != self.name
         {
             // A seat that nobody takes counts towards the majority all the same.
-            let (status, words) = affairs::refusal(&postproxy_council::Error::Nobody);
+            let (status, words) = coordination::refusal(&postproxy_coordination::Error::Nobody);
             return Some(vec![Event::Tell(caller, status, words)]);
         }
-        let todo = self.place.as_mut()?.affairs.as_mut()?.ask(reactor.now, caller, ask);
+        let todo = self.place.as_mut()?.coordination.as_mut()?.ask(reactor.now, caller, ask);
         let events = self.do_all(reactor, todo);
         self.plan(reactor);
         Some(events)
@@ -455,7 +473,7 @@
 
     /// Who votes and who owns what, as the door shows it.
     pub fn owners(&self, now: f64) -> Option<String> {
-        let view = self.place.as_ref()?.affairs.as_ref()?.view(now);
+        let view = self.place.as_ref()?.coordination.as_ref()?.view(now);
         serde_json::to_string(&view).ok().map(|text| text + "\n")
     }
 
@@ -463,7 +481,7 @@
     pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) -> Vec<Event> {
         let Some(place) = self.place.as_mut() else { return Vec::new() };
         if place.key != key {
-            let heard = place.wires.ready(reactor, key, readable, writable);
+            let heard = place.peer_connections.ready(reactor, key, readable, writable);
             let mut out = Vec::new();
             let todo = place.heed(reactor.now, heard, &mut out);
             let mut events = self.do_all(reactor, todo);
@@ -509,7 +527,7 @@
     /// # Errors
     ///
     /// If that can't be; `None` if this process has no place among the nodes.
-    pub fn forget(&mut self, reactor: &mut Reactor, name: &str) -> Result<Vec<Event>, Option<Refused>> {
+    pub fn forget(&mut self, reactor: &mut Reactor, name: &str) -> Result<Vec<Event>, Option<Rejection>> {
         let (place, mut out) = (self.place.as_mut().ok_or(None)?, Vec::new());
         place.members.forget(reactor.now, name, &mut out)?;
         tracing::info!(name, "forgotten on an operator's word");
@@ -534,7 +552,7 @@
         self.over = true;
         if let Some(place) = self.place.take() {
             reactor.forget(&place.socket);
-            place.wires.end(reactor);
+            place.peer_connections.end(reactor);
         }
     }
 
@@ -558,15 +576,15 @@
     }
 
     /// What the door shows.
-    pub fn picture(&self) -> Option<Picture> {
+    pub fn picture(&self) -> Option<ClusterStatus> {
         let place = self.place.as_ref()?;
         let members = &place.members;
-        let (voters, leader) = match &place.affairs {
-            Some(affairs) => affairs.voters(),
+        let (voters, leader) = match &place.coordination {
+            Some(coordination) => coordination.voters(),
             None => (self.section.voters.clone(), None),
         };
         let voter = |name: &str| voters.iter().any(|voter| voter == name);
-        let shown = |(id, state): (&postproxy_members::Identity, &str)| Shown {
+        let shown = |(id, state): (&postproxy_membership::Identity, &str)| MemberStatus {
             name: id.name.to_string(),
             address: id.address,
             incarnation: id.incarnation,
@@ -575,14 +593,14 @@
             leads: leader.as_deref() == Some(&*id.name),
         };
         let word = |life| match life {
-            Life::Alive => "alive",
-            Life::Suspect => "suspect",
-            Life::Failed => "failed",
-            Life::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Failed => "failed",
+            MemberState::Left => "left",
         };
         let others = members.others().map(|(id, life)| shown((id, word(life))));
         let (ill, missed_s) = members.health();
-        Some(Picture {
+        Some(ClusterStatus {
             cluster: self.section.cluster.clone(),
             node: self.name.clone(),
             member: members.is_in(),
@@ -599,43 +617,51 @@
     }
 
     /// Sends what is to be sent, logs what is new, and gives what the node is to know.
-    fn carry(&mut self, reactor: &mut Reactor, out: Vec<Out>) -> Vec<Event> {
+    fn carry(&mut self, reactor: &mut Reactor, out: Vec<Output>) -> Vec<Event> {
         let (mut events, mut changed, mut out) = (Vec::new(), false, std::collections::VecDeque::from(out));
         while let Some(one) = out.pop_front() {
             match one {
-                Out::Send(to, bytes) => {
+                Output::Send(to, bytes) => {
                     if let Some(place) = &self.place {
                         // One that can't be sent is one that is lost.
                         let _ = place.socket.send_to(&bytes, to);
                     }
                 }
-                Out::Tell(to, bytes) => {
+                Output::Tell(to, bytes) => {
                     let Some(place) = &mut self.place else { continue };
-                    if place.wires.say(reactor, &to.name, to.address, bytes).is_err() {
+                    if place.peer_connections.say(reactor, &to.name, to.address, bytes).is_err() {
                         tracing::warn!(name = &*to.name, "too much waits for a node: not told");
                     }
                 }
-                Out::News(News::Part(from, word)) => {
+                Output::MembershipEvent(MembershipEvent::Part(from, word)) => {
                     let audit = self.place.as_mut().and_then(|place| place.audit.as_mut());
                     let told = audit.map(|audit| audit.heard(reactor.now, &from.name, &word));
                     let mut more = Vec::new();
                     events.extend(self.tell(told.unwrap_or_default(), &mut more));
                     out.extend(more);
                 }
-                Out::News(News::Ban(worker, out)) => events.push(Event::Ban(worker, !out)),
-                Out::News(News::Held(ticket, at, of)) => {
+                Output::MembershipEvent(MembershipEvent::Ban(worker, out)) => {
+                    events.push(Event::Ban(worker, !out))
+                }
+                Output::MembershipEvent(MembershipEvent::Held(ticket, at, of)) => {
                     if let Some((caller, _)) = self.callers.remove(&ticket) {
                         events.push(Event::Held(caller, at, of));
                     }
                 }
-                Out::News(news) => {
-                    if let (News::Failed(id) | News::Left(id), Some(place)) = (&news, &mut self.place) {
-                        place.wires.forget(reactor, &id.name);
+                Output::MembershipEvent(news) => {
+                    if let (MembershipEvent::Failed(id) | MembershipEvent::Left(id), Some(place)) =
+                        (&news, &mut self.place)
+                    {
+                        place.peer_connections.forget(reactor, &id.name);
                     }
-                    if let News::Failed(id) | News::Left(id) | News::Up(id) | News::Moved(id) = &news
-                        && let Some(affairs) = self.place.as_mut().and_then(|place| place.affairs.as_mut())
+                    if let MembershipEvent::Failed(id)
+                    | MembershipEvent::Left(id)
+                    | MembershipEvent::Up(id)
+                    | MembershipEvent::Moved(id) = &news
+                        && let Some(coordination) =
+                            self.place.as_mut().and_then(|place| place.coordination.as_mut())
                     {
-                        affairs.reconnected(&id.name);
+                        coordination.reconnected(&id.name);
                     }
                     log(&news);
                     changed = true;
@@ -646,8 +672,8 @@
         if let Some(place) = self.place.as_ref().filter(|_| changed) {
             let count = place.members.count();
             let told = (if count > 1 { count } else { 0 }, place.members.place());
-            let there = |(id, life): (&postproxy_members::Identity, Life)| {
-                matches!(life, Life::Alive | Life::Suspect).then(|| id.name.to_string())
+            let there = |(id, life): (&postproxy_membership::Identity, MemberState)| {
+                matches!(life, MemberState::Alive | MemberState::Suspect).then(|| id.name.to_string())
             };
             let peers = place.members.others().filter_map(there).collect();
             if let Some(audit) = self.place.as_mut().and_then(|place| place.audit.as_mut()) {
@@ -680,25 +706,27 @@
     }
 }
 
-fn log(news: &News) {
+fn log(news: &MembershipEvent) {
     match news {
-        News::Up(id) => {
+        MembershipEvent::Up(id) => {
             tracing::info!(name = &*id.name, address = %id.address, id.incarnation, "a node is there")
         }
-        News::Moved(id) => {
+        MembershipEvent::Moved(id) => {
             tracing::info!(name = &*id.name, address = %id.address, id.incarnation, "a node is there anew");
         }
-        News::Failed(id) => tracing::warn!(name = &*id.name, address = %id.address, "a node has failed"),
-        News::Left(id) => tracing::info!(name = &*id.name, "a node has left"),
-        News::Returned(incarnation) => {
+        MembershipEvent::Failed(id) => {
+            tracing::warn!(name = &*id.name, address = %id.address, "a node has failed")
+        }
+        MembershipEvent::Left(id) => tracing::info!(name = &*id.name, "a node has left"),
+        MembershipEvent::Returned(incarnation) => {
             tracing::warn!(incarnation, "others had called this node failed: it is back");
         }
-        News::Namesake(at) => {
+        MembershipEvent::Namesake(at) => {
             tracing::error!(%at, "another process has this node's name: this one is no member, and serves alone");
         }
-        News::Standing(standing) => {
+        MembershipEvent::ClusterHealth(standing) => {
             tracing::info!(%standing, why = standing.reasons().join("; "), "how things stand");
         }
-        News::Ban(..) | News::Held(..) | News::Part(..) => {}
+        MembershipEvent::Ban(..) | MembershipEvent::Held(..) | MembershipEvent::Part(..) => {}
     }
 }
