--- a/src/net/peers/audit.rs
+++ b/src/net/cluster/versions.rs
@@ -1,8 +1,10 @@
-//! Which node acts on which version: it carries words and the time to and from the machine in `postproxy-audit`, and words what the
+//! Which node acts on which version: it carries words and the time to and from the machine in `postproxy-version-tracking`, and words what the
 //! operators' door is asked of it.
 
-use super::affairs::ms;
-use postproxy_audit::{Desk, Event, Kind, Out, Record, Settings, Source, Stand, Word};
+use super::coordination::ms;
+use postproxy_version_tracking::{
+    AuditEntry, Event, Kind, Message, Output, Settings, Source, VersionRecord, VersionTracker,
+};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,12 +49,12 @@
     view: u64,
     head: String,
     acts: u64,
-    records: Vec<&'a Record>,
+    records: Vec<&'a AuditEntry>,
 }
 
 /// A node's part in the audit.
 pub struct Audit {
-    desk: Desk,
+    desk: VersionTracker,
     name: String,
 }
 
@@ -62,18 +64,18 @@
 
 /// The number of a generation by its name.
 pub fn generation(name: &str) -> u64 {
-    postproxy_audit::digest([name.as_bytes()])
+    postproxy_version_tracking::digest([name.as_bytes()])
 }
 
 impl Audit {
     /// One that holds the program's version alone.
     pub fn new(set: Settings, name: &str, now: f64, seed: u64) -> Self {
-        let mut desk = Desk::new(set, ms(now), seed);
-        let (package, protocol) = (env!("CARGO_PKG_VERSION"), postproxy_members::packet::VERSION);
+        let mut desk = VersionTracker::new(set, ms(now), seed);
+        let (package, protocol) = (env!("CARGO_PKG_VERSION"), postproxy_membership::packet::VERSION);
         let number =
             package.split('.').filter_map(|part| part.parse::<u64>().ok()).fold(0, |all, n| all * 1000 + n);
-        let digest = postproxy_audit::digest([package.as_bytes(), &[protocol]]);
-        let stand = Stand { generation: 0, number, digest };
+        let digest = postproxy_version_tracking::digest([package.as_bytes(), &[protocol]]);
+        let stand = VersionRecord { generation: 0, number, digest };
         desk.adopt(ms(now), Kind::Program, stand, Source::Own, &mut Vec::new());
         Self { desk, name: name.to_owned() }
     }
@@ -98,14 +100,21 @@
     /// A datagram of a node; one that can't be read is passed over.
     pub fn heard(&mut self, now: f64, from: &str, bytes: &[u8]) -> Vec<Do> {
         let mut out = Vec::new();
-        if let Ok((word, [])) = postcard::take_from_bytes::<Word>(bytes) {
+        if let Ok((word, [])) = postcard::take_from_bytes::<Message>(bytes) {
             self.desk.heard(ms(now), from, word, &mut out);
         }
         self.carry(out)
     }
 
     /// The node acts on this version, after so many acts on the one before.
-    pub fn adopt(&mut self, now: f64, kind: Kind, stand: Stand, source: Source, acts: u64) -> Vec<Do> {
+    pub fn adopt(
+        &mut self,
+        now: f64,
+        kind: Kind,
+        stand: VersionRecord,
+        source: Source,
+        acts: u64,
+    ) -> Vec<Do> {
         let mut out = Vec::new();
         self.desk.act(acts);
         self.desk.adopt(ms(now), kind, stand, source, &mut out);
@@ -121,8 +130,8 @@
             let at = newest.entry((*kind, stand.generation)).or_default();
             *at = stand.number.max(*at);
         }
-        let node = |name, heard_ms, behind_ms, heads: &BTreeMap<Kind, Stand>| {
-            let shown = |(kind, stand): (&Kind, &Stand)| Shown {
+        let node = |name, heard_ms, behind_ms, heads: &BTreeMap<Kind, VersionRecord>| {
+            let shown = |(kind, stand): (&Kind, &VersionRecord)| Shown {
                 kind: kind.word(),
                 generation: format!("{:016x}", stand.generation),
                 number: stand.number,
@@ -150,11 +159,11 @@
         serde_json::to_string(&told).unwrap_or_default() + "\n"
     }
 
-    fn carry(&self, out: Vec<Out>) -> Vec<Do> {
+    fn carry(&self, out: Vec<Output>) -> Vec<Do> {
         let carry = |one| match one {
-            Out::Say(to, word) => Some(Do::Say(to, postcard::to_stdvec(&word).unwrap_or_default())),
-            Out::Give(to, kind) => Some(Do::Give(to, kind)),
-            Out::Event(event) => {
+            Output::Say(to, word) => Some(Do::Say(to, postcard::to_stdvec(&word).unwrap_or_default())),
+            Output::Give(to, kind) => Some(Do::Give(to, kind)),
+            Output::Event(event) => {
                 log(&event);
                 None
             }
@@ -182,8 +191,8 @@
             number = own.number,
             digest = format!("{:016x}", own.digest),
             theirs = format!("{:016x}", other.digest),
-            code = postproxy_audit::REMEDIES[0].0,
-            remedy = postproxy_audit::REMEDIES[0].1,
+            code = postproxy_version_tracking::REMEDIES[0].0,
+            remedy = postproxy_version_tracking::REMEDIES[0].1,
             "one number means two things"
         ),
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,9 +1,9 @@
 //! What a node is told at its start: the environment's `RELAY_*` and a JSON file.
 
-use crate::interface::Settings;
-use crate::net::back::worker_list::List;
-use crate::operator::{AuditSection, DutiesSection, FleetSection, StoreSection};
-use postproxy_remedy::Remedy as _;
+use crate::decision::interface::Settings;
+use crate::net::upstream::worker_list::List;
+use crate::operator_config::{AuditSection, DutiesSection, FleetSection, StoreSection};
+use postproxy_diagnostics::Diagnostic as _;
 use serde::Deserialize;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -113,7 +113,7 @@
     /// If what is named is no listener at `listen`.
     pub fn take_over(&mut self) -> Result<(), String> {
         if let Some(number) = &self.inherited {
-            let taken = postproxy_inherit::listener(number, self.listen);
+            let taken = postproxy_inherited_listener::listener(number, self.listen);
             self.listener =
                 Some(taken.map_err(|e| format!("RELAY_SOCKET_FD: '{number}' {e}, not at {}", self.listen))?);
         }
--- a/src/net/front/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -1,10 +1,10 @@
 //! The clients' side: the listener, their connections, the workers' call-backs, the readiness check.
 
-use crate::interface::{Settings, sound};
-use crate::net::ground::connection::{Callbacks, Connection, State};
-use crate::net::ground::http::{self, Flaw, Headers, Read, Request, RequestReader};
-use crate::net::ground::reactor::{Due, Owner, Reactor};
-use crate::net::words::{Answer, Input, JobCall, JobState, Load, Payload, Submission};
+use crate::decision::interface::{Settings, sound};
+use crate::net::messages::{Answer, Input, JobCall, JobState, Load, Payload, Submission};
+use crate::net::transport::connection::{Callbacks, Connection, State};
+use crate::net::transport::http::{self, Headers, ParseError, Read, Request, RequestReader};
+use crate::net::transport::reactor::{Due, Owner, Reactor};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::io;
@@ -29,9 +29,9 @@
 /// Connections that are accepted in one turn of the loop: those there already have theirs too.
 const ACCEPTS: usize = 64;
 /// Input that is read ahead on a connection. What belongs to a body is taken off it at once.
-const MOST_INPUT: usize = 2 * http::MOST_HEAD;
+const MOST_INPUT: usize = 2 * http::MAX_HEAD_BYTES;
 /// The most that one connection holds: input, and a body that arrives, is held, or is passed on.
-pub const MOST_HELD: usize = MOST_INPUT + 2 * http::MOST_BODY;
+pub const MOST_HELD: usize = MOST_INPUT + 2 * http::MAX_BODY_BYTES;
 
 /// Where a connection is in its dialogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -229,8 +229,8 @@
     };
     let number = |name: &str| match request.headers.only(name)?.map(str::parse::<f64>) {
         None => Ok(None),
-        Some(Ok(x)) => sound(x).map(Some).ok_or(Flaw::Malformed),
-        Some(Err(_)) => Err(Flaw::Malformed),
+        Some(Ok(x)) => sound(x).map(Some).ok_or(ParseError::Malformed),
+        Some(Err(_)) => Err(ParseError::Malformed),
     };
     // A worker closes on what it can't read, whatever else waits there: none of that is passed on.
     let Ok(Some(id)) = request.headers.only("x-request-id") else { return BAD };
--- a/src/net/front/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -2,4 +2,3 @@
 //! decides on a job, and nothing here opens a connection.
 
 pub mod clients;
-pub mod management;
--- a/src/net/peers/handover.rs
+++ b/src/net/handover.rs
@@ -1,8 +1,8 @@
 //! The sockets between two processes of this node while one takes over: a Unix stream in the node's folder for
 //! passing files, on which the newer process calls the older one. What is said on it is `postproxy_handover`'s.
 
-use crate::net::ground::reactor::{Due, Owner, Reactor};
-use postproxy_handover::{Link, Message, News, Role, frame, greeting};
+use crate::net::transport::reactor::{Due, Owner, Reactor};
+use postproxy_handover::{Link, LinkEvent, Message, Role, frame, greeting};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// News, with the descriptor that came with them.
-    News(usize, News, Option<OwnedFd>),
+    LinkEvent(usize, LinkEvent, Option<OwnedFd>),
     /// It is over; who waited for words on it, and whether the other side may still be there, only stalled.
     Over(usize, Vec<u64>, bool),
 }
@@ -86,7 +86,7 @@
     }
 
     /// Reads what has come; an error ends the link.
-    fn read(&mut self, news: &mut Vec<News>) -> io::Result<()> {
+    fn read(&mut self, news: &mut Vec<LinkEvent>) -> io::Result<()> {
         let mut bytes = vec![0; CHUNK];
         loop {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(16))];
@@ -280,12 +280,12 @@
         let ended = read.and_then(|()| session.flush());
         let mut events = Vec::new();
         for news in news {
-            let descriptor = if matches!(news, News::Client(..) | News::Job(..)) {
+            let descriptor = if matches!(news, LinkEvent::Client(..) | LinkEvent::Job(..)) {
                 session.came.pop_front().flatten()
             } else {
                 None
             };
-            events.push(Event::News(key, news, descriptor));
+            events.push(Event::LinkEvent(key, news, descriptor));
         }
         match ended {
             Ok(()) => self.rearm(reactor, key),
--- a/src/net/front/management.rs
+++ b/src/net/management.rs
@@ -1,10 +1,10 @@
 //! The operators' door: a listener of its own for calls to a running node, one call a connection. It reads calls
 //! and words answers; what a call means is decided elsewhere.
 
-use crate::net::ground::connection::{Callbacks, Connection, State};
-use crate::net::ground::http::{self, Read, Request, RequestReader};
-use crate::net::ground::reactor::{Due, Owner, Reactor};
-use crate::net::words::Reply;
+use crate::net::messages::Reply;
+use crate::net::transport::connection::{Callbacks, Connection, State};
+use crate::net::transport::http::{self, Read, Request, RequestReader};
+use crate::net::transport::reactor::{Due, Owner, Reactor};
 use std::collections::HashMap;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -55,21 +55,22 @@
 
 /// Why a request is no call: the status, and what may be used instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NoCall(u16, Option<&'static str>);
+struct RejectedRequest(u16, Option<&'static str>);
 
 const GET: &str = "GET, HEAD";
 const POST: &str = "POST";
 
 /// The name that a part of a path stands for.
-fn name(part: &str) -> Result<String, NoCall> {
+fn name(part: &str) -> Result<String, RejectedRequest> {
     let digits = |p: &str| p.len() >= 2 && p.is_char_boundary(2) && u8::from_str_radix(&p[..2], 16).is_ok();
     let sound = part.split('%').skip(1).all(|p| digits(p) && !p.starts_with('+'));
-    let name = percent_encoding::percent_decode_str(part).decode_utf8().map_err(|_| NoCall(400, None))?;
+    let name =
+        percent_encoding::percent_decode_str(part).decode_utf8().map_err(|_| RejectedRequest(400, None))?;
     let printable = !name.is_empty() && name.len() <= MOST_ID && !name.contains(char::is_control);
-    if sound && printable { Ok(name.into_owned()) } else { Err(NoCall(400, None)) }
+    if sound && printable { Ok(name.into_owned()) } else { Err(RejectedRequest(400, None)) }
 }
 
-fn call(request: &Request) -> Result<Call, NoCall> {
+fn call(request: &Request) -> Result<Call, RejectedRequest> {
     let path = request.target.split('?').next().unwrap_or_default();
     let (call, methods) = match path.split('/').collect::<Vec<_>>()[..] {
         ["", "v1", "readyz"] => (Call::Ready, GET),
@@ -86,10 +87,10 @@
         ["", "v1", "node", "activate"] => (Call::Activate, POST),
         ["", "v1", "route-workers", id, "suspend"] => (Call::Suspend(name(id)?), POST),
         ["", "v1", "route-workers", id, "resume"] => (Call::Resume(name(id)?), POST),
-        _ => return Err(NoCall(404, None)),
+        _ => return Err(RejectedRequest(404, None)),
     };
     let fits = methods.split(", ").any(|method| method == request.method);
-    if fits { Ok(call) } else { Err(NoCall(405, Some(methods))) }
+    if fits { Ok(call) } else { Err(RejectedRequest(405, Some(methods))) }
 }
 
 struct Caller {
@@ -139,7 +140,7 @@
                 self.head = request.method == "HEAD";
                 match call(&request) {
                     Ok(call) => (self.waits, self.news) = (true, Some(call)),
-                    Err(NoCall(status, allow)) => {
+                    Err(RejectedRequest(status, allow)) => {
                         answer(connection, self, status, allow, "no call of mine\n")
                     }
                 }
@@ -157,20 +158,20 @@
 }
 
 /// The operators' door.
-pub struct Door {
+pub struct ManagementServer {
     listener: TcpListener,
     listener_key: usize,
     sessions: HashMap<usize, Session>,
 }
 
-impl Door {
+impl ManagementServer {
     /// Opens it.
     ///
     /// # Errors
     ///
     /// If the system's poller refuses the listener.
     pub fn new(reactor: &mut Reactor, listener: TcpListener) -> io::Result<Self> {
-        let listener_key = reactor.register(&listener, Owner::Door)?;
+        let listener_key = reactor.register(&listener, Owner::ManagementServer)?;
         reactor.rearm(&listener, listener_key, (true, false));
         Ok(Self { listener, listener_key, sessions: HashMap::new() })
     }
@@ -243,10 +244,12 @@
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
-                    let key =
-                        stream.set_nonblocking(true).and_then(|()| reactor.register(&stream, Owner::Door));
+                    let key = stream
+                        .set_nonblocking(true)
+                        .and_then(|()| reactor.register(&stream, Owner::ManagementServer));
                     let Ok(key) = key else { continue };
-                    let connection = Connection::new(stream, false, http::MOST_HEAD + http::MOST_BODY);
+                    let connection =
+                        Connection::new(stream, false, http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES);
                     let (since, reader) = (reactor.now, RequestReader::default());
                     let (told_on, waits, head, news) = (false, false, false, None);
                     let caller = Caller { reader, since, told_on, waits, head, news };
@@ -304,7 +307,7 @@
 
     struct Bed {
         reactor: Reactor,
-        door: Door,
+        door: ManagementServer,
     }
 
     impl Bed {
@@ -312,7 +315,7 @@
             let mut reactor = Reactor::new(1000.0).expect("a reactor");
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             listener.set_nonblocking(true).expect("a setting");
-            let door = Door::new(&mut reactor, listener).expect("a door");
+            let door = ManagementServer::new(&mut reactor, listener).expect("a door");
             Self { reactor, door }
         }
 
@@ -428,7 +431,7 @@
         assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("Connection: close"), "{answer}");
         assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
         for (text, status) in [
-            (format!("GET /v1/readyz HTTP/1.1\r\nX: {}", "x".repeat(http::MOST_HEAD)), 431),
+            (format!("GET /v1/readyz HTTP/1.1\r\nX: {}", "x".repeat(http::MAX_HEAD_BYTES)), 431),
             ("GET /v1/readyz HTTP/1.1\r\nContent-Length: 99999\r\n\r\n".into(), 413),
             ("what is this\r\n\r\n".into(), 400),
         ] {
--- a/src/net/words.rs
+++ b/src/net/messages.rs
@@ -1,8 +1,8 @@
 //! What the parts say to each other. Below them all: it knows no part, and holds no decision and no socket.
 
-use crate::interface::{Entry, ListKind, RequestId};
-use postproxy_handover::Tale;
-use postproxy_ledger::Write;
+use crate::decision::interface::{Entry, ListKind, RequestId};
+use postproxy_handover::StateUpdate;
+use postproxy_idempotency::Write;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -142,7 +142,7 @@
     /// So many nodes may send to the workers, as far as this one knows; 0 where it knows no others.
     Nodes(usize),
     /// News of another process of this node, by its link.
-    Tale(usize, Tale),
+    StateUpdate(usize, StateUpdate),
     /// A link is over: what its process held is gone.
     Unlinked(usize),
     /// Another process's job moves here, with its client, if that has not left meanwhile.
@@ -220,7 +220,7 @@
     /// Answer a caller at the operators' door.
     Operator(usize, Reply),
     /// Tell the other processes of this node, but for the one of this link.
-    Tell(Option<usize>, Tale),
+    Tell(Option<usize>, StateUpdate),
     /// Ask them whether they know what a call-back is on; it is to be acknowledged with their word.
     Forward(ClientId, JobCall),
     /// Give the final answer.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,6 @@
 //! The real node: sockets, timers and HTTP round the decision module.
 //!
-//! [`Node`] runs one loop. Clients' requests are held by the hub ([`hub::requests`]), which
+//! [`Node`] runs one loop. Clients' requests are held by the request manager ([`requests::manager`]), which
 //! asks the [`crate::Dispatcher`] and has attempts started; news of the list come from a watch.
 //!
 //! A node runs in the thread that calls it, until a byte comes on the stream that it was given:
@@ -20,14 +20,18 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-pub mod back;
+pub mod cluster;
 pub mod config;
-pub mod front;
-pub mod ground;
-pub mod hub;
+pub mod downstream;
+pub mod handover;
+pub mod lifecycle;
+pub mod management;
+pub mod messages;
 pub mod node;
-pub mod peers;
-pub mod words;
+pub mod requests;
+pub mod store_adapter;
+pub mod transport;
+pub mod upstream;
 
 pub use config::Config;
 pub use node::Node;
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -1,26 +1,26 @@
 //! The node: the one loop that waits for sockets, timers and the signal to stop, and hands each to its owner.
 
 use super::config::Config;
-use crate::interface::ListKind;
-use crate::net::back::attempts::Attempts;
-use crate::net::back::keeper::{Found, Keeper};
-use crate::net::back::worker_list::WorkerList;
-use crate::net::front::clients::{self, Clients};
-use crate::net::front::management::{self, Call, Door};
-use crate::net::ground::reactor::{self, Clock, Due, Owner, Reactor};
-use crate::net::hub::keeping::Keeping;
-use crate::net::hub::lifecycle::{Lifecycle, Stage};
-use crate::net::hub::requests::Hub;
-use crate::net::peers::affairs::Ask;
-use crate::net::peers::fleet::{self, Fleet};
-use crate::net::peers::handover::{self, Handover};
-use crate::net::peers::wires;
-use crate::net::words::{self, ClientId, Command, Input, Reply};
-use crate::operator::FleetSection;
+use crate::decision::interface::ListKind;
+use crate::net::cluster::coordination::AdminRequest;
+use crate::net::cluster::peer_connections;
+use crate::net::cluster::service::{self, ClusterService};
+use crate::net::downstream::clients::{self, Clients};
+use crate::net::handover::{self, Handover};
+use crate::net::lifecycle::{Lifecycle, Stage};
+use crate::net::management::{self, Call, ManagementServer};
+use crate::net::messages::{self, ClientId, Command, Input, Reply};
+use crate::net::requests::durability::DurabilityPolicy;
+use crate::net::requests::manager::RequestManager;
+use crate::net::store_adapter::{RecoveredState, StoreAdapter};
+use crate::net::transport::reactor::{self, Clock, Due, Owner, Reactor};
+use crate::net::upstream::attempts::Attempts;
+use crate::net::upstream::worker_list::WorkerList;
+use crate::operator_config::FleetSection;
 use polling::Event;
-use postproxy_audit::{Source, Stand};
-use postproxy_handover::{Message, News, Role, Tale};
-use postproxy_members::Refused;
+use postproxy_handover::{LinkEvent, Message, Role, StateUpdate};
+use postproxy_membership::Rejection;
+use postproxy_version_tracking::{Source, VersionRecord};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -78,9 +78,9 @@
 
 /// What is to be remembered of links to other processes of this node.
 #[derive(Default)]
-struct Links {
+struct SiblingLinks {
     /// How many words are still to come for those who wait with a call-back here, and on what.
-    words: HashMap<ClientId, (usize, words::JobCall)>,
+    words: HashMap<ClientId, (usize, messages::JobCall)>,
     /// Call-backs of other processes: the link, and their number there.
     origins: HashMap<ClientId, (usize, u64)>,
     next: ClientId,
@@ -93,7 +93,7 @@
 }
 
 /// How many connections the node may have, in all its processes.
-struct Room {
+struct DescriptorBudget {
     /// Descriptors.
     sockets: usize,
     /// Of these, kept for what is no client's and no worker's connection, in each process.
@@ -104,7 +104,7 @@
     open: usize,
 }
 
-impl Room {
+impl DescriptorBudget {
     /// How many clients' connections, workers' connections and waiting clients a share of so many
     /// descriptors allows.
     fn of(&self, share: usize) -> (usize, usize, usize) {
@@ -121,18 +121,18 @@
 pub struct Node {
     clock: Clock,
     reactor: Reactor,
-    hub: Hub,
+    hub: RequestManager,
     clients: Clients,
     attempts: Attempts,
     list: WorkerList,
-    keeper: Option<Keeper>,
-    door: Option<Door>,
+    keeper: Option<StoreAdapter>,
+    door: Option<ManagementServer>,
     handover: Option<Handover>,
-    fleet: Option<Fleet>,
+    fleet: Option<ClusterService>,
     /// Callers at the door whose ban the fleet is to be told of, once it holds here.
     bans: HashMap<usize, (String, bool)>,
-    links: Links,
-    room: Room,
+    links: SiblingLinks,
+    room: DescriptorBudget,
     life: Lifecycle,
     stop: Signal,
     reload: Option<(Signal, Reload)>,
@@ -163,16 +163,16 @@
         let mut settings = config.settings;
         // Before anybody can call: a call-back that came earlier would meet a node that knows of nothing.
         let mut known = config.known;
-        let mut found = Found::default();
+        let mut found = RecoveredState::default();
         let kept = match &config.store {
             Some(section) => {
-                let (keeper, mut ledger, kept) = Keeper::start(&mut reactor, section, &config.name)?;
+                let (keeper, mut ledger, kept) = StoreAdapter::start(&mut reactor, section, &config.name)?;
                 found = kept;
                 if let Some(list) = found.list.take() {
                     known = list.or(known, config.discovery);
                 }
                 let nothing_ran = ledger.loaded();
-                let keeping = Keeping::new(
+                let keeping = DurabilityPolicy::new(
                     &settings,
                     ledger,
                     section.patience_ms as f64 / 1000.0,
@@ -187,13 +187,13 @@
         let shared = config.listener.is_some();
         let listener = config.listener.map_or_else(|| listen(config.listen), Ok)?;
         let door = config.mgmt.map(listen).transpose()?;
-        let door = door.map(|listener| Door::new(&mut reactor, listener)).transpose()?;
+        let door = door.map(|listener| ManagementServer::new(&mut reactor, listener)).transpose()?;
         let address = listener.local_addr()?;
         // Three quarters of the memory hold what each client's connection can come to at most.
         let memory = (config.memory_mb << 20) / 4 * 3 / clients::MOST_HELD;
-        let streams = config.fleet.as_ref().map_or(0, |_| wires::SOCKETS);
+        let streams = config.fleet.as_ref().map_or(0, |_| peer_connections::SOCKETS);
         let spare = SPARE + door.as_ref().map_or(0, |_| management::MOST) + streams;
-        let room = Room { sockets: config.sockets, kept: spare, memory, open: settings.max_open };
+        let room = DescriptorBudget { sockets: config.sockets, kept: spare, memory, open: settings.max_open };
         let (most, attempts, open) = room.of(config.sockets.saturating_sub(spare));
         settings.max_open = open;
         let clients = Clients::new(&mut reactor, listener, settings.clone(), most)?;
@@ -203,11 +203,11 @@
         let members = known.clone().map(|list| list.members(&settings)).unwrap_or_default();
         let revision = revision.filter(|_| !members.is_empty());
         let mut list = WorkerList::new(config.discovery, settings.clone(), revision, config.seed);
-        let mut hub = Hub::new(settings.clone(), config.seed)?;
+        let mut hub = RequestManager::new(settings.clone(), config.seed)?;
         let keeper = kept.map(|(mut keeper, keeping, nothing_ran)| {
             hub.keep(keeping);
-            keeper.write(&mut reactor, nothing_ran, words::Wait::Nobody(String::new()));
-            reactor.queue.push_back(Input::Due(words::Due::Expire));
+            keeper.write(&mut reactor, nothing_ran, messages::Wait::Nobody(String::new()));
+            reactor.queue.push_back(Input::Due(messages::Due::Expire));
             keeper
         });
         if !members.is_empty() {
@@ -235,11 +235,18 @@
             );
         }
         let fleet = config.fleet.map(|section| {
-            Fleet::start(&mut reactor, section, (config.duties, config.audit), &config.name, found, shared)
+            ClusterService::start(
+                &mut reactor,
+                section,
+                (config.duties, config.audit),
+                &config.name,
+                found,
+                shared,
+            )
         });
         let (fleet, events) = fleet.transpose()?.unzip();
         let (links, life, bans) = Default::default();
-        let audits = fleet.as_ref().is_some_and(Fleet::audits);
+        let audits = fleet.as_ref().is_some_and(ClusterService::audits);
         let mut node = Self {
             clock,
             reactor,
@@ -341,7 +348,7 @@
     fn dispatch(&mut self, Event { key, readable, writable }: Event) {
         let reactor = &mut self.reactor;
         match reactor::owner(key) {
-            Owner::Door => {
+            Owner::ManagementServer => {
                 let calls = self.door.as_mut().map(|door| door.ready(reactor, key, readable, writable));
                 self.called(calls.unwrap_or_default());
             }
@@ -370,7 +377,7 @@
     fn due(&mut self, due: Due) {
         let reactor = &mut self.reactor;
         match due {
-            Due::Hub(due) => reactor.queue.push_back(Input::Due(due)),
+            Due::RequestManager(due) => reactor.queue.push_back(Input::Due(due)),
             Due::Handover => {
                 let events = self.handover.as_mut().map(|h| h.due(reactor));
                 self.linked(events.unwrap_or_default());
@@ -489,19 +496,19 @@
                     continue;
                 }
                 Call::Release(duty) => {
-                    self.affair(key, Ask::Release(duty));
+                    self.affair(key, AdminRequest::Release(duty));
                     continue;
                 }
                 Call::Hand(duty, to) => {
-                    self.affair(key, Ask::Hand(duty, to));
+                    self.affair(key, AdminRequest::Hand(duty, to));
                     continue;
                 }
                 Call::Voter(name, add) => {
-                    self.affair(key, Ask::Voter(name, add));
+                    self.affair(key, AdminRequest::Voter(name, add));
                     continue;
                 }
                 Call::Members => {
-                    let picture = self.fleet.as_ref().and_then(Fleet::picture);
+                    let picture = self.fleet.as_ref().and_then(ClusterService::picture);
                     let text = picture.and_then(|picture| serde_json::to_string(&picture).ok());
                     self.show(key, text.map(|text| text + "\n"), Reply::NoFleet);
                     continue;
@@ -525,14 +532,14 @@
     /// The list that this node acts on may be another one than before.
     fn adopted(&mut self, source: Source) {
         let (Some(fleet), Some((number, digest))) = (&mut self.fleet, self.list.version()) else { return };
-        let stand = Stand { generation: fleet.generation(self.list.discovery()), number, digest };
+        let stand = VersionRecord { generation: fleet.generation(self.list.discovery()), number, digest };
         let acts = std::mem::take(&mut self.acts);
         let events = fleet.acts_on(&mut self.reactor, stand, source, acts);
         self.told_by_fleet(events);
     }
 
     /// Has the nodes decide on the word of a caller at the door, who is told what came of it.
-    fn affair(&mut self, key: usize, ask: Ask) {
+    fn affair(&mut self, key: usize, ask: AdminRequest) {
         let events = self.fleet.as_mut().and_then(|fleet| fleet.ask(&mut self.reactor, key, ask));
         match (events, &mut self.door) {
             (Some(events), _) => self.told_by_fleet(events),
@@ -549,9 +556,9 @@
                 self.told_by_fleet(events);
                 Reply::Yes
             }
-            Err(Some(Refused::Nobody)) => Reply::Nobody,
-            Err(Some(Refused::Lives)) => Reply::Lives,
-            Err(Some(Refused::Full) | None) => Reply::NotNow,
+            Err(Some(Rejection::Nobody)) => Reply::Nobody,
+            Err(Some(Rejection::Lives)) => Reply::Lives,
+            Err(Some(Rejection::Full) | None) => Reply::NotNow,
         }
     }
 
@@ -578,46 +585,46 @@
         }
     }
 
-    fn told_by_fleet(&mut self, events: Vec<fleet::Event>) {
+    fn told_by_fleet(&mut self, events: Vec<service::Event>) {
         for event in events {
             match event {
-                fleet::Event::Ban(worker, again) => {
+                service::Event::Ban(worker, again) => {
                     self.reactor.queue.push_back(Input::Banned(worker, again));
                 }
-                fleet::Event::Nodes(count, place) => {
+                service::Event::Nodes(count, place) => {
                     self.reactor.queue.push_back(Input::Nodes(count));
                     self.list.place(place);
                 }
-                fleet::Event::Settled => {
+                service::Event::Settled => {
                     let workers = self.hub.banned();
                     let events = self.fleet.as_mut().map(|fleet| fleet.adopt(&mut self.reactor, workers));
                     self.told_by_fleet(events.unwrap_or_default());
                 }
-                fleet::Event::Write(changes) => {
+                service::Event::Write(changes) => {
                     let kept = self.keeper.as_mut().is_some_and(|keeper| keeper.keep_council(&changes));
                     if !kept {
                         let events = self.fleet.as_mut().map(|fleet| fleet.written(&mut self.reactor, false));
                         self.told_by_fleet(events.unwrap_or_default());
                     }
                 }
-                fleet::Event::Give(to, _) => {
+                service::Event::Give(to, _) => {
                     if let (Some(fleet), Some(body)) = (&mut self.fleet, self.list.body()) {
                         let generation = fleet.generation(self.list.discovery());
                         fleet.give(&mut self.reactor, &to, generation, &body);
                     }
                 }
-                fleet::Event::Passed(from, generation, body) => {
+                service::Event::Passed(from, generation, body) => {
                     let own = self.fleet.as_ref().map(|fleet| fleet.generation(self.list.discovery()));
                     if own == Some(generation) && self.list.take(&mut self.reactor, &body).is_some() {
                         self.adopted(Source::Peer(from));
                     }
                 }
-                fleet::Event::Tell(key, status, words) => {
+                service::Event::Tell(key, status, words) => {
                     if let Some(door) = &mut self.door {
                         door.tell(&mut self.reactor, key, status, &words);
                     }
                 }
-                fleet::Event::Held(key, at, of) => {
+                service::Event::Held(key, at, of) => {
                     if let Some(door) = &mut self.door {
                         door.answer(&mut self.reactor, key, Reply::Held(at, of));
                     }
@@ -631,7 +638,7 @@
         if !self.life.drained() {
             tracing::info!("draining");
             self.reactor.timer(self.reactor.now + DRAIN_LOOK, Due::Drain);
-            self.tell(link, &Message::Tale(Tale::Drain { on: true, ago: ago as f32 }));
+            self.tell(link, &Message::StateUpdate(StateUpdate::Drain { on: true, ago: ago as f32 }));
         }
         self.life.drain(self.reactor.now - ago);
         self.heed();
@@ -639,7 +646,7 @@
 
     fn activate(&mut self) -> Reply {
         if self.life.drained() {
-            self.tell(None, &Message::Tale(Tale::Drain { on: false, ago: 0.0 }));
+            self.tell(None, &Message::StateUpdate(StateUpdate::Drain { on: false, ago: 0.0 }));
         }
         let can = self.life.activate();
         tracing::info!(can, "activated");
@@ -758,10 +765,10 @@
     fn linked(&mut self, events: Vec<handover::Event>) {
         for event in events {
             match event {
-                handover::Event::News(_, News::Client(input, useful), Some(descriptor)) => {
+                handover::Event::LinkEvent(_, LinkEvent::Client(input, useful), Some(descriptor)) => {
                     self.clients.adopt(&mut self.reactor, descriptor.into(), input, useful);
                 }
-                handover::Event::News(link, News::Job(job, input, closes), descriptor) => {
+                handover::Event::LinkEvent(link, LinkEvent::Job(job, input, closes), descriptor) => {
                     // Without its connection, for which there may have been no descriptor left, its client has gone.
                     let adopted = descriptor.and_then(|descriptor| {
                         self.clients.adopt_held(&mut self.reactor, descriptor.into(), input, closes)
@@ -769,7 +776,7 @@
                     let client = adopted.filter(|client| self.clients.waits(*client));
                     self.reactor.queue.push_back(Input::Moved(link, client, job));
                 }
-                handover::Event::News(link, news, _) => self.news(link, news),
+                handover::Event::LinkEvent(link, news, _) => self.news(link, news),
                 handover::Event::Over(link, waiting, stalled) => self.unlinked(link, waiting, stalled),
             }
         }
@@ -802,37 +809,40 @@
         self.begin();
     }
 
-    fn news(&mut self, link: usize, news: News) {
+    fn news(&mut self, link: usize, news: LinkEvent) {
         match news {
-            News::Greeted => {
+            LinkEvent::Greeted => {
                 self.hub.link(true);
                 self.greeted(link);
             }
-            News::Tale(Tale::Drain { on: true, ago }) => self.drain(Some(link), f64::from(ago).max(0.0)),
-            News::Tale(Tale::Drain { on: false, .. }) => {
+            LinkEvent::StateUpdate(StateUpdate::Drain { on: true, ago }) => {
+                self.drain(Some(link), f64::from(ago).max(0.0))
+            }
+            LinkEvent::StateUpdate(StateUpdate::Drain { on: false, .. }) => {
                 self.activate();
             }
-            News::Tale(Tale::List(kept)) => self.list.take_over(&mut self.reactor, &kept),
-            News::Tale(tale) => {
+            LinkEvent::StateUpdate(StateUpdate::List(kept)) => self.list.take_over(&mut self.reactor, &kept),
+            LinkEvent::StateUpdate(tale) => {
                 // Of two processes one has the place among the nodes, and tells them. What was so before is no new word: it
                 // is told once it is known what the fleet has said.
                 let older = self.handover.as_ref().is_some_and(|h| h.role(link) == Some(Role::Newer));
                 let new = !older || self.links.told.contains(&link);
-                if let (Tale::Use { worker, again }, Some(fleet), true) = (&tale, &mut self.fleet, new) {
+                if let (StateUpdate::Use { worker, again }, Some(fleet), true) = (&tale, &mut self.fleet, new)
+                {
                     let (_, events) = fleet.employ(&mut self.reactor, None, worker, *again);
                     self.told_by_fleet(events);
                 }
-                self.reactor.queue.push_back(Input::Tale(link, tale));
+                self.reactor.queue.push_back(Input::StateUpdate(link, tale));
             }
-            News::Told => {
+            LinkEvent::Told => {
                 self.links.told.insert(link);
                 self.begin();
             }
-            News::Holds(most) => {
+            LinkEvent::Holds(most) => {
                 self.links.holds.insert(link, most as usize);
                 self.share();
             }
-            News::Call(number, body) => match clients::call(&body) {
+            LinkEvent::Call(number, body) => match clients::call(&body) {
                 Some(call) => {
                     self.links.next += 1;
                     let client = LINKED | self.links.next;
@@ -841,10 +851,10 @@
                 }
                 None => self.say(link, &Message::Called { number, known: false }),
             },
-            News::Called(client, known) => self.word(client, known),
+            LinkEvent::Called(client, known) => self.word(client, known),
             // Without its descriptor there is nothing to take over; what becomes of a job is said with its event.
-            News::Client(..) | News::Job(..) => {}
-            News::Leaves => tracing::info!("the older process of this node leaves"),
+            LinkEvent::Client(..) | LinkEvent::Job(..) => {}
+            LinkEvent::Leaves => tracing::info!("the older process of this node leaves"),
         }
     }
 
@@ -854,10 +864,11 @@
             return;
         };
         let now = self.reactor.now;
-        let drain = self.life.drained_at().map(|at| Tale::Drain { on: true, ago: (now - at) as f32 });
-        let tales = drain.into_iter().chain(self.list.kept().map(Tale::List)).chain(self.hub.tales(now));
+        let drain = self.life.drained_at().map(|at| StateUpdate::Drain { on: true, ago: (now - at) as f32 });
+        let tales =
+            drain.into_iter().chain(self.list.kept().map(StateUpdate::List)).chain(self.hub.tales(now));
         for tale in tales {
-            handover.say(&self.reactor, link, &Message::Tale(tale));
+            handover.say(&self.reactor, link, &Message::StateUpdate(tale));
         }
         self.links.said = None;
         self.share();
@@ -899,7 +910,7 @@
     }
 
     /// Asks the other processes of this node whether they know what a call-back is on.
-    fn forward(&mut self, client: ClientId, call: words::JobCall) {
+    fn forward(&mut self, client: ClientId, call: messages::JobCall) {
         let except = self.links.origins.get(&client).map(|(link, _)| *link);
         let body = clients::wording(&call);
         let asked = self.handover.as_mut().map_or(0, |h| h.forward(&self.reactor, except, client, &body));
@@ -942,7 +953,7 @@
                     Command::Answer(client, answer) => self.clients.answer(reactor, client, &answer),
                     Command::Acknowledge(client, known) => self.acknowledge(client, known),
                     Command::Forward(client, call) => self.forward(client, call),
-                    Command::Tell(except, tale) => self.tell(except, &Message::Tale(tale)),
+                    Command::Tell(except, tale) => self.tell(except, &Message::StateUpdate(tale)),
                     Command::Write(writes, wait) => {
                         if let Some(keeper) = &mut self.keeper {
                             keeper.write(reactor, writes, wait);
@@ -953,7 +964,7 @@
                             keeper.fetch(client, &id);
                         }
                     }
-                    Command::Timer(at, due) => reactor.timer(at, Due::Hub(due)),
+                    Command::Timer(at, due) => reactor.timer(at, Due::RequestManager(due)),
                 }
             }
         }
--- a/src/net/hub/call_backs.rs
+++ b/src/net/requests/callbacks.rs
@@ -1,12 +1,12 @@
 //! Workers' call-backs: to which attempt each belongs, and what it changes.
 
-use super::held::{Attempt, Hub, Joiner};
-use super::keeping::Care;
-use crate::interface::{Event, Note, Outcome, RequestId};
-use crate::net::words::{Answer, ClientId, Command, JobCall, JobState, Wait};
-use postproxy_ledger::{Settled, Word};
+use super::durability::Durability;
+use super::in_flight::{Attempt, CoalescedWaiter, RequestManager};
+use crate::decision::interface::{Event, Note, Outcome, RequestId};
+use crate::net::messages::{Answer, ClientId, Command, JobCall, JobState, Wait};
+use postproxy_idempotency::{Completion, Resolution};
 
-impl Hub {
+impl RequestManager {
     /// Takes a call-back; whether its acknowledgement waits for a write.
     pub(super) fn call(&mut self, now: f64, client: ClientId, call: JobCall, out: &mut Vec<Command>) -> bool {
         let Some(&request) = self.by_id.get(&call.id) else { return self.late_call(now, client, call, out) };
@@ -37,7 +37,7 @@
                 return false;
             }
             JobState::Done(result) => {
-                let care = t.care != Care::None;
+                let care = t.care != Durability::None;
                 let writes = match self.keeping.as_mut().filter(|_| care) {
                     Some(keeping) => keeping.ledger.served(now, &call.id, &result),
                     None => Vec::new(),
@@ -73,29 +73,31 @@
     ) -> bool {
         let Some(keeping) = &mut self.keeping else { return false };
         let word = match &call.state {
-            JobState::Done(result) => Word::Done(result),
-            JobState::Failed | JobState::Lost => Word::Failed,
-            JobState::Returned => Word::Returned,
+            JobState::Done(result) => Completion::Done(result),
+            JobState::Failed | JobState::Lost => Completion::Failed,
+            JobState::Returned => Completion::Returned,
             JobState::Started | JobState::Running(_) | JobState::Unknown => return false,
         };
         let (settled, writes) = keeping.ledger.word(now, &call.id, &call.from, word);
         let waits = !writes.is_empty();
         self.write(writes, Wait::Call(client, call.id.clone()));
-        if settled == Settled::Nothing {
+        if settled == Resolution::Nothing {
             return waits;
         }
-        let waiting = |joiner: &Joiner| matches!(joiner, Joiner::InDoubt(id, ..) if *id == call.id);
+        let waiting =
+            |joiner: &CoalescedWaiter| matches!(joiner, CoalescedWaiter::InDoubt(id, ..) if *id == call.id);
         let clients: Vec<ClientId> =
             self.joiners.iter().filter(|(_, joiner)| waiting(joiner)).map(|(client, _)| *client).collect();
         for client in clients {
-            let Some(Joiner::InDoubt(_, mut submission, until)) = self.joiners.remove(&client) else {
+            let Some(CoalescedWaiter::InDoubt(_, mut submission, until)) = self.joiners.remove(&client)
+            else {
                 continue;
             };
             match (&settled, &call.state) {
-                (Settled::Served, JobState::Done(result)) => {
+                (Resolution::Served, JobState::Done(result)) => {
                     out.push(Command::Answer(client, Answer::Served(result.clone())));
                 }
-                (Settled::NeverRan, _) => {
+                (Resolution::NeverRan, _) => {
                     submission.budget = Some((until - now).max(0.0));
                     self.arrived(now, client, *submission, out);
                 }
--- a/src/net/hub/kept_requests.rs
+++ b/src/net/requests/coalescing.rs
@@ -1,13 +1,13 @@
 //! Requests that are kept beyond the node's life: who joins one, what waits for a write, and what a stored result answers.
 
-use super::held::{Hub, Joiner};
-use super::keeping::{Asker, Care};
-use crate::interface::{Event, Outcome};
-use crate::net::words::{Answer, AttemptId, ClientId, Command, Due, Load, Submission, Wait};
-use postproxy_ledger::{Standing, Write};
+use super::durability::{Durability, RequestFingerprint};
+use super::in_flight::{CoalescedWaiter, RequestManager};
+use crate::decision::interface::{Event, Outcome};
+use crate::net::messages::{Answer, AttemptId, ClientId, Command, Due, Load, Submission, Wait};
+use postproxy_idempotency::{Lookup, Write};
 use std::rc::Rc;
 
-impl Hub {
+impl RequestManager {
     /// Has changes written, if there are any.
     pub(super) fn write(&mut self, writes: Vec<Write>, wait: Wait) {
         if !writes.is_empty() {
@@ -33,7 +33,7 @@
     pub(super) fn unjoin(&mut self, client: ClientId) -> bool {
         match self.joiners.remove(&client) {
             None => false,
-            Some(Joiner::Request(request)) => {
+            Some(CoalescedWaiter::Request(request)) => {
                 if let Some(t) = self.requests.get_mut(&request) {
                     t.joined.retain(|other| *other != client);
                 }
@@ -51,28 +51,28 @@
         submission: Submission,
         until: f64,
         out: &mut Vec<Command>,
-    ) -> Option<(Submission, Option<Rc<Asker>>)> {
+    ) -> Option<(Submission, Option<Rc<RequestFingerprint>>)> {
         let class = submission.class;
-        let Some(keeping) = self.keeping.as_mut().filter(|k| k.care(class) != Care::None) else {
+        let Some(keeping) = self.keeping.as_mut().filter(|k| k.care(class) != Durability::None) else {
             return Some((submission, None));
         };
-        let asker = Asker::new(&submission, &self.settings);
+        let asker = RequestFingerprint::new(&submission, &self.settings);
         // The ledger knows of a request once something of it is to be sent; before that, it is here alone.
         let key = submission.payload.idempotency_key.clone().map(|key| (class, key));
         let held = key.and_then(|key| self.by_key.get(&key)).and_then(|r| self.requests.get(r));
         let standing = match held {
             Some(t) if t.asker.as_ref().is_none_or(|held| held.digest() != asker.digest()) => {
-                Standing::Conflict
+                Lookup::Conflict
             }
-            Some(t) => Standing::Running(t.payload.id.clone()),
+            Some(t) => Lookup::Running(t.payload.id.clone()),
             None => keeping.ledger.standing(&asker.asked()),
         };
         let joiner = match standing {
-            Standing::New if keeping.broken && keeping.care(class) == Care::Durable => {
+            Lookup::New if keeping.broken && keeping.care(class) == Durability::Durable => {
                 out.push(Command::Answer(client, Answer::Unavailable(keeping.retry_after)));
                 return None;
             }
-            Standing::New => match keeping.ledger.make_room() {
+            Lookup::New => match keeping.ledger.make_room() {
                 Some(writes) => {
                     self.write(writes, Wait::Nobody(String::new()));
                     return Some((submission, Some(Rc::new(asker))));
@@ -82,13 +82,13 @@
                     return None;
                 }
             },
-            Standing::Running(id) => {
+            Lookup::Running(id) => {
                 let request = self.by_id.get(&id).copied();
                 let t = request.and_then(|r| Some((r, self.requests.get_mut(&r)?)));
                 match t.filter(|(_, t)| t.client.is_some()) {
                     Some((request, t)) => {
                         t.joined.push(client);
-                        Joiner::Request(request)
+                        CoalescedWaiter::Request(request)
                     }
                     // Its client has had its answer; what its attempt comes to will never be told.
                     None => {
@@ -97,16 +97,16 @@
                     }
                 }
             }
-            Standing::InDoubt(id) => Joiner::InDoubt(id, Box::new(submission), until),
-            Standing::Served(id) => {
+            Lookup::InDoubt(id) => CoalescedWaiter::InDoubt(id, Box::new(submission), until),
+            Lookup::Served(id) => {
                 out.push(Command::Fetch(client, id));
-                Joiner::Result
+                CoalescedWaiter::Result
             }
-            Standing::Failed => {
+            Lookup::Failed => {
                 out.push(Command::Answer(client, Answer::Failed));
                 return None;
             }
-            Standing::Conflict => {
+            Lookup::Conflict => {
                 out.push(Command::Answer(client, Answer::Held));
                 return None;
             }
--- a/src/net/hub/keeping.rs
+++ b/src/net/requests/durability.rs
@@ -1,13 +1,13 @@
 //! What the hub keeps of jobs beyond the node's life: which care each class is owed, and the ledger. No I/O.
 
-use crate::interface::{Effect, Settings};
-use crate::net::words::Submission;
-use postproxy_ledger::{Asked, Ledger};
+use crate::decision::interface::{Effect, Settings};
+use crate::net::messages::Submission;
+use postproxy_idempotency::{RequestIdentity, RequestLog};
 use sha2::{Digest, Sha256};
 
 /// The care that a class is owed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Care {
+pub enum Durability {
     /// Nothing of its jobs is kept: they may run again.
     None,
     /// What is kept is written without waiting for it.
@@ -18,11 +18,11 @@
 
 /// What is kept, and how.
 #[derive(Debug)]
-pub struct Keeping {
+pub struct DurabilityPolicy {
     /// The jobs.
-    pub ledger: Ledger,
+    pub ledger: RequestLog,
     /// The care by class.
-    care: Vec<Care>,
+    care: Vec<Durability>,
     /// How long an intent may take to become durable, in seconds, before its job is refused.
     pub patience: f64,
     /// When to come back after a refusal for want of a disk, in seconds; 0 where the settings allow no advice.
@@ -34,14 +34,14 @@
 /// When a client should come back whose job the disk had no room for, in seconds; the settings may allow less.
 const COME_BACK: f64 = 1.0;
 
-impl Keeping {
+impl DurabilityPolicy {
     /// Classes that must not run twice are owed durable intents; keyed ones, too, where that is asked for.
-    pub fn new(settings: &Settings, ledger: Ledger, patience: f64, keyed_durable: bool) -> Self {
-        let keyed = if keyed_durable { Care::Durable } else { Care::Relaxed };
+    pub fn new(settings: &Settings, ledger: RequestLog, patience: f64, keyed_durable: bool) -> Self {
+        let keyed = if keyed_durable { Durability::Durable } else { Durability::Relaxed };
         let care = |effect: Effect| match effect {
-            Effect::Safe => Care::None,
+            Effect::Safe => Durability::None,
             Effect::Keyed => keyed,
-            Effect::Unsafe => Care::Durable,
+            Effect::Unsafe => Durability::Durable,
         };
         let care = settings.classes.iter().map(|class| care(class.effect)).collect();
         let retry_after = COME_BACK.min(settings.max_retry_after);
@@ -49,21 +49,21 @@
     }
 
     /// The care that a class is owed.
-    pub fn care(&self, class: u8) -> Care {
-        self.care.get(class as usize).copied().unwrap_or(Care::None)
+    pub fn care(&self, class: u8) -> Durability {
+        self.care.get(class as usize).copied().unwrap_or(Durability::None)
     }
 }
 
 /// A job's names and digest, as they are kept.
 #[derive(Debug)]
-pub struct Asker {
+pub struct RequestFingerprint {
     id: String,
     key: Option<String>,
     class: String,
     digest: [u8; 32],
 }
 
-impl Asker {
+impl RequestFingerprint {
     /// Those of a submission.
     pub fn new(submission: &Submission, settings: &Settings) -> Self {
         let payload = &submission.payload;
@@ -87,7 +87,7 @@
     }
 
     /// As the ledger takes it.
-    pub fn asked(&self) -> Asked<'_> {
-        Asked { id: &self.id, key: self.key.as_deref(), class: &self.class, digest: self.digest }
+    pub fn asked(&self) -> RequestIdentity<'_> {
+        RequestIdentity { id: &self.id, key: self.key.as_deref(), class: &self.class, digest: self.digest }
     }
 }
--- a/src/net/hub/held.rs
+++ b/src/net/requests/in_flight.rs
@@ -1,11 +1,11 @@
 //! What the hub holds: requests with their attempts, who waits for them, and what other processes of this node hold.
 
-use super::keeping::{Asker, Care, Keeping};
-use crate::interface::{Event, RequestId, Settings, WorkerId};
-use crate::net::words::{AttemptId, ClientId, Payload, Submission, Wait};
-use crate::policy::Dispatcher;
-use postproxy_handover::Tale;
-use postproxy_ledger::Write;
+use super::durability::{Durability, DurabilityPolicy, RequestFingerprint};
+use crate::decision::dispatcher::Dispatcher;
+use crate::decision::interface::{Event, RequestId, Settings, WorkerId};
+use crate::net::messages::{AttemptId, ClientId, Payload, Submission, Wait};
+use postproxy_handover::StateUpdate;
+use postproxy_idempotency::Write;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -26,14 +26,14 @@
 }
 
 /// A job that another process of this node holds.
-pub(super) struct Distant {
+pub(super) struct SiblingRequest {
     pub(super) link: usize,
     pub(super) request: RequestId,
     /// Its attempts that are out, each with its worker.
     pub(super) out: Vec<(u16, usize)>,
 }
 
-pub(super) struct HeldRequest {
+pub(super) struct InFlightRequest {
     pub(super) payload: Rc<Payload>,
     /// The client, while it waits for its final answer.
     pub(super) client: Option<ClientId>,
@@ -41,8 +41,8 @@
     pub(super) attempts: Vec<Attempt>,
     pub(super) class: u8,
     /// The care that its class is owed, and what is kept of it.
-    pub(super) care: Care,
-    pub(super) asker: Option<Rc<Asker>>,
+    pub(super) care: Durability,
+    pub(super) asker: Option<Rc<RequestFingerprint>>,
     /// Others who wait for its answer.
     pub(super) joined: Vec<ClientId>,
     /// An attempt has ended that may have run.
@@ -62,7 +62,7 @@
     pub(super) cleared: bool,
 }
 
-impl HeldRequest {
+impl InFlightRequest {
     pub(super) fn unwritten(&self, request: RequestId) -> impl Iterator<Item = Unwritten> {
         let open = self.attempts.iter().zip(0..).filter(|(a, _)| !a.written && !a.ended);
         open.map(move |(a, attempt)| Unwritten {
@@ -75,7 +75,7 @@
 }
 
 /// One who waits for what another has asked for.
-pub(super) enum Joiner {
+pub(super) enum CoalescedWaiter {
     /// For this request.
     Request(RequestId),
     /// For the word on a job of an earlier life; what to run if nothing ran, and until when.
@@ -85,7 +85,7 @@
 }
 
 /// Every request and the dispatcher that decides on them.
-pub struct Hub {
+pub struct RequestManager {
     pub(super) settings: Settings,
     pub(super) dispatcher: Dispatcher,
     /// Where this node reaches each worker, by its number.
@@ -94,7 +94,7 @@
     pub(super) numbers: HashMap<String, usize>,
     /// Workers that operators have taken out of use.
     pub(super) banned: BTreeSet<usize>,
-    pub(super) requests: BTreeMap<RequestId, HeldRequest>,
+    pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
     /// Requests by their payload's id and by their client.
     pub(super) by_id: HashMap<String, RequestId>,
     pub(super) by_client: HashMap<ClientId, RequestId>,
@@ -109,8 +109,8 @@
     /// Requests that may be over.
     pub(super) touched: Vec<RequestId>,
     /// What is kept beyond this node's life, if anything is.
-    pub(super) keeping: Option<Keeping>,
-    pub(super) joiners: BTreeMap<ClientId, Joiner>,
+    pub(super) keeping: Option<DurabilityPolicy>,
+    pub(super) joiners: BTreeMap<ClientId, CoalescedWaiter>,
     /// Requests that are kept, by their class and idempotency key.
     pub(super) by_key: HashMap<(u8, String), RequestId>,
     /// What is to be written, in its order.
@@ -118,9 +118,9 @@
     /// Other processes of this node are linked: they are told what changes.
     pub(super) linked: bool,
     /// What they are still to be told.
-    pub(super) tales: Vec<Tale>,
+    pub(super) tales: Vec<StateUpdate>,
     /// What they hold, by its id.
-    pub(super) distant: BTreeMap<String, Distant>,
+    pub(super) distant: BTreeMap<String, SiblingRequest>,
 }
 
 pub(super) fn worker_id(number: usize) -> WorkerId {
--- a/src/net/hub/requests.rs
+++ b/src/net/requests/manager.rs
@@ -1,17 +1,17 @@
 //! The hub: every request, from its arrival to the last word on its attempts. It alone calls the [`Dispatcher`]; it knows no sockets and
 //! no HTTP, so that another protocol can come through the same door. Its other parts are beside this file.
 
-pub use super::held::Hub;
-use super::held::{Attempt, Distant, HeldRequest, number, worker_id};
-use super::keeping::{Care, Keeping};
-use crate::interface::{
+use super::durability::{Durability, DurabilityPolicy};
+pub use super::in_flight::RequestManager;
+use super::in_flight::{Attempt, InFlightRequest, SiblingRequest, number, worker_id};
+use crate::decision::dispatcher::Dispatcher;
+use crate::decision::interface::{
     Action, Entry, Event, NewRequest, Outcome, RequestId, Settings, SettingsError, WorkerId,
 };
-use crate::net::words::{
+use crate::net::messages::{
     Answer, AttemptEnd, AttemptId, ClientId, Command, Due, Input, Load, Submission, Wait,
 };
-use crate::policy::Dispatcher;
-use postproxy_handover::Tale;
+use postproxy_handover::StateUpdate;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
 /// What the dispatcher is told of an attempt that was turned away without proof: it takes no outcome of this number for one.
 const TURNED_AWAY: u16 = 503;
 
-impl Hub {
+impl RequestManager {
     /// A hub without requests.
     ///
     /// # Errors
@@ -54,7 +54,7 @@
     }
 
     /// Keeps jobs beyond this node's life from now on.
-    pub fn keep(&mut self, keeping: Keeping) {
+    pub fn keep(&mut self, keeping: DurabilityPolicy) {
         self.keeping = Some(keeping);
     }
 
@@ -166,7 +166,7 @@
                 let known = u32::try_from(count).ok().filter(|count| *count > 0);
                 self.events.push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
             }
-            Input::Tale(link, tale) => self.heard(now, link, tale, out),
+            Input::StateUpdate(link, tale) => self.heard(now, link, tale, out),
             Input::Moved(link, client, job) => {
                 if self.carry_on(now, link, client, &job, out).is_none() {
                     out.extend(client.map(|client| Command::Answer(client, Answer::Failed)));
@@ -180,9 +180,9 @@
                 }
             }
             Input::Unlinked(link) => {
-                let gone = |(id, d): (&String, &Distant)| (d.link == link).then(|| id.clone());
+                let gone = |(id, d): (&String, &SiblingRequest)| (d.link == link).then(|| id.clone());
                 for id in self.distant.iter().filter_map(gone).collect::<Vec<_>>() {
-                    self.heard(now, link, Tale::Over { id }, out);
+                    self.heard(now, link, StateUpdate::Over { id }, out);
                 }
             }
             Input::Due(Due::Dispatcher(token)) => self.events.push_back(Event::Timer { token }),
@@ -239,7 +239,7 @@
         self.next_request += 1;
         self.by_id.insert(submission.payload.id.clone(), request);
         self.by_client.insert(client, request);
-        self.tell(|| Tale::Taken { id: submission.payload.id.clone(), counts: true });
+        self.tell(|| StateUpdate::Taken { id: submission.payload.id.clone(), counts: true });
         let tenants = &self.settings.tenant_names;
         let tenant = tenants.iter().position(|name| Some(name) == submission.tenant.as_ref()).unwrap_or(0);
         let new = NewRequest {
@@ -257,7 +257,7 @@
         if let (Some(_), Some(key)) = (&asker, &submission.payload.idempotency_key) {
             self.by_key.insert((submission.class, key.clone()), request);
         }
-        let care = self.keeping.as_ref().map_or(Care::None, |keeping| keeping.care(submission.class));
+        let care = self.keeping.as_ref().map_or(Durability::None, |keeping| keeping.care(submission.class));
         // A span that is off costs a look at a flag: its fields are then not made.
         let span = tracing::debug_span!(
             target: "postproxy::transaction",
@@ -267,7 +267,7 @@
             attempts = tracing::field::Empty,
             answer = tracing::field::Empty
         );
-        let held = HeldRequest {
+        let held = InFlightRequest {
             payload: Rc::new(submission.payload),
             client: Some(client),
             deadline: now + budget,
@@ -315,7 +315,7 @@
         }
         let (worker, elapsed) = (worker_id(a.worker), now - a.sent);
         if self.linked {
-            self.tales.push(Tale::Ended { id: t.payload.id.clone(), attempt });
+            self.tales.push(StateUpdate::Ended { id: t.payload.id.clone(), attempt });
         }
         self.by_attempt.remove(&a.attempt_id);
         let report = self.report(load);
@@ -341,13 +341,13 @@
 
     /// Drops a request that has its final answer and no attempt out.
     pub(super) fn forget(&mut self, now: f64, request: RequestId) {
-        let over = |t: &&HeldRequest| t.client.is_none() && t.attempts.iter().all(|a| a.ended);
+        let over = |t: &&InFlightRequest| t.client.is_none() && t.attempts.iter().all(|a| a.ended);
         if self.requests.get(&request).filter(over).is_none() {
             return;
         }
         let Some(t) = self.requests.remove(&request) else { return };
         t.span.record("attempts", t.attempts.len());
-        self.tell(|| Tale::Over { id: t.payload.id.clone() });
+        self.tell(|| StateUpdate::Over { id: t.payload.id.clone() });
         self.by_id.remove(&t.payload.id);
         if let Some(key) = &t.payload.idempotency_key
             && self.by_key.get(&(t.class, key.clone())) == Some(&request)
@@ -402,7 +402,7 @@
         let (written, accepted, ended, returned) = (false, false, false, false);
         let left = t.deadline - now;
         let wait = if timeout > 0.0 { timeout.min(left) } else { left };
-        let (until, cleared) = (now + wait, t.care != Care::Durable);
+        let (until, cleared) = (now + wait, t.care != Durability::Durable);
         let sent = now;
         let new =
             Attempt { worker: number, attempt_id, sent, until, cleared, written, accepted, ended, returned };
--- a/src/net/hub/takeover.rs
+++ b/src/net/requests/migration.rs
@@ -1,10 +1,10 @@
 //! What two processes of this node tell each other of requests, and how a request moves from one to the other.
 
-use super::held::{Attempt, Distant, HeldRequest, Hub, worker_id};
-use super::keeping::Care;
-use crate::interface::{Carried, Elsewhere, Event, Outcome, sound};
-use crate::net::words::{ClientId, Command, Due, Load, Payload};
-use postproxy_handover::Tale;
+use super::durability::Durability;
+use super::in_flight::{Attempt, InFlightRequest, RequestManager, SiblingRequest, worker_id};
+use crate::decision::interface::{Event, MigratedRequest, Outcome, SiblingEvent, sound};
+use crate::net::messages::{ClientId, Command, Due, Load, Payload};
+use postproxy_handover::StateUpdate;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
     pub(super) may_have_run: bool,
     pub(super) need: f64,
     pub(super) hint: Option<f64>,
-    pub(super) carried: Carried,
+    pub(super) carried: MigratedRequest,
 }
 
 #[derive(Deserialize, Serialize)]
@@ -39,9 +39,9 @@
     pub(super) ended: bool,
 }
 
-impl Hub {
+impl RequestManager {
     /// Tells other processes of this node, if there are any.
-    pub(super) fn tell(&mut self, tale: impl FnOnce() -> Tale) {
+    pub(super) fn tell(&mut self, tale: impl FnOnce() -> StateUpdate) {
         if self.linked {
             self.tales.push(tale());
         }
@@ -53,26 +53,26 @@
     }
 
     /// All that another process of this node must know of what is so now; budgets count it as old.
-    pub fn tales(&self, now: f64) -> Vec<Tale> {
+    pub fn tales(&self, now: f64) -> Vec<StateUpdate> {
         let ago = |at: f64| (now - at) as f32;
         let banned = self.banned.iter();
-        let mut tales: Vec<Tale> =
-            banned.map(|&w| Tale::Use { worker: self.names[w].clone(), again: false }).collect();
+        let mut tales: Vec<StateUpdate> =
+            banned.map(|&w| StateUpdate::Use { worker: self.names[w].clone(), again: false }).collect();
         let (taken, further) = self.dispatcher.past(MOST_PAST);
         let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
-        tales.push(Tale::Past { taken: agos(taken), further: agos(further) });
+        tales.push(StateUpdate::Past { taken: agos(taken), further: agos(further) });
         for t in self.requests.values() {
             let id = &t.payload.id;
-            tales.push(Tale::Taken { id: id.clone(), counts: false });
+            tales.push(StateUpdate::Taken { id: id.clone(), counts: false });
             let out = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
             tales.extend(out.map(|(a, attempt)| self.sent(now, t, a, attempt, false)));
         }
         // What comes from a third process.
         for (id, d) in &self.distant {
-            tales.push(Tale::Taken { id: id.clone(), counts: false });
+            tales.push(StateUpdate::Taken { id: id.clone(), counts: false });
             tales.extend(d.out.iter().map(|&(attempt, worker)| {
                 let (id, worker) = (id.clone(), self.names[worker].clone());
-                Tale::Sent { id, attempt, worker, need: 1.0, work: 0.0, ago: 0.0, counts: false }
+                StateUpdate::Sent { id, attempt, worker, need: 1.0, work: 0.0, ago: 0.0, counts: false }
             }));
         }
         tales
@@ -81,10 +81,10 @@
     /// The clients whose requests can move to another process now: no attempt is on its way to its worker,
     /// and nothing of them is kept here.
     pub fn movable(&self) -> Vec<ClientId> {
-        let moves = |t: &HeldRequest| {
+        let moves = |t: &InFlightRequest| {
             t.asker.is_none() && t.joined.is_empty() && t.attempts.iter().all(|a| a.ended || a.accepted)
         };
-        let client = |t: &HeldRequest| t.client.filter(|_| moves(t));
+        let client = |t: &InFlightRequest| t.client.filter(|_| moves(t));
         self.requests.values().filter_map(client).collect()
     }
 
@@ -125,7 +125,7 @@
     ) -> Option<()> {
         let mut moved: Moved = postcard::from_bytes(job).ok()?;
         let id = moved.payload.id.clone();
-        self.heard(now, link, Tale::Over { id: id.clone() }, out);
+        self.heard(now, link, StateUpdate::Over { id: id.clone() }, out);
         let sound = moved.attempts.len() == moved.carried.workers.len() && moved.deadline.is_finite();
         if !sound || self.by_id.contains_key(&id) || self.settings.classes.len() <= moved.class as usize {
             return None;
@@ -162,13 +162,13 @@
         }
         self.by_id.insert(id, request);
         self.by_client.extend(client.map(|client| (client, request)));
-        let t = HeldRequest {
+        let t = InFlightRequest {
             payload: Rc::new(moved.payload),
             client,
             deadline: moved.deadline + shift,
             attempts,
             class: moved.class,
-            care: Care::None,
+            care: Durability::None,
             asker: None,
             joined: Vec::new(),
             may_have_run: moved.may_have_run,
@@ -176,15 +176,15 @@
             hint: moved.hint,
             span: tracing::Span::none(),
         };
-        self.tales.push(Tale::Taken { id: t.payload.id.clone(), counts: false });
+        self.tales.push(StateUpdate::Taken { id: t.payload.id.clone(), counts: false });
         let open = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
-        let open: Vec<Tale> = open.map(|(a, attempt)| self.sent(now, &t, a, attempt, false)).collect();
+        let open: Vec<StateUpdate> = open.map(|(a, attempt)| self.sent(now, &t, a, attempt, false)).collect();
         self.tales.extend(open);
         let out_there: Vec<u16> =
             t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended).map(|(_, n)| n).collect();
         self.requests.insert(request, t);
         if client.is_some() {
-            self.events.push_back(Event::Carried { request, carried: Box::new(moved.carried) });
+            self.events.push_back(Event::MigratedRequest { request, carried: Box::new(moved.carried) });
             return Some(());
         }
         self.touched.push(request);
@@ -197,60 +197,67 @@
         Some(())
     }
 
-    pub(super) fn sent(&self, now: f64, t: &HeldRequest, a: &Attempt, attempt: u16, counts: bool) -> Tale {
+    pub(super) fn sent(
+        &self,
+        now: f64,
+        t: &InFlightRequest,
+        a: &Attempt,
+        attempt: u16,
+        counts: bool,
+    ) -> StateUpdate {
         let (id, worker) = (t.payload.id.clone(), self.names[a.worker].clone());
         let (need, work) = (t.need as f32, t.hint.unwrap_or(0.0) as f32);
-        Tale::Sent { id, attempt, worker, need, work, ago: (now - a.sent) as f32, counts }
+        StateUpdate::Sent { id, attempt, worker, need, work, ago: (now - a.sent) as f32, counts }
     }
 
     /// Takes in what another process of this node tells, and passes on what is new to the others.
-    pub(super) fn heard(&mut self, now: f64, link: usize, tale: Tale, out: &mut Vec<Command>) {
+    pub(super) fn heard(&mut self, now: f64, link: usize, tale: StateUpdate, out: &mut Vec<Command>) {
         let then = |ago: f32| now - f64::from(ago).max(0.0);
-        let mut tell = |event| self.events.push_back(Event::Elsewhere(event));
+        let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
         match &tale {
-            Tale::Use { worker, again } => {
+            StateUpdate::Use { worker, again } => {
                 // It may be known there before this process has it from the list.
                 self.number(worker);
                 self.employ(now, worker, *again, out);
                 return;
             }
-            Tale::Past { taken, further } => {
+            StateUpdate::Past { taken, further } => {
                 let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
-                tell(Elsewhere::Past { taken: times(taken), further: times(further) });
+                tell(SiblingEvent::Past { taken: times(taken), further: times(further) });
             }
-            Tale::Taken { id, counts } => {
+            StateUpdate::Taken { id, counts } => {
                 if *counts {
-                    tell(Elsewhere::Past { taken: vec![now], further: Vec::new() });
+                    tell(SiblingEvent::Past { taken: vec![now], further: Vec::new() });
                 }
-                let distant = Distant { link, request: self.next_request, out: Vec::new() };
+                let distant = SiblingRequest { link, request: self.next_request, out: Vec::new() };
                 self.next_request += 1;
                 self.distant.entry(id.clone()).or_insert(distant);
             }
-            Tale::Sent { id, attempt, worker, need, work, ago, counts } => {
+            StateUpdate::Sent { id, attempt, worker, need, work, ago, counts } => {
                 let number = self.number(worker);
                 let Some(d) = self.distant.get_mut(id) else { return };
                 d.out.push((*attempt, number));
                 let (request, attempt, worker, sent) = (d.request, *attempt, worker_id(number), then(*ago));
                 let (need, work) = (f64::from(*need), sound((*work).into()).filter(|w| *w > 0.0));
-                let mut tell = |event| self.events.push_back(Event::Elsewhere(event));
-                tell(Elsewhere::Sent { request, attempt, worker, need, work, sent });
+                let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
+                tell(SiblingEvent::Sent { request, attempt, worker, need, work, sent });
                 if *counts && attempt > 0 {
-                    tell(Elsewhere::Past { taken: Vec::new(), further: vec![now] });
+                    tell(SiblingEvent::Past { taken: Vec::new(), further: vec![now] });
                 }
             }
-            Tale::Ended { id, attempt } => {
+            StateUpdate::Ended { id, attempt } => {
                 let Some(d) = self.distant.get_mut(id) else { return };
                 let Some(at) = d.out.iter().position(|(a, _)| a == attempt) else { return };
                 let (attempt, worker) = d.out.swap_remove(at);
-                tell(Elsewhere::Ended { request: d.request, attempt, worker: worker_id(worker) });
+                tell(SiblingEvent::Ended { request: d.request, attempt, worker: worker_id(worker) });
             }
-            Tale::Over { id } => {
+            StateUpdate::Over { id } => {
                 let Some(d) = self.distant.remove(id) else { return };
                 for (attempt, worker) in d.out {
-                    tell(Elsewhere::Ended { request: d.request, attempt, worker: worker_id(worker) });
+                    tell(SiblingEvent::Ended { request: d.request, attempt, worker: worker_id(worker) });
                 }
             }
-            Tale::Drain { .. } | Tale::List(_) => return, // the node's own
+            StateUpdate::Drain { .. } | StateUpdate::List(_) => return, // the node's own
         }
         out.push(Command::Tell(Some(link), tale));
     }
--- a/src/net/hub/workers.rs
+++ b/src/net/requests/workers.rs
@@ -1,9 +1,9 @@
 //! Workers by name and number: what the list, operators and probes say of them, and what is taken back with that.
 
-use super::held::{HeldRequest, Hub, Unwritten, number, worker_id};
-use crate::interface::{Entry, Event, Health, ListKind, Outcome, RequestId};
-use crate::net::words::{AttemptEnd, Command, Load, Member, Reply};
-use postproxy_handover::Tale;
+use super::in_flight::{InFlightRequest, RequestManager, Unwritten, number, worker_id};
+use crate::decision::interface::{Entry, Event, Health, ListKind, Outcome, RequestId};
+use crate::net::messages::{AttemptEnd, Command, Load, Member, Reply};
+use postproxy_handover::StateUpdate;
 use std::collections::BTreeSet;
 
 /// A worker is given so many times the time of a connection to tell its load; then it counts as silent.
@@ -26,7 +26,7 @@
     }
 }
 
-impl Hub {
+impl RequestManager {
     /// Workers that operators have taken out of use.
     pub fn banned(&self) -> Vec<String> {
         self.banned.iter().map(|&worker| self.names[worker].clone()).collect()
@@ -40,7 +40,7 @@
             return Reply::Yes;
         }
         tracing::info!(worker = name, again, "an operator's word on a worker's use");
-        self.tell(|| Tale::Use { worker: name.to_owned(), again });
+        self.tell(|| StateUpdate::Use { worker: name.to_owned(), again });
         if again {
             self.banned.remove(&worker);
         } else {
@@ -76,7 +76,7 @@
         if workers.is_empty() {
             return Vec::new();
         }
-        let to_them = |(&request, t): (&RequestId, &HeldRequest)| {
+        let to_them = |(&request, t): (&RequestId, &InFlightRequest)| {
             let to_one = |u: &Unwritten| workers.contains(&t.attempts[u.attempt as usize].worker);
             t.unwritten(request).filter(to_one).collect::<Vec<_>>()
         };
--- a/src/net/back/keeper.rs
+++ b/src/net/store_adapter.rs
@@ -1,12 +1,12 @@
 //! The node's hand on the store: it carries out the hub's writes and reads, and tells the hub what became of
 //! them. The disk is waited for by the store's own thread.
 
-use super::worker_list::Kept;
-use crate::net::ground::reactor::{Owner, Reactor};
-use crate::net::words::{ClientId, Input, Wait};
-use crate::operator::StoreSection;
-use postproxy_council::Change;
-use postproxy_ledger::{Ledger, Write, result_key};
+use super::upstream::worker_list::Kept;
+use crate::net::messages::{ClientId, Input, Wait};
+use crate::net::transport::reactor::{Owner, Reactor};
+use crate::operator_config::StoreSection;
+use postproxy_coordination::StorageChange;
+use postproxy_idempotency::{RequestLog, Write, result_key};
 use postproxy_store::{Batch, Engine, Event, Options, OsDisk, Recovery, Store, Work};
 use std::collections::{HashMap, VecDeque};
 use std::io::{Read, Write as _};
@@ -35,7 +35,7 @@
 
 /// What a store holds that is not the ledger's: the list of workers, the fleet's bans, what the nodes decide together.
 #[derive(Default)]
-pub struct Found {
+pub struct RecoveredState {
     /// The list of workers.
     pub list: Option<Kept>,
     /// The fleet's bans.
@@ -45,7 +45,7 @@
 }
 
 /// The store of a running node.
-pub struct Keeper {
+pub struct StoreAdapter {
     store: Store,
     events: Receiver<Event>,
     woken: UnixStream,
@@ -91,7 +91,7 @@
     Engine::open(disks?, options, holder, fresh, unix_ms()).map_err(|error| format!("store: {error}"))
 }
 
-impl Keeper {
+impl StoreAdapter {
     /// Opens the store, reads what it holds, which may be the list of workers and the fleet's bans, too, and starts
     /// its thread.
     ///
@@ -102,11 +102,11 @@
         reactor: &mut Reactor,
         section: &StoreSection,
         name: &str,
-    ) -> Result<(Self, Ledger, Found), String> {
+    ) -> Result<(Self, RequestLog, RecoveredState), String> {
         let holder = format!("process {} (node {name})", std::process::id());
         let (mut engine, recovery) = open(section, &holder)?;
-        let mut ledger = Ledger::new(section.limits());
-        let mut found = Found::default();
+        let mut ledger = RequestLog::new(section.limits());
+        let mut found = RecoveredState::default();
         engine
             .scan(|key, value| {
                 if key == LIST {
@@ -196,7 +196,7 @@
     }
 
     /// Writes what the council wants written: one batch at a time. `false` if it is refused at once.
-    pub fn keep_council(&mut self, changes: &[Change]) -> bool {
+    pub fn keep_council(&mut self, changes: &[StorageChange]) -> bool {
         let batch = changes.iter().fold(Batch::new(), |batch, change| match &change.value {
             Some(value) => batch.put(&change.key, value, 0),
             None => batch.delete(&change.key),
--- a/src/net/ground/http.rs
+++ b/src/net/transport/http.rs
@@ -3,16 +3,16 @@
 use std::fmt::Write as _;
 
 /// Longest head of a message.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Longest body of a message between clients, this node and workers.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 const MOST_HEADERS: usize = 64;
 /// Framing that a chunked body may have beside its data.
 const MOST_FRAMING: usize = 64 * 1024;
 
 /// Why bytes are no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum ParseError {
     /// Not HTTP/1, or lengths that conflict.
     Malformed,
     /// The head is too large.
@@ -21,7 +21,7 @@
     Body,
 }
 
-impl Flaw {
+impl ParseError {
     /// The status that tells a client of it.
     pub fn status(self) -> u16 {
         match self {
@@ -47,8 +47,8 @@
     /// # Errors
     ///
     /// If there are several: each reader could go by another one.
-    pub fn only(&self, name: &str) -> Result<Option<&str>, Flaw> {
-        if self.all(name).count() > 1 { Err(Flaw::Malformed) } else { Ok(self.get(name)) }
+    pub fn only(&self, name: &str) -> Result<Option<&str>, ParseError> {
+        if self.all(name).count() > 1 { Err(ParseError::Malformed) } else { Ok(self.get(name)) }
     }
 
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
@@ -114,17 +114,20 @@
     Headers(raw.iter().map(|h| (h.name.to_owned(), text(h.value))).collect())
 }
 
-fn parsed<T>(result: Result<httparse::Status<T>, httparse::Error>, input: &[u8]) -> Result<Option<T>, Flaw> {
+fn parsed<T>(
+    result: Result<httparse::Status<T>, httparse::Error>,
+    input: &[u8],
+) -> Result<Option<T>, ParseError> {
     match result {
         Ok(httparse::Status::Complete(size)) => Ok(Some(size)),
-        Ok(httparse::Status::Partial) if input.len() > MOST_HEAD => Err(Flaw::Head),
+        Ok(httparse::Status::Partial) if input.len() > MAX_HEAD_BYTES => Err(ParseError::Head),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(httparse::Error::TooManyHeaders) => Err(Flaw::Head),
-        Err(_) => Err(Flaw::Malformed),
+        Err(httparse::Error::TooManyHeaders) => Err(ParseError::Head),
+        Err(_) => Err(ParseError::Malformed),
     }
 }
 
-fn framing(headers: &Headers, otherwise: Framing) -> Result<Framing, Flaw> {
+fn framing(headers: &Headers, otherwise: Framing) -> Result<Framing, ParseError> {
     let mut lengths = headers.all("content-length").flat_map(|value| value.split(',')).map(str::trim);
     let coded: Vec<&str> = headers.all("transfer-encoding").collect();
     match (lengths.next(), &coded[..]) {
@@ -133,12 +136,12 @@
         (Some(length), []) if lengths.all(|l| l == length) => {
             let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
             if digits {
-                length.parse().map(Framing::Length).map_err(|_| Flaw::Body)
+                length.parse().map(Framing::Length).map_err(|_| ParseError::Body)
             } else {
-                Err(Flaw::Malformed)
+                Err(ParseError::Malformed)
             }
         }
-        _ => Err(Flaw::Malformed),
+        _ => Err(ParseError::Malformed),
     }
 }
 
@@ -166,9 +169,9 @@
 }
 
 impl Body {
-    fn new(framing: &Framing, most: usize) -> Result<Self, Flaw> {
+    fn new(framing: &Framing, most: usize) -> Result<Self, ParseError> {
         let step = match framing {
-            Framing::Length(size) if *size > most => return Err(Flaw::Body),
+            Framing::Length(size) if *size > most => return Err(ParseError::Body),
             Framing::Length(size) => Step::Data(*size, false),
             Framing::Chunked => Step::Size,
             Framing::ToEnd => Step::ToEnd,
@@ -177,12 +180,12 @@
     }
 
     /// Takes what it can of the input, `ended` if no more can come: how many bytes, and whether it is whole.
-    fn read(&mut self, input: &[u8], ended: bool) -> Result<(usize, bool), Flaw> {
+    fn read(&mut self, input: &[u8], ended: bool) -> Result<(usize, bool), ParseError> {
         let mut at = 0;
         loop {
             let rest = &input[at..];
             if self.framing > self.data.len() + MOST_FRAMING {
-                return Err(Flaw::Body);
+                return Err(ParseError::Body);
             }
             match self.step {
                 Step::Data(left, chunk) => {
@@ -197,20 +200,20 @@
                         return Ok((at, size == left));
                     }
                 }
-                Step::ToEnd if self.data.len() + rest.len() > self.most => return Err(Flaw::Body),
+                Step::ToEnd if self.data.len() + rest.len() > self.most => return Err(ParseError::Body),
                 Step::ToEnd => {
                     self.data.extend_from_slice(rest);
                     return Ok((input.len(), ended));
                 }
                 Step::Line if rest.len() < 2 => return Ok((at, false)),
-                Step::Line if !rest.starts_with(b"\r\n") => return Err(Flaw::Malformed),
+                Step::Line if !rest.starts_with(b"\r\n") => return Err(ParseError::Malformed),
                 Step::Line => (at, self.framing, self.step) = (at + 2, self.framing + 2, Step::Size),
-                Step::Size => match httparse::parse_chunk_size(rest).map_err(|_| Flaw::Malformed)? {
-                    httparse::Status::Partial if rest.len() > 1024 => return Err(Flaw::Malformed),
+                Step::Size => match httparse::parse_chunk_size(rest).map_err(|_| ParseError::Malformed)? {
+                    httparse::Status::Partial if rest.len() > 1024 => return Err(ParseError::Malformed),
                     httparse::Status::Partial => return Ok((at, false)),
                     httparse::Status::Complete((line, size)) => {
                         if size > (self.most - self.data.len()) as u64 {
-                            return Err(Flaw::Body);
+                            return Err(ParseError::Body);
                         }
                         (at, self.framing) = (at + line, self.framing + line);
                         self.step = if size > 0 { Step::Data(size as usize, true) } else { Step::Trailers };
@@ -218,9 +221,11 @@
                 },
                 Step::Trailers => {
                     let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
-                    return match httparse::parse_headers(rest, &mut fields).map_err(|_| Flaw::Malformed)? {
+                    return match httparse::parse_headers(rest, &mut fields)
+                        .map_err(|_| ParseError::Malformed)?
+                    {
                         httparse::Status::Complete((size, _)) => Ok((at + size, true)),
-                        httparse::Status::Partial if rest.len() > MOST_HEAD => Err(Flaw::Head),
+                        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(ParseError::Head),
                         httparse::Status::Partial => Ok((at, false)),
                     };
                 }
@@ -255,13 +260,13 @@
     /// # Errors
     ///
     /// If it can't become a request that this node takes; nothing more can be read then.
-    pub fn read(&mut self, input: &[u8]) -> Result<(Read<Request>, usize), Flaw> {
+    pub fn read(&mut self, input: &[u8]) -> Result<(Read<Request>, usize), ParseError> {
         let mut at = 0;
         if self.begun.is_none() {
             // Only a line's end can complete a head. Danger: without a look at the rest, bytes that are no
             // head would not be known as such.
             let news = &input[self.seen.min(input.len())..];
-            if !news.contains(&b'\n') && input.len() < 2 * self.seen && input.len() <= MOST_HEAD {
+            if !news.contains(&b'\n') && input.len() < 2 * self.seen && input.len() <= MAX_HEAD_BYTES {
                 return Ok((Read::Nothing, 0));
             }
             self.seen = input.len();
@@ -282,12 +287,12 @@
 /// The size of a request's head, the request without its body, whether its peer waits for word, and its body.
 type Head = (usize, (Request, bool, Body));
 
-fn read_head(input: &[u8]) -> Result<Option<Head>, Flaw> {
+fn read_head(input: &[u8]) -> Result<Option<Head>, ParseError> {
     let mut raw = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Request::new(&mut raw);
     let Some(size) = parsed(head.parse(input), input)? else { return Ok(None) };
-    if size > MOST_HEAD {
-        return Err(Flaw::Head);
+    if size > MAX_HEAD_BYTES {
+        return Err(ParseError::Head);
     }
     let (method, target) =
         (head.method.unwrap_or_default().to_owned(), head.path.unwrap_or_default().to_owned());
@@ -295,11 +300,11 @@
     let framing = framing(&headers, Framing::Length(0))?;
     // HTTP/1.0 knows no chunks: who stands between may have read another length.
     if version == Some(0) && matches!(framing, Framing::Chunked) {
-        return Err(Flaw::Malformed);
+        return Err(ParseError::Malformed);
     }
     let (keeps, expects) = (keeps(version, &headers), headers.says("expect", "100-continue"));
     let request = Request { method, target, headers, body: Vec::new(), keeps };
-    Ok(Some((size, (request, expects, Body::new(&framing, MOST_BODY)?))))
+    Ok(Some((size, (request, expects, Body::new(&framing, MAX_BODY_BYTES)?))))
 }
 
 /// Reads the request at the start of what has arrived.
@@ -307,7 +312,7 @@
 /// # Errors
 ///
 /// If it can't become a request that this node takes.
-pub fn read_request(input: &[u8]) -> Result<Read<Request>, Flaw> {
+pub fn read_request(input: &[u8]) -> Result<Read<Request>, ParseError> {
     RequestReader::default().read(input).map(|(read, _)| read)
 }
 
@@ -316,7 +321,7 @@
 /// # Errors
 ///
 /// If it can't become a response.
-pub fn read_response(input: &[u8], ended: bool, most: usize) -> Result<Read<Response>, Flaw> {
+pub fn read_response(input: &[u8], ended: bool, most: usize) -> Result<Read<Response>, ParseError> {
     let mut skipped = 0;
     loop {
         let mut raw = [httparse::EMPTY_HEADER; MOST_HEADERS];
@@ -331,7 +336,7 @@
                 continue;
             }
             200..=599 => {}
-            _ => return Err(Flaw::Malformed),
+            _ => return Err(ParseError::Malformed),
         }
         let none = matches!(status, 204 | 304);
         let framing = if none { Framing::Length(0) } else { framing(&headers, Framing::ToEnd)? };
--- a/src/net/ground/mod.rs
+++ b/src/net/transport/mod.rs
@@ -4,4 +4,4 @@
 pub mod connection;
 pub mod http;
 pub mod reactor;
-pub mod wheel;
+pub mod timer_wheel;
--- a/src/net/ground/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -1,7 +1,7 @@
 //! What the owners of sockets stand on: the poller, the timers, the clock and the queue to the hub.
 
-use super::wheel::Wheel;
-use crate::net::words::{self, Input};
+use super::timer_wheel::TimerWheel;
+use crate::net::messages::{self, Input};
 use polling::{Event, Poller, Source};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// The operators' door's.
-    Door,
+    ManagementServer,
     /// Another process's of this node, or where it comes to.
     Handover,
     /// The listener's or a client's.
@@ -35,7 +35,7 @@
 
 const OWNERS: [Owner; 8] = [
     Owner::Discovery,
-    Owner::Door,
+    Owner::ManagementServer,
     Owner::Handover,
     Owner::Store,
     Owner::Attempt,
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
     /// The hub's.
-    Hub(words::Due),
+    RequestManager(messages::Due),
     /// A look at the links to other processes of this node.
     Handover,
     /// What other nodes are owed, or are waited for; this look is the one of that number.
@@ -110,7 +110,7 @@
 /// What the owners of connections share: the poller, the timers, the time, and the queue to the hub.
 pub struct Reactor {
     poller: Poller,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Due>,
     next_key: usize,
     /// The time of this turn of the loop.
     pub now: f64,
@@ -125,7 +125,7 @@
     ///
     /// If the system gives no poller.
     pub fn new(now: f64) -> io::Result<Self> {
-        let (poller, wheel, queue) = (Poller::new()?, Wheel::new(TICK, now), VecDeque::new());
+        let (poller, wheel, queue) = (Poller::new()?, TimerWheel::new(TICK, now), VecDeque::new());
         Ok(Self { poller, wheel, next_key: 1, now, queue })
     }
 
--- a/src/net/ground/wheel.rs
+++ b/src/net/transport/timer_wheel.rs
@@ -4,7 +4,7 @@
 const SLOTS: usize = 4096;
 
 /// Timers that come due in the order of their ticks, never early and at most a tick late.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     tick: f64,
     /// The last tick that has been played.
     played: u64,
@@ -13,7 +13,7 @@
     taken: [u64; SLOTS / 64],
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// An empty wheel of ticks of so many seconds that starts at `now`.
     pub fn new(tick: f64, now: f64) -> Self {
         let slots = (0..SLOTS).map(|_| Vec::new()).collect();
@@ -80,7 +80,7 @@
     #[test]
     fn timers_come_once_in_order_and_on_time() {
         fn holds(steps: Vec<(u16, u8)>) -> bool {
-            let (mut wheel, mut now) = (Wheel::new(0.002, 1000.0), 1000.0);
+            let (mut wheel, mut now) = (TimerWheel::new(0.002, 1000.0), 1000.0);
             let mut open: Vec<(f64, usize)> = Vec::new();
             for (n, (ahead, pass)) in steps.into_iter().enumerate() {
                 let at = now + f64::from(ahead) * 0.001;
@@ -112,7 +112,7 @@
     /// Guards against a timer of no sensible time stopping the wheel or the program.
     #[test]
     fn odd_times_do_no_harm() {
-        let mut wheel = Wheel::new(0.002, 5.0);
+        let mut wheel = TimerWheel::new(0.002, 5.0);
         for at in [f64::NAN, f64::NEG_INFINITY, -1.0, f64::INFINITY, 1e300] {
             wheel.insert(at, ());
         }
--- a/src/net/back/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -2,10 +2,10 @@
 
 use super::exchange::{Carries, Exchange, Outgoing};
 use super::pool::Pool;
-use crate::net::ground::connection::{Connection, State};
-use crate::net::ground::http;
-use crate::net::ground::reactor::{self, Due, Owner, Reactor};
-use crate::net::words::{AttemptEnd, AttemptId, Input, Load, Payload};
+use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
+use crate::net::transport::connection::{Connection, State};
+use crate::net::transport::http;
+use crate::net::transport::reactor::{self, Due, Owner, Reactor};
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -181,7 +181,7 @@
             _ => AttemptEnd::NoRoom,
         })?;
         let key = reactor.register(&stream, Owner::Attempt).map_err(|_| AttemptEnd::NoRoom)?;
-        let connection = Connection::new(stream, true, http::MOST_HEAD + 2 * http::MOST_BODY);
+        let connection = Connection::new(stream, true, http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES);
         let exchange = Exchange::new(worker);
         let (attempt, since, rested, round) = (None, reactor.now, None, 0);
         self.sessions.insert(key, Session { connection, exchange, attempt, since, rested, round });
--- a/src/net/back/backoff.rs
+++ b/src/net/upstream/backoff.rs
@@ -1,6 +1,6 @@
 //! Growing, jittered waits between attempts at something that keeps failing. No clock: it gives lengths.
 
-use crate::random::Random;
+use crate::decision::random::Random;
 
 /// The waits, in seconds.
 #[derive(Debug)]
--- a/src/net/back/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -2,10 +2,10 @@
 //!
 //! Whether a worker may have run an attempt is read here, at each end, from the connection's own count of bytes.
 
-use crate::net::ground::connection::{Callbacks, Connection, State, Stream};
-use crate::net::ground::http::{self, Read, Response};
-use crate::net::ground::reactor::Reactor;
-use crate::net::words::{AttemptEnd, AttemptId, Input, Load, Payload};
+use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
+use crate::net::transport::connection::{Callbacks, Connection, State, Stream};
+use crate::net::transport::http::{self, Read, Response};
+use crate::net::transport::reactor::Reactor;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -272,7 +272,7 @@
             return connection.abort();
         }
         let heard_all = connection.heard_all();
-        match http::read_response(&connection.input, heard_all, http::MOST_BODY) {
+        match http::read_response(&connection.input, heard_all, http::MAX_BODY_BYTES) {
             Ok(Read::Whole(response, size)) => {
                 connection.consume(size);
                 let whole = self.exchange.is_whole(connection);
--- a/src/net/back/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -4,7 +4,6 @@
 pub mod attempts;
 pub mod backoff;
 pub mod exchange;
-pub mod keeper;
 pub mod pool;
 pub mod watch;
 pub mod worker_list;
--- a/src/net/back/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -7,7 +7,7 @@
 //! and a third takes its place. A call that fails is made again within [`MOST_AGAIN`] and [`SPREAD`].
 
 use super::backoff::Backoff;
-use crate::random::Random;
+use crate::decision::random::Random;
 
 /// How long a watch waits for changes, in seconds, at most and at least: nodes that were told something at one moment must
 /// not come back at one moment. Each watch that ends costs discovery a call; a longer one is believed for too long.
--- a/src/net/back/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -1,19 +1,19 @@
 //! Discovery's list of workers and the calls for it. When one is made is `watch`'s to say.
 
 use super::watch::{Call, CallId, START_PATIENCE, Schedule};
-use crate::affinity;
-use crate::interface::{Entry, Health, ListKind, NO_CELL, NO_ZONE, Settings};
-use crate::net::ground::connection::{Callbacks, Connection, State};
-use crate::net::ground::http::{self, Read};
-use crate::net::ground::reactor::{self, Due, Owner, Reactor};
-use crate::net::words::{Input, Member};
-use postproxy_audit::Digest;
+use crate::decision::affinity;
+use crate::decision::interface::{Entry, Health, ListKind, NO_CELL, NO_ZONE, Settings};
+use crate::net::messages::{Input, Member};
+use crate::net::transport::connection::{Callbacks, Connection, State};
+use crate::net::transport::http::{self, Read};
+use crate::net::transport::reactor::{self, Due, Owner, Reactor};
+use postproxy_version_tracking::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 
 /// Where these logs stand in levels by module: a published path, which stays.
-const TARGET: &str = "postproxy::net::back::farm";
+const TARGET: &str = "postproxy::net::upstream::worker_list";
 /// Longest list that is read.
 const MOST_LIST: usize = 8 << 20;
 /// A member as discovery tells it, and as nodes pass it on.
@@ -128,7 +128,7 @@
     };
     let mut lines: Vec<String> = members.into_iter().filter(|m| m.phase != "terminated").map(line).collect();
     lines.sort_unstable();
-    postproxy_audit::digest(lines.iter().map(String::as_bytes))
+    postproxy_version_tracking::digest(lines.iter().map(String::as_bytes))
 }
 
 /// A member as another list has it, at the address that this node knows; one that the other list does not have is gone.
--- a/src/operator.rs
+++ b/src/operator_config.rs
@@ -1,8 +1,8 @@
 //! The operator's own file: JSON, a section for each part of the program that can be switched on. A part whose
 //! section is absent is off. A name that is not known is refused with the nearest one that is.
 
-use crate::logs::Log;
-use postproxy_ledger::Limits;
+use crate::logging::Log;
+use postproxy_idempotency::Limits;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::fmt;
@@ -41,8 +41,9 @@
 }
 
 impl AuditSection {
-    fn check(&self, fleet: bool) -> Result<(), Problem> {
-        let wrong = |path: &str, what: &str| Err(Problem { path: path.into(), what: what.into() });
+    fn check(&self, fleet: bool) -> Result<(), OperatorConfigError> {
+        let wrong =
+            |path: &str, what: &str| Err(OperatorConfigError { path: path.into(), what: what.into() });
         if !fleet {
             return wrong("audit", "needs the section fleet");
         }
@@ -71,8 +72,9 @@
 }
 
 impl DutiesSection {
-    fn check(&self, fleet: Option<&FleetSection>) -> Result<(), Problem> {
-        let wrong = |path: &str, what: &str| Err(Problem { path: path.into(), what: what.into() });
+    fn check(&self, fleet: Option<&FleetSection>) -> Result<(), OperatorConfigError> {
+        let wrong =
+            |path: &str, what: &str| Err(OperatorConfigError { path: path.into(), what: what.into() });
         if !(1000..=60_000).contains(&self.lease_ms) {
             return wrong("duties.lease_ms", "must be between 1000 and 60000");
         }
@@ -154,9 +156,9 @@
     }
 
     /// What a member goes by.
-    pub fn settings(&self) -> postproxy_members::Settings {
+    pub fn settings(&self) -> postproxy_membership::Settings {
         let seconds = |ms: u64| ms as f64 / 1000.0;
-        postproxy_members::Settings {
+        postproxy_membership::Settings {
             cluster: self.cluster.clone(),
             seeds: self.seeds.clone(),
             voters: self.voters.iter().cloned().collect(),
@@ -170,7 +172,7 @@
     }
 
     /// All that is wrong with it.
-    fn check(&self) -> Result<(), Problem> {
+    fn check(&self) -> Result<(), OperatorConfigError> {
         let mut wrong: Vec<(String, &str)> = Vec::new();
         if self.cluster.is_empty() {
             wrong.push(("cluster".into(), "names no cluster"));
@@ -196,7 +198,7 @@
             wrong.push(("voters".into(), "must name 1, 3, 5 or 7 nodes"));
         }
         for (n, voter) in self.voters.iter().enumerate() {
-            if voter.is_empty() || voter.len() > postproxy_members::MOST_NAME {
+            if voter.is_empty() || voter.len() > postproxy_membership::MAX_NAME_BYTES {
                 wrong.push((format!("voters[{n}]"), "must be a name of 1 to 64 bytes"));
             }
             if self.voters[..n].contains(voter) {
@@ -222,7 +224,7 @@
         let mut wrong = wrong.into_iter();
         let Some((path, what)) = wrong.next() else { return Ok(()) };
         let what = wrong.fold(what.to_owned(), |all, (path, what)| format!("{all}; fleet.{path}: {what}"));
-        Err(Problem { path: format!("fleet.{path}"), what })
+        Err(OperatorConfigError { path: format!("fleet.{path}"), what })
     }
 }
 
@@ -316,8 +318,9 @@
         }
     }
 
-    fn check(&self) -> Result<(), Problem> {
-        let wrong = |path: &str, what: &str| Err(Problem { path: path.into(), what: what.into() });
+    fn check(&self) -> Result<(), OperatorConfigError> {
+        let wrong =
+            |path: &str, what: &str| Err(OperatorConfigError { path: path.into(), what: what.into() });
         if self.folder.is_empty() {
             return wrong("store.folder", "names no folder");
         }
@@ -346,20 +349,20 @@
 
 /// What is wrong with an operator's file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
+pub struct OperatorConfigError {
     /// The way to the value at fault, such as `store.retention`; `.` for the whole document.
     pub path: String,
     /// What is wrong with it.
     pub what: String,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for OperatorConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.path, self.what)
     }
 }
 
-impl std::error::Error for Problem {}
+impl std::error::Error for OperatorConfigError {}
 
 impl Operator {
     /// Reads the sections.
@@ -367,14 +370,14 @@
     /// # Errors
     ///
     /// The first problem, with its place.
-    pub fn from_json(text: &str) -> Result<Self, Problem> {
+    pub fn from_json(text: &str) -> Result<Self, OperatorConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let operator: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
             let path = error.path().to_string().replace('?', ".");
             let what = error.inner().to_string();
-            Problem { path, what: nearest(&what).unwrap_or(what) }
+            OperatorConfigError { path, what: nearest(&what).unwrap_or(what) }
         })?;
-        json.end().map_err(|error| Problem { path: ".".into(), what: error.to_string() })?;
+        json.end().map_err(|error| OperatorConfigError { path: ".".into(), what: error.to_string() })?;
         operator.check()?;
         Ok(operator)
     }
@@ -389,8 +392,8 @@
         Self::from_json(&text).map_err(|problem| format!("{path}: {problem}"))
     }
 
-    fn check(&self) -> Result<(), Problem> {
-        self.log.check().map_err(|what| Problem { path: "log.levels".into(), what })?;
+    fn check(&self) -> Result<(), OperatorConfigError> {
+        self.log.check().map_err(|what| OperatorConfigError { path: "log.levels".into(), what })?;
         self.store.as_ref().map_or(Ok(()), StoreSection::check)?;
         self.fleet.as_ref().map_or(Ok(()), FleetSection::check)?;
         self.duties.as_ref().map_or(Ok(()), |duties| duties.check(self.fleet.as_ref()))?;
--- a/src/wire.rs
+++ b/src/simulator_protocol.rs
@@ -3,8 +3,8 @@
 //! Little-endian, without padding. A batch is a 20-byte header and records; a record is a code, the size of
 //! its fields and the fields. No length is trusted before the bytes behind it are there.
 
-use crate::affinity;
-use crate::interface::{
+use crate::decision::affinity;
+use crate::decision::interface::{
     Action, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId, WorkerId,
 };
 use std::fmt;
--- a/src/standin.rs
+++ b/src/stand_ins.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for what a node works with, for trials and tests: discovery and workers, in threads of this
 //! process, on loopback. They speak the platform's protocol as far as a node sees it.
 
-use crate::net::ground::http::{self, Read, Request};
+use crate::net::transport::http::{self, Read, Request};
 use std::collections::HashMap;
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -76,7 +76,7 @@
     loop {
         let size = stream.read(&mut bytes)?;
         input.extend(&bytes[..size]);
-        let read = http::read_response(&input, size == 0, http::MOST_BODY);
+        let read = http::read_response(&input, size == 0, http::MAX_BODY_BYTES);
         match read.map_err(|flaw| io::Error::other(format!("{flaw:?}")))? {
             Read::Whole(response, _) => return Ok(response),
             _ if size == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -1,8 +1,9 @@
 //! Where fetching what a job's subject needs has a price: jobs of one subject go where it is held already, from every dispatcher alike.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
+use dispatcher_harness::*;
 use postproxy::{Action, Entry, Event, Health, ListKind, NewRequest, Outcome, RequestId, Settings, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,13 +16,13 @@
 }
 
 /// A dispatcher that counts its workers in an order of its own; their identities are the same everywhere.
-fn dispatcher(settings: Settings, seed: u64, workers: u16) -> Bed {
+fn dispatcher(settings: Settings, seed: u64, workers: u16) -> DispatcherHarness {
     let dispatcher = postproxy::Dispatcher::new(settings, seed).expect("sound settings");
-    let mut bed = Bed { dispatcher, now: 100.0 };
+    let mut harness = DispatcherHarness { dispatcher, now: 100.0 };
     let shift = (seed % u64::from(workers)) as u16;
     let order = (0..workers).map(|n| (n + shift) % workers);
-    bed.list(ListKind::Full, order.map(identified).collect());
-    bed
+    harness.list(ListKind::Full, order.map(identified).collect());
+    harness
 }
 
 /// Worker `n`, in one of two zones.
@@ -30,22 +31,22 @@
 }
 
 /// A job of this subject; what is done about it.
-fn ask(bed: &mut Bed, request: RequestId, key: u64, slots: f64) -> Vec<Action> {
+fn ask(harness: &mut DispatcherHarness, request: RequestId, key: u64, slots: f64) -> Vec<Action> {
     let new =
         NewRequest { request, class: 0, key, budget: 5.0, hint: Some(0.25), slots, ..NewRequest::default() };
-    bed.event(Event::Request(new))
+    harness.event(Event::Request(new))
 }
 
 /// Plays so many jobs of a subject, each ended before the next one; how many each worker had.
-fn played(bed: &mut Bed, from: RequestId, jobs: u64, key: u64) -> BTreeMap<WorkerId, u64> {
+fn played(harness: &mut DispatcherHarness, from: RequestId, jobs: u64, key: u64) -> BTreeMap<WorkerId, u64> {
     let mut all = BTreeMap::new();
     for request in from..from + jobs {
-        let to = sends(&ask(bed, request, key, 1.0));
+        let to = sends(&ask(harness, request, key, 1.0));
         assert_eq!(to.len(), 1, "each is sent at once");
         *all.entry(to[0]).or_insert(0) += 1;
-        bed.now += 0.05;
+        harness.now += 0.05;
         // Every worker has room, as its report tells.
-        bed.answer(request, 0, to[0], Outcome::Ok, vec![0.0, 5.0]);
+        harness.answer(request, 0, to[0], Outcome::Ok, vec![0.0, 5.0]);
     }
     all
 }
@@ -81,21 +82,21 @@
 /// Guards against subjects that all move when one worker goes: only its own do, and none moves back and forth.
 #[test]
 fn a_worker_that_goes_moves_its_own_subjects_alone() {
-    let mut bed = dispatcher(with_price(0.2, |_| ()), 5, 8);
+    let mut harness = dispatcher(with_price(0.2, |_| ()), 5, 8);
     let mut next = 0;
-    let mut homes = |bed: &mut Bed| -> Vec<WorkerId> {
+    let mut homes = |harness: &mut DispatcherHarness| -> Vec<WorkerId> {
         (1..=40)
             .map(|key| {
                 next += 20;
-                most(&played(bed, next, 20, key)).0
+                most(&played(harness, next, 20, key)).0
             })
             .collect()
     };
-    let before = homes(&mut bed);
+    let before = homes(&mut harness);
     let gone = before[0];
     let entry = Entry { worker: gone, health: Health::Gone, ..Entry::default() };
-    bed.list(ListKind::Delta, vec![entry]);
-    let after = homes(&mut bed);
+    harness.list(ListKind::Delta, vec![entry]);
+    let after = homes(&mut harness);
     for (before, after) in before.iter().zip(&after) {
         assert!(*after != gone && (before == after || *before == gone), "{before:?} moved to {after:?}");
     }
@@ -105,21 +106,26 @@
 #[test]
 fn a_subject_whose_worker_is_full_goes_to_the_next_one() {
     let next_of = |seed: u64| {
-        let mut bed = dispatcher(with_price(0.2, |_| ()), seed, 8);
-        let home = most(&played(&mut bed, 0, 40, 77)).0;
+        let mut harness = dispatcher(with_price(0.2, |_| ()), seed, 8);
+        let home = most(&played(&mut harness, 0, 40, 77)).0;
         let mut all = BTreeMap::new();
         for request in 100..140 {
             // Its worker tells that no slot is free, through another job's answer; the others have room.
             for (n, request) in (0..8).zip(1000 * request..) {
                 let to = worker(n);
                 let figures = if to == home { vec![9.0, 0.0] } else { vec![0.0, 5.0] };
-                bed.event(Event::Probed { worker: to, outcome: Outcome::Ok, elapsed: 0.01, report: figures });
+                harness.event(Event::Probed {
+                    worker: to,
+                    outcome: Outcome::Ok,
+                    elapsed: 0.01,
+                    report: figures,
+                });
                 let _ = request;
             }
-            let to = sends(&ask(&mut bed, request, 77, 1.0));
+            let to = sends(&ask(&mut harness, request, 77, 1.0));
             *all.entry(to[0]).or_insert(0) += 1;
-            bed.now += 0.05;
-            bed.answer(request, 0, to[0], Outcome::Ok, vec![0.0, 5.0]);
+            harness.now += 0.05;
+            harness.answer(request, 0, to[0], Outcome::Ok, vec![0.0, 5.0]);
         }
         let (next, jobs) = most(&all);
         assert!(next != home && jobs >= 34, "{all:?}");
@@ -133,11 +139,11 @@
 fn where_a_fetch_has_no_price_subjects_change_nothing() {
     for price in [0.0, -0.0] {
         let actions = |subject: u64| {
-            let mut bed = dispatcher(with_price(price, |_| ()), 11, 8);
+            let mut harness = dispatcher(with_price(price, |_| ()), 11, 8);
             let play = |request| {
-                let actions = ask(&mut bed, request, subject, 1.0);
-                bed.now += 0.05;
-                bed.answer(request, 0, sends(&actions)[0], Outcome::Ok, vec![1.0, 3.0]);
+                let actions = ask(&mut harness, request, subject, 1.0);
+                harness.now += 0.05;
+                harness.answer(request, 0, sends(&actions)[0], Outcome::Ok, vec![1.0, 3.0]);
                 actions
             };
             (0..200).map(play).collect::<Vec<_>>()
@@ -153,19 +159,19 @@
     const COLD: u16 = 4;
     const SUBJECTS: u64 = 120;
     let set = with_price(0.2, |s| s["balancers"] = 1.into());
-    let (mut warm, mut bed) = (dispatcher(set.clone(), 5, WORKERS), dispatcher(set, 5, WORKERS));
+    let (mut warm, mut harness) = (dispatcher(set.clone(), 5, WORKERS), dispatcher(set, 5, WORKERS));
     let (mut own, mut others) = (0, 0);
     for key in 1..=SUBJECTS {
         let home = most(&played(&mut warm, key * 100, 20, key)).0;
         // It has just started, each time anew: its part of its budget is whole.
-        let started = bed.now;
-        bed.list(ListKind::Delta, vec![Entry { started, ..identified(COLD) }]);
-        let all = played(&mut bed, key * 100, 20, key);
+        let started = harness.now;
+        harness.list(ListKind::Delta, vec![Entry { started, ..identified(COLD) }]);
+        let all = played(&mut harness, key * 100, 20, key);
         if all.contains_key(&worker(COLD)) {
             *(if home == worker(COLD) { &mut own } else { &mut others }) += 1;
         }
-        bed.now += 5.0;
-        warm.now = bed.now;
+        harness.now += 5.0;
+        warm.now = harness.now;
     }
     assert!(own > 0, "none of the subjects that prefer it");
     assert!(
@@ -182,20 +188,20 @@
             s["prices"]["probe"] = price.into();
             s["limits"]["may-probe"] = true.into();
         });
-        let mut bed = dispatcher(set, 5, 8);
+        let mut harness = dispatcher(set, 5, 8);
         let mut count = 0;
         for request in 0..400 {
-            let mut actions = ask(&mut bed, request, 0, 1.0);
+            let mut actions = ask(&mut harness, request, 0, 1.0);
             // All are full: a job that is held asks again.
             let mut due = timers(&actions);
             for _ in 0..20 {
                 count += probes(&actions).len();
-                let answer = |to| bed.probed(to, Outcome::Ok, vec![9.0, 0.0]);
+                let answer = |to| harness.probed(to, Outcome::Ok, vec![9.0, 0.0]);
                 actions = probes(&actions).into_iter().flat_map(answer).collect();
                 due.extend(timers(&actions));
             }
-            count += probes(&bed.run(bed.now + 0.1, &mut due)).len();
-            bed.event(Event::ClientGone { request });
+            count += probes(&harness.run(harness.now + 0.1, &mut due)).len();
+            harness.event(Event::ClientGone { request });
         }
         count
     };
@@ -216,21 +222,21 @@
             s["extra"]["tells-start"] = true.into();
             s["report"]["via"] = "none".into();
         });
-        let mut bed = dispatcher(set, 5, 64);
+        let mut harness = dispatcher(set, 5, 64);
         let mut count = 0;
         for request in 0..2000 {
-            let mut actions = ask(&mut bed, request, 0, 1.0);
+            let mut actions = ask(&mut harness, request, 0, 1.0);
             let mut due = timers(&actions);
             for to in probes(&actions) {
-                actions.extend(bed.probed(to, Outcome::Ok, vec![0.0, 4.0]));
+                actions.extend(harness.probed(to, Outcome::Ok, vec![0.0, 4.0]));
             }
             due.extend(timers(&actions));
             let first = sends(&actions);
-            let copy = sends(&bed.run(bed.now + 0.4, &mut due));
+            let copy = sends(&harness.run(harness.now + 0.4, &mut due));
             count += copy.len() + first.len().saturating_sub(1);
-            bed.event(Event::ClientGone { request });
+            harness.event(Event::ClientGone { request });
             for (to, attempt) in first.into_iter().chain(copy).zip(0..) {
-                bed.outcome(request, attempt, to, Outcome::Cancelled);
+                harness.outcome(request, attempt, to, Outcome::Cancelled);
             }
         }
         count
@@ -250,14 +256,14 @@
             s["extra"]["queue-order"] = order.into();
             s["extra"]["class-priority"] = serde_json::json!(priorities);
         });
-        let mut bed = dispatcher(set, 5, 8);
-        let first = sends(&ask(&mut bed, 1, 0, 1.0))[0];
-        let again = sends(&bed.outcome(1, 0, first, Outcome::Reset));
+        let mut harness = dispatcher(set, 5, 8);
+        let first = sends(&ask(&mut harness, 1, 0, 1.0))[0];
+        let again = sends(&harness.outcome(1, 0, first, Outcome::Reset));
         assert!(again.len() == 1 && again[0] != first, "it starts over elsewhere: {again:?}");
         let drawn = (10..200).any(|request| {
-            let to = sends(&ask(&mut bed, request, 0, 1.0));
-            bed.event(Event::ClientGone { request });
-            to.iter().for_each(|to| drop(bed.outcome(request, 0, *to, Outcome::Cancelled)));
+            let to = sends(&ask(&mut harness, request, 0, 1.0));
+            harness.event(Event::ClientGone { request });
+            to.iter().for_each(|to| drop(harness.outcome(request, 0, *to, Outcome::Cancelled)));
             to.contains(&first)
         });
         assert_eq!(!drawn, shut_out, "{order} {priorities:?}");
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,11 +1,12 @@
 //! One attempt's life on connections to workers: the bad orders, made each time on real connections, in a time that is told.
 
-mod bed;
+#[path = "support/node_harness.rs"]
+mod node_harness;
 
-use bed::{ACCEPTED, LIMIT, Peer, port};
-use postproxy::net::back::attempts::Attempts;
-use postproxy::net::ground::reactor::{Due, Reactor};
-use postproxy::net::words::{AttemptEnd, AttemptId, Input, Payload};
+use node_harness::{ACCEPTED, LIMIT, Peer, port};
+use postproxy::net::messages::{AttemptEnd, AttemptId, Input, Payload};
+use postproxy::net::transport::reactor::{Due, Reactor};
+use postproxy::net::upstream::attempts::Attempts;
 use std::io::Write as _;
 use std::net::TcpListener;
 use std::rc::Rc;
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -1,10 +1,11 @@
 //! Several processes of the real program, of which one has a discovery that is stuck: it is brought up by the others.
 
-mod rig;
+#[path = "support/fleet_harness.rs"]
+mod fleet_harness;
 
-use postproxy::standin::{Discovery, ask};
-use postproxy_faults::{addresses, wait};
-use rig::{Fleet, MOST};
+use fleet_harness::{Fleet, MOST};
+use postproxy::stand_ins::{Discovery, ask};
+use postproxy_fault_injection::{addresses, wait};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,6 +1,6 @@
 //! Waits between attempts at what keeps failing.
 
-use postproxy::net::back::backoff::Backoff;
+use postproxy::net::upstream::backoff::Backoff;
 
 /// Guards against nodes that know each other and come at one moment all the same.
 #[test]
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,8 +1,9 @@
 //! Bad input keeps its answers, readable at the other side also when more bytes are on their way; none of it reaches a worker.
 
-mod bed;
+#[path = "support/node_harness.rs"]
+mod node_harness;
 
-use bed::{Bed, Peer};
+use node_harness::{NodeHarness, Peer};
 use std::io::{Read as _, Write as _};
 use std::time::{Duration, Instant};
 
@@ -13,11 +14,11 @@
 /// holds a connection by sending on; and against any of it at a worker.
 #[test]
 fn answers_to_bad_input_are_read_though_more_is_on_its_way() {
-    let bed = Bed::new(1, 256);
+    let harness = NodeHarness::new(1, 256);
     let job = "POST /render HTTP/1.1\r\nX-Request-Id: held\r\nX-Deadline: 5\r\nContent-Length: 0\r\n\r\n";
-    let mut holds = Peer::to(bed.node);
+    let mut holds = Peer::to(harness.node);
     holds.write(job);
-    let mut worker = Peer::accept(&bed.workers[0]);
+    let mut worker = Peer::accept(&harness.workers[0]);
     worker.request();
     let long = "x".repeat(20 << 10);
     let cases = [
@@ -36,7 +37,7 @@
     ];
     for (status, text) in cases {
         for behind in [0, 1, 200, BEHIND] {
-            let mut client = Peer::to(bed.node);
+            let mut client = Peer::to(harness.node);
             let start = Instant::now();
             client.write(&text);
             // It goes on while the answer is on its way, and ends only once it has read it.
@@ -60,13 +61,13 @@
         }
     }
     // Half a request, and then nothing: told in time.
-    let mut half = Peer::to(bed.node);
+    let mut half = Peer::to(harness.node);
     half.write("POST /render HTTP/1.1\r\nX-Requ");
     let start = Instant::now();
     assert_eq!(half.response().status, 408);
     assert!(start.elapsed() < Duration::from_secs(3));
-    bed.workers[0].set_nonblocking(true).expect("a setting");
-    assert!(bed.workers[0].accept().is_err(), "nothing of it reaches a worker");
+    harness.workers[0].set_nonblocking(true).expect("a setting");
+    assert!(harness.workers[0].accept().is_err(), "nothing of it reaches a worker");
     drop((holds, worker));
-    bed.stop();
+    harness.stop();
 }
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -1,15 +1,16 @@
 //! Workers that operators take out of use, in the decision module: against random lists, reports and calls, and how
 //! one comes back. Fixed seeds.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
+use dispatcher_harness::*;
 use postproxy::{Action, Dispatcher, Event, Health, ListKind, Outcome, WorkerId};
 use rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeSet;
 
-fn employ(bed: &mut Bed, n: u16, again: bool) -> Vec<Action> {
-    bed.event(Event::Use { worker: worker(n), again })
+fn employ(harness: &mut DispatcherHarness, n: u16, again: bool) -> Vec<Action> {
+    harness.event(Event::Use { worker: worker(n), again })
 }
 
 /// Guards against anything new that goes to a worker out of use, whatever the list says of it meanwhile, and
@@ -19,7 +20,7 @@
     let mut to_others = 0;
     for seed in 0..60 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let mut bed = Bed::new(settings(|_| {}), 6);
+        let mut harness = DispatcherHarness::new(settings(|_| {}), 6);
         let (mut due, mut banned, mut out) = (Vec::new(), BTreeSet::<WorkerId>::new(), Vec::new());
         let (mut next, mut open) = (1, BTreeSet::new());
         for _ in 0..400 {
@@ -33,31 +34,32 @@
                     } else {
                         banned.insert(worker(n))
                     };
-                    employ(&mut bed, n, again)
+                    employ(&mut harness, n, again)
                 }
                 2 => {
                     let kind = if flip { ListKind::Full } else { ListKind::Cached };
-                    bed.list(kind, (0..6).filter(|m| flip || *m != n).map(entry).collect())
+                    harness.list(kind, (0..6).filter(|m| flip || *m != n).map(entry).collect())
                 }
                 3 => {
                     let health = [Health::Ready, Health::Draining, Health::Gone][pick(3) as usize];
-                    let started = if flip { bed.now } else { 0.0 };
-                    bed.list(ListKind::Delta, vec![postproxy::Entry { started, ..with_health(n, health) }])
+                    let started = if flip { harness.now } else { 0.0 };
+                    harness
+                        .list(ListKind::Delta, vec![postproxy::Entry { started, ..with_health(n, health) }])
                 }
                 4 | 5 if !out.is_empty() => {
                     let (request, attempt, to) = out.swap_remove(pick(out.len() as u32) as usize);
                     let outcome =
                         [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Moot][pick(4) as usize];
-                    bed.answer(request, attempt, to, outcome, vec![pick(9) as f32, pick(5) as f32])
+                    harness.answer(request, attempt, to, outcome, vec![pick(9) as f32, pick(5) as f32])
                 }
                 6 => {
-                    let until = bed.now + f64::from(pick(100)) / 100.0;
-                    bed.run(until, &mut due)
+                    let until = harness.now + f64::from(pick(100)) / 100.0;
+                    harness.run(until, &mut due)
                 }
                 _ => {
                     open.insert(next);
                     next += 1;
-                    bed.request(next - 1, pick(3) as u8)
+                    harness.request(next - 1, pick(3) as u8)
                 }
             };
             due.extend(timers(&actions));
@@ -85,20 +87,20 @@
 /// Guards against a job that is held to its deadline where operators have taken out all that could run it.
 #[test]
 fn with_all_workers_out_the_answer_comes_at_once() {
-    let mut bed = Bed::new(settings(|_| {}), 2);
-    employ(&mut bed, 0, false);
-    employ(&mut bed, 1, false);
-    assert!(refused(&bed.request(1, 0)) && refused(&bed.request(2, 2)));
-    employ(&mut bed, 0, true);
-    assert_eq!(sends(&bed.request(3, 0)), [worker(0)]);
+    let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
+    employ(&mut harness, 0, false);
+    employ(&mut harness, 1, false);
+    assert!(refused(&harness.request(1, 0)) && refused(&harness.request(2, 2)));
+    employ(&mut harness, 0, true);
+    assert_eq!(sends(&harness.request(3, 0)), [worker(0)]);
     // One that was held when the last goes out: told at once, too.
-    let mut bed = Bed::new(settings(|_| {}), 2);
-    bed.list(ListKind::Delta, vec![with_health(1, Health::Draining)]);
-    let actions = bed.request(1, 0);
+    let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
+    harness.list(ListKind::Delta, vec![with_health(1, Health::Draining)]);
+    let actions = harness.request(1, 0);
     assert_eq!(sends(&actions), [worker(0)]);
-    assert!(sends(&bed.outcome(1, 0, worker(0), Outcome::Full)).len() <= 1);
-    let actions = employ(&mut bed, 0, false);
-    let later = bed.outcome(1, 1, worker(0), Outcome::Moot);
+    assert!(sends(&harness.outcome(1, 0, worker(0), Outcome::Full)).len() <= 1);
+    let actions = employ(&mut harness, 0, false);
+    let later = harness.outcome(1, 1, worker(0), Outcome::Moot);
     assert!(refused(&actions) || refused(&later), "{actions:?} {later:?}");
 }
 
@@ -110,22 +112,22 @@
         let settings = settings(|s| s["balancers"] = fleet.into());
         let dispatcher =
             postproxy::Dispatcher::new(settings, seed * 1000 + u64::from(n)).expect("a dispatcher");
-        let mut bed = Bed { dispatcher, now: 100.0 };
-        bed.list(ListKind::Full, (0..8).map(entry).collect());
+        let mut harness = DispatcherHarness { dispatcher, now: 100.0 };
+        harness.list(ListKind::Full, (0..8).map(entry).collect());
         if banned {
-            employ(&mut bed, 3, false);
-            bed.now += 5.0;
-            employ(&mut bed, 3, true);
-            bed.list(ListKind::Delta, vec![entry(3)]);
+            employ(&mut harness, 3, false);
+            harness.now += 5.0;
+            employ(&mut harness, 3, true);
+            harness.list(ListKind::Delta, vec![entry(3)]);
         } else {
-            bed.now += 5.0;
-            bed.list(ListKind::Delta, vec![postproxy::Entry { started: bed.now, ..entry(3) }]);
+            harness.now += 5.0;
+            harness.list(ListKind::Delta, vec![postproxy::Entry { started: harness.now, ..entry(3) }]);
         }
         for request in 1..=5 {
-            bed.now += 1.0;
-            let to = sends(&bed.request(request, 2))[0];
+            harness.now += 1.0;
+            let to = sends(&harness.request(request, 2))[0];
             given += usize::from(to == worker(3));
-            bed.outcome(request, 0, to, Outcome::Ok);
+            harness.outcome(request, 0, to, Outcome::Ok);
         }
     }
     given
@@ -143,16 +145,16 @@
     for seed in 0..20 {
         let settings = settings(|s| s["balancers"] = 1.into());
         let dispatcher = postproxy::Dispatcher::new(settings, seed).expect("a dispatcher");
-        let mut bed = Bed { dispatcher, now: 100.0 };
-        bed.list(ListKind::Full, (0..8).map(entry).collect());
-        employ(&mut bed, 3, false);
-        employ(&mut bed, 3, true);
+        let mut harness = DispatcherHarness { dispatcher, now: 100.0 };
+        harness.list(ListKind::Full, (0..8).map(entry).collect());
+        employ(&mut harness, 3, false);
+        employ(&mut harness, 3, true);
         let mut first = None;
         for request in 1..60 {
-            bed.now += 0.05;
-            let actions = bed.request(request, 2);
-            first = first.or(sends(&actions).contains(&worker(3)).then_some(bed.now - 100.0));
-            bed.outcome(request, 0, sends(&actions)[0], Outcome::Ok);
+            harness.now += 0.05;
+            let actions = harness.request(request, 2);
+            first = first.or(sends(&actions).contains(&worker(3)).then_some(harness.now - 100.0));
+            harness.outcome(request, 0, sends(&actions)[0], Outcome::Ok);
         }
         assert!(first.is_some(), "seed {seed}: the only dispatcher owes it a job within 3 s");
     }
@@ -165,20 +167,20 @@
     // How many of 40 dispatchers send there in the time in which what is owed is given.
     let owing = |count: Option<u32>| {
         let owes = |seed: u64| {
-            let mut bed = Bed::new(settings(|_| {}), 6);
-            bed.dispatcher = Dispatcher::new(settings(|_| {}), seed).expect("sound settings");
-            bed.list(ListKind::Full, (0..6).map(entry).collect());
+            let mut harness = DispatcherHarness::new(settings(|_| {}), 6);
+            harness.dispatcher = Dispatcher::new(settings(|_| {}), seed).expect("sound settings");
+            harness.list(ListKind::Full, (0..6).map(entry).collect());
             if let Some(count) = count {
-                bed.event(Event::Balancers(count));
+                harness.event(Event::Balancers(count));
             }
-            employ(&mut bed, 0, false);
-            employ(&mut bed, 0, true);
+            employ(&mut harness, 0, false);
+            employ(&mut harness, 0, true);
             (0..12u16).any(|n| {
-                bed.now += 0.3;
-                let actions = bed.request(u64::from(n) + 1, 0);
+                harness.now += 0.3;
+                let actions = harness.request(u64::from(n) + 1, 0);
                 let to = sends(&actions);
                 for to in &to {
-                    bed.outcome(u64::from(n) + 1, 0, *to, Outcome::Ok);
+                    harness.outcome(u64::from(n) + 1, 0, *to, Outcome::Ok);
                 }
                 to.contains(&worker(0))
             })
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,10 +1,10 @@
 //! The connections that clients and workers open, on loopback, with a time that is told.
 
-use postproxy::interface::Settings;
-use postproxy::net::front::clients::{BAD, Clients, Wanted, call, wanted, wording};
-use postproxy::net::ground::http::{self, Read, Request};
-use postproxy::net::ground::reactor::{Due, Reactor};
-use postproxy::net::words::{Answer, Input, JobCall, JobState, Payload, Submission};
+use postproxy::decision::interface::Settings;
+use postproxy::net::downstream::clients::{BAD, Clients, Wanted, call, wanted, wording};
+use postproxy::net::messages::{Answer, Input, JobCall, JobState, Payload, Submission};
+use postproxy::net::transport::http::{self, Read, Request};
+use postproxy::net::transport::reactor::{Due, Reactor};
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -1,6 +1,6 @@
 //! A model of a connection's states, against which random steps are checked.
 
-use postproxy::net::ground::connection::{Callbacks, Connection, MOST_DROPPED, State, Stream};
+use postproxy::net::transport::connection::{Callbacks, Connection, MOST_DROPPED, State, Stream};
 use quickcheck::{Gen, QuickCheck};
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Read, Write};
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -134,8 +134,8 @@
 
 #[test]
 fn the_decision_module_keeps_its_size() {
-    let text = include_str!("../src/policy.rs");
+    let text = include_str!("../src/decision/dispatcher.rs");
     assert!(text.lines().filter(|l| !l.trim().is_empty()).count() <= 710, "lines that are not blank");
     assert!(text.lines().all(|l| l.chars().count() <= 110), "no line is longer than 110 characters");
-    assert!(text.lines().take(3).any(|l| l.contains("src/interface.rs")));
+    assert!(text.lines().take(3).any(|l| l.contains("src/decision/interface.rs")));
 }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,13 +1,14 @@
 //! Several processes of the real program that decide together who owns what, and faults between and in them.
 
-mod rig;
+#[path = "support/fleet_harness.rs"]
+mod fleet_harness;
 
-use postproxy::net::peers::fleet::Picture;
-use postproxy::standin::ask;
-use postproxy_council::{Owned, View};
-use postproxy_faults::wait;
-use postproxy_remedy::Told;
-use rig::{Fleet, MOST};
+use fleet_harness::{Fleet, MOST};
+use postproxy::net::cluster::service::ClusterStatus;
+use postproxy::stand_ins::ask;
+use postproxy_coordination::{LeaseStatus, Status};
+use postproxy_diagnostics::ErrorBody;
+use postproxy_fault_injection::wait;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -16,12 +17,12 @@
     Fleet::with_sections(count, seed, true, &["w-0".into()], &sections)
 }
 
-fn view(fleet: &Fleet, n: usize) -> Option<View> {
+fn view(fleet: &Fleet, n: usize) -> Option<Status> {
     let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
-fn owned(fleet: &Fleet, n: usize) -> Option<Owned> {
+fn owned(fleet: &Fleet, n: usize) -> Option<LeaseStatus> {
     view(fleet, n)?.duties.into_iter().find(|duty| duty.duty == "bans")
 }
 
@@ -51,7 +52,7 @@
     (answer.status, text)
 }
 
-fn told(text: &str) -> Told {
+fn told(text: &str) -> ErrorBody {
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
@@ -130,8 +131,11 @@
     fleet.kill(2);
     std::fs::remove_dir_all(fleet.nodes[2].folder.join("store")).expect("its store");
     fleet.start(2);
-    let lost =
-        || view(&fleet, 2).is_some_and(|view| view.why == Some(postproxy_council::Why::Lost) && !view.votes);
+    let lost = || {
+        view(&fleet, 2).is_some_and(|view| {
+            view.why == Some(postproxy_coordination::NotVotingReason::Lost) && !view.votes
+        })
+    };
     assert!(wait(MOST, lost), "it has lost its promises: {}", fleet.told());
     let known =
         || view(&fleet, 0).is_some_and(|view| view.voters.iter().any(|seat| seat.node == "n2" && seat.lost));
@@ -143,7 +147,7 @@
     // One that does not vote gets a seat and loses it again.
     assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
     assert!(wait(MOST, || view(&fleet, 3).is_some_and(|view| view.votes)), "{}", fleet.told());
-    let shown = |p: &Picture| {
+    let shown = |p: &ClusterStatus| {
         p.members.iter().filter(|m| m.voter).count() == 4 && p.members.iter().filter(|m| m.leads).count() == 1
     };
     fleet.until("four vote, one leads", &[0, 1, 2, 3], |_, picture| shown(picture));
--- a/tests/elsewhere.rs
+++ b/tests/elsewhere.rs
@@ -1,14 +1,15 @@
 //! Two dispatchers of one node while one takes over from the other: what moves, what counts for both. Fixed seeds.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
-use postproxy::{Action, Dispatcher, Elsewhere, Event, ListKind, Outcome, RequestId, WorkerId};
+use dispatcher_harness::*;
+use postproxy::{Action, Dispatcher, Event, ListKind, Outcome, RequestId, SiblingEvent, WorkerId};
 use rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
-fn bed(workers: u16, change: impl FnOnce(&mut serde_json::Value)) -> Bed {
-    Bed::new(settings(change), workers)
+fn harness(workers: u16, change: impl FnOnce(&mut serde_json::Value)) -> DispatcherHarness {
+    DispatcherHarness::new(settings(change), workers)
 }
 
 /// What a request has come to, whichever dispatcher has it.
@@ -28,7 +29,7 @@
     let (mut moved, mut after) = (0, 0);
     for seed in 0..120 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let mut beds = [bed(6, |_| {}), bed(6, |_| {})];
+        let mut beds = [harness(6, |_| {}), harness(6, |_| {})];
         let mut due = [Vec::new(), Vec::new()];
         let (mut seen, mut owner) = (BTreeMap::<RequestId, Seen>::new(), BTreeMap::<RequestId, usize>::new());
         let mut next = 1;
@@ -57,7 +58,7 @@
                         owner.insert(id, 1);
                         moved += 1;
                         let carried = Box::new(carried);
-                        done[1] = beds[1].event(Event::Carried { request: id, carried });
+                        done[1] = beds[1].event(Event::MigratedRequest { request: id, carried });
                     }
                 }
                 5 | 6 => {
@@ -154,9 +155,9 @@
 /// other one does weighs like own work until it ends.
 #[test]
 fn what_the_other_process_does_counts() {
-    let elsewhere = |bed: &mut Bed, news| bed.event(Event::Elsewhere(news));
-    let mut one = bed(2, |_| {});
-    let sent = |request| Elsewhere::Sent {
+    let elsewhere = |harness: &mut DispatcherHarness, news| harness.event(Event::SiblingEvent(news));
+    let mut one = harness(2, |_| {});
+    let sent = |request| SiblingEvent::Sent {
         request,
         attempt: 0,
         worker: worker(0),
@@ -175,7 +176,7 @@
     }
     assert!(to[1] > 30, "40 jobs of the other process are on worker 0: {to:?}");
     for request in 1000..1040 {
-        elsewhere(&mut one, Elsewhere::Ended { request, attempt: 0, worker: worker(0) });
+        elsewhere(&mut one, SiblingEvent::Ended { request, attempt: 0, worker: worker(0) });
     }
     let mut to = [0, 0];
     for request in 101..=140 {
@@ -185,7 +186,7 @@
     }
     assert!(to[0] > 8, "they have ended: {to:?}");
     // A cold worker: all that fits its budget is there already.
-    let mut two = bed(2, |_| {});
+    let mut two = harness(2, |_| {});
     two.list(ListKind::Delta, vec![postproxy::Entry { started: 99.9, ..entry(0) }]);
     for request in 1000..1040 {
         elsewhere(&mut two, sent(request));
@@ -199,12 +200,12 @@
     }
     // A budget of one further attempt in 10 s, which the other process has used; a second later it is free again.
     for (ago, further) in [(9.5, 0), (10.5, 1)] {
-        let mut three = bed(3, |s| {
+        let mut three = harness(3, |s| {
             s["rules"]["spare-attempts"] = 1.into();
             s["rules"]["look-back"] = 10.into();
         });
         let (taken, last) = (Vec::new(), vec![100.0 - ago]);
-        elsewhere(&mut three, Elsewhere::Past { taken, further: last });
+        elsewhere(&mut three, SiblingEvent::Past { taken, further: last });
         let to = sends(&three.request(1, 2))[0];
         assert_eq!(sends(&three.outcome(1, 0, to, Outcome::Full)).len(), further, "{ago} s after");
     }
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -7,8 +7,12 @@
 fn every_code_has_a_remedy_and_stands_in_the_operators_page() {
     let page = include_str!("../docs/operate/errors.md");
     let mut codes = BTreeSet::new();
-    for (code, remedy) in
-        [postproxy_audit::REMEDIES, postproxy_council::REMEDIES, postproxy::interface::REMEDIES].concat()
+    for (code, remedy) in [
+        postproxy_version_tracking::REMEDIES,
+        postproxy_coordination::REMEDIES,
+        postproxy::decision::interface::REMEDIES,
+    ]
+    .concat()
     {
         let (subject, word) = code.split_once('.').expect("SUBJECT.WORD");
         assert!(!subject.is_empty() && !word.is_empty() && remedy.len() > 15, "{code}: {remedy}");
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,14 +1,15 @@
 //! One request on a connection to a worker: whether it may have run is read from the bytes that were written, in every order in which
 //! the events of one turn can come.
 
-mod bed;
+#[path = "support/node_harness.rs"]
+mod node_harness;
 
-use bed::{Peer, port};
-use postproxy::net::back::exchange::{Carries, Exchange, Outgoing};
-use postproxy::net::ground::connection::{Connection, State, Stream};
-use postproxy::net::ground::reactor::Reactor;
-use postproxy::net::words::{AttemptEnd, Input, Payload};
-use postproxy::random::Random;
+use node_harness::{Peer, port};
+use postproxy::decision::random::Random;
+use postproxy::net::messages::{AttemptEnd, Input, Payload};
+use postproxy::net::transport::connection::{Connection, State, Stream};
+use postproxy::net::transport::reactor::Reactor;
+use postproxy::net::upstream::exchange::{Carries, Exchange, Outgoing};
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -95,7 +96,7 @@
         drop(peer);
         let (mut events, mut come) = (Vec::new(), 0);
         while come == 0 {
-            come = poller.wait(&mut events, Some(bed::LIMIT)).expect("it is waited");
+            come = poller.wait(&mut events, Some(node_harness::LIMIT)).expect("it is waited");
         }
     };
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,9 @@
 //! Many dispatchers over many workers: what is harmless at one and harmful at all.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
+use dispatcher_harness::*;
 use postproxy::{Entry, Health, ListKind, Outcome, Settings, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,19 +13,19 @@
 fn dispatchers_with_few_jobs_do_not_keep_to_their_zone() {
     let crossed = |jobs_a_second: u64| {
         let price = |s: &mut serde_json::Value| s["prices"] = serde_json::json!({"cross-zone": 0.01});
-        let mut bed = Bed::new(settings(price), 0);
+        let mut harness = DispatcherHarness::new(settings(price), 0);
         let zoned = |n: u16| Entry { zone: (n % 3) as u8, ..entry(n) };
-        bed.list(ListKind::Full, (0..30).map(zoned).collect());
+        harness.list(ListKind::Full, (0..30).map(zoned).collect());
         let mut zones = BTreeMap::new();
         let mut running = VecDeque::<(f64, u64, WorkerId)>::new();
         for id in 1..=20 * jobs_a_second {
-            bed.now += 1.0 / jobs_a_second as f64;
-            while let Some((_, id, to)) = running.pop_front_if(|&mut (at, ..)| at <= bed.now) {
-                bed.answer(id, 0, to, Outcome::Ok, vec![0.0, 8.0]);
+            harness.now += 1.0 / jobs_a_second as f64;
+            while let Some((_, id, to)) = running.pop_front_if(|&mut (at, ..)| at <= harness.now) {
+                harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 8.0]);
             }
-            for to in sends(&bed.request(id, 2)) {
+            for to in sends(&harness.request(id, 2)) {
                 *zones.entry(to.address[3] % 3).or_insert(0) += 1;
-                running.push_back((bed.now + 0.5, id, to));
+                running.push_back((harness.now + 0.5, id, to));
             }
         }
         let all: u64 = zones.values().sum();
@@ -44,10 +45,10 @@
             Some(n) => s["balancers"] = serde_json::json!(n),
             None => drop(s.as_object_mut().and_then(|s| s.remove("balancers"))),
         };
-        let mut bed = Bed::new(settings(change), 4);
-        bed.list(ListKind::Delta, vec![Entry { started: bed.now - 1.0, ..entry(0) }]);
+        let mut harness = DispatcherHarness::new(settings(change), 4);
+        harness.list(ListKind::Delta, vec![Entry { started: harness.now - 1.0, ..entry(0) }]);
         for id in 1..=4 {
-            assert_eq!(sends(&bed.request(id, 2)).len(), 1, "{balancers:?}");
+            assert_eq!(sends(&harness.request(id, 2)).len(), 1, "{balancers:?}");
         }
     }
     let error = Settings::from_json(r#"{"balancers": 0}"#).and_then(|s| s.validate()).expect_err("none");
@@ -58,26 +59,26 @@
 /// is held goes out once discovery tells better.
 #[test]
 fn a_list_of_workers_that_are_gone_serves_until_a_better_one_comes() {
-    let mut bed = Bed::new(settings(|s| s["discovery"] = "on_request".into()), 0);
+    let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
     let gone = (0..60).map(|n| with_health(n, if n % 2 == 0 { Health::Gone } else { Health::Draining }));
-    let mut due = timers(&bed.list(ListKind::Cached, gone.collect()));
-    let asked = bed.request(1, 2);
+    let mut due = timers(&harness.list(ListKind::Cached, gone.collect()));
+    let asked = harness.request(1, 2);
     assert!(sends(&asked).is_empty());
     due.extend(timers(&asked));
-    due.extend(timers(&bed.list(ListKind::Failed, Vec::new())));
-    bed.list(ListKind::Full, (60..120).map(entry).collect());
-    let until = bed.now + 1.0;
-    let to = sends(&bed.run(until, &mut due));
+    due.extend(timers(&harness.list(ListKind::Failed, Vec::new())));
+    harness.list(ListKind::Full, (60..120).map(entry).collect());
+    let until = harness.now + 1.0;
+    let to = sends(&harness.run(until, &mut due));
     assert!(to.len() == 1 && to[0].address[3] >= 60, "{to:?}");
 }
 
 /// Guards against a draw or a list whose cost or choice breaks down with thousands of workers.
 #[test]
 fn thousands_of_workers_are_drawn_from() {
-    let mut bed = Bed::new(settings(|_| ()), 5000);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 5000);
     let mut drawn = BTreeSet::new();
     for id in 1..=2000 {
-        let to = sends(&bed.request(id, 2));
+        let to = sends(&harness.request(id, 2));
         assert_eq!(to.len(), 1);
         drawn.extend(to);
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,10 +1,10 @@
 //! What comes to a process that takes over between the older one's greeting and its last word. The older process is played by the
 //! test, so that each order is forced.
 
-use postproxy::net::ground::http::Response;
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::{Process, addresses};
-use postproxy_handover::{Link, Message, News, Role, Tale, frame, greeting};
+use postproxy::net::transport::http::Response;
+use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy_fault_injection::{Process, addresses};
+use postproxy_handover::{Link, LinkEvent, Message, Role, StateUpdate, frame, greeting};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,7 +23,7 @@
 struct Older {
     stream: UnixStream,
     link: Link,
-    came: Vec<News>,
+    came: Vec<LinkEvent>,
 }
 
 impl Older {
@@ -39,7 +39,7 @@
     }
 
     /// Waits for news of this kind; `None` if the newer process has ended the link.
-    fn until<T>(&mut self, wanted: impl Fn(&News) -> Option<T>) -> Option<T> {
+    fn until<T>(&mut self, wanted: impl Fn(&LinkEvent) -> Option<T>) -> Option<T> {
         loop {
             if let Some(found) = self.came.iter().find_map(&wanted) {
                 return Some(found);
@@ -108,7 +108,7 @@
         stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
         let link = Link::new(Role::Older, "n0", &address.to_string(), 0.0);
         let mut older = Older { stream, link, came: Vec::new() };
-        older.until(|news| matches!(news, News::Greeted).then_some(())).expect("it greets");
+        older.until(|news| matches!(news, LinkEvent::Greeted).then_some(())).expect("it greets");
         Self { listener, address, door, older, process, folder, workers, _discovery: discovery }
     }
 
@@ -129,8 +129,8 @@
     }
 
     /// Whether the process has told the older one this within its time to hear all.
-    fn hears(&mut self, tale: &Tale) -> Option<()> {
-        self.older.until(|news| matches!(news, News::Tale(told) if told == tale).then_some(()))
+    fn hears(&mut self, tale: &StateUpdate) -> Option<()> {
+        self.older.until(|news| matches!(news, LinkEvent::StateUpdate(told) if told == tale).then_some(()))
     }
 }
 
@@ -151,15 +151,15 @@
     panic!("in {TRIES} starts the newer process never waited");
 }
 
-fn tale(worker: &str, again: bool) -> Tale {
-    Tale::Use { worker: worker.into(), again }
+fn tale(worker: &str, again: bool) -> StateUpdate {
+    StateUpdate::Use { worker: worker.into(), again }
 }
 
 /// Guards against an operator's word that is answered with a yes and lost: it was given to the process that takes over before
 /// that had greeted, or had been told what was so before.
 #[test]
 fn an_operators_word_before_the_older_process_has_told_all_is_the_last_one() {
-    let drained = |on, ago| Tale::Drain { on, ago };
+    let drained = |on, ago| StateUpdate::Drain { on, ago };
     for greeted in [false, true] {
         for (name, path, before, word) in [
             // The older process has it out of use, and does not know yet that it is wanted again.
@@ -177,7 +177,7 @@
                 if !greeted {
                     bed.greet();
                 }
-                bed.older.say(&[Message::Tale(before.clone())]);
+                bed.older.say(&[Message::StateUpdate(before.clone())]);
                 bed.older.told();
                 bed.hears(&word)?;
                 assert!(answered(call).starts_with("HTTP/1.1 200 "));
@@ -220,7 +220,7 @@
         let body = br#"{"id": "nobody's", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = self.older.link.call(0.0, 77, body.to_vec());
         self.older.say(&[call]);
-        self.older.until(|news| matches!(news, News::Called(..)).then_some(()))
+        self.older.until(|news| matches!(news, LinkEvent::Called(..)).then_some(()))
     }
 }
 
@@ -230,7 +230,7 @@
 fn a_call_back_on_the_older_processs_job_is_acknowledged_on_its_word_alone() {
     play("call", |bed| {
         bed.greet();
-        bed.older.say(&[Message::Tale(Tale::Taken { id: "held".into(), counts: false })]);
+        bed.older.say(&[Message::StateUpdate(StateUpdate::Taken { id: "held".into(), counts: false })]);
         bed.older.told();
         let at = bed.address;
         let body = br#"{"id": "held", "from": "s-0", "state": "done", "result": "x"}"#;
@@ -238,7 +238,7 @@
             ask(at, "POST", "/v1/job-events", &[("Connection", "close")], body).expect("an answer")
         });
         let number = bed.older.until(|news| match news {
-            News::Call(number, body) if body.windows(4).any(|four| four == b"held") => Some(*number),
+            LinkEvent::Call(number, body) if body.windows(4).any(|four| four == b"held") => Some(*number),
             _ => None,
         })?;
         let start = Instant::now();
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -1,8 +1,8 @@
 //! A hand-over to a process that has no descriptor left, alone in its process: the limit on descriptors holds for all of it.
 
-use postproxy::net::ground::reactor::{Due, Owner, Reactor, owner};
-use postproxy::net::peers::handover::{Event, Handover};
-use postproxy_handover::{Message, News, frame, greeting};
+use postproxy::net::handover::{Event, Handover};
+use postproxy::net::transport::reactor::{Due, Owner, Reactor, owner};
+use postproxy_handover::{LinkEvent, Message, frame, greeting};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::io::{IoSlice, Read, Write};
@@ -75,7 +75,7 @@
     link.write_all(&words).expect("it is written");
     until("the older process's words", || {
         let came = turn(&mut reactor, &mut handover);
-        let leaves = |event: &Event| matches!(event, Event::News(_, News::Leaves, _));
+        let leaves = |event: &Event| matches!(event, Event::LinkEvent(_, LinkEvent::Leaves, _));
         came.iter().flatten().any(leaves).then_some(())
     });
     let ((mut first, firsts), (mut second, seconds)) = (connection(&listener), connection(&listener));
@@ -96,8 +96,10 @@
         let came = turn(&mut reactor, &mut handover);
         came.into_iter().find(|events| !events.is_empty())
     });
-    let [Event::News(_, News::Job(one, ..), lost), Event::News(_, News::Job(other, ..), Some(kept))] =
-        &came[..]
+    let [
+        Event::LinkEvent(_, LinkEvent::Job(one, ..), lost),
+        Event::LinkEvent(_, LinkEvent::Job(other, ..), Some(kept)),
+    ] = &came[..]
     else {
         panic!("both come in one read: {came:?}");
     };
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,6 +1,6 @@
 //! Messages in buffers: whole and in parts, in both framings, and what is no message.
 
-use postproxy::net::ground::http::{self, Flaw, Read, RequestReader, read_request, read_response};
+use postproxy::net::transport::http::{self, ParseError, Read, RequestReader, read_request, read_response};
 use quickcheck::{Gen, QuickCheck};
 
 /// Guards against a message that is taken before it is whole, or changed by how it arrived.
@@ -95,15 +95,15 @@
         "Transfer-Encoding: gzip",
         "Transfer-Encoding: chunked, chunked",
     ] {
-        assert_eq!(flaw(fields, "xx"), Flaw::Malformed, "{fields}");
+        assert_eq!(flaw(fields, "xx"), ParseError::Malformed, "{fields}");
     }
     let old = b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(read_request(old), Err(Flaw::Malformed), "HTTP/1.0 knows no chunks");
-    assert_eq!(flaw("Content-Length: 65537", ""), Flaw::Body);
-    assert_eq!(flaw("Content-Length: 99999999999999999999999", ""), Flaw::Body);
-    assert_eq!(flaw("Transfer-Encoding: chunked", "10001\r\n"), Flaw::Body);
-    assert_eq!(flaw("Transfer-Encoding: chunked", "1\r\nabc"), Flaw::Malformed);
-    assert_eq!(flaw(&"X: y\r\n".repeat(70), ""), Flaw::Head);
+    assert_eq!(read_request(old), Err(ParseError::Malformed), "HTTP/1.0 knows no chunks");
+    assert_eq!(flaw("Content-Length: 65537", ""), ParseError::Body);
+    assert_eq!(flaw("Content-Length: 99999999999999999999999", ""), ParseError::Body);
+    assert_eq!(flaw("Transfer-Encoding: chunked", "10001\r\n"), ParseError::Body);
+    assert_eq!(flaw("Transfer-Encoding: chunked", "1\r\nabc"), ParseError::Malformed);
+    assert_eq!(flaw(&"X: y\r\n".repeat(70), ""), ParseError::Head);
     let same = b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\nx";
     assert!(matches!(read_request(same), Ok(Read::Whole(..))));
 }
@@ -120,11 +120,11 @@
     }
     assert!(matches!(reader.read(&[b'x'; 1024]), Ok((Read::Whole(r, _), 1024)) if r.body.len() == 65536));
     // A head without an end is found too long however it comes.
-    let long = [b"POST /".as_slice(), &[b'x'; http::MOST_HEAD]].concat();
+    let long = [b"POST /".as_slice(), &[b'x'; http::MAX_HEAD_BYTES]].concat();
     let mut reader = RequestReader::default();
     let found = (1..=long.len()).find_map(|end| reader.read(&long[..end]).err().map(|flaw| (end, flaw)));
-    assert_eq!(found, Some((http::MOST_HEAD + 1, Flaw::Head)));
-    assert_eq!(RequestReader::default().read(b"\0\x01 what").unwrap_err(), Flaw::Malformed, "at once");
+    assert_eq!(found, Some((http::MAX_HEAD_BYTES + 1, ParseError::Head)));
+    assert_eq!(RequestReader::default().read(b"\0\x01 what").unwrap_err(), ParseError::Malformed, "at once");
 }
 
 /// Guards against an interim answer taken for the final one, a body cut short by the connection's end taken
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -1,14 +1,14 @@
 //! The hub with a ledger, without disk or sockets: what waits for a write, what a restart leaves in doubt, who is
 //! owed which answer.
 
-use postproxy::net::hub::keeping::Keeping;
-use postproxy::net::hub::requests::Hub;
-use postproxy::net::words::{
+use postproxy::net::messages::{
     Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload, Submission,
     Wait,
 };
+use postproxy::net::requests::durability::DurabilityPolicy;
+use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
-use postproxy_ledger::{Ledger, Limits, Write, result_key};
+use postproxy_idempotency::{Limits, RequestLog, Write, result_key};
 use std::collections::BTreeMap;
 
 const SETTINGS: &str = r#"{
@@ -26,7 +26,7 @@
 const TOKEN: u8 = 2;
 
 struct Bed {
-    hub: Hub,
+    hub: RequestManager,
     now: f64,
     timers: Vec<(f64, Due)>,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
@@ -41,11 +41,11 @@
 
     fn start(disk: BTreeMap<Vec<u8>, Vec<u8>>, now: f64, limits: Limits) -> Self {
         let settings = Settings::from_json(SETTINGS).expect("sound settings");
-        let mut ledger = Ledger::new(limits);
+        let mut ledger = RequestLog::new(limits);
         disk.iter().for_each(|(key, value)| _ = ledger.load(key, value));
         let nothing_ran = ledger.loaded();
-        let mut hub = Hub::new(settings.clone(), 7).expect("a hub");
-        hub.keep(Keeping::new(&settings, ledger, 0.5, false));
+        let mut hub = RequestManager::new(settings.clone(), 7).expect("a hub");
+        hub.keep(DurabilityPolicy::new(&settings, ledger, 0.5, false));
         let mut bed = Self { hub, now, timers: Vec::new(), disk, pending: Vec::new() };
         bed.apply(nothing_ran);
         let member = |n: u16| Member {
--- a/tests/kill.rs
+++ b/tests/kill.rs
@@ -1,7 +1,7 @@
 //! The real program with a store, killed again and again under jobs that must not run twice.
 
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::{Process, addresses, wait};
+use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy_fault_injection::{Process, addresses, wait};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -6,7 +6,7 @@
 
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// Each module's text by its path, such as `net::hub::requests`, without its tests.
+/// Each module's text by its path, such as `net::requests::manager`, without its tests.
 fn modules(folder: &Path, at: &str, into: &mut BTreeMap<String, String>) {
     for entry in fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()) {
         let name = entry.file_stem().and_then(|name| name.to_str()).expect("a name").to_owned();
@@ -60,7 +60,7 @@
     modules(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), "", &mut all);
     all.retain(|module, _| !["lib", "main"].contains(&module.as_str()));
     let found = imports(&all);
-    assert!(found["net::node"].contains("net::hub::requests"), "the lines are read: {found:?}");
+    assert!(found["net::node"].contains("net::requests::manager"), "the lines are read: {found:?}");
     assert_eq!(circle(found), Vec::<String>::new());
 }
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,14 +1,15 @@
 //! A client that closes its connection has gone: no attempt, first or further, begins for it after that. Real connections,
 //! and the bad order made each time: the test goes on when the node has shown that it has taken in what came before.
 
-mod bed;
+#[path = "support/node_harness.rs"]
+mod node_harness;
 
-use bed::{ACCEPTED, Bed, LIMIT, Peer, list, member, port};
-use postproxy::interface::Settings;
-use postproxy::net::back::attempts::Attempts;
-use postproxy::net::front::clients::Clients;
-use postproxy::net::ground::reactor::{Due, Owner, Reactor, owner};
-use postproxy::net::words::{AttemptEnd, Input, Payload};
+use node_harness::{ACCEPTED, LIMIT, NodeHarness, Peer, list, member, port};
+use postproxy::decision::interface::Settings;
+use postproxy::net::downstream::clients::Clients;
+use postproxy::net::messages::{AttemptEnd, Input, Payload};
+use postproxy::net::transport::reactor::{Due, Owner, Reactor, owner};
+use postproxy::net::upstream::attempts::Attempts;
 use std::io::Write as _;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -62,13 +63,13 @@
 #[test]
 fn no_further_attempt_begins_for_a_client_that_has_left() {
     for way in WAYS {
-        let bed = Bed::new(2, 256);
-        let mut client = Peer::to(bed.node);
+        let harness = NodeHarness::new(2, 256);
+        let mut client = Peer::to(harness.node);
         client.submit("one");
-        let (mut worker, from) = first(&bed);
+        let (mut worker, from) = first(&harness);
         assert_eq!(worker.request().headers.get("x-request-id"), Some("one"));
         worker.write(ACCEPTED);
-        bed.settled();
+        harness.settled();
         way.sends_behind(&mut client);
         way.goes(client);
         let left = Instant::now();
@@ -79,17 +80,17 @@
         );
         assert_eq!((cancel.method.as_str(), cancel.target.as_str()), ("DELETE", "/jobs/one"), "{way:?}");
         worker.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assert_eq!(bed.call("one", from, r#""state":"lost""#), 200);
+        assert_eq!(harness.call("one", from, r#""state":"lost""#), 200);
         // Whatever it led to has been done when another job comes through.
-        let mut other = Peer::to(bed.node);
+        let mut other = Peer::to(harness.node);
         other.submit("two");
-        let (mut worker, from) = on(&bed, worker, from);
+        let (mut worker, from) = on(&harness, worker, from);
         assert_eq!(worker.request().headers.get("x-request-id"), Some("two"), "{way:?}");
         worker.write(ACCEPTED);
-        assert_eq!(bed.call("two", from, r#""state":"done","result":"r""#), 200);
+        assert_eq!(harness.call("two", from, r#""state":"done","result":"r""#), 200);
         assert_eq!(other.response().status, 200);
         drop(other);
-        for listener in &bed.workers {
+        for listener in &harness.workers {
             listener.set_nonblocking(true).expect("a setting");
             if let Ok((stream, _)) = listener.accept() {
                 stream.set_nonblocking(true).expect("a setting");
@@ -97,7 +98,7 @@
                 assert!(text.is_err(), "{way:?}: another attempt was made");
             }
         }
-        bed.stop();
+        harness.stop();
     }
 }
 
@@ -105,43 +106,43 @@
 /// be busy.
 #[test]
 fn a_client_that_leaves_is_noticed_within_a_tenth_of_a_second() {
-    let bed = Bed::new(1, 256);
+    let harness = NodeHarness::new(1, 256);
     let (mut at, mut took) = (None, Vec::new());
     for n in 0..30 {
         let (id, way) = (format!("job-{n}"), WAYS[n % WAYS.len()]);
-        let mut client = Peer::to(bed.node);
+        let mut client = Peer::to(harness.node);
         client.submit(&id);
         let (mut worker, from) = match at.take() {
-            Some((worker, from)) => on(&bed, worker, from),
-            None => first(&bed),
+            Some((worker, from)) => on(&harness, worker, from),
+            None => first(&harness),
         };
         assert_eq!(worker.request().headers.get("x-request-id"), Some(id.as_str()));
         worker.write(ACCEPTED);
-        bed.settled();
+        harness.settled();
         way.sends_behind(&mut client);
         way.goes(client);
         let left = Instant::now();
         assert_eq!(worker.request().target, format!("/jobs/{id}"));
         took.push((left.elapsed(), way));
         worker.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assert_eq!(bed.call(&id, from, r#""state":"lost""#), 200);
+        assert_eq!(harness.call(&id, from, r#""state":"lost""#), 200);
         at = Some((worker, from));
     }
     took.sort_by_key(|(time, _)| *time);
     assert!(took[26].0 < Duration::from_millis(100), "{took:?}");
     drop(at);
-    bed.stop();
+    harness.stop();
 }
 
 /// The first connection that is made to any worker, and whose.
-fn first(bed: &Bed) -> (Peer, usize) {
+fn first(harness: &NodeHarness) -> (Peer, usize) {
     let start = Instant::now();
-    for (n, listener) in bed.workers.iter().enumerate().cycle() {
+    for (n, listener) in harness.workers.iter().enumerate().cycle() {
         assert!(start.elapsed() < LIMIT, "no attempt came");
         listener.set_nonblocking(true).expect("a setting");
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).expect("a setting");
-            bed.workers.iter().for_each(|w| w.set_nonblocking(false).expect("a setting"));
+            harness.workers.iter().for_each(|w| w.set_nonblocking(false).expect("a setting"));
             return (Peer::new(stream), n);
         }
     }
@@ -149,7 +150,7 @@
 }
 
 /// The connection on which the next attempt comes: this one, or a new one.
-fn on(bed: &Bed, peer: Peer, from: usize) -> (Peer, usize) {
+fn on(harness: &NodeHarness, peer: Peer, from: usize) -> (Peer, usize) {
     let start = Instant::now();
     peer.stream.set_nonblocking(true).expect("a setting");
     loop {
@@ -158,7 +159,7 @@
             peer.stream.set_nonblocking(false).expect("a setting");
             return (peer, from);
         }
-        for (n, listener) in bed.workers.iter().enumerate() {
+        for (n, listener) in harness.workers.iter().enumerate() {
             listener.set_nonblocking(true).expect("a setting");
             if let Ok((stream, _)) = listener.accept() {
                 stream.set_nonblocking(false).expect("a setting");
@@ -172,17 +173,17 @@
 /// worker comes. In a burst, among others who stay.
 #[test]
 fn no_first_attempt_begins_for_clients_that_have_left() {
-    let bed = Bed::new(0, 1024);
-    let mut discovery = Peer::accept(&bed.discovery);
+    let harness = NodeHarness::new(0, 1024);
+    let mut discovery = Peer::accept(&harness.discovery);
     discovery.request();
     let mut clients: Vec<(Peer, Leaves)> = (0..60)
         .map(|n| {
-            let mut client = Peer::to(bed.node);
+            let mut client = Peer::to(harness.node);
             client.submit(&format!("{}-{n}", if n % 10 == 0 { "stays" } else { "leaves" }));
             (client, WAYS[n % WAYS.len()])
         })
         .collect();
-    bed.settled();
+    harness.settled();
     let (stay, leave): (Vec<_>, Vec<_>) = clients.drain(..).enumerate().partition(|(n, _)| n % 10 == 0);
     for (_, (mut client, way)) in leave {
         way.sends_behind(&mut client);
@@ -190,7 +191,7 @@
     }
     // Each of these is read after what the others had sent before; and a large rest takes some turns.
     for _ in 0..100 {
-        bed.settled();
+        harness.settled();
     }
     let worker = port();
     let member = member(0, worker.local_addr().expect("an address"), "in_service");
@@ -202,12 +203,12 @@
         assert!(id.starts_with("stays-"), "{id} is sent on for nobody");
         // Each comes on a connection of its own.
         attempt.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        assert_eq!(bed.call(&id, 0, r#""state":"done","result":"r""#), 200);
+        assert_eq!(harness.call(&id, 0, r#""state":"done","result":"r""#), 200);
     }
     for (_, (mut client, _)) in stay {
         assert_eq!(client.response().status, 200);
     }
-    bed.stop();
+    harness.stop();
 }
 
 /// Guards against an attempt that begins because it was being dialled for when the client left: the connection comes up after
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,6 +1,6 @@
 //! A node's life, with told calls and times.
 
-use postproxy::net::hub::lifecycle::Lifecycle;
+use postproxy::net::lifecycle::Lifecycle;
 use quickcheck::{Gen, QuickCheck};
 
 /// Guards against idle connections that go at once, when the front still sends and requests still cross, or
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -1,11 +1,12 @@
 //! Several processes of the real program that know each other, and faults between and in them.
 
-mod rig;
+#[path = "support/fleet_harness.rs"]
+mod fleet_harness;
 
-use postproxy::net::peers::fleet::Picture;
-use postproxy::standin::{Worker, ask};
-use postproxy_faults::{Event, Link, Schedule, Step, addresses, check, wait};
-use rig::{Fleet, MOST, Node};
+use fleet_harness::{Fleet, MOST, Node};
+use postproxy::net::cluster::service::ClusterStatus;
+use postproxy::stand_ins::{Worker, ask};
+use postproxy_fault_injection::{Event, Link, Schedule, Step, addresses, check, wait};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -234,7 +235,7 @@
     use std::io::{Read, Write};
     use std::net::TcpStream;
     let fleet = Fleet::new(3, 12, false);
-    let cluster = postproxy_members::packet::cluster("riga");
+    let cluster = postproxy_membership::packet::cluster("riga");
     let hello = |n: usize| {
         let hello = Packet::Hello { cluster, from: format!("x{n}"), life: 5, session: 1, to: "n0".into() };
         [&GREETING[..], &frame(&hello)].concat()
@@ -273,7 +274,7 @@
     fleet.whole();
     over.store(true, Ordering::SeqCst);
     floods.into_iter().for_each(|flood| flood.join().expect("it ends"));
-    let dropped = |picture: &Picture, why: &str| picture.dropped.get(why).copied().unwrap_or_default();
+    let dropped = |picture: &ClusterStatus, why: &str| picture.dropped.get(why).copied().unwrap_or_default();
     fleet.until("dropped and counted", &[0], |_, p| {
         dropped(p, "stream: too long") == 1 && dropped(p, "stream: stalled") >= 1
     });
@@ -478,7 +479,7 @@
     let mut fleet = Fleet::new(3, 17, false);
     fleet.net.part(&[0], &[2]);
     fleet.history.note("cut 0 2");
-    let line = |picture: &Picture| picture.standing == "some pairs cut" && picture.reasons.len() == 2;
+    let line = |picture: &ClusterStatus| picture.standing == "some pairs cut" && picture.reasons.len() == 2;
     fleet.until("a line", &[0, 1, 2], |_, p| line(p));
     for seconds in [1, 4, 20] {
         fleet.pause(&[2], Duration::from_secs(seconds));
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -1,20 +1,22 @@
 //! A worker is sent a further attempt of a request only once the earlier one there has ended, and was not given up.
 
-mod bed;
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
+#[path = "support/node_harness.rs"]
+mod node_harness;
 
-use bed::Peer;
-use common::*;
+use dispatcher_harness::*;
+use node_harness::Peer;
 use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId};
 use std::time::Duration;
 
 /// Takes all workers but one out of the list, and lets the request be looked at for so long.
-fn alone(bed: &mut Bed, stays: u16, due: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
+fn alone(harness: &mut DispatcherHarness, stays: u16, due: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
     let others = (0..8).filter(|n| *n != stays).map(|n| with_health(n, Health::Draining)).collect();
-    bed.list(ListKind::Delta, others);
+    harness.list(ListKind::Delta, others);
     // Requests bring the budget for copies.
-    (1000..1040).for_each(|id| drop(bed.request(id, 2)));
-    bed.run(until, due)
+    (1000..1040).for_each(|id| drop(harness.request(id, 2)));
+    harness.run(until, due)
 }
 
 /// Those of these actions that send an attempt of this request.
@@ -29,11 +31,11 @@
     for class in [0, 1] {
         for tells_start in [true, false] {
             let settings = settings(|json| json["extra"]["tells-start"] = tells_start.into());
-            let mut bed = Bed::new(settings, 8);
-            let actions = bed.request(1, class);
+            let mut harness = DispatcherHarness::new(settings, 8);
+            let actions = harness.request(1, class);
             let (to, mut due) = (sends(&actions), timers(&actions));
             let stays = u16::from(to[0].address[3]);
-            let all = alone(&mut bed, stays, &mut due, 103.9);
+            let all = alone(&mut harness, stays, &mut due, 103.9);
             assert_eq!(sends_of(&all, 1), 0, "class {class}, starts told: {tells_start}");
         }
     }
@@ -43,19 +45,19 @@
 /// that one, or miss the old one.
 #[test]
 fn a_worker_whose_attempt_was_cancelled_gets_no_other_one() {
-    let mut bed = Bed::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
-    let actions = bed.request(1, 0);
+    let mut harness = DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
+    let actions = harness.request(1, 0);
     let (first, mut due) = (sends(&actions), timers(&actions));
-    let copy = sends(&bed.run(100.3, &mut due));
-    assert_eq!(bed.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
-    bed.outcome(1, 0, first[0], Outcome::Cancelled);
+    let copy = sends(&harness.run(100.3, &mut due));
+    assert_eq!(harness.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
+    harness.outcome(1, 0, first[0], Outcome::Cancelled);
     // Only the worker of the cancelled attempt is left when the other one fails.
     let stays = u16::from(first[0].address[3]);
     let others = (0..8).filter(|n| *n != stays).map(|n| with_health(n, Health::Draining)).collect();
-    bed.list(ListKind::Delta, others);
-    let mut all = bed.outcome(1, 1, copy[0], Outcome::Reset);
+    harness.list(ListKind::Delta, others);
+    let mut all = harness.outcome(1, 1, copy[0], Outcome::Reset);
     due.extend(timers(&all));
-    all.extend(bed.run(102.0, &mut due));
+    all.extend(harness.run(102.0, &mut due));
     assert_eq!(sends_of(&all, 1), 0);
 }
 
@@ -77,12 +79,12 @@
         assert_eq!(end.proves_never_ran(false), never_ran, "{end:?}");
         assert!(!end.proves_never_ran(true) || end != Outcome::Full, "unless the settings say so");
         for class in 0..3 {
-            let mut bed = Bed::new(settings(|_| ()), 1);
-            let actions = bed.request(1, class);
+            let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
+            let actions = harness.request(1, class);
             let (to, mut due) = (sends(&actions), timers(&actions));
-            let mut all = bed.outcome(1, 0, to[0], end);
+            let mut all = harness.outcome(1, 0, to[0], end);
             due.extend(timers(&all));
-            all.extend(bed.run(103.0, &mut due));
+            all.extend(harness.run(103.0, &mut due));
             assert_eq!(sends_of(&all, 1) > 0, never_ran, "class {class}, {end:?}");
         }
     }
@@ -93,25 +95,25 @@
 #[test]
 fn a_request_whose_connection_broke_is_not_sent_to_that_worker_again() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
-        let bed = bed::Bed::with(1, 256, &[], |settings| {
+        let harness = node_harness::NodeHarness::with(1, 256, &[], |settings| {
             settings["services"][0]["effect"] = effect.into();
             settings["services"][0]["dedup-scope"] = "cell".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
-        let mut client = Peer::to(bed.node);
+        let mut client = Peer::to(harness.node);
         client.write(
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 1.0\r\nIdempotency-Key: k\r\n\
              Content-Length: 0\r\n\r\n",
         );
-        let mut worker = Peer::accept(&bed.workers[0]);
+        let mut worker = Peer::accept(&harness.workers[0]);
         assert_eq!(worker.request().headers.get("x-request-id"), Some("one"));
         socket2::SockRef::from(&worker.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
         drop(worker);
         assert_eq!(client.response().status, status, "{effect}");
-        bed.workers[0].set_nonblocking(true).expect("a setting");
-        assert!(bed.workers[0].accept().is_err(), "{effect}: a second attempt at the worker");
+        harness.workers[0].set_nonblocking(true).expect("a setting");
+        assert!(harness.workers[0].accept().is_err(), "{effect}: a second attempt at the worker");
         drop(client);
-        bed.stop();
+        harness.stop();
     }
 }
 
@@ -120,20 +122,20 @@
 #[test]
 fn a_request_of_a_keyed_class_without_a_key_is_not_sent_again() {
     for key in [true, false] {
-        let bed = bed::Bed::with(2, 256, &[], |settings| {
+        let harness = node_harness::NodeHarness::with(2, 256, &[], |settings| {
             settings["services"][0]["effect"] = "token".into();
             settings["services"][0]["dedup-scope"] = "all".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
-        let mut client = Peer::to(bed.node);
+        let mut client = Peer::to(harness.node);
         let header = if key { "Idempotency-Key: k\r\n" } else { "" };
         client.write(&format!(
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 2.0\r\n{header}Content-Length: 0\r\n\r\n"
         ));
         // The one that has it first is whichever the lottery drew.
-        bed.workers.iter().for_each(|worker| worker.set_nonblocking(true).expect("a setting"));
+        harness.workers.iter().for_each(|worker| worker.set_nonblocking(true).expect("a setting"));
         let accept = || loop {
-            if let Some((stream, _)) = bed.workers.iter().find_map(|worker| worker.accept().ok()) {
+            if let Some((stream, _)) = harness.workers.iter().find_map(|worker| worker.accept().ok()) {
                 stream.set_nonblocking(false).expect("a setting");
                 return Peer::new(stream);
             }
@@ -146,15 +148,15 @@
         if key {
             let mut second = accept();
             assert_eq!(second.request().headers.get("x-request-id"), Some("one"));
-            second.write(bed::ACCEPTED);
-            let done = |n| bed.call("one", n, r#""state":"done","result":"r""#);
+            second.write(node_harness::ACCEPTED);
+            let done = |n| harness.call("one", n, r#""state":"done","result":"r""#);
             assert_eq!((done(0), done(1)), (200, 200));
             assert_eq!(client.response().status, 200);
         } else {
             assert_eq!(client.response().status, 502, "failed: it may have run, and must not run twice");
-            assert!(bed.workers.iter().all(|worker| worker.accept().is_err()), "a second attempt");
+            assert!(harness.workers.iter().all(|worker| worker.accept().is_err()), "a second attempt");
         }
         drop(client);
-        bed.stop();
+        harness.stop();
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,9 +1,9 @@
 //! The real program as operators run it, under load from stand-in clients and workers: workers taken out of use, the
 //! node drained, its process replaced while it serves, on a listener that all processes inherit.
 
-use postproxy::net::ground::http::{self, Read as Parsed};
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::addresses;
+use postproxy::net::transport::http::{self, Read as Parsed};
+use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy_fault_injection::addresses;
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -25,7 +25,7 @@
 
 /// One process of the node, and its door.
 struct Process {
-    it: postproxy_faults::Process,
+    it: postproxy_fault_injection::Process,
     door: SocketAddr,
 }
 
@@ -45,7 +45,7 @@
             ended = self.it.ended();
             ended.is_some()
         };
-        assert!(postproxy_faults::wait(LIMIT, end), "it does not end");
+        assert!(postproxy_fault_injection::wait(LIMIT, end), "it does not end");
         (start.elapsed(), ended == Some(true))
     }
 }
@@ -109,8 +109,10 @@
         let (mut command, door) = self.command();
         change(&mut command);
         let start = Instant::now();
-        let process =
-            Process { it: postproxy_faults::Process::of(&mut command).expect("the program starts"), door };
+        let process = Process {
+            it: postproxy_fault_injection::Process::of(&mut command).expect("the program starts"),
+            door,
+        };
         while !ask(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|a| a.status == 200) {
             assert!(start.elapsed() < ms(6000), "its yes is late");
             sleep(ms(2));
@@ -197,7 +199,7 @@
     loop {
         let size = stream.read(&mut bytes).ok().filter(|size| *size > 0)?;
         input.extend(&bytes[..size]);
-        if let Parsed::Whole(response, _) = http::read_response(&input, false, http::MOST_BODY).ok()? {
+        if let Parsed::Whole(response, _) = http::read_response(&input, false, http::MAX_BODY_BYTES).ok()? {
             return Some(response);
         }
     }
@@ -351,7 +353,7 @@
     let load = Load::start(bed.address, 6);
     load.more(60);
     // The first six may all go to others, which are then known to have room: one job in twenty goes to one not heard of.
-    assert!(postproxy_faults::wait(LIMIT, || bed.run_by(0) > 0), "it is never drawn");
+    assert!(postproxy_fault_injection::wait(LIMIT, || bed.run_by(0) > 0), "it is never drawn");
     assert_eq!(process.post("/v1/route-workers/nobody/suspend"), 404);
     assert_eq!(process.post("/v1/route-workers/s-0/suspend"), 200);
     assert_eq!(process.post("/v1/route-workers/s%2D0/suspend"), 200, "twice");
@@ -544,7 +546,8 @@
     first.it.pause();
     let (mut command, door) = bed.command();
     let mut early = Process {
-        it: postproxy_faults::Process::of(command.stderr(Stdio::null())).expect("the program starts"),
+        it: postproxy_fault_injection::Process::of(command.stderr(Stdio::null()))
+            .expect("the program starts"),
         door,
     };
     let start = Instant::now();
