--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,57 +1,60 @@
 //! The decision module alone: the mechanism, and one small test for each failure found.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
+use dispatcher_harness::*;
 use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId};
 use std::collections::BTreeMap;
 
 /// Sends `count` safe requests, one by one, each ended at once without a report; counts the choices.
-fn choices(bed: &mut Bed, count: u64) -> BTreeMap<u16, u64> {
+fn choices(harness: &mut DispatcherHarness, count: u64) -> BTreeMap<u16, u64> {
     let mut chosen = BTreeMap::new();
     for id in 1000..1000 + count {
-        let to = sends(&bed.request(id, 0));
+        let to = sends(&harness.request(id, 0));
         assert_eq!(to.len(), 1, "one attempt for request {id}");
         *chosen.entry(u16::from(to[0].address[3])).or_insert(0) += 1;
-        bed.event(Event::ClientGone { request: id });
-        bed.outcome(id, 0, to[0], Outcome::Cancelled);
+        harness.event(Event::ClientGone { request: id });
+        harness.outcome(id, 0, to[0], Outcome::Cancelled);
     }
     chosen
 }
 
 /// Gives worker `n` a report in the answer of a job that it has just served.
-fn report(bed: &mut Bed, id: RequestId, n: u16, figures: Vec<f32>) {
+fn report(harness: &mut DispatcherHarness, id: RequestId, n: u16, figures: Vec<f32>) {
     // Drains all others, so that the job has to go to `n`.
     let others = (0..8).filter(|&o| o != n).map(|o| with_health(o, Health::Draining)).collect();
-    bed.list(ListKind::Delta, others);
-    let to = sends(&bed.request(id, 0));
+    harness.list(ListKind::Delta, others);
+    let to = sends(&harness.request(id, 0));
     assert_eq!(to, [worker(n)]);
-    bed.answer(id, 0, to[0], Outcome::Ok, figures);
-    bed.list(ListKind::Delta, (0..8).map(entry).collect());
+    harness.answer(id, 0, to[0], Outcome::Ok, figures);
+    harness.list(ListKind::Delta, (0..8).map(entry).collect());
 }
 
 #[test]
 fn without_reports_all_workers_are_drawn_alike() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
-    let chosen = choices(&mut bed, 8000);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+    let chosen = choices(&mut harness, 8000);
     assert_eq!(chosen.len(), 8);
     assert!(chosen.values().all(|&n| (850..1150).contains(&n)), "{chosen:?}");
 }
 
 #[test]
 fn tickets_are_inverse_to_load_and_correction() {
-    let mut bed =
-        Bed::new(settings(|s| s["extra"]["class-stretch"] = serde_json::json!([12.0, 2.0, 2.0])), 2);
+    let mut harness = DispatcherHarness::new(
+        settings(|s| s["extra"]["class-stretch"] = serde_json::json!([12.0, 2.0, 2.0])),
+        2,
+    );
     // Both full (no free slot); worker 0 has 1 waiting, worker 1 has 7.
     for (id, n, queue) in [(1, 0, 2.0), (2, 1, 8.0)] {
-        bed.list(ListKind::Delta, vec![with_health(1 - n, Health::Draining)]);
-        let to = sends(&bed.request(id, 0));
-        bed.answer(id, 0, to[0], Outcome::Ok, vec![queue, 0.0]);
-        bed.list(ListKind::Delta, vec![entry(0), entry(1)]);
+        harness.list(ListKind::Delta, vec![with_health(1 - n, Health::Draining)]);
+        let to = sends(&harness.request(id, 0));
+        harness.answer(id, 0, to[0], Outcome::Ok, vec![queue, 0.0]);
+        harness.list(ListKind::Delta, vec![entry(0), entry(1)]);
     }
     // Loads are 1 and 7 (the job that ended is taken off), so tickets stand 1/2 to 1/8. The long stretch
     // of the aim lets jobs join either queue.
-    let chosen = choices(&mut bed, 5000);
+    let chosen = choices(&mut harness, 5000);
     let ratio = chosen[&0] as f64 / chosen[&1] as f64;
     assert!((3.2..4.8).contains(&ratio), "{ratio}");
 }
@@ -60,35 +63,35 @@
 /// that they are gone; their ends do.
 #[test]
 fn the_correction_counts_own_jobs_until_they_end() {
-    let mut bed = Bed::new(settings(|_| ()), 1);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
     let mut ids = 1..;
-    let mut send = |bed: &mut Bed| {
+    let mut send = |harness: &mut DispatcherHarness| {
         let id = ids.next().unwrap_or(0);
-        (id, sends(&bed.request(id, 2)))
+        (id, sends(&harness.request(id, 2)))
     };
     // A first answer shows four free slots: room for the one that ended and four more.
-    let (first, to) = send(&mut bed);
-    bed.answer(first, 0, to[0], Outcome::Ok, vec![0.0, 4.0]);
-    let placed: Vec<_> = (0..40).map(|_| send(&mut bed)).filter(|(_, to)| !to.is_empty()).collect();
+    let (first, to) = send(&mut harness);
+    harness.answer(first, 0, to[0], Outcome::Ok, vec![0.0, 4.0]);
+    let placed: Vec<_> = (0..40).map(|_| send(&mut harness)).filter(|(_, to)| !to.is_empty()).collect();
     // Own sends use the room up although no report has shown them: the rest is held, not queued late.
     assert!((4..20).contains(&placed.len()), "{}", placed.len());
-    assert!(send(&mut bed).1.is_empty(), "held while the correction fills the worker");
+    assert!(send(&mut harness).1.is_empty(), "held while the correction fills the worker");
     // A report of old that shows it empty does not clear the correction.
-    bed.now += 0.2;
-    bed.answer(placed[0].0, 0, worker(0), Outcome::Ok, vec![0.0, 4.0]);
-    let held: Vec<_> = (0..3).flat_map(|_| send(&mut bed).1).collect();
+    harness.now += 0.2;
+    harness.answer(placed[0].0, 0, worker(0), Outcome::Ok, vec![0.0, 4.0]);
+    let held: Vec<_> = (0..3).flat_map(|_| send(&mut harness).1).collect();
     assert!(held.len() <= 1, "at most the place of the one that ended: {held:?}");
     // The ends of all of them do, in a report or without one.
     for (id, _) in &placed[1..] {
-        bed.answer(*id, 0, worker(0), Outcome::Ok, vec![]);
+        harness.answer(*id, 0, worker(0), Outcome::Ok, vec![]);
     }
-    assert_eq!(send(&mut bed).1, [worker(0)]);
+    assert_eq!(send(&mut harness).1, [worker(0)]);
 }
 
 #[test]
 fn a_job_counts_the_slots_it_needs() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
-    report(&mut bed, 1, 3, vec![0.0, 4.0]);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+    report(&mut harness, 1, 3, vec![0.0, 4.0]);
     // Worker 3 is known to have four free slots: a job of four goes there, and then there is no room.
     let wide = |request| {
         Event::Request(NewRequest {
@@ -100,8 +103,8 @@
             ..Default::default()
         })
     };
-    assert_eq!(sends(&bed.event(wide(2))), [worker(3)]);
-    let next: Vec<_> = (3..33).flat_map(|id| sends(&bed.request(id, 2))).collect();
+    assert_eq!(sends(&harness.event(wide(2))), [worker(3)]);
+    let next: Vec<_> = (3..33).flat_map(|id| sends(&harness.request(id, 2))).collect();
     assert!(next.iter().filter(|w| **w == worker(3)).count() < 10, "{next:?}");
 }
 
@@ -109,13 +112,13 @@
 /// answers most would be sent most.
 #[test]
 fn a_worker_just_heard_of_does_not_take_all_jobs() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for n in 0..8 {
-        report(&mut bed, 1 + u64::from(n), n, vec![0.0, 4.0]);
+        report(&mut harness, 1 + u64::from(n), n, vec![0.0, 4.0]);
     }
-    bed.now += 0.3;
-    report(&mut bed, 9, 5, vec![0.0, 4.0]);
-    let chosen = choices(&mut bed, 80);
+    harness.now += 0.3;
+    report(&mut harness, 9, 5, vec![0.0, 4.0]);
+    let chosen = choices(&mut harness, 80);
     assert!(chosen.len() == 8 && chosen[&5] <= 25, "{chosen:?}");
 }
 
@@ -124,44 +127,44 @@
 #[test]
 fn a_client_of_little_patience_is_served() {
     let marks = |s: &mut serde_json::Value| s["client-habits"] = serde_json::json!({"marks-retry": true});
-    let mut bed = Bed::new(settings(marks), 8);
-    let ask = |bed: &mut Bed, request, budget, repeat| {
+    let mut harness = DispatcherHarness::new(settings(marks), 8);
+    let ask = |harness: &mut DispatcherHarness, request, budget, repeat| {
         let (class, hint, slots) = (2, Some(0.2), 1.0);
         let new = NewRequest { request, class, budget, repeat, hint, slots, ..NewRequest::default() };
-        sends(&bed.event(Event::Request(new))).len()
+        sends(&harness.event(Event::Request(new))).len()
     };
-    assert_eq!(ask(&mut bed, 1, 10.0, false), 1);
-    assert_eq!(ask(&mut bed, 2, 4.0, true), 0, "a later try, too late to be of use");
+    assert_eq!(ask(&mut harness, 1, 10.0, false), 1);
+    assert_eq!(ask(&mut harness, 2, 4.0, true), 0, "a later try, too late to be of use");
     for request in 3..6 {
-        assert_eq!(ask(&mut bed, request, 1.0, false), 1, "a first try");
+        assert_eq!(ask(&mut harness, request, 1.0, false), 1, "a first try");
     }
-    assert_eq!(ask(&mut bed, 6, 0.9, true), 1, "its budget says nothing of its age now");
+    assert_eq!(ask(&mut harness, 6, 0.9, true), 1, "its budget says nothing of its age now");
 }
 
 #[test]
 fn known_room_limits_the_draw() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
-    report(&mut bed, 1, 5, vec![0.0, 3.0]);
-    assert_eq!(sends(&bed.request(2, 0)), [worker(5)]);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+    report(&mut harness, 1, 5, vec![0.0, 3.0]);
+    assert_eq!(sends(&harness.request(2, 0)), [worker(5)]);
     // An old report promises nothing.
-    bed.now += 60.0;
-    let chosen = choices(&mut bed, 400);
+    harness.now += 60.0;
+    let chosen = choices(&mut harness, 400);
     assert!(chosen.len() == 8, "{chosen:?}");
 }
 
 #[test]
 fn late_reports_lose_belief_after_broken_promises() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..30 {
-        report(&mut bed, 2 * id + 1, 5, vec![0.0, 3.0]);
-        let to = sends(&bed.request(2 * id + 2, 2));
+        report(&mut harness, 2 * id + 1, 5, vec![0.0, 3.0]);
+        let to = sends(&harness.request(2 * id + 2, 2));
         // Room was promised, the job takes far beyond its aim.
-        bed.now += 5.0;
-        bed.answer(2 * id + 2, 0, to[0], Outcome::Ok, vec![0.0, 3.0]);
+        harness.now += 5.0;
+        harness.answer(2 * id + 2, 0, to[0], Outcome::Ok, vec![0.0, 3.0]);
     }
     let mut all = BTreeMap::new();
     for id in 1000..1040 {
-        for to in sends(&bed.request(id, 0)) {
+        for to in sends(&harness.request(id, 0)) {
             *all.entry(to).or_insert(0) += 1;
         }
     }
@@ -170,23 +173,23 @@
 
 #[test]
 fn probes_come_before_the_draw_where_allowed() {
-    let mut bed = Bed::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
-    let asked = bed.request(1, 2);
+    let mut harness = DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
+    let asked = harness.request(1, 2);
     let sample = probes(&asked);
     assert_eq!((sample.len(), sends(&asked).len()), (3, 0));
-    assert_eq!(bed.probed(sample[0], Outcome::Ok, vec![4.0, 0.0]), []);
-    assert_eq!(bed.probed(sample[1], Outcome::Ok, vec![0.0, 4.0]), []);
-    let placed = bed.probed(sample[2], Outcome::Ok, vec![9.0, 0.0]);
+    assert_eq!(harness.probed(sample[0], Outcome::Ok, vec![4.0, 0.0]), []);
+    assert_eq!(harness.probed(sample[1], Outcome::Ok, vec![0.0, 4.0]), []);
+    let placed = harness.probed(sample[2], Outcome::Ok, vec![9.0, 0.0]);
     assert!(sends(&placed) == [sample[1]] || probes(&placed).len() == 3, "{placed:?}");
 }
 
 #[test]
 fn probes_are_bounded_under_overload() {
     // Found on an overloaded day: held jobs asked again and again, 50 probes a request.
-    let mut bed = Bed::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
+    let mut harness = DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
     let (mut due, mut asked) = (Vec::new(), 0);
     for id in 0..50 {
-        let mut actions = bed.request(id, 2);
+        let mut actions = harness.request(id, 2);
         while let Some(Action::Probe { worker }) =
             actions.iter().find(|a| matches!(a, Action::Probe { .. })).cloned()
         {
@@ -194,31 +197,31 @@
             due.extend(timers(&actions));
             actions = probes(&actions)
                 .into_iter()
-                .flat_map(|w| bed.probed(w, Outcome::Ok, vec![30.0, 0.0]))
+                .flat_map(|w| harness.probed(w, Outcome::Ok, vec![30.0, 0.0]))
                 .collect();
             let _ = worker;
         }
         due.extend(timers(&actions));
-        let until = bed.now + 0.2;
-        asked += probes(&bed.run(until, &mut due)).len();
+        let until = harness.now + 0.2;
+        asked += probes(&harness.run(until, &mut due)).len();
     }
     assert!(asked <= 50 * 5 + 50 + 3, "{asked}");
 }
 
 #[test]
 fn a_held_job_is_placed_when_workers_come() {
-    let mut bed = Bed::new(settings(|_| ()), 0);
-    let mut due = timers(&bed.request(1, 2));
-    bed.list(ListKind::Delta, vec![entry(1)]);
-    let until = bed.now + 1.0;
-    assert_eq!(sends(&bed.run(until, &mut due)), [worker(1)]);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
+    let mut due = timers(&harness.request(1, 2));
+    harness.list(ListKind::Delta, vec![entry(1)]);
+    let until = harness.now + 1.0;
+    assert_eq!(sends(&harness.run(until, &mut due)), [worker(1)]);
 }
 
 #[test]
 fn an_empty_list_ends_in_a_refusal_in_time() {
-    let mut bed = Bed::new(settings(|_| ()), 0);
-    let mut due = timers(&bed.request(1, 2));
-    let actions = bed.run(110.0, &mut due);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
+    let mut due = timers(&harness.request(1, 2));
+    let actions = harness.run(110.0, &mut due);
     assert!(refused(&actions) && !failed(&actions) && sends(&actions).is_empty());
 }
 
@@ -227,32 +230,32 @@
     for outcome in
         [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled, Outcome::Unknown(999)]
     {
-        let mut bed = Bed::new(settings(|_| ()), 8);
-        let to = sends(&bed.request(1, 2));
-        let actions = bed.outcome(1, 0, to[0], outcome);
+        let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+        let to = sends(&harness.request(1, 2));
+        let actions = harness.outcome(1, 0, to[0], outcome);
         assert!(failed(&actions) && !refused(&actions) && sends(&actions).is_empty(), "{outcome:?}");
     }
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut bed = Bed::new(settings(|_| ()), 8);
-        let to = sends(&bed.request(1, 2));
-        let again = sends(&bed.outcome(1, 0, to[0], outcome));
+        let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+        let to = sends(&harness.request(1, 2));
+        let again = sends(&harness.outcome(1, 0, to[0], outcome));
         assert!(again.len() == 1 && again != to, "{outcome:?}");
     }
 }
 
 #[test]
 fn a_keyed_job_goes_again_only_in_its_cell_and_window() {
-    let mut bed = Bed::new(settings(|_| ()), 16);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 16);
     for id in 1..40 {
-        let first = sends(&bed.request(id, 1));
-        let again = sends(&bed.outcome(id, 0, first[0], Outcome::Error));
+        let first = sends(&harness.request(id, 1));
+        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Error));
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].address[3] / 4, first[0].address[3] / 4);
         assert_ne!(again, first);
     }
-    let first = sends(&bed.request(99, 1));
-    bed.now += 3.9;
-    assert!(sends(&bed.outcome(99, 0, first[0], Outcome::Error)).is_empty(), "the window is nearly over");
+    let first = sends(&harness.request(99, 1));
+    harness.now += 3.9;
+    assert!(sends(&harness.outcome(99, 0, first[0], Outcome::Error)).is_empty(), "the window is nearly over");
 }
 
 /// Guards against a repeat that is decided inside its window and arrives outside: a connection may take `dial-timeout` to
@@ -260,10 +263,11 @@
 #[test]
 fn a_keyed_job_goes_again_only_where_it_arrives_in_its_window() {
     let after = |window: f64, pause: f64, seed: u64| {
-        let mut bed = Bed::new(settings(|json| json["services"][1]["memory-span"] = window.into()), 16);
-        let first = sends(&bed.request(seed, 1));
-        bed.now += pause;
-        sends(&bed.outcome(seed, 0, first[0], Outcome::Reset)).len()
+        let mut harness =
+            DispatcherHarness::new(settings(|json| json["services"][1]["memory-span"] = window.into()), 16);
+        let first = sends(&harness.request(seed, 1));
+        harness.now += pause;
+        sends(&harness.outcome(seed, 0, first[0], Outcome::Reset)).len()
     };
     for seed in 1..20 {
         assert_eq!(after(0.1, 0.01, seed), 0, "the connection alone may take 0.25 s");
@@ -276,13 +280,13 @@
 #[test]
 fn a_silent_safe_job_is_copied_and_an_unsafe_one_is_not() {
     for (class, copies) in [(0, 1), (2, 0)] {
-        let mut bed = Bed::new(settings(|_| ()), 8);
-        let actions = bed.request(1, class);
+        let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+        let actions = harness.request(1, class);
         let (to, mut due) = (sends(&actions), timers(&actions));
-        bed.run(103.0, &mut due);
+        harness.run(103.0, &mut due);
         // Budget for copies comes with requests.
-        (10..30).for_each(|id| drop(bed.request(id, 2)));
-        let copy = sends(&bed.run(104.9, &mut due));
+        (10..30).for_each(|id| drop(harness.request(id, 2)));
+        let copy = sends(&harness.run(104.9, &mut due));
         assert_eq!(copy.len(), copies, "class {class}");
         assert!(!copy.contains(&to[0]));
     }
@@ -291,12 +295,12 @@
 #[test]
 fn a_job_that_tells_no_start_is_moved_and_the_waiting_copy_called_back() {
     // Found where probes are forbidden: figures are too old, but a start is told at once.
-    let mut bed = Bed::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
-    let actions = bed.request(1, 0);
+    let mut harness = DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
+    let actions = harness.request(1, 0);
     let (to, mut due) = (sends(&actions), timers(&actions));
-    let copy = sends(&bed.run(100.3, &mut due));
+    let copy = sends(&harness.run(100.3, &mut due));
     assert!(copy.len() == 1 && copy != to);
-    assert_eq!(bed.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
+    assert_eq!(harness.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
 }
 
 /// Guards against queues that nobody sees where workers report nothing, in which all jobs come too late: what other dispatchers
@@ -304,22 +308,22 @@
 #[test]
 fn where_nothing_is_reported_no_job_joins_a_queue_in_which_it_would_be_late() {
     for (dispatchers, sent) in [(4, 2), (1, 3)] {
-        let mut bed = Bed::new(
+        let mut harness = DispatcherHarness::new(
             settings(|s| {
                 s["balancers"] = dispatchers.into();
                 s["report"] = serde_json::json!({"fields": [], "via": "none"});
             }),
             2,
         );
-        let first: Vec<_> = (1..=3).map(|id| bed.request(id, 0)).collect();
+        let first: Vec<_> = (1..=3).map(|id| harness.request(id, 0)).collect();
         let mut due = first.iter().flat_map(|actions| timers(actions)).collect();
         let to: Vec<_> = first.iter().flat_map(|actions| sends(actions)).collect();
         assert_eq!(to.len(), sent, "{dispatchers} dispatchers");
         if sent == 2 {
             assert_ne!(to[0], to[1]);
             // It is held, and not for ever: it goes where one ends.
-            bed.outcome(1, 0, to[0], Outcome::Ok);
-            assert_eq!(sends(&bed.run(100.4, &mut due)), [to[0]]);
+            harness.outcome(1, 0, to[0], Outcome::Ok);
+            assert_eq!(sends(&harness.run(100.4, &mut due)), [to[0]]);
         }
     }
 }
@@ -327,7 +331,7 @@
 /// Guards against copies that double the load of a fleet that is full already, where nothing tells that it is.
 #[test]
 fn where_nothing_is_reported_copies_keep_to_a_budget() {
-    let mut bed = Bed::new(
+    let mut harness = DispatcherHarness::new(
         settings(|s| {
             s["extra"]["tells-start"] = true.into();
             s["report"] = serde_json::json!({"fields": [], "via": "none"});
@@ -336,13 +340,13 @@
     );
     let mut copies = 0;
     for id in 0..400 {
-        let actions = bed.request(id, 0);
+        let actions = harness.request(id, 0);
         let (to, mut due) = (sends(&actions), timers(&actions));
-        let copy = sends(&bed.run(bed.now + 0.3, &mut due));
+        let copy = sends(&harness.run(harness.now + 0.3, &mut due));
         copies += copy.len();
-        bed.event(Event::ClientGone { request: id });
+        harness.event(Event::ClientGone { request: id });
         for (to, attempt) in to.into_iter().chain(copy).zip(0..) {
-            bed.outcome(id, attempt, to, Outcome::Cancelled);
+            harness.outcome(id, attempt, to, Outcome::Cancelled);
         }
     }
     // One in twenty, and those that may be saved for a bad moment.
@@ -351,27 +355,27 @@
 
 #[test]
 fn nothing_goes_to_a_worker_told_draining_or_gone() {
-    let mut bed = Bed::new(settings(|_| ()), 3);
-    bed.list(ListKind::Delta, vec![with_health(0, Health::Draining)]);
-    assert!(!choices(&mut bed, 200).contains_key(&0));
-    bed.list(ListKind::Full, vec![entry(2)]);
-    assert_eq!(choices(&mut bed, 50).into_keys().collect::<Vec<_>>(), [2]);
-    bed.list(ListKind::Cached, vec![with_health(2, Health::Gone), entry(1)]);
-    assert_eq!(choices(&mut bed, 50).into_keys().collect::<Vec<_>>(), [1]);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 3);
+    harness.list(ListKind::Delta, vec![with_health(0, Health::Draining)]);
+    assert!(!choices(&mut harness, 200).contains_key(&0));
+    harness.list(ListKind::Full, vec![entry(2)]);
+    assert_eq!(choices(&mut harness, 50).into_keys().collect::<Vec<_>>(), [2]);
+    harness.list(ListKind::Cached, vec![with_health(2, Health::Gone), entry(1)]);
+    assert_eq!(choices(&mut harness, 50).into_keys().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
 fn a_cold_worker_gets_its_share_of_capacity_and_no_more() {
     // Found on a deploy day: a cold worker that must also win the draw stays idle.
-    let mut bed = Bed::new(settings(|_| ()), 10);
-    bed.list(ListKind::Delta, vec![Entry { started: 100.0, ..entry(0) }]);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 10);
+    harness.list(ListKind::Delta, vec![Entry { started: 100.0, ..entry(0) }]);
     let mut cold = 0;
     for id in 0..20_000 {
         // Time passes, so that the budget for one window does not bind; the clock of its start goes along.
-        bed.now += 3.0;
-        bed.list(ListKind::Delta, vec![Entry { started: bed.now, ..entry(0) }]);
+        harness.now += 3.0;
+        harness.list(ListKind::Delta, vec![Entry { started: harness.now, ..entry(0) }]);
         let (request, class, budget, hint) = (id, 2, 10.0, Some(0.1));
-        let to = sends(&bed.event(Event::Request(NewRequest {
+        let to = sends(&harness.event(Event::Request(NewRequest {
             request,
             class,
             budget,
@@ -380,7 +384,7 @@
         })));
         assert_eq!(to.len(), 1, "request {id}");
         cold += to.iter().filter(|w| **w == worker(0)).count();
-        bed.outcome(id, 0, to[0], Outcome::Ok);
+        harness.outcome(id, 0, to[0], Outcome::Ok);
     }
     // A tenth of the fleet at a fifth of its capacity carries 2% of the work; three times that tips it over.
     // Passes give 0.7 of that, 840 on average.
@@ -389,12 +393,12 @@
 
 #[test]
 fn one_dispatcher_does_not_spend_a_cold_workers_budget() {
-    let mut bed = Bed::new(settings(|_| ()), 2);
-    bed.list(
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 2);
+    harness.list(
         ListKind::Full,
         vec![Entry { started: 100.0, ..entry(0) }, Entry { started: 100.0, ..entry(1) }],
     );
-    let sent: usize = (0..3000).map(|id| sends(&bed.request(id, 2)).len()).sum();
+    let sent: usize = (0..3000).map(|id| sends(&harness.request(id, 2)).len()).sum();
     // Both cold: 3 x 0.2 x 1 slot x 2 s = 1.2 s of work tips one over; a second job of 0.5 s comes too near.
     assert_eq!(sent, 2);
 }
@@ -402,18 +406,18 @@
 #[test]
 fn a_full_fleet_is_not_stormed() {
     // Found in an incident: every job tried worker after worker, all full, and its client came back at once.
-    let mut bed = Bed::new(settings(|_| ()), 8);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let (mut sent, mut due) = (0, Vec::new());
     for id in 0..200 {
-        let mut actions = bed.request(id, 2);
+        let mut actions = harness.request(id, 2);
         let mut number = 0;
         while let [to] = sends(&actions)[..] {
             (sent, number) = (sent + 1, number + 1);
             due.extend(timers(&actions));
-            actions = bed.answer(id, number - 1, to, Outcome::Full, vec![20.0, 0.0]);
+            actions = harness.answer(id, number - 1, to, Outcome::Full, vec![20.0, 0.0]);
         }
         due.extend(timers(&actions));
-        bed.now += 0.01;
+        harness.now += 0.01;
     }
     assert!(sent < 200, "{sent} attempts for 200 requests");
 }
@@ -421,64 +425,64 @@
 #[test]
 fn a_dispatcher_that_hears_nothing_tries_again() {
     // Found on crash days: a holding dispatcher gets no reports, so its idea of the load never fell.
-    let mut bed = Bed::new(settings(|_| ()), 8);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..40 {
-        for to in sends(&bed.request(id, 0)) {
-            bed.answer(id, 0, to, Outcome::Ok, vec![30.0, 0.0]);
+        for to in sends(&harness.request(id, 0)) {
+            harness.answer(id, 0, to, Outcome::Ok, vec![30.0, 0.0]);
         }
     }
-    bed.now += 60.0;
-    assert_eq!(sends(&bed.request(99, 0)).len(), 1);
+    harness.now += 60.0;
+    assert_eq!(sends(&harness.request(99, 0)).len(), 1);
 }
 
 #[test]
 fn failing_workers_leave_the_draw_but_never_all() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
-    let to = sends(&bed.request(1, 2));
-    bed.outcome(1, 0, to[0], Outcome::Error);
-    let chosen: Vec<_> = (2..60).flat_map(|id| sends(&bed.request(id, 2))).collect();
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
+    let to = sends(&harness.request(1, 2));
+    harness.outcome(1, 0, to[0], Outcome::Error);
+    let chosen: Vec<_> = (2..60).flat_map(|id| sends(&harness.request(id, 2))).collect();
     assert!(chosen.len() == 58 && !chosen.contains(&to[0]));
     // When most fail, the cause is elsewhere, and jobs still go out.
     for (id, to) in (2..60).zip(chosen) {
-        bed.outcome(id, 0, to, Outcome::Error);
+        harness.outcome(id, 0, to, Outcome::Error);
     }
-    assert_eq!(sends(&bed.request(100, 2)).len(), 1);
+    assert_eq!(sends(&harness.request(100, 2)).len(), 1);
 }
 
 #[test]
 fn the_list_is_asked_for_and_asked_again_after_failures() {
-    let mut bed = Bed::new(settings(|s| s["discovery"] = "on_request".into()), 0);
-    let mut bed2 = Bed::new(settings(|_| ()), 0);
-    for (bed, asks) in [(&mut bed, true), (&mut bed2, false)] {
+    let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
+    let mut bed2 = DispatcherHarness::new(settings(|_| ()), 0);
+    for (harness, asks) in [(&mut harness, true), (&mut bed2, false)] {
         let fresh = postproxy::Dispatcher::new(
             settings(|s| s["discovery"] = if asks { "on_request" } else { "pushed" }.into()),
             3,
         );
-        bed.dispatcher = fresh.expect("sound settings");
-        let mut due = timers(&bed.list(ListKind::Cached, vec![entry(0)]));
-        let watched = bed.run(110.0, &mut due).contains(&Action::Watch);
+        harness.dispatcher = fresh.expect("sound settings");
+        let mut due = timers(&harness.list(ListKind::Cached, vec![entry(0)]));
+        let watched = harness.run(110.0, &mut due).contains(&Action::Watch);
         assert_eq!(watched, asks);
         if asks {
-            due = timers(&bed.list(ListKind::Failed, Vec::new()));
-            assert!(bed.run(118.0, &mut due).contains(&Action::Watch), "asked again after a failure");
-            bed.list(ListKind::Delta, Vec::new());
-            assert!(!bed.run(300.0, &mut due).contains(&Action::Watch), "not while subscribed");
+            due = timers(&harness.list(ListKind::Failed, Vec::new()));
+            assert!(harness.run(118.0, &mut due).contains(&Action::Watch), "asked again after a failure");
+            harness.list(ListKind::Delta, Vec::new());
+            assert!(!harness.run(300.0, &mut due).contains(&Action::Watch), "not while subscribed");
         }
     }
 }
 
 #[test]
 fn unknown_and_unsound_input_is_ignored() {
-    let mut bed = Bed::new(settings(|_| ()), 4);
-    assert_eq!(bed.outcome(77, 0, worker(1), Outcome::Ok), []);
-    assert_eq!(bed.outcome(77, 9, worker(999), Outcome::Error), []);
-    assert_eq!(bed.note(77, 3, Note::Started), []);
-    assert_eq!(bed.probed(worker(999), Outcome::Ok, vec![f32::NAN]), []);
-    assert_eq!(bed.event(Event::Timer { token: u64::MAX }), []);
-    assert_eq!(bed.event(Event::ClientGone { request: 5 }), []);
-    let to = sends(&bed.request(1, 0));
-    bed.answer(1, 0, to[0], Outcome::Ok, vec![f32::NAN, f32::NEG_INFINITY, 3.0]);
-    bed.list(ListKind::Delta, vec![Entry { size: f64::NAN, started: -1.0, ..entry(2) }]);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 4);
+    assert_eq!(harness.outcome(77, 0, worker(1), Outcome::Ok), []);
+    assert_eq!(harness.outcome(77, 9, worker(999), Outcome::Error), []);
+    assert_eq!(harness.note(77, 3, Note::Started), []);
+    assert_eq!(harness.probed(worker(999), Outcome::Ok, vec![f32::NAN]), []);
+    assert_eq!(harness.event(Event::Timer { token: u64::MAX }), []);
+    assert_eq!(harness.event(Event::ClientGone { request: 5 }), []);
+    let to = sends(&harness.request(1, 0));
+    harness.answer(1, 0, to[0], Outcome::Ok, vec![f32::NAN, f32::NEG_INFINITY, 3.0]);
+    harness.list(ListKind::Delta, vec![Entry { size: f64::NAN, started: -1.0, ..entry(2) }]);
     let odd = NewRequest {
         request: 2,
         class: 0,
@@ -487,49 +491,49 @@
         hint: Some(-1.0),
         ..Default::default()
     };
-    let actions = bed.event(Event::Request(odd));
+    let actions = harness.event(Event::Request(odd));
     let mut due = timers(&actions);
-    let actions = [actions, bed.run(101.0, &mut due)].concat();
+    let actions = [actions, harness.run(101.0, &mut due)].concat();
     assert!(refused(&actions), "a request without a budget is answered at once: {actions:?}");
-    assert!(failed(&bed.request(3, 200)), "a class that is not in the settings");
-    assert_eq!(sends(&bed.request(4, 0)).len(), 1);
+    assert!(failed(&harness.request(3, 200)), "a class that is not in the settings");
+    assert_eq!(sends(&harness.request(4, 0)).len(), 1);
 }
 
 #[test]
 fn memory_and_timers_stay_bounded() {
-    let mut bed = Bed::new(settings(|_| ()), 8);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let mut due = Vec::new();
     for id in 0..20_000 {
-        let actions = bed.request(id, 0);
+        let actions = harness.request(id, 0);
         due.extend(timers(&actions));
         for to in sends(&actions) {
-            bed.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
+            harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
         }
-        let until = bed.now + 0.01;
-        bed.run(until, &mut due);
+        let until = harness.now + 0.01;
+        harness.run(until, &mut due);
     }
     // Two timers a request, those of the last five seconds.
     assert!(due.len() <= 2 * 501 + 10, "{}", due.len());
-    assert_eq!(bed.run(1000.0, &mut due), [], "stale timers do nothing");
+    assert_eq!(harness.run(1000.0, &mut due), [], "stale timers do nothing");
 }
 
 #[test]
 fn memory_counts_as_room_where_it_is_told() {
-    let mut bed = Bed::new(
+    let mut harness = DispatcherHarness::new(
         settings(|s| {
             s["report"]["fields"] = serde_json::json!(["backlog", "x0", "x1"]);
             s["extra"]["report-x1"] = "free memory".into();
         }),
         8,
     );
-    report(&mut bed, 1, 5, vec![0.0, 3.0, 2.0]);
+    report(&mut harness, 1, 5, vec![0.0, 3.0, 2.0]);
     let job = |request, memory| {
         let (class, budget, hint) = (2, 10.0, Some(0.5));
         Event::Request(NewRequest { request, class, budget, hint, slots: 1.0, memory, ..Default::default() })
     };
-    let large: Vec<_> = (100..120).flat_map(|id| sends(&bed.event(job(id, 3.0)))).collect();
+    let large: Vec<_> = (100..120).flat_map(|id| sends(&harness.event(job(id, 3.0)))).collect();
     assert!(large.iter().any(|w| *w != worker(5)), "no room for it there: drawn among all");
-    let mut bed2 = Bed::new(settings(|_| ()), 8);
+    let mut bed2 = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut bed2, 1, 5, vec![0.0, 3.0]);
     assert_eq!(sends(&bed2.event(job(2, 3.0))), [worker(5)], "memory that is not told is no limit");
 }
@@ -547,12 +551,12 @@
         s["services"][0]["confined-to"] = serde_json::json!([0]);
         s["services"][1]["allowed-on"] = serde_json::json!([0]);
     };
-    let mut bed = Bed::new(settings(bound), 0);
-    bed.list(ListKind::Full, (0..8).map(placed).collect());
+    let mut harness = DispatcherHarness::new(settings(bound), 0);
+    harness.list(ListKind::Full, (0..8).map(placed).collect());
     let mut due = Vec::new();
     for id in 0..60 {
         let class = (id % 3) as u8;
-        let mut actions = bed.request(id, class);
+        let mut actions = harness.request(id, class);
         for attempt in 0..3 {
             due.extend(timers(&actions));
             let [to] = sends(&actions)[..] else { break };
@@ -562,21 +566,21 @@
                 1 => assert_eq!(n % 2, 0, "a zone that is not named is free"),
                 _ => {}
             }
-            actions = bed.outcome(id, attempt, to, Outcome::Full);
+            actions = harness.outcome(id, attempt, to, Outcome::Full);
         }
     }
     // Those permitted are down, others are idle: held, then refused, never sent elsewhere.
-    bed.now += 60.0;
-    bed.list(ListKind::Delta, [1, 3].map(|n| Entry { health: Health::Gone, ..placed(n) }).to_vec());
-    let mut due = timers(&bed.request(100, 0));
-    let actions = bed.run(bed.now + 6.0, &mut due);
+    harness.now += 60.0;
+    harness.list(ListKind::Delta, [1, 3].map(|n| Entry { health: Health::Gone, ..placed(n) }).to_vec());
+    let mut due = timers(&harness.request(100, 0));
+    let actions = harness.run(harness.now + 6.0, &mut due);
     assert!(sends(&actions).is_empty() && refused(&actions));
     // Copies of silent jobs and sends to cold workers pass the same guard.
-    bed.list(ListKind::Delta, vec![Entry { started: bed.now, ..placed(0) }, placed(1), placed(3)]);
+    harness.list(ListKind::Delta, vec![Entry { started: harness.now, ..placed(0) }, placed(1), placed(3)]);
     for id in 200..240 {
-        let mut actions = bed.request(id, 0);
+        let mut actions = harness.request(id, 0);
         let mut due = timers(&actions);
-        actions.extend(bed.run(bed.now + 0.8, &mut due));
+        actions.extend(harness.run(harness.now + 0.8, &mut due));
         assert!(sends(&actions).iter().all(|w| [1, 3].contains(&w.address[3])), "{actions:?}");
     }
 }
@@ -584,23 +588,28 @@
 #[test]
 fn a_place_that_no_worker_is_in_admits_none() {
     for (key, value) in [("allowed-on", 70_000), ("confined-to", 9)] {
-        let mut bed = Bed::new(settings(|s| s["services"][0][key] = serde_json::json!([value])), 8);
-        let mut due = timers(&bed.request(1, 0));
-        let actions = bed.run(106.0, &mut due);
+        let mut harness =
+            DispatcherHarness::new(settings(|s| s["services"][0][key] = serde_json::json!([value])), 8);
+        let mut due = timers(&harness.request(1, 0));
+        let actions = harness.run(106.0, &mut due);
         assert!(sends(&actions).is_empty() && refused(&actions), "{key}");
     }
 }
 
 /// Sends further attempts as long as the module makes them: each send fails to connect.
-fn further_attempts(bed: &mut Bed, ids: std::ops::Range<u64>, due: &mut Vec<(f64, u64)>) -> usize {
+fn further_attempts(
+    harness: &mut DispatcherHarness,
+    ids: std::ops::Range<u64>,
+    due: &mut Vec<(f64, u64)>,
+) -> usize {
     let mut further = 0;
     for id in ids {
-        let mut actions = bed.request(id, 0);
+        let mut actions = harness.request(id, 0);
         let mut attempt = 0;
         while let [to] = sends(&actions)[..] {
             further += usize::from(attempt > 0);
             due.extend(timers(&actions));
-            actions = bed.outcome(id, attempt, to, Outcome::ConnectFailed);
+            actions = harness.outcome(id, attempt, to, Outcome::ConnectFailed);
             attempt += 1;
         }
         due.extend(timers(&actions));
@@ -615,70 +624,70 @@
         s["rules"]["repeat-ratio"] = 0.1.into();
         s["rules"]["look-back"] = 5.0.into();
     };
-    let mut bed = Bed::new(settings(budget), 8);
+    let mut harness = DispatcherHarness::new(settings(budget), 8);
     let mut due = Vec::new();
     // Each request would go again three times; ten are taken, so five further attempts are allowed.
-    assert_eq!(further_attempts(&mut bed, 0..10, &mut due), 5);
+    assert_eq!(further_attempts(&mut harness, 0..10, &mut due), 5);
     // The end of a request doesn't give back what it has spent.
-    (0..10).for_each(|request| drop(bed.event(Event::ClientGone { request })));
-    bed.now += 4.9;
-    assert_eq!(further_attempts(&mut bed, 10..19, &mut due), 0);
+    (0..10).for_each(|request| drop(harness.event(Event::ClientGone { request })));
+    harness.now += 4.9;
+    assert_eq!(further_attempts(&mut harness, 10..19, &mut due), 0);
     // Once those are out of the window, only what was taken within it counts.
-    bed.now += 0.2;
-    assert_eq!(further_attempts(&mut bed, 19..30, &mut due), 4 + 2);
+    harness.now += 0.2;
+    assert_eq!(further_attempts(&mut harness, 19..30, &mut due), 4 + 2);
     // Where no budget is stated there is none.
-    let mut free = Bed::new(settings(|_| ()), 8);
+    let mut free = DispatcherHarness::new(settings(|_| ()), 8);
     assert_eq!(further_attempts(&mut free, 0..10, &mut due), 30);
 }
 
 #[test]
 fn full_is_no_proof_where_that_is_stated() {
     // Found on the first days of a deployment whose workers shed work that they had begun.
-    let mut bed = Bed::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
-    let to = sends(&bed.request(1, 2));
-    let actions = bed.outcome(1, 0, to[0], Outcome::Full);
+    let mut harness = DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
+    let to = sends(&harness.request(1, 2));
+    let actions = harness.outcome(1, 0, to[0], Outcome::Full);
     assert!(failed(&actions) && !refused(&actions) && sends(&actions).is_empty(), "{actions:?}");
     for id in 2..30 {
-        let first = sends(&bed.request(id, 1));
-        let again = sends(&bed.outcome(id, 0, first[0], Outcome::Full));
+        let first = sends(&harness.request(id, 1));
+        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Full));
         assert!(again.iter().all(|w| w.address[3] / 4 == first[0].address[3] / 4), "inside its cell");
-        bed.event(Event::ClientGone { request: id });
-        bed.now += 5.0;
+        harness.event(Event::ClientGone { request: id });
+        harness.now += 5.0;
     }
-    let first = sends(&bed.request(50, 1));
-    bed.now += 3.9;
-    let late = bed.outcome(50, 0, first[0], Outcome::Full);
+    let first = sends(&harness.request(50, 1));
+    harness.now += 3.9;
+    let late = harness.outcome(50, 0, first[0], Outcome::Full);
     assert!(failed(&late) && !refused(&late), "its window is over: {late:?}");
     // A connection that failed still proves it.
-    let to = sends(&bed.request(60, 2));
-    assert_eq!(sends(&bed.outcome(60, 0, to[0], Outcome::ConnectFailed)).len(), 1);
+    let to = sends(&harness.request(60, 2));
+    assert_eq!(sends(&harness.outcome(60, 0, to[0], Outcome::ConnectFailed)).len(), 1);
 }
 
 #[test]
 fn a_job_that_no_send_can_help_is_answered_at_once() {
     // Nothing left to earn: held while the list is empty, and late answers are worth nothing.
-    let mut bed = Bed::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
-    let mut due = timers(&bed.request(1, 0));
-    let actions = bed.run(100.0 + 0.4 + 1.5 * 0.5, &mut due);
+    let mut harness = DispatcherHarness::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
+    let mut due = timers(&harness.request(1, 0));
+    let actions = harness.run(100.0 + 0.4 + 1.5 * 0.5, &mut due);
     let after =
         |a: &Action| if let Action::Refuse { retry_after, .. } = a { Some(*retry_after) } else { None };
     assert!(actions.iter().find_map(after).is_some_and(|s| s > 0.0), "with advice when to come back");
     // Too little time left for the job to run anywhere, though late answers earn something.
-    let mut bed = Bed::new(settings(|_| ()), 0);
-    let mut due = timers(&bed.request(1, 0));
-    assert!(!refused(&bed.run(104.8, &mut due)) && refused(&bed.run(104.9, &mut due)));
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
+    let mut due = timers(&harness.request(1, 0));
+    assert!(!refused(&harness.run(104.8, &mut due)) && refused(&harness.run(104.9, &mut due)));
     // Attempts used up.
-    let mut bed = Bed::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
-    let to = sends(&bed.request(1, 0));
-    assert!(refused(&bed.outcome(1, 0, to[0], Outcome::Full)));
+    let mut harness = DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
+    let to = sends(&harness.request(1, 0));
+    assert!(refused(&harness.outcome(1, 0, to[0], Outcome::Full)));
     // The group's window over while the group is away.
-    let mut bed = Bed::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
-    let first = bed.request(1, 1);
+    let mut harness = DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
+    let first = harness.request(1, 1);
     let (to, mut due) = (sends(&first), timers(&first));
     let cell = u16::from(to[0].address[3]) / 4;
-    bed.list(ListKind::Delta, (4 * cell..4 * cell + 4).map(|n| with_health(n, Health::Gone)).collect());
-    due.extend(timers(&bed.outcome(1, 0, to[0], Outcome::Reset)));
-    assert!(!failed(&bed.run(103.25, &mut due)) && failed(&bed.run(103.45, &mut due)));
+    harness.list(ListKind::Delta, (4 * cell..4 * cell + 4).map(|n| with_health(n, Health::Gone)).collect());
+    due.extend(timers(&harness.outcome(1, 0, to[0], Outcome::Reset)));
+    assert!(!failed(&harness.run(103.25, &mut due)) && failed(&harness.run(103.45, &mut due)));
 }
 
 #[test]
@@ -718,49 +727,49 @@
 #[test]
 fn a_worker_that_turns_a_class_away_loses_tickets_for_it() {
     // Found where workers turned one class away though they had room: idle, they won every draw.
-    let mut bed = Bed::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
-    let turn_away = |bed: &mut Bed, id: u64| {
-        report(bed, id, 3, vec![0.0, 3.0]);
-        let to = sends(&bed.request(id + 1, 2));
+    let mut harness = DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
+    let turn_away = |harness: &mut DispatcherHarness, id: u64| {
+        report(harness, id, 3, vec![0.0, 3.0]);
+        let to = sends(&harness.request(id + 1, 2));
         assert_eq!(to, [worker(3)], "the report promises room");
-        bed.answer(id + 1, 0, to[0], Outcome::Full, vec![0.0, 4.0]);
+        harness.answer(id + 1, 0, to[0], Outcome::Full, vec![0.0, 4.0]);
     };
-    turn_away(&mut bed, 1);
-    let to_it = |bed: &mut Bed, class, ids: std::ops::Range<u64>| {
+    turn_away(&mut harness, 1);
+    let to_it = |harness: &mut DispatcherHarness, class, ids: std::ops::Range<u64>| {
         let count = ids.end - ids.start;
         let mut hits = 0;
         for id in ids {
-            let to = sends(&bed.request(id, class));
+            let to = sends(&harness.request(id, class));
             hits += to.iter().filter(|w| **w == worker(3)).count() as u64;
-            bed.event(Event::ClientGone { request: id });
+            harness.event(Event::ClientGone { request: id });
             for to in to {
-                bed.outcome(id, 0, to, Outcome::Cancelled);
+                harness.outcome(id, 0, to, Outcome::Cancelled);
             }
         }
         (hits, count)
     };
-    let (hits, count) = to_it(&mut bed, 2, 100..300);
+    let (hits, count) = to_it(&mut harness, 2, 100..300);
     assert!(hits < count / 20, "its room is not believed for that class: {hits} of {count}");
-    let (hits, count) = to_it(&mut bed, 0, 300..320);
+    let (hits, count) = to_it(&mut harness, 0, 300..320);
     assert!(hits > count / 2, "other classes still go there: {hits} of {count}");
     // It is forgiven in time.
-    bed.now += 120.0;
-    let (hits, count) = to_it(&mut bed, 2, 400..1200);
+    harness.now += 120.0;
+    let (hits, count) = to_it(&mut harness, 2, 400..1200);
     assert!((count / 16..count / 5).contains(&hits), "{hits} of {count}");
 }
 
 #[test]
 fn on_a_large_fleet_all_workers_stay_in_the_draw() {
     // A draw is over a part of the fleet, a fresh one each time; repeats look at all of their few workers.
-    let mut bed = Bed::new(settings(|_| ()), 250);
-    let chosen = choices(&mut bed, 10_000);
+    let mut harness = DispatcherHarness::new(settings(|_| ()), 250);
+    let chosen = choices(&mut harness, 10_000);
     assert_eq!(chosen.len(), 250);
     assert!(chosen.values().all(|&n| (10..80).contains(&n)), "{chosen:?}");
     for id in 20_000..20_040 {
-        let first = sends(&bed.request(id, 1));
-        let again = sends(&bed.outcome(id, 0, first[0], Outcome::Error));
+        let first = sends(&harness.request(id, 1));
+        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Error));
         assert!(again.len() == 1 && again[0].address[3] / 4 == first[0].address[3] / 4);
-        bed.now += 5.0;
+        harness.now += 5.0;
     }
 }
 
@@ -768,7 +777,7 @@
 fn a_job_that_has_not_started_gets_a_copy_where_there_is_room() {
     // Found at full size: reports are old when they come, and jobs wait behind others while workers idle.
     for (cancel, copies) in [(true, 1), (false, 0)] {
-        let mut bed = Bed::new(
+        let mut harness = DispatcherHarness::new(
             settings(|s| {
                 s["limits"]["may-probe"] = true.into();
                 s["limits"]["cancel"] = cancel.into();
@@ -778,19 +787,19 @@
             }),
             8,
         );
-        let answer = |bed: &mut Bed, actions: &[Action]| -> Vec<Action> {
-            probes(actions).into_iter().flat_map(|w| bed.probed(w, Outcome::Ok, vec![0.0, 4.0])).collect()
+        let answer = |harness: &mut DispatcherHarness, actions: &[Action]| -> Vec<Action> {
+            probes(actions).into_iter().flat_map(|w| harness.probed(w, Outcome::Ok, vec![0.0, 4.0])).collect()
         };
-        let asked = bed.request(1, 0);
-        let sent = answer(&mut bed, &asked);
+        let asked = harness.request(1, 0);
+        let sent = answer(&mut harness, &asked);
         let (first, mut due) = (sends(&sent), [timers(&asked), timers(&sent)].concat());
         assert_eq!(first.len(), 1);
-        let looked = bed.run(100.3, &mut due);
-        let again = [answer(&mut bed, &looked), looked].concat();
+        let looked = harness.run(100.3, &mut due);
+        let again = [answer(&mut harness, &looked), looked].concat();
         assert_eq!(sends(&again).len(), copies, "a waiting copy must be called back: {cancel}");
         assert!(!sends(&again).contains(&first[0]));
         if cancel {
-            assert_eq!(bed.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
+            assert_eq!(harness.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
         }
     }
 }
@@ -799,7 +808,7 @@
 fn an_unsafe_job_stakes_its_only_try_on_no_long_queue() {
     // Found under overload where full proves nothing: a fifth of the jobs ended for good on full queues.
     for (shed_begun, sent) in [(false, 1), (true, 0)] {
-        let mut bed = Bed::new(
+        let mut harness = DispatcherHarness::new(
             settings(|s| {
                 s["services"][0]["late-value"] = 1.0.into();
                 s["services"][2]["late-value"] = 0.5.into();
@@ -807,8 +816,8 @@
             }),
             8,
         );
-        (0..8).for_each(|n| report(&mut bed, u64::from(n) + 1, n, vec![6.0, 0.0]));
-        assert_eq!(sends(&bed.request(99, 2)).len(), sent, "{shed_begun}");
+        (0..8).for_each(|n| report(&mut harness, u64::from(n) + 1, n, vec![6.0, 0.0]));
+        assert_eq!(sends(&harness.request(99, 2)).len(), sent, "{shed_begun}");
     }
 }
 
@@ -816,19 +825,19 @@
 /// against a node that stops asking: ten minutes without an answer.
 #[test]
 fn a_dead_discovery_is_asked_at_a_steady_pace() {
-    let mut bed = Bed::new(settings(|s| s["discovery"] = "on_request".into()), 3);
-    let mut timers = timers(&bed.list(ListKind::Failed, Vec::new()));
-    let mut asked = vec![bed.now];
-    while bed.now < 700.0 {
+    let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 3);
+    let mut timers = timers(&harness.list(ListKind::Failed, Vec::new()));
+    let mut asked = vec![harness.now];
+    while harness.now < 700.0 {
         timers.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (at, token) = timers.remove(0);
-        bed.now = at;
-        let mut actions = bed.event(Event::Timer { token });
+        harness.now = at;
+        let mut actions = harness.event(Event::Timer { token });
         if actions.iter().any(|a| matches!(a, Action::Watch)) {
-            asked.push(bed.now);
-            actions.extend(bed.list(ListKind::Failed, Vec::new()));
+            asked.push(harness.now);
+            actions.extend(harness.list(ListKind::Failed, Vec::new()));
         }
-        timers.extend(common::timers(&actions));
+        timers.extend(dispatcher_harness::timers(&actions));
         assert!(timers.len() <= 6, "{} timers at once", timers.len());
     }
     assert!((60..=200).contains(&asked.len()), "{} calls", asked.len());
@@ -840,22 +849,22 @@
 #[test]
 fn a_worker_not_heard_of_is_drawn_beside_others_with_room() {
     for seed in 0..40 {
-        let mut bed = Bed::new(settings(|_| ()), 0);
-        bed.dispatcher = Dispatcher::new(settings(|_| ()), seed).expect("sound settings");
-        bed.list(ListKind::Full, (0..4).map(entry).collect());
+        let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
+        harness.dispatcher = Dispatcher::new(settings(|_| ()), seed).expect("sound settings");
+        harness.list(ListKind::Full, (0..4).map(entry).collect());
         let (mut first, mut running) = ([None; 4], Vec::<(f64, RequestId, _)>::new());
         for request in 0..400 {
             // The job that ends first makes place for the next one.
             if running.len() == 6 {
                 let next = (0..6).min_by(|a, b| running[*a].0.total_cmp(&running[*b].0)).unwrap_or(0);
                 let (at, id, to) = running.swap_remove(next);
-                bed.now = at;
-                bed.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
+                harness.now = at;
+                harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
             }
-            let [to] = sends(&bed.request(request, 0))[..] else { panic!("seed {seed}: held") };
+            let [to] = sends(&harness.request(request, 0))[..] else { panic!("seed {seed}: held") };
             let n = usize::from(to.address[3]);
             first[n].get_or_insert(request);
-            running.push((bed.now + 0.015 + 0.04 * n as f64, request, to));
+            running.push((harness.now + 0.015 + 0.04 * n as f64, request, to));
         }
         assert!(first.iter().all(Option::is_some), "seed {seed}: first jobs {first:?}");
     }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -111,7 +111,7 @@
             let mut line = String::new();
             assert!(log.read_line(&mut line).expect("a line") > 0, "the log ended");
             // That discovery is not there is told as often as it is noticed.
-            if !line.contains("postproxy::net::back::farm") {
+            if !line.contains("postproxy::net::upstream::worker_list") {
                 return line.trim().to_owned();
             }
         }
@@ -180,7 +180,7 @@
 /// that say nothing of damage.
 #[test]
 fn a_store_can_be_looked_at() {
-    use postproxy_ledger::{Asked, Ledger, Limits, Write as Change};
+    use postproxy_idempotency::{Limits, RequestIdentity, RequestLog, Write as Change};
     use postproxy_store::{Change as Op, Engine, Options, OsDisk};
     let folder =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tools-{}", std::process::id()));
@@ -192,12 +192,12 @@
         (output.status.code(), text(&output.stdout), text(&output.stderr))
     };
     assert!(run(&["stat", dir]).0 == Some(1) && !folder.exists());
-    let mut ledger = Ledger::new(Limits::default());
+    let mut ledger = RequestLog::new(Limits::default());
     let disk = OsDisk::new(&folder).expect("a folder");
     let mut engine = Engine::open(vec![disk], Options::default(), "a test", 7, 0).expect("a store").0;
     for n in 0..3 {
         let id = format!("job-{n}");
-        let asked = Asked { id: &id, key: Some("k"), class: "day-plan", digest: [7; 32] };
+        let asked = RequestIdentity { id: &id, key: Some("k"), class: "day-plan", digest: [7; 32] };
         for write in ledger.intend(4e9, &asked, "s-1", 4e9 + 12.0) {
             let Change::Put { key, value, until } = write else { panic!("a put") };
             engine.append(&[Op::Put { key: &key, value: &value, until }]).expect("room");
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,12 +1,13 @@
 //! What all dispatchers together send to workers that have just started: in told time, with workers that run what they get,
 //! uneven traffic, restarts of dispatchers in the middle, and further attempts counted.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::{settings, worker};
-use postproxy::interface::{Action, Entry, Event, ListKind, NewRequest, Outcome, Settings};
-use postproxy::policy::Dispatcher;
-use postproxy::random::Random;
+use dispatcher_harness::{settings, worker};
+use postproxy::decision::dispatcher::Dispatcher;
+use postproxy::decision::interface::{Action, Entry, Event, ListKind, NewRequest, Outcome, Settings};
+use postproxy::decision::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,9 +2,10 @@
 //!
 //! Nothing here models queues: the generator only draws legal events with a fixed seed.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
+use dispatcher_harness::*;
 use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,13 +1,13 @@
 //! Settings of other customers: generated, odd, absent. They end in an error that names the key, or in a dispatcher that keeps
 //! its promises in told time.
 
-use postproxy::interface::{
+use postproxy::decision::dispatcher::Dispatcher;
+use postproxy::decision::interface::{
     Action, Effect, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings, SettingsError, WorkerId,
 };
+use postproxy::decision::random::Random;
 use postproxy::net::Config;
-use postproxy::policy::Dispatcher;
-use postproxy::random::Random;
-use postproxy_remedy::Remedy;
+use postproxy_diagnostics::Diagnostic;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -175,9 +175,9 @@
                     let ran: Vec<_> = a.attempts.iter().filter(|(.., ran)| *ran).collect();
                     let inside = |at: f64, to: (u8, u16)| {
                         let group = match class.group {
-                            postproxy::interface::Group::All => true,
-                            postproxy::interface::Group::Zone => to.0 == home(n).0,
-                            postproxy::interface::Group::Cell => to == home(n),
+                            postproxy::decision::interface::Group::All => true,
+                            postproxy::decision::interface::Group::Zone => to.0 == home(n).0,
+                            postproxy::decision::interface::Group::Cell => to == home(n),
                         };
                         group && now + set.dial_timeout < at + class.window
                     };
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,8 +1,8 @@
 //! The real program where something is short: descriptors, discovery, time at a start.
 
-use postproxy::net::ground::http;
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::addresses;
+use postproxy::net::transport::http;
+use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy_fault_injection::addresses;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
--- a/tests/common/mod.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -36,18 +36,18 @@
 }
 
 /// A dispatcher under test.
-pub struct Bed {
+pub struct DispatcherHarness {
     pub dispatcher: Dispatcher,
     pub now: f64,
 }
 
-impl Bed {
+impl DispatcherHarness {
     /// A dispatcher with a full list of `workers` workers.
     pub fn new(settings: Settings, workers: u16) -> Self {
         let dispatcher = Dispatcher::new(settings, 7).expect("settings of the tests are sound");
-        let mut bed = Self { dispatcher, now: 100.0 };
-        bed.list(ListKind::Full, (0..workers).map(entry).collect());
-        bed
+        let mut harness = Self { dispatcher, now: 100.0 };
+        harness.list(ListKind::Full, (0..workers).map(entry).collect());
+        harness
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
--- a/tests/rig/mod.rs
+++ b/tests/support/fleet_harness.rs
@@ -1,9 +1,9 @@
 //! A fleet of processes of the real program, with relays between them, for tests.
 #![allow(dead_code)]
 
-use postproxy::net::peers::fleet::Picture;
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::{Event, History, Net, Process, Step, addresses, wait};
+use postproxy::net::cluster::service::ClusterStatus;
+use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy_fault_injection::{Event, History, Net, Process, Step, addresses, wait};
 use socket2::Socket;
 use std::net::SocketAddr;
 use std::os::fd::AsRawFd;
@@ -186,7 +186,7 @@
         self.history.note(format!("wake {nodes:?}"));
     }
 
-    pub fn picture(&self, n: usize) -> Option<Picture> {
+    pub fn picture(&self, n: usize) -> Option<ClusterStatus> {
         let answer = ask(self.nodes[n].door, "GET", "/v1/fleet/members", &[], b"").ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
@@ -206,7 +206,7 @@
     }
 
     /// Waits until a condition holds for the picture that each of these nodes gives.
-    pub fn until(&self, what: &str, nodes: &[usize], holds: impl Fn(usize, &Picture) -> bool) {
+    pub fn until(&self, what: &str, nodes: &[usize], holds: impl Fn(usize, &ClusterStatus) -> bool) {
         let all = || nodes.iter().all(|n| self.picture(*n).is_some_and(|picture| holds(*n, &picture)));
         assert!(wait(MOST, all), "{what}: {}", self.told());
         self.history.note(what);
--- a/tests/bed/mod.rs
+++ b/tests/support/node_harness.rs
@@ -1,7 +1,7 @@
 //! A whole node on loopback: the test plays client, worker and discovery in turn, on blocking sockets.
 #![allow(dead_code)]
 
-use postproxy::net::ground::http::{self, Request};
+use postproxy::net::transport::http::{self, Request};
 use postproxy::net::{Config, Node};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -59,7 +59,7 @@
 
     pub fn response(&mut self) -> http::Response {
         loop {
-            let read = http::read_response(&self.input, false, http::MOST_BODY).expect("a response");
+            let read = http::read_response(&self.input, false, http::MAX_BODY_BYTES).expect("a response");
             if let http::Read::Whole(response, size) = read {
                 self.input.drain(..size);
                 return response;
@@ -89,7 +89,7 @@
 
 pub const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-pub struct Bed {
+pub struct NodeHarness {
     pub node: SocketAddr,
     pub workers: Vec<TcpListener>,
     pub discovery: TcpListener,
@@ -113,7 +113,7 @@
     )
 }
 
-impl Bed {
+impl NodeHarness {
     pub fn new(workers: usize, sockets: usize) -> Self {
         Self::listing(workers, sockets, &[], 60.0)
     }
--- a/tests/transaction.rs
+++ b/tests/transaction.rs
@@ -1,10 +1,10 @@
 //! The hub without sockets: one final answer, one outcome for each send, call-backs in any order.
 
-use postproxy::net::hub::requests::Hub;
-use postproxy::net::words::Reply;
-use postproxy::net::words::{
+use postproxy::net::messages::Reply;
+use postproxy::net::messages::{
     Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload, Submission,
 };
+use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
 
 const SETTINGS: &str = r#"{
@@ -16,7 +16,7 @@
     "extra": {"report-x0": "free slots"}}"#;
 
 struct Bed {
-    hub: Hub,
+    hub: RequestManager,
     now: f64,
     timers: Vec<(f64, Due)>,
 }
@@ -27,7 +27,8 @@
     }
 
     fn with(workers: u16, settings: &str) -> Self {
-        let hub = Hub::new(Settings::from_json(settings).expect("sound settings"), 7).expect("a hub");
+        let hub =
+            RequestManager::new(Settings::from_json(settings).expect("sound settings"), 7).expect("a hub");
         let mut bed = Self { hub, now: 1000.0, timers: Vec::new() };
         let member = |n: u16| Member {
             id: format!("s-{n}"),
@@ -239,7 +240,8 @@
 #[test]
 fn what_exceeds_max_open_fails_at_once() {
     let settings = SETTINGS.replace("\"max-attempts\"", "\"max-open\": 1, \"max-attempts\"");
-    let mut hub = Hub::new(Settings::from_json(&settings).expect("sound settings"), 7).expect("a hub");
+    let mut hub =
+        RequestManager::new(Settings::from_json(&settings).expect("sound settings"), 7).expect("a hub");
     let mut out = Vec::new();
     for (client, id) in [(1, "a"), (2, "b")] {
         let payload = Payload { id: id.into(), ..Payload::default() };
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,13 +1,14 @@
 //! A change counts as told 6 s after discovery had it and could be reached, whatever calls came to: in told time, over
 //! every way in which a call can fail, with the dispatcher that draws by what it has been told.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::{sends, worker};
-use postproxy::interface::{Entry, Event, Health, ListKind, NewRequest, Outcome, Settings};
-use postproxy::net::back::watch::{BESIDE, Call, LATE, PATIENCE, Schedule, WAIT};
-use postproxy::policy::Dispatcher;
-use postproxy::random::Random;
+use dispatcher_harness::{sends, worker};
+use postproxy::decision::dispatcher::Dispatcher;
+use postproxy::decision::interface::{Entry, Event, Health, ListKind, NewRequest, Outcome, Settings};
+use postproxy::decision::random::Random;
+use postproxy::net::upstream::watch::{BESIDE, Call, LATE, PATIENCE, Schedule, WAIT};
 
 /// From when discovery has a change and can be reached, it counts as told after so long, in seconds.
 const TOLD: f64 = 6.0;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Frames: the worked examples of the wire's description, round trips and hostile input.
 
-use postproxy::wire::{Batch, Record, Reply, WireError, read_batch};
+use postproxy::simulator_protocol::{Batch, Record, Reply, WireError, read_batch};
 use postproxy::{Action, Event, Health, ListKind, Note, Outcome, Settings, WorkerId};
 
 fn hex(text: &str) -> Vec<u8> {
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -1,10 +1,10 @@
 //! The list of workers and the calls for it: real connections to a stand-in for discovery that does what the test says,
 //! and a time that is told.
 
-use postproxy::interface::{Health, ListKind, Settings};
-use postproxy::net::back::worker_list::{Kept, List, WorkerList};
-use postproxy::net::ground::reactor::{Due, Owner, Reactor, owner};
-use postproxy::net::words::Input;
+use postproxy::decision::interface::{Health, ListKind, Settings};
+use postproxy::net::messages::Input;
+use postproxy::net::transport::reactor::{Due, Owner, Reactor, owner};
+use postproxy::net::upstream::worker_list::{Kept, List, WorkerList};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
