--- a/benches/node.rs
+++ b/benches/node.rs
@@ -41,12 +41,18 @@
 /// Sections of three nodes that know each other.
 fn fleet() -> Vec<FleetSection> {
     // Addresses of their own: a port that is free for datagrams may be taken for streams.
-    let seeds: Vec<String> =
-        postproxy_fault_injection::addresses(3).into_iter().map(|ip| format!("{ip}:7946")).collect();
+    let seeds: Vec<String> = postproxy_fault_injection::addresses(3)
+        .into_iter()
+        .map(|ip| format!("{ip}:7946"))
+        .collect();
     let section = |at: &String| {
-        let fleet = serde_json::json!({"cluster": "bench", "listen": at, "seeds": seeds, "voters": ["n0"]});
+        let fleet =
+            serde_json::json!({"cluster": "bench", "listen": at, "seeds": seeds, "voters": ["n0"]});
         let text = serde_json::json!({"fleet": fleet}).to_string();
-        Operator::from_json(&text).expect("a section").fleet.expect("it is there")
+        Operator::from_json(&text)
+            .expect("a section")
+            .fleet
+            .expect("it is there")
     };
     seeds.iter().map(section).collect()
 }
@@ -72,11 +78,17 @@
             break;
         }
         let id = format!("id-{number}-{job}");
-        let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "10"), ("Connection", "close")];
+        let fields = [
+            ("X-Request-Id", id.as_str()),
+            ("X-Deadline", "10"),
+            ("Connection", "close"),
+        ];
         match ask(node, "POST", "/day-plan/x", &fields, b"work") {
             Ok(answer) if answer.status == 200 => {
                 served += 1;
-                latency.record(began.elapsed().as_micros() as u64).expect("in range");
+                latency
+                    .record(began.elapsed().as_micros() as u64)
+                    .expect("in range");
             }
             _ => other += 1,
         }
@@ -85,8 +97,9 @@
 }
 
 fn line(name: &str, store: Option<StoreSection>, fleet: Vec<FleetSection>) -> f64 {
-    let workers: Vec<Worker> =
-        (0..4).map(|n| Worker::start(&format!("s-{n}"), Duration::ZERO).expect("a worker")).collect();
+    let workers: Vec<Worker> = (0..4)
+        .map(|n| Worker::start(&format!("s-{n}"), Duration::ZERO).expect("a worker"))
+        .collect();
     let discovery = Discovery::start(&workers).expect("discovery");
     let mut config_of = config(discovery.address, store);
     let mut fleet = fleet.into_iter();
@@ -103,8 +116,11 @@
     workers.iter().for_each(|worker| worker.reports_to(address));
     thread::sleep(Duration::from_millis(200));
     let (start, end) = (Instant::now(), Instant::now() + TIME);
-    let clients: Vec<_> = (0..CLIENTS).map(|n| thread::spawn(move || client(n, address, end))).collect();
-    let (mut served, mut other, mut latency) = (0, 0, Histogram::<u64>::new(3).expect("a histogram"));
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|n| thread::spawn(move || client(n, address, end)))
+        .collect();
+    let (mut served, mut other, mut latency) =
+        (0, 0, Histogram::<u64>::new(3).expect("a histogram"));
     for client in clients {
         let (own, others, times) = client.join().expect("a client");
         (served, other) = (served + own, other + others);
@@ -119,7 +135,12 @@
     }
     workers.iter().for_each(Worker::stop);
     let at = |q| latency.value_at_quantile(q) as f64 / 1e3;
-    println!("| {name} | {rate:.0} | {other} | {:.2} | {:.2} | {:.2} |", at(0.5), at(0.99), turn * 1e3);
+    println!(
+        "| {name} | {rate:.0} | {other} | {:.2} | {:.2} | {:.2} |",
+        at(0.5),
+        at(0.99),
+        turn * 1e3
+    );
     rate
 }
 
@@ -140,12 +161,16 @@
             }
             if now > Duration::from_secs(5) {
                 let list = r#"{"revision": 1, "complete": true, "targets": []}"#;
-                let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+                let answer = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+                    list.len()
+                );
                 let _ = stream.write_all(answer.as_bytes());
             }
         }
     });
-    let folder = std::env::temp_dir().join(format!("postproxy-mass-{}-{fleet}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("postproxy-mass-{}-{fleet}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let seeds: Vec<String> = own.iter().take(3).map(|ip| format!("{ip}:7946")).collect();
     let nodes: Vec<_> = own
@@ -178,10 +203,19 @@
     drop(nodes);
     let calls: Vec<f64> = calls.try_iter().collect();
     let busiest = |from: f64, to: f64| {
-        let within: Vec<f64> = calls.iter().copied().filter(|at| (from..to).contains(at)).collect();
+        let within: Vec<f64> = calls
+            .iter()
+            .copied()
+            .filter(|at| (from..to).contains(at))
+            .collect();
         within
             .iter()
-            .map(|at| within.iter().filter(|other| (*at..*at + 0.1).contains(*other)).count())
+            .map(|at| {
+                within
+                    .iter()
+                    .filter(|other| (*at..*at + 0.1).contains(*other))
+                    .count()
+            })
             .max()
             .unwrap_or(0)
     };
@@ -239,8 +273,11 @@
     println!("| --- | --- | --- | --- | --- | --- |");
     for round in 0..2 {
         let folder = |name: &str| {
-            let folder =
-                format!("{}/node-{}-{round}-{name}", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+            let folder = format!(
+                "{}/node-{}-{round}-{name}",
+                env!("CARGO_TARGET_TMPDIR"),
+                std::process::id()
+            );
             let mut section = StoreSection::of(&folder, None);
             section.patience_ms = 5000;
             section
@@ -251,6 +288,8 @@
         line("off", None, Vec::new());
         line("on", Some(on), Vec::new());
         line("on, 500 ms a sync", Some(slow), Vec::new());
-        folders.iter().for_each(|folder| std::fs::remove_dir_all(folder).expect("it was there"));
+        folders
+            .iter()
+            .for_each(|folder| std::fs::remove_dir_all(folder).expect("it was there"));
     }
 }
--- a/benches/request_manager.rs
+++ b/benches/request_manager.rs
@@ -18,40 +18,73 @@
     "extra": {"report-x0": "free slots"}}"#;
 
 fn hub() -> RequestManager {
-    let mut hub =
-        RequestManager::new(Settings::from_json(SETTINGS).expect("sound settings"), 7).expect("a hub");
+    let mut hub = RequestManager::new(Settings::from_json(SETTINGS).expect("sound settings"), 7)
+        .expect("a hub");
     let member = |n: u16| Member {
         id: format!("s-{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
-        entry: Entry { size: 1.0, ..Entry::default() },
+        entry: Entry {
+            size: 1.0,
+            ..Entry::default()
+        },
     };
     let members = (0..9).map(member).collect();
-    hub.handle(1000.0, Input::List(ListKind::Full, members), &mut Vec::new());
+    hub.handle(
+        1000.0,
+        Input::List(ListKind::Full, members),
+        &mut Vec::new(),
+    );
     hub
 }
 
 /// One job from its arrival to its end.
 fn job(hub: &mut RequestManager, n: u64, now: f64) {
-    let payload = Payload { id: format!("job-{n}"), method: "POST".into(), ..Payload::default() };
+    let payload = Payload {
+        id: format!("job-{n}"),
+        method: "POST".into(),
+        ..Payload::default()
+    };
     let mut out = Vec::new();
-    hub.handle(now, Input::Arrived(n, Submission { payload, ..Submission::default() }), &mut out);
+    hub.handle(
+        now,
+        Input::Arrived(
+            n,
+            Submission {
+                payload,
+                ..Submission::default()
+            },
+        ),
+        &mut out,
+    );
     let started = out.iter().find_map(|command| match command {
         Command::Start(attempt, worker, ..) => Some((*attempt, worker.port() - 9000)),
         _ => None,
     });
     let (attempt, worker) = started.expect("an attempt");
     hub.handle(now, Input::Written(attempt), &mut out);
-    hub.handle(now, Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()), &mut out);
+    hub.handle(
+        now,
+        Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()),
+        &mut out,
+    );
     let load = vec![("queue".to_owned(), 0.0), ("x0".to_owned(), 4.0)];
     let state = JobState::Done(b"result".to_vec());
-    let call = JobCall { id: format!("job-{n}"), from: format!("s-{worker}"), state, load };
+    let call = JobCall {
+        id: format!("job-{n}"),
+        from: format!("s-{worker}"),
+        state,
+        load,
+    };
     hub.handle(now, Input::Call(n + 1, call), &mut out);
     assert_eq!(hub.held(), 0);
 }
 
 fn jobs(c: &mut Criterion) {
-    let levels =
-        [("no subscriber", None), ("info, the default", Some("info")), ("debug, every span", Some("debug"))];
+    let levels = [
+        ("no subscriber", None),
+        ("info, the default", Some("info")),
+        ("debug, every span", Some("debug")),
+    ];
     for (name, level) in levels {
         let (writer, _guard) = tracing_appender::non_blocking(std::io::sink());
         let subscriber = level.map(|level| {
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -4,8 +4,8 @@
 use crate::message::{FollowerSnapshot, Message, decode, encode};
 use crate::replica::{Replica, ReplicaOutput};
 use postproxy_leases::{
-    Command, FencingToken, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable, LeaseTiming, MAX_NAME_BYTES,
-    Operation, Response,
+    Command, FencingToken, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable, LeaseTiming,
+    MAX_NAME_BYTES, Operation, Response,
 };
 use postproxy_replicated_log::{MembershipChange, ProposalRejected, StorageChange, Voter};
 use rand_core::{RngCore, SeedableRng};
@@ -197,7 +197,13 @@
     ) -> Self {
         let founders: BTreeMap<u64, String> = (1..).zip(set.founders.iter().cloned()).collect();
         let mut todo = Vec::new();
-        let bench = Replica::new(&set.name, life, founders, kept.into_iter().collect(), &mut todo);
+        let bench = Replica::new(
+            &set.name,
+            life,
+            founders,
+            kept.into_iter().collect(),
+            &mut todo,
+        );
         let (granter, holder) = (LeaseGranter::new(set.times), LeaseHolder::new(set.times));
         let founding = crate::message::founding(&set.cluster, &set.founders);
         let (picture, votes) = (FollowerSnapshot::default(), Some(NotVotingReason::NoSeat));
@@ -234,7 +240,9 @@
 
     /// What has been decided, as far as this node knows.
     pub fn state(&self) -> &LeaseTable {
-        self.bench.voter().map_or(&self.picture.state, |voter| &voter.state().0)
+        self.bench
+            .voter()
+            .map_or(&self.picture.state, |voter| &voter.state().0)
     }
 
     /// The place of the log that this node knows.
@@ -255,7 +263,11 @@
     /// Who votes.
     pub fn seats(&self) -> &BTreeMap<u64, String> {
         let (place, seats) = self.bench.seats();
-        if self.bench.voter().is_none() && self.picture.place > place { &self.picture.seats } else { seats }
+        if self.bench.voter().is_none() && self.picture.place > place {
+            &self.picture.seats
+        } else {
+            seats
+        }
     }
 
     /// Who leads the log, as far as this node knows.
@@ -322,14 +334,21 @@
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return out.push(Output::Event(Event::Seated(ticket, Err(Error::Name))));
         }
-        self.asked.insert(ticket, (add, name.to_owned(), 0, now + PATIENCE));
+        self.asked
+            .insert(ticket, (add, name.to_owned(), 0, now + PATIENCE));
         self.reseat(now, out);
     }
 
     /// Another node says something; `false` if it is no word of this founding's.
     pub fn receive(&mut self, now: u64, from: &str, bytes: &[u8], out: &mut Vec<Output>) -> bool {
-        let Some(talk) = decode(self.founding, bytes) else { return false };
-        let seat = self.seats().iter().find(|(_, name)| *name == from).map(|(seat, _)| *seat);
+        let Some(talk) = decode(self.founding, bytes) else {
+            return false;
+        };
+        let seat = self
+            .seats()
+            .iter()
+            .find(|(_, name)| *name == from)
+            .map(|(seat, _)| *seat);
         if let Some(seat) = seat {
             self.heard.insert(seat, now);
         }
@@ -339,12 +358,14 @@
                 self.bench.admission(of, to, say, &mut todo)
             }
             // One that has no seat any more, or speaks for one that it had before, is told so.
-            Message::Log(life, bytes) => match (seat, postproxy_replicated_log::promise(&bytes).0) {
-                (Some(seat), of) if of == seat || of == 0 => {
-                    self.bench.log(seat, life, &bytes, &mut todo);
+            Message::Log(life, bytes) => {
+                match (seat, postproxy_replicated_log::promise(&bytes).0) {
+                    (Some(seat), of) if of == seat || of == 0 => {
+                        self.bench.log(seat, life, &bytes, &mut todo);
+                    }
+                    _ => self.tell_seats(from, out),
                 }
-                _ => self.tell_seats(from, out),
-            },
+            }
             Message::Admission(..) => self.tell_seats(from, out),
             Message::Seats(place, seats) => self.bench.told(place, seats, &mut todo),
             Message::Lost(of) => {
@@ -398,7 +419,11 @@
         Status {
             node: self.set.name.clone(),
             votes: voter.is_some(),
-            why: self.bench.why().filter(|why| **why != NotVotingReason::NoSeat).cloned(),
+            why: self
+                .bench
+                .why()
+                .filter(|why| **why != NotVotingReason::NoSeat)
+                .cloned(),
             leader: self.leader().cloned(),
             place: self.place(),
             voters: self.seats().iter().map(shown).collect(),
@@ -461,24 +486,35 @@
             .collect();
         for (name, owner) in &owners {
             if self.owners.get(name) != Some(owner) {
-                out.push(Output::Event(Event::Owner(name.clone(), Some(owner.clone()))));
+                out.push(Output::Event(Event::Owner(
+                    name.clone(),
+                    Some(owner.clone()),
+                )));
             }
         }
-        for name in self.owners.keys().filter(|name| !owners.contains_key(*name)) {
+        for name in self
+            .owners
+            .keys()
+            .filter(|name| !owners.contains_key(*name))
+        {
             out.push(Output::Event(Event::Owner(name.clone(), None)));
         }
         self.owners = owners;
         // A duty that another owns by now, or nobody under a later token.
         for (duty, token) in self.holder.all() {
-            let own =
-                self.owners.get(&duty).is_some_and(|(owner, of)| *owner == self.set.name && *of == token);
+            let own = self
+                .owners
+                .get(&duty)
+                .is_some_and(|(owner, of)| *owner == self.set.name && *of == token);
             let later = self.owners.get(&duty).is_some_and(|(_, of)| *of > token);
             if !own && later {
                 self.give_up(now, &duty, token, out);
             }
         }
-        if let Some((name, life, number)) =
-            self.open.as_ref().map(|o| (&o.command.node, o.command.life, o.command.number))
+        if let Some((name, life, number)) = self
+            .open
+            .as_ref()
+            .map(|o| (&o.command.node, o.command.life, o.command.number))
         {
             let answer = self.state().answer(name, life, number).cloned();
             if let Some(answer) = answer {
@@ -500,9 +536,15 @@
 
     /// Duty lost, as of this token.
     fn give_up(&mut self, now: u64, duty: &str, token: FencingToken, out: &mut Vec<Output>) {
-        if self.holder.all().iter().any(|(name, own)| name == duty && *own <= token) {
+        if self
+            .holder
+            .all()
+            .iter()
+            .any(|(name, own)| name == duty && *own <= token)
+        {
             self.holder.lost(duty, token);
-            self.free.insert(duty.to_owned(), now + self.set.times.lease);
+            self.free
+                .insert(duty.to_owned(), now + self.set.times.lease);
             out.push(Output::Event(Event::Lost(duty.to_owned(), token)));
         }
     }
@@ -515,7 +557,12 @@
             self.expired += 1;
             // No node has such a name.
             let node = format!("\u{1}seat {}", self.bench.id());
-            let command = Command { node, life: self.life, number: self.expired, call };
+            let command = Command {
+                node,
+                life: self.life,
+                number: self.expired,
+                call,
+            };
             let mut todo = Vec::new();
             // What is refused is put again.
             let _ = self.bench.propose(&command, &mut todo);
@@ -528,17 +575,37 @@
         if self.place() == 0 || self.open.is_some() && self.queue.len() >= MAX_QUEUED_CALLS / 2 {
             return;
         }
-        let held: BTreeSet<String> = self.holder.all().into_iter().map(|(duty, _)| duty).collect();
+        let held: BTreeSet<String> = self
+            .holder
+            .all()
+            .into_iter()
+            .map(|(duty, _)| duty)
+            .collect();
         let owner = |duty: &String| self.owners.get(duty).map(|(owner, _)| owner.as_str());
-        let mine = self.owners.keys().filter(|duty| owner(duty) == Some(self.set.name.as_str()));
-        let wanted = self.set.duties.iter().filter(|duty| owner(duty).is_none()).chain(mine);
-        let wanted: BTreeSet<String> = wanted.filter(|duty| !held.contains(*duty)).cloned().collect();
-        self.free.retain(|duty, until| wanted.contains(duty) || *until > now);
+        let mine = self
+            .owners
+            .keys()
+            .filter(|duty| owner(duty) == Some(self.set.name.as_str()));
+        let wanted = self
+            .set
+            .duties
+            .iter()
+            .filter(|duty| owner(duty).is_none())
+            .chain(mine);
+        let wanted: BTreeSet<String> = wanted
+            .filter(|duty| !held.contains(*duty))
+            .cloned()
+            .collect();
+        self.free
+            .retain(|duty, until| wanted.contains(duty) || *until > now);
         let asks = |call: &Operation, duty: &String| matches!(call, Operation::Acquire(of) | Operation::Release(of, _) if of == duty);
         for duty in wanted {
             let after = self.draw(SPREAD);
             let at = *self.free.entry(duty.clone()).or_insert(now + after);
-            let asked = self.open.as_ref().is_some_and(|open| asks(&open.command.call, &duty));
+            let asked = self
+                .open
+                .as_ref()
+                .is_some_and(|open| asks(&open.command.call, &duty));
             if at <= now && !asked && !self.queue.iter().any(|(_, call, _)| asks(call, &duty)) {
                 self.free.insert(duty.clone(), now + RENEWAL);
                 self.call(now, 0, Operation::Acquire(duty), out);
@@ -552,8 +619,10 @@
             self.answered(open.ticket, Err(self.nobody(now)), out);
         }
         // Also what waits behind a call that is not answered has its time.
-        let (over, rest): (VecDeque<_>, VecDeque<_>) =
-            self.queue.drain(..).partition(|(_, _, until)| *until <= now);
+        let (over, rest): (VecDeque<_>, VecDeque<_>) = self
+            .queue
+            .drain(..)
+            .partition(|(_, _, until)| *until <= now);
         self.queue = rest;
         for (ticket, ..) in over {
             self.answered(ticket, Err(self.nobody(now)), out);
@@ -566,14 +635,35 @@
             } else {
                 self.queue.pop_front()
             };
-            let Some((ticket, call, until)) = next else { return };
-            let until = if renewal(&call) { until } else { until.max(now + AGAIN) };
+            let Some((ticket, call, until)) = next else {
+                return;
+            };
+            let until = if renewal(&call) {
+                until
+            } else {
+                until.max(now + AGAIN)
+            };
             self.number += 1;
             let (node, life, number) = (self.set.name.clone(), self.life, self.number);
-            let command = Command { node, life, number, call };
-            self.open = Some(PendingCall { ticket, command, asked: now, sent: 0, until });
-        }
-        let Some(open) = self.open.as_mut().filter(|open| open.sent == 0 || open.sent + AGAIN <= now) else {
+            let command = Command {
+                node,
+                life,
+                number,
+                call,
+            };
+            self.open = Some(PendingCall {
+                ticket,
+                command,
+                asked: now,
+                sent: 0,
+                until,
+            });
+        }
+        let Some(open) = self
+            .open
+            .as_mut()
+            .filter(|open| open.sent == 0 || open.sent + AGAIN <= now)
+        else {
             return;
         };
         open.sent = now;
@@ -590,8 +680,12 @@
 
     /// Another voter to ask: one after the other.
     fn some_voter(&mut self) -> Option<String> {
-        let others: Vec<String> =
-            self.seats().values().filter(|name| **name != self.set.name).cloned().collect();
+        let others: Vec<String> = self
+            .seats()
+            .values()
+            .filter(|name| **name != self.set.name)
+            .cloned()
+            .collect();
         self.turn += 1;
         others.get(self.turn % others.len().max(1)).cloned()
     }
@@ -601,8 +695,10 @@
         if self.seats().is_empty() {
             return Error::NoVoters;
         }
-        let silent =
-            self.seats().iter().filter(|(seat, name)| **name != self.set.name && !self.heard_of(now, **seat));
+        let silent = self
+            .seats()
+            .iter()
+            .filter(|(seat, name)| **name != self.set.name && !self.heard_of(now, **seat));
         Error::NoMajority(silent.map(|(_, name)| name.clone()).collect())
     }
 
@@ -614,12 +710,18 @@
 
     /// The open call has come to this.
     fn came(&mut self, now: u64, number: u64, answer: Response, out: &mut Vec<Output>) {
-        let Some(open) = self.open.take_if(|open| open.command.number == number) else { return };
+        let Some(open) = self.open.take_if(|open| open.command.number == number) else {
+            return;
+        };
         match (&open.command.call, &answer) {
             (Operation::Acquire(duty), Response::Owns(token, value)) => {
                 self.free.remove(duty);
                 self.holder.granted(open.asked, duty, *token);
-                out.push(Output::Event(Event::Gained(duty.clone(), *token, value.clone())));
+                out.push(Output::Event(Event::Gained(
+                    duty.clone(),
+                    *token,
+                    value.clone(),
+                )));
             }
             (Operation::Renew(all), Response::Renewed(renewed, lost)) => {
                 for (duty, token) in all {
@@ -654,11 +756,22 @@
         {
             return;
         }
-        if let Some(answer) = self.state().answer(&command.node, command.life, command.number).cloned() {
-            return self.say(from, &Message::Came(command.life, command.number, answer), out);
+        if let Some(answer) = self
+            .state()
+            .answer(&command.node, command.life, command.number)
+            .cloned()
+        {
+            return self.say(
+                from,
+                &Message::Came(command.life, command.number, answer),
+                out,
+            );
         }
         if self.others.len() < MOST_OTHERS {
-            self.others.insert((command.node.clone(), command.life, command.number), from.to_owned());
+            self.others.insert(
+                (command.node.clone(), command.life, command.number),
+                from.to_owned(),
+            );
             let mut todo = Vec::new();
             // Who asked asks again.
             let _ = self.bench.propose(&command, &mut todo);
@@ -668,16 +781,35 @@
 
     fn tell_seats(&self, to: &str, out: &mut Vec<Output>) {
         if let Some(voter) = self.bench.voter() {
-            self.say(to, &Message::Seats(voter.place(), voter.seats().clone()), out);
+            self.say(
+                to,
+                &Message::Seats(voter.place(), voter.seats().clone()),
+                out,
+            );
         }
     }
 
     /// A node that does not vote wants to know what is decided.
     fn show(&self, to: &str, known: u64, out: &mut Vec<Output>) {
-        let Some(voter) = self.bench.voter().filter(|voter| voter.place() >= known) else { return };
+        let Some(voter) = self.bench.voter().filter(|voter| voter.place() >= known) else {
+            return;
+        };
         let leader = self.leader().cloned();
-        let (place, seats, state) = (voter.place(), voter.seats().clone(), voter.state().0.clone());
-        self.say(to, &Message::Decided(Box::new(FollowerSnapshot { place, leader, seats, state })), out);
+        let (place, seats, state) = (
+            voter.place(),
+            voter.seats().clone(),
+            voter.state().0.clone(),
+        );
+        self.say(
+            to,
+            &Message::Decided(Box::new(FollowerSnapshot {
+                place,
+                leader,
+                seats,
+                state,
+            })),
+            out,
+        );
     }
 
     /// What goes on between nodes that vote and others, now and then.
@@ -696,10 +828,19 @@
         if self.others.len() >= MOST_OTHERS / 2 {
             self.others.clear();
         }
-        let others: Vec<(u64, String)> =
-            self.seats().iter().map(|(seat, name)| (*seat, name.clone())).collect();
-        let others: Vec<_> = others.into_iter().filter(|(_, name)| *name != self.set.name).collect();
-        if matches!(self.bench.why(), Some(NotVotingReason::Lost | NotVotingReason::Damaged(_))) {
+        let others: Vec<(u64, String)> = self
+            .seats()
+            .iter()
+            .map(|(seat, name)| (*seat, name.clone()))
+            .collect();
+        let others: Vec<_> = others
+            .into_iter()
+            .filter(|(_, name)| *name != self.set.name)
+            .collect();
+        if matches!(
+            self.bench.why(),
+            Some(NotVotingReason::Lost | NotVotingReason::Damaged(_))
+        ) {
             for (_, name) in &others {
                 self.say(name, &Message::Lost(self.bench.id()), out);
             }
@@ -726,18 +867,32 @@
         let leads = self.bench.voter().is_some_and(Voter::leads);
         if !leads {
             // Where nobody leads yet, it is asked for again.
-            if let Some(leader) = self.leader().filter(|leader| **leader != self.set.name).cloned() {
+            if let Some(leader) = self
+                .leader()
+                .filter(|leader| **leader != self.set.name)
+                .cloned()
+            {
                 self.tell_seated(&(by, ticket), Err(Error::Elsewhere(leader)), out);
             }
             return;
         }
         let by = (by, ticket);
         if !self.changes.iter().any(|change| change.by == by) {
-            self.changes.push(PendingChange { by, add, name, until: now + PATIENCE });
+            self.changes.push(PendingChange {
+                by,
+                add,
+                name,
+                until: now + PATIENCE,
+            });
         }
     }
 
-    fn tell_seated(&mut self, by: &(Option<String>, u64), came: Result<(), Error>, out: &mut Vec<Output>) {
+    fn tell_seated(
+        &mut self,
+        by: &(Option<String>, u64),
+        came: Result<(), Error>,
+        out: &mut Vec<Output>,
+    ) {
         match &by.0 {
             Some(to) => self.say(to, &Message::Seated(by.1, came), out),
             None => self.seated(by.1, came, out),
@@ -769,8 +924,17 @@
                 if let Some(asked) = self.asked.get_mut(&ticket) {
                     asked.2 = now;
                 }
-                let to = self.leader().filter(|leader| **leader != self.set.name).cloned();
-                match to.or_else(|| if self.bench.voter().is_none() { self.some_voter() } else { None }) {
+                let to = self
+                    .leader()
+                    .filter(|leader| **leader != self.set.name)
+                    .cloned();
+                match to.or_else(|| {
+                    if self.bench.voter().is_none() {
+                        self.some_voter()
+                    } else {
+                        None
+                    }
+                }) {
                     Some(to) => self.say(&to, &Message::MembershipChange(ticket, add, name), out),
                     None => self.seating_for(now, None, ticket, add, name, out),
                 }
@@ -789,14 +953,23 @@
     }
 
     /// A step of a change of the voters; what it has come to, if it is at its end.
-    fn step(&mut self, now: u64, change: &PendingChange, out: &mut Vec<Output>) -> Option<Result<(), Error>> {
+    fn step(
+        &mut self,
+        now: u64,
+        change: &PendingChange,
+        out: &mut Vec<Output>,
+    ) -> Option<Result<(), Error>> {
         let voter = self.bench.voter()?;
         let seats = voter.seats().clone();
-        let seat = seats.iter().find(|(_, name)| **name == change.name).map(|(seat, _)| *seat);
+        let seat = seats
+            .iter()
+            .find(|(_, name)| **name == change.name)
+            .map(|(seat, _)| *seat);
         let living = |without: Option<u64>| {
             let lives = |seat: &&u64| {
                 let own = **seat == self.bench.id();
-                Some(**seat) != without && (own || self.heard_of(now, **seat) && !self.lost.contains(*seat))
+                Some(**seat) != without
+                    && (own || self.heard_of(now, **seat) && !self.lost.contains(*seat))
             };
             seats.keys().filter(lives).count()
         };
@@ -824,9 +997,10 @@
         self.carry(now, todo, out);
         match came {
             Err(ProposalRejected::Count) => Some(Err(Error::Count)),
-            Err(ProposalRejected::Elsewhere(seat)) => {
-                Some(Err(seats.get(&seat).cloned().map_or(Error::NoVoters, Error::Elsewhere)))
-            }
+            Err(ProposalRejected::Elsewhere(seat)) => Some(Err(seats
+                .get(&seat)
+                .cloned()
+                .map_or(Error::NoVoters, Error::Elsewhere))),
             // It holds once the log says so; what can't be done now is tried again.
             Ok(()) | Err(_) => None,
         }
--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -57,7 +57,11 @@
 }
 
 fn named(names: &[String]) -> String {
-    if names.is_empty() { "none".to_owned() } else { names.join(", ") }
+    if names.is_empty() {
+        "none".to_owned()
+    } else {
+        names.join(", ")
+    }
 }
 
 postproxy_diagnostics::diagnostics! {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -18,7 +18,7 @@
 pub use error::{Error, NotVotingReason, REMEDIES};
 pub use message::{PREFIX, founding};
 pub use postproxy_leases::{
-    Effect, Fence, FencingToken, Lease, LeasePermit, LeaseTable, LeaseTiming, Operation, Rejection, Response,
-    StaleToken,
+    Effect, Fence, FencingToken, Lease, LeasePermit, LeaseTable, LeaseTiming, Operation, Rejection,
+    Response, StaleToken,
 };
 pub use postproxy_replicated_log::StorageChange;
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -51,7 +51,9 @@
 pub fn founding(cluster: &str, founders: &BTreeSet<String>) -> u64 {
     let bytes = std::iter::once(cluster).chain(founders.iter().map(String::as_str));
     let bytes = bytes.flat_map(|name| name.bytes().chain([0]));
-    bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// A word of this founding.
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -3,7 +3,9 @@
 use crate::error::NotVotingReason;
 use crate::message::Message;
 use postproxy_leases::{Command, LeaseTable};
-use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict};
+use postproxy_replicated_log::admission::{
+    Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict,
+};
 use postproxy_replicated_log::{
     MembershipChange, Output as Said, ProposalRejected, StateMachine, StorageChange, Voter,
 };
@@ -74,8 +76,13 @@
         kept: Kept,
         out: &mut Vec<ReplicaOutput>,
     ) -> Self {
-        let seat = kept.get(SEAT).and_then(|bytes| postcard::from_bytes::<(u64, bool)>(bytes).ok());
-        let own = founders.iter().find(|(_, founder)| *founder == name).map(|(id, _)| (*id, true));
+        let seat = kept
+            .get(SEAT)
+            .and_then(|bytes| postcard::from_bytes::<(u64, bool)>(bytes).ok());
+        let own = founders
+            .iter()
+            .find(|(_, founder)| *founder == name)
+            .map(|(id, _)| (*id, true));
         let (id, founder) = seat.or(own).unwrap_or((0, false));
         let mut bench = Self {
             name: name.to_owned(),
@@ -103,7 +110,9 @@
     /// Begins to ask whether it may vote.
     fn ask(&mut self) {
         let promises = self.kept.iter().filter(|(key, _)| key.starts_with(b"s/"));
-        let promises: Vec<_> = promises.map(|(key, value)| (key.clone(), value.clone())).collect();
+        let promises: Vec<_> = promises
+            .map(|(key, value)| (key.clone(), value.clone()))
+            .collect();
         let mut ids: Vec<u64> = self.seats.1.keys().copied().collect();
         if !ids.contains(&self.id) {
             ids.push(self.id);
@@ -162,7 +171,9 @@
         while let Some((_, of)) = self.waiting.pop_front_if(|(at, _)| *at <= number) {
             match of {
                 Of::Seat => {}
-                Of::Admission(number) => self.admit(|admission, acts| admission.durable(number, acts), out),
+                Of::Admission(number) => {
+                    self.admit(|admission, acts| admission.durable(number, acts), out)
+                }
                 Of::Voter(number) => {
                     self.vote(|voter, said| voter.durable(number, said), out);
                 }
@@ -176,7 +187,9 @@
         act: impl FnOnce(&mut Admission, &mut Vec<AdmissionEffect>),
         out: &mut Vec<ReplicaOutput>,
     ) {
-        let Some(admission) = &mut self.admission else { return };
+        let Some(admission) = &mut self.admission else {
+            return;
+        };
         let mut acts = Vec::new();
         act(admission, &mut acts);
         let verdict = admission.verdict();
@@ -184,14 +197,21 @@
             match act {
                 AdmissionEffect::AdmissionMessage(to, say) => {
                     if let Some(name) = self.seats().1.get(&to).cloned() {
-                        out.push(ReplicaOutput::Send(name, Message::Admission(self.id, to, say)));
+                        out.push(ReplicaOutput::Send(
+                            name,
+                            Message::Admission(self.id, to, say),
+                        ));
                     }
                 }
-                AdmissionEffect::Write(number, changes) => self.write(Of::Admission(number), changes, out),
+                AdmissionEffect::Write(number, changes) => {
+                    self.write(Of::Admission(number), changes, out)
+                }
             }
         }
         match verdict {
-            AdmissionVerdict::Vote if self.voter.is_none() && self.why == NotVotingReason::Waits => {
+            AdmissionVerdict::Vote
+                if self.voter.is_none() && self.why == NotVotingReason::Waits =>
+            {
                 self.begin(out)
             }
             AdmissionVerdict::Lost if self.why != NotVotingReason::Lost => {
@@ -205,8 +225,14 @@
     /// Begins to vote.
     fn begin(&mut self, out: &mut Vec<ReplicaOutput>) {
         let log = self.kept.iter().filter(|(key, _)| key.starts_with(b"a/"));
-        let log: Vec<_> = log.map(|(key, value)| (key.clone(), value.clone())).collect();
-        let founders = if self.founder { self.founders.clone() } else { BTreeMap::new() };
+        let log: Vec<_> = log
+            .map(|(key, value)| (key.clone(), value.clone()))
+            .collect();
+        let founders = if self.founder {
+            self.founders.clone()
+        } else {
+            BTreeMap::new()
+        };
         match Voter::new(self.id, &founders, log) {
             Ok((voter, said)) => {
                 self.voter = Some(voter);
@@ -274,14 +300,23 @@
         }
         self.vote(Voter::tick, out);
         // One that was taken away by a word that it has decided itself.
-        if self.id > 0 && self.voter.is_some() && !self.seats().1.contains_key(&self.id) && self.seats().0 > 1
+        if self.id > 0
+            && self.voter.is_some()
+            && !self.seats().1.contains_key(&self.id)
+            && self.seats().0 > 1
         {
             self.leave(0, out);
         }
     }
 
     /// A seat says something on who may vote.
-    pub fn admission(&mut self, from: u64, to: u64, say: AdmissionMessage, out: &mut Vec<ReplicaOutput>) {
+    pub fn admission(
+        &mut self,
+        from: u64,
+        to: u64,
+        say: AdmissionMessage,
+        out: &mut Vec<ReplicaOutput>,
+    ) {
         if to == self.id {
             self.admit(|admission, acts| admission.receive(from, say, acts), out);
         }
@@ -289,8 +324,16 @@
 
     /// A voter says something on the log; whether it was taken in.
     /// Words of a life whose start is not known here count for nothing: what it comes back with is looked at first.
-    pub fn log(&mut self, from: u64, life: u64, bytes: &[u8], out: &mut Vec<ReplicaOutput>) -> bool {
-        let Some(admission) = &mut self.admission else { return false };
+    pub fn log(
+        &mut self,
+        from: u64,
+        life: u64,
+        bytes: &[u8],
+        out: &mut Vec<ReplicaOutput>,
+    ) -> bool {
+        let Some(admission) = &mut self.admission else {
+            return false;
+        };
         if !admission.knows(from, life) {
             if let Some(name) = self.seats().1.get(&from).cloned() {
                 out.push(ReplicaOutput::Send(
@@ -302,12 +345,18 @@
         }
         let (_, term, place) = postproxy_replicated_log::promise(bytes);
         admission.heard(from, term, place);
-        self.vote(|voter, said| voter.receive(bytes, said), out).unwrap_or_default()
+        self.vote(|voter, said| voter.receive(bytes, said), out)
+            .unwrap_or_default()
     }
 
     /// What was on the way to and from a node may be lost.
     pub fn reconnected(&mut self, name: &str, out: &mut Vec<ReplicaOutput>) {
-        let seat = self.seats().1.iter().find(|(_, of)| *of == name).map(|(id, _)| *id);
+        let seat = self
+            .seats()
+            .1
+            .iter()
+            .find(|(_, of)| *of == name)
+            .map(|(id, _)| *id);
         if let Some(seat) = seat.filter(|seat| *seat != self.id) {
             self.vote(|voter, said| voter.reconnected(seat, said), out);
         }
@@ -320,7 +369,8 @@
         out: &mut Vec<ReplicaOutput>,
     ) -> Result<(), ProposalRejected> {
         let word = postcard::to_stdvec(command).unwrap_or_default();
-        self.vote(|voter, said| voter.propose(word, said), out).unwrap_or(Err(ProposalRejected::Leaderless))
+        self.vote(|voter, said| voter.propose(word, said), out)
+            .unwrap_or(Err(ProposalRejected::Leaderless))
     }
 
     /// Changes who votes.
@@ -329,7 +379,8 @@
         change: &MembershipChange,
         out: &mut Vec<ReplicaOutput>,
     ) -> Result<(), ProposalRejected> {
-        self.vote(|voter, said| voter.seat(change, said), out).unwrap_or(Err(ProposalRejected::Leaderless))
+        self.vote(|voter, said| voter.seat(change, said), out)
+            .unwrap_or(Err(ProposalRejected::Leaderless))
     }
 
     /// Another node tells who votes as of a place of the log. What this one's own log says goes before.
@@ -337,7 +388,10 @@
         if place <= self.seats().0 {
             return;
         }
-        let own = seats.iter().find(|(_, name)| **name == self.name).map(|(id, _)| *id);
+        let own = seats
+            .iter()
+            .find(|(_, name)| **name == self.name)
+            .map(|(id, _)| *id);
         let ids: Vec<u64> = seats.keys().copied().collect();
         self.seats = (place, seats);
         match own {
@@ -359,8 +413,12 @@
         (self.voter, self.admission) = (None, None);
         let gone = |key: &[u8]| key.starts_with(b"a/") || key.starts_with(b"s/");
         let clear = self.kept.keys().filter(|key| gone(key));
-        let mut changes: Vec<StorageChange> =
-            clear.map(|key| StorageChange { key: key.clone(), value: None }).collect();
+        let mut changes: Vec<StorageChange> = clear
+            .map(|key| StorageChange {
+                key: key.clone(),
+                value: None,
+            })
+            .collect();
         changes.push(seat_change(next, false));
         // What others said of seats is told again when they start.
         self.waiting.clear();
@@ -374,5 +432,8 @@
 }
 
 fn seat_change(id: u64, founder: bool) -> StorageChange {
-    StorageChange { key: SEAT.to_vec(), value: postcard::to_stdvec(&(id, founder)).ok() }
+    StorageChange {
+        key: SEAT.to_vec(),
+        value: postcard::to_stdvec(&(id, founder)).ok(),
+    }
 }
--- a/crates/coordination/tests/fleet.rs
+++ b/crates/coordination/tests/fleet.rs
@@ -21,7 +21,10 @@
         sim.fault();
     }
     sim.mend();
-    let old = sim.done.values().any(|done| !done.windows(2).all(|two| two[0].0 <= two[1].0));
+    let old = sim
+        .done
+        .values()
+        .any(|done| !done.windows(2).all(|two| two[0].0 <= two[1].0));
     (sim, old)
 }
 
@@ -40,14 +43,26 @@
         longest = longest.max(sim.now - mended);
         for ((_, duty), done) in &sim.done {
             for (token, n) in done {
-                assert_eq!(sim.owners.get(token), Some(&format!("{duty} n{n}")), "seed {seed}");
+                assert_eq!(
+                    sim.owners.get(token),
+                    Some(&format!("{duty} n{n}")),
+                    "seed {seed}"
+                );
             }
         }
         // Whoever has lost its promises gets a seat anew, and then whoever was made to give its own up: all founders vote in the end.
-        let votes = |sim: &Sim, n: usize| sim.nodes[n].council.as_ref().is_some_and(Coordinator::votes);
+        let votes = |sim: &Sim, n: usize| {
+            sim.nodes[n]
+                .council
+                .as_ref()
+                .is_some_and(Coordinator::votes)
+        };
         for _ in 0..20 {
             let lost = |n: &usize| {
-                sim.nodes[*n].council.as_ref().is_some_and(|c| c.view(0).why == Some(NotVotingReason::Lost))
+                sim.nodes[*n]
+                    .council
+                    .as_ref()
+                    .is_some_and(|c| c.view(0).why == Some(NotVotingReason::Lost))
             };
             let without = (0..sim.nodes.len())
                 .find(lost)
@@ -56,31 +71,49 @@
             sim.seats(true, &format!("n{n}"));
             (0..200).for_each(|_| sim.step());
         }
-        sim.waits(20_000, "all founders vote", |sim| (0..sim.founders.len()).all(|n| votes(sim, n)));
+        sim.waits(20_000, "all founders vote", |sim| {
+            (0..sim.founders.len()).all(|n| votes(sim, n))
+        });
         // A value is kept with a duty under its token alone, and every node comes to know it.
         let mut value = Vec::new();
         let saved = (0..10).any(|_| {
             (0..50).for_each(|_| sim.step());
             let owner = sim.owners_of("audit").first().copied();
-            let Some((n, clock)) = owner.map(|n| (n, sim.clock(n))) else { return false };
-            let permit = sim.nodes[n].council.as_ref().and_then(|council| council.may(clock, "audit"));
+            let Some((n, clock)) = owner.map(|n| (n, sim.clock(n))) else {
+                return false;
+            };
+            let permit = sim.nodes[n]
+                .council
+                .as_ref()
+                .and_then(|council| council.may(clock, "audit"));
             value = sim.now.to_be_bytes().to_vec();
-            let call =
-                Operation::Save("audit".into(), permit.map_or(0, |permit| permit.token()), value.clone());
-            sim.asks(n, |council, now, ticket, out| council.call(now, ticket, call, out)) == Some(Ok(()))
+            let call = Operation::Save(
+                "audit".into(),
+                permit.map_or(0, |permit| permit.token()),
+                value.clone(),
+            );
+            sim.asks(n, |council, now, ticket, out| {
+                council.call(now, ticket, call, out)
+            }) == Some(Ok(()))
         });
         assert!(saved, "seed {seed}: nothing is saved: {}", sim.picture());
         let knows = move |node: &Node| {
             let state = node.council.as_ref().map(Coordinator::state);
-            state.and_then(|state| state.duty("audit")).is_some_and(|duty| duty.value == value)
+            state
+                .and_then(|state| state.duty("audit"))
+                .is_some_and(|duty| duty.value == value)
         };
-        sim.waits(10_000, "all know the value", |sim| sim.nodes.iter().all(&knows));
+        sim.waits(10_000, "all know the value", |sim| {
+            sim.nodes.iter().all(&knows)
+        });
         for (all, one) in seen.iter_mut().zip(sim.seen) {
             *all |= one;
         }
         (tokens, runs) = (tokens + sim.owners.len(), runs + 1);
     }
-    println!("{runs} runs, {tokens} tokens, at most {longest} ms until all have owners; seen {seen:?}");
+    println!(
+        "{runs} runs, {tokens} tokens, at most {longest} ms until all have owners; seen {seen:?}"
+    );
     assert!(
         runs < 20 || seen == [true; 4],
         "a lost voter, a seat given, one taken, an old owner's effect refused"
@@ -97,7 +130,9 @@
 fn steady(founders: usize, others: usize, seed: u64) -> Sim {
     let mut sim = Sim::new(founders, others, seed, Without::default());
     sim.quiet = true;
-    sim.waits(10_000, "owners", |sim| DUTIES.iter().all(|duty| sim.owners_of(duty).len() == 1));
+    sim.waits(10_000, "owners", |sim| {
+        DUTIES.iter().all(|duty| sim.owners_of(duty).len() == 1)
+    });
     sim
 }
 
@@ -106,14 +141,27 @@
 fn a_change_that_would_stop_the_voters_is_refused() {
     let mut sim = steady(3, 1, 3);
     assert_eq!(sim.seats(true, "n3"), Some(Ok(())));
-    sim.waits(5000, "n3 votes", |sim| sim.nodes[3].council.as_ref().is_some_and(Coordinator::votes));
+    sim.waits(5000, "n3 votes", |sim| {
+        sim.nodes[3]
+            .council
+            .as_ref()
+            .is_some_and(Coordinator::votes)
+    });
     assert_eq!(sim.seats(true, "n3"), Some(Ok(())), "twice is once");
     assert_eq!(sim.seats(false, "n3"), Some(Ok(())));
-    sim.waits(5000, "n3 votes no more", |sim| sim.nodes[3].council.as_ref().is_some_and(|c| !c.votes()));
+    sim.waits(5000, "n3 votes no more", |sim| {
+        sim.nodes[3].council.as_ref().is_some_and(|c| !c.votes())
+    });
     sim.kill(2);
     (0..300).for_each(|_| sim.step());
-    assert_eq!(sim.seats(false, "n1"), Some(Err(Error::WouldStop { living: 1, of: 2 })));
-    assert_eq!(sim.seats(true, "n3"), Some(Err(Error::WouldStop { living: 2, of: 4 })));
+    assert_eq!(
+        sim.seats(false, "n1"),
+        Some(Err(Error::WouldStop { living: 1, of: 2 }))
+    );
+    assert_eq!(
+        sim.seats(true, "n3"),
+        Some(Err(Error::WouldStop { living: 2, of: 4 }))
+    );
     assert_eq!(sim.seats(false, "n2"), Some(Ok(())), "the dead one goes");
     assert_eq!(sim.seats(false, "n0"), Some(Err(Error::Count)));
     assert_eq!(sim.seats(true, "n3"), Some(Ok(())));
@@ -126,10 +174,16 @@
     let mut sim = steady(3, 2, 4);
     sim.kill(0);
     sim.kill(1);
-    sim.waits(8000, "it stops", |sim| DUTIES.iter().all(|duty| sim.owners_of(duty).is_empty()));
-    let came = sim
-        .asks(2, |council, now, ticket, out| council.call(now, ticket, Operation::Acquire("x".into()), out));
-    assert_eq!(came, Some(Err(Error::NoMajority(vec!["n0".into(), "n1".into()]))));
+    sim.waits(8000, "it stops", |sim| {
+        DUTIES.iter().all(|duty| sim.owners_of(duty).is_empty())
+    });
+    let came = sim.asks(2, |council, now, ticket, out| {
+        council.call(now, ticket, Operation::Acquire("x".into()), out)
+    });
+    assert_eq!(
+        came,
+        Some(Err(Error::NoMajority(vec!["n0".into(), "n1".into()])))
+    );
     // The second of two waits behind the first, and has its time all the same.
     let asked = sim.now;
     let mut two = Vec::new();
@@ -139,28 +193,41 @@
     }
     sim.carry(2, two);
     (0..200).for_each(|_| sim.step());
-    let came = sim
-        .asks(2, |council, now, ticket, out| council.call(now, ticket, Operation::Acquire("z".into()), out));
+    let came = sim.asks(2, |council, now, ticket, out| {
+        council.call(now, ticket, Operation::Acquire("z".into()), out)
+    });
     assert!(
         matches!(came, Some(Err(Error::NoMajority(_)))) && sim.now < asked + 7300,
         "{came:?} after {}",
         sim.now - asked
     );
     sim.start(0);
-    sim.waits(15_000, "owners", |sim| DUTIES.iter().all(|duty| sim.owners_of(duty).len() == 1));
+    sim.waits(15_000, "owners", |sim| {
+        DUTIES.iter().all(|duty| sim.owners_of(duty).len() == 1)
+    });
     // Handed on by an operator's word at any node, to one that does not vote; and released.
     let n = sim.owners_of("bans")[0];
     let hand = Operation::Hand("bans".into(), None, "n3".into());
-    assert_eq!(sim.asks(4, |council, now, ticket, out| council.call(now, ticket, hand, out)), Some(Ok(())));
+    assert_eq!(
+        sim.asks(4, |council, now, ticket, out| council
+            .call(now, ticket, hand, out)),
+        Some(Ok(()))
+    );
     sim.waits(6000, "n3 has it", |sim| sim.owners_of("bans") == [3]);
     assert_ne!(n, 3);
     let clock = sim.clock(3);
-    let token =
-        sim.nodes[3].council.as_ref().and_then(|c| c.may(clock, "bans")).map_or(0, |permit| permit.token());
+    let token = sim.nodes[3]
+        .council
+        .as_ref()
+        .and_then(|c| c.may(clock, "bans"))
+        .map_or(0, |permit| permit.token());
     let release = Operation::Release("bans".into(), token);
     assert_eq!(
-        sim.asks(3, |council, now, ticket, out| council.call(now, ticket, release, out)),
+        sim.asks(3, |council, now, ticket, out| council
+            .call(now, ticket, release, out)),
         Some(Ok(()))
     );
-    sim.waits(2000, "another has it", |sim| sim.owners_of("bans").first().is_some_and(|n| *n != 3));
+    sim.waits(2000, "another has it", |sim| {
+        sim.owners_of("bans").first().is_some_and(|n| *n != 3)
+    });
 }
--- a/crates/coordination/tests/pictures.rs
+++ b/crates/coordination/tests/pictures.rs
@@ -25,7 +25,10 @@
         std::fs::write(&path, &drawn).expect("it is written");
     }
     let approved = std::fs::read_to_string(&path).unwrap_or_default();
-    assert!(drawn == approved, "another drawing than the approved one\n{drawn}\n{approved}");
+    assert!(
+        drawn == approved,
+        "another drawing than the approved one\n{drawn}\n{approved}"
+    );
 }
 
 /// The owner dies: another has the duty a lease later, and the dead one comes back without it.
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -4,7 +4,8 @@
 //! lost or set back, stops between check and effect, clocks up to 2 % apart, voters removed and added by calls.
 
 use postproxy_coordination::{
-    Coordinator, Effect, Error, Event, Fence, LeaseTiming, NotVotingReason, Output, Settings, StorageChange,
+    Coordinator, Effect, Error, Event, Fence, LeaseTiming, NotVotingReason, Output, Settings,
+    StorageChange,
 };
 use postproxy_fault_injection::Timeline;
 use rand_core::{RngCore, SeedableRng};
@@ -65,7 +66,10 @@
 impl Sim {
     pub fn new(founders: usize, others: usize, seed: u64, without: Without) -> Self {
         let mut draws = Pcg64Mcg::seed_from_u64(seed);
-        let mut node = || Node { rate: (draws.next_u64() % 41) as i64 - 20, ..Node::default() };
+        let mut node = || Node {
+            rate: (draws.next_u64() % 41) as i64 - 20,
+            ..Node::default()
+        };
         let nodes: Vec<Node> = (0..founders + others).map(|_| node()).collect();
         let mut sim = Self {
             seed,
@@ -108,8 +112,13 @@
             duties: DUTIES.iter().map(|duty| (*duty).to_owned()).collect(),
         };
         let mut out = Vec::new();
-        let council =
-            Coordinator::new(settings, self.clock(n), self.lives, self.nodes[n].kept.clone(), &mut out);
+        let council = Coordinator::new(
+            settings,
+            self.clock(n),
+            self.lives,
+            self.nodes[n].kept.clone(),
+            &mut out,
+        );
         self.nodes[n].council = Some(council);
         self.timeline.state(self.now, n, "");
         self.carry(n, out);
@@ -127,7 +136,9 @@
     }
 
     pub fn renew(&mut self, n: usize) {
-        (0..self.nodes.len()).filter(|other| *other != n).for_each(|other| self.reconnect(n, other));
+        (0..self.nodes.len())
+            .filter(|other| *other != n)
+            .for_each(|other| self.reconnect(n, other));
     }
 
     pub fn reconnect(&mut self, a: usize, b: usize) {
@@ -152,8 +163,16 @@
                     link.push_back((at, bytes));
                 }
                 Output::Write(number, changes) => {
-                    let took = if self.nodes[n].slow { 50 + self.draw(2000) } else { 1 + self.draw(20) };
-                    let at = self.nodes[n].writes.back().map_or(0, |(at, ..)| *at).max(self.now + took);
+                    let took = if self.nodes[n].slow {
+                        50 + self.draw(2000)
+                    } else {
+                        1 + self.draw(20)
+                    };
+                    let at = self.nodes[n]
+                        .writes
+                        .back()
+                        .map_or(0, |(at, ..)| *at)
+                        .max(self.now + took);
                     self.nodes[n].writes.push_back((at, number, changes));
                 }
                 Output::Event(Event::Answered(ticket, came)) => {
@@ -163,7 +182,8 @@
                     self.nodes[n].answers.insert(ticket, came);
                 }
                 Output::Event(Event::Lost(duty, token)) if duty == "audit" => {
-                    self.timeline.event(self.now, n, format!("gives up {token}"));
+                    self.timeline
+                        .event(self.now, n, format!("gives up {token}"));
                 }
                 Output::Event(Event::Gained(duty, _, value)) => {
                     let value = value.try_into().map(u64::from_be_bytes).unwrap_or_default();
@@ -178,29 +198,51 @@
                 Output::Event(_) => {}
             }
         }
-        let Some(council) = &self.nodes[n].council else { return };
+        let Some(council) = &self.nodes[n].council else {
+            return;
+        };
         for (name, duty) in council.state().duties() {
             if let Some((owner, token)) = &duty.owner {
-                let known = self.owners.entry(*token).or_insert_with(|| format!("{name} {owner}"));
-                assert_eq!(*known, format!("{name} {owner}"), "seed {}: a token of two", self.seed);
+                let known = self
+                    .owners
+                    .entry(*token)
+                    .or_insert_with(|| format!("{name} {owner}"));
+                assert_eq!(
+                    *known,
+                    format!("{name} {owner}"),
+                    "seed {}: a token of two",
+                    self.seed
+                );
             }
         }
     }
 
     pub fn turn(&mut self, n: usize) {
         let (clock, mut out) = (self.clock(n), Vec::new());
-        let (inbox, checked) =
-            (std::mem::take(&mut self.nodes[n].inbox), std::mem::take(&mut self.nodes[n].checked));
+        let (inbox, checked) = (
+            std::mem::take(&mut self.nodes[n].inbox),
+            std::mem::take(&mut self.nodes[n].checked),
+        );
         let stop = self.draw(400) == 0 && !self.quiet;
-        let Some(council) = &mut self.nodes[n].council else { return };
+        let Some(council) = &mut self.nodes[n].council else {
+            return;
+        };
         council.turn(clock, &mut out);
         for (from, bytes) in inbox {
-            assert!(council.receive(clock, &format!("n{from}"), &bytes, &mut out), "a word of ours");
+            assert!(
+                council.receive(clock, &format!("n{from}"), &bytes, &mut out),
+                "a word of ours"
+            );
         }
-        let may: Vec<Effect<usize>> =
-            DUTIES.iter().filter_map(|duty| Some(Effect::new(&council.may(clock, duty)?, n))).collect();
+        let may: Vec<Effect<usize>> = DUTIES
+            .iter()
+            .filter_map(|duty| Some(Effect::new(&council.may(clock, duty)?, n)))
+            .collect();
         self.carry(n, out);
-        for effect in checked.into_iter().chain(if stop { Vec::new() } else { may.clone() }) {
+        for effect in checked
+            .into_iter()
+            .chain(if stop { Vec::new() } else { may.clone() })
+        {
             for fence in 0..self.fences.len() {
                 let at = self.now + 1 + self.draw(200);
                 self.effects.push((at, fence, effect.clone()));
@@ -216,7 +258,9 @@
         self.now += 10;
         let now = self.now;
         for n in 0..self.nodes.len() {
-            while let Some((_, number, changes)) = self.nodes[n].writes.pop_front_if(|(at, ..)| *at <= now) {
+            while let Some((_, number, changes)) =
+                self.nodes[n].writes.pop_front_if(|(at, ..)| *at <= now)
+            {
                 for change in changes {
                     match change.value {
                         Some(value) => self.nodes[n].kept.insert(change.key, value),
@@ -230,7 +274,11 @@
                 self.carry(n, out);
             }
         }
-        for (&(from, to), link) in self.links.iter_mut().filter(|(link, _)| !self.cut.contains(link)) {
+        for (&(from, to), link) in self
+            .links
+            .iter_mut()
+            .filter(|(link, _)| !self.cut.contains(link))
+        {
             while let Some((_, bytes)) = link.pop_front_if(|(at, _)| *at <= now) {
                 if self.nodes[to].council.is_some() {
                     self.nodes[to].inbox.push((from, bytes));
@@ -260,19 +308,27 @@
         for n in (0..self.nodes.len()).filter(|n| self.nodes[*n].stopped <= now) {
             if let Some(council) = &self.nodes[n].council {
                 let permit = council.may(self.clock(n), "audit");
-                let state = permit.map_or(String::new(), |permit| format!("owner {}", permit.token()));
+                let state =
+                    permit.map_or(String::new(), |permit| format!("owner {}", permit.token()));
                 self.timeline.state(now, n, state);
             }
         }
         for duty in DUTIES {
             let owners = self.owners_of(duty);
-            assert!(owners.len() < 2, "seed {}: two owners of {duty} at once: {owners:?}", self.seed);
+            assert!(
+                owners.len() < 2,
+                "seed {}: two owners of {duty} at once: {owners:?}",
+                self.seed
+            );
         }
     }
 
     pub fn owners_of(&self, duty: &str) -> Vec<usize> {
         let may = |n: &usize| {
-            let council = self.nodes[*n].council.as_ref().filter(|_| self.nodes[*n].stopped <= self.now);
+            let council = self.nodes[*n]
+                .council
+                .as_ref()
+                .filter(|_| self.nodes[*n].stopped <= self.now);
             council.is_some_and(|council| council.may(self.clock(*n), duty).is_some())
         };
         (0..self.nodes.len()).filter(may).collect()
@@ -300,7 +356,9 @@
     pub fn seats(&mut self, add: bool, name: &str) -> Option<Result<(), Error>> {
         let n = (0..self.nodes.len())
             .find(|n| self.nodes[*n].council.is_some() && self.nodes[*n].stopped <= self.now)?;
-        let came = self.asks(n, |council, now, ticket, out| council.seating(now, ticket, add, name, out));
+        let came = self.asks(n, |council, now, ticket, out| {
+            council.seating(now, ticket, add, name, out)
+        });
         if came == Some(Ok(())) {
             self.seen[if add { 1 } else { 2 }] = true;
         }
@@ -358,7 +416,10 @@
             .map(|c| c.seats().len());
         let voting = self.nodes.iter().filter(|node| votes(node)).count();
         // Of two, one that is lost is the majority.
-        self.nodes.iter().all(there) && self.cut.is_empty() && voting >= 3 && seats.max() == Some(voting)
+        self.nodes.iter().all(there)
+            && self.cut.is_empty()
+            && voting >= 3
+            && seats.max() == Some(voting)
     }
 
     pub fn mend(&mut self) {
@@ -376,10 +437,14 @@
     }
 
     pub fn picture(&self) -> String {
-        let all = self.nodes.iter().enumerate().map(|(n, node)| match &node.council {
-            Some(council) => format!("{council:?} {:?}", council.view(self.clock(n))),
-            None => format!("n{n} is dead"),
-        });
+        let all = self
+            .nodes
+            .iter()
+            .enumerate()
+            .map(|(n, node)| match &node.council {
+                Some(council) => format!("{council:?} {:?}", council.view(self.clock(n))),
+                None => format!("n{n} is dead"),
+            });
         all.collect::<Vec<_>>().join("\n")
     }
 
@@ -387,7 +452,12 @@
     pub fn waits(&mut self, ms: u64, what: &str, so: impl Fn(&Self) -> bool) {
         let until = self.now + ms;
         while !so(self) {
-            assert!(self.now < until, "seed {}: {what}: {}", self.seed, self.picture());
+            assert!(
+                self.now < until,
+                "seed {}: {what}: {}",
+                self.seed,
+                self.picture()
+            );
             self.step();
         }
     }
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -24,7 +24,11 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {:.3} s: {}: {}; the step before: {}", self.at, self.promise, self.seen, self.step)?;
+        write!(
+            f,
+            "at {:.3} s: {}: {}; the step before: {}",
+            self.at, self.promise, self.seen, self.step
+        )?;
         match &self.place {
             Some((log, line)) => write!(f, "; {log}:{line}"),
             None => Ok(()),
@@ -33,10 +37,13 @@
 }
 
 fn step_before(events: &[(f64, Event)], at: f64) -> String {
-    let steps = events.iter().take_while(|(time, _)| *time <= at).filter_map(|(_, event)| match event {
-        Event::Note(what) => Some(what.as_str()),
-        _ => None,
-    });
+    let steps = events
+        .iter()
+        .take_while(|(time, _)| *time <= at)
+        .filter_map(|(_, event)| match event {
+            Event::Note(what) => Some(what.as_str()),
+            _ => None,
+        });
     steps.last().unwrap_or("none").to_owned()
 }
 
@@ -49,14 +56,22 @@
 pub fn answers(history: &History, most_runs: u32) -> Result<(), Violation> {
     let events = history.all();
     let broken = |promise, at, seen: String| {
-        Err(Violation { promise, at, seen, step: step_before(&events, at), place: None })
+        Err(Violation {
+            promise,
+            at,
+            seen,
+            step: step_before(&events, at),
+            place: None,
+        })
     };
     let (mut asked, mut answered) = (BTreeMap::new(), BTreeSet::new());
     let mut touched: BTreeMap<usize, f64> = BTreeMap::new();
     for (at, event) in &events {
         match event {
             Event::Note(what) => {
-                if let Ok(Step::Kill(n) | Step::Start(n) | Step::Pause(n) | Step::Wake(n)) = what.parse() {
+                if let Ok(Step::Kill(n) | Step::Start(n) | Step::Pause(n) | Step::Wake(n)) =
+                    what.parse()
+                {
                     touched.insert(n, *at);
                 }
             }
@@ -67,17 +82,29 @@
             }
             Event::Answered(id, status, sound) => {
                 let Some((since, node)) = asked.get(id) else {
-                    return broken("an answer has a question", *at, format!("{id} was not asked"));
+                    return broken(
+                        "an answer has a question",
+                        *at,
+                        format!("{id} was not asked"),
+                    );
                 };
                 if !answered.insert(id.clone()) {
                     return broken("one final answer", *at, format!("{id} answered twice"));
                 }
                 if !sound {
-                    return broken("no body that no worker made", *at, format!("{id}: {status:?}"));
+                    return broken(
+                        "no body that no worker made",
+                        *at,
+                        format!("{id}: {status:?}"),
+                    );
                 }
                 let since = *since;
                 if status.is_none() && touched.get(node).is_none_or(|last| *last < since - 1.0) {
-                    return broken("who serves on answers", *at, format!("{id} broken off by n{node}"));
+                    return broken(
+                        "who serves on answers",
+                        *at,
+                        format!("{id} broken off by n{node}"),
+                    );
                 }
             }
             Event::Ran(key, times) => {
@@ -92,7 +119,11 @@
         }
     }
     match asked.iter().find(|(id, _)| !answered.contains(*id)) {
-        Some((id, (at, node))) => broken("a final word for all", *at, format!("{id} at n{node} has none")),
+        Some((id, (at, node))) => broken(
+            "a final word for all",
+            *at,
+            format!("{id} at n{node} has none"),
+        ),
         None => Ok(()),
     }
 }
@@ -108,10 +139,21 @@
     let mut first: Option<Violation> = None;
     for (n, name, log) in logs {
         for (line, text) in log.lines().enumerate() {
-            let Some((before, after)) = text.split_once("a node has failed name=\"n") else { continue };
-            let whom = after.split('"').next().and_then(|number| number.parse::<usize>().ok());
-            let at = before.split_whitespace().next().and_then(unix).map(|unix| history.at(unix));
-            let (Some(whom), Some(at)) = (whom, at) else { continue };
+            let Some((before, after)) = text.split_once("a node has failed name=\"n") else {
+                continue;
+            };
+            let whom = after
+                .split('"')
+                .next()
+                .and_then(|number| number.parse::<usize>().ok());
+            let at = before
+                .split_whitespace()
+                .next()
+                .and_then(unix)
+                .map(|unix| history.at(unix));
+            let (Some(whom), Some(at)) = (whom, at) else {
+                continue;
+            };
             if caused(&events, at, *n, whom) || first.as_ref().is_some_and(|first| first.at <= at) {
                 continue;
             }
@@ -154,13 +196,28 @@
 /// The Unix time of a log's line, such as `2026-12-01T22:45:50.576671Z`.
 fn unix(text: &str) -> Option<f64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
-    let date: Vec<i64> = date.split('-').map(str::parse).collect::<Result<_, _>>().ok()?;
-    let time: Vec<f64> = time.split(':').map(str::parse).collect::<Result<_, _>>().ok()?;
-    let ([year, month, day], [hour, minute, second]) = (&date[..], &time[..]) else { return None };
+    let date: Vec<i64> = date
+        .split('-')
+        .map(str::parse)
+        .collect::<Result<_, _>>()
+        .ok()?;
+    let time: Vec<f64> = time
+        .split(':')
+        .map(str::parse)
+        .collect::<Result<_, _>>()
+        .ok()?;
+    let ([year, month, day], [hour, minute, second]) = (&date[..], &time[..]) else {
+        return None;
+    };
     // Days from 1970 in the proleptic calendar, years beginning in March.
-    let (y, m) = if *month <= 2 { (year - 1, month + 9) } else { (*year, month - 3) };
+    let (y, m) = if *month <= 2 {
+        (year - 1, month + 9)
+    } else {
+        (*year, month - 3)
+    };
     let days =
-        365 * y + y.div_euclid(4) - y.div_euclid(100) + y.div_euclid(400) + (153 * m + 2) / 5 + day - 719_469;
+        365 * y + y.div_euclid(4) - y.div_euclid(100) + y.div_euclid(400) + (153 * m + 2) / 5 + day
+            - 719_469;
     Some(days as f64 * 86_400.0 + hour * 3600.0 + minute * 60.0 + second)
 }
 
@@ -192,19 +249,42 @@
                     answered(3.0, "a", Some(502), true),
                 ],
             ),
-            ("no body that no worker made", vec![asked(1.0, "a", 0), answered(2.0, "a", Some(200), false)]),
-            ("an answer has a question", vec![answered(2.0, "a", Some(200), true)]),
-            ("ids are a client's own", vec![asked(1.0, "a", 0), asked(1.5, "a", 1)]),
+            (
+                "no body that no worker made",
+                vec![asked(1.0, "a", 0), answered(2.0, "a", Some(200), false)],
+            ),
+            (
+                "an answer has a question",
+                vec![answered(2.0, "a", Some(200), true)],
+            ),
+            (
+                "ids are a client's own",
+                vec![asked(1.0, "a", 0), asked(1.5, "a", 1)],
+            ),
             (
                 "who serves on answers",
-                vec![note(0.5, "kill 1"), asked(1.0, "a", 0), answered(2.0, "a", None, true)],
+                vec![
+                    note(0.5, "kill 1"),
+                    asked(1.0, "a", 0),
+                    answered(2.0, "a", None, true),
+                ],
             ),
             (
                 "who serves on answers",
-                vec![note(0.5, "kill 0"), asked(3.0, "a", 0), answered(4.0, "a", None, true)],
+                vec![
+                    note(0.5, "kill 0"),
+                    asked(3.0, "a", 0),
+                    answered(4.0, "a", None, true),
+                ],
+            ),
+            (
+                "a final word for all",
+                vec![note(0.1, "heal"), asked(1.0, "a", 0)],
+            ),
+            (
+                "no more runs than its class allows",
+                vec![(1.0, Event::Ran("k".into(), 2))],
             ),
-            ("a final word for all", vec![note(0.1, "heal"), asked(1.0, "a", 0)]),
-            ("no more runs than its class allows", vec![(1.0, Event::Ran("k".into(), 2))]),
         ];
         for (promise, events) in cases {
             let broken = answers(&History::of(0.0, events.clone()), 1).expect_err(promise);
@@ -232,7 +312,10 @@
         let logs = [(0, "n0/log".to_owned(), log.to_owned())];
         let check = |events: Vec<(f64, Event)>| blame(&History::of(start, events), &logs);
         let broken = check(vec![note(1.0, "kill 1")]).expect_err("no cause");
-        assert_eq!((broken.at, broken.place), (10.0, Some(("n0/log".into(), 2))));
+        assert_eq!(
+            (broken.at, broken.place),
+            (10.0, Some(("n0/log".into(), 2)))
+        );
         assert_eq!(broken.step, "kill 1");
         for (cause, innocent) in [
             ("kill 2", false),
@@ -247,9 +330,14 @@
         ] {
             assert_eq!(check(vec![note(8.0, cause)]).is_err(), innocent, "{cause}");
         }
-        let over = |ended: f64, end: &str| check(vec![note(-40.0, "isolate 2"), note(ended, end)]).is_err();
+        let over = |ended: f64, end: &str| {
+            check(vec![note(-40.0, "isolate 2"), note(ended, end)]).is_err()
+        };
         assert!(!over(5.0, "heal") && over(-5.0, "heal") && !over(-5.0, "suspend 0 1"));
         assert!(check(vec![note(-40.0, "kill 2"), note(-5.0, "start 2")]).is_err());
-        assert!(check(vec![note(10.5, "kill 2")]).is_err(), "a cause comes before");
+        assert!(
+            check(vec![note(10.5, "kill 2")]).is_err(),
+            "a cause comes before"
+        );
     }
 }
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -29,15 +29,26 @@
 
 impl Default for History {
     fn default() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-        Self { start: Instant::now(), unix, events: Arc::default() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs_f64();
+        Self {
+            start: Instant::now(),
+            unix,
+            events: Arc::default(),
+        }
     }
 }
 
 impl History {
     /// A history of these, each with its time in seconds, that began at this Unix time.
     pub fn of(unix: f64, events: Vec<(f64, Event)>) -> Self {
-        Self { start: Instant::now(), unix, events: Arc::new(Mutex::new(events)) }
+        Self {
+            start: Instant::now(),
+            unix,
+            events: Arc::new(Mutex::new(events)),
+        }
     }
 
     fn events(&self) -> MutexGuard<'_, Vec<(f64, Event)>> {
@@ -73,9 +84,14 @@
             match event {
                 Event::Note(what) => writeln!(f, "{at:8.3} {what}")?,
                 Event::Asked(id, node) => writeln!(f, "{at:8.3}   {id} asked at n{node}")?,
-                Event::Answered(id, Some(status), true) => writeln!(f, "{at:8.3}   {id} answered {status}")?,
+                Event::Answered(id, Some(status), true) => {
+                    writeln!(f, "{at:8.3}   {id} answered {status}")?
+                }
                 Event::Answered(id, Some(status), false) => {
-                    writeln!(f, "{at:8.3}   {id} answered {status}, with what no worker made")?;
+                    writeln!(
+                        f,
+                        "{at:8.3}   {id} answered {status}, with what no worker made"
+                    )?;
                 }
                 Event::Answered(id, None, _) => writeln!(f, "{at:8.3}   {id} broken off")?,
                 Event::Ran(key, times) => writeln!(f, "{at:8.3}   {key} run, {times} in all")?,
--- a/crates/fault-injection/src/net.rs
+++ b/crates/fault-injection/src/net.rs
@@ -32,7 +32,14 @@
 pub fn addresses(count: u8) -> Vec<IpAddr> {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let (process, first) = (std::process::id(), NEXT.fetch_add(count, Ordering::SeqCst));
-    let own = |n: u8| IpAddr::from([127, 64 + (process >> 8) as u8 % 64, process as u8, first + n]);
+    let own = |n: u8| {
+        IpAddr::from([
+            127,
+            64 + (process >> 8) as u8 % 64,
+            process as u8,
+            first + n,
+        ])
+    };
     (0..count).map(own).collect()
 }
 
@@ -74,7 +81,11 @@
     pub fn start(nodes: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let links = Links::default();
         let over = Arc::new(AtomicBool::new(false));
-        let from: HashMap<IpAddr, usize> = nodes.iter().enumerate().map(|(n, at)| (at.ip(), n)).collect();
+        let from: HashMap<IpAddr, usize> = nodes
+            .iter()
+            .enumerate()
+            .map(|(n, at)| (at.ip(), n))
+            .collect();
         let at = addresses(nodes.len() as u8);
         let mut relays = Vec::new();
         for (to, (node, at)) in nodes.iter().zip(at).enumerate() {
@@ -103,7 +114,11 @@
             let over = over.clone();
             thread::spawn(move || relay.run(&over));
         }
-        Ok(Self { links, relays, over })
+        Ok(Self {
+            links,
+            relays,
+            over,
+        })
     }
 
     /// What others are to be told of this node's address.
@@ -113,27 +128,49 @@
 
     /// Sets one direction.
     pub fn set(&self, from: usize, to: usize, link: Link) {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).insert((from, to), link);
+        self.links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert((from, to), link);
     }
 
     /// Cuts both directions between two sets.
     pub fn part(&self, a: &[usize], b: &[usize]) {
         for (x, y) in a.iter().flat_map(|x| b.iter().map(move |y| (*x, *y))) {
-            self.set(x, y, Link { cut: true, ..Link::default() });
-            self.set(y, x, Link { cut: true, ..Link::default() });
+            self.set(
+                x,
+                y,
+                Link {
+                    cut: true,
+                    ..Link::default()
+                },
+            );
+            self.set(
+                y,
+                x,
+                Link {
+                    cut: true,
+                    ..Link::default()
+                },
+            );
         }
     }
 
     /// Sets all directions.
     pub fn all(&self, link: Link) {
-        for (from, to) in (0..self.relays.len()).flat_map(|a| (0..self.relays.len()).map(move |b| (a, b))) {
+        for (from, to) in
+            (0..self.relays.len()).flat_map(|a| (0..self.relays.len()).map(move |b| (a, b)))
+        {
             self.set(from, to, link);
         }
     }
 
     /// Ends all faults.
     pub fn heal(&self) {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).clear();
+        self.links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clear();
     }
 }
 
@@ -176,12 +213,22 @@
             .from
             .get(&from.ip())
             .map(|from| (*from, self.to))
-            .and_then(|way| self.links.lock().unwrap_or_else(PoisonError::into_inner).get(&way).copied());
+            .and_then(|way| {
+                self.links
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .get(&way)
+                    .copied()
+            });
         let link = link.unwrap_or_default();
         if link.cut || uniform(&mut self.draws) < link.loss {
             return;
         }
-        let times = if uniform(&mut self.draws) < link.twice { 2 } else { 1 };
+        let times = if uniform(&mut self.draws) < link.twice {
+            2
+        } else {
+            1
+        };
         for _ in 0..times {
             let way = link.late.mul_f64(uniform(&mut self.draws));
             self.late.push((Instant::now() + way, bytes.to_vec()));
@@ -218,7 +265,13 @@
             let from = self.from.get(&from.ip()).copied();
             let way = |there: bool| Way {
                 links: self.links.clone(),
-                way: from.map(|from| if there { (from, self.to) } else { (self.to, from) }),
+                way: from.map(|from| {
+                    if there {
+                        (from, self.to)
+                    } else {
+                        (self.to, from)
+                    }
+                }),
                 draws: Pcg64Mcg::seed_from_u64(self.seed ^ number << 8 ^ u64::from(there)),
                 over: self.over.clone(),
             };
@@ -227,9 +280,13 @@
                 // A connection that is being made over a link that is cut is made when it is whole again.
                 there.held();
                 back.held();
-                let Ok(far) = TcpStream::connect(node) else { return };
+                let Ok(far) = TcpStream::connect(node) else {
+                    return;
+                };
                 let _ = near.set_nonblocking(false);
-                let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
+                let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else {
+                    return;
+                };
                 thread::spawn(move || there.carry(near, far));
                 back.carry(far_too, near_too);
             });
@@ -248,7 +305,9 @@
 impl Way {
     fn link(&self) -> Link {
         let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
-        self.way.and_then(|way| links.get(&way).copied()).unwrap_or_default()
+        self.way
+            .and_then(|way| links.get(&way).copied())
+            .unwrap_or_default()
     }
 
     /// Waits while the link is cut.
@@ -265,7 +324,8 @@
             let size = match from.read(&mut bytes) {
                 Ok(size) => size,
                 Err(error)
-                    if [io::ErrorKind::WouldBlock, io::ErrorKind::TimedOut].contains(&error.kind()) =>
+                    if [io::ErrorKind::WouldBlock, io::ErrorKind::TimedOut]
+                        .contains(&error.kind()) =>
                 {
                     continue;
                 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -28,8 +28,16 @@
     ) -> io::Result<Self> {
         let out = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(program);
-        command.args(args).envs(environment.iter().copied()).stdout(Stdio::null()).stderr(out);
-        Ok(Self { child: command.spawn()?, log: log.to_owned(), paused: false })
+        command
+            .args(args)
+            .envs(environment.iter().copied())
+            .stdout(Stdio::null())
+            .stderr(out);
+        Ok(Self {
+            child: command.spawn()?,
+            log: log.to_owned(),
+            paused: false,
+        })
     }
 
     /// Starts a command as it is.
@@ -38,7 +46,11 @@
     ///
     /// If it can't be started.
     pub fn of(command: &mut Command) -> io::Result<Self> {
-        Ok(Self { child: command.spawn()?, log: PathBuf::new(), paused: false })
+        Ok(Self {
+            child: command.spawn()?,
+            log: PathBuf::new(),
+            paused: false,
+        })
     }
 
     /// Tells it to read its configuration again.
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -155,7 +155,9 @@
                     Step::Start(n) => dead.remove(n),
                     Step::Pause(n) => !dead.contains(n) && paused.insert(*n),
                     Step::Wake(n) => paused.remove(n),
-                    Step::Suspend(n, _) | Step::Resume(n, _) => !dead.contains(n) && !paused.contains(n),
+                    Step::Suspend(n, _) | Step::Resume(n, _) => {
+                        !dead.contains(n) && !paused.contains(n)
+                    }
                     _ => true,
                 };
                 assert!(fits && dead.len() + paused.len() < 5, "seed {seed}: {step}");
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -32,7 +32,10 @@
 impl Timeline {
     /// One with these columns.
     pub fn new(columns: impl IntoIterator<Item = impl Into<String>>) -> Self {
-        Self { columns: columns.into_iter().map(Into::into).collect(), marks: Vec::new() }
+        Self {
+            columns: columns.into_iter().map(Into::into).collect(),
+            marks: Vec::new(),
+        }
     }
 
     /// What holds in a column from this millisecond on; said again it is no news.
@@ -65,7 +68,8 @@
     /// What came from this millisecond on, with what held then.
     pub fn since(&self, at: u64) -> Self {
         let mut cut = Self::new(self.columns.clone());
-        let (before, after): (Vec<_>, Vec<_>) = self.marks.iter().cloned().partition(|(of, _)| *of < at);
+        let (before, after): (Vec<_>, Vec<_>) =
+            self.marks.iter().cloned().partition(|(of, _)| *of < at);
         for column in 0..self.columns.len() {
             let last = before.iter().rev().find_map(|(_, mark)| match mark {
                 Mark::State(of, state) if *of == column => Some(state.clone()),
@@ -106,7 +110,11 @@
             match mark {
                 Mark::State(column, state) => {
                     if let Some(cell) = row.get_mut(column) {
-                        *cell = if state.is_empty() { "|".to_owned() } else { format!("[{state}]") };
+                        *cell = if state.is_empty() {
+                            "|".to_owned()
+                        } else {
+                            format!("[{state}]")
+                        };
                         states[column] = state;
                     }
                     text += &line(label, &row, width);
@@ -117,10 +125,16 @@
                     }
                     text += &line(label, &row, width);
                 }
-                Mark::Message(from, to, what) => text += &crossing(label, &row, width, from, to, &what),
+                Mark::Message(from, to, what) => {
+                    text += &crossing(label, &row, width, from, to, &what)
+                }
                 Mark::All(what) => {
                     let time = label.map_or(String::new(), |time| time.to_string());
-                    let _ = writeln!(text, "{time:>7}  {}", fit(&format!("== {what} =="), WIDEST - TIMES));
+                    let _ = writeln!(
+                        text,
+                        "{time:>7}  {}",
+                        fit(&format!("== {what} =="), WIDEST - TIMES)
+                    );
                 }
             }
         }
@@ -136,14 +150,20 @@
         "stopped" => ":".to_owned(),
         _ => "#".to_owned(),
     };
-    states.iter().map(|state| fit(&sign(state), width - 1)).collect()
+    states
+        .iter()
+        .map(|state| fit(&sign(state), width - 1))
+        .collect()
 }
 
 fn fit(text: &str, width: usize) -> String {
     if text.chars().count() <= width {
         return text.to_owned();
     }
-    text.chars().take(width.saturating_sub(1)).chain(['~']).collect()
+    text.chars()
+        .take(width.saturating_sub(1))
+        .chain(['~'])
+        .collect()
 }
 
 fn line(time: Option<u64>, cells: &[String], width: usize) -> String {
@@ -156,7 +176,14 @@
 }
 
 /// A message from one column to another: `o---what--->`.
-fn crossing(time: Option<u64>, cells: &[String], width: usize, from: usize, to: usize, what: &str) -> String {
+fn crossing(
+    time: Option<u64>,
+    cells: &[String],
+    width: usize,
+    from: usize,
+    to: usize,
+    what: &str,
+) -> String {
     let (left, right) = (from.min(to), from.max(to));
     if left == right || right >= cells.len() {
         return line(time, cells, width);
@@ -165,8 +192,11 @@
     let label = fit(what, room.saturating_sub(4));
     let dashes = room.saturating_sub(label.chars().count() + 2);
     let (before, after) = ("-".repeat(dashes / 2), "-".repeat(dashes - dashes / 2));
-    let arrow =
-        if from < to { format!("o{before}{label}{after}->") } else { format!("<-{before}{label}{after}o") };
+    let arrow = if from < to {
+        format!("o{before}{label}{after}->")
+    } else {
+        format!("<-{before}{label}{after}o")
+    };
     let time = time.map_or(String::new(), |time| time.to_string());
     let mut text = format!("{time:>7}  ");
     for cell in &cells[..left] {
@@ -227,15 +257,31 @@
     #[test]
     fn a_drawing_is_bounded_cut_and_says_a_state_once() {
         let cut = known().since(4350).draw(10);
-        assert!(cut.lines().nth(1).is_some_and(|line| line.contains("[stopped]")), "{cut}");
-        assert!(!cut.contains("[owner 7]") && cut.contains("[owner 8]"), "{cut}");
+        assert!(
+            cut.lines()
+                .nth(1)
+                .is_some_and(|line| line.contains("[stopped]")),
+            "{cut}"
+        );
+        assert!(
+            !cut.contains("[owner 7]") && cut.contains("[owner 8]"),
+            "{cut}"
+        );
         let mut wide = Timeline::new((0..18).map(|n| format!("a-node-with-a-long-name-{n}")));
-        wide.message(5, 17, 0, "a message with a name that is longer than all there is room for, by far");
+        wide.message(
+            5,
+            17,
+            0,
+            "a message with a name that is longer than all there is room for, by far",
+        );
         wide.all(6, "x".repeat(400));
         wide.state(7, 3, "a state that says a good deal");
         wide.state(8, 3, "a state that says a good deal");
         let drawn = wide.draw(1);
-        assert!(drawn.lines().all(|line| line.chars().count() <= WIDEST), "{drawn}");
+        assert!(
+            drawn.lines().all(|line| line.chars().count() <= WIDEST),
+            "{drawn}"
+        );
         assert_eq!(drawn.lines().count(), 4, "{drawn}");
     }
 }
--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -86,7 +86,9 @@
             if rest[..size] != HELLO[..size] {
                 return Err(DecodeError::Foreign);
             }
-            let Some(version) = rest.get(HELLO.len()..HELLO.len() + 2) else { return Ok(None) };
+            let Some(version) = rest.get(HELLO.len()..HELLO.len() + 2) else {
+                return Ok(None);
+            };
             let version = u16::from_be_bytes([version[0], version[1]]);
             if version != VERSION {
                 return Err(DecodeError::Version(version));
@@ -94,13 +96,18 @@
             (self.greeted, self.taken) = (true, self.taken + HELLO.len() + 2);
             return self.next();
         }
-        let Some(size) = rest.get(..4) else { return Ok(None) };
+        let Some(size) = rest.get(..4) else {
+            return Ok(None);
+        };
         let size = u32::from_be_bytes([size[0], size[1], size[2], size[3]]);
         if size as usize > MOST_FRAME {
             return Err(DecodeError::Long(size));
         }
-        let Some(body) = rest.get(4..4 + size as usize) else { return Ok(None) };
-        let (message, left) = postcard::take_from_bytes(body).map_err(|_| DecodeError::Malformed)?;
+        let Some(body) = rest.get(4..4 + size as usize) else {
+            return Ok(None);
+        };
+        let (message, left) =
+            postcard::take_from_bytes(body).map_err(|_| DecodeError::Malformed)?;
         if !left.is_empty() {
             return Err(DecodeError::Malformed);
         }
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -73,12 +73,25 @@
     pub fn new(role: Role, name: &str, listen: &str, now: f64) -> Self {
         let (name, listen, state) = (name.to_owned(), listen.to_owned(), State::Greeting);
         let (reader, calls) = Default::default();
-        Self { role, name, listen, state, reader, since: now, leaves: false, calls, next_call: 1 }
+        Self {
+            role,
+            name,
+            listen,
+            state,
+            reader,
+            since: now,
+            leaves: false,
+            calls,
+            next_call: 1,
+        }
     }
 
     /// What this side says first, after the greeting's bytes.
     pub fn hello(&self) -> Message {
-        Message::Hello { name: self.name.clone(), listen: self.listen.clone() }
+        Message::Hello {
+            name: self.name.clone(),
+            listen: self.listen.clone(),
+        }
     }
 
     /// The side that this process is on.
@@ -122,7 +135,11 @@
     pub fn late(&self, now: f64) -> Result<(), DecodeError> {
         let greeting = self.state != State::Joined && now - self.since > GREETING;
         let word = self.calls.values().any(|(_, since)| now - since > WORD);
-        if greeting || word { Err(DecodeError::Stalled) } else { Ok(()) }
+        if greeting || word {
+            Err(DecodeError::Stalled)
+        } else {
+            Ok(())
+        }
     }
 
     /// The older side has told all: from here on both tell what changes.
@@ -154,7 +171,9 @@
                 self.state = State::Telling;
                 LinkEvent::Greeted
             }
-            (State::Greeting, _) | (_, Message::Hello { .. }) => return Err(DecodeError::OutOfTurn),
+            (State::Greeting, _) | (_, Message::Hello { .. }) => {
+                return Err(DecodeError::OutOfTurn);
+            }
             (State::Telling, Message::Told) if self.role == Role::Newer => {
                 self.state = State::Joined;
                 LinkEvent::Told
@@ -174,7 +193,9 @@
             (State::Joined, Message::Job { job, input, closes }) if self.leaves => {
                 LinkEvent::Job(job, input, closes)
             }
-            (_, Message::Client { .. } | Message::Job { .. }) => return Err(DecodeError::OutOfTurn),
+            (_, Message::Client { .. } | Message::Job { .. }) => {
+                return Err(DecodeError::OutOfTurn);
+            }
             (_, Message::Leaves) => {
                 self.leaves = true;
                 LinkEvent::Leaves
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -1,7 +1,8 @@
 //! Two links against each other, cut anywhere, and one against whatever bytes come. Fixed seeds.
 
 use postproxy_handover::{
-    DecodeError, HELLO, Link, LinkEvent, MOST_FRAME, Message, Role, StateUpdate, VERSION, frame, greeting,
+    DecodeError, HELLO, Link, LinkEvent, MOST_FRAME, Message, Role, StateUpdate, VERSION, frame,
+    greeting,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -23,11 +24,20 @@
 /// Both sides after the greeting, the older one has told all.
 fn joined() -> (Link, Link) {
     let (mut older, mut newer) = (link(Role::Older), link(Role::Newer));
-    assert_eq!(received(&mut older, &first(&newer)), Ok(vec![LinkEvent::Greeted]));
-    assert_eq!(received(&mut newer, &first(&older)), Ok(vec![LinkEvent::Greeted]));
+    assert_eq!(
+        received(&mut older, &first(&newer)),
+        Ok(vec![LinkEvent::Greeted])
+    );
+    assert_eq!(
+        received(&mut newer, &first(&older)),
+        Ok(vec![LinkEvent::Greeted])
+    );
     assert!(!older.joined() && !newer.joined());
     older.told();
-    assert_eq!(received(&mut newer, &frame(&Message::Told)), Ok(vec![LinkEvent::Told]));
+    assert_eq!(
+        received(&mut newer, &frame(&Message::Told)),
+        Ok(vec![LinkEvent::Told])
+    );
     assert!(older.joined() && newer.joined());
     (older, newer)
 }
@@ -39,54 +49,91 @@
         (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| StateUpdate::Drain { on, ago }),
         proptest::collection::vec(any::<u8>(), 0..600).prop_map(StateUpdate::List),
         (id, any::<bool>()).prop_map(|(id, counts)| StateUpdate::Taken { id, counts }),
-        (id, any::<u16>(), id, 0f32..9.0, any::<bool>()).prop_map(|(id, attempt, worker, ago, counts)| {
-            StateUpdate::Sent { id, attempt, worker, need: 1.0, work: 0.5, ago, counts }
-        }),
+        (id, any::<u16>(), id, 0f32..9.0, any::<bool>()).prop_map(
+            |(id, attempt, worker, ago, counts)| {
+                StateUpdate::Sent {
+                    id,
+                    attempt,
+                    worker,
+                    need: 1.0,
+                    work: 0.5,
+                    ago,
+                    counts,
+                }
+            }
+        ),
         (id, any::<u16>()).prop_map(|(id, attempt)| StateUpdate::Ended { id, attempt }),
         id.prop_map(|id| StateUpdate::Over { id }),
-        proptest::collection::vec(0f32..9.0, 0..50)
-            .prop_map(|taken| StateUpdate::Past { taken, further: vec![1.0] }),
+        proptest::collection::vec(0f32..9.0, 0..50).prop_map(|taken| StateUpdate::Past {
+            taken,
+            further: vec![1.0]
+        }),
     ]
 }
 
 fn run<S: Strategy>(cases: u32, strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, rng).run(&strategy, test).expect("it holds");
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    TestRunner::new_with_rng(config, rng)
+        .run(&strategy, test)
+        .expect("it holds");
 }
 
 /// Guards against a message that is lost, doubled or changed by where its bytes are cut.
 #[test]
 fn what_is_told_arrives_however_it_is_cut() {
     let cuts = proptest::collection::vec(1usize..40, 1..20);
-    run(400, (proptest::collection::vec(tale(), 0..20), cuts), |(tales, cuts)| {
-        let (_, mut newer) = joined();
-        let bytes: Vec<u8> = tales.iter().flat_map(|t| frame(&Message::StateUpdate(t.clone()))).collect();
-        let (mut news, mut rest, mut cuts) = (Vec::new(), &bytes[..], cuts.iter().cycle());
-        while !rest.is_empty() {
-            let size = rest.len().min(*cuts.next().expect("a cycle"));
-            newer.receive(&rest[..size], &mut news).expect("sound messages");
-            rest = &rest[size..];
-        }
-        prop_assert_eq!(news, tales.into_iter().map(LinkEvent::StateUpdate).collect::<Vec<_>>());
-        Ok(())
-    });
+    run(
+        400,
+        (proptest::collection::vec(tale(), 0..20), cuts),
+        |(tales, cuts)| {
+            let (_, mut newer) = joined();
+            let bytes: Vec<u8> = tales
+                .iter()
+                .flat_map(|t| frame(&Message::StateUpdate(t.clone())))
+                .collect();
+            let (mut news, mut rest, mut cuts) = (Vec::new(), &bytes[..], cuts.iter().cycle());
+            while !rest.is_empty() {
+                let size = rest.len().min(*cuts.next().expect("a cycle"));
+                newer
+                    .receive(&rest[..size], &mut news)
+                    .expect("sound messages");
+                rest = &rest[size..];
+            }
+            prop_assert_eq!(
+                news,
+                tales
+                    .into_iter()
+                    .map(LinkEvent::StateUpdate)
+                    .collect::<Vec<_>>()
+            );
+            Ok(())
+        },
+    );
 }
 
 /// Guards against bytes that panic, are held without a bound, or are taken for a greeting.
 #[test]
 fn foreign_bytes_end_in_a_fault() {
-    run(2000, proptest::collection::vec(any::<u8>(), 0..300), |bytes| {
-        let mut older = link(Role::Older);
-        if let Ok(news) = received(&mut older, &bytes) {
-            prop_assert!(news.is_empty(), "{:?}", news);
-            prop_assert!(HELLO.starts_with(&bytes[..bytes.len().min(HELLO.len())]));
-        }
-        // Behind a true greeting, too.
-        let (_, mut newer) = joined();
-        let _ = received(&mut newer, &bytes);
-        Ok(())
-    });
+    run(
+        2000,
+        proptest::collection::vec(any::<u8>(), 0..300),
+        |bytes| {
+            let mut older = link(Role::Older);
+            if let Ok(news) = received(&mut older, &bytes) {
+                prop_assert!(news.is_empty(), "{:?}", news);
+                prop_assert!(HELLO.starts_with(&bytes[..bytes.len().min(HELLO.len())]));
+            }
+            // Behind a true greeting, too.
+            let (_, mut newer) = joined();
+            let _ = received(&mut newer, &bytes);
+            Ok(())
+        },
+    );
 }
 
 /// Guards against going by another version, another node, a message out of turn, or a frame of any length.
@@ -94,39 +141,80 @@
 fn what_can_not_be_gone_by_is_named() {
     let mut other = HELLO.to_vec();
     other.extend((VERSION + 1).to_be_bytes());
-    assert_eq!(received(&mut link(Role::Older), &other), Err(DecodeError::Version(VERSION + 1)));
-    assert_eq!(received(&mut link(Role::Older), b"GET / HTTP/1.1"), Err(DecodeError::Foreign));
+    assert_eq!(
+        received(&mut link(Role::Older), &other),
+        Err(DecodeError::Version(VERSION + 1))
+    );
+    assert_eq!(
+        received(&mut link(Role::Older), b"GET / HTTP/1.1"),
+        Err(DecodeError::Foreign)
+    );
     let foreign = Link::new(Role::Newer, "n2", "127.0.0.1:80", 100.0);
-    assert!(matches!(received(&mut link(Role::Older), &first(&foreign)), Err(DecodeError::OtherNode(_))));
+    assert!(matches!(
+        received(&mut link(Role::Older), &first(&foreign)),
+        Err(DecodeError::OtherNode(_))
+    ));
     let long = [greeting(), (MOST_FRAME as u32 + 1).to_be_bytes().to_vec()].concat();
-    assert_eq!(received(&mut link(Role::Older), &long), Err(DecodeError::Long(MOST_FRAME as u32 + 1)));
+    assert_eq!(
+        received(&mut link(Role::Older), &long),
+        Err(DecodeError::Long(MOST_FRAME as u32 + 1))
+    );
     let early = [greeting(), frame(&Message::Leaves)].concat();
-    assert_eq!(received(&mut link(Role::Older), &early), Err(DecodeError::OutOfTurn));
-    let client = Message::Client { input: Vec::new(), useful: true };
-    let job = Message::Job { job: vec![1], input: Vec::new(), closes: false };
+    assert_eq!(
+        received(&mut link(Role::Older), &early),
+        Err(DecodeError::OutOfTurn)
+    );
+    let client = Message::Client {
+        input: Vec::new(),
+        useful: true,
+    };
+    let job = Message::Job {
+        job: vec![1],
+        input: Vec::new(),
+        closes: false,
+    };
     let (mut older, mut newer) = joined();
     for message in [
         link(Role::Older).hello(),
         Message::Told,
-        Message::Called { number: 3, known: true },
+        Message::Called {
+            number: 3,
+            known: true,
+        },
         client.clone(),
         job.clone(),
     ] {
         let (_, mut newer) = joined();
-        assert_eq!(received(&mut newer, &frame(&message)), Err(DecodeError::OutOfTurn), "{message:?}");
+        assert_eq!(
+            received(&mut newer, &frame(&message)),
+            Err(DecodeError::OutOfTurn),
+            "{message:?}"
+        );
     }
     assert_eq!(
         received(&mut older, &frame(&Message::Told)),
         Err(DecodeError::OutOfTurn),
         "only the newer is told all"
     );
-    assert_eq!(received(&mut newer, &frame(&Message::Leaves)), Ok(vec![LinkEvent::Leaves]));
-    assert_eq!(received(&mut newer, &frame(&client)), Ok(vec![LinkEvent::Client(Vec::new(), true)]));
-    assert_eq!(received(&mut newer, &frame(&job)), Ok(vec![LinkEvent::Job(vec![1], Vec::new(), false)]));
+    assert_eq!(
+        received(&mut newer, &frame(&Message::Leaves)),
+        Ok(vec![LinkEvent::Leaves])
+    );
+    assert_eq!(
+        received(&mut newer, &frame(&client)),
+        Ok(vec![LinkEvent::Client(Vec::new(), true)])
+    );
+    assert_eq!(
+        received(&mut newer, &frame(&job)),
+        Ok(vec![LinkEvent::Job(vec![1], Vec::new(), false)])
+    );
     let mut empty = 0u32.to_be_bytes().to_vec();
     assert_eq!(received(&mut newer, &empty), Err(DecodeError::Malformed));
     empty = [3u32.to_be_bytes().to_vec(), vec![255, 255, 255]].concat();
-    assert_eq!(received(&mut joined().0, &empty), Err(DecodeError::Malformed));
+    assert_eq!(
+        received(&mut joined().0, &empty),
+        Err(DecodeError::Malformed)
+    );
 }
 
 /// Guards against a word that reaches another call, a call that waits for ever, and a greeting that does.
@@ -136,19 +224,43 @@
     let one = newer.call(100.0, 11, b"a".to_vec());
     let two = newer.call(100.5, 22, b"b".to_vec());
     let news = received(&mut older, &[frame(&one), frame(&two)].concat()).expect("calls");
-    let [LinkEvent::Call(first, a), LinkEvent::Call(second, b)] = &news[..] else { panic!("{news:?}") };
-    assert_eq!((&a[..], &b[..], newer.waiting()), (&b"a"[..], &b"b"[..], vec![11, 22]));
-    let word = frame(&Message::Called { number: *second, known: true });
-    assert_eq!(received(&mut newer, &word), Ok(vec![LinkEvent::Called(22, true)]));
-    assert_eq!(received(&mut newer, &word), Err(DecodeError::OutOfTurn), "one word a call");
+    let [LinkEvent::Call(first, a), LinkEvent::Call(second, b)] = &news[..] else {
+        panic!("{news:?}")
+    };
+    assert_eq!(
+        (&a[..], &b[..], newer.waiting()),
+        (&b"a"[..], &b"b"[..], vec![11, 22])
+    );
+    let word = frame(&Message::Called {
+        number: *second,
+        known: true,
+    });
+    assert_eq!(
+        received(&mut newer, &word),
+        Ok(vec![LinkEvent::Called(22, true)])
+    );
+    assert_eq!(
+        received(&mut newer, &word),
+        Err(DecodeError::OutOfTurn),
+        "one word a call"
+    );
     assert!(newer.late(101.9).is_ok());
-    assert_eq!((newer.late(102.1), newer.waiting()), (Err(DecodeError::Stalled), vec![11]));
-    let word = frame(&Message::Called { number: *first, known: false });
+    assert_eq!(
+        (newer.late(102.1), newer.waiting()),
+        (Err(DecodeError::Stalled), vec![11])
+    );
+    let word = frame(&Message::Called {
+        number: *first,
+        known: false,
+    });
     let mut newer_two = joined().1;
     assert!(received(&mut newer_two, &word).is_err());
     assert!(link(Role::Newer).late(100.9).is_ok());
     assert_eq!(link(Role::Newer).late(101.1), Err(DecodeError::Stalled));
-    assert!(older.late(500.0).is_ok(), "a link on which nothing is owed lasts");
+    assert!(
+        older.late(500.0).is_ok(),
+        "a link on which nothing is owed lasts"
+    );
 }
 
 /// What the model knows of one side.
@@ -181,25 +293,39 @@
         for (what, newer, size) in steps {
             let (at, to) = (usize::from(newer), usize::from(!newer));
             let message = match what {
-                0 => Some(Message::StateUpdate(StateUpdate::Over { id: format!("{who}") })),
+                0 => Some(Message::StateUpdate(StateUpdate::Over {
+                    id: format!("{who}"),
+                })),
                 1 => Some(Message::Holds(size as u32)),
                 2 => {
                     who += 1;
                     let message = links[at].call(now, who, vec![7]);
                     models[at].next += 1;
                     let number = models[at].next;
-                    prop_assert_eq!(&message, &Message::Call { number, body: vec![7] });
+                    prop_assert_eq!(
+                        &message,
+                        &Message::Call {
+                            number,
+                            body: vec![7]
+                        }
+                    );
                     models[at].calls.push((number, who));
                     Some(message)
                 }
-                3 => Some(Message::Called { number: size as u64 % 4 + 1, known: newer }),
+                3 => Some(Message::Called {
+                    number: size as u64 % 4 + 1,
+                    known: newer,
+                }),
                 4 if at == 0 && models[0].greeted && !models[0].told => {
                     links[0].told();
                     models[0].told = true;
                     Some(Message::Told)
                 }
                 5 if size > 50 => Some(Message::Leaves),
-                6 if size > 40 => Some(Message::Client { input: vec![1], useful: newer }),
+                6 if size > 40 => Some(Message::Client {
+                    input: vec![1],
+                    useful: newer,
+                }),
                 _ => None,
             };
             if let Some(message) = message {
@@ -256,7 +382,10 @@
             prop_assert_eq!(link.greeted(), model.greeted);
             prop_assert_eq!(link.joined(), model.greeted && model.told);
             prop_assert_eq!(link.leaves(), model.leaves);
-            prop_assert_eq!(link.waiting(), model.calls.iter().map(|(_, who)| *who).collect::<Vec<_>>());
+            prop_assert_eq!(
+                link.waiting(),
+                model.calls.iter().map(|(_, who)| *who).collect::<Vec<_>>()
+            );
         }
         Ok(())
     });
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -51,7 +51,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { retention: 3600.0, retention_of: HashMap::new(), result: 64 << 10, jobs: 1_000_000 }
+        Self {
+            retention: 3600.0,
+            retention_of: HashMap::new(),
+            result: 64 << 10,
+            jobs: 1_000_000,
+        }
     }
 }
 
@@ -136,7 +141,10 @@
 impl RequestLog {
     /// An empty one.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, ..Self::default() }
+        Self {
+            limits,
+            ..Self::default()
+        }
     }
 
     /// Takes in a record that was kept; what is none of a job's is passed over. Whether it was one.
@@ -145,15 +153,26 @@
             return false;
         };
         let (id, record) = record;
-        self.set(id, Job { record, running: false, unwritten: false });
+        self.set(
+            id,
+            Job {
+                record,
+                running: false,
+                unwritten: false,
+            },
+        );
         true
     }
 
     /// Ends the loading: what is to be deleted, as nothing of it ever ran.
     pub fn loaded(&mut self) -> Vec<Write> {
         let never = |job: &Job| job.record.stage == Stage::Open && !job.record.may_have_run();
-        let ids: Vec<String> =
-            self.jobs.iter().filter(|(_, job)| never(job)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<String> = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| never(job))
+            .map(|(id, _)| id.clone())
+            .collect();
         ids.iter().flat_map(|id| self.remove(id)).collect()
     }
 
@@ -179,7 +198,8 @@
     fn set(&mut self, id: &str, job: Job) {
         self.unset(id);
         if let Some(key) = &job.record.key {
-            self.by_key.insert((job.record.class.clone(), key.clone()), id.to_owned());
+            self.by_key
+                .insert((job.record.class.clone(), key.clone()), id.to_owned());
         }
         self.expiry.insert((job.record.until, id.to_owned()));
         self.in_doubt += usize::from(Self::doubtful(&job));
@@ -200,25 +220,43 @@
     }
 
     fn remove(&mut self, id: &str) -> Vec<Write> {
-        let Some(job) = self.unset(id) else { return Vec::new() };
+        let Some(job) = self.unset(id) else {
+            return Vec::new();
+        };
         let mut writes = vec![Write::Delete { key: job_key(id) }];
         if job.record.stage == Stage::Served(true) {
-            writes.push(Write::Delete { key: result_key(id) });
+            writes.push(Write::Delete {
+                key: result_key(id),
+            });
         }
         writes
     }
 
     fn until(&self, class: &str, now: f64, deadline: u64) -> u64 {
-        let retention = self.limits.retention_of.get(class).unwrap_or(&self.limits.retention);
+        let retention = self
+            .limits
+            .retention_of
+            .get(class)
+            .unwrap_or(&self.limits.retention);
         // A record outlives its client's waiting in any case.
         ms(now + retention).max(deadline + 1000)
     }
 
     /// What is owed to a client that asks for this.
     pub fn standing(&self, asked: &RequestIdentity<'_>) -> Lookup {
-        let by_key = || self.by_key.get(&(asked.class.to_owned(), asked.key?.to_owned())).map(String::as_str);
-        let id = if self.jobs.contains_key(asked.id) { Some(asked.id) } else { by_key() };
-        let Some((id, job)) = id.and_then(|id| Some((id, self.jobs.get(id)?))) else { return Lookup::New };
+        let by_key = || {
+            self.by_key
+                .get(&(asked.class.to_owned(), asked.key?.to_owned()))
+                .map(String::as_str)
+        };
+        let id = if self.jobs.contains_key(asked.id) {
+            Some(asked.id)
+        } else {
+            by_key()
+        };
+        let Some((id, job)) = id.and_then(|id| Some((id, self.jobs.get(id)?))) else {
+            return Lookup::New;
+        };
         let id = id.to_owned();
         if job.record.digest != asked.digest || job.record.class != asked.class {
             return Lookup::Conflict;
@@ -236,8 +274,16 @@
     pub fn make_room(&mut self) -> Option<Vec<Write>> {
         let mut writes = Vec::new();
         while self.jobs.len() >= self.limits.jobs.max(1) {
-            let ended = |id: &str| self.jobs.get(id).is_some_and(|job| job.record.stage != Stage::Open);
-            let oldest = self.expiry.iter().find(|(_, id)| ended(id)).map(|(_, id)| id.clone())?;
+            let ended = |id: &str| {
+                self.jobs
+                    .get(id)
+                    .is_some_and(|job| job.record.stage != Stage::Open)
+            };
+            let oldest = self
+                .expiry
+                .iter()
+                .find(|(_, id)| ended(id))
+                .map(|(_, id)| id.clone())?;
             writes.extend(self.remove(&oldest));
         }
         Some(writes)
@@ -267,41 +313,71 @@
             },
         };
         record.until = until;
-        record.attempts.push(Attempt { worker: worker.into(), fate: AttemptOutcome::Out });
+        record.attempts.push(Attempt {
+            worker: worker.into(),
+            fate: AttemptOutcome::Out,
+        });
         self.keep(asked.id, record, true)
     }
 
     fn keep(&mut self, id: &str, record: Record, running: bool) -> Vec<Write> {
-        let write = Write::Put { key: job_key(id), value: record.encode(), until: record.until };
-        self.set(id, Job { record, running, unwritten: false });
+        let write = Write::Put {
+            key: job_key(id),
+            value: record.encode(),
+            until: record.until,
+        };
+        self.set(
+            id,
+            Job {
+                record,
+                running,
+                unwritten: false,
+            },
+        );
         vec![write]
     }
 
     /// The attempt of this number has ended without serving the job; whether it may have run.
     pub fn ended(&mut self, now: f64, id: &str, attempt: usize, may_have_run: bool) -> Vec<Write> {
         let out = self.jobs.get(id).is_some_and(|job| {
-            job.running && job.record.attempts.get(attempt).is_some_and(|a| a.fate == AttemptOutcome::Out)
+            job.running
+                && job
+                    .record
+                    .attempts
+                    .get(attempt)
+                    .is_some_and(|a| a.fate == AttemptOutcome::Out)
         });
         if !out {
             return Vec::new();
         }
-        let Some(mut job) = self.unset(id) else { return Vec::new() };
-        job.record.attempts[attempt].fate =
-            if may_have_run { AttemptOutcome::MayHaveRun } else { AttemptOutcome::NeverRan };
+        let Some(mut job) = self.unset(id) else {
+            return Vec::new();
+        };
+        job.record.attempts[attempt].fate = if may_have_run {
+            AttemptOutcome::MayHaveRun
+        } else {
+            AttemptOutcome::NeverRan
+        };
         job.record.until = self.until(&job.record.class, now, job.record.deadline);
         self.keep(id, job.record, job.running)
     }
 
     /// It was served.
     pub fn served(&mut self, now: f64, id: &str, result: &[u8]) -> Vec<Write> {
-        let Some(mut job) = self.unset(id) else { return Vec::new() };
+        let Some(mut job) = self.unset(id) else {
+            return Vec::new();
+        };
         let kept = result.len() <= self.limits.result;
         job.record.stage = Stage::Served(kept);
         job.record.until = self.until(&job.record.class, now, job.record.deadline);
         let until = job.record.until;
         let mut writes = self.keep(id, job.record, false);
         if kept {
-            writes.push(Write::Put { key: result_key(id), value: result.to_vec(), until });
+            writes.push(Write::Put {
+                key: result_key(id),
+                value: result.to_vec(),
+                until,
+            });
         }
         writes
     }
@@ -309,26 +385,40 @@
     /// Its client has its final answer, and none of its attempts is out any more. A job of which nothing ran is
     /// forgotten; any other that was not served has failed.
     pub fn over(&mut self, now: f64, id: &str) -> Vec<Write> {
-        let Some(job) = self.jobs.get(id).filter(|job| job.running) else { return Vec::new() };
+        let Some(job) = self.jobs.get(id).filter(|job| job.running) else {
+            return Vec::new();
+        };
         if job.record.stage != Stage::Open {
             return Vec::new();
         }
         if !job.record.may_have_run() {
             return self.remove(id);
         }
-        let Some(mut job) = self.unset(id) else { return Vec::new() };
+        let Some(mut job) = self.unset(id) else {
+            return Vec::new();
+        };
         job.record.stage = Stage::Failed;
         job.record.until = self.until(&job.record.class, now, job.record.deadline);
         self.keep(id, job.record, false)
     }
 
     /// A worker's word on a job of an earlier life; what it settles, and what is to be written.
-    pub fn word(&mut self, now: f64, id: &str, from: &str, word: Completion<'_>) -> (Resolution, Vec<Write>) {
+    pub fn word(
+        &mut self,
+        now: f64,
+        id: &str,
+        from: &str,
+        word: Completion<'_>,
+    ) -> (Resolution, Vec<Write>) {
         let nothing = (Resolution::Nothing, Vec::new());
-        let Some(job) = self.jobs.get_mut(id).filter(|job| Self::doubtful(job)) else { return nothing };
+        let Some(job) = self.jobs.get_mut(id).filter(|job| Self::doubtful(job)) else {
+            return nothing;
+        };
         // A worker has one attempt of a job at a time; what it says is of its last one.
         let of = |a: &&mut Attempt| a.worker == from && a.fate == AttemptOutcome::Out;
-        let Some(attempt) = job.record.attempts.iter_mut().rev().find(of) else { return nothing };
+        let Some(attempt) = job.record.attempts.iter_mut().rev().find(of) else {
+            return nothing;
+        };
         match word {
             Completion::Done(result) => {
                 attempt.fate = AttemptOutcome::MayHaveRun;
@@ -350,13 +440,23 @@
 
     /// After a word that did not serve a job in doubt: it has failed, unless another attempt is still out.
     fn still_open(&mut self, now: f64, id: &str) -> (Resolution, Vec<Write>) {
-        let Some(mut job) = self.unset(id) else { return (Resolution::Nothing, Vec::new()) };
-        let out = job.record.attempts.iter().any(|a| a.fate == AttemptOutcome::Out);
+        let Some(mut job) = self.unset(id) else {
+            return (Resolution::Nothing, Vec::new());
+        };
+        let out = job
+            .record
+            .attempts
+            .iter()
+            .any(|a| a.fate == AttemptOutcome::Out);
         if !out {
             job.record.stage = Stage::Failed;
         }
         job.record.until = self.until(&job.record.class, now, job.record.deadline);
-        let settled = if out { Resolution::Nothing } else { Resolution::Failed };
+        let settled = if out {
+            Resolution::Nothing
+        } else {
+            Resolution::Failed
+        };
         (settled, self.keep(id, job.record, false))
     }
 
@@ -376,7 +476,11 @@
             if job.record.stage == Stage::Served(true) {
                 job.record.stage = Stage::Served(false);
             }
-            writes.push(Write::Put { key: job_key(id), value: job.record.encode(), until: job.record.until });
+            writes.push(Write::Put {
+                key: job_key(id),
+                value: job.record.encode(),
+                until: job.record.until,
+            });
         }
         writes
     }
@@ -391,7 +495,9 @@
             let id = id.clone();
             // What runs in this life is not forgotten before its end.
             if self.jobs.get(&id).is_some_and(|job| job.running) {
-                let Some(mut job) = self.unset(&id) else { return };
+                let Some(mut job) = self.unset(&id) else {
+                    return;
+                };
                 job.record.until = now + 60_000;
                 self.set(&id, job);
             } else {
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -58,7 +58,9 @@
 impl Record {
     /// Whether an attempt may have run, or may yet.
     pub fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.fate != AttemptOutcome::NeverRan)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.fate != AttemptOutcome::NeverRan)
     }
 
     /// Its bytes.
@@ -70,7 +72,11 @@
     /// Reads it; `None` for what this version can't read.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&version, rest) = bytes.split_first()?;
-        if version != VERSION { None } else { postcard::from_bytes(rest).ok() }
+        if version != VERSION {
+            None
+        } else {
+            postcard::from_bytes(rest).ok()
+        }
     }
 }
 
--- a/crates/idempotency/tests/request_log.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -9,7 +9,12 @@
 const DIGEST: [u8; 32] = [7; 32];
 
 fn asked<'a>(id: &'a str, key: Option<&'a str>) -> RequestIdentity<'a> {
-    RequestIdentity { id, key, class: "day-plan", digest: DIGEST }
+    RequestIdentity {
+        id,
+        key,
+        class: "day-plan",
+        digest: DIGEST,
+    }
 }
 
 /// What is on the disk.
@@ -53,14 +58,24 @@
     assert_eq!(look(&ledger, "b", Some("k")), Lookup::InDoubt("a".into()));
     assert_eq!(look(&ledger, "a", None), Lookup::InDoubt("a".into()));
     // Another worker's word is not this one's.
-    assert_eq!(ledger.word(101.0, "a", "w-2", Completion::Done(b"x")).0, Resolution::Nothing);
+    assert_eq!(
+        ledger.word(101.0, "a", "w-2", Completion::Done(b"x")).0,
+        Resolution::Nothing
+    );
     let (settled, writes) = ledger.word(101.0, "a", "w-1", Completion::Done(b"result"));
     assert_eq!((settled, ledger.in_doubt()), (Resolution::Served, 0));
     disk.write(writes);
-    assert_eq!(ledger.word(102.0, "a", "w-1", Completion::Failed).0, Resolution::Nothing, "it is settled");
+    assert_eq!(
+        ledger.word(102.0, "a", "w-1", Completion::Failed).0,
+        Resolution::Nothing,
+        "it is settled"
+    );
     let ledger = disk.start(Limits::default());
     assert_eq!(look(&ledger, "c", Some("k")), Lookup::Served("a".into()));
-    assert_eq!(disk.0.get(&result_key("a")).map(Vec::as_slice), Some(&b"result"[..]));
+    assert_eq!(
+        disk.0.get(&result_key("a")).map(Vec::as_slice),
+        Some(&b"result"[..])
+    );
 }
 
 /// Guards against a second run because a word proves less than it seems to, and against none though nothing ran.
@@ -70,7 +85,11 @@
     disk.write(ledger.intend(100.0, &asked("a", None), "w-1", 112.0));
     disk.write(ledger.ended(100.1, "a", 0, false));
     let fresh = disk.start(Limits::default());
-    assert_eq!(fresh.standing(&asked("a", None)), Lookup::New, "it was handed back before the end");
+    assert_eq!(
+        fresh.standing(&asked("a", None)),
+        Lookup::New,
+        "it was handed back before the end"
+    );
     assert!(disk.0.is_empty());
     disk.write(ledger.intend(100.2, &asked("a", None), "w-2", 112.0));
     let mut ledger = disk.start(Limits::default());
@@ -87,7 +106,10 @@
     disk.write(ledger.ended(103.0, "a", 0, true));
     disk.write(ledger.over(103.0, "a"));
     assert_eq!(ledger.standing(&asked("a", None)), Lookup::Failed);
-    assert_eq!(disk.start(Limits::default()).standing(&asked("a", None)), Lookup::Failed);
+    assert_eq!(
+        disk.start(Limits::default()).standing(&asked("a", None)),
+        Lookup::Failed
+    );
 }
 
 /// Guards against results beyond the limit, a full ledger that drops a job in doubt, and one that is full for
@@ -107,10 +129,17 @@
     let mut doubts = disk.start(limits.clone());
     assert_eq!((doubts.make_room(), doubts.in_doubt()), (None, 2));
     disk.write(ledger.served(101.0, "b", b"far too long"));
-    assert_eq!(ledger.standing(&asked("b", None)), Lookup::Failed, "its result is not kept");
+    assert_eq!(
+        ledger.standing(&asked("b", None)),
+        Lookup::Failed,
+        "its result is not kept"
+    );
     assert!(!disk.0.contains_key(&result_key("b")));
     disk.write(ledger.make_room().expect("one is settled"));
-    assert_eq!((ledger.len(), ledger.standing(&asked("b", None))), (1, Lookup::New));
+    assert_eq!(
+        (ledger.len(), ledger.standing(&asked("b", None))),
+        (1, Lookup::New)
+    );
     let mut ledger = disk.start(limits);
     ledger.expire(149.9);
     assert_eq!(ledger.len(), 1);
@@ -127,7 +156,10 @@
     ledger.unwritten("a");
     disk.write(ledger.rewrite());
     assert_eq!(ledger.rewrite(), []);
-    assert_eq!(disk.start(Limits::default()).standing(&asked("a", None)), Lookup::Failed);
+    assert_eq!(
+        disk.start(Limits::default()).standing(&asked("a", None)),
+        Lookup::Failed
+    );
 }
 
 #[derive(Clone, Debug)]
--- a/crates/inherited-listener/src/lib.rs
+++ b/crates/inherited-listener/src/lib.rs
@@ -36,7 +36,9 @@
             Self::NoSocket => write!(f, "names a descriptor that is no socket"),
             Self::NotListening => write!(f, "names a socket that does not listen for streams"),
             Self::Elsewhere(Some(at)) => write!(f, "names a socket that listens at {at}"),
-            Self::Elsewhere(None) => write!(f, "names a socket that listens at no internet address"),
+            Self::Elsewhere(None) => {
+                write!(f, "names a socket that listens at no internet address")
+            }
             Self::System(kind) => write!(f, "names a socket that can't be used: {kind}"),
         }
     }
@@ -48,12 +50,17 @@
 
 /// The socket of this number. Call it before the program opens descriptors of its own.
 fn socket(text: &str) -> Result<Socket, InheritError> {
-    let number: RawFd = text.parse().ok().filter(|number| *number > 2).ok_or(InheritError::Number)?;
+    let number: RawFd = text
+        .parse()
+        .ok()
+        .filter(|number| *number > 2)
+        .ok_or(InheritError::Number)?;
     let mut taken = TAKEN.lock().map_err(|_| InheritError::Taken)?;
     if taken.contains(&number) {
         return Err(InheritError::Taken);
     }
-    let what = std::fs::read_link(format!("/proc/self/fd/{number}")).map_err(|_| InheritError::Closed)?;
+    let what =
+        std::fs::read_link(format!("/proc/self/fd/{number}")).map_err(|_| InheritError::Closed)?;
     if !what.to_string_lossy().starts_with("socket:") {
         return Err(InheritError::NoSocket);
     }
@@ -104,7 +111,11 @@
     fn only_a_listener_at_the_address_is_taken_over_and_once() {
         let free = |owned: OwnedFd| owned.into_raw_fd().to_string();
         for text in ["", "x", "-1", "0", "2", "3.5", "99999999999"] {
-            assert_eq!(listener(text, any()).err(), Some(InheritError::Number), "{text}");
+            assert_eq!(
+                listener(text, any()).err(),
+                Some(InheritError::Number),
+                "{text}"
+            );
         }
         assert_eq!(listener("987654", any()).err(), Some(InheritError::Closed));
         // All are opened first: the number of one that was refused and closed would be given out again.
@@ -114,17 +125,37 @@
         let at = real.local_addr().expect("an address");
         let client = TcpStream::connect(at).expect("a connection");
         let other = real.try_clone().expect("a second descriptor");
-        assert_eq!(listener(&free(file.into()), any()).err(), Some(InheritError::NoSocket));
-        assert_eq!(listener(&free(datagrams.into()), any()).err(), Some(InheritError::NotListening));
-        assert_eq!(listener(&free(client.into()), any()).err(), Some(InheritError::NotListening));
-        assert_eq!(listener(&free(other.into()), any()).err(), Some(InheritError::Elsewhere(Some(at))));
+        assert_eq!(
+            listener(&free(file.into()), any()).err(),
+            Some(InheritError::NoSocket)
+        );
+        assert_eq!(
+            listener(&free(datagrams.into()), any()).err(),
+            Some(InheritError::NotListening)
+        );
+        assert_eq!(
+            listener(&free(client.into()), any()).err(),
+            Some(InheritError::NotListening)
+        );
+        assert_eq!(
+            listener(&free(other.into()), any()).err(),
+            Some(InheritError::Elsewhere(Some(at)))
+        );
         let number = free(real.into());
         let taken = listener(&number, at).expect("the listener");
         assert_eq!(listener(&number, at).err(), Some(InheritError::Taken));
         let peer = TcpStream::connect(at).expect("another connection");
         assert!(taken.accept().is_ok(), "the first one waits");
-        assert!(std::iter::repeat_with(|| taken.accept()).take(1000).any(|a| a.is_ok()));
+        assert!(
+            std::iter::repeat_with(|| taken.accept())
+                .take(1000)
+                .any(|a| a.is_ok())
+        );
         drop(peer);
-        assert!(taken.accept().is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
+        assert!(
+            taken
+                .accept()
+                .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+        );
     }
 }
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -18,7 +18,11 @@
 impl<T> Effect<T> {
     /// An effect under a permit.
     pub fn new(permit: &LeasePermit, what: T) -> Self {
-        Self { duty: permit.duty().to_owned(), token: permit.token(), what }
+        Self {
+            duty: permit.duty().to_owned(),
+            token: permit.token(),
+            what,
+        }
     }
 
     /// The duty that it is of.
@@ -82,7 +86,11 @@
         match self.seen.get_mut(duty) {
             Some(seen) if *seen > token => {
                 self.refused += 1;
-                Err(StaleToken { duty: duty.to_owned(), token, seen: *seen })
+                Err(StaleToken {
+                    duty: duty.to_owned(),
+                    token,
+                    seen: *seen,
+                })
             }
             Some(seen) => {
                 *seen = token;
--- a/crates/leases/src/granter.rs
+++ b/crates/leases/src/granter.rs
@@ -22,7 +22,12 @@
 impl LeaseGranter {
     /// One that does not lead and has applied nothing.
     pub fn new(times: LeaseTiming) -> Self {
-        Self { times, seen: BTreeMap::new(), leads: false, proposed: BTreeMap::new() }
+        Self {
+            times,
+            seen: BTreeMap::new(),
+            leads: false,
+            proposed: BTreeMap::new(),
+        }
     }
 
     /// Whether this node leads now.
@@ -35,12 +40,19 @@
 
     /// Takes in what the log has come to, after commands were applied.
     pub fn applied(&mut self, now: u64, state: &LeaseTable) {
-        self.seen.retain(|name, _| state.duty(name).is_some_and(|duty| duty.owner.is_some()));
+        self.seen
+            .retain(|name, _| state.duty(name).is_some_and(|duty| duty.owner.is_some()));
         for (name, duty) in state.duties() {
-            let Some((_, token)) = &duty.owner else { continue };
-            let known = self.seen.get(name).map(|(token, renewals, _)| (*token, *renewals));
+            let Some((_, token)) = &duty.owner else {
+                continue;
+            };
+            let known = self
+                .seen
+                .get(name)
+                .map(|(token, renewals, _)| (*token, *renewals));
             if known != Some((*token, duty.renewals)) {
-                self.seen.insert(name.to_owned(), (*token, duty.renewals, now));
+                self.seen
+                    .insert(name.to_owned(), (*token, duty.renewals, now));
             }
         }
     }
@@ -54,7 +66,8 @@
     /// When it is to be asked next, while it leads.
     pub fn next(&self) -> Option<u64> {
         let all = self.seen.iter().filter(|_| self.leads);
-        all.map(|(name, (_, renewals, since))| self.over(name, *renewals, *since)).min()
+        all.map(|(name, (_, renewals, since))| self.over(name, *renewals, *since))
+            .min()
     }
 
     /// The leases that are over, to be put to the log.
@@ -62,10 +75,13 @@
         if !self.leads {
             return None;
         }
-        let all =
-            self.seen.iter().filter(|(name, (_, renewals, since))| self.over(name, *renewals, *since) <= now);
-        let over: Vec<(String, FencingToken, u64)> =
-            all.map(|(name, (token, renewals, _))| (name.clone(), *token, *renewals)).collect();
+        let all = self
+            .seen
+            .iter()
+            .filter(|(name, (_, renewals, since))| self.over(name, *renewals, *since) <= now);
+        let over: Vec<(String, FencingToken, u64)> = all
+            .map(|(name, (token, renewals, _))| (name.clone(), *token, *renewals))
+            .collect();
         for (name, _, renewals) in &over {
             self.proposed.insert(name.clone(), (*renewals, now));
         }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -50,7 +50,12 @@
 impl LeaseHolder {
     /// One that owns nothing.
     pub fn new(times: LeaseTiming) -> Self {
-        Self { times, held: BTreeMap::new(), turn: None, since: 0 }
+        Self {
+            times,
+            held: BTreeMap::new(),
+            turn: None,
+            since: 0,
+        }
     }
 
     /// A turn of the loop; it is to come at least every half of `late`. One that comes later than `late` after the one
@@ -69,7 +74,10 @@
     /// was asked before a pause counts for nothing.
     pub fn granted(&mut self, asked: u64, duty: &str, token: FencingToken) {
         let until = (asked >= self.since).then(|| asked + self.times.owner());
-        let held = self.held.entry(duty.to_owned()).or_insert(Held { token, until });
+        let held = self
+            .held
+            .entry(duty.to_owned())
+            .or_insert(Held { token, until });
         if held.token < token {
             *held = Held { token, until };
         } else if held.token == token {
@@ -89,19 +97,32 @@
         let held = self.held.get(duty)?;
         // The same as in `turn`, for who asks in the middle of one.
         let awake = self.turn.is_some_and(|last| now <= last + self.times.late);
-        let left = held.until?.checked_sub(now).filter(|left| *left > 0 && awake)?;
-        Some(LeasePermit { duty: duty.to_owned(), token: held.token, left })
+        let left = held
+            .until?
+            .checked_sub(now)
+            .filter(|left| *left > 0 && awake)?;
+        Some(LeasePermit {
+            duty: duty.to_owned(),
+            token: held.token,
+            left,
+        })
     }
 
     /// All that it believes to own, to be renewed at once; also what has to be, after a pause.
     pub fn all(&self) -> Vec<(String, FencingToken)> {
-        self.held.iter().map(|(duty, held)| (duty.clone(), held.token)).collect()
+        self.held
+            .iter()
+            .map(|(duty, held)| (duty.clone(), held.token))
+            .collect()
     }
 
     /// When to renew: with two thirds of the shortest lease left, so that two renewals may be lost. 0 where one must be before
     /// anything else is done.
     pub fn renew_at(&self) -> Option<u64> {
         let left = self.times.owner() * 2 / 3;
-        self.held.values().map(|held| held.until.map_or(0, |until| until.saturating_sub(left))).min()
+        self.held
+            .values()
+            .map(|held| held.until.map_or(0, |until| until.saturating_sub(left)))
+            .min()
     }
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -20,8 +20,8 @@
 pub use granter::LeaseGranter;
 pub use holder::{LeaseHolder, LeasePermit};
 pub use state::{
-    Command, FencingToken, Lease, LeaseTable, MAX_LEASES, MAX_NAME_BYTES, MAX_VALUE_BYTES, Operation,
-    Rejection, Response,
+    Command, FencingToken, Lease, LeaseTable, MAX_LEASES, MAX_NAME_BYTES, MAX_VALUE_BYTES,
+    Operation, Rejection, Response,
 };
 
 /// What leases go by, in milliseconds; the same at all nodes.
@@ -37,7 +37,11 @@
 
 impl Default for LeaseTiming {
     fn default() -> Self {
-        Self { lease: 3000, drift: 20, late: 500 }
+        Self {
+            lease: 3000,
+            drift: 20,
+            late: 500,
+        }
     }
 }
 
--- a/crates/leases/src/state.rs
+++ b/crates/leases/src/state.rs
@@ -71,7 +71,10 @@
             Self::StaleToken(None) => write!(f, "the token is over: nobody owns it now"),
             Self::Unknown => write!(f, "nobody knows this duty"),
             Self::Malformed => {
-                write!(f, "a name must have 1 to {MAX_NAME_BYTES} bytes, a value at most {MAX_VALUE_BYTES}")
+                write!(
+                    f,
+                    "a name must have 1 to {MAX_NAME_BYTES} bytes, a value at most {MAX_VALUE_BYTES}"
+                )
             }
             Self::Full => write!(f, "no more duties can be remembered"),
             Self::Old => write!(f, "a later call of this client has been answered"),
@@ -146,11 +149,21 @@
                 return Response::Refused(Rejection::Old);
             }
         }
-        let answer = self.take(&command.node, &command.call).unwrap_or_else(Response::Refused);
-        let client = Client { number: command.number, answer: answer.clone(), used: self.commands };
+        let answer = self
+            .take(&command.node, &command.call)
+            .unwrap_or_else(Response::Refused);
+        let client = Client {
+            number: command.number,
+            answer: answer.clone(),
+            used: self.commands,
+        };
         self.clients.insert(id, client);
         if self.clients.len() > MAX_CLIENTS {
-            let oldest = self.clients.iter().min_by_key(|(_, client)| client.used).map(|(id, _)| id.clone());
+            let oldest = self
+                .clients
+                .iter()
+                .min_by_key(|(_, client)| client.used)
+                .map(|(id, _)| id.clone());
             oldest.and_then(|id| self.clients.remove(&id));
         }
         answer
@@ -199,7 +212,9 @@
 
     /// The owner is none any more; who was wanted next is it now.
     fn end(&mut self, name: &str) {
-        let Some(duty) = self.duties.get_mut(name) else { return };
+        let Some(duty) = self.duties.get_mut(name) else {
+            return;
+        };
         duty.owner = None;
         if let Some(next) = duty.next.take() {
             self.grant(name, &next);
@@ -224,7 +239,11 @@
                     // Its own from an earlier life, too: with a new token, so that what that one still does is refused.
                     _ => {
                         let token = self.grant(name, node);
-                        let value = self.duties.get(name).map(|duty| duty.value.clone()).unwrap_or_default();
+                        let value = self
+                            .duties
+                            .get(name)
+                            .map(|duty| duty.value.clone())
+                            .unwrap_or_default();
                         Ok(Response::Owns(token, value))
                     }
                 }
@@ -276,7 +295,10 @@
             }
             Operation::Expire(all) => {
                 for (name, token, renewals) in all {
-                    if self.owned(name, *token).is_ok_and(|duty| duty.renewals == *renewals) {
+                    if self
+                        .owned(name, *token)
+                        .is_ok_and(|duty| duty.renewals == *renewals)
+                    {
                         self.end(name);
                     }
                 }
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -80,7 +80,11 @@
                 cut: false,
             })
             .collect();
-        let voter = || Voter { state: LeaseTable::default(), granter: LeaseGranter::new(times), applied: 0 };
+        let voter = || Voter {
+            state: LeaseTable::default(),
+            granter: LeaseGranter::new(times),
+            applied: 0,
+        };
         let (log, on_the_way, done) = Default::default();
         Self {
             now: 100_000,
@@ -139,18 +143,25 @@
         } else {
             let held = node.holder.all();
             let renew = node.holder.renew_at().is_some_and(|at| at <= clock);
-            let free = DUTIES.iter().find(|duty| !held.iter().any(|(name, _)| name == *duty));
+            let free = DUTIES
+                .iter()
+                .find(|duty| !held.iter().any(|(name, _)| name == *duty));
             let call = match free {
                 _ if renew => Some(Operation::Renew(held.clone())),
-                Some(duty) if clock.is_multiple_of(7) => Some(Operation::Acquire((*duty).to_owned())),
-                _ => held.first().filter(|_| clock.is_multiple_of(11)).map(|(name, token)| {
-                    let count = node.counts.get(name).copied().unwrap_or_default();
-                    if clock.is_multiple_of(5) {
-                        Operation::Release(name.clone(), *token)
-                    } else {
-                        Operation::Save(name.clone(), *token, count.to_be_bytes().to_vec())
-                    }
-                }),
+                Some(duty) if clock.is_multiple_of(7) => {
+                    Some(Operation::Acquire((*duty).to_owned()))
+                }
+                _ => held
+                    .first()
+                    .filter(|_| clock.is_multiple_of(11))
+                    .map(|(name, token)| {
+                        let count = node.counts.get(name).copied().unwrap_or_default();
+                        if clock.is_multiple_of(5) {
+                            Operation::Release(name.clone(), *token)
+                        } else {
+                            Operation::Save(name.clone(), *token, count.to_be_bytes().to_vec())
+                        }
+                    }),
             };
             if let Some(call) = call {
                 node.number += 1;
@@ -158,7 +169,12 @@
                 if let Operation::Release(name, token) = &call {
                     node.holder.lost(name, *token);
                 }
-                let command = Command { node: node.name.clone(), life: node.life, number: node.number, call };
+                let command = Command {
+                    node: node.name.clone(),
+                    life: node.life,
+                    number: node.number,
+                    call,
+                };
                 node.open = Some((clock, clock, command.clone()));
                 if !node.cut {
                     self.send(60, What::Operation(n, command));
@@ -167,7 +183,9 @@
         }
         let stopped = self.draw(200) == 0;
         for duty in DUTIES {
-            let Some(permit) = self.nodes[n].holder.may(clock, duty) else { continue };
+            let Some(permit) = self.nodes[n].holder.may(clock, duty) else {
+                continue;
+            };
             let count = self.nodes[n].counts.entry(duty.to_owned()).or_default();
             *count += 1;
             let effect = Effect::new(&permit, (n, *count));
@@ -175,7 +193,8 @@
                 // Stopped between its check and its effect.
                 self.nodes[n].checked.push(effect);
             } else {
-                (0..self.fences.len()).for_each(|fence| self.send(50, What::Effect(fence, effect.clone())));
+                (0..self.fences.len())
+                    .for_each(|fence| self.send(50, What::Effect(fence, effect.clone())));
             }
         }
         if !self.nodes[n].checked.is_empty() {
@@ -194,9 +213,12 @@
             }
             What::Response(n, life, number, answer) => {
                 let node = &mut self.nodes[n];
-                let open =
-                    node.open.take_if(|(_, _, command)| (command.life, command.number) == (life, number));
-                let Some((asked, _, command)) = open else { return };
+                let open = node
+                    .open
+                    .take_if(|(_, _, command)| (command.life, command.number) == (life, number));
+                let Some((asked, _, command)) = open else {
+                    return;
+                };
                 match (command.call, answer) {
                     (Operation::Acquire(duty), Response::Owns(token, value)) => {
                         let count = value.try_into().map_or(0, u64::from_be_bytes);
@@ -212,14 +234,19 @@
                             }
                         }
                     }
-                    (Operation::Save(duty, token, _), Response::Refused(_)) => node.holder.lost(&duty, token),
+                    (Operation::Save(duty, token, _), Response::Refused(_)) => {
+                        node.holder.lost(&duty, token)
+                    }
                     _ => {}
                 }
             }
             What::Effect(fence, effect) => {
                 let (duty, token) = (effect.duty().to_owned(), effect.token());
                 if let Ok((n, count)) = self.fences[fence].admit(effect) {
-                    self.done.entry((fence, duty)).or_default().push((token, n, count));
+                    self.done
+                        .entry((fence, duty))
+                        .or_default()
+                        .push((token, n, count));
                 }
             }
         }
@@ -229,7 +256,8 @@
     fn step(&mut self) {
         self.now += 10;
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = self.on_the_way.drain(..).partition(|(at, _)| *at <= now);
+        let (due, rest): (Vec<_>, Vec<_>) =
+            self.on_the_way.drain(..).partition(|(at, _)| *at <= now);
         self.on_the_way = rest;
         for (at, what) in due {
             match &what {
@@ -250,7 +278,10 @@
                 let answer = voter.state.apply(&command);
                 assert!(voter.state.token() >= before, "tokens grow");
                 voter.granter.applied(now, &voter.state);
-                let n = self.nodes.iter().position(|node| node.name == command.node && !node.dead);
+                let n = self
+                    .nodes
+                    .iter()
+                    .position(|node| node.name == command.node && !node.dead);
                 if let Some(n) = n.filter(|n| v == self.leader && !self.nodes[*n].cut) {
                     self.send(60, What::Response(n, command.life, command.number, answer));
                 }
@@ -259,7 +290,12 @@
             self.voters[v].granter.lead(leads);
             if let Some(call) = self.voters[v].granter.due(now) {
                 self.expired += 1;
-                let command = Command { node: format!("v{v}"), life: 1, number: self.expired, call };
+                let command = Command {
+                    node: format!("v{v}"),
+                    life: 1,
+                    number: self.expired,
+                    call,
+                };
                 let last = self.log.last().map_or(0, |(at, _)| *at);
                 self.log.push((last.max(now + 10), command));
             }
@@ -270,7 +306,9 @@
             }
         }
         for duty in DUTIES {
-            let may = |n: &usize| self.awake(*n) && self.nodes[*n].holder.may(self.clock(*n), duty).is_some();
+            let may = |n: &usize| {
+                self.awake(*n) && self.nodes[*n].holder.may(self.clock(*n), duty).is_some()
+            };
             let owners: Vec<usize> = (0..self.nodes.len()).filter(may).collect();
             assert!(owners.len() < 2, "two owners of {duty} at once: {owners:?}");
         }
@@ -282,7 +320,8 @@
             0 => self.nodes[n].until = self.now + self.draw(8000),
             1 => {
                 let node = &mut self.nodes[n];
-                (node.dead, node.open, node.holder) = (true, None, LeaseHolder::new(LeaseTiming::default()));
+                (node.dead, node.open, node.holder) =
+                    (true, None, LeaseHolder::new(LeaseTiming::default()));
                 node.checked.clear();
             }
             2 => {
@@ -330,7 +369,11 @@
                 sim.step();
                 (0..sim.nodes.len()).any(|n| sim.nodes[n].holder.may(sim.clock(n), duty).is_some())
             });
-            assert!(served, "seed {seed}: {duty} has no owner: {:?}", sim.voters[0].state.duty(duty));
+            assert!(
+                served,
+                "seed {seed}: {duty} has no owner: {:?}",
+                sim.voters[0].state.duty(duty)
+            );
         }
         let mut whose: BTreeMap<u64, usize> = BTreeMap::new();
         for ((fence, duty), done) in &sim.done {
@@ -339,7 +382,11 @@
                 "seed {seed}: {duty} at {fence}: an old owner's"
             );
             for (token, n, _) in done {
-                assert_eq!(whose.entry(*token).or_insert(*n), n, "seed {seed}: {duty}: token {token} of two");
+                assert_eq!(
+                    whose.entry(*token).or_insert(*n),
+                    n,
+                    "seed {seed}: {duty}: token {token} of two"
+                );
             }
             effects += done.len();
         }
@@ -348,17 +395,34 @@
         for (_, command) in &sim.log {
             state.apply(command);
             for (name, duty) in state.duties() {
-                let name = DUTIES.iter().find(|known| **known == name).expect("a known one");
+                let name = DUTIES
+                    .iter()
+                    .find(|known| **known == name)
+                    .expect("a known one");
                 let before = saved.entry(name).or_default();
-                assert!(duty.saved >= *before, "seed {seed}: the checkpoint of {name} went back");
+                assert!(
+                    duty.saved >= *before,
+                    "seed {seed}: the checkpoint of {name} went back"
+                );
                 *before = duty.saved;
             }
         }
-        let longest = sim.voters.iter().max_by_key(|voter| voter.applied).expect("a voter");
-        assert_eq!(longest.state.token(), state.token(), "seed {seed}: voters come to the same");
+        let longest = sim
+            .voters
+            .iter()
+            .max_by_key(|voter| voter.applied)
+            .expect("a voter");
+        assert_eq!(
+            longest.state.token(),
+            state.token(),
+            "seed {seed}: voters come to the same"
+        );
         owners += whose.len();
         refused += sim.fences.iter().map(Fence::refused).sum::<u64>();
     }
     println!("{effects} effects under {owners} tokens, {refused} refused");
-    assert!(refused > 20 && owners > 500, "{refused} refused, {owners} owners: the faults did happen");
+    assert!(
+        refused > 20 && owners > 500,
+        "{refused} refused, {owners} owners: the faults did happen"
+    );
 }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -3,8 +3,8 @@
 //! any moment, also between the check and the effect. Time is a few ticks. Each guard is taken out in turn, and must be missed.
 
 use postproxy_leases::{
-    Command, Effect, Fence, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable, LeaseTiming, Operation,
-    Response,
+    Command, Effect, Fence, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable, LeaseTiming,
+    Operation, Response,
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -72,7 +72,16 @@
 impl Duties {
     fn new(without: Without, ticks: u64, calls: [u64; 2]) -> Self {
         // A lease of 2 ticks, clocks alike, a pause is more than a tick.
-        Self { without, ticks, calls, times: LeaseTiming { lease: 2, drift: 0, late: 1 } }
+        Self {
+            without,
+            ticks,
+            calls,
+            times: LeaseTiming {
+                lease: 2,
+                drift: 0,
+                late: 1,
+            },
+        }
     }
 }
 
@@ -117,7 +126,11 @@
                 steps.push(Step::Sleep(n));
             }
             if world.numbers[n] < self.calls[n] {
-                steps.push(if world.holders[n].all().is_empty() { Step::Acquire(n) } else { Step::Renew(n) });
+                steps.push(if world.holders[n].all().is_empty() {
+                    Step::Acquire(n)
+                } else {
+                    Step::Renew(n)
+                });
             }
             if world.checked[n].is_some() {
                 steps.push(Step::Send(n));
@@ -133,7 +146,12 @@
         steps.extend((0..world.answers.len()).filter(awake).map(Step::Response));
         steps.extend((0..world.effects.len()).map(Step::Arrive));
         // Whichever voter leads.
-        steps.extend([0, 1].into_iter().filter(|_| world.expired < 2).map(Step::Expire));
+        steps.extend(
+            [0, 1]
+                .into_iter()
+                .filter(|_| world.expired < 2)
+                .map(Step::Expire),
+        );
     }
 
     fn next_state(&self, before: &World, step: Step) -> Option<World> {
@@ -162,10 +180,18 @@
             }
             Step::Acquire(n) | Step::Renew(n) => {
                 let all = world.holders[n].all();
-                let call =
-                    if all.is_empty() { Operation::Acquire(DUTY.into()) } else { Operation::Renew(all) };
+                let call = if all.is_empty() {
+                    Operation::Acquire(DUTY.into())
+                } else {
+                    Operation::Renew(all)
+                };
                 world.numbers[n] += 1;
-                let command = Command { node: format!("n{n}"), life: 1, number: world.numbers[n], call };
+                let command = Command {
+                    node: format!("n{n}"),
+                    life: 1,
+                    number: world.numbers[n],
+                    call,
+                };
                 world.calls.push((n, now, command));
             }
             Step::Apply(i) => {
@@ -175,7 +201,8 @@
                 {
                     // What was seen is taken for what there is by now.
                     let of = |name: &String| world.state.duty(name).map_or(0, |duty| duty.renewals);
-                    all.iter_mut().for_each(|(name, _, renewals)| *renewals = of(name));
+                    all.iter_mut()
+                        .for_each(|(name, _, renewals)| *renewals = of(name));
                 }
                 let answer = world.state.apply(&command);
                 if n != VOTER {
@@ -212,7 +239,12 @@
                     world.granters[leader].due(now)?
                 };
                 world.expired += 1;
-                let command = Command { node: "v".into(), life: 1, number: world.expired, call };
+                let command = Command {
+                    node: "v".into(),
+                    life: 1,
+                    number: world.expired,
+                    call,
+                };
                 world.calls.push((VOTER, now, command));
             }
             Step::Check(n) => world.checked[n] = world.holders[n].may(now, DUTY),
@@ -239,35 +271,58 @@
             // Safety: rests on tokens alone, whatever sleeps.
             Property::always(
                 "no effect after a newer owner's, no token of two owners",
-                |_, world: &World| world.done.windows(2).all(|two| two[0].0 < two[1].0 || two[0] == two[1]),
+                |_, world: &World| {
+                    world
+                        .done
+                        .windows(2)
+                        .all(|two| two[0].0 < two[1].0 || two[0] == two[1])
+                },
             ),
             // What leases add, where clocks keep within their bound: two never believe at once that they may.
             Property::always("one owner at a time", |_, world: &World| {
-                let may = |n: &usize| !world.asleep[*n] && world.holders[*n].may(world.now, DUTY).is_some();
+                let may = |n: &usize| {
+                    !world.asleep[*n] && world.holders[*n].may(world.now, DUTY).is_some()
+                };
                 (0..2).filter(may).count() < 2
             }),
             Property::sometimes("the second owner acts", |_, world: &World| {
                 world.done.len() == 2 && world.done[0].1 != world.done[1].1
             }),
-            Property::sometimes("an effect is refused", |_, world: &World| world.fence.refused() > 0),
+            Property::sometimes("an effect is refused", |_, world: &World| {
+                world.fence.refused() > 0
+            }),
         ]
     }
 }
 
 impl Duties {
     fn applied(&self, world: &mut World) {
-        let World { granters, state, now, .. } = world;
-        granters.iter_mut().for_each(|granter| granter.applied(*now, state));
+        let World {
+            granters,
+            state,
+            now,
+            ..
+        } = world;
+        granters
+            .iter_mut()
+            .for_each(|granter| granter.applied(*now, state));
     }
 }
 
 /// All states within so many steps of the first.
 fn check(without: Without, calls: [u64; 2], depth: usize) -> (usize, usize, Vec<&'static str>) {
-    let checker = Duties::new(without, 4, calls).checker().threads(4).target_max_depth(depth);
+    let checker = Duties::new(without, 4, calls)
+        .checker()
+        .threads(4)
+        .target_max_depth(depth);
     let (states, depth, found) = if without == Without::default() && depth < WHOLE {
         // Breadth first, so that all within the depth are seen.
         let checker = checker.spawn_bfs().join();
-        (checker.unique_state_count(), checker.max_depth(), checker.discoveries())
+        (
+            checker.unique_state_count(),
+            checker.max_depth(),
+            checker.discoveries(),
+        )
     } else {
         // Depth first, which takes little memory: all states there are, or up to the first that is broken.
         let ends = if without == Without::default() {
@@ -276,7 +331,11 @@
             HasDiscoveries::AnyFailures
         };
         let checker = checker.finish_when(ends).spawn_dfs().join();
-        (checker.unique_state_count(), checker.max_depth(), checker.discoveries())
+        (
+            checker.unique_state_count(),
+            checker.max_depth(),
+            checker.discoveries(),
+        )
     };
     let mut found: Vec<&'static str> = found.into_keys().collect();
     found.sort_unstable();
@@ -288,7 +347,10 @@
 
 /// In CI; `POSTPROXY_DEPTH` may ask for more.
 fn depth() -> usize {
-    std::env::var("POSTPROXY_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(11)
+    std::env::var("POSTPROXY_DEPTH")
+        .ok()
+        .and_then(|depth| depth.parse().ok())
+        .unwrap_or(11)
 }
 
 const SAFE: &str = "no effect after a newer owner's, no token of two owners";
@@ -314,7 +376,14 @@
 /// itself. Told here so that nobody takes the guard for more than it is.
 #[test]
 fn a_late_turn_is_missed_by_nothing_here() {
-    let (_, _, found) = check(Without { pause: true, ..Without::default() }, [1, 1], 15);
+    let (_, _, found) = check(
+        Without {
+            pause: true,
+            ..Without::default()
+        },
+        [1, 1],
+        15,
+    );
     assert!(!found.contains(&SAFE) && !found.contains(&ONE), "{found:?}");
 }
 
@@ -322,10 +391,42 @@
 #[test]
 fn each_guard_taken_out_is_missed() {
     let cases = [
-        ("fence", Without { fence: true, ..Without::default() }, [1, 1], SAFE),
-        ("asked", Without { asked: true, ..Without::default() }, [1, 1], ONE),
-        ("wait", Without { wait: true, ..Without::default() }, [1, 1], ONE),
-        ("renewal", Without { renewal: true, ..Without::default() }, [2, 1], ONE),
+        (
+            "fence",
+            Without {
+                fence: true,
+                ..Without::default()
+            },
+            [1, 1],
+            SAFE,
+        ),
+        (
+            "asked",
+            Without {
+                asked: true,
+                ..Without::default()
+            },
+            [1, 1],
+            ONE,
+        ),
+        (
+            "wait",
+            Without {
+                wait: true,
+                ..Without::default()
+            },
+            [1, 1],
+            ONE,
+        ),
+        (
+            "renewal",
+            Without {
+                renewal: true,
+                ..Without::default()
+            },
+            [2, 1],
+            ONE,
+        ),
     ];
     for (name, without, calls, broken) in cases {
         let (states, depth, found) = check(without, calls, 20);
--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -15,7 +15,10 @@
 
 fn at(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(f64::NAN)
+    sorted
+        .get((last as f64 * share).round() as usize)
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 fn sorted(mut values: Vec<f64>) -> Vec<f64> {
@@ -52,10 +55,21 @@
     let from = sim.now;
     let sent: Vec<(u64, u64)> = sim.nodes.iter().map(|n| (n.sent, n.bytes)).collect();
     sim.run(quiet);
-    let wrong = sim.told(from, |news| matches!(news, MembershipEvent::Failed(_))) as f64 / count as f64;
+    let wrong =
+        sim.told(from, |news| matches!(news, MembershipEvent::Failed(_))) as f64 / count as f64;
     let share = 1.0 / (quiet * count as f64);
-    let datagrams: u64 = sim.nodes.iter().zip(&sent).map(|(n, (before, _))| n.sent - before).sum();
-    let bytes: u64 = sim.nodes.iter().zip(&sent).map(|(n, (_, before))| n.bytes - before).sum();
+    let datagrams: u64 = sim
+        .nodes
+        .iter()
+        .zip(&sent)
+        .map(|(n, (before, _))| n.sent - before)
+        .sum();
+    let bytes: u64 = sim
+        .nodes
+        .iter()
+        .zip(&sent)
+        .map(|(n, (_, before))| n.bytes - before)
+        .sum();
     let mut line = Line {
         first: Vec::new(),
         all: Vec::new(),
@@ -70,12 +84,17 @@
         let (name, killed) = (sim.nodes[victim].name.clone(), sim.now);
         sim.kill(victim);
         let told = |node: &sim::Node| {
-            let about =
-                |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if *id.name == *name);
+            let about = |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if *id.name == *name);
             let mut recent = node.news.iter().rev().take_while(|(at, _)| *at > killed);
-            recent.find(|(_, news)| about(news)).map(|(at, _)| at - killed)
+            recent
+                .find(|(_, news)| about(news))
+                .map(|(at, _)| at - killed)
+        };
+        let knows = |sim: &Sim| {
+            sim.living()
+                .filter(|(_, node, _)| told(node).is_some())
+                .count()
         };
-        let knows = |sim: &Sim| sim.living().filter(|(_, node, _)| told(node).is_some()).count();
         // Looked at now and then: the times are those of the news.
         let mut left = 600;
         while left > 0 && knows(&sim) < count - 1 {
@@ -94,7 +113,14 @@
 }
 
 /// All-to-all heartbeats: every `period` to everybody, failed after `timeout` without any.
-fn heartbeats(count: usize, loss: f64, kills: usize, period: f64, timeout: f64, seed: u64) -> (f64, f64) {
+fn heartbeats(
+    count: usize,
+    loss: f64,
+    kills: usize,
+    period: f64,
+    timeout: f64,
+    seed: u64,
+) -> (f64, f64) {
     let mut draws = Pcg64Mcg::seed_from_u64(seed);
     let mut uniform = || (draws.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
     let mut all = Vec::new();
@@ -160,7 +186,9 @@
         } else {
             never += 1;
         }
-        if sim.until(120.0, |sim| sim.agree() && sim.all_stand(&ClusterHealth::Whole)) {
+        if sim.until(120.0, |sim| {
+            sim.agree() && sim.all_stand(&ClusterHealth::Whole)
+        }) {
             whole.push(sim.now - from);
         }
         sim.faults.loss = 0.0;
@@ -188,7 +216,12 @@
         );
         for count in words.skip(1).filter_map(|size| size.parse().ok()) {
             for loss in [0.0, 0.01, 0.05] {
-                heal(count, loss, if count > 100 { 5 } else { 20 }, 5 + count as u64);
+                heal(
+                    count,
+                    loss,
+                    if count > 100 { 5 } else { 20 },
+                    5 + count as u64,
+                );
             }
         }
         return;
@@ -196,8 +229,15 @@
     // A size, or a size and a loss in hundredths and perhaps the number of kills: `300`, `300:5` or `300:5:100`.
     let parse = |word: String| {
         let parts: Vec<&str> = word.split(':').collect();
-        let loss = parts.get(1).and_then(|loss| loss.parse::<f64>().ok()).map(|loss| loss / 100.0);
-        Some((parts[0].parse::<usize>().ok()?, loss, parts.get(2).and_then(|kills| kills.parse().ok())))
+        let loss = parts
+            .get(1)
+            .and_then(|loss| loss.parse::<f64>().ok())
+            .map(|loss| loss / 100.0);
+        Some((
+            parts[0].parse::<usize>().ok()?,
+            loss,
+            parts.get(2).and_then(|kills| kills.parse().ok()),
+        ))
     };
     let sizes: Vec<(usize, Option<f64>, Option<usize>)> = words.filter_map(parse).collect();
     println!(
@@ -206,7 +246,10 @@
     );
     println!("|{}", " --- |".repeat(12));
     for &(count, only, wanted) in &sizes {
-        for loss in LOSSES.into_iter().filter(|loss| only.is_none_or(|only| only == *loss)) {
+        for loss in LOSSES
+            .into_iter()
+            .filter(|loss| only.is_none_or(|only| only == *loss))
+        {
             let (kills, quiet) = match count {
                 0..=100 => (60, 300.0),
                 101..=300 => (20, 60.0),
--- a/crates/membership/src/cluster_health.rs
+++ b/crates/membership/src/cluster_health.rs
@@ -60,12 +60,22 @@
     pub fn reasons(&self) -> Vec<String> {
         match self {
             Self::Alone | Self::Whole => Vec::new(),
-            Self::SomeCut(pairs) => pairs.iter().map(|(a, b)| format!("{a} does not hear {b}")).collect(),
-            Self::Failed(names) => names.iter().map(|name| format!("{name} has failed")).collect(),
-            Self::Majority(names) => names.iter().map(|name| format!("{name} is not reached")).collect(),
-            Self::Minority(names) | Self::NoMajority(names) => {
-                names.iter().map(|name| format!("voter {name} is not reached")).collect()
-            }
+            Self::SomeCut(pairs) => pairs
+                .iter()
+                .map(|(a, b)| format!("{a} does not hear {b}"))
+                .collect(),
+            Self::Failed(names) => names
+                .iter()
+                .map(|name| format!("{name} has failed"))
+                .collect(),
+            Self::Majority(names) => names
+                .iter()
+                .map(|name| format!("{name} is not reached"))
+                .collect(),
+            Self::Minority(names) | Self::NoMajority(names) => names
+                .iter()
+                .map(|name| format!("voter {name} is not reached"))
+                .collect(),
         }
     }
 }
@@ -82,16 +92,26 @@
         let members: BTreeSet<&String> = self.members.iter().collect();
         let is = |name: &String| members.contains(name);
         let of = |(a, names): (&String, &BTreeSet<String>)| {
-            let pairs: Vec<_> = names.iter().filter(|b| is(b)).map(|b| (a.clone(), b.clone())).collect();
+            let pairs: Vec<_> = names
+                .iter()
+                .filter(|b| is(b))
+                .map(|b| (a.clone(), b.clone()))
+                .collect();
             pairs
         };
-        self.deaf.iter().filter(|(a, _)| is(a)).flat_map(of).collect()
+        self.deaf
+            .iter()
+            .filter(|(a, _)| is(a))
+            .flat_map(of)
+            .collect()
     }
 
     /// Whom a member reaches, over others or not, where each hears the next and is heard by it.
     fn reached(&self, from: &str) -> BTreeSet<&str> {
         let cut = |a: &str, b: &str| self.deaf.get(a).is_some_and(|names| names.contains(b));
-        let Some(from) = self.members.iter().find(|name| *name == from) else { return BTreeSet::new() };
+        let Some(from) = self.members.iter().find(|name| *name == from) else {
+            return BTreeSet::new();
+        };
         let (mut found, mut next) = (BTreeSet::from([from.as_str()]), vec![from]);
         while let Some(at) = next.pop() {
             for other in reachability::pairs(&self.members, &self.voters, at) {
@@ -110,13 +130,25 @@
         }
         let reached = self.reached(&self.me);
         let missing = |names: &BTreeSet<String>| {
-            names.iter().filter(|n| !reached.contains(n.as_str())).cloned().collect()
+            names
+                .iter()
+                .filter(|n| !reached.contains(n.as_str()))
+                .cloned()
+                .collect()
         };
         let majority = self.voters.len() / 2 + 1;
         if !self.voters.is_empty() {
-            let possible = self.voters.iter().filter(|voter| !self.left.contains(*voter)).count();
-            let here: Vec<String> =
-                self.voters.iter().filter(|v| self.members.contains(v)).cloned().collect();
+            let possible = self
+                .voters
+                .iter()
+                .filter(|voter| !self.left.contains(*voter))
+                .count();
+            let here: Vec<String> = self
+                .voters
+                .iter()
+                .filter(|v| self.members.contains(v))
+                .cloned()
+                .collect();
             let part = |voter: &String| {
                 let part = self.reached(voter);
                 here.iter().filter(|v| part.contains(v.as_str())).count()
@@ -127,7 +159,10 @@
             if possible < majority || largest.max(elsewhere) < majority {
                 return ClusterHealth::NoMajority(missing(&self.voters));
             }
-            let mine = here.iter().filter(|voter| reached.contains(voter.as_str())).count();
+            let mine = here
+                .iter()
+                .filter(|voter| reached.contains(voter.as_str()))
+                .count();
             if mine < majority {
                 return ClusterHealth::Minority(missing(&self.voters));
             }
@@ -140,6 +175,10 @@
             return ClusterHealth::Failed(self.failed.iter().cloned().collect());
         }
         let cuts = self.cuts();
-        if cuts.is_empty() { ClusterHealth::Whole } else { ClusterHealth::SomeCut(cuts) }
+        if cuts.is_empty() {
+            ClusterHealth::Whole
+        } else {
+            ClusterHealth::SomeCut(cuts)
+        }
     }
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -30,7 +30,11 @@
 
 impl fmt::Display for Identity {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at {}, incarnation {}", self.name, self.address, self.incarnation)
+        write!(
+            f,
+            "{} at {}, incarnation {}",
+            self.name, self.address, self.incarnation
+        )
     }
 }
 
--- a/crates/membership/src/local_clock.rs
+++ b/crates/membership/src/local_clock.rs
@@ -24,13 +24,20 @@
 impl LocalClock {
     /// Begins now.
     pub fn new(now: f64) -> Self {
-        Self { told: now, own: 0.0, ill: 0.0, missed: 0.0 }
+        Self {
+            told: now,
+            own: 0.0,
+            ill: 0.0,
+            missed: 0.0,
+        }
     }
 
     /// It is `now`; what comes next was to come at `due` of own time. Gives own time.
     pub fn at(&mut self, now: f64, due: Option<f64>) -> f64 {
         let passed = (now - self.told).max(0.0);
-        let wake = due.map_or(f64::INFINITY, |due| (due - self.own).max(0.0) * (1.0 + self.ill));
+        let wake = due.map_or(f64::INFINITY, |due| {
+            (due - self.own).max(0.0) * (1.0 + self.ill)
+        });
         let late = (passed - wake - SLACK).max(0.0);
         // What is left out counts as one slack: a pause is not measured by who slept through it.
         self.own += (passed - late) / (1.0 + self.ill);
