--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -6,7 +6,9 @@
 use crate::packet::{self, DecodeError, MOST_INSIDE, Message};
 use crate::reachability::{self, MOST_COMPLAINTS, Reachability};
 use crate::suspended_workers::{Fnv, SuspendedWorkers, Suspension};
-use foca::{AccumulatingRuntime, Foca, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer};
+use foca::{
+    AccumulatingRuntime, Foca, OwnedNotification, PeriodicParams, PostcardCodec, State, Timer,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -229,8 +231,12 @@
                     return None;
                 }
                 self.fresh = true;
-                let complaint =
-                    ReachabilityReport { life, number, deaf: names.into_iter().collect(), at: self.now };
+                let complaint = ReachabilityReport {
+                    life,
+                    number,
+                    deaf: names.into_iter().collect(),
+                    at: self.now,
+                };
                 self.deaf.insert(name.clone(), complaint);
                 Some(Key::Deaf(name))
             }
@@ -256,7 +262,11 @@
     type Key = Key;
     type Error = Infallible;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Identity>) -> Result<Option<Key>, Infallible> {
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _: Option<&Identity>,
+    ) -> Result<Option<Key>, Infallible> {
         // What is not understood is no reason to drop what came with it.
         let word = postcard::from_bytes(data).ok();
         Ok(word.and_then(|word| self.0.borrow_mut().take(word)))
@@ -328,7 +338,10 @@
 fn config(s: &Settings, nodes: usize) -> foca::Config {
     let every = |seconds, count| {
         let num_members = NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
-        Some(PeriodicParams { frequency: duration(seconds), num_members })
+        Some(PeriodicParams {
+            frequency: duration(seconds),
+            num_members,
+        })
     };
     // Each news is passed on as often as it takes to reach all and some more.
     let times = 4 + 2 * (nodes.max(1) as f64).log2().ceil() as u8;
@@ -359,11 +372,22 @@
     ) -> Self {
         let mut draws = Pcg64Mcg::seed_from_u64(seed);
         let life = rand::Rng::next_u64(&mut draws);
-        let me = Identity { name: name.into(), address, incarnation: started, life };
+        let me = Identity {
+            name: name.into(),
+            address,
+            incarnation: started,
+            life,
+        };
         let told = Rc::new(RefCell::new(GossipState::default()));
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6d65_6d62_6572_7321);
         let spread = GossipHandler(told.clone());
-        let foca = Foca::with_custom_broadcast(me.clone(), config(&settings, 3), rng, PostcardCodec, spread);
+        let foca = Foca::with_custom_broadcast(
+            me.clone(),
+            config(&settings, 3),
+            rng,
+            PostcardCodec,
+            spread,
+        );
         let mut members = Self {
             cluster: packet::cluster(&settings.cluster),
             settings,
@@ -405,7 +429,11 @@
     /// The time has come that [`Self::next`] told, or another.
     pub fn due(&mut self, now: f64, out: &mut Vec<Output>) {
         let own = self.advance(now);
-        while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= micros(own) + 2) {
+        while let Some(entry) = self
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= micros(own) + 2)
+        {
             let due = entry.remove();
             self.fire(own, due, out);
         }
@@ -457,7 +485,9 @@
         }
         let word = Message::Gone(vec![(name.to_owned(), incarnation)]);
         let peers: Vec<SocketAddr> = self.alive().map(|peer| peer.address).collect();
-        peers.into_iter().for_each(|peer| self.send(peer, &word, out));
+        peers
+            .into_iter()
+            .for_each(|peer| self.send(peer, &word, out));
         self.settle(out);
         Ok(())
     }
@@ -472,7 +502,10 @@
             let known = told.gone.entry(name.clone()).or_default();
             *known = incarnation.max(*known);
             drop(told);
-            let failed = self.table.get(&name).filter(|(_, state)| *state == MemberState::Failed);
+            let failed = self
+                .table
+                .get(&name)
+                .filter(|(_, state)| *state == MemberState::Failed);
             if let Some(life) = failed.map(|(id, _)| id.life) {
                 self.verdict(&name, life, out);
             }
@@ -487,8 +520,13 @@
     /// Says a word of another part of the program to a node that is there; it may get lost. `false` if it is too long, or there
     /// is no such node.
     pub fn say_part(&mut self, name: &str, word: &[u8], out: &mut Vec<Output>) -> bool {
-        let to = self.alive().find(|peer| &*peer.name == name).map(|peer| peer.address);
-        let Some(to) = to.filter(|_| word.len() <= packet::MOST_INSIDE && self.is_in()) else { return false };
+        let to = self
+            .alive()
+            .find(|peer| &*peer.name == name)
+            .map(|peer| peer.address);
+        let Some(to) = to.filter(|_| word.len() <= packet::MOST_INSIDE && self.is_in()) else {
+            return false;
+        };
         self.send(to, &Message::Part(word.to_vec()), out);
         true
     }
@@ -500,7 +538,11 @@
             let left = GossipMessage::Left(self.me.name.to_string(), self.me.life);
             self.say(&left);
             let _ = self.foca.leave_cluster(&mut self.runtime);
-            let told: Vec<SocketAddr> = self.alive().map(|peer| peer.address).take(TOLD_LEAVING).collect();
+            let told: Vec<SocketAddr> = self
+                .alive()
+                .map(|peer| peer.address)
+                .take(TOLD_LEAVING)
+                .collect();
             for to in told {
                 self.send(to, &Message::Leaves, out);
             }
@@ -512,13 +554,22 @@
 
     /// Takes a worker out of use, or back into it, for the fleet. The ticket is told in [`MembershipEvent::Held`] within
     /// half a second; `None` if no more can be remembered.
-    pub fn employ(&mut self, now: f64, worker: &str, again: bool, out: &mut Vec<Output>) -> Option<u64> {
+    pub fn employ(
+        &mut self,
+        now: f64,
+        worker: &str,
+        again: bool,
+        out: &mut Vec<Output>,
+    ) -> Option<u64> {
         let own = self.advance(now);
         let marks = {
             let mut told = self.told.borrow_mut();
             let before = told.bans.holds(worker);
-            let marks =
-                if again { told.bans.resume(worker) } else { vec![told.bans.suspend(self.me.life, worker)?] };
+            let marks = if again {
+                told.bans.resume(worker)
+            } else {
+                vec![told.bans.suspend(self.me.life, worker)?]
+            };
             if told.bans.holds(worker) != before {
                 told.changed.push(worker.to_owned());
             }
@@ -526,7 +577,10 @@
         };
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let tells: Vec<(String, Suspension)> = marks.iter().map(|mark| (worker.to_owned(), *mark)).collect();
+        let tells: Vec<(String, Suspension)> = marks
+            .iter()
+            .map(|mark| (worker.to_owned(), *mark))
+            .collect();
         let peers: Vec<Identity> = self.alive().cloned().collect();
         for part in parts(&tells, MOST_BANS) {
             for peer in &peers {
@@ -538,7 +592,13 @@
         } else {
             peers.into_iter().map(|p| p.name.to_string()).collect()
         };
-        self.tickets.insert(ticket, Ticket { asked, held: BTreeSet::new() });
+        self.tickets.insert(
+            ticket,
+            Ticket {
+                asked,
+                held: BTreeSet::new(),
+            },
+        );
         self.timer(own + HOLDING, Due::Held(ticket));
         self.settle(out);
         self.held(ticket, false, out);
@@ -560,7 +620,12 @@
 
     /// All that is known of bans, to be kept.
     pub fn bans(&self) -> Vec<(String, Suspension)> {
-        self.told.borrow().bans.marks().map(|(worker, mark)| (worker.to_owned(), mark)).collect()
+        self.told
+            .borrow()
+            .bans
+            .marks()
+            .map(|(worker, mark)| (worker.to_owned(), mark))
+            .collect()
     }
 
     /// Workers out of use, by name.
@@ -597,22 +662,40 @@
 
     /// Who bears this node's name, if another does.
     pub fn namesake(&self) -> Option<SocketAddr> {
-        if let Stage::Apart(at, _) = self.stage { Some(at) } else { None }
+        if let Stage::Apart(at, _) = self.stage {
+            Some(at)
+        } else {
+            None
+        }
     }
 
     /// All others that are or were known.
     pub fn others(&self) -> impl Iterator<Item = (&Identity, MemberState)> {
-        let suspects = self.foca.iter_members().filter(|member| member.state() == State::Suspect);
+        let suspects = self
+            .foca
+            .iter_members()
+            .filter(|member| member.state() == State::Suspect);
         let suspects: BTreeSet<&str> = suspects.map(|member| &*member.id().name).collect();
         self.table.values().map(move |(identity, state)| {
             let suspect = *state == MemberState::Alive && suspects.contains(&*identity.name);
-            (identity, if suspect { MemberState::Suspect } else { *state })
+            (
+                identity,
+                if suspect {
+                    MemberState::Suspect
+                } else {
+                    *state
+                },
+            )
         })
     }
 
     /// How many nodes may be there, this one among them: members and those that have failed and not left.
     pub fn count(&self) -> usize {
-        1 + self.table.values().filter(|(_, state)| *state != MemberState::Left).count()
+        1 + self
+            .table
+            .values()
+            .filter(|(_, state)| *state != MemberState::Left)
+            .count()
     }
 
     /// This node's place by name among the members that it knows, from 0, and their number.
@@ -642,12 +725,19 @@
     }
 
     fn alive(&self) -> impl Iterator<Item = &Identity> {
-        let alive = |state: &MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
-        self.table.values().filter(move |(_, state)| alive(state)).map(|(identity, _)| identity)
+        let alive =
+            |state: &MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
+        self.table
+            .values()
+            .filter(move |(_, state)| alive(state))
+            .map(|(identity, _)| identity)
     }
 
     fn advance(&mut self, now: f64) -> f64 {
-        let due = self.timers.first_key_value().map(|((at, _), _)| *at as f64 / 1e6);
+        let due = self
+            .timers
+            .first_key_value()
+            .map(|((at, _), _)| *at as f64 / 1e6);
         let own = self.time.at(now, due);
         self.told.borrow_mut().now = own;
         own
@@ -663,7 +753,10 @@
     }
 
     fn send(&self, to: SocketAddr, message: &Message, out: &mut Vec<Output>) {
-        out.push(Output::Send(to, packet::encode(self.cluster, &self.me, message)));
+        out.push(Output::Send(
+            to,
+            packet::encode(self.cluster, &self.me, message),
+        ));
     }
 
     /// Has a word passed on from node to node.
@@ -711,7 +804,10 @@
 
     /// Tells suspects that they are, so that those who live can say so in time.
     fn warn(&self, out: &mut Vec<Output>) {
-        let suspects = self.foca.iter_members().filter(|member| member.state() == State::Suspect);
+        let suspects = self
+            .foca
+            .iter_members()
+            .filter(|member| member.state() == State::Suspect);
         for member in suspects.take(WARNED) {
             let suspected = Message::Suspected(member.id().life, member.incarnation());
             self.send(member.id().address, &suspected, out);
@@ -738,7 +834,10 @@
             Stage::Apart(at, until) => {
                 if own >= until {
                     let number = self.draw();
-                    let holder = Identity { address: at, ..self.me.clone() };
+                    let holder = Identity {
+                        address: at,
+                        ..self.me.clone()
+                    };
                     self.stage = Stage::Signing(number, holder, own + SIGNING);
                 }
                 0.1
@@ -753,21 +852,34 @@
     }
 
     fn ask_seeds(&self, out: &mut Vec<Output>) {
-        for seed in self.settings.seeds.iter().filter(|seed| **seed != self.me.address) {
+        for seed in self
+            .settings
+            .seeds
+            .iter()
+            .filter(|seed| **seed != self.me.address)
+        {
             self.send(*seed, &Message::Ask, out);
         }
     }
 
     /// Becomes a member, above the incarnation that is told.
     fn enter(&mut self, own: f64, above: Option<u64>, out: &mut Vec<Output>) {
-        let incarnation = above.map_or(self.me.incarnation, |above| self.me.incarnation.max(above + 1));
+        let incarnation = above.map_or(self.me.incarnation, |above| {
+            self.me.incarnation.max(above + 1)
+        });
         if incarnation != self.me.incarnation {
             self.me.incarnation = incarnation;
-            let _ = self.foca.change_identity(self.me.clone(), &mut self.runtime);
+            let _ = self
+                .foca
+                .change_identity(self.me.clone(), &mut self.runtime);
         }
         self.stage = Stage::In;
         self.told.borrow_mut().fresh = true;
-        let known: Vec<Identity> = self.table.values().map(|(identity, _)| identity.clone()).collect();
+        let known: Vec<Identity> = self
+            .table
+            .values()
+            .map(|(identity, _)| identity.clone())
+            .collect();
         for peer in known.into_iter().take(TOLD_LEAVING) {
             let _ = self.foca.announce(peer, &mut self.runtime);
         }
@@ -786,7 +898,9 @@
         }
         for _ in 0..FILLERS.min(peers.len()) {
             let at = self.draw() % peers.len() as u64;
-            let _ = self.foca.announce(peers[at as usize].clone(), &mut self.runtime);
+            let _ = self
+                .foca
+                .announce(peers[at as usize].clone(), &mut self.runtime);
         }
         self.timer(own + FILL, Due::Fill(times - 1, peers.len()));
     }
@@ -797,7 +911,10 @@
         if self.stage != Stage::In {
             return;
         }
-        let names = self.alive().map(|peer| peer.name.to_string()).chain([self.me.name.to_string()]);
+        let names = self
+            .alive()
+            .map(|peer| peer.name.to_string())
+            .chain([self.me.name.to_string()]);
         let order = reachability::order(names);
         let pairs = reachability::pairs(&order, &self.settings.voters, &self.me.name);
         self.hello += 1;
@@ -820,7 +937,12 @@
         self.complaint += 1;
         self.said = self.hearing.deaf().cloned().collect();
         let names: Vec<String> = self.hearing.deaf().take(MOST_COMPLAINTS).cloned().collect();
-        self.say(&GossipMessage::Deaf(self.me.name.to_string(), self.me.life, self.complaint, names));
+        self.say(&GossipMessage::Deaf(
+            self.me.name.to_string(),
+            self.me.life,
+            self.complaint,
+            names,
+        ));
     }
 
     /// Compares the bans with one that is drawn, who may know more.
@@ -838,7 +960,10 @@
     fn tell_all(&mut self, own: f64, to: &Identity, back: bool, out: &mut Vec<Output>) {
         let gone: Vec<(String, u64)> = {
             let told = self.told.borrow();
-            told.gone.iter().map(|(name, incarnation)| (name.clone(), *incarnation)).collect()
+            told.gone
+                .iter()
+                .map(|(name, incarnation)| (name.clone(), *incarnation))
+                .collect()
         };
         let all = self.bans();
         let small = parts(&all, MOST_BANS).len() <= 1
@@ -855,14 +980,19 @@
             parts.push(Vec::new());
         }
         let last = parts.len().saturating_sub(1);
-        let bans =
-            parts.into_iter().enumerate().map(|(n, part)| Message::SuspendedWorkers(part, back && n == last));
+        let bans = parts
+            .into_iter()
+            .enumerate()
+            .map(|(n, part)| Message::SuspendedWorkers(part, back && n == last));
         let gone = (!gone.is_empty()).then_some(Message::Gone(gone));
         for message in gone.into_iter().chain(bans) {
             if small {
                 self.send(to.address, &message, out);
             } else {
-                out.push(Output::Tell(to.clone(), packet::encode(self.cluster, &self.me, &message)));
+                out.push(Output::Tell(
+                    to.clone(),
+                    packet::encode(self.cluster, &self.me, &message),
+                ));
             }
         }
     }
@@ -878,8 +1008,13 @@
             return;
         }
         // A life that is over says nothing that counts; who is back in a new one is told what stands in its way.
-        let known = self.table.get(&*from.name).map(|(identity, _)| identity.clone());
-        let late = known.as_ref().is_some_and(|known| known.life != from.life && known.beats(&from));
+        let known = self
+            .table
+            .get(&*from.name)
+            .map(|(identity, _)| identity.clone());
+        let late = known
+            .as_ref()
+            .is_some_and(|known| known.life != from.life && known.beats(&from));
         match message {
             Message::Ask => {
                 let answer = Message::Record(known.clone().filter(|known| known.life != from.life));
@@ -909,7 +1044,9 @@
             Message::Suspected(life, incarnation) => {
                 if life == self.me.life && self.stage == Stage::In {
                     let word = foca::Member::new(self.me.clone(), incarnation, State::Suspect);
-                    let _ = self.foca.apply_many(std::iter::once(word), true, &mut self.runtime);
+                    let _ = self
+                        .foca
+                        .apply_many(std::iter::once(word), true, &mut self.runtime);
                 }
             }
             Message::Leaves => {
@@ -923,7 +1060,9 @@
                 }
             }
             Message::Gone(names) => self.learn_gone(names, out),
-            Message::Part(word) => out.push(Output::MembershipEvent(MembershipEvent::Part(from, word))),
+            Message::Part(word) => {
+                out.push(Output::MembershipEvent(MembershipEvent::Part(from, word)))
+            }
             Message::Hold(ticket, marks) => {
                 self.learn(marks);
                 self.send(from.address, &Message::Held(ticket), out);
@@ -946,7 +1085,13 @@
     }
 
     /// Another life that bears this node's name says something: an earlier one of its own, late, or another process.
-    fn namesake_says(&mut self, own: f64, from: &Identity, message: &Message, out: &mut Vec<Output>) {
+    fn namesake_says(
+        &mut self,
+        own: f64,
+        from: &Identity,
+        message: &Message,
+        out: &mut Vec<Output>,
+    ) {
         match message {
             // It asks for a sign before it joins, or in order to know whether it may.
             Message::Sign(number) if self.stage == Stage::In || self.me.beats(from) => {
@@ -957,7 +1102,9 @@
                     && wanted == number
                 {
                     self.stage = Stage::Apart(from.address, own + 5.0 * ASK_AGAIN);
-                    out.push(Output::MembershipEvent(MembershipEvent::Namesake(from.address)));
+                    out.push(Output::MembershipEvent(MembershipEvent::Namesake(
+                        from.address,
+                    )));
                 }
             }
             // A member by that name, elsewhere: the record of who counts is the higher one's.
@@ -969,7 +1116,13 @@
     }
 
     /// Somebody's word on who has this node's name.
-    fn record(&mut self, own: f64, from: &Identity, holder: Option<Identity>, out: &mut Vec<Output>) {
+    fn record(
+        &mut self,
+        own: f64,
+        from: &Identity,
+        holder: Option<Identity>,
+        out: &mut Vec<Output>,
+    ) {
         match (&self.stage, holder) {
             (Stage::Asking(_), None) => {
                 self.enter(own, None, out);
@@ -1011,12 +1164,16 @@
 
     /// Tells at how many nodes a ban holds, if all have said so or the time is up.
     fn held(&mut self, ticket: u64, up: bool, out: &mut Vec<Output>) {
-        let Some(open) = self.tickets.get(&ticket) else { return };
+        let Some(open) = self.tickets.get(&ticket) else {
+            return;
+        };
         if up || open.held.len() == open.asked.len() {
             let (held, of) = (1 + open.held.len(), self.count());
             self.tickets.remove(&ticket);
             self.timers.retain(|_, due| *due != Due::Held(ticket));
-            out.push(Output::MembershipEvent(MembershipEvent::Held(ticket, held, of)));
+            out.push(Output::MembershipEvent(MembershipEvent::Held(
+                ticket, held, of,
+            )));
         }
     }
 
@@ -1030,7 +1187,9 @@
             while let Some((after, timer)) = self.runtime.to_schedule() {
                 self.timer(own + after.as_secs_f64(), Due::Swim(timer));
             }
-            let Some(news) = self.runtime.to_notify() else { return };
+            let Some(news) = self.runtime.to_notify() else {
+                return;
+            };
             self.heed(own, news, out);
         }
     }
@@ -1043,7 +1202,10 @@
                 out.push(Output::MembershipEvent(MembershipEvent::Up(id)));
             }
             OwnedNotification::Rename(_, id)
-                if self.table.get(&*id.name).is_some_and(|(known, _)| *known != id) =>
+                if self
+                    .table
+                    .get(&*id.name)
+                    .is_some_and(|(known, _)| *known != id) =>
             {
                 self.put(id.clone(), MemberState::Alive);
                 out.push(Output::MembershipEvent(MembershipEvent::Moved(id)));
@@ -1063,7 +1225,9 @@
                 // Others have called this life failed: the next one begins at once.
                 let above = self.me.incarnation;
                 self.enter(own, Some(above), out);
-                out.push(Output::MembershipEvent(MembershipEvent::Returned(self.me.incarnation)));
+                out.push(Output::MembershipEvent(MembershipEvent::Returned(
+                    self.me.incarnation,
+                )));
             }
             _ => {}
         }
@@ -1075,12 +1239,18 @@
         let said = told.left.get(name) == Some(&life);
         let gone = told.gone.get(name).copied();
         drop(told);
-        let Some((id, state)) = self.table.get_mut(name).filter(|(id, _)| id.life == life) else { return };
+        let Some((id, state)) = self.table.get_mut(name).filter(|(id, _)| id.life == life) else {
+            return;
+        };
         if *state == MemberState::Alive {
             return;
         }
         let left = said || gone.is_some_and(|up_to| id.incarnation <= up_to);
-        *state = if left { MemberState::Left } else { MemberState::Failed };
+        *state = if left {
+            MemberState::Left
+        } else {
+            MemberState::Failed
+        };
         out.push(Output::MembershipEvent(if left {
             MembershipEvent::Left(id.clone())
         } else {
@@ -1112,11 +1282,15 @@
     /// Sees how things stand.
     fn stand(&mut self, out: &mut Vec<Output>) {
         self.stands_soon = false;
-        let _ = self.foca.set_config(config(&self.settings, self.table.len() + 1));
+        let _ = self
+            .foca
+            .set_config(config(&self.settings, self.table.len() + 1));
         let standing = self.known().standing();
         if standing != self.standing {
             self.standing = standing.clone();
-            out.push(Output::MembershipEvent(MembershipEvent::ClusterHealth(standing)));
+            out.push(Output::MembershipEvent(MembershipEvent::ClusterHealth(
+                standing,
+            )));
         }
     }
 
@@ -1124,14 +1298,23 @@
     pub fn known(&self) -> Known {
         let told = self.told.borrow();
         let of = |state: MemberState| {
-            self.table.values().filter(move |(_, s)| *s == state).map(|(id, _)| id.name.to_string())
+            self.table
+                .values()
+                .filter(move |(_, s)| *s == state)
+                .map(|(id, _)| id.name.to_string())
         };
-        let names = self.alive().map(|peer| peer.name.to_string()).chain([self.me.name.to_string()]);
+        let names = self
+            .alive()
+            .map(|peer| peer.name.to_string())
+            .chain([self.me.name.to_string()]);
         // A life's complaints end with it.
         let lives = |name: &String, life: u64| {
             **name == *self.me.name || self.table.get(name).is_some_and(|(id, _)| id.life == life)
         };
-        let deaf = told.deaf.iter().filter(|(name, complaint)| lives(name, complaint.life));
+        let deaf = told
+            .deaf
+            .iter()
+            .filter(|(name, complaint)| lives(name, complaint.life));
         Known {
             me: self.me.name.to_string(),
             apart: self.stage != Stage::In,
@@ -1139,7 +1322,9 @@
             failed: of(MemberState::Failed).collect(),
             left: of(MemberState::Left).collect(),
             voters: self.settings.voters.clone(),
-            deaf: deaf.map(|(name, complaint)| (name.clone(), complaint.deaf.clone())).collect(),
+            deaf: deaf
+                .map(|(name, complaint)| (name.clone(), complaint.deaf.clone()))
+                .collect(),
         }
     }
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -99,7 +99,11 @@
 ///
 /// Why it is to be dropped.
 pub fn decode(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), DecodeError> {
-    if bytes.len() > MOST { Err(DecodeError::Damaged) } else { decode_word(cluster, bytes) }
+    if bytes.len() > MOST {
+        Err(DecodeError::Damaged)
+    } else {
+        decode_word(cluster, bytes)
+    }
 }
 
 /// Reads the same of a stream, where it may be longer.
@@ -124,5 +128,9 @@
     let (read, left): ((Identity, Message), _) =
         postcard::take_from_bytes(rest).map_err(|_| DecodeError::Unknown)?;
     let sound = left.is_empty() && (1..=MAX_NAME_BYTES).contains(&read.0.name.len());
-    if sound { Ok(read) } else { Err(DecodeError::Unknown) }
+    if sound {
+        Ok(read)
+    } else {
+        Err(DecodeError::Unknown)
+    }
 }
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -21,12 +21,15 @@
 /// Those that a node should hear, and that should hear it, in a list in the order of [`order`].
 pub fn pairs<'a>(order: &'a [String], voters: &BTreeSet<String>, me: &str) -> Vec<&'a String> {
     let key = (Fnv::of(me), me);
-    let Ok(at) = order.binary_search_by_key(&key, |name| (Fnv::of(name), name)) else { return Vec::new() };
+    let Ok(at) = order.binary_search_by_key(&key, |name| (Fnv::of(name), name)) else {
+        return Vec::new();
+    };
     let count = order.len();
     if count <= ALL {
         return order.iter().filter(|name| *name != me).collect();
     }
-    let beside = (1..=SIDE).flat_map(|n| [&order[(at + n) % count], &order[(at + count - n) % count]]);
+    let beside =
+        (1..=SIDE).flat_map(|n| [&order[(at + n) % count], &order[(at + count - n) % count]]);
     let mut found: BTreeSet<&String> = beside.collect();
     if voters.contains(me) {
         found.extend(order.iter().filter(|name| voters.contains(*name)));
@@ -57,7 +60,11 @@
         self.heard.retain(|name, _| names.contains(name));
         self.deaf.retain(|name| names.contains(name));
         for name in names {
-            self.heard.entry(name.clone()).or_insert(Heard { life: 0, number: 0, at: now });
+            self.heard.entry(name.clone()).or_insert(Heard {
+                life: 0,
+                number: 0,
+                at: now,
+            });
         }
     }
 
@@ -66,13 +73,21 @@
         if let Some(heard) = self.heard.get_mut(name)
             && (heard.life != life || number > heard.number)
         {
-            *heard = Heard { life, number, at: now };
+            *heard = Heard {
+                life,
+                number,
+                at: now,
+            };
         }
     }
 
     /// Looks whom it does not hear any more.
     pub fn look(&mut self, now: f64, patience: f64) {
-        let deaf = self.heard.iter().filter(|(_, h)| now - h.at > patience).map(|(name, _)| name.clone());
+        let deaf = self
+            .heard
+            .iter()
+            .filter(|(_, h)| now - h.at > patience)
+            .map(|(name, _)| name.clone());
         self.deaf = deaf.collect();
     }
 
--- a/crates/membership/src/suspended_workers.rs
+++ b/crates/membership/src/suspended_workers.rs
@@ -32,7 +32,9 @@
 impl SuspendedWorkers {
     /// Whether a worker is out of use.
     pub fn holds(&self, worker: &str) -> bool {
-        self.marks.get(worker).is_some_and(|lives| lives.values().any(|(given, undone)| given > undone))
+        self.marks
+            .get(worker)
+            .is_some_and(|lives| lives.values().any(|(given, undone)| given > undone))
     }
 
     /// Whether anything was ever said of a worker.
@@ -42,7 +44,10 @@
 
     /// All that are out of use.
     pub fn all(&self) -> impl Iterator<Item = &str> {
-        self.marks.keys().map(String::as_str).filter(|worker| self.holds(worker))
+        self.marks
+            .keys()
+            .map(String::as_str)
+            .filter(|worker| self.holds(worker))
     }
 
     /// Takes a worker out of use on the word of this life; gives what is to be told, or `None` if there is no room.
@@ -50,21 +55,38 @@
         if !self.room(worker, life) {
             return None;
         }
-        let (given, undone) = self.marks.entry(worker.to_owned()).or_default().entry(life).or_default();
+        let (given, undone) = self
+            .marks
+            .entry(worker.to_owned())
+            .or_default()
+            .entry(life)
+            .or_default();
         if given <= undone {
             *given = undone.saturating_add(1);
         }
-        Some(Suspension { life, given: *given, undone: *undone })
+        Some(Suspension {
+            life,
+            given: *given,
+            undone: *undone,
+        })
     }
 
     /// Undoes all suspends of a worker that are known here; gives what is to be told.
     pub fn resume(&mut self, worker: &str) -> Vec<Suspension> {
-        let Some(lives) = self.marks.get_mut(worker) else { return Vec::new() };
-        let undone = lives.iter_mut().filter(|(_, (given, undone))| given > undone);
+        let Some(lives) = self.marks.get_mut(worker) else {
+            return Vec::new();
+        };
+        let undone = lives
+            .iter_mut()
+            .filter(|(_, (given, undone))| given > undone);
         undone
             .map(|(life, (given, undone))| {
                 *undone = *given;
-                Suspension { life: *life, given: *given, undone: *undone }
+                Suspension {
+                    life: *life,
+                    given: *given,
+                    undone: *undone,
+                }
             })
             .collect()
     }
@@ -79,7 +101,12 @@
             return false;
         }
         let before = self.holds(worker);
-        let known = self.marks.entry(worker.to_owned()).or_default().entry(mark.life).or_default();
+        let known = self
+            .marks
+            .entry(worker.to_owned())
+            .or_default()
+            .entry(mark.life)
+            .or_default();
         *known = (known.0.max(mark.given), known.1.max(mark.undone));
         self.holds(worker) != before
     }
@@ -92,7 +119,9 @@
                 given: *given,
                 undone: *undone,
             };
-            lives.iter().map(move |entry| (worker.as_str(), mark(entry)))
+            lives
+                .iter()
+                .map(move |entry| (worker.as_str(), mark(entry)))
         })
     }
 
@@ -128,7 +157,9 @@
 
 impl Fnv {
     pub(crate) fn add(&mut self, bytes: &[u8]) {
-        bytes.iter().for_each(|byte| self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3));
+        bytes
+            .iter()
+            .for_each(|byte| self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3));
     }
 
     pub(crate) fn of(name: &str) -> u64 {
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -7,7 +7,10 @@
 use std::collections::BTreeSet;
 
 fn voters(count: usize) -> Settings {
-    Settings { voters: (0..count).map(|n| format!("n{n}")).collect(), ..Settings::default() }
+    Settings {
+        voters: (0..count).map(|n| format!("n{n}")).collect(),
+        ..Settings::default()
+    }
 }
 
 fn failed(news: &MembershipEvent) -> bool {
@@ -21,7 +24,10 @@
     for seed in 0..20 {
         let mut sim = Sim::empty(
             seed,
-            Settings { seeds: vec![address(900), address(0), address(1)], ..Settings::default() },
+            Settings {
+                seeds: vec![address(900), address(0), address(1)],
+                ..Settings::default()
+            },
         );
         let mut order: Vec<usize> = (0..7).collect();
         for n in 0..7 {
@@ -37,7 +43,10 @@
             sim.run(wait);
         }
         assert!(sim.until(30.0, Sim::agree), "seed {seed}");
-        assert!(sim.until(10.0, |sim| sim.all_stand(&ClusterHealth::Whole)), "seed {seed}");
+        assert!(
+            sim.until(10.0, |sim| sim.all_stand(&ClusterHealth::Whole)),
+            "seed {seed}"
+        );
         assert_eq!(sim.told(0.0, failed), 0, "seed {seed}");
     }
 }
@@ -48,16 +57,35 @@
     let mut sim = Sim::new(10, 5, Settings::default());
     assert!(sim.until(30.0, Sim::agree));
     sim.kill(3);
-    let told =
-        |sim: &Sim| sim.told(0.0, |news| matches!(news, MembershipEvent::Failed(id) if &*id.name == "n3"));
-    assert!(sim.until(10.0, |sim| sim.agree() && told(sim) == 9), "all know of the death");
+    let told = |sim: &Sim| {
+        sim.told(
+            0.0,
+            |news| matches!(news, MembershipEvent::Failed(id) if &*id.name == "n3"),
+        )
+    };
+    assert!(
+        sim.until(10.0, |sim| sim.agree() && told(sim) == 9),
+        "all know of the death"
+    );
     let at = sim.now;
     sim.leave(4);
-    let told =
-        |sim: &Sim| sim.told(at, |news| matches!(news, MembershipEvent::Left(id) if &*id.name == "n4"));
-    assert!(sim.until(10.0, |sim| sim.agree() && told(sim) == 8), "all know of the leave");
+    let told = |sim: &Sim| {
+        sim.told(
+            at,
+            |news| matches!(news, MembershipEvent::Left(id) if &*id.name == "n4"),
+        )
+    };
+    assert!(
+        sim.until(10.0, |sim| sim.agree() && told(sim) == 8),
+        "all know of the leave"
+    );
     sim.run(5.0);
-    assert_eq!(sim.told(at, failed), 0, "{:?}", sim.nodes.iter().map(|n| &n.news).collect::<Vec<_>>());
+    assert_eq!(
+        sim.told(at, failed),
+        0,
+        "{:?}",
+        sim.nodes.iter().map(|n| &n.news).collect::<Vec<_>>()
+    );
 }
 
 /// Guards against a leave that is told as a failure where word of it comes by others, in either order.
@@ -69,7 +97,11 @@
         let at = sim.now;
         sim.leave(7);
         let told = |sim: &Sim| sim.told(at, |news| matches!(news, MembershipEvent::Left(_)));
-        assert!(sim.until(10.0, |sim| told(sim) == 39), "seed {seed}: {}", told(&sim));
+        assert!(
+            sim.until(10.0, |sim| told(sim) == 39),
+            "seed {seed}: {}",
+            told(&sim)
+        );
         assert_eq!(sim.told(at, failed), 0, "seed {seed}");
     }
 }
@@ -103,8 +135,7 @@
             sim.run(pause + 0.0015);
         }
         sim.run(10.0);
-        let of_others =
-            |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if &*id.name != "n2");
+        let of_others = |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if &*id.name != "n2");
         assert_eq!(sim.told(at, of_others), 0, "seed {seed}");
         assert!(sim.agree(), "seed {seed}");
     }
@@ -122,10 +153,13 @@
         sim.run(pause + 0.001);
         assert!(sim.until(5.0, Sim::agree), "pause {pause}");
         sim.run(10.0);
-        let blamed = sim.nodes[2].news.iter().filter(|(t, news)| *t >= at && failed(news)).count();
+        let blamed = sim.nodes[2]
+            .news
+            .iter()
+            .filter(|(t, news)| *t >= at && failed(news))
+            .count();
         assert_eq!(blamed, 0, "pause {pause}: {:?}", sim.nodes[2].news);
-        let of_others =
-            |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if &*id.name != "n2");
+        let of_others = |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if &*id.name != "n2");
         assert_eq!(sim.told(at, of_others), 0, "pause {pause}");
         if pause > 10.0 {
             let back = sim.nodes[2]
@@ -167,8 +201,15 @@
             Some(clock) => sim.start_at(3, clock),
         }
         let all = |sim: &Sim| {
-            let life = sim.nodes[3].members.as_ref().expect("it lives").me().clone();
-            sim.living().filter(|(n, ..)| *n != 3).all(|(_, _, m)| m.others().any(|(id, _)| *id == life))
+            let life = sim.nodes[3]
+                .members
+                .as_ref()
+                .expect("it lives")
+                .me()
+                .clone();
+            sim.living()
+                .filter(|(n, ..)| *n != 3)
+                .all(|(_, _, m)| m.others().any(|(id, _)| *id == life))
                 && sim.agree()
         };
         assert!(sim.until(1.0, all), "seed {seed}: within a second");
@@ -192,7 +233,11 @@
         sim.kill(30);
         sim.run(10.0);
         sim.start(30);
-        assert!(sim.until(1.0, Sim::agree), "seed {seed}: {}", sim::known(sim.members(30)).count());
+        assert!(
+            sim.until(1.0, Sim::agree),
+            "seed {seed}: {}",
+            sim::known(sim.members(30)).count()
+        );
     }
 }
 
@@ -207,19 +252,28 @@
         sim.start(twin);
         let one = |sim: &Sim| {
             let members = |n: usize| sim.nodes[n].members.as_ref().expect("it lives");
-            let apart =
-                usize::from(members(4).namesake().is_some()) + usize::from(members(5).namesake().is_some());
+            let apart = usize::from(members(4).namesake().is_some())
+                + usize::from(members(5).namesake().is_some());
             let known = (0..4).all(|n| sim::known(members(n)).count() == 4);
             apart == 1 && known
         };
-        assert!(sim.until(60.0, one), "seed {seed}: {:?} {:?}", sim.nodes[4].news, sim.nodes[5].news);
+        assert!(
+            sim.until(60.0, one),
+            "seed {seed}: {:?} {:?}",
+            sim.nodes[4].news,
+            sim.nodes[5].news
+        );
         // It stays so.
         let before = sim.now;
         sim.run(60.0);
         assert!(one(&sim), "seed {seed}");
         assert_eq!(sim.told(before + 5.0, failed), 0, "seed {seed}");
         // When the one that stayed is gone, the other takes the name.
-        let stays = if sim.members(4).namesake().is_some() { 5 } else { 4 };
+        let stays = if sim.members(4).namesake().is_some() {
+            5
+        } else {
+            4
+        };
         sim.kill(stays);
         assert!(sim.until(60.0, Sim::agree), "seed {seed}: the name is free");
     }
@@ -232,16 +286,29 @@
     for (count, side) in cases {
         for seed in 0..5 {
             let mut sim = Sim::new(count, seed, voters(count));
-            assert!(sim.until(30.0, |sim| sim.all_stand(&ClusterHealth::Whole)), "{count} {seed}");
+            assert!(
+                sim.until(30.0, |sim| sim.all_stand(&ClusterHealth::Whole)),
+                "{count} {seed}"
+            );
             let rest: Vec<usize> = (0..count).filter(|n| !side.contains(n)).collect();
             sim.part(side, &rest);
             let stands = |sim: &Sim| {
                 sim.living().all(|(n, _, m)| {
-                    let mine = if side.contains(&n) { side.len() } else { rest.len() };
+                    let mine = if side.contains(&n) {
+                        side.len()
+                    } else {
+                        rest.len()
+                    };
                     match m.standing() {
-                        ClusterHealth::Majority(away) => 2 * mine > count && away.len() == count - mine,
-                        ClusterHealth::Minority(away) => 2 * mine < count && away.len() == count - mine,
-                        ClusterHealth::NoMajority(away) => 2 * mine == count && away.len() == count - mine,
+                        ClusterHealth::Majority(away) => {
+                            2 * mine > count && away.len() == count - mine
+                        }
+                        ClusterHealth::Minority(away) => {
+                            2 * mine < count && away.len() == count - mine
+                        }
+                        ClusterHealth::NoMajority(away) => {
+                            2 * mine == count && away.len() == count - mine
+                        }
                         _ => false,
                     }
                 })
@@ -250,7 +317,9 @@
             sim.run(30.0);
             assert!(stands(&sim), "{count} {side:?} {seed}: it stays so");
             sim.heal();
-            let whole = sim.until(30.0, |sim| sim.agree() && sim.all_stand(&ClusterHealth::Whole));
+            let whole = sim.until(30.0, |sim| {
+                sim.agree() && sim.all_stand(&ClusterHealth::Whole)
+            });
             assert!(whole, "{count} {seed}: healed {}", sim.picture());
         }
     }
@@ -272,15 +341,20 @@
         let mut sim = Sim::new(3, 4, voters(3));
         assert!(sim.until(30.0, |sim| sim.all_stand(&ClusterHealth::Whole)));
         let at = sim.now;
-        let pairs: Vec<(String, String)> =
-            cut(&mut sim).into_iter().map(|(a, b)| (a.to_owned(), b.to_owned())).collect();
+        let pairs: Vec<(String, String)> = cut(&mut sim)
+            .into_iter()
+            .map(|(a, b)| (a.to_owned(), b.to_owned()))
+            .collect();
         let standing = ClusterHealth::SomeCut(pairs);
         assert!(sim.until(20.0, |sim| sim.all_stand(&standing)), "{name}");
         sim.run(60.0);
         assert!(sim.all_stand(&standing), "{name}: it stays so");
         assert_eq!(sim.told(at, failed), 0, "{name}");
         sim.heal();
-        assert!(sim.until(20.0, |sim| sim.all_stand(&ClusterHealth::Whole)), "{name}: healed");
+        assert!(
+            sim.until(20.0, |sim| sim.all_stand(&ClusterHealth::Whole)),
+            "{name}: healed"
+        );
     }
 }
 
@@ -301,7 +375,9 @@
         let wait = 0.5 + sim.uniform() * 3.0;
         sim.run(wait);
         sim.heal();
-        let whole = sim.until(40.0, |sim| sim.agree() && sim.all_stand(&ClusterHealth::Whole));
+        let whole = sim.until(40.0, |sim| {
+            sim.agree() && sim.all_stand(&ClusterHealth::Whole)
+        });
         assert!(whole, "seed {seed}: {}", sim.picture());
     }
 }
@@ -317,7 +393,10 @@
         let on = |worker: &'static str, wanted: bool| {
             move |sim: &Sim| {
                 sim.living().all(|(_, _, m)| {
-                    m.bans().iter().any(|(w, mark)| w == worker && mark.given > mark.undone) == wanted
+                    m.bans()
+                        .iter()
+                        .any(|(w, mark)| w == worker && mark.given > mark.undone)
+                        == wanted
                 })
             }
         };
@@ -340,7 +419,10 @@
         sim.run(10.0);
         let digests: BTreeSet<u64> = sim.living().map(|(_, _, m)| m.digest()).collect();
         assert_eq!(digests.len(), 1, "seed {seed}: all agree");
-        assert!(on("w-1", false)(&sim) && on("w-2", true)(&sim) && on("w-3", true)(&sim), "seed {seed}");
+        assert!(
+            on("w-1", false)(&sim) && on("w-2", true)(&sim) && on("w-3", true)(&sim),
+            "seed {seed}"
+        );
     }
 }
 
@@ -348,8 +430,21 @@
 #[test]
 fn loss_doubles_delays_and_a_fast_clock() {
     let cases = [
-        ("30 % loss", Faults { loss: 0.3, ..Faults::default() }),
-        ("all twice, up to 5 s late", Faults { twice: 1.0, late: 5.0, loss: 0.0 }),
+        (
+            "30 % loss",
+            Faults {
+                loss: 0.3,
+                ..Faults::default()
+            },
+        ),
+        (
+            "all twice, up to 5 s late",
+            Faults {
+                twice: 1.0,
+                late: 5.0,
+                loss: 0.0,
+            },
+        ),
     ];
     for (name, faults) in cases {
         let mut sim = Sim::new(12, 3, Settings::default());
@@ -396,7 +491,13 @@
     sim.faults.loss = 0.05;
     let whole = |sim: &Sim| sim.living().all(|(_, _, m)| m.bans().len() == 3000);
     assert!(sim.until(30.0, Sim::agree));
-    assert!(sim.until(30.0, whole), "{:?}", sim.living().map(|(_, _, m)| m.bans().len()).collect::<Vec<_>>());
+    assert!(
+        sim.until(30.0, whole),
+        "{:?}",
+        sim.living()
+            .map(|(_, _, m)| m.bans().len())
+            .collect::<Vec<_>>()
+    );
     let new = sim.add("late", address(70));
     sim.start(new);
     assert!(sim.until(30.0, Sim::agree) && sim.until(10.0, whole));
@@ -424,8 +525,10 @@
         assert_eq!(forget(&mut sim, 0, "n4"), Err(Rejection::Lives), "it lives");
         assert_eq!(forget(&mut sim, 0, "n9"), Err(Rejection::Nobody));
         sim.kill(4);
-        let failed =
-            |sim: &Sim| sim.living().all(|(_, _, m)| m.count() == 5 && m.known().failed.contains("n4"));
+        let failed = |sim: &Sim| {
+            sim.living()
+                .all(|(_, _, m)| m.count() == 5 && m.known().failed.contains("n4"))
+        };
         assert!(sim.until(20.0, failed), "seed {seed}: it counts on");
         sim.part(&[0, 1], &[2, 3]);
         assert_eq!(forget(&mut sim, 1, "n4"), Ok(()));
@@ -436,11 +539,17 @@
             "seed {seed}: on one side alone"
         );
         sim.heal();
-        let gone = |sim: &Sim| sim.living().all(|(_, _, m)| m.count() == 4 && m.known().left.contains("n4"));
+        let gone = |sim: &Sim| {
+            sim.living()
+                .all(|(_, _, m)| m.count() == 4 && m.known().left.contains("n4"))
+        };
         assert!(sim.until(30.0, gone), "seed {seed}: {}", sim.picture());
         sim.start(4);
         assert!(sim.until(30.0, Sim::agree), "seed {seed}: it is back");
         sim.kill(4);
-        assert!(sim.until(20.0, failed), "seed {seed}: what was said was of its earlier life");
+        assert!(
+            sim.until(20.0, failed),
+            "seed {seed}: what was said was of its earlier life"
+        );
     }
 }
--- a/crates/membership/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -8,11 +8,19 @@
 use proptest::prelude::*;
 
 fn identity(name: &str) -> Identity {
-    Identity { name: name.into(), address: ([10, 0, 0, 1], 7000).into(), incarnation: 5, life: 9 }
+    Identity {
+        name: name.into(),
+        address: ([10, 0, 0, 1], 7000).into(),
+        incarnation: 5,
+        life: 9,
+    }
 }
 
 fn machine() -> Membership {
-    let settings = Settings { cluster: "riga".into(), ..Settings::default() };
+    let settings = Settings {
+        cluster: "riga".into(),
+        ..Settings::default()
+    };
     Membership::new(settings, "a", ([10, 0, 0, 2], 7000).into(), 1, 1, 100.0)
 }
 
@@ -21,9 +29,15 @@
 fn what_is_no_sound_datagram_of_this_cluster_changes_a_counter_and_nothing_else() {
     let cluster = packet::cluster("riga");
     let sound = packet::encode(cluster, &identity("b"), &Message::Hello(3, 4));
-    assert_eq!(packet::decode(cluster, &sound), Ok((identity("b"), Message::Hello(3, 4))));
+    assert_eq!(
+        packet::decode(cluster, &sound),
+        Ok((identity("b"), Message::Hello(3, 4)))
+    );
     for length in 0..sound.len() {
-        assert!(packet::decode(cluster, &sound[..length]).is_err(), "cut at {length}");
+        assert!(
+            packet::decode(cluster, &sound[..length]).is_err(),
+            "cut at {length}"
+        );
     }
     for bit in 0..sound.len() * 8 {
         let mut changed = sound.clone();
@@ -37,7 +51,10 @@
     assert_eq!(packet::decode(cluster, &newer), Err(DecodeError::Version));
     for name in ["", &"x".repeat(65)] {
         let nameless = packet::encode(cluster, &identity(name), &Message::Ask);
-        assert_eq!(packet::decode(cluster, &nameless), Err(DecodeError::Unknown));
+        assert_eq!(
+            packet::decode(cluster, &nameless),
+            Err(DecodeError::Unknown)
+        );
     }
     // A library's packet that claims 10,000 members, in a sound envelope.
     let (mut members, mut out) = (machine(), Vec::new());
@@ -46,23 +63,46 @@
         members.due(next, &mut out);
     }
     let (src, dst) = (identity("b"), members.me().clone());
-    let header = foca::Header { src, src_incarnation: 0, dst, message: foca::Message::Gossip };
+    let header = foca::Header {
+        src,
+        src_incarnation: 0,
+        dst,
+        message: foca::Message::Gossip,
+    };
     let mut inside = postcard::to_stdvec(&header).expect("bytes");
     inside.extend(10_000u16.to_be_bytes());
     assert!(members.is_in());
-    members.receive(102.0, &packet::encode(cluster, &identity("b"), &Message::Swim(inside)), &mut out);
+    members.receive(
+        102.0,
+        &packet::encode(cluster, &identity("b"), &Message::Swim(inside)),
+        &mut out,
+    );
     members.receive(102.0, &other, &mut out);
     members.receive(102.0, b"", &mut out);
     assert_eq!(members.others().count(), 0);
-    let dropped: Vec<(DecodeError, u64)> = members.dropped().iter().map(|(flaw, n)| (*flaw, *n)).collect();
-    assert_eq!(dropped, [(DecodeError::Foreign, 1), (DecodeError::Cluster, 1), (DecodeError::Unknown, 1)]);
+    let dropped: Vec<(DecodeError, u64)> = members
+        .dropped()
+        .iter()
+        .map(|(flaw, n)| (*flaw, *n))
+        .collect();
+    assert_eq!(
+        dropped,
+        [
+            (DecodeError::Foreign, 1),
+            (DecodeError::Cluster, 1),
+            (DecodeError::Unknown, 1)
+        ]
+    );
 }
 
 /// Guards against a pause that counts as time, and against a starved process that trusts its time-outs.
 #[test]
 fn a_pause_is_no_time_and_after_it_time_goes_slower() {
     let mut time = LocalClock::new(0.0);
-    assert!((time.at(1.0, Some(1.0)) - 1.0).abs() < 1e-9, "on time, all counts");
+    assert!(
+        (time.at(1.0, Some(1.0)) - 1.0).abs() < 1e-9,
+        "on time, all counts"
+    );
     let before = time.own();
     let own = time.at(61.0, Some(before + 0.1));
     assert!(own - before < 0.2, "a minute's pause: {}", own - before);
@@ -80,7 +120,10 @@
     assert!(time.ill() < 8.0);
     let late = time.own();
     time.at(0.0, None);
-    assert!((time.own() - late).abs() < 1e-9, "a clock set back takes nothing");
+    assert!(
+        (time.own() - late).abs() < 1e-9,
+        "a clock set back takes nothing"
+    );
 }
 
 fn marks() -> impl Strategy<Value = Vec<(u8, u64, u32, u32)>> {
@@ -91,7 +134,14 @@
     let mut bans = SuspendedWorkers::default();
     for (worker, life, given, undone) in marks {
         let (given, undone) = (*given, *undone.min(given));
-        bans.merge(&format!("w-{worker}"), Suspension { life: *life, given, undone });
+        bans.merge(
+            &format!("w-{worker}"),
+            Suspension {
+                life: *life,
+                given,
+                undone,
+            },
+        );
     }
     bans
 }
@@ -175,13 +225,22 @@
     let now = members.next().expect("a timer");
     for first in (0..5000u16).step_by(20) {
         let (src, dst) = (identity("b"), members.me().clone());
-        let header = foca::Header { src, src_incarnation: 0, dst, message: foca::Message::Gossip };
+        let header = foca::Header {
+            src,
+            src_incarnation: 0,
+            dst,
+            message: foca::Message::Gossip,
+        };
         let mut inside = postcard::to_stdvec(&header).expect("bytes");
         inside.extend(20u16.to_be_bytes());
         for n in first..first + 20 {
             let address = ([10, 1, (n >> 8) as u8, n as u8], 7000).into();
-            let id =
-                Identity { name: format!("node-{n}").into(), address, incarnation: 5, life: u64::from(n) };
+            let id = Identity {
+                name: format!("node-{n}").into(),
+                address,
+                incarnation: 5,
+                life: u64::from(n),
+            };
             inside.extend(postcard::to_stdvec(&foca::Member::alive(id)).expect("bytes"));
         }
         let datagram = packet::encode(cluster, &identity("b"), &Message::Swim(inside));
@@ -195,8 +254,16 @@
         let next = members.next().expect("a timer");
         members.due(next, &mut out);
     }
-    let sizes =
-        out.iter().filter_map(|out| if let Output::Send(_, bytes) = out { Some(bytes.len()) } else { None });
+    let sizes = out.iter().filter_map(|out| {
+        if let Output::Send(_, bytes) = out {
+            Some(bytes.len())
+        } else {
+            None
+        }
+    });
     let sizes: Vec<usize> = sizes.collect();
-    assert!(!sizes.is_empty() && sizes.iter().all(|size| *size <= packet::MOST), "{sizes:?}");
+    assert!(
+        !sizes.is_empty() && sizes.iter().all(|size| *size <= packet::MOST),
+        "{sizes:?}"
+    );
 }
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -22,7 +22,11 @@
 
 impl Default for Faults {
     fn default() -> Self {
-        Self { loss: 0.0, twice: 0.0, late: 0.002 }
+        Self {
+            loss: 0.0,
+            twice: 0.0,
+            late: 0.002,
+        }
     }
 }
 
@@ -137,8 +141,14 @@
         let seed = self.draws.next_u64();
         let node = &mut self.nodes[n];
         let now = self.now * node.rate;
-        node.members =
-            Some(Membership::new(self.settings.clone(), &node.name, node.address, clock, seed, now));
+        node.members = Some(Membership::new(
+            self.settings.clone(),
+            &node.name,
+            node.address,
+            clock,
+            seed,
+            now,
+        ));
         node.paused = 0.0;
         node.inbox.clear();
         self.wake(n);
@@ -184,7 +194,9 @@
     pub fn employ(&mut self, n: usize, worker: &str, again: bool) {
         let now = self.now * self.nodes[n].rate;
         let mut out = Vec::new();
-        self.members(n).employ(now, worker, again, &mut out).expect("there is room");
+        self.members(n)
+            .employ(now, worker, again, &mut out)
+            .expect("there is room");
         self.carry(n, out);
     }
 
@@ -198,7 +210,8 @@
 
     fn push(&mut self, at: f64, what: What) {
         self.count += 1;
-        self.queue.push(Reverse(((at * 1e6).ceil() as u64 + 1, self.count, what)));
+        self.queue
+            .push(Reverse(((at * 1e6).ceil() as u64 + 1, self.count, what)));
     }
 
     /// Does what a call to a node's machine has given.
@@ -216,7 +229,9 @@
                 // A stream goes on after a cut, or is dropped with its node: both come to a way without loss here.
                 Output::Tell(to, bytes) => {
                     self.told += 1;
-                    let Some(&to) = self.by_address.get(&to.address) else { continue };
+                    let Some(&to) = self.by_address.get(&to.address) else {
+                        continue;
+                    };
                     if !self.cut.contains(&(n, to)) {
                         let way = 0.001 + self.uniform() * self.faults.late;
                         self.push(self.now + way, What::GossipState(to, bytes));
@@ -226,8 +241,14 @@
                     let node = &mut self.nodes[n];
                     node.sent += 1;
                     node.bytes += bytes.len() as u64 + 28; // with the heads of UDP and IP
-                    let Some(&to) = self.by_address.get(&to) else { continue };
-                    let times = if self.uniform() < self.faults.twice { 2 } else { 1 };
+                    let Some(&to) = self.by_address.get(&to) else {
+                        continue;
+                    };
+                    let times = if self.uniform() < self.faults.twice {
+                        2
+                    } else {
+                        1
+                    };
                     for _ in 0..times {
                         let lost = self.uniform() < self.faults.loss || self.cut.contains(&(n, to));
                         let way = 0.0005 + self.uniform() * self.faults.late;
@@ -269,7 +290,9 @@
             if *at as f64 / 1e6 > until {
                 return false;
             }
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { return false };
+            let Some(Reverse((at, _, what))) = self.queue.pop() else {
+                return false;
+            };
             self.now = self.now.max(at as f64 / 1e6);
             let mut out = Vec::new();
             let n = match what {
@@ -280,16 +303,21 @@
                     }
                     let now = self.now * node.rate;
                     let waiting = std::mem::take(&mut node.inbox);
-                    let Some(members) = &mut node.members else { continue };
+                    let Some(members) = &mut node.members else {
+                        continue;
+                    };
                     // As the loop does: what has come is read before timers are looked at.
-                    waiting.iter().for_each(|bytes| members.receive(now, bytes, &mut out));
+                    waiting
+                        .iter()
+                        .for_each(|bytes| members.receive(now, bytes, &mut out));
                     members.due(now, &mut out);
                     n
                 }
                 What::GossipState(n, bytes) => {
                     let node = &mut self.nodes[n];
                     let now = self.now * node.rate;
-                    let Some(members) = node.members.as_mut().filter(|_| self.now >= node.paused) else {
+                    let Some(members) = node.members.as_mut().filter(|_| self.now >= node.paused)
+                    else {
                         continue;
                     };
                     members.told(now, &bytes, &mut out);
@@ -298,7 +326,9 @@
                 What::Arrive(n, bytes) => {
                     let node = &mut self.nodes[n];
                     let now = self.now * node.rate;
-                    let Some(members) = &mut node.members else { continue };
+                    let Some(members) = &mut node.members else {
+                        continue;
+                    };
                     if self.now < node.paused {
                         if node.inbox.len() < self.inbox {
                             node.inbox.push(bytes);
@@ -309,7 +339,9 @@
                     n
                 }
             };
-            let news = out.iter().any(|out| matches!(out, Output::MembershipEvent(_)));
+            let news = out
+                .iter()
+                .any(|out| matches!(out, Output::MembershipEvent(_)));
             self.carry(n, out);
             if news && holds(self) {
                 return true;
@@ -319,12 +351,18 @@
     }
 
     pub fn living(&self) -> impl Iterator<Item = (usize, &Node, &Membership)> {
-        self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, node, node.members.as_ref()?)))
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(n, node)| Some((n, node, node.members.as_ref()?)))
     }
 
     /// Whether all that live know each other as members, and nobody else.
     pub fn agree(&self) -> bool {
-        let names: BTreeSet<&str> = self.living().map(|(_, node, _)| node.name.as_str()).collect();
+        let names: BTreeSet<&str> = self
+            .living()
+            .map(|(_, node, _)| node.name.as_str())
+            .collect();
         self.living().all(|(_, node, members)| {
             let known: BTreeSet<&str> = known(members).chain([node.name.as_str()]).collect();
             members.is_in() && known == names
@@ -340,7 +378,8 @@
     }
 
     pub fn all_stand(&self, standing: &ClusterHealth) -> bool {
-        self.living().all(|(_, _, members)| members.standing() == standing)
+        self.living()
+            .all(|(_, _, members)| members.standing() == standing)
     }
 
     /// How often one of these news came after a time, over all nodes.
--- a/crates/replicated-log/src/admission.rs
+++ b/crates/replicated-log/src/admission.rs
@@ -150,17 +150,30 @@
 
     /// Whether a voter has promised more than it comes back with, as far as this one has heard.
     fn promised(&self, voter: u64, log: (u64, u64)) -> bool {
-        self.heard.get(&voter).is_some_and(|heard| heard.0 > log.0 || heard.1 > log.1)
+        self.heard
+            .get(&voter)
+            .is_some_and(|heard| heard.0 > log.0 || heard.1 > log.1)
     }
 
     fn others(&self) -> impl Iterator<Item = u64> {
-        self.voters.iter().copied().filter(|voter| *voter != self.me)
+        self.voters
+            .iter()
+            .copied()
+            .filter(|voter| *voter != self.me)
     }
 
     fn write(&mut self, key: Vec<u8>, numbers: &[u64], out: &mut Vec<AdmissionEffect>) -> u64 {
         let write = self.answers.write();
-        let value = Some(numbers.iter().flat_map(|number| number.to_be_bytes()).collect());
-        out.push(AdmissionEffect::Write(write, vec![StorageChange { key, value }]));
+        let value = Some(
+            numbers
+                .iter()
+                .flat_map(|number| number.to_be_bytes())
+                .collect(),
+        );
+        out.push(AdmissionEffect::Write(
+            write,
+            vec![StorageChange { key, value }],
+        ));
         write
     }
 
@@ -191,14 +204,24 @@
             (None, Some(_)) => return,
             (None, None) => AdmissionMessage::Who,
         };
-        let unheard: Vec<u64> = self.others().filter(|voter| !self.seen.contains(voter)).collect();
-        out.extend(unheard.into_iter().map(|voter| AdmissionEffect::AdmissionMessage(voter, say)));
+        let unheard: Vec<u64> = self
+            .others()
+            .filter(|voter| !self.seen.contains(voter))
+            .collect();
+        out.extend(
+            unheard
+                .into_iter()
+                .map(|voter| AdmissionEffect::AdmissionMessage(voter, say)),
+        );
     }
 
     /// All writes up to this one are durable.
     pub fn durable(&mut self, number: u64, out: &mut Vec<AdmissionEffect>) {
         self.answers.durable(number);
-        if let Some((_, start)) = self.starting.take_if(|(write, _)| *write > 0 && *write <= number) {
+        if let Some((_, start)) = self
+            .starting
+            .take_if(|(write, _)| *write > 0 && *write <= number)
+        {
             self.start = Some(start);
             self.tick(out);
         }
@@ -219,12 +242,18 @@
         }
         let known = self.known.get(&from).copied().unwrap_or((0, 0));
         match say {
-            AdmissionMessage::Who => {
-                out.push(AdmissionEffect::AdmissionMessage(from, AdmissionMessage::Known(known.0)))
-            }
+            AdmissionMessage::Who => out.push(AdmissionEffect::AdmissionMessage(
+                from,
+                AdmissionMessage::Known(known.0),
+            )),
             // It has said to have more than it has now: its store is an older one of the same start.
-            AdmissionMessage::Started(start, _, log) if start > known.0 && self.promised(from, log) => {
-                out.push(AdmissionEffect::AdmissionMessage(from, AdmissionMessage::Old(start)));
+            AdmissionMessage::Started(start, _, log)
+                if start > known.0 && self.promised(from, log) =>
+            {
+                out.push(AdmissionEffect::AdmissionMessage(
+                    from,
+                    AdmissionMessage::Old(start),
+                ));
             }
             AdmissionMessage::Started(start, life, _) if start > known.0 => {
                 self.heard.remove(&from);
@@ -237,11 +266,15 @@
                 self.answers.hold((from, AdmissionMessage::Seen(start)));
                 self.answer(out);
             }
-            AdmissionMessage::Started(start, ..) => {
-                out.push(AdmissionEffect::AdmissionMessage(from, AdmissionMessage::Old(start)))
-            }
+            AdmissionMessage::Started(start, ..) => out.push(AdmissionEffect::AdmissionMessage(
+                from,
+                AdmissionMessage::Old(start),
+            )),
             AdmissionMessage::Known(start) => {
-                if self.start.is_some() || self.starting.is_some() || self.verdict != AdmissionVerdict::Wait {
+                if self.start.is_some()
+                    || self.starting.is_some()
+                    || self.verdict != AdmissionVerdict::Wait
+                {
                     return;
                 }
                 if start > 0 {
--- a/crates/replicated-log/src/durability_gate.rs
+++ b/crates/replicated-log/src/durability_gate.rs
@@ -12,7 +12,11 @@
 
 impl<T> Default for DurabilityGate<T> {
     fn default() -> Self {
-        Self { written: 0, durable: 0, held: VecDeque::new() }
+        Self {
+            written: 0,
+            durable: 0,
+            held: VecDeque::new(),
+        }
     }
 }
 
@@ -35,7 +39,9 @@
 
     /// The next that may be told.
     pub fn free(&mut self) -> Option<T> {
-        self.held.pop_front_if(|(after, _)| *after <= self.durable).map(|(_, what)| what)
+        self.held
+            .pop_front_if(|(after, _)| *after <= self.durable)
+            .map(|(_, what)| what)
     }
 
     /// How much is held back.
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -13,13 +13,17 @@
 mod voter;
 
 pub use storage::{CorruptLog, StorageChange, stored};
-pub use voter::{MAX_ENTRY_BYTES, MAX_VOTERS, MembershipChange, Output, ProposalRejected, Voter, promise};
+pub use voter::{
+    MAX_ENTRY_BYTES, MAX_VOTERS, MembershipChange, Output, ProposalRejected, Voter, promise,
+};
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Debug;
 
 /// What the words of the log come to: the same at every voter, whatever else is so there.
-pub trait StateMachine: Clone + Debug + Default + PartialEq + Serialize + for<'a> Deserialize<'a> {
+pub trait StateMachine:
+    Clone + Debug + Default + PartialEq + Serialize + for<'a> Deserialize<'a>
+{
     /// The next word.
     fn apply(&mut self, word: &[u8]);
 }
--- a/crates/replicated-log/src/storage.rs
+++ b/crates/replicated-log/src/storage.rs
@@ -66,10 +66,16 @@
         if let Some(index) = key.strip_prefix(LOG) {
             last = last.max(index.try_into().map(u64::from_be_bytes).unwrap_or_default());
         } else if key == HARD {
-            term = HardState::parse_from_bytes(value).map(|hard| hard.term).unwrap_or_default();
+            term = HardState::parse_from_bytes(value)
+                .map(|hard| hard.term)
+                .unwrap_or_default();
         } else if key == FOLDED {
             // The place stands first.
-            last = last.max(postcard::take_from_bytes::<u64>(value).map(|(at, _)| at).unwrap_or_default());
+            last = last.max(
+                postcard::take_from_bytes::<u64>(value)
+                    .map(|(at, _)| at)
+                    .unwrap_or_default(),
+            );
         }
     }
     (term, last)
@@ -117,7 +123,9 @@
         for (key, value) in kept {
             any = true;
             if let Some(index) = key.strip_prefix(LOG) {
-                let index = index.try_into().map_err(|_| CorruptLog("a place has no number".into()))?;
+                let index = index
+                    .try_into()
+                    .map_err(|_| CorruptLog("a place has no number".into()))?;
                 words.insert(u64::from_be_bytes(index), read::<Entry>("a word", &value)?);
                 continue;
             }
@@ -134,7 +142,12 @@
                         return Err(CorruptLog("what is folded contradicts itself".into()));
                     }
                 }
-                key => return Err(CorruptLog(format!("{} is nothing of it", String::from_utf8_lossy(key)))),
+                key => {
+                    return Err(CorruptLog(format!(
+                        "{} is nothing of it",
+                        String::from_utf8_lossy(key)
+                    )));
+                }
             }
         }
         if !any && !founders.is_empty() {
@@ -167,7 +180,10 @@
     }
 
     fn put(&mut self, key: &[u8], value: Option<Vec<u8>>) {
-        self.changes.push(StorageChange { key: key.to_vec(), value });
+        self.changes.push(StorageChange {
+            key: key.to_vec(),
+            value,
+        });
     }
 
     /// What is to be written now.
@@ -203,7 +219,9 @@
 
     /// Takes in entries, which go before what is there from the first of them on.
     pub fn append(&mut self, entries: Vec<Entry>) {
-        let Some(first) = entries.first().map(|entry| entry.index) else { return };
+        let Some(first) = entries.first().map(|entry| entry.index) else {
+            return;
+        };
         let keep = first.saturating_sub(self.compacted.0 + 1);
         for index in first + entries.len() as u64..=self.last() {
             self.put(&place(index), None);
@@ -217,7 +235,8 @@
 
     /// Takes a state in place of all that is there; `false` if it can't be read.
     pub fn take_over(&mut self, snapshot: &Snapshot) -> bool {
-        let Ok((folded, [])) = postcard::take_from_bytes::<StateSnapshot<F>>(snapshot.get_data()) else {
+        let Ok((folded, [])) = postcard::take_from_bytes::<StateSnapshot<F>>(snapshot.get_data())
+        else {
             return false;
         };
         let meta = snapshot.get_metadata();
@@ -266,7 +285,10 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let at = |index: u64| (index - self.compacted.0 - 1) as usize;
-        let all = self.log.get(at(low)..at(high)).ok_or(Error::Store(StorageError::Unavailable))?;
+        let all = self
+            .log
+            .get(at(low)..at(high))
+            .ok_or(Error::Store(StorageError::Unavailable))?;
         let mut entries = all.to_vec();
         raft::util::limit_size(&mut entries, most.into());
         Ok(entries)
@@ -280,7 +302,9 @@
             return Err(Error::Store(StorageError::Compacted));
         }
         let entry = self.log.get((index - self.compacted.0 - 1) as usize);
-        entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
+        entry
+            .map(|entry| entry.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
--- a/crates/replicated-log/src/voter.rs
+++ b/crates/replicated-log/src/voter.rs
@@ -4,7 +4,9 @@
 use crate::durability_gate::DurabilityGate;
 use crate::storage::{CorruptLog, LogStorage, StorageChange};
 use protobuf::Message as _;
-use raft::eraftpb::{ConfChange, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType};
+use raft::eraftpb::{
+    ConfChange, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
+};
 use raft::{Config, RawNode, SnapshotStatus, StateRole};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -127,8 +129,14 @@
             ..Config::default()
         };
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let raft = RawNode::new(&config, memory, &quiet).map_err(|error| CorruptLog(error.to_string()))?;
-        let mut voter = Self { me, raft, gate: DurabilityGate::default(), ended: None };
+        let raft =
+            RawNode::new(&config, memory, &quiet).map_err(|error| CorruptLog(error.to_string()))?;
+        let mut voter = Self {
+            me,
+            raft,
+            gate: DurabilityGate::default(),
+            ended: None,
+        };
         // What was kept is durable: what is decided of it holds at once.
         let mut out = Vec::new();
         voter.pass(&mut out);
@@ -194,7 +202,9 @@
     /// A message of a voter has come; one that can't be read or is none that could have been sent is passed over, and `false`
     /// is given.
     pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Output>) -> bool {
-        let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
+        let Ok(message) = Message::parse_from_bytes(bytes) else {
+            return false;
+        };
         // A proposal keeps its first sender's number and may come back to it, where who leads has changed.
         let own = message.from == self.me && message.get_msg_type() != MessageType::MsgPropose;
         if message.to != self.me || message.from == 0 || own || !sound(&message) {
@@ -225,7 +235,11 @@
     /// # Errors
     ///
     /// If it is not even tried.
-    pub fn propose(&mut self, word: Vec<u8>, out: &mut Vec<Output>) -> Result<(), ProposalRejected> {
+    pub fn propose(
+        &mut self,
+        word: Vec<u8>,
+        out: &mut Vec<Output>,
+    ) -> Result<(), ProposalRejected> {
         if word.len() > MAX_ENTRY_BYTES {
             return Err(ProposalRejected::Long);
         }
@@ -233,7 +247,11 @@
         let mut proposed = false;
         self.guarded(|raft| proposed = raft.propose(Vec::new(), word).is_ok());
         self.pass(out);
-        if proposed { Ok(()) } else { Err(ProposalRejected::Busy) }
+        if proposed {
+            Ok(())
+        } else {
+            Err(ProposalRejected::Busy)
+        }
     }
 
     /// Changes who votes; it holds once [`Voter::seats`] says so. One change is made at a time, and by who leads.
@@ -241,17 +259,25 @@
     /// # Errors
     ///
     /// If it is not even tried.
-    pub fn seat(&mut self, change: &MembershipChange, out: &mut Vec<Output>) -> Result<(), ProposalRejected> {
+    pub fn seat(
+        &mut self,
+        change: &MembershipChange,
+        out: &mut Vec<Output>,
+    ) -> Result<(), ProposalRejected> {
         self.open()?;
         if !self.leads() {
-            return Err(self.leader().map_or(ProposalRejected::Leaderless, ProposalRejected::Elsewhere));
+            return Err(self
+                .leader()
+                .map_or(ProposalRejected::Leaderless, ProposalRejected::Elsewhere));
         }
         if self.raft.raft.has_pending_conf() {
             return Err(ProposalRejected::Changing);
         }
         let (seats, mut cc, mut name) = (self.seats(), ConfChange::default(), String::new());
         match change {
-            MembershipChange::Add(_) if seats.len() >= MAX_VOTERS => return Err(ProposalRejected::Count),
+            MembershipChange::Add(_) if seats.len() >= MAX_VOTERS => {
+                return Err(ProposalRejected::Count);
+            }
             MembershipChange::Add(node) if seats.values().any(|name| name == node) => return Ok(()),
             MembershipChange::Add(node) => {
                 cc.set_change_type(ConfChangeType::AddNode);
@@ -262,7 +288,11 @@
             MembershipChange::Remove(_) if seats.len() <= 2 => return Err(ProposalRejected::Count),
             MembershipChange::Remove(seat) if *seat == self.me => {
                 // Another leads first, that takes the seat away then.
-                let other = seats.keys().copied().find(|seat| *seat != self.me).unwrap_or_default();
+                let other = seats
+                    .keys()
+                    .copied()
+                    .find(|seat| *seat != self.me)
+                    .unwrap_or_default();
                 self.guarded(|raft| raft.transfer_leader(other));
                 self.pass(out);
                 return Err(ProposalRejected::Changing);
@@ -275,7 +305,11 @@
         let mut proposed = false;
         self.guarded(|raft| proposed = raft.propose_conf_change(name.into_bytes(), cc).is_ok());
         self.pass(out);
-        if proposed { Ok(()) } else { Err(ProposalRejected::Busy) }
+        if proposed {
+            Ok(())
+        } else {
+            Err(ProposalRejected::Busy)
+        }
     }
 
     fn open(&self) -> Result<(), ProposalRejected> {
@@ -285,7 +319,9 @@
         if self.gate.held() >= MOST_HELD {
             return Err(ProposalRejected::Busy);
         }
-        self.leader().map(|_| ()).ok_or(ProposalRejected::Leaderless)
+        self.leader()
+            .map(|_| ())
+            .ok_or(ProposalRejected::Leaderless)
     }
 
     /// All writes up to this one are durable.
@@ -325,12 +361,16 @@
             if self.ended.is_some() || !self.raft.has_ready() {
                 break;
             }
-            let (mut at_once, mut later, mut number, mut decided) = (Vec::new(), Vec::new(), 0, Vec::new());
+            let (mut at_once, mut later, mut number, mut decided) =
+                (Vec::new(), Vec::new(), 0, Vec::new());
             let mut over = None;
             self.guarded(|raft| {
                 let mut ready = raft.ready();
-                (at_once, later, number) =
-                    (ready.take_messages(), ready.take_persisted_messages(), ready.number());
+                (at_once, later, number) = (
+                    ready.take_messages(),
+                    ready.take_persisted_messages(),
+                    ready.number(),
+                );
                 decided = ready.take_committed_entries();
                 if !ready.snapshot().is_empty() {
                     over = Some(raft.mut_store().take_over(ready.snapshot()));
@@ -347,7 +387,9 @@
                     out.push(Output::Skipped(self.told()));
                     out.push(Output::Seats);
                 }
-                Some(false) => self.ended = Some("a state of the leader's can't be read".to_owned()),
+                Some(false) => {
+                    self.ended = Some("a state of the leader's can't be read".to_owned())
+                }
                 None => {}
             }
             for entry in decided {
@@ -361,7 +403,10 @@
                 out.push(Output::Write(self.gate.write(), changes));
             }
             self.send(at_once, out);
-            self.gate.hold(Held { ready: number, messages: later });
+            self.gate.hold(Held {
+                ready: number,
+                messages: later,
+            });
         }
         let changes = self.raft.mut_store().take();
         if !changes.is_empty() {
@@ -372,7 +417,10 @@
 
     fn send(&mut self, messages: Vec<Message>, out: &mut Vec<Output>) {
         for message in messages {
-            out.push(Output::Send(message.to, message.write_to_bytes().unwrap_or_default()));
+            out.push(Output::Send(
+                message.to,
+                message.write_to_bytes().unwrap_or_default(),
+            ));
             if message.get_msg_type() == MessageType::MsgSnapshot {
                 // Whether it arrives is seen by what comes next: till then the leader would wait for ever.
                 self.guarded(|raft| raft.report_snapshot(message.to, SnapshotStatus::Finish));
@@ -430,7 +478,8 @@
         let folded = &self.raft.store().folded;
         match change.get_change_type() {
             ConfChangeType::AddNode => {
-                let new = change.node_id > folded.highest && !folded.seats.values().any(|seat| seat == name);
+                let new = change.node_id > folded.highest
+                    && !folded.seats.values().any(|seat| seat == name);
                 new && folded.seats.len() < MAX_VOTERS
             }
             ConfChangeType::RemoveNode => {
@@ -444,12 +493,18 @@
 /// What a message of the log's promises for its sender: which seat that is, the term that it speaks in, and the place up to which
 /// it says to have all. A proposal, which others pass on, promises nothing.
 pub fn promise(bytes: &[u8]) -> (u64, u64, u64) {
-    let Ok(message) = Message::parse_from_bytes(bytes) else { return (0, 0, 0) };
+    let Ok(message) = Message::parse_from_bytes(bytes) else {
+        return (0, 0, 0);
+    };
     match message.get_msg_type() {
         MessageType::MsgPropose => (0, 0, 0),
         // Their term is one that the sender may have later.
-        MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse => (message.from, 0, 0),
-        MessageType::MsgAppendResponse if !message.reject => (message.from, message.term, message.index),
+        MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse => {
+            (message.from, 0, 0)
+        }
+        MessageType::MsgAppendResponse if !message.reject => {
+            (message.from, message.term, message.index)
+        }
         _ => (message.from, message.term, 0),
     }
 }
@@ -474,7 +529,12 @@
     );
     let entries = message.get_entries();
     let row = message.get_msg_type() != MsgAppend
-        || entries.iter().zip(message.index + 1..).all(|(e, at)| e.index == at && e.term <= message.term);
+        || entries
+            .iter()
+            .zip(message.index + 1..)
+            .all(|(e, at)| e.index == at && e.term <= message.term);
     let proposed = message.get_msg_type() != MsgPropose || !entries.is_empty();
-    kind && row && proposed && (message.get_msg_type() != MsgSnapshot || !message.get_snapshot().is_empty())
+    kind && row
+        && proposed
+        && (message.get_msg_type() != MsgSnapshot || !message.get_snapshot().is_empty())
 }
--- a/crates/replicated-log/tests/admission.rs
+++ b/crates/replicated-log/tests/admission.rs
@@ -1,7 +1,9 @@
 //! Voters that come back with all, less or nothing of what they had kept: who may vote, and that nobody else does.
 
 use postproxy_replicated_log::StorageChange;
-use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict};
+use postproxy_replicated_log::admission::{
+    Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -32,8 +34,13 @@
 impl Sim {
     fn new(count: usize, seed: u64) -> Self {
         let nodes = (0..count).map(|_| Node::default()).collect();
-        let mut sim =
-            Self { now: 0, draws: Pcg64Mcg::seed_from_u64(seed), nodes, words: Vec::new(), lives: 0 };
+        let mut sim = Self {
+            now: 0,
+            draws: Pcg64Mcg::seed_from_u64(seed),
+            nodes,
+            words: Vec::new(),
+            lives: 0,
+        };
         (0..count).for_each(|n| sim.start(n));
         sim
     }
@@ -46,7 +53,13 @@
         self.lives += 1;
         let voters: Vec<u64> = (1..=self.nodes.len() as u64).collect();
         let kept = self.nodes[n].kept.clone();
-        self.nodes[n].admission = Some(Admission::new(n as u64 + 1, self.lives, &voters, (0, 0), kept));
+        self.nodes[n].admission = Some(Admission::new(
+            n as u64 + 1,
+            self.lives,
+            &voters,
+            (0, 0),
+            kept,
+        ));
     }
 
     fn kill(&mut self, n: usize) {
@@ -91,11 +104,13 @@
         for n in 0..self.nodes.len() {
             let mut out = Vec::new();
             let node = &mut self.nodes[n];
-            let (due, rest): (Vec<_>, Vec<_>) = node.writes.drain(..).partition(|(at, ..)| *at <= now);
+            let (due, rest): (Vec<_>, Vec<_>) =
+                node.writes.drain(..).partition(|(at, ..)| *at <= now);
             node.writes = rest;
             for (_, number, changes) in due {
                 for change in changes {
-                    node.kept.insert(change.key, change.value.expect("nothing is removed"));
+                    node.kept
+                        .insert(change.key, change.value.expect("nothing is removed"));
                 }
                 if let Some(admission) = &mut node.admission {
                     admission.durable(number, &mut out);
@@ -119,7 +134,10 @@
     }
 
     fn verdicts(&self) -> Vec<Option<AdmissionVerdict>> {
-        self.nodes.iter().map(|node| node.admission.as_ref().map(Admission::verdict)).collect()
+        self.nodes
+            .iter()
+            .map(|node| node.admission.as_ref().map(Admission::verdict))
+            .collect()
     }
 }
 
@@ -132,7 +150,9 @@
         let mut sim = Sim::new([3, 5, 7][seed as usize % 3], seed);
         sim.run(200);
         assert!(
-            sim.verdicts().iter().all(|v| *v == Some(AdmissionVerdict::Vote)),
+            sim.verdicts()
+                .iter()
+                .all(|v| *v == Some(AdmissionVerdict::Vote)),
             "seed {seed}: born: {:?}",
             sim.verdicts()
         );
@@ -151,7 +171,9 @@
         }
         sim.run(200);
         assert!(
-            sim.verdicts().iter().all(|v| *v == Some(AdmissionVerdict::Vote)),
+            sim.verdicts()
+                .iter()
+                .all(|v| *v == Some(AdmissionVerdict::Vote)),
             "seed {seed}: back: {:?}",
             sim.verdicts()
         );
@@ -184,8 +206,17 @@
             sim.start(other);
         }
         sim.run(300);
-        let votes = sim.verdicts().iter().filter(|v| **v == Some(AdmissionVerdict::Vote)).count();
-        assert_eq!(votes, sim.nodes.len() - 1, "seed {seed}: {:?}", sim.verdicts());
+        let votes = sim
+            .verdicts()
+            .iter()
+            .filter(|v| **v == Some(AdmissionVerdict::Vote))
+            .count();
+        assert_eq!(
+            votes,
+            sim.nodes.len() - 1,
+            "seed {seed}: {:?}",
+            sim.verdicts()
+        );
     }
     assert!(lost > 100 && older > 100, "{lost} lost, {older} older");
 }
@@ -197,13 +228,20 @@
     let (mut admission, mut out) = (Admission::new(1, 77, &[1, 2, 3], (0, 0), kept), Vec::new());
     admission.tick(&mut out);
     let key = b"s/start".to_vec();
-    let write = StorageChange { key, value: Some(5u64.to_be_bytes().to_vec()) };
+    let write = StorageChange {
+        key,
+        value: Some(5u64.to_be_bytes().to_vec()),
+    };
     assert_eq!(out, [AdmissionEffect::Write(1, vec![write])]);
     out.clear();
     admission.tick(&mut out);
     admission.receive(9, AdmissionMessage::Seen(5), &mut out);
     admission.receive(2, AdmissionMessage::Seen(5), &mut out);
-    assert_eq!((&out[..], admission.verdict()), (&[][..], AdmissionVerdict::Wait), "it has not started");
+    assert_eq!(
+        (&out[..], admission.verdict()),
+        (&[][..], AdmissionVerdict::Wait),
+        "it has not started"
+    );
     admission.receive(3, AdmissionMessage::Started(8, 1, (0, 0)), &mut out);
     assert!(matches!(out[..], [AdmissionEffect::Write(2, _)]), "{out:?}");
     out.clear();
@@ -238,13 +276,25 @@
         "another process, or an older start"
     );
     admission.receive(2, AdmissionMessage::Seen(4), &mut out);
-    assert_eq!(admission.verdict(), AdmissionVerdict::Wait, "of an earlier start");
+    assert_eq!(
+        admission.verdict(),
+        AdmissionVerdict::Wait,
+        "of an earlier start"
+    );
     admission.receive(2, AdmissionMessage::Seen(5), &mut out);
-    assert_eq!(admission.verdict(), AdmissionVerdict::Wait, "enough, and the third may know more");
+    assert_eq!(
+        admission.verdict(),
+        AdmissionVerdict::Wait,
+        "enough, and the third may know more"
+    );
     admission.receive(3, AdmissionMessage::Seen(5), &mut out);
     assert_eq!(admission.verdict(), AdmissionVerdict::Vote);
     admission.receive(3, AdmissionMessage::Old(5), &mut out);
-    assert_eq!(admission.verdict(), AdmissionVerdict::Lost, "better late than never");
+    assert_eq!(
+        admission.verdict(),
+        AdmissionVerdict::Lost,
+        "better late than never"
+    );
 }
 
 /// Guards against three voters without a majority for ever, once one has died for good and another was started anew.
@@ -258,16 +308,28 @@
         sim.run(20);
         sim.start(1);
         sim.run(100);
-        assert_eq!(sim.verdicts()[1], Some(AdmissionVerdict::Wait), "seed {seed}: it waits");
+        assert_eq!(
+            sim.verdicts()[1],
+            Some(AdmissionVerdict::Wait),
+            "seed {seed}: it waits"
+        );
         sim.run(400);
-        assert_eq!(sim.verdicts()[1], Some(AdmissionVerdict::Vote), "seed {seed}");
+        assert_eq!(
+            sim.verdicts()[1],
+            Some(AdmissionVerdict::Vote),
+            "seed {seed}"
+        );
         // With one store lost and one voter away there is no majority: it must not make one.
         sim.kill(1);
         sim.nodes[1].kept.clear();
         sim.nodes[1].less = true;
         sim.start(1);
         sim.run(600);
-        assert_ne!(sim.verdicts()[1], Some(AdmissionVerdict::Vote), "seed {seed}");
+        assert_ne!(
+            sim.verdicts()[1],
+            Some(AdmissionVerdict::Vote),
+            "seed {seed}"
+        );
     }
 }
 
@@ -280,12 +342,18 @@
         // Never told of by the two that are away now, as if they had been since before its first start.
         for n in [3, 4] {
             sim.kill(n);
-            sim.nodes[n].kept.retain(|key, _| *key != [&b"s/known/"[..], &1u64.to_be_bytes()].concat());
+            sim.nodes[n]
+                .kept
+                .retain(|key, _| *key != [&b"s/known/"[..], &1u64.to_be_bytes()].concat());
         }
         sim.kill(0);
         sim.start(0);
         sim.run(400);
-        assert_eq!(sim.verdicts()[0], Some(AdmissionVerdict::Vote), "seed {seed}");
+        assert_eq!(
+            sim.verdicts()[0],
+            Some(AdmissionVerdict::Vote),
+            "seed {seed}"
+        );
         (0..3).for_each(|n| sim.kill(n));
         sim.run(20); // what was on the way is gone
         sim.start(3);
@@ -294,9 +362,17 @@
         sim.nodes[0].less = true;
         sim.start(0);
         sim.run(600);
-        assert_eq!(sim.verdicts()[0], Some(AdmissionVerdict::Wait), "seed {seed}: it asks on");
+        assert_eq!(
+            sim.verdicts()[0],
+            Some(AdmissionVerdict::Wait),
+            "seed {seed}: it asks on"
+        );
         sim.start(1);
         sim.run(100);
-        assert_eq!(sim.verdicts()[0], Some(AdmissionVerdict::Lost), "seed {seed}");
+        assert_eq!(
+            sim.verdicts()[0],
+            Some(AdmissionVerdict::Lost),
+            "seed {seed}"
+        );
     }
 }
--- a/crates/replicated-log/tests/voters.rs
+++ b/crates/replicated-log/tests/voters.rs
@@ -14,8 +14,9 @@
 impl StateMachine for Sum {
     fn apply(&mut self, word: &[u8]) {
         self.0 += 1;
-        self.1 =
-            word.iter().fold(self.1, |sum, byte| (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3));
+        self.1 = word.iter().fold(self.1, |sum, byte| {
+            (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+        });
     }
 }
 
@@ -95,8 +96,8 @@
 
     fn start(&mut self, n: usize) {
         let kept = self.nodes[n].kept.clone();
-        let (voter, out) =
-            Voter::new(n as u64 + 1, &founders(self.nodes.len()), kept).expect("what it kept is sound");
+        let (voter, out) = Voter::new(n as u64 + 1, &founders(self.nodes.len()), kept)
+            .expect("what it kept is sound");
         self.nodes[n].voter = Some(voter);
         self.carry(n, out);
         self.renew(n);
@@ -138,7 +139,8 @@
             && let Some((_, known)) = self.log.get(&place)
             && *known != state
         {
-            self.broken.get_or_insert(format!("voter {n}, place {place}: {state:?} and {known:?}"));
+            self.broken
+                .get_or_insert(format!("voter {n}, place {place}: {state:?} and {known:?}"));
         }
     }
 
@@ -146,8 +148,16 @@
         for one in out {
             match one {
                 Output::Write(number, changes) => {
-                    let took = if self.nodes[n].slow { 50 + self.draw(2000) } else { 1 + self.draw(20) };
-                    let at = self.nodes[n].writes.back().map_or(0, |(at, _, _)| *at).max(self.now + took);
+                    let took = if self.nodes[n].slow {
+                        50 + self.draw(2000)
+                    } else {
+                        1 + self.draw(20)
+                    };
+                    let at = self.nodes[n]
+                        .writes
+                        .back()
+                        .map_or(0, |(at, _, _)| *at)
+                        .max(self.now + took);
                     self.nodes[n].writes.push_back((at, number, changes));
                     if self.without.gate {
                         let mut out = Vec::new();
@@ -160,21 +170,32 @@
                 Output::Send(to, bytes) => {
                     let link = (n, to as usize - 1);
                     let at = self.now + 1 + self.draw(10);
-                    let at =
-                        self.links.get(&link).and_then(|queue| queue.back()).map_or(0, |(at, _)| *at).max(at);
+                    let at = self
+                        .links
+                        .get(&link)
+                        .and_then(|queue| queue.back())
+                        .map_or(0, |(at, _)| *at)
+                        .max(at);
                     self.links.entry(link).or_default().push_back((at, bytes));
                 }
                 Output::Decided(place, word) => {
-                    let state =
-                        self.nodes[n].voter.as_ref().map(|voter| voter.state().clone()).unwrap_or_default();
+                    let state = self.nodes[n]
+                        .voter
+                        .as_ref()
+                        .map(|voter| voter.state().clone())
+                        .unwrap_or_default();
                     match self.log.get(&place) {
                         Some((known, _)) if *known != word => {
-                            self.broken.get_or_insert(format!("voter {n}, place {place}: two words"));
+                            self.broken
+                                .get_or_insert(format!("voter {n}, place {place}: two words"));
                         }
                         Some(_) => {}
                         None => {
-                            let mut sum =
-                                self.log.get(&(place - 1)).map(|(_, sum)| sum.clone()).unwrap_or_default();
+                            let mut sum = self
+                                .log
+                                .get(&(place - 1))
+                                .map(|(_, sum)| sum.clone())
+                                .unwrap_or_default();
                             sum.apply(&word);
                             self.log.insert(place, (word, sum));
                         }
@@ -184,8 +205,11 @@
                 }
                 Output::Seats => {}
                 Output::Skipped(_) => {
-                    let state =
-                        self.nodes[n].voter.as_ref().map(|voter| voter.state().clone()).unwrap_or_default();
+                    let state = self.nodes[n]
+                        .voter
+                        .as_ref()
+                        .map(|voter| voter.state().clone())
+                        .unwrap_or_default();
                     let told = self.nodes[n].voter.as_ref().map_or(0, Voter::told);
                     assert_eq!(state.0, told, "as many words as places");
                     self.check(n, told, state);
@@ -198,7 +222,10 @@
         self.next += 1;
         let word = self.next.to_be_bytes().to_vec();
         let mut out = Vec::new();
-        let said = self.nodes[n].voter.as_mut()?.propose(word.clone(), &mut out);
+        let said = self.nodes[n]
+            .voter
+            .as_mut()?
+            .propose(word.clone(), &mut out);
         self.carry(n, out);
         match said {
             Ok(()) => Some(word),
@@ -215,7 +242,8 @@
         let now = self.now;
         for n in 0..self.nodes.len() {
             // The disk goes on whether the process is stopped or not.
-            while let Some((_, number, changes)) = self.nodes[n].writes.pop_front_if(|(at, _, _)| *at <= now)
+            while let Some((_, number, changes)) =
+                self.nodes[n].writes.pop_front_if(|(at, _, _)| *at <= now)
             {
                 for change in changes {
                     match change.value {
@@ -231,9 +259,15 @@
             }
         }
         let links: Vec<(usize, usize)> = self.links.keys().copied().collect();
-        for (from, to) in links.into_iter().filter(|link| !self.cut.contains(link)).collect::<Vec<_>>() {
-            while let Some((_, bytes)) =
-                self.links.get_mut(&(from, to)).and_then(|queue| queue.pop_front_if(|(at, _)| *at <= now))
+        for (from, to) in links
+            .into_iter()
+            .filter(|link| !self.cut.contains(link))
+            .collect::<Vec<_>>()
+        {
+            while let Some((_, bytes)) = self
+                .links
+                .get_mut(&(from, to))
+                .and_then(|queue| queue.pop_front_if(|(at, _)| *at <= now))
             {
                 self.nodes[to].inbox.push((from, bytes));
             }
@@ -326,7 +360,11 @@
             for _ in 0..30 {
                 self.step();
             }
-            let place = self.log.iter().find(|(_, (word, _))| words.contains(word)).map(|(place, _)| *place);
+            let place = self
+                .log
+                .iter()
+                .find(|(_, (word, _))| words.contains(word))
+                .map(|(place, _)| *place);
             let told = |node: &Node| node.voter.as_ref().map_or(0, Voter::told);
             if place.is_some_and(|place| self.nodes.iter().all(|node| told(node) >= place)) {
                 return true;
@@ -338,7 +376,12 @@
     fn picture(&self) -> String {
         let node = |node: &Node| match &node.voter {
             Some(voter) => {
-                format!("{:?}, {} told, {} in memory", voter.leader(), voter.told(), voter.length())
+                format!(
+                    "{:?}, {} told, {} in memory",
+                    voter.leader(),
+                    voter.told(),
+                    voter.length()
+                )
             }
             None => "dead".to_owned(),
         };
@@ -361,7 +404,11 @@
     for seed in runs().chain([8508]) {
         count += 1;
         let mut sim = Sim::new([3, 5, 7][seed as usize % 3], seed, Without::default());
-        assert!(sim.serves(10_000), "seed {seed}: from the start: {}", sim.picture());
+        assert!(
+            sim.serves(10_000),
+            "seed {seed}: from the start: {}",
+            sim.picture()
+        );
         for _ in 0..8 {
             let ms = 300 + sim.draw(3000);
             sim.run(ms);
@@ -369,16 +416,30 @@
             assert_eq!(sim.broken, None, "seed {seed}");
         }
         sim.mend();
-        assert!(sim.serves(20_000), "seed {seed}: after the last fault: {}", sim.picture());
+        assert!(
+            sim.serves(20_000),
+            "seed {seed}: after the last fault: {}",
+            sim.picture()
+        );
         // All die at once; what was told is there.
         (0..sim.nodes.len()).for_each(|n| sim.kill(n));
         (0..sim.nodes.len()).rev().for_each(|n| sim.start(n));
-        assert!(sim.serves(20_000), "seed {seed}: after all died: {}", sim.picture());
+        assert!(
+            sim.serves(20_000),
+            "seed {seed}: after all died: {}",
+            sim.picture()
+        );
         assert_eq!(sim.broken, None, "seed {seed}");
         words += sim.log.len();
         refused += sim.refused;
-        longest = longest
-            .max(sim.nodes.iter().filter_map(|n| n.voter.as_ref()).map(Voter::length).max().unwrap_or(0));
+        longest = longest.max(
+            sim.nodes
+                .iter()
+                .filter_map(|n| n.voter.as_ref())
+                .map(Voter::length)
+                .max()
+                .unwrap_or(0),
+        );
     }
     println!("{words} words decided, {refused} not taken, at most {longest} in memory");
     assert!(words > 100 * count, "{words}");
@@ -396,15 +457,25 @@
                 sim.run(ms);
                 sim.fault();
                 // One that ends by itself has been caught by another guard.
-                if sim.broken.as_ref().is_some_and(|broken| !broken.contains("ended")) {
+                if sim
+                    .broken
+                    .as_ref()
+                    .is_some_and(|broken| !broken.contains("ended"))
+                {
                     return true;
                 }
             }
             false
         })
     };
-    let gate = found(Without { gate: true, ..Without::default() });
-    let store = found(Without { store: true, ..Without::default() });
+    let gate = found(Without {
+        gate: true,
+        ..Without::default()
+    });
+    let store = found(Without {
+        store: true,
+        ..Without::default()
+    });
     println!("without the gate: seed {gate:?}; with a lost store: seed {store:?}");
     assert!(gate.is_some() && store.is_some());
 }
@@ -426,7 +497,11 @@
     assert!(sim.log.len() > 2900, "{}", sim.log.len());
     let length = sim.nodes[0].voter.as_ref().map_or(0, Voter::length);
     assert!(length < 1200, "{length} in memory");
-    let kept: usize = sim.nodes[0].kept.iter().map(|(key, value)| key.len() + value.len()).sum();
+    let kept: usize = sim.nodes[0]
+        .kept
+        .iter()
+        .map(|(key, value)| key.len() + value.len())
+        .sum();
     assert!(kept < 40_000, "{kept} bytes kept");
     sim.start(2);
     assert!(sim.serves(20_000), "{}", sim.picture());
@@ -443,7 +518,20 @@
         // All hear 0 alone.
         (
             "a star of five",
-            &[(1, 2), (1, 3), (1, 4), (2, 3), (2, 4), (3, 4), (2, 1), (3, 1), (4, 1), (3, 2), (4, 2), (4, 3)],
+            &[
+                (1, 2),
+                (1, 3),
+                (1, 4),
+                (2, 3),
+                (2, 4),
+                (3, 4),
+                (2, 1),
+                (3, 1),
+                (4, 1),
+                (3, 2),
+                (4, 2),
+                (4, 3),
+            ],
         ),
         ("one that is not heard", &[(0, 1), (0, 2)]),
         ("one that does not hear", &[(1, 0), (2, 0)]),
@@ -477,9 +565,16 @@
     let mut sim = Sim::new(3, 9, Without::default());
     assert!(sim.serves(10_000));
     let kept = sim.nodes[0].kept.clone();
-    let open = |kept: Kept| Voter::<Sum>::new(1, &founders(3), kept).err().map(|damage| damage.to_string());
+    let open = |kept: Kept| {
+        Voter::<Sum>::new(1, &founders(3), kept)
+            .err()
+            .map(|damage| damage.to_string())
+    };
     assert_eq!(open(kept.clone()), None);
-    let (first, _) = kept.iter().find(|(key, _)| key.starts_with(b"a/l/")).expect("a word");
+    let (first, _) = kept
+        .iter()
+        .find(|(key, _)| key.starts_with(b"a/l/"))
+        .expect("a word");
     let mut gap = kept.clone();
     gap.remove(first);
     if kept.keys().filter(|key| key.starts_with(b"a/l/")).count() > 1 {
@@ -491,17 +586,24 @@
         assert!(open(bad).is_some(), "{key}");
     }
     for (me, count) in [(4, 3), (0, 3), (1, 8)] {
-        assert!(Voter::<Sum>::new(me, &founders(count), Kept::new()).is_err(), "{me} of {count}");
+        assert!(
+            Voter::<Sum>::new(me, &founders(count), Kept::new()).is_err(),
+            "{me} of {count}"
+        );
     }
     let mut out = Vec::new();
     let voter = sim.nodes[0].voter.as_mut().expect("it lives");
     assert_eq!(
-        voter.propose(vec![0; postproxy_replicated_log::MAX_ENTRY_BYTES + 1], &mut out),
+        voter.propose(
+            vec![0; postproxy_replicated_log::MAX_ENTRY_BYTES + 1],
+            &mut out
+        ),
         Err(ProposalRejected::Long)
     );
     for n in 0..2000u32 {
-        let bytes: Vec<u8> =
-            (0..n % 40).map(|at| (n.wrapping_mul(2_654_435_761) >> (at % 24)) as u8).collect();
+        let bytes: Vec<u8> = (0..n % 40)
+            .map(|at| (n.wrapping_mul(2_654_435_761) >> (at % 24)) as u8)
+            .collect();
         voter.receive(&bytes, &mut out);
     }
     assert!(sim.serves(20_000), "{}", sim.picture());
--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -49,7 +49,9 @@
 
 fn engine(folder: &Path) -> Engine<OsDisk> {
     let disk = OsDisk::new(folder).expect("a folder");
-    Engine::open(vec![disk], Options::default(), "a bench", 1, 0).expect("a store").0
+    Engine::open(vec![disk], Options::default(), "a bench", 1, 0)
+        .expect("a store")
+        .0
 }
 
 fn ours(folder: &Path, outstanding: usize, time: Duration) -> Line {
@@ -66,19 +68,28 @@
         while sent.len() - done < outstanding && start.elapsed() < time {
             let n = sent.len() as u64;
             sent.push(Instant::now());
-            store.append(Batch::new().put(&key(n), &VALUE, 0)).expect("room");
+            store
+                .append(Batch::new().put(&key(n), &VALUE, 0))
+                .expect("room");
         }
         if sent.len() == done {
             break;
         }
         if let Event::Durable(ticket) = events.recv().expect("an event") {
             while done < ticket as usize {
-                latency.record(sent[done].elapsed().as_micros() as u64).expect("in range");
+                latency
+                    .record(sent[done].elapsed().as_micros() as u64)
+                    .expect("in range");
                 done += 1;
             }
         }
     }
-    Line { name: "store", outstanding, rate: done as f64 / start.elapsed().as_secs_f64(), latency }
+    Line {
+        name: "store",
+        outstanding,
+        rate: done as f64 / start.elapsed().as_secs_f64(),
+        latency,
+    }
 }
 
 /// Commits groups of so many records until the time is over.
@@ -93,10 +104,17 @@
     while start.elapsed() < time {
         let began = Instant::now();
         commit(done..done + outstanding as u64);
-        latency.record_n(began.elapsed().as_micros() as u64, outstanding as u64).expect("in range");
+        latency
+            .record_n(began.elapsed().as_micros() as u64, outstanding as u64)
+            .expect("in range");
         done += outstanding as u64;
     }
-    Line { name, outstanding, rate: done as f64 / start.elapsed().as_secs_f64(), latency }
+    Line {
+        name,
+        outstanding,
+        rate: done as f64 / start.elapsed().as_secs_f64(),
+        latency,
+    }
 }
 
 fn redb(folder: &Path, outstanding: usize, time: Duration) -> Line {
@@ -112,21 +130,29 @@
         }
         transaction.commit().expect("it is durable");
     });
-    let read = database.begin_read().expect("a transaction").open_table(TABLE).expect("a table");
+    let read = database
+        .begin_read()
+        .expect("a transaction")
+        .open_table(TABLE)
+        .expect("a table");
     assert!(read.get(&key(0)[..]).expect("a read").is_some());
     line
 }
 
 fn fjall(folder: &Path, outstanding: usize, time: Duration) -> Line {
     let database = Database::builder(folder).open().expect("a database");
-    let records = database.keyspace("records", KeyspaceCreateOptions::default).expect("a keyspace");
+    let records = database
+        .keyspace("records", KeyspaceCreateOptions::default)
+        .expect("a keyspace");
     grouped("fjall", outstanding, time, |range| {
         let mut batch = database.batch();
         for n in range {
             batch.insert(&records, key(n), VALUE);
         }
         batch.commit().expect("it is taken");
-        database.persist(PersistMode::SyncData).expect("it is durable");
+        database
+            .persist(PersistMode::SyncData)
+            .expect("it is durable");
     })
 }
 
@@ -135,7 +161,13 @@
     let mut store = engine(folder.path());
     for n in 0..records {
         let (key, value) = (key(n), VALUE);
-        store.append(&[postproxy_store::Change::Put { key: &key, value: &value, until: 0 }]).expect("room");
+        store
+            .append(&[postproxy_store::Change::Put {
+                key: &key,
+                value: &value,
+                until: 0,
+            }])
+            .expect("room");
         if n % 4096 == 4095 {
             store.commit().expect("durable");
         }
@@ -148,20 +180,36 @@
     let stat = store.stat();
     assert_eq!(stat.live as u64, records);
     let memory = stat.index_bytes as f64 / records as f64;
-    println!("| {records} | {took:.2} | {:.2} | {memory:.0} |", took * 1e6 / records as f64);
+    println!(
+        "| {records} | {took:.2} | {:.2} | {memory:.0} |",
+        took * 1e6 / records as f64
+    );
 }
 
 fn space(writes: u64) {
     const KEYS: u64 = 50_000;
     let folder = tempfile::tempdir_in(target()).expect("a folder");
     let disk = OsDisk::new(folder.path()).expect("a folder");
-    let options = Options { segment: 1 << 20, ..Options::default() };
-    let mut store = Engine::open(vec![disk], options, "a bench", 1, 0).expect("a store").0;
+    let options = Options {
+        segment: 1 << 20,
+        ..Options::default()
+    };
+    let mut store = Engine::open(vec![disk], options, "a bench", 1, 0)
+        .expect("a store")
+        .0;
     let (mut random, mut most, mut sum, mut counted) = (1u64, 0f64, 0f64, 0f64);
     for n in 0..writes {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        random = random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let key = key((random >> 33) % KEYS);
-        store.append(&[postproxy_store::Change::Put { key: &key, value: &VALUE, until: 0 }]).expect("room");
+        store
+            .append(&[postproxy_store::Change::Put {
+                key: &key,
+                value: &VALUE,
+                until: 0,
+            }])
+            .expect("room");
         if n % 512 == 511 {
             store.commit().expect("durable");
             while store.wants_cleaning() {
@@ -180,7 +228,10 @@
         }
     }
     let copied = store.stat().copied as f64 / (writes * (VALUE.len() as u64 + 24 + 39)) as f64;
-    println!("| {writes} | {KEYS} | {:.2} | {most:.2} | {copied:.2} |", sum / counted);
+    println!(
+        "| {writes} | {KEYS} | {:.2} | {most:.2} | {copied:.2} |",
+        sum / counted
+    );
 }
 
 fn target() -> &'static str {
@@ -199,9 +250,15 @@
             run(folder.path(), outstanding, time).print();
         }
     }
-    println!("\n| live records | recovery s | us a record | index bytes a record, beside its key |");
+    println!(
+        "\n| live records | recovery s | us a record | index bytes a record, beside its key |"
+    );
     println!("| --- | --- | --- | --- |");
-    let sizes: &[u64] = if quick { &[100_000] } else { &[1_000_000, 10_000_000] };
+    let sizes: &[u64] = if quick {
+        &[100_000]
+    } else {
+        &[1_000_000, 10_000_000]
+    };
     sizes.iter().for_each(|size| recovery(*size));
     println!(
         "\n| overwrites | keys | files over live, mean | most | bytes copied by cleaning over bytes written |"
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -128,12 +128,18 @@
 impl Trial {
     /// The trouble there is now, if there may be any.
     fn has(&self, trouble: &str) -> bool {
-        let Some(path) = &self.trouble else { return false };
+        let Some(path) = &self.trouble else {
+            return false;
+        };
         fs::read_to_string(path).is_ok_and(|text| text.trim() == trouble)
     }
 
     fn full(&self) -> io::Result<()> {
-        if self.has("full") { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if self.has("full") {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -155,7 +161,10 @@
     /// The system's.
     pub fn new(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        Ok(Self { folder: folder.to_owned(), trial: Trial::default() })
+        Ok(Self {
+            folder: folder.to_owned(),
+            trial: Trial::default(),
+        })
     }
 
     /// For trials: the same, where every sync of a file takes so much longer.
@@ -181,7 +190,10 @@
         if !fs::metadata(folder)?.is_dir() {
             return Err(io::ErrorKind::NotADirectory.into());
         }
-        Ok(Self { folder: folder.to_owned(), trial: Trial::default() })
+        Ok(Self {
+            folder: folder.to_owned(),
+            trial: Trial::default(),
+        })
     }
 }
 
@@ -203,13 +215,27 @@
     fn create(&self, name: &str) -> io::Result<OsFile> {
         self.trial.full()?;
         let path = self.folder.join(name);
-        let file = OpenOptions::new().read(true).write(true).create_new(true).mode(0o600).open(path)?;
-        Ok(OsFile { file, trial: self.trial.clone() })
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .mode(0o600)
+            .open(path)?;
+        Ok(OsFile {
+            file,
+            trial: self.trial.clone(),
+        })
     }
 
     fn open(&self, name: &str) -> io::Result<OsFile> {
-        let file = OpenOptions::new().read(true).write(true).open(self.folder.join(name))?;
-        Ok(OsFile { file, trial: self.trial.clone() })
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .open(self.folder.join(name))?;
+        Ok(OsFile {
+            file,
+            trial: self.trial.clone(),
+        })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -227,12 +253,22 @@
     fn lock(&self, holder: &str) -> io::Result<fs::File> {
         let path = self.folder.join(LOCK);
         let mut options = OpenOptions::new();
-        let mut file = options.read(true).write(true).create(true).truncate(false).mode(0o600).open(&path)?;
+        let mut file = options
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .mode(0o600)
+            .open(&path)?;
         match file.try_lock() {
             Ok(()) => {}
             Err(fs::TryLockError::WouldBlock) => {
                 let other = fs::read_to_string(&path).unwrap_or_default();
-                let other = if other.trim().is_empty() { "another process" } else { other.trim() };
+                let other = if other.trim().is_empty() {
+                    "another process"
+                } else {
+                    other.trim()
+                };
                 let text = format!("{} is held by {other}", self.folder.display());
                 return Err(io::Error::new(io::ErrorKind::WouldBlock, text));
             }
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/engine.rs
@@ -29,7 +29,11 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Self { segment: 16 << 20, most: 0, slack: 1.7 }
+        Self {
+            segment: 16 << 20,
+            most: 0,
+            slack: 1.7,
+        }
     }
 }
 
@@ -54,9 +58,16 @@
         match self {
             Self::Io(what, error) => write!(f, "{what}: {error}"),
             Self::Version { file, version } => {
-                write!(f, "{file}: format version {version}; this program knows version {}", frame::VERSION)
+                write!(
+                    f,
+                    "{file}: format version {version}; this program knows version {}",
+                    frame::VERSION
+                )
             }
-            Self::Mixed(file) => write!(f, "{file}: belongs to another store than the files beside it"),
+            Self::Mixed(file) => write!(
+                f,
+                "{file}: belongs to another store than the files beside it"
+            ),
         }
     }
 }
@@ -185,8 +196,12 @@
 }
 
 fn segment_number(name: &str) -> Option<u64> {
-    let digits = name.strip_suffix(".seg").filter(|digits| digits.len() == 16)?;
-    u64::from_str_radix(digits, 16).ok().filter(|n| u32::try_from(*n).is_ok())
+    let digits = name
+        .strip_suffix(".seg")
+        .filter(|digits| digits.len() == 16)?;
+    u64::from_str_radix(digits, 16)
+        .ok()
+        .filter(|n| u32::try_from(*n).is_ok())
 }
 
 fn remove_if_there<D: Disk>(disk: &D, name: &str) -> io::Result<()> {
@@ -228,7 +243,9 @@
 impl Found {
     fn frame(&self, segment: u64, at: usize) -> Option<(usize, Frame<'_>)> {
         let frames = self.images.iter().enumerate();
-        frames.filter_map(|(copy, image)| Some((copy, Frame::decode(segment, image, at)?))).next()
+        frames
+            .filter_map(|(copy, image)| Some((copy, Frame::decode(segment, image, at)?)))
+            .next()
     }
 
     fn longest(&self) -> usize {
@@ -254,7 +271,10 @@
     ) -> Result<(Self, Recovery), OpenError> {
         let mut locks = Vec::new();
         for disk in &disks {
-            locks.push(disk.lock(holder).map_err(|error| OpenError::Io(disk.name(), error))?);
+            locks.push(
+                disk.lock(holder)
+                    .map_err(|error| OpenError::Io(disk.name(), error))?,
+            );
         }
         let mut engine = Self {
             disks,
@@ -285,7 +305,10 @@
         let mut numbers = Vec::new();
         let mut remnants = Vec::new();
         for (copy, disk) in self.disks.iter().enumerate() {
-            for name in disk.list().map_err(|error| OpenError::Io(disk.name(), error))? {
+            for name in disk
+                .list()
+                .map_err(|error| OpenError::Io(disk.name(), error))?
+            {
                 numbers.extend(segment_number(&name));
                 if name.ends_with(".seg.tmp") {
                     remnants.push((copy, name));
@@ -309,10 +332,15 @@
         }
         // What a newer header no longer counts was to be removed.
         for &number in numbers.iter().filter(|n| **n < oldest) {
-            self.remove_files(number).map_err(|error| OpenError::Io(file_name(number), error))?;
+            self.remove_files(number)
+                .map_err(|error| OpenError::Io(file_name(number), error))?;
         }
         self.oldest = oldest;
-        let first = numbers.iter().copied().find(|n| *n >= oldest).unwrap_or(self.next_segment);
+        let first = numbers
+            .iter()
+            .copied()
+            .find(|n| *n >= oldest)
+            .unwrap_or(self.next_segment);
         let from = if oldest > 0 { oldest.min(first) } else { first };
         for number in from..self.next_segment {
             let after = headers.get(&(number + 1)).copied().flatten();
@@ -321,9 +349,14 @@
         // What was cleaned away is not missing; a removal that did not end is ended.
         let oldest = self.oldest;
         report.lost.retain(|lost| lost.segment >= oldest);
-        let old: Vec<u64> = self.segments.range(..oldest).map(|(number, _)| *number).collect();
+        let old: Vec<u64> = self
+            .segments
+            .range(..oldest)
+            .map(|(number, _)| *number)
+            .collect();
         for number in old {
-            self.remove_files(number).map_err(|error| OpenError::Io(file_name(number), error))?;
+            self.remove_files(number)
+                .map_err(|error| OpenError::Io(file_name(number), error))?;
             self.segments.remove(&number);
         }
         self.durable = self.seq;
@@ -358,7 +391,10 @@
                     }
                     Ok(_) | Err(Unread::Damaged) => {}
                     Err(Unread::Version(version)) => {
-                        return Err(OpenError::Version { file: file(), version });
+                        return Err(OpenError::Version {
+                            file: file(),
+                            version,
+                        });
                     }
                 }
             }
@@ -375,7 +411,10 @@
         report: &mut Recovery,
     ) -> Result<(), OpenError> {
         let name = file_name(number);
-        let mut found = Found { images: Vec::new(), header: None };
+        let mut found = Found {
+            images: Vec::new(),
+            header: None,
+        };
         for disk in &self.disks {
             let image = read_file(disk, &name)
                 .map_err(|error| OpenError::Io(format!("{}/{name}", disk.name()), error))?;
@@ -386,7 +425,11 @@
         if let Some(header) = found.header {
             // Frames that the segments before should have held; the very first ones may have been cleaned away.
             if header.first > self.seq + 1 && !self.segments.is_empty() {
-                report.lost.push(Lost { segment: number - 1, from: self.seq + 1, to: header.first - 1 });
+                report.lost.push(Lost {
+                    segment: number - 1,
+                    from: self.seq + 1,
+                    to: header.first - 1,
+                });
             }
             self.seq = self.seq.max(header.first.saturating_sub(1));
         }
@@ -402,7 +445,13 @@
         let size = bytes.len() as u64;
         let files = self.disks.iter().map(|_| None).collect();
         let lost_all = found.header.is_none() && bytes.len() == HEADER;
-        let segment = Segment { size, live: 0, files, reserved: size, distrusted: false };
+        let segment = Segment {
+            size,
+            live: 0,
+            files,
+            reserved: size,
+            distrusted: false,
+        };
         self.segments.insert(number, segment);
         let mut at = HEADER;
         while at < bytes.len() {
@@ -452,12 +501,17 @@
         let mut bytes = vec![0; end.max(HEADER)];
         let (mut at, mut last, mut sound) = (HEADER, self.seq, HEADER);
         while at < end {
-            let next =
-                found.frame(number, at).filter(|(_, frame)| frame.seq > last && at + frame.size() <= end);
+            let next = found
+                .frame(number, at)
+                .filter(|(_, frame)| frame.seq > last && at + frame.size() <= end);
             if let Some((copy, frame)) = next {
                 if frame.seq > last + 1 {
                     // Only a hole that was passed over leads here.
-                    report.lost.push(Lost { segment: number, from: last + 1, to: frame.seq - 1 });
+                    report.lost.push(Lost {
+                        segment: number,
+                        from: last + 1,
+                        to: frame.seq - 1,
+                    });
                 }
                 let size = frame.size();
                 bytes[at..at + size].copy_from_slice(&found.images[copy][at..at + size]);
@@ -478,7 +532,11 @@
         match after {
             // What the next segment says was there and is not.
             Some(header) if header.first > last + 1 => {
-                report.lost.push(Lost { segment: number, from: last + 1, to: header.first - 1 });
+                report.lost.push(Lost {
+                    segment: number,
+                    from: last + 1,
+                    to: header.first - 1,
+                });
             }
             Some(_) => {}
             None => {
@@ -502,15 +560,30 @@
         disk.sync_folder()
     }
 
-    fn update(segment: u64, at: usize, change: usize, op: &Change<'_>, extra: usize, now: u64) -> Update {
+    fn update(
+        segment: u64,
+        at: usize,
+        change: usize,
+        op: &Change<'_>,
+        extra: usize,
+        now: u64,
+    ) -> Update {
         let bytes = (op.size() + extra) as u32;
-        let place = Place { segment: segment as u32, frame: at as u32, change: change as u32, bytes };
+        let place = Place {
+            segment: segment as u32,
+            frame: at as u32,
+            change: change as u32,
+            bytes,
+        };
         let place = match op {
             Change::Put { until, .. } if *until == 0 || *until > now => Some(place),
             // What has expired counts as deleted.
             _ => None,
         };
-        Update { key: op.key().into(), place }
+        Update {
+            key: op.key().into(),
+            place,
+        }
     }
 
     fn apply(index: &mut Index, segments: &mut BTreeMap<u64, Segment<D::File>>, update: Update) {
@@ -577,9 +650,15 @@
         {
             return Err(Rejected::TooLong);
         }
-        let puts = batch.iter().any(|change| matches!(change, Change::Put { .. }));
+        let puts = batch
+            .iter()
+            .any(|change| matches!(change, Change::Put { .. }));
         // Room to clean a segment into is kept, and deletes are taken always: they are what makes room.
-        let most = self.options.most.saturating_sub(2 * self.options.segment).max(self.options.most / 2);
+        let most = self
+            .options
+            .most
+            .saturating_sub(2 * self.options.segment)
+            .max(self.options.most / 2);
         let coming = self.bytes() + (self.buffer.len() + FRAME + content) as u64;
         if puts && most > 0 && coming > most {
             return Err(Rejected::Full);
@@ -599,7 +678,8 @@
         let (mut change, mut extra) = (0, FRAME);
         for op in batch {
             if !matches!(op, Change::Mark { .. }) {
-                self.updates.push(Self::update(0, at, change, op, extra, self.now));
+                self.updates
+                    .push(Self::update(0, at, change, op, extra, self.now));
             }
             change += op.size();
             extra = 0;
@@ -619,7 +699,10 @@
         }
         let mut written = Err(io::ErrorKind::NotFound.into());
         if let Some(head) = self.head {
-            let full = self.segments.get(&head).is_none_or(|s| s.size >= self.options.segment);
+            let full = self
+                .segments
+                .get(&head)
+                .is_none_or(|s| s.size >= self.options.segment);
             if full {
                 self.seal(head);
             } else {
@@ -630,7 +713,9 @@
             }
         }
         if written.is_err() {
-            written = self.roll().and_then(|head| self.write(head).inspect_err(|_| self.abandon(head)));
+            written = self
+                .roll()
+                .and_then(|head| self.write(head).inspect_err(|_| self.abandon(head)));
         }
         match written {
             Ok((head, at)) => {
@@ -662,7 +747,9 @@
     /// Writes the buffer at the end of a segment and syncs it.
     fn write(&mut self, head: u64) -> io::Result<(u64, u64)> {
         frame::readdress(head, &mut self.buffer);
-        let Some(segment) = self.segments.get_mut(&head) else { return Err(io::ErrorKind::NotFound.into()) };
+        let Some(segment) = self.segments.get_mut(&head) else {
+            return Err(io::ErrorKind::NotFound.into());
+        };
         let at = segment.size;
         let group = self.buffer.len() as u64;
         if at + group > segment.reserved {
@@ -671,12 +758,23 @@
             self.buffer.resize(self.buffer.len() + ahead as usize, 0);
             segment.reserved = at + group + ahead;
         }
-        let mut written = segment.files.iter().flatten().try_for_each(|file| file.write_at(at, &self.buffer));
+        let mut written = segment
+            .files
+            .iter()
+            .flatten()
+            .try_for_each(|file| file.write_at(at, &self.buffer));
         self.buffer.truncate(group as usize);
-        if written.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::StorageFull) {
+        if written
+            .as_ref()
+            .is_err_and(|error| error.kind() == io::ErrorKind::StorageFull)
+        {
             // There may be room without the zeros.
             segment.reserved = at + group;
-            written = segment.files.iter().flatten().try_for_each(|file| file.write_at(at, &self.buffer));
+            written = segment
+                .files
+                .iter()
+                .flatten()
+                .try_for_each(|file| file.write_at(at, &self.buffer));
         }
         written?;
         for file in segment.files.iter().flatten() {
@@ -709,9 +807,18 @@
         if u32::try_from(number).is_err() {
             return Err(io::Error::other("no numbers are left for segments"));
         }
-        let before = self.segments.get(&(number - 1)).map_or(0, |segment| segment.size);
+        let before = self
+            .segments
+            .get(&(number - 1))
+            .map_or(0, |segment| segment.size);
         let oldest = self.segments.keys().next().copied().unwrap_or(number);
-        let header = Header { store: self.store, segment: number, oldest, before, first: self.durable + 1 };
+        let header = Header {
+            store: self.store,
+            segment: number,
+            oldest,
+            before,
+            first: self.durable + 1,
+        };
         let name = file_name(number);
         let mut files = Vec::new();
         self.folder_changed = true;
@@ -723,7 +830,13 @@
             files.push(Some(file));
         }
         let size = HEADER as u64;
-        let segment = Segment { size, live: 0, files, reserved: size, distrusted: false };
+        let segment = Segment {
+            size,
+            live: 0,
+            files,
+            reserved: size,
+            distrusted: false,
+        };
         self.segments.insert(number, segment);
         self.next_segment = number + 1;
         self.head = Some(number);
@@ -734,7 +847,9 @@
     /// with it, but its pages are not trusted: what is live in it is written anew when there is a disk again.
     fn abandon(&mut self, head: u64) {
         self.head = None;
-        let Some(segment) = self.segments.get_mut(&head) else { return };
+        let Some(segment) = self.segments.get_mut(&head) else {
+            return;
+        };
         if segment.size == HEADER as u64 {
             // Nothing in it was ever acknowledged: its number is used again.
             self.segments.remove(&head);
@@ -759,11 +874,17 @@
     pub fn probe(&mut self) -> io::Result<()> {
         if self.head.is_none() && self.buffer.is_empty() {
             let head = self.roll()?;
-            let segment = self.segments.get_mut(&head).ok_or(io::ErrorKind::NotFound)?;
+            let segment = self
+                .segments
+                .get_mut(&head)
+                .ok_or(io::ErrorKind::NotFound)?;
             // Room for a header alone would be no room.
             let ahead = vec![0; LEAST_AHEAD as usize];
-            let tried =
-                segment.files.iter().flatten().try_for_each(|file| file.write_at(segment.size, &ahead));
+            let tried = segment
+                .files
+                .iter()
+                .flatten()
+                .try_for_each(|file| file.write_at(segment.size, &ahead));
             segment.reserved = segment.size + LEAST_AHEAD;
             let tried = tried.and_then(|()| self.write(head));
             if let Err(error) = tried {
@@ -791,12 +912,16 @@
     ///
     /// The disk's, and `InvalidData` where no copy has it whole.
     pub fn get(&mut self, key: &[u8]) -> io::Result<Option<Vec<u8>>> {
-        let Some(place) = self.index.get(key) else { return Ok(None) };
+        let Some(place) = self.index.get(key) else {
+            return Ok(None);
+        };
         let number = u64::from(place.segment);
         let mut sound = None;
         let mut bad = Vec::new();
-        let mut failed =
-            io::Error::new(io::ErrorKind::InvalidData, format!("{}: damaged", file_name(number)));
+        let mut failed = io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("{}: damaged", file_name(number)),
+        );
         for copy in 0..self.disks.len() {
             match self.read_frame(number, copy, place.frame.into()) {
                 Ok(Some(frame)) => {
@@ -820,18 +945,28 @@
         for copy in bad {
             let file = self.file(number, copy);
             // It has been read soundly elsewhere; a repair that fails is tried with the next read.
-            let _ =
-                file.and_then(|file| file.write_at(place.frame.into(), &frame).and_then(|()| file.sync()));
+            let _ = file.and_then(|file| {
+                file.write_at(place.frame.into(), &frame)
+                    .and_then(|()| file.sync())
+            });
         }
         let content = &frame[FRAME + place.change as usize..];
         match Change::decode(content) {
-            Some((Change::Put { key: found, value, .. }, _)) if found == key => Ok(Some(value.to_vec())),
+            Some((
+                Change::Put {
+                    key: found, value, ..
+                },
+                _,
+            )) if found == key => Ok(Some(value.to_vec())),
             _ => Err(failed),
         }
     }
 
     fn file(&mut self, number: u64, copy: usize) -> io::Result<&D::File> {
-        let segment = self.segments.get_mut(&number).ok_or(io::ErrorKind::NotFound)?;
+        let segment = self
+            .segments
+            .get_mut(&number)
+            .ok_or(io::ErrorKind::NotFound)?;
         let slot = &mut segment.files[copy];
         if slot.is_none() {
             *slot = Some(self.disks[copy].open(&file_name(number))?);
@@ -865,7 +1000,11 @@
     pub fn scan(&mut self, mut show: impl FnMut(&[u8], &[u8])) -> io::Result<()> {
         let numbers: Vec<u64> = self.segments.keys().copied().collect();
         for number in numbers {
-            if self.segments.get(&number).is_none_or(|segment| segment.live == 0) {
+            if self
+                .segments
+                .get(&number)
+                .is_none_or(|segment| segment.live == 0)
+            {
                 continue;
             }
             let image = self.image(number)?;
@@ -885,12 +1024,21 @@
 
     fn is_live(&self, number: u64, frame: usize, change: usize, key: &[u8]) -> bool {
         self.index.get(key).is_some_and(|place| {
-            (u64::from(place.segment), place.frame as usize, place.change as usize) == (number, frame, change)
+            (
+                u64::from(place.segment),
+                place.frame as usize,
+                place.change as usize,
+            ) == (number, frame, change)
         })
     }
 
     /// The next sound frame from `at` on, with where it begins; what is damaged is passed over.
-    fn next_frame<'a>(&self, number: u64, image: &'a [u8], at: &mut usize) -> Option<(usize, Frame<'a>)> {
+    fn next_frame<'a>(
+        &self,
+        number: u64,
+        image: &'a [u8],
+        at: &mut usize,
+    ) -> Option<(usize, Frame<'a>)> {
         let (begins, frame) =
             (*at..image.len()).find_map(|at| Some((at, Frame::decode(number, image, at)?)))?;
         *at = begins + frame.size();
@@ -899,7 +1047,10 @@
 
     /// A segment's bytes, each frame from a copy that has it whole.
     fn image(&mut self, number: u64) -> io::Result<Vec<u8>> {
-        let size = self.segments.get(&number).map_or(0, |segment| segment.size as usize);
+        let size = self
+            .segments
+            .get(&number)
+            .map_or(0, |segment| segment.size as usize);
         let mut image = Vec::new();
         for copy in 0..self.disks.len() {
             let read = read_file(&self.disks[copy], &file_name(number))?;
@@ -942,7 +1093,10 @@
     /// The segment that ought to be cleaned next.
     fn next_victim(&self, at_any_rate: bool) -> Option<u64> {
         let (&first, segment) = self.segments.iter().next()?;
-        if let Some((&number, _)) = self.segments.iter().find(|(n, s)| s.distrusted && Some(**n) != self.head)
+        if let Some((&number, _)) = self
+            .segments
+            .iter()
+            .find(|(n, s)| s.distrusted && Some(**n) != self.head)
         {
             return Some(number);
         }
@@ -975,7 +1129,12 @@
         let Some(mut victim) = self.victim.take() else {
             if let Some(segment) = self.next_victim(at_any_rate) {
                 let image = self.image(segment)?;
-                self.victim = Some(Victim { segment, image, at: HEADER, copied: None });
+                self.victim = Some(Victim {
+                    segment,
+                    image,
+                    at: HEADER,
+                    copied: None,
+                });
             }
             return Ok(());
         };
@@ -994,17 +1153,24 @@
             let Some((begins, frame)) = self.next_frame(victim.segment, &image, &mut at) else {
                 // Durable before the file goes: a start must be able to tell a file that was removed from one
                 // that is missing.
-                let mark = Change::Mark { oldest: victim.segment + 1 };
+                let mark = Change::Mark {
+                    oldest: victim.segment + 1,
+                };
                 victim.copied = Some(if oldest { self.push(&[mark]) } else { self.seq });
                 break;
             };
             victim.at = at;
             for (change, op) in frame::changes(frame.content) {
                 let copied = match op {
-                    Change::Put { key, until, .. } if self.is_live(victim.segment, begins, change, key) => {
+                    Change::Put { key, until, .. }
+                        if self.is_live(victim.segment, begins, change, key) =>
+                    {
                         if until != 0 && until <= self.now {
                             // It leaves here. Older values of its key, if there are any, must not come back.
-                            let gone = Update { key: key.into(), place: None };
+                            let gone = Update {
+                                key: key.into(),
+                                place: None,
+                            };
                             Self::apply(&mut self.index, &mut self.segments, gone);
                             (!oldest).then_some(Change::Delete { key })
                         } else {
@@ -1016,7 +1182,9 @@
                     _ => None,
                 };
                 // A newer change that waits in the buffer goes before the copy.
-                if let Some(op) = copied.filter(|op| !self.updates.iter().any(|u| *u.key == *op.key())) {
+                if let Some(op) =
+                    copied.filter(|op| !self.updates.iter().any(|u| *u.key == *op.key()))
+                {
                     self.copied += op.size() as u64;
                     self.push(&[op]);
                 }
@@ -1038,7 +1206,8 @@
             return Ok(());
         }
         // While a file can't be read in any copy, nothing of it is thrown away.
-        if self.damaged.contains(&number) && self.segments.get(&number).is_some_and(|s| s.live > 0) {
+        if self.damaged.contains(&number) && self.segments.get(&number).is_some_and(|s| s.live > 0)
+        {
             return Ok(());
         }
         self.remove_files(number)?;
@@ -1060,7 +1229,9 @@
             }
         }
         while self.victim.is_some()
-            || self.next_victim(true).is_some_and(|victim| victim < last && !self.damaged.contains(&victim))
+            || self
+                .next_victim(true)
+                .is_some_and(|victim| victim < last && !self.damaged.contains(&victim))
         {
             self.clean_some(true)?;
             if !self.buffer.is_empty() {
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -89,9 +89,13 @@
         let mut bytes = [0; HEADER];
         bytes[..8].copy_from_slice(MAGIC);
         bytes[8..12].copy_from_slice(&VERSION.to_le_bytes());
-        for (at, number) in
-            [(16, self.store), (24, self.segment), (32, self.oldest), (40, self.before), (48, self.first)]
-        {
+        for (at, number) in [
+            (16, self.store),
+            (24, self.segment),
+            (32, self.oldest),
+            (40, self.before),
+            (48, self.first),
+        ] {
             bytes[at..at + 8].copy_from_slice(&number.to_le_bytes());
         }
         let sum = Self::sum(&bytes);
@@ -201,13 +205,30 @@
                 let rest = bytes.get(PUT_HEAD..PUT_HEAD.checked_add(key)?.checked_add(value)?)?;
                 let (key, value) = rest.split_at(key);
                 let size = PUT_HEAD + rest.len();
-                Some((Self::Put { key, value, until: u64_at(head, 7) }, size))
+                Some((
+                    Self::Put {
+                        key,
+                        value,
+                        until: u64_at(head, 7),
+                    },
+                    size,
+                ))
             }
             DELETE => {
                 let size = DELETE_HEAD + key_size()?;
-                Some((Self::Delete { key: bytes.get(DELETE_HEAD..size)? }, size))
+                Some((
+                    Self::Delete {
+                        key: bytes.get(DELETE_HEAD..size)?,
+                    },
+                    size,
+                ))
             }
-            MARK => Some((Self::Mark { oldest: u64_at(bytes.get(..MARK_SIZE)?, 1) }, MARK_SIZE)),
+            MARK => Some((
+                Self::Mark {
+                    oldest: u64_at(bytes.get(..MARK_SIZE)?, 1),
+                },
+                MARK_SIZE,
+            )),
             _ => None,
         }
     }
@@ -260,12 +281,22 @@
         }
         let seq = u64_at(head, 8);
         let durable = seq.saturating_sub(u32_at(head, 16).into());
-        Some(Self { seq, durable, content: &frame[FRAME..] })
+        Some(Self {
+            seq,
+            durable,
+            content: &frame[FRAME..],
+        })
     }
 }
 
 /// Adds the bytes of a frame whose content `fill` writes.
-pub fn encode(segment: u64, seq: u64, durable: u64, out: &mut Vec<u8>, fill: impl FnOnce(&mut Vec<u8>)) {
+pub fn encode(
+    segment: u64,
+    seq: u64,
+    durable: u64,
+    out: &mut Vec<u8>,
+    fill: impl FnOnce(&mut Vec<u8>),
+) {
     let at = out.len();
     out.extend([0; FRAME]);
     fill(out);
@@ -286,7 +317,9 @@
     let mut at = 0;
     while at + FRAME <= frames.len() {
         let end = at + FRAME + u32_at(frames, at) as usize;
-        let Some(frame) = frames.get_mut(at..end) else { return };
+        let Some(frame) = frames.get_mut(at..end) else {
+            return;
+        };
         let sum = sum(segment, frame);
         frame[4..8].copy_from_slice(&sum.to_le_bytes());
         at = end;
@@ -299,14 +332,22 @@
 
     fn frame(segment: u64, seq: u64, changes: &[Change<'_>]) -> Vec<u8> {
         let mut out = Vec::new();
-        encode(segment, seq, seq - 1, &mut out, |out| changes.iter().for_each(|c| c.encode(out)));
+        encode(segment, seq, seq - 1, &mut out, |out| {
+            changes.iter().for_each(|c| c.encode(out))
+        });
         out
     }
 
     /// Guards against a header that is taken though a bit of it is wrong, or a version that is passed over.
     #[test]
     fn a_header_is_whole_or_none() {
-        let header = Header { store: 9, segment: 3, oldest: 1, before: 800, first: 17 };
+        let header = Header {
+            store: 9,
+            segment: 3,
+            oldest: 1,
+            before: 800,
+            first: 17,
+        };
         let bytes = header.encode();
         assert_eq!(Header::decode(&bytes), Ok(header));
         for bit in 0..HEADER * 8 {
@@ -326,9 +367,17 @@
     #[test]
     fn a_frame_is_whole_or_none() {
         let puts = [
-            Change::Put { key: b"a", value: b"first", until: 7 },
+            Change::Put {
+                key: b"a",
+                value: b"first",
+                until: 7,
+            },
             Change::Delete { key: b"bc" },
-            Change::Put { key: b"", value: b"", until: 0 },
+            Change::Put {
+                key: b"",
+                value: b"",
+                until: 0,
+            },
         ];
         let bytes = frame(5, 40, &puts);
         let read = Frame::decode(5, &bytes, 0).expect("a frame");
@@ -344,6 +393,9 @@
         assert!((0..bytes.len()).all(|size| Frame::decode(5, &bytes[..size], 0).is_none()));
         let mut moved = [bytes.clone(), frame(5, 41, &puts)].concat();
         readdress(6, &mut moved);
-        assert!(Frame::decode(6, &moved, 0).is_some() && Frame::decode(6, &moved, bytes.len()).is_some());
+        assert!(
+            Frame::decode(6, &moved, 0).is_some()
+                && Frame::decode(6, &moved, bytes.len()).is_some()
+        );
     }
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -84,7 +84,10 @@
     }
 
     fn used(&self) -> u64 {
-        self.names.values().map(|node| self.nodes[*node].live.len() as u64).sum()
+        self.names
+            .values()
+            .map(|node| self.nodes[*node].live.len() as u64)
+            .sum()
     }
 }
 
@@ -123,7 +126,11 @@
 impl SimDisk {
     /// An empty folder with these faults; what a crash keeps follows from the seed.
     pub fn new(faults: Faults, seed: u64) -> Self {
-        Self(Arc::new(Mutex::new(State { faults, seed, ..State::default() })))
+        Self(Arc::new(Mutex::new(State {
+            faults,
+            seed,
+            ..State::default()
+        })))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -172,7 +179,11 @@
                     }
                 }
             }
-            *node = Node { live: bytes.clone(), durable: bytes, pending: Vec::new() };
+            *node = Node {
+                live: bytes.clone(),
+                durable: bytes,
+                pending: Vec::new(),
+            };
         }
         let mut names = state.durable_names.clone();
         for rename in std::mem::take(&mut state.renames) {
@@ -205,7 +216,11 @@
         let mut state = self.state();
         match content {
             Some(bytes) => {
-                let node = Node { live: bytes.clone(), durable: bytes, pending: Vec::new() };
+                let node = Node {
+                    live: bytes.clone(),
+                    durable: bytes,
+                    pending: Vec::new(),
+                };
                 state.nodes.push(node);
                 let at = state.nodes.len() - 1;
                 state.names.insert(name.into(), at);
@@ -238,7 +253,11 @@
 
     fn list(&self) -> io::Result<Vec<String>> {
         let state = self.state();
-        if state.crashed { Err(gone()) } else { Ok(state.names.keys().cloned().collect()) }
+        if state.crashed {
+            Err(gone())
+        } else {
+            Ok(state.names.keys().cloned().collect())
+        }
     }
 
     fn create(&self, name: &str) -> io::Result<SimFile> {
@@ -249,14 +268,22 @@
         if state.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        if state.faults.no_writes || state.faults.capacity.is_some_and(|most| state.used() >= most) {
+        if state.faults.no_writes
+            || state
+                .faults
+                .capacity
+                .is_some_and(|most| state.used() >= most)
+        {
             return Err(io::ErrorKind::StorageFull.into());
         }
         state.nodes.push(Node::default());
         let node = state.nodes.len() - 1;
         state.names.insert(name.into(), node);
         state.renames.push(vec![Rename::Set(name.into(), node)]);
-        Ok(SimFile { disk: self.clone(), node })
+        Ok(SimFile {
+            disk: self.clone(),
+            node,
+        })
     }
 
     fn open(&self, name: &str) -> io::Result<SimFile> {
@@ -265,7 +292,10 @@
             return Err(gone());
         }
         let node = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        Ok(SimFile { disk: self.clone(), node })
+        Ok(SimFile {
+            disk: self.clone(),
+            node,
+        })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -275,14 +305,21 @@
         }
         let node = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.names.insert(to.into(), node);
-        state.renames.push(vec![Rename::Gone(from.into()), Rename::Set(to.into(), node)]);
+        state.renames.push(vec![
+            Rename::Gone(from.into()),
+            Rename::Set(to.into(), node),
+        ]);
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
         if !state.names.contains_key(name) {
-            return if state.crashed { Err(gone()) } else { Err(io::ErrorKind::NotFound.into()) };
+            return if state.crashed {
+                Err(gone())
+            } else {
+                Err(io::ErrorKind::NotFound.into())
+            };
         }
         if state.step()? {
             return Err(gone());
@@ -310,7 +347,10 @@
     fn lock(&self, _: &str) -> io::Result<SimLock> {
         let mut state = self.state();
         if std::mem::replace(&mut state.locked, true) {
-            return Err(io::Error::new(io::ErrorKind::WouldBlock, "held by another one"));
+            return Err(io::Error::new(
+                io::ErrorKind::WouldBlock,
+                "held by another one",
+            ));
         }
         Ok(SimLock(self.clone()))
     }
@@ -323,7 +363,11 @@
 impl File for SimFile {
     fn size(&self) -> io::Result<u64> {
         let state = self.disk.state();
-        if state.crashed { Err(gone()) } else { Ok(state.nodes[self.node].live.len() as u64) }
+        if state.crashed {
+            Err(gone())
+        } else {
+            Ok(state.nodes[self.node].live.len() as u64)
+        }
     }
 
     fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize> {
@@ -345,7 +389,10 @@
             return Err(io::Error::other("EIO"));
         }
         let grows = (at + bytes.len()).saturating_sub(state.nodes[self.node].live.len()) as u64;
-        let room = state.faults.capacity.map_or(u64::MAX, |most| most.saturating_sub(state.used()));
+        let room = state
+            .faults
+            .capacity
+            .map_or(u64::MAX, |most| most.saturating_sub(state.used()));
         let short = grows.saturating_sub(room) as usize;
         let mut done = bytes.len().saturating_sub(short);
         if ends {
@@ -353,7 +400,8 @@
         }
         let node = &mut state.nodes[self.node];
         put(&mut node.live, at, &bytes[..done]);
-        node.pending.push(Pending::Write(at, bytes[..done].to_vec()));
+        node.pending
+            .push(Pending::Write(at, bytes[..done].to_vec()));
         match (ends, short) {
             (true, _) => Err(gone()),
             (_, 0) => Ok(()),
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -100,11 +100,32 @@
         let queued = Arc::new(AtomicUsize::new(0));
         let most_queued = work.most_queued;
         let weight = queued.clone();
-        let thread = std::thread::Builder::new().name("postproxy-store".into()).spawn(move || {
-            let (usual, took) = (0, Duration::ZERO);
-            Writer { engine, work, requests: taken, tell, weight, usual, took, broken: false }.run();
-        })?;
-        Ok((Self { requests, queued, most_queued, last: 0, thread: Some(thread) }, events))
+        let thread = std::thread::Builder::new()
+            .name("postproxy-store".into())
+            .spawn(move || {
+                let (usual, took) = (0, Duration::ZERO);
+                Writer {
+                    engine,
+                    work,
+                    requests: taken,
+                    tell,
+                    weight,
+                    usual,
+                    took,
+                    broken: false,
+                }
+                .run();
+            })?;
+        Ok((
+            Self {
+                requests,
+                queued,
+                most_queued,
+                last: 0,
+                thread: Some(thread),
+            },
+            events,
+        ))
     }
 
     /// Has a batch written. It never waits.
@@ -120,7 +141,9 @@
         self.queued.fetch_add(weight, Ordering::Relaxed);
         self.last += 1;
         // A thread that has ended takes nothing, and tells nothing: its events' end is noticed.
-        self.requests.send(Request::Append(self.last, batch)).map_err(|_| Busy)?;
+        self.requests
+            .send(Request::Append(self.last, batch))
+            .map_err(|_| Busy)?;
         Ok(self.last)
     }
 
@@ -210,7 +233,8 @@
             match next {
                 Request::Append(ticket, batch) => {
                     bytes += batch.size();
-                    self.weight.fetch_sub(batch.size() + TICKET, Ordering::Relaxed);
+                    self.weight
+                        .fetch_sub(batch.size() + TICKET, Ordering::Relaxed);
                     self.append(ticket, &batch, &mut tickets);
                 }
                 Request::Read(token, key) => reads.push((token, key)),
@@ -221,7 +245,9 @@
                 request = self.requests.try_recv().ok();
                 // Those that were told of the last group's end are on their way: a sync for the first of them
                 // alone would have all others wait for the one after it.
-                let patience = (self.took / 8).min(MOST_PATIENCE).saturating_sub(began.elapsed());
+                let patience = (self.took / 8)
+                    .min(MOST_PATIENCE)
+                    .saturating_sub(began.elapsed());
                 if request.is_none() && tickets.len() + 1 < self.usual && !patience.is_zero() {
                     request = self.requests.recv_timeout(patience).ok();
                 }
@@ -261,7 +287,11 @@
     }
 
     fn refuse(&self, from: Ticket, to: Ticket, why: &str) {
-        let _ = self.tell.send(Event::Refused { from, to, why: why.into() });
+        let _ = self.tell.send(Event::Refused {
+            from,
+            to,
+            why: why.into(),
+        });
     }
 
     fn commit(&mut self, tickets: &[Ticket]) {
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -5,7 +5,11 @@
 use postproxy_store::{Change, Disk, Engine, OpenError, Options, Recovery, Rejected};
 use std::collections::{BTreeMap, BTreeSet};
 
-const SMALL: Options = Options { segment: 2048, most: 0, slack: 1.7 };
+const SMALL: Options = Options {
+    segment: 2048,
+    most: 0,
+    slack: 1.7,
+};
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
 
@@ -20,7 +24,12 @@
 fn content(engine: &mut Engine<SimDisk>) -> Model {
     let mut model = Model::new();
     engine
-        .scan(|key, value| assert!(model.insert(key.into(), value.into()).is_none(), "a key twice"))
+        .scan(|key, value| {
+            assert!(
+                model.insert(key.into(), value.into()).is_none(),
+                "a key twice"
+            )
+        })
         .expect("read");
     assert_eq!(model.len(), engine.stat().live);
     for (key, value) in &model {
@@ -30,7 +39,11 @@
 }
 
 fn put<'a>(key: &'a [u8], value: &'a [u8]) -> Change<'a> {
-    Change::Put { key, value, until: 0 }
+    Change::Put {
+        key,
+        value,
+        until: 0,
+    }
 }
 
 /// Small random numbers, the same every time.
@@ -38,7 +51,10 @@
 
 impl Random {
     fn below(&mut self, n: usize) -> usize {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) as usize % n
     }
 }
@@ -54,7 +70,10 @@
 /// A mixed run of puts, overwrites and deletes with cleaning in between, until it is over or the disk fails.
 fn run(engine: &mut Engine<SimDisk>, start: Model, seed: u64, batches: usize) -> Run {
     let mut random = Random(seed);
-    let mut run = Run { states: vec![start], acknowledged: 0 };
+    let mut run = Run {
+        states: vec![start],
+        acknowledged: 0,
+    };
     for _ in 0..batches {
         let mut next = run.states.last().expect("a state").clone();
         let mut changes = Vec::new();
@@ -65,7 +84,11 @@
         }
         let batch: Vec<Change<'_>> = changes
             .iter()
-            .map(|(key, value)| value.as_ref().map_or(Change::Delete { key }, |value| put(key, value)))
+            .map(|(key, value)| {
+                value
+                    .as_ref()
+                    .map_or(Change::Delete { key }, |value| put(key, value))
+            })
             .collect();
         for (key, value) in &changes {
             match value {
@@ -99,11 +122,17 @@
     assert_eq!(first, Recovery::default());
     let done = run(&mut engine, Model::new(), 5, 400);
     let stat = engine.stat();
-    assert!(stat.copied > 0 && stat.segments > 1, "it was cleaned: {stat:?}");
+    assert!(
+        stat.copied > 0 && stat.segments > 1,
+        "it was cleaned: {stat:?}"
+    );
     drop(engine);
     let (mut engine, recovery) = sound(&disks);
     assert_eq!(content(&mut engine), done.states[done.acknowledged]);
-    assert_eq!((recovery.torn, recovery.lost.len(), recovery.repaired.len()), (0, 0, 0));
+    assert_eq!(
+        (recovery.torn, recovery.lost.len(), recovery.repaired.len()),
+        (0, 0, 0)
+    );
 }
 
 /// Cuts, empties, removes or overwrites one file and opens the store.
@@ -128,8 +157,17 @@
 fn jobs(disks: &[SimDisk], count: usize) -> Model {
     let (mut engine, _) = sound(disks);
     for step in 0..2 * count {
-        let (job, value) = (step / 2, if step % 2 == 0 { "begun" } else { "done, and its result" });
-        engine.append(&[put(format!("job-{job}").as_bytes(), value.as_bytes())]).expect("it is taken");
+        let (job, value) = (
+            step / 2,
+            if step % 2 == 0 {
+                "begun"
+            } else {
+                "done, and its result"
+            },
+        );
+        engine
+            .append(&[put(format!("job-{job}").as_bytes(), value.as_bytes())])
+            .expect("it is taken");
         engine.commit().expect("it is durable");
     }
     content(&mut engine)
@@ -142,14 +180,27 @@
 fn a_file_cut_at_any_byte_loses_only_what_was_behind_the_cut() {
     let disk = SimDisk::new(Faults::default(), 3);
     let whole = jobs(std::slice::from_ref(&disk), 40);
-    assert!(disk.list().expect("names").len() > 2, "more than one segment");
+    assert!(
+        disk.list().expect("names").len() > 2,
+        "more than one segment"
+    );
     let mut cuts = 0;
     each_damage(&disk, |name, size, cut| {
         let (mut engine, recovery) = sound(&[cut]);
         let found = content(&mut engine);
-        let missing = whole.iter().filter(|(key, value)| found.get(*key) != Some(value)).count();
-        assert!(found.keys().all(|key| whole.contains_key(key)), "{name} {size}: something new");
-        let last = disk.list().expect("names").last().is_some_and(|last| last == name);
+        let missing = whole
+            .iter()
+            .filter(|(key, value)| found.get(*key) != Some(value))
+            .count();
+        assert!(
+            found.keys().all(|key| whole.contains_key(key)),
+            "{name} {size}: something new"
+        );
+        let last = disk
+            .list()
+            .expect("names")
+            .last()
+            .is_some_and(|last| last == name);
         assert!(
             missing == 0 || last || !recovery.lost.is_empty(),
             "{name} {size}: {missing} lost without a word"
@@ -163,24 +214,47 @@
 /// removed or overwritten; and against a copy that is not made whole again.
 #[test]
 fn with_a_mirror_no_single_file_matters() {
-    let (left, right) = (SimDisk::new(Faults::default(), 3), SimDisk::new(Faults::default(), 4));
+    let (left, right) = (
+        SimDisk::new(Faults::default(), 3),
+        SimDisk::new(Faults::default(), 4),
+    );
     let whole = jobs(&[left.clone(), right.clone()], 40);
     for side in 0..2 {
-        let (damaged, kept) = if side == 0 { (&left, &right) } else { (&right, &left) };
+        let (damaged, kept) = if side == 0 {
+            (&left, &right)
+        } else {
+            (&right, &left)
+        };
         each_damage(damaged, |name, size, cut| {
             let other = kept.after_crash();
-            let disks = if side == 0 { [cut.clone(), other.clone()] } else { [other.clone(), cut.clone()] };
+            let disks = if side == 0 {
+                [cut.clone(), other.clone()]
+            } else {
+                [other.clone(), cut.clone()]
+            };
             let (mut engine, recovery) = sound(&disks);
             assert_eq!(content(&mut engine), whole, "{name} {size}");
             // Zeros that were written ahead need no copy.
             let counts = |disk: &SimDisk| {
                 let mut bytes = disk.content(name);
-                bytes.truncate(bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1));
+                bytes.truncate(
+                    bytes
+                        .iter()
+                        .rposition(|byte| *byte != 0)
+                        .map_or(0, |last| last + 1),
+                );
                 bytes
             };
-            assert!(counts(&cut) == counts(&other), "{name} {size}: the copies differ");
+            assert!(
+                counts(&cut) == counts(&other),
+                "{name} {size}: the copies differ"
+            );
             let repaired = usize::from(size == usize::MAX || size < counts(&other).len());
-            assert_eq!((recovery.lost.len(), recovery.repaired.len()), (0, repaired), "{name} {size}");
+            assert_eq!(
+                (recovery.lost.len(), recovery.repaired.len()),
+                (0, repaired),
+                "{name} {size}"
+            );
         });
     }
 }
@@ -200,7 +274,10 @@
             flipped.set_content(&name, Some(bytes));
             let (mut engine, _) = sound(&[flipped]);
             let found = content(&mut engine);
-            let wrong = whole.iter().filter(|(key, value)| found.get(*key) != Some(value)).count();
+            let wrong = whole
+                .iter()
+                .filter(|(key, value)| found.get(*key) != Some(value))
+                .count();
             assert!(
                 wrong <= 1 && found.keys().all(|k| whole.contains_key(k)),
                 "{name} bit {bit}: {wrong} wrong"
@@ -228,7 +305,10 @@
     disk.set_content(&name, Some(bytes));
     for _ in 0..3 {
         let (mut engine, recovery) = sound(std::slice::from_ref(&disk));
-        assert_eq!(content(&mut engine).into_keys().collect::<Vec<_>>(), [b"kept".to_vec()]);
+        assert_eq!(
+            content(&mut engine).into_keys().collect::<Vec<_>>(),
+            [b"kept".to_vec()]
+        );
         assert_eq!(recovery.lost, []);
         engine.append(&[put(b"kept", b"1")]).expect("taken");
         engine.commit().expect("durable");
@@ -238,29 +318,42 @@
 /// A crash after each operation of a run in turn, then a start, a further run from there, and a crash in that.
 fn crash_everywhere(copies: usize, seed: u64) {
     let fresh = |faults: &Faults| -> Vec<SimDisk> {
-        (0..copies as u64).map(|n| SimDisk::new(faults.clone(), seed + 100 * n)).collect()
+        (0..copies as u64)
+            .map(|n| SimDisk::new(faults.clone(), seed + 100 * n))
+            .collect()
     };
     let disks = fresh(&Faults::default());
     run(&mut sound(&disks).0, Model::new(), seed, 120);
     let operations = disks[0].operations();
     assert!(operations > 120, "{operations} operations");
     for at in 0..operations {
-        let disks = fresh(&Faults { crash_at: Some(at), ..Faults::default() });
+        let disks = fresh(&Faults {
+            crash_at: Some(at),
+            ..Faults::default()
+        });
         let done = match open(&disks) {
             Ok((mut engine, _)) => run(&mut engine, Model::new(), seed, 120),
-            Err(_) => Run { states: vec![Model::new()], acknowledged: 0 },
+            Err(_) => Run {
+                states: vec![Model::new()],
+                acknowledged: 0,
+            },
         };
         let mut disks: Vec<SimDisk> = disks.iter().map(SimDisk::after_crash).collect();
         // A death during the recovery itself, five times in a row.
         for death in 0..5 {
-            disks.iter().for_each(|d| d.set(|f| f.crash_at = Some(death)));
+            disks
+                .iter()
+                .for_each(|d| d.set(|f| f.crash_at = Some(death)));
             let _ = open(&disks);
             disks = disks.iter().map(SimDisk::after_crash).collect();
         }
         let (mut engine, recovery) = sound(&disks);
         let found = content(&mut engine);
         let may_be = &done.states[done.acknowledged..];
-        assert!(may_be.contains(&found), "after {at} operations: neither acknowledged nor asked for");
+        assert!(
+            may_be.contains(&found),
+            "after {at} operations: neither acknowledged nor asked for"
+        );
         assert_eq!(recovery.lost, [], "after {at} operations");
         // And on from there.
         let further = run(&mut engine, found, seed + at, 20);
@@ -292,16 +385,28 @@
 fn a_failed_sync_is_never_trusted() {
     for failing in 0..40u64 {
         let faults = [
-            Faults { failing_syncs: vec![failing], ..Faults::default() },
-            Faults { failing_folder_syncs: vec![failing], ..Faults::default() },
-            Faults { failing_syncs: vec![failing, failing + 1, failing + 2], ..Faults::default() },
+            Faults {
+                failing_syncs: vec![failing],
+                ..Faults::default()
+            },
+            Faults {
+                failing_folder_syncs: vec![failing],
+                ..Faults::default()
+            },
+            Faults {
+                failing_syncs: vec![failing, failing + 1, failing + 2],
+                ..Faults::default()
+            },
         ];
         for faults in faults {
             let disk = SimDisk::new(faults, failing);
             let (mut engine, _) = sound(std::slice::from_ref(&disk));
             let mut model = Model::new();
             for step in 0..120u32 {
-                let (key, value) = (format!("k{}", step % 9).into_bytes(), step.to_be_bytes().repeat(9));
+                let (key, value) = (
+                    format!("k{}", step % 9).into_bytes(),
+                    step.to_be_bytes().repeat(9),
+                );
                 engine.append(&[put(&key, &value)]).expect("taken");
                 // What is refused is as if it had not been asked for.
                 if engine.commit().is_ok() {
@@ -323,7 +428,13 @@
 /// Guards against a full disk that costs more than the records which did not fit: half of one was written.
 #[test]
 fn a_full_disk_refuses_and_comes_back() {
-    let disk = SimDisk::new(Faults { capacity: Some(3000), ..Faults::default() }, 1);
+    let disk = SimDisk::new(
+        Faults {
+            capacity: Some(3000),
+            ..Faults::default()
+        },
+        1,
+    );
     let (mut engine, _) = sound(std::slice::from_ref(&disk));
     let (mut model, mut refused) = (Model::new(), 0);
     for n in 0..40u8 {
@@ -334,7 +445,11 @@
             Err(_) => refused += 1,
         }
     }
-    assert!(model.len() > 10 && refused > 10, "{} taken, {refused} refused", model.len());
+    assert!(
+        model.len() > 10 && refused > 10,
+        "{} taken, {refused} refused",
+        model.len()
+    );
     assert_eq!(content(&mut engine), model);
     assert!(engine.probe().is_err(), "it is full still");
     disk.set(|faults| faults.capacity = None);
@@ -352,13 +467,23 @@
 #[test]
 fn overwriting_takes_a_bounded_space() {
     let disk = SimDisk::new(Faults::default(), 1);
-    let options = Options { segment: 4096, most: 400_000, slack: 1.7 };
-    let open = || Engine::open(vec![disk.clone()], options, "a test", 7, 1_000).expect("a store").0;
+    let options = Options {
+        segment: 4096,
+        most: 400_000,
+        slack: 1.7,
+    };
+    let open = || {
+        Engine::open(vec![disk.clone()], options, "a test", 7, 1_000)
+            .expect("a store")
+            .0
+    };
     let mut engine = open();
     let (mut random, mut most) = (Random(4), 0f64);
     for step in 0..20_000 {
         let key = format!("key-{}", random.below(500));
-        engine.append(&[put(key.as_bytes(), &[7; 200])]).expect("there is room");
+        engine
+            .append(&[put(key.as_bytes(), &[7; 200])])
+            .expect("there is room");
         if step % 8 == 0 {
             engine.commit().expect("durable");
             while engine.wants_cleaning() {
@@ -390,7 +515,9 @@
         }
     }
     assert!(engine.stat().bytes <= options.most);
-    engine.append(&[Change::Delete { key: b"more-0" }]).expect("deletes make room");
+    engine
+        .append(&[Change::Delete { key: b"more-0" }])
+        .expect("deletes make room");
     assert!(open_refuses(&disk), "it is locked");
 }
 
@@ -403,21 +530,43 @@
 #[test]
 fn expired_records_leave() {
     let disk = SimDisk::new(Faults::default(), 1);
-    let at = |now| Engine::open(vec![disk.clone()], SMALL, "a test", 7, now).expect("a store").0;
+    let at = |now| {
+        Engine::open(vec![disk.clone()], SMALL, "a test", 7, now)
+            .expect("a store")
+            .0
+    };
     let mut engine = at(1_000);
-    engine.append(&[Change::Put { key: b"old", value: b"first", until: 0 }]).expect("taken");
-    engine.append(&[Change::Put { key: b"old", value: b"second", until: 5_000 }]).expect("taken");
+    engine
+        .append(&[Change::Put {
+            key: b"old",
+            value: b"first",
+            until: 0,
+        }])
+        .expect("taken");
+    engine
+        .append(&[Change::Put {
+            key: b"old",
+            value: b"second",
+            until: 5_000,
+        }])
+        .expect("taken");
     engine.append(&[put(b"kept", b"k")]).expect("taken");
     engine.commit().expect("durable");
     drop(engine);
     let mut engine = at(200); // set back
-    assert_eq!(engine.get(b"old").expect("a read").as_deref(), Some(&b"second"[..]));
+    assert_eq!(
+        engine.get(b"old").expect("a read").as_deref(),
+        Some(&b"second"[..])
+    );
     engine.tell(5_000);
     engine.compact().expect("compacted");
     assert!(!engine.has(b"old") && engine.has(b"kept"));
     drop(engine);
     let mut engine = at(200);
-    assert_eq!(content(&mut engine).into_keys().collect::<Vec<_>>(), [b"kept".to_vec()]);
+    assert_eq!(
+        content(&mut engine).into_keys().collect::<Vec<_>>(),
+        [b"kept".to_vec()]
+    );
 }
 
 /// Guards against overwriting files of a newer format, or of another store.
@@ -440,9 +589,17 @@
         Ok(_) => panic!("it was opened"),
     }
     assert_eq!(disk.content(name), bytes);
-    assert_eq!(disk.list().expect("names").into_iter().collect::<BTreeSet<_>>(), names);
+    assert_eq!(
+        disk.list()
+            .expect("names")
+            .into_iter()
+            .collect::<BTreeSet<_>>(),
+        names
+    );
     let other = SimDisk::new(Faults::default(), 2);
-    let mut engine = Engine::open(vec![other.clone()], SMALL, "a test", 78, 0).expect("a store").0;
+    let mut engine = Engine::open(vec![other.clone()], SMALL, "a test", 78, 0)
+        .expect("a store")
+        .0;
     engine.append(&[put(b"a", b"b")]).expect("taken");
     engine.commit().expect("durable");
     drop(engine);
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -72,10 +72,18 @@
 }
 
 fn start(disk: &Gated, most_queued: usize) -> (Store, Receiver<Event>) {
-    let options = Options { segment: 4096, ..Options::default() };
+    let options = Options {
+        segment: 4096,
+        ..Options::default()
+    };
     let (engine, _) = Engine::open(vec![disk.clone()], options, "a test", 7, 0).expect("a store");
     let again = Duration::from_millis(2);
-    let work = Work { most_queued, again, clock: Box::new(|| 1), wake: Box::new(|| {}) };
+    let work = Work {
+        most_queued,
+        again,
+        clock: Box::new(|| 1),
+        wake: Box::new(|| {}),
+    };
     Store::start(engine, work).expect("a thread")
 }
 
@@ -118,7 +126,10 @@
     }
     store.read(9, last.to_be_bytes().to_vec());
     match events.recv_timeout(LIMIT).expect("an event") {
-        Event::Value { token: 9, value: Ok(Some(value)) } => assert_eq!(value, [1; 100]),
+        Event::Value {
+            token: 9,
+            value: Ok(Some(value)),
+        } => assert_eq!(value, [1; 100]),
         other => panic!("{other:?}"),
     }
     assert_eq!(store.queued(), 0);
@@ -128,28 +139,50 @@
 /// again, and against an end that loses what was taken.
 #[test]
 fn a_broken_disk_refuses_until_it_is_sound() {
-    let disk = disk(Faults { capacity: Some(0), ..Faults::default() });
+    let disk = disk(Faults {
+        capacity: Some(0),
+        ..Faults::default()
+    });
     let (mut store, events) = start(&disk, 1 << 20);
     store.append(batch(1)).expect("it is taken");
     let (mut refused, mut broken) = (false, false);
     while !(refused && broken) {
         match events.recv_timeout(LIMIT).expect("an event") {
-            Event::Refused { from: 1, to: 1, why } => refused = !why.is_empty(),
+            Event::Refused {
+                from: 1,
+                to: 1,
+                why,
+            } => refused = !why.is_empty(),
             Event::Broken(_) => broken = true,
             other => panic!("{other:?}"),
         }
     }
     store.append(batch(2)).expect("it is taken");
-    assert!(matches!(events.recv_timeout(LIMIT), Ok(Event::Refused { from: 2, to: 2, .. })));
+    assert!(matches!(
+        events.recv_timeout(LIMIT),
+        Ok(Event::Refused { from: 2, to: 2, .. })
+    ));
     disk.0.set(|faults| faults.capacity = None);
     assert!(matches!(events.recv_timeout(LIMIT), Ok(Event::Sound)));
     for n in 3..200 {
         store.append(batch(n)).expect("it is taken");
     }
     drop(store);
-    let last = events.iter().fold(0, |last, event| if let Event::Durable(t) = event { t } else { last });
+    let last = events.iter().fold(0, |last, event| {
+        if let Event::Durable(t) = event {
+            t
+        } else {
+            last
+        }
+    });
     assert_eq!(last, 199);
-    let (engine, recovery) =
-        Engine::open(vec![disk.0.after_crash()], Options::default(), "a test", 7, 0).expect("a store");
+    let (engine, recovery) = Engine::open(
+        vec![disk.0.after_crash()],
+        Options::default(),
+        "a test",
+        7,
+        0,
+    )
+    .expect("a store");
     assert_eq!((engine.stat().live, recovery.lost.len()), (197, 0));
 }
--- a/crates/streams/src/codec.rs
+++ b/crates/streams/src/codec.rs
@@ -132,13 +132,18 @@
             self.taken += size;
         }
         let rest = &self.bytes[self.taken..];
-        let Some((head, rest)) = rest.split_at_checked(HEAD) else { return Ok(None) };
-        let number = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let Some((head, rest)) = rest.split_at_checked(HEAD) else {
+            return Ok(None);
+        };
+        let number =
+            |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let size = number(0) as usize;
         if size > MOST_WORD + BESIDE {
             return Err(DecodeError::Long);
         }
-        let Some(body) = rest.get(..size) else { return Ok(None) };
+        let Some(body) = rest.get(..size) else {
+            return Ok(None);
+        };
         if crc32fast::hash(body) != number(4) {
             return Err(DecodeError::Damaged);
         }
--- a/crates/streams/src/streams.rs
+++ b/crates/streams/src/streams.rs
@@ -138,12 +138,17 @@
 
     /// Words that wait for a node, and their bytes.
     pub fn queued(&self, to: &str) -> (usize, usize) {
-        self.out.get(to).map_or((0, 0), |out| (out.queue.len(), out.bytes))
+        self.out
+            .get(to)
+            .map_or((0, 0), |out| (out.queue.len(), out.bytes))
     }
 
     /// Bytes of packets that are not whole yet.
     pub fn held(&self) -> usize {
-        self.incoming.values().map(|stream| stream.reader.held()).sum()
+        self.incoming
+            .values()
+            .map(|stream| stream.reader.held())
+            .sum()
     }
 
     /// Has a word arrive at a node, there.
@@ -191,7 +196,8 @@
     /// Gives a node up: what is queued for it is dropped.
     pub fn forget(&mut self, to: &str, out: &mut Vec<Effect>) {
         if let Some(gone) = self.out.remove(to)
-            && let State::Dialing(Some(key), _) | State::Greeting(key, _) | State::Open(key) = gone.state
+            && let State::Dialing(Some(key), _) | State::Greeting(key, _) | State::Open(key) =
+                gone.state
         {
             self.keys.remove(&key);
             out.push(Effect::Close(key));
@@ -200,7 +206,11 @@
 
     /// A connection to a node is being made under this key; none if it can't even be started.
     pub fn dialled(&mut self, now: f64, to: &str, key: Option<usize>, out: &mut Vec<Effect>) {
-        let Some(entry) = self.out.get_mut(to).filter(|e| matches!(e.state, State::Dialing(None, _))) else {
+        let Some(entry) = self
+            .out
+            .get_mut(to)
+            .filter(|e| matches!(e.state, State::Dialing(None, _)))
+        else {
             // Given up in the meantime.
             out.extend(key.map(Effect::Close));
             return;
@@ -216,8 +226,12 @@
 
     /// A connection has been made that was dialled.
     pub fn opened(&mut self, now: f64, key: usize, out: &mut Vec<Effect>) {
-        let Some(to) = self.keys.get(&key) else { return };
-        let Some(entry) = self.out.get_mut(to) else { return };
+        let Some(to) = self.keys.get(&key) else {
+            return;
+        };
+        let Some(entry) = self.out.get_mut(to) else {
+            return;
+        };
         if let State::Dialing(..) = entry.state {
             entry.state = State::Greeting(key, now);
             entry.reader = Reader::default();
@@ -245,7 +259,12 @@
                 self.drop_incoming(oldest, Some(DecodeError::Crowded), out);
             }
         }
-        let stream = Incoming { reader: Reader::default(), from: None, heard: now, unfinished: Some(now) };
+        let stream = Incoming {
+            reader: Reader::default(),
+            from: None,
+            heard: now,
+            unfinished: Some(now),
+        };
         self.incoming.insert(key, stream);
     }
 
@@ -319,8 +338,14 @@
 
     /// Does what a node is owed now: an attempt, words, the end of what stalls or lies idle.
     fn go_on(&mut self, now: f64, to: &str, out: &mut Vec<Effect>) {
-        let dialled = self.out.values().filter(|e| !matches!(e.state, State::Apart(_))).count();
-        let Some(entry) = self.out.get_mut(to) else { return };
+        let dialled = self
+            .out
+            .values()
+            .filter(|e| !matches!(e.state, State::Apart(_)))
+            .count();
+        let Some(entry) = self.out.get_mut(to) else {
+            return;
+        };
         match entry.state {
             State::Apart(at) if at <= now && !entry.queue.is_empty() => {
                 if dialled >= MOST_OUT {
@@ -381,9 +406,13 @@
         bytes: &[u8],
         out: &mut Vec<Effect>,
     ) -> Result<(), DecodeError> {
-        let Some(to) = self.keys.get(&key).cloned() else { return Ok(()) };
+        let Some(to) = self.keys.get(&key).cloned() else {
+            return Ok(());
+        };
         let next_session = self.next_session;
-        let Some(entry) = self.out.get_mut(&to) else { return Ok(()) };
+        let Some(entry) = self.out.get_mut(&to) else {
+            return Ok(());
+        };
         entry.reader.push(bytes);
         while let Some(packet) = entry.reader.packet()? {
             match (&entry.state, packet) {
@@ -420,20 +449,39 @@
         bytes: &[u8],
         out: &mut Vec<Effect>,
     ) -> Result<(), DecodeError> {
-        let Some(stream) = self.incoming.get_mut(&key) else { return Ok(()) };
+        let Some(stream) = self.incoming.get_mut(&key) else {
+            return Ok(());
+        };
         stream.heard = now;
         stream.reader.push(bytes);
         let (mut acknowledge, mut whole, mut twin) = (None, false, None);
         while let Some(packet) = stream.reader.packet()? {
             whole = true;
             match (stream.from.clone(), packet) {
-                (None, Packet::Hello { cluster, from, life, session, to }) => {
-                    if cluster != self.cluster || to != self.name || from == self.name || from.is_empty() {
+                (
+                    None,
+                    Packet::Hello {
+                        cluster,
+                        from,
+                        life,
+                        session,
+                        to,
+                    },
+                ) => {
+                    if cluster != self.cluster
+                        || to != self.name
+                        || from == self.name
+                        || from.is_empty()
+                    {
                         return Err(DecodeError::Other);
                     }
                     self.uses += 1;
                     let id = (from.clone(), life);
-                    let seen = self.seen.entry(id).or_insert(Seen { session, got: 0, used: 0 });
+                    let seen = self.seen.entry(id).or_insert(Seen {
+                        session,
+                        got: 0,
+                        used: 0,
+                    });
                     seen.used = self.uses;
                     if session < seen.session {
                         return Err(DecodeError::Unknown); // a late one of a session that is over
@@ -441,14 +489,22 @@
                     if session > seen.session {
                         (seen.session, seen.got) = (session, 0);
                     }
-                    let welcome = Packet::Welcome { life: self.life, got: seen.got };
-                    out.push(Effect::Write(key, [&GREETING[..], &frame(&welcome)].concat()));
+                    let welcome = Packet::Welcome {
+                        life: self.life,
+                        got: seen.got,
+                    };
+                    out.push(Effect::Write(
+                        key,
+                        [&GREETING[..], &frame(&welcome)].concat(),
+                    ));
                     stream.from = Some((from.clone(), life, session));
                     twin = Some(from);
                 }
                 (Some((from, life, session)), Packet::Word(number, word)) => {
-                    let seen =
-                        self.seen.get_mut(&(from.clone(), life)).filter(|seen| seen.session == session);
+                    let seen = self
+                        .seen
+                        .get_mut(&(from.clone(), life))
+                        .filter(|seen| seen.session == session);
                     let seen = seen.ok_or(DecodeError::Unknown)?;
                     if number > seen.got + 1 {
                         return Err(DecodeError::Unknown);
@@ -463,7 +519,11 @@
             }
         }
         // Who sends a byte now and then has not gone on with its packet.
-        stream.unfinished = match (stream.from.is_none(), stream.reader.held() > 0, stream.unfinished) {
+        stream.unfinished = match (
+            stream.from.is_none(),
+            stream.reader.held() > 0,
+            stream.unfinished,
+        ) {
             (true, _, since) => since,
             (false, false, _) => None,
             (false, true, Some(since)) if !whole => Some(since),
@@ -476,19 +536,31 @@
             let twins: Vec<usize> = self
                 .incoming
                 .iter()
-                .filter(|(k, s)| **k != key && s.from.as_ref().is_some_and(|(from, ..)| *from == name))
+                .filter(|(k, s)| {
+                    **k != key && s.from.as_ref().is_some_and(|(from, ..)| *from == name)
+                })
                 .map(|(key, _)| *key)
                 .collect();
-            twins.into_iter().for_each(|twin| self.drop_incoming(twin, None, out));
+            twins
+                .into_iter()
+                .for_each(|twin| self.drop_incoming(twin, None, out));
             if self.seen.len() > MOST_SEEN {
-                let oldest = self.seen.iter().min_by_key(|(_, seen)| seen.used).map(|(id, _)| id.clone());
+                let oldest = self
+                    .seen
+                    .iter()
+                    .min_by_key(|(_, seen)| seen.used)
+                    .map(|(id, _)| id.clone());
                 oldest.and_then(|id| self.seen.remove(&id));
             }
         }
         if self.held() > MOST_HELD {
-            let most =
-                self.incoming.iter().max_by_key(|(_, stream)| stream.reader.held()).map(|(key, _)| *key);
-            most.into_iter().for_each(|key| self.drop_incoming(key, Some(DecodeError::Crowded), out));
+            let most = self
+                .incoming
+                .iter()
+                .max_by_key(|(_, stream)| stream.reader.held())
+                .map(|(key, _)| *key);
+            most.into_iter()
+                .for_each(|key| self.drop_incoming(key, Some(DecodeError::Crowded), out));
         }
         Ok(())
     }
@@ -523,7 +595,9 @@
     }
 
     fn acknowledge(&mut self, now: f64, got: u64) -> Result<(), DecodeError> {
-        let count = (got + 1).checked_sub(self.first).ok_or(DecodeError::Unknown)? as usize;
+        let count = (got + 1)
+            .checked_sub(self.first)
+            .ok_or(DecodeError::Unknown)? as usize;
         if count > self.queue.len() {
             return Err(DecodeError::Unknown);
         }
@@ -549,7 +623,10 @@
             if self.written == 0 {
                 self.since = now;
             }
-            bytes.extend(frame(&Packet::Word(self.first + self.written as u64, word.clone())));
+            bytes.extend(frame(&Packet::Word(
+                self.first + self.written as u64,
+                word.clone(),
+            )));
             self.written += 1;
             self.flying += word.len();
         }
