--- a/crates/streams/tests/streams.rs
+++ b/crates/streams/tests/streams.rs
@@ -41,8 +41,11 @@
 impl Sim {
     fn new(count: usize, seed: u64) -> Self {
         let lives: Vec<u64> = (0..count as u64).map(|n| n + 100).collect();
-        let nodes =
-            lives.iter().enumerate().map(|(n, life)| Streams::new(7, &format!("n{n}"), *life)).collect();
+        let nodes = lives
+            .iter()
+            .enumerate()
+            .map(|(n, life)| Streams::new(7, &format!("n{n}"), *life))
+            .collect();
         let (wires, arrived, anew) = Default::default();
         Self {
             now: 10.0,
@@ -65,7 +68,9 @@
         let mut word = number.to_be_bytes().to_vec();
         word.resize(size, 0xa5);
         let mut out = Vec::new();
-        let said = self.nodes[from].say(self.now, &format!("n{to}"), address(to), word, &mut out).is_ok();
+        let said = self.nodes[from]
+            .say(self.now, &format!("n{to}"), address(to), word, &mut out)
+            .is_ok();
         self.carry(from, out);
         said
     }
@@ -74,7 +79,9 @@
         for one in out {
             match one {
                 Effect::Dial(to, at) => {
-                    let peer = (0..self.nodes.len()).find(|n| address(*n) == at).expect("a node");
+                    let peer = (0..self.nodes.len())
+                        .find(|n| address(*n) == at)
+                        .expect("a node");
                     assert_eq!(to, format!("n{peer}"));
                     let key = self.next_key;
                     self.next_key += 2;
@@ -88,19 +95,30 @@
                     self.carry(n, out);
                 }
                 Effect::Write(key, bytes) => {
-                    if let Some(wire) = self.wires.iter_mut().find(|w| w.ends.contains(&(n, Some(key)))) {
+                    if let Some(wire) = self
+                        .wires
+                        .iter_mut()
+                        .find(|w| w.ends.contains(&(n, Some(key))))
+                    {
                         let side = usize::from(wire.ends[1] == (n, Some(key)));
                         wire.pipes[side].bytes.extend(bytes);
                     }
                 }
                 Effect::Close(key) => {
-                    if let Some(at) = self.wires.iter().position(|w| w.ends.contains(&(n, Some(key)))) {
+                    if let Some(at) = self
+                        .wires
+                        .iter()
+                        .position(|w| w.ends.contains(&(n, Some(key))))
+                    {
                         self.cut(at, Some(n));
                     }
                 }
                 Effect::Arrived(from, life, word) => {
                     let number = u64::from_be_bytes(word[..8].try_into().expect("eight bytes"));
-                    self.arrived.entry((n, self.lives[n], from, life)).or_default().push(number);
+                    self.arrived
+                        .entry((n, self.lives[n], from, life))
+                        .or_default()
+                        .push(number);
                 }
                 Effect::Anew(to, _) => self.anew.push((n, to)),
             }
@@ -138,7 +156,11 @@
         }
         let side = self.draw(2);
         let most = self.wires[at].pipes[side].bytes.len();
-        let count = if self.draw(3) == 0 { self.draw(20).min(most) } else { most };
+        let count = if self.draw(3) == 0 {
+            self.draw(20).min(most)
+        } else {
+            most
+        };
         let bytes: Vec<u8> = self.wires[at].pipes[side].bytes.drain(..count).collect();
         let (n, key) = self.wires[at].ends[1 - side];
         if let Some(key) = key.filter(|_| !bytes.is_empty()) {
@@ -160,7 +182,11 @@
     }
 
     fn restart(&mut self, n: usize) {
-        while let Some(at) = self.wires.iter().position(|w| w.ends[0].0 == n || w.ends[1].0 == n) {
+        while let Some(at) = self
+            .wires
+            .iter()
+            .position(|w| w.ends[0].0 == n || w.ends[1].0 == n)
+        {
             self.cut(at, Some(n));
         }
         self.lives[n] += 1000;
@@ -181,7 +207,9 @@
         for number in 1..=600u64 {
             let (from, to) = (sim.draw(3), sim.draw(3));
             if from != to && sim.draw(3) == 0 && sim.say(from, to, number) {
-                said.entry((from, sim.lives[from], to)).or_default().push(number);
+                said.entry((from, sim.lives[from], to))
+                    .or_default()
+                    .push(number);
             }
             match sim.draw(400) {
                 0..6 if !sim.wires.is_empty() => {
@@ -207,7 +235,9 @@
             for (from, to) in (0..9).map(|p| (p / 3, p % 3)).filter(|(a, b)| a != b) {
                 let number = 10_000 + round;
                 assert!(sim.say(from, to, number));
-                said.entry((from, sim.lives[from], to)).or_default().push(number);
+                said.entry((from, sim.lives[from], to))
+                    .or_default()
+                    .push(number);
             }
             for _ in 0..3000 {
                 sim.step();
@@ -224,7 +254,11 @@
             let of = |life: u64| sim.arrived.get(&(*to, life, format!("n{from}"), *sender));
             let untouched = !touched.contains(from) && !touched.contains(to);
             if untouched {
-                assert_eq!(of(sim.lives[*to]), Some(words), "seed {seed}: n{from} to n{to}");
+                assert_eq!(
+                    of(sim.lives[*to]),
+                    Some(words),
+                    "seed {seed}: n{from} to n{to}"
+                );
             } else if sim.lives[*from] == *sender {
                 let last = of(sim.lives[*to]).and_then(|got| got.last());
                 assert_eq!(last, Some(&10_001), "seed {seed}: n{from} to n{to}");
@@ -239,7 +273,13 @@
 }
 
 fn hello(session: u64) -> Vec<u8> {
-    let hello = Packet::Hello { cluster: 7, from: "n1".into(), life: 5, session, to: "n0".into() };
+    let hello = Packet::Hello {
+        cluster: 7,
+        from: "n1".into(),
+        life: 5,
+        session,
+        to: "n0".into(),
+    };
     [&GREETING[..], &frame(&hello)].concat()
 }
 
@@ -252,9 +292,13 @@
             streams.received(0.0, 1, piece, &mut out);
         }
     }
-    let words = out
-        .iter()
-        .filter_map(|one| if let Effect::Arrived(_, _, word) = one { Some(word.clone()) } else { None });
+    let words = out.iter().filter_map(|one| {
+        if let Effect::Arrived(_, _, word) = one {
+            Some(word.clone())
+        } else {
+            None
+        }
+    });
     (words.collect(), streams.flaws().keys().next().copied())
 }
 
@@ -264,7 +308,13 @@
     let word = frame(&Packet::Word(1, b"hi".to_vec()));
     assert_eq!(heard(&[&hello(1), &word]), (vec![b"hi".to_vec()], None));
     let other = |cluster, from: &str, to: &str| {
-        let hello = Packet::Hello { cluster, from: from.into(), life: 5, session: 1, to: to.into() };
+        let hello = Packet::Hello {
+            cluster,
+            from: from.into(),
+            life: 5,
+            session: 1,
+            to: to.into(),
+        };
         [&GREETING[..], &frame(&hello)].concat()
     };
     let mut version = hello(1);
@@ -275,30 +325,68 @@
     junk.append(&mut unknown);
     let long = [0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0];
     let cases: Vec<(&str, Vec<u8>, DecodeError)> = vec![
-        ("HTTP", b"GET / HTTP/1.1\r\n\r\n".to_vec(), DecodeError::Foreign),
+        (
+            "HTTP",
+            b"GET / HTTP/1.1\r\n\r\n".to_vec(),
+            DecodeError::Foreign,
+        ),
         ("another version", version, DecodeError::Version),
         ("another cluster", other(8, "n1", "n0"), DecodeError::Other),
         ("for another node", other(7, "n1", "n9"), DecodeError::Other),
         ("from itself", other(7, "n0", "n0"), DecodeError::Other),
         ("from nobody", other(7, "", "n0"), DecodeError::Other),
-        ("a name too long", other(7, &"x".repeat(65), "n0"), DecodeError::Unknown),
+        (
+            "a name too long",
+            other(7, &"x".repeat(65), "n0"),
+            DecodeError::Unknown,
+        ),
         ("4 GiB", [&hello(1)[..], &long].concat(), DecodeError::Long),
-        ("4 GiB at once", [&GREETING[..], &long].concat(), DecodeError::Long),
-        ("a word first", [&GREETING[..], &word].concat(), DecodeError::Unknown),
-        ("a gap", [&hello(1)[..], &frame(&Packet::Word(2, Vec::new()))].concat(), DecodeError::Unknown),
-        ("hello twice", [&hello(1)[..], &hello(1)[8..]].concat(), DecodeError::Unknown),
-        ("an answer", [&hello(1)[..], &frame(&Packet::Got(1))].concat(), DecodeError::Unknown),
-        ("no packet", [&hello(1)[..], &junk].concat(), DecodeError::Unknown),
+        (
+            "4 GiB at once",
+            [&GREETING[..], &long].concat(),
+            DecodeError::Long,
+        ),
+        (
+            "a word first",
+            [&GREETING[..], &word].concat(),
+            DecodeError::Unknown,
+        ),
+        (
+            "a gap",
+            [&hello(1)[..], &frame(&Packet::Word(2, Vec::new()))].concat(),
+            DecodeError::Unknown,
+        ),
+        (
+            "hello twice",
+            [&hello(1)[..], &hello(1)[8..]].concat(),
+            DecodeError::Unknown,
+        ),
+        (
+            "an answer",
+            [&hello(1)[..], &frame(&Packet::Got(1))].concat(),
+            DecodeError::Unknown,
+        ),
+        (
+            "no packet",
+            [&hello(1)[..], &junk].concat(),
+            DecodeError::Unknown,
+        ),
         (
             "a word too long",
-            [&hello(1)[..], &frame(&Packet::Word(1, vec![0; MOST_WORD + 1]))].concat(),
+            [
+                &hello(1)[..],
+                &frame(&Packet::Word(1, vec![0; MOST_WORD + 1])),
+            ]
+            .concat(),
             DecodeError::Unknown,
         ),
     ];
     for (what, bytes, flaw) in cases {
         assert_eq!(heard(&[&bytes]), (Vec::new(), Some(flaw)), "{what}");
         // The same a byte at a time.
-        let pieces: Vec<&[u8]> = bytes.chunks(if bytes.len() > 1000 { 1000 } else { 1 }).collect();
+        let pieces: Vec<&[u8]> = bytes
+            .chunks(if bytes.len() > 1000 { 1000 } else { 1 })
+            .collect();
         assert_eq!(heard(&pieces).1, Some(flaw), "{what}, in pieces");
     }
     // Each bit flipped in turn: nothing else arrives than what was said, or nothing.
@@ -307,7 +395,10 @@
         let mut bytes = whole.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
         let (words, flaw) = heard(&[&bytes]);
-        assert!(words.is_empty() && (flaw.is_some() || bytes.len() > 8), "bit {bit}: {words:?}");
+        assert!(
+            words.is_empty() && (flaw.is_some() || bytes.len() > 8),
+            "bit {bit}: {words:?}"
+        );
     }
 }
 
@@ -321,7 +412,9 @@
     ];
     for (what, bytes) in cases {
         let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
-        streams.say(0.0, "n1", address(1), b"hi".to_vec(), &mut out).expect("room");
+        streams
+            .say(0.0, "n1", address(1), b"hi".to_vec(), &mut out)
+            .expect("room");
         assert_eq!(out, [Effect::Dial("n1".into(), address(1))]);
         streams.dialled(0.0, "n1", Some(3), &mut out);
         streams.opened(0.0, 3, &mut out);
@@ -334,7 +427,11 @@
         // Another attempt comes, and then the word again.
         let at = streams.next().expect("an attempt");
         streams.due(at, &mut out);
-        assert_eq!(out.last(), Some(&Effect::Dial("n1".into(), address(1))), "{what}");
+        assert_eq!(
+            out.last(),
+            Some(&Effect::Dial("n1".into(), address(1))),
+            "{what}"
+        );
     }
 }
 
@@ -372,10 +469,15 @@
         streams.due(now, &mut out);
         streams.received(now, 1, piece, &mut out);
     }
-    assert!(out.iter().any(|one| matches!(one, Effect::Arrived(_, _, word) if word.len() == MOST_WORD)));
+    assert!(
+        out.iter()
+            .any(|one| matches!(one, Effect::Arrived(_, _, word) if word.len() == MOST_WORD))
+    );
     // Who does not greet, or does not acknowledge, is dialled anew.
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
-    streams.say(0.0, "n1", address(1), b"hi".to_vec(), &mut out).expect("room");
+    streams
+        .say(0.0, "n1", address(1), b"hi".to_vec(), &mut out)
+        .expect("room");
     streams.dialled(0.0, "n1", Some(3), &mut out);
     streams.due(1.0, &mut out);
     assert!(out.contains(&Effect::Close(3)), "no connection");
@@ -400,19 +502,37 @@
 fn nothing_grows_without_end() {
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     let mut said = 0;
-    while streams.say(0.0, "n1", address(1), vec![0; 100_000], &mut out).is_ok() {
+    while streams
+        .say(0.0, "n1", address(1), vec![0; 100_000], &mut out)
+        .is_ok()
+    {
         said += 1;
     }
     assert_eq!(said, MOST_QUEUED / 100_000);
-    assert!(streams.say(0.0, "n2", address(2), vec![0; MOST_WORD + 1], &mut out).is_err());
+    assert!(
+        streams
+            .say(0.0, "n2", address(2), vec![0; MOST_WORD + 1], &mut out)
+            .is_err()
+    );
     streams.dialled(0.0, "n1", Some(3), &mut out);
     streams.opened(0.0, 3, &mut out);
     out.clear();
     let welcome = [&GREETING[..], &frame(&Packet::Welcome { life: 9, got: 0 })].concat();
     streams.received(0.0, 3, &welcome, &mut out);
-    let written: usize =
-        out.iter().map(|one| if let Effect::Write(_, bytes) = one { bytes.len() } else { 0 }).sum();
-    assert!((200_000..400_000).contains(&written), "what is on its way is bounded: {written}");
+    let written: usize = out
+        .iter()
+        .map(|one| {
+            if let Effect::Write(_, bytes) = one {
+                bytes.len()
+            } else {
+                0
+            }
+        })
+        .sum();
+    assert!(
+        (200_000..400_000).contains(&written),
+        "what is on its way is bounded: {written}"
+    );
     // Silent connections make room for others, and half-sent packets are bounded over all.
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     for key in 0..10 * MOST_IN {
@@ -422,10 +542,25 @@
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     for key in 0..MOST_IN {
         streams.accepted(0.0, key, &mut out);
-        let hello =
-            Packet::Hello { cluster: 7, from: format!("m{key}"), life: 5, session: 1, to: "n0".into() };
-        streams.received(0.0, key, &[&GREETING[..], &frame(&hello)].concat(), &mut out);
-        streams.received(0.0, key, &frame(&Packet::Word(1, vec![0; MOST_WORD]))[..MOST_WORD - 1], &mut out);
+        let hello = Packet::Hello {
+            cluster: 7,
+            from: format!("m{key}"),
+            life: 5,
+            session: 1,
+            to: "n0".into(),
+        };
+        streams.received(
+            0.0,
+            key,
+            &[&GREETING[..], &frame(&hello)].concat(),
+            &mut out,
+        );
+        streams.received(
+            0.0,
+            key,
+            &frame(&Packet::Word(1, vec![0; MOST_WORD]))[..MOST_WORD - 1],
+            &mut out,
+        );
     }
     assert!(streams.held() <= 17 << 20, "{}", streams.held());
     assert!(streams.flaws()[&DecodeError::Crowded] >= 40);
@@ -436,20 +571,42 @@
 fn a_session_that_is_over_says_nothing_more() {
     let (mut streams, mut out) = (Streams::new(7, "n0", 1), Vec::new());
     streams.accepted(0.0, 1, &mut out);
-    streams.received(0.0, 1, &[&hello(4)[..], &frame(&Packet::Word(1, b"a".to_vec()))].concat(), &mut out);
+    streams.received(
+        0.0,
+        1,
+        &[&hello(4)[..], &frame(&Packet::Word(1, b"a".to_vec()))].concat(),
+        &mut out,
+    );
     // A newer session of the same life: its first word is a new one, and the older connection is over.
     streams.accepted(0.0, 2, &mut out);
-    streams.received(0.0, 2, &[&hello(5)[..], &frame(&Packet::Word(1, b"b".to_vec()))].concat(), &mut out);
+    streams.received(
+        0.0,
+        2,
+        &[&hello(5)[..], &frame(&Packet::Word(1, b"b".to_vec()))].concat(),
+        &mut out,
+    );
     assert!(out.contains(&Effect::Close(1)));
     streams.accepted(0.0, 3, &mut out);
     out.clear();
-    streams.received(0.0, 3, &[&hello(4)[..], &frame(&Packet::Word(2, b"c".to_vec()))].concat(), &mut out);
+    streams.received(
+        0.0,
+        3,
+        &[&hello(4)[..], &frame(&Packet::Word(2, b"c".to_vec()))].concat(),
+        &mut out,
+    );
     assert_eq!(out, [Effect::Close(3)]);
     // The same session on another connection goes on where it was.
     streams.accepted(0.0, 4, &mut out);
     out.clear();
-    let again = [frame(&Packet::Word(1, b"b".to_vec())), frame(&Packet::Word(2, b"d".to_vec()))].concat();
+    let again = [
+        frame(&Packet::Word(1, b"b".to_vec())),
+        frame(&Packet::Word(2, b"d".to_vec())),
+    ]
+    .concat();
     streams.received(0.0, 4, &[&hello(5)[..], &again].concat(), &mut out);
-    let arrived: Vec<&Effect> = out.iter().filter(|one| matches!(one, Effect::Arrived(..))).collect();
+    let arrived: Vec<&Effect> = out
+        .iter()
+        .filter(|one| matches!(one, Effect::Arrived(..)))
+        .collect();
     assert_eq!(arrived, [&Effect::Arrived("n1".into(), 5, b"d".to_vec())]);
 }
--- a/crates/version-tracking/src/audit_log.rs
+++ b/crates/version-tracking/src/audit_log.rs
@@ -78,7 +78,10 @@
 impl AuditLog {
     /// One that begins now, and holds so many records.
     pub fn new(at_ms: u64, most: usize) -> Self {
-        let mut trail = Self { most: most.max(2), ..Self::default() };
+        let mut trail = Self {
+            most: most.max(2),
+            ..Self::default()
+        };
         trail.push(at_ms, AuditEvent::Began);
         trail
     }
@@ -88,7 +91,13 @@
         self.view += 1;
         let acts = std::mem::take(&mut self.acts);
         let hash = hash(&before, self.view, at_ms, &what, acts);
-        self.records.push_back(AuditEntry { view: self.view, at_ms, what, acts, hash });
+        self.records.push_back(AuditEntry {
+            view: self.view,
+            at_ms,
+            what,
+            acts,
+            hash,
+        });
         if self.records.len() > self.most {
             self.fold();
         }
@@ -96,8 +105,15 @@
 
     /// The two oldest become one that says how many are gone; its hash is the later one's, so that what follows still fits.
     fn fold(&mut self) {
-        let (Some(oldest), Some(next)) = (self.records.pop_front(), self.records.front_mut()) else { return };
-        let gone = if let AuditEvent::Folded(count) = oldest.what { count + 1 } else { 2 };
+        let (Some(oldest), Some(next)) = (self.records.pop_front(), self.records.front_mut())
+        else {
+            return;
+        };
+        let gone = if let AuditEvent::Folded(count) = oldest.what {
+            count + 1
+        } else {
+            2
+        };
         next.what = AuditEvent::Folded(gone);
         next.acts += oldest.acts;
     }
@@ -119,7 +135,10 @@
 
     /// The hash of all so far.
     pub fn head(&self) -> [u8; 32] {
-        self.records.back().map(|record| record.hash).unwrap_or_default()
+        self.records
+            .back()
+            .map(|record| record.hash)
+            .unwrap_or_default()
     }
 
     /// All records that are left, and the acts under the latest view.
@@ -138,11 +157,24 @@
             let follows = match (before, &record.what) {
                 (None, AuditEvent::Folded(_)) => true,
                 (None, _) => {
-                    record.hash == hash(&[0; 32], record.view, record.at_ms, &record.what, record.acts)
+                    record.hash
+                        == hash(
+                            &[0; 32],
+                            record.view,
+                            record.at_ms,
+                            &record.what,
+                            record.acts,
+                        )
                 }
                 (Some(_), AuditEvent::Folded(_)) => false,
                 (Some(before), _) => {
-                    let own = hash(&before.hash, record.view, record.at_ms, &record.what, record.acts);
+                    let own = hash(
+                        &before.hash,
+                        record.view,
+                        record.at_ms,
+                        &record.what,
+                        record.acts,
+                    );
                     record.view == before.view + 1 && record.hash == own
                 }
             };
--- a/crates/version-tracking/src/auditor.rs
+++ b/crates/version-tracking/src/auditor.rs
@@ -20,7 +20,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { lag_ms: 2000, grace_ms: 3000, back_ms: 1000 }
+        Self {
+            lag_ms: 2000,
+            grace_ms: 3000,
+            back_ms: 1000,
+        }
     }
 }
 
@@ -86,7 +90,14 @@
     /// One who goes on from what was ruled before; what nodes hold it has to hear anew, and it waits for each as for a new one.
     pub fn new(limits: Limits, ruling: VersionDecisions) -> Self {
         let (members, seen, majority, newest) = Default::default();
-        Self { limits, members, seen, majority, newest, ruling }
+        Self {
+            limits,
+            members,
+            seen,
+            majority,
+            newest,
+            ruling,
+        }
     }
 
     /// What has been ruled.
@@ -96,7 +107,9 @@
 
     /// How it is with a node in a kind.
     pub fn state(&self, node: &str, kind: Kind) -> Option<State> {
-        self.seen.get(&(node.to_owned(), kind)).map(|seen| seen.state)
+        self.seen
+            .get(&(node.to_owned(), kind))
+            .map(|seen| seen.state)
     }
 
     /// Who is there: of those who are not, nothing is said.
@@ -110,10 +123,20 @@
         if !self.members.contains(node) {
             return;
         }
-        let out = self.ruling.out.get(node).is_some_and(|lines| lines.iter().any(|(of, _)| *of == kind));
+        let out = self
+            .ruling
+            .out
+            .get(node)
+            .is_some_and(|lines| lines.iter().any(|(of, _)| *of == kind));
         let state = if out { State::Output } else { State::Current };
-        let seen =
-            self.seen.entry((node.to_owned(), kind)).or_insert(NodeVersion { stand, state, since: now });
+        let seen = self
+            .seen
+            .entry((node.to_owned(), kind))
+            .or_insert(NodeVersion {
+                stand,
+                state,
+                since: now,
+            });
         seen.stand = stand;
     }
 
@@ -126,12 +149,18 @@
     fn held(&mut self, now: u64) {
         let mut lines: BTreeMap<VersionLine, Vec<u64>> = BTreeMap::new();
         for ((_, kind), seen) in &self.seen {
-            lines.entry((*kind, seen.stand.generation)).or_default().push(seen.stand.number);
+            lines
+                .entry((*kind, seen.stand.generation))
+                .or_default()
+                .push(seen.stand.number);
         }
         for (line, mut numbers) in lines {
             numbers.sort_unstable_by(|a, b| b.cmp(a));
             let most = numbers.len() / 2;
-            for (of, number) in [(&mut self.majority, numbers[most]), (&mut self.newest, numbers[0])] {
+            for (of, number) in [
+                (&mut self.majority, numbers[most]),
+                (&mut self.newest, numbers[0]),
+            ] {
                 let known = of.entry(line).or_insert((number, now));
                 if number > known.0 {
                     *known = (number, now);
@@ -148,25 +177,40 @@
         let mut due: BTreeMap<VersionLine, Vec<String>> = BTreeMap::new();
         for ((node, kind), seen) in &mut self.seen {
             let line = (*kind, seen.stand.generation);
-            let Some((number, since)) = self.majority.get(&line).copied() else { continue };
+            let Some((number, since)) = self.majority.get(&line).copied() else {
+                continue;
+            };
             let behind = seen.stand.number < number && now >= since + self.limits.lag_ms;
-            let caught_up =
-                seen.stand.number >= number.max(self.ruling.floors.get(&line).copied().unwrap_or(0));
-            let times = self.ruling.times.get(node).copied().unwrap_or(0).saturating_sub(1).min(10);
+            let caught_up = seen.stand.number
+                >= number.max(self.ruling.floors.get(&line).copied().unwrap_or(0));
+            let times = self
+                .ruling
+                .times
+                .get(node)
+                .copied()
+                .unwrap_or(0)
+                .saturating_sub(1)
+                .min(10);
             let (next, why) = match seen.state {
-                State::Current if behind => {
-                    (State::Behind, format!("it holds {}, most hold {number}", seen.stand.number))
+                State::Current if behind => (
+                    State::Behind,
+                    format!("it holds {}, most hold {number}", seen.stand.number),
+                ),
+                State::Behind if caught_up => {
+                    (State::Current, format!("it holds {}", seen.stand.number))
                 }
-                State::Behind if caught_up => (State::Current, format!("it holds {}", seen.stand.number)),
                 State::Behind if now >= seen.since + self.limits.grace_ms => {
                     due.entry(line).or_default().push(node.clone());
                     continue;
                 }
-                State::Output if caught_up => (State::CatchingUp, format!("it holds {}", seen.stand.number)),
-                // One that falters again while it is waited for begins anew.
-                State::CatchingUp if !caught_up => {
-                    (State::Output, format!("it holds {} again", seen.stand.number))
+                State::Output if caught_up => {
+                    (State::CatchingUp, format!("it holds {}", seen.stand.number))
                 }
+                // One that falters again while it is waited for begins anew.
+                State::CatchingUp if !caught_up => (
+                    State::Output,
+                    format!("it holds {} again", seen.stand.number),
+                ),
                 State::CatchingUp if now >= seen.since + (self.limits.back_ms << times) => {
                     (State::Current, "let back".to_owned())
                 }
@@ -197,10 +241,18 @@
         let mut verdicts = Vec::new();
         for (line, (number, since)) in &self.newest {
             let most = self.majority.get(line).map_or(0, |(number, _)| *number);
-            let held = self.ruling.held.get(line).is_some_and(|held| held >= number);
+            let held = self
+                .ruling
+                .held
+                .get(line)
+                .is_some_and(|held| held >= number);
             if most < *number && now >= since + late && !held {
                 self.ruling.held.insert(*line, *number);
-                verdicts.push(AuditorEvent::Held(*line, *number, format!("most still hold {most}")));
+                verdicts.push(AuditorEvent::Held(
+                    *line,
+                    *number,
+                    format!("most still hold {most}"),
+                ));
             }
         }
         verdicts
@@ -215,24 +267,40 @@
         verdicts: &mut Vec<AuditorEvent>,
     ) {
         let number = self.majority.get(&line).map_or(0, |(number, _)| *number);
-        if self.ruling.held.get(&line).is_some_and(|held| *held >= number) {
+        if self
+            .ruling
+            .held
+            .get(&line)
+            .is_some_and(|held| *held >= number)
+        {
             return;
         }
-        let mut out: BTreeSet<&String> =
-            self.ruling.out.keys().filter(|node| self.members.contains(*node)).collect();
+        let mut out: BTreeSet<&String> = self
+            .ruling
+            .out
+            .keys()
+            .filter(|node| self.members.contains(*node))
+            .collect();
         out.extend(&nodes);
         // Who is no member can't be shut out, and does not serve either.
         let left = self.members.len() - out.len();
         if left * 2 <= self.members.len() {
             self.ruling.held.insert(line, number);
-            let why =
-                format!("to shut out {} would leave {left} of {}", nodes.join(", "), self.members.len());
+            let why = format!(
+                "to shut out {} would leave {left} of {}",
+                nodes.join(", "),
+                self.members.len()
+            );
             return verdicts.push(AuditorEvent::Held(line, number, why));
         }
         let floor = self.ruling.floors.entry(line).or_default();
         *floor = number.max(*floor);
         for node in nodes {
-            self.ruling.out.entry(node.clone()).or_default().insert(line);
+            self.ruling
+                .out
+                .entry(node.clone())
+                .or_default()
+                .insert(line);
             *self.ruling.times.entry(node.clone()).or_default() += 1;
             if let Some(seen) = self.seen.get_mut(&(node.clone(), line.0)) {
                 (seen.state, seen.since) = (State::Output, now);
--- a/crates/version-tracking/src/tracker.rs
+++ b/crates/version-tracking/src/tracker.rs
@@ -105,8 +105,18 @@
     }
 
     /// What is known of others, and in what this node is behind: since when, and what others have.
-    pub fn known(&self) -> (&BTreeMap<String, Known>, impl Iterator<Item = (Kind, u64, VersionRecord)>) {
-        (&self.known, self.behind.iter().map(|(kind, (since, _, stand, _))| (*kind, *since, *stand)))
+    pub fn known(
+        &self,
+    ) -> (
+        &BTreeMap<String, Known>,
+        impl Iterator<Item = (Kind, u64, VersionRecord)>,
+    ) {
+        (
+            &self.known,
+            self.behind
+                .iter()
+                .map(|(kind, (since, _, stand, _))| (*kind, *since, *stand)),
+        )
     }
 
     /// Who is there.
@@ -137,7 +147,9 @@
         out: &mut Vec<Output>,
     ) -> bool {
         let held = self.heads.get(&kind);
-        if held.is_some_and(|held| held.generation == stand.generation && held.number > stand.number) {
+        if held
+            .is_some_and(|held| held.generation == stand.generation && held.number > stand.number)
+        {
             return false;
         }
         if held == Some(&stand) {
@@ -169,7 +181,12 @@
     }
 
     fn told(&self) -> Message {
-        Message::Heads(self.heads.iter().map(|(kind, stand)| (*kind, *stand)).collect())
+        Message::Heads(
+            self.heads
+                .iter()
+                .map(|(kind, stand)| (*kind, *stand))
+                .collect(),
+        )
     }
 
     /// The time has come that [`VersionTracker::next`] told, or another.
@@ -178,7 +195,8 @@
             return;
         }
         // Not in step with others.
-        self.beat = now + self.set.beat_ms * 3 / 4 + self.draws.next_u64() % (self.set.beat_ms / 2 + 1);
+        self.beat =
+            now + self.set.beat_ms * 3 / 4 + self.draws.next_u64() % (self.set.beat_ms / 2 + 1);
         self.tell_one(out);
         let again: Vec<(Kind, String)> = self
             .behind
@@ -192,9 +210,14 @@
     }
 
     fn want(&mut self, now: u64, kind: Kind, from: String, out: &mut Vec<Output>) {
-        let Some((_, _, stand, asked)) = self.behind.get_mut(&kind) else { return };
+        let Some((_, _, stand, asked)) = self.behind.get_mut(&kind) else {
+            return;
+        };
         *asked = now;
-        let held = self.heads.get(&kind).filter(|held| held.generation == stand.generation);
+        let held = self
+            .heads
+            .get(&kind)
+            .filter(|held| held.generation == stand.generation);
         let (generation, number) = (stand.generation, held.map_or(0, |held| held.number));
         out.push(Output::Say(from, Message::Want(kind, generation, number)));
     }
@@ -213,7 +236,13 @@
                 for (kind, stand) in &heads {
                     tell |= self.compare(now, from, *kind, *stand, out);
                 }
-                self.known.insert(from.to_owned(), Known { at: now, heads: heads.into_iter().collect() });
+                self.known.insert(
+                    from.to_owned(),
+                    Known {
+                        at: now,
+                        heads: heads.into_iter().collect(),
+                    },
+                );
                 if tell {
                     out.push(Output::Say(from.to_owned(), self.told()));
                 }
@@ -232,23 +261,38 @@
         out: &mut Vec<Output>,
     ) -> bool {
         // Of a generation that this node does not hold nothing is taken.
-        let Some(held) = self.heads.get(&kind).copied().filter(|held| held.generation == stand.generation)
+        let Some(held) = self
+            .heads
+            .get(&kind)
+            .copied()
+            .filter(|held| held.generation == stand.generation)
         else {
             return false;
         };
         if stand.number == held.number && stand.digest != held.digest {
             let told = self.forks.insert((kind, from.to_owned()), stand.number);
             if told != Some(stand.number) {
-                out.push(Output::Event(Event::Fork(kind, from.to_owned(), held, stand)));
+                out.push(Output::Event(Event::Fork(
+                    kind,
+                    from.to_owned(),
+                    held,
+                    stand,
+                )));
             }
         } else if stand.number > held.number {
-            let known = self.behind.get(&kind).map(|(_, _, wanted, asked)| (*wanted, *asked));
-            if known.is_none_or(|(wanted, asked)| stand.number > wanted.number || asked + AGAIN <= now) {
+            let known = self
+                .behind
+                .get(&kind)
+                .map(|(_, _, wanted, asked)| (*wanted, *asked));
+            if known
+                .is_none_or(|(wanted, asked)| stand.number > wanted.number || asked + AGAIN <= now)
+            {
                 let since = self.behind.get(&kind).map_or(now, |behind| behind.0);
                 if known.is_none() {
                     out.push(Output::Event(Event::Behind(kind, from.to_owned(), stand)));
                 }
-                self.behind.insert(kind, (since, from.to_owned(), stand, now));
+                self.behind
+                    .insert(kind, (since, from.to_owned(), stand, now));
                 self.want(now, kind, from.to_owned(), out);
             }
         }
--- a/crates/version-tracking/src/version.rs
+++ b/crates/version-tracking/src/version.rs
@@ -45,5 +45,7 @@
         sum.update(part);
     }
     let sum = sum.finalize();
-    sum.iter().take(8).fold(0, |all, byte| all << 8 | u64::from(*byte))
+    sum.iter()
+        .take(8)
+        .fold(0, |all, byte| all << 8 | u64::from(*byte))
 }
--- a/crates/version-tracking/tests/auditor.rs
+++ b/crates/version-tracking/tests/auditor.rs
@@ -11,7 +11,11 @@
 const LINE: VersionLine = (Kind::List, 1);
 
 fn stand(number: u64) -> VersionRecord {
-    VersionRecord { generation: 1, number, digest: number }
+    VersionRecord {
+        generation: 1,
+        number,
+        digest: number,
+    }
 }
 
 struct Fleet {
@@ -25,14 +29,20 @@
     fn new(count: usize) -> Self {
         let mut auditor = Auditor::new(Limits::default(), VersionDecisions::default());
         auditor.members(members(count));
-        Self { now: 1000, auditor, numbers: vec![1; count], verdicts: Vec::new() }
+        Self {
+            now: 1000,
+            auditor,
+            numbers: vec![1; count],
+            verdicts: Vec::new(),
+        }
     }
 
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             self.now += 100;
             for (n, number) in self.numbers.iter().enumerate() {
-                self.auditor.heard(self.now, &format!("n{n}"), Kind::List, stand(*number));
+                self.auditor
+                    .heard(self.now, &format!("n{n}"), Kind::List, stand(*number));
             }
             self.verdicts.extend(self.auditor.turn(self.now));
         }
@@ -61,7 +71,10 @@
     );
     fleet.run(400);
     assert_eq!(fleet.state(4), Some(State::Behind));
-    assert!(fleet.auditor.ruling().out.is_empty(), "not before its grace is over");
+    assert!(
+        fleet.auditor.ruling().out.is_empty(),
+        "not before its grace is over"
+    );
     fleet.run(3000);
     assert_eq!(fleet.state(4), Some(State::Output));
     assert_eq!(fleet.auditor.ruling().floors.get(&LINE), Some(&2));
@@ -80,7 +93,10 @@
     fleet.run(6000);
     assert_eq!(fleet.state(4), Some(State::Output));
     let second = waits(&mut fleet);
-    assert!(first < 1300 && second > first + 900, "{first} ms, then {second} ms");
+    assert!(
+        first < 1300 && second > first + 900,
+        "{first} ms, then {second} ms"
+    );
     // The next owner goes on from what was ruled.
     fleet.numbers = vec![4, 4, 4, 4, 3];
     fleet.run(6000);
@@ -104,7 +120,12 @@
             .verdicts
             .iter()
             .filter(|v| matches!(v, AuditorEvent::Held(LINE, number, _) if *number == newest));
-        assert_eq!(held.count(), 1, "named once: {numbers:?}: {:?}", fleet.verdicts);
+        assert_eq!(
+            held.count(),
+            1,
+            "named once: {numbers:?}: {:?}",
+            fleet.verdicts
+        );
     }
     // Two of five are shut out; a third would leave no majority.
     let mut fleet = Fleet::new(5);
@@ -116,7 +137,11 @@
     fleet.run(4000);
     fleet.numbers = vec![3, 3, 2, 1, 1];
     fleet.run(30_000);
-    assert!(fleet.auditor.ruling().out.len() <= 2, "{:?}", fleet.auditor.ruling());
+    assert!(
+        fleet.auditor.ruling().out.len() <= 2,
+        "{:?}",
+        fleet.auditor.ruling()
+    );
     assert!(fleet.auditor.release(LINE) || fleet.auditor.ruling().held.is_empty());
 }
 
@@ -166,8 +191,15 @@
             .count();
         fleet.numbers = vec![newest; count];
         fleet.run(40_000);
-        assert!(fleet.auditor.ruling().out.is_empty(), "seed {seed}: {:?}", fleet.auditor.ruling());
-        assert!((0..count).all(|n| fleet.state(n) == Some(State::Current)), "seed {seed}");
+        assert!(
+            fleet.auditor.ruling().out.is_empty(),
+            "seed {seed}: {:?}",
+            fleet.auditor.ruling()
+        );
+        assert!(
+            (0..count).all(|n| fleet.state(n) == Some(State::Current)),
+            "seed {seed}"
+        );
     }
     assert!(outs > 100, "{outs}");
 }
--- a/crates/version-tracking/tests/tracker.rs
+++ b/crates/version-tracking/tests/tracker.rs
@@ -2,8 +2,8 @@
 //! lost and late, nodes that stop and start anew, cuts.
 
 use postproxy_version_tracking::{
-    AuditEvent, AuditLog, Event, Kind, Message, Output, Settings, Source, VersionRecord, VersionTracker,
-    digest,
+    AuditEvent, AuditLog, Event, Kind, Message, Output, Settings, Source, VersionRecord,
+    VersionTracker, digest,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -73,16 +73,26 @@
     }
 
     fn begin(&mut self, n: usize) {
-        let others =
-            (0..self.nodes.len()).filter(|other| *other != n).map(|other| format!("{other}")).collect();
+        let others = (0..self.nodes.len())
+            .filter(|other| *other != n)
+            .map(|other| format!("{other}"))
+            .collect();
         let (now, generation) = (self.now, self.nodes[n].generation);
         let node = &mut self.nodes[n];
         node.lives += 1;
-        node.desk = VersionTracker::new(Settings { beat_ms: 400 }, now, (n as u64) << 32 | node.lives);
+        node.desk = VersionTracker::new(
+            Settings { beat_ms: 400 },
+            now,
+            (n as u64) << 32 | node.lives,
+        );
         node.desk.peers(others);
         node.highest = 0;
         // A stuck discovery tells its first list alone.
-        let number = if node.stuck { 1 } else { self.lists[&generation].0 };
+        let number = if node.stuck {
+            1
+        } else {
+            self.lists[&generation].0
+        };
         self.adopt(n, stand(generation, number), Source::Own);
     }
 
@@ -90,7 +100,12 @@
         let (now, mut out) = (self.now, Vec::new());
         let node = &mut self.nodes[n];
         if node.desk.adopt(now, Kind::List, stand, source, &mut out) {
-            assert!(stand.number >= node.highest, "node {n}: {} after {}", stand.number, node.highest);
+            assert!(
+                stand.number >= node.highest,
+                "node {n}: {} after {}",
+                stand.number,
+                node.highest
+            );
             node.highest = stand.number;
         }
         self.carry(n, out);
@@ -102,9 +117,16 @@
                 Output::Say(to, word) => {
                     self.said += 1;
                     let to: usize = to.parse().expect("a node");
-                    let lost = self.draw(100) < self.loss || self.nodes[n].cut || self.nodes[to].cut;
-                    let at =
-                        self.now + 1 + self.draw(5) + if self.draw(50) == 0 { self.draw(60_000) } else { 0 };
+                    let lost =
+                        self.draw(100) < self.loss || self.nodes[n].cut || self.nodes[to].cut;
+                    let at = self.now
+                        + 1
+                        + self.draw(5)
+                        + if self.draw(50) == 0 {
+                            self.draw(60_000)
+                        } else {
+                            0
+                        };
                     if !lost {
                         self.words.push((at, n, to, Ok(word)));
                     }
@@ -112,7 +134,8 @@
                 Output::Give(to, Kind::List) => {
                     let held = self.nodes[n].desk.heads()[&Kind::List];
                     let at = self.now + 1 + self.draw(20);
-                    self.words.push((at, n, to.parse().expect("a node"), Err(held)));
+                    self.words
+                        .push((at, n, to.parse().expect("a node"), Err(held)));
                 }
                 Output::Give(..) => {}
                 Output::Event(Event::Fork(..)) => self.forks += 1,
@@ -138,8 +161,9 @@
     fn step(&mut self) {
         self.now += 5;
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.words).into_iter().partition(|(at, ..)| *at <= now);
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.words)
+            .into_iter()
+            .partition(|(at, ..)| *at <= now);
         self.words = rest;
         for (_, from, to, word) in due {
             if self.nodes[to].stopped > now {
@@ -148,7 +172,9 @@
             match word {
                 Ok(word) => {
                     let mut out = Vec::new();
-                    self.nodes[to].desk.heard(now, &format!("{from}"), word, &mut out);
+                    self.nodes[to]
+                        .desk
+                        .heard(now, &format!("{from}"), word, &mut out);
                     self.carry(to, out);
                 }
                 // As the node does: of another generation, or not newer, nothing is taken.
@@ -205,7 +231,9 @@
                 _ => sim.change(1),
             }
         }
-        sim.nodes.iter_mut().for_each(|node| (node.cut, node.stopped) = (false, 0));
+        sim.nodes
+            .iter_mut()
+            .for_each(|node| (node.cut, node.stopped) = (false, 0));
         // Who was stopped asks its own discovery anew.
         for n in 0..sim.nodes.len() {
             let (generation, stuck) = (sim.nodes[n].generation, sim.nodes[n].stuck);
@@ -220,7 +248,9 @@
         assert!(
             sim.all_up(),
             "seed {seed}: {:?}",
-            (0..sim.nodes.len()).map(|n| sim.number(n)).collect::<Vec<_>>()
+            (0..sim.nodes.len())
+                .map(|n| sim.number(n))
+                .collect::<Vec<_>>()
         );
         assert_eq!(sim.forks, 0, "seed {seed}");
         for node in &sim.nodes {
@@ -266,7 +296,10 @@
             steady.push(each);
         }
     }
-    assert!(steady.iter().all(|each| (2.0..3.5).contains(each)), "{steady:?}");
+    assert!(
+        steady.iter().all(|each| (2.0..3.5).contains(each)),
+        "{steady:?}"
+    );
 }
 
 /// Guards against a fork that nobody names or that is named for ever, and a flood of kinds.
@@ -277,20 +310,45 @@
     let mut out = Vec::new();
     assert!(desk.adopt(1, Kind::List, stand(1, 5), Source::Own, &mut out));
     assert!(
-        !desk.adopt(1, Kind::List, stand(1, 4), Source::Peer("b".into()), &mut out),
+        !desk.adopt(
+            1,
+            Kind::List,
+            stand(1, 4),
+            Source::Peer("b".into()),
+            &mut out
+        ),
         "older never replaces newer"
     );
-    assert!(desk.adopt(2, Kind::List, stand(2, 1), Source::Own, &mut out), "another discovery counts anew");
+    assert!(
+        desk.adopt(2, Kind::List, stand(2, 1), Source::Own, &mut out),
+        "another discovery counts anew"
+    );
     assert!(desk.adopt(3, Kind::List, stand(1, 5), Source::Own, &mut out));
-    let other = VersionRecord { digest: 7, ..stand(1, 5) };
+    let other = VersionRecord {
+        digest: 7,
+        ..stand(1, 5)
+    };
     for _ in 0..3 {
         desk.heard(10, "b", Message::Heads(vec![(Kind::List, other)]), &mut out);
     }
-    let forks = out.iter().filter(|one| matches!(one, Output::Event(Event::Fork(..)))).count();
+    let forks = out
+        .iter()
+        .filter(|one| matches!(one, Output::Event(Event::Fork(..))))
+        .count();
     assert_eq!(forks, 1);
     out.clear();
-    desk.heard(11, "b", Message::Heads(vec![(Kind::List, stand(1, 9)); 17]), &mut out);
-    desk.heard(11, "b", Message::Heads(vec![(Kind::List, stand(3, 9))]), &mut out);
+    desk.heard(
+        11,
+        "b",
+        Message::Heads(vec![(Kind::List, stand(1, 9)); 17]),
+        &mut out,
+    );
+    desk.heard(
+        11,
+        "b",
+        Message::Heads(vec![(Kind::List, stand(3, 9))]),
+        &mut out,
+    );
     desk.heard(11, "b", Message::Want(Kind::List, 3, 0), &mut out);
     assert_eq!(out, [], "too many, another generation");
 }
@@ -303,12 +361,23 @@
         trail.act(n);
         trail.adopted(5 + n, Kind::List, stand(1, n), Source::Own);
         let records: Vec<_> = trail.records().0.cloned().collect();
-        assert!(records.len() <= 8 && AuditLog::check(&records).is_ok(), "{n}");
+        assert!(
+            records.len() <= 8 && AuditLog::check(&records).is_ok(),
+            "{n}"
+        );
         let acts: u64 = records.iter().map(|record| record.acts).sum();
-        assert_eq!(acts, (1..=n).sum::<u64>(), "what is folded still counts its acts");
+        assert_eq!(
+            acts,
+            (1..=n).sum::<u64>(),
+            "what is folded still counts its acts"
+        );
     }
     let records: Vec<_> = trail.records().0.cloned().collect();
-    assert!(matches!(records[0].what, AuditEvent::Folded(34)), "{:?}", records[0]);
+    assert!(
+        matches!(records[0].what, AuditEvent::Folded(34)),
+        "{:?}",
+        records[0]
+    );
     // The first one's own text is gone; its hash, and all after it, can't be changed unseen.
     for at in 1..records.len() {
         for what in 0..5 {
--- a/src/bin/postproxy-drill.rs
+++ b/src/bin/postproxy-drill.rs
@@ -35,7 +35,9 @@
                     dispatchers.remove(instance);
                 }
                 Record::Event(event) => {
-                    let Some(dispatcher) = dispatchers.get_mut(instance) else { continue };
+                    let Some(dispatcher) = dispatchers.get_mut(instance) else {
+                        continue;
+                    };
                     dispatcher.handle(batch.now, event, &mut actions);
                     for action in actions.drain(..) {
                         reply.push(*instance, &action);
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -67,23 +67,36 @@
 }
 
 fn forget(args: &Forget) -> Result<(), Failure> {
-    let name = percent_encoding::utf8_percent_encode(&args.name, percent_encoding::NON_ALPHANUMERIC);
-    let answer = ask(args.mgmt, "POST", &format!("/v1/fleet/members/{name}/forget"), &[], b"")
-        .map_err(|error| format!("{}: {error}", args.mgmt))?;
+    let name =
+        percent_encoding::utf8_percent_encode(&args.name, percent_encoding::NON_ALPHANUMERIC);
+    let answer = ask(
+        args.mgmt,
+        "POST",
+        &format!("/v1/fleet/members/{name}/forget"),
+        &[],
+        b"",
+    )
+    .map_err(|error| format!("{}: {error}", args.mgmt))?;
     let text = String::from_utf8_lossy(&answer.body);
     match answer.status {
         200 => println!("{} is forgotten", args.name),
-        409 => return Err(format!("{}: it has not failed; end it, then ask again", args.name).into()),
+        409 => {
+            return Err(format!("{}: it has not failed; end it, then ask again", args.name).into());
+        }
         _ => return Err(format!("{}: {}", args.name, text.trim_end()).into()),
     }
     Ok(())
 }
 
 fn picture(mgmt: SocketAddr) -> Result<String, Failure> {
-    let answer =
-        ask(mgmt, "GET", "/v1/fleet/members", &[], b"").map_err(|error| format!("{mgmt}: {error}"))?;
+    let answer = ask(mgmt, "GET", "/v1/fleet/members", &[], b"")
+        .map_err(|error| format!("{mgmt}: {error}"))?;
     let text = String::from_utf8(answer.body)?;
-    if answer.status == 200 { Ok(text) } else { Err(format!("{mgmt}: {}", text.trim_end()).into()) }
+    if answer.status == 200 {
+        Ok(text)
+    } else {
+        Err(format!("{mgmt}: {}", text.trim_end()).into())
+    }
 }
 
 /// What one node sees, for people.
@@ -93,30 +106,57 @@
         // Writing to a string fails at nothing.
         let _ = writeln!(out, "{text}");
     };
-    line(format!("{} of {}: {}", picture.node, picture.cluster, picture.standing));
-    picture.reasons.iter().for_each(|reason| line(format!("  {reason}")));
+    line(format!(
+        "{} of {}: {}",
+        picture.node, picture.cluster, picture.standing
+    ));
+    picture
+        .reasons
+        .iter()
+        .for_each(|reason| line(format!("  {reason}")));
     match picture.namesake {
-        Some(at) => line(format!("  no member: the process at {at} has this name, too")),
+        Some(at) => line(format!(
+            "  no member: the process at {at} has this name, too"
+        )),
         None if !picture.member => line("  no member yet".to_owned()),
         None => {}
     }
-    line(format!("{:<20} {:<8} {:<6} {:<22} incarnation", "node", "state", "votes", "address"));
+    line(format!(
+        "{:<20} {:<8} {:<6} {:<22} incarnation",
+        "node", "state", "votes", "address"
+    ));
     for node in &picture.members {
         let votes = if node.voter { "yes" } else { "" };
         let address = node.address.to_string();
-        line(format!("{:<20} {:<8} {votes:<6} {address:<22} {}", node.name, node.state, node.incarnation));
+        line(format!(
+            "{:<20} {:<8} {votes:<6} {address:<22} {}",
+            node.name, node.state, node.incarnation
+        ));
     }
     if !picture.unheard.is_empty() {
-        line(format!("not heard directly: {}", picture.unheard.join(", ")));
+        line(format!(
+            "not heard directly: {}",
+            picture.unheard.join(", ")
+        ));
     }
     if !picture.bans.is_empty() {
-        line(format!("out of use for the fleet: {}", picture.bans.join(", ")));
+        line(format!(
+            "out of use for the fleet: {}",
+            picture.bans.join(", ")
+        ));
     }
     if picture.missed_s > 0.0 {
-        line(format!("this process missed {:.1} s; {:.1} of 8 from well", picture.missed_s, picture.ill));
+        line(format!(
+            "this process missed {:.1} s; {:.1} of 8 from well",
+            picture.missed_s, picture.ill
+        ));
     }
     if !picture.dropped.is_empty() {
-        let by: Vec<String> = picture.dropped.iter().map(|(why, n)| format!("{why} {n}")).collect();
+        let by: Vec<String> = picture
+            .dropped
+            .iter()
+            .map(|(why, n)| format!("{why} {n}"))
+            .collect();
         line(format!("datagrams and streams dropped: {}", by.join(", ")));
     }
     out
--- a/src/cli/fleet_trial.rs
+++ b/src/cli/fleet_trial.rs
@@ -28,16 +28,23 @@
 impl Node {
     fn start(&mut self) -> Result<(), Failure> {
         let mut command = Command::new(std::env::current_exe()?);
-        command.args(["serve", "--log-levels", "error", "--operator"]).arg(self.folder.join("operator.json"));
-        command.env("RELAY_CONFIG", self.folder.join("config.json")).stdout(Stdio::null());
+        command
+            .args(["serve", "--log-levels", "error", "--operator"])
+            .arg(self.folder.join("operator.json"));
+        command
+            .env("RELAY_CONFIG", self.folder.join("config.json"))
+            .stdout(Stdio::null());
         self.child = Some(command.spawn()?);
         Ok(())
     }
 
     fn signal(&self, signal: Signal) {
         // It is ours until it is waited for, so its number is no other's.
-        let pid =
-            self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok()).and_then(Pid::from_raw);
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|child| i32::try_from(child.id()).ok())
+            .and_then(Pid::from_raw);
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -84,13 +91,21 @@
 }
 
 fn set_up(folder: &Path, count: usize, discovery: SocketAddr) -> Result<Vec<Node>, Failure> {
-    let last = u8::try_from(count).ok().filter(|n| *n < 255).ok_or("a trial has 254 nodes at most")?;
+    let last = u8::try_from(count)
+        .ok()
+        .filter(|n| *n < 255)
+        .ok_or("a trial has 254 nodes at most")?;
     let peers: Vec<SocketAddr> = (1..=last).map(|n| SocketAddr::new(own(n), 7946)).collect();
     let seeds: Vec<String> = peers.iter().take(3).map(ToString::to_string).collect();
-    let voters: Vec<String> = (1..=if count < 5 { 3 } else { 5 }).map(|n| format!("node-{n}")).collect();
+    let voters: Vec<String> = (1..=if count < 5 { 3 } else { 5 })
+        .map(|n| format!("node-{n}"))
+        .collect();
     let node = |(at, n): (&SocketAddr, usize)| {
         let name = format!("node-{n}");
-        let (client, door) = (SocketAddr::new(at.ip(), 8080), SocketAddr::new(at.ip(), 8081));
+        let (client, door) = (
+            SocketAddr::new(at.ip(), 8080),
+            SocketAddr::new(at.ip(), 8081),
+        );
         let mine = folder.join(&name);
         std::fs::create_dir_all(&mine)?;
         let config = serde_json::json!({
@@ -104,17 +119,33 @@
             "voters": voters}});
         std::fs::write(mine.join("config.json"), config.to_string())?;
         std::fs::write(mine.join("operator.json"), operator.to_string())?;
-        Ok(Node { name, client, door, folder: mine, child: None })
+        Ok(Node {
+            name,
+            client,
+            door,
+            folder: mine,
+            child: None,
+        })
     };
     peers.iter().zip(1..).map(node).collect()
 }
 
 /// Waits until all of these see what is asked for, and says how long it took.
-fn until(what: &str, nodes: &[&Node], holds: impl Fn(&ClusterStatus) -> bool) -> Result<(), Failure> {
+fn until(
+    what: &str,
+    nodes: &[&Node],
+    holds: impl Fn(&ClusterStatus) -> bool,
+) -> Result<(), Failure> {
     let start = Instant::now();
-    while !nodes.iter().all(|node| node.picture().is_some_and(|picture| holds(&picture))) {
+    while !nodes
+        .iter()
+        .all(|node| node.picture().is_some_and(|picture| holds(&picture)))
+    {
         if start.elapsed() > MOST {
-            let seen: String = nodes.iter().filter_map(|n| Some(fleet::table(&n.picture()?))).collect();
+            let seen: String = nodes
+                .iter()
+                .filter_map(|n| Some(fleet::table(&n.picture()?)))
+                .collect();
             return Err(format!("not within {MOST:?}: {what}\n{seen}").into());
         }
         thread::sleep(Duration::from_millis(20));
@@ -126,9 +157,15 @@
 fn whole(nodes: &[Node]) -> Result<(), Failure> {
     let all: Vec<&Node> = nodes.iter().collect();
     let up = |picture: &ClusterStatus| {
-        picture.members.iter().filter(|m| ["here", "alive"].contains(&&*m.state)).count()
+        picture
+            .members
+            .iter()
+            .filter(|m| ["here", "alive"].contains(&&*m.state))
+            .count()
     };
-    until("all know all, and hear them", &all, |p| p.standing == "whole" && up(p) == nodes.len())
+    until("all know all, and hear them", &all, |p| {
+        p.standing == "whole" && up(p) == nodes.len()
+    })
 }
 
 fn state(picture: &ClusterStatus, name: &str) -> String {
@@ -144,7 +181,11 @@
             return;
         }
         let id = format!("job-{first}-{n}");
-        let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5"), ("Connection", "close")];
+        let fields = [
+            ("X-Request-Id", id.as_str()),
+            ("X-Deadline", "5"),
+            ("Connection", "close"),
+        ];
         let mut answer = None;
         for _ in 0..nodes.len() {
             at = (at + 1) % nodes.len();
@@ -173,15 +214,21 @@
 ///
 /// If a node can't be started, or a step does not come to what it should.
 pub fn run(count: usize) -> Result<(), Failure> {
-    let workers: Result<Vec<Worker>, _> =
-        (0..4).map(|n| Worker::start(&format!("s-{n}"), Duration::from_millis(20))).collect();
+    let workers: Result<Vec<Worker>, _> = (0..4)
+        .map(|n| Worker::start(&format!("s-{n}"), Duration::from_millis(20)))
+        .collect();
     let workers = workers?;
     let discovery = Discovery::start(&workers)?;
     let folder = Folder(std::env::temp_dir().join(format!("postproxy-try-{}", std::process::id())));
     let mut nodes = set_up(&folder.0, count, discovery.address)?;
     let clients: Vec<SocketAddr> = nodes.iter().map(|node| node.client).collect();
-    workers.iter().for_each(|worker| worker.reports_to_all(&clients));
-    println!("{count} nodes, each a process; they know each other by {} seeds", count.min(3));
+    workers
+        .iter()
+        .for_each(|worker| worker.reports_to_all(&clients));
+    println!(
+        "{count} nodes, each a process; they know each other by {} seeds",
+        count.min(3)
+    );
     for node in &mut nodes {
         node.start()?;
     }
@@ -208,39 +255,78 @@
         of(&counts.failed),
         of(&counts.elsewhere)
     );
-    if of(&counts.served) == 0 { Err("no job was served".into()) } else { Ok(()) }
+    if of(&counts.served) == 0 {
+        Err("no job was served".into())
+    } else {
+        Ok(())
+    }
 }
 
 fn steps(nodes: &mut [Node]) -> Result<(), Failure> {
     let last = nodes.len() - 1;
     let name = nodes[last].name.clone();
     println!("s-1 is taken out of use at node-1");
-    let answer = ask(nodes[0].door, "POST", "/v1/route-workers/s-1/suspend", &[], b"")?;
-    println!("  the door says: {}", String::from_utf8_lossy(&answer.body).trim_end());
+    let answer = ask(
+        nodes[0].door,
+        "POST",
+        "/v1/route-workers/s-1/suspend",
+        &[],
+        b"",
+    )?;
+    println!(
+        "  the door says: {}",
+        String::from_utf8_lossy(&answer.body).trim_end()
+    );
     let all: Vec<&Node> = nodes.iter().collect();
     until("it is out of use at all", &all, |p| p.bans == ["s-1"])?;
     println!("{name} is killed");
     nodes[last].signal(Signal::KILL);
-    nodes[last].child.take().map(|mut child| child.wait()).transpose()?;
+    nodes[last]
+        .child
+        .take()
+        .map(|mut child| child.wait())
+        .transpose()?;
     let rest: Vec<&Node> = nodes[..last].iter().collect();
-    until("the others know", &rest, |p| state(p, &name) == "failed" && p.standing != "whole")?;
-    nodes[0].picture().iter().for_each(|picture| print!("{}", indented(&fleet::table(picture))));
+    until("the others know", &rest, |p| {
+        state(p, &name) == "failed" && p.standing != "whole"
+    })?;
+    nodes[0]
+        .picture()
+        .iter()
+        .for_each(|picture| print!("{}", indented(&fleet::table(picture))));
     println!("{name} is started again");
     nodes[last].start()?;
     whole(nodes)?;
     let all: Vec<&Node> = nodes.iter().collect();
-    until("it knows what is out of use", &all[last..], |p| p.bans == ["s-1"])?;
+    until("it knows what is out of use", &all[last..], |p| {
+        p.bans == ["s-1"]
+    })?;
     println!("node-2 is stopped for {} s, and wakes", PAUSE.as_secs());
     nodes[1].signal(Signal::STOP);
     thread::sleep(PAUSE);
-    let given_up = nodes[0].picture().is_some_and(|picture| state(&picture, "node-2") == "failed");
+    let given_up = nodes[0]
+        .picture()
+        .is_some_and(|picture| state(&picture, "node-2") == "failed");
     nodes[1].signal(Signal::CONT);
-    println!("  the others {} meanwhile", if given_up { "gave it up" } else { "waited for it" });
+    println!(
+        "  the others {} meanwhile",
+        if given_up {
+            "gave it up"
+        } else {
+            "waited for it"
+        }
+    );
     whole(nodes)?;
     let missed = nodes[1].picture().map_or(0.0, |picture| picture.missed_s);
     println!("  it knows that it missed {missed:.1} s");
     println!("s-1 is used again, by a word at {name}");
-    ask(nodes[last].door, "POST", "/v1/route-workers/s-1/resume", &[], b"")?;
+    ask(
+        nodes[last].door,
+        "POST",
+        "/v1/route-workers/s-1/resume",
+        &[],
+        b"",
+    )?;
     let all: Vec<&Node> = nodes.iter().collect();
     until("it is in use at all", &all, |p| p.bans.is_empty())
 }
@@ -249,12 +335,24 @@
 fn leave(nodes: &mut [Node]) -> Result<(), Failure> {
     for n in (1..nodes.len()).rev() {
         nodes[n].signal(Signal::TERM);
-        nodes[n].child.take().map(|mut child| child.wait()).transpose()?;
+        nodes[n]
+            .child
+            .take()
+            .map(|mut child| child.wait())
+            .transpose()?;
         let name = nodes[n].name.clone();
-        until(&format!("node-1 knows that {name} has left"), &[&nodes[0]], |p| state(p, &name) == "left")?;
+        until(
+            &format!("node-1 knows that {name} has left"),
+            &[&nodes[0]],
+            |p| state(p, &name) == "left",
+        )?;
     }
     nodes[0].signal(Signal::TERM);
-    nodes[0].child.take().map(|mut child| child.wait()).transpose()?;
+    nodes[0]
+        .child
+        .take()
+        .map(|mut child| child.wait())
+        .transpose()?;
     Ok(())
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -16,7 +16,11 @@
 
 /// Pushes jobs to workers by lottery. Without a command it serves, as RELAY_CONFIG says.
 #[derive(Debug, Parser)]
-#[command(version, about, after_help = "Exit status: 0 done, 1 failed, 2 wrong usage.")]
+#[command(
+    version,
+    about,
+    after_help = "Exit status: 0 done, 1 failed, 2 wrong usage."
+)]
 pub struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -94,7 +98,12 @@
         Some(Command::Fleet(action)) => fleet::run(action),
         Some(Command::Try(trial)) => trial::run(&trial),
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Cli::command(), "postproxy", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Cli::command(),
+                "postproxy",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
     }
@@ -103,7 +112,8 @@
 fn check(file: &str, config: Option<&str>) -> Result<(), Failure> {
     Operator::from_file(file)?;
     if let Some(path) = config {
-        let text = std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
         Config::from_json(&text, |_| None).map_err(|error| format!("{path}: {error}"))?;
     }
     println!("{file}: sound");
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -21,7 +21,12 @@
     signal_hook::low_level::pipe::register(SIGTERM, signal)?;
     let (reload, signal) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(SIGHUP, signal)?;
-    let mut operator = args.operator.as_deref().map(Operator::from_file).transpose()?.unwrap_or_default();
+    let mut operator = args
+        .operator
+        .as_deref()
+        .map(Operator::from_file)
+        .transpose()?
+        .unwrap_or_default();
     let log = &mut operator.log;
     log.format = args.log_format.map_or(log.format, Into::into);
     log.levels = args.log_levels.unwrap_or_else(|| log.levels.clone());
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -34,7 +34,10 @@
 impl Folder {
     /// Opens it, which recovers it as a node's start does; a folder that is not there is not made.
     fn open(&self) -> Result<(Engine<OsDisk>, Recovery), Failure> {
-        if !std::fs::metadata(&self.dir).map_err(|error| format!("{}: {error}", self.dir))?.is_dir() {
+        if !std::fs::metadata(&self.dir)
+            .map_err(|error| format!("{}: {error}", self.dir))?
+            .is_dir()
+        {
             return Err(format!("{}: is no folder", self.dir).into());
         }
         let section = StoreSection::of(&self.dir, self.mirror.as_deref());
@@ -77,13 +80,25 @@
     let (mut engine, recovery) = folder.open()?;
     let mut read = 0usize;
     engine.scan(|_, _| read += 1)?;
-    println!("{read} records in {} segments, {} bytes", recovery.segments, recovery.bytes);
+    println!(
+        "{read} records in {} segments, {} bytes",
+        recovery.segments, recovery.bytes
+    );
     if recovery.torn > 0 {
-        println!("{} bytes behind the last record, which nobody was promised", recovery.torn);
+        println!(
+            "{} bytes behind the last record, which nobody was promised",
+            recovery.torn
+        );
     }
-    recovery.repaired.iter().for_each(|file| println!("{file}: made whole from its copy"));
+    recovery
+        .repaired
+        .iter()
+        .for_each(|file| println!("{file}: made whole from its copy"));
     for lost in &recovery.lost {
-        println!("segment {:x}: frames {} to {} are lost", lost.segment, lost.from, lost.to);
+        println!(
+            "segment {:x}: frames {} to {} are lost",
+            lost.segment, lost.from, lost.to
+        );
     }
     for segment in engine.damaged() {
         println!("segment {segment:x}: damaged");
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -85,10 +85,18 @@
         node.run().map_err(|error| error.to_string())
     });
     let Ok(address) = told.recv() else {
-        return Err(node.join().map_err(|_| "the node panicked")?.err().unwrap_or_default().into());
+        return Err(node
+            .join()
+            .map_err(|_| "the node panicked")?
+            .err()
+            .unwrap_or_default()
+            .into());
     };
     workers.iter().for_each(|worker| worker.reports_to(address));
-    println!("discovery at {}, a node at {address}, workers:", discovery.address);
+    println!(
+        "discovery at {}, a node at {address}, workers:",
+        discovery.address
+    );
     for (worker, ms) in workers.iter().zip(WORKERS) {
         println!("  {} at {}, {ms} ms a job", worker.name, worker.address);
     }
@@ -107,7 +115,12 @@
     let (tell, told) = mpsc::channel();
     let jobs: Vec<(usize, u32)> = (0..trial.jobs).flat_map(|n| [(0, n), (1, n)]).collect();
     for client in 0..trial.clients as usize {
-        let own: Vec<_> = jobs.iter().copied().skip(client).step_by(trial.clients as usize).collect();
+        let own: Vec<_> = jobs
+            .iter()
+            .copied()
+            .skip(client)
+            .step_by(trial.clients as usize)
+            .collect();
         let tell = tell.clone();
         thread::spawn(move || {
             for (class, n) in own {
@@ -122,7 +135,12 @@
                 let began = Instant::now();
                 let answer = ask(address, "POST", &target, &fields, b"riga to liepaja");
                 let status = answer.map(|a| a.status).map_err(|error| error.to_string());
-                let _ = tell.send(Done { class, id, status, took: began.elapsed() });
+                let _ = tell.send(Done {
+                    class,
+                    id,
+                    status,
+                    took: began.elapsed(),
+                });
             }
         });
     }
@@ -135,7 +153,11 @@
                 Ok(_) => "failed",
                 Err(error) => error,
             };
-            println!("{:>7.1} ms  {:<14} {word}", done.took.as_secs_f64() * 1e3, done.id);
+            println!(
+                "{:>7.1} ms  {:<14} {word}",
+                done.took.as_secs_f64() * 1e3,
+                done.id
+            );
         })
         .collect()
 }
@@ -143,7 +165,10 @@
 fn report(done: &[Done], workers: &[Worker], took: Duration) -> Result<(), Failure> {
     let mut runs: HashMap<String, u32> = HashMap::new();
     for worker in workers {
-        worker.runs().into_iter().for_each(|(job, times)| *runs.entry(job).or_default() += times);
+        worker
+            .runs()
+            .into_iter()
+            .for_each(|(job, times)| *runs.entry(job).or_default() += times);
     }
     println!();
     println!("class     jobs  served  refused  failed  runs a job  p50 ms  p99 ms");
--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -5,7 +5,9 @@
 pub fn number_of(name: &[u8]) -> u64 {
     const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
-    name.iter().fold(BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+    name.iter().fold(BASIS, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
+    })
 }
 
 /// How much this worker is preferred for this subject: of all workers, the one with the highest score is its home.
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -64,8 +64,10 @@
 impl Class {
     /// Whether it is bound neither to other kinds nor to other zones than this worker's.
     pub fn admits(&self, entry: &Entry) -> bool {
-        let among = |only: &Option<Vec<u32>>, x: u32| only.as_ref().is_none_or(|only| only.contains(&x));
-        let kind = among(&self.allowed_on, entry.kind.into()) && self.kind.is_none_or(|k| k == entry.kind);
+        let among =
+            |only: &Option<Vec<u32>>, x: u32| only.as_ref().is_none_or(|only| only.contains(&x));
+        let kind =
+            among(&self.allowed_on, entry.kind.into()) && self.kind.is_none_or(|k| k == entry.kind);
         kind && among(&self.confined_to, entry.zone.into())
     }
 
@@ -82,7 +84,11 @@
 
     /// What may be done with a request of this class that may have run. Without a key no worker can know its repeats.
     pub fn effect_of(&self, keyless: bool) -> Effect {
-        if keyless && self.effect == Effect::Keyed { Effect::Unsafe } else { self.effect }
+        if keyless && self.effect == Effect::Keyed {
+            Effect::Unsafe
+        } else {
+            self.effect
+        }
     }
 
     /// Whether a request that may have run can be repeated at any worker without harm.
@@ -384,9 +390,12 @@
         match self {
             Self::ConnectFailed | Self::Moot => true,
             Self::Full => !full_proves_nothing,
-            Self::Ok | Self::Error | Self::Timeout | Self::Reset | Self::Cancelled | Self::Unknown(_) => {
-                false
-            }
+            Self::Ok
+            | Self::Error
+            | Self::Timeout
+            | Self::Reset
+            | Self::Cancelled
+            | Self::Unknown(_) => false,
         }
     }
 }
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -6,7 +6,9 @@
 pub type RequestId = u64;
 
 /// Address of a worker. It carries no meaning beyond identity.
-#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
+#[derive(
+    Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize,
+)]
 pub struct WorkerId {
     /// Four bytes of address.
     pub address: [u8; 4],
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -189,9 +189,19 @@
             return Ok(None);
         }
         let want = "a time above 0 where further attempts are rationed";
-        let look_back = self.look_back.ok_or(SettingsError::Range { key: "rules.look-back", want })?;
-        let (spare, ratio) = (self.spare_attempts.unwrap_or(0.0), self.repeat_ratio.unwrap_or(0.0));
-        Ok(Some(RetryBudget { spare, ratio, look_back }))
+        let look_back = self.look_back.ok_or(SettingsError::Range {
+            key: "rules.look-back",
+            want,
+        })?;
+        let (spare, ratio) = (
+            self.spare_attempts.unwrap_or(0.0),
+            self.repeat_ratio.unwrap_or(0.0),
+        );
+        Ok(Some(RetryBudget {
+            spare,
+            ratio,
+            look_back,
+        }))
     }
 }
 
@@ -209,17 +219,31 @@
 }
 
 fn check(ok: bool, key: &'static str, want: &'static str) -> Result<(), SettingsError> {
-    if ok { Ok(()) } else { Err(SettingsError::Range { key, want }) }
+    if ok {
+        Ok(())
+    } else {
+        Err(SettingsError::Range { key, want })
+    }
 }
 
 /// Words of a key, with what each stands for.
 type Words<T, const N: usize> = [(&'static str, T); N];
 
-const EFFECTS: Words<Effect, 3> =
-    [("pure", Effect::Safe), ("token", Effect::Keyed), ("side_effect", Effect::Unsafe)];
-const GROUPS: Words<Group, 3> = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-const WAYS_OF_REPORTS: Words<Reports, 3> =
-    [("answers", Reports::Answers), ("probe", Reports::Probes), ("none", Reports::None)];
+const EFFECTS: Words<Effect, 3> = [
+    ("pure", Effect::Safe),
+    ("token", Effect::Keyed),
+    ("side_effect", Effect::Unsafe),
+];
+const GROUPS: Words<Group, 3> = [
+    ("all", Group::All),
+    ("zone", Group::Zone),
+    ("cell", Group::Cell),
+];
+const WAYS_OF_REPORTS: Words<Reports, 3> = [
+    ("answers", Reports::Answers),
+    ("probe", Reports::Probes),
+    ("none", Reports::None),
+];
 const FIELDS: Words<Field, 8> = [
     ("backlog", Field::Queue),
     ("outstanding", Field::InFlight),
@@ -238,8 +262,15 @@
     path: impl FnOnce() -> String,
     want: &'static str,
 ) -> Result<T, SettingsError> {
-    let meaning = words.iter().find(|(word, _)| *word == found).map(|(_, meaning)| *meaning);
-    meaning.ok_or_else(|| SettingsError::Word { path: path(), found: found.into(), want })
+    let meaning = words
+        .iter()
+        .find(|(word, _)| *word == found)
+        .map(|(_, meaning)| *meaning);
+    meaning.ok_or_else(|| SettingsError::Word {
+        path: path(),
+        found: found.into(),
+        want,
+    })
 }
 
 /// The figures of a load report. What `x0` and `x1` stand for is told in words; of other words nothing is made.
@@ -264,18 +295,33 @@
 /// The class of this number.
 fn class(number: usize, service: &Service, extra: &Extra) -> Result<Class, SettingsError> {
     let path = |key: &str| format!("services[{number}].{key}");
-    let stretch = service.aim_stretch.or_else(|| extra.class_stretch.get(number).copied());
+    let stretch = service
+        .aim_stretch
+        .or_else(|| extra.class_stretch.get(number).copied());
     Ok(Class {
         name: service.name.clone(),
-        effect: word(EFFECTS, &service.effect, || path("effect"), "pure, token, side_effect")?,
-        group: word(GROUPS, &service.dedup_scope, || path("dedup-scope"), "all, zone, cell")?,
+        effect: word(
+            EFFECTS,
+            &service.effect,
+            || path("effect"),
+            "pure, token, side_effect",
+        )?,
+        group: word(
+            GROUPS,
+            &service.dedup_scope,
+            || path("dedup-scope"),
+            "all, zone, cell",
+        )?,
         window: service.memory_span,
         aim: service.aim,
         stretch: stretch.unwrap_or(0.0),
         deadline: service.deadline,
         worth: service.importance,
         late_worth: service.late_value,
-        kind: extra.class_kind.get(number).and_then(|&kind| u16::try_from(kind).ok()),
+        kind: extra
+            .class_kind
+            .get(number)
+            .and_then(|&kind| u16::try_from(kind).ok()),
         priority: extra.class_priority.get(number).copied().unwrap_or(0),
         stream: service.stream,
         allowed_on: service.allowed_on.clone(),
@@ -285,11 +331,22 @@
 
 /// Checks that what has keys is an object. Danger: a list there would be read key by key in the order of the lines above.
 fn objects(json: &serde_json::Value) -> Result<(), SettingsError> {
-    const SECTIONS: [&str; 6] = ["client-habits", "extra", "limits", "prices", "report", "rules"];
+    const SECTIONS: [&str; 6] = [
+        "client-habits",
+        "extra",
+        "limits",
+        "prices",
+        "report",
+        "rules",
+    ];
     const LISTS: [(&str, &str); 2] = [("orgs", "orgs[]"), ("services", "services[]")];
     check(json.is_object(), "(all)", "an object")?;
     for key in SECTIONS {
-        check(json.get(key).is_none_or(|section| !section.is_array()), key, "an object")?;
+        check(
+            json.get(key).is_none_or(|section| !section.is_array()),
+            key,
+            "an object",
+        )?;
     }
     for (list, key) in LISTS {
         let entries = json.get(list).and_then(serde_json::Value::as_array);
@@ -318,11 +375,18 @@
         let raw: Raw = serde_path_to_error::deserialize(&json).map_err(SettingsError::Json)?;
         let fields = fields(&raw.report, &raw.extra)?;
         let numbered = raw.services.iter().enumerate();
-        let classes = numbered.map(|(i, service)| class(i, service, &raw.extra)).collect::<Result<_, _>>()?;
+        let classes = numbered
+            .map(|(i, service)| class(i, service, &raw.extra))
+            .collect::<Result<_, _>>()?;
         let extra = raw.extra;
         let reports = match raw.report.via.as_str() {
             "" => Reports::None,
-            via => word(WAYS_OF_REPORTS, via, || "report.via".into(), "answers, probe, none")?,
+            via => word(
+                WAYS_OF_REPORTS,
+                via,
+                || "report.via".into(),
+                "answers, probe, none",
+            )?,
         };
         let settings = Self {
             balancers: raw.balancers,
@@ -336,7 +400,11 @@
             may_probe: raw.limits.may_probe,
             may_cancel: raw.limits.cancel,
             second_copies: raw.limits.second_copies,
-            max_retry_after: if raw.limits.retry_after { raw.limits.max_retry_after } else { 0.0 },
+            max_retry_after: if raw.limits.retry_after {
+                raw.limits.max_retry_after
+            } else {
+                0.0
+            },
             max_attempts: raw.limits.max_attempts,
             dial_timeout: raw.limits.dial_timeout,
             worth_by_work: raw.counted_by == "work",
@@ -376,27 +444,63 @@
         check(self.balancers > 0, "balancers", "at least 1")?;
         check(self.max_attempts > 0, "limits.max-attempts", "at least 1")?;
         check(span(self.tick), "tick", "a time of 0 or more")?;
-        check(span(self.must_ask_in), "rules.must-ask-in", "a time of 0 or more")?;
+        check(
+            span(self.must_ask_in),
+            "rules.must-ask-in",
+            "a time of 0 or more",
+        )?;
         check(span(self.cold), "rules.cold", "a time of 0 or more")?;
-        check(span(self.tip_after), "rules.tip-after", "a time of 0 or more")?;
+        check(
+            span(self.tip_after),
+            "rules.tip-after",
+            "a time of 0 or more",
+        )?;
         check(span(self.fall_multiple), "rules.fall-multiple", "0 or more")?;
-        check(span(self.cold_from) && self.cold_from <= 1.0, "rules.cold-from", "between 0 and 1")?;
-        check(span(self.dial_timeout), "limits.dial-timeout", "a time of 0 or more")?;
-        check(span(self.max_retry_after), "limits.max-retry-after", "a time of 0 or more")?;
-        check(span(self.conn_idle), "limits.conn-idle", "a time of 0 or more")?;
+        check(
+            span(self.cold_from) && self.cold_from <= 1.0,
+            "rules.cold-from",
+            "between 0 and 1",
+        )?;
+        check(
+            span(self.dial_timeout),
+            "limits.dial-timeout",
+            "a time of 0 or more",
+        )?;
+        check(
+            span(self.max_retry_after),
+            "limits.max-retry-after",
+            "a time of 0 or more",
+        )?;
+        check(
+            span(self.conn_idle),
+            "limits.conn-idle",
+            "a time of 0 or more",
+        )?;
         check(span(self.progress), "extra.progress", "a time of 0 or more")?;
         check(span(self.probe_price), "prices.probe", "0 or more")?;
-        check(span(self.cross_zone_price), "prices.cross-zone", "0 or more")?;
+        check(
+            span(self.cross_zone_price),
+            "prices.cross-zone",
+            "0 or more",
+        )?;
         check(span(self.fetch_price), "prices.origin", "0 or more")?;
         check(span(self.waste_price), "prices.waste", "0 or more")?;
         if let Some(budget) = &self.retry_budget {
             check(span(budget.spare), "rules.spare-attempts", "0 or more")?;
             check(span(budget.ratio), "rules.repeat-ratio", "0 or more")?;
-            check(span(budget.look_back) && budget.look_back > 0.0, "rules.look-back", "a time above 0")?;
+            check(
+                span(budget.look_back) && budget.look_back > 0.0,
+                "rules.look-back",
+                "a time above 0",
+            )?;
         }
         for (i, class) in self.classes.iter().enumerate() {
             let alike = |other: &Class| !class.name.is_empty() && other.name == class.name;
-            check(!self.classes[..i].iter().any(alike), "services[].name", "of one class alone")?;
+            check(
+                !self.classes[..i].iter().any(alike),
+                "services[].name",
+                "of one class alone",
+            )?;
             check(
                 class.deadline.is_finite() && class.deadline > 0.0,
                 "services[].deadline",
@@ -404,8 +508,16 @@
             )?;
             check(span(class.aim), "services[].aim", "a time of 0 or more")?;
             check(span(class.stretch), "services[].aim-stretch", "0 or more")?;
-            check(span(class.window), "services[].memory-span", "a time of 0 or more")?;
-            check(span(class.worth) && span(class.late_worth), "services[].importance", "0 or more")?;
+            check(
+                span(class.window),
+                "services[].memory-span",
+                "a time of 0 or more",
+            )?;
+            check(
+                span(class.worth) && span(class.late_worth),
+                "services[].importance",
+                "0 or more",
+            )?;
         }
         Ok(())
     }
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -55,7 +55,11 @@
 impl Worker {
     /// Its size, where the settings say that sizes compare workers.
     pub fn size(&self, sized: bool) -> f64 {
-        if sized && self.entry.size > 0.0 { self.entry.size } else { 1.0 }
+        if sized && self.entry.size > 0.0 {
+            self.entry.size
+        } else {
+            1.0
+        }
     }
 
     /// Its latest start, as far as is known; 0 for long ago.
@@ -73,18 +77,30 @@
 
     /// Work sent there since then, ended or not.
     pub fn sent_since(&self, at: f64) -> f64 {
-        self.sends.iter().filter(|(sent, _)| *sent > at).map(|(_, work)| work).sum()
+        self.sends
+            .iter()
+            .filter(|(sent, _)| *sent > at)
+            .map(|(_, work)| work)
+            .sum()
     }
 
     /// Slots of the own jobs there that were sent before.
     pub fn own_before(&self, at: f64) -> f64 {
-        self.own.iter().filter(|o| o.sent < at).map(|o| o.need).sum()
+        self.own
+            .iter()
+            .filter(|o| o.sent < at)
+            .map(|o| o.need)
+            .sum()
     }
 
     /// Takes out the own send that has ended, if it is there; failed ones that weigh no more go with it.
     pub fn take_own(&mut self, key: (RequestId, u16), now: f64) -> Option<Own> {
-        self.own.retain(|own| own.until.is_none_or(|until| until > now));
-        let at = self.own.iter().position(|own| own.key == key && own.until.is_none())?;
+        self.own
+            .retain(|own| own.until.is_none_or(|until| until > now));
+        let at = self
+            .own
+            .iter()
+            .position(|own| own.key == key && own.until.is_none())?;
         Some(self.own.swap_remove(at))
     }
 
@@ -97,18 +113,33 @@
 impl Attempt {
     pub fn new(worker: usize, entry: &Entry, now: f64, promised: bool) -> Self {
         let (home, state, started) = ((entry.zone, entry.cell), State::Out, None);
-        Self { worker, home, sent: now, state, started, heard: now, promised, cancelled: false }
+        Self {
+            worker,
+            home,
+            sent: now,
+            state,
+            started,
+            heard: now,
+            promised,
+            cancelled: false,
+        }
     }
 }
 
 impl Request {
     pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.state == State::Out).count()
+        self.attempts
+            .iter()
+            .filter(|a| a.state == State::Out)
+            .count()
     }
 
     /// The stream of an attempt that is out has started.
     pub fn stream(&mut self, attempt: u16) {
-        self.streaming |= self.attempts.get(attempt as usize).is_some_and(|a| a.state == State::Out);
+        self.streaming |= self
+            .attempts
+            .get(attempt as usize)
+            .is_some_and(|a| a.state == State::Out);
     }
 
     pub fn ran(&self) -> bool {
@@ -130,7 +161,9 @@
     /// Whether an attempt at this worker may have run or may run yet. Danger: it is not over there just because it is over here:
     /// its connection broke, its time was up, or a cancel is still on its way.
     pub fn may_have_run_at(&self, worker: usize) -> bool {
-        self.attempts.iter().any(|a| a.worker == worker && a.state != State::NeverRan)
+        self.attempts
+            .iter()
+            .any(|a| a.worker == worker && a.state != State::NeverRan)
     }
 }
 
@@ -149,14 +182,21 @@
 
     /// Takes in times of another process, in any order.
     pub fn merge(&mut self, times: &[f64]) {
-        self.0.extend(times.iter().copied().filter(|at| at.is_finite()));
+        self.0
+            .extend(times.iter().copied().filter(|at| at.is_finite()));
         self.0.make_contiguous().sort_by(f64::total_cmp);
         self.0.drain(..self.0.len().saturating_sub(Self::MOST));
     }
 
     /// The latest ones, not more than so many and no earlier than that.
     pub fn latest(&self, most: usize, at: f64) -> Vec<f64> {
-        self.0.iter().rev().take(most).take_while(|t| **t >= at).copied().collect()
+        self.0
+            .iter()
+            .rev()
+            .take(most)
+            .take_while(|t| **t >= at)
+            .copied()
+            .collect()
     }
 
     /// How many came in a window of this length, on the mean of so many windows up to now, or of those since the first.
@@ -238,33 +278,47 @@
     /// Notes what a list tells of workers. One that has started since is another: nothing known of it holds.
     pub fn take_in(&mut self, kind: ListKind, entries: &[Entry]) {
         if !matches!(kind, ListKind::Delta | ListKind::Passed) {
-            self.workers.iter_mut().for_each(|w| w.entry.health = Health::Gone);
+            self.workers
+                .iter_mut()
+                .for_each(|w| w.entry.health = Health::Gone);
         }
         for entry in entries {
             let at = *self.index.entry(entry.worker).or_insert(self.workers.len());
-            self.workers.resize_with(self.workers.len().max(at + 1), Worker::default);
+            self.workers
+                .resize_with(self.workers.len().max(at + 1), Worker::default);
             let worker = &mut self.workers[at];
             if entry.started > worker.entry.started {
                 (worker.report, worker.probed) = (None, None);
                 (worker.failures, worker.ejected_until) = (0, 0.0);
             }
-            let start_then = self.banned.get(&entry.worker).copied().unwrap_or(worker.entry.started);
+            let start_then = self
+                .banned
+                .get(&entry.worker)
+                .copied()
+                .unwrap_or(worker.entry.started);
             if entry.started > start_then {
                 worker.back = 0.0; // its true start is told
             }
-            worker.entry = Entry { size: sound(entry.size).unwrap_or(0.0), ..entry.clone() };
+            worker.entry = Entry {
+                size: sound(entry.size).unwrap_or(0.0),
+                ..entry.clone()
+            };
         }
     }
 
     /// Load that a report tells, in jobs held; `None` where it tells none. The most free slots seen on a kind are taken for its slots.
     pub fn load_told(&mut self, set: &Settings, worker: usize, figures: &[f32]) -> Option<f64> {
-        let [queue, held, free] =
-            [Field::Queue, Field::InFlight, Field::FreeSlots].map(|field| set.figure(figures, field));
-        let slots = self.slots_of.entry(self.workers[worker].entry.kind).or_insert(0.0);
+        let [queue, held, free] = [Field::Queue, Field::InFlight, Field::FreeSlots]
+            .map(|field| set.figure(figures, field));
+        let slots = self
+            .slots_of
+            .entry(self.workers[worker].entry.kind)
+            .or_insert(0.0);
         *slots = slots.max(free.unwrap_or(0.0).round());
         // A queue of 0 looks alike on a full worker and an idle one; the slots in use tell them apart.
         let busy = free.map(|free| *slots - free);
-        held.or(queue.map(|queue| queue + busy.unwrap_or(0.0))).or(busy)
+        held.or(queue.map(|queue| queue + busy.unwrap_or(0.0)))
+            .or(busy)
     }
 
     /// Whether operators have taken all workers out that a class could go to.
@@ -278,7 +332,13 @@
     pub fn back_in_use(&mut self, worker: usize, back: f64, owed: Option<f64>) {
         let worker = &mut self.workers[worker];
         let (entry, own) = (worker.entry.clone(), std::mem::take(&mut worker.own));
-        *worker = Worker { entry, own, back, owed, ..Worker::default() };
+        *worker = Worker {
+            entry,
+            own,
+            back,
+            owed,
+            ..Worker::default()
+        };
     }
 
     /// How many of these workers a subject prefers to each of them, by rendezvous hashing.
@@ -300,7 +360,10 @@
 
     /// A worker back in use that is owed a job by now.
     pub fn owed_a_job(&self, now: f64) -> Option<usize> {
-        self.started.iter().copied().find(|&worker| self.workers[worker].owed.is_some_and(|at| at <= now))
+        self.started
+            .iter()
+            .copied()
+            .find(|&worker| self.workers[worker].owed.is_some_and(|at| at <= now))
     }
 
     /// Whether anything new may go to a worker: it is ready, and no operator has taken it out.
@@ -315,9 +378,18 @@
         let entry = |w: &usize| &self.workers[*w].entry;
         let mut cells = BTreeMap::<_, Vec<usize>>::new();
         for w in &ready {
-            cells.entry((entry(w).zone, entry(w).cell)).or_default().push(*w);
+            cells
+                .entry((entry(w).zone, entry(w).cell))
+                .or_default()
+                .push(*w);
         }
-        let among = |class: &Class| ready.iter().copied().filter(|w| class.admits(entry(w))).collect();
+        let among = |class: &Class| {
+            ready
+                .iter()
+                .copied()
+                .filter(|w| class.admits(entry(w)))
+                .collect()
+        };
         let ready_of = set.classes.iter().map(among).collect();
         let started = |w: &usize| self.workers[*w].started() > 0.0;
         self.started = ready.iter().copied().filter(started).collect();
@@ -327,18 +399,46 @@
 
     /// A request that goes to another process, and with it the own sends.
     pub fn release(&mut self, id: RequestId, request: Request) -> MigratedRequest {
-        self.workers.iter_mut().for_each(|w| w.own.retain(|o| o.key.0 != id));
-        let workers = request.attempts.iter().map(|a| self.workers[a.worker].entry.worker).collect();
+        self.workers
+            .iter_mut()
+            .for_each(|w| w.own.retain(|o| o.key.0 != id));
+        let workers = request
+            .attempts
+            .iter()
+            .map(|a| self.workers[a.worker].entry.worker)
+            .collect();
         let fresh = (Vec::new(), Vec::new(), 0, None, 0, 0.0);
         let (pool, sample, rounds, pass, rolled, look) = fresh;
-        MigratedRequest { request: Request { pool, sample, rounds, pass, rolled, look, ..request }, workers }
+        MigratedRequest {
+            request: Request {
+                pool,
+                sample,
+                rounds,
+                pass,
+                rolled,
+                look,
+                ..request
+            },
+            workers,
+        }
     }
 
     /// A request that comes from another process, and with it its sends; `None` if it can't be one.
-    pub fn carry_on(&mut self, id: RequestId, carried: &MigratedRequest, classes: usize) -> Option<Request> {
+    pub fn carry_on(
+        &mut self,
+        id: RequestId,
+        carried: &MigratedRequest,
+        classes: usize,
+    ) -> Option<Request> {
         let mut request = carried.request.clone();
-        let figures =
-            [request.need, request.memory, request.work, request.least, request.first, request.deadline];
+        let figures = [
+            request.need,
+            request.memory,
+            request.work,
+            request.least,
+            request.first,
+            request.deadline,
+        ];
         let sound = figures.iter().all(|x| x.is_finite() && *x >= 0.0);
         if !sound || request.class >= classes || request.attempts.len() != carried.workers.len() {
             return None;
@@ -347,8 +447,15 @@
             let new = self.workers.len();
             a.worker = *self.index.entry(*id_of).or_insert(new);
             if a.worker == new {
-                let entry = Entry { worker: *id_of, health: Health::Gone, ..Entry::default() };
-                self.workers.push(Worker { entry, ..Worker::default() });
+                let entry = Entry {
+                    worker: *id_of,
+                    health: Health::Gone,
+                    ..Entry::default()
+                };
+                self.workers.push(Worker {
+                    entry,
+                    ..Worker::default()
+                });
             }
             if a.state == State::Out {
                 let (need, work) = (request.need, request.work);
@@ -371,16 +478,35 @@
                 self.taken.merge(taken);
                 self.further.merge(further);
             }
-            SiblingEvent::Sent { request, attempt, worker, need, work, sent } => {
+            SiblingEvent::Sent {
+                request,
+                attempt,
+                worker,
+                need,
+                work,
+                sent,
+            } => {
                 let (key, work) = ((*request, *attempt), work.unwrap_or(self.usual));
                 if let Some(&w) = self.index.get(worker) {
-                    self.workers[w].own.push(Own { key, need: *need, work, sent: *sent, until: None });
+                    self.workers[w].own.push(Own {
+                        key,
+                        need: *need,
+                        work,
+                        sent: *sent,
+                        until: None,
+                    });
                     self.workers[w].note_sent(*sent, work, MOST_WINDOW);
                 }
             }
-            SiblingEvent::Ended { request, attempt, worker } => {
+            SiblingEvent::Ended {
+                request,
+                attempt,
+                worker,
+            } => {
                 if let Some(&w) = self.index.get(worker) {
-                    self.workers[w].own.retain(|o| o.key != (*request, *attempt));
+                    self.workers[w]
+                        .own
+                        .retain(|o| o.key != (*request, *attempt));
                 }
             }
         }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -32,7 +32,10 @@
 
 impl Default for Log {
     fn default() -> Self {
-        Self { format: Format::default(), levels: "info".into() }
+        Self {
+            format: Format::default(),
+            levels: "info".into(),
+        }
     }
 }
 
@@ -48,7 +51,9 @@
 }
 
 fn filter(levels: &str) -> Result<EnvFilter, String> {
-    EnvFilter::builder().parse(levels).map_err(|error| format!("'{levels}' names no levels: {error}"))
+    EnvFilter::builder()
+        .parse(levels)
+        .map_err(|error| format!("'{levels}' names no levels: {error}"))
 }
 
 /// Has all that this program logs go to standard error, until the guard is dropped: then what is queued is
@@ -82,8 +87,14 @@
     /// Guards against a start with levels that say nothing, and against a message without the word at fault.
     #[test]
     fn levels_are_checked() {
-        let log = |levels: &str| Log { levels: levels.into(), ..Log::default() };
-        assert_eq!(log("warn,postproxy::net::upstream::worker_list=debug").check(), Ok(()));
+        let log = |levels: &str| Log {
+            levels: levels.into(),
+            ..Log::default()
+        };
+        assert_eq!(
+            log("warn,postproxy::net::upstream::worker_list=debug").check(),
+            Ok(())
+        );
         let error = log("info,postproxy=lound").check().expect_err("no level");
         assert!(error.contains("lound"), "{error}");
     }
--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -108,7 +108,12 @@
 
 impl CoordinationService {
     /// From what was kept, in this life of the process.
-    pub fn new(settings: Settings, now: f64, life: u64, kept: Vec<(Vec<u8>, Vec<u8>)>) -> (Self, Vec<Do>) {
+    pub fn new(
+        settings: Settings,
+        now: f64,
+        life: u64,
+        kept: Vec<(Vec<u8>, Vec<u8>)>,
+    ) -> (Self, Vec<Do>) {
         let mut out = Vec::new();
         let council = Coordinator::new(settings, ms(now), life, kept, &mut out);
         let mut affairs = Self {
@@ -168,8 +173,12 @@
         let (now_ms, mut out) = (ms(now), Vec::new());
         match ask {
             AdminRequest::Release(duty) => {
-                let token =
-                    self.council.state().duty(&duty).and_then(|duty| duty.owner.as_ref()).map(|(_, t)| *t);
+                let token = self
+                    .council
+                    .state()
+                    .duty(&duty)
+                    .and_then(|duty| duty.owner.as_ref())
+                    .map(|(_, t)| *t);
                 self.council.call(
                     now_ms,
                     self.ticket,
@@ -178,9 +187,17 @@
                 );
             }
             AdminRequest::Hand(duty, to) => {
-                self.council.call(now_ms, self.ticket, Operation::Hand(duty, None, to), &mut out);
+                self.council.call(
+                    now_ms,
+                    self.ticket,
+                    Operation::Hand(duty, None, to),
+                    &mut out,
+                );
+            }
+            AdminRequest::Voter(name, add) => {
+                self.council
+                    .seating(now_ms, self.ticket, add, &name, &mut out)
             }
-            AdminRequest::Voter(name, add) => self.council.seating(now_ms, self.ticket, add, &name, &mut out),
         }
         self.carry(now, out)
     }
@@ -192,7 +209,10 @@
 
     /// Who votes, and who leads, as far as this node knows.
     pub fn voters(&self) -> (Vec<String>, Option<String>) {
-        (self.council.seats().values().cloned().collect(), self.council.leader().cloned())
+        (
+            self.council.seats().values().cloned().collect(),
+            self.council.leader().cloned(),
+        )
     }
 
     fn tell(&mut self, ticket: u64, came: Result<String, Error>) -> Option<Do> {
@@ -238,7 +258,9 @@
     match event {
         Event::Gained(duty, token, _) => tracing::info!(duty, token, "this node owns a duty"),
         Event::Lost(duty, token) => tracing::info!(duty, token, "this node owns a duty no more"),
-        Event::Owner(duty, Some((owner, token))) => tracing::info!(duty, owner, token, "a duty has an owner"),
+        Event::Owner(duty, Some((owner, token))) => {
+            tracing::info!(duty, owner, token, "a duty has an owner")
+        }
         Event::Owner(duty, None) => tracing::warn!(duty, "a duty has no owner"),
         Event::Leader(Some(leader)) => tracing::info!(leader, "the voters have a leader"),
         Event::Leader(None) => tracing::warn!("the voters have no leader that this node knows of"),
@@ -256,7 +278,10 @@
     /// Guards against a later write that is durable where an earlier one was refused.
     #[test]
     fn what_the_disk_refused_goes_again_before_anything_later() {
-        let change = |n: u8| StorageChange { key: vec![n], value: None };
+        let change = |n: u8| StorageChange {
+            key: vec![n],
+            value: None,
+        };
         let mut scribe = WriteQueue::default();
         scribe.push(1, vec![change(1)]);
         assert_eq!(scribe.next(0.0), Some(vec![change(1)]));
--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -68,7 +68,14 @@
         let key = reactor.register(&listener, Owner::Peers)?;
         reactor.rearm(&listener, key, (true, false));
         let from = Some(at.ip()).filter(|ip| !ip.is_unspecified());
-        Ok(Self { listener, key, from, streams, sockets: HashMap::new(), read: (0.0, 0) })
+        Ok(Self {
+            listener,
+            key,
+            from,
+            streams,
+            sockets: HashMap::new(),
+            read: (0.0, 0),
+        })
     }
 
     /// Connections dropped, by why.
@@ -128,7 +135,9 @@
         if self.read.0 != reactor.now {
             self.read = (reactor.now, 0);
         }
-        let Some(connection) = self.sockets.get_mut(&key) else { return Vec::new() };
+        let Some(connection) = self.sockets.get_mut(&key) else {
+            return Vec::new();
+        };
         // Beyond a turn's share it is read in the next.
         let readable = readable && self.read.1 < MOST_READ;
         let mut events = Events::default();
@@ -150,18 +159,25 @@
     /// Ends them all.
     pub fn end(self, reactor: &Reactor) {
         reactor.forget(&self.listener);
-        self.sockets.values().for_each(|connection| reactor.forget(connection.stream()));
+        self.sockets
+            .values()
+            .for_each(|connection| reactor.forget(connection.stream()));
     }
 
     fn accept(&mut self, reactor: &mut Reactor) -> Vec<PeerMessage> {
         let mut heard = Vec::new();
         for _ in 0..ACCEPTS {
             // An error is that of one caller, who is gone, or of a descriptor, which the next turn may have.
-            let Ok((stream, _)) = self.listener.accept() else { break };
+            let Ok((stream, _)) = self.listener.accept() else {
+                break;
+            };
             let _ = stream.set_nodelay(true);
-            let key = stream.set_nonblocking(true).and_then(|()| reactor.register(&stream, Owner::Peers));
+            let key = stream
+                .set_nonblocking(true)
+                .and_then(|()| reactor.register(&stream, Owner::Peers));
             let Ok(key) = key else { continue };
-            self.sockets.insert(key, Connection::new(stream, false, MOST_UNREAD));
+            self.sockets
+                .insert(key, Connection::new(stream, false, MOST_UNREAD));
             let mut out = Vec::new();
             self.streams.accepted(reactor.now, key, &mut out);
             heard.extend(self.carry(reactor, out));
@@ -173,7 +189,9 @@
 
     /// Lets a connection go that is over, or sees to it that it is heard again.
     fn look(&mut self, reactor: &mut Reactor, key: usize, ended: bool) {
-        let Some(connection) = self.sockets.get(&key) else { return };
+        let Some(connection) = self.sockets.get(&key) else {
+            return;
+        };
         if ended || connection.state() == State::Ended || connection.heard_all() {
             reactor.forget(connection.stream());
             self.sockets.remove(&key);
@@ -202,7 +220,9 @@
                 match one {
                     Effect::Dial(to, at) => self.dial(reactor, &to, at, &mut out),
                     Effect::Write(key, bytes) => {
-                        let Some(connection) = self.sockets.get_mut(&key) else { continue };
+                        let Some(connection) = self.sockets.get_mut(&key) else {
+                            continue;
+                        };
                         let mut events = Events::default();
                         connection.send(&bytes, &mut events);
                         let unread = connection.owed() > MOST_OWED + bytes.len();
@@ -214,7 +234,9 @@
                             reactor.forget(connection.stream());
                         }
                     }
-                    Effect::Arrived(from, life, word) => heard.push(PeerMessage::Word(from, life, word)),
+                    Effect::Arrived(from, life, word) => {
+                        heard.push(PeerMessage::Word(from, life, word))
+                    }
                     Effect::Anew(name, _) => heard.push(PeerMessage::Anew(name)),
                 }
             }
@@ -233,8 +255,8 @@
     fn node(name: &str, life: u64) -> (Reactor, PeerConnections) {
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
         let at = "127.0.0.1:0".parse().expect("an address");
-        let wires =
-            PeerConnections::start(&mut reactor, at, Streams::new(7, name, life)).expect("it listens");
+        let wires = PeerConnections::start(&mut reactor, at, Streams::new(7, name, life))
+            .expect("it listens");
         (reactor, wires)
     }
 
@@ -262,8 +284,9 @@
     #[test]
     fn words_go_over_real_sockets() {
         let ((mut ra, mut a), (mut rb, mut b)) = (node("a", 1), node("b", 2));
-        let words: Vec<Vec<u8>> =
-            (0..200u32).map(|n| vec![n as u8; if n % 50 == 7 { 900_000 } else { 30 }]).collect();
+        let words: Vec<Vec<u8>> = (0..200u32)
+            .map(|n| vec![n as u8; if n % 50 == 7 { 900_000 } else { 30 }])
+            .collect();
         let (mut said, mut got) = (0, Vec::new());
         for _ in 0..20_000 {
             while said < words.len() && a.say(&mut ra, "b", at(&b), words[said].clone()).is_ok() {
@@ -283,10 +306,15 @@
         // The other node is gone, and another life of it comes at another address.
         let (mut rc, mut c) = node("b", 3);
         b.end(&rb);
-        assert!(a.say(&mut ra, "b", at(&c), b"for the earlier life".to_vec()).is_ok());
+        assert!(
+            a.say(&mut ra, "b", at(&c), b"for the earlier life".to_vec())
+                .is_ok()
+        );
         let (mut anew, mut heard) = (false, Vec::new());
         for _ in 0..2000 {
-            let told = turn(&mut ra, &mut a).0.contains(&PeerMessage::Anew("b".into()));
+            let told = turn(&mut ra, &mut a)
+                .0
+                .contains(&PeerMessage::Anew("b".into()));
             if told && !std::mem::replace(&mut anew, true) {
                 assert!(a.say(&mut ra, "b", at(&c), b"anew".to_vec()).is_ok());
             }
@@ -309,18 +337,30 @@
         };
         let hello = |n: usize| {
             let (from, to) = (format!("x{n}"), "b".to_owned());
-            [&GREETING[..], &frame(&Packet::Hello { cluster: 7, from, life: 9, session: 1, to })].concat()
+            [
+                &GREETING[..],
+                &frame(&Packet::Hello {
+                    cluster: 7,
+                    from,
+                    life: 9,
+                    session: 1,
+                    to,
+                }),
+            ]
+            .concat()
         };
         let mut stalled: Vec<TcpStream> = (0..20).map(|_| connect()).collect();
         for (n, stream) in stalled.iter_mut().enumerate() {
             stream.write_all(&hello(n)[..n]).expect("it is written");
         }
         let mut liar = connect();
-        liar.write_all(&[&hello(50)[..], &[0xff; 8]].concat()).expect("it is written");
+        liar.write_all(&[&hello(50)[..], &[0xff; 8]].concat())
+            .expect("it is written");
         // These say words without end, and read no acknowledgement.
         let mut floods: Vec<(TcpStream, Vec<u8>, usize)> = (100..130)
             .map(|n| {
-                let words = (1..20_000u64).flat_map(|number| frame(&Packet::Word(number, vec![0; 40])));
+                let words =
+                    (1..20_000u64).flat_map(|number| frame(&Packet::Word(number, vec![0; 40])));
                 (connect(), hello(n).into_iter().chain(words).collect(), 0)
             })
             .collect();
@@ -346,12 +386,21 @@
         assert_eq!(heard, 100, "all of the sound node's words arrive");
         let flaws = b.flaws();
         assert_eq!(flaws.get(&DecodeError::Long), Some(&1));
-        assert!(flaws.get(&DecodeError::Stalled).is_some_and(|n| *n >= 19), "{flaws:?}");
+        assert!(
+            flaws.get(&DecodeError::Stalled).is_some_and(|n| *n >= 19),
+            "{flaws:?}"
+        );
         liar.set_nonblocking(false).expect("a setting");
         let mut rest = Vec::new();
         let ended = liar.read_to_end(&mut rest);
-        assert!(ended.is_err() || rest.len() < 64, "its welcome, and the end");
+        assert!(
+            ended.is_err() || rest.len() < 64,
+            "its welcome, and the end"
+        );
         // 256 KiB and what one read may add; far above what it takes, far below a job's patience.
-        assert!(longest < Duration::from_millis(250), "a turn of {longest:?}");
+        assert!(
+            longest < Duration::from_millis(250),
+            "a turn of {longest:?}"
+        );
     }
 }
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -8,7 +8,9 @@
 use crate::net::transport::reactor::{Due, Owner, Reactor};
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection};
 use postproxy_coordination::StorageChange;
-use postproxy_membership::{MemberState, Membership, MembershipEvent, Output, Rejection, Suspension};
+use postproxy_membership::{
+    MemberState, Membership, MembershipEvent, Output, Rejection, Suspension,
+};
 use postproxy_streams::Streams;
 use postproxy_version_tracking::{Kind, Source, VersionRecord};
 use serde::{Deserialize, Serialize};
@@ -115,7 +117,12 @@
 
 impl Place {
     /// Takes in what has come over streams.
-    fn heed(&mut self, now: f64, heard: Vec<PeerMessage>, out: &mut Vec<Output>) -> Vec<coordination::Do> {
+    fn heed(
+        &mut self,
+        now: f64,
+        heard: Vec<PeerMessage>,
+        out: &mut Vec<Output>,
+    ) -> Vec<coordination::Do> {
         let mut todo = Vec::new();
         for heard in heard {
             match heard {
@@ -151,14 +158,26 @@
 
     /// Where a node is, as far as this one knows.
     fn address(&self, name: &str) -> Option<SocketAddr> {
-        self.members.others().find(|(id, _)| &*id.name == name).map(|(id, _)| id.address)
+        self.members
+            .others()
+            .find(|(id, _)| &*id.name == name)
+            .map(|(id, _)| id.address)
     }
 
     /// Datagrams and streams dropped, by why.
     fn dropped(&self) -> std::collections::BTreeMap<String, u64> {
-        let datagrams = self.members.dropped().iter().map(|(flaw, n)| (flaw.word().to_owned(), *n));
+        let datagrams = self
+            .members
+            .dropped()
+            .iter()
+            .map(|(flaw, n)| (flaw.word().to_owned(), *n));
         datagrams
-            .chain(self.peer_connections.flaws().iter().map(|(flaw, n)| (flaw.word().to_owned(), *n)))
+            .chain(
+                self.peer_connections
+                    .flaws()
+                    .iter()
+                    .map(|(flaw, n)| (flaw.word().to_owned(), *n)),
+            )
             .collect()
     }
 }
@@ -204,7 +223,9 @@
         shared: bool,
     ) -> Result<(Self, Vec<Event>), String> {
         if name.is_empty() || name.len() > postproxy_membership::MAX_NAME_BYTES {
-            return Err(format!("fleet: the node's name '{name}' must have 1 to 64 bytes"));
+            return Err(format!(
+                "fleet: the node's name '{name}' must have 1 to 64 bytes"
+            ));
         }
         let restored = postcard::from_bytes(&kept.bans).unwrap_or_default();
         let (place, callers) = (None, HashMap::new());
@@ -245,36 +266,67 @@
         reactor.rearm(&socket, key, (true, false));
         let told = self.section.told(socket.local_addr()?);
         let started = (reactor.now * 1000.0) as u64;
-        let mut members =
-            Membership::new(self.section.settings(), &self.name, told, started, seed, reactor.now);
+        let mut members = Membership::new(
+            self.section.settings(),
+            &self.name,
+            told,
+            started,
+            seed,
+            reactor.now,
+        );
         members.restore(self.restored.drain(..));
         self.kept = members.digest();
         tracing::info!(name = self.name, address = %told, cluster = self.section.cluster, "among the nodes");
         let settled = reactor.now + SETTLED;
-        let council = self.duties.as_ref().map(|section| postproxy_coordination::Settings {
-            name: self.name.clone(),
-            cluster: self.section.cluster.clone(),
-            founders: self.section.voters.iter().cloned().collect(),
-            times: postproxy_coordination::LeaseTiming { lease: section.lease_ms, ..Default::default() },
-            duties: ["bans".to_owned()].into(),
-        });
+        let council = self
+            .duties
+            .as_ref()
+            .map(|section| postproxy_coordination::Settings {
+                name: self.name.clone(),
+                cluster: self.section.cluster.clone(),
+                founders: self.section.voters.iter().cloned().collect(),
+                times: postproxy_coordination::LeaseTiming {
+                    lease: section.lease_ms,
+                    ..Default::default()
+                },
+                duties: ["bans".to_owned()].into(),
+            });
         let kept = std::mem::take(&mut self.council);
-        let (coordination, todo) =
-            council.map(|set| CoordinationService::new(set, reactor.now, seed, kept)).unzip();
+        let (coordination, todo) = council
+            .map(|set| CoordinationService::new(set, reactor.now, seed, kept))
+            .unzip();
         let audit = self.audit.as_ref().map(|section| {
-            let set = postproxy_version_tracking::Settings { beat_ms: section.beat_ms };
+            let set = postproxy_version_tracking::Settings {
+                beat_ms: section.beat_ms,
+            };
             Audit::new(set, &self.name, reactor.now, seed)
         });
         let passed = Vec::new();
-        self.place =
-            Some(Place { socket, key, members, peer_connections, passed, coordination, audit, settled });
+        self.place = Some(Place {
+            socket,
+            key,
+            members,
+            peer_connections,
+            passed,
+            coordination,
+            audit,
+            settled,
+        });
         Ok(todo.unwrap_or_default())
     }
 
     /// A socket for datagrams and a listener for streams, at one address.
-    fn sockets(&self, reactor: &mut Reactor, life: u64) -> std::io::Result<(UdpSocket, PeerConnections)> {
+    fn sockets(
+        &self,
+        reactor: &mut Reactor,
+        life: u64,
+    ) -> std::io::Result<(UdpSocket, PeerConnections)> {
         let cluster = postproxy_membership::packet::cluster(&self.section.cluster);
-        let mut choices = if self.section.listen.port() == 0 { CHOICES } else { 1 };
+        let mut choices = if self.section.listen.port() == 0 {
+            CHOICES
+        } else {
+            1
+        };
         loop {
             let socket = UdpSocket::bind(self.section.listen)?;
             socket.set_nonblocking(true)?;
@@ -305,7 +357,11 @@
             .fold(f64::INFINITY, f64::min),
             None => reactor.now + PLACE,
         };
-        let at = self.callers.values().map(|(_, until)| *until).fold(at, f64::min);
+        let at = self
+            .callers
+            .values()
+            .map(|(_, until)| *until)
+            .fold(at, f64::min);
         if at < self.look.1 {
             self.look = (self.look.0 + 1, at);
             reactor.timer(at, Due::Peers(self.look.0));
@@ -331,7 +387,11 @@
         let (mut out, mut settled, mut told) = (Vec::new(), false, Vec::new());
         if let Some(place) = &mut self.place {
             place.members.due(reactor.now, &mut out);
-            for (ticket, _) in self.callers.iter().filter(|(_, (_, until))| *until <= reactor.now) {
+            for (ticket, _) in self
+                .callers
+                .iter()
+                .filter(|(_, (_, until))| *until <= reactor.now)
+            {
                 place.members.press(reactor.now, *ticket, &mut out);
             }
             let heard = place.peer_connections.due(reactor);
@@ -345,7 +405,11 @@
             if place.settled <= reactor.now {
                 // As long as it is none of the nodes, it does not know what they have said.
                 settled = place.members.is_in();
-                place.settled = if settled { f64::INFINITY } else { reactor.now + SETTLED };
+                place.settled = if settled {
+                    f64::INFINITY
+                } else {
+                    reactor.now + SETTLED
+                };
             }
         }
         let mut events = self.do_all(reactor, todo);
@@ -393,7 +457,10 @@
 
     /// The generation of lists that this node's configuration names.
     pub fn generation(&self, discovery: SocketAddr) -> u64 {
-        let name = self.audit.as_ref().and_then(|section| section.discovery.clone());
+        let name = self
+            .audit
+            .as_ref()
+            .and_then(|section| section.discovery.clone());
         versions::generation(&name.unwrap_or_else(|| discovery.to_string()))
     }
 
@@ -403,7 +470,9 @@
         let word = postcard::to_extend(&generation, versions::PREFIX.to_vec()).unwrap_or_default();
         if let Some(at) = place.address(to) {
             // One that is too much or gets lost is asked for again.
-            let _ = place.peer_connections.say(reactor, to, at, [&word[..], body].concat());
+            let _ = place
+                .peer_connections
+                .say(reactor, to, at, [&word[..], body].concat());
         }
     }
 
@@ -423,9 +492,13 @@
         for one in todo {
             match one {
                 coordination::Do::Send(to, bytes) => {
-                    let Some(place) = &mut self.place else { continue };
+                    let Some(place) = &mut self.place else {
+                        continue;
+                    };
                     // One that is not there hears nothing, and is told anew what counts when it is.
-                    let Some(at) = place.address(&to) else { continue };
+                    let Some(at) = place.address(&to) else {
+                        continue;
+                    };
                     if place.peer_connections.say(reactor, &to, at, bytes).is_err() {
                         tracing::debug!(to, "too much waits for a node: not told");
                         if let Some(coordination) = &mut place.coordination {
@@ -444,16 +517,25 @@
 
     /// What became of a write that was given with [`Event::Write`].
     pub fn written(&mut self, reactor: &mut Reactor, well: bool) -> Vec<Event> {
-        let coordination = self.place.as_mut().and_then(|place| place.coordination.as_mut());
-        let todo =
-            coordination.map(|coordination| coordination.written(reactor.now, well)).unwrap_or_default();
+        let coordination = self
+            .place
+            .as_mut()
+            .and_then(|place| place.coordination.as_mut());
+        let todo = coordination
+            .map(|coordination| coordination.written(reactor.now, well))
+            .unwrap_or_default();
         let events = self.do_all(reactor, todo);
         self.plan(reactor);
         events
     }
 
     /// A caller at the door asks for something that the nodes decide together; `None` where they decide nothing.
-    pub fn ask(&mut self, reactor: &mut Reactor, caller: usize, ask: AdminRequest) -> Option<Vec<Event>> {
+    pub fn ask(
+        &mut self,
+        reactor: &mut Reactor,
+        caller: usize,
+        ask: AdminRequest,
+    ) -> Option<Vec<Event>> {
         if let AdminRequest::Voter(name, true) = &ask
             && self
                 .place
@@ -465,7 +547,12 @@
             let (status, words) = coordination::refusal(&postproxy_coordination::Error::Nobody);
             return Some(vec![Event::Tell(caller, status, words)]);
         }
-        let todo = self.place.as_mut()?.coordination.as_mut()?.ask(reactor.now, caller, ask);
+        let todo = self
+            .place
+            .as_mut()?
+            .coordination
+            .as_mut()?
+            .ask(reactor.now, caller, ask);
         let events = self.do_all(reactor, todo);
         self.plan(reactor);
         Some(events)
@@ -478,10 +565,20 @@
     }
 
     /// Datagrams have come, or a stream can go on.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) -> Vec<Event> {
-        let Some(place) = self.place.as_mut() else { return Vec::new() };
+    pub fn ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) -> Vec<Event> {
+        let Some(place) = self.place.as_mut() else {
+            return Vec::new();
+        };
         if place.key != key {
-            let heard = place.peer_connections.ready(reactor, key, readable, writable);
+            let heard = place
+                .peer_connections
+                .ready(reactor, key, readable, writable);
             let mut out = Vec::new();
             let todo = place.heed(reactor.now, heard, &mut out);
             let mut events = self.do_all(reactor, todo);
@@ -510,7 +607,9 @@
         worker: &str,
         again: bool,
     ) -> (bool, Vec<Event>) {
-        let Some(place) = &mut self.place else { return (false, Vec::new()) };
+        let Some(place) = &mut self.place else {
+            return (false, Vec::new());
+        };
         let mut out = Vec::new();
         let Some(ticket) = place.members.employ(reactor.now, worker, again, &mut out) else {
             tracing::error!(worker, "too many workers are out of use: told to nobody");
@@ -527,7 +626,11 @@
     /// # Errors
     ///
     /// If that can't be; `None` if this process has no place among the nodes.
-    pub fn forget(&mut self, reactor: &mut Reactor, name: &str) -> Result<Vec<Event>, Option<Rejection>> {
+    pub fn forget(
+        &mut self,
+        reactor: &mut Reactor,
+        name: &str,
+    ) -> Result<Vec<Event>, Option<Rejection>> {
         let (place, mut out) = (self.place.as_mut().ok_or(None)?, Vec::new());
         place.members.forget(reactor.now, name, &mut out)?;
         tracing::info!(name, "forgotten on an operator's word");
@@ -539,7 +642,11 @@
     pub fn adopt(&mut self, reactor: &mut Reactor, workers: Vec<String>) -> Vec<Event> {
         let mut out = Vec::new();
         if let Some(place) = &mut self.place {
-            for worker in workers.iter().filter(|worker| !place.members.knows(worker)).collect::<Vec<_>>() {
+            for worker in workers
+                .iter()
+                .filter(|worker| !place.members.knows(worker))
+                .collect::<Vec<_>>()
+            {
                 tracing::info!(worker, "out of use here before: told to the nodes");
                 let _ = place.members.employ(reactor.now, worker, false, &mut out);
             }
@@ -607,7 +714,9 @@
             namesake: members.namesake(),
             standing: members.standing().word().to_owned(),
             reasons: members.standing().reasons(),
-            members: std::iter::once(shown((members.me(), "here"))).chain(others).collect(),
+            members: std::iter::once(shown((members.me(), "here")))
+                .chain(others)
+                .collect(),
             unheard: members.deaf().cloned().collect(),
             ill,
             missed_s,
@@ -618,7 +727,8 @@
 
     /// Sends what is to be sent, logs what is new, and gives what the node is to know.
     fn carry(&mut self, reactor: &mut Reactor, out: Vec<Output>) -> Vec<Event> {
-        let (mut events, mut changed, mut out) = (Vec::new(), false, std::collections::VecDeque::from(out));
+        let (mut events, mut changed, mut out) =
+            (Vec::new(), false, std::collections::VecDeque::from(out));
         while let Some(one) = out.pop_front() {
             match one {
                 Output::Send(to, bytes) => {
@@ -628,8 +738,14 @@
                     }
                 }
                 Output::Tell(to, bytes) => {
-                    let Some(place) = &mut self.place else { continue };
-                    if place.peer_connections.say(reactor, &to.name, to.address, bytes).is_err() {
+                    let Some(place) = &mut self.place else {
+                        continue;
+                    };
+                    if place
+                        .peer_connections
+                        .say(reactor, &to.name, to.address, bytes)
+                        .is_err()
+                    {
                         tracing::warn!(name = &*to.name, "too much waits for a node: not told");
                     }
                 }
@@ -658,8 +774,10 @@
                     | MembershipEvent::Left(id)
                     | MembershipEvent::Up(id)
                     | MembershipEvent::Moved(id) = &news
-                        && let Some(coordination) =
-                            self.place.as_mut().and_then(|place| place.coordination.as_mut())
+                        && let Some(coordination) = self
+                            .place
+                            .as_mut()
+                            .and_then(|place| place.coordination.as_mut())
                     {
                         coordination.reconnected(&id.name);
                     }
@@ -673,7 +791,8 @@
             let count = place.members.count();
             let told = (if count > 1 { count } else { 0 }, place.members.place());
             let there = |(id, life): (&postproxy_membership::Identity, MemberState)| {
-                matches!(life, MemberState::Alive | MemberState::Suspect).then(|| id.name.to_string())
+                matches!(life, MemberState::Alive | MemberState::Suspect)
+                    .then(|| id.name.to_string())
             };
             let peers = place.members.others().filter_map(there).collect();
             if let Some(audit) = self.place.as_mut().and_then(|place| place.audit.as_mut()) {
@@ -684,7 +803,12 @@
             }
         }
         if let Some(place) = &mut self.place {
-            events.extend(place.passed.drain(..).map(|(from, of, body)| Event::Passed(from, of, body)));
+            events.extend(
+                place
+                    .passed
+                    .drain(..)
+                    .map(|(from, of, body)| Event::Passed(from, of, body)),
+            );
         }
         self.log_drops(reactor.now);
         self.plan(reactor);
@@ -699,8 +823,14 @@
         let dropped = place.dropped();
         let all: u64 = dropped.values().sum();
         if all > self.logged.0 {
-            let by: Vec<String> = dropped.iter().map(|(why, n)| format!("{why} {n}")).collect();
-            tracing::warn!(since_start = by.join(", "), "datagrams or streams were dropped");
+            let by: Vec<String> = dropped
+                .iter()
+                .map(|(why, n)| format!("{why} {n}"))
+                .collect();
+            tracing::warn!(
+                since_start = by.join(", "),
+                "datagrams or streams were dropped"
+            );
             self.logged = (all, now + DROPS);
         }
     }
@@ -719,7 +849,10 @@
         }
         MembershipEvent::Left(id) => tracing::info!(name = &*id.name, "a node has left"),
         MembershipEvent::Returned(incarnation) => {
-            tracing::warn!(incarnation, "others had called this node failed: it is back");
+            tracing::warn!(
+                incarnation,
+                "others had called this node failed: it is back"
+            );
         }
         MembershipEvent::Namesake(at) => {
             tracing::error!(%at, "another process has this node's name: this one is no member, and serves alone");
--- a/src/net/cluster/versions.rs
+++ b/src/net/cluster/versions.rs
@@ -71,13 +71,25 @@
     /// One that holds the program's version alone.
     pub fn new(set: Settings, name: &str, now: f64, seed: u64) -> Self {
         let mut desk = VersionTracker::new(set, ms(now), seed);
-        let (package, protocol) = (env!("CARGO_PKG_VERSION"), postproxy_membership::packet::VERSION);
-        let number =
-            package.split('.').filter_map(|part| part.parse::<u64>().ok()).fold(0, |all, n| all * 1000 + n);
+        let (package, protocol) = (
+            env!("CARGO_PKG_VERSION"),
+            postproxy_membership::packet::VERSION,
+        );
+        let number = package
+            .split('.')
+            .filter_map(|part| part.parse::<u64>().ok())
+            .fold(0, |all, n| all * 1000 + n);
         let digest = postproxy_version_tracking::digest([package.as_bytes(), &[protocol]]);
-        let stand = VersionRecord { generation: 0, number, digest };
+        let stand = VersionRecord {
+            generation: 0,
+            number,
+            digest,
+        };
         desk.adopt(ms(now), Kind::Program, stand, Source::Own, &mut Vec::new());
-        Self { desk, name: name.to_owned() }
+        Self {
+            desk,
+            name: name.to_owned(),
+        }
     }
 
     /// When it is to be called next.
@@ -125,7 +137,10 @@
     pub fn versions(&self, now: f64) -> String {
         let (known, behind) = self.desk.known();
         let mut newest: BTreeMap<(Kind, u64), u64> = BTreeMap::new();
-        let all = known.values().map(|known| &known.heads).chain([self.desk.heads()]);
+        let all = known
+            .values()
+            .map(|known| &known.heads)
+            .chain([self.desk.heads()]);
         for (kind, stand) in all.flatten() {
             let at = newest.entry((*kind, stand.generation)).or_default();
             *at = stand.number.max(*at);
@@ -136,16 +151,32 @@
                 generation: format!("{:016x}", stand.generation),
                 number: stand.number,
                 digest: format!("{:016x}", stand.digest),
-                behind_by: newest.get(&(*kind, stand.generation)).map_or(0, |newest| newest - stand.number),
+                behind_by: newest
+                    .get(&(*kind, stand.generation))
+                    .map_or(0, |newest| newest - stand.number),
             };
             let versions: Vec<Shown> = heads.iter().map(shown).collect();
-            let state = if versions.iter().any(|v| v.behind_by > 0) { "behind" } else { "current" };
-            Node { node: name, state, heard_ms, behind_ms, versions }
+            let state = if versions.iter().any(|v| v.behind_by > 0) {
+                "behind"
+            } else {
+                "current"
+            };
+            Node {
+                node: name,
+                state,
+                heard_ms,
+                behind_ms,
+                versions,
+            }
         };
-        let since = behind.map(|(_, since, _)| ms(now).saturating_sub(since)).max().unwrap_or(0);
+        let since = behind
+            .map(|(_, since, _)| ms(now).saturating_sub(since))
+            .max()
+            .unwrap_or(0);
         let own = node(self.name.as_str(), 0, since, self.desk.heads());
-        let others =
-            known.iter().map(|(name, known)| node(name, ms(now).saturating_sub(known.at), 0, &known.heads));
+        let others = known
+            .iter()
+            .map(|(name, known)| node(name, ms(now).saturating_sub(known.at), 0, &known.heads));
         let nodes: Vec<Node> = std::iter::once(own).chain(others).collect();
         serde_json::to_string(&nodes).unwrap_or_default() + "\n"
     }
@@ -155,13 +186,21 @@
         let trail = self.desk.trail();
         let (records, open) = trail.records();
         let (view, head) = (trail.view(), hex(&trail.head()));
-        let told = Told { node: &self.name, view, head, acts: open + acts, records: records.collect() };
+        let told = Told {
+            node: &self.name,
+            view,
+            head,
+            acts: open + acts,
+            records: records.collect(),
+        };
         serde_json::to_string(&told).unwrap_or_default() + "\n"
     }
 
     fn carry(&self, out: Vec<Output>) -> Vec<Do> {
         let carry = |one| match one {
-            Output::Say(to, word) => Some(Do::Say(to, postcard::to_stdvec(&word).unwrap_or_default())),
+            Output::Say(to, word) => {
+                Some(Do::Say(to, postcard::to_stdvec(&word).unwrap_or_default()))
+            }
             Output::Give(to, kind) => Some(Do::Give(to, kind)),
             Output::Event(event) => {
                 log(&event);
@@ -183,7 +222,12 @@
             );
         }
         Event::BroughtUp(kind, source, stand) => {
-            tracing::info!(kind = kind.word(), ?source, number = stand.number, "this node is brought up");
+            tracing::info!(
+                kind = kind.word(),
+                ?source,
+                number = stand.number,
+                "this node is brought up"
+            );
         }
         Event::Fork(kind, from, own, other) => tracing::error!(
             kind = kind.word(),
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -71,7 +71,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 1024, memory_mb: 192 }
+        Self {
+            sockets: 1024,
+            memory_mb: 192,
+        }
     }
 }
 
@@ -115,7 +118,9 @@
         if let Some(number) = &self.inherited {
             let taken = postproxy_inherited_listener::listener(number, self.listen);
             self.listener =
-                Some(taken.map_err(|e| format!("RELAY_SOCKET_FD: '{number}' {e}, not at {}", self.listen))?);
+                Some(taken.map_err(|e| {
+                    format!("RELAY_SOCKET_FD: '{number}' {e}, not at {}", self.listen)
+                })?);
         }
         Ok(())
     }
@@ -125,19 +130,26 @@
     /// # Errors
     ///
     /// Says in plain words what is missing or wrong.
-    pub fn from_json(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
+    pub fn from_json(
+        text: &str,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, String> {
         let raw: Raw = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let address = |name: &str, text: String| {
             let text = variable(name).unwrap_or(text);
-            text.parse().map_err(|_| format!("{name}: '{text}' is no address of the form 10.0.0.4:8080"))
+            text.parse()
+                .map_err(|_| format!("{name}: '{text}' is no address of the form 10.0.0.4:8080"))
         };
         let seed = u64::from_str_radix(&raw.seed, 16)
             .map_err(|_| format!("seed: '{}' is no hexadecimal number", raw.seed))?;
         let listen: SocketAddr = address("RELAY_LISTEN", raw.listen)?;
         let named = variable("RELAY_MGMT").is_some() || !raw.mgmt.is_empty();
-        let mgmt: Option<SocketAddr> = named.then(|| address("RELAY_MGMT", raw.mgmt)).transpose()?;
+        let mgmt: Option<SocketAddr> =
+            named.then(|| address("RELAY_MGMT", raw.mgmt)).transpose()?;
         if mgmt.is_some_and(|mgmt| mgmt == listen && listen.port() != 0) {
-            return Err(format!("RELAY_MGMT: {listen} is where clients are listened for"));
+            return Err(format!(
+                "RELAY_MGMT: {listen} is where clients are listened for"
+            ));
         }
         Ok(Self {
             listen,
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -66,7 +66,17 @@
     fn new(key: usize) -> Self {
         let (phase, reader) = (Phase::Reading, RequestReader::default());
         let (closes, told_on, useful, timed) = (false, false, false, false);
-        Self { key, phase, closes, told_on, useful, timed, reader, since: 0.0, round: 0 }
+        Self {
+            key,
+            phase,
+            closes,
+            told_on,
+            useful,
+            timed,
+            reader,
+            since: 0.0,
+            round: 0,
+        }
     }
 
     /// Whether a request has arrived in part.
@@ -100,7 +110,11 @@
             State::Closing => Some(0),
             State::Open if self.client.timed && age <= YOUNG => None,
             State::Open if self.client.timed && age <= SILENT => Some(3),
-            State::Open => Some(if self.client.useful && !self.client.timed { 2 } else { 1 }),
+            State::Open => Some(if self.client.useful && !self.client.timed {
+                2
+            } else {
+                1
+            }),
             _ => None,
         }
     }
@@ -161,16 +175,22 @@
     let mut json = serde_json::json!({"id": call.id, "from": call.from, "state": "unknown"});
     match &call.state {
         JobState::Started => json["state"] = "started".into(),
-        JobState::Running(share) => (json["state"], json["share"]) = ("running".into(), (*share).into()),
+        JobState::Running(share) => {
+            (json["state"], json["share"]) = ("running".into(), (*share).into())
+        }
         JobState::Done(result) => {
-            (json["state"], json["result"]) = ("done".into(), String::from_utf8_lossy(result).into());
+            (json["state"], json["result"]) =
+                ("done".into(), String::from_utf8_lossy(result).into());
         }
         JobState::Failed => json["state"] = "failed".into(),
         JobState::Returned => json["state"] = "returned".into(),
         JobState::Lost => json["state"] = "lost".into(),
         JobState::Unknown => {}
     }
-    let load = call.load.iter().map(|(name, value)| (name.clone(), serde_json::Value::from(*value)));
+    let load = call
+        .load
+        .iter()
+        .map(|(name, value)| (name.clone(), serde_json::Value::from(*value)));
     json["load"] = load.collect();
     json.to_string().into_bytes()
 }
@@ -187,20 +207,36 @@
         "lost" => JobState::Lost,
         _ => JobState::Unknown,
     };
-    let load: Load = raw.load.into_iter().filter_map(|(name, value)| Some((name, value.as_f64()?))).collect();
-    Some(JobCall { id: raw.id, from: raw.from, state, load })
+    let load: Load = raw
+        .load
+        .into_iter()
+        .filter_map(|(name, value)| Some((name, value.as_f64()?)))
+        .collect();
+    Some(JobCall {
+        id: raw.id,
+        from: raw.from,
+        state,
+        load,
+    })
 }
 
 /// The subject in the cookie `k`, in hexadecimal digits.
 fn key(headers: &Headers) -> u64 {
     let pairs = headers.get("cookie").unwrap_or_default().split(';');
-    let value = pairs.filter_map(|pair| pair.trim().strip_prefix("k=")).next();
-    value.and_then(|value| u64::from_str_radix(value.trim(), 16).ok()).unwrap_or(0)
+    let value = pairs
+        .filter_map(|pair| pair.trim().strip_prefix("k="))
+        .next();
+    value
+        .and_then(|value| u64::from_str_radix(value.trim(), 16).ok())
+        .unwrap_or(0)
 }
 
 fn extra(headers: &Headers, name: &str) -> Option<f64> {
     let pairs = headers.get("x-extras").unwrap_or_default().split(',');
-    let value = pairs.filter_map(|pair| pair.split_once('=')).find(|(n, _)| n.trim() == name)?.1;
+    let value = pairs
+        .filter_map(|pair| pair.split_once('='))
+        .find(|(n, _)| n.trim() == name)?
+        .1;
     value.trim().parse().ok().and_then(sound)
 }
 
@@ -212,7 +248,12 @@
 /// What a request asks for; `wants`: new clients are wanted, which the readiness check tells.
 pub fn wanted(request: Request, settings: &Settings, wants: bool) -> Wanted {
     let path = request.target.split('?').next().unwrap_or_default();
-    let first = path.strip_prefix('/').unwrap_or_default().split('/').next().unwrap_or_default();
+    let first = path
+        .strip_prefix('/')
+        .unwrap_or_default()
+        .split('/')
+        .next()
+        .unwrap_or_default();
     match (path, request.method.as_str()) {
         // A 503 would count as an unavailable answer.
         ("/-/ready", "GET" | "HEAD") if !wants => return Wanted::Now(500, &[], "not ready\n"),
@@ -221,7 +262,10 @@
         (CALLS, "POST") => return call(&request.body).map_or(BAD, Wanted::Call),
         _ => {}
     }
-    let class = settings.classes.iter().position(|class| !first.is_empty() && class.name == first);
+    let class = settings
+        .classes
+        .iter()
+        .position(|class| !first.is_empty() && class.name == first);
     let class = match class {
         Some(class) if request.method == "POST" && path != CALLS => class,
         None if path != CALLS => return Wanted::Now(404, &[], "unknown path\n"),
@@ -233,12 +277,18 @@
         Some(Err(_)) => Err(ParseError::Malformed),
     };
     // A worker closes on what it can't read, whatever else waits there: none of that is passed on.
-    let Ok(Some(id)) = request.headers.only("x-request-id") else { return BAD };
-    let Ok(key_of_repeats) = request.headers.only("idempotency-key") else { return BAD };
+    let Ok(Some(id)) = request.headers.only("x-request-id") else {
+        return BAD;
+    };
+    let Ok(key_of_repeats) = request.headers.only("idempotency-key") else {
+        return BAD;
+    };
     if !plain(id) || !visible(&request.target) || !key_of_repeats.is_none_or(visible) {
         return BAD;
     }
-    let Ok(budget) = number("x-deadline") else { return BAD };
+    let Ok(budget) = number("x-deadline") else {
+        return BAD;
+    };
     let payload = Payload {
         id: id.to_owned(),
         method: request.method.clone(),
@@ -263,7 +313,11 @@
 
 /// Whether an id can stand in a path.
 fn plain(id: &str) -> bool {
-    !id.is_empty() && id.len() <= 256 && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.~".contains(&b))
+    !id.is_empty()
+        && id.len() <= 256
+        && id
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_.~".contains(&b))
 }
 
 /// Whether it holds no control bytes, spaces or bytes beyond ASCII, nor what belongs to no target.
@@ -293,7 +347,11 @@
         connection.send(&bytes, self);
         if closes {
             connection.close(self);
-            self.wait(if connection.flushed() { LINGER } else { DELIVERY });
+            self.wait(if connection.flushed() {
+                LINGER
+            } else {
+                DELIVERY
+            });
         } else {
             self.wait(if connection.flushed() { IDLE } else { DELIVERY });
         }
@@ -335,17 +393,24 @@
     fn read(&mut self, connection: &mut Connection<TcpStream>) {
         self.take(connection);
         let reads = self.client.phase == Phase::Reading && connection.state() == State::Open;
-        if reads && self.client.begun(connection) && !std::mem::replace(&mut self.client.timed, true) {
+        if reads
+            && self.client.begun(connection)
+            && !std::mem::replace(&mut self.client.timed, true)
+        {
             self.wait(PATIENCE);
         }
     }
 
     fn take(&mut self, connection: &mut Connection<TcpStream>) {
         while self.client.phase == Phase::Reading && !connection.input.is_empty() {
-            let read = self.client.reader.read(&connection.input).map(|(read, size)| {
-                connection.consume(size);
-                read
-            });
+            let read = self
+                .client
+                .reader
+                .read(&connection.input)
+                .map(|(read, size)| {
+                    connection.consume(size);
+                    read
+                });
             match read {
                 Ok(Read::Whole(request, _)) => {
                     self.client.closes = !request.keeps;
@@ -355,21 +420,30 @@
                         Wanted::Now(status, fields, body) => {
                             // Who asks for what can't be served gives its place to those who don't.
                             self.client.closes |= (400..500).contains(&status);
-                            self.write(connection, status, fields, if head { b"" } else { body.as_bytes() });
+                            self.write(
+                                connection,
+                                status,
+                                fields,
+                                if head { b"" } else { body.as_bytes() },
+                            );
                         }
                         Wanted::Call(call) => {
                             self.client.useful = true;
                             // Acknowledged by the hub: what the worker may forget then must be kept here.
                             self.client.phase = Phase::Calling;
                             self.client.round += 1;
-                            self.reactor.queue.push_back(Input::Call(self.client.key as u64, call));
+                            self.reactor
+                                .queue
+                                .push_back(Input::Call(self.client.key as u64, call));
                         }
                         Wanted::Request(submission) => {
                             self.client.useful = true;
                             self.client.phase = Phase::Held;
                             self.client.round += 1; // no time limit but its own
                             let client = self.client.key as u64;
-                            self.reactor.queue.push_back(Input::Arrived(client, *submission));
+                            self.reactor
+                                .queue
+                                .push_back(Input::Arrived(client, *submission));
                         }
                     }
                 }
@@ -413,7 +487,8 @@
         if self.client.phase == Phase::Held {
             self.client.phase = Phase::Reading;
             let (client, queue) = (self.client.key as u64, &mut self.reactor.queue);
-            let arrived = |input: &Input| matches!(input, Input::Arrived(from, _) if *from == client);
+            let arrived =
+                |input: &Input| matches!(input, Input::Arrived(from, _) if *from == client);
             // Danger: told one after the other, a job whose client is gone already would have its first attempt begun.
             match queue.iter().rposition(arrived) {
                 Some(at) => drop(queue.remove(at)),
@@ -457,7 +532,9 @@
         if key == self.listener_key {
             return self.accept(reactor);
         }
-        self.with(reactor, key, |connection, caller| connection.ready(readable, writable, caller));
+        self.with(reactor, key, |connection, caller| {
+            connection.ready(readable, writable, caller)
+        });
     }
 
     /// Gives a final answer to the client that still waits for it.
@@ -533,7 +610,9 @@
 
     /// Whether a connection is there on which both sides may send.
     pub fn is_open(&self, key: usize) -> bool {
-        self.sessions.get(&key).is_some_and(|s| s.connection.state() == State::Open)
+        self.sessions
+            .get(&key)
+            .is_some_and(|s| s.connection.state() == State::Open)
     }
 
     /// Whether a connection has brought a job or a call-back.
@@ -550,8 +629,13 @@
                 && s.connection.flushed()
                 && !s.client.reader.begun()
         };
-        let key = self.sessions.iter().find(|(_, s)| quiet(s)).map(|(key, _)| *key)?;
-        self.part_with(reactor, key).map(|(stream, input, client)| (stream, input, client.useful))
+        let key = self
+            .sessions
+            .iter()
+            .find(|(_, s)| quiet(s))
+            .map(|(key, _)| *key)?;
+        self.part_with(reactor, key)
+            .map(|(stream, input, client)| (stream, input, client.useful))
     }
 
     /// Lets a connection go without ending it: its stream, what was read from it, and its state here.
@@ -563,25 +647,45 @@
     }
 
     /// Takes a connection in that has been read so far; its key.
-    fn take_in(&mut self, reactor: &mut Reactor, stream: TcpStream, input: Vec<u8>) -> Option<usize> {
-        let key =
-            stream.set_nonblocking(true).and_then(|()| reactor.register(&stream, Owner::Client)).ok()?;
+    fn take_in(
+        &mut self,
+        reactor: &mut Reactor,
+        stream: TcpStream,
+        input: Vec<u8>,
+    ) -> Option<usize> {
+        let key = stream
+            .set_nonblocking(true)
+            .and_then(|()| reactor.register(&stream, Owner::Client))
+            .ok()?;
         let mut connection = Connection::new(stream, false, MOST_INPUT);
         connection.input = input;
-        self.sessions.insert(key, Session { connection, client: Client::new(key) });
+        self.sessions.insert(
+            key,
+            Session {
+                connection,
+                client: Client::new(key),
+            },
+        );
         Some(key)
     }
 
     /// Whether a client is there and waits for its final answer.
     pub fn waits(&self, client: u64) -> bool {
-        self.sessions.get(&(client as usize)).is_some_and(Session::waits)
+        self.sessions
+            .get(&(client as usize))
+            .is_some_and(Session::waits)
     }
 
     /// Gives away the connection of a client that waits for its final answer: its stream, what was read from
     /// it, and whether it ends behind the answer.
-    pub fn give_up(&mut self, reactor: &Reactor, client: u64) -> Option<(TcpStream, Vec<u8>, bool)> {
+    pub fn give_up(
+        &mut self,
+        reactor: &Reactor,
+        client: u64,
+    ) -> Option<(TcpStream, Vec<u8>, bool)> {
         let key = Some(client as usize).filter(|_| self.waits(client))?;
-        self.part_with(reactor, key).map(|(stream, input, client)| (stream, input, client.closes))
+        self.part_with(reactor, key)
+            .map(|(stream, input, client)| (stream, input, client.closes))
     }
 
     /// Takes over the connection of a client that waits for its final answer; its number here.
@@ -594,7 +698,11 @@
     ) -> Option<u64> {
         let key = self.take_in(reactor, stream, input)?;
         self.with(reactor, key, |_, caller| {
-            (caller.client.phase, caller.client.useful, caller.client.closes) = (Phase::Held, true, closes);
+            (
+                caller.client.phase,
+                caller.client.useful,
+                caller.client.closes,
+            ) = (Phase::Held, true, closes);
         });
         // Danger: it may have left on the way, and the job's next attempt would begin before its end is read.
         self.ready(reactor, key, true, false);
@@ -602,8 +710,16 @@
     }
 
     /// Takes a connection over that another process of this node has read so much from.
-    pub fn adopt(&mut self, reactor: &mut Reactor, stream: TcpStream, input: Vec<u8>, useful: bool) {
-        let Some(key) = self.take_in(reactor, stream, input) else { return };
+    pub fn adopt(
+        &mut self,
+        reactor: &mut Reactor,
+        stream: TcpStream,
+        input: Vec<u8>,
+        useful: bool,
+    ) {
+        let Some(key) = self.take_in(reactor, stream, input) else {
+            return;
+        };
         self.with(reactor, key, |connection, caller| {
             caller.client.useful = useful;
             caller.wait(IDLE);
@@ -631,15 +747,17 @@
     pub fn close_idle(&mut self, reactor: &mut Reactor, longer: f64) {
         let keys: Vec<usize> = self.sessions.keys().copied().collect();
         for key in keys {
-            let quiet =
-                |s: &Session| s.client.phase == Phase::Reading && reactor.now - s.client.since >= longer;
+            let quiet = |s: &Session| {
+                s.client.phase == Phase::Reading && reactor.now - s.client.since >= longer
+            };
             if !self.sessions.get(&key).is_some_and(quiet) {
                 continue;
             }
             // What has arrived is taken first.
             self.ready(reactor, key, true, false);
             self.with(reactor, key, |connection, caller| {
-                let idle = caller.client.phase == Phase::Reading && !caller.client.begun(connection);
+                let idle =
+                    caller.client.phase == Phase::Reading && !caller.client.begun(connection);
                 if idle && connection.state() == State::Open && connection.flushed() {
                     connection.close(caller);
                     caller.wait(LINGER);
@@ -661,19 +779,38 @@
         key: usize,
         act: impl FnOnce(&mut Connection<TcpStream>, &mut Caller<'_>),
     ) {
-        let Some(session) = self.sessions.get_mut(&key) else { return };
+        let Some(session) = self.sessions.get_mut(&key) else {
+            return;
+        };
         let (settings, wants, closes) = (&self.settings, self.wants, self.closes);
-        let mut caller = Caller { client: &mut session.client, settings, wants, closes, reactor };
+        let mut caller = Caller {
+            client: &mut session.client,
+            settings,
+            wants,
+            closes,
+            reactor,
+        };
         act(&mut session.connection, &mut caller);
-        session.connection.watch_end(session.client.phase != Phase::Reading);
+        session
+            .connection
+            .watch_end(session.client.phase != Phase::Reading);
         let over = session.connection.state() == State::Ended;
         if over {
             reactor.forget(session.connection.stream());
             self.sessions.remove(&key);
         } else {
-            reactor.rearm(session.connection.stream(), key, session.connection.interest());
+            reactor.rearm(
+                session.connection.stream(),
+                key,
+                session.connection.interest(),
+            );
         }
-        if self.paused && self.sessions.get(&key).is_none_or(|s| s.gives_way(reactor.now).is_some()) {
+        if self.paused
+            && self
+                .sessions
+                .get(&key)
+                .is_none_or(|s| s.gives_way(reactor.now).is_some())
+        {
             self.wake(reactor, 0.0);
         }
     }
@@ -706,7 +843,9 @@
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
-                    let Some(key) = self.take_in(reactor, stream, Vec::new()) else { continue };
+                    let Some(key) = self.take_in(reactor, stream, Vec::new()) else {
+                        continue;
+                    };
                     self.with(reactor, key, |connection, caller| {
                         caller.client.timed = true;
                         caller.wait(PATIENCE);
@@ -732,15 +871,22 @@
         // A request may have arrived on it unseen; then it is owed an answer, and another gives way.
         for _ in 0..=self.sessions.len() {
             let now = reactor.now;
-            let gives_way = |(&key, s): (&usize, &Session)| Some((s.gives_way(now)?, s.client.since, key));
+            let gives_way =
+                |(&key, s): (&usize, &Session)| Some((s.gives_way(now)?, s.client.since, key));
             // Of those that came in one turn of the loop, the first.
             let order = |a: &(u8, f64, usize), b: &(u8, f64, usize)| {
                 a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2))
             };
-            let Some(first) = self.sessions.iter().filter_map(gives_way).min_by(order) else { return false };
+            let Some(first) = self.sessions.iter().filter_map(gives_way).min_by(order) else {
+                return false;
+            };
             let (_, _, key) = first;
-            self.with(reactor, key, |connection, caller| connection.ready(true, false, caller));
-            let Some(session) = self.sessions.get(&key) else { return true };
+            self.with(reactor, key, |connection, caller| {
+                connection.ready(true, false, caller)
+            });
+            let Some(session) = self.sessions.get(&key) else {
+                return true;
+            };
             if gives_way((&key, session)) == Some(first) {
                 reactor.forget(session.connection.stream());
                 self.sessions.remove(&key);
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -93,12 +93,13 @@
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut slice = [IoSliceMut::new(&mut bytes)];
             let flags = RecvFlags::CMSG_CLOEXEC;
-            let (size, cut) = match rustix::net::recvmsg(&self.stream, &mut slice, &mut control, flags) {
-                Ok(received) => (received.bytes, received.flags.contains(ReturnFlags::CTRUNC)),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(error) => return Err(error.into()),
-            };
+            let (size, cut) =
+                match rustix::net::recvmsg(&self.stream, &mut slice, &mut control, flags) {
+                    Ok(received) => (received.bytes, received.flags.contains(ReturnFlags::CTRUNC)),
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                    Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                    Err(error) => return Err(error.into()),
+                };
             for message in control.drain() {
                 if let RecvAncillaryMessage::ScmRights(descriptors) = message {
                     self.came.extend(descriptors.map(Some));
@@ -112,7 +113,9 @@
             if size == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
-            self.link.receive(&bytes[..size], news).map_err(io::Error::other)?;
+            self.link
+                .receive(&bytes[..size], news)
+                .map_err(io::Error::other)?;
             if self.came.len() > MOST_AHEAD {
                 return Err(io::Error::other("more descriptors than messages"));
             }
@@ -147,12 +150,16 @@
     };
     let folder = std::fs::File::open(folder)?;
     let number = std::os::fd::AsRawFd::as_raw_fd(&folder);
-    Ok((Path::new(&format!("/proc/self/fd/{number}")).join(name), Some(folder)))
+    Ok((
+        Path::new(&format!("/proc/self/fd/{number}")).join(name),
+        Some(folder),
+    ))
 }
 
 /// Whether the other end is a process of the same user.
 fn same_user(stream: &UnixStream) -> bool {
-    rustix::net::sockopt::socket_peercred(stream).is_ok_and(|peer| peer.uid == rustix::process::getuid())
+    rustix::net::sockopt::socket_peercred(stream)
+        .is_ok_and(|peer| peer.uid == rustix::process::getuid())
 }
 
 impl Handover {
@@ -160,12 +167,22 @@
     pub fn start(reactor: &mut Reactor, folder: &Path, name: &str, listen: &str) -> Self {
         let path = meeting(folder, name);
         let (listener, sessions, looking) = (None, BTreeMap::new(), false);
-        let mut own =
-            Self { name: name.to_owned(), listen: listen.to_owned(), path, listener, sessions, looking };
+        let mut own = Self {
+            name: name.to_owned(),
+            listen: listen.to_owned(),
+            path,
+            listener,
+            sessions,
+            looking,
+        };
         match short(&own.path).and_then(|(path, _folder)| UnixStream::connect(path)) {
             Ok(stream) => own.begin(reactor, stream, Role::Newer),
             // Nobody, or one that is gone and has left its socket.
-            Err(error) if matches!(error.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {}
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::NotFound | ErrorKind::ConnectionRefused
+                ) => {}
             Err(error) => {
                 tracing::warn!(%error, path = %own.path.display(), "nobody can be asked to hand over")
             }
@@ -177,12 +194,21 @@
         if self.sessions.len() >= MOST_LINKS || !same_user(&stream) {
             return tracing::warn!("a link was not taken up");
         }
-        let key = stream.set_nonblocking(true).and_then(|()| reactor.register(&stream, Owner::Handover));
+        let key = stream
+            .set_nonblocking(true)
+            .and_then(|()| reactor.register(&stream, Owner::Handover));
         let Ok(key) = key else { return };
         let link = Link::new(role, &self.name, &self.listen, reactor.now);
         let hello = frame(&link.hello());
         let (out, written, queued, came) = (VecDeque::new(), 0, 0, VecDeque::new());
-        let mut session = Session { stream, link, out, written, queued, came };
+        let mut session = Session {
+            stream,
+            link,
+            out,
+            written,
+            queued,
+            came,
+        };
         session.say([greeting(), hello].concat(), None);
         self.sessions.insert(key, session);
         self.rearm(reactor, key);
@@ -214,7 +240,9 @@
 
     /// Whether an older process is still to tell what it holds.
     pub fn joining(&self) -> bool {
-        self.sessions.values().any(|s| s.link.role() == Role::Newer && !s.link.joined())
+        self.sessions
+            .values()
+            .any(|s| s.link.role() == Role::Newer && !s.link.joined())
     }
 
     /// The process that takes over from this one, if one does.
@@ -237,7 +265,9 @@
 
     /// Whether a newer process is there.
     pub fn replaced(&self) -> bool {
-        self.sessions.values().any(|s| s.link.role() == Role::Older && s.link.greeted())
+        self.sessions
+            .values()
+            .any(|s| s.link.role() == Role::Older && s.link.greeted())
     }
 
     /// Says something to newer processes.
@@ -266,7 +296,11 @@
 
     /// The listener or a link can be read or written.
     pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool) -> Vec<Event> {
-        if let Some((listener, _)) = self.listener.as_ref().filter(|(_, listener)| *listener == key) {
+        if let Some((listener, _)) = self
+            .listener
+            .as_ref()
+            .filter(|(_, listener)| *listener == key)
+        {
             let accepted = listener.accept();
             reactor.rearm(listener, key, (true, false));
             if let Ok((stream, _)) = accepted {
@@ -274,9 +308,15 @@
             }
             return Vec::new();
         }
-        let Some(session) = self.sessions.get_mut(&key) else { return Vec::new() };
+        let Some(session) = self.sessions.get_mut(&key) else {
+            return Vec::new();
+        };
         let mut news = Vec::new();
-        let read = if readable { session.read(&mut news) } else { Ok(()) };
+        let read = if readable {
+            session.read(&mut news)
+        } else {
+            Ok(())
+        };
         let ended = read.and_then(|()| session.flush());
         let mut events = Vec::new();
         for news in news {
@@ -298,7 +338,9 @@
     pub fn due(&mut self, reactor: &mut Reactor) -> Vec<Event> {
         let mut events = Vec::new();
         for key in self.sessions.keys().copied().collect::<Vec<_>>() {
-            let Some(session) = self.sessions.get_mut(&key) else { continue };
+            let Some(session) = self.sessions.get_mut(&key) else {
+                continue;
+            };
             let late = session.link.late(reactor.now).map_err(io::Error::other);
             let full = session.queued > MOST_QUEUED;
             let ended = late.and_then(|()| session.flush());
@@ -342,7 +384,13 @@
     }
 
     /// Says something on one link, with a descriptor.
-    pub fn pass(&mut self, reactor: &Reactor, key: usize, message: &Message, descriptor: Option<OwnedFd>) {
+    pub fn pass(
+        &mut self,
+        reactor: &Reactor,
+        key: usize,
+        message: &Message,
+        descriptor: Option<OwnedFd>,
+    ) {
         if let Some(session) = self.sessions.get_mut(&key) {
             session.say(frame(message), descriptor);
             // What breaks now shows at the next look.
@@ -367,7 +415,13 @@
     }
 
     /// Sends a call-back over all links but one; `who` waits for as many words as are told here.
-    pub fn forward(&mut self, reactor: &Reactor, except: Option<usize>, who: u64, body: &[u8]) -> usize {
+    pub fn forward(
+        &mut self,
+        reactor: &Reactor,
+        except: Option<usize>,
+        who: u64,
+        body: &[u8],
+    ) -> usize {
         let keys = self.others(except);
         for key in &keys {
             if let Some(session) = self.sessions.get_mut(key) {
@@ -379,7 +433,9 @@
     }
 
     fn others(&self, except: Option<usize>) -> Vec<usize> {
-        let told = |(key, s): (&usize, &Session)| (Some(*key) != except && s.link.greeted()).then_some(*key);
+        let told = |(key, s): (&usize, &Session)| {
+            (Some(*key) != except && s.link.greeted()).then_some(*key)
+        };
         self.sessions.iter().filter_map(told).collect()
     }
 }
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -62,12 +62,21 @@
 
 /// The name that a part of a path stands for.
 fn name(part: &str) -> Result<String, RejectedRequest> {
-    let digits = |p: &str| p.len() >= 2 && p.is_char_boundary(2) && u8::from_str_radix(&p[..2], 16).is_ok();
-    let sound = part.split('%').skip(1).all(|p| digits(p) && !p.starts_with('+'));
-    let name =
-        percent_encoding::percent_decode_str(part).decode_utf8().map_err(|_| RejectedRequest(400, None))?;
+    let digits =
+        |p: &str| p.len() >= 2 && p.is_char_boundary(2) && u8::from_str_radix(&p[..2], 16).is_ok();
+    let sound = part
+        .split('%')
+        .skip(1)
+        .all(|p| digits(p) && !p.starts_with('+'));
+    let name = percent_encoding::percent_decode_str(part)
+        .decode_utf8()
+        .map_err(|_| RejectedRequest(400, None))?;
     let printable = !name.is_empty() && name.len() <= MOST_ID && !name.contains(char::is_control);
-    if sound && printable { Ok(name.into_owned()) } else { Err(RejectedRequest(400, None)) }
+    if sound && printable {
+        Ok(name.into_owned())
+    } else {
+        Err(RejectedRequest(400, None))
+    }
 }
 
 fn call(request: &Request) -> Result<Call, RejectedRequest> {
@@ -80,7 +89,9 @@
         ["", "v1", "fleet", "audit"] => (Call::Audit, GET),
         ["", "v1", "fleet", "owners"] => (Call::Owners, GET),
         ["", "v1", "fleet", "owners", duty, "release"] => (Call::Release(name(duty)?), POST),
-        ["", "v1", "fleet", "owners", duty, "hand", to] => (Call::Hand(name(duty)?, name(to)?), POST),
+        ["", "v1", "fleet", "owners", duty, "hand", to] => {
+            (Call::Hand(name(duty)?, name(to)?), POST)
+        }
         ["", "v1", "fleet", "voters", node, "add"] => (Call::Voter(name(node)?, true), POST),
         ["", "v1", "fleet", "voters", node, "remove"] => (Call::Voter(name(node)?, false), POST),
         ["", "v1", "node", "drain"] => (Call::Drain, POST),
@@ -90,7 +101,11 @@
         _ => return Err(RejectedRequest(404, None)),
     };
     let fits = methods.split(", ").any(|method| method == request.method);
-    if fits { Ok(call) } else { Err(RejectedRequest(405, Some(methods))) }
+    if fits {
+        Ok(call)
+    } else {
+        Err(RejectedRequest(405, Some(methods)))
+    }
 }
 
 struct Caller {
@@ -118,7 +133,10 @@
     word: &str,
 ) {
     owner.waits = false;
-    let fields: Vec<(&str, &str)> = allow.map(|methods| ("Allow", methods)).into_iter().collect();
+    let fields: Vec<(&str, &str)> = allow
+        .map(|methods| ("Allow", methods))
+        .into_iter()
+        .collect();
     let body = if owner.head { "" } else { word };
     let mut bytes = Vec::new();
     http::write_response(&mut bytes, status, &fields, body.as_bytes(), true);
@@ -173,7 +191,11 @@
     pub fn new(reactor: &mut Reactor, listener: TcpListener) -> io::Result<Self> {
         let listener_key = reactor.register(&listener, Owner::ManagementServer)?;
         reactor.rearm(&listener, listener_key, (true, false));
-        Ok(Self { listener, listener_key, sessions: HashMap::new() })
+        Ok(Self {
+            listener,
+            listener_key,
+            sessions: HashMap::new(),
+        })
     }
 
     /// Where it is.
@@ -196,10 +218,12 @@
         if key == self.listener_key {
             return self.accept(reactor);
         }
-        self.with(reactor, key, |connection, caller| connection.ready(readable, writable, caller))
-            .map(|call| (key, call))
-            .into_iter()
-            .collect()
+        self.with(reactor, key, |connection, caller| {
+            connection.ready(readable, writable, caller)
+        })
+        .map(|call| (key, call))
+        .into_iter()
+        .collect()
     }
 
     /// Answers a caller, if it is still there.
@@ -208,7 +232,9 @@
             Reply::Yes => self.tell(reactor, key, 200, "yes\n"),
             Reply::NotNow => self.tell(reactor, key, 503, "not now\n"),
             Reply::Nobody => self.tell(reactor, key, 404, "nobody has that name\n"),
-            Reply::Held(at, of) => self.tell(reactor, key, 200, &format!("yes, at {at} of {of} nodes\n")),
+            Reply::Held(at, of) => {
+                self.tell(reactor, key, 200, &format!("yes, at {at} of {of} nodes\n"))
+            }
             Reply::Lives => self.tell(reactor, key, 409, "it has not failed\n"),
             Reply::NoAudit => self.tell(reactor, key, 404, "the section audit is not on here\n"),
             Reply::NoDuties => self.tell(reactor, key, 404, "the section duties is not on here\n"),
@@ -252,7 +278,14 @@
                         Connection::new(stream, false, http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES);
                     let (since, reader) = (reactor.now, RequestReader::default());
                     let (told_on, waits, head, news) = (false, false, false, None);
-                    let caller = Caller { reader, since, told_on, waits, head, news };
+                    let caller = Caller {
+                        reader,
+                        since,
+                        told_on,
+                        waits,
+                        head,
+                        news,
+                    };
                     self.sessions.insert(key, Session { connection, caller });
                     reactor.timer(reactor.now + PATIENCE, Due::Caller(key));
                     calls.extend(self.ready(reactor, key, true, false));
@@ -275,8 +308,15 @@
     fn make_room(&mut self, reactor: &mut Reactor) -> bool {
         let goes = |s: &Session| !s.caller.waits && reactor.now - s.caller.since >= YOUNG;
         let goes = self.sessions.iter().filter(|(_, s)| goes(s));
-        let first = goes.min_by(|a, b| a.1.caller.since.total_cmp(&b.1.caller.since).then(a.0.cmp(b.0)));
-        let Some(key) = first.map(|(key, _)| *key) else { return false };
+        let first = goes.min_by(|a, b| {
+            a.1.caller
+                .since
+                .total_cmp(&b.1.caller.since)
+                .then(a.0.cmp(b.0))
+        });
+        let Some(key) = first.map(|(key, _)| *key) else {
+            return false;
+        };
         self.due(reactor, key);
         true
     }
@@ -293,7 +333,11 @@
         if session.connection.state() == State::Ended {
             self.due(reactor, key);
         } else {
-            reactor.rearm(session.connection.stream(), key, session.connection.interest());
+            reactor.rearm(
+                session.connection.stream(),
+                key,
+                session.connection.interest(),
+            );
         }
         call
     }
@@ -320,8 +364,10 @@
         }
 
         fn connect(&mut self) -> TcpStream {
-            let peer = TcpStream::connect(self.door.address().expect("an address")).expect("a connection");
-            peer.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
+            let peer =
+                TcpStream::connect(self.door.address().expect("an address")).expect("a connection");
+            peer.set_read_timeout(Some(Duration::from_secs(20)))
+                .expect("a time limit");
             peer
         }
 
@@ -360,24 +406,56 @@
             ("GET", "/v1/node/drain", Err(405)),
             ("GET", "/v1/fleet/members", Ok(Call::Members)),
             ("POST", "/v1/fleet/members", Err(405)),
-            ("POST", "/v1/fleet/members/n%2D1/forget", Ok(Call::Forget("n-1".into()))),
+            (
+                "POST",
+                "/v1/fleet/members/n%2D1/forget",
+                Ok(Call::Forget("n-1".into())),
+            ),
             ("GET", "/v1/fleet/members/n-1/forget", Err(405)),
             ("POST", "/v1/fleet/members//forget", Err(400)),
             ("GET", "/v1/fleet/versions", Ok(Call::Versions)),
             ("GET", "/v1/fleet/audit", Ok(Call::Audit)),
             ("GET", "/v1/fleet/owners", Ok(Call::Owners)),
-            ("POST", "/v1/fleet/owners/bans/release", Ok(Call::Release("bans".into()))),
-            ("POST", "/v1/fleet/owners/bans/hand/n%2D1", Ok(Call::Hand("bans".into(), "n-1".into()))),
+            (
+                "POST",
+                "/v1/fleet/owners/bans/release",
+                Ok(Call::Release("bans".into())),
+            ),
+            (
+                "POST",
+                "/v1/fleet/owners/bans/hand/n%2D1",
+                Ok(Call::Hand("bans".into(), "n-1".into())),
+            ),
             ("POST", "/v1/fleet/owners/bans/hand/", Err(400)),
-            ("POST", "/v1/fleet/voters/n-1/add", Ok(Call::Voter("n-1".into(), true))),
-            ("POST", "/v1/fleet/voters/n-1/remove", Ok(Call::Voter("n-1".into(), false))),
+            (
+                "POST",
+                "/v1/fleet/voters/n-1/add",
+                Ok(Call::Voter("n-1".into(), true)),
+            ),
+            (
+                "POST",
+                "/v1/fleet/voters/n-1/remove",
+                Ok(Call::Voter("n-1".into(), false)),
+            ),
             ("GET", "/v1/fleet/voters/n-1/remove", Err(405)),
             ("POST", "/v1/node", Err(404)),
             ("POST", "/v1/node/drain/", Err(404)),
             ("POST", "//v1/node/drain", Err(404)),
-            ("POST", "/v1/route-workers/s-1/suspend", Ok(Call::Suspend("s-1".into()))),
-            ("POST", "/v1/route-workers/s%2D1%2fa/resume", Ok(Call::Resume("s-1/a".into()))),
-            ("POST", "/v1/route-workers/%c5%a1/resume", Ok(Call::Resume("\u{161}".into()))),
+            (
+                "POST",
+                "/v1/route-workers/s-1/suspend",
+                Ok(Call::Suspend("s-1".into())),
+            ),
+            (
+                "POST",
+                "/v1/route-workers/s%2D1%2fa/resume",
+                Ok(Call::Resume("s-1/a".into())),
+            ),
+            (
+                "POST",
+                "/v1/route-workers/%c5%a1/resume",
+                Ok(Call::Resume("\u{161}".into())),
+            ),
             ("PUT", "/v1/route-workers/s-1/suspend", Err(405)),
             ("POST", "/v1/route-workers/s-1/stop", Err(404)),
             ("POST", "/v1/route-workers//suspend", Err(400)),
@@ -386,12 +464,22 @@
             ("POST", "/v1/route-workers/%+1/suspend", Err(400)),
             ("POST", "/v1/route-workers/%ff/suspend", Err(400)),
             ("POST", "/v1/route-workers/a%0ab/suspend", Err(400)),
-            ("POST", &format!("/v1/route-workers/{long}/suspend"), Err(400)),
+            (
+                "POST",
+                &format!("/v1/route-workers/{long}/suspend"),
+                Err(400),
+            ),
         ];
         for (method, target, wanted) in cases {
             let text = format!("{method} {target} HTTP/1.1\r\nHost: x\r\n\r\n");
-            let Ok(Read::Whole(request, _)) = http::read_request(text.as_bytes()) else { panic!("{text}") };
-            assert_eq!(call(&request).map_err(|no| no.0), wanted, "{method} {target}");
+            let Ok(Read::Whole(request, _)) = http::read_request(text.as_bytes()) else {
+                panic!("{text}")
+            };
+            assert_eq!(
+                call(&request).map_err(|no| no.0),
+                wanted,
+                "{method} {target}"
+            );
         }
     }
 
@@ -401,7 +489,9 @@
         let mut bed = Bed::new();
         let silent: Vec<TcpStream> = (0..100).map(|_| bed.connect()).collect();
         let mut caller = bed.connect();
-        caller.write_all(b"GET /v1/readyz HTTP/1.1\r\n\r\n").expect("it is written");
+        caller
+            .write_all(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
+            .expect("it is written");
         let mut calls = Vec::new();
         for _ in 0..20 {
             calls.extend(bed.turn(Reply::Yes));
@@ -419,8 +509,7 @@
     fn one_call_a_connection_however_it_is_cut() {
         let mut bed = Bed::new();
         let mut caller = bed.connect();
-        let text =
-            "POST /v1/node/drain HTTP/1.1\r\nContent-Length: 3\r\n\r\n{ }GET /v1/readyz HTTP/1.1\r\n\r\n";
+        let text = "POST /v1/node/drain HTTP/1.1\r\nContent-Length: 3\r\n\r\n{ }GET /v1/readyz HTTP/1.1\r\n\r\n";
         let mut calls = Vec::new();
         for byte in text.bytes() {
             caller.write_all(&[byte]).expect("it is written");
@@ -428,27 +517,50 @@
         }
         assert_eq!(calls, [Call::Drain]);
         let answer = rest(&mut caller);
-        assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("Connection: close"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200 ") && answer.contains("Connection: close"),
+            "{answer}"
+        );
         assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
         for (text, status) in [
-            (format!("GET /v1/readyz HTTP/1.1\r\nX: {}", "x".repeat(http::MAX_HEAD_BYTES)), 431),
-            ("GET /v1/readyz HTTP/1.1\r\nContent-Length: 99999\r\n\r\n".into(), 413),
+            (
+                format!(
+                    "GET /v1/readyz HTTP/1.1\r\nX: {}",
+                    "x".repeat(http::MAX_HEAD_BYTES)
+                ),
+                431,
+            ),
+            (
+                "GET /v1/readyz HTTP/1.1\r\nContent-Length: 99999\r\n\r\n".into(),
+                413,
+            ),
             ("what is this\r\n\r\n".into(), 400),
         ] {
             let mut caller = bed.connect();
             caller.write_all(text.as_bytes()).expect("it is written");
             assert!(bed.turn(Reply::Yes).is_empty());
-            assert!(rest(&mut caller).starts_with(&format!("HTTP/1.1 {status} ")), "{text:.40}");
+            assert!(
+                rest(&mut caller).starts_with(&format!("HTTP/1.1 {status} ")),
+                "{text:.40}"
+            );
         }
         let mut half = bed.connect();
         half.write_all(b"GET /v1/rea").expect("it is written");
-        half.shutdown(std::net::Shutdown::Write).expect("it is closed");
+        half.shutdown(std::net::Shutdown::Write)
+            .expect("it is closed");
         assert!(bed.turn(Reply::Yes).is_empty());
         assert_eq!(rest(&mut half), "", "half a call is none");
         let mut caller = bed.connect();
-        caller.write_all(b"GET /v1/readyz HTTP/1.1\r\n\r\n").expect("it is written");
-        caller.shutdown(std::net::Shutdown::Write).expect("it is closed");
+        caller
+            .write_all(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
+            .expect("it is written");
+        caller
+            .shutdown(std::net::Shutdown::Write)
+            .expect("it is closed");
         assert_eq!(bed.turn(Reply::NotNow), [Call::Ready]);
-        assert!(rest(&mut caller).starts_with("HTTP/1.1 503 "), "who has said all still hears");
+        assert!(
+            rest(&mut caller).starts_with("HTTP/1.1 503 "),
+            "who has said all still hears"
+        );
     }
 }
