--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -113,7 +113,15 @@
         let most = (share * 5 / 8).min(memory.max(8));
         // Were all connections held, no call-back could come in to end a single one.
         let open = (most * 7 / 8).max(1);
-        (most, share * 3 / 8, if self.open > 0 { self.open.min(open) } else { open })
+        (
+            most,
+            share * 3 / 8,
+            if self.open > 0 {
+                self.open.min(open)
+            } else {
+                open
+            },
+        )
     }
 }
 
@@ -166,7 +174,8 @@
         let mut found = RecoveredState::default();
         let kept = match &config.store {
             Some(section) => {
-                let (keeper, mut ledger, kept) = StoreAdapter::start(&mut reactor, section, &config.name)?;
+                let (keeper, mut ledger, kept) =
+                    StoreAdapter::start(&mut reactor, section, &config.name)?;
                 found = kept;
                 if let Some(list) = found.list.take() {
                     known = list.or(known, config.discovery);
@@ -187,31 +196,50 @@
         let shared = config.listener.is_some();
         let listener = config.listener.map_or_else(|| listen(config.listen), Ok)?;
         let door = config.mgmt.map(listen).transpose()?;
-        let door = door.map(|listener| ManagementServer::new(&mut reactor, listener)).transpose()?;
+        let door = door
+            .map(|listener| ManagementServer::new(&mut reactor, listener))
+            .transpose()?;
         let address = listener.local_addr()?;
         // Three quarters of the memory hold what each client's connection can come to at most.
         let memory = (config.memory_mb << 20) / 4 * 3 / clients::MOST_HELD;
-        let streams = config.fleet.as_ref().map_or(0, |_| peer_connections::SOCKETS);
+        let streams = config
+            .fleet
+            .as_ref()
+            .map_or(0, |_| peer_connections::SOCKETS);
         let spare = SPARE + door.as_ref().map_or(0, |_| management::MOST) + streams;
-        let room = DescriptorBudget { sockets: config.sockets, kept: spare, memory, open: settings.max_open };
+        let room = DescriptorBudget {
+            sockets: config.sockets,
+            kept: spare,
+            memory,
+            open: settings.max_open,
+        };
         let (most, attempts, open) = room.of(config.sockets.saturating_sub(spare));
         settings.max_open = open;
         let clients = Clients::new(&mut reactor, listener, settings.clone(), most)?;
         let attempts = Attempts::new(attempts, settings.dial_timeout, settings.conn_idle);
         // A list without a worker is none: as one that is held it would keep the node waiting for its turn.
         let revision = known.as_ref().map(|list| list.revision);
-        let members = known.clone().map(|list| list.members(&settings)).unwrap_or_default();
+        let members = known
+            .clone()
+            .map(|list| list.members(&settings))
+            .unwrap_or_default();
         let revision = revision.filter(|_| !members.is_empty());
         let mut list = WorkerList::new(config.discovery, settings.clone(), revision, config.seed);
         let mut hub = RequestManager::new(settings.clone(), config.seed)?;
         let keeper = kept.map(|(mut keeper, keeping, nothing_ran)| {
             hub.keep(keeping);
-            keeper.write(&mut reactor, nothing_ran, messages::Wait::Nobody(String::new()));
+            keeper.write(
+                &mut reactor,
+                nothing_ran,
+                messages::Wait::Nobody(String::new()),
+            );
             reactor.queue.push_back(Input::Due(messages::Due::Expire));
             keeper
         });
         if !members.is_empty() {
-            reactor.queue.push_back(Input::List(ListKind::Cached, members));
+            reactor
+                .queue
+                .push_back(Input::List(ListKind::Cached, members));
         }
         if keeper.is_some() || shared || config.audit.is_some() {
             list.hold(known.as_ref());
@@ -223,10 +251,18 @@
         let (reload, quiet, done) = (None, 0, false);
         let folder = config.folder.filter(|_| shared);
         if shared && folder.is_none() {
-            tracing::warn!("TMPDIR is not set: no other process of this node can be asked to hand over");
+            tracing::warn!(
+                "TMPDIR is not set: no other process of this node can be asked to hand over"
+            );
         }
-        let handover = folder
-            .map(|folder| Handover::start(&mut reactor, &folder, &config.name, &config.listen.to_string()));
+        let handover = folder.map(|folder| {
+            Handover::start(
+                &mut reactor,
+                &folder,
+                &config.name,
+                &config.listen.to_string(),
+            )
+        });
         let votes = |section: &FleetSection| section.voters.contains(&config.name);
         if config.duties.is_some() && keeper.is_none() && config.fleet.as_ref().is_some_and(votes) {
             return Err(
@@ -345,28 +381,50 @@
         Ok(())
     }
 
-    fn dispatch(&mut self, Event { key, readable, writable }: Event) {
+    fn dispatch(
+        &mut self,
+        Event {
+            key,
+            readable,
+            writable,
+        }: Event,
+    ) {
         let reactor = &mut self.reactor;
         match reactor::owner(key) {
             Owner::ManagementServer => {
-                let calls = self.door.as_mut().map(|door| door.ready(reactor, key, readable, writable));
+                let calls = self
+                    .door
+                    .as_mut()
+                    .map(|door| door.ready(reactor, key, readable, writable));
                 self.called(calls.unwrap_or_default());
             }
             Owner::Handover => {
-                let events = self.handover.as_mut().map(|h| h.ready(reactor, key, readable));
+                let events = self
+                    .handover
+                    .as_mut()
+                    .map(|h| h.ready(reactor, key, readable));
                 self.linked(events.unwrap_or_default());
             }
             Owner::Peers => {
-                let events = self.fleet.as_mut().map(|fleet| fleet.ready(reactor, key, readable, writable));
+                let events = self
+                    .fleet
+                    .as_mut()
+                    .map(|fleet| fleet.ready(reactor, key, readable, writable));
                 self.told_by_fleet(events.unwrap_or_default());
             }
             Owner::Client => self.clients.ready(reactor, key, readable, writable),
             Owner::Attempt => self.attempts.ready(reactor, key, readable, writable),
             Owner::Discovery => self.list.ready(reactor, key, readable, writable),
             Owner::Store => {
-                let written = self.keeper.as_mut().and_then(|keeper| keeper.ready(reactor));
-                let events =
-                    self.fleet.as_mut().zip(written).map(|(fleet, well)| fleet.written(reactor, well));
+                let written = self
+                    .keeper
+                    .as_mut()
+                    .and_then(|keeper| keeper.ready(reactor));
+                let events = self
+                    .fleet
+                    .as_mut()
+                    .zip(written)
+                    .map(|(fleet, well)| fleet.written(reactor, well));
                 self.told_by_fleet(events.unwrap_or_default());
             }
             Owner::Signal if key == self.stop.key => self.stop(),
@@ -410,10 +468,15 @@
             Due::Discovery => self.list.due(reactor),
             Due::DiscoveryDial(call) => self.list.dial_due(reactor, call),
             Due::ListKept => {
-                let Some(keeper) = &mut self.keeper else { return };
+                let Some(keeper) = &mut self.keeper else {
+                    return;
+                };
                 // What a disk in trouble has refused is given again, whether or not it has changed.
                 let again = keeper.unkept();
-                let list = self.list.changed().or_else(|| self.list.kept().filter(|_| again));
+                let list = self
+                    .list
+                    .changed()
+                    .or_else(|| self.list.kept().filter(|_| again));
                 if let Some(list) = list {
                     keeper.keep_list(&list);
                 }
@@ -423,7 +486,9 @@
                 reactor.timer(reactor.now + LIST_KEPT, Due::ListKept);
             }
             Due::WindUp if self.life.stage() == Stage::HandingOver => {
-                let over = self.clients.count() == 0 && self.hub.owed() == 0 && self.links.words.is_empty();
+                let over = self.clients.count() == 0
+                    && self.hub.owed() == 0
+                    && self.links.words.is_empty();
                 let flushed = self.handover.as_ref().is_none_or(Handover::flushed);
                 self.done = over && flushed && !self.follows();
                 self.reactor.timer(self.reactor.now + LOOK, Due::WindUp);
@@ -459,7 +524,10 @@
     /// Carries out operators' calls.
     fn called(&mut self, calls: Vec<(usize, Call)>) {
         for (key, call) in calls {
-            let changes = matches!(call, Call::Drain | Call::Activate | Call::Suspend(_) | Call::Resume(_));
+            let changes = matches!(
+                call,
+                Call::Drain | Call::Activate | Call::Suspend(_) | Call::Resume(_)
+            );
             if changes && self.joins() {
                 // Danger: what the older process has still to tell would count in place of this newer word.
                 self.early.push((key, call));
@@ -483,7 +551,10 @@
                 }
                 Call::Forget(name) => self.forget(&name),
                 Call::Owners => {
-                    let text = self.fleet.as_ref().and_then(|fleet| fleet.owners(self.reactor.now));
+                    let text = self
+                        .fleet
+                        .as_ref()
+                        .and_then(|fleet| fleet.owners(self.reactor.now));
                     self.show(key, text, Reply::NoDuties);
                     continue;
                 }
@@ -531,8 +602,14 @@
 
     /// The list that this node acts on may be another one than before.
     fn adopted(&mut self, source: Source) {
-        let (Some(fleet), Some((number, digest))) = (&mut self.fleet, self.list.version()) else { return };
-        let stand = VersionRecord { generation: fleet.generation(self.list.discovery()), number, digest };
+        let (Some(fleet), Some((number, digest))) = (&mut self.fleet, self.list.version()) else {
+            return;
+        };
+        let stand = VersionRecord {
+            generation: fleet.generation(self.list.discovery()),
+            number,
+            digest,
+        };
         let acts = std::mem::take(&mut self.acts);
         let events = fleet.acts_on(&mut self.reactor, stand, source, acts);
         self.told_by_fleet(events);
@@ -540,7 +617,10 @@
 
     /// Has the nodes decide on the word of a caller at the door, who is told what came of it.
     fn affair(&mut self, key: usize, ask: AdminRequest) {
-        let events = self.fleet.as_mut().and_then(|fleet| fleet.ask(&mut self.reactor, key, ask));
+        let events = self
+            .fleet
+            .as_mut()
+            .and_then(|fleet| fleet.ask(&mut self.reactor, key, ask));
         match (events, &mut self.door) {
             (Some(events), _) => self.told_by_fleet(events),
             (None, Some(door)) => door.answer(&mut self.reactor, key, Reply::NoDuties),
@@ -550,7 +630,9 @@
 
     /// Counts a node that has failed no more, on the word of a caller at the door.
     fn forget(&mut self, name: &str) -> Reply {
-        let Some(fleet) = &mut self.fleet else { return Reply::NoFleet };
+        let Some(fleet) = &mut self.fleet else {
+            return Reply::NoFleet;
+        };
         match fleet.forget(&mut self.reactor, name) {
             Ok(events) => {
                 self.told_by_fleet(events);
@@ -597,13 +679,22 @@
                 }
                 service::Event::Settled => {
                     let workers = self.hub.banned();
-                    let events = self.fleet.as_mut().map(|fleet| fleet.adopt(&mut self.reactor, workers));
+                    let events = self
+                        .fleet
+                        .as_mut()
+                        .map(|fleet| fleet.adopt(&mut self.reactor, workers));
                     self.told_by_fleet(events.unwrap_or_default());
                 }
                 service::Event::Write(changes) => {
-                    let kept = self.keeper.as_mut().is_some_and(|keeper| keeper.keep_council(&changes));
+                    let kept = self
+                        .keeper
+                        .as_mut()
+                        .is_some_and(|keeper| keeper.keep_council(&changes));
                     if !kept {
-                        let events = self.fleet.as_mut().map(|fleet| fleet.written(&mut self.reactor, false));
+                        let events = self
+                            .fleet
+                            .as_mut()
+                            .map(|fleet| fleet.written(&mut self.reactor, false));
                         self.told_by_fleet(events.unwrap_or_default());
                     }
                 }
@@ -614,8 +705,12 @@
                     }
                 }
                 service::Event::Passed(from, generation, body) => {
-                    let own = self.fleet.as_ref().map(|fleet| fleet.generation(self.list.discovery()));
-                    if own == Some(generation) && self.list.take(&mut self.reactor, &body).is_some() {
+                    let own = self
+                        .fleet
+                        .as_ref()
+                        .map(|fleet| fleet.generation(self.list.discovery()));
+                    if own == Some(generation) && self.list.take(&mut self.reactor, &body).is_some()
+                    {
                         self.adopted(Source::Peer(from));
                     }
                 }
@@ -637,8 +732,15 @@
     fn drain(&mut self, link: Option<usize>, ago: f64) {
         if !self.life.drained() {
             tracing::info!("draining");
-            self.reactor.timer(self.reactor.now + DRAIN_LOOK, Due::Drain);
-            self.tell(link, &Message::StateUpdate(StateUpdate::Drain { on: true, ago: ago as f32 }));
+            self.reactor
+                .timer(self.reactor.now + DRAIN_LOOK, Due::Drain);
+            self.tell(
+                link,
+                &Message::StateUpdate(StateUpdate::Drain {
+                    on: true,
+                    ago: ago as f32,
+                }),
+            );
         }
         self.life.drain(self.reactor.now - ago);
         self.heed();
@@ -646,7 +748,13 @@
 
     fn activate(&mut self) -> Reply {
         if self.life.drained() {
-            self.tell(None, &Message::StateUpdate(StateUpdate::Drain { on: false, ago: 0.0 }));
+            self.tell(
+                None,
+                &Message::StateUpdate(StateUpdate::Drain {
+                    on: false,
+                    ago: 0.0,
+                }),
+            );
         }
         let can = self.life.activate();
         tracing::info!(can, "activated");
@@ -706,11 +814,22 @@
 
     /// Gives connections to the process that takes over: those on which nothing is owed, and held jobs with theirs.
     fn pass_on(&mut self) {
-        let Some(handover) = &mut self.handover else { return };
-        let Some(to) = handover.successor() else { return };
+        let Some(handover) = &mut self.handover else {
+            return;
+        };
+        let Some(to) = handover.successor() else {
+            return;
+        };
         while handover.has_room(to) {
-            let Some((stream, input, useful)) = self.clients.give_away(&self.reactor) else { break };
-            handover.pass(&self.reactor, to, &Message::Client { input, useful }, Some(stream.into()));
+            let Some((stream, input, useful)) = self.clients.give_away(&self.reactor) else {
+                break;
+            };
+            handover.pass(
+                &self.reactor,
+                to,
+                &Message::Client { input, useful },
+                Some(stream.into()),
+            );
         }
         for client in self.hub.movable() {
             if !handover.has_room(to) {
@@ -720,7 +839,9 @@
             if !self.clients.waits(client) {
                 continue;
             }
-            let Some(job) = self.hub.release(self.reactor.now, client) else { continue };
+            let Some(job) = self.hub.release(self.reactor.now, client) else {
+                continue;
+            };
             if let Some((stream, input, closes)) = self.clients.give_up(&self.reactor, client) {
                 let message = Message::Job { job, input, closes };
                 handover.pass(&self.reactor, to, &message, Some(stream.into()));
@@ -732,7 +853,9 @@
     /// Divides what the node may hold among its processes: the older one keeps what it has, at least half until it
     /// leaves, and the newer one has the rest.
     fn share(&mut self) {
-        let Some(handover) = &mut self.handover else { return };
+        let Some(handover) = &mut self.handover else {
+            return;
+        };
         let others: usize = self.links.holds.values().sum();
         let left = self.room.sockets.saturating_sub(self.room.kept + others);
         let held = self.clients.count() + self.attempts.count();
@@ -765,19 +888,33 @@
     fn linked(&mut self, events: Vec<handover::Event>) {
         for event in events {
             match event {
-                handover::Event::LinkEvent(_, LinkEvent::Client(input, useful), Some(descriptor)) => {
-                    self.clients.adopt(&mut self.reactor, descriptor.into(), input, useful);
+                handover::Event::LinkEvent(
+                    _,
+                    LinkEvent::Client(input, useful),
+                    Some(descriptor),
+                ) => {
+                    self.clients
+                        .adopt(&mut self.reactor, descriptor.into(), input, useful);
                 }
-                handover::Event::LinkEvent(link, LinkEvent::Job(job, input, closes), descriptor) => {
+                handover::Event::LinkEvent(
+                    link,
+                    LinkEvent::Job(job, input, closes),
+                    descriptor,
+                ) => {
                     // Without its connection, for which there may have been no descriptor left, its client has gone.
                     let adopted = descriptor.and_then(|descriptor| {
-                        self.clients.adopt_held(&mut self.reactor, descriptor.into(), input, closes)
+                        self.clients
+                            .adopt_held(&mut self.reactor, descriptor.into(), input, closes)
                     });
                     let client = adopted.filter(|client| self.clients.waits(*client));
-                    self.reactor.queue.push_back(Input::Moved(link, client, job));
+                    self.reactor
+                        .queue
+                        .push_back(Input::Moved(link, client, job));
                 }
                 handover::Event::LinkEvent(link, news, _) => self.news(link, news),
-                handover::Event::Over(link, waiting, stalled) => self.unlinked(link, waiting, stalled),
+                handover::Event::Over(link, waiting, stalled) => {
+                    self.unlinked(link, waiting, stalled)
+                }
             }
         }
     }
@@ -797,7 +934,8 @@
                 self.word(client, false);
             }
         }
-        self.hub.link(self.handover.as_ref().is_some_and(Handover::linked));
+        self.hub
+            .link(self.handover.as_ref().is_some_and(Handover::linked));
         let successor = self.handover.as_ref().and_then(Handover::successor);
         if self.life.stage() == Stage::HandingOver && successor.is_none() {
             tracing::warn!("the process that took over is gone");
@@ -821,13 +959,19 @@
             LinkEvent::StateUpdate(StateUpdate::Drain { on: false, .. }) => {
                 self.activate();
             }
-            LinkEvent::StateUpdate(StateUpdate::List(kept)) => self.list.take_over(&mut self.reactor, &kept),
+            LinkEvent::StateUpdate(StateUpdate::List(kept)) => {
+                self.list.take_over(&mut self.reactor, &kept)
+            }
             LinkEvent::StateUpdate(tale) => {
                 // Of two processes one has the place among the nodes, and tells them. What was so before is no new word: it
                 // is told once it is known what the fleet has said.
-                let older = self.handover.as_ref().is_some_and(|h| h.role(link) == Some(Role::Newer));
+                let older = self
+                    .handover
+                    .as_ref()
+                    .is_some_and(|h| h.role(link) == Some(Role::Newer));
                 let new = !older || self.links.told.contains(&link);
-                if let (StateUpdate::Use { worker, again }, Some(fleet), true) = (&tale, &mut self.fleet, new)
+                if let (StateUpdate::Use { worker, again }, Some(fleet), true) =
+                    (&tale, &mut self.fleet, new)
                 {
                     let (_, events) = fleet.employ(&mut self.reactor, None, worker, *again);
                     self.told_by_fleet(events);
@@ -849,7 +993,13 @@
                     self.links.origins.insert(client, (link, number));
                     self.reactor.queue.push_back(Input::Call(client, call));
                 }
-                None => self.say(link, &Message::Called { number, known: false }),
+                None => self.say(
+                    link,
+                    &Message::Called {
+                        number,
+                        known: false,
+                    },
+                ),
             },
             LinkEvent::Called(client, known) => self.word(client, known),
             // Without its descriptor there is nothing to take over; what becomes of a job is said with its event.
@@ -860,13 +1010,22 @@
 
     /// Another process of this node has greeted: a newer one is told all that it must know.
     fn greeted(&mut self, link: usize) {
-        let Some(handover) = self.handover.as_mut().filter(|h| h.role(link) == Some(Role::Older)) else {
+        let Some(handover) = self
+            .handover
+            .as_mut()
+            .filter(|h| h.role(link) == Some(Role::Older))
+        else {
             return;
         };
         let now = self.reactor.now;
-        let drain = self.life.drained_at().map(|at| StateUpdate::Drain { on: true, ago: (now - at) as f32 });
-        let tales =
-            drain.into_iter().chain(self.list.kept().map(StateUpdate::List)).chain(self.hub.tales(now));
+        let drain = self.life.drained_at().map(|at| StateUpdate::Drain {
+            on: true,
+            ago: (now - at) as f32,
+        });
+        let tales = drain
+            .into_iter()
+            .chain(self.list.kept().map(StateUpdate::List))
+            .chain(self.hub.tales(now));
         for tale in tales {
             handover.say(&self.reactor, link, &Message::StateUpdate(tale));
         }
@@ -886,12 +1045,16 @@
 
     /// Another process's word on a call-back: with a yes, or the last no, it is acknowledged.
     fn word(&mut self, client: ClientId, known: bool) {
-        let Some((left, _)) = self.links.words.get_mut(&client) else { return };
+        let Some((left, _)) = self.links.words.get_mut(&client) else {
+            return;
+        };
         *left -= 1;
         if !known && *left > 0 {
             return;
         }
-        let Some((_, call)) = self.links.words.remove(&client) else { return };
+        let Some((_, call)) = self.links.words.remove(&client) else {
+            return;
+        };
         if known {
             self.acknowledge(client, true);
         } else {
@@ -913,7 +1076,10 @@
     fn forward(&mut self, client: ClientId, call: messages::JobCall) {
         let except = self.links.origins.get(&client).map(|(link, _)| *link);
         let body = clients::wording(&call);
-        let asked = self.handover.as_mut().map_or(0, |h| h.forward(&self.reactor, except, client, &body));
+        let asked = self
+            .handover
+            .as_mut()
+            .map_or(0, |h| h.forward(&self.reactor, except, client, &body));
         if asked == 0 {
             self.acknowledge(client, false);
         } else {
@@ -922,7 +1088,9 @@
     }
 
     fn reload(&mut self) {
-        let Some((signal, source)) = &mut self.reload else { return };
+        let Some((signal, source)) = &mut self.reload else {
+            return;
+        };
         // What was signalled before the source is asked is in what it gives; a later signal asks again.
         if let Some(config) = signal.take(&self.reactor).then(source).flatten() {
             self.list.moved(&mut self.reactor, config.discovery);
@@ -939,10 +1107,12 @@
                 match command {
                     Command::Start(attempt, worker, payload, until) => {
                         self.acts += 1;
-                        self.attempts.start(reactor, attempt, worker, &payload, until);
+                        self.attempts
+                            .start(reactor, attempt, worker, &payload, until);
                     }
                     Command::Abandon(attempt, worker, payload, accepted) => {
-                        self.attempts.abandon(reactor, attempt, worker, &payload.id, accepted);
+                        self.attempts
+                            .abandon(reactor, attempt, worker, &payload.id, accepted);
                     }
                     Command::Probe(attempt, worker, wait) => {
                         self.attempts.probe(reactor, attempt, worker, wait)
@@ -950,7 +1120,9 @@
                     Command::Withdraw(attempt) => self.attempts.withdraw(reactor, attempt),
                     Command::Forget(worker) => self.attempts.forget(reactor, worker),
                     Command::Operator(key, reply) => self.operator(key, reply),
-                    Command::Answer(client, answer) => self.clients.answer(reactor, client, &answer),
+                    Command::Answer(client, answer) => {
+                        self.clients.answer(reactor, client, &answer)
+                    }
                     Command::Acknowledge(client, known) => self.acknowledge(client, known),
                     Command::Forward(client, call) => self.forward(client, call),
                     Command::Tell(except, tale) => self.tell(except, &Message::StateUpdate(tale)),
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -8,14 +8,28 @@
 
 impl RequestManager {
     /// Takes a call-back; whether its acknowledgement waits for a write.
-    pub(super) fn call(&mut self, now: f64, client: ClientId, call: JobCall, out: &mut Vec<Command>) -> bool {
-        let Some(&request) = self.by_id.get(&call.id) else { return self.late_call(now, client, call, out) };
-        let Some(&from) = self.numbers.get(&call.from) else { return false };
-        let Some(t) = self.requests.get(&request) else { return false };
+    pub(super) fn call(
+        &mut self,
+        now: f64,
+        client: ClientId,
+        call: JobCall,
+        out: &mut Vec<Command>,
+    ) -> bool {
+        let Some(&request) = self.by_id.get(&call.id) else {
+            return self.late_call(now, client, call, out);
+        };
+        let Some(&from) = self.numbers.get(&call.from) else {
+            return false;
+        };
+        let Some(t) = self.requests.get(&request) else {
+            return false;
+        };
         // A worker has one attempt of a request at a time. What it told before it had all of this one
         // belongs to an earlier one.
         let open = |a: &Attempt| a.worker == from && a.written && !a.ended;
-        let Some(attempt) = t.attempts.iter().position(open) else { return false };
+        let Some(attempt) = t.attempts.iter().position(open) else {
+            return false;
+        };
         // Danger: a call is repeated until it is answered. A second 'returned' may be about an earlier attempt, while this one runs.
         let returns = call.state == JobState::Returned;
         let returned = |a: &Attempt| a.worker == from && a.returned;
@@ -71,7 +85,9 @@
         call: JobCall,
         out: &mut Vec<Command>,
     ) -> bool {
-        let Some(keeping) = &mut self.keeping else { return false };
+        let Some(keeping) = &mut self.keeping else {
+            return false;
+        };
         let word = match &call.state {
             JobState::Done(result) => Completion::Done(result),
             JobState::Failed | JobState::Lost => Completion::Failed,
@@ -84,12 +100,16 @@
         if settled == Resolution::Nothing {
             return waits;
         }
-        let waiting =
-            |joiner: &CoalescedWaiter| matches!(joiner, CoalescedWaiter::InDoubt(id, ..) if *id == call.id);
-        let clients: Vec<ClientId> =
-            self.joiners.iter().filter(|(_, joiner)| waiting(joiner)).map(|(client, _)| *client).collect();
+        let waiting = |joiner: &CoalescedWaiter| matches!(joiner, CoalescedWaiter::InDoubt(id, ..) if *id == call.id);
+        let clients: Vec<ClientId> = self
+            .joiners
+            .iter()
+            .filter(|(_, joiner)| waiting(joiner))
+            .map(|(client, _)| *client)
+            .collect();
         for client in clients {
-            let Some(CoalescedWaiter::InDoubt(_, mut submission, until)) = self.joiners.remove(&client)
+            let Some(CoalescedWaiter::InDoubt(_, mut submission, until)) =
+                self.joiners.remove(&client)
             else {
                 continue;
             };
@@ -108,6 +128,10 @@
     }
 
     pub(super) fn note(&mut self, (request, attempt): (RequestId, u16), note: Note) {
-        self.events.push_back(Event::Note { request, attempt, note });
+        self.events.push_back(Event::Note {
+            request,
+            attempt,
+            note,
+        });
     }
 }
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -17,8 +17,14 @@
 
     /// Where the client of a request leaves and others wait for the same, one of them takes its place.
     pub(super) fn promoted(&mut self, client: ClientId) -> bool {
-        let Some(&request) = self.by_client.get(&client) else { return false };
-        let Some(t) = self.requests.get_mut(&request).filter(|t| !t.joined.is_empty()) else {
+        let Some(&request) = self.by_client.get(&client) else {
+            return false;
+        };
+        let Some(t) = self
+            .requests
+            .get_mut(&request)
+            .filter(|t| !t.joined.is_empty())
+        else {
             return false;
         };
         let next = t.joined.remove(0);
@@ -53,15 +59,29 @@
         out: &mut Vec<Command>,
     ) -> Option<(Submission, Option<Rc<RequestFingerprint>>)> {
         let class = submission.class;
-        let Some(keeping) = self.keeping.as_mut().filter(|k| k.care(class) != Durability::None) else {
+        let Some(keeping) = self
+            .keeping
+            .as_mut()
+            .filter(|k| k.care(class) != Durability::None)
+        else {
             return Some((submission, None));
         };
         let asker = RequestFingerprint::new(&submission, &self.settings);
         // The ledger knows of a request once something of it is to be sent; before that, it is here alone.
-        let key = submission.payload.idempotency_key.clone().map(|key| (class, key));
-        let held = key.and_then(|key| self.by_key.get(&key)).and_then(|r| self.requests.get(r));
+        let key = submission
+            .payload
+            .idempotency_key
+            .clone()
+            .map(|key| (class, key));
+        let held = key
+            .and_then(|key| self.by_key.get(&key))
+            .and_then(|r| self.requests.get(r));
         let standing = match held {
-            Some(t) if t.asker.as_ref().is_none_or(|held| held.digest() != asker.digest()) => {
+            Some(t)
+                if t.asker
+                    .as_ref()
+                    .is_none_or(|held| held.digest() != asker.digest()) =>
+            {
                 Lookup::Conflict
             }
             Some(t) => Lookup::Running(t.payload.id.clone()),
@@ -69,7 +89,10 @@
         };
         let joiner = match standing {
             Lookup::New if keeping.broken && keeping.care(class) == Durability::Durable => {
-                out.push(Command::Answer(client, Answer::Unavailable(keeping.retry_after)));
+                out.push(Command::Answer(
+                    client,
+                    Answer::Unavailable(keeping.retry_after),
+                ));
                 return None;
             }
             Lookup::New => match keeping.ledger.make_room() {
@@ -78,7 +101,10 @@
                     return Some((submission, Some(Rc::new(asker))));
                 }
                 None => {
-                    out.push(Command::Answer(client, Answer::Unavailable(keeping.retry_after)));
+                    out.push(Command::Answer(
+                        client,
+                        Answer::Unavailable(keeping.retry_after),
+                    ));
                     return None;
                 }
             },
@@ -138,18 +164,36 @@
         durable: bool,
         out: &mut Vec<Command>,
     ) {
-        let Some(&key @ (request, _)) = self.by_attempt.get(&attempt_id) else { return };
-        let Some(a) = self.attempt(attempt_id).filter(|a| !a.cleared) else { return };
+        let Some(&key @ (request, _)) = self.by_attempt.get(&attempt_id) else {
+            return;
+        };
+        let Some(a) = self.attempt(attempt_id).filter(|a| !a.cleared) else {
+            return;
+        };
         if durable {
             a.cleared = true;
             let (worker, until) = (a.worker, a.until);
-            let (Some(t), address) = (self.requests.get(&request), self.workers[worker]) else { return };
-            return out.push(Command::Start(attempt_id, address, t.payload.clone(), until));
+            let (Some(t), address) = (self.requests.get(&request), self.workers[worker]) else {
+                return;
+            };
+            return out.push(Command::Start(
+                attempt_id,
+                address,
+                t.payload.clone(),
+                until,
+            ));
         }
         // Nothing of this attempt was sent. What was promised to be kept can't be: the answer comes at once.
         let before = self.requests.get(&request).is_some_and(|t| t.may_have_run);
-        let after = self.keeping.as_ref().map_or(0.0, |keeping| keeping.retry_after);
-        let answer = if before { Answer::Failed } else { Answer::Unavailable(after) };
+        let after = self
+            .keeping
+            .as_ref()
+            .map_or(0.0, |keeping| keeping.retry_after);
+        let answer = if before {
+            Answer::Failed
+        } else {
+            Answer::Unavailable(after)
+        };
         self.finish(request, answer, out);
         self.events.push_back(Event::ClientGone { request });
         self.ended(now, key, Outcome::Moot, &Load::new());
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -36,21 +36,43 @@
 
 impl DurabilityPolicy {
     /// Classes that must not run twice are owed durable intents; keyed ones, too, where that is asked for.
-    pub fn new(settings: &Settings, ledger: RequestLog, patience: f64, keyed_durable: bool) -> Self {
-        let keyed = if keyed_durable { Durability::Durable } else { Durability::Relaxed };
+    pub fn new(
+        settings: &Settings,
+        ledger: RequestLog,
+        patience: f64,
+        keyed_durable: bool,
+    ) -> Self {
+        let keyed = if keyed_durable {
+            Durability::Durable
+        } else {
+            Durability::Relaxed
+        };
         let care = |effect: Effect| match effect {
             Effect::Safe => Durability::None,
             Effect::Keyed => keyed,
             Effect::Unsafe => Durability::Durable,
         };
-        let care = settings.classes.iter().map(|class| care(class.effect)).collect();
+        let care = settings
+            .classes
+            .iter()
+            .map(|class| care(class.effect))
+            .collect();
         let retry_after = COME_BACK.min(settings.max_retry_after);
-        Self { ledger, care, patience, retry_after, broken: false }
+        Self {
+            ledger,
+            care,
+            patience,
+            retry_after,
+            broken: false,
+        }
     }
 
     /// The care that a class is owed.
     pub fn care(&self, class: u8) -> Durability {
-        self.care.get(class as usize).copied().unwrap_or(Durability::None)
+        self.care
+            .get(class as usize)
+            .copied()
+            .unwrap_or(Durability::None)
     }
 }
 
@@ -68,7 +90,11 @@
     pub fn new(submission: &Submission, settings: &Settings) -> Self {
         let payload = &submission.payload;
         let mut digest = Sha256::new();
-        for part in [payload.method.as_bytes(), payload.target.as_bytes(), &payload.body] {
+        for part in [
+            payload.method.as_bytes(),
+            payload.target.as_bytes(),
+            &payload.body,
+        ] {
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
@@ -88,6 +114,11 @@
 
     /// As the ledger takes it.
     pub fn asked(&self) -> RequestIdentity<'_> {
-        RequestIdentity { id: &self.id, key: self.key.as_deref(), class: &self.class, digest: self.digest }
+        RequestIdentity {
+            id: &self.id,
+            key: self.key.as_deref(),
+            class: &self.class,
+            digest: self.digest,
+        }
     }
 }
--- a/src/net/requests/in_flight.rs
+++ b/src/net/requests/in_flight.rs
@@ -64,7 +64,11 @@
 
 impl InFlightRequest {
     pub(super) fn unwritten(&self, request: RequestId) -> impl Iterator<Item = Unwritten> {
-        let open = self.attempts.iter().zip(0..).filter(|(a, _)| !a.written && !a.ended);
+        let open = self
+            .attempts
+            .iter()
+            .zip(0..)
+            .filter(|(a, _)| !a.written && !a.ended);
         open.map(move |(a, attempt)| Unwritten {
             request,
             attempt,
@@ -124,7 +128,10 @@
 }
 
 pub(super) fn worker_id(number: usize) -> WorkerId {
-    WorkerId { address: (number as u32).to_be_bytes(), port: 0 }
+    WorkerId {
+        address: (number as u32).to_be_bytes(),
+        port: 0,
+    }
 }
 
 pub(super) fn number(worker: WorkerId) -> usize {
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -77,7 +77,11 @@
             self.forget(now, request);
         }
         out.extend(self.tales.drain(..).map(|tale| Command::Tell(None, tale)));
-        out.extend(self.writes.drain(..).map(|(writes, wait)| Command::Write(writes, wait)));
+        out.extend(
+            self.writes
+                .drain(..)
+                .map(|(writes, wait)| Command::Write(writes, wait)),
+        );
     }
 
     pub(super) fn take(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
@@ -106,7 +110,9 @@
                     a.written = true;
                 }
             }
-            Input::Attempt(attempt_id, AttemptEnd::Accepted, _) if !self.probes.contains_key(&attempt_id) => {
+            Input::Attempt(attempt_id, AttemptEnd::Accepted, _)
+                if !self.probes.contains_key(&attempt_id) =>
+            {
                 if let Some(a) = self.attempt(attempt_id) {
                     (a.written, a.accepted) = (true, true);
                 }
@@ -115,8 +121,12 @@
                 if let Some((worker, asked)) = self.probes.remove(&attempt_id) {
                     return self.probed(worker, end, now - asked, &load);
                 }
-                let Some(&(request, attempt)) = self.by_attempt.get(&attempt_id) else { return };
-                let Some(a) = self.attempt(attempt_id).filter(|a| !a.accepted) else { return };
+                let Some(&(request, attempt)) = self.by_attempt.get(&attempt_id) else {
+                    return;
+                };
+                let Some(a) = self.attempt(attempt_id).filter(|a| !a.accepted) else {
+                    return;
+                };
                 let outcome = match end {
                     AttemptEnd::NotRun => Outcome::Full,
                     AttemptEnd::TurnedAway => Outcome::Unknown(TURNED_AWAY),
@@ -138,17 +148,29 @@
             Input::Stored(wait, durable) => self.stored(now, wait, durable, out),
             Input::Fetched(client, result) => {
                 if self.unjoin(client) {
-                    out.push(Command::Answer(client, result.map_or(Answer::Failed, Answer::Served)));
+                    out.push(Command::Answer(
+                        client,
+                        result.map_or(Answer::Failed, Answer::Served),
+                    ));
                 }
             }
             Input::Disk(sound) => {
-                let Some(keeping) = &mut self.keeping else { return };
+                let Some(keeping) = &mut self.keeping else {
+                    return;
+                };
                 keeping.broken = !sound;
-                let anew = if sound { keeping.ledger.rewrite() } else { Vec::new() };
+                let anew = if sound {
+                    keeping.ledger.rewrite()
+                } else {
+                    Vec::new()
+                };
                 self.write(anew, Wait::Nobody(String::new()));
             }
             Input::List(kind, members) => {
-                let entries: Vec<Entry> = members.into_iter().map(|member| self.member(member)).collect();
+                let entries: Vec<Entry> = members
+                    .into_iter()
+                    .map(|member| self.member(member))
+                    .collect();
                 let unwritten = self.unwritten_to(&self.leaving(kind, &entries));
                 self.events.push_back(Event::List { kind, entries });
                 self.withdraw(now, unwritten, out);
@@ -164,7 +186,8 @@
             }
             Input::Nodes(count) => {
                 let known = u32::try_from(count).ok().filter(|count| *count > 0);
-                self.events.push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
+                self.events
+                    .push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
             }
             Input::StateUpdate(link, tale) => self.heard(now, link, tale, out),
             Input::Moved(link, client, job) => {
@@ -180,7 +203,8 @@
                 }
             }
             Input::Unlinked(link) => {
-                let gone = |(id, d): (&String, &SiblingRequest)| (d.link == link).then(|| id.clone());
+                let gone =
+                    |(id, d): (&String, &SiblingRequest)| (d.link == link).then(|| id.clone());
                 for id in self.distant.iter().filter_map(gone).collect::<Vec<_>>() {
                     self.heard(now, link, StateUpdate::Over { id }, out);
                 }
@@ -227,21 +251,34 @@
         if self.by_id.contains_key(id) || self.distant.contains_key(id) {
             return out.push(Command::Answer(client, Answer::Held));
         }
-        if self.settings.max_open > 0 && self.by_client.len() + self.joiners.len() >= self.settings.max_open {
+        if self.settings.max_open > 0
+            && self.by_client.len() + self.joiners.len() >= self.settings.max_open
+        {
             return out.push(Command::Answer(client, Answer::Failed));
         }
         let Some(class) = self.settings.classes.get(submission.class as usize) else {
             return out.push(Command::Answer(client, Answer::Failed));
         };
-        let budget = submission.budget.unwrap_or(class.deadline).min(class.deadline);
-        let Some((submission, asker)) = self.known(client, submission, now + budget, out) else { return };
+        let budget = submission
+            .budget
+            .unwrap_or(class.deadline)
+            .min(class.deadline);
+        let Some((submission, asker)) = self.known(client, submission, now + budget, out) else {
+            return;
+        };
         let request = self.next_request;
         self.next_request += 1;
         self.by_id.insert(submission.payload.id.clone(), request);
         self.by_client.insert(client, request);
-        self.tell(|| StateUpdate::Taken { id: submission.payload.id.clone(), counts: true });
+        self.tell(|| StateUpdate::Taken {
+            id: submission.payload.id.clone(),
+            counts: true,
+        });
         let tenants = &self.settings.tenant_names;
-        let tenant = tenants.iter().position(|name| Some(name) == submission.tenant.as_ref()).unwrap_or(0);
+        let tenant = tenants
+            .iter()
+            .position(|name| Some(name) == submission.tenant.as_ref())
+            .unwrap_or(0);
         let new = NewRequest {
             request,
             class: submission.class,
@@ -257,7 +294,10 @@
         if let (Some(_), Some(key)) = (&asker, &submission.payload.idempotency_key) {
             self.by_key.insert((submission.class, key.clone()), request);
         }
-        let care = self.keeping.as_ref().map_or(Durability::None, |keeping| keeping.care(submission.class));
+        let care = self
+            .keeping
+            .as_ref()
+            .map_or(Durability::None, |keeping| keeping.care(submission.class));
         // A span that is off costs a look at a flag: its fields are then not made.
         let span = tracing::debug_span!(
             target: "postproxy::transaction",
@@ -288,7 +328,11 @@
     /// The attempt of an attempt that has not ended.
     pub(super) fn attempt(&mut self, attempt_id: AttemptId) -> Option<&mut Attempt> {
         let &(request, attempt) = self.by_attempt.get(&attempt_id)?;
-        self.requests.get_mut(&request)?.attempts.get_mut(attempt as usize).filter(|a| !a.ended)
+        self.requests
+            .get_mut(&request)?
+            .attempts
+            .get_mut(attempt as usize)
+            .filter(|a| !a.ended)
     }
 
     /// Books the end of an attempt and tells the dispatcher, once.
@@ -299,27 +343,45 @@
         outcome: Outcome,
         load: &Load,
     ) {
-        let Some(t) = self.requests.get_mut(&request) else { return };
+        let Some(t) = self.requests.get_mut(&request) else {
+            return;
+        };
         let closed = t.client.is_none();
-        let Some(a) = t.attempts.get_mut(attempt as usize).filter(|a| !a.ended) else { return };
+        let Some(a) = t.attempts.get_mut(attempt as usize).filter(|a| !a.ended) else {
+            return;
+        };
         a.ended = true;
         let never = !a.cleared || outcome.proves_never_ran(self.settings.full_proves_nothing);
         t.may_have_run |= !never;
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker)
             && outcome != Outcome::Ok
         {
-            let writes = keeping.ledger.ended(now, &t.payload.id, attempt.into(), !never);
+            let writes = keeping
+                .ledger
+                .ended(now, &t.payload.id, attempt.into(), !never);
             if !writes.is_empty() {
-                self.writes.push((writes, Wait::Nobody(t.payload.id.clone())));
+                self.writes
+                    .push((writes, Wait::Nobody(t.payload.id.clone())));
             }
         }
         let (worker, elapsed) = (worker_id(a.worker), now - a.sent);
         if self.linked {
-            self.tales.push(StateUpdate::Ended { id: t.payload.id.clone(), attempt });
+            self.tales.push(StateUpdate::Ended {
+                id: t.payload.id.clone(),
+                attempt,
+            });
         }
         self.by_attempt.remove(&a.attempt_id);
         let report = self.report(load);
-        let event = Event::Outcome { request, attempt, worker, outcome, elapsed, closed, report };
+        let event = Event::Outcome {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed,
+            closed,
+            report,
+        };
         self.events.push_back(event);
         self.touched.push(request);
     }
@@ -345,9 +407,13 @@
         if self.requests.get(&request).filter(over).is_none() {
             return;
         }
-        let Some(t) = self.requests.remove(&request) else { return };
+        let Some(t) = self.requests.remove(&request) else {
+            return;
+        };
         t.span.record("attempts", t.attempts.len());
-        self.tell(|| StateUpdate::Over { id: t.payload.id.clone() });
+        self.tell(|| StateUpdate::Over {
+            id: t.payload.id.clone(),
+        });
         self.by_id.remove(&t.payload.id);
         if let Some(key) = &t.payload.idempotency_key
             && self.by_key.get(&(t.class, key.clone())) == Some(&request)
@@ -364,12 +430,19 @@
     pub(super) fn act(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
         match action {
             Action::Watch => {} // on sockets calls for the list have a schedule of their own
-            Action::Send { request, worker, timeout } => self.send(now, request, worker, timeout, out),
+            Action::Send {
+                request,
+                worker,
+                timeout,
+            } => self.send(now, request, worker, timeout, out),
             Action::Cancel { request, attempt } => {
                 self.abandon(request, attempt, out);
                 self.ended(now, (request, attempt), Outcome::Cancelled, &Load::new());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.finish(request, Answer::Unavailable(retry_after), out);
             }
             Action::Fail { request } => self.finish(request, Answer::Failed, out),
@@ -393,7 +466,8 @@
         out: &mut Vec<Command>,
     ) {
         let number = number(worker);
-        let (Some(t), Some(address)) = (self.requests.get_mut(&request), self.workers.get(number)) else {
+        let (Some(t), Some(address)) = (self.requests.get_mut(&request), self.workers.get(number))
+        else {
             return;
         };
         let attempt = t.attempts.len() as u16;
@@ -401,46 +475,88 @@
         self.next_attempt += 1;
         let (written, accepted, ended, returned) = (false, false, false, false);
         let left = t.deadline - now;
-        let wait = if timeout > 0.0 { timeout.min(left) } else { left };
+        let wait = if timeout > 0.0 {
+            timeout.min(left)
+        } else {
+            left
+        };
         let (until, cleared) = (now + wait, t.care != Durability::Durable);
         let sent = now;
-        let new =
-            Attempt { worker: number, attempt_id, sent, until, cleared, written, accepted, ended, returned };
+        let new = Attempt {
+            worker: number,
+            attempt_id,
+            sent,
+            until,
+            cleared,
+            written,
+            accepted,
+            ended,
+            returned,
+        };
         t.attempts.push(new);
         self.by_attempt.insert(attempt_id, (request, attempt));
         if self.linked {
             let t = &self.requests[&request];
-            self.tales.push(self.sent(now, t, &t.attempts[attempt as usize], attempt, true));
+            self.tales
+                .push(self.sent(now, t, &t.attempts[attempt as usize], attempt, true));
         }
-        let Some(t) = self.requests.get_mut(&request) else { return };
+        let Some(t) = self.requests.get_mut(&request) else {
+            return;
+        };
         let moot = t.client.is_none() || left <= 0.0 || attempt >= self.settings.max_attempts;
         if moot || timeout < 0.0 {
-            let outcome = if moot { Outcome::Moot } else { Outcome::Timeout };
+            let outcome = if moot {
+                Outcome::Moot
+            } else {
+                Outcome::Timeout
+            };
             return self.ended(now, (request, attempt), outcome, &Load::new());
         }
         out.push(Command::Timer(now + wait, Due::Attempt(request, attempt)));
         if let (Some(keeping), Some(asker)) = (&mut self.keeping, &t.asker) {
-            let writes = keeping.ledger.intend(now, &asker.asked(), &self.names[number], t.deadline);
+            let writes =
+                keeping
+                    .ledger
+                    .intend(now, &asker.asked(), &self.names[number], t.deadline);
             let id = &t.payload.id;
-            let wait = if cleared { Wait::Nobody(id.clone()) } else { Wait::Attempt(attempt_id) };
+            let wait = if cleared {
+                Wait::Nobody(id.clone())
+            } else {
+                Wait::Attempt(attempt_id)
+            };
             self.writes.push((writes, wait));
             if !cleared {
-                out.push(Command::Timer(now + keeping.patience, Due::Intent(attempt_id)));
+                out.push(Command::Timer(
+                    now + keeping.patience,
+                    Due::Intent(attempt_id),
+                ));
                 return;
             }
         }
-        out.push(Command::Start(attempt_id, *address, t.payload.clone(), until));
+        out.push(Command::Start(
+            attempt_id,
+            *address,
+            t.payload.clone(),
+            until,
+        ));
     }
 
     /// Gives an attempt up towards its worker, if it has not ended.
     pub(super) fn abandon(&mut self, request: RequestId, attempt: u16, out: &mut Vec<Command>) {
-        let Some(t) = self.requests.get(&request) else { return };
+        let Some(t) = self.requests.get(&request) else {
+            return;
+        };
         if let Some(a) = t.attempts.get(attempt as usize).filter(|a| !a.ended) {
             if !a.cleared {
                 return; // its attempt was never started
             }
             let address = self.workers[a.worker];
-            out.push(Command::Abandon(a.attempt_id, address, t.payload.clone(), a.accepted));
+            out.push(Command::Abandon(
+                a.attempt_id,
+                address,
+                t.payload.clone(),
+                a.accepted,
+            ));
         }
     }
 }
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -56,23 +56,44 @@
     pub fn tales(&self, now: f64) -> Vec<StateUpdate> {
         let ago = |at: f64| (now - at) as f32;
         let banned = self.banned.iter();
-        let mut tales: Vec<StateUpdate> =
-            banned.map(|&w| StateUpdate::Use { worker: self.names[w].clone(), again: false }).collect();
+        let mut tales: Vec<StateUpdate> = banned
+            .map(|&w| StateUpdate::Use {
+                worker: self.names[w].clone(),
+                again: false,
+            })
+            .collect();
         let (taken, further) = self.dispatcher.past(MOST_PAST);
         let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
-        tales.push(StateUpdate::Past { taken: agos(taken), further: agos(further) });
+        tales.push(StateUpdate::Past {
+            taken: agos(taken),
+            further: agos(further),
+        });
         for t in self.requests.values() {
             let id = &t.payload.id;
-            tales.push(StateUpdate::Taken { id: id.clone(), counts: false });
+            tales.push(StateUpdate::Taken {
+                id: id.clone(),
+                counts: false,
+            });
             let out = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
             tales.extend(out.map(|(a, attempt)| self.sent(now, t, a, attempt, false)));
         }
         // What comes from a third process.
         for (id, d) in &self.distant {
-            tales.push(StateUpdate::Taken { id: id.clone(), counts: false });
+            tales.push(StateUpdate::Taken {
+                id: id.clone(),
+                counts: false,
+            });
             tales.extend(d.out.iter().map(|&(attempt, worker)| {
                 let (id, worker) = (id.clone(), self.names[worker].clone());
-                StateUpdate::Sent { id, attempt, worker, need: 1.0, work: 0.0, ago: 0.0, counts: false }
+                StateUpdate::Sent {
+                    id,
+                    attempt,
+                    worker,
+                    need: 1.0,
+                    work: 0.0,
+                    ago: 0.0,
+                    counts: false,
+                }
             }));
         }
         tales
@@ -82,7 +103,9 @@
     /// and nothing of them is kept here.
     pub fn movable(&self) -> Vec<ClientId> {
         let moves = |t: &InFlightRequest| {
-            t.asker.is_none() && t.joined.is_empty() && t.attempts.iter().all(|a| a.ended || a.accepted)
+            t.asker.is_none()
+                && t.joined.is_empty()
+                && t.attempts.iter().all(|a| a.ended || a.accepted)
         };
         let client = |t: &InFlightRequest| t.client.filter(|_| moves(t));
         self.requests.values().filter_map(client).collect()
@@ -109,7 +132,17 @@
         let payload = Rc::unwrap_or_clone(t.payload);
         let (class, may_have_run) = (t.class, t.may_have_run);
         let (deadline, need, hint) = (t.deadline, t.need, t.hint);
-        let moved = Moved { now, payload, class, deadline, attempts, may_have_run, need, hint, carried };
+        let moved = Moved {
+            now,
+            payload,
+            class,
+            deadline,
+            attempts,
+            may_have_run,
+            need,
+            hint,
+            carried,
+        };
         postcard::to_stdvec(&moved).ok()
     }
 
@@ -126,14 +159,24 @@
         let mut moved: Moved = postcard::from_bytes(job).ok()?;
         let id = moved.payload.id.clone();
         self.heard(now, link, StateUpdate::Over { id: id.clone() }, out);
-        let sound = moved.attempts.len() == moved.carried.workers.len() && moved.deadline.is_finite();
-        if !sound || self.by_id.contains_key(&id) || self.settings.classes.len() <= moved.class as usize {
+        let sound =
+            moved.attempts.len() == moved.carried.workers.len() && moved.deadline.is_finite();
+        if !sound
+            || self.by_id.contains_key(&id)
+            || self.settings.classes.len() <= moved.class as usize
+        {
             return None;
         }
         let apart = now - moved.now;
-        let shift = if apart.abs() > CLOCKS_APART { apart } else { 0.0 };
+        let shift = if apart.abs() > CLOCKS_APART {
+            apart
+        } else {
+            0.0
+        };
         moved.carried.shift(shift);
-        moved.carried.set_keyless(moved.payload.idempotency_key.is_none());
+        moved
+            .carried
+            .set_keyless(moved.payload.idempotency_key.is_none());
         let request = self.next_request;
         self.next_request += 1;
         let mut attempts = Vec::new();
@@ -161,7 +204,8 @@
             }
         }
         self.by_id.insert(id, request);
-        self.by_client.extend(client.map(|client| (client, request)));
+        self.by_client
+            .extend(client.map(|client| (client, request)));
         let t = InFlightRequest {
             payload: Rc::new(moved.payload),
             client,
@@ -176,15 +220,28 @@
             hint: moved.hint,
             span: tracing::Span::none(),
         };
-        self.tales.push(StateUpdate::Taken { id: t.payload.id.clone(), counts: false });
+        self.tales.push(StateUpdate::Taken {
+            id: t.payload.id.clone(),
+            counts: false,
+        });
         let open = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
-        let open: Vec<StateUpdate> = open.map(|(a, attempt)| self.sent(now, &t, a, attempt, false)).collect();
+        let open: Vec<StateUpdate> = open
+            .map(|(a, attempt)| self.sent(now, &t, a, attempt, false))
+            .collect();
         self.tales.extend(open);
-        let out_there: Vec<u16> =
-            t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended).map(|(_, n)| n).collect();
+        let out_there: Vec<u16> = t
+            .attempts
+            .iter()
+            .zip(0..)
+            .filter(|(a, _)| !a.ended)
+            .map(|(_, n)| n)
+            .collect();
         self.requests.insert(request, t);
         if client.is_some() {
-            self.events.push_back(Event::MigratedRequest { request, carried: Box::new(moved.carried) });
+            self.events.push_back(Event::MigratedRequest {
+                request,
+                carried: Box::new(moved.carried),
+            });
             return Some(());
         }
         self.touched.push(request);
@@ -207,11 +264,25 @@
     ) -> StateUpdate {
         let (id, worker) = (t.payload.id.clone(), self.names[a.worker].clone());
         let (need, work) = (t.need as f32, t.hint.unwrap_or(0.0) as f32);
-        StateUpdate::Sent { id, attempt, worker, need, work, ago: (now - a.sent) as f32, counts }
+        StateUpdate::Sent {
+            id,
+            attempt,
+            worker,
+            need,
+            work,
+            ago: (now - a.sent) as f32,
+            counts,
+        }
     }
 
     /// Takes in what another process of this node tells, and passes on what is new to the others.
-    pub(super) fn heard(&mut self, now: f64, link: usize, tale: StateUpdate, out: &mut Vec<Command>) {
+    pub(super) fn heard(
+        &mut self,
+        now: f64,
+        link: usize,
+        tale: StateUpdate,
+        out: &mut Vec<Command>,
+    ) {
         let then = |ago: f32| now - f64::from(ago).max(0.0);
         let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
         match &tale {
@@ -223,38 +294,83 @@
             }
             StateUpdate::Past { taken, further } => {
                 let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
-                tell(SiblingEvent::Past { taken: times(taken), further: times(further) });
+                tell(SiblingEvent::Past {
+                    taken: times(taken),
+                    further: times(further),
+                });
             }
             StateUpdate::Taken { id, counts } => {
                 if *counts {
-                    tell(SiblingEvent::Past { taken: vec![now], further: Vec::new() });
+                    tell(SiblingEvent::Past {
+                        taken: vec![now],
+                        further: Vec::new(),
+                    });
                 }
-                let distant = SiblingRequest { link, request: self.next_request, out: Vec::new() };
+                let distant = SiblingRequest {
+                    link,
+                    request: self.next_request,
+                    out: Vec::new(),
+                };
                 self.next_request += 1;
                 self.distant.entry(id.clone()).or_insert(distant);
             }
-            StateUpdate::Sent { id, attempt, worker, need, work, ago, counts } => {
+            StateUpdate::Sent {
+                id,
+                attempt,
+                worker,
+                need,
+                work,
+                ago,
+                counts,
+            } => {
                 let number = self.number(worker);
-                let Some(d) = self.distant.get_mut(id) else { return };
+                let Some(d) = self.distant.get_mut(id) else {
+                    return;
+                };
                 d.out.push((*attempt, number));
-                let (request, attempt, worker, sent) = (d.request, *attempt, worker_id(number), then(*ago));
+                let (request, attempt, worker, sent) =
+                    (d.request, *attempt, worker_id(number), then(*ago));
                 let (need, work) = (f64::from(*need), sound((*work).into()).filter(|w| *w > 0.0));
                 let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
-                tell(SiblingEvent::Sent { request, attempt, worker, need, work, sent });
+                tell(SiblingEvent::Sent {
+                    request,
+                    attempt,
+                    worker,
+                    need,
+                    work,
+                    sent,
+                });
                 if *counts && attempt > 0 {
-                    tell(SiblingEvent::Past { taken: Vec::new(), further: vec![now] });
+                    tell(SiblingEvent::Past {
+                        taken: Vec::new(),
+                        further: vec![now],
+                    });
                 }
             }
             StateUpdate::Ended { id, attempt } => {
-                let Some(d) = self.distant.get_mut(id) else { return };
-                let Some(at) = d.out.iter().position(|(a, _)| a == attempt) else { return };
+                let Some(d) = self.distant.get_mut(id) else {
+                    return;
+                };
+                let Some(at) = d.out.iter().position(|(a, _)| a == attempt) else {
+                    return;
+                };
                 let (attempt, worker) = d.out.swap_remove(at);
-                tell(SiblingEvent::Ended { request: d.request, attempt, worker: worker_id(worker) });
+                tell(SiblingEvent::Ended {
+                    request: d.request,
+                    attempt,
+                    worker: worker_id(worker),
+                });
             }
             StateUpdate::Over { id } => {
-                let Some(d) = self.distant.remove(id) else { return };
+                let Some(d) = self.distant.remove(id) else {
+                    return;
+                };
                 for (attempt, worker) in d.out {
-                    tell(SiblingEvent::Ended { request: d.request, attempt, worker: worker_id(worker) });
+                    tell(SiblingEvent::Ended {
+                        request: d.request,
+                        attempt,
+                        worker: worker_id(worker),
+                    });
                 }
             }
             StateUpdate::Drain { .. } | StateUpdate::List(_) => return, // the node's own
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -10,8 +10,10 @@
 const PROBE_DIALS: f64 = 4.0;
 
 /// Where a worker is that the list has not named yet: nobody is reached there, and none is sent there.
-const NOWHERE: std::net::SocketAddr =
-    std::net::SocketAddr::V4(std::net::SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0));
+const NOWHERE: std::net::SocketAddr = std::net::SocketAddr::V4(std::net::SocketAddrV4::new(
+    std::net::Ipv4Addr::UNSPECIFIED,
+    0,
+));
 
 /// The name that settings have for a figure of this name on the sockets.
 fn field(name: &str) -> &str {
@@ -29,25 +31,42 @@
 impl RequestManager {
     /// Workers that operators have taken out of use.
     pub fn banned(&self) -> Vec<String> {
-        self.banned.iter().map(|&worker| self.names[worker].clone()).collect()
+        self.banned
+            .iter()
+            .map(|&worker| self.names[worker].clone())
+            .collect()
     }
 
     /// Takes a worker out of use, or back into it. What runs there ends there; what has not been sent whole
     /// goes elsewhere.
-    pub(super) fn employ(&mut self, now: f64, name: &str, again: bool, out: &mut Vec<Command>) -> Reply {
-        let Some(&worker) = self.numbers.get(name) else { return Reply::Nobody };
+    pub(super) fn employ(
+        &mut self,
+        now: f64,
+        name: &str,
+        again: bool,
+        out: &mut Vec<Command>,
+    ) -> Reply {
+        let Some(&worker) = self.numbers.get(name) else {
+            return Reply::Nobody;
+        };
         if again != self.banned.contains(&worker) {
             return Reply::Yes;
         }
         tracing::info!(worker = name, again, "an operator's word on a worker's use");
-        self.tell(|| StateUpdate::Use { worker: name.to_owned(), again });
+        self.tell(|| StateUpdate::Use {
+            worker: name.to_owned(),
+            again,
+        });
         if again {
             self.banned.remove(&worker);
         } else {
             self.banned.insert(worker);
         }
         // First of all: what comes back now must not go there again.
-        self.events.push_back(Event::Use { worker: worker_id(worker), again });
+        self.events.push_back(Event::Use {
+            worker: worker_id(worker),
+            again,
+        });
         out.push(Command::Forget(self.workers[worker]));
         if !again {
             let unwritten = self.unwritten_to(&BTreeSet::from([worker]));
@@ -60,12 +79,18 @@
     pub(super) fn leaving(&self, kind: ListKind, entries: &[Entry]) -> BTreeSet<usize> {
         let of = |wanted: bool| {
             let fits = move |e: &&Entry| (e.health == Health::Ready) == wanted;
-            entries.iter().filter(fits).map(|e| number(e.worker)).collect::<BTreeSet<usize>>()
+            entries
+                .iter()
+                .filter(fits)
+                .map(|e| number(e.worker))
+                .collect::<BTreeSet<usize>>()
         };
         match kind {
             ListKind::Full => {
                 let ready = of(true);
-                (0..self.workers.len()).filter(|worker| !ready.contains(worker)).collect()
+                (0..self.workers.len())
+                    .filter(|worker| !ready.contains(worker))
+                    .collect()
             }
             _ => of(false),
         }
@@ -86,7 +111,13 @@
     /// Takes attempts back whose last byte has not been written. This gives up nothing that runs, so that it needs no leave
     /// to cancel.
     pub(super) fn withdraw(&mut self, now: f64, attempts: Vec<Unwritten>, out: &mut Vec<Command>) {
-        for Unwritten { request, attempt, attempt_id, cleared } in attempts {
+        for Unwritten {
+            request,
+            attempt,
+            attempt_id,
+            cleared,
+        } in attempts
+        {
             if cleared {
                 out.push(Command::Withdraw(attempt_id));
             } else {
@@ -100,7 +131,11 @@
         let attempt_id = self.next_attempt;
         self.next_attempt += 1;
         self.probes.insert(attempt_id, (worker, now));
-        out.push(Command::Probe(attempt_id, self.workers[worker], PROBE_DIALS * self.settings.dial_timeout));
+        out.push(Command::Probe(
+            attempt_id,
+            self.workers[worker],
+            PROBE_DIALS * self.settings.dial_timeout,
+        ));
     }
 
     /// What became of it. A shortage here says nothing of the worker.
@@ -113,17 +148,28 @@
             AttemptEnd::NotRun | AttemptEnd::TurnedAway | AttemptEnd::Error => Outcome::Error,
         };
         let (worker, report) = (worker_id(worker), self.report(load));
-        self.events.push_back(Event::Probed { worker, outcome, elapsed, report });
+        self.events.push_back(Event::Probed {
+            worker,
+            outcome,
+            elapsed,
+            report,
+        });
     }
 
     /// A load report in the settings' order; figures that are not there are no numbers, never 0.
     pub fn report(&self, load: &Load) -> Vec<f32> {
         let figure = |wanted: &String| {
-            let found = load.iter().find(|(name, _)| field(name) == wanted || name == wanted);
+            let found = load
+                .iter()
+                .find(|(name, _)| field(name) == wanted || name == wanted);
             found.map_or(f32::NAN, |(_, value)| *value as f32)
         };
         let report: Vec<f32> = self.settings.field_names.iter().map(figure).collect();
-        if report.iter().all(|figure| figure.is_nan()) { Vec::new() } else { report }
+        if report.iter().all(|figure| figure.is_nan()) {
+            Vec::new()
+        } else {
+            report
+        }
     }
 
     /// The number of the worker of this name, which may be new.
@@ -141,6 +187,9 @@
     pub(super) fn member(&mut self, member: Member) -> Entry {
         let at = self.number(&member.id);
         self.workers[at] = member.address;
-        Entry { worker: worker_id(at), ..member.entry }
+        Entry {
+            worker: worker_id(at),
+            ..member.entry
+        }
     }
 }
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -29,7 +29,9 @@
 const AGAIN: Duration = Duration::from_millis(500);
 
 fn unix_ms() -> u64 {
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -73,7 +75,8 @@
     let delay = Duration::from_millis(section.sync_delay_ms);
     let disks: Result<Vec<OsDisk>, String> = folders
         .map(|folder| {
-            let disk = OsDisk::new(Path::new(folder)).map_err(|error| format!("store: {folder}: {error}"));
+            let disk =
+                OsDisk::new(Path::new(folder)).map_err(|error| format!("store: {folder}: {error}"));
             let disk = disk?.slowed(delay);
             Ok(match &section.trouble_file {
                 Some(file) => disk.troubled(Path::new(file)),
@@ -88,7 +91,8 @@
     };
     // The store's own number only has to differ from those of other stores.
     let fresh = unix_ms() << 20 | u64::from(std::process::id());
-    Engine::open(disks?, options, holder, fresh, unix_ms()).map_err(|error| format!("store: {error}"))
+    Engine::open(disks?, options, holder, fresh, unix_ms())
+        .map_err(|error| format!("store: {error}"))
 }
 
 impl StoreAdapter {
@@ -130,15 +134,24 @@
             "the store is recovered"
         );
         for lost in &recovery.lost {
-            tracing::error!(segment = lost.segment, from = lost.from, to = lost.to, "records are lost");
+            tracing::error!(
+                segment = lost.segment,
+                from = lost.from,
+                to = lost.to,
+                "records are lost"
+            );
         }
         for file in &recovery.repaired {
             tracing::warn!(file, "made whole from its copy");
         }
         let (woken, waker) = UnixStream::pair().map_err(|error| format!("store: {error}"))?;
-        let nonblocking = woken.set_nonblocking(true).and_then(|()| waker.set_nonblocking(true));
+        let nonblocking = woken
+            .set_nonblocking(true)
+            .and_then(|()| waker.set_nonblocking(true));
         nonblocking.map_err(|error| format!("store: {error}"))?;
-        let key = reactor.register(&woken, Owner::Store).map_err(|error| format!("store: {error}"))?;
+        let key = reactor
+            .register(&woken, Owner::Store)
+            .map_err(|error| format!("store: {error}"))?;
         reactor.rearm(&woken, key, (true, false));
         let pending = Arc::new(AtomicBool::new(false));
         let told = pending.clone();
@@ -148,9 +161,14 @@
                 let _ = (&waker).write(&[1]);
             }
         };
-        let work =
-            Work { most_queued: MOST_QUEUED, again: AGAIN, clock: Box::new(unix_ms), wake: Box::new(wake) };
-        let (store, events) = Store::start(engine, work).map_err(|error| format!("store: {error}"))?;
+        let work = Work {
+            most_queued: MOST_QUEUED,
+            again: AGAIN,
+            clock: Box::new(unix_ms),
+            wake: Box::new(wake),
+        };
+        let (store, events) =
+            Store::start(engine, work).map_err(|error| format!("store: {error}"))?;
         let (waiting, reads) = (VecDeque::new(), HashMap::new());
         let keeper = Self {
             store,
@@ -170,10 +188,12 @@
 
     /// Has changes written together; what waits for them is told later, through the queue.
     pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, wait: Wait) {
-        let batch = writes.into_iter().fold(Batch::new(), |batch, write| match write {
-            Write::Put { key, value, until } => batch.put(&key, &value, until),
-            Write::Delete { key } => batch.delete(&key),
-        });
+        let batch = writes
+            .into_iter()
+            .fold(Batch::new(), |batch, write| match write {
+                Write::Put { key, value, until } => batch.put(&key, &value, until),
+                Write::Delete { key } => batch.delete(&key),
+            });
         match self.store.append(batch) {
             Ok(ticket) => self.waiting.push_back((ticket, wait)),
             Err(_) => reactor.queue.push_back(Input::Stored(wait, false)),
@@ -197,13 +217,16 @@
 
     /// Writes what the council wants written: one batch at a time. `false` if it is refused at once.
     pub fn keep_council(&mut self, changes: &[StorageChange]) -> bool {
-        let batch = changes.iter().fold(Batch::new(), |batch, change| match &change.value {
-            Some(value) => batch.put(&change.key, value, 0),
-            None => batch.delete(&change.key),
-        });
+        let batch = changes
+            .iter()
+            .fold(Batch::new(), |batch, change| match &change.value {
+                Some(value) => batch.put(&change.key, value, 0),
+                None => batch.delete(&change.key),
+            });
         let ticket = self.store.append(batch).ok();
         if let Some(ticket) = ticket {
-            self.waiting.push_back((ticket, Wait::Nobody(String::new())));
+            self.waiting
+                .push_back((ticket, Wait::Nobody(String::new())));
             self.council = Some(ticket);
         }
         ticket.is_some()
@@ -212,7 +235,8 @@
     fn keep(&mut self, key: &[u8], value: &[u8]) {
         match self.store.append(Batch::new().put(key, value, 0)) {
             Ok(ticket) => {
-                self.waiting.push_back((ticket, Wait::Nobody(String::new())));
+                self.waiting
+                    .push_back((ticket, Wait::Nobody(String::new())));
                 self.keeps.push_back(ticket);
             }
             Err(_) => self.unkept = true,
@@ -239,7 +263,9 @@
                     council = Some(true)
                 }
                 Event::Refused { from, to, .. }
-                    if self.council.is_some_and(|ticket| (*from..=*to).contains(&ticket)) =>
+                    if self
+                        .council
+                        .is_some_and(|ticket| (*from..=*to).contains(&ticket)) =>
                 {
                     council = Some(false);
                 }
@@ -258,7 +284,8 @@
         match event {
             Event::Durable(last) => {
                 while self.keeps.pop_front_if(|ticket| *ticket <= last).is_some() {}
-                while let Some((_, wait)) = self.waiting.pop_front_if(|(ticket, _)| *ticket <= last) {
+                while let Some((_, wait)) = self.waiting.pop_front_if(|(ticket, _)| *ticket <= last)
+                {
                     reactor.queue.push_back(Input::Stored(wait, true));
                 }
             }
@@ -267,21 +294,32 @@
                 let before = self.keeps.len();
                 self.keeps.retain(|ticket| !(from..=to).contains(ticket));
                 self.unkept |= self.keeps.len() < before;
-                let (refused, rest): (VecDeque<_>, VecDeque<_>) =
-                    self.waiting.drain(..).partition(|(ticket, _)| (from..=to).contains(ticket));
+                let (refused, rest): (VecDeque<_>, VecDeque<_>) = self
+                    .waiting
+                    .drain(..)
+                    .partition(|(ticket, _)| (from..=to).contains(ticket));
                 self.waiting = rest;
-                reactor.queue.extend(refused.into_iter().map(|(_, wait)| Input::Stored(wait, false)));
+                reactor.queue.extend(
+                    refused
+                        .into_iter()
+                        .map(|(_, wait)| Input::Stored(wait, false)),
+                );
             }
             Event::Value { token, value } => {
                 if let Err(error) = &value {
                     tracing::error!(error, "a result can't be read");
                 }
                 if let Some(client) = self.reads.remove(&token) {
-                    reactor.queue.push_back(Input::Fetched(client, value.ok().flatten()));
+                    reactor
+                        .queue
+                        .push_back(Input::Fetched(client, value.ok().flatten()));
                 }
             }
             Event::Broken(error) => {
-                tracing::error!(error, "the store takes no writes: jobs that must not run twice are refused");
+                tracing::error!(
+                    error,
+                    "the store takes no writes: jobs that must not run twice are refused"
+                );
                 reactor.queue.push_back(Input::Disk(false));
             }
             Event::Sound => {
--- a/src/net/transport/connection.rs
+++ b/src/net/transport/connection.rs
@@ -265,7 +265,9 @@
     }
 
     fn flush(&mut self, owner: &mut impl Callbacks<S>) {
-        while !self.flushed() && matches!(self.state, State::Open | State::HalfOpen | State::Closing) {
+        while !self.flushed()
+            && matches!(self.state, State::Open | State::HalfOpen | State::Closing)
+        {
             match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return self.end(owner),
                 Ok(size) => self.written += size,
--- a/src/net/transport/http.rs
+++ b/src/net/transport/http.rs
@@ -39,7 +39,10 @@
 impl Headers {
     /// The first field of a name, in any case.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     /// The only field of a name, in any case.
@@ -48,16 +51,25 @@
     ///
     /// If there are several: each reader could go by another one.
     pub fn only(&self, name: &str) -> Result<Option<&str>, ParseError> {
-        if self.all(name).count() > 1 { Err(ParseError::Malformed) } else { Ok(self.get(name)) }
+        if self.all(name).count() > 1 {
+            Err(ParseError::Malformed)
+        } else {
+            Ok(self.get(name))
+        }
     }
 
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.0
+            .iter()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     /// Whether one of a field's comma-separated words is this one.
     pub fn says(&self, name: &str, word: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+        self.all(name)
+            .flat_map(|value| value.split(','))
+            .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 }
 
@@ -111,7 +123,11 @@
 
 fn headers(raw: &[httparse::Header<'_>]) -> Headers {
     let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
-    Headers(raw.iter().map(|h| (h.name.to_owned(), text(h.value))).collect())
+    Headers(
+        raw.iter()
+            .map(|h| (h.name.to_owned(), text(h.value)))
+            .collect(),
+    )
 }
 
 fn parsed<T>(
@@ -128,7 +144,10 @@
 }
 
 fn framing(headers: &Headers, otherwise: Framing) -> Result<Framing, ParseError> {
-    let mut lengths = headers.all("content-length").flat_map(|value| value.split(',')).map(str::trim);
+    let mut lengths = headers
+        .all("content-length")
+        .flat_map(|value| value.split(','))
+        .map(str::trim);
     let coded: Vec<&str> = headers.all("transfer-encoding").collect();
     match (lengths.next(), &coded[..]) {
         (None, []) => Ok(otherwise),
@@ -136,7 +155,10 @@
         (Some(length), []) if lengths.all(|l| l == length) => {
             let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
             if digits {
-                length.parse().map(Framing::Length).map_err(|_| ParseError::Body)
+                length
+                    .parse()
+                    .map(Framing::Length)
+                    .map_err(|_| ParseError::Body)
             } else {
                 Err(ParseError::Malformed)
             }
@@ -176,7 +198,12 @@
             Framing::Chunked => Step::Size,
             Framing::ToEnd => Step::ToEnd,
         };
-        Ok(Self { step, most, framing: 0, data: Vec::new() })
+        Ok(Self {
+            step,
+            most,
+            framing: 0,
+            data: Vec::new(),
+        })
     }
 
     /// Takes what it can of the input, `ended` if no more can come: how many bytes, and whether it is whole.
@@ -195,37 +222,55 @@
                     }
                     self.data.extend_from_slice(&rest[..size]);
                     at += size;
-                    self.step = if size < left { Step::Data(left - size, chunk) } else { Step::Line };
+                    self.step = if size < left {
+                        Step::Data(left - size, chunk)
+                    } else {
+                        Step::Line
+                    };
                     if size < left || !chunk {
                         return Ok((at, size == left));
                     }
                 }
-                Step::ToEnd if self.data.len() + rest.len() > self.most => return Err(ParseError::Body),
+                Step::ToEnd if self.data.len() + rest.len() > self.most => {
+                    return Err(ParseError::Body);
+                }
                 Step::ToEnd => {
                     self.data.extend_from_slice(rest);
                     return Ok((input.len(), ended));
                 }
                 Step::Line if rest.len() < 2 => return Ok((at, false)),
                 Step::Line if !rest.starts_with(b"\r\n") => return Err(ParseError::Malformed),
-                Step::Line => (at, self.framing, self.step) = (at + 2, self.framing + 2, Step::Size),
-                Step::Size => match httparse::parse_chunk_size(rest).map_err(|_| ParseError::Malformed)? {
-                    httparse::Status::Partial if rest.len() > 1024 => return Err(ParseError::Malformed),
-                    httparse::Status::Partial => return Ok((at, false)),
-                    httparse::Status::Complete((line, size)) => {
-                        if size > (self.most - self.data.len()) as u64 {
-                            return Err(ParseError::Body);
+                Step::Line => {
+                    (at, self.framing, self.step) = (at + 2, self.framing + 2, Step::Size)
+                }
+                Step::Size => {
+                    match httparse::parse_chunk_size(rest).map_err(|_| ParseError::Malformed)? {
+                        httparse::Status::Partial if rest.len() > 1024 => {
+                            return Err(ParseError::Malformed);
+                        }
+                        httparse::Status::Partial => return Ok((at, false)),
+                        httparse::Status::Complete((line, size)) => {
+                            if size > (self.most - self.data.len()) as u64 {
+                                return Err(ParseError::Body);
+                            }
+                            (at, self.framing) = (at + line, self.framing + line);
+                            self.step = if size > 0 {
+                                Step::Data(size as usize, true)
+                            } else {
+                                Step::Trailers
+                            };
                         }
-                        (at, self.framing) = (at + line, self.framing + line);
-                        self.step = if size > 0 { Step::Data(size as usize, true) } else { Step::Trailers };
                     }
-                },
+                }
                 Step::Trailers => {
                     let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
                     return match httparse::parse_headers(rest, &mut fields)
                         .map_err(|_| ParseError::Malformed)?
                     {
                         httparse::Status::Complete((size, _)) => Ok((at + size, true)),
-                        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => Err(ParseError::Head),
+                        httparse::Status::Partial if rest.len() > MAX_HEAD_BYTES => {
+                            Err(ParseError::Head)
+                        }
                         httparse::Status::Partial => Ok((at, false)),
                     };
                 }
@@ -266,18 +311,34 @@
             // Only a line's end can complete a head. Danger: without a look at the rest, bytes that are no
             // head would not be known as such.
             let news = &input[self.seen.min(input.len())..];
-            if !news.contains(&b'\n') && input.len() < 2 * self.seen && input.len() <= MAX_HEAD_BYTES {
+            if !news.contains(&b'\n')
+                && input.len() < 2 * self.seen
+                && input.len() <= MAX_HEAD_BYTES
+            {
                 return Ok((Read::Nothing, 0));
             }
             self.seen = input.len();
-            let Some((size, begun)) = read_head(input)? else { return Ok((Read::Nothing, 0)) };
+            let Some((size, begun)) = read_head(input)? else {
+                return Ok((Read::Nothing, 0));
+            };
             (self.seen, self.begun, at) = (0, Some(begun), size);
         }
-        let Some((request, expects, mut body)) = self.begun.take() else { return Ok((Read::Nothing, at)) };
+        let Some((request, expects, mut body)) = self.begun.take() else {
+            return Ok((Read::Nothing, at));
+        };
         let (taken, whole) = body.read(&input[at..], false)?;
         at += taken;
         if whole {
-            return Ok((Read::Whole(Request { body: body.data, ..request }, at), at));
+            return Ok((
+                Read::Whole(
+                    Request {
+                        body: body.data,
+                        ..request
+                    },
+                    at,
+                ),
+                at,
+            ));
         }
         self.begun = Some((request, expects, body));
         Ok((Read::Head { expects }, at))
@@ -290,21 +351,37 @@
 fn read_head(input: &[u8]) -> Result<Option<Head>, ParseError> {
     let mut raw = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Request::new(&mut raw);
-    let Some(size) = parsed(head.parse(input), input)? else { return Ok(None) };
+    let Some(size) = parsed(head.parse(input), input)? else {
+        return Ok(None);
+    };
     if size > MAX_HEAD_BYTES {
         return Err(ParseError::Head);
     }
-    let (method, target) =
-        (head.method.unwrap_or_default().to_owned(), head.path.unwrap_or_default().to_owned());
+    let (method, target) = (
+        head.method.unwrap_or_default().to_owned(),
+        head.path.unwrap_or_default().to_owned(),
+    );
     let (version, headers) = (head.version, headers(head.headers));
     let framing = framing(&headers, Framing::Length(0))?;
     // HTTP/1.0 knows no chunks: who stands between may have read another length.
     if version == Some(0) && matches!(framing, Framing::Chunked) {
         return Err(ParseError::Malformed);
     }
-    let (keeps, expects) = (keeps(version, &headers), headers.says("expect", "100-continue"));
-    let request = Request { method, target, headers, body: Vec::new(), keeps };
-    Ok(Some((size, (request, expects, Body::new(&framing, MAX_BODY_BYTES)?))))
+    let (keeps, expects) = (
+        keeps(version, &headers),
+        headers.says("expect", "100-continue"),
+    );
+    let request = Request {
+        method,
+        target,
+        headers,
+        body: Vec::new(),
+        keeps,
+    };
+    Ok(Some((
+        size,
+        (request, expects, Body::new(&framing, MAX_BODY_BYTES)?),
+    )))
 }
 
 /// Reads the request at the start of what has arrived.
@@ -327,7 +404,9 @@
         let mut raw = [httparse::EMPTY_HEADER; MOST_HEADERS];
         let mut head = httparse::Response::new(&mut raw);
         let rest = &input[skipped..];
-        let Some(size) = parsed(head.parse(rest), rest)? else { return Ok(Read::Nothing) };
+        let Some(size) = parsed(head.parse(rest), rest)? else {
+            return Ok(Read::Nothing);
+        };
         let (version, status) = (head.version, head.code.unwrap_or_default());
         let headers = headers(head.headers);
         match status {
@@ -339,14 +418,26 @@
             _ => return Err(ParseError::Malformed),
         }
         let none = matches!(status, 204 | 304);
-        let framing = if none { Framing::Length(0) } else { framing(&headers, Framing::ToEnd)? };
+        let framing = if none {
+            Framing::Length(0)
+        } else {
+            framing(&headers, Framing::ToEnd)?
+        };
         let keeps = keeps(version, &headers) && !matches!(framing, Framing::ToEnd);
         let mut body = Body::new(&framing, most)?;
         let (taken, whole) = body.read(&rest[size..], ended)?;
         if !whole {
             return Ok(Read::Head { expects: false });
         }
-        return Ok(Read::Whole(Response { status, headers, body: body.data, keeps }, skipped + size + taken));
+        return Ok(Read::Whole(
+            Response {
+                status,
+                headers,
+                body: body.data,
+                keeps,
+            },
+            skipped + size + taken,
+        ));
     }
 }
 
@@ -368,16 +459,36 @@
 }
 
 /// Writes a response; `closes` says that the connection ends behind it.
-pub fn write_response(out: &mut Vec<u8>, status: u16, fields: &[(&str, &str)], body: &[u8], closes: bool) {
-    let mut head = format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason(status), body.len());
+pub fn write_response(
+    out: &mut Vec<u8>,
+    status: u16,
+    fields: &[(&str, &str)],
+    body: &[u8],
+    closes: bool,
+) {
+    let mut head = format!(
+        "HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n",
+        reason(status),
+        body.len()
+    );
     write_fields(&mut head, fields);
-    head.push_str(if closes { "Connection: close\r\n\r\n" } else { "\r\n" });
+    head.push_str(if closes {
+        "Connection: close\r\n\r\n"
+    } else {
+        "\r\n"
+    });
     out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(body);
 }
 
 /// Writes a request; a body comes with its length.
-pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, fields: &[(&str, &str)], body: &[u8]) {
+pub fn write_request(
+    out: &mut Vec<u8>,
+    method: &str,
+    target: &str,
+    fields: &[(&str, &str)],
+    body: &[u8],
+) {
     let mut head = format!("{method} {target} HTTP/1.1\r\n");
     write_fields(&mut head, fields);
     if !body.is_empty() || method == "POST" {
--- a/src/net/transport/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -91,8 +91,13 @@
 impl Clock {
     /// Anchors it now.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), unix: unix.as_secs_f64() }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            start: Instant::now(),
+            unix: unix.as_secs_f64(),
+        }
     }
 
     /// Seconds since 1970.
@@ -126,7 +131,13 @@
     /// If the system gives no poller.
     pub fn new(now: f64) -> io::Result<Self> {
         let (poller, wheel, queue) = (Poller::new()?, TimerWheel::new(TICK, now), VecDeque::new());
-        Ok(Self { poller, wheel, next_key: 1, now, queue })
+        Ok(Self {
+            poller,
+            wheel,
+            next_key: 1,
+            now,
+            queue,
+        })
     }
 
     /// Takes a socket in, without interest yet; keys are never used again.
@@ -136,7 +147,10 @@
     /// If the poller refuses it.
     pub fn register(&mut self, source: impl Source, whose: Owner) -> io::Result<usize> {
         // One without a rank would have its events told to another.
-        let rank = OWNERS.iter().position(|o| *o == whose).ok_or(io::ErrorKind::InvalidInput)?;
+        let rank = OWNERS
+            .iter()
+            .position(|o| *o == whose)
+            .ok_or(io::ErrorKind::InvalidInput)?;
         let key = self.next_key * OWNERS.len() + rank;
         self.poller.add(source, Event::none(key))?;
         self.next_key += 1;
@@ -146,7 +160,14 @@
     /// Says what a socket waits for; it holds for one event.
     pub fn rearm(&self, source: impl Source, key: usize, (readable, writable): (bool, bool)) {
         // A socket that the poller holds can be changed; if not, its owner's timer ends it.
-        let _ = self.poller.modify(source, Event { key, readable, writable });
+        let _ = self.poller.modify(
+            source,
+            Event {
+                key,
+                readable,
+                writable,
+            },
+        );
     }
 
     /// Lets a socket go, before it is closed.
@@ -162,7 +183,10 @@
     ///
     /// If the system's poller fails.
     pub fn wait(&self, events: &mut Vec<Event>, now: f64) -> io::Result<()> {
-        let until = self.wheel.next().map(|at| Duration::from_secs_f64((at - now).max(0.0)));
+        let until = self
+            .wheel
+            .next()
+            .map(|at| Duration::from_secs_f64((at - now).max(0.0)));
         events.clear();
         if let Err(error) = self.poller.wait(events, until)
             && error.kind() != io::ErrorKind::Interrupted
@@ -207,7 +231,8 @@
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&to.into()) {
         Ok(()) => {}
-        Err(error) if error.raw_os_error() == Some(115) || error.kind() == io::ErrorKind::WouldBlock => {}
+        Err(error)
+            if error.raw_os_error() == Some(115) || error.kind() == io::ErrorKind::WouldBlock => {}
         Err(error) => return Err(error),
     }
     Ok(socket.into())
--- a/src/net/transport/timer_wheel.rs
+++ b/src/net/transport/timer_wheel.rs
@@ -17,7 +17,12 @@
     /// An empty wheel of ticks of so many seconds that starts at `now`.
     pub fn new(tick: f64, now: f64) -> Self {
         let slots = (0..SLOTS).map(|_| Vec::new()).collect();
-        Self { tick, played: (now / tick) as u64, slots, taken: [0; SLOTS / 64] }
+        Self {
+            tick,
+            played: (now / tick) as u64,
+            slots,
+            taken: [0; SLOTS / 64],
+        }
     }
 
     /// Sets a timer; one that is due already comes with the next tick.
@@ -40,8 +45,9 @@
             if self.taken[slot / 64] & (1 << (slot % 64)) == 0 {
                 continue;
             }
-            let (ready, later): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.slots[slot]).into_iter().partition(|(at, _)| *at <= last);
+            let (ready, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.slots[slot])
+                .into_iter()
+                .partition(|(at, _)| *at <= last);
             if later.is_empty() {
                 self.taken[slot / 64] &= !(1 << (slot % 64));
             }
@@ -87,13 +93,18 @@
                 wheel.insert(at, (at, n));
                 open.push((at, n));
                 let next = wheel.next();
-                if !next.is_some_and(|next| open.iter().all(|(at, _)| next <= at.max(now) + 0.0041)) {
+                if !next.is_some_and(|next| open.iter().all(|(at, _)| next <= at.max(now) + 0.0041))
+                {
                     return false;
                 }
                 now += f64::from(pass) * 0.03;
                 let mut last = 0.0;
                 for (at, n) in wheel.advance(now) {
-                    let held = open.iter().position(|&(_, m)| m == n).map(|i| open.remove(i)).is_some();
+                    let held = open
+                        .iter()
+                        .position(|&(_, m)| m == n)
+                        .map(|i| open.remove(i))
+                        .is_some();
                     if !held || at > now + 1e-9 || at + 0.004 < last {
                         return false;
                     }
@@ -105,7 +116,9 @@
             }
             wheel.advance(now + 100.0).len() == open.len() && wheel.next().is_none()
         }
-        let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 7)).tests(400);
+        let mut check = QuickCheck::new()
+            .rng(Gen::from_size_and_seed(60, 7))
+            .tests(400);
         check.quickcheck(holds as fn(Vec<(u16, u8)>) -> bool);
     }
 
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -41,7 +41,13 @@
     /// No connections yet, at most so many ever.
     pub fn new(most: usize, dial_timeout: f64, conn_idle: f64) -> Self {
         let (sessions, by_attempt) = Default::default();
-        Self { sessions, pool: Pool::new(conn_idle), by_attempt, most, dial_timeout }
+        Self {
+            sessions,
+            pool: Pool::new(conn_idle),
+            by_attempt,
+            most,
+            dial_timeout,
+        }
     }
 
     /// Holds at most so many connections from now on.
@@ -64,13 +70,31 @@
         until: f64,
     ) {
         let outgoing = Outgoing::Attempt(payload.clone(), until);
-        self.carry(reactor, worker, Carries::Attempt(attempt), outgoing, until + PATIENCE);
+        self.carry(
+            reactor,
+            worker,
+            Carries::Attempt(attempt),
+            outgoing,
+            until + PATIENCE,
+        );
     }
 
     /// Asks a worker for its load. The answer is waited for so many seconds: one that takes jobs and answers nothing shows there.
-    pub fn probe(&mut self, reactor: &mut Reactor, attempt: AttemptId, worker: SocketAddr, wait: f64) {
+    pub fn probe(
+        &mut self,
+        reactor: &mut Reactor,
+        attempt: AttemptId,
+        worker: SocketAddr,
+        wait: f64,
+    ) {
         let outgoing = bare_request("GET", "/-/load", worker);
-        self.carry(reactor, worker, Carries::Probe(attempt), outgoing, reactor.now + wait);
+        self.carry(
+            reactor,
+            worker,
+            Carries::Probe(attempt),
+            outgoing,
+            reactor.now + wait,
+        );
     }
 
     /// Gives an attempt up: tells its worker, or closes its connection where the worker has not answered.
@@ -84,9 +108,17 @@
     ) {
         if accepted {
             let outgoing = bare_request("DELETE", &format!("/jobs/{id}"), worker);
-            return self.carry(reactor, worker, Carries::Unheeded, outgoing, reactor.now + PATIENCE);
+            return self.carry(
+                reactor,
+                worker,
+                Carries::Unheeded,
+                outgoing,
+                reactor.now + PATIENCE,
+            );
         }
-        let Some(key) = self.by_attempt.get(&attempt).copied() else { return };
+        let Some(key) = self.by_attempt.get(&attempt).copied() else {
+            return;
+        };
         if self.silent(reactor.now, worker) {
             self.forget(reactor, worker);
         }
@@ -104,30 +136,40 @@
         outgoing: Outgoing,
         until: f64,
     ) {
-        let key = match self.pooled(reactor, worker).map_or_else(|| self.dial(reactor, worker), Ok) {
+        let key = match self
+            .pooled(reactor, worker)
+            .map_or_else(|| self.dial(reactor, worker), Ok)
+        {
             Ok(key) => key,
             Err(end) => {
                 let told = carries.id().map(|id| Input::Attempt(id, end, Load::new()));
                 return reactor.queue.extend(told);
             }
         };
-        let Some(session) = self.sessions.get_mut(&key) else { return };
+        let Some(session) = self.sessions.get_mut(&key) else {
+            return;
+        };
         session.rested = (session.round > 0).then_some(reactor.now - session.since);
         session.since = reactor.now;
         session.round += 1;
         session.attempt = carries.id();
         self.by_attempt.extend(session.attempt.map(|id| (id, key)));
         reactor.timer(until, Due::Attempt(key, session.round));
-        session.exchange.begin(carries, outgoing, &mut session.connection, reactor);
+        session
+            .exchange
+            .begin(carries, outgoing, &mut session.connection, reactor);
         self.after(reactor, key);
     }
 
     /// Whether the worker has left something without an answer for longer than a connection may take to make.
     fn silent(&self, now: f64, worker: SocketAddr) -> bool {
-        let waits =
-            |s: &Session| s.exchange.carries() != Carries::Nothing && s.connection.state() != State::Dialing;
+        let waits = |s: &Session| {
+            s.exchange.carries() != Carries::Nothing && s.connection.state() != State::Dialing
+        };
         let late = |s: &Session| now - s.since > self.dial_timeout;
-        self.sessions.values().any(|s| s.exchange.worker() == worker && waits(s) && late(s))
+        self.sessions
+            .values()
+            .any(|s| s.exchange.worker() == worker && waits(s) && late(s))
     }
 
     /// Lets the idle connections to a worker go. Danger: one that has vanished leaves them open, and a job
@@ -141,8 +183,12 @@
     /// Gives an attempt back whose last byte is not written: nothing ran, and its worker is not to blame. Only the
     /// connection knows; what has been written whole goes on.
     pub fn withdraw(&mut self, reactor: &mut Reactor, attempt: AttemptId) {
-        let Some(key) = self.by_attempt.get(&attempt).copied() else { return };
-        let Some(session) = self.sessions.get_mut(&key) else { return };
+        let Some(key) = self.by_attempt.get(&attempt).copied() else {
+            return;
+        };
+        let Some(session) = self.sessions.get_mut(&key) else {
+            return;
+        };
         if session.exchange.carries() == Carries::Attempt(attempt)
             && session.exchange.withdraw(&mut session.connection, reactor)
         {
@@ -157,9 +203,13 @@
         }
         let most = self.pool.usable(reactor.now);
         while let Some(key) = self.pool.take(worker) {
-            let Some(session) = self.sessions.get_mut(&key) else { continue };
+            let Some(session) = self.sessions.get_mut(&key) else {
+                continue;
+            };
             // Its end may have arrived without having been noticed.
-            session.exchange.ready(true, false, &mut session.connection, reactor);
+            session
+                .exchange
+                .ready(true, false, &mut session.connection, reactor);
             if session.connection.state() == State::Open && reactor.now - session.since <= most {
                 return Some(key);
             }
@@ -175,30 +225,54 @@
         }
         // Danger: a shortage here told as a worker's fault would take sound workers out of the draw.
         let stream = reactor::dial(worker).map_err(|error| match error.kind() {
-            ErrorKind::ConnectionRefused | ErrorKind::HostUnreachable | ErrorKind::NetworkUnreachable => {
-                AttemptEnd::NeverSent
-            }
+            ErrorKind::ConnectionRefused
+            | ErrorKind::HostUnreachable
+            | ErrorKind::NetworkUnreachable => AttemptEnd::NeverSent,
             _ => AttemptEnd::NoRoom,
         })?;
-        let key = reactor.register(&stream, Owner::Attempt).map_err(|_| AttemptEnd::NoRoom)?;
-        let connection = Connection::new(stream, true, http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES);
+        let key = reactor
+            .register(&stream, Owner::Attempt)
+            .map_err(|_| AttemptEnd::NoRoom)?;
+        let connection = Connection::new(
+            stream,
+            true,
+            http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES,
+        );
         let exchange = Exchange::new(worker);
         let (attempt, since, rested, round) = (None, reactor.now, None, 0);
-        self.sessions.insert(key, Session { connection, exchange, attempt, since, rested, round });
+        self.sessions.insert(
+            key,
+            Session {
+                connection,
+                exchange,
+                attempt,
+                since,
+                rested,
+                round,
+            },
+        );
         reactor.timer(reactor.now + self.dial_timeout, Due::Dial(key));
         Ok(key)
     }
 
     /// A connection can be read or written.
     pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) {
-        let Some(session) = self.sessions.get_mut(&key) else { return };
-        session.exchange.ready(readable, writable, &mut session.connection, reactor);
+        let Some(session) = self.sessions.get_mut(&key) else {
+            return;
+        };
+        session
+            .exchange
+            .ready(readable, writable, &mut session.connection, reactor);
         self.after(reactor, key);
     }
 
     /// A connection has had its time to be made.
     pub fn dial_due(&mut self, reactor: &mut Reactor, key: usize) {
-        if let Some(s) = self.sessions.get_mut(&key).filter(|s| s.connection.state() == State::Dialing) {
+        if let Some(s) = self
+            .sessions
+            .get_mut(&key)
+            .filter(|s| s.connection.state() == State::Dialing)
+        {
             s.exchange.time_out(&mut s.connection, reactor);
             self.after(reactor, key);
         }
@@ -206,7 +280,9 @@
 
     /// A request, or an idle connection, has had its time.
     pub fn attempt_due(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
-        let Some(session) = self.sessions.get_mut(&key).filter(|s| s.round == round) else { return };
+        let Some(session) = self.sessions.get_mut(&key).filter(|s| s.round == round) else {
+            return;
+        };
         let silent = session.exchange.carries() != Carries::Nothing;
         let worker = session.exchange.worker();
         session.exchange.time_out(&mut session.connection, reactor);
@@ -218,30 +294,49 @@
 
     /// Puts a connection back to where it belongs after something has happened on it.
     fn after(&mut self, reactor: &mut Reactor, key: usize) {
-        let Some(session) = self.sessions.get_mut(&key) else { return };
+        let Some(session) = self.sessions.get_mut(&key) else {
+            return;
+        };
         if session.exchange.carries().id().is_none() {
-            session.attempt.take().map(|attempt| self.by_attempt.remove(&attempt));
+            session
+                .attempt
+                .take()
+                .map(|attempt| self.by_attempt.remove(&attempt));
         }
         let at_once = reactor.now - session.since <= self.dial_timeout;
-        if let Some(rested) = session.rested.filter(|_| session.exchange.broke() && at_once) {
+        if let Some(rested) = session
+            .rested
+            .filter(|_| session.exchange.broke() && at_once)
+        {
             self.pool.broke_after(rested, reactor.now);
         }
         if matches!(session.connection.state(), State::Ended | State::HalfOpen) {
             return self.drop(reactor, key);
         }
-        reactor.rearm(session.connection.stream(), key, session.connection.interest());
+        reactor.rearm(
+            session.connection.stream(),
+            key,
+            session.connection.interest(),
+        );
         let idle = session.exchange.carries() == Carries::Nothing;
         if idle && self.pool.add(session.exchange.worker(), key) {
             session.round += 1;
             session.since = reactor.now;
-            reactor.timer(reactor.now + self.pool.keep(), Due::Attempt(key, session.round));
+            reactor.timer(
+                reactor.now + self.pool.keep(),
+                Due::Attempt(key, session.round),
+            );
         }
     }
 
     fn drop(&mut self, reactor: &mut Reactor, key: usize) {
-        let Some(session) = self.sessions.remove(&key) else { return };
+        let Some(session) = self.sessions.remove(&key) else {
+            return;
+        };
         reactor.forget(session.connection.stream());
-        session.attempt.map(|attempt| self.by_attempt.remove(&attempt));
+        session
+            .attempt
+            .map(|attempt| self.by_attempt.remove(&attempt));
         self.pool.remove(session.exchange.worker(), key);
     }
 }
--- a/src/net/upstream/backoff.rs
+++ b/src/net/upstream/backoff.rs
@@ -16,7 +16,13 @@
 impl Backoff {
     /// Waits that begin at `first` and double up to `most`; the jitter follows from the seed.
     pub fn new(first: f64, most: f64, seed: u64) -> Self {
-        Self { first, most, step: 0, rng: Random::new(seed), place: None }
+        Self {
+            first,
+            most,
+            step: 0,
+            rng: Random::new(seed),
+            place: None,
+        }
     }
 
     /// From now on waits are spread by places instead of by chance: no two that know each other come together.
@@ -30,7 +36,11 @@
         self.step = (self.step + 1).min(30);
         let chance = self.rng.uniform();
         let spread = self.place.map_or(chance, |(at, of)| at as f64 / of as f64);
-        if self.step == 1 { whole } else { whole * (0.5 + 0.5 * spread) }
+        if self.step == 1 {
+            whole
+        } else {
+            whole * (0.5 + 0.5 * spread)
+        }
     }
 
     /// It has worked: the next wait is a first one.
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -55,13 +55,22 @@
         };
         let deadline = format!("{:.3}", (until - now).max(LEAST_DEADLINE));
         let host = worker.to_string();
-        let mut fields =
-            vec![("Host", host.as_str()), ("X-Request-Id", payload.id.as_str()), ("X-Deadline", &deadline)];
+        let mut fields = vec![
+            ("Host", host.as_str()),
+            ("X-Request-Id", payload.id.as_str()),
+            ("X-Deadline", &deadline),
+        ];
         if let Some(key) = &payload.idempotency_key {
             fields.push(("Idempotency-Key", key));
         }
         let mut bytes = Vec::new();
-        http::write_request(&mut bytes, &payload.method, &payload.target, &fields, &payload.body);
+        http::write_request(
+            &mut bytes,
+            &payload.method,
+            &payload.target,
+            &fields,
+            &payload.body,
+        );
         bytes
     }
 }
@@ -131,7 +140,10 @@
         self.outgoing = Some(outgoing);
         (self.last_byte, self.told_written, self.answerable) = (None, false, false);
         self.count += 1;
-        let mut caller = Caller { exchange: self, reactor };
+        let mut caller = Caller {
+            exchange: self,
+            reactor,
+        };
         if connection.state() != State::Dialing {
             caller.write_request(connection);
             caller.read_early(connection);
@@ -147,7 +159,10 @@
         reactor: &mut Reactor,
     ) {
         self.answerable = self.is_whole(connection);
-        let mut caller = Caller { exchange: self, reactor };
+        let mut caller = Caller {
+            exchange: self,
+            reactor,
+        };
         connection.ready(readable, writable, &mut caller);
         caller.tell_written(connection);
         if caller.exchange.is_whole(connection) && !caller.exchange.answerable {
@@ -164,16 +179,28 @@
     /// Ends the connection, and with it the request, which has had its time.
     pub fn time_out<S: Stream>(&mut self, connection: &mut Connection<S>, reactor: &mut Reactor) {
         connection.abort();
-        Caller { exchange: self, reactor }.ended(connection);
+        Caller {
+            exchange: self,
+            reactor,
+        }
+        .ended(connection);
     }
 
     /// Ends the connection of an attempt that has not been written whole; whether it has not. Its worker is not to blame.
-    pub fn withdraw<S: Stream>(&mut self, connection: &mut Connection<S>, reactor: &mut Reactor) -> bool {
+    pub fn withdraw<S: Stream>(
+        &mut self,
+        connection: &mut Connection<S>,
+        reactor: &mut Reactor,
+    ) -> bool {
         if self.is_whole(connection) {
             return false;
         }
         connection.abort();
-        Caller { exchange: self, reactor }.end(connection, AttemptEnd::NoRoom, Load::new());
+        Caller {
+            exchange: self,
+            reactor,
+        }
+        .end(connection, AttemptEnd::NoRoom, Load::new());
         true
     }
 }
@@ -186,7 +213,9 @@
 
 impl Caller<'_> {
     fn write_request<S: Stream>(&mut self, connection: &mut Connection<S>) {
-        let Some(outgoing) = self.exchange.outgoing.take() else { return };
+        let Some(outgoing) = self.exchange.outgoing.take() else {
+            return;
+        };
         if outgoing.is_late(self.reactor.now) {
             connection.abort();
             return self.end(connection, AttemptEnd::NoRoom, Load::new());
@@ -228,11 +257,24 @@
             Carries::Nothing | Carries::Unheeded => return false,
             Carries::Probe(_) => {
                 // Its answer brings the report as its body; a 503 says that the worker is not well.
-                let load = std::str::from_utf8(&response.body).map(load_report).unwrap_or_default();
-                (if response.status == 200 { AttemptEnd::Accepted } else { AttemptEnd::Error }, load)
+                let load = std::str::from_utf8(&response.body)
+                    .map(load_report)
+                    .unwrap_or_default();
+                (
+                    if response.status == 200 {
+                        AttemptEnd::Accepted
+                    } else {
+                        AttemptEnd::Error
+                    },
+                    load,
+                )
             }
             Carries::Attempt(_) => {
-                let load = response.headers.get("x-load").map(load_report).unwrap_or_default();
+                let load = response
+                    .headers
+                    .get("x-load")
+                    .map(load_report)
+                    .unwrap_or_default();
                 (self.end_of_attempt(connection, response), load)
             }
         };
@@ -241,7 +283,11 @@
         end == AttemptEnd::Accepted
     }
 
-    fn end_of_attempt<S: Stream>(&self, connection: &Connection<S>, response: &Response) -> AttemptEnd {
+    fn end_of_attempt<S: Stream>(
+        &self,
+        connection: &Connection<S>,
+        response: &Response,
+    ) -> AttemptEnd {
         let whole = self.exchange.is_whole(connection);
         let not_run = response.headers.get("x-not-run") == Some("1");
         match response.status {
@@ -295,7 +341,15 @@
     fn ended(&mut self, connection: &mut Connection<S>) {
         self.exchange.broke |= self.exchange.carries.id().is_some();
         let whole = self.exchange.is_whole(connection);
-        self.end(connection, if whole { AttemptEnd::Reset } else { AttemptEnd::NeverSent }, Load::new());
+        self.end(
+            connection,
+            if whole {
+                AttemptEnd::Reset
+            } else {
+                AttemptEnd::NeverSent
+            },
+            Load::new(),
+        );
     }
 }
 
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -26,8 +26,16 @@
 impl Pool {
     /// An empty pool, for workers that close what has been idle for so long; 0 where that is not told.
     pub fn new(conn_idle: f64) -> Self {
-        let keep = if conn_idle > 0.0 { conn_idle * IDLE_SHARE } else { IDLE_UNTOLD };
-        Self { idle: HashMap::new(), keep, learned: (keep, 0.0) }
+        let keep = if conn_idle > 0.0 {
+            conn_idle * IDLE_SHARE
+        } else {
+            IDLE_UNTOLD
+        };
+        Self {
+            idle: HashMap::new(),
+            keep,
+            learned: (keep, 0.0),
+        }
     }
 
     /// For how long an idle connection is kept.
@@ -77,7 +85,11 @@
 
     /// The connection that was opened first among those that have lain idle longest at their worker: the first of each.
     pub fn oldest(&self) -> Option<usize> {
-        self.idle.values().filter_map(|keys| keys.first()).min().copied()
+        self.idle
+            .values()
+            .filter_map(|keys| keys.first())
+            .min()
+            .copied()
     }
 
     /// Lets a connection go.
--- a/src/net/upstream/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -71,7 +71,16 @@
     pub fn new(nodes: u32, seed: u64) -> Self {
         let backoff = Backoff::new(FIRST_AGAIN, MOST_AGAIN, seed);
         let (rng, out) = (Random::new(seed ^ 0x5eed), Vec::new());
-        Self { rng, backoff, nodes, out, next_id: 1, silent: 0, due: None, starting: false }
+        Self {
+            rng,
+            backoff,
+            nodes,
+            out,
+            next_id: 1,
+            silent: 0,
+            due: None,
+            starting: false,
+        }
     }
 
     /// This node's place among the nodes that it knows, and their number.
@@ -88,7 +97,11 @@
     /// list counts as told of what changed before its start; so the first call comes before all else, and does not wait for changes.
     pub fn start(&mut self, now: f64, spread: bool) {
         self.starting = true;
-        let after = if spread { self.crowded(START_EACH, START) } else { 0.0 };
+        let after = if spread {
+            self.crowded(START_EACH, START)
+        } else {
+            0.0
+        };
         self.due = Some(now + after);
     }
 
@@ -132,7 +145,9 @@
 
     /// A call has been answered, with something new or not; all others are given up.
     pub fn answered(&mut self, now: f64, id: CallId, news: bool) {
-        let Some(&(_, since)) = self.out.iter().find(|(out, _)| *out == id) else { return };
+        let Some(&(_, since)) = self.out.iter().find(|(out, _)| *out == id) else {
+            return;
+        };
         // The first call does not wait; the watch follows at once.
         let at_once = !news && self.silent == 0 && !self.starting && now - since < AT_ONCE;
         self.call_at(if at_once { now + REST } else { now });
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -61,7 +61,11 @@
             }
             _ => !self.members.is_empty(),
         };
-        let own = List { revision: self.revision, complete: true, members: self.members };
+        let own = List {
+            revision: self.revision,
+            complete: true,
+            members: self.members,
+        };
         if newer { Some(own) } else { known }
     }
 }
@@ -105,7 +109,11 @@
                 started: m.up_since_ms / 1000.0,
                 ..Entry::default()
             };
-            Some(Member { id: m.id, address, entry })
+            Some(Member {
+                id: m.id,
+                address,
+                entry,
+            })
         };
         self.members.into_iter().filter_map(member).collect()
     }
@@ -123,10 +131,23 @@
 /// What members mean, whatever their order and wherever this node reaches them.
 fn meaning<'a>(members: impl IntoIterator<Item = &'a RawMember>) -> Digest {
     let line = |m: &RawMember| {
-        let RawMember { id, locality, flavor, cell, phase, size, up_since_ms, .. } = m;
+        let RawMember {
+            id,
+            locality,
+            flavor,
+            cell,
+            phase,
+            size,
+            up_since_ms,
+            ..
+        } = m;
         format!("{id}\n{locality}\n{flavor}\n{cell}\n{phase}\n{size}\n{up_since_ms}")
     };
-    let mut lines: Vec<String> = members.into_iter().filter(|m| m.phase != "terminated").map(line).collect();
+    let mut lines: Vec<String> = members
+        .into_iter()
+        .filter(|m| m.phase != "terminated")
+        .map(line)
+        .collect();
     lines.sort_unstable();
     postproxy_version_tracking::digest(lines.iter().map(String::as_bytes))
 }
@@ -134,8 +155,14 @@
 /// A member as another list has it, at the address that this node knows; one that the other list does not have is gone.
 fn overlaid(own: &RawMember, passed: &BTreeMap<String, RawMember>) -> RawMember {
     match passed.get(&own.id) {
-        Some(newer) => RawMember { host_port: own.host_port.clone(), ..newer.clone() },
-        None => RawMember { phase: "terminated".to_owned(), ..own.clone() },
+        Some(newer) => RawMember {
+            host_port: own.host_port.clone(),
+            ..newer.clone()
+        },
+        None => RawMember {
+            phase: "terminated".to_owned(),
+            ..own.clone()
+        },
     }
 }
 
@@ -187,7 +214,9 @@
         match http::read_response(&connection.input, connection.heard_all(), MOST_LIST) {
             Ok(Read::Whole(response, size)) => {
                 connection.consume(size);
-                let list = (response.status == 200).then(|| List::from_json(&response.body).ok()).flatten();
+                let list = (response.status == 200)
+                    .then(|| List::from_json(&response.body).ok())
+                    .flatten();
                 let keeps = response.keeps && !connection.heard_all();
                 self.answer = Some(list.map(|list| (list, keeps)).ok_or(()));
             }
@@ -224,30 +253,47 @@
     /// Holds the whole list from now on, beginning with this one, so that it can be kept.
     pub fn hold(&mut self, known: Option<&List>) {
         let members = known.map(|list| list.members.clone()).unwrap_or_default();
-        self.held = Some((members.into_iter().map(|m| (m.id.clone(), m)).collect(), false));
+        self.held = Some((
+            members.into_iter().map(|m| (m.id.clone(), m)).collect(),
+            false,
+        ));
     }
 
     /// The list to keep, if it has changed since it was last asked for.
     pub fn changed(&mut self) -> Option<Vec<u8>> {
         let (_, changed) = self.held.as_mut().filter(|_| self.revision.is_some())?;
-        if std::mem::take(changed) { self.kept() } else { None }
+        if std::mem::take(changed) {
+            self.kept()
+        } else {
+            None
+        }
     }
 
     /// The whole list as it is held.
     pub fn kept(&self) -> Option<Vec<u8>> {
         let (revision, (members, _)) = (self.revision?, self.held.as_ref()?);
         let members = members.values().cloned().collect();
-        serde_json::to_vec(&Kept { discovery: self.discovery, revision, members }).ok()
+        serde_json::to_vec(&Kept {
+            discovery: self.discovery,
+            revision,
+            members,
+        })
+        .ok()
     }
 
     /// Goes by the list of another process of this node, where it is the newer one, and watches from its version
     /// on: this process is bound by the news in a moment.
     pub fn take_over(&mut self, reactor: &mut Reactor, kept: &[u8]) {
-        let Some(kept) = Kept::from_json(kept).filter(|kept| kept.discovery == self.discovery) else {
+        let Some(kept) = Kept::from_json(kept).filter(|kept| kept.discovery == self.discovery)
+        else {
             return;
         };
         if self.revision.is_none_or(|own| kept.revision >= own) && !kept.members.is_empty() {
-            let list = List { revision: kept.revision, complete: true, members: kept.members };
+            let list = List {
+                revision: kept.revision,
+                complete: true,
+                members: kept.members,
+            };
             self.hang_up(reactor);
             self.take_in(reactor, list);
             self.schedule.moved(reactor.now);
@@ -292,7 +338,11 @@
         while let Some(call) = self.schedule.due(reactor.now, self.revision.is_some()) {
             self.make(reactor, call);
         }
-        if let Some(at) = self.schedule.wakes().filter(|at| self.looks.is_none_or(|looks| *at < looks)) {
+        if let Some(at) = self
+            .schedule
+            .wakes()
+            .filter(|at| self.looks.is_none_or(|looks| *at < looks))
+        {
             self.looks = Some(at);
             reactor.timer(at, Due::Discovery);
         }
@@ -323,15 +373,26 @@
             tracing::info!(target: TARGET, discovery = %self.discovery, "a call to discovery has fallen silent");
             self.drop_session(reactor, |session| session.call == Some(silent));
         }
-        let at = match self.sessions.iter().position(|session| session.call.is_none()) {
+        let at = match self
+            .sessions
+            .iter()
+            .position(|session| session.call.is_none())
+        {
             Some(at) => at,
             None => {
                 let dialed = reactor::dial(self.discovery).and_then(|stream| {
                     let key = reactor.register(&stream, Owner::Discovery)?;
                     let connection = Connection::new(stream, true, MOST_LIST);
-                    Ok(Session { connection, key, call: None, opened: false })
+                    Ok(Session {
+                        connection,
+                        key,
+                        call: None,
+                        opened: false,
+                    })
                 });
-                let Ok(session) = dialed else { return self.unreachable(reactor, call.id) };
+                let Ok(session) = dialed else {
+                    return self.unreachable(reactor, call.id);
+                };
                 reactor.timer(reactor.now + self.dial_timeout, Due::DiscoveryDial(call.id));
                 self.sessions.push(session);
                 self.sessions.len() - 1
@@ -346,7 +407,9 @@
 
     /// The connection can be read or written.
     pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) {
-        let Some(session) = self.sessions.iter_mut().find(|s| s.key == key) else { return };
+        let Some(session) = self.sessions.iter_mut().find(|s| s.key == key) else {
+            return;
+        };
         let mut caller = Caller::default();
         session.connection.ready(readable, writable, &mut caller);
         self.after(reactor, key, caller);
@@ -362,7 +425,9 @@
     }
 
     fn after(&mut self, reactor: &mut Reactor, key: usize, caller: Caller) {
-        let Some(session) = self.sessions.iter_mut().find(|s| s.key == key) else { return };
+        let Some(session) = self.sessions.iter_mut().find(|s| s.key == key) else {
+            return;
+        };
         session.opened |= caller.opened;
         let opened = session.opened;
         match (caller.answer, session.call) {
@@ -386,7 +451,11 @@
         }
         self.look(reactor);
         if let Some(session) = self.sessions.iter().find(|s| s.key == key) {
-            reactor.rearm(session.connection.stream(), key, session.connection.interest());
+            reactor.rearm(
+                session.connection.stream(),
+                key,
+                session.connection.interest(),
+            );
         }
     }
 
@@ -421,8 +490,12 @@
     /// What this node acts on, to be passed on.
     pub fn body(&self) -> Option<Vec<u8>> {
         let (number, digest) = self.version()?;
-        let members =
-            self.passed.as_ref().map_or(self.held.as_ref().map(|held| &held.0), |passed| Some(&passed.2));
+        let members = self
+            .passed
+            .as_ref()
+            .map_or(self.held.as_ref().map(|held| &held.0), |passed| {
+                Some(&passed.2)
+            });
         let members: Vec<&RawMember> = members?.values().collect();
         postcard::to_stdvec(&(number, digest, members)).ok()
     }
@@ -431,16 +504,24 @@
     /// is this node's own discovery's to say: of one that it has not named nothing is known. Danger: what is older must never
     /// take the place of newer.
     pub fn take(&mut self, reactor: &mut Reactor, body: &[u8]) -> Option<(u64, Digest)> {
-        let (number, digest, members): (u64, Digest, Vec<RawMember>) = postcard::from_bytes(body).ok()?;
+        let (number, digest, members): (u64, Digest, Vec<RawMember>) =
+            postcard::from_bytes(body).ok()?;
         let newer = self.version().is_some_and(|(held, _)| number > held);
         if !newer || meaning(&members) != digest {
             return None;
         }
         let (held, _) = self.held.as_ref()?;
-        let passed: BTreeMap<String, RawMember> = members.into_iter().map(|m| (m.id.clone(), m)).collect();
+        let passed: BTreeMap<String, RawMember> =
+            members.into_iter().map(|m| (m.id.clone(), m)).collect();
         let members = held.values().map(|own| overlaid(own, &passed)).collect();
-        let list = List { revision: number, complete: false, members };
-        reactor.queue.push_back(Input::List(ListKind::Passed, list.members(&self.settings)));
+        let list = List {
+            revision: number,
+            complete: false,
+            members,
+        };
+        reactor
+            .queue
+            .push_back(Input::List(ListKind::Passed, list.members(&self.settings)));
         self.passed = Some((number, digest, passed));
         Some((number, digest))
     }
@@ -453,7 +534,10 @@
             Some(held) => list.revision < held,
             None => !list.complete,
         };
-        let news = stale || list.complete || !list.members.is_empty() || self.revision != Some(list.revision);
+        let news = stale
+            || list.complete
+            || !list.members.is_empty()
+            || self.revision != Some(list.revision);
         self.revision = (!stale).then_some(list.revision);
         if !stale {
             if let Some((held, changed)) = &mut self.held {
@@ -471,14 +555,26 @@
             }
             self.fresh = true;
             // Discovery has caught up with what was passed on, or is still behind it.
-            if self.passed.as_ref().is_some_and(|(number, ..)| list.revision >= *number) {
+            if self
+                .passed
+                .as_ref()
+                .is_some_and(|(number, ..)| list.revision >= *number)
+            {
                 self.passed = None;
             }
             if let Some((_, _, passed)) = &self.passed {
-                list.members.iter_mut().for_each(|member| *member = overlaid(member, passed));
+                list.members
+                    .iter_mut()
+                    .for_each(|member| *member = overlaid(member, passed));
             }
-            let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
-            reactor.queue.push_back(Input::List(kind, list.members(&self.settings)));
+            let kind = if list.complete {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            };
+            reactor
+                .queue
+                .push_back(Input::List(kind, list.members(&self.settings)));
         }
         news
     }
--- a/src/operator_config.rs
+++ b/src/operator_config.rs
@@ -36,21 +36,32 @@
 
 impl Default for AuditSection {
     fn default() -> Self {
-        Self { beat_ms: 400, discovery: None }
+        Self {
+            beat_ms: 400,
+            discovery: None,
+        }
     }
 }
 
 impl AuditSection {
     fn check(&self, fleet: bool) -> Result<(), OperatorConfigError> {
-        let wrong =
-            |path: &str, what: &str| Err(OperatorConfigError { path: path.into(), what: what.into() });
+        let wrong = |path: &str, what: &str| {
+            Err(OperatorConfigError {
+                path: path.into(),
+                what: what.into(),
+            })
+        };
         if !fleet {
             return wrong("audit", "needs the section fleet");
         }
         if !(50..=60_000).contains(&self.beat_ms) {
             return wrong("audit.beat_ms", "must be between 50 and 60000");
         }
-        if self.discovery.as_ref().is_some_and(|name| name.is_empty() || name.len() > 256) {
+        if self
+            .discovery
+            .as_ref()
+            .is_some_and(|name| name.is_empty() || name.len() > 256)
+        {
             return wrong("audit.discovery", "must be a name of 1 to 256 bytes");
         }
         Ok(())
@@ -73,16 +84,21 @@
 
 impl DutiesSection {
     fn check(&self, fleet: Option<&FleetSection>) -> Result<(), OperatorConfigError> {
-        let wrong =
-            |path: &str, what: &str| Err(OperatorConfigError { path: path.into(), what: what.into() });
+        let wrong = |path: &str, what: &str| {
+            Err(OperatorConfigError {
+                path: path.into(),
+                what: what.into(),
+            })
+        };
         if !(1000..=60_000).contains(&self.lease_ms) {
             return wrong("duties.lease_ms", "must be between 1000 and 60000");
         }
         match fleet {
             None => wrong("duties", "needs the section fleet, which names the voters"),
-            Some(fleet) if fleet.voters.len() < 3 => {
-                wrong("fleet.voters", "must name 3, 5 or 7 nodes where duties is on")
-            }
+            Some(fleet) if fleet.voters.len() < 3 => wrong(
+                "fleet.voters",
+                "must name 3, 5 or 7 nodes where duties is on",
+            ),
             Some(_) => Ok(()),
         }
     }
@@ -179,19 +195,28 @@
         }
         match self.advertise {
             Some(told) if told.is_ipv4() != self.listen.is_ipv4() => {
-                wrong.push(("advertise".into(), "is of another family of addresses than fleet.listen"));
+                wrong.push((
+                    "advertise".into(),
+                    "is of another family of addresses than fleet.listen",
+                ));
             }
             Some(told) if told.ip().is_unspecified() || told.port() == 0 => {
                 wrong.push(("advertise".into(), "is no address that others could reach"));
             }
             None if self.listen.ip().is_unspecified() => {
-                wrong.push(("advertise".into(), "must be given where fleet.listen is no single address"));
+                wrong.push((
+                    "advertise".into(),
+                    "must be given where fleet.listen is no single address",
+                ));
             }
             _ => {}
         }
         for (n, seed) in self.seeds.iter().enumerate() {
             if seed.is_ipv4() != self.listen.is_ipv4() {
-                wrong.push((format!("seeds[{n}]"), "is of another family of addresses than fleet.listen"));
+                wrong.push((
+                    format!("seeds[{n}]"),
+                    "is of another family of addresses than fleet.listen",
+                ));
             }
         }
         if self.voters.len().is_multiple_of(2) || self.voters.len() > 7 {
@@ -222,9 +247,16 @@
             wrong.push(("answer_ms".into(), "must be at most half of fleet.probe_ms"));
         }
         let mut wrong = wrong.into_iter();
-        let Some((path, what)) = wrong.next() else { return Ok(()) };
-        let what = wrong.fold(what.to_owned(), |all, (path, what)| format!("{all}; fleet.{path}: {what}"));
-        Err(OperatorConfigError { path: format!("fleet.{path}"), what })
+        let Some((path, what)) = wrong.next() else {
+            return Ok(());
+        };
+        let what = wrong.fold(what.to_owned(), |all, (path, what)| {
+            format!("{all}; fleet.{path}: {what}")
+        });
+        Err(OperatorConfigError {
+            path: format!("fleet.{path}"),
+            what,
+        })
     }
 }
 
@@ -319,8 +351,12 @@
     }
 
     fn check(&self) -> Result<(), OperatorConfigError> {
-        let wrong =
-            |path: &str, what: &str| Err(OperatorConfigError { path: path.into(), what: what.into() });
+        let wrong = |path: &str, what: &str| {
+            Err(OperatorConfigError {
+                path: path.into(),
+                what: what.into(),
+            })
+        };
         if self.folder.is_empty() {
             return wrong("store.folder", "names no folder");
         }
@@ -331,7 +367,10 @@
             return wrong("store.segment_mb", "must be between 1 and 1024");
         }
         if self.most_mb > 0 && self.most_mb < 4 * self.segment_mb {
-            return wrong("store.most_mb", "must be 0, or at least four times store.segment_mb");
+            return wrong(
+                "store.most_mb",
+                "must be 0, or at least four times store.segment_mb",
+            );
         }
         if self.patience_ms == 0 || self.most_jobs == 0 {
             return wrong("store", "patience_ms and most_jobs must be above 0");
@@ -340,8 +379,15 @@
         if !sound(&self.retention_s) {
             return wrong("store.retention_s", "must be between 1 and 1e8");
         }
-        match self.retention_of_s.iter().find(|(_, seconds)| !sound(seconds)) {
-            Some((class, _)) => wrong(&format!("store.retention_of_s.{class}"), "must be between 1 and 1e8"),
+        match self
+            .retention_of_s
+            .iter()
+            .find(|(_, seconds)| !sound(seconds))
+        {
+            Some((class, _)) => wrong(
+                &format!("store.retention_of_s.{class}"),
+                "must be between 1 and 1e8",
+            ),
             None => Ok(()),
         }
     }
@@ -375,9 +421,15 @@
         let operator: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
             let path = error.path().to_string().replace('?', ".");
             let what = error.inner().to_string();
-            OperatorConfigError { path, what: nearest(&what).unwrap_or(what) }
+            OperatorConfigError {
+                path,
+                what: nearest(&what).unwrap_or(what),
+            }
+        })?;
+        json.end().map_err(|error| OperatorConfigError {
+            path: ".".into(),
+            what: error.to_string(),
         })?;
-        json.end().map_err(|error| OperatorConfigError { path: ".".into(), what: error.to_string() })?;
         operator.check()?;
         Ok(operator)
     }
@@ -388,29 +440,40 @@
     ///
     /// A message that begins with the path.
     pub fn from_file(path: &str) -> Result<Self, String> {
-        let text = std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
         Self::from_json(&text).map_err(|problem| format!("{path}: {problem}"))
     }
 
     fn check(&self) -> Result<(), OperatorConfigError> {
-        self.log.check().map_err(|what| OperatorConfigError { path: "log.levels".into(), what })?;
+        self.log.check().map_err(|what| OperatorConfigError {
+            path: "log.levels".into(),
+            what,
+        })?;
         self.store.as_ref().map_or(Ok(()), StoreSection::check)?;
         self.fleet.as_ref().map_or(Ok(()), FleetSection::check)?;
-        self.duties.as_ref().map_or(Ok(()), |duties| duties.check(self.fleet.as_ref()))?;
-        self.audit.as_ref().map_or(Ok(()), |audit| audit.check(self.fleet.is_some()))
+        self.duties
+            .as_ref()
+            .map_or(Ok(()), |duties| duties.check(self.fleet.as_ref()))?;
+        self.audit
+            .as_ref()
+            .map_or(Ok(()), |audit| audit.check(self.fleet.is_some()))
     }
 }
 
 /// A message of serde's on an unknown name, with the nearest known one in place of the whole list.
 fn nearest(message: &str) -> Option<String> {
-    let rest =
-        message.strip_prefix("unknown field `").or_else(|| message.strip_prefix("unknown variant `"))?;
+    let rest = message
+        .strip_prefix("unknown field `")
+        .or_else(|| message.strip_prefix("unknown variant `"))?;
     let (name, rest) = rest.split_once('`')?;
     let known = rest.split('`').skip(1).step_by(2);
-    let near =
-        known.max_by(|a, b| strsim::jaro_winkler(name, a).total_cmp(&strsim::jaro_winkler(name, b)))?;
+    let near = known
+        .max_by(|a, b| strsim::jaro_winkler(name, a).total_cmp(&strsim::jaro_winkler(name, b)))?;
     let place = message.rfind(" at line ").map_or("", |at| &message[at..]);
-    Some(format!("'{name}' is not known here; the nearest name is '{near}'{place}"))
+    Some(format!(
+        "'{name}' is not known here; the nearest name is '{near}'{place}"
+    ))
 }
 
 #[cfg(test)]
@@ -421,24 +484,60 @@
     #[test]
     fn what_is_unknown_is_refused_with_its_place_and_the_nearest_name() {
         let cases = [
-            (r#"{"lgo": {}}"#, "lgo", "'lgo' is not known here; the nearest name is 'log' at line 1"),
-            (r#"{"log": {"level": "info"}}"#, "log.level", "nearest name is 'levels'"),
-            (r#"{"log": {"format": "jsn"}}"#, "log.format", "nearest name is 'json'"),
+            (
+                r#"{"lgo": {}}"#,
+                "lgo",
+                "'lgo' is not known here; the nearest name is 'log' at line 1",
+            ),
+            (
+                r#"{"log": {"level": "info"}}"#,
+                "log.level",
+                "nearest name is 'levels'",
+            ),
+            (
+                r#"{"log": {"format": "jsn"}}"#,
+                "log.format",
+                "nearest name is 'json'",
+            ),
             (r#"{"log": {"levels": 3}}"#, "log.levels", "invalid type"),
-            (r#"{"log": {"levels": "a=b"}}"#, "log.levels", "names no levels"),
+            (
+                r#"{"log": {"levels": "a=b"}}"#,
+                "log.levels",
+                "names no levels",
+            ),
             (r#"{"log": {}"#, ".", "EOF"),
-            (r#"{"store": {"folder": "a", "retntion_s": 3}}"#, "store.retntion_s", "'retention_s'"),
+            (
+                r#"{"store": {"folder": "a", "retntion_s": 3}}"#,
+                "store.retntion_s",
+                "'retention_s'",
+            ),
             (r#"{"store": {}}"#, "store", "missing field `folder`"),
-            (r#"{"store": {"folder": "a", "mirror": "a"}}"#, "store.mirror", "same folder"),
-            (r#"{"store": {"folder": "a", "most_mb": 20}}"#, "store.most_mb", "four times"),
+            (
+                r#"{"store": {"folder": "a", "mirror": "a"}}"#,
+                "store.mirror",
+                "same folder",
+            ),
+            (
+                r#"{"store": {"folder": "a", "most_mb": 20}}"#,
+                "store.most_mb",
+                "four times",
+            ),
             (
                 r#"{"store": {"folder": "a", "retention_of_s": {"x": 0}}}"#,
                 "store.retention_of_s.x",
                 "between",
             ),
             (r#"{} {}"#, ".", "trailing"),
-            (r#"{"fleet": {"cluster": "c", "listen": "x"}}"#, "fleet.listen", "socket address"),
-            (r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1"}}"#, "fleet.voters", "1, 3, 5 or 7"),
+            (
+                r#"{"fleet": {"cluster": "c", "listen": "x"}}"#,
+                "fleet.listen",
+                "socket address",
+            ),
+            (
+                r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1"}}"#,
+                "fleet.voters",
+                "1, 3, 5 or 7",
+            ),
             (
                 r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "seeds": ["127.0.0.1"]}}"#,
                 "fleet.seeds[0]",
@@ -471,7 +570,11 @@
                 "fleet.voters",
                 "3, 5 or 7",
             ),
-            (r#"{"duties": {"lease_ms": 5}}"#, "duties.lease_ms", "between"),
+            (
+                r#"{"duties": {"lease_ms": 5}}"#,
+                "duties.lease_ms",
+                "between",
+            ),
         ];
         for (text, path, what) in cases {
             let problem = Operator::from_json(text).expect_err(text);
--- a/src/simulator_protocol.rs
+++ b/src/simulator_protocol.rs
@@ -105,13 +105,19 @@
     if frame.len() < HEADER {
         return Err(WireError::Truncated);
     }
-    let (number, size) = (u32::from_le_bytes([n0, n1, n2, n3]), u32::from_le_bytes([l0, l1, l2, l3]));
+    let (number, size) = (
+        u32::from_le_bytes([n0, n1, n2, n3]),
+        u32::from_le_bytes([l0, l1, l2, l3]),
+    );
     let body = u64::from(size).checked_sub(4).ok_or(WireError::Count)?;
     // `take` grows the buffer by what really arrives, so a hostile size costs nothing.
     if input.by_ref().take(body).read_to_end(&mut frame)? as u64 != body {
         return Err(WireError::Truncated);
     }
-    let mut cursor = Cursor { rest: &frame[4..], code: 0 };
+    let mut cursor = Cursor {
+        rest: &frame[4..],
+        code: 0,
+    };
     let now = cursor.f64()?;
     cursor.take(4)?;
     let count = cursor.u32()?;
@@ -122,7 +128,10 @@
     while !cursor.rest.is_empty() {
         cursor.code = cursor.u8().map_err(|_| WireError::Count)?;
         let length = cursor.u32()? as usize;
-        let mut fields = Cursor { rest: cursor.take(length)?, code: cursor.code };
+        let mut fields = Cursor {
+            rest: cursor.take(length)?,
+            code: cursor.code,
+        };
         records.push(record(&mut fields)?);
         if !fields.rest.is_empty() {
             return Err(WireError::Long(fields.code));
@@ -131,7 +140,11 @@
     if records.len() != count as usize {
         return Err(WireError::Count);
     }
-    Ok(Some(Batch { number, now, records }))
+    Ok(Some(Batch {
+        number,
+        now,
+        records,
+    }))
 }
 
 fn record(c: &mut Cursor<'_>) -> Result<(Instance, Record), WireError> {
@@ -143,7 +156,13 @@
         16 => {
             let seed = c.u64()?;
             let length = c.u32()? as usize;
-            return Ok((instance, Record::Start { seed, settings: c.take(length)?.to_vec() }));
+            return Ok((
+                instance,
+                Record::Start {
+                    seed,
+                    settings: c.take(length)?.to_vec(),
+                },
+            ));
         }
         25 => return Ok((instance, Record::Stop)),
         17 => {
@@ -153,7 +172,12 @@
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 3 => ListKind::Failed,
-                other => return Err(WireError::Value { field: "how", value: other.into() }),
+                other => {
+                    return Err(WireError::Value {
+                        field: "how",
+                        value: other.into(),
+                    });
+                }
             };
             let count = c.u32()? as usize;
             if count.checked_mul(ENTRY) != Some(c.rest.len()) {
@@ -207,7 +231,12 @@
         22 => Event::Timer { token: c.u64()? },
         23 => {
             let (worker, code, elapsed) = (c.worker()?, c.u16()?, c.f64()?);
-            Event::Probed { worker, outcome: outcome(code), elapsed, report: c.report()? }
+            Event::Probed {
+                worker,
+                outcome: outcome(code),
+                elapsed,
+                report: c.report()?,
+            }
         }
         24 => {
             c.u16()?;
@@ -224,7 +253,11 @@
                 2 => Note::Progress(value.into()),
                 _ => Note::Other,
             };
-            Event::Note { request, attempt, note }
+            Event::Note {
+                request,
+                attempt,
+                note,
+            }
         }
     };
     Ok((instance, Record::Event(event)))
@@ -251,13 +284,19 @@
 
 impl<'a> Cursor<'a> {
     fn take(&mut self, length: usize) -> Result<&'a [u8], WireError> {
-        let (head, rest) = self.rest.split_at_checked(length).ok_or(WireError::Short(self.code))?;
+        let (head, rest) = self
+            .rest
+            .split_at_checked(length)
+            .ok_or(WireError::Short(self.code))?;
         self.rest = rest;
         Ok(head)
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], WireError> {
-        let (head, rest) = self.rest.split_first_chunk().ok_or(WireError::Short(self.code))?;
+        let (head, rest) = self
+            .rest
+            .split_first_chunk()
+            .ok_or(WireError::Short(self.code))?;
         self.rest = rest;
         Ok(*head)
     }
@@ -287,7 +326,10 @@
     }
 
     fn worker(&mut self) -> Result<WorkerId, WireError> {
-        Ok(WorkerId { address: self.array()?, port: self.u16()? })
+        Ok(WorkerId {
+            address: self.array()?,
+            port: self.u16()?,
+        })
     }
 
     fn report(&mut self) -> Result<Vec<f32>, WireError> {
@@ -301,9 +343,15 @@
             0 => Health::Gone,
             1 => Health::Ready,
             2 => Health::Draining,
-            other => return Err(WireError::Value { field: "health", value: other.into() }),
+            other => {
+                return Err(WireError::Value {
+                    field: "health",
+                    value: other.into(),
+                });
+            }
         };
-        let identity = affinity::number_of(&[&worker.address[..], &worker.port.to_be_bytes()].concat());
+        let identity =
+            affinity::number_of(&[&worker.address[..], &worker.port.to_be_bytes()].concat());
         Ok(Entry {
             worker,
             identity,
@@ -354,12 +402,19 @@
                 self.bytes.extend(token.to_le_bytes());
                 21
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.request(request);
                 self.bytes.extend(retry_after.to_le_bytes());
                 22
             }
-            Action::Send { request, worker, timeout } => {
+            Action::Send {
+                request,
+                worker,
+                timeout,
+            } => {
                 self.request(request);
                 self.worker(worker);
                 self.bytes.extend(timeout.to_le_bytes());
--- a/src/stand_ins.rs
+++ b/src/stand_ins.rs
@@ -22,7 +22,10 @@
 }
 
 /// Serves every connection in a thread of its own, for as long as the process lives.
-fn serve(listener: TcpListener, answer: impl Fn(&Request) -> (u16, String) + Clone + Send + 'static) {
+fn serve(
+    listener: TcpListener,
+    answer: impl Fn(&Request) -> (u16, String) + Clone + Send + 'static,
+) {
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let answer = answer.clone();
@@ -121,18 +124,24 @@
         let shared = list.clone();
         let now = move |since: Option<u64>| {
             let (revision, drains) = lock(&shared).clone();
-            let drained = |m: &serde_json::Value| m["id"].as_str().and_then(|id| drains.get(id)).copied();
-            let changed =
-                |m: &&serde_json::Value| since.is_none_or(|since| drained(m).is_some_and(|at| at > since));
+            let drained =
+                |m: &serde_json::Value| m["id"].as_str().and_then(|id| drains.get(id)).copied();
+            let changed = |m: &&serde_json::Value| {
+                since.is_none_or(|since| drained(m).is_some_and(|at| at > since))
+            };
             let told = |m: &serde_json::Value| {
-                let phase = if drained(m).is_some() { "terminating" } else { "in_service" };
+                let phase = if drained(m).is_some() {
+                    "terminating"
+                } else {
+                    "in_service"
+                };
                 let mut member = m.clone();
                 member["phase"] = phase.into();
                 member
             };
-            let members: Vec<serde_json::Value> = members.iter().filter(changed).map(told).collect();
-            let text =
-                serde_json::json!({"revision": revision, "complete": since.is_none(), "members": members});
+            let members: Vec<serde_json::Value> =
+                members.iter().filter(changed).map(told).collect();
+            let text = serde_json::json!({"revision": revision, "complete": since.is_none(), "members": members});
             (revision, text.to_string())
         };
         serve(listener, move |request| {
@@ -239,8 +248,16 @@
         if request.method != "POST" {
             return (200, String::new());
         }
-        let id = request.headers.get("x-request-id").unwrap_or_default().to_owned();
-        let job = request.headers.get("idempotency-key").unwrap_or(&id).to_owned();
+        let id = request
+            .headers
+            .get("x-request-id")
+            .unwrap_or_default()
+            .to_owned();
+        let job = request
+            .headers
+            .get("idempotency-key")
+            .unwrap_or(&id)
+            .to_owned();
         *lock(&self.work).runs.entry(job.clone()).or_default() += 1;
         let result = String::from_utf8_lossy(&request.body).to_uppercase();
         self.held.fetch_add(1, Ordering::SeqCst);
@@ -259,10 +276,16 @@
                                        "load": {"queue": held, "eps": 0.0, "x0": 4}});
         let event = event.to_string();
         let nodes = lock(&self.nodes).clone();
-        let (first, others) =
-            nodes.split_first().map_or((None, &[][..]), |(first, rest)| (Some(*first), rest));
+        let (first, others) = nodes
+            .split_first()
+            .map_or((None, &[][..]), |(first, rest)| (Some(*first), rest));
         for node in others.iter().copied() {
-            let (own, event, job, result) = (self.clone(), event.clone(), job.to_owned(), result.to_owned());
+            let (own, event, job, result) = (
+                self.clone(),
+                event.clone(),
+                job.to_owned(),
+                result.to_owned(),
+            );
             thread::spawn(move || own.tell(Some(node), &event, &job, &result));
         }
         self.tell(first, &event, job, result);
@@ -278,10 +301,21 @@
             // One that was not known at the first try may be by now.
             node = node.or_else(|| lock(&self.nodes).first().copied());
             let answer = node.map(|node| {
-                ask(node, "POST", "/v1/job-events", &[("Connection", "close")], event.as_bytes())
+                ask(
+                    node,
+                    "POST",
+                    "/v1/job-events",
+                    &[("Connection", "close")],
+                    event.as_bytes(),
+                )
             });
-            if let Some(Ok(http::Response { status: 200 | 204, .. })) = answer {
-                return lock(&self.work).acknowledged.push((job.to_owned(), result.to_owned()));
+            if let Some(Ok(http::Response {
+                status: 200 | 204, ..
+            })) = answer
+            {
+                return lock(&self.work)
+                    .acknowledged
+                    .push((job.to_owned(), result.to_owned()));
             }
             thread::sleep(again);
             again = (again * 2).min(MOST_AGAIN);
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -4,7 +4,9 @@
 mod dispatcher_harness;
 
 use dispatcher_harness::*;
-use postproxy::{Action, Entry, Event, Health, ListKind, NewRequest, Outcome, RequestId, Settings, WorkerId};
+use postproxy::{
+    Action, Entry, Event, Health, ListKind, NewRequest, Outcome, RequestId, Settings, WorkerId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Settings in which a fetch has this price, and what `change` does to them.
@@ -18,7 +20,10 @@
 /// A dispatcher that counts its workers in an order of its own; their identities are the same everywhere.
 fn dispatcher(settings: Settings, seed: u64, workers: u16) -> DispatcherHarness {
     let dispatcher = postproxy::Dispatcher::new(settings, seed).expect("sound settings");
-    let mut harness = DispatcherHarness { dispatcher, now: 100.0 };
+    let mut harness = DispatcherHarness {
+        dispatcher,
+        now: 100.0,
+    };
     let shift = (seed % u64::from(workers)) as u16;
     let order = (0..workers).map(|n| (n + shift) % workers);
     harness.list(ListKind::Full, order.map(identified).collect());
@@ -27,18 +32,34 @@
 
 /// Worker `n`, in one of two zones.
 fn identified(n: u16) -> Entry {
-    Entry { identity: 1000 + u64::from(n), zone: (n % 2) as u8, ..entry(n) }
+    Entry {
+        identity: 1000 + u64::from(n),
+        zone: (n % 2) as u8,
+        ..entry(n)
+    }
 }
 
 /// A job of this subject; what is done about it.
 fn ask(harness: &mut DispatcherHarness, request: RequestId, key: u64, slots: f64) -> Vec<Action> {
-    let new =
-        NewRequest { request, class: 0, key, budget: 5.0, hint: Some(0.25), slots, ..NewRequest::default() };
+    let new = NewRequest {
+        request,
+        class: 0,
+        key,
+        budget: 5.0,
+        hint: Some(0.25),
+        slots,
+        ..NewRequest::default()
+    };
     harness.event(Event::Request(new))
 }
 
 /// Plays so many jobs of a subject, each ended before the next one; how many each worker had.
-fn played(harness: &mut DispatcherHarness, from: RequestId, jobs: u64, key: u64) -> BTreeMap<WorkerId, u64> {
+fn played(
+    harness: &mut DispatcherHarness,
+    from: RequestId,
+    jobs: u64,
+    key: u64,
+) -> BTreeMap<WorkerId, u64> {
     let mut all = BTreeMap::new();
     for request in from..from + jobs {
         let to = sends(&ask(harness, request, key, 1.0));
@@ -75,7 +96,10 @@
             assert_eq!(home_of(8), home, "subject {key} of {workers} workers");
             homes.insert(home);
         }
-        assert!(homes.len() >= 6, "not all subjects at the same few: {homes:?}");
+        assert!(
+            homes.len() >= 6,
+            "not all subjects at the same few: {homes:?}"
+        );
     }
 }
 
@@ -94,11 +118,18 @@
     };
     let before = homes(&mut harness);
     let gone = before[0];
-    let entry = Entry { worker: gone, health: Health::Gone, ..Entry::default() };
+    let entry = Entry {
+        worker: gone,
+        health: Health::Gone,
+        ..Entry::default()
+    };
     harness.list(ListKind::Delta, vec![entry]);
     let after = homes(&mut harness);
     for (before, after) in before.iter().zip(&after) {
-        assert!(*after != gone && (before == after || *before == gone), "{before:?} moved to {after:?}");
+        assert!(
+            *after != gone && (before == after || *before == gone),
+            "{before:?} moved to {after:?}"
+        );
     }
 }
 
@@ -113,7 +144,11 @@
             // Its worker tells that no slot is free, through another job's answer; the others have room.
             for (n, request) in (0..8).zip(1000 * request..) {
                 let to = worker(n);
-                let figures = if to == home { vec![9.0, 0.0] } else { vec![0.0, 5.0] };
+                let figures = if to == home {
+                    vec![9.0, 0.0]
+                } else {
+                    vec![0.0, 5.0]
+                };
                 harness.event(Event::Probed {
                     worker: to,
                     outcome: Outcome::Ok,
@@ -159,16 +194,29 @@
     const COLD: u16 = 4;
     const SUBJECTS: u64 = 120;
     let set = with_price(0.2, |s| s["balancers"] = 1.into());
-    let (mut warm, mut harness) = (dispatcher(set.clone(), 5, WORKERS), dispatcher(set, 5, WORKERS));
+    let (mut warm, mut harness) = (
+        dispatcher(set.clone(), 5, WORKERS),
+        dispatcher(set, 5, WORKERS),
+    );
     let (mut own, mut others) = (0, 0);
     for key in 1..=SUBJECTS {
         let home = most(&played(&mut warm, key * 100, 20, key)).0;
         // It has just started, each time anew: its part of its budget is whole.
         let started = harness.now;
-        harness.list(ListKind::Delta, vec![Entry { started, ..identified(COLD) }]);
+        harness.list(
+            ListKind::Delta,
+            vec![Entry {
+                started,
+                ..identified(COLD)
+            }],
+        );
         let all = played(&mut harness, key * 100, 20, key);
         if all.contains_key(&worker(COLD)) {
-            *(if home == worker(COLD) { &mut own } else { &mut others }) += 1;
+            *(if home == worker(COLD) {
+                &mut own
+            } else {
+                &mut others
+            }) += 1;
         }
         harness.now += 5.0;
         warm.now = harness.now;
@@ -208,8 +256,14 @@
     let (cheap, dear, dearer) = (asked(0.001), asked(0.01), asked(0.1));
     // 0.0075 of all points in each: 7.5 a request, more than are asked for; 0.75 and 0.075, ten saved at the start, and one sample begun with the last.
     assert!(cheap > 400, "{cheap} probes of 400 jobs at a thousandth");
-    assert!((200..=313).contains(&dear), "{dear} probes of 400 jobs at a hundredth");
-    assert!((20..=40).contains(&dearer), "{dearer} probes of 400 jobs at a tenth");
+    assert!(
+        (200..=313).contains(&dear),
+        "{dear} probes of 400 jobs at a hundredth"
+    );
+    assert!(
+        (20..=40).contains(&dearer),
+        "{dearer} probes of 400 jobs at a tenth"
+    );
 }
 
 /// Guards against copies whose waste costs more than they save: the dearer waste is, the fewer are made.
@@ -242,16 +296,21 @@
         count
     };
     let (cheap, dear) = (copies(0.05), copies(0.25));
-    assert!(cheap > 60 && dear * 3 < cheap && dear > 0, "{cheap} copies at a twentieth, {dear} at a quarter");
+    assert!(
+        cheap > 60 && dear * 3 < cheap && dear > 0,
+        "{cheap} copies at a twentieth, {dear} at a quarter"
+    );
 }
 
 /// Guards against a worker that is shut out since it killed a job for a more urgent one, as its settings say: that is no fault of it. A reset
 /// of a job that nothing may push out is one.
 #[test]
 fn a_job_that_was_pushed_out_is_no_fault_of_its_worker() {
-    for (order, priorities, shut_out) in
-        [("priority", [0, 1, 1], false), ("priority", [1, 1, 0], true), ("fifo", [0, 1, 1], true)]
-    {
+    for (order, priorities, shut_out) in [
+        ("priority", [0, 1, 1], false),
+        ("priority", [1, 1, 0], true),
+        ("fifo", [0, 1, 1], true),
+    ] {
         let set = with_price(0.0, |s| {
             s["extra"]["queue-order"] = order.into();
             s["extra"]["class-priority"] = serde_json::json!(priorities);
@@ -259,11 +318,15 @@
         let mut harness = dispatcher(set, 5, 8);
         let first = sends(&ask(&mut harness, 1, 0, 1.0))[0];
         let again = sends(&harness.outcome(1, 0, first, Outcome::Reset));
-        assert!(again.len() == 1 && again[0] != first, "it starts over elsewhere: {again:?}");
+        assert!(
+            again.len() == 1 && again[0] != first,
+            "it starts over elsewhere: {again:?}"
+        );
         let drawn = (10..200).any(|request| {
             let to = sends(&ask(&mut harness, request, 0, 1.0));
             harness.event(Event::ClientGone { request });
-            to.iter().for_each(|to| drop(harness.outcome(request, 0, *to, Outcome::Cancelled)));
+            to.iter()
+                .for_each(|to| drop(harness.outcome(request, 0, *to, Outcome::Cancelled)));
             to.contains(&first)
         });
         assert_eq!(!drawn, shut_out, "{order} {priorities:?}");
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -28,13 +28,20 @@
     /// With so many connections at most, to workers that close what has been idle for so long.
     fn with(most: usize, idle: f64) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
-        Self { reactor, attempts: Attempts::new(most, 0.25, idle), worker: port() }
+        Self {
+            reactor,
+            attempts: Attempts::new(most, 0.25, idle),
+            worker: port(),
+        }
     }
 
     /// Starts attempts at one time, each of which a worker takes on a connection of its own; these are idle then.
     fn taken(&mut self, attempts: &[AttemptId]) -> Vec<Peer> {
         attempts.iter().for_each(|attempt| self.start(*attempt));
-        let mut peers: Vec<Peer> = attempts.iter().map(|_| Peer::accept(&self.worker)).collect();
+        let mut peers: Vec<Peer> = attempts
+            .iter()
+            .map(|_| Peer::accept(&self.worker))
+            .collect();
         for peer in &mut peers {
             self.reaches(peer);
             peer.request();
@@ -56,10 +63,20 @@
 
     fn start(&mut self, attempt: AttemptId) {
         let at = self.worker.local_addr().expect("an address");
-        let (id, method, target) = (format!("job-{attempt}"), "POST".to_owned(), "/render".to_owned());
-        let payload = Payload { id, method, target, ..Payload::default() };
+        let (id, method, target) = (
+            format!("job-{attempt}"),
+            "POST".to_owned(),
+            "/render".to_owned(),
+        );
+        let payload = Payload {
+            id,
+            method,
+            target,
+            ..Payload::default()
+        };
         let until = self.reactor.now + 5.0;
-        self.attempts.start(&mut self.reactor, attempt, at, &Rc::new(payload), until);
+        self.attempts
+            .start(&mut self.reactor, attempt, at, &Rc::new(payload), until);
     }
 
     /// Lets sockets be read until this is found.
@@ -72,7 +89,8 @@
             assert!(start.elapsed() < LIMIT, "it never came");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
-                self.attempts.ready(&mut self.reactor, event.key, event.readable, event.writable);
+                self.attempts
+                    .ready(&mut self.reactor, event.key, event.readable, event.writable);
             }
         }
     }
@@ -81,7 +99,12 @@
     /// to be made.
     fn reaches(&mut self, peer: &Peer) {
         peer.stream.set_nonblocking(true).expect("a setting");
-        self.until(|_| peer.stream.peek(&mut [0]).is_ok_and(|size| size > 0).then_some(()));
+        self.until(|_| {
+            peer.stream
+                .peek(&mut [0])
+                .is_ok_and(|size| size > 0)
+                .then_some(())
+        });
         peer.stream.set_nonblocking(false).expect("a setting");
     }
 
@@ -134,12 +157,17 @@
     let mut world = World::new();
     let mut peer = world.taken(&[1]).remove(0);
     let at = world.worker.local_addr().expect("an address");
-    world.attempts.abandon(&mut world.reactor, 1, at, "job-1", true);
+    world
+        .attempts
+        .abandon(&mut world.reactor, 1, at, "job-1", true);
     world.reaches(&peer);
     assert_eq!(peer.request().method, "DELETE");
     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     world.until(|world| (world.attempts.count() == 0).then_some(()));
-    assert!(peer.ended(), "nothing follows on the cancel's connection, however late");
+    assert!(
+        peer.ended(),
+        "nothing follows on the cancel's connection, however late"
+    );
     assert!(world.dials(1060.0, 2));
 }
 
@@ -187,7 +215,10 @@
     world.reaches(&peer);
     peer.write(NOT_RUN);
     assert_eq!(world.end(), (2, AttemptEnd::TurnedAway));
-    assert!(peer.request().headers.get("x-request-id") == Some("job-2"), "it was read, and may run");
+    assert!(
+        peer.request().headers.get("x-request-id") == Some("job-2"),
+        "it was read, and may run"
+    );
     let mut world = World::new();
     world.start(1);
     let mut peer = Peer::accept(&world.worker);
@@ -219,13 +250,41 @@
     let spoilt = [
         ("no HTTP", "what is this\r\n\r\n", ""),
         ("bytes that are no text", "\u{1}\u{2}\u{3}\r\n\r\n", ""),
-        ("no status", "HTTP/1.1 many Accepted\r\nContent-Length: 0\r\n\r\n", ""),
-        ("a length below 0", "HTTP/1.1 202 Accepted\r\nContent-Length: -1\r\n\r\n", ""),
-        ("two lengths", "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nContent-Length: 7\r\n\r\n", ""),
-        ("'not run' of no length", "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: all\r\n\r\n", ""),
-        ("chunks of no size", "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nlong\r\n", ""),
-        ("a head without end", "HTTP/1.1 202 Accepted\r\n", "X-More: of the same\r\n"),
-        ("a line without end", "HTTP/1.1 202 Accepted\r\nX-Line: ", "of the same "),
+        (
+            "no status",
+            "HTTP/1.1 many Accepted\r\nContent-Length: 0\r\n\r\n",
+            "",
+        ),
+        (
+            "a length below 0",
+            "HTTP/1.1 202 Accepted\r\nContent-Length: -1\r\n\r\n",
+            "",
+        ),
+        (
+            "two lengths",
+            "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nContent-Length: 7\r\n\r\n",
+            "",
+        ),
+        (
+            "'not run' of no length",
+            "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: all\r\n\r\n",
+            "",
+        ),
+        (
+            "chunks of no size",
+            "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nlong\r\n",
+            "",
+        ),
+        (
+            "a head without end",
+            "HTTP/1.1 202 Accepted\r\n",
+            "X-More: of the same\r\n",
+        ),
+        (
+            "a line without end",
+            "HTTP/1.1 202 Accepted\r\nX-Line: ",
+            "of the same ",
+        ),
         (
             "a body without end",
             "HTTP/1.1 202 Accepted\r\nContent-Length: 99999999999\r\n\r\n",
@@ -236,7 +295,11 @@
             "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n",
             "4\r\nmore\r\n",
         ),
-        ("answers ahead without end", "HTTP/1.1 100 Continue\r\n\r\n", "HTTP/1.1 102 Processing\r\n\r\n"),
+        (
+            "answers ahead without end",
+            "HTTP/1.1 100 Continue\r\n\r\n",
+            "HTTP/1.1 102 Processing\r\n\r\n",
+        ),
     ];
     for (what, begins, goes_on) in spoilt {
         let mut world = World::new();
@@ -258,10 +321,20 @@
         });
         let (attempt, end) = world.end();
         assert_eq!(attempt, 1, "{what}");
-        assert!(matches!(end, AttemptEnd::Error | AttemptEnd::Reset), "{what}: {end:?}");
+        assert!(
+            matches!(end, AttemptEnd::Error | AttemptEnd::Reset),
+            "{what}: {end:?}"
+        );
         world.until(|world| (world.attempts.count() == 0).then_some(()));
-        assert!(worker.join().expect("the worker's part"), "{what}: its connection goes on");
-        let again = world.reactor.queue.iter().any(|input| matches!(input, Input::Attempt(..)));
+        assert!(
+            worker.join().expect("the worker's part"),
+            "{what}: its connection goes on"
+        );
+        let again = world
+            .reactor
+            .queue
+            .iter()
+            .any(|input| matches!(input, Input::Attempt(..)));
         assert!(!again, "{what}: a second end");
     }
 }
@@ -273,7 +346,9 @@
     for (resets, whole) in [(true, true), (false, true), (true, false), (false, false)] {
         let mut world = World::new();
         // What is not read stays with the node: a worker takes little at a time, and a body is larger than all buffers between.
-        socket2::SockRef::from(&world.worker).set_recv_buffer_size(1 << 10).expect("a setting");
+        socket2::SockRef::from(&world.worker)
+            .set_recv_buffer_size(1 << 10)
+            .expect("a setting");
         let peer = world.taken(&[1]).remove(0);
         world.reactor.now = 1000.1;
         let at = world.worker.local_addr().expect("an address");
@@ -285,9 +360,15 @@
             body,
             ..Payload::default()
         };
-        world.attempts.start(&mut world.reactor, 2, at, &Rc::new(payload), 1005.1);
+        world
+            .attempts
+            .start(&mut world.reactor, 2, at, &Rc::new(payload), 1005.1);
         world.reaches(&peer);
-        let written = world.reactor.queue.iter().any(|input| matches!(input, Input::Written(2)));
+        let written = world
+            .reactor
+            .queue
+            .iter()
+            .any(|input| matches!(input, Input::Written(2)));
         assert_eq!(written, whole);
         if resets {
             socket2::SockRef::from(&peer.stream)
@@ -295,8 +376,16 @@
                 .expect("a setting");
         }
         drop(peer);
-        let expected = if whole { AttemptEnd::Reset } else { AttemptEnd::NeverSent };
-        assert_eq!(world.end(), (2, expected), "reset: {resets}, whole: {whole}");
+        let expected = if whole {
+            AttemptEnd::Reset
+        } else {
+            AttemptEnd::NeverSent
+        };
+        assert_eq!(
+            world.end(),
+            (2, expected),
+            "reset: {resets}, whole: {whole}"
+        );
         assert_eq!(world.attempts.count(), 0);
     }
 }
@@ -314,7 +403,10 @@
             _ => None,
         })
     });
-    let names: Vec<_> = load.iter().map(|(name, value)| (name.as_str(), *value)).collect();
+    let names: Vec<_> = load
+        .iter()
+        .map(|(name, value)| (name.as_str(), *value))
+        .collect();
     assert_eq!(names, [("inflight", 7.0), ("queue", 2.0), ("util", 0.61)]);
 }
 
@@ -327,7 +419,10 @@
     assert!(!world.dials(1000.8, 3), "an idle one is used again");
     drop(peers.pop()); // the one that was used last; its request is unread, so that it is reset
     assert_eq!(world.end(), (3, AttemptEnd::Reset));
-    assert!(world.dials(1000.8, 4), "0.8 s are too long now: a new connection");
+    assert!(
+        world.dials(1000.8, 4),
+        "0.8 s are too long now: a new connection"
+    );
     assert_eq!(world.attempts.count(), 1, "and the other idle one is gone");
     // Half of that is learned, and it doubles every 5 s, up to what would count without it: 48 s.
     for (after, may, may_not) in [(0.0, 0.39, 0.5), (5.0, 0.79, 1.0), (100.0, 47.0, 48.5)] {
@@ -339,7 +434,11 @@
             assert_eq!(world.end(), (3, AttemptEnd::Reset));
             world.reactor.now = 1000.8 + after;
             let _peers = world.taken(&[5]);
-            assert_eq!(world.dials(1000.8 + after + rests, 6), dials, "{after} s later, after {rests} s");
+            assert_eq!(
+                world.dials(1000.8 + after + rests, 6),
+                dials,
+                "{after} s later, after {rests} s"
+            );
         }
     }
 }
@@ -349,7 +448,10 @@
 fn without_a_place_for_a_connection_the_worker_is_not_to_blame() {
     let mut world = World::with(0, 5.0);
     world.start(7);
-    assert!(matches!(world.reactor.queue.pop_front(), Some(Input::Attempt(7, AttemptEnd::NoRoom, _))));
+    assert!(matches!(
+        world.reactor.queue.pop_front(),
+        Some(Input::Attempt(7, AttemptEnd::NoRoom, _))
+    ));
 }
 
 /// Guards against writing to the idle connections of a worker that has left something without an answer: if it has vanished, a new
@@ -381,13 +483,19 @@
 }
 
 /// What the hub is told of the probe 1 on a connection on which a worker answers this, and its report.
-fn probed(world: &mut World, answer: Option<&str>) -> (AttemptEnd, Vec<(String, f64)>, Option<Peer>) {
+fn probed(
+    world: &mut World,
+    answer: Option<&str>,
+) -> (AttemptEnd, Vec<(String, f64)>, Option<Peer>) {
     let at = world.worker.local_addr().expect("an address");
     world.attempts.probe(&mut world.reactor, 1, at, 0.4);
     let mut peer = Peer::accept(&world.worker);
     world.reaches(&peer);
     let request = peer.request();
-    assert_eq!((request.method.as_str(), request.target.as_str()), ("GET", "/-/load"));
+    assert_eq!(
+        (request.method.as_str(), request.target.as_str()),
+        ("GET", "/-/load")
+    );
     let peer = answer.map(|answer| {
         peer.write(answer);
         peer
@@ -407,13 +515,28 @@
 #[test]
 fn a_probe_brings_the_load_or_what_became_of_it() {
     let text = |status: &str, body: &str| {
-        format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+        format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
     };
     let mut world = World::new();
-    let (end, load, _peer) = probed(&mut world, Some(&text("200 OK", "TEXT x0=3, inflight=2, queue=what\n")));
-    let names: Vec<_> = load.iter().map(|(name, value)| (name.as_str(), *value)).collect();
-    assert_eq!((end, names), (AttemptEnd::Accepted, vec![("x0", 3.0), ("inflight", 2.0)]));
-    assert!(!world.dials(1000.0, 2), "the connection is used again at once");
+    let (end, load, _peer) = probed(
+        &mut world,
+        Some(&text("200 OK", "TEXT x0=3, inflight=2, queue=what\n")),
+    );
+    let names: Vec<_> = load
+        .iter()
+        .map(|(name, value)| (name.as_str(), *value))
+        .collect();
+    assert_eq!(
+        (end, names),
+        (AttemptEnd::Accepted, vec![("x0", 3.0), ("inflight", 2.0)])
+    );
+    assert!(
+        !world.dials(1000.0, 2),
+        "the connection is used again at once"
+    );
     for (answer, end) in [
         (Some(text("503 Busy", "TEXT x0=3")), AttemptEnd::Error),
         (Some(text("404 Not Found", "")), AttemptEnd::Error),
@@ -445,12 +568,17 @@
     }
     assert_eq!(world.end(), (1, AttemptEnd::Reset));
     // Whatever it still says, nobody reads it.
-    let _ = peer.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3");
+    let _ = peer
+        .stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3");
     drop(std::mem::replace(&mut world.worker, port()));
     world.attempts.probe(&mut world.reactor, 2, at, 0.4);
     assert_eq!(world.end(), (2, AttemptEnd::NeverSent));
     assert!(world.reactor.queue.is_empty());
     let mut world = World::with(0, 5.0);
     world.attempts.probe(&mut world.reactor, 3, at, 0.4);
-    assert!(matches!(world.reactor.queue.pop_front(), Some(Input::Attempt(3, AttemptEnd::NoRoom, _))));
+    assert!(matches!(
+        world.reactor.queue.pop_front(),
+        Some(Input::Attempt(3, AttemptEnd::NoRoom, _))
+    ));
 }
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -17,8 +17,11 @@
     let stuck = std::net::SocketAddr::new(addresses(1)[0], 8500);
     let mut sections = serde_json::json!({"discovery_of": {"2": stuck.to_string()}});
     if audit {
-        sections["audit"] =
-            if alike { serde_json::json!({"discovery": "riga"}) } else { serde_json::json!({}) };
+        sections["audit"] = if alike {
+            serde_json::json!({"discovery": "riga"})
+        } else {
+            serde_json::json!({})
+        };
     }
     let fleet = Fleet::with_sections(3, seed, false, &names, &sections);
     let discovery = Discovery::start_at(stuck, &fleet.workers).expect("discovery");
@@ -32,7 +35,11 @@
 
 fn list(fleet: &Fleet, n: usize) -> Option<u64> {
     let all = versions(fleet, n)?;
-    all[0]["versions"].as_array()?.iter().find(|v| v["kind"] == "list")?["number"].as_u64()
+    all[0]["versions"]
+        .as_array()?
+        .iter()
+        .find(|v| v["kind"] == "list")?["number"]
+        .as_u64()
 }
 
 /// Clients send at the last node all the time; how long after the drain the last job went to the drained worker.
@@ -46,7 +53,11 @@
                     return;
                 }
                 let id = format!("a-{number}-{job}");
-                let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5"), ("Connection", "close")];
+                let fields = [
+                    ("X-Request-Id", id.as_str()),
+                    ("X-Deadline", "5"),
+                    ("Connection", "close"),
+                ];
                 let _ = ask(at, "POST", "/reroute/x", &fields, b"work");
                 std::thread::sleep(Duration::from_millis(5));
             }
@@ -54,7 +65,11 @@
     };
     let clients: Vec<_> = (0..3).map(client).collect();
     let runs = || fleet.workers[0].runs().len();
-    assert!(wait(MOST, || runs() > 5), "the worker is used: {}", fleet.told());
+    assert!(
+        wait(MOST, || runs() > 5),
+        "the worker is used: {}",
+        fleet.told()
+    );
     drain();
     let (start, mut last, mut before) = (Instant::now(), None, runs());
     while start.elapsed() < time {
@@ -65,8 +80,12 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     over.store(true, Ordering::SeqCst);
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
-    fleet.history.note(format!("the last send came {last:?} after the drain"));
+    clients
+        .into_iter()
+        .for_each(|client| client.join().expect("a client"));
+    fleet
+        .history
+        .note(format!("the last send came {last:?} after the drain"));
     last
 }
 
@@ -75,12 +94,32 @@
 #[test]
 fn a_node_whose_discovery_is_stuck_is_brought_up_by_the_others() {
     let (fleet, _stuck) = fleet(41, true, true);
-    assert!(wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(1))), "{}", fleet.told());
-    let last = last_send(&fleet, || fleet.discovery.drain("w-0"), Duration::from_secs(5));
+    assert!(
+        wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(1))),
+        "{}",
+        fleet.told()
+    );
+    let last = last_send(
+        &fleet,
+        || fleet.discovery.drain("w-0"),
+        Duration::from_secs(5),
+    );
     println!("the last send came {last:?} after the drain");
-    assert!(last.is_none_or(|last| last < Duration::from_secs(2)), "{last:?}: {}", fleet.told());
-    assert!(wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(2))), "all act on it: {}", fleet.told());
-    assert!(fleet.lines(2, "this node is brought up kind=\"list\" source=Peer") >= 1, "{}", fleet.told());
+    assert!(
+        last.is_none_or(|last| last < Duration::from_secs(2)),
+        "{last:?}: {}",
+        fleet.told()
+    );
+    assert!(
+        wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(2))),
+        "all act on it: {}",
+        fleet.told()
+    );
+    assert!(
+        fleet.lines(2, "this node is brought up kind=\"list\" source=Peer") >= 1,
+        "{}",
+        fleet.told()
+    );
     let answer = ask(fleet.nodes[2].door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
     let trail: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let adopted = trail["records"]
@@ -90,10 +129,20 @@
         .rev()
         .find(|r| r["what"]["adopted"][0] == "list");
     let peer = adopted.and_then(|r| r["what"]["adopted"][2]["peer"].as_str().map(str::to_owned));
-    assert!(peer.is_some_and(|peer| peer.starts_with('n')), "from whom: {trail}");
-    let acts: u64 =
-        trail["records"].as_array().into_iter().flatten().filter_map(|r| r["acts"].as_u64()).sum();
-    assert!(acts > 5 && trail["acts"].as_u64() > Some(5), "acts under the view before, and since: {trail}");
+    assert!(
+        peer.is_some_and(|peer| peer.starts_with('n')),
+        "from whom: {trail}"
+    );
+    let acts: u64 = trail["records"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|r| r["acts"].as_u64())
+        .sum();
+    assert!(
+        acts > 5 && trail["acts"].as_u64() > Some(5),
+        "acts under the view before, and since: {trail}"
+    );
 }
 
 /// Guards against a list that is taken from a discovery which the node's own configuration does not name, and shows what the harm
@@ -101,16 +150,38 @@
 #[test]
 fn of_another_discovery_nothing_is_taken_and_without_the_audit_nothing_is_told() {
     let (other, _stuck) = fleet(42, false, true);
-    assert!(wait(MOST, || (0..3).all(|n| list(&other, n) == Some(1))), "{}", other.told());
-    let last = last_send(&other, || other.discovery.drain("w-0"), Duration::from_secs(4));
-    assert!(last > Some(Duration::from_secs(3)), "it has another discovery: {last:?}: {}", other.told());
+    assert!(
+        wait(MOST, || (0..3).all(|n| list(&other, n) == Some(1))),
+        "{}",
+        other.told()
+    );
+    let last = last_send(
+        &other,
+        || other.discovery.drain("w-0"),
+        Duration::from_secs(4),
+    );
+    assert!(
+        last > Some(Duration::from_secs(3)),
+        "it has another discovery: {last:?}: {}",
+        other.told()
+    );
     assert_eq!((list(&other, 1), list(&other, 2)), (Some(2), Some(1)));
     drop(other);
     let (without, _stuck) = fleet(43, true, false);
-    let last = last_send(&without, || without.discovery.drain("w-0"), Duration::from_secs(4));
-    assert!(last > Some(Duration::from_secs(3)), "{last:?}: {}", without.told());
+    let last = last_send(
+        &without,
+        || without.discovery.drain("w-0"),
+        Duration::from_secs(4),
+    );
+    assert!(
+        last > Some(Duration::from_secs(3)),
+        "{last:?}: {}",
+        without.told()
+    );
     assert_eq!(
-        ask(without.nodes[0].door, "GET", "/v1/fleet/versions", &[], b"").expect("an answer").status,
+        ask(without.nodes[0].door, "GET", "/v1/fleet/versions", &[], b"")
+            .expect("an answer")
+            .status,
         404
     );
 }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -12,12 +12,21 @@
         waits.wait()
     };
     let waits: Vec<f64> = (0..10).map(second).collect();
-    assert!(waits.windows(2).all(|pair| (pair[1] - pair[0] - 0.01).abs() < 1e-9), "{waits:?}");
+    assert!(
+        waits
+            .windows(2)
+            .all(|pair| (pair[1] - pair[0] - 0.01).abs() < 1e-9),
+        "{waits:?}"
+    );
     let mut alone = Backoff::new(0.1, 5.0, 7);
     alone.place(0, 1);
     let mut plain = Backoff::new(0.1, 5.0, 7);
     for _ in 0..9 {
-        assert_eq!(alone.wait().to_bits(), plain.wait().to_bits(), "one that knows nobody waits as before");
+        assert_eq!(
+            alone.wait().to_bits(),
+            plain.wait().to_bits(),
+            "one that knows nobody waits as before"
+        );
     }
 }
 
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -15,7 +15,8 @@
 #[test]
 fn answers_to_bad_input_are_read_though_more_is_on_its_way() {
     let harness = NodeHarness::new(1, 256);
-    let job = "POST /render HTTP/1.1\r\nX-Request-Id: held\r\nX-Deadline: 5\r\nContent-Length: 0\r\n\r\n";
+    let job =
+        "POST /render HTTP/1.1\r\nX-Request-Id: held\r\nX-Deadline: 5\r\nContent-Length: 0\r\n\r\n";
     let mut holds = Peer::to(harness.node);
     holds.write(job);
     let mut worker = Peer::accept(&harness.workers[0]);
@@ -54,9 +55,18 @@
                 .stream
                 .read_to_string(&mut answer)
                 .unwrap_or_else(|e| panic!("{status}, {behind}: {e}: {answer}"));
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{status}, {behind}: {answer}");
-            assert!(answer.contains("Connection: close\r\n") && answer.contains("\r\n\r\n"), "{answer}");
-            assert!(start.elapsed() < Duration::from_secs(3), "{status}, {behind}");
+            assert!(
+                answer.starts_with(&format!("HTTP/1.1 {status} ")),
+                "{status}, {behind}: {answer}"
+            );
+            assert!(
+                answer.contains("Connection: close\r\n") && answer.contains("\r\n\r\n"),
+                "{answer}"
+            );
+            assert!(
+                start.elapsed() < Duration::from_secs(3),
+                "{status}, {behind}"
+            );
             more.join().expect("it ends");
         }
     }
@@ -67,7 +77,10 @@
     assert_eq!(half.response().status, 408);
     assert!(start.elapsed() < Duration::from_secs(3));
     harness.workers[0].set_nonblocking(true).expect("a setting");
-    assert!(harness.workers[0].accept().is_err(), "nothing of it reaches a worker");
+    assert!(
+        harness.workers[0].accept().is_err(),
+        "nothing of it reaches a worker"
+    );
     drop((holds, worker));
     harness.stop();
 }
