--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -10,7 +10,10 @@
 use std::collections::BTreeSet;
 
 fn employ(harness: &mut DispatcherHarness, n: u16, again: bool) -> Vec<Action> {
-    harness.event(Event::Use { worker: worker(n), again })
+    harness.event(Event::Use {
+        worker: worker(n),
+        again,
+    })
 }
 
 /// Guards against anything new that goes to a worker out of use, whatever the list says of it meanwhile, and
@@ -37,20 +40,38 @@
                     employ(&mut harness, n, again)
                 }
                 2 => {
-                    let kind = if flip { ListKind::Full } else { ListKind::Cached };
-                    harness.list(kind, (0..6).filter(|m| flip || *m != n).map(entry).collect())
+                    let kind = if flip {
+                        ListKind::Full
+                    } else {
+                        ListKind::Cached
+                    };
+                    harness.list(
+                        kind,
+                        (0..6).filter(|m| flip || *m != n).map(entry).collect(),
+                    )
                 }
                 3 => {
                     let health = [Health::Ready, Health::Draining, Health::Gone][pick(3) as usize];
                     let started = if flip { harness.now } else { 0.0 };
-                    harness
-                        .list(ListKind::Delta, vec![postproxy::Entry { started, ..with_health(n, health) }])
+                    harness.list(
+                        ListKind::Delta,
+                        vec![postproxy::Entry {
+                            started,
+                            ..with_health(n, health)
+                        }],
+                    )
                 }
                 4 | 5 if !out.is_empty() => {
                     let (request, attempt, to) = out.swap_remove(pick(out.len() as u32) as usize);
-                    let outcome =
-                        [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Moot][pick(4) as usize];
-                    harness.answer(request, attempt, to, outcome, vec![pick(9) as f32, pick(5) as f32])
+                    let outcome = [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Moot]
+                        [pick(4) as usize];
+                    harness.answer(
+                        request,
+                        attempt,
+                        to,
+                        outcome,
+                        vec![pick(9) as f32, pick(5) as f32],
+                    )
                 }
                 6 => {
                     let until = harness.now + f64::from(pick(100)) / 100.0;
@@ -64,17 +85,25 @@
             };
             due.extend(timers(&actions));
             for to in sends(&actions) {
-                assert!(!banned.contains(&to), "seed {seed}: sent to {to:?}, which is out of use");
+                assert!(
+                    !banned.contains(&to),
+                    "seed {seed}: sent to {to:?}, which is out of use"
+                );
                 to_others += 1;
             }
             for action in &actions {
                 match action {
-                    Action::Send { request, worker, .. } => {
+                    Action::Send {
+                        request, worker, ..
+                    } => {
                         let attempt = out.iter().filter(|(r, ..)| r == request).count() as u16;
                         out.push((*request, attempt, *worker));
                     }
                     Action::Refuse { request, .. } | Action::Fail { request } => {
-                        assert!(open.remove(request), "seed {seed}: a second answer to {request}");
+                        assert!(
+                            open.remove(request),
+                            "seed {seed}: a second answer to {request}"
+                        );
                     }
                     _ => {}
                 }
@@ -101,7 +130,10 @@
     assert!(sends(&harness.outcome(1, 0, worker(0), Outcome::Full)).len() <= 1);
     let actions = employ(&mut harness, 0, false);
     let later = harness.outcome(1, 1, worker(0), Outcome::Moot);
-    assert!(refused(&actions) || refused(&later), "{actions:?} {later:?}");
+    assert!(
+        refused(&actions) || refused(&later),
+        "{actions:?} {later:?}"
+    );
 }
 
 /// How many jobs a fleet of so many dispatchers gives worker 3 in 5 s that came back into use, or that the list
@@ -112,7 +144,10 @@
         let settings = settings(|s| s["balancers"] = fleet.into());
         let dispatcher =
             postproxy::Dispatcher::new(settings, seed * 1000 + u64::from(n)).expect("a dispatcher");
-        let mut harness = DispatcherHarness { dispatcher, now: 100.0 };
+        let mut harness = DispatcherHarness {
+            dispatcher,
+            now: 100.0,
+        };
         harness.list(ListKind::Full, (0..8).map(entry).collect());
         if banned {
             employ(&mut harness, 3, false);
@@ -121,7 +156,13 @@
             harness.list(ListKind::Delta, vec![entry(3)]);
         } else {
             harness.now += 5.0;
-            harness.list(ListKind::Delta, vec![postproxy::Entry { started: harness.now, ..entry(3) }]);
+            harness.list(
+                ListKind::Delta,
+                vec![postproxy::Entry {
+                    started: harness.now,
+                    ..entry(3)
+                }],
+            );
         }
         for request in 1..=5 {
             harness.now += 1.0;
@@ -139,13 +180,21 @@
 #[test]
 fn a_worker_back_in_use_gets_work_soon_and_is_cold() {
     let rounds = 40;
-    let sum = |banned| (0..rounds).map(|seed| given(12, seed, banned)).sum::<usize>() as f64 / rounds as f64;
+    let sum = |banned| {
+        (0..rounds)
+            .map(|seed| given(12, seed, banned))
+            .sum::<usize>() as f64
+            / rounds as f64
+    };
     let (back, cold) = (sum(true), sum(false));
     assert!((0.4..1.6).contains(&(back - cold)), "{back} against {cold}");
     for seed in 0..20 {
         let settings = settings(|s| s["balancers"] = 1.into());
         let dispatcher = postproxy::Dispatcher::new(settings, seed).expect("a dispatcher");
-        let mut harness = DispatcherHarness { dispatcher, now: 100.0 };
+        let mut harness = DispatcherHarness {
+            dispatcher,
+            now: 100.0,
+        };
         harness.list(ListKind::Full, (0..8).map(entry).collect());
         employ(&mut harness, 3, false);
         employ(&mut harness, 3, true);
@@ -153,10 +202,15 @@
         for request in 1..60 {
             harness.now += 0.05;
             let actions = harness.request(request, 2);
-            first = first.or(sends(&actions).contains(&worker(3)).then_some(harness.now - 100.0));
+            first = first.or(sends(&actions)
+                .contains(&worker(3))
+                .then_some(harness.now - 100.0));
             harness.outcome(request, 0, sends(&actions)[0], Outcome::Ok);
         }
-        assert!(first.is_some(), "seed {seed}: the only dispatcher owes it a job within 3 s");
+        assert!(
+            first.is_some(),
+            "seed {seed}: the only dispatcher owes it a job within 3 s"
+        );
     }
 }
 
@@ -189,5 +243,8 @@
     };
     let (one, four, many) = (owing(Some(1)), owing(Some(4)), owing(Some(1000)));
     assert_eq!(owing(None), four, "the settings say four");
-    assert!(one == 40 && one > four && four > many, "{one} {four} {many}");
+    assert!(
+        one == 40 && one > four && four > many,
+        "{one} {four} {many}"
+    );
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -20,7 +20,8 @@
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a setting");
-        let settings = Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("settings");
+        let settings =
+            Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("settings");
         let clients = Clients::new(&mut reactor, listener, settings, most).expect("they listen");
         Self { reactor, clients }
     }
@@ -29,7 +30,8 @@
     fn connect(&mut self) -> (TcpStream, usize) {
         let address = self.clients.address().expect("an address");
         let peer = TcpStream::connect(address).expect("a connection");
-        peer.set_read_timeout(Some(Duration::from_secs(20))).expect("a time limit");
+        peer.set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("a time limit");
         self.clients.accept(&mut self.reactor);
         (peer, self.clients.keys().max().unwrap_or_default())
     }
@@ -90,7 +92,10 @@
     bed.at(1060.0);
     assert!(bed.holds(&kept));
     // The body counts too, though it is taken off the input as it comes.
-    bed.send(&mut kept, "POST /render HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 9\r\n\r\nbody");
+    bed.send(
+        &mut kept,
+        "POST /render HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 9\r\n\r\nbody",
+    );
     bed.at(1061.9);
     assert!(bed.holds(&kept));
     bed.at(1062.5);
@@ -105,7 +110,10 @@
 fn who_has_just_been_answered_does_not_give_way_at_once() {
     let mut bed = Bed::new(1);
     let mut answered = bed.connect();
-    bed.send(&mut answered, "POST /render HTTP/1.1\r\nContent-Length: 2000000\r\n\r\n");
+    bed.send(
+        &mut answered,
+        "POST /render HTTP/1.1\r\nContent-Length: 2000000\r\n\r\n",
+    );
     let _young = bed.connect();
     let _waits = bed.connect();
     answered.0.write_all(&[b'x'; 4096]).expect("it is written");
@@ -131,7 +139,8 @@
         let mut peer = bed.connect();
         let fields = "X-Request-Id: a\r\nConnection: close\r\n";
         bed.send(&mut peer, &format!("POST /render HTTP/1.1\r\n{fields}\r\n"));
-        bed.clients.answer(&mut bed.reactor, peer.1 as u64, &Answer::Unavailable(after));
+        bed.clients
+            .answer(&mut bed.reactor, peer.1 as u64, &Answer::Unavailable(after));
         let text = rest(&mut peer);
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
         assert_eq!(text.contains("Retry-After"), field.is_some(), "{text}");
@@ -146,11 +155,14 @@
     let mut bed = Bed::new(4);
     let (mut peer, key) = bed.connect();
     peer.write_all(CALL.as_bytes()).expect("it is written");
-    peer.shutdown(std::net::Shutdown::Write).expect("it is closed");
+    peer.shutdown(std::net::Shutdown::Write)
+        .expect("it is closed");
     for _ in 0..3 {
         bed.clients.ready(&mut bed.reactor, key, true, false);
     }
-    assert!(matches!(bed.reactor.queue.pop_front(), Some(Input::Call(client, _)) if client == key as u64));
+    assert!(
+        matches!(bed.reactor.queue.pop_front(), Some(Input::Call(client, _)) if client == key as u64)
+    );
     assert!(bed.reactor.queue.is_empty() && bed.clients.keys().any(|key| key == key));
     peer.set_nonblocking(true).expect("a setting");
     assert!(peer.read(&mut [0; 9]).is_err(), "nothing is told yet");
@@ -165,14 +177,20 @@
 fn the_silent_and_the_idle_give_way_before_the_useful() {
     let mut bed = Bed::new(4);
     let (mut useful, mut idle, silent) = (bed.connect(), bed.connect(), bed.connect());
-    assert_eq!(CALL.split_once("\r\n\r\n").map(|(_, body)| body.len()), Some(40));
+    assert_eq!(
+        CALL.split_once("\r\n\r\n").map(|(_, body)| body.len()),
+        Some(40)
+    );
     bed.send(&mut useful, CALL);
     bed.reactor.now = 1000.2;
     bed.send(&mut idle, READY);
     bed.reactor.now = 1000.5;
     let young = bed.connect();
     let first = bed.connect();
-    assert!(!bed.holds(&silent) && bed.holds(&idle), "what has waited longest of the useless goes first");
+    assert!(
+        !bed.holds(&silent) && bed.holds(&idle),
+        "what has waited longest of the useless goes first"
+    );
     let second = bed.connect();
     assert!(!bed.holds(&idle) && bed.holds(&useful) && bed.holds(&young));
     let third = bed.connect();
@@ -190,18 +208,24 @@
     assert!(bed.clients.keys().any(|key| key == first.1) && !bed.holds(&first));
     bed.at(1000.66);
     let _last = bed.connect();
-    assert!(!bed.clients.keys().any(|key| key == first.1) && bed.holds(&second) && bed.holds(&late));
+    assert!(
+        !bed.clients.keys().any(|key| key == first.1) && bed.holds(&second) && bed.holds(&late)
+    );
 }
 
 /// Guards against passing on what a worker can't read, or what each reader could read in its own way: it
 /// closes on that, whatever else waits on the connection.
 #[test]
 fn what_can_not_be_passed_on_is_malformed() {
-    let settings = Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("sound settings");
+    let settings =
+        Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("sound settings");
     let id = "X-Request-Id: a\r\n";
     let cases = [
         ("/render", format!("{id}X-Request-Id: b\r\n")),
-        ("/render", format!("{id}Idempotency-Key: a\r\nIdempotency-Key: b\r\n")),
+        (
+            "/render",
+            format!("{id}Idempotency-Key: a\r\nIdempotency-Key: b\r\n"),
+        ),
         ("/render", format!("{id}X-Deadline: 1\r\nX-Deadline: 2\r\n")),
         ("/render", format!("{id}Idempotency-Key: k\u{e9}y\r\n")),
         ("/render", format!("{id}Idempotency-Key: a\tb\r\n")),
@@ -255,26 +279,42 @@
         memory: Some(0.5),
         repeat: true,
     };
-    assert_eq!(wanted(request, &settings, true), Wanted::Request(Box::new(submission)));
+    assert_eq!(
+        wanted(request, &settings, true),
+        Wanted::Request(Box::new(submission))
+    );
     let bare = read("POST /reroute HTTP/1.1\r\nX-Request-Id: a\r\nX-Cost-Hint: much\r\n\r\n");
-    let Wanted::Request(bare) = wanted(bare, &settings, true) else { panic!("no transaction") };
-    assert_eq!((bare.key, bare.budget, bare.hint, bare.slots, bare.repeat), (0, None, None, None, false));
+    let Wanted::Request(bare) = wanted(bare, &settings, true) else {
+        panic!("no transaction")
+    };
+    assert_eq!(
+        (bare.key, bare.budget, bare.hint, bare.slots, bare.repeat),
+        (0, None, None, None, false)
+    );
 }
 
 /// Guards against a call-back that is misread; an unknown state changes nothing.
 #[test]
 fn a_call_back_holds_what_the_worker_says() {
-    let load =
-        r#"{"id":"9b1f","from":"s-1","state":"running","share":0.4,"load":{"queue":2,"x0":1.5,"odd":"x"}}"#;
+    let load = r#"{"id":"9b1f","from":"s-1","state":"running","share":0.4,"load":{"queue":2,"x0":1.5,"odd":"x"}}"#;
     let read = call(load.as_bytes()).expect("a call-back");
-    assert_eq!((read.id.as_str(), read.from.as_str(), read.state), ("9b1f", "s-1", JobState::Running(0.4)));
-    assert_eq!(read.load, [("queue".to_owned(), 2.0), ("x0".to_owned(), 1.5)]);
+    assert_eq!(
+        (read.id.as_str(), read.from.as_str(), read.state),
+        ("9b1f", "s-1", JobState::Running(0.4))
+    );
+    assert_eq!(
+        read.load,
+        [("queue".to_owned(), 2.0), ("x0".to_owned(), 1.5)]
+    );
     let state = |text: &str| call(text.as_bytes()).map(|call| call.state);
     assert_eq!(
         state(r#"{"id":"a","from":"b","state":"done","result":"r"}"#),
         Some(JobState::Done(b"r".into()))
     );
-    assert_eq!(state(r#"{"id":"a","from":"b","state":"asleep"}"#), Some(JobState::Unknown));
+    assert_eq!(
+        state(r#"{"id":"a","from":"b","state":"asleep"}"#),
+        Some(JobState::Unknown)
+    );
     assert_eq!(state(r#"{"id":"a","state":"done"}"#), None);
     // Through another process it stays the same.
     let states = [
@@ -288,7 +328,12 @@
     ];
     for state in states {
         let load = vec![("queue".to_owned(), 2.0), ("x0".to_owned(), 1.5)];
-        let told = JobCall { id: "9b1f".into(), from: "s-1".into(), state, load };
+        let told = JobCall {
+            id: "9b1f".into(),
+            from: "s-1".into(),
+            state,
+            load,
+        };
         assert_eq!(call(&wording(&told)), Some(told));
     }
 }
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -67,7 +67,11 @@
     }
 
     fn connected(&mut self) -> io::Result<()> {
-        if self.0.borrow().refused { Err(ErrorKind::ConnectionRefused.into()) } else { Ok(()) }
+        if self.0.borrow().refused {
+            Err(ErrorKind::ConnectionRefused.into())
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -84,7 +88,10 @@
     }
 
     fn received(&mut self, connection: &mut Connection<End>) {
-        assert!(!connection.input.is_empty() || connection.heard_all(), "called for nothing");
+        assert!(
+            !connection.input.is_empty() || connection.heard_all(),
+            "called for nothing"
+        );
     }
 
     fn ended(&mut self, _: &mut Connection<End>) {
@@ -116,7 +123,8 @@
                 return self.end();
             }
             let size = self.owed.min(wire.room);
-            (self.owed, wire.room, self.wrote) = (self.owed - size, wire.room - size, self.wrote + size);
+            (self.owed, wire.room, self.wrote) =
+                (self.owed - size, wire.room - size, self.wrote + size);
         }
         let reads = self.state == State::Open && self.input < MOST;
         let waits = self.state == State::Closing && self.owed == 0;
@@ -171,7 +179,13 @@
     let mut connection = Connection::new(End(wire.clone()), dialing, MOST);
     let state = if dialing { State::Dialing } else { State::Open };
     let mut owner = Owner::default();
-    let mut model = Model { state, input: 0, owed: 0, wrote: 0, owner: Owner::default() };
+    let mut model = Model {
+        state,
+        input: 0,
+        owed: 0,
+        wrote: 0,
+        owner: Owner::default(),
+    };
     let mut shadow = Wire::default();
     for &(step, size) in steps {
         let size = usize::from(size) / 4;
@@ -215,7 +229,13 @@
         turn(&mut connection, &mut owner, &wire);
         let (wrote, finished) = (wire.borrow().wrote.len(), wire.borrow().finished);
         let input = connection.input.len();
-        let seen = Model { state: connection.state(), input, owed: model.owed, wrote, owner: owner.clone() };
+        let seen = Model {
+            state: connection.state(),
+            input,
+            owed: model.owed,
+            wrote,
+            owner: owner.clone(),
+        };
         let told = finished == usize::from(model.state == State::Closing && model.owed == 0)
             || seen.state == State::Ended;
         if seen != model || !told || connection.flushed() != (model.owed == 0) {
@@ -230,7 +250,9 @@
 /// an end told twice or not at all, and waiting for what can't come.
 #[test]
 fn a_connection_does_as_its_model() {
-    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(40, 11)).tests(3000);
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 11))
+        .tests(3000);
     check.quickcheck(play_all as fn(bool, Vec<(u8, u8)>) -> bool);
     fn play_all(dialing: bool, steps: Vec<(u8, u8)>) -> bool {
         play(dialing, &steps)
@@ -248,5 +270,8 @@
     wire.borrow_mut().came = total;
     connection.ready(true, false, &mut owner);
     assert_eq!((connection.state(), owner.ended), (State::Ended, 1));
-    assert!(total - wire.borrow().came <= MOST_DROPPED + PIECE, "no more is read than it takes");
+    assert!(
+        total - wire.borrow().came <= MOST_DROPPED + PIECE,
+        "no more is read than it takes"
+    );
 }
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -3,7 +3,8 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const SETTINGS: &str = r#"{"services": [{"effect": "pure", "deadline": 5.0}], "discovery": "on_request"}"#;
+const SETTINGS: &str =
+    r#"{"services": [{"effect": "pure", "deadline": 5.0}], "discovery": "on_request"}"#;
 
 fn drill(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_postproxy-drill"))
@@ -25,7 +26,14 @@
 fn batch(number: u32, now: f64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
     let (size, count) = (body.len() as u32 + 4, records.len() as u32);
-    [&number.to_le_bytes()[..], &now.to_le_bytes(), &size.to_le_bytes(), &count.to_le_bytes(), &body].concat()
+    [
+        &number.to_le_bytes()[..],
+        &now.to_le_bytes(),
+        &size.to_le_bytes(),
+        &count.to_le_bytes(),
+        &body,
+    ]
+    .concat()
 }
 
 fn start(instance: u32, settings: &str) -> Vec<u8> {
@@ -48,12 +56,32 @@
         entries.extend(1f32.to_le_bytes());
         entries.extend(0f64.to_le_bytes());
     }
-    record(17, &[&instance.to_le_bytes(), &1u32.to_le_bytes(), &[2], &20u32.to_le_bytes(), &entries])
+    record(
+        17,
+        &[
+            &instance.to_le_bytes(),
+            &1u32.to_le_bytes(),
+            &[2],
+            &20u32.to_le_bytes(),
+            &entries,
+        ],
+    )
 }
 
 fn request(instance: u32, id: u64) -> Vec<u8> {
     let (budget, slots) = (5f64.to_le_bytes(), 1f32.to_le_bytes());
-    record(18, &[&instance.to_le_bytes(), &id.to_le_bytes(), &[0; 11], &budget, &[0; 8], &slots, &[0; 5]])
+    record(
+        18,
+        &[
+            &instance.to_le_bytes(),
+            &id.to_le_bytes(),
+            &[0; 11],
+            &budget,
+            &[0; 8],
+            &slots,
+            &[0; 5],
+        ],
+    )
 }
 
 /// The actions in a reply stream, as (instance, bytes), over all replies.
@@ -77,11 +105,16 @@
     input.extend(batch(
         1,
         10.1,
-        &instances.iter().flat_map(|&i| [start(i, SETTINGS), list(i)]).collect::<Vec<_>>(),
+        &instances
+            .iter()
+            .flat_map(|&i| [start(i, SETTINGS), list(i)])
+            .collect::<Vec<_>>(),
     ));
     for n in 0..30 {
-        let records: Vec<_> =
-            instances.iter().map(|&i| request(i, 100 * u64::from(i) + u64::from(n))).collect();
+        let records: Vec<_> = instances
+            .iter()
+            .map(|&i| request(i, 100 * u64::from(i) + u64::from(n)))
+            .collect();
         input.extend(batch(2 + n, 10.2 + f64::from(n) / 10.0, &records));
     }
     input
@@ -94,8 +127,15 @@
     let together = actions(&together.stdout);
     for instance in [1, 2, 3] {
         let alone = actions(&drill(&day(&[instance])).stdout);
-        assert!(alone.iter().filter(|(_, a)| a[0] == 24).count() == 30, "a send for each request");
-        let among: Vec<_> = together.iter().filter(|(i, _)| *i == instance).cloned().collect();
+        assert!(
+            alone.iter().filter(|(_, a)| a[0] == 24).count() == 30,
+            "a send for each request"
+        );
+        let among: Vec<_> = together
+            .iter()
+            .filter(|(i, _)| *i == instance)
+            .cloned()
+            .collect();
         assert_eq!(alone, among);
     }
 }
@@ -110,10 +150,21 @@
 #[test]
 fn unknown_instances_are_ignored_and_stopped_ones_forgotten() {
     let stop = record(25, &[&1u32.to_le_bytes()]);
-    let records = [start(1, SETTINGS), list(1), request(9, 5), stop, request(1, 6)];
+    let records = [
+        start(1, SETTINGS),
+        list(1),
+        request(9, 5),
+        stop,
+        request(1, 6),
+    ];
     let output = drill(&batch(1, 1.0, &records));
     assert!(output.status.success());
-    assert!(actions(&output.stdout).iter().all(|(i, a)| *i == 1 && a[0] == 21), "timers of the start alone");
+    assert!(
+        actions(&output.stdout)
+            .iter()
+            .all(|(i, a)| *i == 1 && a[0] == 21),
+        "timers of the start alone"
+    );
 }
 
 #[test]
@@ -122,20 +173,36 @@
         (batch(1, 1.0, &[record(99, &[&[0; 4]])]), "99"),
         (batch(1, 1.0, &[])[..15].to_vec(), "ended"),
         (batch(1, 1.0, &[start(1, "{")]), "settings"),
-        (batch(1, 1.0, &[start(1, r#"{"balancers": 0}"#)]), "balancers"),
+        (
+            batch(1, 1.0, &[start(1, r#"{"balancers": 0}"#)]),
+            "balancers",
+        ),
         (batch(1, f64::NAN, &[]), "clock"),
     ] {
         let output = drill(&input);
         let text = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{text}");
-        assert!(text.lines().count() == 1 && text.contains(word) && !text.contains("panicked"), "{text}");
+        assert!(
+            text.lines().count() == 1 && text.contains(word) && !text.contains("panicked"),
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn the_decision_module_keeps_its_size() {
     let text = include_str!("../src/decision/dispatcher.rs");
-    assert!(text.lines().filter(|l| !l.trim().is_empty()).count() <= 710, "lines that are not blank");
-    assert!(text.lines().all(|l| l.chars().count() <= 110), "no line is longer than 110 characters");
-    assert!(text.lines().take(3).any(|l| l.contains("src/decision/interface.rs")));
+    assert!(
+        text.lines().filter(|l| !l.trim().is_empty()).count() <= 710,
+        "lines that are not blank"
+    );
+    assert!(
+        text.lines().all(|l| l.chars().count() <= 110),
+        "no line is longer than 110 characters"
+    );
+    assert!(
+        text.lines()
+            .take(3)
+            .any(|l| l.contains("src/decision/interface.rs"))
+    );
 }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -23,12 +23,19 @@
 }
 
 fn owned(fleet: &Fleet, n: usize) -> Option<LeaseStatus> {
-    view(fleet, n)?.duties.into_iter().find(|duty| duty.duty == "bans")
+    view(fleet, n)?
+        .duties
+        .into_iter()
+        .find(|duty| duty.duty == "bans")
 }
 
 /// Which of these nodes may act for the duty now, by its own word.
 fn acting(fleet: &Fleet, nodes: &[usize]) -> Vec<usize> {
-    nodes.iter().copied().filter(|n| owned(fleet, *n).is_some_and(|duty| duty.left_ms.is_some())).collect()
+    nodes
+        .iter()
+        .copied()
+        .filter(|n| owned(fleet, *n).is_some_and(|duty| duty.left_ms.is_some()))
+        .collect()
 }
 
 /// Waits until one of these nodes alone owns the duty, under a token above this one; who, and the token.
@@ -37,7 +44,10 @@
     let so = wait(MOST, || {
         let acting = acting(fleet, nodes);
         let token = acting.first().and_then(|n| owned(fleet, *n)?.token);
-        found = acting.first().copied().zip(token.filter(|token| *token > above));
+        found = acting
+            .first()
+            .copied()
+            .zip(token.filter(|token| *token > above));
         acting.len() == 1 && found.is_some()
     });
     assert!(so, "{what}: {}", fleet.told());
@@ -48,7 +58,9 @@
 fn post(fleet: &Fleet, n: usize, path: &str) -> (u16, String) {
     let answer = ask(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
-    fleet.history.note(format!("{path} at n{n}: {} {text}", answer.status));
+    fleet
+        .history
+        .note(format!("{path} at n{n}: {} {text}", answer.status));
     (answer.status, text)
 }
 
@@ -60,9 +72,14 @@
 fn tokens(fleet: &Fleet) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
     for (n, _, log) in fleet.logs() {
-        for line in log.lines().filter(|line| line.contains("this node owns a duty duty=\"bans\"")) {
-            let token =
-                line.split("token=").nth(1).and_then(|rest| rest.split_whitespace().next()?.parse().ok());
+        for line in log
+            .lines()
+            .filter(|line| line.contains("this node owns a duty duty=\"bans\""))
+        {
+            let token = line
+                .split("token=")
+                .nth(1)
+                .and_then(|rest| rest.split_whitespace().next()?.parse().ok());
             tokens.entry(token.expect("a token")).or_default().push(n);
         }
     }
@@ -84,7 +101,8 @@
     let (third, token) = owner(&fleet, "another after the pause", &all, token);
     assert_ne!(third, second, "{}", fleet.told());
     assert!(
-        wait(MOST, || fleet.lines(second, "a pause: nothing is owned") >= 1),
+        wait(MOST, || fleet.lines(second, "a pause: nothing is owned")
+            >= 1),
         "it knows: {}",
         fleet.told()
     );
@@ -100,11 +118,21 @@
     for n in [0, 1] {
         fleet.kill(n);
     }
-    assert!(wait(MOST, || acting(&fleet, &[2, 3]).is_empty()), "without a majority: {}", fleet.told());
+    assert!(
+        wait(MOST, || acting(&fleet, &[2, 3]).is_empty()),
+        "without a majority: {}",
+        fleet.told()
+    );
     let (status, text) = post(&fleet, 3, "/v1/fleet/owners/bans/hand/n3");
     let why = told(&text);
-    assert_eq!((status, why.code.as_str(), why.error.as_str()), (503, "duties.no_majority", "duties"));
-    assert!(why.what.contains("n0, n1") && why.remedy.contains("start the voters"), "{why:?}");
+    assert_eq!(
+        (status, why.code.as_str(), why.error.as_str()),
+        (503, "duties.no_majority", "duties")
+    );
+    assert!(
+        why.what.contains("n0, n1") && why.remedy.contains("start the voters"),
+        "{why:?}"
+    );
     for n in [2, 3] {
         fleet.kill(n);
     }
@@ -113,13 +141,21 @@
     }
     let (_, last) = owner(&fleet, "an owner after all died", &all, token);
     assert!(
-        voters.iter().all(|n| wait(MOST, || view(&fleet, *n).is_some_and(|view| view.votes))),
+        voters
+            .iter()
+            .all(|n| wait(MOST, || view(&fleet, *n).is_some_and(|view| view.votes))),
         "{}",
         fleet.told()
     );
     let tokens = tokens(&fleet);
-    assert!(tokens.values().all(|nodes| nodes.len() == 1), "a token of two: {tokens:?}");
-    assert!(tokens.contains_key(&last) && tokens.len() >= 5, "{tokens:?}");
+    assert!(
+        tokens.values().all(|nodes| nodes.len() == 1),
+        "a token of two: {tokens:?}"
+    );
+    assert!(
+        tokens.contains_key(&last) && tokens.len() >= 5,
+        "{tokens:?}"
+    );
 }
 
 /// *A voter that comes back with an empty store must not vote under its old number*: it says so, is added anew by a call, and votes.
@@ -136,33 +172,80 @@
             view.why == Some(postproxy_coordination::NotVotingReason::Lost) && !view.votes
         })
     };
-    assert!(wait(MOST, lost), "it has lost its promises: {}", fleet.told());
-    let known =
-        || view(&fleet, 0).is_some_and(|view| view.voters.iter().any(|seat| seat.node == "n2" && seat.lost));
+    assert!(
+        wait(MOST, lost),
+        "it has lost its promises: {}",
+        fleet.told()
+    );
+    let known = || {
+        view(&fleet, 0).is_some_and(|view| {
+            view.voters
+                .iter()
+                .any(|seat| seat.node == "n2" && seat.lost)
+        })
+    };
     assert!(wait(MOST, known), "others know: {}", fleet.told());
-    assert_eq!(post(&fleet, 3, "/v1/fleet/voters/n2/add").0, 200, "{}", fleet.told());
-    assert!(wait(MOST, || view(&fleet, 2).is_some_and(|view| view.votes)), "it votes anew: {}", fleet.told());
-    let seat = view(&fleet, 0).and_then(|view| view.voters.into_iter().find(|seat| seat.node == "n2"));
-    assert!(seat.is_some_and(|seat| seat.seat > 3 && !seat.lost), "{}", fleet.told());
+    assert_eq!(
+        post(&fleet, 3, "/v1/fleet/voters/n2/add").0,
+        200,
+        "{}",
+        fleet.told()
+    );
+    assert!(
+        wait(MOST, || view(&fleet, 2).is_some_and(|view| view.votes)),
+        "it votes anew: {}",
+        fleet.told()
+    );
+    let seat =
+        view(&fleet, 0).and_then(|view| view.voters.into_iter().find(|seat| seat.node == "n2"));
+    assert!(
+        seat.is_some_and(|seat| seat.seat > 3 && !seat.lost),
+        "{}",
+        fleet.told()
+    );
     // One that does not vote gets a seat and loses it again.
     assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
-    assert!(wait(MOST, || view(&fleet, 3).is_some_and(|view| view.votes)), "{}", fleet.told());
+    assert!(
+        wait(MOST, || view(&fleet, 3).is_some_and(|view| view.votes)),
+        "{}",
+        fleet.told()
+    );
     let shown = |p: &ClusterStatus| {
-        p.members.iter().filter(|m| m.voter).count() == 4 && p.members.iter().filter(|m| m.leads).count() == 1
+        p.members.iter().filter(|m| m.voter).count() == 4
+            && p.members.iter().filter(|m| m.leads).count() == 1
     };
-    fleet.until("four vote, one leads", &[0, 1, 2, 3], |_, picture| shown(picture));
+    fleet.until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
+        shown(picture)
+    });
     assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
-    assert!(wait(MOST, || view(&fleet, 3).is_some_and(|view| !view.votes)), "{}", fleet.told());
+    assert!(
+        wait(MOST, || view(&fleet, 3).is_some_and(|view| !view.votes)),
+        "{}",
+        fleet.told()
+    );
     fleet.kill(1);
     let dead = || {
-        view(&fleet, 0)
-            .is_some_and(|v| v.voters.iter().any(|seat| seat.node == "n1" && seat.heard == Some(false)))
+        view(&fleet, 0).is_some_and(|v| {
+            v.voters
+                .iter()
+                .any(|seat| seat.node == "n1" && seat.heard == Some(false))
+        })
     };
     assert!(wait(MOST, dead), "{}", fleet.told());
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
-    assert_eq!((status, told(&text).code.as_str()), (409, "voters.would_stop"), "{}", fleet.told());
+    assert_eq!(
+        (status, told(&text).code.as_str()),
+        (409, "voters.would_stop"),
+        "{}",
+        fleet.told()
+    );
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n33/add");
-    assert_eq!((status, told(&text).code.as_str()), (404, "voters.nobody"), "{}", fleet.told());
+    assert_eq!(
+        (status, told(&text).code.as_str()),
+        (404, "voters.nobody"),
+        "{}",
+        fleet.told()
+    );
     let (status, text) = post(&fleet, 0, "/v1/fleet/owners/nothing/release");
     assert_eq!((status, told(&text).code.as_str()), (404, "duties.unknown"));
 }
@@ -174,7 +257,10 @@
     let (first, token) = owner(&fleet, "an owner", &[0, 1, 2], 0);
     let to = (first + 1) % 3;
     let at = (first + 2) % 3;
-    assert_eq!(post(&fleet, at, &format!("/v1/fleet/owners/bans/hand/n{to}")), (200, "yes\n".into()));
+    assert_eq!(
+        post(&fleet, at, &format!("/v1/fleet/owners/bans/hand/n{to}")),
+        (200, "yes\n".into())
+    );
     let (second, token) = owner(&fleet, "handed on", &[0, 1, 2], token);
     assert_eq!(second, to, "{}", fleet.told());
     assert_eq!(post(&fleet, at, "/v1/fleet/owners/bans/release").0, 200);
--- a/tests/elsewhere.rs
+++ b/tests/elsewhere.rs
@@ -31,7 +31,10 @@
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let mut beds = [harness(6, |_| {}), harness(6, |_| {})];
         let mut due = [Vec::new(), Vec::new()];
-        let (mut seen, mut owner) = (BTreeMap::<RequestId, Seen>::new(), BTreeMap::<RequestId, usize>::new());
+        let (mut seen, mut owner) = (
+            BTreeMap::<RequestId, Seen>::new(),
+            BTreeMap::<RequestId, usize>::new(),
+        );
         let mut next = 1;
         let mut now = 100.0;
         for step in 0..260 {
@@ -42,15 +45,24 @@
                 // New ones come to the older one, in the first half.
                 0..=2 if step < 130 => {
                     let class = pick(3) as u8;
-                    seen.insert(next, Seen { class, ..Seen::default() });
+                    seen.insert(
+                        next,
+                        Seen {
+                            class,
+                            ..Seen::default()
+                        },
+                    );
                     owner.insert(next, 0);
                     done[0] = beds[0].request(next, class);
                     next += 1;
                 }
                 // One moves to the newer one.
                 3 | 4 if step > 40 => {
-                    let here: Vec<RequestId> =
-                        owner.iter().filter(|(_, at)| **at == 0).map(|(id, _)| *id).collect();
+                    let here: Vec<RequestId> = owner
+                        .iter()
+                        .filter(|(_, at)| **at == 0)
+                        .map(|(id, _)| *id)
+                        .collect();
                     if let Some(&id) = here.get(pick(here.len().max(1)))
                         && let Some(carried) = beds[0].dispatcher.release(id)
                     {
@@ -58,16 +70,23 @@
                         owner.insert(id, 1);
                         moved += 1;
                         let carried = Box::new(carried);
-                        done[1] = beds[1].event(Event::MigratedRequest { request: id, carried });
+                        done[1] = beds[1].event(Event::MigratedRequest {
+                            request: id,
+                            carried,
+                        });
                     }
                 }
                 5 | 6 => {
-                    let open: Vec<RequestId> =
-                        seen.iter().filter(|(_, s)| !s.out.is_empty()).map(|(id, _)| *id).collect();
+                    let open: Vec<RequestId> = seen
+                        .iter()
+                        .filter(|(_, s)| !s.out.is_empty())
+                        .map(|(id, _)| *id)
+                        .collect();
                     if let Some(&id) = open.get(pick(open.len().max(1))) {
                         let s = seen.get_mut(&id).expect("it is there");
                         let (attempt, to) = s.out.swap_remove(pick(s.out.len()));
-                        let outcomes = [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Timeout];
+                        let outcomes =
+                            [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Timeout];
                         let outcome = outcomes[pick(4)];
                         let closed = s.answers > 0 || outcome == Outcome::Ok;
                         s.answers += u32::from(outcome == Outcome::Ok && s.answers == 0);
@@ -96,9 +115,14 @@
                 due[at].extend(timers(&done[at]).into_iter().filter(|_| what != 7));
                 for action in &done[at] {
                     match action {
-                        Action::Send { request, worker, .. } => {
+                        Action::Send {
+                            request, worker, ..
+                        } => {
                             let s = seen.get_mut(request).expect("a request of this test");
-                            assert_eq!(owner[request], at, "seed {seed}: sent by who has let it go");
+                            assert_eq!(
+                                owner[request], at,
+                                "seed {seed}: sent by who has let it go"
+                            );
                             assert!(
                                 s.class != 2 || !s.may_have_run && s.out.is_empty(),
                                 "seed {seed}: run twice"
@@ -110,15 +134,25 @@
                         }
                         Action::Cancel { request, attempt } => {
                             let s = seen.get_mut(request).expect("a request of this test");
-                            assert_eq!(owner[request], at, "seed {seed}: called back by who has let it go");
+                            assert_eq!(
+                                owner[request], at,
+                                "seed {seed}: called back by who has let it go"
+                            );
                             s.out.retain(|(a, _)| a != attempt);
                             let worker = WorkerId::default();
                             let (elapsed, closed, report) = (0.1, s.answers > 0, Vec::new());
                             s.may_have_run = true;
                             let outcome = Outcome::Cancelled;
                             let (request, attempt) = (*request, *attempt);
-                            let event =
-                                Event::Outcome { request, attempt, worker, outcome, elapsed, closed, report };
+                            let event = Event::Outcome {
+                                request,
+                                attempt,
+                                worker,
+                                outcome,
+                                elapsed,
+                                closed,
+                                report,
+                            };
                             let more = beds[at].event(event);
                             due[at].extend(timers(&more));
                         }
@@ -140,22 +174,32 @@
         for at in 0..2 {
             for action in beds[at].run(now + 30.0, &mut due[at]) {
                 if let Action::Refuse { request, .. } | Action::Fail { request } = action {
-                    seen.get_mut(&request).expect("a request of this test").answers += 1;
+                    seen.get_mut(&request)
+                        .expect("a request of this test")
+                        .answers += 1;
                 }
             }
         }
         for (id, s) in &seen {
-            assert_eq!(s.answers, 1, "seed {seed}: request {id} of class {} at {}", s.class, owner[id]);
+            assert_eq!(
+                s.answers, 1,
+                "seed {seed}: request {id} of class {} at {}",
+                s.class, owner[id]
+            );
         }
     }
-    assert!(moved > 1000 && after > 200, "{moved} moved, {after} sent after that");
+    assert!(
+        moved > 1000 && after > 200,
+        "{moved} moved, {after} sent after that"
+    );
 }
 
 /// Guards against two processes that each take a whole budget of further attempts, or a whole cold worker: what the
 /// other one does weighs like own work until it ends.
 #[test]
 fn what_the_other_process_does_counts() {
-    let elsewhere = |harness: &mut DispatcherHarness, news| harness.event(Event::SiblingEvent(news));
+    let elsewhere =
+        |harness: &mut DispatcherHarness, news| harness.event(Event::SiblingEvent(news));
     let mut one = harness(2, |_| {});
     let sent = |request| SiblingEvent::Sent {
         request,
@@ -174,9 +218,19 @@
         to[usize::from(all[0] == worker(1))] += 1;
         one.outcome(request, 0, all[0], Outcome::Ok);
     }
-    assert!(to[1] > 30, "40 jobs of the other process are on worker 0: {to:?}");
+    assert!(
+        to[1] > 30,
+        "40 jobs of the other process are on worker 0: {to:?}"
+    );
     for request in 1000..1040 {
-        elsewhere(&mut one, SiblingEvent::Ended { request, attempt: 0, worker: worker(0) });
+        elsewhere(
+            &mut one,
+            SiblingEvent::Ended {
+                request,
+                attempt: 0,
+                worker: worker(0),
+            },
+        );
     }
     let mut to = [0, 0];
     for request in 101..=140 {
@@ -187,13 +241,22 @@
     assert!(to[0] > 8, "they have ended: {to:?}");
     // A cold worker: all that fits its budget is there already.
     let mut two = harness(2, |_| {});
-    two.list(ListKind::Delta, vec![postproxy::Entry { started: 99.9, ..entry(0) }]);
+    two.list(
+        ListKind::Delta,
+        vec![postproxy::Entry {
+            started: 99.9,
+            ..entry(0)
+        }],
+    );
     for request in 1000..1040 {
         elsewhere(&mut two, sent(request));
     }
     for request in 1..=60 {
         let all = sends(&two.request(request, 2));
-        assert!(all.iter().all(|w| *w == worker(1)), "a cold worker has had its budget");
+        assert!(
+            all.iter().all(|w| *w == worker(1)),
+            "a cold worker has had its budget"
+        );
         if let Some(&w) = all.first() {
             two.outcome(request, 0, w, Outcome::Ok);
         }
@@ -205,10 +268,22 @@
             s["rules"]["look-back"] = 10.into();
         });
         let (taken, last) = (Vec::new(), vec![100.0 - ago]);
-        elsewhere(&mut three, SiblingEvent::Past { taken, further: last });
+        elsewhere(
+            &mut three,
+            SiblingEvent::Past {
+                taken,
+                further: last,
+            },
+        );
         let to = sends(&three.request(1, 2))[0];
-        assert_eq!(sends(&three.outcome(1, 0, to, Outcome::Full)).len(), further, "{ago} s after");
+        assert_eq!(
+            sends(&three.outcome(1, 0, to, Outcome::Full)).len(),
+            further,
+            "{ago} s after"
+        );
     }
-    let bad = Dispatcher::new(settings(|_| {}), 1).expect("a dispatcher").release(7);
+    let bad = Dispatcher::new(settings(|_| {}), 1)
+        .expect("a dispatcher")
+        .release(7);
     assert!(bad.is_none(), "what is not there can't go");
 }
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -15,13 +15,26 @@
     .concat()
     {
         let (subject, word) = code.split_once('.').expect("SUBJECT.WORD");
-        assert!(!subject.is_empty() && !word.is_empty() && remedy.len() > 15, "{code}: {remedy}");
+        assert!(
+            !subject.is_empty() && !word.is_empty() && remedy.len() > 15,
+            "{code}: {remedy}"
+        );
         assert!(codes.insert(code), "{code} stands for two errors");
-        assert!(page.contains(&format!("| `{code}` |")), "{code} is not in the page");
+        assert!(
+            page.contains(&format!("| `{code}` |")),
+            "{code} is not in the page"
+        );
     }
     let told: BTreeSet<&str> = page
         .lines()
-        .filter_map(|line| line.strip_prefix("| `")?.split_once('`').map(|(code, _)| code))
+        .filter_map(|line| {
+            line.strip_prefix("| `")?
+                .split_once('`')
+                .map(|(code, _)| code)
+        })
         .collect();
-    assert_eq!(told, codes, "the page tells of errors that there are none of");
+    assert_eq!(
+        told, codes,
+        "the page tells of errors that there are none of"
+    );
 }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -22,7 +22,13 @@
 
 fn payload(body: usize) -> Rc<Payload> {
     let (id, method, target) = ("one".to_owned(), "POST".to_owned(), "/render".to_owned());
-    Rc::new(Payload { id, method, target, idempotency_key: None, body: vec![b'x'; body] })
+    Rc::new(Payload {
+        id,
+        method,
+        target,
+        idempotency_key: None,
+        body: vec![b'x'; body],
+    })
 }
 
 /// The ends that the hub is told of, and whether it was told before that the request is written whole.
@@ -80,28 +86,45 @@
 #[test]
 fn a_reset_in_the_turn_of_the_last_byte_proves_nothing() {
     let listener = port();
-    let stream = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let stream =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     stream.set_nonblocking(true).expect("a setting");
     // A read would take the reset away: that it has come is seen from outside.
     let poller = polling::Poller::new().expect("a poller");
     let watched = stream.try_clone().expect("a second handle");
-    poller.add(&watched, polling::Event::readable(1)).expect("it is watched");
+    poller
+        .add(&watched, polling::Event::readable(1))
+        .expect("it is watched");
     let mut worker = Some(Peer::accept(&listener));
     let after_write = move || {
         let _ = &watched;
         // The worker has read the whole request, and its process dies: it has perhaps run it.
-        let Some(mut peer) = worker.take() else { return };
+        let Some(mut peer) = worker.take() else {
+            return;
+        };
         assert_eq!(peer.request().headers.get("x-request-id"), Some("one"));
-        socket2::SockRef::from(&peer.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
+        socket2::SockRef::from(&peer.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("a setting");
         drop(peer);
         let (mut events, mut come) = (Vec::new(), 0);
         while come == 0 {
-            come = poller.wait(&mut events, Some(node_harness::LIMIT)).expect("it is waited");
+            come = poller
+                .wait(&mut events, Some(node_harness::LIMIT))
+                .expect("it is waited");
         }
     };
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
     let mut exchange = Exchange::new(listener.local_addr().expect("an address"));
-    let mut connection = Connection::new(Interrupted { stream, full: true, after_write }, true, 1 << 16);
+    let mut connection = Connection::new(
+        Interrupted {
+            stream,
+            full: true,
+            after_write,
+        },
+        true,
+        1 << 16,
+    );
     exchange.begin(
         Carries::Attempt(ATTEMPT),
         Outgoing::Attempt(payload(10), 1005.0),
@@ -119,7 +142,12 @@
 /// time was over.
 #[test]
 fn a_worker_is_told_what_is_left_when_the_request_is_written() {
-    for (takes, left) in [(0.0, Some(0.9)), (0.24, Some(0.66)), (0.85, Some(0.05)), (0.95, None)] {
+    for (takes, left) in [
+        (0.0, Some(0.9)),
+        (0.24, Some(0.66)),
+        (0.85, Some(0.05)),
+        (0.95, None),
+    ] {
         let listener = port();
         let at = listener.local_addr().expect("an address");
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
@@ -128,19 +156,35 @@
         stream.set_nonblocking(true).expect("a setting");
         let mut connection = Connection::new(stream, true, 1 << 16);
         let outgoing = Outgoing::Attempt(payload(10), 1000.9);
-        exchange.begin(Carries::Attempt(ATTEMPT), outgoing, &mut connection, &mut reactor);
+        exchange.begin(
+            Carries::Attempt(ATTEMPT),
+            outgoing,
+            &mut connection,
+            &mut reactor,
+        );
         reactor.now = 1000.0 + takes;
         exchange.ready(false, true, &mut connection, &mut reactor);
         let mut worker = Peer::accept(&listener);
         let Some(left) = left else {
             drop(connection);
-            assert!(worker.ended(), "nothing was written for a client whose time is over");
+            assert!(
+                worker.ended(),
+                "nothing was written for a client whose time is over"
+            );
             assert_eq!(told(&mut reactor), (false, vec![AttemptEnd::NoRoom]));
             continue;
         };
         let request = worker.request();
-        let deadline: f64 = request.headers.get("x-deadline").expect("a deadline").parse().expect("a number");
-        assert!((deadline - left).abs() < 0.002, "{deadline} after {takes} s");
+        let deadline: f64 = request
+            .headers
+            .get("x-deadline")
+            .expect("a deadline")
+            .parse()
+            .expect("a number");
+        assert!(
+            (deadline - left).abs() < 0.002,
+            "{deadline} after {takes} s"
+        );
     }
 }
 
@@ -199,7 +243,11 @@
     fn finish(&mut self) {}
 
     fn connected(&mut self) -> io::Result<()> {
-        if self.0.borrow().refused { Err(ErrorKind::ConnectionRefused.into()) } else { Ok(()) }
+        if self.0.borrow().refused {
+            Err(ErrorKind::ConnectionRefused.into())
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -217,7 +265,10 @@
     let mut rng = Random::new(seed);
     let at: SocketAddr = ([127, 0, 0, 1], 9).into();
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
-    let wire = Rc::new(RefCell::new(Wire { refused: seed.is_multiple_of(29), ..Wire::default() }));
+    let wire = Rc::new(RefCell::new(Wire {
+        refused: seed.is_multiple_of(29),
+        ..Wire::default()
+    }));
     let mut exchange = Exchange::new(at);
     let mut connection = Connection::new(Scripted(wire.clone()), true, 1 << 16);
     let used = rng.uniform() < 0.5;
@@ -233,9 +284,17 @@
         reactor.queue.clear();
     }
     let refused = wire.borrow().refused;
-    *wire.borrow_mut() = Wire { refused, ..Wire::default() };
+    *wire.borrow_mut() = Wire {
+        refused,
+        ..Wire::default()
+    };
     let outgoing = Outgoing::Attempt(payload(200), 1000.0 + 2.0 * rng.uniform());
-    exchange.begin(Carries::Attempt(ATTEMPT), outgoing, &mut connection, &mut reactor);
+    exchange.begin(
+        Carries::Attempt(ATTEMPT),
+        outgoing,
+        &mut connection,
+        &mut reactor,
+    );
     let (mut ends, mut told_written, mut answered_early, mut size) = (Vec::new(), false, false, 0);
     for _ in 0..40 {
         // What the worker's side does between two turns, several things at once at times.
@@ -245,7 +304,11 @@
             match (rng.uniform() * 9.0) as u32 {
                 0..=3 => wire.room += (200.0 * rng.uniform()) as usize,
                 4 => {
-                    let answer = if rng.uniform() < 0.7 { NOT_RUN } else { ACCEPTED };
+                    let answer = if rng.uniform() < 0.7 {
+                        NOT_RUN
+                    } else {
+                        ACCEPTED
+                    };
                     wire.arrived.extend_from_slice(answer);
                     answers = true;
                 }
@@ -274,7 +337,13 @@
         }
     }
     let whole = size > 0 && exchange.is_whole(&connection);
-    Play { ends, told_written, whole, used, answered_early }
+    Play {
+        ends,
+        told_written,
+        whole,
+        used,
+        answered_early,
+    }
 }
 
 /// The table of all ends, over all orders: one end a request; one that proves that nothing ran only where the worker's side has not the
@@ -283,7 +352,13 @@
 fn an_end_proves_that_nothing_ran_only_where_the_bytes_do() {
     let mut seen = std::collections::BTreeMap::<String, u32>::new();
     for seed in 0..20_000 {
-        let Play { ends, told_written, whole, used, answered_early } = play(seed);
+        let Play {
+            ends,
+            told_written,
+            whole,
+            used,
+            answered_early,
+        } = play(seed);
         assert!(ends.len() <= 1, "seed {seed}: {ends:?}");
         let Some(end) = ends.first() else { continue };
         *seen.entry(format!("{end:?}, whole {whole}")).or_default() += 1;
@@ -297,8 +372,16 @@
         }
         assert_eq!(told_written, whole, "seed {seed}: {end:?}");
     }
-    for end in ["Reset, whole true", "NeverSent, whole false", "NoRoom, whole false", "NotRun, whole true"] {
-        assert!(seen.get(end).is_some_and(|count| *count > 50), "{end} hardly came: {seen:?}");
+    for end in [
+        "Reset, whole true",
+        "NeverSent, whole false",
+        "NoRoom, whole false",
+        "NotRun, whole true",
+    ] {
+        assert!(
+            seen.get(end).is_some_and(|count| *count > 50),
+            "{end} hardly came: {seen:?}"
+        );
     }
     assert!(
         seen.contains_key("TurnedAway, whole true") && seen.contains_key("Accepted, whole true"),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,9 +12,13 @@
 #[test]
 fn dispatchers_with_few_jobs_do_not_keep_to_their_zone() {
     let crossed = |jobs_a_second: u64| {
-        let price = |s: &mut serde_json::Value| s["prices"] = serde_json::json!({"cross-zone": 0.01});
+        let price =
+            |s: &mut serde_json::Value| s["prices"] = serde_json::json!({"cross-zone": 0.01});
         let mut harness = DispatcherHarness::new(settings(price), 0);
-        let zoned = |n: u16| Entry { zone: (n % 3) as u8, ..entry(n) };
+        let zoned = |n: u16| Entry {
+            zone: (n % 3) as u8,
+            ..entry(n)
+        };
         harness.list(ListKind::Full, (0..30).map(zoned).collect());
         let mut zones = BTreeMap::new();
         let mut running = VecDeque::<(f64, u64, WorkerId)>::new();
@@ -46,12 +50,20 @@
             None => drop(s.as_object_mut().and_then(|s| s.remove("balancers"))),
         };
         let mut harness = DispatcherHarness::new(settings(change), 4);
-        harness.list(ListKind::Delta, vec![Entry { started: harness.now - 1.0, ..entry(0) }]);
+        harness.list(
+            ListKind::Delta,
+            vec![Entry {
+                started: harness.now - 1.0,
+                ..entry(0)
+            }],
+        );
         for id in 1..=4 {
             assert_eq!(sends(&harness.request(id, 2)).len(), 1, "{balancers:?}");
         }
     }
-    let error = Settings::from_json(r#"{"balancers": 0}"#).and_then(|s| s.validate()).expect_err("none");
+    let error = Settings::from_json(r#"{"balancers": 0}"#)
+        .and_then(|s| s.validate())
+        .expect_err("none");
     assert!(error.to_string().contains("balancers"), "{error}");
 }
 
@@ -60,7 +72,16 @@
 #[test]
 fn a_list_of_workers_that_are_gone_serves_until_a_better_one_comes() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
-    let gone = (0..60).map(|n| with_health(n, if n % 2 == 0 { Health::Gone } else { Health::Draining }));
+    let gone = (0..60).map(|n| {
+        with_health(
+            n,
+            if n % 2 == 0 {
+                Health::Gone
+            } else {
+                Health::Draining
+            },
+        )
+    });
     let mut due = timers(&harness.list(ListKind::Cached, gone.collect()));
     let asked = harness.request(1, 2);
     assert!(sends(&asked).is_empty());
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -45,11 +45,16 @@
                 return Some(found);
             }
             let mut bytes = [0; 4096];
-            let size = self.stream.read(&mut bytes).expect("the newer process says it in time");
+            let size = self
+                .stream
+                .read(&mut bytes)
+                .expect("the newer process says it in time");
             if size == 0 {
                 return None;
             }
-            self.link.receive(&bytes[..size], &mut self.came).expect("words that can be read");
+            self.link
+                .receive(&bytes[..size], &mut self.came)
+                .expect("words that can be read");
         }
     }
 }
@@ -77,15 +82,21 @@
     /// The real program, which has called the older process and greeted it, and has heard nothing yet.
     fn new(name: &str) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .expect("a port");
         listener.listen(1024).expect("it listens");
         listener.set_cloexec(false).expect("it is inherited");
-        let address = listener.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
+        let address = listener
+            .local_addr()
+            .ok()
+            .and_then(|a| a.as_socket())
+            .expect("an address");
         let workers = vec![Worker::start("s-0", Duration::ZERO).expect("a worker")];
         workers[0].reports_to(address);
         let discovery = Discovery::start(&workers).expect("discovery");
-        let folder =
-            PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("hand-{name}-{}", std::process::id()));
+        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("hand-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let mut config: serde_json::Value =
@@ -94,7 +105,8 @@
         config["discovery"] = discovery.address.to_string().into();
         config["known"] = serde_json::Value::Null;
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
-        let meeting = UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
+        let meeting =
+            UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
         let door = SocketAddr::new(addresses(1)[0], 8081);
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
         command
@@ -107,15 +119,33 @@
         let (stream, _) = meeting.accept().expect("it calls");
         stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
         let link = Link::new(Role::Older, "n0", &address.to_string(), 0.0);
-        let mut older = Older { stream, link, came: Vec::new() };
-        older.until(|news| matches!(news, LinkEvent::Greeted).then_some(())).expect("it greets");
-        Self { listener, address, door, older, process, folder, workers, _discovery: discovery }
+        let mut older = Older {
+            stream,
+            link,
+            came: Vec::new(),
+        };
+        older
+            .until(|news| matches!(news, LinkEvent::Greeted).then_some(()))
+            .expect("it greets");
+        Self {
+            listener,
+            address,
+            door,
+            older,
+            process,
+            folder,
+            workers,
+            _discovery: discovery,
+        }
     }
 
     /// Greets the newer process.
     fn greet(&mut self) {
         let hello = frame(&self.older.link.hello());
-        self.older.stream.write_all(&[greeting(), hello].concat()).expect("the link holds");
+        self.older
+            .stream
+            .write_all(&[greeting(), hello].concat())
+            .expect("the link holds");
     }
 
     /// Calls at the door, and goes on once the process has read the call; what is answered comes later.
@@ -124,13 +154,20 @@
         call.set_read_timeout(Some(LIMIT)).expect("a time limit");
         write!(call, "POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("it is written");
         // Whoever comes later is read later.
-        assert_eq!(ask(self.door, "GET", "/v1/readyz", &[], b"").expect("an answer").status, 503);
+        assert_eq!(
+            ask(self.door, "GET", "/v1/readyz", &[], b"")
+                .expect("an answer")
+                .status,
+            503
+        );
         call
     }
 
     /// Whether the process has told the older one this within its time to hear all.
     fn hears(&mut self, tale: &StateUpdate) -> Option<()> {
-        self.older.until(|news| matches!(news, LinkEvent::StateUpdate(told) if told == tale).then_some(()))
+        self.older.until(|news| {
+            matches!(news, LinkEvent::StateUpdate(told) if told == tale).then_some(())
+        })
     }
 }
 
@@ -152,7 +189,10 @@
 }
 
 fn tale(worker: &str, again: bool) -> StateUpdate {
-    StateUpdate::Use { worker: worker.into(), again }
+    StateUpdate::Use {
+        worker: worker.into(),
+        again,
+    }
 }
 
 /// Guards against an operator's word that is answered with a yes and lost: it was given to the process that takes over before
@@ -163,11 +203,26 @@
     for greeted in [false, true] {
         for (name, path, before, word) in [
             // The older process has it out of use, and does not know yet that it is wanted again.
-            ("resume", "/v1/route-workers/s-0/resume", tale("s-0", false), tale("s-0", true)),
+            (
+                "resume",
+                "/v1/route-workers/s-0/resume",
+                tale("s-0", false),
+                tale("s-0", true),
+            ),
             // It is to go out of use, which the older process, which goes on sending, has to know.
-            ("suspend", "/v1/route-workers/s-0/suspend", tale("s-0", true), tale("s-0", false)),
+            (
+                "suspend",
+                "/v1/route-workers/s-0/suspend",
+                tale("s-0", true),
+                tale("s-0", false),
+            ),
             // A drain of the older process that has been ended.
-            ("activate", "/v1/node/activate", drained(true, 1.0), drained(false, 0.0)),
+            (
+                "activate",
+                "/v1/node/activate",
+                drained(true, 1.0),
+                drained(false, 0.0),
+            ),
         ] {
             play(name, |bed| {
                 if greeted {
@@ -194,10 +249,16 @@
         bed.greet();
         let mut client = TcpStream::connect(bed.address).expect("a connection");
         client.set_read_timeout(Some(LIMIT)).expect("a time limit");
-        write!(client, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n").expect("it is written");
+        write!(client, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .expect("it is written");
         // Two turns of its loop later it is still the older process's to take.
         for _ in 0..2 {
-            assert_eq!(ask(bed.door, "GET", "/v1/readyz", &[], b"").expect("an answer").status, 503);
+            assert_eq!(
+                ask(bed.door, "GET", "/v1/readyz", &[], b"")
+                    .expect("an answer")
+                    .status,
+                503
+            );
         }
         // The setting is the listener's, and so the process's, too: taken back, its next look would wait there.
         bed.listener.set_nonblocking(true).expect("a setting");
@@ -208,7 +269,14 @@
         bed.hears_alive()?;
         assert!(taken.is_some(), "the newer process took it");
         // From now on it is the newer one's.
-        let answer = ask(bed.address, "GET", "/-/ready", &[("Connection", "close")], b"").expect("an answer");
+        let answer = ask(
+            bed.address,
+            "GET",
+            "/-/ready",
+            &[("Connection", "close")],
+            b"",
+        )
+        .expect("an answer");
         assert_eq!(answer.status, 200);
         Some(())
     });
@@ -220,7 +288,8 @@
         let body = br#"{"id": "nobody's", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = self.older.link.call(0.0, 77, body.to_vec());
         self.older.say(&[call]);
-        self.older.until(|news| matches!(news, LinkEvent::Called(..)).then_some(()))
+        self.older
+            .until(|news| matches!(news, LinkEvent::Called(..)).then_some(()))
     }
 }
 
@@ -230,24 +299,47 @@
 fn a_call_back_on_the_older_processs_job_is_acknowledged_on_its_word_alone() {
     play("call", |bed| {
         bed.greet();
-        bed.older.say(&[Message::StateUpdate(StateUpdate::Taken { id: "held".into(), counts: false })]);
+        bed.older.say(&[Message::StateUpdate(StateUpdate::Taken {
+            id: "held".into(),
+            counts: false,
+        })]);
         bed.older.told();
         let at = bed.address;
         let body = br#"{"id": "held", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = thread::spawn(move || -> Response {
-            ask(at, "POST", "/v1/job-events", &[("Connection", "close")], body).expect("an answer")
+            ask(
+                at,
+                "POST",
+                "/v1/job-events",
+                &[("Connection", "close")],
+                body,
+            )
+            .expect("an answer")
         });
         let number = bed.older.until(|news| match news {
-            LinkEvent::Call(number, body) if body.windows(4).any(|four| four == b"held") => Some(*number),
+            LinkEvent::Call(number, body) if body.windows(4).any(|four| four == b"held") => {
+                Some(*number)
+            }
             _ => None,
         })?;
         let start = Instant::now();
         // Other calls are answered meanwhile, this one is not.
         for _ in 0..5 {
-            assert_eq!(ask(bed.door, "GET", "/v1/readyz", &[], b"").expect("an answer").status, 200);
-            assert!(!call.is_finished() || start.elapsed() > LIMIT, "acknowledged without a word");
+            assert_eq!(
+                ask(bed.door, "GET", "/v1/readyz", &[], b"")
+                    .expect("an answer")
+                    .status,
+                200
+            );
+            assert!(
+                !call.is_finished() || start.elapsed() > LIMIT,
+                "acknowledged without a word"
+            );
         }
-        bed.older.say(&[Message::Called { number, known: true }]);
+        bed.older.say(&[Message::Called {
+            number,
+            known: true,
+        }]);
         assert_eq!(call.join().expect("an answer").status, 200);
         Some(())
     });
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -21,7 +21,9 @@
     // The loop is asked, and does not wait.
     reactor.timer(reactor.now, Due::Accept);
     reactor.wait(&mut events, f64::MAX).expect("a poller");
-    let of_link = events.iter().filter(|event| owner(event.key) == Owner::Handover);
+    let of_link = events
+        .iter()
+        .filter(|event| owner(event.key) == Owner::Handover);
     of_link
         .map(|event| (event.key, event.readable))
         .map(|(key, read)| handover.ready(reactor, key, read))
@@ -45,48 +47,81 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     assert!(control.push(SendAncillaryMessage::ScmRights(&passed)));
-    let sent = sendmsg(link, &[IoSlice::new(bytes)], &mut control, SendFlags::empty()).expect("it is sent");
+    let sent = sendmsg(
+        link,
+        &[IoSlice::new(bytes)],
+        &mut control,
+        SendFlags::empty(),
+    )
+    .expect("it is sent");
     assert_eq!(sent, bytes.len());
 }
 
 /// A client's end and the node's.
 fn connection(listener: &TcpListener) -> (TcpStream, TcpStream) {
-    let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let client =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     (client, listener.accept().expect("it comes").0)
 }
 
 fn job(name: &str) -> Vec<u8> {
-    frame(&Message::Job { job: name.into(), input: Vec::new(), closes: false })
+    frame(&Message::Job {
+        job: name.into(),
+        input: Vec::new(),
+        closes: false,
+    })
 }
 
 /// Guards against a job that is answered to another's client: the descriptor that came with one message found no place here, the
 /// message came whole only later, and the next message's descriptor was taken for its own.
 #[test]
 fn a_connection_that_finds_no_place_leaves_the_others_with_their_jobs() {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lost-{}", std::process::id()));
+    let folder =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lost-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let meeting = UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
+    let meeting =
+        UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
     let mut handover = Handover::start(&mut reactor, &folder, "n0", "127.0.0.1:1");
     let (mut link, _) = meeting.accept().expect("the newer process calls");
-    let hello = Message::Hello { name: "n0".into(), listen: "127.0.0.1:1".into() };
-    let words = [greeting(), frame(&hello), frame(&Message::Told), frame(&Message::Leaves)].concat();
+    let hello = Message::Hello {
+        name: "n0".into(),
+        listen: "127.0.0.1:1".into(),
+    };
+    let words = [
+        greeting(),
+        frame(&hello),
+        frame(&Message::Told),
+        frame(&Message::Leaves),
+    ]
+    .concat();
     link.write_all(&words).expect("it is written");
     until("the older process's words", || {
         let came = turn(&mut reactor, &mut handover);
         let leaves = |event: &Event| matches!(event, Event::LinkEvent(_, LinkEvent::Leaves, _));
         came.iter().flatten().any(leaves).then_some(())
     });
-    let ((mut first, firsts), (mut second, seconds)) = (connection(&listener), connection(&listener));
+    let ((mut first, firsts), (mut second, seconds)) =
+        (connection(&listener), connection(&listener));
     first.set_nonblocking(true).expect("a setting");
     let (a, b) = (job("a"), job("b"));
     let usual = getrlimit(Resource::Nofile);
-    setrlimit(Resource::Nofile, Rlimit { current: Some(3), ..usual }).expect("a lower limit");
+    setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: Some(3),
+            ..usual
+        },
+    )
+    .expect("a lower limit");
     pass(&link, &a[..5], firsts);
     // The node's end of it went with the descriptor, which shows that its first bytes have been read.
     until("the first connection's end", || {
-        assert!(turn(&mut reactor, &mut handover).iter().all(Vec::is_empty), "a part of a message is none");
+        assert!(
+            turn(&mut reactor, &mut handover).iter().all(Vec::is_empty),
+            "a part of a message is none"
+        );
         first.read(&mut [0; 1]).ok()
     });
     setrlimit(Resource::Nofile, usual).expect("the usual limit");
@@ -105,7 +140,9 @@
     };
     assert_eq!((&one[..], &other[..]), (&b"a"[..], &b"b"[..]));
     assert!(lost.is_none(), "the first job's client has gone");
-    TcpStream::from(kept.try_clone().expect("a descriptor")).write_all(b"yours").expect("it is written");
+    TcpStream::from(kept.try_clone().expect("a descriptor"))
+        .write_all(b"yours")
+        .expect("it is written");
     let mut answer = [0; 5];
     second.set_read_timeout(Some(LIMIT)).expect("a time limit");
     second.read_exact(&mut answer).expect("an answer");
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -2,8 +2,8 @@
 //! owed which answer.
 
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload, Submission,
-    Wait,
+    Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload,
+    Submission, Wait,
 };
 use postproxy::net::requests::durability::DurabilityPolicy;
 use postproxy::net::requests::manager::RequestManager;
@@ -42,16 +42,26 @@
     fn start(disk: BTreeMap<Vec<u8>, Vec<u8>>, now: f64, limits: Limits) -> Self {
         let settings = Settings::from_json(SETTINGS).expect("sound settings");
         let mut ledger = RequestLog::new(limits);
-        disk.iter().for_each(|(key, value)| _ = ledger.load(key, value));
+        disk.iter()
+            .for_each(|(key, value)| _ = ledger.load(key, value));
         let nothing_ran = ledger.loaded();
         let mut hub = RequestManager::new(settings.clone(), 7).expect("a hub");
         hub.keep(DurabilityPolicy::new(&settings, ledger, 0.5, false));
-        let mut bed = Self { hub, now, timers: Vec::new(), disk, pending: Vec::new() };
+        let mut bed = Self {
+            hub,
+            now,
+            timers: Vec::new(),
+            disk,
+            pending: Vec::new(),
+        };
         bed.apply(nothing_ran);
         let member = |n: u16| Member {
             id: format!("s-{n}"),
             address: ([127, 0, 0, 1], 9000 + n).into(),
-            entry: Entry { size: 1.0, ..Entry::default() },
+            entry: Entry {
+                size: 1.0,
+                ..Entry::default()
+            },
         };
         bed.tell(Input::List(ListKind::Full, (0..3).map(member).collect()));
         bed
@@ -101,8 +111,14 @@
     fn play(&mut self, until: f64) -> Vec<Command> {
         let mut all = Vec::new();
         loop {
-            let next = self.timers.iter().enumerate().min_by(|a, b| a.1.0.total_cmp(&b.1.0));
-            let Some((i, &(at, due))) = next.filter(|(_, (at, _))| *at <= until) else { break };
+            let next = self
+                .timers
+                .iter()
+                .enumerate()
+                .min_by(|a, b| a.1.0.total_cmp(&b.1.0));
+            let Some((i, &(at, due))) = next.filter(|(_, (at, _))| *at <= until) else {
+                break;
+            };
             self.timers.remove(i);
             self.now = self.now.max(at);
             all.extend(self.tell(Input::Due(due)));
@@ -111,7 +127,14 @@
         all
     }
 
-    fn submit(&mut self, client: u64, id: &str, key: Option<&str>, class: u8, body: &str) -> Vec<Command> {
+    fn submit(
+        &mut self,
+        client: u64,
+        id: &str,
+        key: Option<&str>,
+        class: u8,
+        body: &str,
+    ) -> Vec<Command> {
         let payload = Payload {
             id: id.into(),
             method: "POST".into(),
@@ -119,12 +142,22 @@
             body: body.into(),
             ..Payload::default()
         };
-        self.tell(Input::Arrived(client, Submission { payload, class, ..Submission::default() }))
+        self.tell(Input::Arrived(
+            client,
+            Submission {
+                payload,
+                class,
+                ..Submission::default()
+            },
+        ))
     }
 
     /// Submits a job that must not run twice, and has its attempt started, written and accepted; its worker.
     fn accepted(&mut self, client: u64, id: &str, key: Option<&str>) -> (AttemptId, String) {
-        assert!(self.submit(client, id, key, COMMIT, "body").is_empty(), "it waits for its intent");
+        assert!(
+            self.submit(client, id, key, COMMIT, "body").is_empty(),
+            "it waits for its intent"
+        );
         let commands = self.sync(true);
         let (attempt, worker) = started(&commands).expect("an attempt");
         self.tell(Input::Written(attempt));
@@ -133,13 +166,23 @@
     }
 
     fn call(&mut self, id: &str, from: &str, state: JobState) -> Vec<Command> {
-        self.tell(Input::Call(99, JobCall { id: id.into(), from: from.into(), state, load: Load::new() }))
+        self.tell(Input::Call(
+            99,
+            JobCall {
+                id: id.into(),
+                from: from.into(),
+                state,
+                load: Load::new(),
+            },
+        ))
     }
 }
 
 fn started(commands: &[Command]) -> Option<(AttemptId, String)> {
     commands.iter().find_map(|command| match command {
-        Command::Start(attempt, worker, ..) => Some((*attempt, format!("s-{}", worker.port() - 9000))),
+        Command::Start(attempt, worker, ..) => {
+            Some((*attempt, format!("s-{}", worker.port() - 9000)))
+        }
         _ => None,
     })
 }
@@ -153,7 +196,9 @@
 }
 
 fn acknowledged(commands: &[Command]) -> bool {
-    commands.iter().any(|command| matches!(command, Command::Acknowledge(99, _)))
+    commands
+        .iter()
+        .any(|command| matches!(command, Command::Acknowledge(99, _)))
 }
 
 fn served(text: &str) -> Answer {
@@ -164,7 +209,10 @@
 #[test]
 fn a_pass_starts_when_its_intent_is_durable() {
     let mut bed = Bed::new();
-    assert!(started(&bed.submit(1, "safe", None, RENDER, "")).is_some(), "nothing is kept of it");
+    assert!(
+        started(&bed.submit(1, "safe", None, RENDER, "")).is_some(),
+        "nothing is kept of it"
+    );
     assert!(bed.pending.is_empty());
     assert!(
         started(&bed.submit(2, "keyed", Some("k"), TOKEN, "")).is_some(),
@@ -175,10 +223,18 @@
     assert!(started(&commands).is_none() && bed.pending.len() == 2);
     bed.now += 0.1;
     let commands = bed.sync(true);
-    let until =
-        commands.iter().find_map(|c| if let Command::Start(.., until) = c { Some(*until) } else { None });
+    let until = commands.iter().find_map(|c| {
+        if let Command::Start(.., until) = c {
+            Some(*until)
+        } else {
+            None
+        }
+    });
     let wait = until.map(|until| until - bed.now);
-    assert!(wait.is_some_and(|wait| wait < 4.91), "the attempt's time runs from its decision: {wait:?}");
+    assert!(
+        wait.is_some_and(|wait| wait < 4.91),
+        "the attempt's time runs from its decision: {wait:?}"
+    );
 }
 
 /// Guards against a worker that forgets a result which is not kept yet, and against a client that waits for it.
@@ -190,15 +246,31 @@
     assert_eq!(answers(&commands), [(1, served("result"))]);
     assert!(!acknowledged(&commands));
     assert!(acknowledged(&bed.sync(true)));
-    assert_eq!(bed.disk.get(&result_key("job")).map(Vec::as_slice), Some(&b"result"[..]));
-    assert!(acknowledged(&bed.call("job", &worker, JobState::Done(b"result".to_vec()))), "repeated");
+    assert_eq!(
+        bed.disk.get(&result_key("job")).map(Vec::as_slice),
+        Some(&b"result"[..])
+    );
+    assert!(
+        acknowledged(&bed.call("job", &worker, JobState::Done(b"result".to_vec()))),
+        "repeated"
+    );
     let mut bed = bed.restart();
     let commands = bed.submit(5, "other", Some("k"), COMMIT, "body");
-    assert!(matches!(&commands[..], [Command::Fetch(5, id)] if id == "job"), "{commands:?}");
-    assert_eq!(answers(&bed.tell(Input::Fetched(5, Some(b"result".to_vec())))), [(5, served("result"))]);
+    assert!(
+        matches!(&commands[..], [Command::Fetch(5, id)] if id == "job"),
+        "{commands:?}"
+    );
+    assert_eq!(
+        answers(&bed.tell(Input::Fetched(5, Some(b"result".to_vec())))),
+        [(5, served("result"))]
+    );
     assert!(answers(&bed.play(1100.0)).is_empty(), "one final answer");
     let other = bed.submit(6, "third", Some("k"), COMMIT, "another body");
-    assert_eq!(answers(&other), [(6, Answer::Held)], "409: the key came with another request");
+    assert_eq!(
+        answers(&other),
+        [(6, Answer::Held)],
+        "409: the key came with another request"
+    );
     assert_eq!(bed.hub.held(), 0);
 }
 
@@ -210,10 +282,16 @@
     let (_, worker) = bed.accepted(1, "job", Some("k"));
     let mut bed = bed.restart();
     assert!(bed.submit(2, "again", Some("k"), COMMIT, "body").is_empty());
-    assert!(bed.submit(3, "job", None, COMMIT, "body").is_empty(), "by its id as well");
+    assert!(
+        bed.submit(3, "job", None, COMMIT, "body").is_empty(),
+        "by its id as well"
+    );
     bed.now += 1.0;
     let commands = bed.call("job", &worker, JobState::Done(b"late".to_vec()));
-    assert_eq!(answers(&commands), [(2, served("late")), (3, served("late"))]);
+    assert_eq!(
+        answers(&commands),
+        [(2, served("late")), (3, served("late"))]
+    );
     assert!(!acknowledged(&commands) && acknowledged(&bed.sync(true)));
     assert!(answers(&bed.play(1100.0)).is_empty());
 
@@ -224,8 +302,14 @@
     let commands = bed.play(bed.now + 4.9);
     assert!(answers(&commands).is_empty());
     let commands = bed.play(bed.now + 0.2);
-    assert_eq!(answers(&commands), [(2, Answer::Failed)], "at its deadline: a failure, no refusal");
-    assert!(bed.pending.iter().all(|(writes, _)| writes.is_empty()) && started(&commands).is_none());
+    assert_eq!(
+        answers(&commands),
+        [(2, Answer::Failed)],
+        "at its deadline: a failure, no refusal"
+    );
+    assert!(
+        bed.pending.iter().all(|(writes, _)| writes.is_empty()) && started(&commands).is_none()
+    );
 }
 
 /// Guards against no run at all where the worker has proved that none took place, and against two for two who
@@ -239,7 +323,10 @@
     bed.submit(3, "more", Some("k"), COMMIT, "body");
     bed.call("job", &worker, JobState::Returned);
     let commands = bed.sync(true);
-    let starts = commands.iter().filter(|c| matches!(c, Command::Start(..))).count();
+    let starts = commands
+        .iter()
+        .filter(|c| matches!(c, Command::Start(..)))
+        .count();
     assert_eq!(starts, 1, "{commands:?}");
     let (attempt, worker) = started(&commands).expect("an attempt");
     bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
@@ -253,17 +340,26 @@
 fn one_key_on_two_connections_runs_once() {
     let mut bed = Bed::new();
     let (_, worker) = bed.accepted(1, "job", Some("k"));
-    assert!(bed.submit(2, "second", Some("k"), COMMIT, "body").is_empty());
+    assert!(
+        bed.submit(2, "second", Some("k"), COMMIT, "body")
+            .is_empty()
+    );
     assert!(bed.submit(3, "third", Some("k"), COMMIT, "body").is_empty());
     let commands = bed.tell(Input::Left(1));
-    assert!(commands.is_empty(), "no cancel: others wait for it: {commands:?}");
+    assert!(
+        commands.is_empty(),
+        "no cancel: others wait for it: {commands:?}"
+    );
     bed.tell(Input::Left(3));
     let commands = bed.call("job", &worker, JobState::Done(b"x".to_vec()));
     assert_eq!(answers(&commands), [(2, served("x"))]);
     bed.sync(true);
     assert_eq!(bed.hub.held(), 0);
     let same_id = bed.submit(4, "job", None, RENDER, "body");
-    assert!(started(&same_id).is_some(), "a class of which nothing is kept is not looked up");
+    assert!(
+        started(&same_id).is_some(),
+        "a class of which nothing is kept is not looked up"
+    );
 }
 
 /// Guards against holding, failing or sending a job that the disk has no room for; against refusing any other.
@@ -276,12 +372,18 @@
     assert!(started(&commands).is_none());
     assert_eq!(bed.hub.held(), 0, "it is forgotten");
     bed.tell(Input::Disk(false));
-    assert_eq!(answers(&bed.submit(2, "next", None, COMMIT, "")), [(2, Answer::Unavailable(1.0))]);
+    assert_eq!(
+        answers(&bed.submit(2, "next", None, COMMIT, "")),
+        [(2, Answer::Unavailable(1.0))]
+    );
     assert!(started(&bed.submit(3, "safe", None, RENDER, "")).is_some());
     assert!(started(&bed.submit(4, "keyed", None, TOKEN, "")).is_some());
     bed.tell(Input::Disk(true));
     assert!(bed.submit(5, "again", Some("k"), COMMIT, "body").is_empty());
-    assert!(started(&bed.sync(true)).is_some(), "nothing of it was ever sent");
+    assert!(
+        started(&bed.sync(true)).is_some(),
+        "nothing of it was ever sent"
+    );
 }
 
 /// Guards against a disk that hangs and takes a job's whole time with it; against an attempt that starts when it
@@ -295,7 +397,11 @@
     let commands = bed.sync(true);
     assert!(commands.is_empty(), "{commands:?}");
     let bed = bed.restart();
-    assert!(bed.disk.is_empty(), "nothing of it was ever sent: {:?}", bed.disk.keys());
+    assert!(
+        bed.disk.is_empty(),
+        "nothing of it was ever sent: {:?}",
+        bed.disk.keys()
+    );
 }
 
 /// Guards against a ledger full of jobs in doubt that drops one of them, or takes more.
@@ -305,13 +411,26 @@
     for n in 0..3 {
         bed.accepted(n, &format!("job-{n}"), None);
     }
-    let limits = Limits { jobs: 3, retention: 60.0, ..Limits::default() };
+    let limits = Limits {
+        jobs: 3,
+        retention: 60.0,
+        ..Limits::default()
+    };
     let mut bed = Bed::start(bed.disk, bed.now, limits);
-    assert_eq!(answers(&bed.submit(1, "new", None, COMMIT, "")), [(1, Answer::Unavailable(1.0))]);
-    assert!(bed.submit(2, "job-1", None, COMMIT, "body").is_empty(), "it is in doubt still");
+    assert_eq!(
+        answers(&bed.submit(1, "new", None, COMMIT, "")),
+        [(1, Answer::Unavailable(1.0))]
+    );
+    assert!(
+        bed.submit(2, "job-1", None, COMMIT, "body").is_empty(),
+        "it is in doubt still"
+    );
     bed.tell(Input::Due(Due::Expire));
     bed.play(5000.0);
-    assert!(bed.submit(3, "new", None, COMMIT, "").is_empty(), "it is taken");
+    assert!(
+        bed.submit(3, "new", None, COMMIT, "").is_empty(),
+        "it is taken"
+    );
     assert!(started(&bed.sync(true)).is_some());
 }
 
@@ -322,9 +441,19 @@
     let (attempt, worker) = bed.accepted(1, "job", Some("k"));
     let commands = bed.call("job", &worker, JobState::Lost);
     assert_eq!(answers(&commands), [(1, Answer::Failed)]);
-    assert!(bed.tell(Input::Attempt(attempt, AttemptEnd::Reset, Load::new())).is_empty(), "late");
+    assert!(
+        bed.tell(Input::Attempt(attempt, AttemptEnd::Reset, Load::new()))
+            .is_empty(),
+        "late"
+    );
     bed.sync(true);
-    assert_eq!(answers(&bed.submit(2, "again", Some("k"), COMMIT, "body")), [(2, Answer::Failed)]);
+    assert_eq!(
+        answers(&bed.submit(2, "again", Some("k"), COMMIT, "body")),
+        [(2, Answer::Failed)]
+    );
     let mut bed = bed.restart();
-    assert_eq!(answers(&bed.submit(3, "more", Some("k"), COMMIT, "body")), [(3, Answer::Failed)]);
+    assert_eq!(
+        answers(&bed.submit(3, "more", Some("k"), COMMIT, "body")),
+        [(3, Answer::Failed)]
+    );
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -52,7 +52,9 @@
 
     fn goes(self, client: Peer) {
         if matches!(self, Leaves::Rst | Leaves::RstBehind(_)) {
-            socket2::SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
+            socket2::SockRef::from(&client.stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("a setting");
         }
         drop(client);
     }
@@ -78,16 +80,27 @@
             left.elapsed() < Duration::from_secs(3),
             "{way:?}: not because it left, but at its deadline, 5 s"
         );
-        assert_eq!((cancel.method.as_str(), cancel.target.as_str()), ("DELETE", "/jobs/one"), "{way:?}");
+        assert_eq!(
+            (cancel.method.as_str(), cancel.target.as_str()),
+            ("DELETE", "/jobs/one"),
+            "{way:?}"
+        );
         worker.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(harness.call("one", from, r#""state":"lost""#), 200);
         // Whatever it led to has been done when another job comes through.
         let mut other = Peer::to(harness.node);
         other.submit("two");
         let (mut worker, from) = on(&harness, worker, from);
-        assert_eq!(worker.request().headers.get("x-request-id"), Some("two"), "{way:?}");
+        assert_eq!(
+            worker.request().headers.get("x-request-id"),
+            Some("two"),
+            "{way:?}"
+        );
         worker.write(ACCEPTED);
-        assert_eq!(harness.call("two", from, r#""state":"done","result":"r""#), 200);
+        assert_eq!(
+            harness.call("two", from, r#""state":"done","result":"r""#),
+            200
+        );
         assert_eq!(other.response().status, 200);
         drop(other);
         for listener in &harness.workers {
@@ -116,7 +129,10 @@
             Some((worker, from)) => on(&harness, worker, from),
             None => first(&harness),
         };
-        assert_eq!(worker.request().headers.get("x-request-id"), Some(id.as_str()));
+        assert_eq!(
+            worker.request().headers.get("x-request-id"),
+            Some(id.as_str())
+        );
         worker.write(ACCEPTED);
         harness.settled();
         way.sends_behind(&mut client);
@@ -142,7 +158,10 @@
         listener.set_nonblocking(true).expect("a setting");
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).expect("a setting");
-            harness.workers.iter().for_each(|w| w.set_nonblocking(false).expect("a setting"));
+            harness
+                .workers
+                .iter()
+                .for_each(|w| w.set_nonblocking(false).expect("a setting"));
             return (Peer::new(stream), n);
         }
     }
@@ -179,12 +198,18 @@
     let mut clients: Vec<(Peer, Leaves)> = (0..60)
         .map(|n| {
             let mut client = Peer::to(harness.node);
-            client.submit(&format!("{}-{n}", if n % 10 == 0 { "stays" } else { "leaves" }));
+            client.submit(&format!(
+                "{}-{n}",
+                if n % 10 == 0 { "stays" } else { "leaves" }
+            ));
             (client, WAYS[n % WAYS.len()])
         })
         .collect();
     harness.settled();
-    let (stay, leave): (Vec<_>, Vec<_>) = clients.drain(..).enumerate().partition(|(n, _)| n % 10 == 0);
+    let (stay, leave): (Vec<_>, Vec<_>) = clients
+        .drain(..)
+        .enumerate()
+        .partition(|(n, _)| n % 10 == 0);
     for (_, (mut client, way)) in leave {
         way.sends_behind(&mut client);
         way.goes(client);
@@ -195,11 +220,18 @@
     }
     let worker = port();
     let member = member(0, worker.local_addr().expect("an address"), "in_service");
-    list(&mut discovery, &format!(r#"{{"revision":50,"complete":true,"members":[{member}]}}"#));
+    list(
+        &mut discovery,
+        &format!(r#"{{"revision":50,"complete":true,"members":[{member}]}}"#),
+    );
     for _ in 0..stay.len() {
         let mut attempt = Peer::accept(&worker);
         let request = attempt.request();
-        let id = request.headers.get("x-request-id").expect("an id").to_owned();
+        let id = request
+            .headers
+            .get("x-request-id")
+            .expect("an id")
+            .to_owned();
         assert!(id.starts_with("stays-"), "{id} is sent on for nobody");
         // Each comes on a connection of its own.
         attempt.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
@@ -225,9 +257,17 @@
     let mut dialled = Peer::accept(&worker);
     let mut events = Vec::new();
     reactor.wait(&mut events, f64::MAX).expect("a poller");
-    events.iter().for_each(|e| attempts.ready(&mut reactor, e.key, e.readable, e.writable));
-    assert!(!dialled.more() && attempts.count() == 0, "nothing was written");
-    assert!(matches!(reactor.queue.pop_front(), Some(Input::Attempt(1, AttemptEnd::NoRoom, _))));
+    events
+        .iter()
+        .for_each(|e| attempts.ready(&mut reactor, e.key, e.readable, e.writable));
+    assert!(
+        !dialled.more() && attempts.count() == 0,
+        "nothing was written"
+    );
+    assert!(matches!(
+        reactor.queue.pop_front(),
+        Some(Input::Attempt(1, AttemptEnd::NoRoom, _))
+    ));
     assert!(reactor.queue.is_empty());
 }
 
@@ -251,7 +291,12 @@
 /// node had read a byte.
 #[test]
 fn a_job_that_is_read_with_its_clients_end_is_never_told() {
-    for way in [Leaves::Fin, Leaves::Rst, Leaves::FinBehind(64 << 10), Leaves::RstBehind(64 << 10)] {
+    for way in [
+        Leaves::Fin,
+        Leaves::Rst,
+        Leaves::FinBehind(64 << 10),
+        Leaves::RstBehind(64 << 10),
+    ] {
         let (mut reactor, mut clients) = accepted_behind_the_end(way);
         // What did not fit into one read comes with the next ones; nothing of the queue has been taken meanwhile.
         reactor.timer(1000.0, Due::Accept);
@@ -259,7 +304,10 @@
         while clients.count() > 0 {
             assert!(start.elapsed() < LIMIT, "{way:?}: its end is not seen");
             reactor.wait(&mut events, f64::MAX).expect("a poller");
-            for event in events.iter().filter(|event| owner(event.key) == Owner::Client) {
+            for event in events
+                .iter()
+                .filter(|event| owner(event.key) == Owner::Client)
+            {
                 clients.ready(&mut reactor, event.key, event.readable, event.writable);
             }
         }
@@ -272,22 +320,33 @@
 /// that it sent, more than is read ahead, is there.
 #[test]
 fn an_end_behind_more_than_is_read_ahead_is_seen_in_the_same_turn() {
-    for way in [Leaves::Fin, Leaves::FinBehind(200), Leaves::FinBehind(40 << 10), Leaves::RstBehind(40 << 10)]
-    {
+    for way in [
+        Leaves::Fin,
+        Leaves::FinBehind(200),
+        Leaves::FinBehind(40 << 10),
+        Leaves::RstBehind(40 << 10),
+    ] {
         let (reactor, _agents) = accepted_behind_the_end(way);
-        assert!(reactor.queue.is_empty(), "{way:?}: the hub is told of a job that nobody waits for");
+        assert!(
+            reactor.queue.is_empty(),
+            "{way:?}: the hub is told of a job that nobody waits for"
+        );
     }
 }
 
 /// Guards against a hand-over that takes a client for one who waits, though its end was on the way with its connection.
 #[test]
 fn a_connection_taken_over_behind_its_clients_end_waits_for_nothing() {
-    for (way, waits) in [(None, true), (Some(Leaves::Fin), false), (Some(Leaves::RstBehind(64 << 10)), false)]
-    {
+    for (way, waits) in [
+        (None, true),
+        (Some(Leaves::Fin), false),
+        (Some(Leaves::RstBehind(64 << 10)), false),
+    ] {
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
-        let settings = Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("settings");
+        let settings =
+            Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("settings");
         let other = TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut clients = Clients::new(&mut reactor, other, settings, 8).expect("they listen");
         let mut client = Some(Peer::to(at));
@@ -297,14 +356,22 @@
             way.sends_behind(&mut client);
             way.goes(client);
         }
-        let client = clients.adopt_held(&mut reactor, stream, Vec::new(), false).expect("it is taken in");
+        let client = clients
+            .adopt_held(&mut reactor, stream, Vec::new(), false)
+            .expect("it is taken in");
         let (start, mut events) = (Instant::now(), Vec::new());
         reactor.timer(1000.0, Due::Accept);
         // What does not fit into the first read comes with the next ones.
         while clients.waits(client) != waits {
-            assert!(start.elapsed() < LIMIT && way != Some(Leaves::Fin), "{way:?}");
+            assert!(
+                start.elapsed() < LIMIT && way != Some(Leaves::Fin),
+                "{way:?}"
+            );
             reactor.wait(&mut events, f64::MAX).expect("a poller");
-            for event in events.iter().filter(|event| owner(event.key) == Owner::Client) {
+            for event in events
+                .iter()
+                .filter(|event| owner(event.key) == Owner::Client)
+            {
                 clients.ready(&mut reactor, event.key, event.readable, event.writable);
             }
         }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -19,15 +19,31 @@
         client.submit(id);
         let worker = worker.get_or_insert_with(|| Peer::accept(&harness.workers[0]));
         let request = worker.request();
-        assert_eq!((request.method.as_str(), request.target.as_str()), ("POST", "/render/a?b=c"));
+        assert_eq!(
+            (request.method.as_str(), request.target.as_str()),
+            ("POST", "/render/a?b=c")
+        );
         assert_eq!(request.headers.get("x-request-id"), Some(id));
-        assert_eq!(request.headers.get("idempotency-key"), Some(format!("key-{id}").as_str()));
+        assert_eq!(
+            request.headers.get("idempotency-key"),
+            Some(format!("key-{id}").as_str())
+        );
         assert_eq!(request.body, b"body");
         worker.write(ACCEPTED);
-        assert_eq!(harness.call(id, 0, r#""state":"done","result":"\u0161 result""#), 200);
+        assert_eq!(
+            harness.call(id, 0, r#""state":"done","result":"\u0161 result""#),
+            200
+        );
         let answer = client.response();
-        assert_eq!((answer.status, answer.body.as_slice()), (200, "\u{161} result".as_bytes()));
-        assert_eq!(harness.call(id, 0, r#""state":"lost""#), 200, "a late call-back is still answered");
+        assert_eq!(
+            (answer.status, answer.body.as_slice()),
+            (200, "\u{161} result".as_bytes())
+        );
+        assert_eq!(
+            harness.call(id, 0, r#""state":"lost""#),
+            200,
+            "a late call-back is still answered"
+        );
     }
     harness.stop();
 }
@@ -41,23 +57,39 @@
     client.submit("one");
     let mut worker = Peer::accept(&harness.workers[0]);
     worker.request();
-    worker.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nX-Load: TEXT queue=3\r\nContent-Length: 0\r\n\r\n");
+    worker.write(
+        "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nX-Load: TEXT queue=3\r\nContent-Length: 0\r\n\r\n",
+    );
     // The one on which it was turned away ends: a second answer there would be taken for this attempt's.
     let mut again = Peer::accept(&harness.workers[0]);
     assert!(worker.ended());
-    assert_eq!(again.request().headers.get("x-request-id"), Some("one"), "sent again on another one");
+    assert_eq!(
+        again.request().headers.get("x-request-id"),
+        Some("one"),
+        "sent again on another one"
+    );
     again.write(ACCEPTED);
     assert_eq!(harness.call("one", 0, r#""state":"returned""#), 200);
-    assert_eq!(again.request().headers.get("x-request-id"), Some("one"), "sent again on the same connection");
+    assert_eq!(
+        again.request().headers.get("x-request-id"),
+        Some("one"),
+        "sent again on the same connection"
+    );
     again.write(ACCEPTED);
     drop(again);
-    assert_eq!(harness.call("one", 0, r#""state":"done","result":"r""#), 200);
+    assert_eq!(
+        harness.call("one", 0, r#""state":"done","result":"r""#),
+        200
+    );
     assert_eq!(client.response().status, 200);
     client.submit("two");
     let mut worker = Peer::accept(&harness.workers[0]);
     assert_eq!(worker.request().headers.get("x-request-id"), Some("two"));
     worker.write(ACCEPTED);
-    assert_eq!(harness.call("two", 0, r#""state":"done","result":"r""#), 200);
+    assert_eq!(
+        harness.call("two", 0, r#""state":"done","result":"r""#),
+        200
+    );
     assert_eq!(client.response().status, 200);
     harness.stop();
 }
@@ -74,7 +106,10 @@
     worker.write(ACCEPTED);
     assert!(worker.ended());
     let kept = taken.elapsed();
-    assert!(kept >= Duration::from_millis(500), "given up after {kept:?}, it is hardly used twice");
+    assert!(
+        kept >= Duration::from_millis(500),
+        "given up after {kept:?}, it is hardly used twice"
+    );
     harness.stop();
 }
 
@@ -95,10 +130,16 @@
     worker.request();
     worker.write(ACCEPTED);
     // Once a call-back is answered, the 202 before it has been read.
-    assert_eq!(harness.call("two", 0, r#""state":"running","share":0.5"#), 200);
+    assert_eq!(
+        harness.call("two", 0, r#""state":"running","share":0.5"#),
+        200
+    );
     drop(client);
     let request = worker.request();
-    assert_eq!((request.method.as_str(), request.target.as_str()), ("DELETE", "/jobs/two"));
+    assert_eq!(
+        (request.method.as_str(), request.target.as_str()),
+        ("DELETE", "/jobs/two")
+    );
     worker.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     harness.stop();
 }
@@ -113,23 +154,55 @@
     assert_eq!(ask("DELETE /-/ready HTTP/1.1\r\n\r\n"), 405);
     assert_eq!(ask("GET /render HTTP/1.1\r\n\r\n"), 405);
     assert_eq!(ask("GET /v1/job-events HTTP/1.1\r\n\r\n"), 405);
-    assert_eq!(ask("POST /nowhere HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n\r\n"), 404);
+    assert_eq!(
+        ask("POST /nowhere HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n\r\n"),
+        404
+    );
     assert_eq!(ask("what is this\r\n\r\n"), 400);
-    assert_eq!(ask("POST /render HTTP/1.1\r\nContent-Length: 0\r\n\r\n"), 400, "no id");
-    assert_eq!(ask("POST /render HTTP/1.1\r\nX-Request-Id: a/../b\r\nContent-Length: 0\r\n\r\n"), 400);
     assert_eq!(
-        ask("POST /render HTTP/1.1\r\nX-Request-Id: a\r\nX-Deadline: soon\r\nContent-Length: 0\r\n\r\n"),
+        ask("POST /render HTTP/1.1\r\nContent-Length: 0\r\n\r\n"),
+        400,
+        "no id"
+    );
+    assert_eq!(
+        ask("POST /render HTTP/1.1\r\nX-Request-Id: a/../b\r\nContent-Length: 0\r\n\r\n"),
+        400
+    );
+    assert_eq!(
+        ask(
+            "POST /render HTTP/1.1\r\nX-Request-Id: a\r\nX-Deadline: soon\r\nContent-Length: 0\r\n\r\n"
+        ),
+        400
+    );
+    assert_eq!(
+        ask("POST /render HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nbody"),
         400
     );
-    assert_eq!(ask("POST /render HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nbody"), 400);
     assert_eq!(
-        ask("POST /render HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
+        ask(
+            "POST /render HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+        ),
         400
     );
-    assert_eq!(ask("POST /render HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"), 413);
-    assert_eq!(ask(&format!("GET /-/ready HTTP/1.1\r\nX-Long: {}", "x".repeat(http::MAX_HEAD_BYTES))), 431);
-    assert_eq!(ask("POST /v1/job-events HTTP/1.1\r\nContent-Length: 4\r\n\r\nnone"), 400);
-    assert_eq!(harness.call("unknown", 0, r#""state":"done","result":"x""#), 200);
+    assert_eq!(
+        ask("POST /render HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"),
+        413
+    );
+    assert_eq!(
+        ask(&format!(
+            "GET /-/ready HTTP/1.1\r\nX-Long: {}",
+            "x".repeat(http::MAX_HEAD_BYTES)
+        )),
+        431
+    );
+    assert_eq!(
+        ask("POST /v1/job-events HTTP/1.1\r\nContent-Length: 4\r\n\r\nnone"),
+        400
+    );
+    assert_eq!(
+        harness.call("unknown", 0, r#""state":"done","result":"x""#),
+        200
+    );
     let (mut first, mut second) = (Peer::to(harness.node), Peer::to(harness.node));
     first.submit("held");
     Peer::accept(&harness.workers[0]).request();
@@ -160,7 +233,10 @@
     for (id, client) in [("one", &mut client), ("two", &mut half)] {
         assert_eq!(harness.call(id, 0, r#""state":"done","result":"r""#), 200);
         let answer = client.response();
-        assert_eq!((answer.status, answer.headers.get("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status, answer.headers.get("connection")),
+            (200, Some("close"))
+        );
         assert!(client.ended());
     }
     drop((client, half));
@@ -174,11 +250,30 @@
     let harness = NodeHarness::new(2, 256);
     let address = |n: usize| harness.workers[n].local_addr().expect("an address");
     let mut discovery = Peer::accept(&harness.discovery);
-    assert!(discovery.request().target.starts_with("/api/targets?since=41&"));
-    list(&mut discovery, r#"{"revision":7,"complete":false,"members":[]}"#);
-    assert_eq!(discovery.request().target, "/api/targets", "a stale revision needs the whole list");
-    let members = [member(0, address(0), "terminating"), member(1, address(1), "in_service")].join(",");
-    list(&mut discovery, &format!(r#"{{"revision":8,"complete":true,"members":[{members}]}}"#));
+    assert!(
+        discovery
+            .request()
+            .target
+            .starts_with("/api/targets?since=41&")
+    );
+    list(
+        &mut discovery,
+        r#"{"revision":7,"complete":false,"members":[]}"#,
+    );
+    assert_eq!(
+        discovery.request().target,
+        "/api/targets",
+        "a stale revision needs the whole list"
+    );
+    let members = [
+        member(0, address(0), "terminating"),
+        member(1, address(1), "in_service"),
+    ]
+    .join(",");
+    list(
+        &mut discovery,
+        &format!(r#"{{"revision":8,"complete":true,"members":[{members}]}}"#),
+    );
     assert!(watches(&discovery.request().target, 8));
     for n in 0..4 {
         let mut client = Peer::to(harness.node);
@@ -190,7 +285,10 @@
         assert!(worker.ended());
     }
     harness.workers[0].set_nonblocking(true).expect("a setting");
-    assert!(harness.workers[0].accept().is_err(), "nothing goes to a worker that drains");
+    assert!(
+        harness.workers[0].accept().is_err(),
+        "nothing goes to a worker that drains"
+    );
     discovery.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     let mut again = Peer::accept(&harness.discovery);
     assert!(again.request().target.starts_with("/api/targets?since=8&"));
@@ -204,7 +302,10 @@
     assert_eq!(third.request().target, "/api/targets?since=8&timeout_ms=1");
     assert!(silent.ended(), "two calls are out at most");
     // The first answer counts, and it alone.
-    list(&mut third, r#"{"revision":9,"complete":false,"members":[]}"#);
+    list(
+        &mut third,
+        r#"{"revision":9,"complete":false,"members":[]}"#,
+    );
     assert!(beside.ended());
     assert!(watches(&third.request().target, 9));
     harness.stop();
@@ -230,28 +331,59 @@
     let (silent, new) = (port(), port());
     harness.reload(Some(&silent));
     assert!(old.ended(), "the call to the old address is given up");
-    assert_eq!(Peer::accept(&silent).request().target, "/api/targets", "the whole list, at once");
+    assert_eq!(
+        Peer::accept(&silent).request().target,
+        "/api/targets",
+        "the whole list, at once"
+    );
     harness.reload(Some(&new));
     let mut discovery = Peer::accept(&new);
     assert_eq!(discovery.request().target, "/api/targets");
     // Were the workers forgotten, this change would come to an empty list.
-    list(&mut discovery, r#"{"revision":3,"complete":false,"members":[]}"#);
-    assert_eq!(discovery.request().target, "/api/targets", "a change to a list that is not held");
-    let members = member(0, harness.workers[0].local_addr().expect("an address"), "in_service");
-    list(&mut discovery, &format!(r#"{{"revision":4,"complete":true,"members":[{members}]}}"#));
+    list(
+        &mut discovery,
+        r#"{"revision":3,"complete":false,"members":[]}"#,
+    );
+    assert_eq!(
+        discovery.request().target,
+        "/api/targets",
+        "a change to a list that is not held"
+    );
+    let members = member(
+        0,
+        harness.workers[0].local_addr().expect("an address"),
+        "in_service",
+    );
+    list(
+        &mut discovery,
+        &format!(r#"{{"revision":4,"complete":true,"members":[{members}]}}"#),
+    );
     assert!(watches(&discovery.request().target, 4));
     harness.reload(Some(&new));
-    assert_eq!(harness.call("one", 0, r#""state":"done","result":"r""#), 200);
+    assert_eq!(
+        harness.call("one", 0, r#""state":"done","result":"r""#),
+        200
+    );
     assert_eq!(client.response().status, 200);
     client.submit("two");
-    assert_eq!(worker.request().headers.get("x-request-id"), Some("two"), "on the connection that it had");
+    assert_eq!(
+        worker.request().headers.get("x-request-id"),
+        Some("two"),
+        "on the connection that it had"
+    );
     worker.write(ACCEPTED);
     harness.stop.write_all(b"x").expect("a signal");
     while Peer::to(harness.node).ask("GET /-/ready HTTP/1.1\r\n\r\n") == 200 {}
     harness.reload(Some(&silent));
     assert_eq!(Peer::accept(&silent).request().target, "/api/targets");
-    assert!(discovery.ended(), "the same address again changed nothing, another one does");
-    assert_eq!(harness.call("two", 0, r#""state":"done","result":"r""#), 200);
+    assert!(
+        discovery.ended(),
+        "the same address again changed nothing, another one does"
+    );
+    assert_eq!(
+        harness.call("two", 0, r#""state":"done","result":"r""#),
+        200
+    );
     assert_eq!(client.response().status, 200);
     drop(client);
     harness.thread.join().expect("the node ends");
@@ -262,7 +394,10 @@
 fn idle_connections_make_room_for_new_ones() {
     let harness = NodeHarness::new(1, 60);
     let mut idle: Vec<Peer> = (0..80).map(|_| Peer::to(harness.node)).collect();
-    assert_eq!(Peer::to(harness.node).ask("GET /-/ready HTTP/1.1\r\n\r\n"), 200);
+    assert_eq!(
+        Peer::to(harness.node).ask("GET /-/ready HTTP/1.1\r\n\r\n"),
+        200
+    );
     assert!(idle[0].ended(), "the one that lay idle longest is closed");
     assert_eq!(idle[79].ask("GET /-/ready HTTP/1.1\r\n\r\n"), 200);
     drop(idle);
@@ -289,10 +424,17 @@
 #[test]
 fn a_connection_that_never_comes_up_sends_the_job_elsewhere() {
     // A listener whose queue is full drops what else arrives, as a machine that has vanished does.
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("a port");
     socket.listen(0).expect("it listens");
-    let vanished = socket.local_addr().expect("an address").as_socket().expect("of IPv4");
+    let vanished = socket
+        .local_addr()
+        .expect("an address")
+        .as_socket()
+        .expect("of IPv4");
     let filler: Vec<TcpStream> = (0..8)
         .map_while(|_| TcpStream::connect_timeout(&vanished, Duration::from_millis(200)).ok())
         .collect();
@@ -324,13 +466,23 @@
         "/api/targets?since=41&timeout_ms=1",
         "no watch: it is to be answered now"
     );
-    let gone = member(0, harness.workers[0].local_addr().expect("an address"), "terminated");
-    list(&mut discovery, &format!(r#"{{"revision":42,"complete":false,"members":[{gone}]}}"#));
+    let gone = member(
+        0,
+        harness.workers[0].local_addr().expect("an address"),
+        "terminated",
+    );
+    list(
+        &mut discovery,
+        &format!(r#"{{"revision":42,"complete":false,"members":[{gone}]}}"#),
+    );
     for _ in 0..JOBS {
         Peer::accept(&harness.workers[1]).request();
     }
     harness.workers[0].set_nonblocking(true).expect("a setting");
-    assert!(harness.workers[0].accept().is_err(), "something was sent to the worker that is gone");
+    assert!(
+        harness.workers[0].accept().is_err(),
+        "something was sent to the worker that is gone"
+    );
     drop(clients);
     harness.stop();
 }
@@ -348,7 +500,10 @@
     worker.write(ACCEPTED);
     client.write(&"GET /-/ready HTTP/1.1\r\n\r\n".repeat(BEHIND));
     harness.settled();
-    assert_eq!(harness.call("first", 0, r#""state":"done","result":"r""#), 200);
+    assert_eq!(
+        harness.call("first", 0, r#""state":"done","result":"r""#),
+        200
+    );
     assert_eq!(client.response().body, b"r");
     let mut answers = 0;
     while !client.input.is_empty() || client.more() {
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -20,17 +20,34 @@
     fleet.kill(2);
     fleet.until("n2 has failed", &[0, 1], |_, p| {
         p.standing == "cut off with a majority"
-            && p.members.iter().any(|m| m.name == "n2" && m.state == "failed")
+            && p.members
+                .iter()
+                .any(|m| m.name == "n2" && m.state == "failed")
     });
     let table = fleet.told_by_command(0);
-    assert!(table.contains("cut off with a majority") && table.contains("n2 is not reached"), "{table}");
+    assert!(
+        table.contains("cut off with a majority") && table.contains("n2 is not reached"),
+        "{table}"
+    );
     fleet.start(2);
     fleet.whole();
     fleet.process(2).end();
-    assert!(wait(MOST, || fleet.process(2).ended() == Some(true)), "it ends in good order");
+    assert!(
+        wait(MOST, || fleet.process(2).ended() == Some(true)),
+        "it ends in good order"
+    );
     fleet.nodes[2].process = None;
-    fleet.until("n2 has left", &[0, 1], |_, p| p.members.iter().any(|m| m.name == "n2" && m.state == "left"));
-    assert_eq!(fleet.lines(0, "a node has failed"), 1, "the kill alone: {}", fleet.told());
+    fleet.until("n2 has left", &[0, 1], |_, p| {
+        p.members
+            .iter()
+            .any(|m| m.name == "n2" && m.state == "left")
+    });
+    assert_eq!(
+        fleet.lines(0, "a node has failed"),
+        1,
+        "the kill alone: {}",
+        fleet.told()
+    );
 }
 
 /// Guards against a node that blames others for its own pause, or does not learn at once that it was given up.
@@ -41,15 +58,28 @@
         fleet.pause(&[1], Duration::from_secs(seconds));
         fleet.whole();
     }
-    assert_eq!(fleet.lines(1, "a node has failed"), 0, "it blames nobody: {}", fleet.told());
-    assert!(fleet.lines(1, "others had called this node failed") >= 1, "{}", fleet.told());
+    assert_eq!(
+        fleet.lines(1, "a node has failed"),
+        0,
+        "it blames nobody: {}",
+        fleet.told()
+    );
+    assert!(
+        fleet.lines(1, "others had called this node failed") >= 1,
+        "{}",
+        fleet.told()
+    );
     for n in [0, 2] {
         let blamed = fleet.lines(n, "a node has failed");
         let it = fleet.lines(n, "a node has failed name=\"n1\"");
         assert_eq!(blamed, it, "others hear each other: {}", fleet.told());
     }
     let picture = fleet.picture(1).expect("a picture");
-    assert!(picture.missed_s > 20.0, "it knows what it missed: {}", picture.missed_s);
+    assert!(
+        picture.missed_s > 20.0,
+        "it knows what it missed: {}",
+        picture.missed_s
+    );
 }
 
 /// Guards against a fleet that falls apart where all were stopped at once, as on a machine that slept.
@@ -65,7 +95,14 @@
 #[test]
 fn one_way_cuts_and_lines_are_named() {
     let fleet = Fleet::new(3, 4, false);
-    fleet.net.set(0, 1, Link { cut: true, ..Link::default() });
+    fleet.net.set(
+        0,
+        1,
+        Link {
+            cut: true,
+            ..Link::default()
+        },
+    );
     fleet.history.note("cut n0 to n1");
     fleet.until("one way", &[0, 1, 2], |_, p| {
         p.standing == "some pairs cut" && p.reasons == ["n1 does not hear n0"]
@@ -73,7 +110,8 @@
     fleet.net.part(&[0], &[1]);
     fleet.history.note("cut n1 to n0, too");
     fleet.until("a line", &[0, 1, 2], |_, p| {
-        p.standing == "some pairs cut" && p.reasons == ["n0 does not hear n1", "n1 does not hear n0"]
+        p.standing == "some pairs cut"
+            && p.reasons == ["n0 does not hear n1", "n1 does not hear n0"]
     });
     fleet.net.heal();
     fleet.whole();
@@ -87,8 +125,12 @@
     let (few, many) = ([0, 3], [1, 2, 4]);
     fleet.net.part(&few, &many);
     fleet.history.note("cut");
-    fleet.until("the few", &few, |_, p| p.standing == "cut off with a minority" && p.reasons.len() == 3);
-    fleet.until("the many", &many, |_, p| p.standing == "cut off with a majority" && p.reasons.len() == 2);
+    fleet.until("the few", &few, |_, p| {
+        p.standing == "cut off with a minority" && p.reasons.len() == 3
+    });
+    fleet.until("the many", &many, |_, p| {
+        p.standing == "cut off with a majority" && p.reasons.len() == 2
+    });
     fleet.net.heal();
     fleet.whole();
     for _ in 0..8 {
@@ -98,7 +140,12 @@
         std::thread::sleep(Duration::from_millis(700));
     }
     fleet.whole();
-    fleet.net.all(Link { loss: 0.1, twice: 0.2, late: Duration::from_millis(300), ..Link::default() });
+    fleet.net.all(Link {
+        loss: 0.1,
+        twice: 0.2,
+        late: Duration::from_millis(300),
+        ..Link::default()
+    });
     std::thread::sleep(Duration::from_secs(5));
     fleet.net.heal();
     fleet.whole();
@@ -149,19 +196,47 @@
         let text = std::fs::read_to_string(fleet.nodes[2].folder.join(file)).expect("text");
         let mut json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         for (section, name, value) in changes {
-            let at = if section.is_empty() { &mut json } else { &mut json[*section] };
+            let at = if section.is_empty() {
+                &mut json
+            } else {
+                &mut json[*section]
+            };
             at[*name] = value.clone().into();
         }
         std::fs::write(folder.join(file), json.to_string()).expect("it is written");
     };
     let (client, door) = (SocketAddr::new(own, 8080), SocketAddr::new(own, 8081));
-    change("config.json", &[("", "listen", client.to_string()), ("", "mgmt", door.to_string())]);
+    change(
+        "config.json",
+        &[
+            ("", "listen", client.to_string()),
+            ("", "mgmt", door.to_string()),
+        ],
+    );
     let at = SocketAddr::new(own, 7946).to_string();
-    change("operator.json", &[("fleet", "listen", at.clone()), ("fleet", "advertise", at)]);
-    fleet.nodes.push(Node { name: "n2".into(), process: None, client, door, folder, listener: None });
+    change(
+        "operator.json",
+        &[("fleet", "listen", at.clone()), ("fleet", "advertise", at)],
+    );
+    fleet.nodes.push(Node {
+        name: "n2".into(),
+        process: None,
+        client,
+        door,
+        folder,
+        listener: None,
+    });
     fleet.start(3);
-    let apart = |n: usize| fleet.picture(n).is_some_and(|p| p.namesake.is_some() && !p.member);
-    assert!(wait(MOST, || apart(2) != apart(3)), "one of them is apart: {}", fleet.told());
+    let apart = |n: usize| {
+        fleet
+            .picture(n)
+            .is_some_and(|p| p.namesake.is_some() && !p.member)
+    };
+    assert!(
+        wait(MOST, || apart(2) != apart(3)),
+        "one of them is apart: {}",
+        fleet.told()
+    );
     let (one, other) = if apart(2) { (2, 3) } else { (3, 2) };
     let client = fleet.nodes[one].client;
     let served = || {
@@ -172,7 +247,9 @@
     assert!(fleet.lines(one, "another process has this node's name") >= 1);
     // When the other is gone, the name is free.
     fleet.kill(other);
-    fleet.until("it is a member", &[one], |_, p| p.member && p.standing == "whole");
+    fleet.until("it is a member", &[one], |_, p| {
+        p.member && p.standing == "whole"
+    });
 }
 
 /// Guards against a datagram or a flood of them that changes the list, ends the process or holds up a job.
@@ -182,7 +259,9 @@
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let mut draw = 7u64;
     let mut next = || {
-        draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        draw = draw
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (draw >> 33) as u8
     };
     for length in 0..=1500 {
@@ -190,21 +269,31 @@
         if length % 3 == 0 && length > 11 {
             bytes[..3].copy_from_slice(&[b'P', b'M', 1]);
         }
-        socket.send_to(&bytes, fleet.net.relay(0)).expect("it is sent");
+        socket
+            .send_to(&bytes, fleet.net.relay(0))
+            .expect("it is sent");
         if length % 50 == 0 {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
-    fleet.until("it is counted", &[0], |_, p| p.dropped.values().sum::<u64>() > 500);
+    fleet.until("it is counted", &[0], |_, p| {
+        p.dropped.values().sum::<u64>() > 500
+    });
     fleet.whole();
-    assert!(fleet.lines(0, "datagrams or streams were dropped") <= 2, "one line a minute: {}", fleet.told());
+    assert!(
+        fleet.lines(0, "datagrams or streams were dropped") <= 2,
+        "one line a minute: {}",
+        fleet.told()
+    );
 }
 
 /// Guards against bans beyond a datagram that do not come over streams which break in their middle, stall, or are slow,
 /// and against a node that comes late and is told a part.
 #[test]
 fn a_long_list_of_bans_arrives_over_streams_that_break() {
-    let names: Vec<String> = (0..40).map(|n| format!("w-{n:03}-{}", "x".repeat(200))).collect();
+    let names: Vec<String> = (0..40)
+        .map(|n| format!("w-{n:03}-{}", "x".repeat(200)))
+        .collect();
     let mut fleet = Fleet::with(3, 11, true, &names);
     fleet.net.part(&[0], &[1, 2]);
     fleet.history.note("cut");
@@ -213,11 +302,18 @@
     }
     fleet.net.heal();
     let late = Duration::from_millis(20);
-    fleet.net.all(Link { torn: 0.5, late, ..Link::default() });
+    fleet.net.all(Link {
+        torn: 0.5,
+        late,
+        ..Link::default()
+    });
     fleet.history.note("torn");
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
     fleet.bans("torn, and they agree", &all);
-    fleet.net.all(Link { slow: 8 << 10, ..Link::default() });
+    fleet.net.all(Link {
+        slow: 8 << 10,
+        ..Link::default()
+    });
     fleet.history.note("slow");
     fleet.kill(2);
     // As on a new disk: what it knows of bans it must be told.
@@ -237,7 +333,13 @@
     let fleet = Fleet::new(3, 12, false);
     let cluster = postproxy_membership::packet::cluster("riga");
     let hello = |n: usize| {
-        let hello = Packet::Hello { cluster, from: format!("x{n}"), life: 5, session: 1, to: "n0".into() };
+        let hello = Packet::Hello {
+            cluster,
+            from: format!("x{n}"),
+            life: 5,
+            session: 1,
+            to: "n0".into(),
+        };
         [&GREETING[..], &frame(&hello)].concat()
     };
     let connect = || TcpStream::connect(fleet.net.relay(0)).expect("a connection");
@@ -251,13 +353,15 @@
         })
         .collect();
     let mut liar = connect();
-    liar.write_all(&[&hello(1)[..], &[0xff; 8]].concat()).expect("it is written");
+    liar.write_all(&[&hello(1)[..], &[0xff; 8]].concat())
+        .expect("it is written");
     let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let floods: Vec<_> = (0..10)
         .map(|n| {
             let (mut stream, bytes, over) = (connect(), hello(2 + n), over.clone());
-            let words: Vec<u8> =
-                (1..5000).flat_map(|number| frame(&Packet::Word(number, vec![7; 100]))).collect();
+            let words: Vec<u8> = (1..5000)
+                .flat_map(|number| frame(&Packet::Word(number, vec![7; 100])))
+                .collect();
             std::thread::spawn(move || {
                 let _ = stream.write_all(&bytes);
                 while !over.load(Ordering::SeqCst) && stream.write_all(&words).is_ok() {}
@@ -267,23 +371,32 @@
     for n in 0..50 {
         let id = format!("j-{n}");
         let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5")];
-        let answer = ask(fleet.nodes[0].client, "GET", "/-/ready", &fields, b"").expect("an answer");
+        let answer =
+            ask(fleet.nodes[0].client, "GET", "/-/ready", &fields, b"").expect("an answer");
         assert_eq!(answer.status, 200);
     }
     assert_eq!(fleet.suspend(0, "w-0", false), "yes, at 3 of 3 nodes\n");
     fleet.whole();
     over.store(true, Ordering::SeqCst);
-    floods.into_iter().for_each(|flood| flood.join().expect("it ends"));
-    let dropped = |picture: &ClusterStatus, why: &str| picture.dropped.get(why).copied().unwrap_or_default();
+    floods
+        .into_iter()
+        .for_each(|flood| flood.join().expect("it ends"));
+    let dropped =
+        |picture: &ClusterStatus, why: &str| picture.dropped.get(why).copied().unwrap_or_default();
     fleet.until("dropped and counted", &[0], |_, p| {
         dropped(p, "stream: too long") == 1 && dropped(p, "stream: stalled") >= 1
     });
     liar.set_read_timeout(Some(MOST)).expect("a setting");
     let mut rest = Vec::new();
     let ended = liar.read_to_end(&mut rest);
-    assert!(ended.is_err() || rest.len() < 64, "its welcome, and the end");
+    assert!(
+        ended.is_err() || rest.len() < 64,
+        "its welcome, and the end"
+    );
     drop(stalled);
-    fleet.until("none is left but sound ones", &[0], |_, p| p.standing == "whole");
+    fleet.until("none is left but sound ones", &[0], |_, p| {
+        p.standing == "whole"
+    });
 }
 
 /// Guards against a node that is gone for good and counts on, and one that is forgotten while it lives.
@@ -292,10 +405,19 @@
     let mut fleet = Fleet::new(3, 13, false);
     let forget = |fleet: &Fleet, name: &str| {
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_postproxy"))
-            .args(["fleet", "forget", name, "--mgmt", &fleet.nodes[0].door.to_string()])
+            .args([
+                "fleet",
+                "forget",
+                name,
+                "--mgmt",
+                &fleet.nodes[0].door.to_string(),
+            ])
             .output()
             .expect("it runs");
-        (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
+        (
+            output.status.success(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
+        )
     };
     let (done, text) = forget(&fleet, "n2");
     assert!(!done && text.contains("it has not failed"), "{text}");
@@ -303,12 +425,16 @@
     assert!(!done && text.contains("nobody has that name"), "{text}");
     fleet.kill(2);
     fleet.until("n2 has failed", &[0, 1], |_, p| {
-        p.members.iter().any(|m| m.name == "n2" && m.state == "failed")
+        p.members
+            .iter()
+            .any(|m| m.name == "n2" && m.state == "failed")
     });
     assert_eq!(fleet.suspend(1, "w-0", false), "yes, at 2 of 3 nodes\n");
     assert!(forget(&fleet, "n2").0);
     fleet.until("n2 is forgotten", &[0, 1], |_, p| {
-        p.members.iter().any(|m| m.name == "n2" && m.state == "left")
+        p.members
+            .iter()
+            .any(|m| m.name == "n2" && m.state == "left")
     });
     assert_eq!(fleet.suspend(1, "w-1", false), "yes, at 2 of 2 nodes\n");
     fleet.start(2);
@@ -325,7 +451,12 @@
     fleet.lend_listener(1);
     fleet.start(1);
     fleet.whole();
-    let before = [0, 2].map(|n| (fleet.lines(n, "a node has failed"), fleet.lines(n, "a node has left")));
+    let before = [0, 2].map(|n| {
+        (
+            fleet.lines(n, "a node has failed"),
+            fleet.lines(n, "a node has left"),
+        )
+    });
     let first = fleet.picture(1).expect("a picture").members[0].incarnation;
     let old_door = fleet.nodes[1].door;
     let mut old = fleet.nodes[1].process.take().expect("it was started");
@@ -334,13 +465,23 @@
     fleet.start(1);
     assert!(fleet.picture(1).is_none(), "one member, not two");
     assert_eq!(fleet.suspend(1, "w-1", false), "yes\n");
-    fleet.until("told by the one that has the place", &[0, 2], |_, p| p.bans == ["w-1"]);
+    fleet.until("told by the one that has the place", &[0, 2], |_, p| {
+        p.bans == ["w-1"]
+    });
     old.end();
-    assert!(wait(MOST, || old.ended() == Some(true)), "the first one ends");
+    assert!(
+        wait(MOST, || old.ended() == Some(true)),
+        "the first one ends"
+    );
     fleet.whole();
     fleet.bans("known to the second, too", &["w-1"]);
     assert!(fleet.picture(1).expect("a picture").members[0].incarnation > first);
-    let after = [0, 2].map(|n| (fleet.lines(n, "a node has failed"), fleet.lines(n, "a node has left")));
+    let after = [0, 2].map(|n| {
+        (
+            fleet.lines(n, "a node has failed"),
+            fleet.lines(n, "a node has left"),
+        )
+    });
     assert_eq!(before, after, "nobody failed or left: {}", fleet.told());
     assert_eq!(fleet.suspend(1, "w-1", true), "yes, at 3 of 3 nodes\n");
     fleet.bans("none is out", &[]);
@@ -360,7 +501,9 @@
     fn lend_listener(&mut self, n: usize) {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.set_reuse_address(true).expect("a setting");
-        listener.bind(&self.nodes[n].client.into()).expect("its address");
+        listener
+            .bind(&self.nodes[n].client.into())
+            .expect("its address");
         listener.listen(64).expect("it listens");
         listener.set_cloexec(false).expect("it is inherited");
         self.nodes[n].listener = Some(listener);
@@ -390,7 +533,10 @@
     fleet.whole();
     fleet.bans("known to all", &["w-1"]);
     old.end();
-    assert!(wait(MOST, || old.ended() == Some(true)), "the first one ends");
+    assert!(
+        wait(MOST, || old.ended() == Some(true)),
+        "the first one ends"
+    );
     fleet.bans("still", &["w-1"]);
 }
 
@@ -405,9 +551,15 @@
     // Long enough for the store's look at what has changed.
     std::thread::sleep(Duration::from_millis(2500));
     fleet.process(2).end();
-    assert!(wait(MOST, || fleet.process(2).ended() == Some(true)), "it ends");
+    assert!(
+        wait(MOST, || fleet.process(2).ended() == Some(true)),
+        "it ends"
+    );
     fleet.nodes[2].process = None;
-    let (store, old) = (fleet.nodes[2].folder.join("store"), fleet.nodes[2].folder.join("old"));
+    let (store, old) = (
+        fleet.nodes[2].folder.join("store"),
+        fleet.nodes[2].folder.join("old"),
+    );
     std::fs::create_dir_all(&old).expect("a folder");
     for entry in std::fs::read_dir(&store).expect("its store") {
         let path = entry.expect("a file").path();
@@ -426,7 +578,11 @@
     fleet.start(2);
     fleet.whole();
     fleet.bans("the older store changes nothing", &["w-0", "w-2"]);
-    assert_eq!(fleet.suspend(2, "w-2", true), "yes, at 3 of 3 nodes\n", "nor does it wait for the disk");
+    assert_eq!(
+        fleet.suspend(2, "w-2", true),
+        "yes, at 3 of 3 nodes\n",
+        "nor does it wait for the disk"
+    );
     fleet.bans("w-2 is back", &["w-0"]);
     (0..2).for_each(|n| {
         let failed = fleet.lines(n, "a node has failed");
@@ -440,9 +596,14 @@
 fn a_full_disk_and_syncs_that_fail_are_no_change_of_members_and_lose_no_ban() {
     let mut fleet = Fleet::new(3, 16, true);
     fleet.process(1).end();
-    assert!(wait(MOST, || fleet.process(1).ended() == Some(true)), "it ends");
+    assert!(
+        wait(MOST, || fleet.process(1).ended() == Some(true)),
+        "it ends"
+    );
     let trouble = fleet.nodes[1].folder.join("trouble");
-    fleet.change(1, |json| json["store"]["trouble_file"] = trouble.display().to_string().into());
+    fleet.change(1, |json| {
+        json["store"]["trouble_file"] = trouble.display().to_string().into()
+    });
     fleet.start(1);
     fleet.whole();
     for (n, (worker, word)) in [("w-0", "sync"), ("w-1", "full")].into_iter().enumerate() {
@@ -456,7 +617,9 @@
         let id = format!("j-{word}");
         let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5")];
         assert_eq!(
-            ask(client, "POST", "/reroute/x", &fields, b"s").expect("an answer").status,
+            ask(client, "POST", "/reroute/x", &fields, b"s")
+                .expect("an answer")
+                .status,
             200,
             "safe jobs go on"
         );
@@ -479,21 +642,35 @@
     let mut fleet = Fleet::new(3, 17, false);
     fleet.net.part(&[0], &[2]);
     fleet.history.note("cut 0 2");
-    let line = |picture: &ClusterStatus| picture.standing == "some pairs cut" && picture.reasons.len() == 2;
+    let line = |picture: &ClusterStatus| {
+        picture.standing == "some pairs cut" && picture.reasons.len() == 2
+    };
     fleet.until("a line", &[0, 1, 2], |_, p| line(p));
     for seconds in [1, 4, 20] {
         fleet.pause(&[2], Duration::from_secs(seconds));
         fleet.until("a line again", &[0, 1, 2], |_, p| {
             line(p) && p.members.iter().all(|m| m.state != "failed")
         });
-        assert_eq!(fleet.lines(2, "a node has failed"), 0, "it blames nobody: {}", fleet.told());
+        assert_eq!(
+            fleet.lines(2, "a node has failed"),
+            0,
+            "it blames nobody: {}",
+            fleet.told()
+        );
     }
     fleet.kill(2);
     fleet.until("known through the middle", &[0, 1], |_, p| {
         p.standing == "cut off with a majority"
-            && p.members.iter().any(|m| m.name == "n2" && m.state == "failed")
+            && p.members
+                .iter()
+                .any(|m| m.name == "n2" && m.state == "failed")
     });
-    assert_eq!(fleet.lines(0, "a node has failed name=\"n1\""), 0, "{}", fleet.told());
+    assert_eq!(
+        fleet.lines(0, "a node has failed name=\"n1\""),
+        0,
+        "{}",
+        fleet.told()
+    );
     fleet.net.heal();
     fleet.start(2);
     fleet.whole();
@@ -512,7 +689,9 @@
     fleet.start(2);
     fleet.whole();
     fleet.until("at its new address", &[0, 1], |_, p| {
-        p.members.iter().any(|m| m.name == "n2" && m.address.to_string() == at)
+        p.members
+            .iter()
+            .any(|m| m.name == "n2" && m.address.to_string() == at)
     });
 }
 
@@ -522,8 +701,13 @@
     fn word(&mut self, n: usize, worker: usize, again: bool) {
         let word = if again { "resume" } else { "suspend" };
         let call = format!("/v1/route-workers/w-{worker}/{word}");
-        let answer = ask(self.nodes[n].door, "POST", &call, &[], b"").expect("a node that lives answers");
-        self.history.note(format!("{}: {}", answer.status, String::from_utf8_lossy(&answer.body).trim_end()));
+        let answer =
+            ask(self.nodes[n].door, "POST", &call, &[], b"").expect("a node that lives answers");
+        self.history.note(format!(
+            "{}: {}",
+            answer.status,
+            String::from_utf8_lossy(&answer.body).trim_end()
+        ));
         assert!([200, 404].contains(&answer.status), "{}", self.told());
         if answer.status == 200 {
             self.words.push((worker, again));
@@ -539,13 +723,23 @@
             Step::Start(n) => self.start(n),
             Step::Pause(n) => self.process(n).pause(),
             Step::Wake(n) => self.process(n).wake(),
-            Step::Cut(a, b) => self.net.set(a, b, Link { cut: true, ..Link::default() }),
+            Step::Cut(a, b) => self.net.set(
+                a,
+                b,
+                Link {
+                    cut: true,
+                    ..Link::default()
+                },
+            ),
             Step::Isolate(n) => {
                 let others: Vec<usize> = (0..count).filter(|other| *other != n).collect();
                 self.net.part(&[n], &others);
             }
             Step::Heal => self.net.heal(),
-            Step::Loss(share) => self.net.all(Link { loss: f64::from(share) / 100.0, ..Link::default() }),
+            Step::Loss(share) => self.net.all(Link {
+                loss: f64::from(share) / 100.0,
+                ..Link::default()
+            }),
             Step::Suspend(n, worker) => self.word(n, worker, false),
             Step::Resume(n, worker) => self.word(n, worker, true),
             Step::Rest(ms) => std::thread::sleep(Duration::from_millis(ms)),
@@ -576,32 +770,57 @@
         }
         fleet.whole();
         over.store(true, Ordering::SeqCst);
-        clients.into_iter().for_each(|client| client.join().expect("a client without a complaint"));
-        let served =
-            fleet.history.all().iter().filter(|(_, e)| matches!(e, Event::Answered(_, Some(200), _))).count();
-        assert!(served > 100, "seed {seed}: {served} served: {}", fleet.told());
+        clients
+            .into_iter()
+            .for_each(|client| client.join().expect("a client without a complaint"));
+        let served = fleet
+            .history
+            .all()
+            .iter()
+            .filter(|(_, e)| matches!(e, Event::Answered(_, Some(200), _)))
+            .count();
+        assert!(
+            served > 100,
+            "seed {seed}: {served} served: {}",
+            fleet.told()
+        );
         for (job, times) in fleet.workers.iter().flat_map(Worker::runs) {
             fleet.history.add(Event::Ran(job, times));
         }
         // Its class may be tried three times.
-        if let Err(broken) =
-            check::answers(&fleet.history, 3).and_then(|()| check::blame(&fleet.history, &fleet.logs()))
+        if let Err(broken) = check::answers(&fleet.history, 3)
+            .and_then(|()| check::blame(&fleet.history, &fleet.logs()))
         {
             panic!("seed {seed}: {broken}\n{}", fleet.told());
         }
         let agree = || {
-            let bans: Vec<_> = (0..5).filter_map(|n| Some(fleet.picture(n)?.bans)).collect();
+            let bans: Vec<_> = (0..5)
+                .filter_map(|n| Some(fleet.picture(n)?.bans))
+                .collect();
             bans.len() == 5 && bans.windows(2).all(|pair| pair[0] == pair[1])
         };
-        assert!(wait(MOST, agree), "seed {seed}, they agree: {}", fleet.told());
+        assert!(
+            wait(MOST, agree),
+            "seed {seed}, they agree: {}",
+            fleet.told()
+        );
         // Out of use by a word that nobody took back, wherever it was given.
         let bans = fleet.picture(0).expect("a picture").bans;
         for worker in 0..3 {
-            let words: Vec<bool> =
-                fleet.words.iter().filter(|(w, _)| *w == worker).map(|(_, again)| !again).collect();
+            let words: Vec<bool> = fleet
+                .words
+                .iter()
+                .filter(|(w, _)| *w == worker)
+                .map(|(_, again)| !again)
+                .collect();
             let out = bans.contains(&format!("w-{worker}"));
             if words.iter().all(|suspend| *suspend) {
-                assert_eq!(out, !words.is_empty(), "seed {seed}, w-{worker}: {}", fleet.told());
+                assert_eq!(
+                    out,
+                    !words.is_empty(),
+                    "seed {seed}, w-{worker}: {}",
+                    fleet.told()
+                );
             }
         }
     }
@@ -615,11 +834,20 @@
         .output()
         .expect("it runs");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{text}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     // Others' connections take their ports at this address, so that a node's can be gone before it is there.
     assert!(!text.contains(" 127.0.0.1:"), "{text}");
-    for step in ["yes, at 3 of 3 nodes", "cut off with a majority", "gave it up", "node-2 has left", "served"]
-    {
+    for step in [
+        "yes, at 3 of 3 nodes",
+        "cut off with a majority",
+        "gave it up",
+        "node-2 has left",
+        "served",
+    ] {
         assert!(text.contains(step), "{step}: {text}");
     }
 }
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -11,8 +11,16 @@
 use std::time::Duration;
 
 /// Takes all workers but one out of the list, and lets the request be looked at for so long.
-fn alone(harness: &mut DispatcherHarness, stays: u16, due: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
-    let others = (0..8).filter(|n| *n != stays).map(|n| with_health(n, Health::Draining)).collect();
+fn alone(
+    harness: &mut DispatcherHarness,
+    stays: u16,
+    due: &mut Vec<(f64, u64)>,
+    until: f64,
+) -> Vec<Action> {
+    let others = (0..8)
+        .filter(|n| *n != stays)
+        .map(|n| with_health(n, Health::Draining))
+        .collect();
     harness.list(ListKind::Delta, others);
     // Requests bring the budget for copies.
     (1000..1040).for_each(|id| drop(harness.request(id, 2)));
@@ -36,7 +44,11 @@
             let (to, mut due) = (sends(&actions), timers(&actions));
             let stays = u16::from(to[0].address[3]);
             let all = alone(&mut harness, stays, &mut due, 103.9);
-            assert_eq!(sends_of(&all, 1), 0, "class {class}, starts told: {tells_start}");
+            assert_eq!(
+                sends_of(&all, 1),
+                0,
+                "class {class}, starts told: {tells_start}"
+            );
         }
     }
 }
@@ -45,15 +57,25 @@
 /// that one, or miss the old one.
 #[test]
 fn a_worker_whose_attempt_was_cancelled_gets_no_other_one() {
-    let mut harness = DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
     let actions = harness.request(1, 0);
     let (first, mut due) = (sends(&actions), timers(&actions));
     let copy = sends(&harness.run(100.3, &mut due));
-    assert_eq!(harness.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
+    assert_eq!(
+        harness.note(1, 1, Note::Started),
+        [Action::Cancel {
+            request: 1,
+            attempt: 0
+        }]
+    );
     harness.outcome(1, 0, first[0], Outcome::Cancelled);
     // Only the worker of the cancelled attempt is left when the other one fails.
     let stays = u16::from(first[0].address[3]);
-    let others = (0..8).filter(|n| *n != stays).map(|n| with_health(n, Health::Draining)).collect();
+    let others = (0..8)
+        .filter(|n| *n != stays)
+        .map(|n| with_health(n, Health::Draining))
+        .collect();
     harness.list(ListKind::Delta, others);
     let mut all = harness.outcome(1, 1, copy[0], Outcome::Reset);
     due.extend(timers(&all));
@@ -77,7 +99,10 @@
     ];
     for (end, never_ran) in ends {
         assert_eq!(end.proves_never_ran(false), never_ran, "{end:?}");
-        assert!(!end.proves_never_ran(true) || end != Outcome::Full, "unless the settings say so");
+        assert!(
+            !end.proves_never_ran(true) || end != Outcome::Full,
+            "unless the settings say so"
+        );
         for class in 0..3 {
             let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
             let actions = harness.request(1, class);
@@ -107,11 +132,16 @@
         );
         let mut worker = Peer::accept(&harness.workers[0]);
         assert_eq!(worker.request().headers.get("x-request-id"), Some("one"));
-        socket2::SockRef::from(&worker.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
+        socket2::SockRef::from(&worker.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("a setting");
         drop(worker);
         assert_eq!(client.response().status, status, "{effect}");
         harness.workers[0].set_nonblocking(true).expect("a setting");
-        assert!(harness.workers[0].accept().is_err(), "{effect}: a second attempt at the worker");
+        assert!(
+            harness.workers[0].accept().is_err(),
+            "{effect}: a second attempt at the worker"
+        );
         drop(client);
         harness.stop();
     }
@@ -133,9 +163,16 @@
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 2.0\r\n{header}Content-Length: 0\r\n\r\n"
         ));
         // The one that has it first is whichever the lottery drew.
-        harness.workers.iter().for_each(|worker| worker.set_nonblocking(true).expect("a setting"));
+        harness
+            .workers
+            .iter()
+            .for_each(|worker| worker.set_nonblocking(true).expect("a setting"));
         let accept = || loop {
-            if let Some((stream, _)) = harness.workers.iter().find_map(|worker| worker.accept().ok()) {
+            if let Some((stream, _)) = harness
+                .workers
+                .iter()
+                .find_map(|worker| worker.accept().ok())
+            {
                 stream.set_nonblocking(false).expect("a setting");
                 return Peer::new(stream);
             }
@@ -143,7 +180,9 @@
         };
         let mut worker = accept();
         worker.request();
-        socket2::SockRef::from(&worker.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
+        socket2::SockRef::from(&worker.stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("a setting");
         drop(worker);
         if key {
             let mut second = accept();
@@ -153,8 +192,18 @@
             assert_eq!((done(0), done(1)), (200, 200));
             assert_eq!(client.response().status, 200);
         } else {
-            assert_eq!(client.response().status, 502, "failed: it may have run, and must not run twice");
-            assert!(harness.workers.iter().all(|worker| worker.accept().is_err()), "a second attempt");
+            assert_eq!(
+                client.response().status,
+                502,
+                "failed: it may have run, and must not run twice"
+            );
+            assert!(
+                harness
+                    .workers
+                    .iter()
+                    .all(|worker| worker.accept().is_err()),
+                "a second attempt"
+            );
         }
         drop(client);
         harness.stop();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -32,8 +32,14 @@
 impl Process {
     fn post(&self, path: &str) -> u16 {
         let asked = Instant::now();
-        let status = ask(self.door, "POST", path, &[], b"").expect("an answer").status;
-        assert!(asked.elapsed() < ms(1000), "{path} took {:?}", asked.elapsed());
+        let status = ask(self.door, "POST", path, &[], b"")
+            .expect("an answer")
+            .status;
+        assert!(
+            asked.elapsed() < ms(1000),
+            "{path} took {:?}",
+            asked.elapsed()
+        );
         status
     }
 
@@ -45,7 +51,10 @@
             ended = self.it.ended();
             ended.is_some()
         };
-        assert!(postproxy_fault_injection::wait(LIMIT, end), "it does not end");
+        assert!(
+            postproxy_fault_injection::wait(LIMIT, end),
+            "it does not end"
+        );
         (start.elapsed(), ended == Some(true))
     }
 }
@@ -66,17 +75,24 @@
     /// Workers whose jobs take so many milliseconds each.
     fn with(name: &str, times: &[u64]) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .expect("a port");
         listener.listen(1024).expect("it listens");
         listener.set_cloexec(false).expect("it is inherited");
-        let address = listener.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
-        let worker =
-            |(n, time): (usize, &u64)| Worker::start(&format!("s-{n}"), ms(*time)).expect("a worker");
+        let address = listener
+            .local_addr()
+            .ok()
+            .and_then(|a| a.as_socket())
+            .expect("an address");
+        let worker = |(n, time): (usize, &u64)| {
+            Worker::start(&format!("s-{n}"), ms(*time)).expect("a worker")
+        };
         let workers: Vec<Worker> = times.iter().enumerate().map(worker).collect();
         workers.iter().for_each(|worker| worker.reports_to(address));
         let discovery = Discovery::start(&workers).expect("discovery");
-        let folder =
-            PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("ops-{name}-{}", std::process::id()));
+        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("ops-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(folder.join("tmp")).expect("a folder");
         let mut config: serde_json::Value =
@@ -85,7 +101,13 @@
         config["discovery"] = discovery.address.to_string().into();
         config["known"] = serde_json::Value::Null;
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
-        Self { listener, address, folder, workers, _discovery: discovery }
+        Self {
+            listener,
+            address,
+            folder,
+            workers,
+            _discovery: discovery,
+        }
     }
 
     fn command(&self) -> (Command, SocketAddr) {
@@ -121,7 +143,15 @@
     }
 
     fn ready(&self) -> u16 {
-        ask(self.address, "GET", "/-/ready", &[("Connection", "close")], b"").expect("an answer").status
+        ask(
+            self.address,
+            "GET",
+            "/-/ready",
+            &[("Connection", "close")],
+            b"",
+        )
+        .expect("an answer")
+        .status
     }
 
     fn runs(&self) -> HashMap<String, u32> {
@@ -162,14 +192,21 @@
 
 impl Load {
     fn start(node: SocketAddr, clients: u64) -> Self {
-        let (over, counts) = (Arc::new(AtomicBool::new(false)), Arc::new(Counts::default()));
+        let (over, counts) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Counts::default()),
+        );
         let threads = (0..clients)
             .map(|number| {
                 let (over, counts) = (over.clone(), counts.clone());
                 thread::spawn(move || client(number, node, &over, &counts))
             })
             .collect();
-        Self { over, counts, threads }
+        Self {
+            over,
+            counts,
+            threads,
+        }
     }
 
     fn served(&self) -> u64 {
@@ -188,9 +225,15 @@
     /// How many were served, refused, and not heard.
     fn end(self) -> (u64, u64, u64) {
         self.over.store(true, Ordering::SeqCst);
-        self.threads.into_iter().for_each(|thread| thread.join().expect("a client without a complaint"));
+        self.threads
+            .into_iter()
+            .for_each(|thread| thread.join().expect("a client without a complaint"));
         let get = |what: &AtomicU64| what.load(Ordering::SeqCst);
-        (get(&self.counts.served), get(&self.counts.refused), get(&self.counts.unheard))
+        (
+            get(&self.counts.served),
+            get(&self.counts.refused),
+            get(&self.counts.unheard),
+        )
     }
 }
 
@@ -199,7 +242,9 @@
     loop {
         let size = stream.read(&mut bytes).ok().filter(|size| *size > 0)?;
         input.extend(&bytes[..size]);
-        if let Parsed::Whole(response, _) = http::read_response(&input, false, http::MAX_BODY_BYTES).ok()? {
+        if let Parsed::Whole(response, _) =
+            http::read_response(&input, false, http::MAX_BODY_BYTES).ok()?
+        {
             return Some(response);
         }
     }
@@ -208,13 +253,22 @@
 fn client(number: u64, node: SocketAddr, over: &AtomicBool, counts: &Counts) {
     let mut kept: Option<TcpStream> = None;
     for job in 0.. {
-        let (key, body) = (format!("key-{number}-{job}"), format!("work {number} {job}"));
-        let path = if job % 2 == 0 { "/day-plan/x" } else { "/reroute/x" };
+        let (key, body) = (
+            format!("key-{number}-{job}"),
+            format!("work {number} {job}"),
+        );
+        let path = if job % 2 == 0 {
+            "/day-plan/x"
+        } else {
+            "/reroute/x"
+        };
         for attempt in 0.. {
             if over.load(Ordering::SeqCst) {
                 return;
             }
-            let mut stream = kept.take().unwrap_or_else(|| TcpStream::connect(node).expect("a connection"));
+            let mut stream = kept
+                .take()
+                .unwrap_or_else(|| TcpStream::connect(node).expect("a connection"));
             stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
             let head = format!(
                 "POST {path} HTTP/1.1\r\nX-Request-Id: id-{number}-{job}-{attempt}\r\nIdempotency-Key: {key}\r\n\
@@ -230,7 +284,11 @@
             });
             match sent.ok().and_then(|()| answered(&mut stream)) {
                 Some(answer) if answer.status == 200 => {
-                    assert_eq!(answer.body, body.to_uppercase().as_bytes(), "an answer that no worker made");
+                    assert_eq!(
+                        answer.body,
+                        body.to_uppercase().as_bytes(),
+                        "an answer that no worker made"
+                    );
                     counts.served.fetch_add(1, Ordering::SeqCst);
                     kept = answer.keeps.then_some(stream);
                     sleep(ms(number % 4 * 3));
@@ -243,7 +301,12 @@
                 Some(answer) => panic!("{key}: {}", answer.status),
                 None => {
                     counts.unheard.fetch_add(1, Ordering::SeqCst);
-                    *counts.again.lock().expect("a lock").entry(key.clone()).or_default() += 1;
+                    *counts
+                        .again
+                        .lock()
+                        .expect("a lock")
+                        .entry(key.clone())
+                        .or_default() += 1;
                     sleep(ms(5));
                 }
             }
@@ -265,7 +328,10 @@
         slowest = slowest.max(yes);
         process.it.end();
         let (ended, well) = process.end();
-        assert!(well && ended < ms(3700), "the old process ended after {ended:?}, well: {well}");
+        assert!(
+            well && ended < ms(3700),
+            "the old process ended after {ended:?}, well: {well}"
+        );
         process = next;
         load.more(40);
     }
@@ -301,8 +367,16 @@
             let at = bed.address;
             thread::spawn(move || {
                 let id = format!("long-{n}");
-                let fields = [("X-Request-Id", id.as_str()), ("Idempotency-Key", &id), ("X-Deadline", "6")];
-                let path = if n % 2 == 0 { "/day-plan/x" } else { "/reroute/x" };
+                let fields = [
+                    ("X-Request-Id", id.as_str()),
+                    ("Idempotency-Key", &id),
+                    ("X-Deadline", "6"),
+                ];
+                let path = if n % 2 == 0 {
+                    "/day-plan/x"
+                } else {
+                    "/reroute/x"
+                };
                 let answer = ask(at, "POST", path, &fields, b"long").ok()?;
                 assert!(answer.status != 200 || answer.body == b"LONG");
                 Some(answer.status)
@@ -311,9 +385,12 @@
         .collect();
     // One that gives up: the process that has its job by then calls it back.
     let mut leaves = TcpStream::connect(bed.address).expect("a connection");
-    write!(leaves, "POST /reroute/x HTTP/1.1\r\nX-Request-Id: gone\r\nIdempotency-Key: gone\r\n")
-        .and_then(|()| write!(leaves, "Content-Length: 1\r\n\r\ng"))
-        .expect("it is written");
+    write!(
+        leaves,
+        "POST /reroute/x HTTP/1.1\r\nX-Request-Id: gone\r\nIdempotency-Key: gone\r\n"
+    )
+    .and_then(|()| write!(leaves, "Content-Length: 1\r\n\r\ng"))
+    .expect("it is written");
     let start = Instant::now();
     while bed.runs().len() < 13 {
         assert!(start.elapsed() < LIMIT, "they do not arrive");
@@ -322,22 +399,45 @@
     let mut second = bed.start();
     first.it.end();
     let (ended, well) = first.end();
-    assert!(well && ended < ms(1500), "{ended:?}: it waited for its jobs");
+    assert!(
+        well && ended < ms(1500),
+        "{ended:?}: it waited for its jobs"
+    );
     // What is held elsewhere is held here.
     let again = [("X-Request-Id", "long-3"), ("Idempotency-Key", "other")];
-    assert_eq!(ask(bed.address, "POST", "/reroute/x", &again, b"x").expect("an answer").status, 409);
+    assert_eq!(
+        ask(bed.address, "POST", "/reroute/x", &again, b"x")
+            .expect("an answer")
+            .status,
+        409
+    );
     let mut third = bed.start();
     second.it.end();
     let (ended, well) = second.end();
-    assert!(well && ended < ms(1500), "{ended:?}: it waited for its jobs");
+    assert!(
+        well && ended < ms(1500),
+        "{ended:?}: it waited for its jobs"
+    );
     drop(leaves);
-    let answers: Vec<Option<u16>> = clients.into_iter().map(|c| c.join().expect("no complaint")).collect();
-    assert!(answers.iter().all(|status| *status == Some(200)), "{answers:?}");
+    let answers: Vec<Option<u16>> = clients
+        .into_iter()
+        .map(|c| c.join().expect("no complaint"))
+        .collect();
+    assert!(
+        answers.iter().all(|status| *status == Some(200)),
+        "{answers:?}"
+    );
     let runs = bed.runs();
-    assert!(runs.len() == 13 && runs.values().all(|times| *times == 1), "{runs:?}");
+    assert!(
+        runs.len() == 13 && runs.values().all(|times| *times == 1),
+        "{runs:?}"
+    );
     let called = start.elapsed();
     while bed.workers[0].acknowledged().len() < 13 {
-        assert!(start.elapsed() < called + LIMIT, "a call-back is not answered");
+        assert!(
+            start.elapsed() < called + LIMIT,
+            "a call-back is not answered"
+        );
         sleep(ms(5));
     }
     third.it.end();
@@ -353,10 +453,17 @@
     let load = Load::start(bed.address, 6);
     load.more(60);
     // The first six may all go to others, which are then known to have room: one job in twenty goes to one not heard of.
-    assert!(postproxy_fault_injection::wait(LIMIT, || bed.run_by(0) > 0), "it is never drawn");
+    assert!(
+        postproxy_fault_injection::wait(LIMIT, || bed.run_by(0) > 0),
+        "it is never drawn"
+    );
     assert_eq!(process.post("/v1/route-workers/nobody/suspend"), 404);
     assert_eq!(process.post("/v1/route-workers/s-0/suspend"), 200);
-    assert_eq!(process.post("/v1/route-workers/s%2D0/suspend"), 200, "twice");
+    assert_eq!(
+        process.post("/v1/route-workers/s%2D0/suspend"),
+        200,
+        "twice"
+    );
     sleep(ms(50));
     let before = bed.run_by(0);
     load.more(60);
@@ -368,7 +475,11 @@
     process.it.end();
     assert!(process.end().1);
     load.more(60);
-    assert_eq!((bed.run_by(0), bed.run_by(1)), (before, other), "what was out got work");
+    assert_eq!(
+        (bed.run_by(0), bed.run_by(1)),
+        (before, other),
+        "what was out got work"
+    );
     assert_eq!(next.post("/v1/route-workers/s-0/resume"), 200);
     let start = Instant::now();
     while bed.run_by(0) == before {
@@ -377,7 +488,10 @@
     }
     assert_eq!(bed.run_by(1), other);
     let (served, refused, unheard) = load.end();
-    println!("{served} served, {refused} refused, {unheard} unheard; used again after {:?}", start.elapsed());
+    println!(
+        "{served} served, {refused} refused, {unheard} unheard; used again after {:?}",
+        start.elapsed()
+    );
     assert_eq!((refused, unheard), (0, 0));
     next.it.end();
     assert!(next.end().1);
@@ -398,10 +512,16 @@
         .map(|n| {
             let mut stream = TcpStream::connect(bed.address).expect("a connection");
             stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
-            write!(stream, "POST /reroute/x HTTP/1.1\r\nX-Request-Id: k-{n}\r\nIdempotency-Key: k-{n}\r\n")
-                .and_then(|()| write!(stream, "Content-Length: 1\r\n\r\nk"))
-                .expect("it is written");
-            assert_eq!(answered(&mut stream).map(|a| (a.status, a.keeps)), Some((200, true)));
+            write!(
+                stream,
+                "POST /reroute/x HTTP/1.1\r\nX-Request-Id: k-{n}\r\nIdempotency-Key: k-{n}\r\n"
+            )
+            .and_then(|()| write!(stream, "Content-Length: 1\r\n\r\nk"))
+            .expect("it is written");
+            assert_eq!(
+                answered(&mut stream).map(|a| (a.status, a.keeps)),
+                Some((200, true))
+            );
             stream
         })
         .collect();
@@ -419,7 +539,11 @@
     for stream in &mut kept {
         assert_eq!(stream.read(&mut [0; 64]).expect("its end"), 0);
     }
-    assert!(start.elapsed() < ms(3500), "closed after {:?}", start.elapsed());
+    assert!(
+        start.elapsed() < ms(3500),
+        "closed after {:?}",
+        start.elapsed()
+    );
     assert!(process.end().1);
     assert_eq!(next.post("/v1/node/activate"), 200);
     assert_eq!(bed.ready(), 200);
@@ -437,9 +561,15 @@
         let (process, yes) = bed.start_with(|command| change(command));
         assert!(yes < ms(most), "{what}: {yes:?}");
         let id = format!("m-{}", what.replace(' ', "-"));
-        let job = [("X-Request-Id", id.as_str()), ("Idempotency-Key", &id), ("Connection", "close")];
+        let job = [
+            ("X-Request-Id", id.as_str()),
+            ("Idempotency-Key", &id),
+            ("Connection", "close"),
+        ];
         assert_eq!(
-            ask(bed.address, "POST", "/reroute/x", &job, b"m").expect("an answer").status,
+            ask(bed.address, "POST", "/reroute/x", &job, b"m")
+                .expect("an answer")
+                .status,
             200,
             "{what}"
         );
@@ -451,7 +581,9 @@
     std::fs::write(&at, b"a file").expect("a file");
     serves("a file", 1000, &|_| {});
     serves("no folder", 1000, &|command| {
-        command.env("TMPDIR", "/dev/null/none").stderr(Stdio::null());
+        command
+            .env("TMPDIR", "/dev/null/none")
+            .stderr(Stdio::null());
     });
     serves("none named", 1000, &|command| {
         command.env_remove("TMPDIR").stderr(Stdio::null());
@@ -500,11 +632,16 @@
 fn what_is_no_listener_of_the_node_ends_the_start() {
     let bed = Bed::new("fd");
     let other = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    other.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+    other
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .expect("a port");
     other.set_cloexec(false).expect("it is inherited");
     let refused = |number: String, word: &str| {
         let (mut command, _) = bed.command();
-        let output = command.env("RELAY_SOCKET_FD", &number).output().expect("the program starts");
+        let output = command
+            .env("RELAY_SOCKET_FD", &number)
+            .output()
+            .expect("the program starts");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{number}: {text}");
         assert!(
@@ -519,17 +656,35 @@
     other.listen(1).expect("it listens");
     refused(other.as_raw_fd().to_string(), "listens at 127.0.0.1:");
     let (mut command, _) = bed.command();
-    let output = command.env("RELAY_MGMT", bed.address.to_string()).output().expect("the program starts");
-    assert!(String::from_utf8_lossy(&output.stderr).contains("RELAY_MGMT"), "{output:?}");
+    let output = command
+        .env("RELAY_MGMT", bed.address.to_string())
+        .output()
+        .expect("the program starts");
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains("RELAY_MGMT"),
+        "{output:?}"
+    );
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address").to_string();
     let (mut command, _) = bed.command();
-    let output = command.env("RELAY_MGMT", &at).output().expect("the program starts");
+    let output = command
+        .env("RELAY_MGMT", &at)
+        .output()
+        .expect("the program starts");
     assert_eq!(output.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&output.stderr).contains(&at), "an address in use: {output:?}");
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains(&at),
+        "an address in use: {output:?}"
+    );
     let (mut command, _) = bed.command();
-    let output = command.env("RELAY_MGMT", "here").output().expect("the program starts");
-    assert!(String::from_utf8_lossy(&output.stderr).contains("RELAY_MGMT: 'here'"), "{output:?}");
+    let output = command
+        .env("RELAY_MGMT", "here")
+        .output()
+        .expect("the program starts");
+    assert!(
+        String::from_utf8_lossy(&output.stderr).contains("RELAY_MGMT: 'here'"),
+        "{output:?}"
+    );
 }
 
 /// Guards against a signal that comes at the wrong moment: to stop before the yes, in a drain, to reload in each; and
@@ -539,8 +694,14 @@
 fn signals_at_any_moment_end_or_change_what_they_should() {
     let bed = Bed::new("signals");
     let serves = |id: &str| {
-        let job = [("X-Request-Id", id), ("Idempotency-Key", id), ("Connection", "close")];
-        ask(bed.address, "POST", "/reroute/x", &job, b"s").expect("an answer").status
+        let job = [
+            ("X-Request-Id", id),
+            ("Idempotency-Key", id),
+            ("Connection", "close"),
+        ];
+        ask(bed.address, "POST", "/reroute/x", &job, b"s")
+            .expect("an answer")
+            .status
     };
     let mut first = bed.start();
     first.it.pause();
@@ -593,8 +754,14 @@
     let (served, refused, unheard) = load.end();
     let (runs, again) = (bed.runs(), counts.again.lock().expect("a lock").clone());
     let asked = |job: &String| 1 + again.get(job).copied().unwrap_or(0);
-    let more: Vec<_> = runs.iter().filter(|(job, times)| **times > asked(job)).collect();
+    let more: Vec<_> = runs
+        .iter()
+        .filter(|(job, times)| **times > asked(job))
+        .collect();
     assert!(more.is_empty(), "run more often than asked for: {more:?}");
     println!("6 kills in a handover: {served} served, {refused} refused, {unheard} unheard");
-    assert!(served > 240 && unheard <= 6 * 8, "{served} served, {unheard} unheard");
+    assert!(
+        served > 240 && unheard <= 6 * 8,
+        "{served} served, {unheard} unheard"
+    );
 }
