--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -4,7 +4,9 @@
 mod dispatcher_harness;
 
 use dispatcher_harness::*;
-use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId};
+use postproxy::{
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId,
+};
 use std::collections::BTreeMap;
 
 /// Sends `count` safe requests, one by one, each ended at once without a report; counts the choices.
@@ -23,7 +25,10 @@
 /// Gives worker `n` a report in the answer of a job that it has just served.
 fn report(harness: &mut DispatcherHarness, id: RequestId, n: u16, figures: Vec<f32>) {
     // Drains all others, so that the job has to go to `n`.
-    let others = (0..8).filter(|&o| o != n).map(|o| with_health(o, Health::Draining)).collect();
+    let others = (0..8)
+        .filter(|&o| o != n)
+        .map(|o| with_health(o, Health::Draining))
+        .collect();
     harness.list(ListKind::Delta, others);
     let to = sends(&harness.request(id, 0));
     assert_eq!(to, [worker(n)]);
@@ -36,7 +41,10 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let chosen = choices(&mut harness, 8000);
     assert_eq!(chosen.len(), 8);
-    assert!(chosen.values().all(|&n| (850..1150).contains(&n)), "{chosen:?}");
+    assert!(
+        chosen.values().all(|&n| (850..1150).contains(&n)),
+        "{chosen:?}"
+    );
 }
 
 #[test]
@@ -72,15 +80,24 @@
     // A first answer shows four free slots: room for the one that ended and four more.
     let (first, to) = send(&mut harness);
     harness.answer(first, 0, to[0], Outcome::Ok, vec![0.0, 4.0]);
-    let placed: Vec<_> = (0..40).map(|_| send(&mut harness)).filter(|(_, to)| !to.is_empty()).collect();
+    let placed: Vec<_> = (0..40)
+        .map(|_| send(&mut harness))
+        .filter(|(_, to)| !to.is_empty())
+        .collect();
     // Own sends use the room up although no report has shown them: the rest is held, not queued late.
     assert!((4..20).contains(&placed.len()), "{}", placed.len());
-    assert!(send(&mut harness).1.is_empty(), "held while the correction fills the worker");
+    assert!(
+        send(&mut harness).1.is_empty(),
+        "held while the correction fills the worker"
+    );
     // A report of old that shows it empty does not clear the correction.
     harness.now += 0.2;
     harness.answer(placed[0].0, 0, worker(0), Outcome::Ok, vec![0.0, 4.0]);
     let held: Vec<_> = (0..3).flat_map(|_| send(&mut harness).1).collect();
-    assert!(held.len() <= 1, "at most the place of the one that ended: {held:?}");
+    assert!(
+        held.len() <= 1,
+        "at most the place of the one that ended: {held:?}"
+    );
     // The ends of all of them do, in a report or without one.
     for (id, _) in &placed[1..] {
         harness.answer(*id, 0, worker(0), Outcome::Ok, vec![]);
@@ -104,8 +121,13 @@
         })
     };
     assert_eq!(sends(&harness.event(wide(2))), [worker(3)]);
-    let next: Vec<_> = (3..33).flat_map(|id| sends(&harness.request(id, 2))).collect();
-    assert!(next.iter().filter(|w| **w == worker(3)).count() < 10, "{next:?}");
+    let next: Vec<_> = (3..33)
+        .flat_map(|id| sends(&harness.request(id, 2)))
+        .collect();
+    assert!(
+        next.iter().filter(|w| **w == worker(3)).count() < 10,
+        "{next:?}"
+    );
 }
 
 /// Guards against all jobs going to the worker that has just answered, where others are no fuller: whoever
@@ -126,19 +148,36 @@
 /// mark their later tries, one without a mark has just been asked for, and a marked one may have been.
 #[test]
 fn a_client_of_little_patience_is_served() {
-    let marks = |s: &mut serde_json::Value| s["client-habits"] = serde_json::json!({"marks-retry": true});
+    let marks =
+        |s: &mut serde_json::Value| s["client-habits"] = serde_json::json!({"marks-retry": true});
     let mut harness = DispatcherHarness::new(settings(marks), 8);
     let ask = |harness: &mut DispatcherHarness, request, budget, repeat| {
         let (class, hint, slots) = (2, Some(0.2), 1.0);
-        let new = NewRequest { request, class, budget, repeat, hint, slots, ..NewRequest::default() };
+        let new = NewRequest {
+            request,
+            class,
+            budget,
+            repeat,
+            hint,
+            slots,
+            ..NewRequest::default()
+        };
         sends(&harness.event(Event::Request(new))).len()
     };
     assert_eq!(ask(&mut harness, 1, 10.0, false), 1);
-    assert_eq!(ask(&mut harness, 2, 4.0, true), 0, "a later try, too late to be of use");
+    assert_eq!(
+        ask(&mut harness, 2, 4.0, true),
+        0,
+        "a later try, too late to be of use"
+    );
     for request in 3..6 {
         assert_eq!(ask(&mut harness, request, 1.0, false), 1, "a first try");
     }
-    assert_eq!(ask(&mut harness, 6, 0.9, true), 1, "its budget says nothing of its age now");
+    assert_eq!(
+        ask(&mut harness, 6, 0.9, true),
+        1,
+        "its budget says nothing of its age now"
+    );
 }
 
 #[test]
@@ -168,30 +207,40 @@
             *all.entry(to).or_insert(0) += 1;
         }
     }
-    assert!(all.len() > 4, "not all to the one that promises room: {all:?}");
+    assert!(
+        all.len() > 4,
+        "not all to the one that promises room: {all:?}"
+    );
 }
 
 #[test]
 fn probes_come_before_the_draw_where_allowed() {
-    let mut harness = DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
     let asked = harness.request(1, 2);
     let sample = probes(&asked);
     assert_eq!((sample.len(), sends(&asked).len()), (3, 0));
     assert_eq!(harness.probed(sample[0], Outcome::Ok, vec![4.0, 0.0]), []);
     assert_eq!(harness.probed(sample[1], Outcome::Ok, vec![0.0, 4.0]), []);
     let placed = harness.probed(sample[2], Outcome::Ok, vec![9.0, 0.0]);
-    assert!(sends(&placed) == [sample[1]] || probes(&placed).len() == 3, "{placed:?}");
+    assert!(
+        sends(&placed) == [sample[1]] || probes(&placed).len() == 3,
+        "{placed:?}"
+    );
 }
 
 #[test]
 fn probes_are_bounded_under_overload() {
     // Found on an overloaded day: held jobs asked again and again, 50 probes a request.
-    let mut harness = DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
     let (mut due, mut asked) = (Vec::new(), 0);
     for id in 0..50 {
         let mut actions = harness.request(id, 2);
-        while let Some(Action::Probe { worker }) =
-            actions.iter().find(|a| matches!(a, Action::Probe { .. })).cloned()
+        while let Some(Action::Probe { worker }) = actions
+            .iter()
+            .find(|a| matches!(a, Action::Probe { .. }))
+            .cloned()
         {
             asked += probes(&actions).len();
             due.extend(timers(&actions));
@@ -227,13 +276,20 @@
 
 #[test]
 fn an_unsafe_job_that_may_have_run_fails_and_is_not_sent_again() {
-    for outcome in
-        [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled, Outcome::Unknown(999)]
-    {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Timeout,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::Unknown(999),
+    ] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
         let to = sends(&harness.request(1, 2));
         let actions = harness.outcome(1, 0, to[0], outcome);
-        assert!(failed(&actions) && !refused(&actions) && sends(&actions).is_empty(), "{outcome:?}");
+        assert!(
+            failed(&actions) && !refused(&actions) && sends(&actions).is_empty(),
+            "{outcome:?}"
+        );
     }
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
@@ -255,7 +311,10 @@
     }
     let first = sends(&harness.request(99, 1));
     harness.now += 3.9;
-    assert!(sends(&harness.outcome(99, 0, first[0], Outcome::Error)).is_empty(), "the window is nearly over");
+    assert!(
+        sends(&harness.outcome(99, 0, first[0], Outcome::Error)).is_empty(),
+        "the window is nearly over"
+    );
 }
 
 /// Guards against a repeat that is decided inside its window and arrives outside: a connection may take `dial-timeout` to
@@ -263,17 +322,27 @@
 #[test]
 fn a_keyed_job_goes_again_only_where_it_arrives_in_its_window() {
     let after = |window: f64, pause: f64, seed: u64| {
-        let mut harness =
-            DispatcherHarness::new(settings(|json| json["services"][1]["memory-span"] = window.into()), 16);
+        let mut harness = DispatcherHarness::new(
+            settings(|json| json["services"][1]["memory-span"] = window.into()),
+            16,
+        );
         let first = sends(&harness.request(seed, 1));
         harness.now += pause;
         sends(&harness.outcome(seed, 0, first[0], Outcome::Reset)).len()
     };
     for seed in 1..20 {
-        assert_eq!(after(0.1, 0.01, seed), 0, "the connection alone may take 0.25 s");
+        assert_eq!(
+            after(0.1, 0.01, seed),
+            0,
+            "the connection alone may take 0.25 s"
+        );
         assert_eq!(after(0.25, 0.0, seed), 0);
         assert_eq!(after(0.6, 0.01, seed), 1);
-        assert_eq!(after(0.6, 0.34, seed), 0, "decided in time, and there too late");
+        assert_eq!(
+            after(0.6, 0.34, seed),
+            0,
+            "decided in time, and there too late"
+        );
     }
 }
 
@@ -295,12 +364,19 @@
 #[test]
 fn a_job_that_tells_no_start_is_moved_and_the_waiting_copy_called_back() {
     // Found where probes are forbidden: figures are too old, but a start is told at once.
-    let mut harness = DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
     let actions = harness.request(1, 0);
     let (to, mut due) = (sends(&actions), timers(&actions));
     let copy = sends(&harness.run(100.3, &mut due));
     assert!(copy.len() == 1 && copy != to);
-    assert_eq!(harness.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
+    assert_eq!(
+        harness.note(1, 1, Note::Started),
+        [Action::Cancel {
+            request: 1,
+            attempt: 0
+        }]
+    );
 }
 
 /// Guards against queues that nobody sees where workers report nothing, in which all jobs come too late: what other dispatchers
@@ -359,21 +435,42 @@
     harness.list(ListKind::Delta, vec![with_health(0, Health::Draining)]);
     assert!(!choices(&mut harness, 200).contains_key(&0));
     harness.list(ListKind::Full, vec![entry(2)]);
-    assert_eq!(choices(&mut harness, 50).into_keys().collect::<Vec<_>>(), [2]);
-    harness.list(ListKind::Cached, vec![with_health(2, Health::Gone), entry(1)]);
-    assert_eq!(choices(&mut harness, 50).into_keys().collect::<Vec<_>>(), [1]);
+    assert_eq!(
+        choices(&mut harness, 50).into_keys().collect::<Vec<_>>(),
+        [2]
+    );
+    harness.list(
+        ListKind::Cached,
+        vec![with_health(2, Health::Gone), entry(1)],
+    );
+    assert_eq!(
+        choices(&mut harness, 50).into_keys().collect::<Vec<_>>(),
+        [1]
+    );
 }
 
 #[test]
 fn a_cold_worker_gets_its_share_of_capacity_and_no_more() {
     // Found on a deploy day: a cold worker that must also win the draw stays idle.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 10);
-    harness.list(ListKind::Delta, vec![Entry { started: 100.0, ..entry(0) }]);
+    harness.list(
+        ListKind::Delta,
+        vec![Entry {
+            started: 100.0,
+            ..entry(0)
+        }],
+    );
     let mut cold = 0;
     for id in 0..20_000 {
         // Time passes, so that the budget for one window does not bind; the clock of its start goes along.
         harness.now += 3.0;
-        harness.list(ListKind::Delta, vec![Entry { started: harness.now, ..entry(0) }]);
+        harness.list(
+            ListKind::Delta,
+            vec![Entry {
+                started: harness.now,
+                ..entry(0)
+            }],
+        );
         let (request, class, budget, hint) = (id, 2, 10.0, Some(0.1));
         let to = sends(&harness.event(Event::Request(NewRequest {
             request,
@@ -396,9 +493,20 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 2);
     harness.list(
         ListKind::Full,
-        vec![Entry { started: 100.0, ..entry(0) }, Entry { started: 100.0, ..entry(1) }],
+        vec![
+            Entry {
+                started: 100.0,
+                ..entry(0)
+            },
+            Entry {
+                started: 100.0,
+                ..entry(1)
+            },
+        ],
     );
-    let sent: usize = (0..3000).map(|id| sends(&harness.request(id, 2)).len()).sum();
+    let sent: usize = (0..3000)
+        .map(|id| sends(&harness.request(id, 2)).len())
+        .sum();
     // Both cold: 3 x 0.2 x 1 slot x 2 s = 1.2 s of work tips one over; a second job of 0.5 s comes too near.
     assert_eq!(sent, 2);
 }
@@ -440,7 +548,9 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let to = sends(&harness.request(1, 2));
     harness.outcome(1, 0, to[0], Outcome::Error);
-    let chosen: Vec<_> = (2..60).flat_map(|id| sends(&harness.request(id, 2))).collect();
+    let chosen: Vec<_> = (2..60)
+        .flat_map(|id| sends(&harness.request(id, 2)))
+        .collect();
     assert!(chosen.len() == 58 && !chosen.contains(&to[0]));
     // When most fail, the cause is elsewhere, and jobs still go out.
     for (id, to) in (2..60).zip(chosen) {
@@ -464,9 +574,15 @@
         assert_eq!(watched, asks);
         if asks {
             due = timers(&harness.list(ListKind::Failed, Vec::new()));
-            assert!(harness.run(118.0, &mut due).contains(&Action::Watch), "asked again after a failure");
+            assert!(
+                harness.run(118.0, &mut due).contains(&Action::Watch),
+                "asked again after a failure"
+            );
             harness.list(ListKind::Delta, Vec::new());
-            assert!(!harness.run(300.0, &mut due).contains(&Action::Watch), "not while subscribed");
+            assert!(
+                !harness.run(300.0, &mut due).contains(&Action::Watch),
+                "not while subscribed"
+            );
         }
     }
 }
@@ -481,8 +597,21 @@
     assert_eq!(harness.event(Event::Timer { token: u64::MAX }), []);
     assert_eq!(harness.event(Event::ClientGone { request: 5 }), []);
     let to = sends(&harness.request(1, 0));
-    harness.answer(1, 0, to[0], Outcome::Ok, vec![f32::NAN, f32::NEG_INFINITY, 3.0]);
-    harness.list(ListKind::Delta, vec![Entry { size: f64::NAN, started: -1.0, ..entry(2) }]);
+    harness.answer(
+        1,
+        0,
+        to[0],
+        Outcome::Ok,
+        vec![f32::NAN, f32::NEG_INFINITY, 3.0],
+    );
+    harness.list(
+        ListKind::Delta,
+        vec![Entry {
+            size: f64::NAN,
+            started: -1.0,
+            ..entry(2)
+        }],
+    );
     let odd = NewRequest {
         request: 2,
         class: 0,
@@ -494,8 +623,14 @@
     let actions = harness.event(Event::Request(odd));
     let mut due = timers(&actions);
     let actions = [actions, harness.run(101.0, &mut due)].concat();
-    assert!(refused(&actions), "a request without a budget is answered at once: {actions:?}");
-    assert!(failed(&harness.request(3, 200)), "a class that is not in the settings");
+    assert!(
+        refused(&actions),
+        "a request without a budget is answered at once: {actions:?}"
+    );
+    assert!(
+        failed(&harness.request(3, 200)),
+        "a class that is not in the settings"
+    );
     assert_eq!(sends(&harness.request(4, 0)).len(), 1);
 }
 
@@ -529,18 +664,39 @@
     report(&mut harness, 1, 5, vec![0.0, 3.0, 2.0]);
     let job = |request, memory| {
         let (class, budget, hint) = (2, 10.0, Some(0.5));
-        Event::Request(NewRequest { request, class, budget, hint, slots: 1.0, memory, ..Default::default() })
+        Event::Request(NewRequest {
+            request,
+            class,
+            budget,
+            hint,
+            slots: 1.0,
+            memory,
+            ..Default::default()
+        })
     };
-    let large: Vec<_> = (100..120).flat_map(|id| sends(&harness.event(job(id, 3.0)))).collect();
-    assert!(large.iter().any(|w| *w != worker(5)), "no room for it there: drawn among all");
+    let large: Vec<_> = (100..120)
+        .flat_map(|id| sends(&harness.event(job(id, 3.0))))
+        .collect();
+    assert!(
+        large.iter().any(|w| *w != worker(5)),
+        "no room for it there: drawn among all"
+    );
     let mut bed2 = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut bed2, 1, 5, vec![0.0, 3.0]);
-    assert_eq!(sends(&bed2.event(job(2, 3.0))), [worker(5)], "memory that is not told is no limit");
+    assert_eq!(
+        sends(&bed2.event(job(2, 3.0))),
+        [worker(5)],
+        "memory that is not told is no limit"
+    );
 }
 
 /// Workers 0 to 7 of two kinds by turns, four to a zone.
 fn placed(n: u16) -> Entry {
-    Entry { kind: n % 2, zone: (n / 4) as u8, ..entry(n) }
+    Entry {
+        kind: n % 2,
+        zone: (n / 4) as u8,
+        ..entry(n)
+    }
 }
 
 #[test]
@@ -571,25 +727,50 @@
     }
     // Those permitted are down, others are idle: held, then refused, never sent elsewhere.
     harness.now += 60.0;
-    harness.list(ListKind::Delta, [1, 3].map(|n| Entry { health: Health::Gone, ..placed(n) }).to_vec());
+    harness.list(
+        ListKind::Delta,
+        [1, 3]
+            .map(|n| Entry {
+                health: Health::Gone,
+                ..placed(n)
+            })
+            .to_vec(),
+    );
     let mut due = timers(&harness.request(100, 0));
     let actions = harness.run(harness.now + 6.0, &mut due);
     assert!(sends(&actions).is_empty() && refused(&actions));
     // Copies of silent jobs and sends to cold workers pass the same guard.
-    harness.list(ListKind::Delta, vec![Entry { started: harness.now, ..placed(0) }, placed(1), placed(3)]);
+    harness.list(
+        ListKind::Delta,
+        vec![
+            Entry {
+                started: harness.now,
+                ..placed(0)
+            },
+            placed(1),
+            placed(3),
+        ],
+    );
     for id in 200..240 {
         let mut actions = harness.request(id, 0);
         let mut due = timers(&actions);
         actions.extend(harness.run(harness.now + 0.8, &mut due));
-        assert!(sends(&actions).iter().all(|w| [1, 3].contains(&w.address[3])), "{actions:?}");
+        assert!(
+            sends(&actions)
+                .iter()
+                .all(|w| [1, 3].contains(&w.address[3])),
+            "{actions:?}"
+        );
     }
 }
 
 #[test]
 fn a_place_that_no_worker_is_in_admits_none() {
     for (key, value) in [("allowed-on", 70_000), ("confined-to", 9)] {
-        let mut harness =
-            DispatcherHarness::new(settings(|s| s["services"][0][key] = serde_json::json!([value])), 8);
+        let mut harness = DispatcherHarness::new(
+            settings(|s| s["services"][0][key] = serde_json::json!([value])),
+            8,
+        );
         let mut due = timers(&harness.request(1, 0));
         let actions = harness.run(106.0, &mut due);
         assert!(sends(&actions).is_empty() && refused(&actions), "{key}");
@@ -643,49 +824,80 @@
 #[test]
 fn full_is_no_proof_where_that_is_stated() {
     // Found on the first days of a deployment whose workers shed work that they had begun.
-    let mut harness = DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
     let to = sends(&harness.request(1, 2));
     let actions = harness.outcome(1, 0, to[0], Outcome::Full);
-    assert!(failed(&actions) && !refused(&actions) && sends(&actions).is_empty(), "{actions:?}");
+    assert!(
+        failed(&actions) && !refused(&actions) && sends(&actions).is_empty(),
+        "{actions:?}"
+    );
     for id in 2..30 {
         let first = sends(&harness.request(id, 1));
         let again = sends(&harness.outcome(id, 0, first[0], Outcome::Full));
-        assert!(again.iter().all(|w| w.address[3] / 4 == first[0].address[3] / 4), "inside its cell");
+        assert!(
+            again
+                .iter()
+                .all(|w| w.address[3] / 4 == first[0].address[3] / 4),
+            "inside its cell"
+        );
         harness.event(Event::ClientGone { request: id });
         harness.now += 5.0;
     }
     let first = sends(&harness.request(50, 1));
     harness.now += 3.9;
     let late = harness.outcome(50, 0, first[0], Outcome::Full);
-    assert!(failed(&late) && !refused(&late), "its window is over: {late:?}");
+    assert!(
+        failed(&late) && !refused(&late),
+        "its window is over: {late:?}"
+    );
     // A connection that failed still proves it.
     let to = sends(&harness.request(60, 2));
-    assert_eq!(sends(&harness.outcome(60, 0, to[0], Outcome::ConnectFailed)).len(), 1);
+    assert_eq!(
+        sends(&harness.outcome(60, 0, to[0], Outcome::ConnectFailed)).len(),
+        1
+    );
 }
 
 #[test]
 fn a_job_that_no_send_can_help_is_answered_at_once() {
     // Nothing left to earn: held while the list is empty, and late answers are worth nothing.
-    let mut harness = DispatcherHarness::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
     let mut due = timers(&harness.request(1, 0));
     let actions = harness.run(100.0 + 0.4 + 1.5 * 0.5, &mut due);
-    let after =
-        |a: &Action| if let Action::Refuse { retry_after, .. } = a { Some(*retry_after) } else { None };
-    assert!(actions.iter().find_map(after).is_some_and(|s| s > 0.0), "with advice when to come back");
+    let after = |a: &Action| {
+        if let Action::Refuse { retry_after, .. } = a {
+            Some(*retry_after)
+        } else {
+            None
+        }
+    };
+    assert!(
+        actions.iter().find_map(after).is_some_and(|s| s > 0.0),
+        "with advice when to come back"
+    );
     // Too little time left for the job to run anywhere, though late answers earn something.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
     let mut due = timers(&harness.request(1, 0));
     assert!(!refused(&harness.run(104.8, &mut due)) && refused(&harness.run(104.9, &mut due)));
     // Attempts used up.
-    let mut harness = DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
     let to = sends(&harness.request(1, 0));
     assert!(refused(&harness.outcome(1, 0, to[0], Outcome::Full)));
     // The group's window over while the group is away.
-    let mut harness = DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
     let first = harness.request(1, 1);
     let (to, mut due) = (sends(&first), timers(&first));
     let cell = u16::from(to[0].address[3]) / 4;
-    harness.list(ListKind::Delta, (4 * cell..4 * cell + 4).map(|n| with_health(n, Health::Gone)).collect());
+    harness.list(
+        ListKind::Delta,
+        (4 * cell..4 * cell + 4)
+            .map(|n| with_health(n, Health::Gone))
+            .collect(),
+    );
     due.extend(timers(&harness.outcome(1, 0, to[0], Outcome::Reset)));
     assert!(!failed(&harness.run(103.25, &mut due)) && failed(&harness.run(103.45, &mut due)));
 }
@@ -695,13 +907,25 @@
     use postproxy::{RetryBudget, Settings, SettingsError};
     for (text, word) in [
         (r#"{"rules": {"spare-attempts": 3}}"#, "look-back"),
-        (r#"{"rules": {"repeat-ratio": 0.1, "look-back": 0}}"#, "look-back"),
+        (
+            r#"{"rules": {"repeat-ratio": 0.1, "look-back": 0}}"#,
+            "look-back",
+        ),
         (r#"{"rules": {"look-back": -1}}"#, "look-back"),
-        (r#"{"rules": {"spare-attempts": -3, "look-back": 5}}"#, "spare-attempts"),
-        (r#"{"rules": {"repeat-ratio": -0.1, "look-back": 5}}"#, "repeat-ratio"),
+        (
+            r#"{"rules": {"spare-attempts": -3, "look-back": 5}}"#,
+            "spare-attempts",
+        ),
+        (
+            r#"{"rules": {"repeat-ratio": -0.1, "look-back": 5}}"#,
+            "repeat-ratio",
+        ),
     ] {
         let error = Settings::from_json(text).expect_err(text);
-        assert!(matches!(error, SettingsError::Range { key, .. } if key.contains(word)), "{text}: {error}");
+        assert!(
+            matches!(error, SettingsError::Range { key, .. } if key.contains(word)),
+            "{text}: {error}"
+        );
     }
     for text in [
         r#"{"rules": {"may-shed-begun": 1}}"#,
@@ -712,22 +936,42 @@
         r#"{"services": [{"confined-to": ["a"]}]}"#,
     ] {
         let error = Settings::from_json(text).expect_err(text);
-        assert!(matches!(error, SettingsError::Json(_)) && !error.to_string().contains('\n'), "{text}");
+        assert!(
+            matches!(error, SettingsError::Json(_)) && !error.to_string().contains('\n'),
+            "{text}"
+        );
     }
-    let sound = Settings::from_json(r#"{"services": [{}], "rules": {"repeat-ratio": 0.5, "look-back": 2}}"#);
+    let sound = Settings::from_json(
+        r#"{"services": [{}], "rules": {"repeat-ratio": 0.5, "look-back": 2}}"#,
+    );
     let sound = sound.expect("a share alone is a budget");
-    assert_eq!(sound.retry_budget, Some(RetryBudget { spare: 0.0, ratio: 0.5, look_back: 2.0 }));
-    assert_eq!((&sound.classes[0].allowed_on, &sound.classes[0].confined_to), (&None, &None));
+    assert_eq!(
+        sound.retry_budget,
+        Some(RetryBudget {
+            spare: 0.0,
+            ratio: 0.5,
+            look_back: 2.0
+        })
+    );
+    assert_eq!(
+        (&sound.classes[0].allowed_on, &sound.classes[0].confined_to),
+        (&None, &None)
+    );
     assert!(!sound.full_proves_nothing);
     let mut unsound = sound;
-    unsound.retry_budget = Some(RetryBudget { spare: f64::NAN, ratio: 0.5, look_back: 2.0 });
+    unsound.retry_budget = Some(RetryBudget {
+        spare: f64::NAN,
+        ratio: 0.5,
+        look_back: 2.0,
+    });
     assert!(unsound.validate().is_err());
 }
 
 #[test]
 fn a_worker_that_turns_a_class_away_loses_tickets_for_it() {
     // Found where workers turned one class away though they had room: idle, they won every draw.
-    let mut harness = DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
+    let mut harness =
+        DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
     let turn_away = |harness: &mut DispatcherHarness, id: u64| {
         report(harness, id, 3, vec![0.0, 3.0]);
         let to = sends(&harness.request(id + 1, 2));
@@ -749,9 +993,15 @@
         (hits, count)
     };
     let (hits, count) = to_it(&mut harness, 2, 100..300);
-    assert!(hits < count / 20, "its room is not believed for that class: {hits} of {count}");
+    assert!(
+        hits < count / 20,
+        "its room is not believed for that class: {hits} of {count}"
+    );
     let (hits, count) = to_it(&mut harness, 0, 300..320);
-    assert!(hits > count / 2, "other classes still go there: {hits} of {count}");
+    assert!(
+        hits > count / 2,
+        "other classes still go there: {hits} of {count}"
+    );
     // It is forgiven in time.
     harness.now += 120.0;
     let (hits, count) = to_it(&mut harness, 2, 400..1200);
@@ -764,7 +1014,10 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 250);
     let chosen = choices(&mut harness, 10_000);
     assert_eq!(chosen.len(), 250);
-    assert!(chosen.values().all(|&n| (10..80).contains(&n)), "{chosen:?}");
+    assert!(
+        chosen.values().all(|&n| (10..80).contains(&n)),
+        "{chosen:?}"
+    );
     for id in 20_000..20_040 {
         let first = sends(&harness.request(id, 1));
         let again = sends(&harness.outcome(id, 0, first[0], Outcome::Error));
@@ -788,7 +1041,10 @@
             8,
         );
         let answer = |harness: &mut DispatcherHarness, actions: &[Action]| -> Vec<Action> {
-            probes(actions).into_iter().flat_map(|w| harness.probed(w, Outcome::Ok, vec![0.0, 4.0])).collect()
+            probes(actions)
+                .into_iter()
+                .flat_map(|w| harness.probed(w, Outcome::Ok, vec![0.0, 4.0]))
+                .collect()
         };
         let asked = harness.request(1, 0);
         let sent = answer(&mut harness, &asked);
@@ -796,10 +1052,20 @@
         assert_eq!(first.len(), 1);
         let looked = harness.run(100.3, &mut due);
         let again = [answer(&mut harness, &looked), looked].concat();
-        assert_eq!(sends(&again).len(), copies, "a waiting copy must be called back: {cancel}");
+        assert_eq!(
+            sends(&again).len(),
+            copies,
+            "a waiting copy must be called back: {cancel}"
+        );
         assert!(!sends(&again).contains(&first[0]));
         if cancel {
-            assert_eq!(harness.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
+            assert_eq!(
+                harness.note(1, 1, Note::Started),
+                [Action::Cancel {
+                    request: 1,
+                    attempt: 0
+                }]
+            );
         }
     }
 }
@@ -841,7 +1107,10 @@
         assert!(timers.len() <= 6, "{} timers at once", timers.len());
     }
     assert!((60..=200).contains(&asked.len()), "{} calls", asked.len());
-    assert!(asked.windows(2).all(|pair| pair[1] - pair[0] <= 10.0), "{asked:?}");
+    assert!(
+        asked.windows(2).all(|pair| pair[1] - pair[0] <= 10.0),
+        "{asked:?}"
+    );
 }
 
 /// Guards against a worker that is never drawn for want of a report, which only a job could bring, while the others are known
@@ -856,16 +1125,23 @@
         for request in 0..400 {
             // The job that ends first makes place for the next one.
             if running.len() == 6 {
-                let next = (0..6).min_by(|a, b| running[*a].0.total_cmp(&running[*b].0)).unwrap_or(0);
+                let next = (0..6)
+                    .min_by(|a, b| running[*a].0.total_cmp(&running[*b].0))
+                    .unwrap_or(0);
                 let (at, id, to) = running.swap_remove(next);
                 harness.now = at;
                 harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
             }
-            let [to] = sends(&harness.request(request, 0))[..] else { panic!("seed {seed}: held") };
+            let [to] = sends(&harness.request(request, 0))[..] else {
+                panic!("seed {seed}: held")
+            };
             let n = usize::from(to.address[3]);
             first[n].get_or_insert(request);
             running.push((harness.now + 0.015 + 0.04 * n as f64, request, to));
         }
-        assert!(first.iter().all(Option::is_some), "seed {seed}: first jobs {first:?}");
+        assert!(
+            first.iter().all(Option::is_some),
+            "seed {seed}: first jobs {first:?}"
+        );
     }
 }
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -29,7 +29,12 @@
     waiting: f32,
 ) -> Vec<Action> {
     let (outcome, elapsed) = (Outcome::Ok, harness.now - sent);
-    harness.event(Event::Probed { worker: to, outcome, elapsed, report: vec![waiting, free] })
+    harness.event(Event::Probed {
+        worker: to,
+        outcome,
+        elapsed,
+        report: vec![waiting, free],
+    })
 }
 
 /// Tells that all workers but this one are full, and this one empty, by probes that are sent now.
@@ -38,7 +43,11 @@
     for n in 0..WORKERS {
         // First that it has slots at all.
         answered(harness, worker(n), sent, SLOTS, 0.0);
-        let (free, waiting) = if worker(n) == to { (SLOTS, 0.0) } else { (0.0, 40.0) };
+        let (free, waiting) = if worker(n) == to {
+            (SLOTS, 0.0)
+        } else {
+            (0.0, 40.0)
+        };
         answered(harness, worker(n), sent, free, waiting);
     }
 }
@@ -61,7 +70,11 @@
         let actions = harness.request(1, 0);
         let mut to = sends(&actions);
         for probe in probes(&actions) {
-            let (free, waiting) = if probe == worker(1) { (SLOTS, 0.0) } else { (0.0, 40.0) };
+            let (free, waiting) = if probe == worker(1) {
+                (SLOTS, 0.0)
+            } else {
+                (0.0, 40.0)
+            };
             let now = harness.now;
             to.extend(sends(&answered(&mut harness, probe, now, free, waiting)));
         }
@@ -79,7 +92,12 @@
     // All have started anew, long enough ago to be warm, and are told so now.
     harness.now += 60.0;
     let started = before + 1.0;
-    let entries = (0..WORKERS).map(|n| Entry { started, ..entry(n) }).collect();
+    let entries = (0..WORKERS)
+        .map(|n| Entry {
+            started,
+            ..entry(n)
+        })
+        .collect();
     harness.list(ListKind::Delta, entries);
     for n in 0..WORKERS {
         answered(&mut harness, worker(n), before, 0.0, 40.0);
@@ -92,13 +110,20 @@
         harness.event(failed);
     }
     let asked = probes(&harness.request(1, 0));
-    assert!(!asked.is_empty(), "what is known of them is of before their start: they are asked");
+    assert!(
+        !asked.is_empty(),
+        "what is known of them is of before their start: they are asked"
+    );
     let now = harness.now;
     let mut to = Vec::new();
     for probe in asked {
         to.extend(sends(&answered(&mut harness, probe, now, SLOTS, 0.0)));
     }
-    assert_eq!(to.len(), 1, "nothing of before the start counts against any");
+    assert_eq!(
+        to.len(),
+        1,
+        "nothing of before the start counts against any"
+    );
 }
 
 /// Guards against a request that waits for answers that never come, and against one placed a second time by answers that come after all.
@@ -130,7 +155,11 @@
     let mut due = timers(&actions);
     let mut to = sends(&actions);
     for probe in probes(&actions) {
-        let (free, waiting) = if probe == worker(0) { (SLOTS, 0.0) } else { (0.0, 40.0) };
+        let (free, waiting) = if probe == worker(0) {
+            (SLOTS, 0.0)
+        } else {
+            (0.0, 40.0)
+        };
         let now = harness.now;
         to.extend(sends(&answered(&mut harness, probe, now, free, waiting)));
     }
@@ -167,7 +196,12 @@
     harness.now += 3.0;
     for to in asked {
         let elapsed = harness.now - sent;
-        harness.event(Event::Probed { worker: to, outcome: Outcome::Timeout, elapsed, report: Vec::new() });
+        harness.event(Event::Probed {
+            worker: to,
+            outcome: Outcome::Timeout,
+            elapsed,
+            report: Vec::new(),
+        });
     }
     let soon = harness.now + 0.5;
     harness.run(soon, &mut due);
@@ -184,14 +218,25 @@
 #[test]
 fn a_rack_that_is_unknown_or_gone_takes_no_repeat() {
     use postproxy::decision::interface::{NO_CELL, NO_ZONE};
-    let unknown = |n: u16| Entry { cell: NO_CELL, zone: NO_ZONE, ..entry(n) };
-    for (scope, known) in [("cell", true), ("cell", false), ("zone", true), ("zone", false)] {
+    let unknown = |n: u16| Entry {
+        cell: NO_CELL,
+        zone: NO_ZONE,
+        ..entry(n)
+    };
+    for (scope, known) in [
+        ("cell", true),
+        ("cell", false),
+        ("zone", true),
+        ("zone", false),
+    ] {
         let set = settings(|s| {
             s["services"][1]["dedup-scope"] = scope.into();
             s["services"][1]["memory-span"] = 9.0.into();
         });
         let mut harness = DispatcherHarness::new(set, 0);
-        let entries = (0..4).map(|n| if known { entry(n) } else { unknown(n) }).collect();
+        let entries = (0..4)
+            .map(|n| if known { entry(n) } else { unknown(n) })
+            .collect();
         harness.list(ListKind::Full, entries);
         let actions = harness.request(1, 1);
         let (first, mut due) = (sends(&actions), timers(&actions));
@@ -202,15 +247,24 @@
         assert_eq!(again || at_once, known, "{scope}, told: {known}");
     }
     // Its rack is gone between two attempts, and others are there.
-    let mut harness = DispatcherHarness::new(settings(|s| s["services"][1]["memory-span"] = 9.0.into()), 8);
+    let mut harness = DispatcherHarness::new(
+        settings(|s| s["services"][1]["memory-span"] = 9.0.into()),
+        8,
+    );
     let actions = harness.request(1, 1);
     let (first, mut due) = (sends(&actions)[0], timers(&actions));
     let cell = u16::from(first.address[3]) / 4;
     let gone = (0..8).filter(|n| n / 4 == cell && worker(*n) != first);
-    harness.list(ListKind::Delta, gone.map(|n| with_health(n, Health::Gone)).collect());
+    harness.list(
+        ListKind::Delta,
+        gone.map(|n| with_health(n, Health::Gone)).collect(),
+    );
     let mut actions = harness.outcome(1, 0, first, Outcome::Reset);
     due.extend(timers(&actions));
     let until = harness.now + 10.0;
     actions.extend(harness.run(until, &mut due));
-    assert!(sends(&actions).is_empty() && failed(&actions) && !refused(&actions), "{actions:?}");
+    assert!(
+        sends(&actions).is_empty() && failed(&actions) && !refused(&actions),
+        "{actions:?}"
+    );
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -25,15 +25,25 @@
 #[test]
 fn the_example_is_a_configuration() {
     let config = Config::from_json(EXAMPLE, none).expect("a configuration");
-    assert_eq!((config.name.as_str(), config.seed, config.sockets), ("n0", 0x8c1f_30d2_7a5b_e964, 1024));
+    assert_eq!(
+        (config.name.as_str(), config.seed, config.sockets),
+        ("n0", 0x8c1f_30d2_7a5b_e964, 1024)
+    );
     let settings = config.settings;
-    let classes: Vec<&str> = settings.classes.iter().map(|class| class.name.as_str()).collect();
+    let classes: Vec<&str> = settings
+        .classes
+        .iter()
+        .map(|class| class.name.as_str())
+        .collect();
     assert_eq!(classes, ["reroute", "day-plan"]);
     assert_eq!(
         (settings.zone_names.join(","), settings.kind_names.join(",")),
         ("riga".into(), "std-4".into())
     );
-    assert_eq!((settings.tenant_names.join(","), settings.conn_idle), ("baltvedums".into(), 5.0));
+    assert_eq!(
+        (settings.tenant_names.join(","), settings.conn_idle),
+        ("baltvedums".into(), 5.0)
+    );
     assert_eq!(settings.field_names, ["backlog", "errors_per_s", "x0"]);
     assert_eq!(config.known.map(|list| list.revision), Some(1));
 }
@@ -51,7 +61,11 @@
 #[test]
 fn a_bad_configuration_is_named() {
     let cases = [
-        ("\"listen\": \"127.0.0.1:8080\"", "\"listen\": \"here\"", "RELAY_LISTEN"),
+        (
+            "\"listen\": \"127.0.0.1:8080\"",
+            "\"listen\": \"here\"",
+            "RELAY_LISTEN",
+        ),
         ("8c1f30d27a5be964", "seven", "seed"),
         ("\"max-attempts\": 3", "\"max-attempts\": 0", "max-attempts"),
         ("\"deadline\": 6.0", "\"deadline\": \"long\"", "string"),
@@ -68,7 +82,9 @@
 /// Guards against a program that hangs or panics without its configuration.
 #[test]
 fn without_a_configuration_the_program_ends() {
-    let output = Command::new(env!("CARGO_BIN_EXE_postproxy")).env_remove("RELAY_CONFIG").output();
+    let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
+        .env_remove("RELAY_CONFIG")
+        .output();
     let output = output.expect("the program starts");
     assert!(!output.status.success());
     assert_eq!(
@@ -97,19 +113,26 @@
     log.read_line(&mut line).expect("a first line");
     let address = line.trim().rsplit('=').next().expect("an address");
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.write_all(b"GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n").expect("it is written");
+    stream
+        .write_all(b"GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .expect("it is written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
     drop(stream);
     let signal = |name: &str| {
-        let status = Command::new("sh").args(["-c", &format!("kill -{name} {}", child.id())]).status();
+        let status = Command::new("sh")
+            .args(["-c", &format!("kill -{name} {}", child.id())])
+            .status();
         assert!(status.expect("a shell").success());
     };
     let mut next = || {
         loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "the log ended");
+            assert!(
+                log.read_line(&mut line).expect("a line") > 0,
+                "the log ended"
+            );
             // That discovery is not there is told as often as it is noticed.
             if !line.contains("postproxy::net::upstream::worker_list") {
                 return line.trim().to_owned();
@@ -118,11 +141,17 @@
     };
     signal("HUP");
     let reloaded = next();
-    assert!(reloaded.ends_with("reloaded node=\"n0\" discovery=127.0.0.1:8500"), "{reloaded}");
+    assert!(
+        reloaded.ends_with("reloaded node=\"n0\" discovery=127.0.0.1:8500"),
+        "{reloaded}"
+    );
     std::fs::write(&path, "{").expect("a file");
     signal("HUP");
     let kept = next();
-    assert!(kept.contains("ERROR") && kept.contains("the old configuration stays node=\"n0\""), "{kept}");
+    assert!(
+        kept.contains("ERROR") && kept.contains("the old configuration stays node=\"n0\""),
+        "{kept}"
+    );
     std::fs::remove_file(&path).expect("it was there");
     signal("HUP");
     assert!(next().contains("reading"), "the file is named");
@@ -136,13 +165,26 @@
 #[test]
 fn the_command_line_says_what_is_wrong() {
     let run = |args: &[&str]| {
-        let output = Command::new(env!("CARGO_BIN_EXE_postproxy")).args(args).output();
+        let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
+            .args(args)
+            .output();
         let output = output.expect("the program starts");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        (output.status.code(), text(&output.stdout), text(&output.stderr))
+        (
+            output.status.code(),
+            text(&output.stdout),
+            text(&output.stderr),
+        )
     };
-    assert_eq!(run(&["--version"]).1.trim(), format!("postproxy {}", env!("CARGO_PKG_VERSION")));
-    assert!(run(&["--help"]).1.contains("Exit status: 0 done, 1 failed, 2 wrong usage."));
+    assert_eq!(
+        run(&["--version"]).1.trim(),
+        format!("postproxy {}", env!("CARGO_PKG_VERSION"))
+    );
+    assert!(
+        run(&["--help"])
+            .1
+            .contains("Exit status: 0 done, 1 failed, 2 wrong usage.")
+    );
     assert_eq!(run(&["swerve"]).0, Some(2));
     assert!(run(&["completions", "bash"]).1.contains("postproxy"));
     let folder = env!("CARGO_TARGET_TMPDIR");
@@ -163,14 +205,29 @@
 /// Guards against a trial that needs anything else to run, or that ends well though jobs failed or ran twice.
 #[test]
 fn a_trial_runs_by_itself() {
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_postproxy")).args(["try", "--jobs", "5"]).env_clear().output();
+    let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
+        .args(["try", "--jobs", "5"])
+        .env_clear()
+        .output();
     let output = output.expect("the program starts");
     let said = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success(), "{said}{}", String::from_utf8_lossy(&output.stderr));
-    assert_eq!(said.lines().filter(|line| line.ends_with(" served")).count(), 10, "{said}");
+    assert!(
+        output.status.success(),
+        "{said}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    assert_eq!(
+        said.lines()
+            .filter(|line| line.ends_with(" served"))
+            .count(),
+        10,
+        "{said}"
+    );
     for class in ["reroute", "day-plan"] {
-        let line = said.lines().rfind(|line| line.starts_with(class)).expect("a line of the table");
+        let line = said
+            .lines()
+            .rfind(|line| line.starts_with(class))
+            .expect("a line of the table");
         let figures: Vec<&str> = line.split_whitespace().collect();
         assert_eq!(figures[1..6], ["5", "5", "0", "0", "1.00"], "{line}");
     }
@@ -182,33 +239,62 @@
 fn a_store_can_be_looked_at() {
     use postproxy_idempotency::{Limits, RequestIdentity, RequestLog, Write as Change};
     use postproxy_store::{Change as Op, Engine, Options, OsDisk};
-    let folder =
-        std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tools-{}", std::process::id()));
+    let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("tools-{}", std::process::id()));
     let dir = folder.to_str().expect("a plain path");
     let run = |args: &[&str]| {
-        let output = Command::new(env!("CARGO_BIN_EXE_postproxy")).arg("store").args(args).output();
+        let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
+            .arg("store")
+            .args(args)
+            .output();
         let output = output.expect("the program starts");
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        (output.status.code(), text(&output.stdout), text(&output.stderr))
+        (
+            output.status.code(),
+            text(&output.stdout),
+            text(&output.stderr),
+        )
     };
     assert!(run(&["stat", dir]).0 == Some(1) && !folder.exists());
     let mut ledger = RequestLog::new(Limits::default());
     let disk = OsDisk::new(&folder).expect("a folder");
-    let mut engine = Engine::open(vec![disk], Options::default(), "a test", 7, 0).expect("a store").0;
+    let mut engine = Engine::open(vec![disk], Options::default(), "a test", 7, 0)
+        .expect("a store")
+        .0;
     for n in 0..3 {
         let id = format!("job-{n}");
-        let asked = RequestIdentity { id: &id, key: Some("k"), class: "day-plan", digest: [7; 32] };
+        let asked = RequestIdentity {
+            id: &id,
+            key: Some("k"),
+            class: "day-plan",
+            digest: [7; 32],
+        };
         for write in ledger.intend(4e9, &asked, "s-1", 4e9 + 12.0) {
-            let Change::Put { key, value, until } = write else { panic!("a put") };
-            engine.append(&[Op::Put { key: &key, value: &value, until }]).expect("room");
+            let Change::Put { key, value, until } = write else {
+                panic!("a put")
+            };
+            engine
+                .append(&[Op::Put {
+                    key: &key,
+                    value: &value,
+                    until,
+                }])
+                .expect("room");
             engine.commit().expect("durable");
         }
     }
-    assert!(run(&["stat", dir]).2.contains("is held by a test"), "{:?}", run(&["stat", dir]));
+    assert!(
+        run(&["stat", dir]).2.contains("is held by a test"),
+        "{:?}",
+        run(&["stat", dir])
+    );
     drop(engine);
     let (code, said, _) = run(&["dump", dir]);
     assert_eq!((code, said.lines().count()), (Some(0), 3));
-    assert!(said.contains(r#""job":"job-1""#) && said.contains(r#""worker":"s-1""#), "{said}");
+    assert!(
+        said.contains(r#""job":"job-1""#) && said.contains(r#""worker":"s-1""#),
+        "{said}"
+    );
     assert!(run(&["stat", dir]).1.contains("records      3"));
     assert_eq!(run(&["verify", dir]).0, Some(0));
     // The first frame behind the header is changed.
@@ -223,7 +309,10 @@
     damaged[70] ^= 1;
     std::fs::write(&file, damaged).expect("it is written");
     let (code, said, error) = run(&["verify", dir]);
-    assert!(code == Some(1) && said.contains("are lost") && error.contains("lost"), "{said}{error}");
+    assert!(
+        code == Some(1) && said.contains("are lost") && error.contains("lost"),
+        "{said}{error}"
+    );
     std::fs::write(&file, bytes).expect("it is written");
     assert_eq!(run(&["compact", dir]).0, Some(0));
     assert!(run(&["verify", dir]).1.contains("3 records"));
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -6,7 +6,9 @@
 
 use dispatcher_harness::{settings, worker};
 use postproxy::decision::dispatcher::Dispatcher;
-use postproxy::decision::interface::{Action, Entry, Event, ListKind, NewRequest, Outcome, Settings};
+use postproxy::decision::interface::{
+    Action, Entry, Event, ListKind, NewRequest, Outcome, Settings,
+};
 use postproxy::decision::random::Random;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -26,7 +28,11 @@
 
 /// What chance may add to a worker's budget of so many calls.
 fn slack(calls: f64) -> f64 {
-    if calls < FEW_CALLS { 3.0 * calls.sqrt() + 3.0 } else { 2.0 * calls.sqrt() + 2.0 }
+    if calls < FEW_CALLS {
+        3.0 * calls.sqrt() + 3.0
+    } else {
+        2.0 * calls.sqrt() + 2.0
+    }
 }
 
 /// Who sends, and to whom.
@@ -113,7 +119,9 @@
         };
         let mut world = world;
         for d in 0..case.dispatchers {
-            world.dispatchers.push((world.dispatcher(seed * 1000 + d as u64), 0));
+            world
+                .dispatchers
+                .push((world.dispatcher(seed * 1000 + d as u64), 0));
             world.list(d, ListKind::Full);
             world.at(0.0, What::Arrival(d));
         }
@@ -155,7 +163,11 @@
     fn warmth(&self, w: usize) -> f64 {
         let share = ((self.now - self.workers[w].started) / self.set.cold).clamp(0.0, 1.0);
         let cold = self.workers[w].started > 0.0;
-        if cold { self.set.cold_from + (1.0 - self.set.cold_from) * share } else { 1.0 }
+        if cold {
+            self.set.cold_from + (1.0 - self.set.cold_from) * share
+        } else {
+            1.0
+        }
     }
 
     fn tell(&mut self, d: usize, event: &Event) {
@@ -164,8 +176,14 @@
         let life = self.dispatchers[d].1;
         for action in actions {
             match action {
-                Action::Timer { at, token } => self.at(at.max(self.now + 0.004), What::Timer(d, life, token)),
-                Action::Send { request, worker: to, .. } => {
+                Action::Timer { at, token } => {
+                    self.at(at.max(self.now + 0.004), What::Timer(d, life, token))
+                }
+                Action::Send {
+                    request,
+                    worker: to,
+                    ..
+                } => {
                     let w = usize::from(to.address[3]) + 256 * usize::from(to.address[2]);
                     let number = self.attempts.entry((d, life, request)).or_default();
                     let attempt = *number;
@@ -192,7 +210,10 @@
             } else {
                 -(1.0 - self.rng.uniform()).ln() * WORK / speed
             };
-            self.at(self.now + takes, What::Done(d, life, request * 1024 + w as u64, attempt, failed));
+            self.at(
+                self.now + takes,
+                What::Done(d, life, request * 1024 + w as u64, attempt, failed),
+            );
         }
     }
 
@@ -200,9 +221,12 @@
         match what {
             What::Arrival(d) => {
                 // One in five has as much as the other four.
-                let all = self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
+                let all =
+                    self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
                 let weight = if d % 5 == 0 { 4.0 } else { 1.0 };
-                let sum: f64 = (0..self.case.dispatchers).map(|d| if d % 5 == 0 { 4.0 } else { 1.0 }).sum();
+                let sum: f64 = (0..self.case.dispatchers)
+                    .map(|d| if d % 5 == 0 { 4.0 } else { 1.0 })
+                    .sum();
                 let bursts = (START..START + BURST).contains(&self.now);
                 let times = if bursts { self.case.burst } else { 1.0 };
                 let gap = -(1.0 - self.rng.uniform()).ln() / (all * times * weight / sum);
@@ -211,9 +235,20 @@
                 let (request, hint) = (self.next, Some(WORK));
                 // The first subject has as much as all others.
                 let of = self.case.subjects;
-                let one = if of > 0 && self.rng.uniform() < 0.5 { 0 } else { self.next % of.max(1) };
+                let one = if of > 0 && self.rng.uniform() < 0.5 {
+                    0
+                } else {
+                    self.next % of.max(1)
+                };
                 let key = if of > 0 { 1 + one } else { 0 };
-                let new = NewRequest { request, key, budget: 5.0, hint, slots: 1.0, ..NewRequest::default() };
+                let new = NewRequest {
+                    request,
+                    key,
+                    budget: 5.0,
+                    hint,
+                    slots: 1.0,
+                    ..NewRequest::default()
+                };
                 self.tell(d, &Event::Request(new));
             }
             What::Timer(d, life, token) if life == self.dispatchers[d].1 => {
@@ -223,7 +258,10 @@
                 let (request, w) = (request / 1024, (request % 1024) as usize);
                 self.workers[w].running -= 1;
                 let held = &self.workers[w];
-                let report = vec![held.queue.len() as f32, (self.slots() - held.running) as f32];
+                let report = vec![
+                    held.queue.len() as f32,
+                    (self.slots() - held.running) as f32,
+                ];
                 if life == self.dispatchers[d].1 {
                     let outcome = match failed {
                         true if self.rng.uniform() < 0.5 => Outcome::Full,
@@ -231,8 +269,15 @@
                         false => Outcome::Ok,
                     };
                     let (worker, closed) = (worker(w as u16), outcome == Outcome::Ok);
-                    let event =
-                        Event::Outcome { request, attempt, worker, outcome, elapsed: 0.1, closed, report };
+                    let event = Event::Outcome {
+                        request,
+                        attempt,
+                        worker,
+                        outcome,
+                        elapsed: 0.1,
+                        closed,
+                        report,
+                    };
                     self.tell(d, &event);
                 }
                 self.run(w);
@@ -243,8 +288,14 @@
                     self.workers[w].sends.clear();
                 }
                 (0..self.dispatchers.len()).for_each(|d| self.list(d, ListKind::Full));
-                let each = if self.case.greedy { self.case.dispatchers } else { 0 };
-                self.workers[0].sends.extend(std::iter::repeat_n(self.now, each));
+                let each = if self.case.greedy {
+                    self.case.dispatchers
+                } else {
+                    0
+                };
+                self.workers[0]
+                    .sends
+                    .extend(std::iter::repeat_n(self.now, each));
             }
             What::Restart(d) => {
                 let life = self.dispatchers[d].1 + 1;
@@ -273,11 +324,14 @@
                 if self.case.at_once && self.warmth(w) >= 1.0 {
                     continue;
                 }
-                let budget =
-                    self.set.fall_multiple * self.warmth(w) * self.slots() as f64 / WORK * self.set.tip_after;
+                let budget = self.set.fall_multiple * self.warmth(w) * self.slots() as f64 / WORK
+                    * self.set.tip_after;
                 let most = budget + slack(budget);
                 let from = at - self.set.tip_after;
-                let sent = self.workers[w].sends[..=i].iter().filter(|s| **s > from).count();
+                let sent = self.workers[w].sends[..=i]
+                    .iter()
+                    .filter(|s| **s > from)
+                    .count();
                 if sent as f64 / most > worst.0 {
                     worst = (sent as f64 / most, sent, most);
                 }
@@ -311,7 +365,10 @@
                 };
                 let (share, sent, most) = World::new(case, 7 + dispatchers as u64).play();
                 worst = worst.max(share);
-                assert!(share <= 1.0, "{case:?}: {sent} sends where {most:.1} may come");
+                assert!(
+                    share <= 1.0,
+                    "{case:?}: {sent} sends where {most:.1} may come"
+                );
             }
         }
     }
@@ -346,7 +403,10 @@
     for case in cases {
         for seed in 1..=2 {
             let (share, sent, most) = World::new(case, seed).play();
-            assert!(share <= 1.0, "{case:?}, seed {seed}: {sent} sends where {most:.1} may come");
+            assert!(
+                share <= 1.0,
+                "{case:?}, seed {seed}: {sent} sends where {most:.1} may come"
+            );
         }
     }
 }
@@ -373,7 +433,10 @@
                 };
                 let (share, sent, most) = World::new(case, 3 + subjects).play();
                 worst = worst.max(share);
-                assert!(share <= 1.0, "{case:?}: {sent} sends where {most:.1} may come");
+                assert!(
+                    share <= 1.0,
+                    "{case:?}: {sent} sends where {most:.1} may come"
+                );
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,9 @@
 mod dispatcher_harness;
 
 use dispatcher_harness::*;
-use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId};
+use postproxy::{
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId,
+};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +32,11 @@
 impl Further {
     fn of(seed: u64) -> Self {
         let (placement, budget) = (seed.is_multiple_of(2), (seed / 2).is_multiple_of(2));
-        Self { placement, budget, full_proves_nothing: (seed / 4).is_multiple_of(2) }
+        Self {
+            placement,
+            budget,
+            full_proves_nothing: (seed / 4).is_multiple_of(2),
+        }
     }
 }
 
@@ -45,7 +51,11 @@
 
 fn place(entry: Entry) -> Entry {
     let n = entry.worker.address[3].into();
-    Entry { kind: kind(n), zone: zone(n), ..entry }
+    Entry {
+        kind: kind(n),
+        zone: zone(n),
+        ..entry
+    }
 }
 
 /// What can be watched: the module, or a stand-in that breaks a rule on purpose.
@@ -78,26 +88,52 @@
         let mut actions = Vec::new();
         self.0.handle(now, event, &mut actions);
         if let Event::List { entries, .. } = event {
-            self.2 = entries.iter().find(|e| e.health == Health::Draining).map(|e| e.worker).or(self.2);
+            self.2 = entries
+                .iter()
+                .find(|e| e.health == Health::Draining)
+                .map(|e| e.worker)
+                .or(self.2);
         }
         for mut action in actions {
             match (&mut action, self.1) {
                 (Action::Fail { .. } | Action::Refuse { .. }, Break::NoAnswer) => continue,
-                (Action::Fail { request } | Action::Refuse { request, .. }, Break::SecondAnswer) => {
+                (
+                    Action::Fail { request } | Action::Refuse { request, .. },
+                    Break::SecondAnswer,
+                ) => {
                     out.push(Action::Fail { request: *request });
                 }
                 (Action::Fail { request }, Break::RepeatsUnsafe) => {
                     let worker = worker(1);
-                    out.push(Action::Send { request: *request, worker, timeout: 0.0 });
+                    out.push(Action::Send {
+                        request: *request,
+                        worker,
+                        timeout: 0.0,
+                    });
                     continue;
                 }
-                (Action::Send { worker, .. }, Break::SendsToDraining) => *worker = self.2.unwrap_or(*worker),
+                (Action::Send { worker, .. }, Break::SendsToDraining) => {
+                    *worker = self.2.unwrap_or(*worker)
+                }
                 (Action::Send { worker: to, .. }, Break::LeavesPlacement) => *to = worker(2),
                 (Action::Send { .. }, Break::SendsTwice) => out.push(action.clone()),
                 (Action::Fail { request }, Break::TrustsFull) => {
-                    let full = matches!(event, Event::Outcome { outcome: Outcome::Full, .. });
+                    let full = matches!(
+                        event,
+                        Event::Outcome {
+                            outcome: Outcome::Full,
+                            ..
+                        }
+                    );
                     let request = *request;
-                    action = if full { Action::Refuse { request, retry_after: 0.0 } } else { action };
+                    action = if full {
+                        Action::Refuse {
+                            request,
+                            retry_after: 0.0,
+                        }
+                    } else {
+                        action
+                    };
                 }
                 _ => {}
             }
@@ -164,12 +200,21 @@
 
     fn action(&mut self, now: f64, action: &Action) -> Result<(), String> {
         match *action {
-            Action::Send { request, worker, .. } => {
-                let job = self.jobs.get_mut(&request).ok_or("a send for an unknown request")?;
+            Action::Send {
+                request, worker, ..
+            } => {
+                let job = self
+                    .jobs
+                    .get_mut(&request)
+                    .ok_or("a send for an unknown request")?;
                 if job.done {
                     return Err("rule 1: a send after the end".into());
                 }
-                if self.told_off.get(&worker).is_some_and(|at| now > at + GRACE) {
+                if self
+                    .told_off
+                    .get(&worker)
+                    .is_some_and(|at| now > at + GRACE)
+                {
                     return Err("rule 3: a send to a worker told off".into());
                 }
                 let n = u16::from(worker.address[3]);
@@ -181,8 +226,11 @@
                 }
                 if !self.sent_for.insert(request) && self.further.budget {
                     self.repeats.push(now);
-                    let within = |times: &[f64]| times.iter().filter(|at| now - **at < LOOK_BACK).count();
-                    if within(&self.repeats) as f64 > SPARE as f64 + RATIO * within(&self.taken) as f64 {
+                    let within =
+                        |times: &[f64]| times.iter().filter(|at| now - **at < LOOK_BACK).count();
+                    if within(&self.repeats) as f64
+                        > SPARE as f64 + RATIO * within(&self.taken) as f64
+                    {
                         return Err("rule 6: over the budget of further attempts".into());
                     }
                 }
@@ -191,18 +239,30 @@
                 let mut may_have_run = job.sent.iter().filter(|s| !proved(s));
                 if job.class == 2 && may_have_run.next().is_some() {
                     let full = job.sent.iter().any(|s| s.outcome == Some(Outcome::Full));
-                    return Err(format!("rule 2: unsafe again{}", if full { ", rule 7" } else { "" }));
+                    return Err(format!(
+                        "rule 2: unsafe again{}",
+                        if full { ", rule 7" } else { "" }
+                    ));
                 }
                 if job.class == 1 && may_have_run.any(|s| s.cell != cell || now > s.at + WINDOW) {
                     return Err("rule 2: keyed again outside its cell or window".into());
                 }
-                job.sent.push(Sent { to: worker, at: now, cell, outcome: None });
+                job.sent.push(Sent {
+                    to: worker,
+                    at: now,
+                    cell,
+                    outcome: None,
+                });
                 let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
                 if age < 10.0 {
                     // One dispatcher alone must stay under the whole budget of every window.
                     let sent = self.cold_work.entry(worker).or_default();
                     sent.push((now, 0.25));
-                    let window: f64 = sent.iter().filter(|(at, _)| now - at < 2.0).map(|(_, w)| w).sum();
+                    let window: f64 = sent
+                        .iter()
+                        .filter(|(at, _)| now - at < 2.0)
+                        .map(|(_, w)| w)
+                        .sum();
                     let capacity = 4.0 * (0.2 + 0.8 * age / 10.0);
                     if window > 3.0 * capacity * 2.0 {
                         return Err("rule 4: a cold worker pushed over".into());
@@ -211,7 +271,10 @@
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 let refuse = matches!(action, Action::Refuse { .. });
-                let job = self.jobs.get_mut(&request).ok_or("an answer for an unknown request")?;
+                let job = self
+                    .jobs
+                    .get_mut(&request)
+                    .ok_or("an answer for an unknown request")?;
                 if job.done {
                     return Err("rule 1: a second answer".into());
                 }
@@ -228,7 +291,10 @@
                 job.done = true;
             }
             Action::Cancel { request, attempt } => {
-                let job = self.jobs.get(&request).ok_or("a cancel for an unknown request")?;
+                let job = self
+                    .jobs
+                    .get(&request)
+                    .ok_or("a cancel for an unknown request")?;
                 if attempt as usize >= job.sent.len() {
                     return Err("a cancel of an attempt never made".into());
                 }
@@ -240,7 +306,11 @@
 
     fn overdue(&self, now: f64) -> Result<(), String> {
         let late = |j: &&Job| !j.done && now > j.deadline + SLACK;
-        if self.jobs.values().any(|j| late(&j)) { Err("rule 1: no answer in time".into()) } else { Ok(()) }
+        if self.jobs.values().any(|j| late(&j)) {
+            Err("rule 1: no answer in time".into())
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -261,14 +331,24 @@
     let mut check = Checker::new(Further::of(seed));
     let (mut now, mut due, mut next, mut sends) = (100.0, Vec::<(f64, u64)>::new(), 0u64, 0);
     let entry = |n| place(entry(n));
-    let kind = if pick(2) == 0 { ListKind::Cached } else { ListKind::Full };
-    let mut queue = vec![Event::List { kind, entries: (0..ALL).map(entry).collect() }];
+    let kind = if pick(2) == 0 {
+        ListKind::Cached
+    } else {
+        ListKind::Full
+    };
+    let mut queue = vec![Event::List {
+        kind,
+        entries: (0..ALL).map(entry).collect(),
+    }];
     let mut drained = false;
     for step in 0..3000 {
         if queue.is_empty() {
             due.sort_by(|a, b| b.0.total_cmp(&a.0));
             // A timer comes at its time: the clock does not step over it.
-            now = due.last().map_or(f64::INFINITY, |d| d.0.max(now)).min(now + pick(100) as f64 / 1000.0);
+            now = due
+                .last()
+                .map_or(f64::INFINITY, |d| d.0.max(now))
+                .min(now + pick(100) as f64 / 1000.0);
             while let Some(&(_, token)) = due.last().filter(|d| d.0 <= now) {
                 due.pop();
                 queue.push(Event::Timer { token });
@@ -289,12 +369,18 @@
             match (pick(10), some) {
                 (0..=3, _) if !drained => {
                     let class = pick(3) as u8;
-                    let budget = [5.0, 10.0, 10.0][class as usize] * if pick(4) == 0 { 0.3 } else { 1.0 };
+                    let budget =
+                        [5.0, 10.0, 10.0][class as usize] * if pick(4) == 0 { 0.3 } else { 1.0 };
                     let (request, hint) = (next, Some(0.25));
                     next += 1;
                     check.jobs.insert(
                         request,
-                        Job { class, deadline: now + budget, sent: Vec::new(), done: false },
+                        Job {
+                            class,
+                            deadline: now + budget,
+                            sent: Vec::new(),
+                            done: false,
+                        },
                     );
                     queue.push(Event::Request(NewRequest {
                         request,
@@ -332,16 +418,31 @@
                     });
                 }
                 (8, Some((request, attempt, _))) => {
-                    let note = if pick(2) == 0 { Note::Started } else { Note::Progress(0.5) };
-                    queue.push(Event::Note { request, attempt, note });
+                    let note = if pick(2) == 0 {
+                        Note::Started
+                    } else {
+                        Note::Progress(0.5)
+                    };
+                    queue.push(Event::Note {
+                        request,
+                        attempt,
+                        note,
+                    });
                 }
                 (9, _) => {
                     let n = pick(u64::from(ALL)) as u16;
-                    let health =
-                        [Health::Ready, Health::Ready, Health::Draining, Health::Gone][pick(4) as usize];
+                    let health = [Health::Ready, Health::Ready, Health::Draining, Health::Gone]
+                        [pick(4) as usize];
                     let started = if pick(2) == 0 { now - 0.5 } else { 0.0 };
-                    let mut entries = vec![place(Entry { started, ..with_health(n, health) })];
-                    let kind = if pick(5) == 0 { ListKind::Full } else { ListKind::Delta };
+                    let mut entries = vec![place(Entry {
+                        started,
+                        ..with_health(n, health)
+                    })];
+                    let kind = if pick(5) == 0 {
+                        ListKind::Full
+                    } else {
+                        ListKind::Delta
+                    };
                     if kind == ListKind::Full {
                         entries.extend((0..ALL).filter(|&o| o != n && pick(6) > 0).map(entry));
                     }
@@ -351,14 +452,22 @@
             }
         }
         // Nothing left to wait for: the clock goes on to the last deadline.
-        let Some(mut event) = (!queue.is_empty()).then(|| queue.remove(0)) else { continue };
+        let Some(mut event) = (!queue.is_empty()).then(|| queue.remove(0)) else {
+            continue;
+        };
         if let Event::Request(_) = &event {
             check.taken.push(now);
         }
         if let Event::List { kind, entries } = &event {
             check.list(now, *kind, entries, ALL);
         }
-        if let Event::Outcome { request, outcome, closed, .. } = &mut event {
+        if let Event::Outcome {
+            request,
+            outcome,
+            closed,
+            ..
+        } = &mut event
+        {
             let job = check.jobs.get_mut(request).ok_or("no job")?;
             job.done |= *outcome == Outcome::Ok;
             *closed = job.done;
@@ -393,19 +502,30 @@
             s["rules"]["look-back"] = LOOK_BACK.into();
         }
         s["rules"]["may-shed-begun"] = further.full_proves_nothing.into();
-        s["discovery"] = if seed.is_multiple_of(5) { "on_request" } else { "pushed" }.into();
+        s["discovery"] = if seed.is_multiple_of(5) {
+            "on_request"
+        } else {
+            "pushed"
+        }
+        .into();
     });
     Dispatcher::new(set, seed).expect("sound settings")
 }
 
 #[test]
 fn the_rules_hold_over_generated_sequences() {
-    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 60,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut total = 0;
     TestRunner::new_with_rng(config, rng)
         .run(&proptest::num::u64::ANY, |seed| {
-            play(seed, &mut dispatcher(seed)).map(drop).map_err(proptest::test_runner::TestCaseError::fail)
+            play(seed, &mut dispatcher(seed))
+                .map(drop)
+                .map_err(proptest::test_runner::TestCaseError::fail)
         })
         .expect("a broken rule");
     for seed in 0..20 {
@@ -425,18 +545,34 @@
         (Break::SendsTwice, "rule 6"),
         (Break::TrustsFull, "rule 7"),
     ] {
-        let found = (0..20).filter_map(|seed| play(seed, &mut Broken(dispatcher(seed), broken, None)).err());
+        let found = (0..20)
+            .filter_map(|seed| play(seed, &mut Broken(dispatcher(seed), broken, None)).err());
         let found: Vec<_> = found.collect();
-        assert!(found.iter().any(|f| f.contains(word)), "{broken:?}: {found:?}");
+        assert!(
+            found.iter().any(|f| f.contains(word)),
+            "{broken:?}: {found:?}"
+        );
     }
 }
 
 #[test]
 fn the_checker_sees_a_cold_worker_pushed_over() {
     let mut check = Checker::new(Further::of(7));
-    check.jobs.insert(1, Job { class: 0, deadline: 1e9, sent: Vec::new(), done: false });
+    check.jobs.insert(
+        1,
+        Job {
+            class: 0,
+            deadline: 1e9,
+            sent: Vec::new(),
+            done: false,
+        },
+    );
     check.started.insert(worker(1), 100.0);
-    let send = Action::Send { request: 1, worker: worker(1), timeout: 0.0 };
+    let send = Action::Send {
+        request: 1,
+        worker: worker(1),
+        timeout: 0.0,
+    };
     let found = (0..40).find_map(|_| check.action(100.5, &send).err());
     assert!(found.is_some_and(|f| f.contains("rule 4")));
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,8 @@
 
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
-    Action, Effect, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings, SettingsError, WorkerId,
+    Action, Effect, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings, SettingsError,
+    WorkerId,
 };
 use postproxy::decision::random::Random;
 use postproxy::net::Config;
@@ -63,9 +64,17 @@
         "orgs": [{"name": "a", "share": 0.0, "quota-per-s": 0.0}, {"name": "b", "share": 1.0}],
     });
     // Whole sections that are not there, and keys with odd values.
-    for section in
-        ["limits", "report", "rules", "prices", "extra", "services", "discovery", "balancers", "orgs"]
-    {
+    for section in [
+        "limits",
+        "report",
+        "rules",
+        "prices",
+        "extra",
+        "services",
+        "discovery",
+        "balancers",
+        "orgs",
+    ] {
         if rng.uniform() < 0.05 {
             all.as_object_mut().expect("an object").remove(section);
         }
@@ -76,10 +85,16 @@
         let value = odd(rng);
         if let Some(map) = all.get_mut(section).and_then(Value::as_object_mut) {
             let keys: Vec<String> = map.keys().cloned().collect();
-            map.insert(keys[(rng.uniform() * keys.len() as f64) as usize].clone(), value);
+            map.insert(
+                keys[(rng.uniform() * keys.len() as f64) as usize].clone(),
+                value,
+            );
         } else if let Some(service) = all["services"].get_mut(0).and_then(Value::as_object_mut) {
             let keys: Vec<String> = service.keys().cloned().collect();
-            service.insert(keys[(rng.uniform() * keys.len() as f64) as usize].clone(), value);
+            service.insert(
+                keys[(rng.uniform() * keys.len() as f64) as usize].clone(),
+                value,
+            );
         }
     }
     all
@@ -97,14 +112,25 @@
 fn play(set: &Settings, seed: u64) -> Result<u32, String> {
     let mut rng = Random::new(seed);
     let mut dispatcher = Dispatcher::new(set.clone(), seed).map_err(|error| error.to_string())?;
-    let id = |n: u16| WorkerId { address: [10, 0, 0, n as u8], port: 80 };
+    let id = |n: u16| WorkerId {
+        address: [10, 0, 0, n as u8],
+        port: 80,
+    };
     let home = |n: u16| ((n / 4) as u8, n / 2);
-    let entry =
-        |n: u16| Entry { worker: id(n), zone: home(n).0, cell: home(n).1, size: 1.0, ..Entry::default() };
+    let entry = |n: u16| Entry {
+        worker: id(n),
+        zone: home(n).0,
+        cell: home(n).1,
+        size: 1.0,
+        ..Entry::default()
+    };
     let (mut now, mut actions) = (100.0, Vec::new());
     dispatcher.handle(
         now,
-        &Event::List { kind: ListKind::Full, entries: (0..8).map(entry).collect() },
+        &Event::List {
+            kind: ListKind::Full,
+            entries: (0..8).map(entry).collect(),
+        },
         &mut actions,
     );
     // What comes when: (time, what).
@@ -129,12 +155,20 @@
     let (drains, leaves) = ((8.0 * rng.uniform()) as u16, (8.0 * rng.uniform()) as u16);
     for (n, health) in [(drains, Health::Draining), (leaves, Health::Gone)] {
         let entries = vec![Entry { health, ..entry(n) }];
-        due.push((100.5 + rng.uniform(), Event::List { kind: ListKind::Delta, entries }));
+        due.push((
+            100.5 + rng.uniform(),
+            Event::List {
+                kind: ListKind::Delta,
+                entries,
+            },
+        ));
     }
     let (mut asked, mut sends) = (BTreeMap::<u64, Asked>::new(), 0);
     let mut out_of_use = Vec::new();
     while !due.is_empty() && now < 160.0 {
-        let next = (0..due.len()).min_by(|a, b| due[*a].0.total_cmp(&due[*b].0)).expect("some");
+        let next = (0..due.len())
+            .min_by(|a, b| due[*a].0.total_cmp(&due[*b].0))
+            .expect("some");
         let (at, event) = due.swap_remove(next);
         now = at.max(now);
         match &event {
@@ -142,12 +176,30 @@
                 let class = new.class as usize;
                 let deadline = set.classes.get(class).map_or(0.0, |c| c.deadline);
                 let until = now + new.budget.min(deadline);
-                asked.insert(new.request, Asked { class, until, attempts: Vec::new(), answers: 0 });
+                asked.insert(
+                    new.request,
+                    Asked {
+                        class,
+                        until,
+                        attempts: Vec::new(),
+                        answers: 0,
+                    },
+                );
+            }
+            Event::ClientGone { request } if asked.get(request).is_none_or(|a| a.answers > 0) => {
+                continue;
             }
-            Event::ClientGone { request } if asked.get(request).is_none_or(|a| a.answers > 0) => continue,
             // It wants no answer any more, and no attempt.
-            Event::ClientGone { request } => asked.get_mut(request).into_iter().for_each(|a| a.answers += 1),
-            Event::Outcome { request, attempt, outcome, .. } => {
+            Event::ClientGone { request } => asked
+                .get_mut(request)
+                .into_iter()
+                .for_each(|a| a.answers += 1),
+            Event::Outcome {
+                request,
+                attempt,
+                outcome,
+                ..
+            } => {
                 if let Some(a) = asked.get_mut(request) {
                     let unseen = *outcome == Outcome::Full && !set.full_proves_nothing;
                     let ran = !(unseen || *outcome == Outcome::ConnectFailed);
@@ -155,14 +207,18 @@
                     a.answers += u32::from(*outcome == Outcome::Ok && a.answers == 0);
                 }
             }
-            Event::List { entries, .. } => out_of_use.extend(entries.iter().map(|entry| entry.worker)),
+            Event::List { entries, .. } => {
+                out_of_use.extend(entries.iter().map(|entry| entry.worker))
+            }
             _ => {}
         }
         dispatcher.handle(now, &event, &mut actions);
         for action in actions.drain(..) {
             match action {
                 Action::Timer { at, token } => due.push((at.max(now), Event::Timer { token })),
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     sends += 1;
                     if out_of_use.contains(&worker) {
                         return Err(format!("{request} is sent to a worker told off"));
@@ -170,7 +226,9 @@
                     let a = asked.get_mut(&request).ok_or("a send for nobody")?;
                     let (n, class) = (u16::from(worker.address[3]), &set.classes[a.class]);
                     if a.answers > 0 {
-                        return Err(format!("an attempt for {request}, which has its answer or no client"));
+                        return Err(format!(
+                            "an attempt for {request}, which has its answer or no client"
+                        ));
                     }
                     let ran: Vec<_> = a.attempts.iter().filter(|(.., ran)| *ran).collect();
                     let inside = |at: f64, to: (u8, u16)| {
@@ -187,7 +245,11 @@
                         Effect::Keyed => ran.iter().all(|(at, to, _)| inside(*at, *to)),
                     };
                     if !may || a.attempts.len() >= set.max_attempts as usize || now >= a.until {
-                        return Err(format!("attempt {} of {request}, {:?}", a.attempts.len(), class.effect));
+                        return Err(format!(
+                            "attempt {} of {request}, {:?}",
+                            a.attempts.len(),
+                            class.effect
+                        ));
                     }
                     let attempt = a.attempts.len() as u16;
                     a.attempts.push((now, home(n), true));
@@ -200,7 +262,15 @@
                     };
                     let (elapsed, closed) = (0.1, outcome == Outcome::Ok);
                     let report = vec![3.0 * rng.uniform() as f32, 2.0];
-                    let end = Event::Outcome { request, attempt, worker, outcome, elapsed, closed, report };
+                    let end = Event::Outcome {
+                        request,
+                        attempt,
+                        worker,
+                        outcome,
+                        elapsed,
+                        closed,
+                        report,
+                    };
                     due.push((now + rng.uniform(), end));
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
@@ -214,14 +284,33 @@
                         ));
                     }
                 }
-                Action::Cancel { .. } if !set.may_cancel => return Err("a cancel without leave".into()),
-                Action::Probe { .. } if !set.may_probe => return Err("a probe without leave".into()),
+                Action::Cancel { .. } if !set.may_cancel => {
+                    return Err("a cancel without leave".into());
+                }
+                Action::Probe { .. } if !set.may_probe => {
+                    return Err("a probe without leave".into());
+                }
                 // One in four is lost; the others come late and in any order, one as a failure.
                 Action::Probe { worker } if rng.uniform() < 0.75 => {
                     let elapsed = rng.uniform() * rng.uniform();
-                    let outcome = if rng.uniform() < 0.1 { Outcome::Timeout } else { Outcome::Ok };
-                    let report = vec![6.0 * rng.uniform() as f32, (4.0 * rng.uniform()).floor() as f32];
-                    due.push((now + elapsed, Event::Probed { worker, outcome, elapsed, report }));
+                    let outcome = if rng.uniform() < 0.1 {
+                        Outcome::Timeout
+                    } else {
+                        Outcome::Ok
+                    };
+                    let report = vec![
+                        6.0 * rng.uniform() as f32,
+                        (4.0 * rng.uniform()).floor() as f32,
+                    ];
+                    due.push((
+                        now + elapsed,
+                        Event::Probed {
+                            worker,
+                            outcome,
+                            elapsed,
+                            report,
+                        },
+                    ));
                 }
                 _ => {}
             }
@@ -244,19 +333,30 @@
         match Settings::from_json(&text) {
             Ok(set) => {
                 served += 1;
-                sends += play(&set, seed).unwrap_or_else(|error| panic!("seed {seed}: {error}: {text}"));
+                sends +=
+                    play(&set, seed).unwrap_or_else(|error| panic!("seed {seed}: {error}: {text}"));
             }
             Err(error) => {
                 named += 1;
                 let said = error.to_string();
-                let key = said.strip_prefix("settings.").and_then(|rest| rest.split([':', ' ']).next());
-                let last = key.and_then(|key| key.rsplit('.').next()).unwrap_or_default();
-                assert!(!last.is_empty() && text.contains(last), "seed {seed}: {said}");
+                let key = said
+                    .strip_prefix("settings.")
+                    .and_then(|rest| rest.split([':', ' ']).next());
+                let last = key
+                    .and_then(|key| key.rsplit('.').next())
+                    .unwrap_or_default();
+                assert!(
+                    !last.is_empty() && text.contains(last),
+                    "seed {seed}: {said}"
+                );
                 assert!(error.remedy().contains("the key that is named"), "{said}");
             }
         }
     }
-    assert!(served > 150 && named > 40 && sends > 5000, "{served} served, {named} named, {sends} sends");
+    assert!(
+        served > 150 && named > 40 && sends > 5000,
+        "{served} served, {named} named, {sends} sends"
+    );
 }
 
 /// Guards against a message without its place: the key's path, what was expected, the code and what to do.
@@ -264,7 +364,9 @@
 fn an_error_names_the_path_and_what_to_do() {
     let error = |settings: Value| {
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7", "settings": settings});
-        Config::from_json(&config.to_string(), |_| None).err().expect("an error")
+        Config::from_json(&config.to_string(), |_| None)
+            .err()
+            .expect("an error")
     };
     let cases = [
         (
@@ -277,12 +379,32 @@
             "settings.services[].deadline must be a time above 0",
             "range",
         ),
-        (json!({"limits": {"cancel": 1}}), "settings.limits.cancel: invalid type: integer", "malformed"),
-        (json!({"rules": {"cold-from": 1.5}}), "settings.rules.cold-from must be between 0 and 1", "range"),
+        (
+            json!({"limits": {"cancel": 1}}),
+            "settings.limits.cancel: invalid type: integer",
+            "malformed",
+        ),
+        (
+            json!({"rules": {"cold-from": 1.5}}),
+            "settings.rules.cold-from must be between 0 and 1",
+            "range",
+        ),
         (json!([]), "settings.(all) must be an object", "range"),
-        (json!({"limits": [true]}), "settings.limits must be an object", "range"),
-        (json!({"services": [["a"]]}), "settings.services[] must be an object", "range"),
-        (json!({"services": {}}), "settings.services: invalid type: map", "malformed"),
+        (
+            json!({"limits": [true]}),
+            "settings.limits must be an object",
+            "range",
+        ),
+        (
+            json!({"services": [["a"]]}),
+            "settings.services[] must be an object",
+            "range",
+        ),
+        (
+            json!({"services": {}}),
+            "settings.services: invalid type: map",
+            "malformed",
+        ),
         (
             json!({"services": [{}, {"effect": "Pure"}]}),
             "settings.services[1].effect must be one of pure, token, side_effect, and is \"Pure\"",
@@ -303,9 +425,21 @@
             "settings.report.fields[1] must be one of",
             "word",
         ),
-        (json!({"prices": {"origin": -0.1}}), "settings.prices.origin must be 0 or more", "range"),
-        (json!({"prices": {"probe": -0.1}}), "settings.prices.probe must be 0 or more", "range"),
-        (json!({"prices": {"waste": "dear"}}), "settings.prices.waste: invalid type: string", "malformed"),
+        (
+            json!({"prices": {"origin": -0.1}}),
+            "settings.prices.origin must be 0 or more",
+            "range",
+        ),
+        (
+            json!({"prices": {"probe": -0.1}}),
+            "settings.prices.probe must be 0 or more",
+            "range",
+        ),
+        (
+            json!({"prices": {"waste": "dear"}}),
+            "settings.prices.waste: invalid type: string",
+            "malformed",
+        ),
         (
             json!({"services": [{"name": "a"}, {"name": "a"}]}),
             "settings.services[].name must be of one class alone",
@@ -314,7 +448,10 @@
     ];
     for (settings, said, code) in cases {
         let message = error(settings);
-        assert!(message.contains(said) && message.contains(&format!("settings.{code}: ")), "{message}");
+        assert!(
+            message.contains(said) && message.contains(&format!("settings.{code}: ")),
+            "{message}"
+        );
         assert!(message.contains("signal it to reload again"), "{message}");
     }
     assert!(
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -43,8 +43,14 @@
 
 impl Running {
     /// Starts the program at its limit of descriptors, with this list.
-    fn start(name: &str, discovery: SocketAddr, known: &[serde_json::Value], sockets: usize) -> Self {
-        let folder = std::env::temp_dir().join(format!("postproxy-shortage-{}-{name}", std::process::id()));
+    fn start(
+        name: &str,
+        discovery: SocketAddr,
+        known: &[serde_json::Value],
+        sockets: usize,
+    ) -> Self {
+        let folder =
+            std::env::temp_dir().join(format!("postproxy-shortage-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let at = free();
         let config = serde_json::json!({
@@ -59,7 +65,11 @@
         let path = folder.join("config.json");
         std::fs::write(&path, config.to_string()).expect("it is written");
         let child = Command::new("sh")
-            .args(["-c", &format!("ulimit -n {sockets}; exec \"$0\""), env!("CARGO_BIN_EXE_postproxy")])
+            .args([
+                "-c",
+                &format!("ulimit -n {sockets}; exec \"$0\""),
+                env!("CARGO_BIN_EXE_postproxy"),
+            ])
             .env("RELAY_CONFIG", &path)
             .stdout(Stdio::null())
             .stderr(std::fs::File::create(folder.join("log")).expect("a log"))
@@ -79,20 +89,35 @@
 
     /// Processor time used so far, in ticks of the system: a hundred a second.
     fn used(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
         fields[11].parse::<u64>().expect("a number") + fields[12].parse::<u64>().expect("a number")
     }
 
     /// The most memory it has held so far, in kB.
     fn most_memory(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a figure");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("a figure");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
     }
 
     fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("it runs")
+            .count()
     }
 }
 
@@ -110,10 +135,13 @@
 fn crowd(at: SocketAddr, crowd: &mut Vec<TcpStream>, size: usize) {
     crowd.retain_mut(|stream| {
         let _ = stream.set_nonblocking(true);
-        !matches!(stream.read(&mut [0; 512]), Ok(0)) && stream.take_error().is_ok_and(|error| error.is_none())
+        !matches!(stream.read(&mut [0; 512]), Ok(0))
+            && stream.take_error().is_ok_and(|error| error.is_none())
     });
     while crowd.len() < size {
-        let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else { return };
+        let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else {
+            return;
+        };
         // Every other one has asked for something and rests, and the rest says nothing.
         if crowd.len().is_multiple_of(2) {
             let _ = stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -123,7 +151,11 @@
 }
 
 fn job(at: SocketAddr, id: &str) -> Option<http::Response> {
-    let fields = [("X-Request-Id", id), ("X-Deadline", "5"), ("Connection", "close")];
+    let fields = [
+        ("X-Request-Id", id),
+        ("X-Deadline", "5"),
+        ("Connection", "close"),
+    ];
     ask(at, "POST", "/reroute/x", &fields, b"work").ok()
 }
 
@@ -134,12 +166,19 @@
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
     let discovery = free();
     let time = Duration::from_millis(5);
-    let workers: Vec<Worker> =
-        ["old", "new"].iter().map(|name| Worker::start(name, time).expect("a worker")).collect();
-    let known = [member("old", workers[0].address), member("new", workers[1].address)];
+    let workers: Vec<Worker> = ["old", "new"]
+        .iter()
+        .map(|name| Worker::start(name, time).expect("a worker"))
+        .collect();
+    let known = [
+        member("old", workers[0].address),
+        member("new", workers[1].address),
+    ];
     let running = Running::start("idle", discovery, &known, 64);
     until("it is ready", || running.ready());
-    workers.iter().for_each(|worker| worker.reports_to(running.at));
+    workers
+        .iter()
+        .for_each(|worker| worker.reports_to(running.at));
     let mut idle = Vec::new();
     for n in 0..5 {
         crowd(running.at, &mut idle, 200);
@@ -154,7 +193,10 @@
     let used = (running.used() - before) as f64 / 100.0 / start.elapsed().as_secs_f64();
     assert!(used < 0.3, "{used:.2} of a core while nothing is asked for");
     let held = running.descriptors();
-    assert!(held >= 36, "the clients fill what there is for them: {held}");
+    assert!(
+        held >= 36,
+        "the clients fill what there is for them: {held}"
+    );
     // It is back, and one worker leaves. What is told by then is told, however the clients come and go meanwhile.
     let back = Discovery::start_at(discovery, &workers).expect("discovery");
     back.drain("old");
@@ -165,11 +207,22 @@
         job(running.at, &format!("after-{n}"));
     }
     let old = workers[0].runs().len();
-    assert!(old > 0 && n > 20, "it was sent to before, and the node went on: {old}, {n}");
+    assert!(
+        old > 0 && n > 20,
+        "it was sent to before, and the node went on: {old}, {n}"
+    );
     for n in 0..10 {
-        assert_eq!(job(running.at, &format!("last-{n}")).map(|answer| answer.status), Some(200));
+        assert_eq!(
+            job(running.at, &format!("last-{n}")).map(|answer| answer.status),
+            Some(200)
+        );
     }
-    assert_eq!(workers[0].runs().len(), old, "nothing goes to the one that leaves: {}", running.log());
+    assert_eq!(
+        workers[0].runs().len(),
+        old,
+        "nothing goes to the one that leaves: {}",
+        running.log()
+    );
 }
 
 /// Guards against a flood that takes the others' places, memory or descriptors: clients that send much at once and go, with an end or a
@@ -199,7 +252,9 @@
                         return;
                     }
                     let burst: Vec<TcpStream> = (0..8)
-                        .filter_map(|_| TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok())
+                        .filter_map(|_| {
+                            TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()
+                        })
                         .collect();
                     for (mut stream, k) in burst.into_iter().zip(0..) {
                         let _ = stream.set_write_timeout(Some(Duration::from_millis(50)));
@@ -207,7 +262,8 @@
                             .write_all(texts[(n + k) % texts.len()])
                             .and_then(|()| stream.write_all(much));
                         if k % 2 == 0 {
-                            let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+                            let _ =
+                                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                         }
                     }
                 }
@@ -216,17 +272,27 @@
         let others: Vec<_> = (0..4)
             .map(|client| {
                 scope.spawn(move || {
-                    let answers =
-                        (0..50).map(|n| job(at, &format!("other-{client}-{n}")).map(|answer| answer.status));
+                    let answers = (0..50).map(|n| {
+                        job(at, &format!("other-{client}-{n}")).map(|answer| answer.status)
+                    });
                     answers.filter(|status| *status == Some(200)).count()
                 })
             })
             .collect();
-        let served: Vec<usize> = others.into_iter().map(|other| other.join().expect("a client")).collect();
+        let served: Vec<usize> = others
+            .into_iter()
+            .map(|other| other.join().expect("a client"))
+            .collect();
         let (descriptors, most) = (running.descriptors(), running.most_memory());
         over.store(true, std::sync::atomic::Ordering::SeqCst);
-        assert!(served.iter().all(|served| *served == 50), "{served:?} of 50 each");
-        assert!(descriptors <= 128 && most < 64 << 10, "{descriptors} descriptors, {most} kB");
+        assert!(
+            served.iter().all(|served| *served == 50),
+            "{served:?} of 50 each"
+        );
+        assert!(
+            descriptors <= 128 && most < 64 << 10,
+            "{descriptors} descriptors, {most} kB"
+        );
     });
     // What was opened for it is closed again.
     until("the flood's connections end", || running.descriptors() < 40);
@@ -258,11 +324,16 @@
                     std::thread::spawn(move || {
                         while matches!(stream.read(&mut [0; 4096]), Ok(1..)) {
                             let text = match is {
-                                Is::Crowded => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                                Is::Crowded => {
+                                    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned()
+                                }
                                 _ => {
                                     std::thread::sleep(Duration::from_millis(1900));
                                     let body = r#"{"revision":2,"complete":false,"members":[]}"#;
-                                    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+                                    format!(
+                                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                                        body.len()
+                                    )
                                 }
                             };
                             if stream.write_all(text.as_bytes()).is_err() {
@@ -287,7 +358,10 @@
     for is in [Is::Down, Is::Silent, Is::Slow, Is::Crowded] {
         let (at, _kept) = discovery(is);
         // One that is gone long since and one that is there; and nobody.
-        for known in [vec![member("gone", gone), member("old", worker.address)], Vec::new()] {
+        for known in [
+            vec![member("gone", gone), member("old", worker.address)],
+            Vec::new(),
+        ] {
             let name = format!("{is:?}-{}", known.len());
             let start = Instant::now();
             let running = Running::start(&name, at, &known, 64);
@@ -299,12 +373,17 @@
             times.push((start.elapsed(), name));
             worker.reports_to(running.at);
             if known.len() == 2 {
-                let served =
-                    |n: u32| job(running.at, &format!("{is:?}-{n}")).is_some_and(|a| a.status == 200);
+                let served = |n: u32| {
+                    job(running.at, &format!("{is:?}-{n}")).is_some_and(|a| a.status == 200)
+                };
                 assert!((0..3).all(served), "{is:?}: {}", running.log());
             }
         }
     }
     let late: Vec<_> = times.iter().filter(|(time, _)| *time > READY).collect();
-    assert!(late.len() * 10 <= times.len(), "{late:?} of {}", times.len());
+    assert!(
+        late.len() * 10 <= times.len(),
+        "{late:?} of {}",
+        times.len()
+    );
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -18,7 +18,11 @@
 fn served(harness: &NodeHarness, id: &str, client: &mut Peer) {
     assert_eq!(harness.call(id, 0, r#""state":"done","result":"r""#), 200);
     let answer = client.response();
-    assert_eq!((answer.status, answer.body.as_slice(), answer.keeps), (200, &b"r"[..], false), "{id}");
+    assert_eq!(
+        (answer.status, answer.body.as_slice(), answer.keeps),
+        (200, &b"r"[..], false),
+        "{id}"
+    );
     assert!(client.ended(), "{id}: nothing more is said");
 }
 
@@ -30,7 +34,10 @@
     // The first call of the start is answered: one that is not is given up after 2.2 s, which is when the first request would be sent.
     let mut discovery = Peer::accept(&harness.discovery);
     discovery.request();
-    list(&mut discovery, r#"{"revision":41,"complete":false,"members":[]}"#);
+    list(
+        &mut discovery,
+        r#"{"revision":41,"complete":false,"members":[]}"#,
+    );
     discovery.request();
     let at = harness.workers[0].local_addr().expect("an address");
     let (mut accepted, mut sent) = (Peer::to(harness.node), Peer::to(harness.node));
@@ -44,13 +51,18 @@
     // No worker is in service any more: the next one waits.
     list(
         &mut discovery,
-        &format!(r#"{{"revision":42,"complete":true,"members":[{}]}}"#, member(0, at, "terminating")),
+        &format!(
+            r#"{{"revision":42,"complete":true,"members":[{}]}}"#,
+            member(0, at, "terminating")
+        ),
     );
     discovery.request();
     let mut waits = Peer::to(harness.node);
     waits.submit("waits");
-    let (mut half, head) =
-        (Peer::to(harness.node), "POST /render/a HTTP/1.1\r\nX-Request-Id: half\r\nX-Dead");
+    let (mut half, head) = (
+        Peer::to(harness.node),
+        "POST /render/a HTTP/1.1\r\nX-Request-Id: half\r\nX-Dead",
+    );
     half.write(head);
     harness.settled();
     stop(&mut harness);
@@ -62,13 +74,21 @@
     served(&harness, "sent", &mut sent);
     list(
         &mut discovery,
-        &format!(r#"{{"revision":43,"complete":true,"members":[{}]}}"#, member(0, at, "in_service")),
+        &format!(
+            r#"{{"revision":43,"complete":true,"members":[{}]}}"#,
+            member(0, at, "in_service")
+        ),
     );
     // Both that have waited are sent now, once each, one of them on the pooled connection.
     let mut second = Peer::accept(&harness.workers[0]);
     let mut ids: Vec<String> = [&mut first, &mut second]
         .map(|worker| {
-            let id = worker.request().headers.get("x-request-id").expect("an id").to_owned();
+            let id = worker
+                .request()
+                .headers
+                .get("x-request-id")
+                .expect("an id")
+                .to_owned();
             worker.write(ACCEPTED);
             id
         })
@@ -80,7 +100,10 @@
     served(&harness, "half", &mut half);
     harness.thread.join().expect("the node ends in good order");
     harness.workers[0].set_nonblocking(true).expect("a setting");
-    assert!(harness.workers[0].accept().is_err(), "nothing is sent twice");
+    assert!(
+        harness.workers[0].accept().is_err(),
+        "nothing is sent twice"
+    );
 }
 
 /// Guards against a node that does not end, or lets its client go unheard, since a worker hangs just then: with the job read or
@@ -89,7 +112,9 @@
 fn a_worker_that_hangs_keeps_the_node_no_longer_than_its_job() {
     let mut harness = NodeHarness::new(1, 256);
     let text = |id: &str| {
-        format!("POST /render HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline: 1.0\r\nContent-Length: 0\r\n\r\n")
+        format!(
+            "POST /render HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline: 1.0\r\nContent-Length: 0\r\n\r\n"
+        )
     };
     let (mut accepted, mut sent) = (Peer::to(harness.node), Peer::to(harness.node));
     accepted.write(&text("accepted"));
@@ -103,11 +128,19 @@
     stop(&mut harness);
     for client in [&mut accepted, &mut sent] {
         let answer = client.response();
-        assert!([502, 503].contains(&answer.status) && !answer.keeps, "{}", answer.status);
+        assert!(
+            [502, 503].contains(&answer.status) && !answer.keeps,
+            "{}",
+            answer.status
+        );
         assert!(client.ended());
     }
     harness.thread.join().expect("the node ends in good order");
-    assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 /// Guards against a request that reaches a worker though its connection was closed before it was read: clients that go on sending
@@ -130,7 +163,12 @@
     let mut ids = Vec::new();
     for _ in 0..16 {
         let mut worker = Peer::accept(&harness.workers[0]);
-        let id = worker.request().headers.get("x-request-id").expect("an id").to_owned();
+        let id = worker
+            .request()
+            .headers
+            .get("x-request-id")
+            .expect("an id")
+            .to_owned();
         worker.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(harness.call(&id, 0, r#""state":"done","result":"r""#), 200);
         ids.push(id);
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use postproxy::{
-    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId, Settings,
-    WorkerId,
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId,
+    Settings, WorkerId,
 };
 
 /// Settings with three classes (0 safe, 1 keyed by cell, 2 unsafe) and what `change` does to the JSON.
@@ -27,12 +27,20 @@
 
 /// The id of worker `n`.
 pub fn worker(n: u16) -> WorkerId {
-    WorkerId { address: [10, 0, (n >> 8) as u8, n as u8], port: 80 }
+    WorkerId {
+        address: [10, 0, (n >> 8) as u8, n as u8],
+        port: 80,
+    }
 }
 
 /// Worker `n`, ready, in a cell of four.
 pub fn entry(n: u16) -> Entry {
-    Entry { worker: worker(n), cell: n / 4, size: 1.0, ..Entry::default() }
+    Entry {
+        worker: worker(n),
+        cell: n / 4,
+        size: 1.0,
+        ..Entry::default()
+    }
 }
 
 /// A dispatcher under test.
@@ -45,7 +53,10 @@
     /// A dispatcher with a full list of `workers` workers.
     pub fn new(settings: Settings, workers: u16) -> Self {
         let dispatcher = Dispatcher::new(settings, 7).expect("settings of the tests are sound");
-        let mut harness = Self { dispatcher, now: 100.0 };
+        let mut harness = Self {
+            dispatcher,
+            now: 100.0,
+        };
         harness.list(ListKind::Full, (0..workers).map(entry).collect());
         harness
     }
@@ -92,15 +103,32 @@
         report: Vec<f32>,
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
-        self.event(Event::Outcome { request, attempt, worker: to, outcome, elapsed: 0.1, closed, report })
+        self.event(Event::Outcome {
+            request,
+            attempt,
+            worker: to,
+            outcome,
+            elapsed: 0.1,
+            closed,
+            report,
+        })
     }
 
     pub fn probed(&mut self, to: WorkerId, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
-        self.event(Event::Probed { worker: to, outcome, elapsed: 0.01, report })
+        self.event(Event::Probed {
+            worker: to,
+            outcome,
+            elapsed: 0.01,
+            report,
+        })
     }
 
     pub fn note(&mut self, request: RequestId, attempt: u16, note: Note) -> Vec<Action> {
-        self.event(Event::Note { request, attempt, note })
+        self.event(Event::Note {
+            request,
+            attempt,
+            note,
+        })
     }
 
     /// Lets time pass until `until`, firing the timers in `due`, and collects what is done.
@@ -122,17 +150,35 @@
 }
 
 pub fn timers(actions: &[Action]) -> Vec<(f64, u64)> {
-    let timer = |a: &Action| if let Action::Timer { at, token } = *a { Some((at, token)) } else { None };
+    let timer = |a: &Action| {
+        if let Action::Timer { at, token } = *a {
+            Some((at, token))
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(timer).collect()
 }
 
 pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
-    let send = |a: &Action| if let Action::Send { worker, .. } = *a { Some(worker) } else { None };
+    let send = |a: &Action| {
+        if let Action::Send { worker, .. } = *a {
+            Some(worker)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(send).collect()
 }
 
 pub fn probes(actions: &[Action]) -> Vec<WorkerId> {
-    let probe = |a: &Action| if let Action::Probe { worker } = *a { Some(worker) } else { None };
+    let probe = |a: &Action| {
+        if let Action::Probe { worker } = *a {
+            Some(worker)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(probe).collect()
 }
 
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -40,7 +40,11 @@
 
 fn folder() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let name = format!("postproxy-nodes-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+    let name = format!(
+        "postproxy-nodes-{}-{}",
+        std::process::id(),
+        NEXT.fetch_add(1, Ordering::SeqCst)
+    );
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
@@ -49,7 +53,12 @@
 impl Fleet {
     /// So many nodes with three seeds at most, all of them voters where they are odd.
     pub fn new(count: usize, seed: u64, stored: bool) -> Self {
-        Self::with(count, seed, stored, &["w-0".into(), "w-1".into(), "w-2".into()])
+        Self::with(
+            count,
+            seed,
+            stored,
+            &["w-0".into(), "w-1".into(), "w-2".into()],
+        )
     }
 
     /// The same with workers of these names.
@@ -66,18 +75,25 @@
         sections: &serde_json::Value,
     ) -> Self {
         let folder = folder();
-        let start = |name: &String| Worker::start(name, Duration::from_millis(20)).expect("a worker");
+        let start =
+            |name: &String| Worker::start(name, Duration::from_millis(20)).expect("a worker");
         let workers: Vec<Worker> = names.iter().map(start).collect();
         let discovery = Discovery::start(&workers).expect("discovery");
         let own = addresses(count as u8);
         let clients: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 8080)).collect();
-        workers.iter().for_each(|worker| worker.reports_to_all(&clients));
+        workers
+            .iter()
+            .for_each(|worker| worker.reports_to_all(&clients));
         let at: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 7946)).collect();
         let net = Net::start(&at, seed).expect("relays");
         // A seed that never answers, and the node itself, among them.
-        let mut seeds: Vec<String> = (0..count.min(3)).map(|n| net.relay(n).to_string()).collect();
+        let mut seeds: Vec<String> = (0..count.min(3))
+            .map(|n| net.relay(n).to_string())
+            .collect();
         seeds.insert(0, "127.0.0.1:9".into());
-        let votes = sections["voters"].as_u64().map_or(count | 1, |votes| votes as usize);
+        let votes = sections["voters"]
+            .as_u64()
+            .map_or(count | 1, |votes| votes as usize);
         let voters: Vec<String> = (0..votes).map(|n| format!("n{n}")).collect();
         let nodes = (0..count).map(|n| {
             let name = format!("n{n}");
@@ -106,8 +122,15 @@
             Node { name, process: None, client, door, folder: mine, listener: None }
         });
         let nodes = nodes.collect();
-        let mut fleet =
-            Self { nodes, net, history: History::default(), folder, workers, words: Vec::new(), discovery };
+        let mut fleet = Self {
+            nodes,
+            net,
+            history: History::default(),
+            folder,
+            workers,
+            words: Vec::new(),
+            discovery,
+        };
         (0..count).for_each(|n| fleet.start(n));
         fleet.whole();
         fleet
@@ -116,13 +139,26 @@
     pub fn start(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         self.history.note(Step::Start(n).to_string());
-        let (config, operator) = (node.folder.join("config.json"), node.folder.join("operator.json"));
+        let (config, operator) = (
+            node.folder.join("config.json"),
+            node.folder.join("operator.json"),
+        );
         let (config, operator) = (config.display().to_string(), operator.display().to_string());
         let (folder, door) = (node.folder.display().to_string(), node.door.to_string());
-        let descriptor = node.listener.as_ref().map(|listener| listener.as_raw_fd().to_string());
-        let mut environment =
-            vec![("RELAY_CONFIG", config.as_str()), ("TMPDIR", &folder), ("RELAY_MGMT", &door)];
-        environment.extend(descriptor.as_ref().map(|number| ("RELAY_SOCKET_FD", number.as_str())));
+        let descriptor = node
+            .listener
+            .as_ref()
+            .map(|listener| listener.as_raw_fd().to_string());
+        let mut environment = vec![
+            ("RELAY_CONFIG", config.as_str()),
+            ("TMPDIR", &folder),
+            ("RELAY_MGMT", &door),
+        ];
+        environment.extend(
+            descriptor
+                .as_ref()
+                .map(|number| ("RELAY_SOCKET_FD", number.as_str())),
+        );
         let process = Process::start(
             env!("CARGO_BIN_EXE_postproxy").as_ref(),
             &["serve", "--operator", &operator],
@@ -131,7 +167,8 @@
         );
         node.process = Some(process.expect("the program starts"));
         let door = node.door;
-        let ready = || ask(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|answer| answer.status == 200);
+        let ready =
+            || ask(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|answer| answer.status == 200);
         assert!(wait(MOST, ready), "n{n} is not ready: {}", self.told());
     }
 
@@ -144,16 +181,27 @@
                 if over.load(Ordering::SeqCst) {
                     return;
                 }
-                let (n, id, body) =
-                    ((number + job) % nodes.len(), format!("j-{number}-{job}"), format!("work {job}"));
-                let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5"), ("Connection", "close")];
+                let (n, id, body) = (
+                    (number + job) % nodes.len(),
+                    format!("j-{number}-{job}"),
+                    format!("work {job}"),
+                );
+                let fields = [
+                    ("X-Request-Id", id.as_str()),
+                    ("X-Deadline", "5"),
+                    ("Connection", "close"),
+                ];
                 history.add(Event::Asked(id.clone(), n));
                 let answer = ask(nodes[n], "POST", "/reroute/x", &fields, body.as_bytes()).ok();
                 let sound = answer.as_ref().is_none_or(|answer| match answer.status {
                     200 => answer.body == body.to_uppercase().as_bytes(),
                     status => [429, 502, 503, 504].contains(&status),
                 });
-                history.add(Event::Answered(id, answer.map(|answer| answer.status), sound));
+                history.add(Event::Answered(
+                    id,
+                    answer.map(|answer| answer.status),
+                    sound,
+                ));
                 std::thread::sleep(Duration::from_millis(20));
             }
         })
@@ -163,7 +211,11 @@
     pub fn logs(&self) -> Vec<(usize, String, String)> {
         let log = |(n, node): (usize, &Node)| {
             let path = node.folder.join("log");
-            (n, path.display().to_string(), std::fs::read_to_string(path).unwrap_or_default())
+            (
+                n,
+                path.display().to_string(),
+                std::fs::read_to_string(path).unwrap_or_default(),
+            )
         };
         self.nodes.iter().enumerate().map(log).collect()
     }
@@ -194,7 +246,12 @@
     /// What `postproxy fleet members` prints of a node.
     pub fn told_by_command(&self, n: usize) -> String {
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_postproxy"))
-            .args(["fleet", "members", "--mgmt", &self.nodes[n].door.to_string()])
+            .args([
+                "fleet",
+                "members",
+                "--mgmt",
+                &self.nodes[n].door.to_string(),
+            ])
             .output()
             .expect("it runs");
         assert!(output.status.success(), "{output:?}");
@@ -202,19 +259,33 @@
     }
 
     pub fn living(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|n| self.nodes[*n].process.is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].process.is_some())
+            .collect()
     }
 
     /// Waits until a condition holds for the picture that each of these nodes gives.
-    pub fn until(&self, what: &str, nodes: &[usize], holds: impl Fn(usize, &ClusterStatus) -> bool) {
-        let all = || nodes.iter().all(|n| self.picture(*n).is_some_and(|picture| holds(*n, &picture)));
+    pub fn until(
+        &self,
+        what: &str,
+        nodes: &[usize],
+        holds: impl Fn(usize, &ClusterStatus) -> bool,
+    ) {
+        let all = || {
+            nodes
+                .iter()
+                .all(|n| self.picture(*n).is_some_and(|picture| holds(*n, &picture)))
+        };
         assert!(wait(MOST, all), "{what}: {}", self.told());
         self.history.note(what);
     }
 
     pub fn whole(&self) {
         let living = self.living();
-        let names: Vec<&str> = living.iter().map(|n| self.nodes[*n].name.as_str()).collect();
+        let names: Vec<&str> = living
+            .iter()
+            .map(|n| self.nodes[*n].name.as_str())
+            .collect();
         self.until("whole", &living, |_, picture| {
             let up = |name: &&str| {
                 picture
@@ -228,10 +299,17 @@
 
     pub fn suspend(&self, n: usize, worker: &str, again: bool) -> String {
         let word = if again { "resume" } else { "suspend" };
-        let answer = ask(self.nodes[n].door, "POST", &format!("/v1/route-workers/{worker}/{word}"), &[], b"");
+        let answer = ask(
+            self.nodes[n].door,
+            "POST",
+            &format!("/v1/route-workers/{worker}/{word}"),
+            &[],
+            b"",
+        );
         let answer = answer.expect("an answer");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        self.history.note(format!("{word} {worker} at n{n}: {} {text}", answer.status));
+        self.history
+            .note(format!("{word} {worker} at n{n}: {} {text}", answer.status));
         assert_eq!(answer.status, 200);
         text
     }
@@ -254,7 +332,11 @@
             })
         };
         let pictures: String = self.living().iter().map(picture).collect();
-        format!("\n{}\n{pictures}\nlogs are in {}", self.history, self.folder.display())
+        format!(
+            "\n{}\n{pictures}\nlogs are in {}",
+            self.history,
+            self.folder.display()
+        )
     }
 }
 
--- a/tests/support/node_harness.rs
+++ b/tests/support/node_harness.rs
@@ -21,7 +21,10 @@
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
-        Self { stream, input: Vec::new() }
+        Self {
+            stream,
+            input: Vec::new(),
+        }
     }
 
     pub fn to(address: SocketAddr) -> Self {
@@ -33,7 +36,9 @@
     }
 
     pub fn write(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it is written");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("it is written");
     }
 
     /// More bytes, or the end.
@@ -49,7 +54,9 @@
 
     pub fn request(&mut self) -> Request {
         loop {
-            if let http::Read::Whole(request, size) = http::read_request(&self.input).expect("a request") {
+            if let http::Read::Whole(request, size) =
+                http::read_request(&self.input).expect("a request")
+            {
                 self.input.drain(..size);
                 return request;
             }
@@ -59,7 +66,8 @@
 
     pub fn response(&mut self) -> http::Response {
         loop {
-            let read = http::read_response(&self.input, false, http::MAX_BODY_BYTES).expect("a response");
+            let read =
+                http::read_response(&self.input, false, http::MAX_BODY_BYTES).expect("a response");
             if let http::Read::Whole(response, size) = read {
                 self.input.drain(..size);
                 return response;
@@ -103,7 +111,9 @@
 pub fn port() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     // It holds for accepting too: what never comes fails the test and does not hang it.
-    socket2::SockRef::from(&listener).set_read_timeout(Some(LIMIT)).expect("a time limit");
+    socket2::SockRef::from(&listener)
+        .set_read_timeout(Some(LIMIT))
+        .expect("a time limit");
     listener
 }
 
@@ -120,13 +130,16 @@
 
     /// Signals a reload, which finds discovery where this listens; `None` finds no configuration.
     pub fn reload(&mut self, discovery: Option<&TcpListener>) {
-        *self.moved.lock().expect("a lock") = discovery.map(|d| d.local_addr().expect("an address"));
+        *self.moved.lock().expect("a lock") =
+            discovery.map(|d| d.local_addr().expect("an address"));
         self.reload.write_all(b"x").expect("a signal");
     }
 
     /// A node whose list holds these workers and then some that nothing here stands for.
     pub fn listing(workers: usize, sockets: usize, others: &[SocketAddr], idle: f64) -> Self {
-        Self::with(workers, sockets, others, |settings| settings["limits"]["conn-idle"] = idle.into())
+        Self::with(workers, sockets, others, |settings| {
+            settings["limits"]["conn-idle"] = idle.into()
+        })
     }
 
     /// The same with what `change` does to its settings.
@@ -139,7 +152,10 @@
         let workers: Vec<TcpListener> = (0..workers).map(|_| port()).collect();
         let at = |w: &TcpListener| w.local_addr().expect("an address");
         let all = workers.iter().map(at).chain(others.iter().copied());
-        let members: Vec<String> = all.enumerate().map(|(n, w)| member(n, w, "in_service")).collect();
+        let members: Vec<String> = all
+            .enumerate()
+            .map(|(n, w)| member(n, w, "in_service"))
+            .collect();
         let discovery = port();
         let text = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f","limits":{{"sockets":{sockets}}},
@@ -164,21 +180,34 @@
             let mut node = Node::new(read(&text), signal).expect("a node");
             let reloaded = move || {
                 let at = (*source.lock().expect("a lock"))?;
-                Some(Config { discovery: at, ..read(&text) })
+                Some(Config {
+                    discovery: at,
+                    ..read(&text)
+                })
             };
-            node.reload_on(reload_signal, reloaded).expect("a signal to reload");
+            node.reload_on(reload_signal, reloaded)
+                .expect("a signal to reload");
             tell.send(node.address()).expect("the test waits");
             node.run().expect("it runs");
         });
         let node = told.recv_timeout(LIMIT).expect("the node starts");
-        Self { node, workers, discovery, stop, reload, moved, thread }
+        Self {
+            node,
+            workers,
+            discovery,
+            stop,
+            reload,
+            moved,
+            thread,
+        }
     }
 
     pub fn call(&self, id: &str, from: usize, state: &str) -> u16 {
         let body = format!(r#"{{"id":"{id}","from":"s-{from}",{state}}}"#);
         let size = body.len();
-        Peer::to(self.node)
-            .ask(&format!("POST /v1/job-events HTTP/1.1\r\nContent-Length: {size}\r\n\r\n{body}"))
+        Peer::to(self.node).ask(&format!(
+            "POST /v1/job-events HTTP/1.1\r\nContent-Length: {size}\r\n\r\n{body}"
+        ))
     }
 
     /// Waits until the node has taken in all that has come before: two whole turns of its loop.
@@ -197,9 +226,13 @@
 /// Whether a call waits for changes since this revision, for no longer than what it misses may stay unknown.
 pub fn watches(target: &str, revision: u64) -> bool {
     let wait = target.strip_prefix(&format!("/api/targets?since={revision}&timeout_ms="));
-    wait.and_then(|wait| wait.parse().ok()).is_some_and(|wait: u64| (2600..=3400).contains(&wait))
+    wait.and_then(|wait| wait.parse().ok())
+        .is_some_and(|wait: u64| (2600..=3400).contains(&wait))
 }
 
 pub fn list(peer: &mut Peer, text: &str) {
-    peer.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()));
+    peer.write(&format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    ));
 }
--- a/tests/transaction.rs
+++ b/tests/transaction.rs
@@ -2,7 +2,8 @@
 
 use postproxy::net::messages::Reply;
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload, Submission,
+    Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload,
+    Submission,
 };
 use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
@@ -27,15 +28,25 @@
     }
 
     fn with(workers: u16, settings: &str) -> Self {
-        let hub =
-            RequestManager::new(Settings::from_json(settings).expect("sound settings"), 7).expect("a hub");
-        let mut bed = Self { hub, now: 1000.0, timers: Vec::new() };
+        let hub = RequestManager::new(Settings::from_json(settings).expect("sound settings"), 7)
+            .expect("a hub");
+        let mut bed = Self {
+            hub,
+            now: 1000.0,
+            timers: Vec::new(),
+        };
         let member = |n: u16| Member {
             id: format!("s-{n}"),
             address: ([127, 0, 0, 1], 9000 + n).into(),
-            entry: Entry { size: 1.0, ..Entry::default() },
+            entry: Entry {
+                size: 1.0,
+                ..Entry::default()
+            },
         };
-        bed.tell(Input::List(ListKind::Full, (0..workers).map(member).collect()));
+        bed.tell(Input::List(
+            ListKind::Full,
+            (0..workers).map(member).collect(),
+        ));
         bed
     }
 
@@ -43,23 +54,34 @@
     fn tell(&mut self, input: Input) -> Vec<Command> {
         let mut out = Vec::new();
         self.hub.handle(self.now, input, &mut out);
-        let (timers, rest) = out.into_iter().partition(|c| matches!(c, Command::Timer(..)));
+        let (timers, rest) = out
+            .into_iter()
+            .partition(|c| matches!(c, Command::Timer(..)));
         let timers: Vec<Command> = timers;
-        self.timers.extend(timers.into_iter().filter_map(|c| match c {
-            Command::Timer(at, due) => Some((at, due)),
-            _ => None,
-        }));
+        self.timers
+            .extend(timers.into_iter().filter_map(|c| match c {
+                Command::Timer(at, due) => Some((at, due)),
+                _ => None,
+            }));
         // Acknowledgements have a test of their own.
         let rest: Vec<Command> = rest;
-        rest.into_iter().filter(|c| !matches!(c, Command::Acknowledge(2, _))).collect()
+        rest.into_iter()
+            .filter(|c| !matches!(c, Command::Acknowledge(2, _)))
+            .collect()
     }
 
     /// Plays the timers up to a time.
     fn play(&mut self, until: f64) -> Vec<Command> {
         let mut all = Vec::new();
         loop {
-            let next = self.timers.iter().enumerate().min_by(|a, b| a.1.0.total_cmp(&b.1.0));
-            let Some((i, &(at, due))) = next.filter(|(_, (at, _))| *at <= until) else { break };
+            let next = self
+                .timers
+                .iter()
+                .enumerate()
+                .min_by(|a, b| a.1.0.total_cmp(&b.1.0));
+            let Some((i, &(at, due))) = next.filter(|(_, (at, _))| *at <= until) else {
+                break;
+            };
             self.timers.remove(i);
             self.now = self.now.max(at);
             all.extend(self.tell(Input::Due(due)));
@@ -69,32 +91,62 @@
     }
 
     fn submit(&mut self, id: &str, class: u8) -> Vec<Command> {
-        let payload = Payload { id: id.into(), method: "POST".into(), ..Payload::default() };
-        self.tell(Input::Arrived(1, Submission { payload, class, ..Submission::default() }))
+        let payload = Payload {
+            id: id.into(),
+            method: "POST".into(),
+            ..Payload::default()
+        };
+        self.tell(Input::Arrived(
+            1,
+            Submission {
+                payload,
+                class,
+                ..Submission::default()
+            },
+        ))
     }
 
     /// Submits, and has the attempt written and accepted; the attempt and its worker's name.
     fn accepted(&mut self, id: &str, class: u8) -> (AttemptId, String) {
         let (attempt, from) = start(&self.submit(id, class)).expect("an attempt");
         assert!(self.tell(Input::Written(attempt)).is_empty());
-        assert!(self.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new())).is_empty());
+        assert!(
+            self.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()))
+                .is_empty()
+        );
         (attempt, from)
     }
 
     fn call(&mut self, id: &str, from: &str, state: JobState) -> Vec<Command> {
-        self.tell(Input::Call(2, JobCall { id: id.into(), from: from.into(), state, load: Load::new() }))
+        self.tell(Input::Call(
+            2,
+            JobCall {
+                id: id.into(),
+                from: from.into(),
+                state,
+                load: Load::new(),
+            },
+        ))
     }
 }
 
 fn start(commands: &[Command]) -> Option<(AttemptId, String)> {
     commands.iter().find_map(|c| match c {
-        Command::Start(attempt, worker, ..) => Some((*attempt, format!("s-{}", worker.port() - 9000))),
+        Command::Start(attempt, worker, ..) => {
+            Some((*attempt, format!("s-{}", worker.port() - 9000)))
+        }
         _ => None,
     })
 }
 
 fn answers<'a>(commands: &'a [Command]) -> Vec<&'a Answer> {
-    let answer = |c: &'a Command| if let Command::Answer(_, answer) = c { Some(answer) } else { None };
+    let answer = |c: &'a Command| {
+        if let Command::Answer(_, answer) = c {
+            Some(answer)
+        } else {
+            None
+        }
+    };
     commands.iter().filter_map(answer).collect()
 }
 
@@ -103,15 +155,27 @@
 fn a_result_is_given_once() {
     let mut bed = Bed::new(2);
     let (_, from) = bed.accepted("a", 0);
-    assert!(bed.call("a", "s-unknown", JobState::Done(b"x".into())).is_empty());
-    assert!(bed.call("unknown", &from, JobState::Done(b"x".into())).is_empty());
+    assert!(
+        bed.call("a", "s-unknown", JobState::Done(b"x".into()))
+            .is_empty()
+    );
+    assert!(
+        bed.call("unknown", &from, JobState::Done(b"x".into()))
+            .is_empty()
+    );
     assert!(bed.call("a", &from, JobState::Running(0.4)).is_empty());
     let done = bed.call("a", &from, JobState::Done(b"result".into()));
     assert_eq!(answers(&done), [&Answer::Served(b"result".into())]);
-    assert!(bed.call("a", &from, JobState::Done(b"result".into())).is_empty());
+    assert!(
+        bed.call("a", &from, JobState::Done(b"result".into()))
+            .is_empty()
+    );
     assert!(bed.call("a", &from, JobState::Lost).is_empty());
     assert_eq!(bed.hub.held(), 0);
-    assert!(bed.play(1010.0).is_empty(), "no timer of the past may answer again");
+    assert!(
+        bed.play(1010.0).is_empty(),
+        "no timer of the past may answer again"
+    );
 }
 
 /// Guards against losing a call-back that comes before the 202, and against the 202 reviving its attempt.
@@ -120,8 +184,14 @@
     let mut bed = Bed::new(1);
     let (attempt, from) = start(&bed.submit("a", 0)).expect("an attempt");
     bed.tell(Input::Written(attempt));
-    assert_eq!(answers(&bed.call("a", &from, JobState::Done(b"r".into()))), [&Answer::Served(b"r".into())]);
-    assert!(bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new())).is_empty());
+    assert_eq!(
+        answers(&bed.call("a", &from, JobState::Done(b"r".into()))),
+        [&Answer::Served(b"r".into())]
+    );
+    assert!(
+        bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()))
+            .is_empty()
+    );
     assert_eq!(bed.hub.held(), 0);
 }
 
@@ -140,7 +210,10 @@
         assert!(bed.call("a", &from, JobState::Returned).is_empty());
     }
     assert!(start(&bed.play(1002.0)).is_none(), "no third attempt");
-    assert_eq!(answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(), 1);
+    assert_eq!(
+        answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(),
+        1
+    );
 }
 
 /// Guards against sending again what may have run; only PROTOCOL's cases prove that nothing has.
@@ -174,7 +247,9 @@
     let mut bed = Bed::new(2);
     let (attempt, blamed) = start(&bed.submit("a", 0)).expect("an attempt");
     bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new()));
-    let more: Vec<_> = (0..12).filter_map(|n| start(&bed.submit(&format!("b{n}"), 0))).collect();
+    let more: Vec<_> = (0..12)
+        .filter_map(|n| start(&bed.submit(&format!("b{n}"), 0)))
+        .collect();
     assert!(more.iter().any(|(_, worker)| *worker == blamed), "{more:?}");
 }
 
@@ -183,8 +258,14 @@
 fn after_the_202_a_broken_connection_decides_nothing() {
     let mut bed = Bed::new(2);
     let (attempt, from) = bed.accepted("a", 0);
-    assert!(bed.tell(Input::Attempt(attempt, AttemptEnd::Reset, Load::new())).is_empty());
-    assert_eq!(answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(), 1);
+    assert!(
+        bed.tell(Input::Attempt(attempt, AttemptEnd::Reset, Load::new()))
+            .is_empty()
+    );
+    assert_eq!(
+        answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(),
+        1
+    );
 }
 
 /// Guards against work that goes on for nobody: the worker is told, by a message only after its 202.
@@ -197,7 +278,10 @@
             bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
         }
         let left = bed.tell(Input::Left(1));
-        assert!(matches!(left[..], [Command::Abandon(p, _, _, t)] if (p, t) == (attempt, taken)), "{left:?}");
+        assert!(
+            matches!(left[..], [Command::Abandon(p, _, _, t)] if (p, t) == (attempt, taken)),
+            "{left:?}"
+        );
         assert_eq!(bed.hub.held(), 0);
         assert!(bed.play(1010.0).is_empty());
     }
@@ -209,7 +293,10 @@
     let mut bed = Bed::new(0);
     assert!(bed.submit("a", 0).is_empty());
     let all = bed.play(1005.0);
-    assert!(matches!(answers(&all)[..], [Answer::Unavailable(after)] if *after > 0.0), "{all:?}");
+    assert!(
+        matches!(answers(&all)[..], [Answer::Unavailable(after)] if *after > 0.0),
+        "{all:?}"
+    );
     assert_eq!(bed.hub.held(), 0);
 }
 
@@ -221,7 +308,11 @@
     bed.accepted("a", 1);
     let all = bed.play(1005.01);
     assert_eq!(answers(&all), [&Answer::Failed]);
-    assert!(all.iter().any(|c| matches!(c, Command::Abandon(_, _, _, true))), "{all:?}");
+    assert!(
+        all.iter()
+            .any(|c| matches!(c, Command::Abandon(_, _, _, true))),
+        "{all:?}"
+    );
     assert_eq!(bed.hub.held(), 0);
 }
 
@@ -230,8 +321,17 @@
 fn an_id_that_is_held_is_not_taken_twice() {
     let mut bed = Bed::new(1);
     bed.accepted("a", 0);
-    let payload = Payload { id: "a".into(), ..Payload::default() };
-    let twice = bed.tell(Input::Arrived(2, Submission { payload, ..Submission::default() }));
+    let payload = Payload {
+        id: "a".into(),
+        ..Payload::default()
+    };
+    let twice = bed.tell(Input::Arrived(
+        2,
+        Submission {
+            payload,
+            ..Submission::default()
+        },
+    ));
     assert_eq!(answers(&twice), [&Answer::Held]);
     assert_eq!(bed.hub.held(), 1);
 }
@@ -240,14 +340,31 @@
 #[test]
 fn what_exceeds_max_open_fails_at_once() {
     let settings = SETTINGS.replace("\"max-attempts\"", "\"max-open\": 1, \"max-attempts\"");
-    let mut hub =
-        RequestManager::new(Settings::from_json(&settings).expect("sound settings"), 7).expect("a hub");
+    let mut hub = RequestManager::new(Settings::from_json(&settings).expect("sound settings"), 7)
+        .expect("a hub");
     let mut out = Vec::new();
     for (client, id) in [(1, "a"), (2, "b")] {
-        let payload = Payload { id: id.into(), ..Payload::default() };
-        hub.handle(1000.0, Input::Arrived(client, Submission { payload, ..Submission::default() }), &mut out);
+        let payload = Payload {
+            id: id.into(),
+            ..Payload::default()
+        };
+        hub.handle(
+            1000.0,
+            Input::Arrived(
+                client,
+                Submission {
+                    payload,
+                    ..Submission::default()
+                },
+            ),
+            &mut out,
+        );
     }
-    assert!(out.iter().any(|c| matches!(c, Command::Answer(2, Answer::Failed))), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|c| matches!(c, Command::Answer(2, Answer::Failed))),
+        "{out:?}"
+    );
     assert_eq!((answers(&out).len(), hub.held()), (1, 1));
 }
 
@@ -255,11 +372,19 @@
 #[test]
 fn load_reports_are_joined_by_name() {
     let bed = Bed::new(1);
-    let load = |pairs: &[(&str, f64)]| -> Load { pairs.iter().map(|(n, v)| ((*n).to_owned(), *v)).collect() };
-    let report = bed.hub.report(&load(&[("x0", 3.0), ("inflight", 7.0), ("queue", 2.0)]));
+    let load = |pairs: &[(&str, f64)]| -> Load {
+        pairs.iter().map(|(n, v)| ((*n).to_owned(), *v)).collect()
+    };
+    let report = bed
+        .hub
+        .report(&load(&[("x0", 3.0), ("inflight", 7.0), ("queue", 2.0)]));
     assert_eq!((report[0], report[2], report[3]), (2.0, 7.0, 3.0));
     assert!(report[1].is_nan());
-    let report = bed.hub.report(&load(&[("backlog", 1.0), ("errors_per_s", 0.5), ("outstanding", 4.0)]));
+    let report = bed.hub.report(&load(&[
+        ("backlog", 1.0),
+        ("errors_per_s", 0.5),
+        ("outstanding", 4.0),
+    ]));
     assert_eq!(report[..3], [1.0, 0.5, 4.0]);
     assert!(bed.hub.report(&load(&[("cpu", 1.0)])).is_empty());
 }
@@ -271,17 +396,31 @@
     let mut bed = Bed::new(2);
     let employ = |bed: &mut Bed, name: &str, again| bed.tell(Input::Use(9, name.into(), again));
     let reply = |out: &[Command]| {
-        out.iter().find_map(|c| if let Command::Operator(9, reply) = c { Some(*reply) } else { None })
+        out.iter().find_map(|c| {
+            if let Command::Operator(9, reply) = c {
+                Some(*reply)
+            } else {
+                None
+            }
+        })
     };
     assert_eq!(reply(&employ(&mut bed, "s-9", false)), Some(Reply::Nobody));
     assert_eq!(reply(&employ(&mut bed, "s-9", true)), Some(Reply::Nobody));
-    assert_eq!(reply(&employ(&mut bed, "s-1", true)), Some(Reply::Yes), "it was never out");
+    assert_eq!(
+        reply(&employ(&mut bed, "s-1", true)),
+        Some(Reply::Yes),
+        "it was never out"
+    );
     let (unsent, to) = start(&bed.submit("a", 1)).expect("an attempt");
     let (sent, _) = loop {
         let (attempt, from) = start(&bed.tell(Input::Arrived(
             3,
             Submission {
-                payload: Payload { id: format!("b{}", bed.now), method: "POST".into(), ..Payload::default() },
+                payload: Payload {
+                    id: format!("b{}", bed.now),
+                    method: "POST".into(),
+                    ..Payload::default()
+                },
                 class: 1,
                 ..Submission::default()
             },
@@ -295,18 +434,32 @@
     };
     let out = employ(&mut bed, &to, false);
     assert_eq!(reply(&out), Some(Reply::Yes));
-    assert!(out.iter().any(|c| matches!(c, Command::Withdraw(attempt) if *attempt == unsent)));
-    assert!(!out.iter().any(|c| matches!(c, Command::Withdraw(attempt) if *attempt == sent)));
+    assert!(
+        out.iter()
+            .any(|c| matches!(c, Command::Withdraw(attempt) if *attempt == unsent))
+    );
+    assert!(
+        !out.iter()
+            .any(|c| matches!(c, Command::Withdraw(attempt) if *attempt == sent))
+    );
     assert!(out.iter().any(|c| matches!(c, Command::Forget(_))));
-    assert_eq!(reply(&employ(&mut bed, &to, false)), Some(Reply::Yes), "twice is once");
+    assert_eq!(
+        reply(&employ(&mut bed, &to, false)),
+        Some(Reply::Yes),
+        "twice is once"
+    );
     // What never ran goes elsewhere; also after a whole list that names the worker as ready.
-    let (_, other) =
-        start(&bed.tell(Input::Attempt(unsent, AttemptEnd::NoRoom, Load::new()))).expect("another attempt");
+    let (_, other) = start(&bed.tell(Input::Attempt(unsent, AttemptEnd::NoRoom, Load::new())))
+        .expect("another attempt");
     assert_ne!(other, to);
     let member = |n: u16| Member {
         id: format!("s-{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
-        entry: Entry { size: 1.0, started: 1000.0, ..Entry::default() },
+        entry: Entry {
+            size: 1.0,
+            started: 1000.0,
+            ..Entry::default()
+        },
     };
     bed.tell(Input::List(ListKind::Full, vec![member(0), member(1)]));
     for n in 0..20 {
@@ -316,7 +469,8 @@
     assert_eq!(reply(&employ(&mut bed, &other, false)), Some(Reply::Yes));
     let out = bed.submit("d", 0);
     assert!(
-        out.iter().any(|c| matches!(c, Command::Answer(1, Answer::Unavailable(_)))),
+        out.iter()
+            .any(|c| matches!(c, Command::Answer(1, Answer::Unavailable(_)))),
         "all are out: {out:?}"
     );
     assert_eq!(reply(&employ(&mut bed, &to, true)), Some(Reply::Yes));
@@ -340,13 +494,28 @@
                 _ => false,
             };
             assert!(out.iter().any(back), "cancel {cancel}: {out:?}");
-            assert!(bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new())).is_empty());
-            assert!(start(&bed.play(1010.0)).is_none() && bed.hub.held() == 0, "cancel {cancel}");
+            assert!(
+                bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new()))
+                    .is_empty()
+            );
+            assert!(
+                start(&bed.play(1010.0)).is_none() && bed.hub.held() == 0,
+                "cancel {cancel}"
+            );
             let (sent, from) = bed.accepted("b", class);
             let out = bed.tell(Input::Left(1));
-            assert!(!out.iter().any(|c| matches!(c, Command::Withdraw(_))), "{sent} has been written");
-            assert!(start(&bed.call("b", &from, JobState::Lost)).is_none(), "no further attempt");
-            assert!(start(&bed.play(1020.0)).is_none() && bed.hub.held() == 0, "cancel {cancel}");
+            assert!(
+                !out.iter().any(|c| matches!(c, Command::Withdraw(_))),
+                "{sent} has been written"
+            );
+            assert!(
+                start(&bed.call("b", &from, JobState::Lost)).is_none(),
+                "no further attempt"
+            );
+            assert!(
+                start(&bed.play(1020.0)).is_none() && bed.hub.held() == 0,
+                "cancel {cancel}"
+            );
         }
     }
 }
@@ -358,15 +527,26 @@
     use postproxy::Health;
     let member = |name: &str, health: Health| {
         let n: u16 = name.trim_start_matches("s-").parse().expect("a number");
-        let entry = Entry { size: 1.0, health, ..Entry::default() };
-        Member { id: name.to_owned(), address: ([127, 0, 0, 1], 9000 + n).into(), entry }
+        let entry = Entry {
+            size: 1.0,
+            health,
+            ..Entry::default()
+        };
+        Member {
+            id: name.to_owned(),
+            address: ([127, 0, 0, 1], 9000 + n).into(),
+            entry,
+        }
     };
     let other = |name: &str| if name == "s-0" { "s-1" } else { "s-0" };
     for written in [false, true] {
         for how in 0..3 {
             let mut bed = Bed::new(2);
             let (attempt, to) = start(&bed.submit("a", 1)).expect("an attempt");
-            assert!(bed.tell(Input::List(ListKind::Delta, vec![])).is_empty(), "no change");
+            assert!(
+                bed.tell(Input::List(ListKind::Delta, vec![])).is_empty(),
+                "no change"
+            );
             if written {
                 bed.tell(Input::Written(attempt));
             }
@@ -376,10 +556,13 @@
                 1 => Input::List(ListKind::Full, vec![member(&to, Health::Draining), stays]),
                 _ => Input::List(ListKind::Full, vec![stays]),
             });
-            let back = out.iter().any(|c| matches!(c, Command::Withdraw(p) if *p == attempt));
+            let back = out
+                .iter()
+                .any(|c| matches!(c, Command::Withdraw(p) if *p == attempt));
             assert_eq!(back, !written, "{how}: {out:?}");
             if back {
-                let again = start(&bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new())));
+                let again =
+                    start(&bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new())));
                 assert_eq!(again.expect("another attempt").1, other(&to));
             }
         }
@@ -395,7 +578,9 @@
         let (_, from) = old.accepted("a", 0);
         let job = old.hub.release(old.now, 1).expect("it can move");
         let out = new.tell(Input::Moved(1, client, job));
-        let given_up = out.iter().any(|c| matches!(c, Command::Abandon(_, _, p, true) if p.id == "a"));
+        let given_up = out
+            .iter()
+            .any(|c| matches!(c, Command::Abandon(_, _, p, true) if p.id == "a"));
         assert_eq!((given_up, start(&out)), (!goes_on, None), "{out:?}");
         let again = start(&new.call("a", &from, JobState::Lost));
         assert_eq!(again.is_some(), goes_on);
@@ -413,9 +598,13 @@
     assert_ne!(second, first);
     bed.tell(Input::Written(attempt));
     bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
-    for late in
-        [JobState::Lost, JobState::Failed, JobState::Returned, JobState::Started, JobState::Running(0.9)]
-    {
+    for late in [
+        JobState::Lost,
+        JobState::Failed,
+        JobState::Returned,
+        JobState::Started,
+        JobState::Running(0.9),
+    ] {
         let out = bed.call("a", &first, late.clone());
         assert!(out.is_empty(), "{late:?}: {out:?}");
     }
@@ -447,15 +636,27 @@
         assert!(!asked.is_empty());
         let mut sent = None;
         for (id, worker) in &asked {
-            let free = if *worker == asked[0].1 { told.unwrap_or(0.0) } else { 0.0 };
+            let free = if *worker == asked[0].1 {
+                told.unwrap_or(0.0)
+            } else {
+                0.0
+            };
             let load = vec![
                 ("x0".to_owned(), free),
                 ("backlog".to_owned(), 0.0),
                 ("outstanding".to_owned(), 4.0 - free),
             ];
-            let end = if told.is_some() { AttemptEnd::Accepted } else { AttemptEnd::Reset };
+            let end = if told.is_some() {
+                AttemptEnd::Accepted
+            } else {
+                AttemptEnd::Reset
+            };
             sent = sent.or(start(&bed.tell(Input::Attempt(*id, end, load))));
-            assert!(bed.tell(Input::Attempt(*id, AttemptEnd::Accepted, Load::new())).is_empty(), "once");
+            assert!(
+                bed.tell(Input::Attempt(*id, AttemptEnd::Accepted, Load::new()))
+                    .is_empty(),
+                "once"
+            );
         }
         match told {
             Some(_) => assert_eq!(sent.map(|(_, worker)| worker), Some(asked[0].1.clone())),
@@ -472,7 +673,10 @@
     let (attempt, _) = start(&bed.submit("a", 1)).expect("an attempt");
     assert!(bed.hub.movable().is_empty(), "it is dialled for");
     bed.tell(Input::Written(attempt));
-    assert!(bed.hub.movable().is_empty(), "it is written, and nobody knows whether it was taken");
+    assert!(
+        bed.hub.movable().is_empty(),
+        "it is written, and nobody knows whether it was taken"
+    );
     bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
     assert_eq!(bed.hub.movable(), [1], "it was taken");
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -6,7 +6,9 @@
 
 use dispatcher_harness::{sends, worker};
 use postproxy::decision::dispatcher::Dispatcher;
-use postproxy::decision::interface::{Entry, Event, Health, ListKind, NewRequest, Outcome, Settings};
+use postproxy::decision::interface::{
+    Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
+};
 use postproxy::decision::random::Random;
 use postproxy::net::upstream::watch::{BESIDE, Call, LATE, PATIENCE, Schedule, WAIT};
 
@@ -47,10 +49,15 @@
     fn end(&mut self, now: f64, since: Option<u64>, wait: Option<f64>) -> End {
         let takes = ANSWERS * self.rng.uniform();
         let waits = wait.filter(|_| since == Some(self.left(now)));
-        let change = self.leaves.iter().map(|(at, _)| *at).find(|at| *at > now).unwrap_or(f64::INFINITY);
-        let sound = End::Answered(
-            waits.map_or(now + takes, |wait| change.min(now + wait) + LATE * 0.9 * self.rng.uniform()),
-        );
+        let change = self
+            .leaves
+            .iter()
+            .map(|(at, _)| *at)
+            .find(|at| *at > now)
+            .unwrap_or(f64::INFINITY);
+        let sound = End::Answered(waits.map_or(now + takes, |wait| {
+            change.min(now + wait) + LATE * 0.9 * self.rng.uniform()
+        }));
         if now >= self.sound_from {
             // One that is open when its turn to fall silent has come stays so.
             let silent = self.silent > 0 && self.rng.uniform() < 0.5;
@@ -73,26 +80,53 @@
 fn play(seed: u64, due_after: f64) -> Result<u64, String> {
     let mut rng = Random::new(seed);
     let sound_from = 12.0 * rng.uniform();
-    let mut leaves: Vec<(f64, u16)> = (0..WORKERS / 2).map(|n| (30.0 * rng.uniform(), n)).collect();
+    let mut leaves: Vec<(f64, u16)> = (0..WORKERS / 2)
+        .map(|n| (30.0 * rng.uniform(), n))
+        .collect();
     leaves.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut moves: Vec<f64> = (0..2).map(|_| 30.0 * rng.uniform()).collect();
     moves.sort_by(f64::total_cmp);
     let silent = (rng.uniform() * 2.0) as u32;
-    let mut discovery = Discovery { rng: Random::new(seed + 1), sound_from, silent, leaves };
+    let mut discovery = Discovery {
+        rng: Random::new(seed + 1),
+        sound_from,
+        silent,
+        leaves,
+    };
     let nodes = [1, 5, 300][(seed % 3) as usize];
     let mut schedule = Schedule::new(nodes, seed);
     let settings = r#"{"discovery": "on_request", "services": [{"name": "a", "effect": "pure"}]}"#;
     let mut dispatcher =
         Dispatcher::new(Settings::from_json(settings).expect("settings"), seed).expect("sound");
-    let entry = |n: u16, health| Entry { worker: worker(n), health, size: 1.0, ..Entry::default() };
+    let entry = |n: u16, health| Entry {
+        worker: worker(n),
+        health,
+        size: 1.0,
+        ..Entry::default()
+    };
     let mut actions = Vec::new();
     let list = |left: u64, leaves: &[(f64, u16)]| {
         let gone: Vec<u16> = leaves.iter().take(left as usize).map(|(_, n)| *n).collect();
-        let health = |n| if gone.contains(&n) { Health::Draining } else { Health::Ready };
-        (0..WORKERS).map(|n| entry(n, health(n))).collect::<Vec<Entry>>()
+        let health = |n| {
+            if gone.contains(&n) {
+                Health::Draining
+            } else {
+                Health::Ready
+            }
+        };
+        (0..WORKERS)
+            .map(|n| entry(n, health(n)))
+            .collect::<Vec<Entry>>()
     };
     let entries = list(0, &discovery.leaves);
-    dispatcher.handle(0.0, &Event::List { kind: ListKind::Cached, entries }, &mut actions);
+    dispatcher.handle(
+        0.0,
+        &Event::List {
+            kind: ListKind::Cached,
+            entries,
+        },
+        &mut actions,
+    );
     let (mut revision, mut out, mut checked) = (Some(0), Vec::<(Call, Option<u64>, End)>::new(), 0);
     schedule.start(0.0, true);
     for tick in 0..8_000u64 {
@@ -114,7 +148,14 @@
                     let news = since != Some(left);
                     revision = Some(left);
                     let entries = list(left, &discovery.leaves);
-                    dispatcher.handle(now, &Event::List { kind: ListKind::Full, entries }, &mut actions);
+                    dispatcher.handle(
+                        now,
+                        &Event::List {
+                            kind: ListKind::Full,
+                            entries,
+                        },
+                        &mut actions,
+                    );
                     schedule.answered(now, call.id, news);
                 }
                 _ => {}
@@ -122,7 +163,10 @@
         }
         out.retain(|(call, ..)| schedule.is_out(call.id));
         if out.len() > 2 {
-            return Err(format!("seed {seed}: {} calls are out at {now:.3}", out.len()));
+            return Err(format!(
+                "seed {seed}: {} calls are out at {now:.3}",
+                out.len()
+            ));
         }
         while let Some(call) = schedule.due(now, revision.is_some()) {
             let end = discovery.end(now, revision, call.wait);
@@ -131,11 +175,17 @@
         }
         actions.clear();
         if tick.is_multiple_of(10) {
-            let new = NewRequest { request: tick + 1, budget: 5.0, slots: 1.0, ..NewRequest::default() };
+            let new = NewRequest {
+                request: tick + 1,
+                budget: 5.0,
+                slots: 1.0,
+                ..NewRequest::default()
+            };
             dispatcher.handle(now, &Event::Request(new), &mut actions);
             for to in sends(&actions) {
                 let leaving = discovery.leaves.iter().find(|(_, n)| worker(*n) == to);
-                if let Some((at, n)) = leaving.filter(|(at, _)| now > at.max(sound_from) + due_after + SLACK)
+                if let Some((at, n)) =
+                    leaving.filter(|(at, _)| now > at.max(sound_from) + due_after + SLACK)
                 {
                     return Err(format!(
                         "seed {seed}: at {now:.3} a job goes to {n}, which left at {at:.3}; sound from {sound_from:.3}"
@@ -147,8 +197,15 @@
             dispatcher.handle(now, &Event::ClientGone { request: tick + 1 }, &mut actions);
             for (worker, attempt) in sent.into_iter().zip(0..) {
                 let (request, outcome, report) = (tick + 1, Outcome::Cancelled, Vec::new());
-                let ended =
-                    Event::Outcome { request, attempt, worker, outcome, elapsed: 0.0, closed: false, report };
+                let ended = Event::Outcome {
+                    request,
+                    attempt,
+                    worker,
+                    outcome,
+                    elapsed: 0.0,
+                    closed: false,
+                    report,
+                };
                 dispatcher.handle(now, &ended, &mut actions);
             }
         }
@@ -161,8 +218,13 @@
 /// SIGHUP in between, and silent once more after all that.
 #[test]
 fn a_change_is_told_in_time_whatever_calls_came_to() {
-    let checked: u64 = (0..200).map(|seed| play(seed, TOLD).unwrap_or_else(|error| panic!("{error}"))).sum();
-    assert!(checked > 2_000, "sends to workers that are to leave were looked at: {checked}");
+    let checked: u64 = (0..200)
+        .map(|seed| play(seed, TOLD).unwrap_or_else(|error| panic!("{error}")))
+        .sum();
+    assert!(
+        checked > 2_000,
+        "sends to workers that are to leave were looked at: {checked}"
+    );
 }
 
 /// Guards against a check that sees nothing: with a deadline that no calls could keep, it speaks.
@@ -177,7 +239,12 @@
 #[test]
 fn two_silent_calls_and_an_answer_fit_into_the_time() {
     const { assert!(WAIT + LATE + BESIDE + ANSWERS <= TOLD) }
-    const { assert!(WAIT + LATE + 2.0 <= TOLD, "an answer in discovery's own time") }
+    const {
+        assert!(
+            WAIT + LATE + 2.0 <= TOLD,
+            "an answer in discovery's own time"
+        )
+    }
     const { assert!(2.0 * PATIENCE + ANSWERS <= TOLD, "the whole list") }
 }
 
@@ -193,13 +260,23 @@
             let call = schedule.due(at, true).expect("it is due");
             assert_eq!(call.wait, None);
             schedule.answered(at, call.id, false);
-            assert!(schedule.due(at, true).is_some_and(|call| call.wait.is_some()), "then a watch");
+            assert!(
+                schedule
+                    .due(at, true)
+                    .is_some_and(|call| call.wait.is_some()),
+                "then a watch"
+            );
             at - 100.0
         });
-        starts.fold((f64::INFINITY, 0.0f64), |(least, most), at| (least.min(at), most.max(at)))
+        starts.fold((f64::INFINITY, 0.0f64), |(least, most), at| {
+            (least.min(at), most.max(at))
+        })
     };
     let (least, most) = first(300, true);
-    assert!(least < 0.01 && (0.2..=0.25).contains(&most), "{least} to {most}");
+    assert!(
+        least < 0.01 && (0.2..=0.25).contains(&most),
+        "{least} to {most}"
+    );
     assert!(first(5, true).1 < 0.006, "few need no time");
     assert_eq!(first(300, false), (0.0, 0.0), "where it is not wanted");
 }
@@ -217,7 +294,11 @@
             let call = schedule.due(now, true).expect("it is due");
             schedule.failed(now, call.id);
             let next = schedule.wakes().expect("another");
-            assert!(next > now + 0.04 && next <= now + 2.61, "seed {seed}, step {step}: {}", next - now);
+            assert!(
+                next > now + 0.04 && next <= now + 2.61,
+                "seed {seed}, step {step}: {}",
+                next - now
+            );
             if step == 0 {
                 firsts.push(next - now);
             }
@@ -226,7 +307,10 @@
     }
     for from in 0..10 {
         let from = 0.1 + f64::from(from) * 0.1;
-        let together = firsts.iter().filter(|at| (from..from + 0.1).contains(*at)).count();
+        let together = firsts
+            .iter()
+            .filter(|at| (from..from + 0.1).contains(*at))
+            .count();
         assert!(together <= 50, "{together} of 300 in a tenth of a second");
     }
 }
@@ -263,14 +347,29 @@
     let first = schedule.due(100.0, true).expect("a call");
     let second = schedule.due(104.0, true).expect("one beside it");
     assert!(first.wait.is_some() && second.wait.is_none() && second.ends.is_none());
-    let third = schedule.due(104.0 + BESIDE, true).expect("one in its place");
+    let third = schedule
+        .due(104.0 + BESIDE, true)
+        .expect("one in its place");
     assert_eq!(third.ends, Some(first.id));
     schedule.answered(105.2, first.id, true);
-    assert!(schedule.is_out(second.id) && schedule.is_out(third.id), "it is nobody's answer");
+    assert!(
+        schedule.is_out(second.id) && schedule.is_out(third.id),
+        "it is nobody's answer"
+    );
     schedule.failed(105.2, second.id);
-    assert!(schedule.is_out(third.id) && schedule.wakes().is_some_and(|at| at <= 105.1 + BESIDE + 0.001));
+    assert!(
+        schedule.is_out(third.id)
+            && schedule
+                .wakes()
+                .is_some_and(|at| at <= 105.1 + BESIDE + 0.001)
+    );
     schedule.answered(105.3, third.id, false);
-    assert!(!schedule.is_out(third.id) && schedule.due(105.3, true).is_some_and(|call| call.wait.is_some()));
+    assert!(
+        !schedule.is_out(third.id)
+            && schedule
+                .due(105.3, true)
+                .is_some_and(|call| call.wait.is_some())
+    );
 }
 
 /// Guards against one list asked for twice at a time: it is long.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -5,7 +5,8 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap_or(""), 16).unwrap_or(0);
+    let byte =
+        |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap_or(""), 16).unwrap_or(0);
     digits.chunks(2).map(byte).collect()
 }
 
@@ -24,11 +25,16 @@
 }
 
 fn one(record: &str) -> (u32, Record) {
-    let batch = read(&batch(&[record])).expect("a sound frame").expect("a batch");
+    let batch = read(&batch(&[record]))
+        .expect("a sound frame")
+        .expect("a batch");
     batch.records.into_iter().next().expect("a record")
 }
 
-const A: WorkerId = WorkerId { address: [10, 18, 74, 7], port: 8083 };
+const A: WorkerId = WorkerId {
+    address: [10, 18, 74, 7],
+    port: 8083,
+};
 const REQUEST: u64 = 0x0009_9a9f_5d3a_91c4;
 
 #[test]
@@ -48,16 +54,35 @@
         16 0c000000 03000000 4d00000000000000
         15 0c000000 05000000 192b6f0e84030a00");
     let batch = read(&bytes).expect("sound").expect("there");
-    let [(3, Record::Event(Event::Request(new))), (3, timer), (5, gone)] = &batch.records[..] else {
+    let [
+        (3, Record::Event(Event::Request(new))),
+        (3, timer),
+        (5, gone),
+    ] = &batch.records[..]
+    else {
         panic!("{batch:?}")
     };
     assert_eq!(
-        (new.request, new.class, new.tenant, new.slots, new.memory, new.repeat),
+        (
+            new.request,
+            new.class,
+            new.tenant,
+            new.slots,
+            new.memory,
+            new.repeat
+        ),
         (REQUEST, 0, 0, 2.0, 0.0, false)
     );
-    assert!((new.budget - 0.24).abs() < 1e-12 && new.hint.is_some_and(|h| (h - 0.012).abs() < 1e-12));
+    assert!(
+        (new.budget - 0.24).abs() < 1e-12 && new.hint.is_some_and(|h| (h - 0.012).abs() < 1e-12)
+    );
     assert_eq!(*timer, Record::Event(Event::Timer { token: 77 }));
-    assert_eq!(*gone, Record::Event(Event::ClientGone { request: 0x000a_0384_0e6f_2b19 }));
+    assert_eq!(
+        *gone,
+        Record::Event(Event::ClientGone {
+            request: 0x000a_0384_0e6f_2b19
+        })
+    );
 }
 
 #[test]
@@ -65,22 +90,63 @@
     let mut reply = Reply::new(12);
     let timeout = f64::from_le_bytes(hex("7b14ae47e17ab43f").try_into().expect("eight bytes"));
     let at = f64::from_le_bytes(hex("508d976e12d32140").try_into().expect("eight bytes"));
-    reply.push(3, &Action::Send { request: REQUEST, worker: A, timeout });
+    reply.push(
+        3,
+        &Action::Send {
+            request: REQUEST,
+            worker: A,
+            timeout,
+        },
+    );
     reply.push(3, &Action::Timer { at, token: 77 });
     reply.push(3, &Action::Watch);
-    reply.push(3, &Action::Refuse { request: 0x000a_0384_0e6f_2b19, retry_after: 0.25 });
-    reply.push(3, &Action::Fail { request: 0x000a_0384_0e6f_2b19 });
-    reply.push(3, &Action::Probe { worker: WorkerId { address: [10, 144, 17, 242], port: 8124 } });
-    reply.push(3, &Action::Cancel { request: REQUEST, attempt: 0 });
-    let records = hex("18 1a000000 03000000 c4913a5d9f9a0900 0a124a07 931f 7b14ae47e17ab43f
+    reply.push(
+        3,
+        &Action::Refuse {
+            request: 0x000a_0384_0e6f_2b19,
+            retry_after: 0.25,
+        },
+    );
+    reply.push(
+        3,
+        &Action::Fail {
+            request: 0x000a_0384_0e6f_2b19,
+        },
+    );
+    reply.push(
+        3,
+        &Action::Probe {
+            worker: WorkerId {
+                address: [10, 144, 17, 242],
+                port: 8124,
+            },
+        },
+    );
+    reply.push(
+        3,
+        &Action::Cancel {
+            request: REQUEST,
+            attempt: 0,
+        },
+    );
+    let records = hex(
+        "18 1a000000 03000000 c4913a5d9f9a0900 0a124a07 931f 7b14ae47e17ab43f
         15 14000000 03000000 508d976e12d32140 4d00000000000000
         10 05000000 03000000 01
         16 14000000 03000000 192b6f0e84030a00 000000000000d03f
         14 0c000000 03000000 192b6f0e84030a00
         13 0a000000 03000000 0a9011f2 bc1f
-        1a 0e000000 03000000 c4913a5d9f9a0900 0000");
+        1a 0e000000 03000000 c4913a5d9f9a0900 0000",
+    );
     let bytes = reply.into_bytes();
-    assert_eq!(bytes[..8], [&12u32.to_le_bytes()[..], &(records.len() as u32).to_le_bytes()].concat());
+    assert_eq!(
+        bytes[..8],
+        [
+            &12u32.to_le_bytes()[..],
+            &(records.len() as u32).to_le_bytes()
+        ]
+        .concat()
+    );
     assert_eq!(bytes[8..], records);
 }
 
@@ -89,28 +155,75 @@
     let (_, list) = one("11 3d000000 03000000 29000000 02 02000000
         0a124a07 931f 00 0000 0000 01 0000803f 0000000000000000
         0a9011f2 bc1f 00 0000 0000 01 0000c03f 6666666666661840");
-    let Record::Event(Event::List { kind: ListKind::Cached, entries }) = list else { panic!("{list:?}") };
-    assert_eq!((entries[0].worker, entries[0].started, entries[0].health), (A, 0.0, Health::Ready));
+    let Record::Event(Event::List {
+        kind: ListKind::Cached,
+        entries,
+    }) = list
+    else {
+        panic!("{list:?}")
+    };
+    assert_eq!(
+        (entries[0].worker, entries[0].started, entries[0].health),
+        (A, 0.0, Health::Ready)
+    );
     assert_eq!((entries[1].size, entries[1].started), (1.5, 6.1));
-    let (_, streaming) = one("13 1c000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 8b6ce7fba9f1823f");
-    assert_eq!(streaming, Record::Event(Event::Streaming { request: REQUEST, attempt: 0 }));
+    let (_, streaming) =
+        one("13 1c000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 8b6ce7fba9f1823f");
+    assert_eq!(
+        streaming,
+        Record::Event(Event::Streaming {
+            request: REQUEST,
+            attempt: 0
+        })
+    );
     let (_, note) = one("1a 19000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 01 0000003f");
-    assert_eq!(note, Record::Event(Event::Note { request: REQUEST, attempt: 0, note: Note::Started }));
+    assert_eq!(
+        note,
+        Record::Event(Event::Note {
+            request: REQUEST,
+            attempt: 0,
+            note: Note::Started
+        })
+    );
     let (_, result) = one(
         "14 2d000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f c800 8b6ce7fba9f1923f 01 00 03 0000404000006841cdcccc3e",
     );
-    let Record::Event(Event::Outcome { worker: A, outcome: Outcome::Ok, closed: true, report, .. }) = result
+    let Record::Event(Event::Outcome {
+        worker: A,
+        outcome: Outcome::Ok,
+        closed: true,
+        report,
+        ..
+    }) = result
     else {
         panic!("{result:?}")
     };
     assert_eq!(report, [3.0, 14.5, 0.4]);
     let (_, probed) =
         one("17 21000000 03000000 0a9011f2 bc1f c800 c7bab88d06f0563f 03 0000404000006841cdcccc3e");
-    assert!(matches!(probed, Record::Event(Event::Probed { outcome: Outcome::Ok, .. })), "{probed:?}");
-    assert_eq!(one("18 0c000000 03000000 0200 0400 68692037"), (3, Record::Event(Event::Peer)));
+    assert!(
+        matches!(
+            probed,
+            Record::Event(Event::Probed {
+                outcome: Outcome::Ok,
+                ..
+            })
+        ),
+        "{probed:?}"
+    );
+    assert_eq!(
+        one("18 0c000000 03000000 0200 0400 68692037"),
+        (3, Record::Event(Event::Peer))
+    );
     assert_eq!(one("19 04000000 03000000"), (3, Record::Stop));
     let (_, start) = one("10 12000000 03000000 0100000000000000 02000000 7b7d");
-    assert_eq!(start, Record::Start { seed: 1, settings: b"{}".to_vec() });
+    assert_eq!(
+        start,
+        Record::Start {
+            seed: 1,
+            settings: b"{}".to_vec()
+        }
+    );
 }
 
 #[test]
@@ -130,7 +243,9 @@
         let (_, r) = one(&format!(
             "14 21000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f {low:02x}{high:02x} 8b6ce7fba9f1923f 00 00 00"
         ));
-        let Record::Event(Event::Outcome { outcome, .. }) = r else { panic!("{r:?}") };
+        let Record::Event(Event::Outcome { outcome, .. }) = r else {
+            panic!("{r:?}")
+        };
         assert_eq!(outcome, want, "{code}");
     }
 }
@@ -139,12 +254,27 @@
 fn hostile_frames_are_errors() {
     let sound = batch(&["16 0c000000 03000000 4d00000000000000"]);
     for cut in 1..sound.len() {
-        assert!(matches!(read(&sound[..cut]), Err(WireError::Truncated)), "cut at {cut}");
+        assert!(
+            matches!(read(&sound[..cut]), Err(WireError::Truncated)),
+            "cut at {cut}"
+        );
     }
-    assert!(matches!(read(&batch(&["63 04000000 03000000"])), Err(WireError::UnknownCode(0x63))));
-    assert!(matches!(read(&batch(&["16 08000000 03000000 4d000000"])), Err(WireError::Short(22))));
-    assert!(matches!(read(&batch(&["16 0d000000 03000000 4d00000000000000 00"])), Err(WireError::Long(22))));
-    assert!(matches!(read(&batch(&["16 ffffffff 03000000"])), Err(WireError::Short(22))));
+    assert!(matches!(
+        read(&batch(&["63 04000000 03000000"])),
+        Err(WireError::UnknownCode(0x63))
+    ));
+    assert!(matches!(
+        read(&batch(&["16 08000000 03000000 4d000000"])),
+        Err(WireError::Short(22))
+    ));
+    assert!(matches!(
+        read(&batch(&["16 0d000000 03000000 4d00000000000000 00"])),
+        Err(WireError::Long(22))
+    ));
+    assert!(matches!(
+        read(&batch(&["16 ffffffff 03000000"])),
+        Err(WireError::Short(22))
+    ));
     assert!(matches!(
         read(&batch(&["11 0e000000 03000000 01000000 01 ffffffff 00"])),
         Err(WireError::Short(17))
@@ -154,22 +284,45 @@
         Err(WireError::Value { .. })
     ));
     assert!(matches!(
-        read(&batch(&["10 14000000 03000000 0100000000000000 ffffffff 00000000"])),
+        read(&batch(&[
+            "10 14000000 03000000 0100000000000000 ffffffff 00000000"
+        ])),
         Err(WireError::Short(16))
     ));
     // A size of four gigabytes with nothing behind it, a size without room for the count, a wrong count.
-    assert!(matches!(read(&hex("01000000 508d976e12d32040 ffffffff 00000000")), Err(WireError::Truncated)));
-    assert!(matches!(read(&hex("01000000 508d976e12d32040 03000000 00000000")), Err(WireError::Count)));
-    assert!(matches!(read(&hex("01000000 508d976e12d32040 04000000 05000000")), Err(WireError::Count)));
-    assert!(matches!(read(&hex("01000000 000000000000f87f 04000000 00000000")), Err(WireError::Clock)));
+    assert!(matches!(
+        read(&hex("01000000 508d976e12d32040 ffffffff 00000000")),
+        Err(WireError::Truncated)
+    ));
+    assert!(matches!(
+        read(&hex("01000000 508d976e12d32040 03000000 00000000")),
+        Err(WireError::Count)
+    ));
+    assert!(matches!(
+        read(&hex("01000000 508d976e12d32040 04000000 05000000")),
+        Err(WireError::Count)
+    ));
+    assert!(matches!(
+        read(&hex("01000000 000000000000f87f 04000000 00000000")),
+        Err(WireError::Clock)
+    ));
     let text = WireError::UnknownCode(99).to_string();
     assert!(text.contains("99"), "{text}");
 }
 
 #[test]
 fn settings_have_defaults_and_typed_errors() {
-    let set = Settings::from_json(r#"{"new-key": {"x": [1]}, "services": [{}]}"#).expect("defaults");
-    assert_eq!((set.balancers, set.max_attempts, set.may_probe, set.may_cancel), (1, 3, false, false));
+    let set =
+        Settings::from_json(r#"{"new-key": {"x": [1]}, "services": [{}]}"#).expect("defaults");
+    assert_eq!(
+        (
+            set.balancers,
+            set.max_attempts,
+            set.may_probe,
+            set.may_cancel
+        ),
+        (1, 3, false, false)
+    );
     assert_eq!(set.classes[0].effect, postproxy::Effect::Unsafe);
     for (bad, key) in [
         (r#"{"services": [{"deadline": -1}]}"#, "deadline"),
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -30,16 +30,25 @@
     fn next(&mut self) {
         let (mut text, mut byte) = (String::new(), [0]);
         while !text.ends_with("\r\n\r\n") {
-            assert_eq!(self.peer.read(&mut byte).expect("a call"), 1, "the connection ended: {text}");
+            assert_eq!(
+                self.peer.read(&mut byte).expect("a call"),
+                1,
+                "the connection ended: {text}"
+            );
             text.push(byte[0] as char);
         }
         self.target = text.split_whitespace().nth(1).expect("a target").to_owned();
     }
 
     fn answer(&mut self, revision: u64, complete: bool, members: &str) {
-        let body = format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
-        write!(self.peer, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-            .expect("it is written");
+        let body =
+            format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
+        write!(
+            self.peer,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+        .expect("it is written");
     }
 
     /// How long it waits, in milliseconds; `None` for the whole list.
@@ -60,9 +69,19 @@
     fn with(known: Option<u64>, seed: u64, how: &str) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let settings = Settings::from_json(&format!(r#"{{"discovery": "{how}"}}"#)).expect("sound settings");
-        let list = WorkerList::new(listener.local_addr().expect("an address"), settings, known, seed);
-        let mut bed = Self { reactor, list, listener };
+        let settings =
+            Settings::from_json(&format!(r#"{{"discovery": "{how}"}}"#)).expect("sound settings");
+        let list = WorkerList::new(
+            listener.local_addr().expect("an address"),
+            settings,
+            known,
+            seed,
+        );
+        let mut bed = Self {
+            reactor,
+            list,
+            listener,
+        };
         bed.list.start(&mut bed.reactor);
         bed
     }
@@ -75,7 +94,8 @@
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
                 assert_eq!(owner(event.key), Owner::Discovery);
-                self.list.ready(&mut self.reactor, event.key, event.readable, event.writable);
+                self.list
+                    .ready(&mut self.reactor, event.key, event.readable, event.writable);
             }
         }
     }
@@ -102,7 +122,10 @@
                 peer.set_nonblocking(false).expect("a setting");
                 peer.set_read_timeout(Some(LIMIT)).expect("a time limit");
                 let at = self.reactor.now;
-                let mut call = Call { peer, target: String::new() };
+                let mut call = Call {
+                    peer,
+                    target: String::new(),
+                };
                 // It is written once the connection is known to be made.
                 let mut peek = [0];
                 call.peer.set_nonblocking(true).expect("a setting");
@@ -146,7 +169,10 @@
             assert!(start.elapsed() < LIMIT);
             let mut events = Vec::new();
             bed.reactor.wait(&mut events, f64::MAX).expect("a poller");
-            events.iter().for_each(|e| bed.list.ready(&mut bed.reactor, e.key, e.readable, e.writable));
+            events.iter().for_each(|e| {
+                bed.list
+                    .ready(&mut bed.reactor, e.key, e.readable, e.writable)
+            });
             let now = bed.reactor.now;
             if events.is_empty() && bed.list.out() == 0 {
                 bed.at(now + 0.002);
@@ -156,15 +182,24 @@
         last = bed.reactor.now;
     }
     assert!((0.1..0.11).contains(&waits[0]), "{waits:?}");
-    assert!(waits[1] < 0.21 && waits[2] < 0.41 && waits[3] < 0.81, "{waits:?}");
-    assert!(bed.reactor.queue.is_empty(), "the hub has nothing to do with it");
+    assert!(
+        waits[1] < 0.21 && waits[2] < 0.41 && waits[3] < 0.81,
+        "{waits:?}"
+    );
+    assert!(
+        bed.reactor.queue.is_empty(),
+        "the hub has nothing to do with it"
+    );
     bed.until(|bed| bed.list.out() == 0);
     bed.listener = TcpListener::bind(at).expect("the port again");
     let (_, mut call) = bed.call(bed.reactor.now + 2.0).expect("it is asked again");
     call.answer(1, true, MEMBER);
     assert_eq!(bed.told(), ListKind::Full);
     call.next();
-    assert!(call.target.starts_with("/api/targets?since=1&"), "a watch, and no whole list any more");
+    assert!(
+        call.target.starts_with("/api/targets?since=1&"),
+        "a watch, and no whole list any more"
+    );
 }
 
 /// Guards against a list that is pushed and is never asked for, since the node waits for what can only come as an answer; and
@@ -174,11 +209,17 @@
     for how in ["pushed", "some other word"] {
         let mut bed = Bed::with(Some(5), 1023, how);
         let (at, mut call) = bed.call(1000.0).expect("a call");
-        assert_eq!((at, call.target.starts_with("/api/targets?since=5&")), (1000.0, true));
+        assert_eq!(
+            (at, call.target.starts_with("/api/targets?since=5&")),
+            (1000.0, true)
+        );
         call.answer(6, false, MEMBER);
         assert_eq!(bed.told(), ListKind::Delta);
         call.next();
-        assert!(call.target.starts_with("/api/targets?since=6&"), "and the watch goes on");
+        assert!(
+            call.target.starts_with("/api/targets?since=6&"),
+            "and the watch goes on"
+        );
     }
 }
 
@@ -197,7 +238,10 @@
         assert!((2600..=3400).contains(&wait), "{wait}");
         let (at, mut beside) = bed.call(opened + 10.0).expect("another");
         let silent = at - opened;
-        assert!((silent - (wait as f64 / 1000.0 + 0.5)).abs() < 0.03, "seed {seed}: after {silent} s");
+        assert!(
+            (silent - (wait as f64 / 1000.0 + 0.5)).abs() < 0.03,
+            "seed {seed}: after {silent} s"
+        );
         assert_eq!(beside.wait(), Some(1), "it does not wait");
         let (at, third) = bed.call(opened + 10.0).expect("a third");
         assert!(
@@ -206,13 +250,19 @@
             at - opened
         );
         assert!(watch.given_up(), "two are out at most");
-        assert!(bed.reactor.queue.is_empty(), "the hub has nothing to do with it");
+        assert!(
+            bed.reactor.queue.is_empty(),
+            "the hub has nothing to do with it"
+        );
         beside.answer(6, false, "");
         assert_eq!(bed.told(), ListKind::Delta);
         let mut third = third;
         assert!(third.given_up(), "the first answer counts");
         beside.next();
-        assert!(beside.target.contains("since=6&") && beside.wait() > Some(2000), "the watch goes on there");
+        assert!(
+            beside.target.contains("since=6&") && beside.wait() > Some(2000),
+            "the watch goes on there"
+        );
     }
 }
 
@@ -231,8 +281,15 @@
         bed.until(|bed| bed.list.calls() > before);
         call.next();
         assert_eq!(call.target, "/api/targets", "the whole list is asked for");
-        assert!(bed.reactor.queue.is_empty(), "and nothing is told before it is there");
-        let (last, text) = if complete { (9, "terminating") } else { (2, "in_service") };
+        assert!(
+            bed.reactor.queue.is_empty(),
+            "and nothing is told before it is there"
+        );
+        let (last, text) = if complete {
+            (9, "terminating")
+        } else {
+            (2, "in_service")
+        };
         call.answer(last, true, &MEMBER.replace("in_service", text));
         assert_eq!(bed.told(), ListKind::Full);
         call.next();
@@ -261,20 +318,31 @@
         let before = bed.list.calls();
         bed.until(|bed| bed.list.out() == 0);
         let (again, call) = bed.call(at + 5.0).expect("another");
-        assert!(bed.list.calls() > before && again - at < 0.2, "{text:?}: after {} s", again - at);
+        assert!(
+            bed.list.calls() > before && again - at < 0.2,
+            "{text:?}: after {} s",
+            again - at
+        );
         assert!(call.target.starts_with("/api/targets?since=5&"));
         assert!(bed.reactor.queue.is_empty());
     }
     // One that trickles is silent: no byte gives it more time.
     let mut bed = Bed::new(Some(5), 7);
     let (at, mut call) = bed.call(1001.0).expect("a watch");
-    let mut left = b"HTTP/1.1 200 OK\r\nX-Endless: ".iter().chain(std::iter::repeat(&b'x'));
+    let mut left = b"HTTP/1.1 200 OK\r\nX-Endless: "
+        .iter()
+        .chain(std::iter::repeat(&b'x'));
     let mut second = None;
     while second.is_none() && bed.reactor.now < at + 9.0 {
-        call.peer.write_all(&[*left.next().expect("another byte")]).expect("it is written");
+        call.peer
+            .write_all(&[*left.next().expect("another byte")])
+            .expect("it is written");
         second = bed.call(bed.reactor.now + 0.05);
     }
-    assert!(second.is_some_and(|(second, _)| second - at < 4.0), "beside one that never ends");
+    assert!(
+        second.is_some_and(|(second, _)| second - at < 4.0),
+        "beside one that never ends"
+    );
 }
 
 /// Guards against an answer of discovery that never ends and is read for ever, or is held until its call has had its time though it
@@ -283,8 +351,14 @@
 fn an_answer_without_end_ends_its_call() {
     let chunk = format!("100000\r\n{}\r\n", "x".repeat(1 << 20));
     let endless = [
-        ("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", "of the same "),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk.as_str()),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
+            "of the same ",
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            chunk.as_str(),
+        ),
         ("HTTP/1.1 200 OK\r\n", "X-More: of the same\r\n"),
         ("HTTP/1.1 200 OK\r\nX-Line: ", "of the same "),
         ("no HTTP\r\n\r\n", "of the same "),
@@ -292,12 +366,18 @@
     for (begins, goes_on) in endless {
         let mut bed = Bed::new(Some(5), 7);
         let (at, call) = bed.call(1001.0).expect("a watch");
-        let (mut peer, text) = (call.peer, begins.to_owned() + &goes_on.repeat((16 << 20) / goes_on.len()));
+        let (mut peer, text) = (
+            call.peer,
+            begins.to_owned() + &goes_on.repeat((16 << 20) / goes_on.len()),
+        );
         let writer = std::thread::spawn(move || {
             peer.write_all(text.as_bytes()).is_err() || !matches!(peer.read(&mut [0]), Ok(1..))
         });
         bed.until(|bed| bed.list.out() == 0);
-        assert!(writer.join().expect("discovery's part"), "{begins:?}: its connection goes on");
+        assert!(
+            writer.join().expect("discovery's part"),
+            "{begins:?}: its connection goes on"
+        );
         let (again, call) = bed.call(at + 5.0).expect("another");
         assert!(
             again - at < 0.2 && call.target.starts_with("/api/targets?since=5&"),
@@ -317,44 +397,79 @@
     };
     let list = |revision: u64, complete: bool, members: &[String]| {
         let members = members.join(",");
-        let text = format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
+        let text =
+            format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
         List::from_json(text.as_bytes()).expect("a list")
     };
     let mut bed = Bed::new(Some(5), 7);
     let at = bed.listener.local_addr().expect("an address");
-    bed.list.hold(Some(&list(5, true, &[member("a", "in_service")])));
+    bed.list
+        .hold(Some(&list(5, true, &[member("a", "in_service")])));
     assert!(bed.list.changed().is_none());
-    let changes = [member("a", "terminated"), member("b", "in_service"), member("c", "terminating")];
+    let changes = [
+        member("a", "terminated"),
+        member("b", "in_service"),
+        member("c", "terminating"),
+    ];
     let (_, mut call) = bed.call(1001.0).expect("a watch");
     call.answer(8, false, &changes.join(","));
     assert_eq!(bed.told(), ListKind::Delta);
     let kept = bed.list.changed().expect("it has changed");
     assert!(bed.list.changed().is_none(), "it was taken");
     let start = |known: Option<List>, discovery: SocketAddr| {
-        let list = Kept::from_json(&kept).expect("a list").or(known, discovery).expect("a list");
+        let list = Kept::from_json(&kept)
+            .expect("a list")
+            .or(known, discovery)
+            .expect("a list");
         let settings = Settings::from_json("{}").expect("sound settings");
         let revision = list.revision;
-        (revision, list.members(&settings).iter().map(|m| m.id.clone()).collect::<Vec<_>>().join(","))
+        (
+            revision,
+            list.members(&settings)
+                .iter()
+                .map(|m| m.id.clone())
+                .collect::<Vec<_>>()
+                .join(","),
+        )
     };
-    assert_eq!(start(Some(list(7, true, &[member("x", "in_service")])), at), (8, "b,c".into()));
-    assert_eq!(start(Some(list(9, true, &[member("x", "in_service")])), at), (9, "x".into()));
+    assert_eq!(
+        start(Some(list(7, true, &[member("x", "in_service")])), at),
+        (8, "b,c".into())
+    );
+    assert_eq!(
+        start(Some(list(9, true, &[member("x", "in_service")])), at),
+        (9, "x".into())
+    );
     let moved = ([127, 0, 0, 1], 2).into();
-    assert_eq!(start(Some(list(7, true, &[member("x", "in_service")])), moved), (7, "x".into()));
+    assert_eq!(
+        start(Some(list(7, true, &[member("x", "in_service")])), moved),
+        (7, "x".into())
+    );
     assert_eq!(start(None, moved), (8, "b,c".into()));
-    assert_eq!(start(Some(list(9, true, &[])), at), (8, "b,c".into()), "one without a worker is none");
+    assert_eq!(
+        start(Some(list(9, true, &[])), at),
+        (8, "b,c".into()),
+        "one without a worker is none"
+    );
 }
 
 /// Guards against workers that each node prefers for subjects of its own: their addresses differ from node to node, their ids do not.
 #[test]
 fn a_worker_has_the_same_identity_at_every_node() {
     let identities = |addresses: [&str; 2]| {
-        let member =
-            |id: &str, at: &str| format!(r#"{{"id": "{id}", "host_port": "{at}", "phase": "in_service"}}"#);
+        let member = |id: &str, at: &str| {
+            format!(r#"{{"id": "{id}", "host_port": "{at}", "phase": "in_service"}}"#)
+        };
         let members = [member("s-1", addresses[0]), member("s-2", addresses[1])].join(",");
         let text = format!(r#"{{"revision": 3, "complete": true, "members": [{members}]}}"#);
         let settings = Settings::from_json("{}").expect("sound settings");
-        let members = List::from_json(text.as_bytes()).expect("a list").members(&settings);
-        members.into_iter().map(|member| member.entry.identity).collect::<Vec<_>>()
+        let members = List::from_json(text.as_bytes())
+            .expect("a list")
+            .members(&settings);
+        members
+            .into_iter()
+            .map(|member| member.entry.identity)
+            .collect::<Vec<_>>()
     };
     let here = identities(["10.0.0.1:80", "10.0.0.2:80"]);
     assert_eq!(here, identities(["10.9.0.2:81", "10.9.0.1:82"]));
@@ -377,9 +492,23 @@
     let ids: Vec<&str> = members.iter().map(|m| m.id.as_str()).collect();
     assert_eq!(ids, ["a", "c", "d", "e"]);
     let entry = |n: usize| &members[n].entry;
-    assert_eq!((entry(0).zone, entry(0).kind, entry(0).cell, entry(0).size), (1, 1, 7, 1.5));
-    assert_eq!((entry(0).started, entry(1).started), (0.0, 1_764_586_800.25));
+    assert_eq!(
+        (entry(0).zone, entry(0).kind, entry(0).cell, entry(0).size),
+        (1, 1, 7, 1.5)
+    );
+    assert_eq!(
+        (entry(0).started, entry(1).started),
+        (0.0, 1_764_586_800.25)
+    );
     assert_eq!((entry(1).zone, entry(1).kind), (u8::MAX, u16::MAX));
     let health: Vec<Health> = members.iter().map(|m| m.entry.health).collect();
-    assert_eq!(health, [Health::Ready, Health::Draining, Health::Draining, Health::Gone]);
+    assert_eq!(
+        health,
+        [
+            Health::Ready,
+            Health::Draining,
+            Health::Draining,
+            Health::Gone
+        ]
+    );
 }
