--- a/benches/request_manager.rs
+++ b/benches/request_manager.rs
@@ -31,7 +31,10 @@
     let members = (0..9).map(member).collect();
     hub.handle(
         1000.0,
-        Input::List(ListKind::Full, members),
+        Input::WorkerListReceived {
+            kind: ListKind::Full,
+            workers: members,
+        },
         &mut Vec::new(),
     );
     hub
@@ -47,24 +50,30 @@
     let mut out = Vec::new();
     hub.handle(
         now,
-        Input::Arrived(
-            n,
-            Submission {
+        Input::RequestReceived {
+            client: n,
+            submission: Submission {
                 payload,
                 ..Submission::default()
             },
-        ),
+        },
         &mut out,
     );
     let started = out.iter().find_map(|command| match command {
-        Command::Start(attempt, worker, ..) => Some((*attempt, worker.port() - 9000)),
+        Command::StartAttempt {
+            attempt, worker, ..
+        } => Some((*attempt, worker.port() - 9000)),
         _ => None,
     });
     let (attempt, worker) = started.expect("an attempt");
-    hub.handle(now, Input::Written(attempt), &mut out);
+    hub.handle(now, Input::AttemptWritten { attempt }, &mut out);
     hub.handle(
         now,
-        Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()),
+        Input::ExchangeEnded {
+            attempt,
+            end: AttemptEnd::Accepted,
+            load: Load::new(),
+        },
         &mut out,
     );
     let load = vec![("queue".to_owned(), 0.0), ("x0".to_owned(), 4.0)];
@@ -75,7 +84,14 @@
         state,
         load,
     };
-    hub.handle(now, Input::Call(n + 1, call), &mut out);
+    hub.handle(
+        now,
+        Input::CallbackReceived {
+            client: n + 1,
+            callback: call,
+        },
+        &mut out,
+    );
     assert_eq!(hub.held(), 0);
 }
 
--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -267,7 +267,7 @@
     /// One turn of a node's loop, so much later; what was heard, and how long it took.
     fn turn(reactor: &mut Reactor, wires: &mut PeerConnections) -> (Vec<PeerMessage>, Duration) {
         reactor.now += 0.01;
-        reactor.timer(reactor.now + 0.01, reactor::Due::Peers(0));
+        reactor.timer(reactor.now + 0.01, reactor::Timer::Peers(0));
         let mut events = Vec::new();
         reactor.wait(&mut events, reactor.now).expect("a poller");
         let start = Instant::now();
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -5,7 +5,7 @@
 use crate::net::cluster::peer_connections::{PeerConnections, PeerMessage};
 use crate::net::cluster::versions::{self, Audit};
 use crate::net::store_adapter::RecoveredState;
-use crate::net::transport::reactor::{Due, Owner, Reactor};
+use crate::net::transport::reactor::{Owner, Reactor, Timer};
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection};
 use postproxy_coordination::StorageChange;
 use postproxy_membership::{
@@ -364,7 +364,7 @@
             .fold(at, f64::min);
         if at < self.look.1 {
             self.look = (self.look.0 + 1, at);
-            reactor.timer(at, Due::Peers(self.look.0));
+            reactor.timer(at, Timer::Peers(self.look.0));
         }
     }
 
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -4,7 +4,7 @@
 use crate::net::messages::{Answer, Input, JobCall, JobState, Load, Payload, Submission};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Headers, ParseError, Read, Request, RequestReader};
-use crate::net::transport::reactor::{Due, Owner, Reactor};
+use crate::net::transport::reactor::{Owner, Reactor, Timer};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::io;
@@ -329,7 +329,7 @@
     fn wait(&mut self, time: f64) {
         self.client.round += 1;
         self.client.since = self.reactor.now;
-        let due = Due::Client(self.client.key, self.client.round);
+        let due = Timer::Client(self.client.key, self.client.round);
         self.reactor.timer(self.reactor.now + time, due);
     }
 
@@ -432,18 +432,20 @@
                             // Acknowledged by the hub: what the worker may forget then must be kept here.
                             self.client.phase = Phase::Calling;
                             self.client.round += 1;
-                            self.reactor
-                                .queue
-                                .push_back(Input::Call(self.client.key as u64, call));
+                            self.reactor.queue.push_back(Input::CallbackReceived {
+                                client: self.client.key as u64,
+                                callback: call,
+                            });
                         }
                         Wanted::Request(submission) => {
                             self.client.useful = true;
                             self.client.phase = Phase::Held;
                             self.client.round += 1; // no time limit but its own
                             let client = self.client.key as u64;
-                            self.reactor
-                                .queue
-                                .push_back(Input::Arrived(client, *submission));
+                            self.reactor.queue.push_back(Input::RequestReceived {
+                                client,
+                                submission: *submission,
+                            });
                         }
                     }
                 }
@@ -487,12 +489,11 @@
         if self.client.phase == Phase::Held {
             self.client.phase = Phase::Reading;
             let (client, queue) = (self.client.key as u64, &mut self.reactor.queue);
-            let arrived =
-                |input: &Input| matches!(input, Input::Arrived(from, _) if *from == client);
+            let arrived = |input: &Input| matches!(input, Input::RequestReceived { client: from, .. } if *from == client);
             // Danger: told one after the other, a job whose client is gone already would have its first attempt begun.
             match queue.iter().rposition(arrived) {
                 Some(at) => drop(queue.remove(at)),
-                None => queue.push_back(Input::Left(client)),
+                None => queue.push_back(Input::ClientDisconnected { client }),
             }
         }
     }
@@ -819,7 +820,7 @@
     fn wake(&mut self, reactor: &mut Reactor, after: f64) {
         if reactor.now + after < self.wakes {
             self.wakes = reactor.now + after;
-            reactor.timer(self.wakes, Due::Accept);
+            reactor.timer(self.wakes, Timer::Accept);
         }
     }
 
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,7 +1,7 @@
 //! The sockets between two processes of this node while one takes over: a Unix stream in the node's folder for
 //! passing files, on which the newer process calls the older one. What is said on it is `postproxy_handover`'s.
 
-use crate::net::transport::reactor::{Due, Owner, Reactor};
+use crate::net::transport::reactor::{Owner, Reactor, Timer};
 use postproxy_handover::{Link, LinkEvent, Message, Role, frame, greeting};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, ReturnFlags, SendAncillaryBuffer,
@@ -213,7 +213,7 @@
         self.sessions.insert(key, session);
         self.rearm(reactor, key);
         if !std::mem::replace(&mut self.looking, true) {
-            reactor.timer(reactor.now + LOOK, Due::Handover);
+            reactor.timer(reactor.now + LOOK, Timer::Handover);
         }
     }
 
@@ -352,7 +352,7 @@
         }
         self.looking = !self.sessions.is_empty();
         if self.looking {
-            reactor.timer(reactor.now + LOOK, Due::Handover);
+            reactor.timer(reactor.now + LOOK, Timer::Handover);
         }
         events
     }
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -4,7 +4,7 @@
 use crate::net::messages::Reply;
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read, Request, RequestReader};
-use crate::net::transport::reactor::{Due, Owner, Reactor};
+use crate::net::transport::reactor::{Owner, Reactor, Timer};
 use std::collections::HashMap;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -249,7 +249,7 @@
                 answer(connection, caller, status, None, words);
             }
         });
-        reactor.timer(reactor.now + LINGER, Due::Caller(key));
+        reactor.timer(reactor.now + LINGER, Timer::Caller(key));
     }
 
     /// A caller has had its time.
@@ -264,7 +264,7 @@
         let mut calls = Vec::new();
         for _ in 0..ACCEPTS {
             if self.sessions.len() >= MOST && !self.make_room(reactor) {
-                reactor.timer(reactor.now + YOUNG, Due::Callers);
+                reactor.timer(reactor.now + YOUNG, Timer::Callers);
                 return calls;
             }
             match self.listener.accept() {
@@ -287,14 +287,14 @@
                         news,
                     };
                     self.sessions.insert(key, Session { connection, caller });
-                    reactor.timer(reactor.now + PATIENCE, Due::Caller(key));
+                    reactor.timer(reactor.now + PATIENCE, Timer::Caller(key));
                     calls.extend(self.ready(reactor, key, true, false));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(_) => {
-                    reactor.timer(reactor.now + YOUNG, Due::Callers);
+                    reactor.timer(reactor.now + YOUNG, Timer::Callers);
                     return calls;
                 }
             }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -4,6 +4,7 @@
 use postproxy_handover::StateUpdate;
 use postproxy_idempotency::Write;
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// The client's side of a request, as its own module numbers it.
@@ -109,53 +110,132 @@
     /// Its name, the same at every node.
     pub id: String,
     /// Where this node reaches it.
-    pub address: std::net::SocketAddr,
+    pub address: SocketAddr,
     /// Its entry; the hub fills in the worker's number.
     pub entry: Entry,
 }
 
-/// What the hub is told.
+/// An event that the request manager handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A request begins.
-    Arrived(ClientId, Submission),
-    /// Its client has gone away.
-    Left(ClientId),
-    /// The last byte of an attempt has been written.
-    Written(AttemptId),
-    /// News of an attempt.
-    Attempt(AttemptId, AttemptEnd, Load),
-    /// A worker's call-back, and who waits for its acknowledgement.
-    Call(ClientId, JobCall),
-    /// What was to be written is durable, or will never be.
-    Stored(Wait, bool),
-    /// A result that was kept, if it could be read.
-    Fetched(ClientId, Option<Vec<u8>>),
-    /// The disk takes writes, or does not.
-    Disk(bool),
-    /// News of the list.
-    List(ListKind, Vec<Member>),
-    /// A caller at the operators' door takes the worker of this name out of use, or back into it.
-    Use(usize, String, bool),
-    /// The fleet's word on the use of the worker of this name.
-    Banned(String, bool),
-    /// So many nodes may send to the workers, as far as this one knows; 0 where it knows no others.
-    Nodes(usize),
-    /// News of another process of this node, by its link.
-    StateUpdate(usize, StateUpdate),
-    /// A link is over: what its process held is gone.
-    Unlinked(usize),
-    /// Another process's job moves here, with its client, if that has not left meanwhile.
-    Moved(usize, Option<ClientId>, Vec<u8>),
-    /// A call-back that no other process knows: its job may have moved here since.
-    Again(ClientId, JobCall),
-    /// A timer set by [`Command::Timer`] came due.
-    Due(Due),
+    /// A client has submitted a request.
+    RequestReceived {
+        /// The client's connection.
+        client: ClientId,
+        /// What the client asks for.
+        submission: Submission,
+    },
+    /// A client that waited for an answer has closed its connection.
+    ClientDisconnected {
+        /// The client's connection.
+        client: ClientId,
+    },
+    /// The last byte of an attempt has been written to its worker.
+    AttemptWritten {
+        /// The attempt.
+        attempt: AttemptId,
+    },
+    /// The HTTP exchange of an attempt or of a probe has ended.
+    ExchangeEnded {
+        /// The attempt or probe.
+        attempt: AttemptId,
+        /// How the exchange ended.
+        end: AttemptEnd,
+        /// Load report of the worker's answer; empty for none.
+        load: Load,
+    },
+    /// A worker has called back about a job.
+    CallbackReceived {
+        /// The connection that waits for the acknowledgement.
+        client: ClientId,
+        /// The call-back.
+        callback: JobCall,
+    },
+    /// A write to the store has become durable, or never will.
+    WriteCompleted {
+        /// Who waits for the write.
+        waiter: Wait,
+        /// Whether the write is durable.
+        durable: bool,
+    },
+    /// A stored result has been read.
+    ResultRead {
+        /// The client that waits for the result.
+        client: ClientId,
+        /// The result; `None` if it could not be read.
+        result: Option<Vec<u8>>,
+    },
+    /// The store has started or stopped accepting writes.
+    StoreHealthChanged {
+        /// Whether the store accepts writes.
+        writable: bool,
+    },
+    /// Discovery, or whoever stands in for it, has sent a worker list.
+    WorkerListReceived {
+        /// Whether the list is complete, a change, or from a cache.
+        kind: ListKind,
+        /// The workers in it.
+        workers: Vec<Member>,
+    },
+    /// An operator has suspended or resumed a worker through the management API.
+    SuspensionRequested {
+        /// The management connection that waits for the answer.
+        caller: usize,
+        /// Name of the worker.
+        worker: String,
+        /// `true` to resume the worker, `false` to suspend it.
+        resume: bool,
+    },
+    /// The cluster has suspended or resumed a worker.
+    SuspensionLearned {
+        /// Name of the worker.
+        worker: String,
+        /// `true` to resume the worker, `false` to suspend it.
+        resume: bool,
+    },
+    /// The number of nodes that may send to the workers has changed.
+    NodeCountChanged {
+        /// Number of nodes; 0 if this node knows no others.
+        count: usize,
+    },
+    /// A sibling process of this node has sent a state update.
+    SiblingUpdate {
+        /// The link to the sibling.
+        link: usize,
+        /// The update.
+        update: StateUpdate,
+    },
+    /// The link to a sibling process is closed: its requests are gone.
+    SiblingLost {
+        /// The link to the sibling.
+        link: usize,
+    },
+    /// A sibling process hands over a request.
+    RequestMigrated {
+        /// The link to the sibling.
+        link: usize,
+        /// The client's connection; `None` if the client has disconnected.
+        client: Option<ClientId>,
+        /// The encoded request.
+        request: Vec<u8>,
+    },
+    /// No sibling process knows a call-back's job; the job may have migrated here since.
+    CallbackRetried {
+        /// The connection that waits for the acknowledgement.
+        client: ClientId,
+        /// The call-back.
+        callback: JobCall,
+    },
+    /// A timer set by [`Command::SetTimer`] has expired.
+    TimerExpired {
+        /// The timer.
+        timer: RequestTimer,
+    },
 }
 
-/// A timer of the hub's.
+/// A timer of the request manager.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum RequestTimer {
     /// The dispatcher's own.
     Dispatcher(u64),
     /// An attempt's time is up.
@@ -204,35 +284,106 @@
     }
 }
 
-/// What the hub wants done.
+/// An effect that the request manager asks its caller to carry out.
 #[derive(Debug)]
 pub enum Command {
-    /// Start an attempt, whose client waits until this time.
-    Start(AttemptId, std::net::SocketAddr, Rc<Payload>, f64),
-    /// Give an attempt up; the worker has taken its job, or not yet.
-    Abandon(AttemptId, std::net::SocketAddr, Rc<Payload>, bool),
-    /// Ask a worker for its load, and wait for so many seconds; the answer is news of an attempt of this number.
-    Probe(AttemptId, std::net::SocketAddr, f64),
-    /// Give an attempt back if its last byte is not written.
-    Withdraw(AttemptId),
-    /// Let the idle connections to a worker go.
-    Forget(std::net::SocketAddr),
-    /// Answer a caller at the operators' door.
-    Operator(usize, Reply),
-    /// Tell the other processes of this node, but for the one of this link.
-    Tell(Option<usize>, StateUpdate),
-    /// Ask them whether they know what a call-back is on; it is to be acknowledged with their word.
-    Forward(ClientId, JobCall),
-    /// Give the final answer.
-    Answer(ClientId, Answer),
-    /// Acknowledge a call-back; whether it was on a request that is held here.
-    Acknowledge(ClientId, bool),
-    /// Write these together, and tell what becomes of it.
-    Write(Vec<Write>, Wait),
-    /// Read the result of the job of this id.
-    Fetch(ClientId, String),
+    /// Start an attempt.
+    StartAttempt {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Address of the worker.
+        worker: SocketAddr,
+        /// The request to forward.
+        payload: Rc<Payload>,
+        /// Until when the client waits.
+        deadline: f64,
+    },
+    /// Cancel an attempt.
+    CancelAttempt {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Address of the worker.
+        worker: SocketAddr,
+        /// The forwarded request.
+        payload: Rc<Payload>,
+        /// Whether the worker has accepted the job.
+        accepted: bool,
+    },
+    /// Ask a worker for its load; the answer is an [`Input::ExchangeEnded`] with this attempt's number.
+    ProbeWorker {
+        /// Number of the probe.
+        attempt: AttemptId,
+        /// Address of the worker.
+        worker: SocketAddr,
+        /// How long to wait for the answer, in seconds.
+        timeout: f64,
+    },
+    /// Withdraw an attempt if its last byte has not been written.
+    WithdrawAttempt {
+        /// The attempt.
+        attempt: AttemptId,
+    },
+    /// Close the idle connections to a worker.
+    CloseIdleConnections {
+        /// Address of the worker.
+        worker: SocketAddr,
+    },
+    /// Answer a request of the management API.
+    ReplyToManagement {
+        /// The management connection.
+        caller: usize,
+        /// The answer.
+        reply: Reply,
+    },
+    /// Send a state update to the sibling processes.
+    UpdateSiblings {
+        /// The link of a sibling that is left out.
+        except: Option<usize>,
+        /// The update.
+        update: StateUpdate,
+    },
+    /// Ask the sibling processes whether they know the job of a call-back.
+    ForwardCallback {
+        /// The connection that waits for the acknowledgement.
+        client: ClientId,
+        /// The call-back.
+        callback: JobCall,
+    },
+    /// Send a client its final answer.
+    AnswerClient {
+        /// The client's connection.
+        client: ClientId,
+        /// The answer.
+        answer: Answer,
+    },
+    /// Acknowledge a call-back.
+    AcknowledgeCallback {
+        /// The connection that waits for the acknowledgement.
+        client: ClientId,
+        /// Whether the job's request is held here.
+        known: bool,
+    },
+    /// Write records to the store in one batch.
+    WriteRecords {
+        /// The records.
+        writes: Vec<Write>,
+        /// Who waits for the write.
+        waiter: Wait,
+    },
+    /// Read a stored result.
+    ReadResult {
+        /// The client that waits for the result.
+        client: ClientId,
+        /// The job's id.
+        id: String,
+    },
     /// Set a timer.
-    Timer(f64, Due),
+    SetTimer {
+        /// When it expires.
+        at: f64,
+        /// The timer.
+        timer: RequestTimer,
+    },
 }
 
 /// What is said to an operator's call.
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -13,7 +13,7 @@
 use crate::net::requests::durability::DurabilityPolicy;
 use crate::net::requests::manager::RequestManager;
 use crate::net::store_adapter::{RecoveredState, StoreAdapter};
-use crate::net::transport::reactor::{self, Clock, Due, Owner, Reactor};
+use crate::net::transport::reactor::{self, Clock, Owner, Reactor, Timer};
 use crate::net::upstream::attempts::Attempts;
 use crate::net::upstream::worker_list::WorkerList;
 use crate::operator_config::FleetSection;
@@ -233,19 +233,22 @@
                 nothing_ran,
                 messages::Wait::Nobody(String::new()),
             );
-            reactor.queue.push_back(Input::Due(messages::Due::Expire));
+            reactor.queue.push_back(Input::TimerExpired {
+                timer: messages::RequestTimer::Expire,
+            });
             keeper
         });
         if !members.is_empty() {
-            reactor
-                .queue
-                .push_back(Input::List(ListKind::Cached, members));
+            reactor.queue.push_back(Input::WorkerListReceived {
+                kind: ListKind::Cached,
+                workers: members,
+            });
         }
         if keeper.is_some() || shared || config.audit.is_some() {
             list.hold(known.as_ref());
         }
         if keeper.is_some() {
-            reactor.timer(reactor.now + LIST_KEPT, Due::ListKept);
+            reactor.timer(reactor.now + LIST_KEPT, Timer::ListKept);
         }
         let stop = Signal::new(&mut reactor, stop)?;
         let (reload, quiet, done) = (None, 0, false);
@@ -432,42 +435,42 @@
         }
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: Timer) {
         let reactor = &mut self.reactor;
         match due {
-            Due::RequestManager(due) => reactor.queue.push_back(Input::Due(due)),
-            Due::Handover => {
+            Timer::Requests(due) => reactor.queue.push_back(Input::TimerExpired { timer: due }),
+            Timer::Handover => {
                 let events = self.handover.as_mut().map(|h| h.due(reactor));
                 self.linked(events.unwrap_or_default());
             }
-            Due::Peers(number) => {
+            Timer::Peers(number) => {
                 let events = self.fleet.as_mut().map(|fleet| fleet.due(reactor, number));
                 self.told_by_fleet(events.unwrap_or_default());
             }
-            Due::Caller(key) => {
+            Timer::Caller(key) => {
                 if let Some(door) = &mut self.door {
                     door.due(reactor, key);
                 }
             }
-            Due::Callers => {
+            Timer::Callers => {
                 let calls = self.door.as_mut().map(|door| door.accept(reactor));
                 self.called(calls.unwrap_or_default());
             }
-            Due::Drain => {
+            Timer::Drain => {
                 if let Some(idle) = self.life.idle(reactor.now) {
                     self.clients.close_idle(reactor, idle);
                 }
                 if self.life.drained() && self.life.serves() {
-                    reactor.timer(reactor.now + DRAIN_LOOK, Due::Drain);
+                    reactor.timer(reactor.now + DRAIN_LOOK, Timer::Drain);
                 }
             }
-            Due::Client(key, round) => self.clients.due(reactor, key, round),
-            Due::Accept => self.clients.accept_due(reactor),
-            Due::Attempt(key, round) => self.attempts.attempt_due(reactor, key, round),
-            Due::Dial(key) => self.attempts.dial_due(reactor, key),
-            Due::Discovery => self.list.due(reactor),
-            Due::DiscoveryDial(call) => self.list.dial_due(reactor, call),
-            Due::ListKept => {
+            Timer::Client(key, round) => self.clients.due(reactor, key, round),
+            Timer::Accept => self.clients.accept_due(reactor),
+            Timer::Attempt(key, round) => self.attempts.attempt_due(reactor, key, round),
+            Timer::Dial(key) => self.attempts.dial_due(reactor, key),
+            Timer::Discovery => self.list.due(reactor),
+            Timer::DiscoveryDial(call) => self.list.dial_due(reactor, call),
+            Timer::ListKept => {
                 let Some(keeper) = &mut self.keeper else {
                     return;
                 };
@@ -483,22 +486,22 @@
                 if let Some(bans) = self.fleet.as_mut().and_then(|fleet| fleet.changed(again)) {
                     keeper.keep_bans(&bans);
                 }
-                reactor.timer(reactor.now + LIST_KEPT, Due::ListKept);
+                reactor.timer(reactor.now + LIST_KEPT, Timer::ListKept);
             }
-            Due::WindUp if self.life.stage() == Stage::HandingOver => {
+            Timer::WindUp if self.life.stage() == Stage::HandingOver => {
                 let over = self.clients.count() == 0
                     && self.hub.owed() == 0
                     && self.links.words.is_empty();
                 let flushed = self.handover.as_ref().is_none_or(Handover::flushed);
                 self.done = over && flushed && !self.follows();
-                self.reactor.timer(self.reactor.now + LOOK, Due::WindUp);
+                self.reactor.timer(self.reactor.now + LOOK, Timer::WindUp);
             }
-            Due::WindUp => {
+            Timer::WindUp => {
                 let answered = self.clients.wind_up(reactor) && self.hub.held() == 0;
                 let quiet = answered && !self.follows();
                 self.quiet = if quiet { self.quiet + 1 } else { 0 };
                 self.done = self.quiet >= QUIET;
-                self.reactor.timer(self.reactor.now + LOOK, Due::WindUp);
+                self.reactor.timer(self.reactor.now + LOOK, Timer::WindUp);
             }
         }
     }
@@ -512,7 +515,7 @@
             self.hand_over();
             let handing = self.life.stage() == Stage::HandingOver;
             let after = if handing { LOOK } else { ACCEPT_WINDOW };
-            self.reactor.timer(self.reactor.now + after, Due::WindUp);
+            self.reactor.timer(self.reactor.now + after, Timer::WindUp);
         }
     }
 
@@ -649,7 +652,11 @@
         if self.fleet.is_some() {
             self.bans.insert(key, (id.clone(), again));
         }
-        self.reactor.queue.push_back(Input::Use(key, id, again));
+        self.reactor.queue.push_back(Input::SuspensionRequested {
+            caller: key,
+            worker: id,
+            resume: again,
+        });
     }
 
     /// What became of a caller's word on a worker here: where it holds, and there are other nodes, they are told first.
@@ -671,10 +678,15 @@
         for event in events {
             match event {
                 service::Event::Ban(worker, again) => {
-                    self.reactor.queue.push_back(Input::Banned(worker, again));
+                    self.reactor.queue.push_back(Input::SuspensionLearned {
+                        worker,
+                        resume: again,
+                    });
                 }
                 service::Event::Nodes(count, place) => {
-                    self.reactor.queue.push_back(Input::Nodes(count));
+                    self.reactor
+                        .queue
+                        .push_back(Input::NodeCountChanged { count });
                     self.list.place(place);
                 }
                 service::Event::Settled => {
@@ -733,7 +745,7 @@
         if !self.life.drained() {
             tracing::info!("draining");
             self.reactor
-                .timer(self.reactor.now + DRAIN_LOOK, Due::Drain);
+                .timer(self.reactor.now + DRAIN_LOOK, Timer::Drain);
             self.tell(
                 link,
                 &Message::StateUpdate(StateUpdate::Drain {
@@ -907,9 +919,11 @@
                             .adopt_held(&mut self.reactor, descriptor.into(), input, closes)
                     });
                     let client = adopted.filter(|client| self.clients.waits(*client));
-                    self.reactor
-                        .queue
-                        .push_back(Input::Moved(link, client, job));
+                    self.reactor.queue.push_back(Input::RequestMigrated {
+                        link,
+                        client,
+                        request: job,
+                    });
                 }
                 handover::Event::LinkEvent(link, news, _) => self.news(link, news),
                 handover::Event::Over(link, waiting, stalled) => {
@@ -921,7 +935,7 @@
 
     /// A link is over: what its process held is gone with it, or out of reach.
     fn unlinked(&mut self, link: usize, waiting: Vec<ClientId>, stalled: bool) {
-        self.reactor.queue.push_back(Input::Unlinked(link));
+        self.reactor.queue.push_back(Input::SiblingLost { link });
         self.links.holds.remove(&link);
         self.links.told.remove(&link);
         self.links.origins.retain(|_, (at, _)| *at != link);
@@ -976,7 +990,9 @@
                     let (_, events) = fleet.employ(&mut self.reactor, None, worker, *again);
                     self.told_by_fleet(events);
                 }
-                self.reactor.queue.push_back(Input::StateUpdate(link, tale));
+                self.reactor
+                    .queue
+                    .push_back(Input::SiblingUpdate { link, update: tale });
             }
             LinkEvent::Told => {
                 self.links.told.insert(link);
@@ -991,7 +1007,10 @@
                     self.links.next += 1;
                     let client = LINKED | self.links.next;
                     self.links.origins.insert(client, (link, number));
-                    self.reactor.queue.push_back(Input::Call(client, call));
+                    self.reactor.queue.push_back(Input::CallbackReceived {
+                        client,
+                        callback: call,
+                    });
                 }
                 None => self.say(
                     link,
@@ -1059,7 +1078,10 @@
             self.acknowledge(client, true);
         } else {
             // The job may have come over before that word.
-            self.reactor.queue.push_back(Input::Again(client, call));
+            self.reactor.queue.push_back(Input::CallbackRetried {
+                client,
+                callback: call,
+            });
         }
     }
 
@@ -1105,38 +1127,65 @@
             for command in commands.drain(..) {
                 let reactor = &mut self.reactor;
                 match command {
-                    Command::Start(attempt, worker, payload, until) => {
+                    Command::StartAttempt {
+                        attempt,
+                        worker,
+                        payload,
+                        deadline: until,
+                    } => {
                         self.acts += 1;
                         self.attempts
                             .start(reactor, attempt, worker, &payload, until);
                     }
-                    Command::Abandon(attempt, worker, payload, accepted) => {
+                    Command::CancelAttempt {
+                        attempt,
+                        worker,
+                        payload,
+                        accepted,
+                    } => {
                         self.attempts
                             .abandon(reactor, attempt, worker, &payload.id, accepted);
                     }
-                    Command::Probe(attempt, worker, wait) => {
-                        self.attempts.probe(reactor, attempt, worker, wait)
+                    Command::ProbeWorker {
+                        attempt,
+                        worker,
+                        timeout: wait,
+                    } => self.attempts.probe(reactor, attempt, worker, wait),
+                    Command::WithdrawAttempt { attempt } => {
+                        self.attempts.withdraw(reactor, attempt)
                     }
-                    Command::Withdraw(attempt) => self.attempts.withdraw(reactor, attempt),
-                    Command::Forget(worker) => self.attempts.forget(reactor, worker),
-                    Command::Operator(key, reply) => self.operator(key, reply),
-                    Command::Answer(client, answer) => {
+                    Command::CloseIdleConnections { worker } => {
+                        self.attempts.forget(reactor, worker)
+                    }
+                    Command::ReplyToManagement { caller: key, reply } => self.operator(key, reply),
+                    Command::AnswerClient { client, answer } => {
                         self.clients.answer(reactor, client, &answer)
                     }
-                    Command::Acknowledge(client, known) => self.acknowledge(client, known),
-                    Command::Forward(client, call) => self.forward(client, call),
-                    Command::Tell(except, tale) => self.tell(except, &Message::StateUpdate(tale)),
-                    Command::Write(writes, wait) => {
+                    Command::AcknowledgeCallback { client, known } => {
+                        self.acknowledge(client, known)
+                    }
+                    Command::ForwardCallback {
+                        client,
+                        callback: call,
+                    } => self.forward(client, call),
+                    Command::UpdateSiblings {
+                        except,
+                        update: tale,
+                    } => self.tell(except, &Message::StateUpdate(tale)),
+                    Command::WriteRecords {
+                        writes,
+                        waiter: wait,
+                    } => {
                         if let Some(keeper) = &mut self.keeper {
                             keeper.write(reactor, writes, wait);
                         }
                     }
-                    Command::Fetch(client, id) => {
+                    Command::ReadResult { client, id } => {
                         if let Some(keeper) = &mut self.keeper {
                             keeper.fetch(client, &id);
                         }
                     }
-                    Command::Timer(at, due) => reactor.timer(at, Due::RequestManager(due)),
+                    Command::SetTimer { at, timer: due } => reactor.timer(at, Timer::Requests(due)),
                 }
             }
         }
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -115,13 +115,19 @@
             };
             match (&settled, &call.state) {
                 (Resolution::Served, JobState::Done(result)) => {
-                    out.push(Command::Answer(client, Answer::Served(result.clone())));
+                    out.push(Command::AnswerClient {
+                        client,
+                        answer: Answer::Served(result.clone()),
+                    });
                 }
                 (Resolution::NeverRan, _) => {
                     submission.budget = Some((until - now).max(0.0));
                     self.arrived(now, client, *submission, out);
                 }
-                _ => out.push(Command::Answer(client, Answer::Failed)),
+                _ => out.push(Command::AnswerClient {
+                    client,
+                    answer: Answer::Failed,
+                }),
             }
         }
         waits
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -3,7 +3,9 @@
 use super::durability::{Durability, RequestFingerprint};
 use super::in_flight::{CoalescedWaiter, RequestManager};
 use crate::decision::interface::{Event, Outcome};
-use crate::net::messages::{Answer, AttemptId, ClientId, Command, Due, Load, Submission, Wait};
+use crate::net::messages::{
+    Answer, AttemptId, ClientId, Command, Load, RequestTimer, Submission, Wait,
+};
 use postproxy_idempotency::{Lookup, Write};
 use std::rc::Rc;
 
@@ -89,10 +91,10 @@
         };
         let joiner = match standing {
             Lookup::New if keeping.broken && keeping.care(class) == Durability::Durable => {
-                out.push(Command::Answer(
+                out.push(Command::AnswerClient {
                     client,
-                    Answer::Unavailable(keeping.retry_after),
-                ));
+                    answer: Answer::Unavailable(keeping.retry_after),
+                });
                 return None;
             }
             Lookup::New => match keeping.ledger.make_room() {
@@ -101,10 +103,10 @@
                     return Some((submission, Some(Rc::new(asker))));
                 }
                 None => {
-                    out.push(Command::Answer(
+                    out.push(Command::AnswerClient {
                         client,
-                        Answer::Unavailable(keeping.retry_after),
-                    ));
+                        answer: Answer::Unavailable(keeping.retry_after),
+                    });
                     return None;
                 }
             },
@@ -118,27 +120,39 @@
                     }
                     // Its client has had its answer; what its attempt comes to will never be told.
                     None => {
-                        out.push(Command::Answer(client, Answer::Failed));
+                        out.push(Command::AnswerClient {
+                            client,
+                            answer: Answer::Failed,
+                        });
                         return None;
                     }
                 }
             }
             Lookup::InDoubt(id) => CoalescedWaiter::InDoubt(id, Box::new(submission), until),
             Lookup::Served(id) => {
-                out.push(Command::Fetch(client, id));
+                out.push(Command::ReadResult { client, id });
                 CoalescedWaiter::Result
             }
             Lookup::Failed => {
-                out.push(Command::Answer(client, Answer::Failed));
+                out.push(Command::AnswerClient {
+                    client,
+                    answer: Answer::Failed,
+                });
                 return None;
             }
             Lookup::Conflict => {
-                out.push(Command::Answer(client, Answer::Held));
+                out.push(Command::AnswerClient {
+                    client,
+                    answer: Answer::Held,
+                });
                 return None;
             }
         };
         self.joiners.insert(client, joiner);
-        out.push(Command::Timer(until, Due::Joined(client)));
+        out.push(Command::SetTimer {
+            at: until,
+            timer: RequestTimer::Joined(client),
+        });
         None
     }
 
@@ -146,7 +160,10 @@
         let id = match wait {
             Wait::Attempt(attempt_id) => return self.intent_stored(now, attempt_id, durable, out),
             Wait::Call(client, id) => {
-                out.push(Command::Acknowledge(client, true));
+                out.push(Command::AcknowledgeCallback {
+                    client,
+                    known: true,
+                });
                 id
             }
             Wait::Nobody(id) => id,
@@ -176,12 +193,12 @@
             let (Some(t), address) = (self.requests.get(&request), self.workers[worker]) else {
                 return;
             };
-            return out.push(Command::Start(
-                attempt_id,
-                address,
-                t.payload.clone(),
-                until,
-            ));
+            return out.push(Command::StartAttempt {
+                attempt: attempt_id,
+                worker: address,
+                payload: t.payload.clone(),
+                deadline: until,
+            });
         }
         // Nothing of this attempt was sent. What was promised to be kept can't be: the answer comes at once.
         let before = self.requests.get(&request).is_some_and(|t| t.may_have_run);
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -9,7 +9,7 @@
     Action, Entry, Event, NewRequest, Outcome, RequestId, Settings, SettingsError, WorkerId,
 };
 use crate::net::messages::{
-    Answer, AttemptEnd, AttemptId, ClientId, Command, Due, Input, Load, Submission, Wait,
+    Answer, AttemptEnd, AttemptId, ClientId, Command, Input, Load, RequestTimer, Submission, Wait,
 };
 use postproxy_handover::StateUpdate;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -76,18 +76,26 @@
         for request in std::mem::take(&mut self.touched) {
             self.forget(now, request);
         }
-        out.extend(self.tales.drain(..).map(|tale| Command::Tell(None, tale)));
+        out.extend(self.tales.drain(..).map(|tale| Command::UpdateSiblings {
+            except: None,
+            update: tale,
+        }));
         out.extend(
             self.writes
                 .drain(..)
-                .map(|(writes, wait)| Command::Write(writes, wait)),
+                .map(|(writes, wait)| Command::WriteRecords {
+                    writes,
+                    waiter: wait,
+                }),
         );
     }
 
     pub(super) fn take(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         match input {
-            Input::Arrived(client, submission) => self.arrived(now, client, submission, out),
-            Input::Left(client) => {
+            Input::RequestReceived { client, submission } => {
+                self.arrived(now, client, submission, out)
+            }
+            Input::ClientDisconnected { client } => {
                 if self.promoted(client) || self.unjoin(client) {
                     return;
                 }
@@ -105,19 +113,27 @@
                     self.withdraw(now, unwritten, out);
                 }
             }
-            Input::Written(attempt_id) => {
+            Input::AttemptWritten {
+                attempt: attempt_id,
+            } => {
                 if let Some(a) = self.attempt(attempt_id) {
                     a.written = true;
                 }
             }
-            Input::Attempt(attempt_id, AttemptEnd::Accepted, _)
-                if !self.probes.contains_key(&attempt_id) =>
-            {
+            Input::ExchangeEnded {
+                attempt: attempt_id,
+                end: AttemptEnd::Accepted,
+                ..
+            } if !self.probes.contains_key(&attempt_id) => {
                 if let Some(a) = self.attempt(attempt_id) {
                     (a.written, a.accepted) = (true, true);
                 }
             }
-            Input::Attempt(attempt_id, end, load) => {
+            Input::ExchangeEnded {
+                attempt: attempt_id,
+                end,
+                load,
+            } => {
                 if let Some((worker, asked)) = self.probes.remove(&attempt_id) {
                     return self.probed(worker, end, now - asked, &load);
                 }
@@ -137,24 +153,33 @@
                 };
                 self.ended(now, (request, attempt), outcome, &load);
             }
-            Input::Call(client, call) => {
+            Input::CallbackReceived {
+                client,
+                callback: call,
+            } => {
                 let known = self.by_id.contains_key(&call.id);
                 if self.linked && !known {
-                    out.push(Command::Forward(client, call));
+                    out.push(Command::ForwardCallback {
+                        client,
+                        callback: call,
+                    });
                 } else if !self.call(now, client, call, out) {
-                    out.push(Command::Acknowledge(client, known));
+                    out.push(Command::AcknowledgeCallback { client, known });
                 }
             }
-            Input::Stored(wait, durable) => self.stored(now, wait, durable, out),
-            Input::Fetched(client, result) => {
+            Input::WriteCompleted {
+                waiter: wait,
+                durable,
+            } => self.stored(now, wait, durable, out),
+            Input::ResultRead { client, result } => {
                 if self.unjoin(client) {
-                    out.push(Command::Answer(
+                    out.push(Command::AnswerClient {
                         client,
-                        result.map_or(Answer::Failed, Answer::Served),
-                    ));
+                        answer: result.map_or(Answer::Failed, Answer::Served),
+                    });
                 }
             }
-            Input::Disk(sound) => {
+            Input::StoreHealthChanged { writable: sound } => {
                 let Some(keeping) = &mut self.keeping else {
                     return;
                 };
@@ -166,7 +191,10 @@
                 };
                 self.write(anew, Wait::Nobody(String::new()));
             }
-            Input::List(kind, members) => {
+            Input::WorkerListReceived {
+                kind,
+                workers: members,
+            } => {
                 let entries: Vec<Entry> = members
                     .into_iter()
                     .map(|member| self.member(member))
@@ -175,56 +203,89 @@
                 self.events.push_back(Event::List { kind, entries });
                 self.withdraw(now, unwritten, out);
             }
-            Input::Use(caller, name, again) => {
+            Input::SuspensionRequested {
+                caller,
+                worker: name,
+                resume: again,
+            } => {
                 let reply = self.employ(now, &name, again, out);
-                out.push(Command::Operator(caller, reply));
+                out.push(Command::ReplyToManagement { caller, reply });
             }
-            Input::Banned(name, again) => {
+            Input::SuspensionLearned {
+                worker: name,
+                resume: again,
+            } => {
                 // It may be known elsewhere before this node has it from the list.
                 self.number(&name);
                 self.employ(now, &name, again, out);
             }
-            Input::Nodes(count) => {
+            Input::NodeCountChanged { count } => {
                 let known = u32::try_from(count).ok().filter(|count| *count > 0);
                 self.events
                     .push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
             }
-            Input::StateUpdate(link, tale) => self.heard(now, link, tale, out),
-            Input::Moved(link, client, job) => {
+            Input::SiblingUpdate { link, update: tale } => self.heard(now, link, tale, out),
+            Input::RequestMigrated {
+                link,
+                client,
+                request: job,
+            } => {
                 if self.carry_on(now, link, client, &job, out).is_none() {
-                    out.extend(client.map(|client| Command::Answer(client, Answer::Failed)));
+                    out.extend(client.map(|client| Command::AnswerClient {
+                        client,
+                        answer: Answer::Failed,
+                    }));
                 }
             }
-            Input::Again(client, call) => {
+            Input::CallbackRetried {
+                client,
+                callback: call,
+            } => {
                 // It may even have moved on: then the one who asked looks again, too.
                 let known = self.by_id.contains_key(&call.id);
                 if !self.call(now, client, call, out) {
-                    out.push(Command::Acknowledge(client, known));
+                    out.push(Command::AcknowledgeCallback { client, known });
                 }
             }
-            Input::Unlinked(link) => {
+            Input::SiblingLost { link } => {
                 let gone =
                     |(id, d): (&String, &SiblingRequest)| (d.link == link).then(|| id.clone());
                 for id in self.distant.iter().filter_map(gone).collect::<Vec<_>>() {
                     self.heard(now, link, StateUpdate::Over { id }, out);
                 }
             }
-            Input::Due(Due::Dispatcher(token)) => self.events.push_back(Event::Timer { token }),
-            Input::Due(Due::Attempt(request, attempt)) => {
+            Input::TimerExpired {
+                timer: RequestTimer::Dispatcher(token),
+            } => self.events.push_back(Event::Timer { token }),
+            Input::TimerExpired {
+                timer: RequestTimer::Attempt(request, attempt),
+            } => {
                 self.abandon(request, attempt, out);
                 self.ended(now, (request, attempt), Outcome::Timeout, &Load::new());
             }
-            Input::Due(Due::Intent(attempt_id)) => self.intent_stored(now, attempt_id, false, out),
-            Input::Due(Due::Joined(client)) => {
+            Input::TimerExpired {
+                timer: RequestTimer::Intent(attempt_id),
+            } => self.intent_stored(now, attempt_id, false, out),
+            Input::TimerExpired {
+                timer: RequestTimer::Joined(client),
+            } => {
                 // It may have run, and may run yet: no refusal would be true.
                 if self.unjoin(client) {
-                    out.push(Command::Answer(client, Answer::Failed));
+                    out.push(Command::AnswerClient {
+                        client,
+                        answer: Answer::Failed,
+                    });
                 }
             }
-            Input::Due(Due::Expire) => {
+            Input::TimerExpired {
+                timer: RequestTimer::Expire,
+            } => {
                 if let Some(keeping) = &mut self.keeping {
                     keeping.ledger.expire(now);
-                    out.push(Command::Timer(now + EXPIRY, Due::Expire));
+                    out.push(Command::SetTimer {
+                        at: now + EXPIRY,
+                        timer: RequestTimer::Expire,
+                    });
                 }
             }
         }
@@ -249,15 +310,24 @@
     ) {
         let id = &submission.payload.id;
         if self.by_id.contains_key(id) || self.distant.contains_key(id) {
-            return out.push(Command::Answer(client, Answer::Held));
+            return out.push(Command::AnswerClient {
+                client,
+                answer: Answer::Held,
+            });
         }
         if self.settings.max_open > 0
             && self.by_client.len() + self.joiners.len() >= self.settings.max_open
         {
-            return out.push(Command::Answer(client, Answer::Failed));
+            return out.push(Command::AnswerClient {
+                client,
+                answer: Answer::Failed,
+            });
         }
         let Some(class) = self.settings.classes.get(submission.class as usize) else {
-            return out.push(Command::Answer(client, Answer::Failed));
+            return out.push(Command::AnswerClient {
+                client,
+                answer: Answer::Failed,
+            });
         };
         let budget = submission
             .budget
@@ -393,11 +463,14 @@
                 t.span.record("answer", answer.word());
                 for other in std::mem::take(&mut t.joined) {
                     self.joiners.remove(&other);
-                    out.push(Command::Answer(other, answer.clone()));
+                    out.push(Command::AnswerClient {
+                        client: other,
+                        answer: answer.clone(),
+                    });
                 }
             }
             self.touched.push(request);
-            out.push(Command::Answer(client, answer));
+            out.push(Command::AnswerClient { client, answer });
         }
     }
 
@@ -446,7 +519,10 @@
                 self.finish(request, Answer::Unavailable(retry_after), out);
             }
             Action::Fail { request } => self.finish(request, Answer::Failed, out),
-            Action::Timer { at, token } => out.push(Command::Timer(at, Due::Dispatcher(token))),
+            Action::Timer { at, token } => out.push(Command::SetTimer {
+                at,
+                timer: RequestTimer::Dispatcher(token),
+            }),
             Action::Probe { worker } => self.probe(now, number(worker), out),
         }
     }
@@ -512,7 +588,10 @@
             };
             return self.ended(now, (request, attempt), outcome, &Load::new());
         }
-        out.push(Command::Timer(now + wait, Due::Attempt(request, attempt)));
+        out.push(Command::SetTimer {
+            at: now + wait,
+            timer: RequestTimer::Attempt(request, attempt),
+        });
         if let (Some(keeping), Some(asker)) = (&mut self.keeping, &t.asker) {
             let writes =
                 keeping
@@ -526,19 +605,19 @@
             };
             self.writes.push((writes, wait));
             if !cleared {
-                out.push(Command::Timer(
-                    now + keeping.patience,
-                    Due::Intent(attempt_id),
-                ));
+                out.push(Command::SetTimer {
+                    at: now + keeping.patience,
+                    timer: RequestTimer::Intent(attempt_id),
+                });
                 return;
             }
         }
-        out.push(Command::Start(
-            attempt_id,
-            *address,
-            t.payload.clone(),
-            until,
-        ));
+        out.push(Command::StartAttempt {
+            attempt: attempt_id,
+            worker: *address,
+            payload: t.payload.clone(),
+            deadline: until,
+        });
     }
 
     /// Gives an attempt up towards its worker, if it has not ended.
@@ -551,12 +630,12 @@
                 return; // its attempt was never started
             }
             let address = self.workers[a.worker];
-            out.push(Command::Abandon(
-                a.attempt_id,
-                address,
-                t.payload.clone(),
-                a.accepted,
-            ));
+            out.push(Command::CancelAttempt {
+                attempt: a.attempt_id,
+                worker: address,
+                payload: t.payload.clone(),
+                accepted: a.accepted,
+            });
         }
     }
 }
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -3,7 +3,7 @@
 use super::durability::Durability;
 use super::in_flight::{Attempt, InFlightRequest, RequestManager, SiblingRequest, worker_id};
 use crate::decision::interface::{Event, MigratedRequest, Outcome, SiblingEvent, sound};
-use crate::net::messages::{ClientId, Command, Due, Load, Payload};
+use crate::net::messages::{ClientId, Command, Load, Payload, RequestTimer};
 use postproxy_handover::StateUpdate;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -200,7 +200,10 @@
             });
             if !ended {
                 self.by_attempt.insert(attempt_id, (request, number));
-                out.push(Command::Timer(until, Due::Attempt(request, number)));
+                out.push(Command::SetTimer {
+                    at: until,
+                    timer: RequestTimer::Attempt(request, number),
+                });
             }
         }
         self.by_id.insert(id, request);
@@ -375,6 +378,9 @@
             }
             StateUpdate::Drain { .. } | StateUpdate::List(_) => return, // the node's own
         }
-        out.push(Command::Tell(Some(link), tale));
+        out.push(Command::UpdateSiblings {
+            except: Some(link),
+            update: tale,
+        });
     }
 }
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -67,7 +67,9 @@
             worker: worker_id(worker),
             again,
         });
-        out.push(Command::Forget(self.workers[worker]));
+        out.push(Command::CloseIdleConnections {
+            worker: self.workers[worker],
+        });
         if !again {
             let unwritten = self.unwritten_to(&BTreeSet::from([worker]));
             self.withdraw(now, unwritten, out);
@@ -119,7 +121,9 @@
         } in attempts
         {
             if cleared {
-                out.push(Command::Withdraw(attempt_id));
+                out.push(Command::WithdrawAttempt {
+                    attempt: attempt_id,
+                });
             } else {
                 self.ended(now, (request, attempt), Outcome::Moot, &Load::new());
             }
@@ -131,11 +135,11 @@
         let attempt_id = self.next_attempt;
         self.next_attempt += 1;
         self.probes.insert(attempt_id, (worker, now));
-        out.push(Command::Probe(
-            attempt_id,
-            self.workers[worker],
-            PROBE_DIALS * self.settings.dial_timeout,
-        ));
+        out.push(Command::ProbeWorker {
+            attempt: attempt_id,
+            worker: self.workers[worker],
+            timeout: PROBE_DIALS * self.settings.dial_timeout,
+        });
     }
 
     /// What became of it. A shortage here says nothing of the worker.
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -196,7 +196,10 @@
             });
         match self.store.append(batch) {
             Ok(ticket) => self.waiting.push_back((ticket, wait)),
-            Err(_) => reactor.queue.push_back(Input::Stored(wait, false)),
+            Err(_) => reactor.queue.push_back(Input::WriteCompleted {
+                waiter: wait,
+                durable: false,
+            }),
         }
     }
 
@@ -286,7 +289,10 @@
                 while self.keeps.pop_front_if(|ticket| *ticket <= last).is_some() {}
                 while let Some((_, wait)) = self.waiting.pop_front_if(|(ticket, _)| *ticket <= last)
                 {
-                    reactor.queue.push_back(Input::Stored(wait, true));
+                    reactor.queue.push_back(Input::WriteCompleted {
+                        waiter: wait,
+                        durable: true,
+                    });
                 }
             }
             Event::Refused { from, to, why } => {
@@ -299,20 +305,22 @@
                     .drain(..)
                     .partition(|(ticket, _)| (from..=to).contains(ticket));
                 self.waiting = rest;
-                reactor.queue.extend(
-                    refused
-                        .into_iter()
-                        .map(|(_, wait)| Input::Stored(wait, false)),
-                );
+                reactor
+                    .queue
+                    .extend(refused.into_iter().map(|(_, wait)| Input::WriteCompleted {
+                        waiter: wait,
+                        durable: false,
+                    }));
             }
             Event::Value { token, value } => {
                 if let Err(error) = &value {
                     tracing::error!(error, "a result can't be read");
                 }
                 if let Some(client) = self.reads.remove(&token) {
-                    reactor
-                        .queue
-                        .push_back(Input::Fetched(client, value.ok().flatten()));
+                    reactor.queue.push_back(Input::ResultRead {
+                        client,
+                        result: value.ok().flatten(),
+                    });
                 }
             }
             Event::Broken(error) => {
@@ -320,11 +328,15 @@
                     error,
                     "the store takes no writes: jobs that must not run twice are refused"
                 );
-                reactor.queue.push_back(Input::Disk(false));
+                reactor
+                    .queue
+                    .push_back(Input::StoreHealthChanged { writable: false });
             }
             Event::Sound => {
                 tracing::info!("the store takes writes again");
-                reactor.queue.push_back(Input::Disk(true));
+                reactor
+                    .queue
+                    .push_back(Input::StoreHealthChanged { writable: true });
             }
             Event::Stat(_) => {}
         }
--- a/src/net/transport/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -51,9 +51,9 @@
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
-    /// The hub's.
-    RequestManager(messages::Due),
+pub enum Timer {
+    /// A timer of the request manager.
+    Requests(messages::RequestTimer),
     /// A look at the links to other processes of this node.
     Handover,
     /// What other nodes are owed, or are waited for; this look is the one of that number.
@@ -115,7 +115,7 @@
 /// What the owners of connections share: the poller, the timers, the time, and the queue to the hub.
 pub struct Reactor {
     poller: Poller,
-    wheel: TimerWheel<Due>,
+    wheel: TimerWheel<Timer>,
     next_key: usize,
     /// The time of this turn of the loop.
     pub now: f64,
@@ -198,12 +198,12 @@
     }
 
     /// The timers that are due now.
-    pub fn due(&mut self) -> Vec<Due> {
+    pub fn due(&mut self) -> Vec<Timer> {
         self.wheel.advance(self.now)
     }
 
     /// Sets a timer.
-    pub fn timer(&mut self, at: f64, due: Due) {
+    pub fn timer(&mut self, at: f64, due: Timer) {
         self.wheel.insert(at, due);
     }
 }
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -5,7 +5,7 @@
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Connection, State};
 use crate::net::transport::http;
-use crate::net::transport::reactor::{self, Due, Owner, Reactor};
+use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -142,7 +142,11 @@
         {
             Ok(key) => key,
             Err(end) => {
-                let told = carries.id().map(|id| Input::Attempt(id, end, Load::new()));
+                let told = carries.id().map(|id| Input::ExchangeEnded {
+                    attempt: id,
+                    end,
+                    load: Load::new(),
+                });
                 return reactor.queue.extend(told);
             }
         };
@@ -154,7 +158,7 @@
         session.round += 1;
         session.attempt = carries.id();
         self.by_attempt.extend(session.attempt.map(|id| (id, key)));
-        reactor.timer(until, Due::Attempt(key, session.round));
+        reactor.timer(until, Timer::Attempt(key, session.round));
         session
             .exchange
             .begin(carries, outgoing, &mut session.connection, reactor);
@@ -251,7 +255,7 @@
                 round,
             },
         );
-        reactor.timer(reactor.now + self.dial_timeout, Due::Dial(key));
+        reactor.timer(reactor.now + self.dial_timeout, Timer::Dial(key));
         Ok(key)
     }
 
@@ -324,7 +328,7 @@
             session.since = reactor.now;
             reactor.timer(
                 reactor.now + self.pool.keep(),
-                Due::Attempt(key, session.round),
+                Timer::Attempt(key, session.round),
             );
         }
     }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -238,7 +238,9 @@
         }
         self.exchange.told_written = true;
         if let Carries::Attempt(id) = self.exchange.carries {
-            self.reactor.queue.push_back(Input::Written(id));
+            self.reactor
+                .queue
+                .push_back(Input::AttemptWritten { attempt: id });
         }
     }
 
@@ -247,7 +249,11 @@
         self.tell_written(connection);
         let carried = std::mem::replace(&mut self.exchange.carries, Carries::Unheeded);
         if let Some(id) = carried.id() {
-            self.reactor.queue.push_back(Input::Attempt(id, end, load));
+            self.reactor.queue.push_back(Input::ExchangeEnded {
+                attempt: id,
+                end,
+                load,
+            });
         }
     }
 
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -6,7 +6,7 @@
 use crate::net::messages::{Input, Member};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read};
-use crate::net::transport::reactor::{self, Due, Owner, Reactor};
+use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
 use postproxy_version_tracking::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -309,7 +309,7 @@
             None => Start::Over,
         };
         if let Start::Asked(until) = self.start {
-            reactor.timer(until, Due::Discovery);
+            reactor.timer(until, Timer::Discovery);
         }
         // What is pushed counts from the first moment, and without a list there is nothing to lose.
         let spread = self.revision.is_some() && self.settings.list_on_request;
@@ -344,7 +344,7 @@
             .filter(|at| self.looks.is_none_or(|looks| *at < looks))
         {
             self.looks = Some(at);
-            reactor.timer(at, Due::Discovery);
+            reactor.timer(at, Timer::Discovery);
         }
     }
 
@@ -393,7 +393,10 @@
                 let Ok(session) = dialed else {
                     return self.unreachable(reactor, call.id);
                 };
-                reactor.timer(reactor.now + self.dial_timeout, Due::DiscoveryDial(call.id));
+                reactor.timer(
+                    reactor.now + self.dial_timeout,
+                    Timer::DiscoveryDial(call.id),
+                );
                 self.sessions.push(session);
                 self.sessions.len() - 1
             }
@@ -519,9 +522,10 @@
             complete: false,
             members,
         };
-        reactor
-            .queue
-            .push_back(Input::List(ListKind::Passed, list.members(&self.settings)));
+        reactor.queue.push_back(Input::WorkerListReceived {
+            kind: ListKind::Passed,
+            workers: list.members(&self.settings),
+        });
         self.passed = Some((number, digest, passed));
         Some((number, digest))
     }
@@ -572,9 +576,10 @@
             } else {
                 ListKind::Delta
             };
-            reactor
-                .queue
-                .push_back(Input::List(kind, list.members(&self.settings)));
+            reactor.queue.push_back(Input::WorkerListReceived {
+                kind,
+                workers: list.members(&self.settings),
+            });
         }
         news
     }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -5,7 +5,7 @@
 
 use node_harness::{ACCEPTED, LIMIT, Peer, port};
 use postproxy::net::messages::{AttemptEnd, AttemptId, Input, Payload};
-use postproxy::net::transport::reactor::{Due, Reactor};
+use postproxy::net::transport::reactor::{Reactor, Timer};
 use postproxy::net::upstream::attempts::Attempts;
 use std::io::Write as _;
 use std::net::TcpListener;
@@ -121,7 +121,7 @@
     fn end(&mut self) -> (AttemptId, AttemptEnd) {
         self.until(|world| {
             std::iter::from_fn(|| world.reactor.queue.pop_front()).find_map(|input| match input {
-                Input::Attempt(attempt, end, _) => Some((attempt, end)),
+                Input::ExchangeEnded { attempt, end, .. } => Some((attempt, end)),
                 _ => None,
             })
         })
@@ -334,7 +334,7 @@
             .reactor
             .queue
             .iter()
-            .any(|input| matches!(input, Input::Attempt(..)));
+            .any(|input| matches!(input, Input::ExchangeEnded { .. }));
         assert!(!again, "{what}: a second end");
     }
 }
@@ -368,7 +368,7 @@
             .reactor
             .queue
             .iter()
-            .any(|input| matches!(input, Input::Written(2)));
+            .any(|input| matches!(input, Input::AttemptWritten { attempt: 2 }));
         assert_eq!(written, whole);
         if resets {
             socket2::SockRef::from(&peer.stream)
@@ -399,7 +399,11 @@
     peer.write("HTTP/1.1 202 Accepted\r\nX-Load: TEXT inflight=7, queue=2, util=0.61, x0=what\r\nContent-Length: 0\r\n\r\n");
     let load = world.until(|world| {
         std::iter::from_fn(|| world.reactor.queue.pop_front()).find_map(|input| match input {
-            Input::Attempt(1, AttemptEnd::Accepted, load) => Some(load),
+            Input::ExchangeEnded {
+                attempt: 1,
+                end: AttemptEnd::Accepted,
+                load,
+            } => Some(load),
             _ => None,
         })
     });
@@ -450,7 +454,11 @@
     world.start(7);
     assert!(matches!(
         world.reactor.queue.pop_front(),
-        Some(Input::Attempt(7, AttemptEnd::NoRoom, _))
+        Some(Input::ExchangeEnded {
+            attempt: 7,
+            end: AttemptEnd::NoRoom,
+            ..
+        })
     ));
 }
 
@@ -502,8 +510,12 @@
     });
     let (end, load) = world.until(|world| {
         std::iter::from_fn(|| world.reactor.queue.pop_front()).find_map(|input| match input {
-            Input::Attempt(1, end, load) => Some((end, load)),
-            Input::Written(_) => panic!("a probe is no attempt that has begun"),
+            Input::ExchangeEnded {
+                attempt: 1,
+                end,
+                load,
+            } => Some((end, load)),
+            Input::AttemptWritten { .. } => panic!("a probe is no attempt that has begun"),
             _ => None,
         })
     });
@@ -560,7 +572,7 @@
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
         world.reactor.now = now;
         for due in world.reactor.due() {
-            if let Due::Attempt(key, round) = due {
+            if let Timer::Attempt(key, round) = due {
                 world.attempts.attempt_due(&mut world.reactor, key, round);
             }
         }
@@ -579,6 +591,10 @@
     world.attempts.probe(&mut world.reactor, 3, at, 0.4);
     assert!(matches!(
         world.reactor.queue.pop_front(),
-        Some(Input::Attempt(3, AttemptEnd::NoRoom, _))
+        Some(Input::ExchangeEnded {
+            attempt: 3,
+            end: AttemptEnd::NoRoom,
+            ..
+        })
     ));
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -4,7 +4,7 @@
 use postproxy::net::downstream::clients::{BAD, Clients, Wanted, call, wanted, wording};
 use postproxy::net::messages::{Answer, Input, JobCall, JobState, Payload, Submission};
 use postproxy::net::transport::http::{self, Read, Request};
-use postproxy::net::transport::reactor::{Due, Reactor};
+use postproxy::net::transport::reactor::{Reactor, Timer};
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
@@ -41,7 +41,7 @@
         peer.write_all(text.as_bytes()).expect("it is written");
         self.clients.ready(&mut self.reactor, *key, true, false);
         // In place of the hub.
-        if let Some(Input::Call(client, _)) = self.reactor.queue.pop_front() {
+        if let Some(Input::CallbackReceived { client, .. }) = self.reactor.queue.pop_front() {
             self.clients.acknowledge(&mut self.reactor, client);
         }
     }
@@ -51,8 +51,8 @@
         self.reactor.now = now;
         for due in self.reactor.due() {
             match due {
-                Due::Client(key, round) => self.clients.due(&mut self.reactor, key, round),
-                Due::Accept => self.clients.accept_due(&mut self.reactor),
+                Timer::Client(key, round) => self.clients.due(&mut self.reactor, key, round),
+                Timer::Accept => self.clients.accept_due(&mut self.reactor),
                 _ => {}
             }
         }
@@ -161,7 +161,7 @@
         bed.clients.ready(&mut bed.reactor, key, true, false);
     }
     assert!(
-        matches!(bed.reactor.queue.pop_front(), Some(Input::Call(client, _)) if client == key as u64)
+        matches!(bed.reactor.queue.pop_front(), Some(Input::CallbackReceived { client, .. }) if client == key as u64)
     );
     assert!(bed.reactor.queue.is_empty() && bed.clients.keys().any(|key| key == key));
     peer.set_nonblocking(true).expect("a setting");
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -36,8 +36,12 @@
     let (mut written, mut ends) = (false, Vec::new());
     for input in reactor.queue.drain(..) {
         match input {
-            Input::Written(ATTEMPT) => written |= ends.is_empty(),
-            Input::Attempt(ATTEMPT, end, _) => ends.push(end),
+            Input::AttemptWritten { attempt: ATTEMPT } => written |= ends.is_empty(),
+            Input::ExchangeEnded {
+                attempt: ATTEMPT,
+                end,
+                ..
+            } => ends.push(end),
             other => panic!("{other:?}"),
         }
     }
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -1,7 +1,7 @@
 //! A hand-over to a process that has no descriptor left, alone in its process: the limit on descriptors holds for all of it.
 
 use postproxy::net::handover::{Event, Handover};
-use postproxy::net::transport::reactor::{Due, Owner, Reactor, owner};
+use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
 use postproxy_handover::{LinkEvent, Message, frame, greeting};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
@@ -19,7 +19,7 @@
 fn turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
     let mut events = Vec::new();
     // The loop is asked, and does not wait.
-    reactor.timer(reactor.now, Due::Accept);
+    reactor.timer(reactor.now, Timer::Accept);
     reactor.wait(&mut events, f64::MAX).expect("a poller");
     let of_link = events
         .iter()
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -2,8 +2,8 @@
 //! owed which answer.
 
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload,
-    Submission, Wait,
+    Answer, AttemptEnd, AttemptId, Command, Input, JobCall, JobState, Load, Member, Payload,
+    RequestTimer, Submission, Wait,
 };
 use postproxy::net::requests::durability::DurabilityPolicy;
 use postproxy::net::requests::manager::RequestManager;
@@ -28,7 +28,7 @@
 struct Bed {
     hub: RequestManager,
     now: f64,
-    timers: Vec<(f64, Due)>,
+    timers: Vec<(f64, RequestTimer)>,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
     /// Writes that the disk has not done yet.
     pending: Vec<(Vec<Write>, Wait)>,
@@ -63,7 +63,10 @@
                 ..Entry::default()
             },
         };
-        bed.tell(Input::List(ListKind::Full, (0..3).map(member).collect()));
+        bed.tell(Input::WorkerListReceived {
+            kind: ListKind::Full,
+            workers: (0..3).map(member).collect(),
+        });
         bed
     }
 
@@ -88,8 +91,11 @@
         let mut rest = Vec::new();
         for command in out {
             match command {
-                Command::Timer(at, due) => self.timers.push((at, due)),
-                Command::Write(writes, wait) => self.pending.push((writes, wait)),
+                Command::SetTimer { at, timer: due } => self.timers.push((at, due)),
+                Command::WriteRecords {
+                    writes,
+                    waiter: wait,
+                } => self.pending.push((writes, wait)),
                 other => rest.push(other),
             }
         }
@@ -103,7 +109,10 @@
             if durable {
                 self.apply(writes);
             }
-            all.extend(self.tell(Input::Stored(wait, durable)));
+            all.extend(self.tell(Input::WriteCompleted {
+                waiter: wait,
+                durable,
+            }));
         }
         all
     }
@@ -121,7 +130,7 @@
             };
             self.timers.remove(i);
             self.now = self.now.max(at);
-            all.extend(self.tell(Input::Due(due)));
+            all.extend(self.tell(Input::TimerExpired { timer: due }));
         }
         self.now = until;
         all
@@ -142,14 +151,14 @@
             body: body.into(),
             ..Payload::default()
         };
-        self.tell(Input::Arrived(
+        self.tell(Input::RequestReceived {
             client,
-            Submission {
+            submission: Submission {
                 payload,
                 class,
                 ..Submission::default()
             },
-        ))
+        })
     }
 
     /// Submits a job that must not run twice, and has its attempt started, written and accepted; its worker.
@@ -160,36 +169,40 @@
         );
         let commands = self.sync(true);
         let (attempt, worker) = started(&commands).expect("an attempt");
-        self.tell(Input::Written(attempt));
-        self.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
+        self.tell(Input::AttemptWritten { attempt });
+        self.tell(Input::ExchangeEnded {
+            attempt,
+            end: AttemptEnd::Accepted,
+            load: Load::new(),
+        });
         (attempt, worker)
     }
 
     fn call(&mut self, id: &str, from: &str, state: JobState) -> Vec<Command> {
-        self.tell(Input::Call(
-            99,
-            JobCall {
+        self.tell(Input::CallbackReceived {
+            client: 99,
+            callback: JobCall {
                 id: id.into(),
                 from: from.into(),
                 state,
                 load: Load::new(),
             },
-        ))
+        })
     }
 }
 
 fn started(commands: &[Command]) -> Option<(AttemptId, String)> {
     commands.iter().find_map(|command| match command {
-        Command::Start(attempt, worker, ..) => {
-            Some((*attempt, format!("s-{}", worker.port() - 9000)))
-        }
+        Command::StartAttempt {
+            attempt, worker, ..
+        } => Some((*attempt, format!("s-{}", worker.port() - 9000))),
         _ => None,
     })
 }
 
 fn answers(commands: &[Command]) -> Vec<(u64, Answer)> {
     let answer = |command: &Command| match command {
-        Command::Answer(client, answer) => Some((*client, answer.clone())),
+        Command::AnswerClient { client, answer } => Some((*client, answer.clone())),
         _ => None,
     };
     commands.iter().filter_map(answer).collect()
@@ -198,7 +211,7 @@
 fn acknowledged(commands: &[Command]) -> bool {
     commands
         .iter()
-        .any(|command| matches!(command, Command::Acknowledge(99, _)))
+        .any(|command| matches!(command, Command::AcknowledgeCallback { client: 99, .. }))
 }
 
 fn served(text: &str) -> Answer {
@@ -224,7 +237,10 @@
     bed.now += 0.1;
     let commands = bed.sync(true);
     let until = commands.iter().find_map(|c| {
-        if let Command::Start(.., until) = c {
+        if let Command::StartAttempt {
+            deadline: until, ..
+        } = c
+        {
             Some(*until)
         } else {
             None
@@ -257,11 +273,14 @@
     let mut bed = bed.restart();
     let commands = bed.submit(5, "other", Some("k"), COMMIT, "body");
     assert!(
-        matches!(&commands[..], [Command::Fetch(5, id)] if id == "job"),
+        matches!(&commands[..], [Command::ReadResult { client: 5, id }] if id == "job"),
         "{commands:?}"
     );
     assert_eq!(
-        answers(&bed.tell(Input::Fetched(5, Some(b"result".to_vec())))),
+        answers(&bed.tell(Input::ResultRead {
+            client: 5,
+            result: Some(b"result".to_vec())
+        })),
         [(5, served("result"))]
     );
     assert!(answers(&bed.play(1100.0)).is_empty(), "one final answer");
@@ -325,11 +344,15 @@
     let commands = bed.sync(true);
     let starts = commands
         .iter()
-        .filter(|c| matches!(c, Command::Start(..)))
+        .filter(|c| matches!(c, Command::StartAttempt { .. }))
         .count();
     assert_eq!(starts, 1, "{commands:?}");
     let (attempt, worker) = started(&commands).expect("an attempt");
-    bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
+    bed.tell(Input::ExchangeEnded {
+        attempt,
+        end: AttemptEnd::Accepted,
+        load: Load::new(),
+    });
     let commands = bed.call("again", &worker, JobState::Done(b"x".to_vec()));
     assert_eq!(answers(&commands), [(3, served("x")), (2, served("x"))]);
 }
@@ -345,12 +368,12 @@
             .is_empty()
     );
     assert!(bed.submit(3, "third", Some("k"), COMMIT, "body").is_empty());
-    let commands = bed.tell(Input::Left(1));
+    let commands = bed.tell(Input::ClientDisconnected { client: 1 });
     assert!(
         commands.is_empty(),
         "no cancel: others wait for it: {commands:?}"
     );
-    bed.tell(Input::Left(3));
+    bed.tell(Input::ClientDisconnected { client: 3 });
     let commands = bed.call("job", &worker, JobState::Done(b"x".to_vec()));
     assert_eq!(answers(&commands), [(2, served("x"))]);
     bed.sync(true);
@@ -371,14 +394,14 @@
     assert_eq!(answers(&commands), [(1, Answer::Unavailable(1.0))]);
     assert!(started(&commands).is_none());
     assert_eq!(bed.hub.held(), 0, "it is forgotten");
-    bed.tell(Input::Disk(false));
+    bed.tell(Input::StoreHealthChanged { writable: false });
     assert_eq!(
         answers(&bed.submit(2, "next", None, COMMIT, "")),
         [(2, Answer::Unavailable(1.0))]
     );
     assert!(started(&bed.submit(3, "safe", None, RENDER, "")).is_some());
     assert!(started(&bed.submit(4, "keyed", None, TOKEN, "")).is_some());
-    bed.tell(Input::Disk(true));
+    bed.tell(Input::StoreHealthChanged { writable: true });
     assert!(bed.submit(5, "again", Some("k"), COMMIT, "body").is_empty());
     assert!(
         started(&bed.sync(true)).is_some(),
@@ -425,7 +448,9 @@
         bed.submit(2, "job-1", None, COMMIT, "body").is_empty(),
         "it is in doubt still"
     );
-    bed.tell(Input::Due(Due::Expire));
+    bed.tell(Input::TimerExpired {
+        timer: RequestTimer::Expire,
+    });
     bed.play(5000.0);
     assert!(
         bed.submit(3, "new", None, COMMIT, "").is_empty(),
@@ -442,8 +467,12 @@
     let commands = bed.call("job", &worker, JobState::Lost);
     assert_eq!(answers(&commands), [(1, Answer::Failed)]);
     assert!(
-        bed.tell(Input::Attempt(attempt, AttemptEnd::Reset, Load::new()))
-            .is_empty(),
+        bed.tell(Input::ExchangeEnded {
+            attempt,
+            end: AttemptEnd::Reset,
+            load: Load::new()
+        })
+        .is_empty(),
         "late"
     );
     bed.sync(true);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -8,7 +8,7 @@
 use postproxy::decision::interface::Settings;
 use postproxy::net::downstream::clients::Clients;
 use postproxy::net::messages::{AttemptEnd, Input, Payload};
-use postproxy::net::transport::reactor::{Due, Owner, Reactor, owner};
+use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
 use postproxy::net::upstream::attempts::Attempts;
 use std::io::Write as _;
 use std::net::TcpListener;
@@ -266,7 +266,11 @@
     );
     assert!(matches!(
         reactor.queue.pop_front(),
-        Some(Input::Attempt(1, AttemptEnd::NoRoom, _))
+        Some(Input::ExchangeEnded {
+            attempt: 1,
+            end: AttemptEnd::NoRoom,
+            ..
+        })
     ));
     assert!(reactor.queue.is_empty());
 }
@@ -299,7 +303,7 @@
     ] {
         let (mut reactor, mut clients) = accepted_behind_the_end(way);
         // What did not fit into one read comes with the next ones; nothing of the queue has been taken meanwhile.
-        reactor.timer(1000.0, Due::Accept);
+        reactor.timer(1000.0, Timer::Accept);
         let (start, mut events) = (Instant::now(), Vec::new());
         while clients.count() > 0 {
             assert!(start.elapsed() < LIMIT, "{way:?}: its end is not seen");
@@ -360,7 +364,7 @@
             .adopt_held(&mut reactor, stream, Vec::new(), false)
             .expect("it is taken in");
         let (start, mut events) = (Instant::now(), Vec::new());
-        reactor.timer(1000.0, Due::Accept);
+        reactor.timer(1000.0, Timer::Accept);
         // What does not fit into the first read comes with the next ones.
         while clients.waits(client) != waits {
             assert!(
--- a/tests/transaction.rs
+++ b/tests/transaction.rs
@@ -2,8 +2,8 @@
 
 use postproxy::net::messages::Reply;
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, Command, Due, Input, JobCall, JobState, Load, Member, Payload,
-    Submission,
+    Answer, AttemptEnd, AttemptId, Command, Input, JobCall, JobState, Load, Member, Payload,
+    RequestTimer, Submission,
 };
 use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
@@ -19,7 +19,7 @@
 struct Bed {
     hub: RequestManager,
     now: f64,
-    timers: Vec<(f64, Due)>,
+    timers: Vec<(f64, RequestTimer)>,
 }
 
 impl Bed {
@@ -43,10 +43,10 @@
                 ..Entry::default()
             },
         };
-        bed.tell(Input::List(
-            ListKind::Full,
-            (0..workers).map(member).collect(),
-        ));
+        bed.tell(Input::WorkerListReceived {
+            kind: ListKind::Full,
+            workers: (0..workers).map(member).collect(),
+        });
         bed
     }
 
@@ -56,17 +56,17 @@
         self.hub.handle(self.now, input, &mut out);
         let (timers, rest) = out
             .into_iter()
-            .partition(|c| matches!(c, Command::Timer(..)));
+            .partition(|c| matches!(c, Command::SetTimer { .. }));
         let timers: Vec<Command> = timers;
         self.timers
             .extend(timers.into_iter().filter_map(|c| match c {
-                Command::Timer(at, due) => Some((at, due)),
+                Command::SetTimer { at, timer: due } => Some((at, due)),
                 _ => None,
             }));
         // Acknowledgements have a test of their own.
         let rest: Vec<Command> = rest;
         rest.into_iter()
-            .filter(|c| !matches!(c, Command::Acknowledge(2, _)))
+            .filter(|c| !matches!(c, Command::AcknowledgeCallback { client: 2, .. }))
             .collect()
     }
 
@@ -84,7 +84,7 @@
             };
             self.timers.remove(i);
             self.now = self.now.max(at);
-            all.extend(self.tell(Input::Due(due)));
+            all.extend(self.tell(Input::TimerExpired { timer: due }));
         }
         self.now = until;
         all
@@ -96,52 +96,56 @@
             method: "POST".into(),
             ..Payload::default()
         };
-        self.tell(Input::Arrived(
-            1,
-            Submission {
+        self.tell(Input::RequestReceived {
+            client: 1,
+            submission: Submission {
                 payload,
                 class,
                 ..Submission::default()
             },
-        ))
+        })
     }
 
     /// Submits, and has the attempt written and accepted; the attempt and its worker's name.
     fn accepted(&mut self, id: &str, class: u8) -> (AttemptId, String) {
         let (attempt, from) = start(&self.submit(id, class)).expect("an attempt");
-        assert!(self.tell(Input::Written(attempt)).is_empty());
+        assert!(self.tell(Input::AttemptWritten { attempt }).is_empty());
         assert!(
-            self.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()))
-                .is_empty()
+            self.tell(Input::ExchangeEnded {
+                attempt,
+                end: AttemptEnd::Accepted,
+                load: Load::new()
+            })
+            .is_empty()
         );
         (attempt, from)
     }
 
     fn call(&mut self, id: &str, from: &str, state: JobState) -> Vec<Command> {
-        self.tell(Input::Call(
-            2,
-            JobCall {
+        self.tell(Input::CallbackReceived {
+            client: 2,
+            callback: JobCall {
                 id: id.into(),
                 from: from.into(),
                 state,
                 load: Load::new(),
             },
-        ))
+        })
     }
 }
 
 fn start(commands: &[Command]) -> Option<(AttemptId, String)> {
     commands.iter().find_map(|c| match c {
-        Command::Start(attempt, worker, ..) => {
-            Some((*attempt, format!("s-{}", worker.port() - 9000)))
-        }
+        Command::StartAttempt {
+            attempt, worker, ..
+        } => Some((*attempt, format!("s-{}", worker.port() - 9000))),
         _ => None,
     })
 }
 
 fn answers<'a>(commands: &'a [Command]) -> Vec<&'a Answer> {
     let answer = |c: &'a Command| {
-        if let Command::Answer(_, answer) = c {
+        if let Command::AnswerClient { answer, .. } = c {
             Some(answer)
         } else {
             None
@@ -183,14 +187,18 @@
 fn a_call_may_come_before_the_202() {
     let mut bed = Bed::new(1);
     let (attempt, from) = start(&bed.submit("a", 0)).expect("an attempt");
-    bed.tell(Input::Written(attempt));
+    bed.tell(Input::AttemptWritten { attempt });
     assert_eq!(
         answers(&bed.call("a", &from, JobState::Done(b"r".into()))),
         [&Answer::Served(b"r".into())]
     );
     assert!(
-        bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()))
-            .is_empty()
+        bed.tell(Input::ExchangeEnded {
+            attempt,
+            end: AttemptEnd::Accepted,
+            load: Load::new()
+        })
+        .is_empty()
     );
     assert_eq!(bed.hub.held(), 0);
 }
@@ -204,7 +212,7 @@
     again.extend(bed.play(1001.0));
     let (attempt, _) = start(&again).expect("what never ran is sent again");
     assert!(bed.call("a", &from, JobState::Returned).is_empty());
-    bed.tell(Input::Written(attempt));
+    bed.tell(Input::AttemptWritten { attempt });
     // Up to ten times, also behind the next attempt's last byte: that one runs.
     for _ in 0..8 {
         assert!(bed.call("a", &from, JobState::Returned).is_empty());
@@ -231,9 +239,13 @@
         let mut bed = Bed::new(3);
         let (attempt, _) = start(&bed.submit("a", 1)).expect("an attempt");
         if written {
-            bed.tell(Input::Written(attempt));
+            bed.tell(Input::AttemptWritten { attempt });
         }
-        let mut after = bed.tell(Input::Attempt(attempt, end, Load::new()));
+        let mut after = bed.tell(Input::ExchangeEnded {
+            attempt,
+            end,
+            load: Load::new(),
+        });
         after.extend(bed.play(1006.0));
         assert_eq!(start(&after).is_some(), again, "{end:?}");
         assert_eq!(answers(&after), [&Answer::Failed], "{end:?}");
@@ -246,7 +258,11 @@
 fn a_shortage_here_is_not_held_against_the_worker() {
     let mut bed = Bed::new(2);
     let (attempt, blamed) = start(&bed.submit("a", 0)).expect("an attempt");
-    bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new()));
+    bed.tell(Input::ExchangeEnded {
+        attempt,
+        end: AttemptEnd::NoRoom,
+        load: Load::new(),
+    });
     let more: Vec<_> = (0..12)
         .filter_map(|n| start(&bed.submit(&format!("b{n}"), 0)))
         .collect();
@@ -259,8 +275,12 @@
     let mut bed = Bed::new(2);
     let (attempt, from) = bed.accepted("a", 0);
     assert!(
-        bed.tell(Input::Attempt(attempt, AttemptEnd::Reset, Load::new()))
-            .is_empty()
+        bed.tell(Input::ExchangeEnded {
+            attempt,
+            end: AttemptEnd::Reset,
+            load: Load::new()
+        })
+        .is_empty()
     );
     assert_eq!(
         answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(),
@@ -275,11 +295,15 @@
         let mut bed = Bed::new(1);
         let (attempt, _) = start(&bed.submit("a", 0)).expect("an attempt");
         if taken {
-            bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
+            bed.tell(Input::ExchangeEnded {
+                attempt,
+                end: AttemptEnd::Accepted,
+                load: Load::new(),
+            });
         }
-        let left = bed.tell(Input::Left(1));
+        let left = bed.tell(Input::ClientDisconnected { client: 1 });
         assert!(
-            matches!(left[..], [Command::Abandon(p, _, _, t)] if (p, t) == (attempt, taken)),
+            matches!(left[..], [Command::CancelAttempt { attempt: p, accepted: t, .. }] if (p, t) == (attempt, taken)),
             "{left:?}"
         );
         assert_eq!(bed.hub.held(), 0);
@@ -310,7 +334,7 @@
     assert_eq!(answers(&all), [&Answer::Failed]);
     assert!(
         all.iter()
-            .any(|c| matches!(c, Command::Abandon(_, _, _, true))),
+            .any(|c| matches!(c, Command::CancelAttempt { accepted: true, .. })),
         "{all:?}"
     );
     assert_eq!(bed.hub.held(), 0);
@@ -325,13 +349,13 @@
         id: "a".into(),
         ..Payload::default()
     };
-    let twice = bed.tell(Input::Arrived(
-        2,
-        Submission {
+    let twice = bed.tell(Input::RequestReceived {
+        client: 2,
+        submission: Submission {
             payload,
             ..Submission::default()
         },
-    ));
+    });
     assert_eq!(answers(&twice), [&Answer::Held]);
     assert_eq!(bed.hub.held(), 1);
 }
@@ -350,19 +374,24 @@
         };
         hub.handle(
             1000.0,
-            Input::Arrived(
+            Input::RequestReceived {
                 client,
-                Submission {
+                submission: Submission {
                     payload,
                     ..Submission::default()
                 },
-            ),
+            },
             &mut out,
         );
     }
     assert!(
-        out.iter()
-            .any(|c| matches!(c, Command::Answer(2, Answer::Failed))),
+        out.iter().any(|c| matches!(
+            c,
+            Command::AnswerClient {
+                client: 2,
+                answer: Answer::Failed
+            }
+        )),
         "{out:?}"
     );
     assert_eq!((answers(&out).len(), hub.held()), (1, 1));
@@ -394,10 +423,16 @@
 #[test]
 fn a_worker_out_of_use_gets_nothing_more_and_keeps_what_it_has() {
     let mut bed = Bed::new(2);
-    let employ = |bed: &mut Bed, name: &str, again| bed.tell(Input::Use(9, name.into(), again));
+    let employ = |bed: &mut Bed, name: &str, again| {
+        bed.tell(Input::SuspensionRequested {
+            caller: 9,
+            worker: name.into(),
+            resume: again,
+        })
+    };
     let reply = |out: &[Command]| {
         out.iter().find_map(|c| {
-            if let Command::Operator(9, reply) = c {
+            if let Command::ReplyToManagement { caller: 9, reply } = c {
                 Some(*reply)
             } else {
                 None
@@ -413,9 +448,9 @@
     );
     let (unsent, to) = start(&bed.submit("a", 1)).expect("an attempt");
     let (sent, _) = loop {
-        let (attempt, from) = start(&bed.tell(Input::Arrived(
-            3,
-            Submission {
+        let (attempt, from) = start(&bed.tell(Input::RequestReceived {
+            client: 3,
+            submission: Submission {
                 payload: Payload {
                     id: format!("b{}", bed.now),
                     method: "POST".into(),
@@ -424,9 +459,9 @@
                 class: 1,
                 ..Submission::default()
             },
-        )))
+        }))
         .expect("an attempt");
-        bed.tell(Input::Written(attempt));
+        bed.tell(Input::AttemptWritten { attempt });
         if from == to {
             break (attempt, from);
         }
@@ -436,21 +471,28 @@
     assert_eq!(reply(&out), Some(Reply::Yes));
     assert!(
         out.iter()
-            .any(|c| matches!(c, Command::Withdraw(attempt) if *attempt == unsent))
+            .any(|c| matches!(c, Command::WithdrawAttempt { attempt } if *attempt == unsent))
     );
     assert!(
         !out.iter()
-            .any(|c| matches!(c, Command::Withdraw(attempt) if *attempt == sent))
+            .any(|c| matches!(c, Command::WithdrawAttempt { attempt } if *attempt == sent))
+    );
+    assert!(
+        out.iter()
+            .any(|c| matches!(c, Command::CloseIdleConnections { .. }))
     );
-    assert!(out.iter().any(|c| matches!(c, Command::Forget(_))));
     assert_eq!(
         reply(&employ(&mut bed, &to, false)),
         Some(Reply::Yes),
         "twice is once"
     );
     // What never ran goes elsewhere; also after a whole list that names the worker as ready.
-    let (_, other) = start(&bed.tell(Input::Attempt(unsent, AttemptEnd::NoRoom, Load::new())))
-        .expect("another attempt");
+    let (_, other) = start(&bed.tell(Input::ExchangeEnded {
+        attempt: unsent,
+        end: AttemptEnd::NoRoom,
+        load: Load::new(),
+    }))
+    .expect("another attempt");
     assert_ne!(other, to);
     let member = |n: u16| Member {
         id: format!("s-{n}"),
@@ -461,7 +503,10 @@
             ..Entry::default()
         },
     };
-    bed.tell(Input::List(ListKind::Full, vec![member(0), member(1)]));
+    bed.tell(Input::WorkerListReceived {
+        kind: ListKind::Full,
+        workers: vec![member(0), member(1)],
+    });
     for n in 0..20 {
         let (_, from) = start(&bed.submit(&format!("c{n}"), 0)).expect("an attempt");
         assert_ne!(from, to);
@@ -469,8 +514,13 @@
     assert_eq!(reply(&employ(&mut bed, &other, false)), Some(Reply::Yes));
     let out = bed.submit("d", 0);
     assert!(
-        out.iter()
-            .any(|c| matches!(c, Command::Answer(1, Answer::Unavailable(_)))),
+        out.iter().any(|c| matches!(
+            c,
+            Command::AnswerClient {
+                client: 1,
+                answer: Answer::Unavailable(_)
+            }
+        )),
         "all are out: {out:?}"
     );
     assert_eq!(reply(&employ(&mut bed, &to, true)), Some(Reply::Yes));
@@ -487,25 +537,30 @@
             let settings = SETTINGS.replace("\"cancel\": true", &format!("\"cancel\": {cancel}"));
             let mut bed = Bed::with(2, &settings);
             let (attempt, _) = start(&bed.submit("a", class)).expect("an attempt");
-            let out = bed.tell(Input::Left(1));
+            let out = bed.tell(Input::ClientDisconnected { client: 1 });
             let back = |c: &Command| match c {
-                Command::Abandon(p, ..) => cancel == "true" && *p == attempt,
-                Command::Withdraw(p) => cancel == "false" && *p == attempt,
+                Command::CancelAttempt { attempt: p, .. } => cancel == "true" && *p == attempt,
+                Command::WithdrawAttempt { attempt: p } => cancel == "false" && *p == attempt,
                 _ => false,
             };
             assert!(out.iter().any(back), "cancel {cancel}: {out:?}");
             assert!(
-                bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new()))
-                    .is_empty()
+                bed.tell(Input::ExchangeEnded {
+                    attempt,
+                    end: AttemptEnd::NoRoom,
+                    load: Load::new()
+                })
+                .is_empty()
             );
             assert!(
                 start(&bed.play(1010.0)).is_none() && bed.hub.held() == 0,
                 "cancel {cancel}"
             );
             let (sent, from) = bed.accepted("b", class);
-            let out = bed.tell(Input::Left(1));
+            let out = bed.tell(Input::ClientDisconnected { client: 1 });
             assert!(
-                !out.iter().any(|c| matches!(c, Command::Withdraw(_))),
+                !out.iter()
+                    .any(|c| matches!(c, Command::WithdrawAttempt { .. })),
                 "{sent} has been written"
             );
             assert!(
@@ -544,25 +599,41 @@
             let mut bed = Bed::new(2);
             let (attempt, to) = start(&bed.submit("a", 1)).expect("an attempt");
             assert!(
-                bed.tell(Input::List(ListKind::Delta, vec![])).is_empty(),
+                bed.tell(Input::WorkerListReceived {
+                    kind: ListKind::Delta,
+                    workers: vec![]
+                })
+                .is_empty(),
                 "no change"
             );
             if written {
-                bed.tell(Input::Written(attempt));
+                bed.tell(Input::AttemptWritten { attempt });
             }
             let stays = member(other(&to), Health::Ready);
             let out = bed.tell(match how {
-                0 => Input::List(ListKind::Delta, vec![member(&to, Health::Draining)]),
-                1 => Input::List(ListKind::Full, vec![member(&to, Health::Draining), stays]),
-                _ => Input::List(ListKind::Full, vec![stays]),
+                0 => Input::WorkerListReceived {
+                    kind: ListKind::Delta,
+                    workers: vec![member(&to, Health::Draining)],
+                },
+                1 => Input::WorkerListReceived {
+                    kind: ListKind::Full,
+                    workers: vec![member(&to, Health::Draining), stays],
+                },
+                _ => Input::WorkerListReceived {
+                    kind: ListKind::Full,
+                    workers: vec![stays],
+                },
             });
             let back = out
                 .iter()
-                .any(|c| matches!(c, Command::Withdraw(p) if *p == attempt));
+                .any(|c| matches!(c, Command::WithdrawAttempt { attempt: p } if *p == attempt));
             assert_eq!(back, !written, "{how}: {out:?}");
             if back {
-                let again =
-                    start(&bed.tell(Input::Attempt(attempt, AttemptEnd::NoRoom, Load::new())));
+                let again = start(&bed.tell(Input::ExchangeEnded {
+                    attempt,
+                    end: AttemptEnd::NoRoom,
+                    load: Load::new(),
+                }));
                 assert_eq!(again.expect("another attempt").1, other(&to));
             }
         }
@@ -577,10 +648,14 @@
         let (mut old, mut new) = (Bed::new(2), Bed::new(2));
         let (_, from) = old.accepted("a", 0);
         let job = old.hub.release(old.now, 1).expect("it can move");
-        let out = new.tell(Input::Moved(1, client, job));
+        let out = new.tell(Input::RequestMigrated {
+            link: 1,
+            client,
+            request: job,
+        });
         let given_up = out
             .iter()
-            .any(|c| matches!(c, Command::Abandon(_, _, p, true) if p.id == "a"));
+            .any(|c| matches!(c, Command::CancelAttempt { payload: p, accepted: true, .. } if p.id == "a"));
         assert_eq!((given_up, start(&out)), (!goes_on, None), "{out:?}");
         let again = start(&new.call("a", &from, JobState::Lost));
         assert_eq!(again.is_some(), goes_on);
@@ -596,8 +671,12 @@
     assert!(bed.call("a", &first, JobState::Started).is_empty());
     let (attempt, second) = start(&bed.call("a", &first, JobState::Lost)).expect("it starts over");
     assert_ne!(second, first);
-    bed.tell(Input::Written(attempt));
-    bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
+    bed.tell(Input::AttemptWritten { attempt });
+    bed.tell(Input::ExchangeEnded {
+        attempt,
+        end: AttemptEnd::Accepted,
+        load: Load::new(),
+    });
     for late in [
         JobState::Lost,
         JobState::Failed,
@@ -614,7 +693,11 @@
 
 fn probes(commands: &[Command]) -> Vec<(AttemptId, String)> {
     let probe = |c: &Command| match c {
-        Command::Probe(id, worker, _) => Some((*id, format!("s-{}", worker.port() - 9000))),
+        Command::ProbeWorker {
+            attempt: id,
+            worker,
+            ..
+        } => Some((*id, format!("s-{}", worker.port() - 9000))),
         _ => None,
     };
     commands.iter().filter_map(probe).collect()
@@ -651,10 +734,18 @@
             } else {
                 AttemptEnd::Reset
             };
-            sent = sent.or(start(&bed.tell(Input::Attempt(*id, end, load))));
+            sent = sent.or(start(&bed.tell(Input::ExchangeEnded {
+                attempt: *id,
+                end,
+                load,
+            })));
             assert!(
-                bed.tell(Input::Attempt(*id, AttemptEnd::Accepted, Load::new()))
-                    .is_empty(),
+                bed.tell(Input::ExchangeEnded {
+                    attempt: *id,
+                    end: AttemptEnd::Accepted,
+                    load: Load::new()
+                })
+                .is_empty(),
                 "once"
             );
         }
@@ -672,11 +763,15 @@
     let mut bed = Bed::new(2);
     let (attempt, _) = start(&bed.submit("a", 1)).expect("an attempt");
     assert!(bed.hub.movable().is_empty(), "it is dialled for");
-    bed.tell(Input::Written(attempt));
+    bed.tell(Input::AttemptWritten { attempt });
     assert!(
         bed.hub.movable().is_empty(),
         "it is written, and nobody knows whether it was taken"
     );
-    bed.tell(Input::Attempt(attempt, AttemptEnd::Accepted, Load::new()));
+    bed.tell(Input::ExchangeEnded {
+        attempt,
+        end: AttemptEnd::Accepted,
+        load: Load::new(),
+    });
     assert_eq!(bed.hub.movable(), [1], "it was taken");
 }
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -3,7 +3,7 @@
 
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
-use postproxy::net::transport::reactor::{Due, Owner, Reactor, owner};
+use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
 use postproxy::net::upstream::worker_list::{Kept, List, WorkerList};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -106,8 +106,8 @@
             self.reactor.now = (self.reactor.now + 0.002).min(now);
             for due in self.reactor.due() {
                 match due {
-                    Due::Discovery => self.list.due(&mut self.reactor),
-                    Due::DiscoveryDial(call) => self.list.dial_due(&mut self.reactor, call),
+                    Timer::Discovery => self.list.due(&mut self.reactor),
+                    Timer::DiscoveryDial(call) => self.list.dial_due(&mut self.reactor, call),
                     _ => {}
                 }
             }
@@ -143,7 +143,7 @@
     fn told(&mut self) -> ListKind {
         self.until(|bed| !bed.reactor.queue.is_empty());
         match self.reactor.queue.pop_front() {
-            Some(Input::List(kind, _)) => kind,
+            Some(Input::WorkerListReceived { kind, .. }) => kind,
             _ => panic!("no list"),
         }
     }
