--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -529,7 +529,13 @@
     }
 
     /// The listener or a connection can be read or written.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) {
+    pub fn handle_ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) {
         if key == self.listener_key {
             return self.accept(reactor);
         }
@@ -539,7 +545,7 @@
     }
 
     /// Gives a final answer to the client that still waits for it.
-    pub fn answer(&mut self, reactor: &mut Reactor, client: u64, answer: &Answer) {
+    pub fn send_answer(&mut self, reactor: &mut Reactor, client: u64, answer: &Answer) {
         self.with(reactor, client as usize, |connection, caller| {
             if caller.client.phase == Phase::Held {
                 caller.answer(connection, answer);
@@ -548,7 +554,7 @@
     }
 
     /// Tells a worker that its call-back has been taken.
-    pub fn acknowledge(&mut self, reactor: &mut Reactor, client: u64) {
+    pub fn acknowledge_callback(&mut self, reactor: &mut Reactor, client: u64) {
         self.with(reactor, client as usize, |connection, caller| {
             if caller.client.phase == Phase::Calling {
                 caller.client.phase = Phase::Reading;
@@ -560,7 +566,7 @@
     }
 
     /// A connection has had its time.
-    pub fn due(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
+    pub fn handle_timer(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
         self.with(reactor, key, |connection, caller| {
             let stale = caller.client.round != round || caller.client.phase != Phase::Reading;
             if stale {
@@ -580,18 +586,18 @@
     }
 
     /// Whether new connections are taken. Where not, they wait at the listener for whoever shares it.
-    pub fn listen(&mut self, reactor: &Reactor, on: bool) {
+    pub fn set_accepting(&mut self, reactor: &Reactor, on: bool) {
         self.listening = on;
         reactor.rearm(&self.listener, self.listener_key, (on, false));
     }
 
     /// Takes at most so many connections from now on.
-    pub fn limit(&mut self, most: usize) {
+    pub fn set_connection_limit(&mut self, most: usize) {
         self.most = most;
     }
 
     /// How many connections there are.
-    pub fn count(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.sessions.len()
     }
 
@@ -605,7 +611,7 @@
     }
 
     /// The numbers of their connections.
-    pub fn keys(&self) -> impl Iterator<Item = usize> {
+    pub fn connection_keys(&self) -> impl Iterator<Item = usize> {
         self.sessions.keys().copied()
     }
 
@@ -623,7 +629,10 @@
 
     /// Gives away a connection on which nothing is owed and no request has begun: its stream, what was read from
     /// it, and whether it has been of use. What has not been read stays in the stream.
-    pub fn give_away(&mut self, reactor: &Reactor) -> Option<(TcpStream, Vec<u8>, bool)> {
+    pub fn release_quiet_connection(
+        &mut self,
+        reactor: &Reactor,
+    ) -> Option<(TcpStream, Vec<u8>, bool)> {
         let quiet = |s: &Session| {
             s.client.phase == Phase::Reading
                 && s.connection.state() == State::Open
@@ -671,7 +680,7 @@
     }
 
     /// Whether a client is there and waits for its final answer.
-    pub fn waits(&self, client: u64) -> bool {
+    pub fn awaits_answer(&self, client: u64) -> bool {
         self.sessions
             .get(&(client as usize))
             .is_some_and(Session::waits)
@@ -679,18 +688,18 @@
 
     /// Gives away the connection of a client that waits for its final answer: its stream, what was read from
     /// it, and whether it ends behind the answer.
-    pub fn give_up(
+    pub fn release_waiting_connection(
         &mut self,
         reactor: &Reactor,
         client: u64,
     ) -> Option<(TcpStream, Vec<u8>, bool)> {
-        let key = Some(client as usize).filter(|_| self.waits(client))?;
+        let key = Some(client as usize).filter(|_| self.awaits_answer(client))?;
         self.part_with(reactor, key)
             .map(|(stream, input, client)| (stream, input, client.closes))
     }
 
     /// Takes over the connection of a client that waits for its final answer; its number here.
-    pub fn adopt_held(
+    pub fn adopt_waiting_connection(
         &mut self,
         reactor: &mut Reactor,
         stream: TcpStream,
@@ -706,12 +715,12 @@
             ) = (Phase::Held, true, closes);
         });
         // Danger: it may have left on the way, and the job's next attempt would begin before its end is read.
-        self.ready(reactor, key, true, false);
+        self.handle_ready(reactor, key, true, false);
         Some(key as u64)
     }
 
     /// Takes a connection over that another process of this node has read so much from.
-    pub fn adopt(
+    pub fn adopt_connection(
         &mut self,
         reactor: &mut Reactor,
         stream: TcpStream,
@@ -730,7 +739,7 @@
     }
 
     /// Ends the connection of a worker whose call-back can't be acknowledged: it calls again.
-    pub fn break_off(&mut self, reactor: &mut Reactor, client: u64) {
+    pub fn abort_connection(&mut self, reactor: &mut Reactor, client: u64) {
         self.with(reactor, client as usize, |connection, caller| {
             if caller.client.phase == Phase::Calling {
                 connection.abort();
@@ -740,12 +749,12 @@
 
     /// Whether new clients are wanted, which the readiness check tells, and whether answers end their
     /// connections.
-    pub fn heed(&mut self, wants: bool, closes: bool) {
+    pub fn set_readiness(&mut self, wants: bool, closes: bool) {
         (self.wants, self.closes) = (wants, closes);
     }
 
     /// Closes connections that have been idle for longer, but for what has arrived on them.
-    pub fn close_idle(&mut self, reactor: &mut Reactor, longer: f64) {
+    pub fn close_idle_connections(&mut self, reactor: &mut Reactor, longer: f64) {
         let keys: Vec<usize> = self.sessions.keys().copied().collect();
         for key in keys {
             let quiet = |s: &Session| {
@@ -755,7 +764,7 @@
                 continue;
             }
             // What has arrived is taken first.
-            self.ready(reactor, key, true, false);
+            self.handle_ready(reactor, key, true, false);
             self.with(reactor, key, |connection, caller| {
                 let idle =
                     caller.client.phase == Phase::Reading && !caller.client.begun(connection);
@@ -768,9 +777,9 @@
     }
 
     /// Accepts what has come and closes what lies idle; whether nothing is left that is owed an answer.
-    pub fn wind_up(&mut self, reactor: &mut Reactor) -> bool {
+    pub fn close_for_shutdown(&mut self, reactor: &mut Reactor) -> bool {
         self.accept(reactor);
-        self.close_idle(reactor, 0.0);
+        self.close_idle_connections(reactor, 0.0);
         self.sessions.is_empty()
     }
 
@@ -825,7 +834,7 @@
     }
 
     /// Accepting goes on where it was paused.
-    pub fn accept_due(&mut self, reactor: &mut Reactor) {
+    pub fn resume_accepting(&mut self, reactor: &mut Reactor) {
         self.wakes = f64::INFINITY;
         self.accept(reactor);
     }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -245,7 +245,7 @@
             });
         }
         if keeper.is_some() || shared || config.audit.is_some() {
-            list.hold(known.as_ref());
+            list.retain_list(known.as_ref());
         }
         if keeper.is_some() {
             reactor.timer(reactor.now + LIST_KEPT, Timer::ListKept);
@@ -353,12 +353,12 @@
     pub fn run(&mut self) -> io::Result<()> {
         let mut events = Vec::new();
         self.reactor.now = self.clock.now();
-        self.clients.listen(&self.reactor, false);
+        self.clients.set_accepting(&self.reactor, false);
         self.list.start(&mut self.reactor);
         self.begin();
         while !self.done {
             self.work();
-            if self.audits && self.list.fresh() {
+            if self.audits && self.list.take_version_changed() {
                 self.adopted(Source::Own);
             }
             if self.life.stage() == Stage::HandingOver {
@@ -415,9 +415,9 @@
                     .map(|fleet| fleet.ready(reactor, key, readable, writable));
                 self.told_by_fleet(events.unwrap_or_default());
             }
-            Owner::Client => self.clients.ready(reactor, key, readable, writable),
-            Owner::Attempt => self.attempts.ready(reactor, key, readable, writable),
-            Owner::Discovery => self.list.ready(reactor, key, readable, writable),
+            Owner::Client => self.clients.handle_ready(reactor, key, readable, writable),
+            Owner::Attempt => self.attempts.handle_ready(reactor, key, readable, writable),
+            Owner::Discovery => self.list.handle_ready(reactor, key, readable, writable),
             Owner::Store => {
                 let written = self
                     .keeper
@@ -458,18 +458,18 @@
             }
             Timer::Drain => {
                 if let Some(idle) = self.life.idle(reactor.now) {
-                    self.clients.close_idle(reactor, idle);
+                    self.clients.close_idle_connections(reactor, idle);
                 }
                 if self.life.drained() && self.life.serves() {
                     reactor.timer(reactor.now + DRAIN_LOOK, Timer::Drain);
                 }
             }
-            Timer::Client(key, round) => self.clients.due(reactor, key, round),
-            Timer::Accept => self.clients.accept_due(reactor),
-            Timer::Attempt(key, round) => self.attempts.attempt_due(reactor, key, round),
-            Timer::Dial(key) => self.attempts.dial_due(reactor, key),
-            Timer::Discovery => self.list.due(reactor),
-            Timer::DiscoveryDial(call) => self.list.dial_due(reactor, call),
+            Timer::Client(key, round) => self.clients.handle_timer(reactor, key, round),
+            Timer::Accept => self.clients.resume_accepting(reactor),
+            Timer::Attempt(key, round) => self.attempts.handle_attempt_timer(reactor, key, round),
+            Timer::Dial(key) => self.attempts.handle_dial_timer(reactor, key),
+            Timer::Discovery => self.list.handle_timer(reactor),
+            Timer::DiscoveryDial(call) => self.list.handle_dial_timer(reactor, call),
             Timer::ListKept => {
                 let Some(keeper) = &mut self.keeper else {
                     return;
@@ -478,8 +478,8 @@
                 let again = keeper.unkept();
                 let list = self
                     .list
-                    .changed()
-                    .or_else(|| self.list.kept().filter(|_| again));
+                    .take_changed_snapshot()
+                    .or_else(|| self.list.snapshot().filter(|_| again));
                 if let Some(list) = list {
                     keeper.keep_list(&list);
                 }
@@ -489,7 +489,7 @@
                 reactor.timer(reactor.now + LIST_KEPT, Timer::ListKept);
             }
             Timer::WindUp if self.life.stage() == Stage::HandingOver => {
-                let over = self.clients.count() == 0
+                let over = self.clients.connection_count() == 0
                     && self.hub.owed() == 0
                     && self.links.words.is_empty();
                 let flushed = self.handover.as_ref().is_none_or(Handover::flushed);
@@ -497,7 +497,7 @@
                 self.reactor.timer(self.reactor.now + LOOK, Timer::WindUp);
             }
             Timer::WindUp => {
-                let answered = self.clients.wind_up(reactor) && self.hub.held() == 0;
+                let answered = self.clients.close_for_shutdown(reactor) && self.hub.held() == 0;
                 let quiet = answered && !self.follows();
                 self.quiet = if quiet { self.quiet + 1 } else { 0 };
                 self.done = self.quiet >= QUIET;
@@ -521,7 +521,8 @@
 
     /// Has the clients' side go by the node's life.
     fn heed(&mut self) {
-        self.clients.heed(self.life.wants(), self.life.closes());
+        self.clients
+            .set_readiness(self.life.wants(), self.life.closes());
     }
 
     /// Carries out operators' calls.
@@ -609,7 +610,7 @@
             return;
         };
         let stand = VersionRecord {
-            generation: fleet.generation(self.list.discovery()),
+            generation: fleet.generation(self.list.discovery_address()),
             number,
             digest,
         };
@@ -687,7 +688,7 @@
                     self.reactor
                         .queue
                         .push_back(Input::NodeCountChanged { count });
-                    self.list.place(place);
+                    self.list.set_cluster_position(place);
                 }
                 service::Event::Settled => {
                     let workers = self.hub.banned();
@@ -712,7 +713,7 @@
                 }
                 service::Event::Give(to, _) => {
                     if let (Some(fleet), Some(body)) = (&mut self.fleet, self.list.body()) {
-                        let generation = fleet.generation(self.list.discovery());
+                        let generation = fleet.generation(self.list.discovery_address());
                         fleet.give(&mut self.reactor, &to, generation, &body);
                     }
                 }
@@ -720,8 +721,12 @@
                     let own = self
                         .fleet
                         .as_ref()
-                        .map(|fleet| fleet.generation(self.list.discovery()));
-                    if own == Some(generation) && self.list.take(&mut self.reactor, &body).is_some()
+                        .map(|fleet| fleet.generation(self.list.discovery_address()));
+                    if own == Some(generation)
+                        && self
+                            .list
+                            .apply_peer_list(&mut self.reactor, &body)
+                            .is_some()
                     {
                         self.adopted(Source::Peer(from));
                     }
@@ -783,13 +788,13 @@
     /// Begins to serve, unless an older process has still to tell what it holds, or discovery to answer: by a list of before its start
     /// a node would send to workers that have left long since.
     fn begin(&mut self) {
-        if self.life.stage() == Stage::Starting && !self.joins() && self.list.checked() {
+        if self.life.stage() == Stage::Starting && !self.joins() && self.list.is_initialized() {
             self.life.start();
             if let Some(handover) = &mut self.handover {
                 handover.open(&mut self.reactor);
                 tracing::info!("serving");
             }
-            self.clients.listen(&self.reactor, true);
+            self.clients.set_accepting(&self.reactor, true);
             self.heed();
         }
         if !self.joins() {
@@ -809,7 +814,7 @@
         if self.life.stage() == Stage::Stopping && successor.is_some() {
             tracing::info!("handing over");
             self.life.hand_over(true);
-            self.clients.listen(&self.reactor, false);
+            self.clients.set_accepting(&self.reactor, false);
             if let Some(fleet) = &mut self.fleet {
                 fleet.yield_place(&self.reactor);
             }
@@ -833,7 +838,9 @@
             return;
         };
         while handover.has_room(to) {
-            let Some((stream, input, useful)) = self.clients.give_away(&self.reactor) else {
+            let Some((stream, input, useful)) =
+                self.clients.release_quiet_connection(&self.reactor)
+            else {
                 break;
             };
             handover.pass(
@@ -848,13 +855,16 @@
                 break;
             }
             // One that has just ended is told as left.
-            if !self.clients.waits(client) {
+            if !self.clients.awaits_answer(client) {
                 continue;
             }
             let Some(job) = self.hub.release(self.reactor.now, client) else {
                 continue;
             };
-            if let Some((stream, input, closes)) = self.clients.give_up(&self.reactor, client) {
+            if let Some((stream, input, closes)) = self
+                .clients
+                .release_waiting_connection(&self.reactor, client)
+            {
                 let message = Message::Job { job, input, closes };
                 handover.pass(&self.reactor, to, &message, Some(stream.into()));
             }
@@ -870,7 +880,7 @@
         };
         let others: usize = self.links.holds.values().sum();
         let left = self.room.sockets.saturating_sub(self.room.kept + others);
-        let held = self.clients.count() + self.attempts.count();
+        let held = self.clients.connection_count() + self.attempts.connection_count();
         let leaves = self.life.stage() == Stage::HandingOver;
         let replaced = handover.replaced();
         let share = match self.links.said {
@@ -891,8 +901,8 @@
             return;
         }
         let (clients, attempts, open) = self.room.of(share);
-        self.clients.limit(clients);
-        self.attempts.limit(attempts);
+        self.clients.set_connection_limit(clients);
+        self.attempts.set_connection_limit(attempts);
         self.hub.limit(open);
     }
 
@@ -905,8 +915,12 @@
                     LinkEvent::Client(input, useful),
                     Some(descriptor),
                 ) => {
-                    self.clients
-                        .adopt(&mut self.reactor, descriptor.into(), input, useful);
+                    self.clients.adopt_connection(
+                        &mut self.reactor,
+                        descriptor.into(),
+                        input,
+                        useful,
+                    );
                 }
                 handover::Event::LinkEvent(
                     link,
@@ -915,10 +929,14 @@
                 ) => {
                     // Without its connection, for which there may have been no descriptor left, its client has gone.
                     let adopted = descriptor.and_then(|descriptor| {
-                        self.clients
-                            .adopt_held(&mut self.reactor, descriptor.into(), input, closes)
+                        self.clients.adopt_waiting_connection(
+                            &mut self.reactor,
+                            descriptor.into(),
+                            input,
+                            closes,
+                        )
                     });
-                    let client = adopted.filter(|client| self.clients.waits(*client));
+                    let client = adopted.filter(|client| self.clients.awaits_answer(*client));
                     self.reactor.queue.push_back(Input::RequestMigrated {
                         link,
                         client,
@@ -943,7 +961,7 @@
             if stalled {
                 // The job may still be held there: its worker is to call again.
                 self.links.words.remove(&client);
-                self.clients.break_off(&mut self.reactor, client);
+                self.clients.abort_connection(&mut self.reactor, client);
             } else {
                 self.word(client, false);
             }
@@ -954,7 +972,7 @@
         if self.life.stage() == Stage::HandingOver && successor.is_none() {
             tracing::warn!("the process that took over is gone");
             self.life.hand_over(false);
-            self.clients.listen(&self.reactor, true);
+            self.clients.set_accepting(&self.reactor, true);
             self.heed();
         }
         self.share();
@@ -974,7 +992,7 @@
                 self.activate();
             }
             LinkEvent::StateUpdate(StateUpdate::List(kept)) => {
-                self.list.take_over(&mut self.reactor, &kept)
+                self.list.adopt_snapshot(&mut self.reactor, &kept)
             }
             LinkEvent::StateUpdate(tale) => {
                 // Of two processes one has the place among the nodes, and tells them. What was so before is no new word: it
@@ -1043,7 +1061,7 @@
         });
         let tales = drain
             .into_iter()
-            .chain(self.list.kept().map(StateUpdate::List))
+            .chain(self.list.snapshot().map(StateUpdate::List))
             .chain(self.hub.tales(now));
         for tale in tales {
             handover.say(&self.reactor, link, &Message::StateUpdate(tale));
@@ -1087,7 +1105,7 @@
 
     fn acknowledge(&mut self, client: ClientId, known: bool) {
         if client & LINKED == 0 {
-            return self.clients.acknowledge(&mut self.reactor, client);
+            return self.clients.acknowledge_callback(&mut self.reactor, client);
         }
         if let Some((link, number)) = self.links.origins.remove(&client) {
             self.say(link, &Message::Called { number, known });
@@ -1115,7 +1133,8 @@
         };
         // What was signalled before the source is asked is in what it gives; a later signal asks again.
         if let Some(config) = signal.take(&self.reactor).then(source).flatten() {
-            self.list.moved(&mut self.reactor, config.discovery);
+            self.list
+                .set_discovery_address(&mut self.reactor, config.discovery);
         }
     }
 
@@ -1135,7 +1154,7 @@
                     } => {
                         self.acts += 1;
                         self.attempts
-                            .start(reactor, attempt, worker, &payload, until);
+                            .start_attempt(reactor, attempt, worker, &payload, until);
                     }
                     Command::CancelAttempt {
                         attempt,
@@ -1143,23 +1162,28 @@
                         payload,
                         accepted,
                     } => {
-                        self.attempts
-                            .abandon(reactor, attempt, worker, &payload.id, accepted);
+                        self.attempts.cancel_attempt(
+                            reactor,
+                            attempt,
+                            worker,
+                            &payload.id,
+                            accepted,
+                        );
                     }
                     Command::ProbeWorker {
                         attempt,
                         worker,
                         timeout: wait,
-                    } => self.attempts.probe(reactor, attempt, worker, wait),
+                    } => self.attempts.start_probe(reactor, attempt, worker, wait),
                     Command::WithdrawAttempt { attempt } => {
-                        self.attempts.withdraw(reactor, attempt)
+                        self.attempts.withdraw_attempt(reactor, attempt)
                     }
                     Command::CloseIdleConnections { worker } => {
-                        self.attempts.forget(reactor, worker)
+                        self.attempts.close_idle_connections(reactor, worker)
                     }
                     Command::ReplyToManagement { caller: key, reply } => self.operator(key, reply),
                     Command::AnswerClient { client, answer } => {
-                        self.clients.answer(reactor, client, &answer)
+                        self.clients.send_answer(reactor, client, &answer)
                     }
                     Command::AcknowledgeCallback { client, known } => {
                         self.acknowledge(client, known)
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -51,17 +51,17 @@
     }
 
     /// Holds at most so many connections from now on.
-    pub fn limit(&mut self, most: usize) {
+    pub fn set_connection_limit(&mut self, most: usize) {
         self.most = most;
     }
 
     /// How many connections there are.
-    pub fn count(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.sessions.len()
     }
 
     /// Starts an attempt whose client waits until this time.
-    pub fn start(
+    pub fn start_attempt(
         &mut self,
         reactor: &mut Reactor,
         attempt: AttemptId,
@@ -80,7 +80,7 @@
     }
 
     /// Asks a worker for its load. The answer is waited for so many seconds: one that takes jobs and answers nothing shows there.
-    pub fn probe(
+    pub fn start_probe(
         &mut self,
         reactor: &mut Reactor,
         attempt: AttemptId,
@@ -98,7 +98,7 @@
     }
 
     /// Gives an attempt up: tells its worker, or closes its connection where the worker has not answered.
-    pub fn abandon(
+    pub fn cancel_attempt(
         &mut self,
         reactor: &mut Reactor,
         attempt: AttemptId,
@@ -120,7 +120,7 @@
             return;
         };
         if self.silent(reactor.now, worker) {
-            self.forget(reactor, worker);
+            self.close_idle_connections(reactor, worker);
         }
         if let Some(session) = self.sessions.get_mut(&key) {
             session.exchange.give_up(&mut session.connection);
@@ -178,7 +178,7 @@
 
     /// Lets the idle connections to a worker go. Danger: one that has vanished leaves them open, and a job
     /// written to them has perhaps run; a connection that is not made proves that it has not.
-    pub fn forget(&mut self, reactor: &mut Reactor, worker: SocketAddr) {
+    pub fn close_idle_connections(&mut self, reactor: &mut Reactor, worker: SocketAddr) {
         for key in self.pool.take_all(worker) {
             self.drop(reactor, key);
         }
@@ -186,7 +186,7 @@
 
     /// Gives an attempt back whose last byte is not written: nothing ran, and its worker is not to blame. Only the
     /// connection knows; what has been written whole goes on.
-    pub fn withdraw(&mut self, reactor: &mut Reactor, attempt: AttemptId) {
+    pub fn withdraw_attempt(&mut self, reactor: &mut Reactor, attempt: AttemptId) {
         let Some(key) = self.by_attempt.get(&attempt).copied() else {
             return;
         };
@@ -203,7 +203,7 @@
     /// An idle connection to the worker that is still whole.
     fn pooled(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Option<usize> {
         if self.pool.has(worker) && self.silent(reactor.now, worker) {
-            self.forget(reactor, worker);
+            self.close_idle_connections(reactor, worker);
         }
         let most = self.pool.usable(reactor.now);
         while let Some(key) = self.pool.take(worker) {
@@ -260,7 +260,13 @@
     }
 
     /// A connection can be read or written.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) {
+    pub fn handle_ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) {
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
         };
@@ -271,7 +277,7 @@
     }
 
     /// A connection has had its time to be made.
-    pub fn dial_due(&mut self, reactor: &mut Reactor, key: usize) {
+    pub fn handle_dial_timer(&mut self, reactor: &mut Reactor, key: usize) {
         if let Some(s) = self
             .sessions
             .get_mut(&key)
@@ -283,7 +289,7 @@
     }
 
     /// A request, or an idle connection, has had its time.
-    pub fn attempt_due(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
+    pub fn handle_attempt_timer(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
         let Some(session) = self.sessions.get_mut(&key).filter(|s| s.round == round) else {
             return;
         };
@@ -292,7 +298,7 @@
         session.exchange.time_out(&mut session.connection, reactor);
         self.after(reactor, key);
         if silent {
-            self.forget(reactor, worker);
+            self.close_idle_connections(reactor, worker);
         }
     }
 
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -251,7 +251,7 @@
     }
 
     /// Holds the whole list from now on, beginning with this one, so that it can be kept.
-    pub fn hold(&mut self, known: Option<&List>) {
+    pub fn retain_list(&mut self, known: Option<&List>) {
         let members = known.map(|list| list.members.clone()).unwrap_or_default();
         self.held = Some((
             members.into_iter().map(|m| (m.id.clone(), m)).collect(),
@@ -260,17 +260,17 @@
     }
 
     /// The list to keep, if it has changed since it was last asked for.
-    pub fn changed(&mut self) -> Option<Vec<u8>> {
+    pub fn take_changed_snapshot(&mut self) -> Option<Vec<u8>> {
         let (_, changed) = self.held.as_mut().filter(|_| self.revision.is_some())?;
         if std::mem::take(changed) {
-            self.kept()
+            self.snapshot()
         } else {
             None
         }
     }
 
     /// The whole list as it is held.
-    pub fn kept(&self) -> Option<Vec<u8>> {
+    pub fn snapshot(&self) -> Option<Vec<u8>> {
         let (revision, (members, _)) = (self.revision?, self.held.as_ref()?);
         let members = members.values().cloned().collect();
         serde_json::to_vec(&Kept {
@@ -283,7 +283,7 @@
 
     /// Goes by the list of another process of this node, where it is the newer one, and watches from its version
     /// on: this process is bound by the news in a moment.
-    pub fn take_over(&mut self, reactor: &mut Reactor, kept: &[u8]) {
+    pub fn adopt_snapshot(&mut self, reactor: &mut Reactor, kept: &[u8]) {
         let Some(kept) = Kept::from_json(kept).filter(|kept| kept.discovery == self.discovery)
         else {
             return;
@@ -318,13 +318,13 @@
     }
 
     /// Whether jobs may be sent by the list that is held: discovery has been asked since the start, as far as it could be reached.
-    pub fn checked(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         self.start == Start::Over
     }
 
     /// Discovery is at this address now. Its versions may be others than those of the old one, so the whole
     /// list is asked for, at once: what it has to tell counts as told soon. The workers stay known meanwhile.
-    pub fn moved(&mut self, reactor: &mut Reactor, discovery: SocketAddr) {
+    pub fn set_discovery_address(&mut self, reactor: &mut Reactor, discovery: SocketAddr) {
         if discovery != self.discovery {
             self.hang_up(reactor);
             (self.discovery, self.revision, self.passed) = (discovery, None, None);
@@ -349,7 +349,7 @@
     }
 
     /// The time has come for which a look was set.
-    pub fn due(&mut self, reactor: &mut Reactor) {
+    pub fn handle_timer(&mut self, reactor: &mut Reactor) {
         // One for an earlier time than the schedule's present one finds nothing due and sets the next.
         self.looks = None;
         if matches!(self.start, Start::Asked(until) if until <= reactor.now) {
@@ -409,7 +409,13 @@
     }
 
     /// The connection can be read or written.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool, writable: bool) {
+    pub fn handle_ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readable: bool,
+        writable: bool,
+    ) {
         let Some(session) = self.sessions.iter_mut().find(|s| s.key == key) else {
             return;
         };
@@ -419,7 +425,7 @@
     }
 
     /// The connection has had its time to be made.
-    pub fn dial_due(&mut self, reactor: &mut Reactor, call: CallId) {
+    pub fn handle_dial_timer(&mut self, reactor: &mut Reactor, call: CallId) {
         let dialing = |s: &Session| s.call == Some(call) && s.connection.state() == State::Dialing;
         if self.sessions.iter().any(dialing) {
             self.drop_session(reactor, dialing);
@@ -463,12 +469,12 @@
     }
 
     /// How many calls have been made so far.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.schedule.made()
     }
 
     /// How many are out.
-    pub fn out(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.schedule.out()
     }
 
@@ -481,12 +487,12 @@
     }
 
     /// Whether that may have changed since this was asked last.
-    pub fn fresh(&mut self) -> bool {
+    pub fn take_version_changed(&mut self) -> bool {
         std::mem::take(&mut self.fresh)
     }
 
     /// Where discovery is.
-    pub fn discovery(&self) -> SocketAddr {
+    pub fn discovery_address(&self) -> SocketAddr {
         self.discovery
     }
 
@@ -506,7 +512,7 @@
     /// Takes a list that another node passes on, if it is newer than what this one acts on; its version, if it is. Where workers are
     /// is this node's own discovery's to say: of one that it has not named nothing is known. Danger: what is older must never
     /// take the place of newer.
-    pub fn take(&mut self, reactor: &mut Reactor, body: &[u8]) -> Option<(u64, Digest)> {
+    pub fn apply_peer_list(&mut self, reactor: &mut Reactor, body: &[u8]) -> Option<(u64, Digest)> {
         let (number, digest, members): (u64, Digest, Vec<RawMember>) =
             postcard::from_bytes(body).ok()?;
         let newer = self.version().is_some_and(|(held, _)| number > held);
@@ -585,7 +591,7 @@
     }
 
     /// This node's place among the nodes that it knows, and their number.
-    pub fn place(&mut self, (at, of): (usize, usize)) {
+    pub fn set_cluster_position(&mut self, (at, of): (usize, usize)) {
         self.schedule.place(at, of);
     }
 
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -76,7 +76,7 @@
         };
         let until = self.reactor.now + 5.0;
         self.attempts
-            .start(&mut self.reactor, attempt, at, &Rc::new(payload), until);
+            .start_attempt(&mut self.reactor, attempt, at, &Rc::new(payload), until);
     }
 
     /// Lets sockets be read until this is found.
@@ -89,8 +89,12 @@
             assert!(start.elapsed() < LIMIT, "it never came");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
-                self.attempts
-                    .ready(&mut self.reactor, event.key, event.readable, event.writable);
+                self.attempts.handle_ready(
+                    &mut self.reactor,
+                    event.key,
+                    event.readable,
+                    event.writable,
+                );
             }
         }
     }
@@ -147,7 +151,7 @@
     let _ = first.stream.write_all(NOT_RUN.as_bytes());
     second.write(ACCEPTED);
     assert_eq!(world.end(), (2, AttemptEnd::Accepted));
-    assert_eq!(world.attempts.count(), 1);
+    assert_eq!(world.attempts.connection_count(), 1);
     assert!(first.ended(), "one request came there, and no other");
 }
 
@@ -159,11 +163,11 @@
     let at = world.worker.local_addr().expect("an address");
     world
         .attempts
-        .abandon(&mut world.reactor, 1, at, "job-1", true);
+        .cancel_attempt(&mut world.reactor, 1, at, "job-1", true);
     world.reaches(&peer);
     assert_eq!(peer.request().method, "DELETE");
     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    world.until(|world| (world.attempts.count() == 0).then_some(()));
+    world.until(|world| (world.attempts.connection_count() == 0).then_some(()));
     assert!(
         peer.ended(),
         "nothing follows on the cancel's connection, however late"
@@ -188,7 +192,7 @@
         peer.request();
         peer.write(answer);
         world.end();
-        world.until(|world| (world.attempts.count() == 0).then_some(()));
+        world.until(|world| (world.attempts.connection_count() == 0).then_some(()));
         assert!(peer.ended(), "{answer}");
         assert!(world.dials(1060.0, 2), "{answer}");
     }
@@ -201,7 +205,7 @@
         peer.write(ACCEPTED);
         assert_eq!(world.end(), (attempt, AttemptEnd::Accepted));
     }
-    assert_eq!(world.attempts.count(), 1);
+    assert_eq!(world.attempts.connection_count(), 1);
 }
 
 /// Guards against a worker's second answer behind a 202, however late: 'not run' on a connection that has carried another request may be
@@ -238,7 +242,9 @@
     peer.write(NOT_RUN);
     // Both flags in one event: the request is written, and the answer read, in one turn.
     let key = world.key();
-    world.attempts.ready(&mut world.reactor, key, true, true);
+    world
+        .attempts
+        .handle_ready(&mut world.reactor, key, true, true);
     assert_eq!(world.end(), (1, AttemptEnd::TurnedAway));
     assert_eq!(peer.request().headers.get("x-request-id"), Some("job-1"));
 }
@@ -325,7 +331,7 @@
             matches!(end, AttemptEnd::Error | AttemptEnd::Reset),
             "{what}: {end:?}"
         );
-        world.until(|world| (world.attempts.count() == 0).then_some(()));
+        world.until(|world| (world.attempts.connection_count() == 0).then_some(()));
         assert!(
             worker.join().expect("the worker's part"),
             "{what}: its connection goes on"
@@ -362,7 +368,7 @@
         };
         world
             .attempts
-            .start(&mut world.reactor, 2, at, &Rc::new(payload), 1005.1);
+            .start_attempt(&mut world.reactor, 2, at, &Rc::new(payload), 1005.1);
         world.reaches(&peer);
         let written = world
             .reactor
@@ -386,7 +392,7 @@
             (2, expected),
             "reset: {resets}, whole: {whole}"
         );
-        assert_eq!(world.attempts.count(), 0);
+        assert_eq!(world.attempts.connection_count(), 0);
     }
 }
 
@@ -427,7 +433,11 @@
         world.dials(1000.8, 4),
         "0.8 s are too long now: a new connection"
     );
-    assert_eq!(world.attempts.count(), 1, "and the other idle one is gone");
+    assert_eq!(
+        world.attempts.connection_count(),
+        1,
+        "and the other idle one is gone"
+    );
     // Half of that is learned, and it doubles every 5 s, up to what would count without it: 48 s.
     for (after, may, may_not) in [(0.0, 0.39, 0.5), (5.0, 0.79, 1.0), (100.0, 47.0, 48.5)] {
         for (rests, dials) in [(may, false), (may_not, true)] {
@@ -472,11 +482,11 @@
         !world.dials(1001.0, 3) && !world.dials(1001.0, 4),
         "a worker that answers keeps its connections"
     );
-    assert_eq!(world.attempts.count(), 2);
+    assert_eq!(world.attempts.connection_count(), 2);
     peers[0].write(ACCEPTED);
     world.end();
     assert!(world.dials(1001.3, 5), "a new connection");
-    assert_eq!(world.attempts.count(), 2, "the idle one is gone");
+    assert_eq!(world.attempts.connection_count(), 2, "the idle one is gone");
 }
 
 /// Guards against keeping a connection until its worker may be closing it.
@@ -496,7 +506,7 @@
     answer: Option<&str>,
 ) -> (AttemptEnd, Vec<(String, f64)>, Option<Peer>) {
     let at = world.worker.local_addr().expect("an address");
-    world.attempts.probe(&mut world.reactor, 1, at, 0.4);
+    world.attempts.start_probe(&mut world.reactor, 1, at, 0.4);
     let mut peer = Peer::accept(&world.worker);
     world.reaches(&peer);
     let request = peer.request();
@@ -566,17 +576,19 @@
 fn a_probe_that_is_not_answered_in_time_is_over() {
     let mut world = World::new();
     let at = world.worker.local_addr().expect("an address");
-    world.attempts.probe(&mut world.reactor, 1, at, 0.4);
+    world.attempts.start_probe(&mut world.reactor, 1, at, 0.4);
     let mut peer = Peer::accept(&world.worker);
     world.reaches(&peer);
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
         world.reactor.now = now;
         for due in world.reactor.due() {
             if let Timer::Attempt(key, round) = due {
-                world.attempts.attempt_due(&mut world.reactor, key, round);
+                world
+                    .attempts
+                    .handle_attempt_timer(&mut world.reactor, key, round);
             }
         }
-        assert_eq!(world.attempts.count() == 0, ended, "at {now}");
+        assert_eq!(world.attempts.connection_count() == 0, ended, "at {now}");
     }
     assert_eq!(world.end(), (1, AttemptEnd::Reset));
     // Whatever it still says, nobody reads it.
@@ -584,11 +596,11 @@
         .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3");
     drop(std::mem::replace(&mut world.worker, port()));
-    world.attempts.probe(&mut world.reactor, 2, at, 0.4);
+    world.attempts.start_probe(&mut world.reactor, 2, at, 0.4);
     assert_eq!(world.end(), (2, AttemptEnd::NeverSent));
     assert!(world.reactor.queue.is_empty());
     let mut world = World::with(0, 5.0);
-    world.attempts.probe(&mut world.reactor, 3, at, 0.4);
+    world.attempts.start_probe(&mut world.reactor, 3, at, 0.4);
     assert!(matches!(
         world.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -33,16 +33,20 @@
         peer.set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a time limit");
         self.clients.accept(&mut self.reactor);
-        (peer, self.clients.keys().max().unwrap_or_default())
+        (
+            peer,
+            self.clients.connection_keys().max().unwrap_or_default(),
+        )
     }
 
     /// Sends, and has it read.
     fn send(&mut self, (peer, key): &mut (TcpStream, usize), text: &str) {
         peer.write_all(text.as_bytes()).expect("it is written");
-        self.clients.ready(&mut self.reactor, *key, true, false);
+        self.clients
+            .handle_ready(&mut self.reactor, *key, true, false);
         // In place of the hub.
         if let Some(Input::CallbackReceived { client, .. }) = self.reactor.queue.pop_front() {
-            self.clients.acknowledge(&mut self.reactor, client);
+            self.clients.acknowledge_callback(&mut self.reactor, client);
         }
     }
 
@@ -51,8 +55,10 @@
         self.reactor.now = now;
         for due in self.reactor.due() {
             match due {
-                Timer::Client(key, round) => self.clients.due(&mut self.reactor, key, round),
-                Timer::Accept => self.clients.accept_due(&mut self.reactor),
+                Timer::Client(key, round) => {
+                    self.clients.handle_timer(&mut self.reactor, key, round)
+                }
+                Timer::Accept => self.clients.resume_accepting(&mut self.reactor),
                 _ => {}
             }
         }
@@ -101,7 +107,7 @@
     bed.at(1062.5);
     assert!(rest(&mut kept).contains("HTTP/1.1 408 "));
     bed.at(1070.0);
-    assert!(bed.clients.count() == 0);
+    assert!(bed.clients.connection_count() == 0);
 }
 
 /// Guards against an answer that its client can't read, since the connection was reset over what the client was still sending: a new
@@ -117,17 +123,20 @@
     let _young = bed.connect();
     let _waits = bed.connect();
     answered.0.write_all(&[b'x'; 4096]).expect("it is written");
-    assert_eq!(bed.clients.count(), 2);
+    assert_eq!(bed.clients.connection_count(), 2);
     bed.at(1000.04);
     answered.0.write_all(&[b'x'; 4096]).expect("it is written");
     // It goes on sending, and reads its answer up to the connection's orderly end.
     assert!(rest(&mut answered).starts_with("HTTP/1.1 413 "));
     // Its place is free after that, though it sends on.
-    let before: Vec<usize> = bed.clients.keys().collect();
+    let before: Vec<usize> = bed.clients.connection_keys().collect();
     bed.at(1000.11);
     assert!(
-        bed.clients.keys().all(|key| key != answered.1)
-            && bed.clients.keys().any(|key| !before.contains(&key))
+        bed.clients.connection_keys().all(|key| key != answered.1)
+            && bed
+                .clients
+                .connection_keys()
+                .any(|key| !before.contains(&key))
     );
 }
 
@@ -140,7 +149,7 @@
         let fields = "X-Request-Id: a\r\nConnection: close\r\n";
         bed.send(&mut peer, &format!("POST /render HTTP/1.1\r\n{fields}\r\n"));
         bed.clients
-            .answer(&mut bed.reactor, peer.1 as u64, &Answer::Unavailable(after));
+            .send_answer(&mut bed.reactor, peer.1 as u64, &Answer::Unavailable(after));
         let text = rest(&mut peer);
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
         assert_eq!(text.contains("Retry-After"), field.is_some(), "{text}");
@@ -158,16 +167,17 @@
     peer.shutdown(std::net::Shutdown::Write)
         .expect("it is closed");
     for _ in 0..3 {
-        bed.clients.ready(&mut bed.reactor, key, true, false);
+        bed.clients.handle_ready(&mut bed.reactor, key, true, false);
     }
     assert!(
         matches!(bed.reactor.queue.pop_front(), Some(Input::CallbackReceived { client, .. }) if client == key as u64)
     );
-    assert!(bed.reactor.queue.is_empty() && bed.clients.keys().any(|key| key == key));
+    assert!(bed.reactor.queue.is_empty() && bed.clients.connection_keys().any(|key| key == key));
     peer.set_nonblocking(true).expect("a setting");
     assert!(peer.read(&mut [0; 9]).is_err(), "nothing is told yet");
     peer.set_nonblocking(false).expect("a setting");
-    bed.clients.acknowledge(&mut bed.reactor, key as u64);
+    bed.clients
+        .acknowledge_callback(&mut bed.reactor, key as u64);
     assert!(rest(&mut (peer, key)).starts_with("HTTP/1.1 200 "));
 }
 
@@ -205,11 +215,13 @@
     // Who has its last answer and does not end is first of all, once it has had a moment to read it.
     let mut first = first;
     bed.send(&mut first, "no request\r\n\r\n");
-    assert!(bed.clients.keys().any(|key| key == first.1) && !bed.holds(&first));
+    assert!(bed.clients.connection_keys().any(|key| key == first.1) && !bed.holds(&first));
     bed.at(1000.66);
     let _last = bed.connect();
     assert!(
-        !bed.clients.keys().any(|key| key == first.1) && bed.holds(&second) && bed.holds(&late)
+        !bed.clients.connection_keys().any(|key| key == first.1)
+            && bed.holds(&second)
+            && bed.holds(&late)
     );
 }
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -252,16 +252,16 @@
     let mut attempts = Attempts::new(8, 0.25, 60.0);
     let at = worker.local_addr().expect("an address");
     let until = reactor.now + 5.0;
-    attempts.start(&mut reactor, 1, at, &Rc::new(Payload::default()), until);
-    attempts.withdraw(&mut reactor, 1);
+    attempts.start_attempt(&mut reactor, 1, at, &Rc::new(Payload::default()), until);
+    attempts.withdraw_attempt(&mut reactor, 1);
     let mut dialled = Peer::accept(&worker);
     let mut events = Vec::new();
     reactor.wait(&mut events, f64::MAX).expect("a poller");
     events
         .iter()
-        .for_each(|e| attempts.ready(&mut reactor, e.key, e.readable, e.writable));
+        .for_each(|e| attempts.handle_ready(&mut reactor, e.key, e.readable, e.writable));
     assert!(
-        !dialled.more() && attempts.count() == 0,
+        !dialled.more() && attempts.connection_count() == 0,
         "nothing was written"
     );
     assert!(matches!(
@@ -305,14 +305,14 @@
         // What did not fit into one read comes with the next ones; nothing of the queue has been taken meanwhile.
         reactor.timer(1000.0, Timer::Accept);
         let (start, mut events) = (Instant::now(), Vec::new());
-        while clients.count() > 0 {
+        while clients.connection_count() > 0 {
             assert!(start.elapsed() < LIMIT, "{way:?}: its end is not seen");
             reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in events
                 .iter()
                 .filter(|event| owner(event.key) == Owner::Client)
             {
-                clients.ready(&mut reactor, event.key, event.readable, event.writable);
+                clients.handle_ready(&mut reactor, event.key, event.readable, event.writable);
             }
         }
         let told: Vec<&Input> = reactor.queue.iter().collect();
@@ -361,12 +361,12 @@
             way.goes(client);
         }
         let client = clients
-            .adopt_held(&mut reactor, stream, Vec::new(), false)
+            .adopt_waiting_connection(&mut reactor, stream, Vec::new(), false)
             .expect("it is taken in");
         let (start, mut events) = (Instant::now(), Vec::new());
         reactor.timer(1000.0, Timer::Accept);
         // What does not fit into the first read comes with the next ones.
-        while clients.waits(client) != waits {
+        while clients.awaits_answer(client) != waits {
             assert!(
                 start.elapsed() < LIMIT && way != Some(Leaves::Fin),
                 "{way:?}"
@@ -376,7 +376,7 @@
                 .iter()
                 .filter(|event| owner(event.key) == Owner::Client)
             {
-                clients.ready(&mut reactor, event.key, event.readable, event.writable);
+                clients.handle_ready(&mut reactor, event.key, event.readable, event.writable);
             }
         }
     }
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -94,8 +94,12 @@
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
                 assert_eq!(owner(event.key), Owner::Discovery);
-                self.list
-                    .ready(&mut self.reactor, event.key, event.readable, event.writable);
+                self.list.handle_ready(
+                    &mut self.reactor,
+                    event.key,
+                    event.readable,
+                    event.writable,
+                );
             }
         }
     }
@@ -106,8 +110,10 @@
             self.reactor.now = (self.reactor.now + 0.002).min(now);
             for due in self.reactor.due() {
                 match due {
-                    Timer::Discovery => self.list.due(&mut self.reactor),
-                    Timer::DiscoveryDial(call) => self.list.dial_due(&mut self.reactor, call),
+                    Timer::Discovery => self.list.handle_timer(&mut self.reactor),
+                    Timer::DiscoveryDial(call) => {
+                        self.list.handle_dial_timer(&mut self.reactor, call)
+                    }
                     _ => {}
                 }
             }
@@ -163,18 +169,18 @@
     let (mut waits, mut last) = (Vec::new(), 1000.0);
     for _ in 0..4 {
         // A refused connection is told by the poller.
-        let before = bed.list.calls();
+        let before = bed.list.call_count();
         let start = Instant::now();
-        while bed.list.calls() == before {
+        while bed.list.call_count() == before {
             assert!(start.elapsed() < LIMIT);
             let mut events = Vec::new();
             bed.reactor.wait(&mut events, f64::MAX).expect("a poller");
             events.iter().for_each(|e| {
                 bed.list
-                    .ready(&mut bed.reactor, e.key, e.readable, e.writable)
+                    .handle_ready(&mut bed.reactor, e.key, e.readable, e.writable)
             });
             let now = bed.reactor.now;
-            if events.is_empty() && bed.list.out() == 0 {
+            if events.is_empty() && bed.list.open_call_count() == 0 {
                 bed.at(now + 0.002);
             }
         }
@@ -190,7 +196,7 @@
         bed.reactor.queue.is_empty(),
         "the hub has nothing to do with it"
     );
-    bed.until(|bed| bed.list.out() == 0);
+    bed.until(|bed| bed.list.open_call_count() == 0);
     bed.listener = TcpListener::bind(at).expect("the port again");
     let (_, mut call) = bed.call(bed.reactor.now + 2.0).expect("it is asked again");
     call.answer(1, true, MEMBER);
@@ -276,9 +282,9 @@
     assert_eq!(bed.told(), ListKind::Full);
     call.next();
     for (revision, complete) in [(7, true), (7, false)] {
-        let before = bed.list.calls();
+        let before = bed.list.call_count();
         call.answer(revision, complete, MEMBER);
-        bed.until(|bed| bed.list.calls() > before);
+        bed.until(|bed| bed.list.call_count() > before);
         call.next();
         assert_eq!(call.target, "/api/targets", "the whole list is asked for");
         assert!(
@@ -315,11 +321,11 @@
         let (at, mut call) = bed.call(1001.0).expect("a watch");
         call.peer.write_all(text).expect("it is written");
         drop(call);
-        let before = bed.list.calls();
-        bed.until(|bed| bed.list.out() == 0);
+        let before = bed.list.call_count();
+        bed.until(|bed| bed.list.open_call_count() == 0);
         let (again, call) = bed.call(at + 5.0).expect("another");
         assert!(
-            bed.list.calls() > before && again - at < 0.2,
+            bed.list.call_count() > before && again - at < 0.2,
             "{text:?}: after {} s",
             again - at
         );
@@ -373,7 +379,7 @@
         let writer = std::thread::spawn(move || {
             peer.write_all(text.as_bytes()).is_err() || !matches!(peer.read(&mut [0]), Ok(1..))
         });
-        bed.until(|bed| bed.list.out() == 0);
+        bed.until(|bed| bed.list.open_call_count() == 0);
         assert!(
             writer.join().expect("discovery's part"),
             "{begins:?}: its connection goes on"
@@ -404,8 +410,8 @@
     let mut bed = Bed::new(Some(5), 7);
     let at = bed.listener.local_addr().expect("an address");
     bed.list
-        .hold(Some(&list(5, true, &[member("a", "in_service")])));
-    assert!(bed.list.changed().is_none());
+        .retain_list(Some(&list(5, true, &[member("a", "in_service")])));
+    assert!(bed.list.take_changed_snapshot().is_none());
     let changes = [
         member("a", "terminated"),
         member("b", "in_service"),
@@ -414,8 +420,8 @@
     let (_, mut call) = bed.call(1001.0).expect("a watch");
     call.answer(8, false, &changes.join(","));
     assert_eq!(bed.told(), ListKind::Delta);
-    let kept = bed.list.changed().expect("it has changed");
-    assert!(bed.list.changed().is_none(), "it was taken");
+    let kept = bed.list.take_changed_snapshot().expect("it has changed");
+    assert!(bed.list.take_changed_snapshot().is_none(), "it was taken");
     let start = |known: Option<List>, discovery: SocketAddr| {
         let list = Kept::from_json(&kept)
             .expect("a list")
