--- a/benches/request_manager.rs
+++ b/benches/request_manager.rs
@@ -92,7 +92,7 @@
         },
         &mut out,
     );
-    assert_eq!(hub.held(), 0);
+    assert_eq!(hub.pending_count(), 0);
 }
 
 fn jobs(c: &mut Criterion) {
--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -141,7 +141,7 @@
         // Beyond a turn's share it is read in the next.
         let readable = readable && self.read.1 < MOST_READ;
         let mut events = Events::default();
-        connection.ready(readable, writable, &mut events);
+        connection.handle_ready(readable, writable, &mut events);
         let input = std::mem::take(&mut connection.input);
         self.read.1 += input.len();
         let mut out = Vec::new();
@@ -158,10 +158,10 @@
 
     /// Ends them all.
     pub fn end(self, reactor: &Reactor) {
-        reactor.forget(&self.listener);
+        reactor.deregister(&self.listener);
         self.sockets
             .values()
-            .for_each(|connection| reactor.forget(connection.stream()));
+            .for_each(|connection| reactor.deregister(connection.stream()));
     }
 
     fn accept(&mut self, reactor: &mut Reactor) -> Vec<PeerMessage> {
@@ -192,8 +192,8 @@
         let Some(connection) = self.sockets.get(&key) else {
             return;
         };
-        if ended || connection.state() == State::Ended || connection.heard_all() {
-            reactor.forget(connection.stream());
+        if ended || connection.state() == State::Ended || connection.read_side_closed() {
+            reactor.deregister(connection.stream());
             self.sockets.remove(&key);
             self.streams.ended(reactor.now, key);
         } else {
@@ -225,13 +225,13 @@
                         };
                         let mut events = Events::default();
                         connection.send(&bytes, &mut events);
-                        let unread = connection.owed() > MOST_OWED + bytes.len();
+                        let unread = connection.unsent_bytes() > MOST_OWED + bytes.len();
                         let ended = events.ended || unread && self.streams.is_incoming(key);
                         self.look(reactor, key, ended);
                     }
                     Effect::Close(key) => {
                         if let Some(connection) = self.sockets.remove(&key) {
-                            reactor.forget(connection.stream());
+                            reactor.deregister(connection.stream());
                         }
                     }
                     Effect::Arrived(from, life, word) => {
@@ -267,7 +267,7 @@
     /// One turn of a node's loop, so much later; what was heard, and how long it took.
     fn turn(reactor: &mut Reactor, wires: &mut PeerConnections) -> (Vec<PeerMessage>, Duration) {
         reactor.now += 0.01;
-        reactor.timer(reactor.now + 0.01, reactor::Timer::Peers(0));
+        reactor.set_timer(reactor.now + 0.01, reactor::Timer::Peers(0));
         let mut events = Vec::new();
         reactor.wait(&mut events, reactor.now).expect("a poller");
         let start = Instant::now();
@@ -276,7 +276,7 @@
             heard.extend(wires.ready(reactor, event.key, event.readable, event.writable));
         }
         heard.extend(wires.due(reactor));
-        reactor.due();
+        reactor.expired_timers();
         (heard, start.elapsed())
     }
 
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -43,11 +43,11 @@
     Held(usize, usize, usize),
     /// It knows what the fleet has said: what this node alone knows of workers is to be told.
     Settled,
-    /// Write these; [`ClusterService::written`] is told what became of it.
+    /// Write these; [`ClusterService::handle_write_completed`] is told what became of it.
     Write(Vec<StorageChange>),
     /// Answer a caller at the door.
     Tell(usize, u16, String),
-    /// That node wants what this one holds of a kind: [`ClusterService::give`].
+    /// That node wants what this one holds of a kind: [`ClusterService::send_worker_list`].
     Give(String, Kind),
     /// That node passes on a list of this generation.
     Passed(String, u64, Vec<u8>),
@@ -364,12 +364,12 @@
             .fold(at, f64::min);
         if at < self.look.1 {
             self.look = (self.look.0 + 1, at);
-            reactor.timer(at, Timer::Peers(self.look.0));
+            reactor.set_timer(at, Timer::Peers(self.look.0));
         }
     }
 
     /// The look of this number is due.
-    pub fn due(&mut self, reactor: &mut Reactor, number: u64) -> Vec<Event> {
+    pub fn handle_timer(&mut self, reactor: &mut Reactor, number: u64) -> Vec<Event> {
         if number != self.look.0 || self.over {
             return Vec::new(); // an earlier one took its place
         }
@@ -435,12 +435,12 @@
     }
 
     /// Whether an audit is kept.
-    pub fn audits(&self) -> bool {
+    pub fn tracks_versions(&self) -> bool {
         self.audit.is_some()
     }
 
     /// The node acts on this list from now on, after so many acts on what it held before.
-    pub fn acts_on(
+    pub fn record_version(
         &mut self,
         reactor: &mut Reactor,
         stand: VersionRecord,
@@ -465,7 +465,13 @@
     }
 
     /// Passes a list of this generation on.
-    pub fn give(&mut self, reactor: &mut Reactor, to: &str, generation: u64, body: &[u8]) {
+    pub fn send_worker_list(
+        &mut self,
+        reactor: &mut Reactor,
+        to: &str,
+        generation: u64,
+        body: &[u8],
+    ) {
         let Some(place) = &mut self.place else { return };
         let word = postcard::to_extend(&generation, versions::PREFIX.to_vec()).unwrap_or_default();
         if let Some(at) = place.address(to) {
@@ -477,12 +483,12 @@
     }
 
     /// Which node acts on which version, as the door shows it.
-    pub fn versions(&self, now: f64) -> Option<String> {
+    pub fn versions_json(&self, now: f64) -> Option<String> {
         Some(self.place.as_ref()?.audit.as_ref()?.versions(now))
     }
 
     /// What this node has acted on, as the door shows it.
-    pub fn trail(&self, acts: u64) -> Option<String> {
+    pub fn audit_log_json(&self, acts: u64) -> Option<String> {
         Some(self.place.as_ref()?.audit.as_ref()?.trail(acts))
     }
 
@@ -516,7 +522,7 @@
     }
 
     /// What became of a write that was given with [`Event::Write`].
-    pub fn written(&mut self, reactor: &mut Reactor, well: bool) -> Vec<Event> {
+    pub fn handle_write_completed(&mut self, reactor: &mut Reactor, well: bool) -> Vec<Event> {
         let coordination = self
             .place
             .as_mut()
@@ -530,7 +536,7 @@
     }
 
     /// A caller at the door asks for something that the nodes decide together; `None` where they decide nothing.
-    pub fn ask(
+    pub fn handle_admin_request(
         &mut self,
         reactor: &mut Reactor,
         caller: usize,
@@ -559,13 +565,13 @@
     }
 
     /// Who votes and who owns what, as the door shows it.
-    pub fn owners(&self, now: f64) -> Option<String> {
+    pub fn lease_status_json(&self, now: f64) -> Option<String> {
         let view = self.place.as_ref()?.coordination.as_ref()?.view(now);
         serde_json::to_string(&view).ok().map(|text| text + "\n")
     }
 
     /// Datagrams have come, or a stream can go on.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -600,7 +606,7 @@
 
     /// A worker is taken out of use, or back into it, here: the fleet is told, and who asked for it in the end.
     /// Without a place there is nobody to tell: `false`.
-    pub fn employ(
+    pub fn set_suspended(
         &mut self,
         reactor: &mut Reactor,
         caller: Option<usize>,
@@ -626,7 +632,7 @@
     /// # Errors
     ///
     /// If that can't be; `None` if this process has no place among the nodes.
-    pub fn forget(
+    pub fn forget_member(
         &mut self,
         reactor: &mut Reactor,
         name: &str,
@@ -639,7 +645,11 @@
 
     /// Of these workers, which are out of use here, those whose use the fleet has never heard of are out of use for it:
     /// from before this node had a place, or from an older process that did not tell.
-    pub fn adopt(&mut self, reactor: &mut Reactor, workers: Vec<String>) -> Vec<Event> {
+    pub fn adopt_suspended_workers(
+        &mut self,
+        reactor: &mut Reactor,
+        workers: Vec<String>,
+    ) -> Vec<Event> {
         let mut out = Vec::new();
         if let Some(place) = &mut self.place {
             for worker in workers
@@ -655,10 +665,10 @@
     }
 
     /// Lets go without a word: a newer process of this node takes the place.
-    pub fn yield_place(&mut self, reactor: &Reactor) {
+    pub fn yield_socket(&mut self, reactor: &Reactor) {
         self.over = true;
         if let Some(place) = self.place.take() {
-            reactor.forget(&place.socket);
+            reactor.deregister(&place.socket);
             place.peer_connections.end(reactor);
         }
     }
@@ -670,11 +680,11 @@
             place.members.leave(reactor.now, &mut out);
         }
         self.carry(reactor, out);
-        self.yield_place(reactor);
+        self.yield_socket(reactor);
     }
 
     /// The fleet's bans, if they have changed since they were kept, or are asked for again.
-    pub fn changed(&mut self, again: bool) -> Option<Vec<u8>> {
+    pub fn take_changed_suspensions(&mut self, again: bool) -> Option<Vec<u8>> {
         let members = &self.place.as_ref()?.members;
         if members.digest() == std::mem::replace(&mut self.kept, members.digest()) && !again {
             return None;
@@ -683,7 +693,7 @@
     }
 
     /// What the door shows.
-    pub fn picture(&self) -> Option<ClusterStatus> {
+    pub fn status(&self) -> Option<ClusterStatus> {
         let place = self.place.as_ref()?;
         let members = &place.members;
         let (voters, leader) = match &place.coordination {
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -330,7 +330,7 @@
         self.client.round += 1;
         self.client.since = self.reactor.now;
         let due = Timer::Client(self.client.key, self.client.round);
-        self.reactor.timer(self.reactor.now + time, due);
+        self.reactor.set_timer(self.reactor.now + time, due);
     }
 
     fn write(
@@ -382,7 +382,7 @@
     fn read_behind(&mut self, connection: &mut Connection<TcpStream>) {
         self.read(connection);
         let open = self.client.phase == Phase::Reading && connection.state() == State::Open;
-        if connection.spilled() && open {
+        if connection.dropped_input() && open {
             connection.close(self);
             self.wait(LINGER);
         }
@@ -466,12 +466,12 @@
 impl Callbacks<TcpStream> for Caller<'_> {
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
         // Reading has stopped for want of room: more, and the client's end behind it, may be there already.
-        let more = connection.full();
+        let more = connection.is_full();
         self.read(connection);
         if more && self.client.phase == Phase::Held && connection.state() == State::Open {
             // Danger: an attempt would begin for a client that has closed long since.
-            connection.watch_end(true);
-            connection.ready(true, false, self);
+            connection.set_discard_input(true);
+            connection.handle_ready(true, false, self);
         }
         if connection.state() == State::HalfOpen {
             match self.client.phase {
@@ -540,7 +540,7 @@
             return self.accept(reactor);
         }
         self.with(reactor, key, |connection, caller| {
-            connection.ready(readable, writable, caller)
+            connection.handle_ready(readable, writable, caller)
         });
     }
 
@@ -651,7 +651,7 @@
     /// Lets a connection go without ending it: its stream, what was read from it, and its state here.
     fn part_with(&mut self, reactor: &Reactor, key: usize) -> Option<(TcpStream, Vec<u8>, Client)> {
         let Session { connection, client } = self.sessions.remove(&key)?;
-        reactor.forget(connection.stream());
+        reactor.deregister(connection.stream());
         let (stream, input) = connection.into_parts();
         Some((stream, input, client))
     }
@@ -734,7 +734,7 @@
             caller.client.useful = useful;
             caller.wait(IDLE);
             caller.read(connection);
-            connection.ready(true, false, caller);
+            connection.handle_ready(true, false, caller);
         });
     }
 
@@ -803,10 +803,10 @@
         act(&mut session.connection, &mut caller);
         session
             .connection
-            .watch_end(session.client.phase != Phase::Reading);
+            .set_discard_input(session.client.phase != Phase::Reading);
         let over = session.connection.state() == State::Ended;
         if over {
-            reactor.forget(session.connection.stream());
+            reactor.deregister(session.connection.stream());
             self.sessions.remove(&key);
         } else {
             reactor.rearm(
@@ -829,7 +829,7 @@
     fn wake(&mut self, reactor: &mut Reactor, after: f64) {
         if reactor.now + after < self.wakes {
             self.wakes = reactor.now + after;
-            reactor.timer(self.wakes, Timer::Accept);
+            reactor.set_timer(self.wakes, Timer::Accept);
         }
     }
 
@@ -859,7 +859,7 @@
                     self.with(reactor, key, |connection, caller| {
                         caller.client.timed = true;
                         caller.wait(PATIENCE);
-                        connection.ready(true, false, caller);
+                        connection.handle_ready(true, false, caller);
                     });
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -892,13 +892,13 @@
             };
             let (_, _, key) = first;
             self.with(reactor, key, |connection, caller| {
-                connection.ready(true, false, caller)
+                connection.handle_ready(true, false, caller)
             });
             let Some(session) = self.sessions.get(&key) else {
                 return true;
             };
             if gives_way((&key, session)) == Some(first) {
-                reactor.forget(session.connection.stream());
+                reactor.deregister(session.connection.stream());
                 self.sessions.remove(&key);
                 return true;
             }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -213,12 +213,12 @@
         self.sessions.insert(key, session);
         self.rearm(reactor, key);
         if !std::mem::replace(&mut self.looking, true) {
-            reactor.timer(reactor.now + LOOK, Timer::Handover);
+            reactor.set_timer(reactor.now + LOOK, Timer::Handover);
         }
     }
 
     /// Waits for the next process from now on, in place of the one that served before.
-    pub fn open(&mut self, reactor: &mut Reactor) {
+    pub fn accept_successors(&mut self, reactor: &mut Reactor) {
         let own = self.path.with_extension(format!("{}", std::process::id()));
         let opened = short(&own).and_then(|(at, _folder)| {
             let _ = std::fs::remove_file(&own);
@@ -239,7 +239,7 @@
     }
 
     /// Whether an older process is still to tell what it holds.
-    pub fn joining(&self) -> bool {
+    pub fn is_waiting_for_snapshot(&self) -> bool {
         self.sessions
             .values()
             .any(|s| s.link.role() == Role::Newer && !s.link.joined())
@@ -254,48 +254,53 @@
     }
 
     /// The side that this process is on.
-    pub fn role(&self, key: usize) -> Option<Role> {
+    pub fn role_of(&self, key: usize) -> Option<Role> {
         self.sessions.get(&key).map(|s| s.link.role())
     }
 
     /// Whether an older process is there.
-    pub fn follows(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.sessions.values().any(|s| s.link.role() == Role::Newer)
     }
 
     /// Whether a newer process is there.
-    pub fn replaced(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.sessions
             .values()
             .any(|s| s.link.role() == Role::Older && s.link.greeted())
     }
 
     /// Says something to newer processes.
-    pub fn tell_newer(&mut self, reactor: &Reactor, message: &Message) {
+    pub fn send_to_successors(&mut self, reactor: &Reactor, message: &Message) {
         for key in self.others(None) {
-            if self.role(key) == Some(Role::Older) {
-                self.say(reactor, key, message);
+            if self.role_of(key) == Some(Role::Older) {
+                self.send(reactor, key, message);
             }
         }
     }
 
     /// Whether there is any link.
-    pub fn linked(&self) -> bool {
+    pub fn has_links(&self) -> bool {
         !self.sessions.is_empty()
     }
 
     /// Whether all that was said has been passed to the system.
-    pub fn flushed(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.sessions.values().all(|s| s.out.is_empty())
     }
 
     /// Whether a connection can be passed on the link just now.
-    pub fn has_room(&self, key: usize) -> bool {
+    pub fn has_write_capacity(&self, key: usize) -> bool {
         self.sessions.get(&key).is_some_and(|s| s.queued < ENOUGH)
     }
 
     /// The listener or a link can be read or written.
-    pub fn ready(&mut self, reactor: &mut Reactor, key: usize, readable: bool) -> Vec<Event> {
+    pub fn handle_ready(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        readable: bool,
+    ) -> Vec<Event> {
         if let Some((listener, _)) = self
             .listener
             .as_ref()
@@ -335,7 +340,7 @@
     }
 
     /// Looks at all links: whether any has stalled.
-    pub fn due(&mut self, reactor: &mut Reactor) -> Vec<Event> {
+    pub fn handle_timer(&mut self, reactor: &mut Reactor) -> Vec<Event> {
         let mut events = Vec::new();
         for key in self.sessions.keys().copied().collect::<Vec<_>>() {
             let Some(session) = self.sessions.get_mut(&key) else {
@@ -352,14 +357,14 @@
         }
         self.looking = !self.sessions.is_empty();
         if self.looking {
-            reactor.timer(reactor.now + LOOK, Timer::Handover);
+            reactor.set_timer(reactor.now + LOOK, Timer::Handover);
         }
         events
     }
 
     fn drop(&mut self, reactor: &mut Reactor, key: usize, error: &io::Error) -> Option<Event> {
         let session = self.sessions.remove(&key)?;
-        reactor.forget(&session.stream);
+        reactor.deregister(&session.stream);
         let gone = matches!(
             error.kind(),
             ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset | ErrorKind::BrokenPipe
@@ -379,12 +384,12 @@
     }
 
     /// Says something on one link.
-    pub fn say(&mut self, reactor: &Reactor, key: usize, message: &Message) {
-        self.pass(reactor, key, message, None);
+    pub fn send(&mut self, reactor: &Reactor, key: usize, message: &Message) {
+        self.send_with_descriptor(reactor, key, message, None);
     }
 
     /// Says something on one link, with a descriptor.
-    pub fn pass(
+    pub fn send_with_descriptor(
         &mut self,
         reactor: &Reactor,
         key: usize,
@@ -400,22 +405,22 @@
     }
 
     /// All has been told on this link.
-    pub fn told(&mut self, reactor: &Reactor, key: usize) {
-        self.say(reactor, key, &Message::Told);
+    pub fn complete_snapshot(&mut self, reactor: &Reactor, key: usize) {
+        self.send(reactor, key, &Message::Told);
         if let Some(session) = self.sessions.get_mut(&key) {
             session.link.told();
         }
     }
 
     /// Says something on all links that have greeted, but for one.
-    pub fn tell(&mut self, reactor: &Reactor, except: Option<usize>, message: &Message) {
+    pub fn broadcast(&mut self, reactor: &Reactor, except: Option<usize>, message: &Message) {
         for key in self.others(except) {
-            self.say(reactor, key, message);
+            self.send(reactor, key, message);
         }
     }
 
     /// Sends a call-back over all links but one; `who` waits for as many words as are told here.
-    pub fn forward(
+    pub fn forward_callback(
         &mut self,
         reactor: &Reactor,
         except: Option<usize>,
@@ -426,7 +431,7 @@
         for key in &keys {
             if let Some(session) = self.sessions.get_mut(key) {
                 let call = session.link.call(reactor.now, who, body.to_vec());
-                self.say(reactor, *key, &call);
+                self.send(reactor, *key, &call);
             }
         }
         keys.len()
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -57,7 +57,7 @@
 
     /// Whether another process of this node takes over from one that was told to stop. If that ends, this one is
     /// on its own again.
-    pub fn hand_over(&mut self, handing: bool) {
+    pub fn set_handing_over(&mut self, handing: bool) {
         self.handing = handing;
     }
 
@@ -78,22 +78,22 @@
     }
 
     /// Whether an operator has drained it.
-    pub fn drained(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.drained.is_some()
     }
 
     /// Since when.
-    pub fn drained_at(&self) -> Option<f64> {
+    pub fn draining_since(&self) -> Option<f64> {
         self.drained
     }
 
     /// Whether this process can serve.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         matches!(self.stage(), Stage::Serving | Stage::Draining)
     }
 
     /// Whether the node wants new clients; while it is handed over, the other process does.
-    pub fn wants(&self) -> bool {
+    pub fn wants_connections(&self) -> bool {
         match self.stage() {
             Stage::Serving => true,
             Stage::HandingOver => self.drained.is_none(),
@@ -102,12 +102,12 @@
     }
 
     /// Whether answers end their connections.
-    pub fn closes(&self) -> bool {
+    pub fn closes_after_answer(&self) -> bool {
         matches!(self.stage(), Stage::Draining | Stage::Stopping)
     }
 
     /// In a drain, how long clients' connections may lie idle now; `None` where as long as usual.
-    pub fn idle(&self, now: f64) -> Option<f64> {
+    pub fn max_idle_time(&self, now: f64) -> Option<f64> {
         let since = self.drained.filter(|_| !self.stopped)?;
         let left = (since + EMPTY - now).max(0.0);
         (now - since >= WINDOW).then_some(IDLE_FIRST * left / (EMPTY - WINDOW))
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -163,7 +163,7 @@
                     }
                 }
             }
-            Ok(_) if connection.heard_all() => connection.close(self),
+            Ok(_) if connection.read_side_closed() => connection.close(self),
             Ok(Read::Head { expects: true }) if !std::mem::replace(&mut self.told_on, true) => {
                 connection.send(b"HTTP/1.1 100 Continue\r\n\r\n", self);
             }
@@ -208,7 +208,7 @@
     }
 
     /// The listener or a caller can be read or written; the calls that have come, each with its caller.
-    pub fn ready(
+    pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
@@ -219,7 +219,7 @@
             return self.accept(reactor);
         }
         self.with(reactor, key, |connection, caller| {
-            connection.ready(readable, writable, caller)
+            connection.handle_ready(readable, writable, caller)
         })
         .map(|call| (key, call))
         .into_iter()
@@ -227,35 +227,39 @@
     }
 
     /// Answers a caller, if it is still there.
-    pub fn answer(&mut self, reactor: &mut Reactor, key: usize, reply: Reply) {
+    pub fn send_reply(&mut self, reactor: &mut Reactor, key: usize, reply: Reply) {
         match reply {
-            Reply::Yes => self.tell(reactor, key, 200, "yes\n"),
-            Reply::NotNow => self.tell(reactor, key, 503, "not now\n"),
-            Reply::Nobody => self.tell(reactor, key, 404, "nobody has that name\n"),
+            Reply::Yes => self.send_text(reactor, key, 200, "yes\n"),
+            Reply::NotNow => self.send_text(reactor, key, 503, "not now\n"),
+            Reply::Nobody => self.send_text(reactor, key, 404, "nobody has that name\n"),
             Reply::Held(at, of) => {
-                self.tell(reactor, key, 200, &format!("yes, at {at} of {of} nodes\n"))
+                self.send_text(reactor, key, 200, &format!("yes, at {at} of {of} nodes\n"))
             }
-            Reply::Lives => self.tell(reactor, key, 409, "it has not failed\n"),
-            Reply::NoAudit => self.tell(reactor, key, 404, "the section audit is not on here\n"),
-            Reply::NoDuties => self.tell(reactor, key, 404, "the section duties is not on here\n"),
-            Reply::NoFleet => self.tell(reactor, key, 404, "this node knows no others\n"),
+            Reply::Lives => self.send_text(reactor, key, 409, "it has not failed\n"),
+            Reply::NoAudit => {
+                self.send_text(reactor, key, 404, "the section audit is not on here\n")
+            }
+            Reply::NoDuties => {
+                self.send_text(reactor, key, 404, "the section duties is not on here\n")
+            }
+            Reply::NoFleet => self.send_text(reactor, key, 404, "this node knows no others\n"),
         }
     }
 
     /// Answers a caller in words, if it is still there.
-    pub fn tell(&mut self, reactor: &mut Reactor, key: usize, status: u16, words: &str) {
+    pub fn send_text(&mut self, reactor: &mut Reactor, key: usize, status: u16, words: &str) {
         self.with(reactor, key, |connection, caller| {
             if caller.waits {
                 answer(connection, caller, status, None, words);
             }
         });
-        reactor.timer(reactor.now + LINGER, Timer::Caller(key));
+        reactor.set_timer(reactor.now + LINGER, Timer::Caller(key));
     }
 
     /// A caller has had its time.
-    pub fn due(&mut self, reactor: &mut Reactor, key: usize) {
+    pub fn handle_timer(&mut self, reactor: &mut Reactor, key: usize) {
         if let Some(session) = self.sessions.remove(&key) {
-            reactor.forget(session.connection.stream());
+            reactor.deregister(session.connection.stream());
         }
     }
 
@@ -264,7 +268,7 @@
         let mut calls = Vec::new();
         for _ in 0..ACCEPTS {
             if self.sessions.len() >= MOST && !self.make_room(reactor) {
-                reactor.timer(reactor.now + YOUNG, Timer::Callers);
+                reactor.set_timer(reactor.now + YOUNG, Timer::Callers);
                 return calls;
             }
             match self.listener.accept() {
@@ -287,14 +291,14 @@
                         news,
                     };
                     self.sessions.insert(key, Session { connection, caller });
-                    reactor.timer(reactor.now + PATIENCE, Timer::Caller(key));
-                    calls.extend(self.ready(reactor, key, true, false));
+                    reactor.set_timer(reactor.now + PATIENCE, Timer::Caller(key));
+                    calls.extend(self.handle_ready(reactor, key, true, false));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(_) => {
-                    reactor.timer(reactor.now + YOUNG, Timer::Callers);
+                    reactor.set_timer(reactor.now + YOUNG, Timer::Callers);
                     return calls;
                 }
             }
@@ -317,7 +321,7 @@
         let Some(key) = first.map(|(key, _)| *key) else {
             return false;
         };
-        self.due(reactor, key);
+        self.handle_timer(reactor, key);
         true
     }
 
@@ -331,7 +335,7 @@
         act(&mut session.connection, &mut session.caller);
         let call = session.caller.news.take();
         if session.connection.state() == State::Ended {
-            self.due(reactor, key);
+            self.handle_timer(reactor, key);
         } else {
             reactor.rearm(
                 session.connection.stream(),
@@ -377,10 +381,10 @@
             let mut keys: Vec<usize> = self.door.sessions.keys().copied().collect();
             keys.sort_unstable();
             for key in keys {
-                calls.extend(self.door.ready(&mut self.reactor, key, true, true));
+                calls.extend(self.door.handle_ready(&mut self.reactor, key, true, true));
             }
             for (key, _) in &calls {
-                self.door.answer(&mut self.reactor, *key, reply);
+                self.door.send_reply(&mut self.reactor, *key, reply);
             }
             calls.into_iter().map(|(_, call)| call).collect()
         }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -227,7 +227,7 @@
         let mut list = WorkerList::new(config.discovery, settings.clone(), revision, config.seed);
         let mut hub = RequestManager::new(settings.clone(), config.seed)?;
         let keeper = kept.map(|(mut keeper, keeping, nothing_ran)| {
-            hub.keep(keeping);
+            hub.enable_durability(keeping);
             keeper.write(
                 &mut reactor,
                 nothing_ran,
@@ -248,7 +248,7 @@
             list.retain_list(known.as_ref());
         }
         if keeper.is_some() {
-            reactor.timer(reactor.now + LIST_KEPT, Timer::ListKept);
+            reactor.set_timer(reactor.now + LIST_KEPT, Timer::ListKept);
         }
         let stop = Signal::new(&mut reactor, stop)?;
         let (reload, quiet, done) = (None, 0, false);
@@ -285,7 +285,7 @@
         });
         let (fleet, events) = fleet.transpose()?.unzip();
         let (links, life, bans) = Default::default();
-        let audits = fleet.as_ref().is_some_and(ClusterService::audits);
+        let audits = fleet.as_ref().is_some_and(ClusterService::tracks_versions);
         let mut node = Self {
             clock,
             reactor,
@@ -371,7 +371,7 @@
             for event in &events {
                 self.dispatch(*event);
             }
-            for due in self.reactor.due() {
+            for due in self.reactor.expired_timers() {
                 self.due(due);
             }
             if self.life.stage() == Stage::Starting {
@@ -398,21 +398,21 @@
                 let calls = self
                     .door
                     .as_mut()
-                    .map(|door| door.ready(reactor, key, readable, writable));
+                    .map(|door| door.handle_ready(reactor, key, readable, writable));
                 self.called(calls.unwrap_or_default());
             }
             Owner::Handover => {
                 let events = self
                     .handover
                     .as_mut()
-                    .map(|h| h.ready(reactor, key, readable));
+                    .map(|h| h.handle_ready(reactor, key, readable));
                 self.linked(events.unwrap_or_default());
             }
             Owner::Peers => {
                 let events = self
                     .fleet
                     .as_mut()
-                    .map(|fleet| fleet.ready(reactor, key, readable, writable));
+                    .map(|fleet| fleet.handle_ready(reactor, key, readable, writable));
                 self.told_by_fleet(events.unwrap_or_default());
             }
             Owner::Client => self.clients.handle_ready(reactor, key, readable, writable),
@@ -422,12 +422,12 @@
                 let written = self
                     .keeper
                     .as_mut()
-                    .and_then(|keeper| keeper.ready(reactor));
+                    .and_then(|keeper| keeper.handle_ready(reactor));
                 let events = self
                     .fleet
                     .as_mut()
                     .zip(written)
-                    .map(|(fleet, well)| fleet.written(reactor, well));
+                    .map(|(fleet, well)| fleet.handle_write_completed(reactor, well));
                 self.told_by_fleet(events.unwrap_or_default());
             }
             Owner::Signal if key == self.stop.key => self.stop(),
@@ -440,16 +440,19 @@
         match due {
             Timer::Requests(due) => reactor.queue.push_back(Input::TimerExpired { timer: due }),
             Timer::Handover => {
-                let events = self.handover.as_mut().map(|h| h.due(reactor));
+                let events = self.handover.as_mut().map(|h| h.handle_timer(reactor));
                 self.linked(events.unwrap_or_default());
             }
             Timer::Peers(number) => {
-                let events = self.fleet.as_mut().map(|fleet| fleet.due(reactor, number));
+                let events = self
+                    .fleet
+                    .as_mut()
+                    .map(|fleet| fleet.handle_timer(reactor, number));
                 self.told_by_fleet(events.unwrap_or_default());
             }
             Timer::Caller(key) => {
                 if let Some(door) = &mut self.door {
-                    door.due(reactor, key);
+                    door.handle_timer(reactor, key);
                 }
             }
             Timer::Callers => {
@@ -457,11 +460,11 @@
                 self.called(calls.unwrap_or_default());
             }
             Timer::Drain => {
-                if let Some(idle) = self.life.idle(reactor.now) {
+                if let Some(idle) = self.life.max_idle_time(reactor.now) {
                     self.clients.close_idle_connections(reactor, idle);
                 }
-                if self.life.drained() && self.life.serves() {
-                    reactor.timer(reactor.now + DRAIN_LOOK, Timer::Drain);
+                if self.life.is_draining() && self.life.is_serving() {
+                    reactor.set_timer(reactor.now + DRAIN_LOOK, Timer::Drain);
                 }
             }
             Timer::Client(key, round) => self.clients.handle_timer(reactor, key, round),
@@ -475,33 +478,40 @@
                     return;
                 };
                 // What a disk in trouble has refused is given again, whether or not it has changed.
-                let again = keeper.unkept();
+                let again = keeper.has_failed_snapshots();
                 let list = self
                     .list
                     .take_changed_snapshot()
                     .or_else(|| self.list.snapshot().filter(|_| again));
                 if let Some(list) = list {
-                    keeper.keep_list(&list);
+                    keeper.save_worker_list(&list);
                 }
-                if let Some(bans) = self.fleet.as_mut().and_then(|fleet| fleet.changed(again)) {
-                    keeper.keep_bans(&bans);
+                if let Some(bans) = self
+                    .fleet
+                    .as_mut()
+                    .and_then(|fleet| fleet.take_changed_suspensions(again))
+                {
+                    keeper.save_suspensions(&bans);
                 }
-                reactor.timer(reactor.now + LIST_KEPT, Timer::ListKept);
+                reactor.set_timer(reactor.now + LIST_KEPT, Timer::ListKept);
             }
             Timer::WindUp if self.life.stage() == Stage::HandingOver => {
                 let over = self.clients.connection_count() == 0
-                    && self.hub.owed() == 0
+                    && self.hub.waiting_client_count() == 0
                     && self.links.words.is_empty();
-                let flushed = self.handover.as_ref().is_none_or(Handover::flushed);
+                let flushed = self.handover.as_ref().is_none_or(Handover::is_flushed);
                 self.done = over && flushed && !self.follows();
-                self.reactor.timer(self.reactor.now + LOOK, Timer::WindUp);
+                self.reactor
+                    .set_timer(self.reactor.now + LOOK, Timer::WindUp);
             }
             Timer::WindUp => {
-                let answered = self.clients.close_for_shutdown(reactor) && self.hub.held() == 0;
+                let answered =
+                    self.clients.close_for_shutdown(reactor) && self.hub.pending_count() == 0;
                 let quiet = answered && !self.follows();
                 self.quiet = if quiet { self.quiet + 1 } else { 0 };
                 self.done = self.quiet >= QUIET;
-                self.reactor.timer(self.reactor.now + LOOK, Timer::WindUp);
+                self.reactor
+                    .set_timer(self.reactor.now + LOOK, Timer::WindUp);
             }
         }
     }
@@ -515,14 +525,17 @@
             self.hand_over();
             let handing = self.life.stage() == Stage::HandingOver;
             let after = if handing { LOOK } else { ACCEPT_WINDOW };
-            self.reactor.timer(self.reactor.now + after, Timer::WindUp);
+            self.reactor
+                .set_timer(self.reactor.now + after, Timer::WindUp);
         }
     }
 
     /// Has the clients' side go by the node's life.
     fn heed(&mut self) {
-        self.clients
-            .set_readiness(self.life.wants(), self.life.closes());
+        self.clients.set_readiness(
+            self.life.wants_connections(),
+            self.life.closes_after_answer(),
+        );
     }
 
     /// Carries out operators' calls.
@@ -538,7 +551,7 @@
                 continue;
             }
             let reply = match call {
-                Call::Ready if self.life.serves() => Reply::Yes,
+                Call::Ready if self.life.is_serving() => Reply::Yes,
                 Call::Ready => Reply::NotNow,
                 Call::Drain => {
                     self.drain(None, 0.0);
@@ -558,14 +571,14 @@
                     let text = self
                         .fleet
                         .as_ref()
-                        .and_then(|fleet| fleet.owners(self.reactor.now));
+                        .and_then(|fleet| fleet.lease_status_json(self.reactor.now));
                     self.show(key, text, Reply::NoDuties);
                     continue;
                 }
                 Call::Versions | Call::Audit => {
                     let text = self.fleet.as_ref().and_then(|fleet| match call {
-                        Call::Audit => fleet.trail(self.acts),
-                        _ => fleet.versions(self.reactor.now),
+                        Call::Audit => fleet.audit_log_json(self.acts),
+                        _ => fleet.versions_json(self.reactor.now),
                     });
                     self.show(key, text, Reply::NoAudit);
                     continue;
@@ -583,14 +596,14 @@
                     continue;
                 }
                 Call::Members => {
-                    let picture = self.fleet.as_ref().and_then(ClusterService::picture);
+                    let picture = self.fleet.as_ref().and_then(ClusterService::status);
                     let text = picture.and_then(|picture| serde_json::to_string(&picture).ok());
                     self.show(key, text.map(|text| text + "\n"), Reply::NoFleet);
                     continue;
                 }
             };
             if let Some(door) = &mut self.door {
-                door.answer(&mut self.reactor, key, reply);
+                door.send_reply(&mut self.reactor, key, reply);
             }
         }
     }
@@ -598,8 +611,8 @@
     /// Shows a caller at the door this, or says why there is nothing to show.
     fn show(&mut self, key: usize, text: Option<String>, none: Reply) {
         match (&mut self.door, text) {
-            (Some(door), Some(text)) => door.tell(&mut self.reactor, key, 200, &text),
-            (Some(door), None) => door.answer(&mut self.reactor, key, none),
+            (Some(door), Some(text)) => door.send_text(&mut self.reactor, key, 200, &text),
+            (Some(door), None) => door.send_reply(&mut self.reactor, key, none),
             (None, _) => {}
         }
     }
@@ -615,7 +628,7 @@
             digest,
         };
         let acts = std::mem::take(&mut self.acts);
-        let events = fleet.acts_on(&mut self.reactor, stand, source, acts);
+        let events = fleet.record_version(&mut self.reactor, stand, source, acts);
         self.told_by_fleet(events);
     }
 
@@ -624,10 +637,10 @@
         let events = self
             .fleet
             .as_mut()
-            .and_then(|fleet| fleet.ask(&mut self.reactor, key, ask));
+            .and_then(|fleet| fleet.handle_admin_request(&mut self.reactor, key, ask));
         match (events, &mut self.door) {
             (Some(events), _) => self.told_by_fleet(events),
-            (None, Some(door)) => door.answer(&mut self.reactor, key, Reply::NoDuties),
+            (None, Some(door)) => door.send_reply(&mut self.reactor, key, Reply::NoDuties),
             (None, None) => {}
         }
     }
@@ -637,7 +650,7 @@
         let Some(fleet) = &mut self.fleet else {
             return Reply::NoFleet;
         };
-        match fleet.forget(&mut self.reactor, name) {
+        match fleet.forget_member(&mut self.reactor, name) {
             Ok(events) => {
                 self.told_by_fleet(events);
                 Reply::Yes
@@ -664,14 +677,14 @@
     fn operator(&mut self, key: usize, reply: Reply) {
         let ban = self.bans.remove(&key).filter(|_| reply == Reply::Yes);
         if let (Some((worker, again)), Some(fleet)) = (ban, &mut self.fleet) {
-            let (told, events) = fleet.employ(&mut self.reactor, Some(key), &worker, again);
+            let (told, events) = fleet.set_suspended(&mut self.reactor, Some(key), &worker, again);
             self.told_by_fleet(events);
             if told {
                 return;
             }
         }
         if let Some(door) = &mut self.door {
-            door.answer(&mut self.reactor, key, reply);
+            door.send_reply(&mut self.reactor, key, reply);
         }
     }
 
@@ -691,30 +704,30 @@
                     self.list.set_cluster_position(place);
                 }
                 service::Event::Settled => {
-                    let workers = self.hub.banned();
+                    let workers = self.hub.suspended_workers();
                     let events = self
                         .fleet
                         .as_mut()
-                        .map(|fleet| fleet.adopt(&mut self.reactor, workers));
+                        .map(|fleet| fleet.adopt_suspended_workers(&mut self.reactor, workers));
                     self.told_by_fleet(events.unwrap_or_default());
                 }
                 service::Event::Write(changes) => {
                     let kept = self
                         .keeper
                         .as_mut()
-                        .is_some_and(|keeper| keeper.keep_council(&changes));
+                        .is_some_and(|keeper| keeper.write_coordination_records(&changes));
                     if !kept {
                         let events = self
                             .fleet
                             .as_mut()
-                            .map(|fleet| fleet.written(&mut self.reactor, false));
+                            .map(|fleet| fleet.handle_write_completed(&mut self.reactor, false));
                         self.told_by_fleet(events.unwrap_or_default());
                     }
                 }
                 service::Event::Give(to, _) => {
                     if let (Some(fleet), Some(body)) = (&mut self.fleet, self.list.body()) {
                         let generation = fleet.generation(self.list.discovery_address());
-                        fleet.give(&mut self.reactor, &to, generation, &body);
+                        fleet.send_worker_list(&mut self.reactor, &to, generation, &body);
                     }
                 }
                 service::Event::Passed(from, generation, body) => {
@@ -733,12 +746,12 @@
                 }
                 service::Event::Tell(key, status, words) => {
                     if let Some(door) = &mut self.door {
-                        door.tell(&mut self.reactor, key, status, &words);
+                        door.send_text(&mut self.reactor, key, status, &words);
                     }
                 }
                 service::Event::Held(key, at, of) => {
                     if let Some(door) = &mut self.door {
-                        door.answer(&mut self.reactor, key, Reply::Held(at, of));
+                        door.send_reply(&mut self.reactor, key, Reply::Held(at, of));
                     }
                 }
             }
@@ -747,10 +760,10 @@
 
     /// Drains the node, or goes on with a drain that another process of it has begun so long ago.
     fn drain(&mut self, link: Option<usize>, ago: f64) {
-        if !self.life.drained() {
+        if !self.life.is_draining() {
             tracing::info!("draining");
             self.reactor
-                .timer(self.reactor.now + DRAIN_LOOK, Timer::Drain);
+                .set_timer(self.reactor.now + DRAIN_LOOK, Timer::Drain);
             self.tell(
                 link,
                 &Message::StateUpdate(StateUpdate::Drain {
@@ -764,7 +777,7 @@
     }
 
     fn activate(&mut self) -> Reply {
-        if self.life.drained() {
+        if self.life.is_draining() {
             self.tell(
                 None,
                 &Message::StateUpdate(StateUpdate::Drain {
@@ -781,7 +794,7 @@
 
     fn tell(&mut self, except: Option<usize>, message: &Message) {
         if let Some(handover) = &mut self.handover {
-            handover.tell(&self.reactor, except, message);
+            handover.broadcast(&self.reactor, except, message);
         }
     }
 
@@ -791,7 +804,7 @@
         if self.life.stage() == Stage::Starting && !self.joins() && self.list.is_initialized() {
             self.life.start();
             if let Some(handover) = &mut self.handover {
-                handover.open(&mut self.reactor);
+                handover.accept_successors(&mut self.reactor);
                 tracing::info!("serving");
             }
             self.clients.set_accepting(&self.reactor, true);
@@ -805,7 +818,9 @@
 
     /// Whether an older process has still to tell what it holds.
     fn joins(&self) -> bool {
-        self.handover.as_ref().is_some_and(Handover::joining)
+        self.handover
+            .as_ref()
+            .is_some_and(Handover::is_waiting_for_snapshot)
     }
 
     /// Once told to stop: has another process of this node take over, if one can.
@@ -813,10 +828,10 @@
         let successor = self.handover.as_ref().and_then(Handover::successor);
         if self.life.stage() == Stage::Stopping && successor.is_some() {
             tracing::info!("handing over");
-            self.life.hand_over(true);
+            self.life.set_handing_over(true);
             self.clients.set_accepting(&self.reactor, false);
             if let Some(fleet) = &mut self.fleet {
-                fleet.yield_place(&self.reactor);
+                fleet.yield_socket(&self.reactor);
             }
             self.heed();
             self.tell(None, &Message::Leaves);
@@ -826,7 +841,9 @@
     /// Whether an older process of this node is still there. Danger: what it passes to one that has ended is lost,
     /// and nobody is left to tell it of its call-backs.
     fn follows(&self) -> bool {
-        self.handover.as_ref().is_some_and(Handover::follows)
+        self.handover
+            .as_ref()
+            .is_some_and(Handover::has_predecessor)
     }
 
     /// Gives connections to the process that takes over: those on which nothing is owed, and held jobs with theirs.
@@ -837,28 +854,28 @@
         let Some(to) = handover.successor() else {
             return;
         };
-        while handover.has_room(to) {
+        while handover.has_write_capacity(to) {
             let Some((stream, input, useful)) =
                 self.clients.release_quiet_connection(&self.reactor)
             else {
                 break;
             };
-            handover.pass(
+            handover.send_with_descriptor(
                 &self.reactor,
                 to,
                 &Message::Client { input, useful },
                 Some(stream.into()),
             );
         }
-        for client in self.hub.movable() {
-            if !handover.has_room(to) {
+        for client in self.hub.migratable_clients() {
+            if !handover.has_write_capacity(to) {
                 break;
             }
             // One that has just ended is told as left.
             if !self.clients.awaits_answer(client) {
                 continue;
             }
-            let Some(job) = self.hub.release(self.reactor.now, client) else {
+            let Some(job) = self.hub.release_request(self.reactor.now, client) else {
                 continue;
             };
             if let Some((stream, input, closes)) = self
@@ -866,7 +883,7 @@
                 .release_waiting_connection(&self.reactor, client)
             {
                 let message = Message::Job { job, input, closes };
-                handover.pass(&self.reactor, to, &message, Some(stream.into()));
+                handover.send_with_descriptor(&self.reactor, to, &message, Some(stream.into()));
             }
         }
         self.share();
@@ -882,7 +899,7 @@
         let left = self.room.sockets.saturating_sub(self.room.kept + others);
         let held = self.clients.connection_count() + self.attempts.connection_count();
         let leaves = self.life.stage() == Stage::HandingOver;
-        let replaced = handover.replaced();
+        let replaced = handover.has_successor();
         let share = match self.links.said {
             _ if !replaced => left,
             None => (left / 2).max(held),
@@ -894,7 +911,7 @@
         } else if self.links.said.is_none_or(|said| share + FEWER <= said) {
             self.links.said = Some(share);
             let all = u32::try_from(share + self.room.kept + others).unwrap_or(u32::MAX);
-            handover.tell_newer(&self.reactor, &Message::Holds(all));
+            handover.send_to_successors(&self.reactor, &Message::Holds(all));
         }
         if leaves {
             // Danger: with less room, a job that still comes on a connection of its would fail for want of it.
@@ -903,7 +920,7 @@
         let (clients, attempts, open) = self.room.of(share);
         self.clients.set_connection_limit(clients);
         self.attempts.set_connection_limit(attempts);
-        self.hub.limit(open);
+        self.hub.set_waiting_limit(open);
     }
 
     /// Takes in what has come of links to other processes of this node.
@@ -967,11 +984,11 @@
             }
         }
         self.hub
-            .link(self.handover.as_ref().is_some_and(Handover::linked));
+            .set_siblings_linked(self.handover.as_ref().is_some_and(Handover::has_links));
         let successor = self.handover.as_ref().and_then(Handover::successor);
         if self.life.stage() == Stage::HandingOver && successor.is_none() {
             tracing::warn!("the process that took over is gone");
-            self.life.hand_over(false);
+            self.life.set_handing_over(false);
             self.clients.set_accepting(&self.reactor, true);
             self.heed();
         }
@@ -982,7 +999,7 @@
     fn news(&mut self, link: usize, news: LinkEvent) {
         match news {
             LinkEvent::Greeted => {
-                self.hub.link(true);
+                self.hub.set_siblings_linked(true);
                 self.greeted(link);
             }
             LinkEvent::StateUpdate(StateUpdate::Drain { on: true, ago }) => {
@@ -1000,12 +1017,12 @@
                 let older = self
                     .handover
                     .as_ref()
-                    .is_some_and(|h| h.role(link) == Some(Role::Newer));
+                    .is_some_and(|h| h.role_of(link) == Some(Role::Newer));
                 let new = !older || self.links.told.contains(&link);
                 if let (StateUpdate::Use { worker, again }, Some(fleet), true) =
                     (&tale, &mut self.fleet, new)
                 {
-                    let (_, events) = fleet.employ(&mut self.reactor, None, worker, *again);
+                    let (_, events) = fleet.set_suspended(&mut self.reactor, None, worker, *again);
                     self.told_by_fleet(events);
                 }
                 self.reactor
@@ -1050,33 +1067,33 @@
         let Some(handover) = self
             .handover
             .as_mut()
-            .filter(|h| h.role(link) == Some(Role::Older))
+            .filter(|h| h.role_of(link) == Some(Role::Older))
         else {
             return;
         };
         let now = self.reactor.now;
-        let drain = self.life.drained_at().map(|at| StateUpdate::Drain {
+        let drain = self.life.draining_since().map(|at| StateUpdate::Drain {
             on: true,
             ago: (now - at) as f32,
         });
         let tales = drain
             .into_iter()
             .chain(self.list.snapshot().map(StateUpdate::List))
-            .chain(self.hub.tales(now));
+            .chain(self.hub.snapshot_updates(now));
         for tale in tales {
-            handover.say(&self.reactor, link, &Message::StateUpdate(tale));
+            handover.send(&self.reactor, link, &Message::StateUpdate(tale));
         }
         self.links.said = None;
         self.share();
         if let Some(handover) = &mut self.handover {
-            handover.told(&self.reactor, link);
+            handover.complete_snapshot(&self.reactor, link);
         }
         self.hand_over();
     }
 
     fn say(&mut self, link: usize, message: &Message) {
         if let Some(handover) = &mut self.handover {
-            handover.say(&self.reactor, link, message);
+            handover.send(&self.reactor, link, message);
         }
     }
 
@@ -1116,10 +1133,9 @@
     fn forward(&mut self, client: ClientId, call: messages::JobCall) {
         let except = self.links.origins.get(&client).map(|(link, _)| *link);
         let body = clients::wording(&call);
-        let asked = self
-            .handover
-            .as_mut()
-            .map_or(0, |h| h.forward(&self.reactor, except, client, &body));
+        let asked = self.handover.as_mut().map_or(0, |h| {
+            h.forward_callback(&self.reactor, except, client, &body)
+        });
         if asked == 0 {
             self.acknowledge(client, false);
         } else {
@@ -1206,10 +1222,12 @@
                     }
                     Command::ReadResult { client, id } => {
                         if let Some(keeper) = &mut self.keeper {
-                            keeper.fetch(client, &id);
+                            keeper.read_result(client, &id);
                         }
                     }
-                    Command::SetTimer { at, timer: due } => reactor.timer(at, Timer::Requests(due)),
+                    Command::SetTimer { at, timer: due } => {
+                        reactor.set_timer(at, Timer::Requests(due))
+                    }
                 }
             }
         }
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -54,18 +54,18 @@
     }
 
     /// Keeps jobs beyond this node's life from now on.
-    pub fn keep(&mut self, keeping: DurabilityPolicy) {
+    pub fn enable_durability(&mut self, keeping: DurabilityPolicy) {
         self.keeping = Some(keeping);
     }
 
     /// How many requests wait for their final answer or for the end of an attempt.
-    pub fn held(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.requests.len() + self.joiners.len()
     }
 
     /// Takes one piece of news that happens at `now` and adds what is to be done to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
-        self.take(now, input, out);
+        self.handle_input(now, input, out);
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.dispatcher.handle(now, &event, &mut actions);
@@ -90,7 +90,7 @@
         );
     }
 
-    pub(super) fn take(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
+    pub(super) fn handle_input(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::RequestReceived { client, submission } => {
                 self.arrived(now, client, submission, out)
@@ -292,12 +292,12 @@
     }
 
     /// How many clients may wait at a time.
-    pub fn limit(&mut self, most: usize) {
+    pub fn set_waiting_limit(&mut self, most: usize) {
         self.settings.max_open = most;
     }
 
     /// How many clients wait for their final answer.
-    pub fn owed(&self) -> usize {
+    pub fn waiting_client_count(&self) -> usize {
         self.by_client.len() + self.joiners.len()
     }
 
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -48,12 +48,12 @@
     }
 
     /// Whether other processes of this node are linked, which are to be told what changes from now on.
-    pub fn link(&mut self, linked: bool) {
+    pub fn set_siblings_linked(&mut self, linked: bool) {
         self.linked = linked;
     }
 
     /// All that another process of this node must know of what is so now; budgets count it as old.
-    pub fn tales(&self, now: f64) -> Vec<StateUpdate> {
+    pub fn snapshot_updates(&self, now: f64) -> Vec<StateUpdate> {
         let ago = |at: f64| (now - at) as f32;
         let banned = self.banned.iter();
         let mut tales: Vec<StateUpdate> = banned
@@ -101,7 +101,7 @@
 
     /// The clients whose requests can move to another process now: no attempt is on its way to its worker,
     /// and nothing of them is kept here.
-    pub fn movable(&self) -> Vec<ClientId> {
+    pub fn migratable_clients(&self) -> Vec<ClientId> {
         let moves = |t: &InFlightRequest| {
             t.asker.is_none()
                 && t.joined.is_empty()
@@ -112,7 +112,7 @@
     }
 
     /// Lets a client's request go: what another process needs to go on with it.
-    pub fn release(&mut self, now: f64, client: ClientId) -> Option<Vec<u8>> {
+    pub fn release_request(&mut self, now: f64, client: ClientId) -> Option<Vec<u8>> {
         let request = *self.by_client.get(&client)?;
         let carried = self.dispatcher.release(request)?;
         let t = self.requests.remove(&request)?;
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -30,7 +30,7 @@
 
 impl RequestManager {
     /// Workers that operators have taken out of use.
-    pub fn banned(&self) -> Vec<String> {
+    pub fn suspended_workers(&self) -> Vec<String> {
         self.banned
             .iter()
             .map(|&worker| self.names[worker].clone())
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -204,22 +204,22 @@
     }
 
     /// Whether a list or bans that were to be kept were refused since this was last asked: they are to be given again.
-    pub fn unkept(&mut self) -> bool {
+    pub fn has_failed_snapshots(&mut self) -> bool {
         std::mem::take(&mut self.unkept)
     }
 
     /// Keeps the list of workers.
-    pub fn keep_list(&mut self, list: &[u8]) {
+    pub fn save_worker_list(&mut self, list: &[u8]) {
         self.keep(LIST, list);
     }
 
     /// Keeps the fleet's bans.
-    pub fn keep_bans(&mut self, bans: &[u8]) {
+    pub fn save_suspensions(&mut self, bans: &[u8]) {
         self.keep(BANS, bans);
     }
 
     /// Writes what the council wants written: one batch at a time. `false` if it is refused at once.
-    pub fn keep_council(&mut self, changes: &[StorageChange]) -> bool {
+    pub fn write_coordination_records(&mut self, changes: &[StorageChange]) -> bool {
         let batch = changes
             .iter()
             .fold(Batch::new(), |batch, change| match &change.value {
@@ -247,14 +247,14 @@
     }
 
     /// Has the result of a job read.
-    pub fn fetch(&mut self, client: ClientId, id: &str) {
+    pub fn read_result(&mut self, client: ClientId, id: &str) {
         self.next_read += 1;
         self.reads.insert(self.next_read, client);
         self.store.read(self.next_read, result_key(id));
     }
 
     /// The store's thread has something to tell; what became of the council's write, if that is known by now.
-    pub fn ready(&mut self, reactor: &mut Reactor) -> Option<bool> {
+    pub fn handle_ready(&mut self, reactor: &mut Reactor) -> Option<bool> {
         let mut bytes = [0; 64];
         while self.woken.read(&mut bytes).is_ok_and(|size| size > 0) {}
         // What comes after this wakes again.
--- a/src/net/transport/connection.rs
+++ b/src/net/transport/connection.rs
@@ -126,24 +126,24 @@
     }
 
     /// Bytes that are still to be written.
-    pub fn owed(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
     /// There is no room for more input: a message that has not come whole by now never will.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.input.len() >= self.most
     }
 
     /// The peer has said its last word.
-    pub fn heard_all(&self) -> bool {
+    pub fn read_side_closed(&self) -> bool {
         matches!(self.state, State::HalfOpen | State::Ended)
     }
 
     /// What it waits for: to read, to write.
     pub fn interest(&self) -> (bool, bool) {
         let reads = match self.state {
-            State::Open => self.spills || !self.full(),
+            State::Open => self.spills || !self.is_full(),
             State::Closing => self.flushed(),
             _ => false,
         };
@@ -153,12 +153,12 @@
 
     /// Whether the peer's end is waited for while nothing is taken off the input: what there is no room for is dropped then.
     /// Danger: with reading off, a peer that has sent much and is gone would be waited for.
-    pub fn watch_end(&mut self, on: bool) {
+    pub fn set_discard_input(&mut self, on: bool) {
         self.spills = on;
     }
 
     /// Something was dropped for want of room: what the peer has sent is not whole.
-    pub fn spilled(&self) -> bool {
+    pub fn dropped_input(&self) -> bool {
         self.spilled
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Reads and writes what can be, and calls back.
-    pub fn ready(&mut self, readable: bool, writable: bool, owner: &mut impl Callbacks<S>) {
+    pub fn handle_ready(&mut self, readable: bool, writable: bool, owner: &mut impl Callbacks<S>) {
         if self.state == State::Dialing && (readable || writable) {
             if self.stream.connected().is_err() {
                 return self.end(owner);
@@ -224,7 +224,8 @@
         let mut chunk = [0; CHUNK];
         let before = self.input.len();
         let mut spilled = 0;
-        while matches!(self.state, State::Open | State::Closing) && (self.spills || !self.full()) {
+        while matches!(self.state, State::Open | State::Closing) && (self.spills || !self.is_full())
+        {
             match self.stream.read(&mut chunk) {
                 Ok(0) if self.state == State::Closing => return self.end(owner),
                 Ok(0) => {
@@ -240,7 +241,7 @@
                         return;
                     }
                 }
-                Ok(size) if !self.full() => self.input.extend_from_slice(&chunk[..size]),
+                Ok(size) if !self.is_full() => self.input.extend_from_slice(&chunk[..size]),
                 Ok(size) => {
                     self.spilled = true;
                     spilled += size;
--- a/src/net/transport/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -171,7 +171,7 @@
     }
 
     /// Lets a socket go, before it is closed.
-    pub fn forget(&self, source: impl Source) {
+    pub fn deregister(&self, source: impl Source) {
         let _ = self.poller.delete(source);
     }
 
@@ -198,12 +198,12 @@
     }
 
     /// The timers that are due now.
-    pub fn due(&mut self) -> Vec<Timer> {
+    pub fn expired_timers(&mut self) -> Vec<Timer> {
         self.wheel.advance(self.now)
     }
 
     /// Sets a timer.
-    pub fn timer(&mut self, at: f64, due: Timer) {
+    pub fn set_timer(&mut self, at: f64, due: Timer) {
         self.wheel.insert(at, due);
     }
 }
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -158,7 +158,7 @@
         session.round += 1;
         session.attempt = carries.id();
         self.by_attempt.extend(session.attempt.map(|id| (id, key)));
-        reactor.timer(until, Timer::Attempt(key, session.round));
+        reactor.set_timer(until, Timer::Attempt(key, session.round));
         session
             .exchange
             .begin(carries, outgoing, &mut session.connection, reactor);
@@ -255,7 +255,7 @@
                 round,
             },
         );
-        reactor.timer(reactor.now + self.dial_timeout, Timer::Dial(key));
+        reactor.set_timer(reactor.now + self.dial_timeout, Timer::Dial(key));
         Ok(key)
     }
 
@@ -332,7 +332,7 @@
         if idle && self.pool.add(session.exchange.worker(), key) {
             session.round += 1;
             session.since = reactor.now;
-            reactor.timer(
+            reactor.set_timer(
                 reactor.now + self.pool.keep(),
                 Timer::Attempt(key, session.round),
             );
@@ -343,7 +343,7 @@
         let Some(session) = self.sessions.remove(&key) else {
             return;
         };
-        reactor.forget(session.connection.stream());
+        reactor.deregister(session.connection.stream());
         session
             .attempt
             .map(|attempt| self.by_attempt.remove(&attempt));
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -163,7 +163,7 @@
             exchange: self,
             reactor,
         };
-        connection.ready(readable, writable, &mut caller);
+        connection.handle_ready(readable, writable, &mut caller);
         caller.tell_written(connection);
         if caller.exchange.is_whole(connection) && !caller.exchange.answerable {
             caller.read_early(connection);
@@ -228,7 +228,7 @@
 
     /// Reads what has arrived by the time at which the last byte was written: it was sent before the worker can have read the request.
     fn read_early<S: Stream>(&mut self, connection: &mut Connection<S>) {
-        connection.ready(true, false, self);
+        connection.handle_ready(true, false, self);
     }
 
     /// Tells the hub, once, that an attempt is written whole.
@@ -323,7 +323,7 @@
             // Bytes on an idle connection belong to nothing.
             return connection.abort();
         }
-        let heard_all = connection.heard_all();
+        let heard_all = connection.read_side_closed();
         match http::read_response(&connection.input, heard_all, http::MAX_BODY_BYTES) {
             Ok(Read::Whole(response, size)) => {
                 connection.consume(size);
@@ -336,7 +336,7 @@
                 }
             }
             // Danger: of one that is full no end would be seen, and its attempt be held to its last moment.
-            Ok(_) if !heard_all && !connection.full() => {}
+            Ok(_) if !heard_all && !connection.is_full() => {}
             Ok(_) | Err(_) => {
                 connection.abort();
                 self.ended(connection);
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -211,16 +211,16 @@
     }
 
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
-        match http::read_response(&connection.input, connection.heard_all(), MOST_LIST) {
+        match http::read_response(&connection.input, connection.read_side_closed(), MOST_LIST) {
             Ok(Read::Whole(response, size)) => {
                 connection.consume(size);
                 let list = (response.status == 200)
                     .then(|| List::from_json(&response.body).ok())
                     .flatten();
-                let keeps = response.keeps && !connection.heard_all();
+                let keeps = response.keeps && !connection.read_side_closed();
                 self.answer = Some(list.map(|list| (list, keeps)).ok_or(()));
             }
-            Ok(_) if !connection.heard_all() && !connection.full() => {}
+            Ok(_) if !connection.read_side_closed() && !connection.is_full() => {}
             Ok(_) | Err(_) => self.answer = Some(Err(())),
         }
     }
@@ -309,7 +309,7 @@
             None => Start::Over,
         };
         if let Start::Asked(until) = self.start {
-            reactor.timer(until, Timer::Discovery);
+            reactor.set_timer(until, Timer::Discovery);
         }
         // What is pushed counts from the first moment, and without a list there is nothing to lose.
         let spread = self.revision.is_some() && self.settings.list_on_request;
@@ -344,7 +344,7 @@
             .filter(|at| self.looks.is_none_or(|looks| *at < looks))
         {
             self.looks = Some(at);
-            reactor.timer(at, Timer::Discovery);
+            reactor.set_timer(at, Timer::Discovery);
         }
     }
 
@@ -393,7 +393,7 @@
                 let Ok(session) = dialed else {
                     return self.unreachable(reactor, call.id);
                 };
-                reactor.timer(
+                reactor.set_timer(
                     reactor.now + self.dial_timeout,
                     Timer::DiscoveryDial(call.id),
                 );
@@ -420,7 +420,9 @@
             return;
         };
         let mut caller = Caller::default();
-        session.connection.ready(readable, writable, &mut caller);
+        session
+            .connection
+            .handle_ready(readable, writable, &mut caller);
         self.after(reactor, key, caller);
     }
 
@@ -613,7 +615,7 @@
 
     fn drop_session(&mut self, reactor: &mut Reactor, which: impl Fn(&Session) -> bool) {
         for session in self.sessions.extract_if(.., |session| which(session)) {
-            reactor.forget(session.connection.stream());
+            reactor.deregister(session.connection.stream());
         }
     }
 }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -53,7 +53,7 @@
     /// Lets the time come.
     fn at(&mut self, now: f64) {
         self.reactor.now = now;
-        for due in self.reactor.due() {
+        for due in self.reactor.expired_timers() {
             match due {
                 Timer::Client(key, round) => {
                     self.clients.handle_timer(&mut self.reactor, key, round)
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -89,7 +89,7 @@
 
     fn received(&mut self, connection: &mut Connection<End>) {
         assert!(
-            !connection.input.is_empty() || connection.heard_all(),
+            !connection.input.is_empty() || connection.read_side_closed(),
             "called for nothing"
         );
     }
@@ -169,7 +169,7 @@
         if !(reads && readable || writes && writable) || connection.state() == State::Dialing {
             return;
         }
-        connection.ready(reads && readable, writes && writable, owner);
+        connection.handle_ready(reads && readable, writes && writable, owner);
     }
     panic!("it goes on for ever");
 }
@@ -201,7 +201,7 @@
         }
         match step % 12 {
             7 if model.state == State::Dialing => {
-                connection.ready(false, true, &mut owner);
+                connection.handle_ready(false, true, &mut owner);
                 if shadow.refused {
                     model.end();
                 } else {
@@ -268,7 +268,7 @@
     connection.close(&mut owner);
     let total = MOST_DROPPED + 10 * PIECE;
     wire.borrow_mut().came = total;
-    connection.ready(true, false, &mut owner);
+    connection.handle_ready(true, false, &mut owner);
     assert_eq!((connection.state(), owner.ended), (State::Ended, 1));
     assert!(
         total - wire.borrow().came <= MOST_DROPPED + PIECE,
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -19,14 +19,14 @@
 fn turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
     let mut events = Vec::new();
     // The loop is asked, and does not wait.
-    reactor.timer(reactor.now, Timer::Accept);
+    reactor.set_timer(reactor.now, Timer::Accept);
     reactor.wait(&mut events, f64::MAX).expect("a poller");
     let of_link = events
         .iter()
         .filter(|event| owner(event.key) == Owner::Handover);
     of_link
         .map(|event| (event.key, event.readable))
-        .map(|(key, read)| handover.ready(reactor, key, read))
+        .map(|(key, read)| handover.handle_ready(reactor, key, read))
         .collect()
 }
 
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -46,7 +46,7 @@
             .for_each(|(key, value)| _ = ledger.load(key, value));
         let nothing_ran = ledger.loaded();
         let mut hub = RequestManager::new(settings.clone(), 7).expect("a hub");
-        hub.keep(DurabilityPolicy::new(&settings, ledger, 0.5, false));
+        hub.enable_durability(DurabilityPolicy::new(&settings, ledger, 0.5, false));
         let mut bed = Self {
             hub,
             now,
@@ -290,7 +290,7 @@
         [(6, Answer::Held)],
         "409: the key came with another request"
     );
-    assert_eq!(bed.hub.held(), 0);
+    assert_eq!(bed.hub.pending_count(), 0);
 }
 
 /// Guards against sending again what was sent in an earlier life, and against refusing it: that would promise
@@ -377,7 +377,7 @@
     let commands = bed.call("job", &worker, JobState::Done(b"x".to_vec()));
     assert_eq!(answers(&commands), [(2, served("x"))]);
     bed.sync(true);
-    assert_eq!(bed.hub.held(), 0);
+    assert_eq!(bed.hub.pending_count(), 0);
     let same_id = bed.submit(4, "job", None, RENDER, "body");
     assert!(
         started(&same_id).is_some(),
@@ -393,7 +393,7 @@
     let commands = bed.sync(false);
     assert_eq!(answers(&commands), [(1, Answer::Unavailable(1.0))]);
     assert!(started(&commands).is_none());
-    assert_eq!(bed.hub.held(), 0, "it is forgotten");
+    assert_eq!(bed.hub.pending_count(), 0, "it is forgotten");
     bed.tell(Input::StoreHealthChanged { writable: false });
     assert_eq!(
         answers(&bed.submit(2, "next", None, COMMIT, "")),
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -303,7 +303,7 @@
     ] {
         let (mut reactor, mut clients) = accepted_behind_the_end(way);
         // What did not fit into one read comes with the next ones; nothing of the queue has been taken meanwhile.
-        reactor.timer(1000.0, Timer::Accept);
+        reactor.set_timer(1000.0, Timer::Accept);
         let (start, mut events) = (Instant::now(), Vec::new());
         while clients.connection_count() > 0 {
             assert!(start.elapsed() < LIMIT, "{way:?}: its end is not seen");
@@ -364,7 +364,7 @@
             .adopt_waiting_connection(&mut reactor, stream, Vec::new(), false)
             .expect("it is taken in");
         let (start, mut events) = (Instant::now(), Vec::new());
-        reactor.timer(1000.0, Timer::Accept);
+        reactor.set_timer(1000.0, Timer::Accept);
         // What does not fit into the first read comes with the next ones.
         while clients.awaits_answer(client) != waits {
             assert!(
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -9,14 +9,19 @@
 fn a_drain_lets_idle_connections_go_over_time() {
     let mut life = Lifecycle::default();
     life.start();
-    assert_eq!(life.idle(10.0), None);
+    assert_eq!(life.max_idle_time(10.0), None);
     life.drain(10.0);
-    let at = |after: f64| life.idle(10.0 + after);
+    let at = |after: f64| life.max_idle_time(10.0 + after);
     assert!(at(0.0).is_none() && at(0.49).is_none());
     assert!(at(0.51).is_some_and(|idle| idle > 1.5));
     assert!(at(1.2) < at(0.9) && at(1.7) > Some(0.0));
     assert!((19..100).all(|tenth| at(f64::from(tenth) / 10.0) == Some(0.0)));
-    assert!(life.activate() && life.idle(11.0).is_none() && life.wants() && !life.closes());
+    assert!(
+        life.activate()
+            && life.max_idle_time(11.0).is_none()
+            && life.wants_connections()
+            && !life.closes_after_answer()
+    );
 }
 
 /// Guards against a stage that contradicts what was told, whatever the order: a model of four facts against
@@ -43,7 +48,7 @@
                     model.1 &= !can;
                 }
                 3 => {
-                    life.hand_over(now % 2 == 0);
+                    life.set_handing_over(now % 2 == 0);
                     model.3 = now % 2 == 0;
                 }
                 _ => {
@@ -55,10 +60,11 @@
             }
             let (started, drained, stopped, handing) = model;
             let serves = started && !stopped;
-            let held = life.serves() == serves
-                && life.wants() == ((serves || stopped && handing) && !drained)
-                && life.closes() == (stopped && !handing || !stopped && started && drained)
-                && life.drained() == drained;
+            let held = life.is_serving() == serves
+                && life.wants_connections() == ((serves || stopped && handing) && !drained)
+                && life.closes_after_answer()
+                    == (stopped && !handing || !stopped && started && drained)
+                && life.is_draining() == drained;
             if !held {
                 return false;
             }
--- a/tests/transaction.rs
+++ b/tests/transaction.rs
@@ -175,7 +175,7 @@
             .is_empty()
     );
     assert!(bed.call("a", &from, JobState::Lost).is_empty());
-    assert_eq!(bed.hub.held(), 0);
+    assert_eq!(bed.hub.pending_count(), 0);
     assert!(
         bed.play(1010.0).is_empty(),
         "no timer of the past may answer again"
@@ -200,7 +200,7 @@
         })
         .is_empty()
     );
-    assert_eq!(bed.hub.held(), 0);
+    assert_eq!(bed.hub.pending_count(), 0);
 }
 
 /// Guards against taking a repeated call for news of the next attempt at the same worker.
@@ -249,7 +249,7 @@
         after.extend(bed.play(1006.0));
         assert_eq!(start(&after).is_some(), again, "{end:?}");
         assert_eq!(answers(&after), [&Answer::Failed], "{end:?}");
-        assert_eq!(bed.hub.held(), 0);
+        assert_eq!(bed.hub.pending_count(), 0);
     }
 }
 
@@ -306,7 +306,7 @@
             matches!(left[..], [Command::CancelAttempt { attempt: p, accepted: t, .. }] if (p, t) == (attempt, taken)),
             "{left:?}"
         );
-        assert_eq!(bed.hub.held(), 0);
+        assert_eq!(bed.hub.pending_count(), 0);
         assert!(bed.play(1010.0).is_empty());
     }
 }
@@ -321,7 +321,7 @@
         matches!(answers(&all)[..], [Answer::Unavailable(after)] if *after > 0.0),
         "{all:?}"
     );
-    assert_eq!(bed.hub.held(), 0);
+    assert_eq!(bed.hub.pending_count(), 0);
 }
 
 /// Guards against an attempt without end: a time-out of 0 is the client's deadline, and is followed by
@@ -337,7 +337,7 @@
             .any(|c| matches!(c, Command::CancelAttempt { accepted: true, .. })),
         "{all:?}"
     );
-    assert_eq!(bed.hub.held(), 0);
+    assert_eq!(bed.hub.pending_count(), 0);
 }
 
 /// Guards against two transactions of one id, whose call-backs could not be told apart.
@@ -357,7 +357,7 @@
         },
     });
     assert_eq!(answers(&twice), [&Answer::Held]);
-    assert_eq!(bed.hub.held(), 1);
+    assert_eq!(bed.hub.pending_count(), 1);
 }
 
 /// Guards against more transactions than the settings allow; the first ones stay untouched.
@@ -394,7 +394,7 @@
         )),
         "{out:?}"
     );
-    assert_eq!((answers(&out).len(), hub.held()), (1, 1));
+    assert_eq!((answers(&out).len(), hub.pending_count()), (1, 1));
 }
 
 /// Guards against load figures that are taken for others, and against an absent one that reads as 0.
@@ -553,7 +553,7 @@
                 .is_empty()
             );
             assert!(
-                start(&bed.play(1010.0)).is_none() && bed.hub.held() == 0,
+                start(&bed.play(1010.0)).is_none() && bed.hub.pending_count() == 0,
                 "cancel {cancel}"
             );
             let (sent, from) = bed.accepted("b", class);
@@ -568,7 +568,7 @@
                 "no further attempt"
             );
             assert!(
-                start(&bed.play(1020.0)).is_none() && bed.hub.held() == 0,
+                start(&bed.play(1020.0)).is_none() && bed.hub.pending_count() == 0,
                 "cancel {cancel}"
             );
         }
@@ -647,7 +647,7 @@
     for (client, goes_on) in [(Some(9), true), (None, false)] {
         let (mut old, mut new) = (Bed::new(2), Bed::new(2));
         let (_, from) = old.accepted("a", 0);
-        let job = old.hub.release(old.now, 1).expect("it can move");
+        let job = old.hub.release_request(old.now, 1).expect("it can move");
         let out = new.tell(Input::RequestMigrated {
             link: 1,
             client,
@@ -659,7 +659,7 @@
         assert_eq!((given_up, start(&out)), (!goes_on, None), "{out:?}");
         let again = start(&new.call("a", &from, JobState::Lost));
         assert_eq!(again.is_some(), goes_on);
-        assert_eq!(new.hub.held(), usize::from(goes_on));
+        assert_eq!(new.hub.pending_count(), usize::from(goes_on));
     }
 }
 
@@ -762,10 +762,10 @@
 fn a_job_moves_only_when_its_attempts_are_decided() {
     let mut bed = Bed::new(2);
     let (attempt, _) = start(&bed.submit("a", 1)).expect("an attempt");
-    assert!(bed.hub.movable().is_empty(), "it is dialled for");
+    assert!(bed.hub.migratable_clients().is_empty(), "it is dialled for");
     bed.tell(Input::AttemptWritten { attempt });
     assert!(
-        bed.hub.movable().is_empty(),
+        bed.hub.migratable_clients().is_empty(),
         "it is written, and nobody knows whether it was taken"
     );
     bed.tell(Input::ExchangeEnded {
@@ -773,5 +773,5 @@
         end: AttemptEnd::Accepted,
         load: Load::new(),
     });
-    assert_eq!(bed.hub.movable(), [1], "it was taken");
+    assert_eq!(bed.hub.migratable_clients(), [1], "it was taken");
 }
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -108,7 +108,7 @@
     fn at(&mut self, now: f64) {
         while self.reactor.now < now {
             self.reactor.now = (self.reactor.now + 0.002).min(now);
-            for due in self.reactor.due() {
+            for due in self.reactor.expired_timers() {
                 match due {
                     Timer::Discovery => self.list.handle_timer(&mut self.reactor),
                     Timer::DiscoveryDial(call) => {
