--- /dev/null
+++ b/crates/replicated-log/tests/surface_errors.rs
@@ -0,0 +1,36 @@
+//! Pins the messages of this crate's errors, which the log shows. They must not change with a name in the code.
+
+use postproxy_replicated_log::{CorruptLog, ProposalRejected};
+
+#[test]
+fn every_reason_not_to_propose_has_its_message() {
+    let cases = [
+        (ProposalRejected::Long, "it is too long"),
+        (
+            ProposalRejected::Busy,
+            "too much waits for the disk or to be decided",
+        ),
+        (ProposalRejected::Leaderless, "no voter leads"),
+        (ProposalRejected::Elsewhere(3), "voter 3 leads"),
+        (
+            ProposalRejected::Changing,
+            "another change of the voters is not decided yet",
+        ),
+        (ProposalRejected::Count, "two to seven nodes vote"),
+        (
+            ProposalRejected::Ended,
+            "the log of this process is at its end",
+        ),
+    ];
+    for (refused, message) in cases {
+        assert_eq!(refused.to_string(), message);
+    }
+}
+
+#[test]
+fn a_damaged_log_says_what_is_wrong() {
+    assert_eq!(
+        CorruptLog("a gap at 7".into()).to_string(),
+        "the log of the voters: a gap at 7"
+    );
+}
