--- a/crates/version-tracking/src/auditor.rs
+++ b/crates/version-tracking/src/auditor.rs
@@ -37,7 +37,8 @@
     /// It does not, and is told by the others.
     Behind,
     /// It is shut out.
-    Output,
+    #[serde(rename = "out")]
+    Excluded,
     /// It has caught up, and is waited for a while.
     CatchingUp,
 }
@@ -128,7 +129,7 @@
             .out
             .get(node)
             .is_some_and(|lines| lines.iter().any(|(of, _)| *of == kind));
-        let state = if out { State::Output } else { State::Current };
+        let state = if out { State::Excluded } else { State::Current };
         let seen = self
             .seen
             .entry((node.to_owned(), kind))
@@ -203,12 +204,12 @@
                     due.entry(line).or_default().push(node.clone());
                     continue;
                 }
-                State::Output if caught_up => {
+                State::Excluded if caught_up => {
                     (State::CatchingUp, format!("it holds {}", seen.stand.number))
                 }
                 // One that falters again while it is waited for begins anew.
                 State::CatchingUp if !caught_up => (
-                    State::Output,
+                    State::Excluded,
                     format!("it holds {} again", seen.stand.number),
                 ),
                 State::CatchingUp if now >= seen.since + (self.limits.back_ms << times) => {
@@ -303,12 +304,12 @@
                 .insert(line);
             *self.ruling.times.entry(node.clone()).or_default() += 1;
             if let Some(seen) = self.seen.get_mut(&(node.clone(), line.0)) {
-                (seen.state, seen.since) = (State::Output, now);
+                (seen.state, seen.since) = (State::Excluded, now);
             }
             verdicts.push(AuditorEvent::Changed(
                 node,
                 line,
-                State::Output,
+                State::Excluded,
                 format!("it is below the floor {number}"),
             ));
         }
--- a/crates/version-tracking/tests/auditor.rs
+++ b/crates/version-tracking/tests/auditor.rs
@@ -76,7 +76,7 @@
         "not before its grace is over"
     );
     fleet.run(3000);
-    assert_eq!(fleet.state(4), Some(State::Output));
+    assert_eq!(fleet.state(4), Some(State::Excluded));
     assert_eq!(fleet.auditor.ruling().floors.get(&LINE), Some(&2));
     let waits = |fleet: &mut Fleet| {
         fleet.numbers[4] = *fleet.numbers.iter().max().expect("a number");
@@ -91,7 +91,7 @@
     assert!(fleet.auditor.ruling().out.is_empty());
     fleet.numbers = vec![3, 3, 3, 3, 2];
     fleet.run(6000);
-    assert_eq!(fleet.state(4), Some(State::Output));
+    assert_eq!(fleet.state(4), Some(State::Excluded));
     let second = waits(&mut fleet);
     assert!(
         first < 1300 && second > first + 900,
@@ -103,7 +103,7 @@
     let mut next = Auditor::new(Limits::default(), fleet.auditor.ruling().clone());
     next.members(members(5));
     next.heard(fleet.now, "n4", Kind::List, stand(3));
-    assert_eq!(next.state("n4", Kind::List), Some(State::Output));
+    assert_eq!(next.state("n4", Kind::List), Some(State::Excluded));
 }
 
 /// *If shutting out would leave no majority, or most can't adopt a version, it is the version that is at fault*: nobody is shut out until an
@@ -182,12 +182,12 @@
             floor = now;
         }
         let early = fleet.verdicts.windows(2).any(|two| matches!(&two[0], AuditorEvent::Changed(_, _, State::Current, _)
-            if matches!(&two[1], AuditorEvent::Changed(node, _, State::Output, _) if matches!(&two[0], AuditorEvent::Changed(of, ..) if of == node))));
+            if matches!(&two[1], AuditorEvent::Changed(node, _, State::Excluded, _) if matches!(&two[0], AuditorEvent::Changed(of, ..) if of == node))));
         assert!(!early, "seed {seed}: out without having been behind");
         outs += fleet
             .verdicts
             .iter()
-            .filter(|v| matches!(v, AuditorEvent::Changed(_, _, State::Output, _)))
+            .filter(|v| matches!(v, AuditorEvent::Changed(_, _, State::Excluded, _)))
             .count();
         fleet.numbers = vec![newest; count];
         fleet.run(40_000);
--- a/crates/version-tracking/tests/surface_json.rs
+++ b/crates/version-tracking/tests/surface_json.rs
@@ -78,7 +78,7 @@
 fn each_state_of_a_node_has_this_json() {
     pinned(&State::Current, r#""current""#);
     pinned(&State::Behind, r#""behind""#);
-    pinned(&State::Output, r#""out""#);
+    pinned(&State::Excluded, r#""out""#);
     pinned(&State::CatchingUp, r#""catchingup""#);
 }
 
