--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -11,6 +11,8 @@
 mod error;
 mod message;
 mod replica;
+#[cfg(test)]
+mod tests;
 
 pub use coordinator::{
     Coordinator, Event, LeaseStatus, MAX_QUEUED_CALLS, Output, ReplicaStatus, Settings, Status,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -8,6 +8,6 @@
 pub mod dispatcher;
 pub mod interface;
 pub mod random;
-mod request;
+pub(crate) mod request;
 pub mod settings;
 mod state;
