--- /dev/null
+++ b/src/decision/admission.rs
@@ -0,0 +1,241 @@
+//! Admission of requests, how long they are held, and their final answers.
+
+use super::budgets::affordable;
+use super::dispatcher::{Dispatcher, MAX_REQUEST_ID, TimerKind};
+use super::estimates::smooth;
+use super::interface::{Action, Effect, NewRequest, RequestId, sound};
+use super::parameters::{
+    ANSWER_LEAD_TICKS, HEDGE_SPENDING, HEDGES_PER_REQUEST, HOLD_INTERVAL, LATE_HOLD_FACTOR,
+    MAX_SAVED_BUDGET, MIN_RUN_TIME, PROBE_SPENDING, PROBES_PER_REQUEST, SHORT_BUDGET_SHARE,
+};
+use super::request::Request;
+
+impl Dispatcher {
+    /// Admits a request and places it. A request of an unknown class fails.
+    pub(super) fn admit_request(&mut self, new: &NewRequest) {
+        let id = new.request;
+        if self.requests.contains_key(&id) || id >= MAX_REQUEST_ID {
+            return;
+        }
+        let class_index = new.class as usize;
+        let Some(class) = self.settings.classes.get(class_index) else {
+            return self.actions.push(Action::Fail { request: id });
+        };
+        let budget = positive(new.budget).unwrap_or(0.0).min(class.deadline);
+        let first_submitted = self.first_submission(new, budget);
+        let hint = new.hint.and_then(positive);
+        let expected_work = self.estimates.run_time_by_class[class_index];
+        let lead = (ANSWER_LEAD_TICKS * self.settings.tick).min(budget / 2.0);
+        let deadline = self.now + budget - lead;
+        let has_subject = new.key != 0 && self.settings.fetch_price > 0.0;
+        let request = Request {
+            class: class_index,
+            subject: has_subject.then_some(new.key),
+            without_key: new.keyless,
+            slots: positive(new.slots).unwrap_or(1.0),
+            memory: sound(new.memory).unwrap_or(0.0),
+            work: hint.unwrap_or(expected_work),
+            min_run_time: MIN_RUN_TIME * hint.unwrap_or(0.0),
+            first_submitted,
+            deadline,
+            ..Request::default()
+        };
+        self.requests.insert(id, request);
+        self.earn_budgets();
+        let token = TimerKind::Deadline.token(id);
+        self.actions.push(Action::Timer {
+            at: deadline,
+            token,
+        });
+        self.place_request(id);
+    }
+
+    /// Returns when the client submitted a request first, judged by the time until it gives up.
+    ///
+    /// A client's retry has less time left than its first request, but so has the first request of
+    /// a client with less patience, which must not be given up as late at once. Where clients mark
+    /// their retries the two are told apart.
+    fn first_submission(&mut self, new: &NewRequest, budget: f64) -> f64 {
+        let class = new.class as usize;
+        let longest = &mut self.estimates.longest_budget_by_class[class];
+        *longest = longest.max(budget);
+        let spent = *longest - budget;
+        let short_share = &mut self.estimates.short_budget_share_by_class[class];
+        let is_marked_first = self.settings.marks_retry && !new.repeat;
+        if is_marked_first {
+            let is_short = spent > SHORT_BUDGET_SHARE * budget;
+            smooth(short_share, f64::from(u8::from(is_short)));
+        }
+        if is_marked_first || *short_share > SHORT_BUDGET_SHARE {
+            self.now
+        } else {
+            self.now - spent
+        }
+    }
+
+    /// Adds what one admitted request brings to the budgets of probes and hedged requests.
+    fn earn_budgets(&mut self) {
+        let probes = affordable(
+            PROBES_PER_REQUEST,
+            PROBE_SPENDING,
+            self.settings.probe_price,
+        );
+        let hedges = affordable(
+            HEDGES_PER_REQUEST,
+            HEDGE_SPENDING,
+            self.settings.waste_price,
+        );
+        let budgets = &mut self.budgets;
+        budgets.admitted.push(self.now);
+        budgets.hedges = (budgets.hedges + hedges).min(MAX_SAVED_BUDGET);
+        let max_probes = MAX_SAVED_BUDGET * probes.max(1.0);
+        budgets.probes = (budgets.probes + probes).min(max_probes);
+    }
+
+    /// Returns the time until the latency objective is missed, in seconds. Half of what the job's
+    /// work adds to the objective is kept for slow workers and inaccurate hints.
+    pub(super) fn time_to_objective(&self, request: &Request) -> f64 {
+        let class = &self.settings.classes[request.class];
+        let extra = 0.5 * (class.stretch - 1.0).max(0.0) * request.work;
+        request.first_submitted + class.aim + extra - self.now
+    }
+
+    /// Returns until when an attempt is permitted and can still help. A request without any attempt
+    /// in flight then gets its final answer at once: held up to its deadline it would keep its
+    /// client from retrying.
+    pub(super) fn last_useful_send(&self, request: &Request) -> f64 {
+        let class = &self.settings.classes[request.class];
+        let objective = request.first_submitted + class.aim + class.stretch * request.work;
+        let answer_due = if class.late_worth > 0.0 {
+            request.deadline
+        } else {
+            objective.min(request.deadline)
+        };
+        let end = answer_due - request.min_run_time;
+        if request.attempts.len() >= self.settings.max_attempts as usize {
+            return f64::NEG_INFINITY;
+        }
+        match class.effect_of(request.without_key) {
+            Effect::Safe => end,
+            Effect::Unsafe if request.may_have_run() => f64::NEG_INFINITY,
+            Effect::Unsafe => end,
+            Effect::Keyed => request
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.may_have_run())
+                .map(|attempt| self.window_end(class, attempt))
+                .fold(end, f64::min),
+        }
+    }
+
+    /// Returns the longest queue that a request joins, as the wait for a slot in seconds.
+    ///
+    /// No request joins a queue in which it would be late: under overload all would wait, and all
+    /// would be late. The less a request is worth for its work, the shorter its queue. For a late
+    /// one the worth after the objective counts twice, for what it earns and for whom it delays.
+    /// Where a full queue would be the end of a request, it joins none once it is late.
+    pub(super) fn queue_limit(&self, request: &Request) -> f64 {
+        let class = &self.settings.classes[request.class];
+        let is_last_try = self.settings.full_proves_nothing
+            && class.effect_of(request.without_key) == Effect::Unsafe;
+        let late_limit = if is_last_try {
+            0.0
+        } else {
+            class.late_worth.powi(2) * (request.deadline - self.now)
+        };
+        self.time_to_objective(request).max(late_limit) * self.relative_worth(request)
+    }
+
+    /// Returns the worth of a request for each unit of its work, relative to the class with the
+    /// highest.
+    fn relative_worth(&self, request: &Request) -> f64 {
+        let work = |class: usize| {
+            if self.settings.worth_by_work {
+                1.0
+            } else {
+                self.estimates.run_time_by_class[class]
+            }
+        };
+        let worth = |class: usize| self.settings.classes[class].worth / work(class);
+        let highest = (0..self.settings.classes.len())
+            .map(worth)
+            .fold(0.0, f64::max);
+        if highest > 0.0 {
+            worth(request.class) / highest
+        } else {
+            1.0
+        }
+    }
+
+    /// Holds a request, and looks for free capacity again after a while.
+    pub(super) fn hold_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.probe_rounds = 0;
+        let request = &self.requests[&id];
+        let interval = HOLD_INTERVAL * self.settings.classes[request.class].aim;
+        let is_in_time = self.time_to_objective(request) > 0.0;
+        let is_hedge = request.in_flight() > 0;
+        let delay = if is_in_time && !is_hedge {
+            interval
+        } else {
+            LATE_HOLD_FACTOR * interval
+        };
+        self.schedule_review(delay, id);
+    }
+
+    /// Gives the final answer if the request's deadline has been reached.
+    pub(super) fn answer_if_deadline_reached(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if !request.streaming && self.is_deadline_reached(request) {
+            self.give_final_answer(id);
+        }
+    }
+
+    /// Gives the final answer if no attempt is in flight, or if the deadline has been reached.
+    pub(super) fn answer_if_nothing_in_flight(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let is_due = request.in_flight() == 0 || self.is_deadline_reached(request);
+        if !request.streaming && is_due {
+            self.give_final_answer(id);
+        }
+    }
+
+    fn is_deadline_reached(&self, request: &Request) -> bool {
+        self.now + self.settings.tick >= request.deadline
+    }
+
+    /// Rejects a request if retrying it is harmless, and fails it otherwise.
+    fn give_final_answer(&mut self, id: RequestId) {
+        let request = &self.requests[&id];
+        let class = &self.settings.classes[request.class];
+        let is_harmless = !request.may_have_run() || class.repeats_anywhere(request.without_key);
+        let answer = if is_harmless {
+            let retry_after = self.settings.max_retry_after.min(class.aim);
+            Action::Refuse {
+                request: id,
+                retry_after,
+            }
+        } else {
+            Action::Fail { request: id }
+        };
+        self.actions.push(answer);
+        self.forget_request(id);
+    }
+
+    /// Forgets a request that needs no answer any more, and cancels its attempts in flight.
+    pub(super) fn forget_request(&mut self, id: RequestId) {
+        self.cancel_attempts(id, |_| true);
+        self.requests.remove(&id);
+    }
+}
+
+/// Returns the figure if it is finite and above zero.
+fn positive(figure: f64) -> Option<f64> {
+    sound(figure).filter(|figure| *figure > 0.0)
+}
--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -1,5 +1,5 @@
-//! Which workers are preferred for a subject: rendezvous hashing, so that dispatchers that share nothing prefer the same ones, and a
-//! worker that comes or goes moves no subject but its own.
+//! Which workers are preferred for a subject: rendezvous hashing, so that dispatchers that share
+//! nothing prefer the same ones, and a worker that comes or goes moves no subject but its own.
 
 /// A name as a number, the same on every machine: 64-bit FNV-1a.
 pub fn number_of(name: &[u8]) -> u64 {
@@ -10,7 +10,8 @@
     })
 }
 
-/// How much this worker is preferred for this subject: of all workers, the one with the highest score is its home.
+/// How much this worker is preferred for this subject: of all workers, the one with the highest
+/// score is its home.
 pub fn score(subject: u64, worker: u64) -> u64 {
     mix(subject ^ mix(worker))
 }
--- /dev/null
+++ b/src/decision/attempts.rs
@@ -0,0 +1,315 @@
+//! Attempts: sending them, reviewing silent ones, hedged requests, and what their ends mean for the
+//! request.
+
+use super::dispatcher::{Dispatcher, TimerKind};
+use super::estimates::smooth;
+use super::interface::{Action, Effect, Note, Outcome, Reports, RequestId};
+use super::parameters::{
+    HEDGE_DELAY, MAX_RUN_TIME, REJECTED_ACCEPTANCE, SILENCE_INTERVALS, SMOOTHING,
+};
+use super::request::{Attempt, AttemptState, Request};
+use super::workers::{Acceptance, OwnAttempt, WorkerIndex};
+
+/// Attempts of one request that may be in flight at a time.
+const MAX_IN_FLIGHT: usize = 2;
+
+impl Dispatcher {
+    /// Sends an attempt of a request to a worker, if every rule permits it.
+    pub(super) fn send_attempt(&mut self, id: RequestId, index: WorkerIndex) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if !self.may_send(request, index) {
+            return;
+        }
+        let capacity_promised = self.has_free_capacity(&self.workers.all[index], request);
+        let silence_limit = self.silence_limit(request, JobPhase::Waiting);
+        if request.in_flight() > 0 {
+            self.budgets.hedges -= 1.0;
+        }
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let number = request.attempts.len() as u16;
+        let worker = &mut self.workers.all[index];
+        worker.request_due_at = None;
+        worker.own.push(OwnAttempt {
+            key: (id, number),
+            need: request.slots,
+            work: request.work,
+            sent: self.now,
+            until: None,
+        });
+        worker.record_sent_work(self.now, request.work, self.settings.tip_after);
+        if number > 0 {
+            self.budgets.retries.push(self.now);
+        }
+        let attempt = Attempt::new(index, &worker.entry, self.now, capacity_promised);
+        request.attempts.push(attempt);
+        request.probe_rounds = 0;
+        self.actions.push(Action::Send {
+            request: id,
+            worker: worker.entry.worker,
+            timeout: 0.0,
+        });
+        self.schedule_review(silence_limit, id);
+    }
+
+    /// Schedules a review of a request after a delay. An earlier review that is still to come
+    /// stays.
+    pub(super) fn schedule_review(&mut self, delay: f64, id: RequestId) {
+        let mut at = self.jittered(delay);
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if request.in_flight() == 0 {
+            let earliest = self.now + self.settings.tick;
+            at = at.min(self.last_useful_send(request)).max(earliest);
+        }
+        let is_earlier = request.review_at <= self.now || at < request.review_at;
+        if !is_earlier {
+            return;
+        }
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.review_at = at;
+            let token = TimerKind::Review.token(id);
+            self.actions.push(Action::Timer { at, token });
+        }
+    }
+
+    /// Reviews a request that waits for probes, for a worker, or for an attempt that has been
+    /// silent.
+    pub(super) fn review_request(&mut self, id: RequestId) {
+        let soon = self.now + self.settings.tick / 2.0;
+        let now = self.now;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if soon < request.review_at || request.streaming {
+            return;
+        }
+        request.review_at = 0.0;
+        if !request.probed.is_empty() && soon < request.probes_until {
+            let wait = request.probes_until - now;
+            return self.schedule_review(wait, id);
+        }
+        request.probed.clear();
+        match request.attempts.iter().rposition(Attempt::is_in_flight) {
+            Some(last) => self.review_attempt(id, last),
+            None => self.place_request(id),
+        }
+    }
+
+    /// Reviews the last attempt in flight: a silent one is hedged where that is permitted, and the
+    /// worker of one that hangs is ejected.
+    fn review_attempt(&mut self, id: RequestId, last: usize) {
+        let request = &self.requests[&id];
+        let attempt = &request.attempts[last];
+        let silent_for = self.now - attempt.last_progress;
+        let index = attempt.worker;
+        let phase = JobPhase::of(attempt);
+        let silence_limit = self.silence_limit(request, phase);
+        let hangs = silent_for >= self.silence_limit(request, JobPhase::Running);
+        if silent_for < silence_limit {
+            return self.schedule_review(silence_limit - silent_for, id);
+        }
+        if hangs {
+            self.eject(index);
+            self.record_broken_promise(id, last);
+        }
+        if self.may_hedge(id) {
+            self.place_request(id);
+        }
+        self.schedule_review(silence_limit, id);
+    }
+
+    /// Records that a promise of free capacity was followed by a job that hangs.
+    fn record_broken_promise(&mut self, id: RequestId, attempt: usize) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let was_promised = std::mem::take(&mut request.attempts[attempt].capacity_promised);
+        if was_promised {
+            self.estimates.trust -= SMOOTHING * self.estimates.trust;
+        }
+    }
+
+    /// Returns whether a silent request may be hedged: its class permits it, and the budget does.
+    /// The budget does not bind where the settings state one for all retries, or where only hedged
+    /// requests find free capacity.
+    fn may_hedge(&self, id: RequestId) -> bool {
+        let request = &self.requests[&id];
+        let class = &self.settings.classes[request.class];
+        let is_permitted = class.effect_of(request.without_key) != Effect::Unsafe
+            && request.in_flight() < MAX_IN_FLIGHT;
+        let only_hedges_find_capacity = self.can_cancel_waiting_jobs()
+            && !self.settings.may_probe
+            && self.settings.reports != Reports::None;
+        let is_unbound = self.settings.retry_budget.is_some() || only_hedges_find_capacity;
+        is_permitted && (is_unbound || self.budgets.hedges >= 1.0)
+    }
+
+    /// Returns whether a job that waits at a worker is recognised and can be cancelled, because
+    /// workers report starts.
+    fn can_cancel_waiting_jobs(&self) -> bool {
+        self.settings.tells_start && self.settings.may_cancel
+    }
+
+    /// Returns how long a job may be silent before it is hedged or, while it runs, its worker is in
+    /// doubt; in seconds.
+    fn silence_limit(&self, request: &Request, phase: JobPhase) -> f64 {
+        if phase == JobPhase::Waiting && self.can_cancel_waiting_jobs() {
+            let objective = self.time_to_objective(request) + self.now - request.first_submitted;
+            return HEDGE_DELAY * objective;
+        }
+        if self.settings.progress > 0.0 {
+            return SILENCE_INTERVALS * self.settings.progress;
+        }
+        let class = &self.settings.classes[request.class];
+        2.0 * (class.aim + (class.stretch + 1.0) * request.work)
+    }
+
+    /// Handles a progress report of an attempt in flight. Its worker is no longer ejected; when the
+    /// job has started, the other attempts of the request that still wait are cancelled.
+    pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u16, note: Note) {
+        let request = self.requests.get_mut(&id);
+        let attempt = request.and_then(|request| request.attempts.get_mut(attempt as usize));
+        let Some(attempt) = attempt else {
+            return;
+        };
+        attempt.last_progress = self.now;
+        let worker = &mut self.workers.all[attempt.worker];
+        worker.ejected_until = worker.ejected_until.min(self.now);
+        if attempt.started.is_none() && note != Note::Other {
+            attempt.started = Some(self.now);
+            self.cancel_attempts(id, |attempt| attempt.started.is_none());
+        }
+    }
+
+    /// Handles the end of an attempt for its request. `closed` says that the request has its final
+    /// answer.
+    pub(super) fn handle_outcome(
+        &mut self,
+        id: RequestId,
+        attempt: u16,
+        outcome: Outcome,
+        closed: bool,
+    ) {
+        if !self.requests.contains_key(&id) {
+            return;
+        }
+        self.record_outcome(id, attempt as usize, outcome);
+        let request = &self.requests[&id];
+        if closed {
+            self.forget_request(id);
+        } else if request.in_flight() == 0 && request.probed.is_empty() {
+            self.place_request(id);
+        }
+    }
+
+    /// Records the outcome of an attempt in flight in the request and in the estimates.
+    fn record_outcome(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = request.attempts.get_mut(attempt) else {
+            return;
+        };
+        if !attempt.is_in_flight() {
+            return;
+        }
+        let never_ran = outcome.proves_never_ran(self.settings.full_proves_nothing);
+        attempt.state = if never_ran {
+            AttemptState::NeverRan
+        } else {
+            AttemptState::MayHaveRun
+        };
+        let attempt = attempt.clone();
+        if outcome == Outcome::Ok {
+            self.record_run_time(id, &attempt);
+        }
+        if outcome == Outcome::Ok || attempt.capacity_promised && outcome == Outcome::Full {
+            self.record_acceptance(id, &attempt, outcome);
+        }
+        if attempt.capacity_promised && outcome == Outcome::Ok {
+            self.record_kept_promise(id, &attempt);
+        }
+    }
+
+    /// Records how long a job ran. Much more than its work was waiting time: counted as work, each
+    /// wait would make the next reviews later.
+    fn record_run_time(&mut self, id: RequestId, attempt: &Attempt) {
+        let request = &self.requests[&id];
+        let began = if self.settings.tells_start {
+            attempt.started.unwrap_or(attempt.sent)
+        } else {
+            attempt.sent
+        };
+        let run_time = (self.now - began)
+            .max(self.settings.tick)
+            .min(MAX_RUN_TIME * request.work);
+        let estimates = &mut self.estimates;
+        smooth(&mut estimates.run_time_by_class[request.class], run_time);
+        smooth(&mut estimates.mean_run_time, run_time);
+    }
+
+    /// Records whether a worker has accepted a request of this class.
+    fn record_acceptance(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
+        let class = self.requests[&id].class;
+        let share = if outcome == Outcome::Ok {
+            1.0
+        } else {
+            REJECTED_ACCEPTANCE
+        };
+        smooth(&mut self.estimates.acceptance_by_class[class], share);
+        let acceptance = Acceptance {
+            share,
+            at: self.now,
+        };
+        let worker = &mut self.workers.all[attempt.worker];
+        worker.acceptance.insert(class, acceptance);
+    }
+
+    /// Records whether a report of free capacity was kept: it is if the job ended in time. Reports
+    /// that come late promise capacity that is long gone; the fewer are kept, the less they count.
+    fn record_kept_promise(&mut self, id: RequestId, attempt: &Attempt) {
+        let request = &self.requests[&id];
+        let class = &self.settings.classes[request.class];
+        let is_kept = self.now - attempt.sent <= class.aim + class.stretch * request.work;
+        smooth(&mut self.estimates.trust, f64::from(u8::from(is_kept)));
+    }
+
+    /// Cancels the attempts in flight that pass the test, where the settings permit cancelling.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, which: impl Fn(&Attempt) -> bool) {
+        if !self.settings.may_cancel {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        for attempt in request.cancel_attempts(which) {
+            self.actions.push(Action::Cancel {
+                request: id,
+                attempt,
+            });
+        }
+    }
+}
+
+/// What is known of a job at its worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum JobPhase {
+    /// No start was reported.
+    Waiting,
+    /// The start was reported.
+    Running,
+}
+
+impl JobPhase {
+    fn of(attempt: &Attempt) -> Self {
+        match attempt.started {
+            Some(_) => Self::Running,
+            None => Self::Waiting,
+        }
+    }
+}
--- /dev/null
+++ b/src/decision/discovery.rs
@@ -0,0 +1,123 @@
+//! Worker lists, suspended workers, and when discovery is called.
+
+use super::dispatcher::{Dispatcher, TimerKind};
+use super::interface::{Action, Entry, ListKind, RequestId, WorkerId};
+use super::parameters::{
+    CACHED_LIST_CHECK, FAILED_CALL_RETRY, MAX_FAILED_CALLS, RESUMED_WORKER_REQUESTS,
+    RESUMED_WORKER_SPREAD_SECONDS, SILENT_CALL_RETRY,
+};
+use super::request::Request;
+
+/// The state of the calls to discovery.
+#[derive(Default)]
+pub struct DiscoveryCalls {
+    /// When discovery is called next. An earlier timer is outdated.
+    next_call_at: f64,
+    /// Calls that failed in a row, up to a maximum.
+    failed_calls: i32,
+    /// Whether changes of the list are being received.
+    watching: bool,
+}
+
+impl Dispatcher {
+    /// Applies a worker list, or the failure of a call for one.
+    pub(super) fn handle_worker_list(&mut self, kind: ListKind, entries: &[Entry]) {
+        match kind {
+            ListKind::Failed => return self.handle_failed_call(),
+            // All dispatchers may start at once: their calls are spread over the time that is
+            // allowed.
+            ListKind::Cached => {
+                let spread = self.random.uniform();
+                self.schedule_discovery_call(
+                    spread * CACHED_LIST_CHECK * self.settings.must_ask_in,
+                );
+            }
+            ListKind::Passed => {}
+            ListKind::Delta | ListKind::Full => {
+                self.discovery.failed_calls = 0;
+                self.discovery.watching = true;
+            }
+        }
+        self.workers.apply_list(kind, entries);
+        self.workers.refresh_usable(&self.settings);
+    }
+
+    fn handle_failed_call(&mut self) {
+        self.discovery.failed_calls = (self.discovery.failed_calls + 1).min(MAX_FAILED_CALLS);
+        self.discovery.watching = false;
+        let backoff = 2f64.powi(self.discovery.failed_calls);
+        self.schedule_discovery_call(self.settings.must_ask_in * FAILED_CALL_RETRY * backoff);
+    }
+
+    /// Schedules the next call. Only the latest schedule counts; otherwise each failed call would
+    /// double the timers.
+    fn schedule_discovery_call(&mut self, delay: f64) {
+        let at = self.jittered(delay);
+        self.discovery.next_call_at = at;
+        let token = TimerKind::Discovery.token(0);
+        self.actions.push(Action::Timer { at, token });
+    }
+
+    /// Calls discovery unless changes of the list are received or the timer is outdated.
+    pub(super) fn call_discovery_if_due(&mut self) {
+        let is_due = self.now + self.settings.tick >= self.discovery.next_call_at;
+        if is_due && !self.discovery.watching && self.settings.list_on_request {
+            self.actions.push(Action::Watch);
+            // In case nothing at all comes back.
+            self.schedule_discovery_call(SILENT_CALL_RETRY * self.settings.must_ask_in);
+        }
+    }
+
+    /// Suspends a worker on an operator's behalf.
+    pub(super) fn suspend_worker(&mut self, id: WorkerId) {
+        let started = self.listed_start(id);
+        self.workers.suspended.entry(id).or_insert(started);
+        self.handle_changed_suspensions();
+    }
+
+    /// Resumes a suspended worker. It was most likely restarted: it counts as cold, nothing known
+    /// of it holds, and yet it is owed a request soon. One of all dispatchers, drawn by chance,
+    /// sends that request.
+    pub(super) fn resume_worker(&mut self, id: WorkerId) {
+        if let Some(start_at_suspension) = self.workers.suspended.remove(&id) {
+            let dispatchers = f64::from(self.settings.balancers.max(1));
+            let sends_request = self.random.uniform() * dispatchers < RESUMED_WORKER_REQUESTS;
+            let due_at = self.now + self.random.uniform() * RESUMED_WORKER_SPREAD_SECONDS;
+            let request_due_at = sends_request.then_some(due_at);
+            let resumed_at = if self.listed_start(id) > start_at_suspension {
+                0.0
+            } else {
+                self.now
+            };
+            if let Some(&index) = self.workers.index.get(&id) {
+                self.workers
+                    .reset_resumed(index, resumed_at, request_due_at);
+            }
+        }
+        self.handle_changed_suspensions();
+    }
+
+    fn listed_start(&self, id: WorkerId) -> f64 {
+        let index = self.workers.index.get(&id);
+        index.map_or(0.0, |&index| self.workers.all[index].entry.started)
+    }
+
+    /// Rejects the requests for which every worker is suspended now.
+    fn handle_changed_suspensions(&mut self) {
+        self.workers.refresh_usable(&self.settings);
+        let without_worker = |(&id, request): (&RequestId, &Request)| {
+            (request.in_flight() == 0 && self.all_workers_suspended(request.class)).then_some(id)
+        };
+        let ids: Vec<RequestId> = self.requests.iter().filter_map(without_worker).collect();
+        for id in ids {
+            self.answer_if_nothing_in_flight(id);
+        }
+    }
+
+    /// Returns whether operators have suspended every worker that a class could be sent to.
+    pub(super) fn all_workers_suspended(&self, class: usize) -> bool {
+        let ready = &self.workers.ready_by_class[class];
+        self.workers
+            .all_suspended(&self.settings.classes[class], ready)
+    }
+}
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,13 +1,42 @@
 //! The decision module: a deterministic state machine that chooses a worker for each request.
 //!
-//! It owns no clock, socket, disk or thread. The caller passes [`interface::Event`]s with the current time to
-//! [`dispatcher::Dispatcher::handle`] and carries out the [`interface::Action`]s that it returns. The same seed
-//! and the same events give the same actions.
+//! It owns no clock, socket, disk or thread. The caller passes [`interface::Event`]s with the
+//! current time to [`dispatcher::Dispatcher::handle`] and carries out the [`interface::Action`]s
+//! that it returns. The same seed and the same events give the same actions.
+//!
+//! - [`dispatcher`] takes events and timers to the module that handles them;
+//! - `admission` admits, holds and answers requests, `attempts` sends and reviews their attempts;
+//! - `selection` draws a worker, under the rules of `rules`, with the loads of `load`, the passes
+//!   of `slow_start`
+//!   and the answers to `probes`;
+//! - `ejection` takes outliers out of the draws; `discovery` applies worker lists and suspensions;
+//! - `migration` moves requests between two processes of the node;
+//! - `configuration` has the settings, `settings` reads them from JSON;
+//! - `workers`, `request`, `estimates`, `budgets` and `event_times` are the state, `parameters` the
+//!   constants.
 
+mod admission;
 pub mod affinity;
+mod attempts;
+mod budgets;
+mod configuration;
+mod discovery;
 pub mod dispatcher;
+mod ejection;
+mod estimates;
+mod event_times;
 pub mod interface;
+mod load;
+mod migration;
+mod parameters;
+mod probes;
 pub mod random;
 pub(crate) mod request;
+mod rules;
+mod selection;
 pub mod settings;
-mod state;
+mod settings_error;
+mod slow_start;
+mod workers;
+
+pub use migration::BudgetHistory;
--- /dev/null
+++ b/src/decision/rules.rs
@@ -0,0 +1,84 @@
+//! The rules that every attempt must keep, whatever the selection prefers.
+
+use super::dispatcher::Dispatcher;
+use super::interface::{Class, Effect, RetryBudget};
+use super::parameters::USABLE_WINDOW;
+use super::request::{Attempt, Request};
+use super::workers::{Worker, WorkerIndex};
+
+impl Dispatcher {
+    /// Returns whether an attempt of this request at this worker keeps every rule. Each attempt is
+    /// checked here.
+    pub(super) fn may_send(&self, request: &Request, index: WorkerIndex) -> bool {
+        let worker = &self.workers.all[index];
+        let class = &self.settings.classes[request.class];
+        self.may_still_be_answered(request)
+            && self.workers.is_usable(&worker.entry)
+            && self.may_run_again_at(request, index)
+            && class.admits(&worker.entry)
+            && self.is_within_retry_budget(request)
+            && self.is_within_cold_budget(request, index)
+    }
+
+    /// Never after the final answer is due, and never more attempts than the settings allow.
+    fn may_still_be_answered(&self, request: &Request) -> bool {
+        self.now < request.deadline
+            && request.attempts.len() < self.settings.max_attempts as usize
+            && !request.streaming
+    }
+
+    /// What may have run goes again only as its class allows, and never to the same worker.
+    fn may_run_again_at(&self, request: &Request, index: WorkerIndex) -> bool {
+        if request.in_flight() > 0 && !self.settings.second_copies {
+            return false;
+        }
+        if request.may_have_run_at(index) {
+            return false;
+        }
+        let class = &self.settings.classes[request.class];
+        match class.effect_of(request.without_key) {
+            Effect::Safe => true,
+            Effect::Unsafe => !request.may_have_run(),
+            Effect::Keyed => request
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.may_have_run())
+                .all(|attempt| self.is_repeat_dropped(class, attempt, &self.workers.all[index])),
+        }
+    }
+
+    /// Returns whether this worker would recognise a repeat of the attempt by its key.
+    fn is_repeat_dropped(&self, class: &Class, attempt: &Attempt, worker: &Worker) -> bool {
+        let cell = (worker.entry.zone, worker.entry.cell);
+        class.drops_repeats(attempt.cell, cell) && self.now < self.window_end(class, attempt)
+    }
+
+    /// Returns until when a request with a key may be sent again. What counts is its arrival at the
+    /// worker, which may be the time of a new connection later.
+    pub(super) fn window_end(&self, class: &Class, attempt: &Attempt) -> f64 {
+        attempt.sent + USABLE_WINDOW * class.window - self.settings.dial_timeout
+    }
+
+    /// Retries within the window, this one included, against the requests admitted in it.
+    fn is_within_retry_budget(&self, request: &Request) -> bool {
+        let within = |budget: RetryBudget| {
+            let since = self.now - budget.look_back;
+            let tick = self.settings.tick;
+            let admitted = self.budgets.admitted.count_since(since + tick);
+            let retries = self.budgets.retries.count_since(since - tick) + 1;
+            retries as f64 <= budget.spare + budget.ratio * admitted as f64
+        };
+        request.attempts.is_empty() || self.settings.retry_budget.is_none_or(within)
+    }
+
+    /// To a cold worker only with a pass, and only what fits this dispatcher's part of its budget
+    /// for one window.
+    fn is_within_cold_budget(&self, request: &Request, index: WorkerIndex) -> bool {
+        let worker = &self.workers.all[index];
+        if self.warm_share(worker) >= 1.0 {
+            return true;
+        }
+        let sent = worker.work_sent_after(self.now - self.settings.tip_after) + request.work;
+        request.cold_pass == Some(index) && sent <= self.own_cold_budget(worker)
+    }
+}
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,5 +1,5 @@
-//! Settings from the JSON text that a dispatcher gets at its start. Unknown keys are skipped; missing ones
-//! get the defaults written here.
+//! Settings from the JSON text that a dispatcher gets at its start. Unknown keys are skipped;
+//! missing ones get the defaults written here.
 
 use crate::decision::interface::{
     Class, Effect, Field, Group, Reports, RetryBudget, Settings, SettingsError,
@@ -273,7 +273,8 @@
     })
 }
 
-/// The figures of a load report. What `x0` and `x1` stand for is told in words; of other words nothing is made.
+/// The figures of a load report. What `x0` and `x1` stand for is told in words; of other words
+/// nothing is made.
 fn fields(report: &RawReport, extra: &Extra) -> Result<Vec<Field>, SettingsError> {
     let meaning = |text: &str, field: Field| match text {
         text if text.contains("free slots") => Field::FreeSlots,
@@ -329,7 +330,8 @@
     })
 }
 
-/// Checks that what has keys is an object. Danger: a list there would be read key by key in the order of the lines above.
+/// Checks that what has keys is an object. Danger: a list there would be read key by key in the
+/// order of the lines above.
 fn objects(json: &serde_json::Value) -> Result<(), SettingsError> {
     const SECTIONS: [&str; 6] = [
         "client-habits",
@@ -364,7 +366,8 @@
     ///
     /// # Errors
     ///
-    /// If the text is not JSON, a known key has a value of another type, or a figure is out of range.
+    /// If the text is not JSON, a known key has a value of another type, or a figure is out of
+    /// range.
     pub fn from_json(text: &str) -> Result<Self, SettingsError> {
         let at_all = |error| {
             let path = serde_path_to_error::Track::new().path();
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -65,11 +65,11 @@
                 again: false,
             })
             .collect();
-        let (taken, further) = self.dispatcher.past(MOST_PAST);
+        let history = self.dispatcher.budget_history(MOST_PAST);
         let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
         tales.push(StateUpdate::Past {
-            taken: agos(taken),
-            further: agos(further),
+            taken: agos(history.admitted),
+            further: agos(history.retries),
         });
         for t in self.requests.values() {
             let id = &t.payload.id;
@@ -179,7 +179,7 @@
         moved.carried.shift(shift);
         moved
             .carried
-            .set_keyless(moved.payload.idempotency_key.is_none());
+            .set_without_key(moved.payload.idempotency_key.is_none());
         let request = self.next_request;
         self.next_request += 1;
         let mut attempts = Vec::new();
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{Moved, MovedAttempt};
 use crate::decision::interface::{MigratedRequest, WorkerId};
-use crate::decision::request::{Attempt, Request, State};
+use crate::decision::request::{Attempt, AttemptState, Request};
 use crate::net::messages::Payload;
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
@@ -43,15 +43,15 @@
     }
 }
 
-fn attempt(state: State) -> Attempt {
+fn attempt(state: AttemptState) -> Attempt {
     Attempt {
         worker: 300,
-        home: (2, 515),
+        cell: (2, 515),
         sent: 1.5,
         state,
         started: Some(2.5),
-        heard: 3.5,
-        promised: true,
+        last_progress: 3.5,
+        capacity_promised: true,
         cancelled: false,
     }
 }
@@ -59,20 +59,20 @@
 fn request() -> Request {
     Request {
         class: 1,
-        need: 2.0,
+        slots: 2.0,
         memory: 0.25,
         work: 0.5,
-        least: 0.125,
-        first: 100.0,
+        min_run_time: 0.125,
+        first_submitted: 100.0,
         deadline: 112.0,
-        attempts: vec![attempt(State::Out)],
-        pool: vec![3, 4],
-        sample: vec![5],
-        sample_until: 101.0,
-        rounds: 301,
-        pass: Some(6),
-        rolled: 7,
-        look: 102.0,
+        attempts: vec![attempt(AttemptState::InFlight)],
+        candidates: vec![3, 4],
+        probed: vec![5],
+        probes_until: 101.0,
+        probe_rounds: 301,
+        cold_pass: Some(6),
+        pass_drawn_for: 7,
+        review_at: 102.0,
         streaming: true,
         ..Request::default()
     }
@@ -90,23 +90,23 @@
 #[test]
 fn attempts_keep_their_bytes_in_every_state() {
     pin(
-        attempt(State::Out),
+        attempt(AttemptState::InFlight),
         "ac02028304000000000000f83f000100000000000004400000000000000c400100",
     );
     pin(
-        attempt(State::NeverRan),
+        attempt(AttemptState::NeverRan),
         "ac02028304000000000000f83f010100000000000004400000000000000c400100",
     );
     pin(
-        attempt(State::MayHaveRun),
+        attempt(AttemptState::MayHaveRun),
         "ac02028304000000000000f83f020100000000000004400000000000000c400100",
     );
     pin(
         Attempt {
             started: None,
-            promised: false,
+            capacity_promised: false,
             cancelled: true,
-            ..attempt(State::Out)
+            ..attempt(AttemptState::InFlight)
         },
         "ac02028304000000000000f83f00000000000000000c400001",
     );
@@ -129,7 +129,7 @@
     let bytes = postcard::to_stdvec(&request()).expect("an encoded request");
     let marked = Request {
         subject: Some(9),
-        keyless: true,
+        without_key: true,
         ..request()
     };
     assert_eq!(
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,6 +1,9 @@
 //! The adapter's binary, driven over pipes.
 
+use std::collections::BTreeSet;
+use std::fs;
 use std::io::Write;
+use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
 const SETTINGS: &str =
@@ -189,20 +192,38 @@
     }
 }
 
+/// The deployment page asks for the files with decisions under `policy`. They stay small enough to be read.
 #[test]
-fn the_decision_module_keeps_its_size() {
-    let text = include_str!("../src/decision/dispatcher.rs");
-    assert!(
-        text.lines().filter(|l| !l.trim().is_empty()).count() <= 710,
-        "lines that are not blank"
-    );
-    assert!(
-        text.lines().all(|l| l.chars().count() <= 110),
-        "no line is longer than 110 characters"
-    );
-    assert!(
-        text.lines()
-            .take(3)
-            .any(|l| l.contains("src/decision/interface.rs"))
-    );
+fn every_file_of_the_decision_module_is_listed_and_short() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let deploy = fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
+    let line = deploy.lines().find(|line| line.starts_with("policy = "));
+    let listed: BTreeSet<&str> = line
+        .expect("a line for the policy")
+        .split('"')
+        .skip(1)
+        .step_by(2)
+        .collect();
+    let mut found = BTreeSet::new();
+    for entry in fs::read_dir(root.join("src/decision")).expect("the decision module") {
+        let path = entry.expect("a file").path();
+        let text = fs::read_to_string(&path).expect("text");
+        let name = path.file_name().and_then(|name| name.to_str());
+        let name = format!("src/decision/{}", name.expect("a name"));
+        assert!(
+            text.lines().count() <= 600,
+            "{name} is longer than 600 lines"
+        );
+        assert!(
+            text.lines().all(|line| line.chars().count() <= 100),
+            "{name} has a line of more than 100 characters"
+        );
+        assert!(
+            text.starts_with("//! "),
+            "{name} begins with what it is for"
+        );
+        found.insert(name);
+    }
+    assert!(found.len() > 10, "the files are read: {found:?}");
+    assert_eq!(listed, found.iter().map(String::as_str).collect());
 }
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -243,7 +243,7 @@
         due.extend(timers(&harness.outcome(1, 0, first[0], Outcome::Reset)));
         let until = harness.now + 1.0;
         let again = !sends(&harness.run(until, &mut due)).is_empty();
-        let at_once = harness.dispatcher.past(10).1.len() == 1;
+        let at_once = harness.dispatcher.budget_history(10).retries.len() == 1;
         assert_eq!(again || at_once, known, "{scope}, told: {known}");
     }
     // Its rack is gone between two attempts, and others are there.
