--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -3,7 +3,8 @@
 use super::budgets::affordable;
 use super::dispatcher::{Dispatcher, MAX_REQUEST_ID, TimerKind};
 use super::estimates::smooth;
-use super::interface::{Action, Effect, NewRequest, RequestId, sound};
+use super::figures::{positive, sound};
+use super::interface::{Action, Effect, NewRequest, RequestId};
 use super::parameters::{
     ANSWER_LEAD_TICKS, HEDGE_SPENDING, HEDGES_PER_REQUEST, HOLD_INTERVAL, LATE_HOLD_FACTOR,
     MAX_SAVED_BUDGET, MIN_RUN_TIME, PROBE_SPENDING, PROBES_PER_REQUEST, SHORT_BUDGET_SHARE,
@@ -234,8 +235,3 @@
         self.requests.remove(&id);
     }
 }
-
-/// Returns the figure if it is finite and above zero.
-fn positive(figure: f64) -> Option<f64> {
-    sound(figure).filter(|figure| *figure > 0.0)
-}
--- a/src/decision/configuration.rs
+++ b/src/decision/configuration.rs
@@ -1,7 +1,8 @@
 //! What a dispatcher is configured with: classes of requests, limits, prices and the figures of
 //! load reports.
 
-use super::interface::{Entry, NO_CELL, NO_ZONE, sound};
+use super::figures::sound;
+use super::worker_entry::{Entry, NO_CELL, NO_ZONE};
 
 /// What may be done with a request that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/decision/discovery.rs
+++ b/src/decision/discovery.rs
@@ -8,17 +8,6 @@
 };
 use super::request::Request;
 
-/// The state of the calls to discovery.
-#[derive(Default)]
-pub struct DiscoveryCalls {
-    /// When discovery is called next. An earlier timer is outdated.
-    next_call_at: f64,
-    /// Calls that failed in a row, up to a maximum.
-    failed_calls: i32,
-    /// Whether changes of the list are being received.
-    watching: bool,
-}
-
 impl Dispatcher {
     /// Applies a worker list, or the failure of a call for one.
     pub(super) fn handle_worker_list(&mut self, kind: ListKind, entries: &[Entry]) {
--- /dev/null
+++ b/src/decision/discovery_calls.rs
@@ -0,0 +1,12 @@
+//! The state of the calls to discovery.
+
+/// The state of the calls to discovery.
+#[derive(Default)]
+pub struct DiscoveryCalls {
+    /// When discovery is called next. An earlier timer is outdated.
+    pub next_call_at: f64,
+    /// Calls that failed in a row, up to a maximum.
+    pub failed_calls: i32,
+    /// Whether changes of the list are being received.
+    pub watching: bool,
+}
--- a/src/decision/dispatcher.rs
+++ b/src/decision/dispatcher.rs
@@ -6,7 +6,7 @@
 //! one concern.
 
 use super::budgets::Budgets;
-use super::discovery::DiscoveryCalls;
+use super::discovery_calls::DiscoveryCalls;
 use super::estimates::Estimates;
 use super::interface::{Action, Event, RequestId, Settings, SettingsError};
 use super::random::Random;
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -5,51 +5,10 @@
 //! finite or below zero are treated as absent by the module.
 
 pub use super::configuration::{Class, Effect, Field, Group, Reports, RetryBudget, Settings};
-pub use super::request::{MigratedRequest, RequestId, WorkerId};
+pub use super::figures::sound;
+pub use super::request::{MigratedRequest, RequestId};
 pub use super::settings_error::{REMEDIES, SettingsError};
-
-/// The number, if it is finite and not below zero.
-pub fn sound(x: f64) -> Option<f64> {
-    Some(x).filter(|x| x.is_finite() && *x >= 0.0)
-}
-
-/// What the list says of a worker.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Health {
-    /// Takes work.
-    #[default]
-    Ready,
-    /// Finishes what it has; nothing new may be sent.
-    Draining,
-    /// Removed.
-    Gone,
-}
-
-/// The zone of a worker of which none is told: it is in no zone with any other.
-pub const NO_ZONE: u8 = u8::MAX;
-/// The cell of a worker of which none is told: it is in no cell with any other.
-pub const NO_CELL: u16 = u16::MAX;
-
-/// A worker's entry in the list.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Entry {
-    /// The worker.
-    pub worker: WorkerId,
-    /// Its zone.
-    pub zone: u8,
-    /// Its machine kind.
-    pub kind: u16,
-    /// Its cell.
-    pub cell: u16,
-    /// What the list says of it.
-    pub health: Health,
-    /// What it is called at every dispatcher alike, as a number.
-    pub identity: u64,
-    /// A figure of its size, for comparison with other workers.
-    pub size: f64,
-    /// Time of its latest start; 0 for long ago.
-    pub started: f64,
-}
+pub use super::worker_entry::{Entry, Health, NO_CELL, NO_ZONE, WorkerId};
 
 /// How a list is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -12,7 +12,8 @@
 //! - `ejection` takes outliers out of the draws; `discovery` applies worker lists and suspensions;
 //! - `migration` moves requests between two processes of the node;
 //! - `configuration` has the settings, `settings` reads them from JSON;
-//! - `workers`, `request`, `estimates`, `budgets` and `event_times` are the state, `parameters` the
+//! - `workers`, `request`, `estimates`, `budgets`, `event_times` and `discovery_calls` are the
+//!   state, `parameters` the
 //!   constants.
 
 mod admission;
@@ -21,10 +22,12 @@
 mod budgets;
 mod configuration;
 mod discovery;
+mod discovery_calls;
 pub mod dispatcher;
 mod ejection;
 mod estimates;
 mod event_times;
+mod figures;
 pub mod interface;
 mod load;
 mod migration;
@@ -37,6 +40,7 @@
 pub mod settings;
 mod settings_error;
 mod slow_start;
+mod worker_entry;
 mod workers;
 
 pub use migration::BudgetHistory;
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -3,23 +3,12 @@
 //! A request that migrates to a sibling process carries these records. The order and the types of
 //! the serialized fields are part of the handover protocol.
 
-use super::interface::Entry;
+use super::worker_entry::{Entry, WorkerId};
 use serde::{Deserialize, Serialize};
 
 /// Number that identifies a request at this dispatcher; below 2^52 and never reused.
 pub type RequestId = u64;
 
-/// Address of a worker. It carries no meaning beyond identity.
-#[derive(
-    Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize,
-)]
-pub struct WorkerId {
-    /// Four bytes of address.
-    pub address: [u8; 4],
-    /// Port.
-    pub port: u16,
-}
-
 /// What is known of an attempt's end.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum AttemptState {
