--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,7 +1,7 @@
 //! What a node is told at its start: the environment's `RELAY_*` and a JSON file.
 
 use crate::decision::interface::Settings;
-use crate::net::upstream::worker_list::List;
+use crate::net::upstream::worker_list::DiscoveryList;
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection, StoreSection};
 use postproxy_diagnostics::Diagnostic as _;
 use serde::Deserialize;
@@ -31,7 +31,7 @@
     /// How much memory it may use, in MiB.
     pub memory_mb: usize,
     /// The list of workers as it was last held.
-    pub known: Option<List>,
+    pub known: Option<DiscoveryList>,
     /// The settings.
     pub settings: Settings,
     /// Where jobs are kept beyond the node's life; the operator's file says so, not the configuration.
@@ -58,7 +58,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<List>,
+    known: Option<DiscoveryList>,
     settings: serde_json::Value,
 }
 
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -178,7 +178,7 @@
                     StoreAdapter::start(&mut reactor, section, &config.name)?;
                 found = kept;
                 if let Some(list) = found.list.take() {
-                    known = list.or(known, config.discovery);
+                    known = list.select_initial_list(known, config.discovery);
                 }
                 let nothing_ran = ledger.loaded();
                 let keeping = DurabilityPolicy::new(
@@ -221,7 +221,7 @@
         let revision = known.as_ref().map(|list| list.revision);
         let members = known
             .clone()
-            .map(|list| list.members(&settings))
+            .map(|list| list.into_members(&settings))
             .unwrap_or_default();
         let revision = revision.filter(|_| !members.is_empty());
         let mut list = WorkerList::new(config.discovery, settings.clone(), revision, config.seed);
@@ -725,7 +725,9 @@
                     }
                 }
                 service::Event::Give(to, _) => {
-                    if let (Some(fleet), Some(body)) = (&mut self.fleet, self.list.body()) {
+                    if let (Some(fleet), Some(body)) =
+                        (&mut self.fleet, self.list.encode_for_peer())
+                    {
                         let generation = fleet.generation(self.list.discovery_address());
                         fleet.send_worker_list(&mut self.reactor, &to, generation, &body);
                     }
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -1,7 +1,7 @@
 //! The node's hand on the store: it carries out the hub's writes and reads, and tells the hub what became of
 //! them. The disk is waited for by the store's own thread.
 
-use super::upstream::worker_list::Kept;
+use super::upstream::worker_list::WorkerListSnapshot;
 use crate::net::messages::{ClientId, Input, Wait};
 use crate::net::transport::reactor::{Owner, Reactor};
 use crate::operator_config::StoreSection;
@@ -39,7 +39,7 @@
 #[derive(Default)]
 pub struct RecoveredState {
     /// The list of workers.
-    pub list: Option<Kept>,
+    pub list: Option<WorkerListSnapshot>,
     /// The fleet's bans.
     pub bans: Vec<u8>,
     /// Keys and values of the council's.
@@ -114,7 +114,7 @@
         engine
             .scan(|key, value| {
                 if key == LIST {
-                    found.list = Kept::from_json(value);
+                    found.list = WorkerListSnapshot::from_json(value);
                 } else if key == BANS {
                     found.bans = value.to_vec();
                 } else if COUNCIL.iter().any(|of| key.starts_with(of)) {
--- a/src/net/upstream/backoff.rs
+++ b/src/net/upstream/backoff.rs
@@ -1,49 +1,68 @@
-//! Growing, jittered waits between attempts at something that keeps failing. No clock: it gives lengths.
+//! Exponential backoff with jitter: growing waits between attempts at something that keeps failing. It holds no clock
+//! and returns durations.
 
 use crate::decision::random::Random;
 
-/// The waits, in seconds.
+/// The exponent at which the wait stops doubling, so that `2^step` stays finite; every maximum is reached long before.
+const MAX_DOUBLINGS: i32 = 30;
+
+/// This node's position among the nodes of its cluster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClusterPosition {
+    /// This node's index, counted from 0.
+    pub index: usize,
+    /// The number of nodes, this one included.
+    pub node_count: usize,
+}
+
+/// The waits between attempts, in seconds.
 #[derive(Debug)]
 pub struct Backoff {
-    first: f64,
-    most: f64,
+    first_seconds: f64,
+    max_seconds: f64,
+    /// The number of waits since the last reset, which is the exponent of the next one.
     step: i32,
     rng: Random,
-    /// This node's place among others that may be in the same need, and their number, where known.
-    place: Option<(usize, usize)>,
+    /// This node's position among others that may fail at the same moment, if it is known.
+    position: Option<ClusterPosition>,
 }
 
 impl Backoff {
-    /// Waits that begin at `first` and double up to `most`; the jitter follows from the seed.
-    pub fn new(first: f64, most: f64, seed: u64) -> Self {
+    /// Creates waits that begin at `first_seconds` and double up to `max_seconds`; `seed` sets the jitter.
+    pub fn new(first_seconds: f64, max_seconds: f64, seed: u64) -> Self {
         Self {
-            first,
-            most,
+            first_seconds,
+            max_seconds,
             step: 0,
             rng: Random::new(seed),
-            place: None,
+            position: None,
         }
     }
 
-    /// From now on waits are spread by places instead of by chance: no two that know each other come together.
-    pub fn place(&mut self, at: usize, of: usize) {
-        self.place = (of > 1).then_some((at, of));
+    /// Spreads waits by this position instead of at random, so that no two nodes that know each other retry together.
+    /// A node that knows no other keeps its random jitter.
+    pub fn set_cluster_position(&mut self, position: ClusterPosition) {
+        self.position = (position.node_count > 1).then_some(position);
     }
 
-    /// The next wait, somewhere in the upper half of its step: many that failed together do not come together.
-    pub fn wait(&mut self) -> f64 {
-        let whole = (self.first * 2f64.powi(self.step)).min(self.most);
-        self.step = (self.step + 1).min(30);
-        let chance = self.rng.uniform();
-        let spread = self.place.map_or(chance, |(at, of)| at as f64 / of as f64);
+    /// Returns the next wait in seconds. After the first it lies in the upper half of its step, so that many nodes that
+    /// failed together don't retry together.
+    pub fn next_wait(&mut self) -> f64 {
+        let full = (self.first_seconds * 2f64.powi(self.step)).min(self.max_seconds);
+        self.step = (self.step + 1).min(MAX_DOUBLINGS);
+        // Drawn even where the position decides, so that the sequence of draws doesn't depend on it.
+        let random = self.rng.uniform();
+        let spread = self.position.map_or(random, |position| {
+            position.index as f64 / position.node_count as f64
+        });
         if self.step == 1 {
-            whole
+            full
         } else {
-            whole * (0.5 + 0.5 * spread)
+            full * (0.5 + 0.5 * spread)
         }
     }
 
-    /// It has worked: the next wait is a first one.
+    /// Begins again with the first wait, after a success.
     pub fn reset(&mut self) {
         self.step = 0;
     }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,6 +1,7 @@
-//! One connection to a worker as its requests see it: which request it carries, how much of that has been written, and how it ends.
+//! One HTTP exchange at a time on a connection to a worker: the request that is sent, how much of it has been written,
+//! and how it ends.
 //!
-//! Whether a worker may have run an attempt is read here, at each end, from the connection's own count of bytes.
+//! Whether a worker may have run an attempt is decided here, at each end, from the connection's own count of bytes.
 
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Callbacks, Connection, State, Stream};
@@ -9,102 +10,113 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The least time that a worker is told, in seconds.
-const LEAST_DEADLINE: f64 = 0.001;
+/// Shortest time left that is written into `X-Deadline`, in seconds: the field has three decimals, and a worker reads 0
+/// as a request that is over.
+const MIN_DEADLINE_SECONDS: f64 = 0.001;
 
-/// What a connection carries.
+/// The exchange that a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carries {
-    /// Nothing: it is idle.
-    Nothing,
+pub enum ExchangeKind {
+    /// None: the connection is idle.
+    Idle,
     /// An attempt.
     Attempt(AttemptId),
-    /// A question for the worker's load.
+    /// A probe: a request for the worker's load report.
     Probe(AttemptId),
-    /// A cancel, or an attempt that was given up: whatever is answered is dropped.
-    Unheeded,
+    /// One whose response is discarded: a cancel, or an attempt that has been given up or has ended.
+    Discarded,
 }
 
-impl Carries {
-    /// The number under which the hub is told of its end.
-    pub fn id(self) -> Option<AttemptId> {
+impl ExchangeKind {
+    /// The attempt or probe under whose number the end is reported.
+    pub fn attempt_id(self) -> Option<AttemptId> {
         match self {
             Self::Attempt(id) | Self::Probe(id) => Some(id),
-            Self::Nothing | Self::Unheeded => None,
+            Self::Idle | Self::Discarded => None,
         }
     }
 }
 
-/// A request that is to be written once the connection is made.
-pub enum Outgoing {
-    /// These bytes.
-    Bytes(Vec<u8>),
-    /// An attempt. Its head tells how long its client still waits, until this time: what is left when it is written.
-    Attempt(Rc<Payload>, f64),
+/// A request that is written once the connection is established.
+pub enum OutgoingRequest {
+    /// An encoded request.
+    Encoded(Vec<u8>),
+    /// An attempt. It is encoded when it is written, since its head says how much time is left then.
+    Attempt {
+        /// The request of the client.
+        payload: Rc<Payload>,
+        /// Until when the client waits, in the reactor's time.
+        deadline: f64,
+    },
 }
 
-impl Outgoing {
-    fn is_late(&self, now: f64) -> bool {
-        matches!(self, Self::Attempt(_, until) if *until <= now)
+impl OutgoingRequest {
+    fn is_expired(&self, now: f64) -> bool {
+        matches!(self, Self::Attempt { deadline, .. } if *deadline <= now)
     }
 
     fn into_bytes(self, worker: SocketAddr, now: f64) -> Vec<u8> {
-        let (payload, until) = match self {
-            Self::Bytes(bytes) => return bytes,
-            Self::Attempt(payload, until) => (payload, until),
-        };
-        let deadline = format!("{:.3}", (until - now).max(LEAST_DEADLINE));
-        let host = worker.to_string();
-        let mut fields = vec![
-            ("Host", host.as_str()),
-            ("X-Request-Id", payload.id.as_str()),
-            ("X-Deadline", &deadline),
-        ];
-        if let Some(key) = &payload.idempotency_key {
-            fields.push(("Idempotency-Key", key));
+        match self {
+            Self::Encoded(bytes) => bytes,
+            Self::Attempt { payload, deadline } => {
+                encode_attempt(&payload, worker, (deadline - now).max(MIN_DEADLINE_SECONDS))
+            }
         }
-        let mut bytes = Vec::new();
-        http::write_request(
-            &mut bytes,
-            &payload.method,
-            &payload.target,
-            &fields,
-            &payload.body,
-        );
-        bytes
     }
 }
 
-/// The requests on one connection, one at a time.
+fn encode_attempt(payload: &Payload, worker: SocketAddr, seconds_left: f64) -> Vec<u8> {
+    let deadline = format!("{seconds_left:.3}");
+    let host = worker.to_string();
+    let mut fields = vec![
+        ("Host", host.as_str()),
+        ("X-Request-Id", payload.id.as_str()),
+        ("X-Deadline", &deadline),
+    ];
+    if let Some(key) = &payload.idempotency_key {
+        fields.push(("Idempotency-Key", key));
+    }
+    let mut bytes = Vec::new();
+    http::write_request(
+        &mut bytes,
+        &payload.method,
+        &payload.target,
+        &fields,
+        &payload.body,
+    );
+    bytes
+}
+
+/// The exchanges on one connection, one after the other.
 pub struct Exchange {
     worker: SocketAddr,
-    carries: Carries,
-    /// What is to be written when the connection has been made.
-    outgoing: Option<Outgoing>,
-    /// Where the request ends among all bytes written to the connection; `None` until it is queued.
-    last_byte: Option<u64>,
-    /// The hub has been told that it is written whole.
-    told_written: bool,
-    /// It was written whole before the latest look at what has arrived, so that an answer may be its own.
-    answerable: bool,
-    /// How many requests the connection has carried.
-    count: u64,
-    /// The connection ended under a request that had no answer yet.
-    broke: bool,
+    kind: ExchangeKind,
+    /// The request, until the connection is established.
+    outgoing: Option<OutgoingRequest>,
+    /// The end of the request among all bytes written to the connection; `None` until it is queued.
+    request_end: Option<u64>,
+    /// [`Input::AttemptWritten`] has been queued.
+    written_reported: bool,
+    /// The request had been written whole before the last read, so that a response may be its own.
+    written_before_read: bool,
+    /// The number of requests that the connection has carried.
+    request_count: u64,
+    /// The connection ended under a request that had no response yet.
+    broke_unanswered: bool,
 }
 
 impl Exchange {
-    /// Nothing is carried yet.
+    /// Creates an idle exchange with a worker.
     pub fn new(worker: SocketAddr) -> Self {
         Self {
             worker,
-            carries: Carries::Nothing,
+            kind: ExchangeKind::Idle,
             outgoing: None,
-            last_byte: None,
-            told_written: false,
-            answerable: false,
-            count: 0,
-            broke: false,
+            request_end: None,
+            written_reported: false,
+            written_before_read: false,
+            request_count: 0,
+            broke_unanswered: false,
         }
     }
 
@@ -113,230 +125,222 @@
         self.worker
     }
 
-    /// What is carried.
-    pub fn carries(&self) -> Carries {
-        self.carries
+    /// The exchange that the connection carries now.
+    pub fn kind(&self) -> ExchangeKind {
+        self.kind
     }
 
-    /// Whether the connection ended under a request that had no answer yet.
-    pub fn broke(&self) -> bool {
-        self.broke
+    /// Whether the connection ended under a request that had no response yet.
+    pub fn broke_unanswered(&self) -> bool {
+        self.broke_unanswered
     }
 
     /// Whether the last byte of the request has been written: from then on the worker may run it.
-    pub fn is_whole<S: Stream>(&self, connection: &Connection<S>) -> bool {
-        self.last_byte.is_some_and(|at| connection.written() >= at)
+    pub fn is_request_written<S: Stream>(&self, connection: &Connection<S>) -> bool {
+        self.request_end
+            .is_some_and(|end| connection.written() >= end)
     }
 
-    /// Begins with a request, which is written now or as soon as the connection is made.
-    pub fn begin<S: Stream>(
+    /// Starts a request, which is written now or as soon as the connection is established.
+    pub fn start<S: Stream>(
         &mut self,
-        carries: Carries,
-        outgoing: Outgoing,
+        kind: ExchangeKind,
+        outgoing: OutgoingRequest,
         connection: &mut Connection<S>,
         reactor: &mut Reactor,
     ) {
-        self.carries = carries;
+        self.kind = kind;
         self.outgoing = Some(outgoing);
-        (self.last_byte, self.told_written, self.answerable) = (None, false, false);
-        self.count += 1;
-        let mut caller = Caller {
-            exchange: self,
-            reactor,
-        };
+        self.request_end = None;
+        self.written_reported = false;
+        self.written_before_read = false;
+        self.request_count += 1;
+        let mut callbacks = self.callbacks(reactor);
         if connection.state() != State::Dialing {
-            caller.write_request(connection);
-            caller.read_early(connection);
+            callbacks.write_request(connection);
+            callbacks.read_early_bytes(connection);
         }
     }
 
-    /// The connection can be read or written.
-    pub fn ready<S: Stream>(
+    /// Serves a connection that is ready to be read or written.
+    pub fn handle_ready<S: Stream>(
         &mut self,
         readable: bool,
         writable: bool,
         connection: &mut Connection<S>,
         reactor: &mut Reactor,
     ) {
-        self.answerable = self.is_whole(connection);
-        let mut caller = Caller {
-            exchange: self,
-            reactor,
-        };
-        connection.handle_ready(readable, writable, &mut caller);
-        caller.tell_written(connection);
-        if caller.exchange.is_whole(connection) && !caller.exchange.answerable {
-            caller.read_early(connection);
+        self.written_before_read = self.is_request_written(connection);
+        let mut callbacks = self.callbacks(reactor);
+        connection.handle_ready(readable, writable, &mut callbacks);
+        callbacks.report_written(connection);
+        let written = callbacks.exchange.is_request_written(connection);
+        if written && !callbacks.exchange.written_before_read {
+            callbacks.read_early_bytes(connection);
         }
     }
 
-    /// Gives the request up: nobody is told, and the connection ends.
-    pub fn give_up<S: Stream>(&mut self, connection: &mut Connection<S>) {
-        self.carries = Carries::Unheeded;
+    /// Gives the request up: its end is not reported, and the connection is closed.
+    pub fn abandon<S: Stream>(&mut self, connection: &mut Connection<S>) {
+        self.kind = ExchangeKind::Discarded;
         connection.abort();
     }
 
-    /// Ends the connection, and with it the request, which has had its time.
-    pub fn time_out<S: Stream>(&mut self, connection: &mut Connection<S>, reactor: &mut Reactor) {
+    /// Closes the connection, and ends the request on it, after a timeout.
+    pub fn handle_timeout<S: Stream>(
+        &mut self,
+        connection: &mut Connection<S>,
+        reactor: &mut Reactor,
+    ) {
         connection.abort();
-        Caller {
-            exchange: self,
-            reactor,
-        }
-        .ended(connection);
+        self.callbacks(reactor).ended(connection);
     }
 
-    /// Ends the connection of an attempt that has not been written whole; whether it has not. Its worker is not to blame.
+    /// Closes the connection of a request that has not been written whole, and reports an end that does not blame the
+    /// worker. Returns whether it did; a request that has been written goes on.
     pub fn withdraw<S: Stream>(
         &mut self,
         connection: &mut Connection<S>,
         reactor: &mut Reactor,
     ) -> bool {
-        if self.is_whole(connection) {
+        if self.is_request_written(connection) {
             return false;
         }
         connection.abort();
-        Caller {
+        self.callbacks(reactor)
+            .finish(connection, AttemptEnd::NoRoom, Load::new());
+        true
+    }
+
+    fn callbacks<'a>(&'a mut self, reactor: &'a mut Reactor) -> ExchangeCallbacks<'a> {
+        ExchangeCallbacks {
             exchange: self,
             reactor,
         }
-        .end(connection, AttemptEnd::NoRoom, Load::new());
-        true
     }
 }
 
-/// Calls back from the connection.
-struct Caller<'a> {
+/// Applies the connection's events to its exchange.
+struct ExchangeCallbacks<'a> {
     exchange: &'a mut Exchange,
     reactor: &'a mut Reactor,
 }
 
-impl Caller<'_> {
+impl ExchangeCallbacks<'_> {
     fn write_request<S: Stream>(&mut self, connection: &mut Connection<S>) {
         let Some(outgoing) = self.exchange.outgoing.take() else {
             return;
         };
-        if outgoing.is_late(self.reactor.now) {
+        if outgoing.is_expired(self.reactor.now) {
             connection.abort();
-            return self.end(connection, AttemptEnd::NoRoom, Load::new());
+            return self.finish(connection, AttemptEnd::NoRoom, Load::new());
         }
         let bytes = outgoing.into_bytes(self.exchange.worker, self.reactor.now);
-        self.exchange.last_byte = Some(connection.queued() + bytes.len() as u64);
+        self.exchange.request_end = Some(connection.queued() + bytes.len() as u64);
         connection.send(&bytes, self);
-        self.tell_written(connection);
+        self.report_written(connection);
     }
 
-    /// Reads what has arrived by the time at which the last byte was written: it was sent before the worker can have read the request.
-    fn read_early<S: Stream>(&mut self, connection: &mut Connection<S>) {
+    /// Reads what has arrived by the time at which the last byte was written: it was sent before the worker can have
+    /// read the request.
+    fn read_early_bytes<S: Stream>(&mut self, connection: &mut Connection<S>) {
         connection.handle_ready(true, false, self);
     }
 
-    /// Tells the hub, once, that an attempt is written whole.
-    fn tell_written<S: Stream>(&mut self, connection: &Connection<S>) {
-        if self.exchange.told_written || !self.exchange.is_whole(connection) {
+    /// Reports, once, that an attempt has been written whole.
+    fn report_written<S: Stream>(&mut self, connection: &Connection<S>) {
+        if self.exchange.written_reported || !self.exchange.is_request_written(connection) {
             return;
         }
-        self.exchange.told_written = true;
-        if let Carries::Attempt(id) = self.exchange.carries {
+        self.exchange.written_reported = true;
+        if let ExchangeKind::Attempt(attempt) = self.exchange.kind {
             self.reactor
                 .queue
-                .push_back(Input::AttemptWritten { attempt: id });
+                .push_back(Input::AttemptWritten { attempt });
         }
     }
 
-    /// Every end of a request goes through here: what was written is told before it.
-    fn end<S: Stream>(&mut self, connection: &Connection<S>, end: AttemptEnd, load: Load) {
-        self.tell_written(connection);
-        let carried = std::mem::replace(&mut self.exchange.carries, Carries::Unheeded);
-        if let Some(id) = carried.id() {
-            self.reactor.queue.push_back(Input::ExchangeEnded {
-                attempt: id,
-                end,
-                load,
-            });
+    /// Ends the request. Every end goes through here, so that the report of the written request comes before it.
+    fn finish<S: Stream>(&mut self, connection: &Connection<S>, end: AttemptEnd, load: Load) {
+        self.report_written(connection);
+        let finished = std::mem::replace(&mut self.exchange.kind, ExchangeKind::Discarded);
+        if let Some(attempt) = finished.attempt_id() {
+            self.reactor
+                .queue
+                .push_back(Input::ExchangeEnded { attempt, end, load });
         }
     }
 
-    /// Takes a worker's answer; whether the connection may carry the next request at once.
-    fn answered<S: Stream>(&mut self, connection: &Connection<S>, response: &Response) -> bool {
-        let (end, load) = match self.exchange.carries {
-            Carries::Nothing | Carries::Unheeded => return false,
-            Carries::Probe(_) => {
-                // Its answer brings the report as its body; a 503 says that the worker is not well.
-                let load = std::str::from_utf8(&response.body)
-                    .map(load_report)
-                    .unwrap_or_default();
-                (
-                    if response.status == 200 {
-                        AttemptEnd::Accepted
-                    } else {
-                        AttemptEnd::Error
-                    },
-                    load,
-                )
-            }
-            Carries::Attempt(_) => {
-                let load = response
-                    .headers
-                    .get("x-load")
-                    .map(load_report)
-                    .unwrap_or_default();
-                (self.end_of_attempt(connection, response), load)
+    /// Ends the request with the worker's response; returns whether the connection may carry the next request.
+    fn finish_with_response<S: Stream>(
+        &mut self,
+        connection: &Connection<S>,
+        response: &Response,
+    ) -> bool {
+        let (end, load) = match self.exchange.kind {
+            ExchangeKind::Idle | ExchangeKind::Discarded => return false,
+            ExchangeKind::Probe(_) => probe_result(response),
+            ExchangeKind::Attempt(_) => {
+                let report = response.headers.get("x-load");
+                let load = report.map(parse_load_report).unwrap_or_default();
+                (self.attempt_end(connection, response), load)
             }
         };
-        self.end(connection, end, load);
-        // Danger: whoever answers anything else may answer twice, and the second one would be taken for the next request's.
+        self.finish(connection, end, load);
+        // A worker that answers anything else may answer twice, and the second response would be taken for that of the
+        // next request.
         end == AttemptEnd::Accepted
     }
 
-    fn end_of_attempt<S: Stream>(
+    fn attempt_end<S: Stream>(
         &self,
         connection: &Connection<S>,
         response: &Response,
     ) -> AttemptEnd {
-        let whole = self.exchange.is_whole(connection);
+        let written = self.exchange.is_request_written(connection);
         let not_run = response.headers.get("x-not-run") == Some("1");
         match response.status {
-            202 if whole => AttemptEnd::Accepted,
-            202 => AttemptEnd::NeverSent, // the connection ends, and the worker never has it whole
-            503 | 504 if not_run && (!whole || self.is_own_answer()) => AttemptEnd::NotRun,
+            202 if written => AttemptEnd::Accepted,
+            // The connection is closed, so that the worker never has the whole request.
+            202 => AttemptEnd::NeverSent,
+            503 | 504 if not_run && (!written || self.is_own_response()) => AttemptEnd::NotRun,
             503 | 504 if not_run => AttemptEnd::TurnedAway,
             _ => AttemptEnd::Error,
         }
     }
 
-    /// Whether the answer is certainly this request's. One that arrived before the worker can have read the request is not; and on a
-    /// connection that has carried others it may be a second answer to one of them, however late.
-    fn is_own_answer(&self) -> bool {
-        self.exchange.answerable && self.exchange.count == 1
+    /// Whether the response is certainly that of this request. One that arrived before the worker can have read the
+    /// request is not; on a connection that has carried others it may be a second response to one of them, however late.
+    fn is_own_response(&self) -> bool {
+        self.exchange.written_before_read && self.exchange.request_count == 1
     }
 }
 
-impl<S: Stream> Callbacks<S> for Caller<'_> {
+impl<S: Stream> Callbacks<S> for ExchangeCallbacks<'_> {
     fn opened(&mut self, connection: &mut Connection<S>) {
         self.write_request(connection);
     }
 
     fn received(&mut self, connection: &mut Connection<S>) {
-        self.tell_written(connection);
-        if self.exchange.carries == Carries::Nothing {
-            // Bytes on an idle connection belong to nothing.
+        self.report_written(connection);
+        if self.exchange.kind == ExchangeKind::Idle {
+            // Bytes on an idle connection belong to no request.
             return connection.abort();
         }
-        let heard_all = connection.read_side_closed();
-        match http::read_response(&connection.input, heard_all, http::MAX_BODY_BYTES) {
+        let closed = connection.read_side_closed();
+        match http::read_response(&connection.input, closed, http::MAX_BODY_BYTES) {
             Ok(Read::Whole(response, size)) => {
                 connection.consume(size);
-                let whole = self.exchange.is_whole(connection);
-                let again = self.answered(connection, &response);
-                if again && whole && response.keeps && !heard_all && connection.input.is_empty() {
-                    self.exchange.carries = Carries::Nothing;
+                let written = self.exchange.is_request_written(connection);
+                let reusable = self.finish_with_response(connection, &response);
+                if reusable && written && response.keeps && !closed && connection.input.is_empty() {
+                    self.exchange.kind = ExchangeKind::Idle;
                 } else {
                     connection.abort();
                 }
             }
-            // Danger: of one that is full no end would be seen, and its attempt be held to its last moment.
-            Ok(_) if !heard_all && !connection.is_full() => {}
+            // More is to come. With a full buffer no end would ever be seen, and the attempt would wait for its timeout.
+            Ok(_) if !closed && !connection.is_full() => {}
             Ok(_) | Err(_) => {
                 connection.abort();
                 self.ended(connection);
@@ -345,27 +349,36 @@
     }
 
     fn ended(&mut self, connection: &mut Connection<S>) {
-        self.exchange.broke |= self.exchange.carries.id().is_some();
-        let whole = self.exchange.is_whole(connection);
-        self.end(
-            connection,
-            if whole {
-                AttemptEnd::Reset
-            } else {
-                AttemptEnd::NeverSent
-            },
-            Load::new(),
-        );
+        self.exchange.broke_unanswered |= self.exchange.kind.attempt_id().is_some();
+        let end = if self.exchange.is_request_written(connection) {
+            AttemptEnd::Reset
+        } else {
+            AttemptEnd::NeverSent
+        };
+        self.finish(connection, end, Load::new());
     }
 }
 
-/// Reads a load report: `TEXT name=value, name=value`.
-fn load_report(text: &str) -> Load {
+/// The end of a probe and the load report in its body; a status other than 200 says that the worker is not well.
+fn probe_result(response: &Response) -> (AttemptEnd, Load) {
+    let load = std::str::from_utf8(&response.body)
+        .map(parse_load_report)
+        .unwrap_or_default();
+    let end = if response.status == 200 {
+        AttemptEnd::Accepted
+    } else {
+        AttemptEnd::Error
+    };
+    (end, load)
+}
+
+/// Parses a load report of the form `TEXT name=value, name=value`; entries that can't be read are left out.
+fn parse_load_report(text: &str) -> Load {
     let text = text.trim();
-    let pairs = text.strip_prefix("TEXT").unwrap_or(text).split(',');
-    let pair = |pair: &str| {
-        let (name, value) = pair.split_once('=')?;
+    let entries = text.strip_prefix("TEXT").unwrap_or(text).split(',');
+    let parse_entry = |entry: &str| {
+        let (name, value) = entry.split_once('=')?;
         Some((name.trim().to_owned(), value.trim().parse().ok()?))
     };
-    pairs.filter_map(pair).collect()
+    entries.filter_map(parse_entry).collect()
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! What the node goes to: workers, discovery, the store. It carries out what the hub wants and tells what came of it;
-//! nothing here decides which worker gets a job.
+//! Upstream: the connections to workers and to discovery. This module sends the attempts, probes and cancels that the
+//! request manager orders and reports how they end; no worker is selected here.
 
 pub mod attempts;
 pub mod backoff;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,89 +1,104 @@
-//! Idle connections to workers, and for how long one may have lain idle to be used again. No sockets; it is told the time.
+//! The pool of idle connections to workers, and for how long a connection may have been idle to be reused. It owns no
+//! sockets and no clock: connections are named by their key, and the time is passed in.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Of the time after which a worker closes an idle connection, the share for which it is kept.
-const IDLE_SHARE: f64 = 0.8;
-/// How long one is kept where workers do not say, in seconds.
-const IDLE_UNTOLD: f64 = 1.0;
-/// Of the time for which a connection lay idle that its next request found broken, the share for which others are used; that time
-/// doubles with each of these seconds.
-const WORN_SHARE: f64 = 0.5;
-const WORN_DOUBLES: f64 = 5.0;
-/// It is never learned to be shorter.
-const WORN_LEAST: f64 = 0.02;
+/// The share of a worker's idle timeout for which a connection is kept here: it must be closed on this side first.
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
+/// How long an idle connection is kept where the workers' idle timeout isn't configured, in seconds.
+const DEFAULT_IDLE_SECONDS: f64 = 1.0;
+/// After a connection broke that had been idle for some time, others are reused only up to this share of that time.
+const LEARNED_SHARE: f64 = 0.5;
+/// The time in which a learned limit doubles again, in seconds: what has been learned is forgotten at this pace.
+const LEARNED_DOUBLING_SECONDS: f64 = 5.0;
+/// Shortest limit that is learned, in seconds: reuse at once stays possible.
+const MIN_LEARNED_SECONDS: f64 = 0.02;
 
-/// The keys of idle connections by worker, and what was learned of them.
+/// The longest idle time after which a connection was last thought fit for reuse.
+struct LearnedLimit {
+    idle_seconds: f64,
+    learned_at: f64,
+}
+
+/// The idle connections by worker.
 pub struct Pool {
-    /// The last used comes last.
+    /// The keys of the connections; the one used last comes last.
     idle: HashMap<SocketAddr, Vec<usize>>,
-    keep: f64,
-    /// How long a connection may have lain idle to be used, as it was learned last, and when.
-    learned: (f64, f64),
+    keep_seconds: f64,
+    learned: LearnedLimit,
 }
 
 impl Pool {
-    /// An empty pool, for workers that close what has been idle for so long; 0 where that is not told.
-    pub fn new(conn_idle: f64) -> Self {
-        let keep = if conn_idle > 0.0 {
-            conn_idle * IDLE_SHARE
+    /// Creates an empty pool for workers that close a connection which has been idle for `idle_timeout` seconds; 0 where
+    /// that is unknown.
+    pub fn new(idle_timeout: f64) -> Self {
+        let keep_seconds = if idle_timeout > 0.0 {
+            idle_timeout * IDLE_TIMEOUT_SHARE
         } else {
-            IDLE_UNTOLD
+            DEFAULT_IDLE_SECONDS
         };
         Self {
             idle: HashMap::new(),
-            keep,
-            learned: (keep, 0.0),
+            keep_seconds,
+            learned: LearnedLimit {
+                idle_seconds: keep_seconds,
+                learned_at: 0.0,
+            },
         }
     }
 
-    /// For how long an idle connection is kept.
-    pub fn keep(&self) -> f64 {
-        self.keep
+    /// How long an idle connection is kept, in seconds.
+    pub fn keep_seconds(&self) -> f64 {
+        self.keep_seconds
     }
 
-    /// For how long a connection may have lain idle to be used. Danger: workers, or what stands before them, may let go of idle
-    /// connections far earlier than they say, without a word until the next request, which then has perhaps run. One that broke so tells
-    /// it of the others; it is forgotten as fast as it doubles.
-    pub fn usable(&self, now: f64) -> f64 {
-        let (learned, at) = self.learned;
-        (learned * ((now - at) / WORN_DOUBLES).exp2()).min(self.keep)
+    /// How long a connection may have been idle to be reused, in seconds.
+    ///
+    /// Workers, or what stands before them, may drop idle connections far earlier than configured and without a sign
+    /// until the next request, which may then have run. One connection that broke so limits the reuse of the others,
+    /// and the limit doubles with time until it is without effect.
+    pub fn reusable_seconds(&self, now: f64) -> f64 {
+        let doublings = (now - self.learned.learned_at) / LEARNED_DOUBLING_SECONDS;
+        (self.learned.idle_seconds * doublings.exp2()).min(self.keep_seconds)
     }
 
-    /// A connection that had lain idle for so long broke under its next request.
-    pub fn broke_after(&mut self, idle: f64, now: f64) {
-        self.learned = ((idle * WORN_SHARE).max(WORN_LEAST), now);
+    /// Records that a connection which had been idle for `idle_seconds` broke under its next request.
+    pub fn record_broken_after_idle(&mut self, idle_seconds: f64, now: f64) {
+        self.learned = LearnedLimit {
+            idle_seconds: (idle_seconds * LEARNED_SHARE).max(MIN_LEARNED_SECONDS),
+            learned_at: now,
+        };
     }
 
     /// Whether there are idle connections to a worker.
-    pub fn has(&self, worker: SocketAddr) -> bool {
+    pub fn has_idle(&self, worker: SocketAddr) -> bool {
         self.idle.contains_key(&worker)
     }
 
-    /// Adds a connection; whether it was not there.
+    /// Adds a connection; returns whether it was not in the pool.
     pub fn add(&mut self, worker: SocketAddr, key: usize) -> bool {
         let keys = self.idle.entry(worker).or_default();
-        let new = !keys.contains(&key);
-        if new {
+        let is_new = !keys.contains(&key);
+        if is_new {
             keys.push(key);
         }
-        new
+        is_new
     }
 
-    /// Takes the connection to a worker that was used last.
+    /// Removes and returns the connection to a worker that was used last.
     pub fn take(&mut self, worker: SocketAddr) -> Option<usize> {
         let key = self.idle.get_mut(&worker)?.pop();
-        self.forget_empty(worker);
+        self.remove_entry_if_empty(worker);
         key
     }
 
-    /// Takes all connections to a worker.
+    /// Removes and returns all connections to a worker.
     pub fn take_all(&mut self, worker: SocketAddr) -> Vec<usize> {
         self.idle.remove(&worker).unwrap_or_default()
     }
 
-    /// The connection that was opened first among those that have lain idle longest at their worker: the first of each.
+    /// Returns the connection to close for room: of the longest idle connection of each worker, the one opened first.
     pub fn oldest(&self) -> Option<usize> {
         self.idle
             .values()
@@ -92,15 +107,15 @@
             .copied()
     }
 
-    /// Lets a connection go.
+    /// Removes a connection.
     pub fn remove(&mut self, worker: SocketAddr, key: usize) {
         if let Some(keys) = self.idle.get_mut(&worker) {
             keys.retain(|k| *k != key);
         }
-        self.forget_empty(worker);
+        self.remove_entry_if_empty(worker);
     }
 
-    fn forget_empty(&mut self, worker: SocketAddr) {
+    fn remove_entry_if_empty(&mut self, worker: SocketAddr) {
         if self.idle.get(&worker).is_some_and(Vec::is_empty) {
             self.idle.remove(&worker);
         }
--- a/src/net/upstream/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -1,41 +1,54 @@
-//! When discovery is called, and how long an answer is waited for. A state machine without I/O or clock: it is told the
-//! time and what became of calls, and says what to do next. It serves lists that are pushed and lists that are asked for:
-//! on the sockets both come as answers to calls.
+//! The schedule of calls to discovery: when one is made, and how long its answer is awaited. A state machine without I/O
+//! or clock: it is given the time and the outcome of calls, and returns the calls to make. It serves lists that are
+//! pushed and lists that are polled: on the sockets both arrive as answers to calls.
 //!
-//! What it is for: a change counts as told 6 s after discovery had it and could be reached, whatever calls came to. A call
-//! made before the change is therefore believed for no longer than [`WAIT`] and [`LATE`]; then another is made beside it,
-//! and a third takes its place. A call that fails is made again within [`MOST_AGAIN`] and [`SPREAD`].
+//! The bound it keeps: this node must act on a change within 6 s after discovery had it and could be reached, whatever
+//! happened to calls. A call made before the change is therefore trusted for [`MAX_WATCH_SECONDS`] and
+//! [`WATCH_GRACE_SECONDS`] at most; then a second call is made beside it, and a third replaces it. A failed call is
+//! repeated within [`MAX_RETRY_WAIT_SECONDS`] and [`MAX_RETRY_SPREAD_SECONDS`].
 
-use super::backoff::Backoff;
+use super::backoff::{Backoff, ClusterPosition};
 use crate::decision::random::Random;
 
-/// How long a watch waits for changes, in seconds, at most and at least: nodes that were told something at one moment must
-/// not come back at one moment. Each watch that ends costs discovery a call; a longer one is believed for too long.
-pub const WAIT: f64 = 3.4;
-const WAIT_LEAST: f64 = 2.6;
-/// How much later than its wait the answer of a watch may come.
-pub const LATE: f64 = 0.5;
-/// After this time another call is made beside one that does not wait.
-pub const BESIDE: f64 = 1.1;
-/// How long the whole list may take: discovery ends a call, or fails it, in 2 s. It costs too much to be asked for twice.
-pub const PATIENCE: f64 = 2.2;
-/// A call that fails is made again after this time at first, and after this one at most.
-const FIRST_AGAIN: f64 = 0.1;
-const MOST_AGAIN: f64 = 1.4;
-/// Beyond that, so much for each node, up to so much in all: they may all have lost discovery at one moment.
-const SPREAD_EACH: f64 = 0.004;
-const SPREAD: f64 = 1.2;
-/// First calls of nodes that all start at one moment, in the same way: a node does not serve before it, so that the spread is short.
-const START_EACH: f64 = 0.001;
-const START: f64 = 0.25;
-/// After this time a node that holds a list serves by it though its first call has not ended.
-pub const START_PATIENCE: f64 = 2.2;
-/// An answer that brings nothing, sooner than this after its call, has not waited; the next call rests for so long: less
-/// than the 0.2 s after which a watch would no longer be the same one.
-const AT_ONCE: f64 = 0.05;
-const REST: f64 = 0.1;
-
-/// The number of a call.
+/// Longest time that a watch waits for changes, in seconds. Each watch that ends costs discovery a call, and a longer one
+/// would be trusted for too long.
+pub const MAX_WATCH_SECONDS: f64 = 3.4;
+/// Shortest time that a watch waits for changes, in seconds. The waits differ, so that nodes that learned of a change at
+/// one moment don't call again at one moment.
+const MIN_WATCH_SECONDS: f64 = 2.6;
+/// How much later than its wait the answer of a watch may come, in seconds.
+pub const WATCH_GRACE_SECONDS: f64 = 0.5;
+/// How long a call that does not wait for changes may take before a second one is made beside it, in seconds.
+pub const SECOND_CALL_DELAY_SECONDS: f64 = 1.1;
+/// How long a call for the full list may take, in seconds: discovery ends or fails a call within 2 s. The full list is
+/// too expensive to be requested twice at a time.
+pub const FULL_LIST_TIMEOUT_SECONDS: f64 = 2.2;
+/// How long a node that holds a list waits for its first call before it serves by that list, in seconds.
+pub const INITIAL_SYNC_TIMEOUT_SECONDS: f64 = 2.2;
+
+/// First wait before a failed call is repeated, in seconds.
+const FIRST_RETRY_WAIT_SECONDS: f64 = 0.1;
+/// Longest wait before a failed call is repeated, in seconds, without the spread.
+const MAX_RETRY_WAIT_SECONDS: f64 = 1.4;
+/// Spread of repeated calls for each node of the cluster, in seconds: all may have lost discovery at one moment.
+const RETRY_SPREAD_PER_NODE_SECONDS: f64 = 0.004;
+/// Longest spread of repeated calls, in seconds.
+const MAX_RETRY_SPREAD_SECONDS: f64 = 1.2;
+/// Spread of first calls for each node of the cluster, in seconds: all may start at one moment.
+const START_SPREAD_PER_NODE_SECONDS: f64 = 0.001;
+/// Longest spread of first calls, in seconds. It is short, because a node does not serve before its first call.
+const MAX_START_SPREAD_SECONDS: f64 = 0.25;
+/// An answer without changes that comes sooner than this after its call, in seconds, comes from a discovery that did
+/// not wait.
+const IMMEDIATE_ANSWER_SECONDS: f64 = 0.05;
+/// Pause after such an answer, in seconds, against a loop of calls. It stays below the 0.2 s after which discovery would
+/// no longer count the next call as the same watch.
+const IMMEDIATE_ANSWER_PAUSE_SECONDS: f64 = 0.1;
+
+/// Sets the random numbers of the schedule apart from those of its backoff, which has the same seed.
+const SEED_OFFSET: u64 = 0x5eed;
+
+/// The number of a call, counted from 1.
 pub type CallId = u64;
 
 /// A call to be made now.
@@ -43,137 +56,184 @@
 pub struct Call {
     /// Its number.
     pub id: CallId,
-    /// How long it waits for changes; `None` where it does not wait.
-    pub wait: Option<f64>,
-    /// The call that is given up for it.
-    pub ends: Option<CallId>,
+    /// How long discovery is to wait for changes, in seconds; `None` where the call does not wait.
+    pub wait_seconds: Option<f64>,
+    /// The unanswered call that this one replaces.
+    pub supersedes: Option<CallId>,
 }
 
-/// The calls that are out, and when the next one is due.
+/// When the first call is made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FirstCall {
+    /// At once.
+    Immediate,
+    /// After a short random delay, so that nodes which start together don't call together.
+    Spread,
+}
+
+/// What an answer brought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AnswerContent {
+    /// Something that this node did not have.
+    Changed,
+    /// Nothing new.
+    Unchanged,
+}
+
+/// A call that has not been answered yet.
+#[derive(Clone, Copy, Debug)]
+struct OpenCall {
+    id: CallId,
+    made_at: f64,
+}
+
+/// The calls that wait for an answer, and the time of the next one.
 #[derive(Debug)]
 pub struct Schedule {
     rng: Random,
     backoff: Backoff,
-    /// How many nodes call the same discovery.
+    /// The number of nodes that call the same discovery.
     nodes: u32,
-    /// At most two: the older first, each since when.
-    out: Vec<(CallId, f64)>,
+    /// At most two, the older one first.
+    open_calls: Vec<OpenCall>,
     next_id: CallId,
-    /// Calls since the last answer or failure that have fallen silent.
-    silent: u32,
-    due: Option<f64>,
-    /// No call since the start has been answered yet: none waits for changes.
+    /// The number of calls since the last answer or failure that were not answered in time.
+    unanswered: u32,
+    next_call_at: Option<f64>,
+    /// No call since the start has been answered yet; until then no call waits for changes.
     starting: bool,
 }
 
 impl Schedule {
-    /// No call is out or due; so many nodes call the same discovery.
+    /// Creates a schedule without calls. `nodes` is the number of nodes that call the same discovery.
     pub fn new(nodes: u32, seed: u64) -> Self {
-        let backoff = Backoff::new(FIRST_AGAIN, MOST_AGAIN, seed);
-        let (rng, out) = (Random::new(seed ^ 0x5eed), Vec::new());
         Self {
-            rng,
-            backoff,
+            rng: Random::new(seed ^ SEED_OFFSET),
+            backoff: Backoff::new(FIRST_RETRY_WAIT_SECONDS, MAX_RETRY_WAIT_SECONDS, seed),
             nodes,
-            out,
+            open_calls: Vec::new(),
             next_id: 1,
-            silent: 0,
-            due: None,
+            unanswered: 0,
+            next_call_at: None,
             starting: false,
         }
     }
 
-    /// This node's place among the nodes that it knows, and their number.
-    pub fn place(&mut self, at: usize, of: usize) {
-        self.backoff.place(at, of);
-        self.nodes = u32::try_from(of.max(1)).unwrap_or(u32::MAX);
+    /// Sets this node's position among the nodes that it knows, and their number.
+    pub fn set_cluster_position(&mut self, position: ClusterPosition) {
+        self.backoff.set_cluster_position(position);
+        self.nodes = u32::try_from(position.node_count.max(1)).unwrap_or(u32::MAX);
     }
 
-    fn crowded(&mut self, each: f64, most: f64) -> f64 {
-        (each * f64::from(self.nodes)).min(most) * self.rng.uniform()
+    /// A random delay in seconds that grows with the number of nodes up to `max_seconds`.
+    fn random_spread(&mut self, seconds_per_node: f64, max_seconds: f64) -> f64 {
+        (seconds_per_node * f64::from(self.nodes)).min(max_seconds) * self.rng.uniform()
     }
 
-    /// Calls from now on, a little apart from other nodes where the calls are to be `spread`. Danger: a process that starts with an old
-    /// list counts as told of what changed before its start; so the first call comes before all else, and does not wait for changes.
-    pub fn start(&mut self, now: f64, spread: bool) {
+    /// Starts the calls. A process that starts with an old list is expected to know what changed before its start, so
+    /// the first call comes before all else and does not wait for changes.
+    pub fn start(&mut self, now: f64, first_call: FirstCall) {
         self.starting = true;
-        let after = if spread {
-            self.crowded(START_EACH, START)
-        } else {
-            0.0
+        let delay = match first_call {
+            FirstCall::Spread => {
+                self.random_spread(START_SPREAD_PER_NODE_SECONDS, MAX_START_SPREAD_SECONDS)
+            }
+            FirstCall::Immediate => 0.0,
         };
-        self.due = Some(now + after);
+        self.next_call_at = Some(now + delay);
     }
 
-    /// When it is to be asked for a call next.
-    pub fn wakes(&self) -> Option<f64> {
-        self.due
+    /// The time at which [`Schedule::take_due_call`] may return the next call.
+    pub fn next_call_at(&self) -> Option<f64> {
+        self.next_call_at
     }
 
-    /// Whether this call is out.
-    pub fn is_out(&self, id: CallId) -> bool {
-        self.out.iter().any(|(out, _)| *out == id)
+    /// Whether this call still waits for its answer.
+    pub fn is_open(&self, id: CallId) -> bool {
+        self.open_calls.iter().any(|open| open.id == id)
     }
 
-    /// How many calls have been made so far.
-    pub fn made(&self) -> u64 {
+    /// The number of calls made so far.
+    pub fn call_count(&self) -> u64 {
         self.next_id - 1
     }
 
-    /// How many calls are out.
-    pub fn out(&self) -> usize {
-        self.out.len()
+    /// The number of calls that wait for an answer.
+    pub fn open_call_count(&self) -> usize {
+        self.open_calls.len()
     }
 
-    /// The call that is due now, if one is. `listed`: the node holds a list, so that changes to it can be asked for.
-    pub fn due(&mut self, now: f64, listed: bool) -> Option<Call> {
-        self.due.filter(|due| *due <= now)?;
-        // Whoever is still out has fallen silent.
-        self.silent += u32::from(!self.out.is_empty());
-        let most = if listed { 1 } else { 0 };
-        let ends = (self.out.len() > most).then(|| self.out.remove(0).0);
-        // Danger: a watch that is opened for a silent one, and is silent, too, would be believed for as long again.
-        let waits = listed && self.silent == 0 && !self.starting;
-        let wait = waits.then(|| WAIT_LEAST + (WAIT - WAIT_LEAST) * self.rng.uniform());
+    /// Returns the call that is due now, if one is. `has_list` is whether the node holds a list, so that changes to it
+    /// can be requested.
+    pub fn take_due_call(&mut self, now: f64, has_list: bool) -> Option<Call> {
+        self.next_call_at.filter(|at| *at <= now)?;
+        // A call that is still open when the next one is due has not been answered in time.
+        self.unanswered += u32::from(!self.open_calls.is_empty());
+        let max_open_before = if has_list { 1 } else { 0 };
+        let supersedes =
+            (self.open_calls.len() > max_open_before).then(|| self.open_calls.remove(0).id);
+        // A call that replaces an unanswered watch does not wait: unanswered too, it would be trusted as long again.
+        let watches = has_list && self.unanswered == 0 && !self.starting;
+        let wait_seconds = watches.then(|| {
+            MIN_WATCH_SECONDS + (MAX_WATCH_SECONDS - MIN_WATCH_SECONDS) * self.rng.uniform()
+        });
         let id = self.next_id;
         self.next_id += 1;
-        self.out.push((id, now));
-        let beside = if listed { BESIDE } else { PATIENCE };
-        self.due = Some(now + wait.map_or(beside, |wait| wait + LATE));
-        Some(Call { id, wait, ends })
+        self.open_calls.push(OpenCall { id, made_at: now });
+        let timeout_seconds = match wait_seconds {
+            Some(wait) => wait + WATCH_GRACE_SECONDS,
+            None if has_list => SECOND_CALL_DELAY_SECONDS,
+            None => FULL_LIST_TIMEOUT_SECONDS,
+        };
+        self.next_call_at = Some(now + timeout_seconds);
+        Some(Call {
+            id,
+            wait_seconds,
+            supersedes,
+        })
     }
 
-    /// A call has been answered, with something new or not; all others are given up.
-    pub fn answered(&mut self, now: f64, id: CallId, news: bool) {
-        let Some(&(_, since)) = self.out.iter().find(|(out, _)| *out == id) else {
+    /// Records the answer to an open call. All other open calls are given up.
+    pub fn record_answer(&mut self, now: f64, id: CallId, content: AnswerContent) {
+        let Some(made_at) = self
+            .open_calls
+            .iter()
+            .find(|open| open.id == id)
+            .map(|open| open.made_at)
+        else {
             return;
         };
-        // The first call does not wait; the watch follows at once.
-        let at_once = !news && self.silent == 0 && !self.starting && now - since < AT_ONCE;
-        self.call_at(if at_once { now + REST } else { now });
+        // The first call does not wait; the watch follows it at once.
+        let did_not_wait = content == AnswerContent::Unchanged
+            && self.unanswered == 0
+            && !self.starting
+            && now - made_at < IMMEDIATE_ANSWER_SECONDS;
+        self.restart(if did_not_wait {
+            now + IMMEDIATE_ANSWER_PAUSE_SECONDS
+        } else {
+            now
+        });
     }
 
-    /// A call was refused or reset, or its answer was none. Another that is out still may be answered.
-    pub fn failed(&mut self, now: f64, id: CallId) {
-        let before = self.out.len();
-        self.out.retain(|(out, _)| *out != id);
-        if before > 0 && self.out.is_empty() {
-            self.silent = 0;
-            self.due = Some(now + self.backoff.wait() + self.crowded(SPREAD_EACH, SPREAD));
+    /// Records that a call was refused or reset, or that its answer was no list. Another open call may still be answered.
+    pub fn record_failure(&mut self, now: f64, id: CallId) {
+        let open_before = self.open_calls.len();
+        self.open_calls.retain(|open| open.id != id);
+        if open_before > 0 && self.open_calls.is_empty() {
+            self.unanswered = 0;
+            let wait = self.backoff.next_wait();
+            let spread =
+                self.random_spread(RETRY_SPREAD_PER_NODE_SECONDS, MAX_RETRY_SPREAD_SECONDS);
+            self.next_call_at = Some(now + wait + spread);
         }
     }
 
-    /// Discovery is elsewhere now: it is called there at once, and no call to the old place counts.
-    pub fn moved(&mut self, now: f64) {
-        self.call_at(now);
-    }
-
-    /// The next call is due then, and none that is out counts.
-    fn call_at(&mut self, at: f64) {
-        self.out.clear();
+    /// Begins anew with a call at this time; the open calls are given up. Also for a discovery whose address has changed.
+    pub fn restart(&mut self, at: f64) {
+        self.open_calls.clear();
         self.starting = false;
-        self.silent = 0;
+        self.unanswered = 0;
         self.backoff.reset();
-        self.due = Some(at);
+        self.next_call_at = Some(at);
     }
 }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,15 +1,18 @@
 //! Waits between attempts at what keeps failing.
 
-use postproxy::net::upstream::backoff::Backoff;
+use postproxy::net::upstream::backoff::{Backoff, ClusterPosition};
 
 /// Guards against nodes that know each other and come at one moment all the same.
 #[test]
 fn nodes_that_know_each_other_come_one_after_another() {
     let second = |at| {
         let mut waits = Backoff::new(0.1, 5.0, 7);
-        waits.place(at, 10);
-        waits.wait();
-        waits.wait()
+        waits.set_cluster_position(ClusterPosition {
+            index: at,
+            node_count: 10,
+        });
+        waits.next_wait();
+        waits.next_wait()
     };
     let waits: Vec<f64> = (0..10).map(second).collect();
     assert!(
@@ -19,12 +22,15 @@
         "{waits:?}"
     );
     let mut alone = Backoff::new(0.1, 5.0, 7);
-    alone.place(0, 1);
+    alone.set_cluster_position(ClusterPosition {
+        index: 0,
+        node_count: 1,
+    });
     let mut plain = Backoff::new(0.1, 5.0, 7);
     for _ in 0..9 {
         assert_eq!(
-            alone.wait().to_bits(),
-            plain.wait().to_bits(),
+            alone.next_wait().to_bits(),
+            plain.next_wait().to_bits(),
             "one that knows nobody waits as before"
         );
     }
@@ -36,7 +42,7 @@
 fn waits_grow_to_their_limit_and_differ_by_seed() {
     let waits = |seed| {
         let mut backoff = Backoff::new(0.1, 2.0, seed);
-        (0..40).map(|_| backoff.wait()).collect::<Vec<f64>>()
+        (0..40).map(|_| backoff.next_wait()).collect::<Vec<f64>>()
     };
     let (one, other) = (waits(1), waits(2));
     assert_eq!(one[0], 0.1);
@@ -46,8 +52,8 @@
     }
     assert!(one.iter().zip(&other).skip(1).all(|(a, b)| a != b));
     let mut backoff = Backoff::new(0.1, 2.0, 1);
-    backoff.wait();
-    backoff.wait();
+    backoff.next_wait();
+    backoff.next_wait();
     backoff.reset();
-    assert_eq!(backoff.wait(), 0.1);
+    assert_eq!(backoff.next_wait(), 0.1);
 }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -9,7 +9,7 @@
 use postproxy::net::messages::{AttemptEnd, Input, Payload};
 use postproxy::net::transport::connection::{Connection, State, Stream};
 use postproxy::net::transport::reactor::Reactor;
-use postproxy::net::upstream::exchange::{Carries, Exchange, Outgoing};
+use postproxy::net::upstream::exchange::{Exchange, ExchangeKind, OutgoingRequest};
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -129,15 +129,18 @@
         true,
         1 << 16,
     );
-    exchange.begin(
-        Carries::Attempt(ATTEMPT),
-        Outgoing::Attempt(payload(10), 1005.0),
+    exchange.start(
+        ExchangeKind::Attempt(ATTEMPT),
+        OutgoingRequest::Attempt {
+            payload: payload(10),
+            deadline: 1005.0,
+        },
         &mut connection,
         &mut reactor,
     );
-    exchange.ready(true, false, &mut connection, &mut reactor);
+    exchange.handle_ready(true, false, &mut connection, &mut reactor);
     assert_eq!((connection.state(), connection.written()), (State::Open, 0));
-    exchange.ready(true, true, &mut connection, &mut reactor);
+    exchange.handle_ready(true, true, &mut connection, &mut reactor);
     assert_eq!(connection.state(), State::Ended);
     assert_eq!(told(&mut reactor), (true, vec![AttemptEnd::Reset]));
 }
@@ -159,15 +162,18 @@
         let stream = TcpStream::connect(at).expect("a connection");
         stream.set_nonblocking(true).expect("a setting");
         let mut connection = Connection::new(stream, true, 1 << 16);
-        let outgoing = Outgoing::Attempt(payload(10), 1000.9);
-        exchange.begin(
-            Carries::Attempt(ATTEMPT),
+        let outgoing = OutgoingRequest::Attempt {
+            payload: payload(10),
+            deadline: 1000.9,
+        };
+        exchange.start(
+            ExchangeKind::Attempt(ATTEMPT),
             outgoing,
             &mut connection,
             &mut reactor,
         );
         reactor.now = 1000.0 + takes;
-        exchange.ready(false, true, &mut connection, &mut reactor);
+        exchange.handle_ready(false, true, &mut connection, &mut reactor);
         let mut worker = Peer::accept(&listener);
         let Some(left) = left else {
             drop(connection);
@@ -277,14 +283,22 @@
     let mut connection = Connection::new(Scripted(wire.clone()), true, 1 << 16);
     let used = rng.uniform() < 0.5;
     if used {
-        let cancel = Outgoing::Attempt(payload(0), 1009.0);
-        exchange.begin(Carries::Attempt(7), cancel, &mut connection, &mut reactor);
+        let cancel = OutgoingRequest::Attempt {
+            payload: payload(0),
+            deadline: 1009.0,
+        };
+        exchange.start(
+            ExchangeKind::Attempt(7),
+            cancel,
+            &mut connection,
+            &mut reactor,
+        );
         wire.borrow_mut().room = 1 << 20;
         wire.borrow_mut().refused = false;
-        exchange.ready(false, true, &mut connection, &mut reactor);
+        exchange.handle_ready(false, true, &mut connection, &mut reactor);
         wire.borrow_mut().arrived.extend_from_slice(ACCEPTED);
-        exchange.ready(true, false, &mut connection, &mut reactor);
-        assert_eq!(exchange.carries(), Carries::Nothing);
+        exchange.handle_ready(true, false, &mut connection, &mut reactor);
+        assert_eq!(exchange.kind(), ExchangeKind::Idle);
         reactor.queue.clear();
     }
     let refused = wire.borrow().refused;
@@ -292,9 +306,12 @@
         refused,
         ..Wire::default()
     };
-    let outgoing = Outgoing::Attempt(payload(200), 1000.0 + 2.0 * rng.uniform());
-    exchange.begin(
-        Carries::Attempt(ATTEMPT),
+    let outgoing = OutgoingRequest::Attempt {
+        payload: payload(200),
+        deadline: 1000.0 + 2.0 * rng.uniform(),
+    };
+    exchange.start(
+        ExchangeKind::Attempt(ATTEMPT),
         outgoing,
         &mut connection,
         &mut reactor,
@@ -321,16 +338,16 @@
                 _ => {}
             }
         }
-        let before = exchange.is_whole(&connection);
+        let before = exchange.is_request_written(&connection);
         answered_early |= answers && !before && ends.is_empty();
         reactor.now += 0.05 * rng.uniform();
         let (readable, writable) = (rng.uniform() < 0.7, rng.uniform() < 0.7);
         match (rng.uniform() * 24.0) as u32 {
-            0 => exchange.time_out(&mut connection, &mut reactor),
-            1 if exchange.carries() == Carries::Attempt(ATTEMPT) => {
+            0 => exchange.handle_timeout(&mut connection, &mut reactor),
+            1 if exchange.kind() == ExchangeKind::Attempt(ATTEMPT) => {
                 exchange.withdraw(&mut connection, &mut reactor);
             }
-            _ => exchange.ready(readable, writable, &mut connection, &mut reactor),
+            _ => exchange.handle_ready(readable, writable, &mut connection, &mut reactor),
         }
         size = size.max(connection.queued());
         let (written, more) = told(&mut reactor);
@@ -340,7 +357,7 @@
             break;
         }
     }
-    let whole = size > 0 && exchange.is_whole(&connection);
+    let whole = size > 0 && exchange.is_request_written(&connection);
     Play {
         ends,
         told_written,
--- a/tests/surface_bytes.rs
+++ b/tests/surface_bytes.rs
@@ -7,7 +7,7 @@
 use postproxy::net::cluster::versions;
 use postproxy::net::store_adapter::{StoreAdapter, open};
 use postproxy::net::transport::reactor::Reactor;
-use postproxy::net::upstream::worker_list::{Kept, List, WorkerList};
+use postproxy::net::upstream::worker_list::{DiscoveryList, WorkerList, WorkerListSnapshot};
 use postproxy::operator_config::StoreSection;
 use postproxy_coordination::StorageChange;
 use postproxy_store::Change as Stored;
@@ -83,7 +83,7 @@
 
 /// A node's list of workers that begins with the list above.
 fn worker_list(text: &str, revision: u64) -> WorkerList {
-    let list = List::from_json(text.as_bytes()).expect("a list");
+    let list = DiscoveryList::from_json(text.as_bytes()).expect("a list");
     let mut workers = WorkerList::new(discovery(), settings(), Some(revision), 1);
     workers.retain_list(Some(&list));
     workers
@@ -93,8 +93,10 @@
 fn stored_list_of_workers_keeps_its_text() {
     let kept = worker_list(DISCOVERED, 7).snapshot().expect("a list");
     assert_eq!(String::from_utf8(kept).expect("text"), LIST);
-    let read = Kept::from_json(LIST.as_bytes()).expect("a stored list");
-    let list = read.or(None, discovery()).expect("a list with workers");
+    let read = WorkerListSnapshot::from_json(LIST.as_bytes()).expect("a stored list");
+    let list = read
+        .select_initial_list(None, discovery())
+        .expect("a list with workers");
     assert_eq!((list.revision, list.complete), (7, true));
     let mut again = WorkerList::new(discovery(), settings(), Some(7), 1);
     again.retain_list(Some(&list));
@@ -109,7 +111,7 @@
         (number, format!("{digest:016x}")),
         (7, "e0a52921b9311eaa".to_owned())
     );
-    assert_eq!(hex(&workers.body().expect("a list")), PASSED);
+    assert_eq!(hex(&workers.encode_for_peer().expect("a list")), PASSED);
 }
 
 #[test]
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -12,7 +12,7 @@
 use postproxy::net::downstream::clients::{Wanted, call, wanted, wording};
 use postproxy::net::messages::{JobCall, JobState, Member, Payload, Submission};
 use postproxy::net::transport::http;
-use postproxy::net::upstream::worker_list::List;
+use postproxy::net::upstream::worker_list::DiscoveryList;
 use std::io::Write as _;
 use std::net::TcpListener;
 
@@ -503,7 +503,7 @@
         ("terminated", Health::Gone),
         ("leaving", Health::Draining),
     ] {
-        let list = List::from_json(text(phase).as_bytes()).expect("a list");
+        let list = DiscoveryList::from_json(text(phase).as_bytes()).expect("a list");
         assert_eq!((list.revision, list.complete), (41, true));
         let identity = 0x817cdb195c3fc0d7;
         let entry = Entry {
@@ -518,7 +518,7 @@
         };
         let address = "10.0.0.4:80".parse().expect("an address");
         assert_eq!(
-            list.members(&settings()),
+            list.into_members(&settings()),
             [Member {
                 id: "s-0".into(),
                 address,
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -10,7 +10,10 @@
     Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
 };
 use postproxy::decision::random::Random;
-use postproxy::net::upstream::watch::{BESIDE, Call, LATE, PATIENCE, Schedule, WAIT};
+use postproxy::net::upstream::watch::{
+    AnswerContent, Call, FULL_LIST_TIMEOUT_SECONDS, FirstCall, MAX_WATCH_SECONDS,
+    SECOND_CALL_DELAY_SECONDS, Schedule, WATCH_GRACE_SECONDS,
+};
 
 /// From when discovery has a change and can be reached, it counts as told after so long, in seconds.
 const TOLD: f64 = 6.0;
@@ -56,7 +59,7 @@
             .find(|at| *at > now)
             .unwrap_or(f64::INFINITY);
         let sound = End::Answered(waits.map_or(now + takes, |wait| {
-            change.min(now + wait) + LATE * 0.9 * self.rng.uniform()
+            change.min(now + wait) + WATCH_GRACE_SECONDS * 0.9 * self.rng.uniform()
         }));
         if now >= self.sound_from {
             // One that is open when its turn to fall silent has come stays so.
@@ -128,24 +131,28 @@
         &mut actions,
     );
     let (mut revision, mut out, mut checked) = (Some(0), Vec::<(Call, Option<u64>, End)>::new(), 0);
-    schedule.start(0.0, true);
+    schedule.start(0.0, FirstCall::Spread);
     for tick in 0..8_000u64 {
         let now = tick as f64 * 0.005;
         if moves.first().is_some_and(|at| *at <= now) {
             moves.remove(0);
             (revision, out) = (None, Vec::new());
-            schedule.moved(now);
+            schedule.restart(now);
         }
         // What comes in this turn.
         for (call, since, end) in out.clone() {
-            if !schedule.is_out(call.id) {
+            if !schedule.is_open(call.id) {
                 continue;
             }
             match end {
-                End::Fails(at) if at <= now => schedule.failed(now, call.id),
+                End::Fails(at) if at <= now => schedule.record_failure(now, call.id),
                 End::Answered(at) if at <= now => {
                     let left = discovery.left(now);
-                    let news = since != Some(left);
+                    let content = if since == Some(left) {
+                        AnswerContent::Unchanged
+                    } else {
+                        AnswerContent::Changed
+                    };
                     revision = Some(left);
                     let entries = list(left, &discovery.leaves);
                     dispatcher.handle(
@@ -156,21 +163,21 @@
                         },
                         &mut actions,
                     );
-                    schedule.answered(now, call.id, news);
+                    schedule.record_answer(now, call.id, content);
                 }
                 _ => {}
             }
         }
-        out.retain(|(call, ..)| schedule.is_out(call.id));
+        out.retain(|(call, ..)| schedule.is_open(call.id));
         if out.len() > 2 {
             return Err(format!(
                 "seed {seed}: {} calls are out at {now:.3}",
                 out.len()
             ));
         }
-        while let Some(call) = schedule.due(now, revision.is_some()) {
-            let end = discovery.end(now, revision, call.wait);
-            out.retain(|(other, ..)| call.ends != Some(other.id));
+        while let Some(call) = schedule.take_due_call(now, revision.is_some()) {
+            let end = discovery.end(now, revision, call.wait_seconds);
+            out.retain(|(other, ..)| call.supersedes != Some(other.id));
             out.push((call, revision, end));
         }
         actions.clear();
@@ -238,14 +245,23 @@
 /// an answer.
 #[test]
 fn two_silent_calls_and_an_answer_fit_into_the_time() {
-    const { assert!(WAIT + LATE + BESIDE + ANSWERS <= TOLD) }
     const {
         assert!(
-            WAIT + LATE + 2.0 <= TOLD,
+            MAX_WATCH_SECONDS + WATCH_GRACE_SECONDS + SECOND_CALL_DELAY_SECONDS + ANSWERS <= TOLD
+        )
+    }
+    const {
+        assert!(
+            MAX_WATCH_SECONDS + WATCH_GRACE_SECONDS + 2.0 <= TOLD,
             "an answer in discovery's own time"
         )
     }
-    const { assert!(2.0 * PATIENCE + ANSWERS <= TOLD, "the whole list") }
+    const {
+        assert!(
+            2.0 * FULL_LIST_TIMEOUT_SECONDS + ANSWERS <= TOLD,
+            "the whole list"
+        )
+    }
 }
 
 /// Guards against a node that calls in step with the others at its start, against one that takes long, since it does not serve before,
@@ -256,14 +272,14 @@
         let starts = (0..300).map(|seed| {
             let mut schedule = Schedule::new(nodes, seed);
             schedule.start(100.0, spread);
-            let at = schedule.wakes().expect("a first call");
-            let call = schedule.due(at, true).expect("it is due");
-            assert_eq!(call.wait, None);
-            schedule.answered(at, call.id, false);
+            let at = schedule.next_call_at().expect("a first call");
+            let call = schedule.take_due_call(at, true).expect("it is due");
+            assert_eq!(call.wait_seconds, None);
+            schedule.record_answer(at, call.id, AnswerContent::Unchanged);
             assert!(
                 schedule
-                    .due(at, true)
-                    .is_some_and(|call| call.wait.is_some()),
+                    .take_due_call(at, true)
+                    .is_some_and(|call| call.wait_seconds.is_some()),
                 "then a watch"
             );
             at - 100.0
@@ -272,13 +288,17 @@
             (least.min(at), most.max(at))
         })
     };
-    let (least, most) = first(300, true);
+    let (least, most) = first(300, FirstCall::Spread);
     assert!(
         least < 0.01 && (0.2..=0.25).contains(&most),
         "{least} to {most}"
     );
-    assert!(first(5, true).1 < 0.006, "few need no time");
-    assert_eq!(first(300, false), (0.0, 0.0), "where it is not wanted");
+    assert!(first(5, FirstCall::Spread).1 < 0.006, "few need no time");
+    assert_eq!(
+        first(300, FirstCall::Immediate),
+        (0.0, 0.0),
+        "where it is not wanted"
+    );
 }
 
 /// Guards against calls that come together after all nodes have lost discovery at one moment, and against waits that grow
@@ -288,12 +308,12 @@
     let mut firsts = Vec::new();
     for seed in 0..300 {
         let mut schedule = Schedule::new(300, seed);
-        schedule.moved(100.0);
+        schedule.restart(100.0);
         let mut now = 100.0;
         for step in 0..40 {
-            let call = schedule.due(now, true).expect("it is due");
-            schedule.failed(now, call.id);
-            let next = schedule.wakes().expect("another");
+            let call = schedule.take_due_call(now, true).expect("it is due");
+            schedule.record_failure(now, call.id);
+            let next = schedule.next_call_at().expect("another");
             assert!(
                 next > now + 0.04 && next <= now + 2.61,
                 "seed {seed}, step {step}: {}",
@@ -320,11 +340,11 @@
 fn one_that_answers_at_once_is_not_called_in_a_circle() {
     let mut schedule = Schedule::new(1, 7);
     let (mut now, mut calls) = (100.0, 0);
-    schedule.moved(now);
+    schedule.restart(now);
     while now < 101.0 {
-        if let Some(call) = schedule.due(now, true) {
+        if let Some(call) = schedule.take_due_call(now, true) {
             calls += 1;
-            schedule.answered(now, call.id, false);
+            schedule.record_answer(now, call.id, AnswerContent::Unchanged);
         }
         now += 0.001;
     }
@@ -332,43 +352,47 @@
     // News are another thing: the watch has to go on at once.
     let call = std::iter::repeat_with(|| {
         now += 0.001;
-        schedule.due(now, true)
+        schedule.take_due_call(now, true)
     });
     let call = call.take(200).flatten().next().expect("the next call");
-    schedule.answered(now, call.id, true);
-    assert!(schedule.due(now, true).is_some());
+    schedule.record_answer(now, call.id, AnswerContent::Changed);
+    assert!(schedule.take_due_call(now, true).is_some());
 }
 
 /// Guards against an answer that comes to a call which was given up, and is believed.
 #[test]
 fn a_call_given_up_counts_no_more() {
     let mut schedule = Schedule::new(1, 7);
-    schedule.moved(100.0);
-    let first = schedule.due(100.0, true).expect("a call");
-    let second = schedule.due(104.0, true).expect("one beside it");
-    assert!(first.wait.is_some() && second.wait.is_none() && second.ends.is_none());
+    schedule.restart(100.0);
+    let first = schedule.take_due_call(100.0, true).expect("a call");
+    let second = schedule.take_due_call(104.0, true).expect("one beside it");
+    assert!(
+        first.wait_seconds.is_some()
+            && second.wait_seconds.is_none()
+            && second.supersedes.is_none()
+    );
     let third = schedule
-        .due(104.0 + BESIDE, true)
+        .take_due_call(104.0 + SECOND_CALL_DELAY_SECONDS, true)
         .expect("one in its place");
-    assert_eq!(third.ends, Some(first.id));
-    schedule.answered(105.2, first.id, true);
+    assert_eq!(third.supersedes, Some(first.id));
+    schedule.record_answer(105.2, first.id, AnswerContent::Changed);
     assert!(
-        schedule.is_out(second.id) && schedule.is_out(third.id),
+        schedule.is_open(second.id) && schedule.is_open(third.id),
         "it is nobody's answer"
     );
-    schedule.failed(105.2, second.id);
+    schedule.record_failure(105.2, second.id);
     assert!(
-        schedule.is_out(third.id)
+        schedule.is_open(third.id)
             && schedule
-                .wakes()
-                .is_some_and(|at| at <= 105.1 + BESIDE + 0.001)
+                .next_call_at()
+                .is_some_and(|at| at <= 105.1 + SECOND_CALL_DELAY_SECONDS + 0.001)
     );
-    schedule.answered(105.3, third.id, false);
+    schedule.record_answer(105.3, third.id, AnswerContent::Unchanged);
     assert!(
-        !schedule.is_out(third.id)
+        !schedule.is_open(third.id)
             && schedule
-                .due(105.3, true)
-                .is_some_and(|call| call.wait.is_some())
+                .take_due_call(105.3, true)
+                .is_some_and(|call| call.wait_seconds.is_some())
     );
 }
 
@@ -376,9 +400,18 @@
 #[test]
 fn the_whole_list_is_asked_for_once_at_a_time() {
     let mut schedule = Schedule::new(1, 7);
-    schedule.moved(100.0);
-    let first = schedule.due(100.0, false).expect("a call");
-    assert!(schedule.due(100.0 + BESIDE, false).is_none());
-    let second = schedule.due(100.0 + PATIENCE, false).expect("another");
-    assert_eq!((second.ends, second.wait), (Some(first.id), None));
+    schedule.restart(100.0);
+    let first = schedule.take_due_call(100.0, false).expect("a call");
+    assert!(
+        schedule
+            .take_due_call(100.0 + SECOND_CALL_DELAY_SECONDS, false)
+            .is_none()
+    );
+    let second = schedule
+        .take_due_call(100.0 + FULL_LIST_TIMEOUT_SECONDS, false)
+        .expect("another");
+    assert_eq!(
+        (second.supersedes, second.wait_seconds),
+        (Some(first.id), None)
+    );
 }
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -4,7 +4,7 @@
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
 use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
-use postproxy::net::upstream::worker_list::{Kept, List, WorkerList};
+use postproxy::net::upstream::worker_list::{DiscoveryList, WorkerList, WorkerListSnapshot};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -405,7 +405,7 @@
         let members = members.join(",");
         let text =
             format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
-        List::from_json(text.as_bytes()).expect("a list")
+        DiscoveryList::from_json(text.as_bytes()).expect("a list")
     };
     let mut bed = Bed::new(Some(5), 7);
     let at = bed.listener.local_addr().expect("an address");
@@ -422,16 +422,16 @@
     assert_eq!(bed.told(), ListKind::Delta);
     let kept = bed.list.take_changed_snapshot().expect("it has changed");
     assert!(bed.list.take_changed_snapshot().is_none(), "it was taken");
-    let start = |known: Option<List>, discovery: SocketAddr| {
-        let list = Kept::from_json(&kept)
+    let start = |known: Option<DiscoveryList>, discovery: SocketAddr| {
+        let list = WorkerListSnapshot::from_json(&kept)
             .expect("a list")
-            .or(known, discovery)
+            .select_initial_list(known, discovery)
             .expect("a list");
         let settings = Settings::from_json("{}").expect("sound settings");
         let revision = list.revision;
         (
             revision,
-            list.members(&settings)
+            list.into_members(&settings)
                 .iter()
                 .map(|m| m.id.clone())
                 .collect::<Vec<_>>()
@@ -469,9 +469,9 @@
         let members = [member("s-1", addresses[0]), member("s-2", addresses[1])].join(",");
         let text = format!(r#"{{"revision": 3, "complete": true, "members": [{members}]}}"#);
         let settings = Settings::from_json("{}").expect("sound settings");
-        let members = List::from_json(text.as_bytes())
+        let members = DiscoveryList::from_json(text.as_bytes())
             .expect("a list")
-            .members(&settings);
+            .into_members(&settings);
         members
             .into_iter()
             .map(|member| member.entry.identity)
@@ -494,7 +494,9 @@
         {"id": "c", "host_port": "10.0.0.3:80", "locality": "mars", "phase": "terminating", "up_since_ms": 1764586800250},
         {"id": "d", "host_port": "10.0.0.4:80", "phase": "new-word", "more": [1]},
         {"id": "e", "host_port": "10.0.0.5:80", "phase": "terminated"}]}"#;
-    let members = List::from_json(text).expect("a list").members(&settings);
+    let members = DiscoveryList::from_json(text)
+        .expect("a list")
+        .into_members(&settings);
     let ids: Vec<&str> = members.iter().map(|m| m.id.as_str()).collect();
     assert_eq!(ids, ["a", "c", "d", "e"]);
     let entry = |n: usize| &members[n].entry;
