--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -8,7 +8,7 @@
 
 use fjall::{Database, KeyspaceCreateOptions, PersistMode};
 use hdrhistogram::Histogram;
-use postproxy_store::{Batch, Engine, Event, Options, OsDisk, Store, Work};
+use postproxy_store::{Batch, Engine, Event, Options, OsDisk, Store, WriterOptions};
 use redb::ReadableDatabase;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -55,9 +55,9 @@
 }
 
 fn ours(folder: &Path, outstanding: usize, time: Duration) -> Line {
-    let work = Work {
-        most_queued: 64 << 20,
-        again: Duration::from_secs(1),
+    let work = WriterOptions {
+        max_queued_bytes: 64 << 20,
+        retry_interval: Duration::from_secs(1),
         clock: Box::new(|| 0),
         wake: Box::new(|| {}),
     };
@@ -165,7 +165,7 @@
             .append(&[postproxy_store::Change::Put {
                 key: &key,
                 value: &value,
-                until: 0,
+                expires_at_ms: 0,
             }])
             .expect("room");
         if n % 4096 == 4095 {
@@ -177,8 +177,8 @@
     let start = Instant::now();
     let store = engine(folder.path());
     let took = start.elapsed().as_secs_f64();
-    let stat = store.stat();
-    assert_eq!(stat.live as u64, records);
+    let stat = store.statistics();
+    assert_eq!(stat.live_keys as u64, records);
     let memory = stat.index_bytes as f64 / records as f64;
     println!(
         "| {records} | {took:.2} | {:.2} | {memory:.0} |",
@@ -191,7 +191,7 @@
     let folder = tempfile::tempdir_in(target()).expect("a folder");
     let disk = OsDisk::new(folder.path()).expect("a folder");
     let options = Options {
-        segment: 1 << 20,
+        segment_bytes: 1 << 20,
         ..Options::default()
     };
     let mut store = Engine::open(vec![disk], options, "a bench", 1, 0)
@@ -207,12 +207,12 @@
             .append(&[postproxy_store::Change::Put {
                 key: &key,
                 value: &VALUE,
-                until: 0,
+                expires_at_ms: 0,
             }])
             .expect("room");
         if n % 512 == 511 {
             store.commit().expect("durable");
-            while store.wants_cleaning() {
+            while store.needs_cleaning() {
                 store.clean().expect("cleaned");
                 store.commit().expect("durable");
             }
@@ -223,11 +223,12 @@
                 .filter_map(|entry| entry.ok()?.metadata().ok())
                 .map(|data| data.len())
                 .sum();
-            let ratio = files as f64 / store.stat().live_bytes as f64;
+            let ratio = files as f64 / store.statistics().live_bytes as f64;
             (most, sum, counted) = (most.max(ratio), sum + ratio, counted + 1.0);
         }
     }
-    let copied = store.stat().copied as f64 / (writes * (VALUE.len() as u64 + 24 + 39)) as f64;
+    let copied =
+        store.statistics().copied_bytes as f64 / (writes * (VALUE.len() as u64 + 24 + 39)) as f64;
     println!(
         "| {writes} | {KEYS} | {:.2} | {most:.2} | {copied:.2} |",
         sum / counted
--- a/crates/store/src/batch.rs
+++ b/crates/store/src/batch.rs
@@ -1,23 +1,28 @@
-//! Changes that count all or none, owned.
+//! An owned batch of changes that take effect together.
 
 use crate::frame::{self, Change};
 
-/// Changes that count all or none. They are kept as they will be written.
+/// Changes that take effect together or not at all, encoded as they will be written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     content: Vec<u8>,
 }
 
 impl Batch {
-    /// No changes.
+    /// Creates a batch without changes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a put; `until` is when it expires, in milliseconds of Unix time, 0 for never.
+    /// Adds a put that expires at `expires_at_ms`, in milliseconds of Unix time; 0 for never.
     #[must_use]
-    pub fn put(mut self, key: &[u8], value: &[u8], until: u64) -> Self {
-        Change::Put { key, value, until }.encode(&mut self.content);
+    pub fn put(mut self, key: &[u8], value: &[u8], expires_at_ms: u64) -> Self {
+        let change = Change::Put {
+            key,
+            value,
+            expires_at_ms,
+        };
+        change.encode(&mut self.content);
         self
     }
 
@@ -28,12 +33,12 @@
         self
     }
 
-    /// How many bytes it takes.
+    /// The encoded size in bytes.
     pub fn size(&self) -> usize {
         self.content.len()
     }
 
-    /// Whether it changes nothing.
+    /// Whether it holds no changes.
     pub fn is_empty(&self) -> bool {
         self.content.is_empty()
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,7 +1,7 @@
-//! The narrow door to the files: a folder of flat names, and files that are read and written at offsets.
+//! Access to files: a folder of flat names, and files that are read and written at offsets.
 //!
-//! The engine sees the disk only through [`Disk`] and [`File`], so that tests can put a simulated one in its
-//! place ([`crate::sim::SimDisk`]) which crashes, fills up and fails where it is told to.
+//! The engine reaches the disk only through [`Disk`] and [`File`], so that tests can replace it by a simulated one
+//! ([`crate::sim::SimDisk`]) which crashes, fills up and fails as they say.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -10,132 +10,134 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A folder. Names are flat. What is created, renamed or removed is there after a crash only once
-/// [`Disk::sync_folder`] has come back well.
+/// A folder with flat names. A file that was created, renamed or removed is so after a crash only once
+/// [`Disk::sync_folder`] has succeeded.
 pub trait Disk {
-    /// A file that is open.
+    /// An open file.
     type File: File;
-    /// What keeps others out as long as it lives.
+    /// The lock of the folder, held until it is dropped.
     type Lock;
 
-    /// The names in the folder.
+    /// Returns the names of the files, in order.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Makes an empty file and opens it.
+    /// Creates an empty file and opens it.
     ///
     /// # Errors
     ///
-    /// The system's; `AlreadyExists` if the name is taken.
+    /// An error of the system; `AlreadyExists` if there is a file of this name.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Opens a file for reading and writing.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Gives a file another name, in place of a file that has it.
+    /// Renames a file; one that has the new name already is replaced.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes what has been created, renamed and removed durable.
+    /// Makes all creations, renames and removals of files durable.
     ///
     /// # Errors
     ///
-    /// The system's: then none of it may be.
+    /// An error of the system: then perhaps none of them is durable.
     fn sync_folder(&self) -> io::Result<()>;
 
-    /// Keeps other processes out of the folder.
+    /// Locks the folder against other processes; `holder` names this one to them.
     ///
     /// # Errors
     ///
-    /// `WouldBlock`, with the holder's name in its text, if another one has it.
+    /// `WouldBlock`, with the holder's name in its text, if another process holds the lock.
     fn lock(&self, holder: &str) -> io::Result<Self::Lock>;
 
-    /// How messages name the folder.
+    /// Returns the name of the folder for messages.
     fn name(&self) -> String;
 }
 
-/// An open file. Bytes written are there after a crash only once [`File::sync`] has come back well.
+/// An open file. Bytes written are there after a crash only once [`File::sync`] has succeeded.
 pub trait File {
-    /// Its size in bytes.
+    /// Returns its size in bytes.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn size(&self) -> io::Result<u64>;
 
-    /// Reads until the buffer is full or the file ends; how much was read.
+    /// Reads until the buffer is full or the file ends, and returns the number of bytes read.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize>;
 
     /// Writes all bytes.
     ///
     /// # Errors
     ///
-    /// The system's: then any part of them may have been written.
+    /// An error of the system: then any part of the bytes may have been written.
     fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts the file.
+    /// Shortens the file to `size` bytes.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     fn truncate(&self, size: u64) -> io::Result<()>;
 
-    /// Makes all bytes durable.
+    /// Makes all bytes written so far durable.
     ///
     /// # Errors
     ///
-    /// The system's: then any page written since the last sync may never become durable, even if a later sync
-    /// comes back well.
+    /// An error of the system: then any page written since the last sync may never become durable, even if a later
+    /// sync succeeds.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder of the system's.
+/// A folder of the operating system.
 #[derive(Clone, Debug)]
 pub struct OsDisk {
     folder: PathBuf,
-    trial: Trial,
+    faults: InjectedFaults,
 }
 
-/// What goes wrong on purpose.
+/// Faults that are injected for tests of a running node.
 #[derive(Clone, Debug, Default)]
-struct Trial {
-    delay: Duration,
-    /// While this file is there, the disk has the trouble that its text names.
-    trouble: Option<Arc<Path>>,
+struct InjectedFaults {
+    /// By how much each sync is slowed down.
+    sync_delay: Duration,
+    /// While this file is there, the disk has the fault that its text names.
+    fault_file: Option<Arc<Path>>,
 }
 
-impl Trial {
-    /// The trouble there is now, if there may be any.
-    fn has(&self, trouble: &str) -> bool {
-        let Some(path) = &self.trouble else {
+impl InjectedFaults {
+    /// Whether the disk has this fault now.
+    fn is_active(&self, fault: &str) -> bool {
+        let Some(path) = &self.fault_file else {
             return false;
         };
-        fs::read_to_string(path).is_ok_and(|text| text.trim() == trouble)
+        fs::read_to_string(path).is_ok_and(|text| text.trim() == fault)
     }
 
-    fn full(&self) -> io::Result<()> {
-        if self.has("full") {
+    /// Fails while the disk is said to be full.
+    fn check_not_full(&self) -> io::Result<()> {
+        if self.is_active(FULL_FAULT) {
             Err(io::ErrorKind::StorageFull.into())
         } else {
             Ok(())
@@ -143,60 +145,77 @@
     }
 }
 
-/// A file of the system's.
+/// A file of the operating system.
 #[derive(Debug)]
 pub struct OsFile {
     file: fs::File,
-    trial: Trial,
+    faults: InjectedFaults,
 }
 
-/// The name of the file that is locked.
-const LOCK: &str = "LOCK";
+/// The file that is locked; it holds the name of the process that locked it.
+const LOCK_FILE: &str = "LOCK";
+/// The text of the fault file for a full disk.
+const FULL_FAULT: &str = "full";
+/// The text of the fault file for a disk on which every sync fails.
+const SYNC_FAULT: &str = "sync";
 
 impl OsDisk {
-    /// The folder of this path; it is made if it isn't there.
+    /// Opens the folder at this path; it is created if it isn't there.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// An error of the system.
     pub fn new(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         Ok(Self {
             folder: folder.to_owned(),
-            trial: Trial::default(),
+            faults: InjectedFaults::default(),
         })
     }
 
-    /// For trials: the same, where every sync of a file takes so much longer.
+    /// Slows every sync of a file down by `delay`, for tests.
     #[must_use]
-    pub fn slowed(mut self, delay: Duration) -> Self {
-        self.trial.delay = delay;
+    pub fn with_sync_delay(mut self, delay: Duration) -> Self {
+        self.faults.sync_delay = delay;
         self
     }
 
-    /// For trials: the same, which is full while this file holds the word `full`, and fails every sync while it holds `sync`.
+    /// Makes the disk full while this file holds the word `full`, and fail every sync while it holds `sync`, for tests.
     #[must_use]
-    pub fn troubled(mut self, file: &Path) -> Self {
-        self.trial.trouble = Some(file.into());
+    pub fn with_fault_file(mut self, file: &Path) -> Self {
+        self.faults.fault_file = Some(file.into());
         self
     }
 
-    /// The folder of this path, which must be there.
+    /// Opens the folder at this path, which must be there.
     ///
     /// # Errors
     ///
-    /// The system's, and `NotADirectory`.
+    /// An error of the system, and `NotADirectory`.
     pub fn existing(folder: &Path) -> io::Result<Self> {
         if !fs::metadata(folder)?.is_dir() {
             return Err(io::ErrorKind::NotADirectory.into());
         }
         Ok(Self {
             folder: folder.to_owned(),
-            trial: Trial::default(),
+            faults: InjectedFaults::default(),
         })
     }
 }
 
+impl OsDisk {
+    /// The error for a folder that another process has locked; the lock file names it.
+    fn locked_error(&self, lock_file: &Path) -> io::Error {
+        let content = fs::read_to_string(lock_file).unwrap_or_default();
+        let holder = match content.trim() {
+            "" => "another process",
+            holder => holder,
+        };
+        let text = format!("{} is held by {holder}", self.folder.display());
+        io::Error::new(io::ErrorKind::WouldBlock, text)
+    }
+}
+
 impl Disk for OsDisk {
     type File = OsFile;
     type Lock = fs::File;
@@ -205,7 +224,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let entry = entry?;
-            // What is no name of ours in UTF-8 is none of our files.
+            // The store's own names are UTF-8; any other file is not the store's.
             names.extend(entry.file_name().into_string().ok());
         }
         names.sort();
@@ -213,7 +232,7 @@
     }
 
     fn create(&self, name: &str) -> io::Result<OsFile> {
-        self.trial.full()?;
+        self.faults.check_not_full()?;
         let path = self.folder.join(name);
         let file = OpenOptions::new()
             .read(true)
@@ -223,7 +242,7 @@
             .open(path)?;
         Ok(OsFile {
             file,
-            trial: self.trial.clone(),
+            faults: self.faults.clone(),
         })
     }
 
@@ -234,7 +253,7 @@
             .open(self.folder.join(name))?;
         Ok(OsFile {
             file,
-            trial: self.trial.clone(),
+            faults: self.faults.clone(),
         })
     }
 
@@ -251,7 +270,7 @@
     }
 
     fn lock(&self, holder: &str) -> io::Result<fs::File> {
-        let path = self.folder.join(LOCK);
+        let path = self.folder.join(LOCK_FILE);
         let mut options = OpenOptions::new();
         let mut file = options
             .read(true)
@@ -262,16 +281,7 @@
             .open(&path)?;
         match file.try_lock() {
             Ok(()) => {}
-            Err(fs::TryLockError::WouldBlock) => {
-                let other = fs::read_to_string(&path).unwrap_or_default();
-                let other = if other.trim().is_empty() {
-                    "another process"
-                } else {
-                    other.trim()
-                };
-                let text = format!("{} is held by {other}", self.folder.display());
-                return Err(io::Error::new(io::ErrorKind::WouldBlock, text));
-            }
+            Err(fs::TryLockError::WouldBlock) => return Err(self.locked_error(&path)),
             Err(fs::TryLockError::Error(error)) => return Err(error),
         }
         file.set_len(0)?;
@@ -303,7 +313,7 @@
     }
 
     fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.trial.full()?;
+        self.faults.check_not_full()?;
         self.file.write_all_at(bytes, at)
     }
 
@@ -312,10 +322,10 @@
     }
 
     fn sync(&self) -> io::Result<()> {
-        if !self.trial.delay.is_zero() {
-            std::thread::sleep(self.trial.delay);
+        if !self.faults.sync_delay.is_zero() {
+            std::thread::sleep(self.faults.sync_delay);
         }
-        if self.trial.has("sync") {
+        if self.faults.is_active(SYNC_FAULT) {
             return Err(io::Error::other("a sync that fails for trials"));
         }
         self.file.sync_data()
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -2,80 +2,82 @@
 
 use hashbrown::HashMap;
 
-/// Where a put is.
+/// What an allocator adds to the bytes of each key, roughly.
+const ALLOCATION_OVERHEAD_BYTES: usize = 16;
+
+/// Where a put is. Four numbers of 32 bits, since the index holds one for each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// The segment's number; a store ends long before its segments' numbers no longer fit.
+pub struct RecordLocation {
+    /// The number of the segment. A store reaches its end long before these numbers do.
     pub segment: u32,
     /// Where in the file its frame begins.
     pub frame: u32,
     /// Where in the frame's content it begins.
     pub change: u32,
-    /// How many bytes it accounts for.
+    /// The bytes that are accounted to it.
     pub bytes: u32,
 }
 
-/// What becomes of a key.
+/// A change of the index.
 #[derive(Clone, Debug)]
-pub struct Update {
+pub struct IndexUpdate {
     /// The key.
     pub key: Box<[u8]>,
-    /// Where its value is now; `None` for nowhere.
-    pub place: Option<Place>,
+    /// Where its value is from now on; `None` if it has none.
+    pub location: Option<RecordLocation>,
 }
 
-/// Keys and places.
+/// The locations of all live records by key.
 #[derive(Debug, Default)]
 pub struct Index {
-    places: HashMap<Box<[u8]>, Place>,
-    live: u64,
+    locations: HashMap<Box<[u8]>, RecordLocation>,
+    live_bytes: u64,
 }
 
 impl Index {
-    /// How many keys have a value.
+    /// The number of keys that have a value.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
-    /// Whether none has.
+    /// Whether no key has a value.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
-    /// Bytes that the newest values account for.
-    pub fn live(&self) -> u64 {
-        self.live
+    /// Bytes on the disk that are accounted to the newest values.
+    pub fn live_bytes(&self) -> u64 {
+        self.live_bytes
     }
 
-    /// Where the value of a key is.
-    pub fn get(&self, key: &[u8]) -> Option<Place> {
-        self.places.get(key).copied()
+    /// Returns where the value of a key is.
+    pub fn get(&self, key: &[u8]) -> Option<RecordLocation> {
+        self.locations.get(key).copied()
     }
 
-    /// Sets a key's place; the one that it had no longer counts, and is returned.
-    pub fn put(&mut self, key: Box<[u8]>, place: Place) -> Option<Place> {
-        self.live += u64::from(place.bytes);
-        let old = self.places.insert(key, place);
-        self.live -= old.map_or(0, |old| u64::from(old.bytes));
-        old
+    /// Sets the location of a key and returns the previous one, which no longer counts.
+    pub fn put(&mut self, key: Box<[u8]>, location: RecordLocation) -> Option<RecordLocation> {
+        self.live_bytes += u64::from(location.bytes);
+        let previous = self.locations.insert(key, location);
+        self.live_bytes -= previous.map_or(0, |previous| u64::from(previous.bytes));
+        previous
     }
 
-    /// Takes a key out; the place that it had.
-    pub fn remove(&mut self, key: &[u8]) -> Option<Place> {
-        let old = self.places.remove(key);
-        self.live -= old.map_or(0, |old| u64::from(old.bytes));
-        old
+    /// Removes a key and returns its location.
+    pub fn remove(&mut self, key: &[u8]) -> Option<RecordLocation> {
+        let previous = self.locations.remove(key);
+        self.live_bytes -= previous.map_or(0, |previous| u64::from(previous.bytes));
+        previous
     }
 
-    /// All keys with their places, in no order.
-    pub fn iter(&self) -> impl Iterator<Item = (&[u8], Place)> {
-        self.places.iter().map(|(key, place)| (&**key, *place))
+    /// All keys with their locations, in no order.
+    pub fn iter(&self) -> impl Iterator<Item = (&[u8], RecordLocation)> {
+        self.locations.iter().map(|(key, at)| (&**key, *at))
     }
 
-    /// Bytes of memory that the index takes, beside the keys themselves: its table at its present size, and
-    /// what an allocator adds to each key.
-    pub fn overhead(&self) -> usize {
-        const ALLOCATION: usize = 16;
-        self.places.allocation_size() + self.places.len() * ALLOCATION
+    /// Memory that the index takes beside the keys themselves, in bytes: its table at its present size, and what an
+    /// allocator adds to each key.
+    pub fn overhead_bytes(&self) -> usize {
+        self.locations.allocation_size() + self.locations.len() * ALLOCATION_OVERHEAD_BYTES
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
 //! A small embedded store of records with keys.
 //!
-//! An append-only log in segments, each frame of it checked; an index in memory; cleaning that copies what is
-//! live to the end and then removes the oldest segment; an optional second copy of every file. [`Engine`] does
-//! all of it in one thread, through a narrow [`Disk`]; [`Store`] puts it behind queues, so that a loop that must
-//! not wait for the disk can use it.
+//! An append-only log in segments, each frame of it with a checksum; an index in memory; cleaning that copies live
+//! records to the end of the log and then removes the oldest segment; an optional mirror of every file. [`Engine`] does
+//! all of it in one thread, through the [`Disk`] trait; [`Store`] puts it on a thread of its own behind queues, for
+//! an event loop that must not wait for the disk.
 #![forbid(unsafe_code)]
 
 pub mod batch;
@@ -16,6 +16,6 @@
 
 pub use batch::Batch;
 pub use disk::{Disk, File, OsDisk, OsFile};
-pub use engine::{Engine, Lost, OpenError, Options, Recovery, Rejected, Stat};
+pub use engine::{Engine, LostFrames, OpenError, Options, Recovery, Rejected, Statistics};
 pub use frame::Change;
-pub use writer::{Busy, Event, Store, Ticket, Work};
+pub use writer::{Event, QueueFull, Store, Ticket, WriterOptions};
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,23 +1,23 @@
-//! A disk in memory that crashes, fills up and fails where it is told to. What is not synced is lost, kept or
-//! reordered at a crash, by a seed.
+//! A simulated disk in memory that crashes, fills up and fails as a test says. What is not synced is lost, kept or
+//! reordered at a crash, at random by a seed.
 
 use crate::disk::{Disk, File};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes that a disk writes as one.
-const SECTOR: usize = 512;
+/// Bytes that a disk writes as one: after a crash each sector is there or not.
+const SECTOR_BYTES: usize = 512;
 
-/// What goes wrong, and when. Operations are those that change something: writes, syncs, cuts, and changes of
+/// The faults of a disk. Operations are those that change something: writes, syncs, truncations, and changes of
 /// names; they are counted from 0.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// The operation from which on nothing works any more; of a write, a part is done first.
+    /// The operation at which the machine crashes: from then on everything fails. Of a write, a part is done first.
     pub crash_at: Option<u64>,
-    /// Bytes that the disk holds.
+    /// Bytes that fit on the disk; `None` for no limit.
     pub capacity: Option<u64>,
-    /// Syncs of files that fail, counted from 0; what they were to make durable never is.
+    /// Syncs of files that fail, counted from 0. What they were to make durable never is.
     pub failing_syncs: Vec<u64>,
     /// Syncs of folders that fail, counted from 0.
     pub failing_folder_syncs: Vec<u64>,
@@ -25,34 +25,51 @@
     pub no_writes: bool,
 }
 
+/// A change of a file's content that is not durable yet.
 #[derive(Clone, Debug)]
-enum Pending {
-    Write(usize, Vec<u8>),
-    Cut(usize),
+enum PendingChange {
+    Write { offset: usize, bytes: Vec<u8> },
+    Truncate { size: usize },
 }
 
+/// The content of a file.
 #[derive(Clone, Debug, Default)]
 struct Node {
     /// What a reader sees.
     live: Vec<u8>,
-    /// What is there after a crash at any rate.
+    /// What is certainly there after a crash.
     durable: Vec<u8>,
-    /// What may be, too.
-    pending: Vec<Pending>,
+    /// What may be there after a crash too.
+    pending: Vec<PendingChange>,
 }
 
+impl Node {
+    fn durable_content(bytes: Vec<u8>) -> Self {
+        Self {
+            live: bytes.clone(),
+            durable: bytes,
+            pending: Vec::new(),
+        }
+    }
+}
+
+/// A change of the folder.
 #[derive(Clone, Debug)]
-enum Rename {
-    Set(String, usize),
-    Gone(String),
+enum NameChange {
+    Set { name: String, node: usize },
+    Remove { name: String },
 }
 
+/// Names of files, with the indexes of their nodes.
+type Names = BTreeMap<String, usize>;
+
 #[derive(Debug, Default)]
-struct State {
+struct DiskState {
     nodes: Vec<Node>,
-    names: BTreeMap<String, usize>,
-    durable_names: BTreeMap<String, usize>,
-    renames: Vec<Vec<Rename>>,
+    names: Names,
+    durable_names: Names,
+    /// Changes of names that are not durable yet; those of one operation take effect together.
+    pending_names: Vec<Vec<NameChange>>,
     faults: Faults,
     operations: u64,
     syncs: u64,
@@ -62,7 +79,7 @@
     seed: u64,
 }
 
-impl State {
+impl DiskState {
     fn random(&mut self) -> u64 {
         // SplitMix64.
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -72,18 +89,57 @@
         z ^ (z >> 31)
     }
 
-    /// Counts an operation; whether it is the one at which all ends.
-    fn step(&mut self) -> io::Result<bool> {
-        if self.crashed {
-            return Err(io::Error::other("the disk is gone"));
-        }
-        let ends = self.faults.crash_at.is_some_and(|at| self.operations >= at);
+    /// Fails after a crash.
+    fn check_not_crashed(&self) -> io::Result<()> {
+        if self.crashed { Err(crashed()) } else { Ok(()) }
+    }
+
+    /// Counts an operation, and fails after a crash. Returns whether the machine crashes at this operation.
+    fn count_operation(&mut self) -> io::Result<bool> {
+        self.check_not_crashed()?;
+        let crashes_now = self.faults.crash_at.is_some_and(|at| self.operations >= at);
         self.operations += 1;
-        self.crashed = ends;
-        Ok(ends)
+        self.crashed = crashes_now;
+        Ok(crashes_now)
+    }
+
+    /// Counts an operation that a crash prevents as a whole.
+    fn begin_operation(&mut self) -> io::Result<()> {
+        if self.count_operation()? {
+            return Err(crashed());
+        }
+        Ok(())
+    }
+
+    /// The content of a file after a crash: what is durable, and a random part of the pending changes.
+    fn content_after_crash(&mut self, node: &Node) -> Vec<u8> {
+        let mut content = node.durable.clone();
+        for change in &node.pending {
+            match change {
+                PendingChange::Write { offset, bytes } => {
+                    // Each sector by itself: written or not, whatever came before it.
+                    let mut from = 0;
+                    while from < bytes.len() {
+                        let sector_end = from + SECTOR_BYTES - (offset + from) % SECTOR_BYTES;
+                        let to = sector_end.min(bytes.len());
+                        if self.random().is_multiple_of(2) {
+                            overwrite(&mut content, offset + from, &bytes[from..to]);
+                        }
+                        from = to;
+                    }
+                }
+                PendingChange::Truncate { size } => {
+                    if self.random().is_multiple_of(2) {
+                        content.truncate(*size);
+                    }
+                }
+            }
+        }
+        content
     }
 
-    fn used(&self) -> u64 {
+    /// Bytes of all files.
+    fn used_bytes(&self) -> u64 {
         self.names
             .values()
             .map(|node| self.nodes[*node].live.len() as u64)
@@ -91,29 +147,32 @@
     }
 }
 
-fn gone() -> io::Error {
+/// The error of every operation after a crash.
+fn crashed() -> io::Error {
     io::Error::other("the disk is gone")
 }
 
-fn put(bytes: &mut Vec<u8>, at: usize, new: &[u8]) {
-    if bytes.len() < at + new.len() {
-        bytes.resize(at + new.len(), 0);
+/// Overwrites bytes at an offset; the file grows as needed.
+fn overwrite(content: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
+    let end = offset + bytes.len();
+    if content.len() < end {
+        content.resize(end, 0);
     }
-    bytes[at..at + new.len()].copy_from_slice(new);
+    content[offset..end].copy_from_slice(bytes);
 }
 
 /// A simulated folder.
 #[derive(Clone, Debug, Default)]
-pub struct SimDisk(Arc<Mutex<State>>);
+pub struct SimDisk(Arc<Mutex<DiskState>>);
 
-/// A file on it.
+/// A file on a simulated disk.
 #[derive(Debug)]
 pub struct SimFile {
     disk: SimDisk,
     node: usize,
 }
 
-/// The lock on it.
+/// The lock of a simulated folder.
 #[derive(Debug)]
 pub struct SimLock(SimDisk);
 
@@ -124,88 +183,63 @@
 }
 
 impl SimDisk {
-    /// An empty folder with these faults; what a crash keeps follows from the seed.
+    /// Creates an empty folder with these faults; the seed decides what a crash keeps.
     pub fn new(faults: Faults, seed: u64) -> Self {
-        Self(Arc::new(Mutex::new(State {
+        Self(Arc::new(Mutex::new(DiskState {
             faults,
             seed,
-            ..State::default()
+            ..DiskState::default()
         })))
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what goes wrong from now on.
-    pub fn set(&self, change: impl FnOnce(&mut Faults)) {
+    /// Changes the faults from now on.
+    pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.state().faults);
     }
 
-    /// How many operations there were.
+    /// Returns the number of operations so far.
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// How many syncs of files there were.
+    /// Returns the number of syncs of files so far.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 
-    /// The machine dies and comes back: a new disk, without faults, with what was durable and some of the rest.
+    /// Returns the disk after a crash and a restart: without faults, with what was durable and some of the rest.
     #[must_use]
     pub fn after_crash(&self) -> Self {
         let mut state = self.state();
         let mut nodes = state.nodes.clone();
         for node in &mut nodes {
-            let mut bytes = std::mem::take(&mut node.durable);
-            for pending in std::mem::take(&mut node.pending) {
-                match pending {
-                    Pending::Write(at, new) => {
-                        // Each sector by itself: kept or dropped, whatever came before it.
-                        let mut from = 0;
-                        while from < new.len() {
-                            let to = (from + SECTOR - (at + from) % SECTOR).min(new.len());
-                            if state.random().is_multiple_of(2) {
-                                put(&mut bytes, at + from, &new[from..to]);
-                            }
-                            from = to;
-                        }
-                    }
-                    Pending::Cut(size) => {
-                        if state.random().is_multiple_of(2) {
-                            bytes.truncate(size);
-                        }
-                    }
-                }
-            }
-            *node = Node {
-                live: bytes.clone(),
-                durable: bytes,
-                pending: Vec::new(),
-            };
+            *node = Node::durable_content(state.content_after_crash(node));
         }
         let mut names = state.durable_names.clone();
-        for rename in std::mem::take(&mut state.renames) {
+        for changes in std::mem::take(&mut state.pending_names) {
             if state.random().is_multiple_of(2) {
-                change(&mut names, rename);
+                apply_name_changes(&mut names, changes);
             }
         }
         let seed = state.random();
-        Self(Arc::new(Mutex::new(State {
+        Self(Arc::new(Mutex::new(DiskState {
             nodes,
             durable_names: names.clone(),
             names,
             seed,
-            ..State::default()
+            ..DiskState::default()
         })))
     }
 
-    /// The content of a file.
+    /// Returns the content of a file.
     ///
     /// # Panics
     ///
-    /// If it is not there.
+    /// If there is no such file.
     pub fn content(&self, name: &str) -> Vec<u8> {
         let state = self.state();
         state.nodes[state.names[name]].live.clone()
@@ -216,15 +250,10 @@
         let mut state = self.state();
         match content {
             Some(bytes) => {
-                let node = Node {
-                    live: bytes.clone(),
-                    durable: bytes,
-                    pending: Vec::new(),
-                };
-                state.nodes.push(node);
-                let at = state.nodes.len() - 1;
-                state.names.insert(name.into(), at);
-                state.durable_names.insert(name.into(), at);
+                state.nodes.push(Node::durable_content(bytes));
+                let node = state.nodes.len() - 1;
+                state.names.insert(name.into(), node);
+                state.durable_names.insert(name.into(), node);
             }
             None => {
                 state.names.remove(name);
@@ -234,13 +263,13 @@
     }
 }
 
-fn change(names: &mut BTreeMap<String, usize>, rename: Vec<Rename>) {
-    for step in rename {
-        match step {
-            Rename::Set(name, node) => {
+fn apply_name_changes(names: &mut Names, changes: Vec<NameChange>) {
+    for change in changes {
+        match change {
+            NameChange::Set { name, node } => {
                 names.insert(name, node);
             }
-            Rename::Gone(name) => {
+            NameChange::Remove { name } => {
                 names.remove(&name);
             }
         }
@@ -253,18 +282,13 @@
 
     fn list(&self) -> io::Result<Vec<String>> {
         let state = self.state();
-        if state.crashed {
-            Err(gone())
-        } else {
-            Ok(state.names.keys().cloned().collect())
-        }
+        state.check_not_crashed()?;
+        Ok(state.names.keys().cloned().collect())
     }
 
     fn create(&self, name: &str) -> io::Result<SimFile> {
         let mut state = self.state();
-        if state.step()? {
-            return Err(gone());
-        }
+        state.begin_operation()?;
         if state.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
@@ -272,14 +296,17 @@
             || state
                 .faults
                 .capacity
-                .is_some_and(|most| state.used() >= most)
+                .is_some_and(|capacity| state.used_bytes() >= capacity)
         {
             return Err(io::ErrorKind::StorageFull.into());
         }
         state.nodes.push(Node::default());
         let node = state.nodes.len() - 1;
         state.names.insert(name.into(), node);
-        state.renames.push(vec![Rename::Set(name.into(), node)]);
+        state.pending_names.push(vec![NameChange::Set {
+            name: name.into(),
+            node,
+        }]);
         Ok(SimFile {
             disk: self.clone(),
             node,
@@ -288,9 +315,7 @@
 
     fn open(&self, name: &str) -> io::Result<SimFile> {
         let state = self.state();
-        if state.crashed {
-            return Err(gone());
-        }
+        state.check_not_crashed()?;
         let node = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(SimFile {
             disk: self.clone(),
@@ -300,14 +325,15 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        if state.step()? {
-            return Err(gone());
-        }
+        state.begin_operation()?;
         let node = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.names.insert(to.into(), node);
-        state.renames.push(vec![
-            Rename::Gone(from.into()),
-            Rename::Set(to.into(), node),
+        state.pending_names.push(vec![
+            NameChange::Remove { name: from.into() },
+            NameChange::Set {
+                name: to.into(),
+                node,
+            },
         ]);
         Ok(())
     }
@@ -315,32 +341,27 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
         if !state.names.contains_key(name) {
-            return if state.crashed {
-                Err(gone())
-            } else {
-                Err(io::ErrorKind::NotFound.into())
-            };
-        }
-        if state.step()? {
-            return Err(gone());
+            state.check_not_crashed()?;
+            return Err(io::ErrorKind::NotFound.into());
         }
+        state.begin_operation()?;
         state.names.remove(name);
-        state.renames.push(vec![Rename::Gone(name.into())]);
+        state
+            .pending_names
+            .push(vec![NameChange::Remove { name: name.into() }]);
         Ok(())
     }
 
     fn sync_folder(&self) -> io::Result<()> {
         let mut state = self.state();
-        if state.step()? {
-            return Err(gone());
-        }
+        state.begin_operation()?;
         let number = state.folder_syncs;
         state.folder_syncs += 1;
         if state.faults.failing_folder_syncs.contains(&number) {
             return Err(io::Error::other("EIO"));
         }
         state.durable_names = state.names.clone();
-        state.renames.clear();
+        state.pending_names.clear();
         Ok(())
     }
 
@@ -363,18 +384,13 @@
 impl File for SimFile {
     fn size(&self) -> io::Result<u64> {
         let state = self.disk.state();
-        if state.crashed {
-            Err(gone())
-        } else {
-            Ok(state.nodes[self.node].live.len() as u64)
-        }
+        state.check_not_crashed()?;
+        Ok(state.nodes[self.node].live.len() as u64)
     }
 
     fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize> {
         let state = self.disk.state();
-        if state.crashed {
-            return Err(gone());
-        }
+        state.check_not_crashed()?;
         let live = &state.nodes[self.node].live;
         let from = (at as usize).min(live.len());
         let size = into.len().min(live.len() - from);
@@ -384,54 +400,56 @@
 
     fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.disk.state();
-        let (ends, at) = (state.step()?, at as usize);
+        let crashes_now = state.count_operation()?;
+        let offset = at as usize;
         if state.faults.no_writes {
             return Err(io::Error::other("EIO"));
         }
-        let grows = (at + bytes.len()).saturating_sub(state.nodes[self.node].live.len()) as u64;
-        let room = state
-            .faults
-            .capacity
-            .map_or(u64::MAX, |most| most.saturating_sub(state.used()));
-        let short = grows.saturating_sub(room) as usize;
-        let mut done = bytes.len().saturating_sub(short);
-        if ends {
-            done = (state.random() as usize) % (done + 1);
+        let grows = (offset + bytes.len()).saturating_sub(state.nodes[self.node].live.len()) as u64;
+        let room = state.faults.capacity.map_or(u64::MAX, |capacity| {
+            capacity.saturating_sub(state.used_bytes())
+        });
+        let missing = grows.saturating_sub(room) as usize;
+        let mut written = bytes.len().saturating_sub(missing);
+        if crashes_now {
+            written = (state.random() as usize) % (written + 1);
         }
         let node = &mut state.nodes[self.node];
-        put(&mut node.live, at, &bytes[..done]);
-        node.pending
-            .push(Pending::Write(at, bytes[..done].to_vec()));
-        match (ends, short) {
-            (true, _) => Err(gone()),
-            (_, 0) => Ok(()),
-            _ => Err(io::ErrorKind::StorageFull.into()),
+        overwrite(&mut node.live, offset, &bytes[..written]);
+        node.pending.push(PendingChange::Write {
+            offset,
+            bytes: bytes[..written].to_vec(),
+        });
+        if crashes_now {
+            Err(crashed())
+        } else if missing > 0 {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
         }
     }
 
     fn truncate(&self, size: u64) -> io::Result<()> {
         let mut state = self.disk.state();
-        if state.step()? {
-            return Err(gone());
-        }
+        state.begin_operation()?;
         let node = &mut state.nodes[self.node];
         node.live.truncate(size as usize);
-        node.pending.push(Pending::Cut(size as usize));
+        node.pending.push(PendingChange::Truncate {
+            size: size as usize,
+        });
         Ok(())
     }
 
     fn sync(&self) -> io::Result<()> {
         let mut state = self.disk.state();
-        if state.step()? {
-            return Err(gone());
-        }
+        state.begin_operation()?;
         let number = state.syncs;
         state.syncs += 1;
         let fails = state.faults.failing_syncs.contains(&number);
         let node = &mut state.nodes[self.node];
         node.pending.clear();
         if fails {
-            // As Linux has it: the pages count as clean now, and were never written. A reader still sees them.
+            // As on Linux: the pages count as clean now though they were never written, and a reader still sees them.
             return Err(io::Error::other("EIO"));
         }
         node.durable = node.live.clone();
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,9 +1,9 @@
-//! The engine behind queues: a thread of its own waits for the disk, so that nobody else does. Whatever has
-//! queued up while one sync ran is made durable by the next: group commit.
+//! The engine behind queues: one thread waits for the disk, so that nobody else does. All requests that have queued up
+//! while one sync ran are made durable by the next: group commit.
 
 use crate::batch::Batch;
 use crate::disk::Disk;
-use crate::engine::{Engine, Stat};
+use crate::engine::{Engine, Rejected, Statistics};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,165 +11,166 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Bytes of one group at most.
-const GROUP: usize = 8 << 20;
-/// For so long at most a group waits for those that are on their way.
-const MOST_PATIENCE: Duration = Duration::from_micros(500);
-/// A ticket's weight in the queue, beside its bytes.
-const TICKET: usize = 64;
+/// Most bytes of one group: the time of its commit stays bounded.
+const MAX_GROUP_BYTES: usize = 8 << 20;
+/// Longest time that a group waits for appends that are about to come.
+const MAX_GROUP_WAIT: Duration = Duration::from_micros(500);
+/// The share of the usual commit time that a group may wait, as a divisor.
+const GROUP_WAIT_DIVISOR: u32 = 8;
+/// The weight of the last commit in the smoothed commit time is one part of this many.
+const COMMIT_TIME_SMOOTHING: u32 = 8;
+/// What an append weighs in the queue beside the bytes of its batch.
+const APPEND_OVERHEAD_BYTES: usize = 64;
 
-/// The number of an append; they are counted from 1.
+/// The number of an append, counted from 1.
 pub type Ticket = u64;
 
-/// What the thread has to tell.
+/// What the thread reports.
 #[derive(Debug)]
 pub enum Event {
-    /// All appends up to this one are durable, but for those that were told as refused before.
+    /// All appends up to this one are durable, except for those reported as rejected before.
     Durable(Ticket),
-    /// These appends were not taken and count for nothing.
-    Refused {
-        /// The first.
+    /// These appends were rejected and have no effect.
+    Rejected {
+        /// The first of them.
         from: Ticket,
-        /// The last.
+        /// The last of them.
         to: Ticket,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// What was read.
+    /// The result of a read.
     Value {
         /// The number that the reader gave.
         token: u64,
-        /// The value, if the key has one, or why it can't be told.
+        /// The value, `None` if the key has none; or the error, as text.
         value: Result<Option<Vec<u8>>, String>,
     },
-    /// Figures, as they were asked for.
-    Stat(Stat),
-    /// The disk takes no writes; appends are refused until [`Event::Sound`].
-    Broken(String),
-    /// It takes them again.
-    Sound,
+    /// Figures, as they were requested.
+    Statistics(Statistics),
+    /// The disk takes no writes; appends are rejected until [`Event::WritesRecovered`].
+    WritesFailed(String),
+    /// The disk takes writes again.
+    WritesRecovered,
 }
 
-/// Too much waits for the disk already.
+/// Too many bytes wait for the disk already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Busy;
+pub struct QueueFull;
 
 enum Request {
-    Append(Ticket, Batch),
-    Read(u64, Vec<u8>),
-    Stat,
+    Append { ticket: Ticket, batch: Batch },
+    Read { token: u64, key: Vec<u8> },
+    Statistics,
     Compact,
     Stop,
 }
 
 /// How the thread works.
-pub struct Work {
+pub struct WriterOptions {
     /// Bytes that may wait for the disk.
-    pub most_queued: usize,
+    pub max_queued_bytes: usize,
     /// How long after a failure the disk is tried again.
-    pub again: Duration,
-    /// The time in milliseconds of Unix time.
+    pub retry_interval: Duration,
+    /// Returns the time in milliseconds of Unix time.
     pub clock: Box<dyn Fn() -> u64 + Send>,
-    /// Called after events have been put into the queue.
+    /// Called after events have been queued.
     pub wake: Box<dyn Fn() + Send>,
 }
 
-/// The store, for a thread that must not wait.
+/// A store for a thread that must not wait for the disk.
 pub struct Store {
     requests: Sender<Request>,
-    queued: Arc<AtomicUsize>,
-    most_queued: usize,
-    last: Ticket,
+    queued_bytes: Arc<AtomicUsize>,
+    max_queued_bytes: usize,
+    last_ticket: Ticket,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Store {
-    /// Starts the thread; the second part is where it tells what became of things.
+    /// Starts the thread, and returns the store with the queue of its events.
     ///
     /// # Errors
     ///
-    /// If the system gives no thread.
-    pub fn start<D>(engine: Engine<D>, work: Work) -> io::Result<(Self, Receiver<Event>)>
+    /// If the system can't start a thread.
+    pub fn start<D>(
+        engine: Engine<D>,
+        options: WriterOptions,
+    ) -> io::Result<(Self, Receiver<Event>)>
     where
         D: Disk + Send + 'static,
         D::File: Send,
         D::Lock: Send,
     {
-        let (requests, taken) = mpsc::channel();
-        let (tell, events) = mpsc::channel();
-        let queued = Arc::new(AtomicUsize::new(0));
-        let most_queued = work.most_queued;
-        let weight = queued.clone();
+        let (requests, request_queue) = mpsc::channel();
+        let (events, event_queue) = mpsc::channel();
+        let queued_bytes = Arc::new(AtomicUsize::new(0));
+        let max_queued_bytes = options.max_queued_bytes;
+        let writer = Writer {
+            engine,
+            options,
+            requests: request_queue,
+            events,
+            queued_bytes: queued_bytes.clone(),
+            last_group_size: 0,
+            commit_time: Duration::ZERO,
+            writes_failed: false,
+        };
         let thread = std::thread::Builder::new()
             .name("postproxy-store".into())
-            .spawn(move || {
-                let (usual, took) = (0, Duration::ZERO);
-                Writer {
-                    engine,
-                    work,
-                    requests: taken,
-                    tell,
-                    weight,
-                    usual,
-                    took,
-                    broken: false,
-                }
-                .run();
-            })?;
-        Ok((
-            Self {
-                requests,
-                queued,
-                most_queued,
-                last: 0,
-                thread: Some(thread),
-            },
-            events,
-        ))
+            .spawn(move || writer.run())?;
+        let store = Self {
+            requests,
+            queued_bytes,
+            max_queued_bytes,
+            last_ticket: 0,
+            thread: Some(thread),
+        };
+        Ok((store, event_queue))
     }
 
-    /// Has a batch written. It never waits.
+    /// Queues a batch to be written. It never waits.
     ///
     /// # Errors
     ///
-    /// If too much waits already.
-    pub fn append(&mut self, batch: Batch) -> Result<Ticket, Busy> {
-        let weight = batch.size() + TICKET;
-        if self.queued.load(Ordering::Relaxed) + weight > self.most_queued {
-            return Err(Busy);
+    /// If too many bytes are queued already, or the thread has ended.
+    pub fn append(&mut self, batch: Batch) -> Result<Ticket, QueueFull> {
+        let weight = batch.size() + APPEND_OVERHEAD_BYTES;
+        if self.queued_bytes.load(Ordering::Relaxed) + weight > self.max_queued_bytes {
+            return Err(QueueFull);
         }
-        self.queued.fetch_add(weight, Ordering::Relaxed);
-        self.last += 1;
-        // A thread that has ended takes nothing, and tells nothing: its events' end is noticed.
+        self.queued_bytes.fetch_add(weight, Ordering::Relaxed);
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
         self.requests
-            .send(Request::Append(self.last, batch))
-            .map_err(|_| Busy)?;
-        Ok(self.last)
+            .send(Request::Append { ticket, batch })
+            .map_err(|_| QueueFull)?;
+        Ok(ticket)
     }
 
-    /// Has a key read, after all that was appended before.
+    /// Requests the value of a key, as it is after all that was appended before.
     pub fn read(&self, token: u64, key: Vec<u8>) {
-        let _ = self.requests.send(Request::Read(token, key));
+        let _ = self.requests.send(Request::Read { token, key });
     }
 
-    /// Has the figures told.
-    pub fn stat(&self) {
-        let _ = self.requests.send(Request::Stat);
+    /// Requests the figures.
+    pub fn request_statistics(&self) {
+        let _ = self.requests.send(Request::Statistics);
     }
 
-    /// Has everything cleaned that can be.
+    /// Requests that all files be compacted.
     pub fn compact(&self) {
         let _ = self.requests.send(Request::Compact);
     }
 
     /// Bytes that wait for the disk.
-    pub fn queued(&self) -> usize {
-        self.queued.load(Ordering::Relaxed)
+    pub fn queued_bytes(&self) -> usize {
+        self.queued_bytes.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for Store {
-    /// Waits until all that was appended is on the disk, or refused.
+    /// Waits until all that was appended is durable or rejected.
     fn drop(&mut self) {
         let _ = self.requests.send(Request::Stop);
         if let Some(thread) = self.thread.take() {
@@ -178,151 +179,212 @@
     }
 }
 
+/// What the thread does next.
+enum Work {
+    /// Serve this request, and all that have queued up behind it.
+    Serve(Request),
+    /// No request is queued: clean, or try the disk again after a failure.
+    Background,
+    /// The store is gone.
+    End,
+}
+
+/// The requests that are served together.
+#[derive(Default)]
+struct Group {
+    bytes: usize,
+    /// The appends that the engine has taken.
+    tickets: Vec<Ticket>,
+    reads: Vec<(u64, Vec<u8>)>,
+    /// Requests for figures or compaction.
+    maintenance: Vec<Request>,
+    stop: bool,
+}
+
 struct Writer<D: Disk> {
     engine: Engine<D>,
-    work: Work,
+    options: WriterOptions,
     requests: Receiver<Request>,
-    tell: Sender<Event>,
-    weight: Arc<AtomicUsize>,
-    /// How many appends the last group had, and how long a commit takes, smoothed.
-    usual: usize,
-    took: Duration,
-    broken: bool,
+    events: Sender<Event>,
+    queued_bytes: Arc<AtomicUsize>,
+    /// The number of appends in the last group.
+    last_group_size: usize,
+    /// How long a commit takes, smoothed.
+    commit_time: Duration,
+    writes_failed: bool,
 }
 
 impl<D: Disk> Writer<D> {
     fn run(mut self) {
-        let mut going = true;
-        while going {
-            let Some(first) = self.next() else { return };
-            going = self.turn(first);
+        loop {
+            let first = match self.next_work() {
+                Work::Serve(request) => Some(request),
+                Work::Background => None,
+                Work::End => return,
+            };
+            self.engine.set_time((self.options.clock)());
+            if self.writes_failed && first.is_none() {
+                self.probe();
+                continue;
+            }
+            let group = self.collect_group(first);
+            let stop = group.stop;
+            self.serve_group(group);
+            if stop {
+                return;
+            }
         }
     }
 
-    /// The next request; no request where there is other work. `None` at the end of all.
-    fn next(&self) -> Option<Option<Request>> {
-        if self.broken {
-            return match self.requests.recv_timeout(self.work.again) {
-                Ok(request) => Some(Some(request)),
-                Err(RecvTimeoutError::Timeout) => Some(None),
-                Err(RecvTimeoutError::Disconnected) => None,
+    /// Waits for a request, unless there is other work.
+    fn next_work(&self) -> Work {
+        if self.writes_failed {
+            return match self.requests.recv_timeout(self.options.retry_interval) {
+                Ok(request) => Work::Serve(request),
+                Err(RecvTimeoutError::Timeout) => Work::Background,
+                Err(RecvTimeoutError::Disconnected) => Work::End,
             };
         }
-        if self.engine.wants_cleaning() {
+        if self.engine.needs_cleaning() {
             return match self.requests.try_recv() {
-                Ok(request) => Some(Some(request)),
-                Err(TryRecvError::Empty) => Some(None),
-                Err(TryRecvError::Disconnected) => None,
+                Ok(request) => Work::Serve(request),
+                Err(TryRecvError::Empty) => Work::Background,
+                Err(TryRecvError::Disconnected) => Work::End,
             };
         }
-        self.requests.recv().ok().map(Some)
+        self.requests.recv().map_or(Work::End, Work::Serve)
     }
 
-    /// One group: all that has queued up, one commit, what is to be told.
-    fn turn(&mut self, first: Option<Request>) -> bool {
-        self.engine.tell((self.work.clock)());
-        if self.broken && first.is_none() {
-            self.probe();
-            return true;
-        }
-        let (mut going, mut bytes) = (true, 0);
-        let (mut tickets, mut reads, mut others) = (Vec::new(), Vec::new(), Vec::new());
-        let mut request = first;
+    /// Collects the requests that have queued up, and appends their batches to the engine.
+    fn collect_group(&mut self, first: Option<Request>) -> Group {
+        let mut group = Group::default();
         let began = Instant::now();
-        while let Some(next) = request.take() {
-            match next {
-                Request::Append(ticket, batch) => {
-                    bytes += batch.size();
-                    self.weight
-                        .fetch_sub(batch.size() + TICKET, Ordering::Relaxed);
-                    self.append(ticket, &batch, &mut tickets);
+        let mut next = first;
+        while let Some(request) = next.take() {
+            match request {
+                Request::Append { ticket, batch } => {
+                    group.bytes += batch.size();
+                    self.queued_bytes
+                        .fetch_sub(batch.size() + APPEND_OVERHEAD_BYTES, Ordering::Relaxed);
+                    if self.append(ticket, &batch) {
+                        group.tickets.push(ticket);
+                    }
                 }
-                Request::Read(token, key) => reads.push((token, key)),
-                Request::Stat | Request::Compact => others.push(next),
-                Request::Stop => going = false,
+                Request::Read { token, key } => group.reads.push((token, key)),
+                Request::Statistics | Request::Compact => group.maintenance.push(request),
+                Request::Stop => group.stop = true,
             }
-            if going && bytes < GROUP {
-                request = self.requests.try_recv().ok();
-                // Those that were told of the last group's end are on their way: a sync for the first of them
-                // alone would have all others wait for the one after it.
-                let patience = (self.took / 8)
-                    .min(MOST_PATIENCE)
-                    .saturating_sub(began.elapsed());
-                if request.is_none() && tickets.len() + 1 < self.usual && !patience.is_zero() {
-                    request = self.requests.recv_timeout(patience).ok();
-                }
+            if !group.stop && group.bytes < MAX_GROUP_BYTES {
+                next = self.next_of_group(group.tickets.len(), began);
             }
         }
-        self.usual = tickets.len();
-        if !self.broken && self.engine.wants_cleaning() {
-            // What can't be cleaned now is tried again with the next group.
+        self.last_group_size = group.tickets.len();
+        group
+    }
+
+    /// The next request of a group of `size` appends so far. Whoever was notified of the last group's commit is about to
+    /// append again: a sync for the first of them alone would make all others wait for the one after it.
+    fn next_of_group(&self, size: usize, began: Instant) -> Option<Request> {
+        if let Ok(request) = self.requests.try_recv() {
+            return Some(request);
+        }
+        let wait = (self.commit_time / GROUP_WAIT_DIVISOR)
+            .min(MAX_GROUP_WAIT)
+            .saturating_sub(began.elapsed());
+        if size + 1 < self.last_group_size && !wait.is_zero() {
+            return self.requests.recv_timeout(wait).ok();
+        }
+        None
+    }
+
+    /// Cleans a step, commits the group, and reports what became of its requests.
+    fn serve_group(&mut self, group: Group) {
+        if !self.writes_failed && self.engine.needs_cleaning() {
+            // A step that fails is tried again with the next group.
             let _ = self.engine.clean();
         }
-        self.commit(&tickets);
-        for (token, key) in reads {
+        self.commit(&group.tickets);
+        for (token, key) in group.reads {
             let value = self.engine.get(&key).map_err(|error| error.to_string());
-            let _ = self.tell.send(Event::Value { token, value });
+            self.send(Event::Value { token, value });
         }
-        for other in others {
-            if matches!(other, Request::Compact)
+        for request in group.maintenance {
+            if matches!(request, Request::Compact)
                 && let Err(error) = self.engine.compact()
             {
-                self.fails(&error);
+                self.report_failure(&error);
             }
-            let _ = self.tell.send(Event::Stat(self.engine.stat()));
+            self.send(Event::Statistics(self.engine.statistics()));
         }
-        (self.work.wake)();
-        going
+        (self.options.wake)();
     }
 
-    fn append(&mut self, ticket: Ticket, batch: &Batch, tickets: &mut Vec<Ticket>) {
-        if self.broken {
-            return self.refuse(ticket, ticket, "the disk takes no writes");
+    /// Appends a batch to the engine; returns whether it was accepted.
+    fn append(&mut self, ticket: Ticket, batch: &Batch) -> bool {
+        if self.writes_failed {
+            self.reject(ticket, "the disk takes no writes");
+            return false;
         }
         let changes: Vec<_> = batch.changes().collect();
         match self.engine.append(&changes) {
-            Ok(_) => tickets.push(ticket),
-            Err(why) => self.refuse(ticket, ticket, &format!("{why:?}")),
+            Ok(_) => true,
+            Err(Rejected::TooLong) => {
+                self.reject(ticket, "batch too long");
+                false
+            }
+            Err(Rejected::Full) => {
+                self.reject(ticket, "store full");
+                false
+            }
         }
     }
 
-    fn refuse(&self, from: Ticket, to: Ticket, why: &str) {
-        let _ = self.tell.send(Event::Refused {
-            from,
-            to,
-            why: why.into(),
-        });
-    }
-
     fn commit(&mut self, tickets: &[Ticket]) {
         let began = Instant::now();
         let committed = self.engine.commit();
-        self.took = (self.took * 7 + began.elapsed()) / 8;
-        match (committed, tickets.last()) {
-            (Ok(_), Some(last)) => {
-                let _ = self.tell.send(Event::Durable(*last));
+        self.commit_time = (self.commit_time * (COMMIT_TIME_SMOOTHING - 1) + began.elapsed())
+            / COMMIT_TIME_SMOOTHING;
+        match committed {
+            Ok(_) => {
+                if let Some(last) = tickets.last() {
+                    self.send(Event::Durable(*last));
+                }
             }
-            (Ok(_), None) => {}
-            (Err(error), _) => {
+            Err(error) => {
                 for ticket in tickets {
-                    self.refuse(*ticket, *ticket, &error.to_string());
+                    self.reject(*ticket, &error.to_string());
                 }
-                self.fails(&error);
+                self.report_failure(&error);
             }
         }
     }
 
-    fn fails(&mut self, error: &io::Error) {
-        if !std::mem::replace(&mut self.broken, true) {
-            let _ = self.tell.send(Event::Broken(error.to_string()));
+    fn reject(&self, ticket: Ticket, why: &str) {
+        self.send(Event::Rejected {
+            from: ticket,
+            to: ticket,
+            why: why.into(),
+        });
+    }
+
+    /// Reports, once until it has ended, that the disk takes no writes.
+    fn report_failure(&mut self, error: &io::Error) {
+        if !std::mem::replace(&mut self.writes_failed, true) {
+            self.send(Event::WritesFailed(error.to_string()));
         }
     }
 
+    /// Tries the disk again after a failure.
     fn probe(&mut self) {
         if self.engine.probe().is_ok() {
-            self.broken = false;
-            let _ = self.tell.send(Event::Sound);
-            (self.work.wake)();
+            self.writes_failed = false;
+            self.send(Event::WritesRecovered);
+            (self.options.wake)();
         }
     }
+
+    /// Queues an event. That nobody receives events any more doesn't stop the writes.
+    fn send(&self, event: Event) {
+        let _ = self.events.send(event);
+    }
 }
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const SMALL: Options = Options {
-    segment: 2048,
-    most: 0,
-    slack: 1.7,
+    segment_bytes: 2048,
+    max_bytes: 0,
+    max_space_ratio: 1.7,
 };
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
@@ -31,7 +31,7 @@
             )
         })
         .expect("read");
-    assert_eq!(model.len(), engine.stat().live);
+    assert_eq!(model.len(), engine.statistics().live_keys);
     for (key, value) in &model {
         assert_eq!(engine.get(key).expect("a read").as_ref(), Some(value));
     }
@@ -42,7 +42,7 @@
     Change::Put {
         key,
         value,
-        until: 0,
+        expires_at_ms: 0,
     }
 }
 
@@ -104,7 +104,7 @@
             }
             run.acknowledged = run.states.len() - 1;
         }
-        if engine.wants_cleaning() && random.below(2) == 0 && engine.clean().is_err() {
+        if engine.needs_cleaning() && random.below(2) == 0 && engine.clean().is_err() {
             return run;
         }
     }
@@ -121,16 +121,20 @@
     let (mut engine, first) = sound(&disks);
     assert_eq!(first, Recovery::default());
     let done = run(&mut engine, Model::new(), 5, 400);
-    let stat = engine.stat();
+    let stat = engine.statistics();
     assert!(
-        stat.copied > 0 && stat.segments > 1,
+        stat.copied_bytes > 0 && stat.segments > 1,
         "it was cleaned: {stat:?}"
     );
     drop(engine);
     let (mut engine, recovery) = sound(&disks);
     assert_eq!(content(&mut engine), done.states[done.acknowledged]);
     assert_eq!(
-        (recovery.torn, recovery.lost.len(), recovery.repaired.len()),
+        (
+            recovery.torn_bytes,
+            recovery.lost.len(),
+            recovery.repaired.len()
+        ),
         (0, 0, 0)
     );
 }
@@ -343,7 +347,7 @@
         for death in 0..5 {
             disks
                 .iter()
-                .for_each(|d| d.set(|f| f.crash_at = Some(death)));
+                .for_each(|d| d.set_faults(|f| f.crash_at = Some(death)));
             let _ = open(&disks);
             disks = disks.iter().map(SimDisk::after_crash).collect();
         }
@@ -412,7 +416,7 @@
                 if engine.commit().is_ok() {
                     model.insert(key, value);
                 }
-                if engine.wants_cleaning() {
+                if engine.needs_cleaning() {
                     let _ = engine.clean();
                 }
             }
@@ -452,7 +456,7 @@
     );
     assert_eq!(content(&mut engine), model);
     assert!(engine.probe().is_err(), "it is full still");
-    disk.set(|faults| faults.capacity = None);
+    disk.set_faults(|faults| faults.capacity = None);
     engine.probe().expect("it takes writes again");
     engine.append(&[put(b"more", b"m")]).expect("taken");
     engine.commit().expect("durable");
@@ -468,9 +472,9 @@
 fn overwriting_takes_a_bounded_space() {
     let disk = SimDisk::new(Faults::default(), 1);
     let options = Options {
-        segment: 4096,
-        most: 400_000,
-        slack: 1.7,
+        segment_bytes: 4096,
+        max_bytes: 400_000,
+        max_space_ratio: 1.7,
     };
     let open = || {
         Engine::open(vec![disk.clone()], options, "a test", 7, 1_000)
@@ -486,24 +490,25 @@
             .expect("there is room");
         if step % 8 == 0 {
             engine.commit().expect("durable");
-            while engine.wants_cleaning() {
+            while engine.needs_cleaning() {
                 engine.clean().expect("cleaned");
                 engine.commit().expect("durable");
             }
         }
-        let stat = engine.stat();
+        let stat = engine.statistics();
         if step > 5000 {
-            most = most.max(stat.bytes as f64 / stat.live_bytes as f64);
+            most = most.max(stat.file_bytes as f64 / stat.live_bytes as f64);
         }
     }
     assert!(most <= 2.0, "{most} times what is live");
-    let stat = engine.stat();
-    assert_eq!(stat.live, 500);
+    let stat = engine.statistics();
+    assert_eq!(stat.live_keys, 500);
     engine.compact().expect("compacted");
     assert!(
-        engine.stat().bytes <= stat.live_bytes + 500 + 150 * engine.stat().segments as u64,
+        engine.statistics().file_bytes
+            <= stat.live_bytes + 500 + 150 * engine.statistics().segments as u64,
         "{:?}",
-        engine.stat()
+        engine.statistics()
     );
     for n in 0.. {
         match engine.append(&[put(format!("more-{n}").as_bytes(), &[7; 2000])]) {
@@ -514,7 +519,7 @@
             }
         }
     }
-    assert!(engine.stat().bytes <= options.most);
+    assert!(engine.statistics().file_bytes <= options.max_bytes);
     engine
         .append(&[Change::Delete { key: b"more-0" }])
         .expect("deletes make room");
@@ -540,14 +545,14 @@
         .append(&[Change::Put {
             key: b"old",
             value: b"first",
-            until: 0,
+            expires_at_ms: 0,
         }])
         .expect("taken");
     engine
         .append(&[Change::Put {
             key: b"old",
             value: b"second",
-            until: 5_000,
+            expires_at_ms: 5_000,
         }])
         .expect("taken");
     engine.append(&[put(b"kept", b"k")]).expect("taken");
@@ -558,7 +563,7 @@
         engine.get(b"old").expect("a read").as_deref(),
         Some(&b"second"[..])
     );
-    engine.tell(5_000);
+    engine.set_time(5_000);
     engine.compact().expect("compacted");
     assert!(!engine.has(b"old") && engine.has(b"kept"));
     drop(engine);
--- a/crates/store/tests/surface_bytes.rs
+++ b/crates/store/tests/surface_bytes.rs
@@ -2,7 +2,7 @@
 //! simulated disk and read back from literal bytes. A data directory of an older version of the program must be readable.
 //! The literals were written by the version before the renames.
 
-use postproxy_store::frame::{self, Frame, Header, Unread};
+use postproxy_store::frame::{self, Frame, Header, HeaderError};
 use postproxy_store::sim::{Faults, SimDisk};
 use postproxy_store::{Batch, Change, Disk, Engine, OpenError, Options, OsDisk, Recovery};
 
@@ -37,7 +37,7 @@
         Change::Put {
             key: b"j/a",
             value: b"value",
-            until: 0x0102_0304_0506_0708,
+            expires_at_ms: 0x0102_0304_0506_0708,
         },
         "0103000500000008070605040302016a2f6176616c7565",
     );
@@ -45,15 +45,15 @@
         Change::Put {
             key: b"",
             value: b"",
-            until: 0,
+            expires_at_ms: 0,
         },
         "010000000000000000000000000000",
     );
     pin(Change::Delete { key: b"r/bc" }, "020400722f6263");
     pin(Change::Delete { key: b"" }, "020000");
     pin(
-        Change::Mark {
-            oldest: 0x1112_1314_1516_1718,
+        Change::OldestSegment {
+            segment: 0x1112_1314_1516_1718,
         },
         "031817161514131211",
     );
@@ -63,18 +63,28 @@
 
 #[test]
 fn sizes_and_version_are_unchanged() {
-    assert_eq!((frame::HEADER, frame::FRAME, frame::VERSION), (64, 24, 1));
-    assert_eq!((frame::MOST_CONTENT, frame::MOST_KEY), (16_777_216, 1024));
+    assert_eq!(
+        (
+            frame::HEADER_BYTES,
+            frame::FRAME_HEADER_BYTES,
+            frame::FORMAT_VERSION
+        ),
+        (64, 24, 1)
+    );
+    assert_eq!(
+        (frame::MAX_CONTENT_BYTES, frame::MAX_KEY_BYTES),
+        (16_777_216, 1024)
+    );
     assert_eq!(Batch::new().put(b"a", b"bc", 1).delete(b"d").size(), 22);
 }
 
 /// A header in which every field differs.
 const HEADER: Header = Header {
-    store: 0x0102_0304_0506_0708,
+    store_id: 0x0102_0304_0506_0708,
     segment: 0x1112_1314_1516_1718,
-    oldest: 0x2122_2324_2526_2728,
-    before: 0x3132_3334_3536_3738,
-    first: 0x4142_4344_4546_4748,
+    oldest_segment: 0x2122_2324_2526_2728,
+    previous_segment_bytes: 0x3132_3334_3536_3738,
+    first_seq: 0x4142_4344_4546_4748,
 };
 const HEADER_BYTES: &str = "50505853544f52450100000042f1fb58080706050403020118171615141312112827262524232221383736353433323148474645444342410000000000000000";
 
@@ -89,10 +99,10 @@
 fn headers_of_other_versions_and_damaged_headers_keep_their_errors() {
     // The same header with format version 2 and the checksum that goes with it.
     let newer = "50505853544f5245020000004d9aa4b1080706050403020118171615141312112827262524232221383736353433323148474645444342410000000000000000";
-    assert_eq!(Header::decode(&unhex(newer)), Err(Unread::Version(2)));
+    assert_eq!(Header::decode(&unhex(newer)), Err(HeaderError::Version(2)));
     let mut foreign = unhex(HEADER_BYTES);
     foreign[0] = b'Q';
-    assert_eq!(Header::decode(&foreign), Err(Unread::Damaged));
+    assert_eq!(Header::decode(&foreign), Err(HeaderError::Damaged));
 }
 
 /// A frame of segment 9 with a put and a delete.
@@ -104,7 +114,7 @@
         Change::Put {
             key: b"k",
             value: b"val",
-            until: 5,
+            expires_at_ms: 5,
         },
         Change::Delete { key: b"d" },
     ];
@@ -115,7 +125,7 @@
     assert_eq!(hex(&bytes), FRAME_BYTES);
     let read = unhex(FRAME_BYTES);
     let read = Frame::decode(9, &read, 0).expect("a frame");
-    assert_eq!((read.seq, read.durable), (0x0203, 0x0201));
+    assert_eq!((read.seq, read.durable_seq), (0x0203, 0x0201));
     assert!(
         frame::changes(read.content)
             .map(|(_, change)| change)
@@ -131,9 +141,9 @@
 /// Opens a store on this disk; a new one gets the number 77.
 fn open(disk: &SimDisk) -> Result<(Engine<SimDisk>, Recovery), OpenError> {
     let options = Options {
-        segment: 192,
-        most: 0,
-        slack: 100.0,
+        segment_bytes: 192,
+        max_bytes: 0,
+        max_space_ratio: 100.0,
     };
     Engine::open(vec![disk.clone()], options, "a test", 77, 1_000)
 }
@@ -158,25 +168,25 @@
         &[Change::Put {
             key: b"j/a",
             value: b"one",
-            until: 0,
+            expires_at_ms: 0,
         }],
         &[
             Change::Put {
                 key: b"r/a",
                 value: b"two",
-                until: 9_000,
+                expires_at_ms: 9_000,
             },
             Change::Delete { key: b"j/a" },
         ],
         &[Change::Put {
             key: b"f/list",
             value: &[7; 40],
-            until: 0,
+            expires_at_ms: 0,
         }],
         &[Change::Put {
             key: b"f/bans",
             value: b"three",
-            until: 0,
+            expires_at_ms: 0,
         }],
     ];
     for batch in batches {
@@ -199,7 +209,7 @@
         disk.set_content(name, Some(unhex(content)));
     }
     let (mut engine, _) = open(&disk).expect("a store");
-    assert_eq!(engine.stat().live, 3);
+    assert_eq!(engine.statistics().live_keys, 3);
     assert_eq!(engine.get(b"j/a").expect("a read"), None);
     assert_eq!(engine.get(b"r/a").expect("a read"), Some(b"two".to_vec()));
     assert_eq!(engine.get(b"f/list").expect("a read"), Some(vec![7; 40]));
@@ -210,7 +220,7 @@
     drop(engine);
     let (mut engine, _) =
         Engine::open(vec![disk], Options::default(), "a test", 77, 9_001).expect("a store");
-    assert_eq!(engine.stat().live, 2, "what has expired is gone");
+    assert_eq!(engine.statistics().live_keys, 2, "what has expired is gone");
     assert_eq!(engine.get(b"r/a").expect("a read"), None);
 }
 
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,7 +1,7 @@
 //! The store behind its queues: order of acknowledgements, failures and their end, a disk that hangs.
 
 use postproxy_store::sim::{Faults, SimDisk, SimFile, SimLock};
-use postproxy_store::{Batch, Busy, Disk, Engine, Event, File, Options, Store, Work};
+use postproxy_store::{Batch, Disk, Engine, Event, File, Options, QueueFull, Store, WriterOptions};
 use std::io;
 use std::sync::mpsc::Receiver;
 use std::sync::{Arc, Condvar, Mutex};
@@ -73,14 +73,13 @@
 
 fn start(disk: &Gated, most_queued: usize) -> (Store, Receiver<Event>) {
     let options = Options {
-        segment: 4096,
+        segment_bytes: 4096,
         ..Options::default()
     };
     let (engine, _) = Engine::open(vec![disk.clone()], options, "a test", 7, 0).expect("a store");
-    let again = Duration::from_millis(2);
-    let work = Work {
-        most_queued,
-        again,
+    let work = WriterOptions {
+        max_queued_bytes: most_queued,
+        retry_interval: Duration::from_millis(2),
         clock: Box::new(|| 1),
         wake: Box::new(|| {}),
     };
@@ -106,7 +105,7 @@
     // More than the queue holds: had an append to wait, this would not end.
     for n in 1..=400 {
         let ticket = store.append(batch(n));
-        if ticket != Err(Busy) {
+        if ticket != Err(QueueFull) {
             (taken, last) = (taken + 1, n);
             assert_eq!(ticket, Ok(taken));
         }
@@ -132,7 +131,7 @@
         } => assert_eq!(value, [1; 100]),
         other => panic!("{other:?}"),
     }
-    assert_eq!(store.queued(), 0);
+    assert_eq!(store.queued_bytes(), 0);
 }
 
 /// Guards against a disk without room that is told as anything but refusals, against silence when it has room
@@ -148,22 +147,25 @@
     let (mut refused, mut broken) = (false, false);
     while !(refused && broken) {
         match events.recv_timeout(LIMIT).expect("an event") {
-            Event::Refused {
+            Event::Rejected {
                 from: 1,
                 to: 1,
                 why,
             } => refused = !why.is_empty(),
-            Event::Broken(_) => broken = true,
+            Event::WritesFailed(_) => broken = true,
             other => panic!("{other:?}"),
         }
     }
     store.append(batch(2)).expect("it is taken");
     assert!(matches!(
         events.recv_timeout(LIMIT),
-        Ok(Event::Refused { from: 2, to: 2, .. })
+        Ok(Event::Rejected { from: 2, to: 2, .. })
+    ));
+    disk.0.set_faults(|faults| faults.capacity = None);
+    assert!(matches!(
+        events.recv_timeout(LIMIT),
+        Ok(Event::WritesRecovered)
     ));
-    disk.0.set(|faults| faults.capacity = None);
-    assert!(matches!(events.recv_timeout(LIMIT), Ok(Event::Sound)));
     for n in 3..200 {
         store.append(batch(n)).expect("it is taken");
     }
@@ -184,5 +186,8 @@
         0,
     )
     .expect("a store");
-    assert_eq!((engine.stat().live, recovery.lost.len()), (197, 0));
+    assert_eq!(
+        (engine.statistics().live_keys, recovery.lost.len()),
+        (197, 0)
+    );
 }
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -57,20 +57,23 @@
         Action::Dump(folder) => dump(&folder),
         Action::Compact(folder) => {
             let (mut engine, _) = folder.open()?;
-            let before = engine.stat().bytes;
+            let before = engine.statistics().file_bytes;
             engine.compact()?;
-            println!("{before} bytes before, {} after", engine.stat().bytes);
+            println!(
+                "{before} bytes before, {} after",
+                engine.statistics().file_bytes
+            );
             Ok(())
         }
         Action::Stat(folder) => {
             let (engine, recovery) = folder.open()?;
-            let stat = engine.stat();
-            println!("records      {}", stat.live);
+            let stat = engine.statistics();
+            println!("records      {}", stat.live_keys);
             println!("live bytes   {}", stat.live_bytes);
-            println!("file bytes   {}", stat.bytes);
+            println!("file bytes   {}", stat.file_bytes);
             println!("segments     {}", stat.segments);
             println!("index bytes  {} beside the keys", stat.index_bytes);
-            println!("torn bytes   {}", recovery.torn);
+            println!("torn bytes   {}", recovery.torn_bytes);
             Ok(())
         }
     }
@@ -82,12 +85,12 @@
     engine.scan(|_, _| read += 1)?;
     println!(
         "{read} records in {} segments, {} bytes",
-        recovery.segments, recovery.bytes
+        recovery.segments, recovery.file_bytes
     );
-    if recovery.torn > 0 {
+    if recovery.torn_bytes > 0 {
         println!(
             "{} bytes behind the last record, which nobody was promised",
-            recovery.torn
+            recovery.torn_bytes
         );
     }
     recovery
@@ -97,13 +100,13 @@
     for lost in &recovery.lost {
         println!(
             "segment {:x}: frames {} to {} are lost",
-            lost.segment, lost.from, lost.to
+            lost.segment, lost.first_seq, lost.last_seq
         );
     }
-    for segment in engine.damaged() {
+    for segment in engine.damaged_segments() {
         println!("segment {segment:x}: damaged");
     }
-    if recovery.lost.is_empty() && engine.damaged().is_empty() {
+    if recovery.lost.is_empty() && engine.damaged_segments().is_empty() {
         return Ok(());
     }
     Err(format!("{}: acknowledged records are lost", folder.dir).into())
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -7,7 +7,7 @@
 use crate::operator_config::StoreSection;
 use postproxy_coordination::StorageChange;
 use postproxy_idempotency::{RequestLog, Write, result_key};
-use postproxy_store::{Batch, Engine, Event, Options, OsDisk, Recovery, Store, Work};
+use postproxy_store::{Batch, Engine, Event, Options, OsDisk, Recovery, Store, WriterOptions};
 use std::collections::{HashMap, VecDeque};
 use std::io::{Read, Write as _};
 use std::os::unix::net::UnixStream;
@@ -77,16 +77,16 @@
         .map(|folder| {
             let disk =
                 OsDisk::new(Path::new(folder)).map_err(|error| format!("store: {folder}: {error}"));
-            let disk = disk?.slowed(delay);
+            let disk = disk?.with_sync_delay(delay);
             Ok(match &section.trouble_file {
-                Some(file) => disk.troubled(Path::new(file)),
+                Some(file) => disk.with_fault_file(Path::new(file)),
                 None => disk,
             })
         })
         .collect();
     let options = Options {
-        segment: section.segment_mb.max(1) << 20,
-        most: section.most_mb << 20,
+        segment_bytes: section.segment_mb.max(1) << 20,
+        max_bytes: section.most_mb << 20,
         ..Options::default()
     };
     // The store's own number only has to differ from those of other stores.
@@ -127,17 +127,17 @@
         tracing::info!(
             folder = section.folder,
             segments = recovery.segments,
-            records = recovery.live,
-            bytes = recovery.bytes,
-            torn_bytes = recovery.torn,
+            records = recovery.live_keys,
+            bytes = recovery.file_bytes,
+            torn_bytes = recovery.torn_bytes,
             in_doubt = ledger.in_doubt(),
             "the store is recovered"
         );
         for lost in &recovery.lost {
             tracing::error!(
                 segment = lost.segment,
-                from = lost.from,
-                to = lost.to,
+                from = lost.first_seq,
+                to = lost.last_seq,
                 "records are lost"
             );
         }
@@ -161,9 +161,9 @@
                 let _ = (&waker).write(&[1]);
             }
         };
-        let work = Work {
-            most_queued: MOST_QUEUED,
-            again: AGAIN,
+        let work = WriterOptions {
+            max_queued_bytes: MOST_QUEUED,
+            retry_interval: AGAIN,
             clock: Box::new(unix_ms),
             wake: Box::new(wake),
         };
@@ -265,7 +265,7 @@
                 Event::Durable(last) if self.council.is_some_and(|ticket| ticket <= *last) => {
                     council = Some(true)
                 }
-                Event::Refused { from, to, .. }
+                Event::Rejected { from, to, .. }
                     if self
                         .council
                         .is_some_and(|ticket| (*from..=*to).contains(&ticket)) =>
@@ -295,7 +295,7 @@
                     });
                 }
             }
-            Event::Refused { from, to, why } => {
+            Event::Rejected { from, to, why } => {
                 tracing::debug!(from, to, why, "a write is refused");
                 let before = self.keeps.len();
                 self.keeps.retain(|ticket| !(from..=to).contains(ticket));
@@ -323,7 +323,7 @@
                     });
                 }
             }
-            Event::Broken(error) => {
+            Event::WritesFailed(error) => {
                 tracing::error!(
                     error,
                     "the store takes no writes: jobs that must not run twice are refused"
@@ -332,13 +332,13 @@
                     .queue
                     .push_back(Input::StoreHealthChanged { writable: false });
             }
-            Event::Sound => {
+            Event::WritesRecovered => {
                 tracing::info!("the store takes writes again");
                 reactor
                     .queue
                     .push_back(Input::StoreHealthChanged { writable: true });
             }
-            Event::Stat(_) => {}
+            Event::Statistics(_) => {}
         }
     }
 }
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -277,7 +277,7 @@
                 .append(&[Op::Put {
                     key: &key,
                     value: &value,
-                    until,
+                    expires_at_ms: until,
                 }])
                 .expect("room");
             engine.commit().expect("durable");
--- a/tests/surface_bytes.rs
+++ b/tests/surface_bytes.rs
@@ -189,7 +189,7 @@
     let put = |key, value| Stored::Put {
         key,
         value,
-        until: 0,
+        expires_at_ms: 0,
     };
     let puts = [
         put(b"f/list", LIST.as_bytes()),
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -195,7 +195,7 @@
         .append(&[Change::Put {
             key,
             value,
-            until: EXPIRES,
+            expires_at_ms: EXPIRES,
         }])
         .expect("room");
     engine.commit().expect("durable");
