--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -3,8 +3,8 @@
 //!     cargo bench -p postproxy-store            # everything, some minutes
 //!     cargo bench -p postproxy-store -- quick   # a tenth of it
 //!
-//! Each store keeps a number of records outstanding: as one is acknowledged the next is handed over. redb and
-//! fjall are given what suits them best: all that is outstanding in one transaction, made durable at its end.
+//! Each store has a number of records outstanding: as one is acknowledged the next is appended. redb and fjall are used in the way that
+//! suits them best: all outstanding records in one transaction, made durable at its end.
 
 use fjall::{Database, KeyspaceCreateOptions, PersistMode};
 use hdrhistogram::Histogram;
@@ -13,6 +13,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+/// The value of each record.
 const VALUE: [u8; 128] = [7; 128];
 
 fn key(n: u64) -> [u8; 24] {
@@ -22,6 +23,7 @@
     key
 }
 
+/// One line of the first table.
 struct Line {
     name: &'static str,
     outstanding: usize,
@@ -54,14 +56,15 @@
         .0
 }
 
-fn ours(folder: &Path, outstanding: usize, time: Duration) -> Line {
-    let work = WriterOptions {
+/// Appends records to the store until the time is over.
+fn postproxy_store(folder: &Path, outstanding: usize, time: Duration) -> Line {
+    let options = WriterOptions {
         max_queued_bytes: 64 << 20,
         retry_interval: Duration::from_secs(1),
         clock: Box::new(|| 0),
         wake: Box::new(|| {}),
     };
-    let (mut store, events) = Store::start(engine(folder), work).expect("a thread");
+    let (mut store, events) = Store::start(engine(folder), options).expect("a thread");
     let (mut sent, mut done, mut latency) = (Vec::new(), 0usize, histogram());
     let start = Instant::now();
     loop {
@@ -92,7 +95,7 @@
     }
 }
 
-/// Commits groups of so many records until the time is over.
+/// Commits groups of `outstanding` records until the time is over.
 fn grouped(
     name: &'static str,
     outstanding: usize,
@@ -156,7 +159,8 @@
     })
 }
 
-fn recovery(records: u64) {
+/// Prints how long the recovery of a store of this many records takes.
+fn measure_recovery(records: u64) {
     let folder = tempfile::tempdir_in(target()).expect("a folder");
     let mut store = engine(folder.path());
     for n in 0..records {
@@ -176,17 +180,18 @@
     drop(store);
     let start = Instant::now();
     let store = engine(folder.path());
-    let took = start.elapsed().as_secs_f64();
-    let stat = store.statistics();
-    assert_eq!(stat.live_keys as u64, records);
-    let memory = stat.index_bytes as f64 / records as f64;
+    let seconds = start.elapsed().as_secs_f64();
+    let statistics = store.statistics();
+    assert_eq!(statistics.live_keys as u64, records);
+    let memory = statistics.index_bytes as f64 / records as f64;
     println!(
-        "| {records} | {took:.2} | {:.2} | {memory:.0} |",
-        took * 1e6 / records as f64
+        "| {records} | {seconds:.2} | {:.2} | {memory:.0} |",
+        seconds * 1e6 / records as f64
     );
 }
 
-fn space(writes: u64) {
+/// Prints the space that this many overwrites take.
+fn measure_space(writes: u64) {
     const KEYS: u64 = 50_000;
     let folder = tempfile::tempdir_in(target()).expect("a folder");
     let disk = OsDisk::new(folder.path()).expect("a folder");
@@ -197,7 +202,7 @@
     let mut store = Engine::open(vec![disk], options, "a bench", 1, 0)
         .expect("a store")
         .0;
-    let (mut random, mut most, mut sum, mut counted) = (1u64, 0f64, 0f64, 0f64);
+    let (mut random, mut max, mut sum, mut count) = (1u64, 0f64, 0f64, 0f64);
     for n in 0..writes {
         random = random
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -224,17 +229,18 @@
                 .map(|data| data.len())
                 .sum();
             let ratio = files as f64 / store.statistics().live_bytes as f64;
-            (most, sum, counted) = (most.max(ratio), sum + ratio, counted + 1.0);
+            (max, sum, count) = (max.max(ratio), sum + ratio, count + 1.0);
         }
     }
     let copied =
         store.statistics().copied_bytes as f64 / (writes * (VALUE.len() as u64 + 24 + 39)) as f64;
     println!(
-        "| {writes} | {KEYS} | {:.2} | {most:.2} | {copied:.2} |",
-        sum / counted
+        "| {writes} | {KEYS} | {:.2} | {max:.2} | {copied:.2} |",
+        sum / count
     );
 }
 
+/// The folder for the stores.
 fn target() -> &'static str {
     env!("CARGO_TARGET_TMPDIR")
 }
@@ -245,8 +251,8 @@
     println!("| store | outstanding | durable records/s | p50 ms | p99 ms |");
     println!("| --- | --- | --- | --- | --- |");
     for outstanding in [1, 8, 64, 512] {
-        // In turns, so that what else the machine does meets all of them.
-        for run in [ours, redb, fjall] {
+        // In turns, so that other load on the machine affects all of them.
+        for run in [postproxy_store, redb, fjall] {
             let folder = tempfile::tempdir_in(target()).expect("a folder");
             run(folder.path(), outstanding, time).print();
         }
@@ -260,10 +266,10 @@
     } else {
         &[1_000_000, 10_000_000]
     };
-    sizes.iter().for_each(|size| recovery(*size));
+    sizes.iter().for_each(|size| measure_recovery(*size));
     println!(
         "\n| overwrites | keys | files over live, mean | most | bytes copied by cleaning over bytes written |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    space(if quick { 200_000 } else { 2_000_000 });
+    measure_space(if quick { 200_000 } else { 2_000_000 });
 }
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -1,28 +1,31 @@
-//! The engine on a simulated disk: cuts at every byte, crashes after every operation, a model of what was
+//! The engine on a simulated disk: cuts at every byte, crashes after every operation, compared with a model of what was
 //! acknowledged.
 
 use postproxy_store::sim::{Faults, SimDisk};
 use postproxy_store::{Change, Disk, Engine, OpenError, Options, Recovery, Rejected};
 use std::collections::{BTreeMap, BTreeSet};
 
-const SMALL: Options = Options {
+/// Segments that are full after a few records.
+const SMALL_SEGMENTS: Options = Options {
     segment_bytes: 2048,
     max_bytes: 0,
     max_space_ratio: 1.7,
 };
 
-type Model = BTreeMap<Vec<u8>, Vec<u8>>;
+/// The values of all keys.
+type Records = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn open(disks: &[SimDisk]) -> Result<(Engine<SimDisk>, Recovery), OpenError> {
-    Engine::open(disks.to_vec(), SMALL, "a test", 77, 1_000)
+    Engine::open(disks.to_vec(), SMALL_SEGMENTS, "a test", 77, 1_000)
 }
 
-fn sound(disks: &[SimDisk]) -> (Engine<SimDisk>, Recovery) {
+fn open_store(disks: &[SimDisk]) -> (Engine<SimDisk>, Recovery) {
     open(disks).expect("a store")
 }
 
-fn content(engine: &mut Engine<SimDisk>) -> Model {
-    let mut model = Model::new();
+/// Returns all records, read by a scan and one by one.
+fn read_all(engine: &mut Engine<SimDisk>) -> Records {
+    let mut model = Records::new();
     engine
         .scan(|key, value| {
             assert!(
@@ -46,7 +49,7 @@
     }
 }
 
-/// Small random numbers, the same every time.
+/// A small generator of random numbers, the same every time.
 struct Random(u64);
 
 impl Random {
@@ -59,16 +62,16 @@
     }
 }
 
-/// What a run did: per batch, its changes; and the states a recovery may come to.
+/// What a run did: the states that a recovery may return to.
 struct Run {
     /// The state after each batch, the first one empty.
-    states: Vec<Model>,
-    /// So many batches are acknowledged.
+    states: Vec<Records>,
+    /// The number of batches that have been acknowledged.
     acknowledged: usize,
 }
 
-/// A mixed run of puts, overwrites and deletes with cleaning in between, until it is over or the disk fails.
-fn run(engine: &mut Engine<SimDisk>, start: Model, seed: u64, batches: usize) -> Run {
+/// Runs puts, overwrites and deletes with cleaning in between, until all batches are done or the disk fails.
+fn run(engine: &mut Engine<SimDisk>, start: Records, seed: u64, batches: usize) -> Run {
     let mut random = Random(seed);
     let mut run = Run {
         states: vec![start],
@@ -96,7 +99,7 @@
                 None => next.remove(key),
             };
         }
-        engine.append(&batch).expect("it is taken");
+        engine.append(&batch).expect("it is accepted");
         run.states.push(next);
         if random.below(3) == 0 {
             if engine.commit().is_err() {
@@ -114,21 +117,21 @@
     run
 }
 
-/// Guards against a store that forgets, or brings back, anything over an ordinary end and start.
+/// Guards against a store that loses, or brings back, anything over an ordinary stop and start.
 #[test]
-fn what_is_acknowledged_is_there_after_a_start() {
+fn acknowledged_records_survive_a_restart() {
     let disks = [SimDisk::new(Faults::default(), 1)];
-    let (mut engine, first) = sound(&disks);
+    let (mut engine, first) = open_store(&disks);
     assert_eq!(first, Recovery::default());
-    let done = run(&mut engine, Model::new(), 5, 400);
+    let done = run(&mut engine, Records::new(), 5, 400);
     let stat = engine.statistics();
     assert!(
         stat.copied_bytes > 0 && stat.segments > 1,
         "it was cleaned: {stat:?}"
     );
     drop(engine);
-    let (mut engine, recovery) = sound(&disks);
-    assert_eq!(content(&mut engine), done.states[done.acknowledged]);
+    let (mut engine, recovery) = open_store(&disks);
+    assert_eq!(read_all(&mut engine), done.states[done.acknowledged]);
     assert_eq!(
         (
             recovery.torn_bytes,
@@ -139,7 +142,7 @@
     );
 }
 
-/// Cuts, empties, removes or overwrites one file and opens the store.
+/// Calls `check` with a copy of the disk for each way to cut, remove or overwrite one file.
 fn each_damage(disk: &SimDisk, mut check: impl FnMut(&str, usize, SimDisk)) {
     for name in disk.list().expect("names") {
         let whole = disk.content(&name);
@@ -157,9 +160,9 @@
     }
 }
 
-/// A store of jobs that were begun and completed: `begun` first, `done` in its place later.
-fn jobs(disks: &[SimDisk], count: usize) -> Model {
-    let (mut engine, _) = sound(disks);
+/// Fills a store with jobs that are started and completed: one value first, another in its place later.
+fn jobs(disks: &[SimDisk], count: usize) -> Records {
+    let (mut engine, _) = open_store(disks);
     for step in 0..2 * count {
         let (job, value) = (
             step / 2,
@@ -171,17 +174,16 @@
         );
         engine
             .append(&[put(format!("job-{job}").as_bytes(), value.as_bytes())])
-            .expect("it is taken");
+            .expect("it is accepted");
         engine.commit().expect("it is durable");
     }
-    content(&mut engine)
+    read_all(&mut engine)
 }
 
-/// Guards against a start that fails, or that invents something, after any file was cut at any byte (also inside
-/// a length field), emptied, removed or overwritten; against losing more than the records behind the cut, or
-/// saying nothing of it.
+/// Guards against a start that fails, or invents records, after any file was cut at any byte (also inside a length field), emptied,
+/// removed or overwritten; and against a loss of more than the records behind the cut, or one that is not reported.
 #[test]
-fn a_file_cut_at_any_byte_loses_only_what_was_behind_the_cut() {
+fn file_cut_at_any_byte_loses_only_records_behind_the_cut() {
     let disk = SimDisk::new(Faults::default(), 3);
     let whole = jobs(std::slice::from_ref(&disk), 40);
     assert!(
@@ -190,8 +192,8 @@
     );
     let mut cuts = 0;
     each_damage(&disk, |name, size, cut| {
-        let (mut engine, recovery) = sound(&[cut]);
-        let found = content(&mut engine);
+        let (mut engine, recovery) = open_store(&[cut]);
+        let found = read_all(&mut engine);
         let missing = whole
             .iter()
             .filter(|(key, value)| found.get(*key) != Some(value))
@@ -207,17 +209,17 @@
             .is_some_and(|last| last == name);
         assert!(
             missing == 0 || last || !recovery.lost.is_empty(),
-            "{name} {size}: {missing} lost without a word"
+            "{name} {size}: {missing} lost without a report"
         );
         cuts += 1;
     });
     assert!(cuts > 4000, "{cuts} cuts");
 }
 
-/// Guards against losing anything at all where every file has a copy, whichever single file is cut, emptied,
-/// removed or overwritten; and against a copy that is not made whole again.
+/// Guards against any loss where every file has a copy, whichever single file is cut, emptied, removed or overwritten; and against a
+/// copy that is not repaired.
 #[test]
-fn with_a_mirror_no_single_file_matters() {
+fn mirror_survives_damage_of_any_single_file() {
     let (left, right) = (
         SimDisk::new(Faults::default(), 3),
         SimDisk::new(Faults::default(), 4),
@@ -236,9 +238,9 @@
             } else {
                 [other.clone(), cut.clone()]
             };
-            let (mut engine, recovery) = sound(&disks);
-            assert_eq!(content(&mut engine), whole, "{name} {size}");
-            // Zeros that were written ahead need no copy.
+            let (mut engine, recovery) = open_store(&disks);
+            assert_eq!(read_all(&mut engine), whole, "{name} {size}");
+            // Zeros that were written ahead need not be equal.
             let counts = |disk: &SimDisk| {
                 let mut bytes = disk.content(name);
                 bytes.truncate(
@@ -263,10 +265,9 @@
     }
 }
 
-/// Guards against a record lost by a flipped bit in front of it or behind it, and against one that is read
-/// though it was changed.
+/// Guards against a record lost by a flipped bit outside its frame, and against one that is read though it was changed.
 #[test]
-fn a_flipped_bit_costs_one_frame_at_most() {
+fn flipped_bit_costs_at_most_one_frame() {
     let disk = SimDisk::new(Faults::default(), 3);
     let whole = jobs(std::slice::from_ref(&disk), 12);
     for name in disk.list().expect("names") {
@@ -276,8 +277,8 @@
             let mut bytes = bytes.clone();
             bytes[bit / 8] ^= 1 << (bit % 8);
             flipped.set_content(&name, Some(bytes));
-            let (mut engine, _) = sound(&[flipped]);
-            let found = content(&mut engine);
+            let (mut engine, _) = open_store(&[flipped]);
+            let found = read_all(&mut engine);
             let wrong = whole
                 .iter()
                 .filter(|(key, value)| found.get(*key) != Some(value))
@@ -290,16 +291,18 @@
     }
 }
 
-/// Guards against a torn write whose later part alone reached the disk: the whole records behind the hole were
-/// never acknowledged and do not come back, not even at the start after the next.
+/// Guards against a torn write whose later part alone reached the disk: the sound records behind the hole were never acknowledged and
+/// do not come back, not even at the start after the next.
 #[test]
-fn whole_records_behind_a_torn_write_stay_away() {
+fn records_behind_a_torn_write_do_not_come_back() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let (mut engine, _) = sound(std::slice::from_ref(&disk));
-    engine.append(&[put(b"kept", b"1")]).expect("taken");
+    let (mut engine, _) = open_store(std::slice::from_ref(&disk));
+    engine.append(&[put(b"kept", b"1")]).expect("accepted");
     engine.commit().expect("durable");
     for n in 0..3u8 {
-        engine.append(&[put(&[b'u', n], &[n; 600])]).expect("taken");
+        engine
+            .append(&[put(&[b'u', n], &[n; 600])])
+            .expect("accepted");
     }
     engine.commit().expect("durable");
     drop(engine);
@@ -308,18 +311,18 @@
     bytes[64 + 24 + 20 + 30] ^= 1; // inside the first of the three
     disk.set_content(&name, Some(bytes));
     for _ in 0..3 {
-        let (mut engine, recovery) = sound(std::slice::from_ref(&disk));
+        let (mut engine, recovery) = open_store(std::slice::from_ref(&disk));
         assert_eq!(
-            content(&mut engine).into_keys().collect::<Vec<_>>(),
+            read_all(&mut engine).into_keys().collect::<Vec<_>>(),
             [b"kept".to_vec()]
         );
         assert_eq!(recovery.lost, []);
-        engine.append(&[put(b"kept", b"1")]).expect("taken");
+        engine.append(&[put(b"kept", b"1")]).expect("accepted");
         engine.commit().expect("durable");
     }
 }
 
-/// A crash after each operation of a run in turn, then a start, a further run from there, and a crash in that.
+/// Crashes after each operation of a run in turn, then during the recovery, and goes on from there with another run.
 fn crash_everywhere(copies: usize, seed: u64) {
     let fresh = |faults: &Faults| -> Vec<SimDisk> {
         (0..copies as u64)
@@ -327,7 +330,7 @@
             .collect()
     };
     let disks = fresh(&Faults::default());
-    run(&mut sound(&disks).0, Model::new(), seed, 120);
+    run(&mut open_store(&disks).0, Records::new(), seed, 120);
     let operations = disks[0].operations();
     assert!(operations > 120, "{operations} operations");
     for at in 0..operations {
@@ -336,42 +339,42 @@
             ..Faults::default()
         });
         let done = match open(&disks) {
-            Ok((mut engine, _)) => run(&mut engine, Model::new(), seed, 120),
+            Ok((mut engine, _)) => run(&mut engine, Records::new(), seed, 120),
             Err(_) => Run {
-                states: vec![Model::new()],
+                states: vec![Records::new()],
                 acknowledged: 0,
             },
         };
         let mut disks: Vec<SimDisk> = disks.iter().map(SimDisk::after_crash).collect();
-        // A death during the recovery itself, five times in a row.
-        for death in 0..5 {
+        // Crashes during the recovery itself, five in a row.
+        for operation in 0..5 {
             disks
                 .iter()
-                .for_each(|d| d.set_faults(|f| f.crash_at = Some(death)));
+                .for_each(|d| d.set_faults(|f| f.crash_at = Some(operation)));
             let _ = open(&disks);
             disks = disks.iter().map(SimDisk::after_crash).collect();
         }
-        let (mut engine, recovery) = sound(&disks);
-        let found = content(&mut engine);
-        let may_be = &done.states[done.acknowledged..];
+        let (mut engine, recovery) = open_store(&disks);
+        let found = read_all(&mut engine);
+        let allowed_states = &done.states[done.acknowledged..];
         assert!(
-            may_be.contains(&found),
-            "after {at} operations: neither acknowledged nor asked for"
+            allowed_states.contains(&found),
+            "after {at} operations: neither acknowledged nor appended"
         );
         assert_eq!(recovery.lost, [], "after {at} operations");
-        // And on from there.
+        // The store goes on from there.
         let further = run(&mut engine, found, seed + at, 20);
         assert_eq!(further.acknowledged, 20, "after {at} operations it goes on");
         drop(engine);
-        let (mut engine, _) = sound(&disks);
-        assert_eq!(content(&mut engine), further.states[20]);
+        let (mut engine, _) = open_store(&disks);
+        assert_eq!(read_all(&mut engine), further.states[20]);
     }
 }
 
-/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of cleaning)
-/// that loses what was acknowledged, brings back what was deleted, or counts half a batch.
+/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of cleaning) that loses what was
+/// acknowledged, brings back what was deleted, or counts half a batch.
 #[test]
-fn a_crash_after_any_operation_keeps_what_was_acknowledged() {
+fn acknowledged_records_survive_a_crash_at_any_operation() {
     for seed in [11, 12] {
         crash_everywhere(1, seed);
     }
@@ -379,14 +382,14 @@
 
 /// The same with a mirror, whose two folders crash at different places.
 #[test]
-fn a_crash_after_any_operation_with_a_mirror() {
+fn acknowledged_records_survive_a_crash_at_any_operation_with_a_mirror() {
     crash_everywhere(2, 13);
 }
 
-/// Guards against a failed sync that is taken for a good one later, of a file or of the folder: all that is
-/// acknowledged afterwards, and all that was before, is there after a crash.
+/// Guards against a failed sync of a file or of the folder that counts as successful later: all that is acknowledged after it, and all
+/// that was before it, is there after a crash.
 #[test]
-fn a_failed_sync_is_never_trusted() {
+fn failed_sync_is_never_trusted() {
     for failing in 0..40u64 {
         let faults = [
             Faults {
@@ -404,15 +407,15 @@
         ];
         for faults in faults {
             let disk = SimDisk::new(faults, failing);
-            let (mut engine, _) = sound(std::slice::from_ref(&disk));
-            let mut model = Model::new();
+            let (mut engine, _) = open_store(std::slice::from_ref(&disk));
+            let mut model = Records::new();
             for step in 0..120u32 {
                 let (key, value) = (
                     format!("k{}", step % 9).into_bytes(),
                     step.to_be_bytes().repeat(9),
                 );
-                engine.append(&[put(&key, &value)]).expect("taken");
-                // What is refused is as if it had not been asked for.
+                engine.append(&[put(&key, &value)]).expect("accepted");
+                // A failed commit has no effect.
                 if engine.commit().is_ok() {
                     model.insert(key, value);
                 }
@@ -420,18 +423,18 @@
                     let _ = engine.clean();
                 }
             }
-            assert_eq!(content(&mut engine), model);
+            assert_eq!(read_all(&mut engine), model);
             drop(engine);
-            let (mut engine, recovery) = sound(&[disk.after_crash()]);
-            assert_eq!(content(&mut engine), model, "sync {failing}");
+            let (mut engine, recovery) = open_store(&[disk.after_crash()]);
+            assert_eq!(read_all(&mut engine), model, "sync {failing}");
             assert_eq!(recovery.lost, []);
         }
     }
 }
 
-/// Guards against a full disk that costs more than the records which did not fit: half of one was written.
+/// Guards against a full disk that costs more than the records which did not fit, of which a part was written.
 #[test]
-fn a_full_disk_refuses_and_comes_back() {
+fn full_disk_rejects_commits_until_it_has_room() {
     let disk = SimDisk::new(
         Faults {
             capacity: Some(3000),
@@ -439,37 +442,37 @@
         },
         1,
     );
-    let (mut engine, _) = sound(std::slice::from_ref(&disk));
-    let (mut model, mut refused) = (Model::new(), 0);
+    let (mut engine, _) = open_store(std::slice::from_ref(&disk));
+    let (mut model, mut rejected) = (Records::new(), 0);
     for n in 0..40u8 {
         let (key, value) = (vec![n], vec![n; 150]);
-        engine.append(&[put(&key, &value)]).expect("taken");
+        engine.append(&[put(&key, &value)]).expect("accepted");
         match engine.commit() {
             Ok(_) => _ = model.insert(key, value),
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
         }
     }
     assert!(
-        model.len() > 10 && refused > 10,
-        "{} taken, {refused} refused",
+        model.len() > 10 && rejected > 10,
+        "{} accepted, {rejected} rejected",
         model.len()
     );
-    assert_eq!(content(&mut engine), model);
+    assert_eq!(read_all(&mut engine), model);
     assert!(engine.probe().is_err(), "it is full still");
     disk.set_faults(|faults| faults.capacity = None);
     engine.probe().expect("it takes writes again");
-    engine.append(&[put(b"more", b"m")]).expect("taken");
+    engine.append(&[put(b"more", b"m")]).expect("accepted");
     engine.commit().expect("durable");
     model.insert(b"more".to_vec(), b"m".to_vec());
     drop(engine);
-    let (mut engine, recovery) = sound(&[disk.after_crash()]);
-    assert_eq!(content(&mut engine), model);
+    let (mut engine, recovery) = open_store(&[disk.after_crash()]);
+    assert_eq!(read_all(&mut engine), model);
     assert_eq!(recovery.lost, []);
 }
 
-/// Guards against files that grow without end under steady overwriting, and against a limit that is passed.
+/// Guards against files that grow without end under steady overwriting, and against a limit that is exceeded.
 #[test]
-fn overwriting_takes_a_bounded_space() {
+fn overwriting_uses_bounded_space() {
     let disk = SimDisk::new(Faults::default(), 1);
     let options = Options {
         segment_bytes: 4096,
@@ -482,7 +485,7 @@
             .0
     };
     let mut engine = open();
-    let (mut random, mut most) = (Random(4), 0f64);
+    let (mut random, mut max_ratio) = (Random(4), 0f64);
     for step in 0..20_000 {
         let key = format!("key-{}", random.below(500));
         engine
@@ -497,10 +500,10 @@
         }
         let stat = engine.statistics();
         if step > 5000 {
-            most = most.max(stat.file_bytes as f64 / stat.live_bytes as f64);
+            max_ratio = max_ratio.max(stat.file_bytes as f64 / stat.live_bytes as f64);
         }
     }
-    assert!(most <= 2.0, "{most} times what is live");
+    assert!(max_ratio <= 2.0, "{max_ratio} times what is live");
     let stat = engine.statistics();
     assert_eq!(stat.live_keys, 500);
     engine.compact().expect("compacted");
@@ -523,20 +526,20 @@
     engine
         .append(&[Change::Delete { key: b"more-0" }])
         .expect("deletes make room");
-    assert!(open_refuses(&disk), "it is locked");
+    assert!(open_fails_with_io_error(&disk), "it is locked");
 }
 
-fn open_refuses(disk: &SimDisk) -> bool {
+fn open_fails_with_io_error(disk: &SimDisk) -> bool {
     matches!(open(std::slice::from_ref(disk)), Err(OpenError::Io(..)))
 }
 
-/// Guards against an expired record that stays for ever, comes back, or leaves early because the clock was set
-/// back between two starts.
+/// Guards against an expired record that stays for ever, comes back, or is removed early because the clock was set back between two
+/// starts.
 #[test]
-fn expired_records_leave() {
+fn expired_records_are_removed() {
     let disk = SimDisk::new(Faults::default(), 1);
     let at = |now| {
-        Engine::open(vec![disk.clone()], SMALL, "a test", 7, now)
+        Engine::open(vec![disk.clone()], SMALL_SEGMENTS, "a test", 7, now)
             .expect("a store")
             .0
     };
@@ -547,15 +550,15 @@
             value: b"first",
             expires_at_ms: 0,
         }])
-        .expect("taken");
+        .expect("accepted");
     engine
         .append(&[Change::Put {
             key: b"old",
             value: b"second",
             expires_at_ms: 5_000,
         }])
-        .expect("taken");
-    engine.append(&[put(b"kept", b"k")]).expect("taken");
+        .expect("accepted");
+    engine.append(&[put(b"kept", b"k")]).expect("accepted");
     engine.commit().expect("durable");
     drop(engine);
     let mut engine = at(200); // set back
@@ -569,14 +572,14 @@
     drop(engine);
     let mut engine = at(200);
     assert_eq!(
-        content(&mut engine).into_keys().collect::<Vec<_>>(),
+        read_all(&mut engine).into_keys().collect::<Vec<_>>(),
         [b"kept".to_vec()]
     );
 }
 
 /// Guards against overwriting files of a newer format, or of another store.
 #[test]
-fn files_that_are_not_understood_are_left_alone() {
+fn files_of_other_formats_and_stores_are_left_alone() {
     let disk = SimDisk::new(Faults::default(), 1);
     jobs(std::slice::from_ref(&disk), 3);
     let names: BTreeSet<String> = disk.list().expect("names").into_iter().collect();
@@ -602,10 +605,10 @@
         names
     );
     let other = SimDisk::new(Faults::default(), 2);
-    let mut engine = Engine::open(vec![other.clone()], SMALL, "a test", 78, 0)
+    let mut engine = Engine::open(vec![other.clone()], SMALL_SEGMENTS, "a test", 78, 0)
         .expect("a store")
         .0;
-    engine.append(&[put(b"a", b"b")]).expect("taken");
+    engine.append(&[put(b"a", b"b")]).expect("accepted");
     engine.commit().expect("durable");
     drop(engine);
     let mixed = [other, SimDisk::new(Faults::default(), 3)];
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The store behind its queues: order of acknowledgements, failures and their end, a disk that hangs.
+//! The store behind its queues: order of acknowledgements, failures and recovery, a disk that hangs.
 
 use postproxy_store::sim::{Faults, SimDisk, SimFile, SimLock};
 use postproxy_store::{Batch, Disk, Engine, Event, File, Options, QueueFull, Store, WriterOptions};
@@ -7,114 +7,146 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
+/// Longest time that a test waits for an event.
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// A disk whose syncs wait while the gate is shut.
+/// A gate at which syncs wait while it is closed.
+#[derive(Clone, Default)]
+struct Gate(Arc<(Mutex<bool>, Condvar)>);
+
+impl Gate {
+    fn set_closed(&self, closed: bool) {
+        *self.0.0.lock().expect("a lock") = closed;
+        self.0.1.notify_all();
+    }
+
+    fn wait_until_open(&self) {
+        let closed = self.0.0.lock().expect("a lock");
+        drop(
+            self.0
+                .1
+                .wait_while(closed, |closed| *closed)
+                .expect("a lock"),
+        );
+    }
+}
+
+/// A disk whose syncs wait while the gate is closed.
 #[derive(Clone)]
-struct Gated(SimDisk, Arc<(Mutex<bool>, Condvar)>);
+struct GatedDisk {
+    disk: SimDisk,
+    gate: Gate,
+}
 
-struct GatedFile(SimFile, Arc<(Mutex<bool>, Condvar)>);
+struct GatedFile {
+    file: SimFile,
+    gate: Gate,
+}
 
-impl Gated {
-    fn shut(&self, shut: bool) {
-        *self.1.0.lock().expect("a lock") = shut;
-        self.1.1.notify_all();
+impl GatedDisk {
+    fn gated(&self, file: SimFile) -> GatedFile {
+        GatedFile {
+            file,
+            gate: self.gate.clone(),
+        }
     }
 }
 
-impl Disk for Gated {
+impl Disk for GatedDisk {
     type File = GatedFile;
     type Lock = SimLock;
     fn list(&self) -> io::Result<Vec<String>> {
-        self.0.list()
+        self.disk.list()
     }
     fn create(&self, name: &str) -> io::Result<GatedFile> {
-        Ok(GatedFile(self.0.create(name)?, self.1.clone()))
+        Ok(self.gated(self.disk.create(name)?))
     }
     fn open(&self, name: &str) -> io::Result<GatedFile> {
-        Ok(GatedFile(self.0.open(name)?, self.1.clone()))
+        Ok(self.gated(self.disk.open(name)?))
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.0.rename(from, to)
+        self.disk.rename(from, to)
     }
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.0.remove(name)
+        self.disk.remove(name)
     }
     fn sync_folder(&self) -> io::Result<()> {
-        self.0.sync_folder()
+        self.disk.sync_folder()
     }
     fn lock(&self, holder: &str) -> io::Result<SimLock> {
-        self.0.lock(holder)
+        self.disk.lock(holder)
     }
     fn name(&self) -> String {
-        self.0.name()
+        self.disk.name()
     }
 }
 
 impl File for GatedFile {
     fn size(&self) -> io::Result<u64> {
-        self.0.size()
+        self.file.size()
     }
     fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize> {
-        self.0.read_at(at, into)
+        self.file.read_at(at, into)
     }
     fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.0.write_at(at, bytes)
+        self.file.write_at(at, bytes)
     }
     fn truncate(&self, size: u64) -> io::Result<()> {
-        self.0.truncate(size)
+        self.file.truncate(size)
     }
     fn sync(&self) -> io::Result<()> {
-        let shut = self.1.0.lock().expect("a lock");
-        drop(self.1.1.wait_while(shut, |shut| *shut).expect("a lock"));
-        self.0.sync()
+        self.gate.wait_until_open();
+        self.file.sync()
     }
 }
 
-fn start(disk: &Gated, most_queued: usize) -> (Store, Receiver<Event>) {
+fn start(disk: &GatedDisk, max_queued_bytes: usize) -> (Store, Receiver<Event>) {
     let options = Options {
         segment_bytes: 4096,
         ..Options::default()
     };
     let (engine, _) = Engine::open(vec![disk.clone()], options, "a test", 7, 0).expect("a store");
-    let work = WriterOptions {
-        max_queued_bytes: most_queued,
+    let writer_options = WriterOptions {
+        max_queued_bytes,
         retry_interval: Duration::from_millis(2),
         clock: Box::new(|| 1),
         wake: Box::new(|| {}),
     };
-    Store::start(engine, work).expect("a thread")
+    Store::start(engine, writer_options).expect("a thread")
 }
 
-fn disk(faults: Faults) -> Gated {
-    Gated(SimDisk::new(faults, 1), Arc::default())
+fn disk(faults: Faults) -> GatedDisk {
+    GatedDisk {
+        disk: SimDisk::new(faults, 1),
+        gate: Gate::default(),
+    }
 }
 
 fn batch(n: u64) -> Batch {
     Batch::new().put(&n.to_be_bytes(), &[1; 100], 0)
 }
 
-/// Guards against an acknowledgement that comes before its sync, out of order, or never; against an append
-/// that waits for a disk which hangs, or a queue without a bound.
+/// Guards against an acknowledgement that comes before its sync, out of order, or never; against an append that waits for a disk which
+/// hangs, and a queue without a bound.
 #[test]
-fn a_disk_that_hangs_holds_up_nobody() {
+fn hanging_disk_does_not_block_appends() {
     let disk = disk(Faults::default());
-    disk.shut(true);
+    disk.gate.set_closed(true);
     let (mut store, events) = start(&disk, 20_000);
-    let (mut taken, mut last) = (0, 0);
-    // More than the queue holds: had an append to wait, this would not end.
+    let (mut accepted, mut last) = (0, 0);
+    // More than the queue holds: if an append waited, this would not end.
     for n in 1..=400 {
         let ticket = store.append(batch(n));
         if ticket != Err(QueueFull) {
-            (taken, last) = (taken + 1, n);
-            assert_eq!(ticket, Ok(taken));
+            (accepted, last) = (accepted + 1, n);
+            assert_eq!(ticket, Ok(accepted));
         }
     }
-    assert!((100..400).contains(&taken), "{taken} taken");
+    assert!((100..400).contains(&accepted), "{accepted} accepted");
     assert!(events.try_recv().is_err(), "nothing is durable");
-    disk.shut(false);
+    disk.gate.set_closed(false);
     let mut durable = 0;
-    while durable < taken {
+    while durable < accepted {
         match events.recv_timeout(LIMIT).expect("an event") {
             Event::Durable(ticket) => {
                 assert!(ticket > durable);
@@ -134,40 +166,40 @@
     assert_eq!(store.queued_bytes(), 0);
 }
 
-/// Guards against a disk without room that is told as anything but refusals, against silence when it has room
-/// again, and against an end that loses what was taken.
+/// Guards against a full disk that is reported as anything but rejections, against no report when it has room again, and against a stop
+/// that loses what was accepted.
 #[test]
-fn a_broken_disk_refuses_until_it_is_sound() {
+fn failing_disk_rejects_appends_until_it_recovers() {
     let disk = disk(Faults {
         capacity: Some(0),
         ..Faults::default()
     });
     let (mut store, events) = start(&disk, 1 << 20);
-    store.append(batch(1)).expect("it is taken");
-    let (mut refused, mut broken) = (false, false);
-    while !(refused && broken) {
+    store.append(batch(1)).expect("it is accepted");
+    let (mut rejected, mut writes_failed) = (false, false);
+    while !(rejected && writes_failed) {
         match events.recv_timeout(LIMIT).expect("an event") {
             Event::Rejected {
                 from: 1,
                 to: 1,
                 why,
-            } => refused = !why.is_empty(),
-            Event::WritesFailed(_) => broken = true,
+            } => rejected = !why.is_empty(),
+            Event::WritesFailed(_) => writes_failed = true,
             other => panic!("{other:?}"),
         }
     }
-    store.append(batch(2)).expect("it is taken");
+    store.append(batch(2)).expect("it is accepted");
     assert!(matches!(
         events.recv_timeout(LIMIT),
         Ok(Event::Rejected { from: 2, to: 2, .. })
     ));
-    disk.0.set_faults(|faults| faults.capacity = None);
+    disk.disk.set_faults(|faults| faults.capacity = None);
     assert!(matches!(
         events.recv_timeout(LIMIT),
         Ok(Event::WritesRecovered)
     ));
     for n in 3..200 {
-        store.append(batch(n)).expect("it is taken");
+        store.append(batch(n)).expect("it is accepted");
     }
     drop(store);
     let last = events.iter().fold(0, |last, event| {
@@ -179,7 +211,7 @@
     });
     assert_eq!(last, 199);
     let (engine, recovery) = Engine::open(
-        vec![disk.0.after_crash()],
+        vec![disk.disk.after_crash()],
         Options::default(),
         "a test",
         7,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! One attempt's life on connections to workers: the bad orders, made each time on real connections, in a time that is told.
+//! Attempts at workers over real connections, with simulated time: every unfavourable order of events on a connection.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -14,36 +14,37 @@
 
 const NOT_RUN: &str = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-struct World {
+/// The attempts under test, and a listener that stands for a worker.
+struct AttemptsHarness {
     reactor: Reactor,
     attempts: Attempts,
     worker: TcpListener,
 }
 
-impl World {
+impl AttemptsHarness {
     fn new() -> Self {
         Self::with(8, 60.0)
     }
 
-    /// With so many connections at most, to workers that close what has been idle for so long.
-    fn with(most: usize, idle: f64) -> Self {
+    /// With this limit on connections, and workers that close a connection after being idle for `idle_timeout` seconds.
+    fn with(max_connections: usize, idle_timeout: f64) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
         Self {
             reactor,
-            attempts: Attempts::new(most, 0.25, idle),
+            attempts: Attempts::new(max_connections, 0.25, idle_timeout),
             worker: port(),
         }
     }
 
-    /// Starts attempts at one time, each of which a worker takes on a connection of its own; these are idle then.
-    fn taken(&mut self, attempts: &[AttemptId]) -> Vec<Peer> {
+    /// Starts attempts at one time, and has the worker accept each on a connection of its own; these are idle then.
+    fn accepted_attempts(&mut self, attempts: &[AttemptId]) -> Vec<Peer> {
         attempts.iter().for_each(|attempt| self.start(*attempt));
         let mut peers: Vec<Peer> = attempts
             .iter()
             .map(|_| Peer::accept(&self.worker))
             .collect();
         for peer in &mut peers {
-            self.reaches(peer);
+            self.run_until_received(peer);
             peer.request();
             peer.write(ACCEPTED);
             assert_eq!(self.end().1, AttemptEnd::Accepted);
@@ -51,42 +52,37 @@
         peers
     }
 
-    /// Starts an attempt at this time; whether it goes out on a connection of its own.
-    fn dials(&mut self, at: f64, attempt: AttemptId) -> bool {
+    /// Starts an attempt at this time; returns whether it opens a connection.
+    fn opens_connection(&mut self, at: f64, attempt: AttemptId) -> bool {
         self.reactor.now = at;
         self.worker.set_nonblocking(true).expect("a setting");
         self.start(attempt);
-        let came = self.worker.accept().is_ok();
+        let opened = self.worker.accept().is_ok();
         self.worker.set_nonblocking(false).expect("a setting");
-        came
+        opened
     }
 
     fn start(&mut self, attempt: AttemptId) {
         let at = self.worker.local_addr().expect("an address");
-        let (id, method, target) = (
-            format!("job-{attempt}"),
-            "POST".to_owned(),
-            "/render".to_owned(),
-        );
         let payload = Payload {
-            id,
-            method,
-            target,
+            id: format!("job-{attempt}"),
+            method: "POST".to_owned(),
+            target: "/render".to_owned(),
             ..Payload::default()
         };
-        let until = self.reactor.now + 5.0;
+        let deadline = self.reactor.now + 5.0;
         self.attempts
-            .start_attempt(&mut self.reactor, attempt, at, &Rc::new(payload), until);
+            .start_attempt(&mut self.reactor, attempt, at, &Rc::new(payload), deadline);
     }
 
-    /// Lets sockets be read until this is found.
+    /// Serves ready connections until `found` returns something.
     fn until<T>(&mut self, mut found: impl FnMut(&mut Self) -> Option<T>) -> T {
         let (start, mut events) = (Instant::now(), Vec::new());
         loop {
             if let Some(found) = found(self) {
                 return found;
             }
-            assert!(start.elapsed() < LIMIT, "it never came");
+            assert!(start.elapsed() < LIMIT, "nothing was found in time");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
                 self.attempts.handle_ready(
@@ -99,9 +95,9 @@
         }
     }
 
-    /// Lets sockets be read and written until something has come to this peer: a request is written once its connection is known
-    /// to be made.
-    fn reaches(&mut self, peer: &Peer) {
+    /// Serves ready connections until the peer has received something: a request is written once its connection is known to
+    /// be established.
+    fn run_until_received(&mut self, peer: &Peer) {
         peer.stream.set_nonblocking(true).expect("a setting");
         self.until(|_| {
             peer.stream
@@ -112,7 +108,7 @@
         peer.stream.set_nonblocking(false).expect("a setting");
     }
 
-    /// The key of the first connection of which the system has something to tell.
+    /// Returns the key of the first connection that becomes ready.
     fn key(&mut self) -> usize {
         let mut events = Vec::new();
         while events.is_empty() {
@@ -121,10 +117,10 @@
         events[0].key
     }
 
-    /// The first end of an attempt that the hub is told of.
+    /// Returns the first end of an attempt that is reported.
     fn end(&mut self) -> (AttemptId, AttemptEnd) {
-        self.until(|world| {
-            std::iter::from_fn(|| world.reactor.queue.pop_front()).find_map(|input| match input {
+        self.until(|harness| {
+            std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
                 Input::ExchangeEnded { attempt, end, .. } => Some((attempt, end)),
                 _ => None,
             })
@@ -132,137 +128,137 @@
     }
 }
 
-/// Guards against a worker's second answer, some milliseconds after its first, that is taken for the next attempt's: a second 'not
-/// run' would have a job that runs sent elsewhere, too.
+/// Guards against a worker's second response, some milliseconds after its first, that is taken for that of the next attempt: a
+/// second 'not run' would have a request that runs retried on another worker.
 #[test]
-fn a_second_answer_is_not_the_next_attempts() {
-    let mut world = World::new();
-    world.start(1);
-    let mut first = Peer::accept(&world.worker);
-    world.reaches(&first);
+fn second_response_is_not_taken_for_the_next_attempt() {
+    let mut harness = AttemptsHarness::new();
+    harness.start(1);
+    let mut first = Peer::accept(&harness.worker);
+    harness.run_until_received(&first);
     assert_eq!(first.request().headers.get("x-request-id"), Some("job-1"));
     first.write(NOT_RUN);
-    assert_eq!(world.end(), (1, AttemptEnd::NotRun));
-    world.reactor.now = 1000.01;
-    world.start(2);
-    // It comes when the next attempt has been written, wherever that is; nobody may be there to read it.
-    let mut second = Peer::accept(&world.worker);
-    world.reaches(&second);
+    assert_eq!(harness.end(), (1, AttemptEnd::NotRun));
+    harness.reactor.now = 1000.01;
+    harness.start(2);
+    // It arrives after the next attempt has been written, on whichever connection; perhaps nobody reads it.
+    let mut second = Peer::accept(&harness.worker);
+    harness.run_until_received(&second);
     let _ = first.stream.write_all(NOT_RUN.as_bytes());
     second.write(ACCEPTED);
-    assert_eq!(world.end(), (2, AttemptEnd::Accepted));
-    assert_eq!(world.attempts.connection_count(), 1);
-    assert!(first.ended(), "one request came there, and no other");
+    assert_eq!(harness.end(), (2, AttemptEnd::Accepted));
+    assert_eq!(harness.attempts.connection_count(), 1);
+    assert!(first.ended(), "that connection carried one request only");
 }
 
-/// Guards against the same of a cancel: its second answer would end the next attempt, which runs, in an error.
+/// Guards against the same after a cancel: its second response would end the next attempt, which runs, in an error.
 #[test]
-fn a_cancels_second_answer_is_not_the_next_attempts() {
-    let mut world = World::new();
-    let mut peer = world.taken(&[1]).remove(0);
-    let at = world.worker.local_addr().expect("an address");
-    world
+fn second_response_to_a_cancel_is_not_taken_for_the_next_attempt() {
+    let mut harness = AttemptsHarness::new();
+    let mut peer = harness.accepted_attempts(&[1]).remove(0);
+    let at = harness.worker.local_addr().expect("an address");
+    harness
         .attempts
-        .cancel_attempt(&mut world.reactor, 1, at, "job-1", true);
-    world.reaches(&peer);
+        .cancel_attempt(&mut harness.reactor, 1, at, "job-1", true);
+    harness.run_until_received(&peer);
     assert_eq!(peer.request().method, "DELETE");
     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    world.until(|world| (world.attempts.connection_count() == 0).then_some(()));
+    harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
     assert!(
         peer.ended(),
-        "nothing follows on the cancel's connection, however late"
+        "the connection of the cancel carries nothing more, however late"
     );
-    assert!(world.dials(1060.0, 2));
+    assert!(harness.opens_connection(1060.0, 2));
 }
 
-/// Guards against a second answer that comes later than any rest: a connection on which a worker has answered anything but that it takes
-/// the job carries nothing more. One on which it was taken is used again at once.
+/// Guards against a second response that comes later than any idle time: a connection on which a worker has answered anything but
+/// 202 carries nothing more. One on which the attempt was accepted is reused at once.
 #[test]
-fn a_connection_carries_more_only_behind_a_job_that_was_taken() {
-    let turned_away = [
+fn connection_is_reused_only_after_an_accepted_attempt() {
+    let rejections = [
         NOT_RUN,
         "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
     ];
-    for answer in turned_away {
-        let mut world = World::new();
-        world.start(1);
-        let mut peer = Peer::accept(&world.worker);
-        world.reaches(&peer);
+    for answer in rejections {
+        let mut harness = AttemptsHarness::new();
+        harness.start(1);
+        let mut peer = Peer::accept(&harness.worker);
+        harness.run_until_received(&peer);
         peer.request();
         peer.write(answer);
-        world.end();
-        world.until(|world| (world.attempts.connection_count() == 0).then_some(()));
+        harness.end();
+        harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
         assert!(peer.ended(), "{answer}");
-        assert!(world.dials(1060.0, 2), "{answer}");
+        assert!(harness.opens_connection(1060.0, 2), "{answer}");
     }
-    let mut world = World::new();
-    let mut peer = world.taken(&[1]).remove(0);
+    let mut harness = AttemptsHarness::new();
+    let mut peer = harness.accepted_attempts(&[1]).remove(0);
     for attempt in [2, 3] {
-        world.start(attempt);
-        world.reaches(&peer);
+        harness.start(attempt);
+        harness.run_until_received(&peer);
         peer.request();
         peer.write(ACCEPTED);
-        assert_eq!(world.end(), (attempt, AttemptEnd::Accepted));
+        assert_eq!(harness.end(), (attempt, AttemptEnd::Accepted));
     }
-    assert_eq!(world.attempts.connection_count(), 1);
+    assert_eq!(harness.attempts.connection_count(), 1);
 }
 
-/// Guards against a worker's second answer behind a 202, however late: 'not run' on a connection that has carried another request may be
-/// that one's, and so proves nothing. On a connection of its own it does.
+/// Guards against a worker's second response after a 202, however late: 'not run' on a connection that has carried another request
+/// may be the response to that one, and so proves nothing. On a new connection it does.
 #[test]
-fn not_run_on_a_used_connection_proves_nothing() {
-    let mut world = World::new();
-    let mut peer = world.taken(&[1]).remove(0);
-    world.reactor.now = 1010.0;
-    world.start(2);
-    world.reaches(&peer);
+fn not_run_on_a_reused_connection_proves_nothing() {
+    let mut harness = AttemptsHarness::new();
+    let mut peer = harness.accepted_attempts(&[1]).remove(0);
+    harness.reactor.now = 1010.0;
+    harness.start(2);
+    harness.run_until_received(&peer);
     peer.write(NOT_RUN);
-    assert_eq!(world.end(), (2, AttemptEnd::TurnedAway));
+    assert_eq!(harness.end(), (2, AttemptEnd::TurnedAway));
     assert!(
         peer.request().headers.get("x-request-id") == Some("job-2"),
-        "it was read, and may run"
+        "the worker has read it, and may run it"
     );
-    let mut world = World::new();
-    world.start(1);
-    let mut peer = Peer::accept(&world.worker);
-    world.reaches(&peer);
+    let mut harness = AttemptsHarness::new();
+    harness.start(1);
+    let mut peer = Peer::accept(&harness.worker);
+    harness.run_until_received(&peer);
     peer.request();
     peer.write(NOT_RUN);
-    assert_eq!(world.end(), (1, AttemptEnd::NotRun));
+    assert_eq!(harness.end(), (1, AttemptEnd::NotRun));
 }
 
-/// Guards against an answer that is there before the worker can have read the request, and is taken for its own: it proves nothing, also
-/// on a new connection.
+/// Guards against a response that arrived before the worker can have read the request and is taken for its own: it proves
+/// nothing, on a new connection either.
 #[test]
-fn an_answer_that_came_before_the_request_proves_nothing() {
-    let mut world = World::new();
-    world.start(1);
-    let mut peer = Peer::accept(&world.worker);
+fn response_received_before_the_request_was_written_proves_nothing() {
+    let mut harness = AttemptsHarness::new();
+    harness.start(1);
+    let mut peer = Peer::accept(&harness.worker);
     peer.write(NOT_RUN);
-    // Both flags in one event: the request is written, and the answer read, in one turn.
-    let key = world.key();
-    world
+    // Readable and writable in one event: the request is written and the response read in one turn.
+    let key = harness.key();
+    harness
         .attempts
-        .handle_ready(&mut world.reactor, key, true, true);
-    assert_eq!(world.end(), (1, AttemptEnd::TurnedAway));
+        .handle_ready(&mut harness.reactor, key, true, true);
+    assert_eq!(harness.end(), (1, AttemptEnd::TurnedAway));
     assert_eq!(peer.request().headers.get("x-request-id"), Some("job-1"));
 }
 
-/// Guards against an answer of a worker that can't be read and is taken for one, or is read for ever: the attempt ends once, as one
-/// that may have run, and its connection ends whatever is still on its way.
+/// Guards against a malformed response that is accepted or read for ever: the attempt ends once, as one that may have run, and its
+/// connection is closed whatever is still to come.
 #[test]
-fn an_answer_that_can_not_be_read_ends_its_attempt_and_its_connection() {
-    let spoilt = [
+fn malformed_response_ends_the_attempt_and_closes_the_connection() {
+    let malformed = [
         ("no HTTP", "what is this\r\n\r\n", ""),
-        ("bytes that are no text", "\u{1}\u{2}\u{3}\r\n\r\n", ""),
+        ("bytes that are not text", "\u{1}\u{2}\u{3}\r\n\r\n", ""),
         (
             "no status",
             "HTTP/1.1 many Accepted\r\nContent-Length: 0\r\n\r\n",
             "",
         ),
         (
-            "a length below 0",
+            "a negative length",
             "HTTP/1.1 202 Accepted\r\nContent-Length: -1\r\n\r\n",
             "",
         ),
@@ -272,12 +268,12 @@
             "",
         ),
         (
-            "'not run' of no length",
+            "'not run' with an invalid length",
             "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: all\r\n\r\n",
             "",
         ),
         (
-            "chunks of no size",
+            "a chunk without a size",
             "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nlong\r\n",
             "",
         ),
@@ -302,41 +298,41 @@
             "4\r\nmore\r\n",
         ),
         (
-            "answers ahead without end",
+            "interim responses without end",
             "HTTP/1.1 100 Continue\r\n\r\n",
             "HTTP/1.1 102 Processing\r\n\r\n",
         ),
     ];
-    for (what, begins, goes_on) in spoilt {
-        let mut world = World::new();
-        world.start(1);
-        let mut peer = Peer::accept(&world.worker);
+    for (what, beginning, continuation) in malformed {
+        let mut harness = AttemptsHarness::new();
+        harness.start(1);
+        let mut peer = Peer::accept(&harness.worker);
         let worker = std::thread::spawn(move || {
             peer.request();
-            // More than any answer may hold; what the node does not take in ends its connection.
-            let more = if goes_on.is_empty() {
+            // More than any response may hold; the connection ends when the node reads no more.
+            let more = if continuation.is_empty() {
                 "x".repeat(1 << 20)
             } else {
-                goes_on.repeat((16 << 20) / goes_on.len())
+                continuation.repeat((16 << 20) / continuation.len())
             };
             let sent = peer
                 .stream
-                .write_all(begins.as_bytes())
+                .write_all(beginning.as_bytes())
                 .and_then(|()| peer.stream.write_all(more.as_bytes()));
             sent.is_err() || peer.ended()
         });
-        let (attempt, end) = world.end();
+        let (attempt, end) = harness.end();
         assert_eq!(attempt, 1, "{what}");
         assert!(
             matches!(end, AttemptEnd::Error | AttemptEnd::Reset),
             "{what}: {end:?}"
         );
-        world.until(|world| (world.attempts.connection_count() == 0).then_some(()));
+        harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
         assert!(
-            worker.join().expect("the worker's part"),
-            "{what}: its connection goes on"
+            worker.join().expect("the worker's thread"),
+            "{what}: its connection stays open"
         );
-        let again = world
+        let again = harness
             .reactor
             .queue
             .iter()
@@ -345,19 +341,19 @@
     }
 }
 
-/// Guards against a second attempt of what a worker may have run, or none of what it can't have: a pooled connection breaks under a
-/// request that is written whole, in part, or not at all, whether the worker resets it or ends it.
+/// Guards against a retry of a request that a worker may have run, and against none of one that it can't have run: a pooled
+/// connection breaks under a request that is written whole or in part, whether the worker resets or closes it.
 #[test]
-fn a_request_that_was_not_written_whole_has_never_run() {
+fn partly_written_request_is_reported_as_never_sent() {
     for (resets, whole) in [(true, true), (false, true), (true, false), (false, false)] {
-        let mut world = World::new();
-        // What is not read stays with the node: a worker takes little at a time, and a body is larger than all buffers between.
-        socket2::SockRef::from(&world.worker)
+        let mut harness = AttemptsHarness::new();
+        // The worker receives little at a time, and the body is larger than all buffers in between, so that it is not written whole.
+        socket2::SockRef::from(&harness.worker)
             .set_recv_buffer_size(1 << 10)
             .expect("a setting");
-        let peer = world.taken(&[1]).remove(0);
-        world.reactor.now = 1000.1;
-        let at = world.worker.local_addr().expect("an address");
+        let peer = harness.accepted_attempts(&[1]).remove(0);
+        harness.reactor.now = 1000.1;
+        let at = harness.worker.local_addr().expect("an address");
         let body = vec![b'x'; if whole { 10 } else { 16 << 20 }];
         let payload = Payload {
             id: "two".into(),
@@ -366,11 +362,11 @@
             body,
             ..Payload::default()
         };
-        world
+        harness
             .attempts
-            .start_attempt(&mut world.reactor, 2, at, &Rc::new(payload), 1005.1);
-        world.reaches(&peer);
-        let written = world
+            .start_attempt(&mut harness.reactor, 2, at, &Rc::new(payload), 1005.1);
+        harness.run_until_received(&peer);
+        let written = harness
             .reactor
             .queue
             .iter()
@@ -388,23 +384,23 @@
             AttemptEnd::NeverSent
         };
         assert_eq!(
-            world.end(),
+            harness.end(),
             (2, expected),
             "reset: {resets}, whole: {whole}"
         );
-        assert_eq!(world.attempts.connection_count(), 0);
+        assert_eq!(harness.attempts.connection_count(), 0);
     }
 }
 
-/// Guards against a load report that is misread, or in which a broken figure becomes a 0.
+/// Guards against a load report that is misread, or in which an invalid figure becomes 0.
 #[test]
-fn a_load_report_is_read_by_name() {
-    let mut world = World::new();
-    world.start(1);
-    let mut peer = Peer::accept(&world.worker);
+fn load_report_is_parsed_by_name() {
+    let mut harness = AttemptsHarness::new();
+    harness.start(1);
+    let mut peer = Peer::accept(&harness.worker);
     peer.write("HTTP/1.1 202 Accepted\r\nX-Load: TEXT inflight=7, queue=2, util=0.61, x0=what\r\nContent-Length: 0\r\n\r\n");
-    let load = world.until(|world| {
-        std::iter::from_fn(|| world.reactor.queue.pop_front()).find_map(|input| match input {
+    let load = harness.until(|harness| {
+        std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
             Input::ExchangeEnded {
                 attempt: 1,
                 end: AttemptEnd::Accepted,
@@ -420,50 +416,53 @@
     assert_eq!(names, [("inflight", 7.0), ("queue", 2.0), ("util", 0.61)]);
 }
 
-/// Guards against writing one request after the other to idle connections that break at once: the first one that does tells how long
-/// others may have lain idle, for a while.
+/// Guards against writing one request after the other to idle connections that break at once: the first one that breaks limits, for
+/// a while, how long others may have been idle.
 #[test]
-fn a_connection_that_broke_when_used_again_tells_of_the_others() {
-    let mut world = World::new();
-    let mut peers = world.taken(&[1, 2]);
-    assert!(!world.dials(1000.8, 3), "an idle one is used again");
-    drop(peers.pop()); // the one that was used last; its request is unread, so that it is reset
-    assert_eq!(world.end(), (3, AttemptEnd::Reset));
+fn broken_reused_connection_limits_the_idle_time_of_others() {
+    let mut harness = AttemptsHarness::new();
+    let mut peers = harness.accepted_attempts(&[1, 2]);
+    assert!(
+        !harness.opens_connection(1000.8, 3),
+        "an idle one is reused"
+    );
+    drop(peers.pop()); // the one used last; its request is unread, so that the connection is reset
+    assert_eq!(harness.end(), (3, AttemptEnd::Reset));
     assert!(
-        world.dials(1000.8, 4),
-        "0.8 s are too long now: a new connection"
+        harness.opens_connection(1000.8, 4),
+        "0.8 s of idle time are too long now: a new connection"
     );
     assert_eq!(
-        world.attempts.connection_count(),
+        harness.attempts.connection_count(),
         1,
-        "and the other idle one is gone"
+        "and the other idle one is closed"
     );
-    // Half of that is learned, and it doubles every 5 s, up to what would count without it: 48 s.
-    for (after, may, may_not) in [(0.0, 0.39, 0.5), (5.0, 0.79, 1.0), (100.0, 47.0, 48.5)] {
-        for (rests, dials) in [(may, false), (may_not, true)] {
-            let mut world = World::new();
-            let mut peers = world.taken(&[1, 2]);
-            assert!(!world.dials(1000.8, 3));
+    // Half of that is learned, and it doubles every 5 s, up to the usual 48 s.
+    for (after, reusable, too_long) in [(0.0, 0.39, 0.5), (5.0, 0.79, 1.0), (100.0, 47.0, 48.5)] {
+        for (idle, opens_connection) in [(reusable, false), (too_long, true)] {
+            let mut harness = AttemptsHarness::new();
+            let mut peers = harness.accepted_attempts(&[1, 2]);
+            assert!(!harness.opens_connection(1000.8, 3));
             drop(peers.pop());
-            assert_eq!(world.end(), (3, AttemptEnd::Reset));
-            world.reactor.now = 1000.8 + after;
-            let _peers = world.taken(&[5]);
+            assert_eq!(harness.end(), (3, AttemptEnd::Reset));
+            harness.reactor.now = 1000.8 + after;
+            let _peers = harness.accepted_attempts(&[5]);
             assert_eq!(
-                world.dials(1000.8 + after + rests, 6),
-                dials,
-                "{after} s later, after {rests} s"
+                harness.opens_connection(1000.8 + after + idle, 6),
+                opens_connection,
+                "{after} s later, after {idle} s"
             );
         }
     }
 }
 
-/// Guards against a shortage of this node's being told as a worker's fault.
+/// Guards against a shortage of this node that counts as a worker's failure.
 #[test]
-fn without_a_place_for_a_connection_the_worker_is_not_to_blame() {
-    let mut world = World::with(0, 5.0);
-    world.start(7);
+fn connection_limit_does_not_count_against_the_worker() {
+    let mut harness = AttemptsHarness::with(0, 5.0);
+    harness.start(7);
     assert!(matches!(
-        world.reactor.queue.pop_front(),
+        harness.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 7,
             end: AttemptEnd::NoRoom,
@@ -472,43 +471,49 @@
     ));
 }
 
-/// Guards against writing to the idle connections of a worker that has left something without an answer: if it has vanished, a new
-/// connection is not made and so proves that nothing ran.
+/// Guards against writing to the idle connections of a worker that has left a request unanswered: if it has vanished, a new
+/// connection can't be established, which proves that nothing ran.
 #[test]
-fn the_idle_connections_of_a_silent_worker_are_not_used() {
-    let mut world = World::new();
-    let mut peers = world.taken(&[1, 2]);
+fn idle_connections_to_an_unresponsive_worker_are_not_reused() {
+    let mut harness = AttemptsHarness::new();
+    let mut peers = harness.accepted_attempts(&[1, 2]);
     assert!(
-        !world.dials(1001.0, 3) && !world.dials(1001.0, 4),
+        !harness.opens_connection(1001.0, 3) && !harness.opens_connection(1001.0, 4),
         "a worker that answers keeps its connections"
     );
-    assert_eq!(world.attempts.connection_count(), 2);
+    assert_eq!(harness.attempts.connection_count(), 2);
     peers[0].write(ACCEPTED);
-    world.end();
-    assert!(world.dials(1001.3, 5), "a new connection");
-    assert_eq!(world.attempts.connection_count(), 2, "the idle one is gone");
+    harness.end();
+    assert!(harness.opens_connection(1001.3, 5), "a new connection");
+    assert_eq!(
+        harness.attempts.connection_count(),
+        2,
+        "the idle one is closed"
+    );
 }
 
 /// Guards against keeping a connection until its worker may be closing it.
 #[test]
-fn idle_connections_are_given_up_well_before_their_workers_do() {
-    // Not told: not for long.
-    for (idle, most) in [(0.5, 0.45), (5.0, 4.5), (60.0, 54.0), (0.0, 1.0)] {
-        let mut world = World::with(8, idle);
-        let _peers = world.taken(&[1]);
-        assert!(world.dials(1000.001 + most, 2), "{idle} s");
+fn idle_connections_are_closed_before_the_workers_timeout() {
+    // 0 is an unknown timeout: 1 s.
+    for (idle, max_idle) in [(0.5, 0.45), (5.0, 4.5), (60.0, 54.0), (0.0, 1.0)] {
+        let mut harness = AttemptsHarness::with(8, idle);
+        let _peers = harness.accepted_attempts(&[1]);
+        assert!(harness.opens_connection(1000.001 + max_idle, 2), "{idle} s");
     }
 }
 
-/// What the hub is told of the probe 1 on a connection on which a worker answers this, and its report.
-fn probed(
-    world: &mut World,
+/// Starts probe 1, has the worker answer this (or close the connection), and returns the end, the report, and the worker's side.
+fn probe_result(
+    harness: &mut AttemptsHarness,
     answer: Option<&str>,
 ) -> (AttemptEnd, Vec<(String, f64)>, Option<Peer>) {
-    let at = world.worker.local_addr().expect("an address");
-    world.attempts.start_probe(&mut world.reactor, 1, at, 0.4);
-    let mut peer = Peer::accept(&world.worker);
-    world.reaches(&peer);
+    let at = harness.worker.local_addr().expect("an address");
+    harness
+        .attempts
+        .start_probe(&mut harness.reactor, 1, at, 0.4);
+    let mut peer = Peer::accept(&harness.worker);
+    harness.run_until_received(&peer);
     let request = peer.request();
     assert_eq!(
         (request.method.as_str(), request.target.as_str()),
@@ -518,33 +523,33 @@
         peer.write(answer);
         peer
     });
-    let (end, load) = world.until(|world| {
-        std::iter::from_fn(|| world.reactor.queue.pop_front()).find_map(|input| match input {
+    let (end, load) = harness.until(|harness| {
+        std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
             Input::ExchangeEnded {
                 attempt: 1,
                 end,
                 load,
             } => Some((end, load)),
-            Input::AttemptWritten { .. } => panic!("a probe is no attempt that has begun"),
+            Input::AttemptWritten { .. } => panic!("a probe is reported as a written attempt"),
             _ => None,
         })
     });
     (end, load, peer)
 }
 
-/// Guards against a probe whose report is lost or misread, against one that breaks, is spoilt, or is turned away and counts as a
-/// report, and against a handshake for each.
+/// Guards against a probe whose report is lost or misread, against one that fails, is malformed or rejected and counts as a report,
+/// and against a new connection for each.
 #[test]
-fn a_probe_brings_the_load_or_what_became_of_it() {
+fn probe_reports_the_load_or_the_failure() {
     let text = |status: &str, body: &str| {
         format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         )
     };
-    let mut world = World::new();
-    let (end, load, _peer) = probed(
-        &mut world,
+    let mut harness = AttemptsHarness::new();
+    let (end, load, _peer) = probe_result(
+        &mut harness,
         Some(&text("200 OK", "TEXT x0=3, inflight=2, queue=what\n")),
     );
     let names: Vec<_> = load
@@ -556,8 +561,8 @@
         (AttemptEnd::Accepted, vec![("x0", 3.0), ("inflight", 2.0)])
     );
     assert!(
-        !world.dials(1000.0, 2),
-        "the connection is used again at once"
+        !harness.opens_connection(1000.0, 2),
+        "the connection is reused at once"
     );
     for (answer, end) in [
         (Some(text("503 Busy", "TEXT x0=3")), AttemptEnd::Error),
@@ -565,44 +570,50 @@
         (Some("no HTTP\r\n\r\n".into()), AttemptEnd::Reset),
         (None, AttemptEnd::Reset),
     ] {
-        let told = probed(&mut World::new(), answer.as_deref());
-        assert_eq!(told.0, end, "{answer:?}");
+        let (reported, ..) = probe_result(&mut AttemptsHarness::new(), answer.as_deref());
+        assert_eq!(reported, end, "{answer:?}");
     }
 }
 
-/// Guards against a worker that takes what it is sent and answers nothing: that shows when the probe's time is over, its late answer
-/// changes nothing, and a worker that can't be reached is told as such.
+/// Guards against a worker that receives requests and answers nothing: the probe times out, its late response changes nothing, and
+/// a worker that can't be reached is reported as such.
 #[test]
-fn a_probe_that_is_not_answered_in_time_is_over() {
-    let mut world = World::new();
-    let at = world.worker.local_addr().expect("an address");
-    world.attempts.start_probe(&mut world.reactor, 1, at, 0.4);
-    let mut peer = Peer::accept(&world.worker);
-    world.reaches(&peer);
+fn probe_without_a_response_times_out() {
+    let mut harness = AttemptsHarness::new();
+    let at = harness.worker.local_addr().expect("an address");
+    harness
+        .attempts
+        .start_probe(&mut harness.reactor, 1, at, 0.4);
+    let mut peer = Peer::accept(&harness.worker);
+    harness.run_until_received(&peer);
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
-        world.reactor.now = now;
-        for due in world.reactor.expired_timers() {
+        harness.reactor.now = now;
+        for due in harness.reactor.expired_timers() {
             if let Timer::Attempt(key, round) = due {
-                world
+                harness
                     .attempts
-                    .handle_attempt_timer(&mut world.reactor, key, round);
+                    .handle_attempt_timer(&mut harness.reactor, key, round);
             }
         }
-        assert_eq!(world.attempts.connection_count() == 0, ended, "at {now}");
+        assert_eq!(harness.attempts.connection_count() == 0, ended, "at {now}");
     }
-    assert_eq!(world.end(), (1, AttemptEnd::Reset));
-    // Whatever it still says, nobody reads it.
+    assert_eq!(harness.end(), (1, AttemptEnd::Reset));
+    // Its late response is not read.
     let _ = peer
         .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3");
-    drop(std::mem::replace(&mut world.worker, port()));
-    world.attempts.start_probe(&mut world.reactor, 2, at, 0.4);
-    assert_eq!(world.end(), (2, AttemptEnd::NeverSent));
-    assert!(world.reactor.queue.is_empty());
-    let mut world = World::with(0, 5.0);
-    world.attempts.start_probe(&mut world.reactor, 3, at, 0.4);
+    drop(std::mem::replace(&mut harness.worker, port()));
+    harness
+        .attempts
+        .start_probe(&mut harness.reactor, 2, at, 0.4);
+    assert_eq!(harness.end(), (2, AttemptEnd::NeverSent));
+    assert!(harness.reactor.queue.is_empty());
+    let mut harness = AttemptsHarness::with(0, 5.0);
+    harness
+        .attempts
+        .start_probe(&mut harness.reactor, 3, at, 0.4);
     assert!(matches!(
-        world.reactor.queue.pop_front(),
+        harness.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 3,
             end: AttemptEnd::NoRoom,
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,10 +1,10 @@
-//! Waits between attempts at what keeps failing.
+//! The waits between attempts at something that keeps failing.
 
 use postproxy::net::upstream::backoff::{Backoff, ClusterPosition};
 
-/// Guards against nodes that know each other and come at one moment all the same.
+/// Guards against nodes that know each other and retry at one moment all the same.
 #[test]
-fn nodes_that_know_each_other_come_one_after_another() {
+fn cluster_positions_spread_the_waits() {
     let second = |at| {
         let mut waits = Backoff::new(0.1, 5.0, 7);
         waits.set_cluster_position(ClusterPosition {
@@ -31,13 +31,12 @@
         assert_eq!(
             alone.next_wait().to_bits(),
             plain.next_wait().to_bits(),
-            "one that knows nobody waits as before"
+            "a node that knows no other waits as before"
         );
     }
 }
 
-/// Guards against a first wait that is long, steps that do not grow or grow without end, and nodes that
-/// call in step with each other.
+/// Guards against a long first wait, steps that do not grow or grow without end, and nodes that retry together.
 #[test]
 fn waits_grow_to_their_limit_and_differ_by_seed() {
     let waits = |seed| {
@@ -47,8 +46,8 @@
     let (one, other) = (waits(1), waits(2));
     assert_eq!(one[0], 0.1);
     for (step, wait) in one.iter().enumerate().skip(1) {
-        let whole = (0.1 * 2f64.powi(step as i32)).min(2.0);
-        assert!((whole / 2.0..=whole).contains(wait), "step {step}: {wait}");
+        let full = (0.1 * 2f64.powi(step as i32)).min(2.0);
+        assert!((full / 2.0..=full).contains(wait), "step {step}: {wait}");
     }
     assert!(one.iter().zip(&other).skip(1).all(|(a, b)| a != b));
     let mut backoff = Backoff::new(0.1, 2.0, 1);
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on a connection to a worker: whether it may have run is read from the bytes that were written, in every order in which
+//! One request on a connection to a worker: whether it may have run follows from the bytes that were written, in every order in which
 //! the events of one turn can come.
 
 #[path = "support/node_harness.rs"]
@@ -31,38 +31,48 @@
     })
 }
 
-/// The ends that the hub is told of, and whether it was told before that the request is written whole.
-fn told(reactor: &mut Reactor) -> (bool, Vec<AttemptEnd>) {
-    let (mut written, mut ends) = (false, Vec::new());
+/// What an exchange has reported.
+#[derive(Debug, Default, PartialEq)]
+struct Reports {
+    /// The request was reported as written, before any end.
+    written: bool,
+    ends: Vec<AttemptEnd>,
+}
+
+/// Returns what has been reported since the last call.
+fn drain_reports(reactor: &mut Reactor) -> Reports {
+    let mut reports = Reports::default();
     for input in reactor.queue.drain(..) {
         match input {
-            Input::AttemptWritten { attempt: ATTEMPT } => written |= ends.is_empty(),
+            Input::AttemptWritten { attempt: ATTEMPT } => {
+                reports.written |= reports.ends.is_empty();
+            }
             Input::ExchangeEnded {
                 attempt: ATTEMPT,
                 end,
                 ..
-            } => ends.push(end),
+            } => reports.ends.push(end),
             other => panic!("{other:?}"),
         }
     }
-    (written, ends)
+    reports
 }
 
-/// A real connection on which the test does something right after a write, before the next call.
-struct Interrupted<F: FnMut()> {
+/// A real connection on which the test acts right after a write, before the next call.
+struct InterruptedStream<F: FnMut()> {
     stream: TcpStream,
-    /// The first write finds no room.
+    /// The first write finds the buffer full.
     full: bool,
     after_write: F,
 }
 
-impl<F: FnMut()> Read for Interrupted<F> {
+impl<F: FnMut()> Read for InterruptedStream<F> {
     fn read(&mut self, out: &mut [u8]) -> io::Result<usize> {
         self.stream.read(out)
     }
 }
 
-impl<F: FnMut()> Write for Interrupted<F> {
+impl<F: FnMut()> Write for InterruptedStream<F> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if std::mem::take(&mut self.full) {
             return Err(ErrorKind::WouldBlock.into());
@@ -77,7 +87,7 @@
     }
 }
 
-impl<F: FnMut()> Stream for Interrupted<F> {
+impl<F: FnMut()> Stream for InterruptedStream<F> {
     fn finish(&mut self) {}
 
     fn connected(&mut self) -> io::Result<()> {
@@ -85,15 +95,15 @@
     }
 }
 
-/// Guards against a request that its worker has read whole and that is told as never sent: its last byte is written and its reset read in
-/// one turn, in which nothing else comes.
+/// Guards against a request that its worker has read whole and that is reported as never sent: its last byte is written and the reset
+/// read in one turn.
 #[test]
-fn a_reset_in_the_turn_of_the_last_byte_proves_nothing() {
+fn reset_in_the_turn_of_the_last_byte_counts_as_written() {
     let listener = port();
     let stream =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     stream.set_nonblocking(true).expect("a setting");
-    // A read would take the reset away: that it has come is seen from outside.
+    // A read would consume the reset: its arrival is watched on a second handle.
     let poller = polling::Poller::new().expect("a poller");
     let watched = stream.try_clone().expect("a second handle");
     poller
@@ -102,7 +112,7 @@
     let mut worker = Some(Peer::accept(&listener));
     let after_write = move || {
         let _ = &watched;
-        // The worker has read the whole request, and its process dies: it has perhaps run it.
+        // The worker has read the whole request, perhaps run it, and its process dies.
         let Some(mut peer) = worker.take() else {
             return;
         };
@@ -111,9 +121,9 @@
             .set_linger(Some(Duration::ZERO))
             .expect("a setting");
         drop(peer);
-        let (mut events, mut come) = (Vec::new(), 0);
-        while come == 0 {
-            come = poller
+        let (mut events, mut event_count) = (Vec::new(), 0);
+        while event_count == 0 {
+            event_count = poller
                 .wait(&mut events, Some(node_harness::LIMIT))
                 .expect("it is waited");
         }
@@ -121,7 +131,7 @@
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
     let mut exchange = Exchange::new(listener.local_addr().expect("an address"));
     let mut connection = Connection::new(
-        Interrupted {
+        InterruptedStream {
             stream,
             full: true,
             after_write,
@@ -142,14 +152,20 @@
     assert_eq!((connection.state(), connection.written()), (State::Open, 0));
     exchange.handle_ready(true, true, &mut connection, &mut reactor);
     assert_eq!(connection.state(), State::Ended);
-    assert_eq!(told(&mut reactor), (true, vec![AttemptEnd::Reset]));
+    assert_eq!(
+        drain_reports(&mut reactor),
+        Reports {
+            written: true,
+            ends: vec![AttemptEnd::Reset]
+        }
+    );
 }
 
-/// Guards against a worker that is told more than its client has left: the connection took long to make, or came up when the client's
-/// time was over.
+/// Guards against a deadline field that holds more than the client has left: the connection took long to establish, or came up after
+/// the client's deadline.
 #[test]
-fn a_worker_is_told_what_is_left_when_the_request_is_written() {
-    for (takes, left) in [
+fn deadline_field_holds_the_time_left_when_the_request_is_written() {
+    for (dial_seconds, left) in [
         (0.0, Some(0.9)),
         (0.24, Some(0.66)),
         (0.85, Some(0.05)),
@@ -172,16 +188,22 @@
             &mut connection,
             &mut reactor,
         );
-        reactor.now = 1000.0 + takes;
+        reactor.now = 1000.0 + dial_seconds;
         exchange.handle_ready(false, true, &mut connection, &mut reactor);
         let mut worker = Peer::accept(&listener);
         let Some(left) = left else {
             drop(connection);
             assert!(
                 worker.ended(),
-                "nothing was written for a client whose time is over"
+                "nothing was written for a client whose deadline has passed"
+            );
+            assert_eq!(
+                drain_reports(&mut reactor),
+                Reports {
+                    written: false,
+                    ends: vec![AttemptEnd::NoRoom]
+                }
             );
-            assert_eq!(told(&mut reactor), (false, vec![AttemptEnd::NoRoom]));
             continue;
         };
         let request = worker.request();
@@ -193,25 +215,25 @@
             .expect("a number");
         assert!(
             (deadline - left).abs() < 0.002,
-            "{deadline} after {takes} s"
+            "{deadline} after {dial_seconds} s"
         );
     }
 }
 
-/// The wire of the property test: what the worker's side has sent, how much it takes, and how it is.
+/// The connection of the property test: what the worker has sent, how much it receives, and how it fails.
 #[derive(Default)]
-struct Wire {
+struct WireState {
     arrived: Vec<u8>,
     room: usize,
-    wrote: usize,
+    written: usize,
     over: bool,
     broken: bool,
     refused: bool,
 }
 
-struct Scripted(Rc<RefCell<Wire>>);
+struct ScriptedStream(Rc<RefCell<WireState>>);
 
-impl Read for Scripted {
+impl Read for ScriptedStream {
     fn read(&mut self, out: &mut [u8]) -> io::Result<usize> {
         let mut wire = self.0.borrow_mut();
         let size = wire.arrived.len().min(out.len());
@@ -228,17 +250,17 @@
     }
 }
 
-impl Write for Scripted {
+impl Write for ScriptedStream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut wire = self.0.borrow_mut();
         let size = wire.room.min(bytes.len());
         match size {
-            // A reset is first seen by whichever call comes first; a write that has room may still succeed.
+            // A reset is seen by whichever call comes first; a write for which there is room may still succeed.
             0 if wire.broken => Err(ErrorKind::BrokenPipe.into()),
             0 => Err(ErrorKind::WouldBlock.into()),
             _ => {
                 wire.room -= size;
-                wire.wrote += size;
+                wire.written += size;
                 Ok(size)
             }
         }
@@ -249,7 +271,7 @@
     }
 }
 
-impl Stream for Scripted {
+impl Stream for ScriptedStream {
     fn finish(&mut self) {}
 
     fn connected(&mut self) -> io::Result<()> {
@@ -261,28 +283,33 @@
     }
 }
 
-/// What is known of one play: the end told, whether the worker's side had the whole request, and whether an answer came that it
-/// can have given to it.
-struct Play {
+/// The result of one scenario.
+struct ScenarioResult {
+    /// The ends that were reported.
     ends: Vec<AttemptEnd>,
-    told_written: bool,
+    /// The request was reported as written before any end.
+    written_reported: bool,
+    /// The whole request was written.
     whole: bool,
-    used: bool,
-    answered_early: bool,
+    /// The connection had carried another request.
+    reused: bool,
+    /// A response was sent before the request had been written whole.
+    answered_before_written: bool,
 }
 
-fn play(seed: u64) -> Play {
+/// Runs the random scenario of this seed.
+fn run_scenario(seed: u64) -> ScenarioResult {
     let mut rng = Random::new(seed);
     let at: SocketAddr = ([127, 0, 0, 1], 9).into();
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
-    let wire = Rc::new(RefCell::new(Wire {
+    let wire = Rc::new(RefCell::new(WireState {
         refused: seed.is_multiple_of(29),
-        ..Wire::default()
+        ..WireState::default()
     }));
     let mut exchange = Exchange::new(at);
-    let mut connection = Connection::new(Scripted(wire.clone()), true, 1 << 16);
-    let used = rng.uniform() < 0.5;
-    if used {
+    let mut connection = Connection::new(ScriptedStream(wire.clone()), true, 1 << 16);
+    let reused = rng.uniform() < 0.5;
+    if reused {
         let cancel = OutgoingRequest::Attempt {
             payload: payload(0),
             deadline: 1009.0,
@@ -302,9 +329,9 @@
         reactor.queue.clear();
     }
     let refused = wire.borrow().refused;
-    *wire.borrow_mut() = Wire {
+    *wire.borrow_mut() = WireState {
         refused,
-        ..Wire::default()
+        ..WireState::default()
     };
     let outgoing = OutgoingRequest::Attempt {
         payload: payload(200),
@@ -316,10 +343,11 @@
         &mut connection,
         &mut reactor,
     );
-    let (mut ends, mut told_written, mut answered_early, mut size) = (Vec::new(), false, false, 0);
+    let (mut ends, mut written_reported, mut answered_before_written, mut size) =
+        (Vec::new(), false, false, 0);
     for _ in 0..40 {
-        // What the worker's side does between two turns, several things at once at times.
-        let mut answers = false;
+        // What the worker does between two turns, sometimes several things at once.
+        let mut answered = false;
         for _ in 0..=(2.0 * rng.uniform()) as usize {
             let mut wire = wire.borrow_mut();
             match (rng.uniform() * 9.0) as u32 {
@@ -331,7 +359,7 @@
                         ACCEPTED
                     };
                     wire.arrived.extend_from_slice(answer);
-                    answers = true;
+                    answered = true;
                 }
                 5 if rng.uniform() < 0.3 => wire.over = true,
                 6 if rng.uniform() < 0.3 => wire.broken = true,
@@ -339,7 +367,7 @@
             }
         }
         let before = exchange.is_request_written(&connection);
-        answered_early |= answers && !before && ends.is_empty();
+        answered_before_written |= answered && !before && ends.is_empty();
         reactor.now += 0.05 * rng.uniform();
         let (readable, writable) = (rng.uniform() < 0.7, rng.uniform() < 0.7);
         match (rng.uniform() * 24.0) as u32 {
@@ -350,48 +378,50 @@
             _ => exchange.handle_ready(readable, writable, &mut connection, &mut reactor),
         }
         size = size.max(connection.queued());
-        let (written, more) = told(&mut reactor);
-        told_written |= written;
-        ends.extend(more);
+        let reports = drain_reports(&mut reactor);
+        written_reported |= reports.written;
+        ends.extend(reports.ends);
         if !ends.is_empty() && connection.state() == State::Ended {
             break;
         }
     }
     let whole = size > 0 && exchange.is_request_written(&connection);
-    Play {
+    ScenarioResult {
         ends,
-        told_written,
+        written_reported,
         whole,
-        used,
-        answered_early,
+        reused,
+        answered_before_written,
     }
 }
 
-/// The table of all ends, over all orders: one end a request; one that proves that nothing ran only where the worker's side has not the
-/// whole request, or where the answer is certainly its own; and that it was written is told before the end.
+/// Guards the table of all ends, over all orders of events: one end for each request; an end that proves that nothing ran only if the
+/// worker doesn't have the whole request or the response is certainly its own; the report that it was written comes before the end.
 #[test]
-fn an_end_proves_that_nothing_ran_only_where_the_bytes_do() {
+fn end_proves_not_run_only_if_the_written_bytes_do() {
     let mut seen = std::collections::BTreeMap::<String, u32>::new();
     for seed in 0..20_000 {
-        let Play {
+        let ScenarioResult {
             ends,
-            told_written,
+            written_reported,
             whole,
-            used,
-            answered_early,
-        } = play(seed);
+            reused,
+            answered_before_written,
+        } = run_scenario(seed);
         assert!(ends.len() <= 1, "seed {seed}: {ends:?}");
         let Some(end) = ends.first() else { continue };
         *seen.entry(format!("{end:?}, whole {whole}")).or_default() += 1;
         match end {
             AttemptEnd::NeverSent | AttemptEnd::NoRoom => assert!(!whole, "seed {seed}: {end:?}"),
-            AttemptEnd::NotRun if whole => assert!(!used && !answered_early, "seed {seed}"),
+            AttemptEnd::NotRun if whole => {
+                assert!(!reused && !answered_before_written, "seed {seed}")
+            }
             AttemptEnd::Reset | AttemptEnd::Accepted | AttemptEnd::TurnedAway => {
-                assert!(whole && told_written, "seed {seed}: {end:?}");
+                assert!(whole && written_reported, "seed {seed}: {end:?}");
             }
             AttemptEnd::NotRun | AttemptEnd::Error => {}
         }
-        assert_eq!(told_written, whole, "seed {seed}: {end:?}");
+        assert_eq!(written_reported, whole, "seed {seed}: {end:?}");
     }
     for end in [
         "Reset, whole true",
@@ -401,7 +431,7 @@
     ] {
         assert!(
             seen.get(end).is_some_and(|count| *count > 50),
-            "{end} hardly came: {seen:?}"
+            "{end} was hardly seen: {seen:?}"
         );
     }
     assert!(
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,5 @@
-//! A change counts as told 6 s after discovery had it and could be reached, whatever calls came to: in told time, over
-//! every way in which a call can fail, with the dispatcher that draws by what it has been told.
+//! A change must be applied within 6 s after discovery had it and could be reached, whatever happens to calls: in simulated time, over
+//! every way in which a call can fail, with the dispatcher that selects workers by the list.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -15,32 +15,33 @@
     SECOND_CALL_DELAY_SECONDS, Schedule, WATCH_GRACE_SECONDS,
 };
 
-/// From when discovery has a change and can be reached, it counts as told after so long, in seconds.
-const TOLD: f64 = 6.0;
-/// A drain's slack: what the settings allow, and 50 ms on sockets.
-const SLACK: f64 = 0.3;
-/// How long a sound discovery takes to answer.
-const ANSWERS: f64 = 0.9;
+/// The time within which a change has to be applied once discovery has it and can be reached, in seconds.
+const MAX_CHANGE_DELAY_SECONDS: f64 = 6.0;
+/// What is added for draining workers, in seconds: what the settings allow, and 50 ms on sockets.
+const TOLERANCE_SECONDS: f64 = 0.3;
+/// Longest time that a healthy discovery takes to answer, in seconds.
+const MAX_ANSWER_SECONDS: f64 = 0.9;
+/// The number of workers.
 const WORKERS: u16 = 12;
 
-/// What becomes of a call.
+/// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
-    /// It fails at this time: refused, reset, cut short, a 503.
+enum CallOutcome {
+    /// It fails at this time: refused, reset, cut short, or a 503.
     Fails(f64),
-    /// Nothing ever comes.
-    Silent,
-    /// It is answered at this time with what is so then.
+    /// It is never answered.
+    Unanswered,
+    /// It is answered at this time, with the state of that time.
     Answered(f64),
 }
 
-/// Discovery, and the way to it: faulty up to some time, then sound but for some calls that fall silent.
+/// Discovery and the network to it: faulty up to some time, then healthy except for some calls that are never answered.
 struct Discovery {
     rng: Random,
-    sound_from: f64,
-    /// Calls that still fall silent once it is sound.
-    silent: u32,
-    /// When workers leave, each with its number; a revision is how many have left.
+    reachable_from: f64,
+    /// Calls that are still left unanswered once it is healthy.
+    unanswered: u32,
+    /// When workers leave, each with its number; the revision is the number of workers that have left.
     leaves: Vec<(f64, u16)>,
 }
 
@@ -49,51 +50,55 @@
         self.leaves.iter().filter(|(left, _)| *left <= at).count() as u64
     }
 
-    fn end(&mut self, now: f64, since: Option<u64>, wait: Option<f64>) -> End {
-        let takes = ANSWERS * self.rng.uniform();
-        let waits = wait.filter(|_| since == Some(self.left(now)));
+    fn call_outcome(&mut self, now: f64, since: Option<u64>, wait: Option<f64>) -> CallOutcome {
+        let answer_delay = MAX_ANSWER_SECONDS * self.rng.uniform();
+        let watch_seconds = wait.filter(|_| since == Some(self.left(now)));
         let change = self
             .leaves
             .iter()
             .map(|(at, _)| *at)
             .find(|at| *at > now)
             .unwrap_or(f64::INFINITY);
-        let sound = End::Answered(waits.map_or(now + takes, |wait| {
+        let answer = CallOutcome::Answered(watch_seconds.map_or(now + answer_delay, |wait| {
             change.min(now + wait) + WATCH_GRACE_SECONDS * 0.9 * self.rng.uniform()
         }));
-        if now >= self.sound_from {
-            // One that is open when its turn to fall silent has come stays so.
-            let silent = self.silent > 0 && self.rng.uniform() < 0.5;
-            self.silent -= u32::from(silent);
-            return if silent { End::Silent } else { sound };
+        if now >= self.reachable_from {
+            let unanswered = self.unanswered > 0 && self.rng.uniform() < 0.5;
+            self.unanswered -= u32::from(unanswered);
+            return if unanswered {
+                CallOutcome::Unanswered
+            } else {
+                answer
+            };
         }
         match (self.rng.uniform() * 7.0) as u32 {
-            0 => End::Fails(now + 0.001),                    // refused
-            1 => End::Fails(now + 4.0 * self.rng.uniform()), // reset, or cut short, at any time
-            2 => End::Fails(now + 2.0),                      // a 503 after its time in the queue
-            3 | 4 => End::Silent,
-            // Late: it comes when others have been made.
-            5 => End::Answered(now + wait.unwrap_or(0.0) + 8.0 * self.rng.uniform()),
-            _ => sound,
+            0 => CallOutcome::Fails(now + 0.001), // refused
+            1 => CallOutcome::Fails(now + 4.0 * self.rng.uniform()), // reset, or cut short, at any time
+            2 => CallOutcome::Fails(now + 2.0), // a 503 after its time in the queue
+            3 | 4 => CallOutcome::Unanswered,
+            // Late: it comes after other calls have been made.
+            5 => CallOutcome::Answered(now + wait.unwrap_or(0.0) + 8.0 * self.rng.uniform()),
+            _ => answer,
         }
     }
 }
 
-/// Plays one seed: the schedule, discovery, and a dispatcher that places a job every 50 ms. The first wrong send, if any.
-fn play(seed: u64, due_after: f64) -> Result<u64, String> {
+/// Runs one seed: the schedule, discovery, and a dispatcher that is given a request every 50 ms. Returns the number of attempts at
+/// workers that leave, or the first attempt that comes later than `max_delay` seconds after its worker left.
+fn run_scenario(seed: u64, max_delay: f64) -> Result<u64, String> {
     let mut rng = Random::new(seed);
-    let sound_from = 12.0 * rng.uniform();
+    let reachable_from = 12.0 * rng.uniform();
     let mut leaves: Vec<(f64, u16)> = (0..WORKERS / 2)
         .map(|n| (30.0 * rng.uniform(), n))
         .collect();
     leaves.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut moves: Vec<f64> = (0..2).map(|_| 30.0 * rng.uniform()).collect();
-    moves.sort_by(f64::total_cmp);
-    let silent = (rng.uniform() * 2.0) as u32;
+    let mut address_changes: Vec<f64> = (0..2).map(|_| 30.0 * rng.uniform()).collect();
+    address_changes.sort_by(f64::total_cmp);
+    let unanswered = (rng.uniform() * 2.0) as u32;
     let mut discovery = Discovery {
         rng: Random::new(seed + 1),
-        sound_from,
-        silent,
+        reachable_from,
+        unanswered,
         leaves,
     };
     let nodes = [1, 5, 300][(seed % 3) as usize];
@@ -130,23 +135,24 @@
         },
         &mut actions,
     );
-    let (mut revision, mut out, mut checked) = (Some(0), Vec::<(Call, Option<u64>, End)>::new(), 0);
+    let (mut revision, mut open_calls, mut checked) =
+        (Some(0), Vec::<(Call, Option<u64>, CallOutcome)>::new(), 0);
     schedule.start(0.0, FirstCall::Spread);
     for tick in 0..8_000u64 {
         let now = tick as f64 * 0.005;
-        if moves.first().is_some_and(|at| *at <= now) {
-            moves.remove(0);
-            (revision, out) = (None, Vec::new());
+        if address_changes.first().is_some_and(|at| *at <= now) {
+            address_changes.remove(0);
+            (revision, open_calls) = (None, Vec::new());
             schedule.restart(now);
         }
-        // What comes in this turn.
-        for (call, since, end) in out.clone() {
+        // Outcomes of calls in this turn.
+        for (call, since, call_outcome) in open_calls.clone() {
             if !schedule.is_open(call.id) {
                 continue;
             }
-            match end {
-                End::Fails(at) if at <= now => schedule.record_failure(now, call.id),
-                End::Answered(at) if at <= now => {
+            match call_outcome {
+                CallOutcome::Fails(at) if at <= now => schedule.record_failure(now, call.id),
+                CallOutcome::Answered(at) if at <= now => {
                     let left = discovery.left(now);
                     let content = if since == Some(left) {
                         AnswerContent::Unchanged
@@ -168,17 +174,17 @@
                 _ => {}
             }
         }
-        out.retain(|(call, ..)| schedule.is_open(call.id));
-        if out.len() > 2 {
+        open_calls.retain(|(call, ..)| schedule.is_open(call.id));
+        if open_calls.len() > 2 {
             return Err(format!(
-                "seed {seed}: {} calls are out at {now:.3}",
-                out.len()
+                "seed {seed}: {} calls are open at {now:.3}",
+                open_calls.len()
             ));
         }
         while let Some(call) = schedule.take_due_call(now, revision.is_some()) {
-            let end = discovery.end(now, revision, call.wait_seconds);
-            out.retain(|(other, ..)| call.supersedes != Some(other.id));
-            out.push((call, revision, end));
+            let call_outcome = discovery.call_outcome(now, revision, call.wait_seconds);
+            open_calls.retain(|(other, ..)| call.supersedes != Some(other.id));
+            open_calls.push((call, revision, call_outcome));
         }
         actions.clear();
         if tick.is_multiple_of(10) {
@@ -191,11 +197,11 @@
             dispatcher.handle(now, &Event::Request(new), &mut actions);
             for to in sends(&actions) {
                 let leaving = discovery.leaves.iter().find(|(_, n)| worker(*n) == to);
-                if let Some((at, n)) =
-                    leaving.filter(|(at, _)| now > at.max(sound_from) + due_after + SLACK)
+                if let Some((at, n)) = leaving
+                    .filter(|(at, _)| now > at.max(reachable_from) + max_delay + TOLERANCE_SECONDS)
                 {
                     return Err(format!(
-                        "seed {seed}: at {now:.3} a job goes to {n}, which left at {at:.3}; sound from {sound_from:.3}"
+                        "seed {seed}: at {now:.3} an attempt at {n}, which left at {at:.3}; discovery healthy from {reachable_from:.3}"
                     ));
                 }
                 checked += u64::from(leaving.is_some());
@@ -220,54 +226,61 @@
     Ok(checked)
 }
 
-/// Guards against a watch that is believed for too long once it is silent, against waits that grow beyond the time, and against
-/// one clock that another's failure sets back: refused, reset, cut short, silent, answered late, a 503, given up, an outage,
-/// SIGHUP in between, and silent once more after all that.
+/// Guards against an unanswered watch that is trusted for too long, against waits that grow beyond the bound, and against one timer
+/// that another's failure resets: calls refused, reset, cut short, unanswered, answered late, a 503, superseded, an outage, a change
+/// of address in between, and unanswered once more after all that.
 #[test]
-fn a_change_is_told_in_time_whatever_calls_came_to() {
+fn change_is_applied_within_the_bound_whatever_happens_to_calls() {
     let checked: u64 = (0..200)
-        .map(|seed| play(seed, TOLD).unwrap_or_else(|error| panic!("{error}")))
+        .map(|seed| {
+            run_scenario(seed, MAX_CHANGE_DELAY_SECONDS).unwrap_or_else(|error| panic!("{error}"))
+        })
         .sum();
     assert!(
         checked > 2_000,
-        "sends to workers that are to leave were looked at: {checked}"
+        "attempts at workers that leave were checked: {checked}"
     );
 }
 
-/// Guards against a check that sees nothing: with a deadline that no calls could keep, it speaks.
+/// Guards against a check that detects nothing: with a bound that no calls could keep, it fails.
 #[test]
-fn the_check_sees_a_change_that_is_told_late() {
-    let broken = (0..40).filter(|seed| play(*seed, 0.0).is_err()).count();
+fn check_detects_a_change_that_is_applied_late() {
+    let broken = (0..40)
+        .filter(|seed| run_scenario(*seed, 0.0).is_err())
+        .count();
     assert!(broken > 20, "{broken} of 40");
 }
 
-/// The sum that the schedule rests on: a watch that falls silent as soon as it is open, one more call that is silent, and
-/// an answer.
+/// The sum that the schedule rests on: a watch that is unanswered from its first moment, one more unanswered call, and an answer.
 #[test]
-fn two_silent_calls_and_an_answer_fit_into_the_time() {
+fn two_unanswered_calls_and_an_answer_fit_into_the_bound() {
     const {
         assert!(
-            MAX_WATCH_SECONDS + WATCH_GRACE_SECONDS + SECOND_CALL_DELAY_SECONDS + ANSWERS <= TOLD
+            MAX_WATCH_SECONDS
+                + WATCH_GRACE_SECONDS
+                + SECOND_CALL_DELAY_SECONDS
+                + MAX_ANSWER_SECONDS
+                <= MAX_CHANGE_DELAY_SECONDS
         )
     }
     const {
         assert!(
-            MAX_WATCH_SECONDS + WATCH_GRACE_SECONDS + 2.0 <= TOLD,
-            "an answer in discovery's own time"
+            MAX_WATCH_SECONDS + WATCH_GRACE_SECONDS + 2.0 <= MAX_CHANGE_DELAY_SECONDS,
+            "an answer within discovery's own limit"
         )
     }
     const {
         assert!(
-            2.0 * FULL_LIST_TIMEOUT_SECONDS + ANSWERS <= TOLD,
-            "the whole list"
+            2.0 * FULL_LIST_TIMEOUT_SECONDS + MAX_ANSWER_SECONDS <= MAX_CHANGE_DELAY_SECONDS,
+            "the full list"
         )
     }
 }
 
-/// Guards against a node that calls in step with the others at its start, against one that takes long, since it does not serve before,
-/// and against a first call that waits for changes: that nothing has changed would not be known for seconds.
+/// Guards against nodes that call at the same moment at their start, against a long delay, since a node does not serve before its
+/// first call, and against a first call that waits for changes: that nothing has changed would not be known for seconds.
 #[test]
-fn first_calls_are_spread_a_little_and_do_not_wait() {
+fn first_calls_are_spread_and_do_not_wait() {
     let first = |nodes, spread| {
         let starts = (0..300).map(|seed| {
             let mut schedule = Schedule::new(nodes, seed);
@@ -293,18 +306,21 @@
         least < 0.01 && (0.2..=0.25).contains(&most),
         "{least} to {most}"
     );
-    assert!(first(5, FirstCall::Spread).1 < 0.006, "few need no time");
+    assert!(
+        first(5, FirstCall::Spread).1 < 0.006,
+        "few nodes need little spread"
+    );
     assert_eq!(
         first(300, FirstCall::Immediate),
         (0.0, 0.0),
-        "where it is not wanted"
+        "without a spread"
     );
 }
 
-/// Guards against calls that come together after all nodes have lost discovery at one moment, and against waits that grow
-/// beyond what the deadline leaves.
+/// Guards against calls that come together after all nodes have lost discovery at one moment, and against waits that grow beyond the
+/// bound.
 #[test]
-fn failed_calls_are_made_again_apart_and_soon() {
+fn failed_calls_are_retried_soon_and_spread() {
     let mut firsts = Vec::new();
     for seed in 0..300 {
         let mut schedule = Schedule::new(300, seed);
@@ -335,9 +351,9 @@
     }
 }
 
-/// Guards against a discovery that does not wait and is called without end.
+/// Guards against a discovery that answers without waiting and is called in a loop.
 #[test]
-fn one_that_answers_at_once_is_not_called_in_a_circle() {
+fn immediate_answers_do_not_cause_a_call_loop() {
     let mut schedule = Schedule::new(1, 7);
     let (mut now, mut calls) = (100.0, 0);
     schedule.restart(now);
@@ -349,7 +365,7 @@
         now += 0.001;
     }
     assert!((5..=12).contains(&calls), "{calls} calls in a second");
-    // News are another thing: the watch has to go on at once.
+    // After an answer with changes the watch goes on at once.
     let call = std::iter::repeat_with(|| {
         now += 0.001;
         schedule.take_due_call(now, true)
@@ -359,13 +375,13 @@
     assert!(schedule.take_due_call(now, true).is_some());
 }
 
-/// Guards against an answer that comes to a call which was given up, and is believed.
+/// Guards against an answer to a superseded call that counts.
 #[test]
-fn a_call_given_up_counts_no_more() {
+fn superseded_call_is_ignored() {
     let mut schedule = Schedule::new(1, 7);
     schedule.restart(100.0);
     let first = schedule.take_due_call(100.0, true).expect("a call");
-    let second = schedule.take_due_call(104.0, true).expect("one beside it");
+    let second = schedule.take_due_call(104.0, true).expect("a second call");
     assert!(
         first.wait_seconds.is_some()
             && second.wait_seconds.is_none()
@@ -373,12 +389,12 @@
     );
     let third = schedule
         .take_due_call(104.0 + SECOND_CALL_DELAY_SECONDS, true)
-        .expect("one in its place");
+        .expect("a call that replaces the first");
     assert_eq!(third.supersedes, Some(first.id));
     schedule.record_answer(105.2, first.id, AnswerContent::Changed);
     assert!(
         schedule.is_open(second.id) && schedule.is_open(third.id),
-        "it is nobody's answer"
+        "the answer to a superseded call changes nothing"
     );
     schedule.record_failure(105.2, second.id);
     assert!(
@@ -396,9 +412,9 @@
     );
 }
 
-/// Guards against one list asked for twice at a time: it is long.
+/// Guards against two requests of the full list at a time: it is long.
 #[test]
-fn the_whole_list_is_asked_for_once_at_a_time() {
+fn full_list_is_requested_once_at_a_time() {
     let mut schedule = Schedule::new(1, 7);
     schedule.restart(100.0);
     let first = schedule.take_due_call(100.0, false).expect("a call");
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -1,5 +1,4 @@
-//! The list of workers and the calls for it: real connections to a stand-in for discovery that does what the test says,
-//! and a time that is told.
+//! The list of workers and the calls for it: real connections to a stand-in for discovery, with simulated time.
 
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
@@ -9,11 +8,13 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
+/// Longest time that a test waits for a socket.
 const LIMIT: Duration = Duration::from_secs(20);
+/// A worker in service, as discovery describes it.
 const MEMBER: &str = r#"{"id":"a","host_port":"10.0.0.1:80","phase":"in_service"}"#;
 
-/// A list's owner, whose time is told.
-struct Bed {
+/// The list under test, and a listener that stands for discovery.
+struct WorkerListHarness {
     reactor: Reactor,
     list: WorkerList,
     listener: TcpListener,
@@ -26,7 +27,7 @@
 }
 
 impl Call {
-    /// Takes the next call on the same connection.
+    /// Reads the next call on the same connection.
     fn next(&mut self) {
         let (mut text, mut byte) = (String::new(), [0]);
         while !text.ends_with("\r\n\r\n") {
@@ -56,12 +57,13 @@
         self.target.split("timeout_ms=").nth(1)?.parse().ok()
     }
 
-    fn given_up(&mut self) -> bool {
+    /// Whether the node has closed the connection.
+    fn is_closed(&mut self) -> bool {
         !matches!(self.peer.read(&mut [0; 9]), Ok(1..))
     }
 }
 
-impl Bed {
+impl WorkerListHarness {
     fn new(known: Option<u64>, seed: u64) -> Self {
         Self::with(known, seed, "on_request")
     }
@@ -77,20 +79,20 @@
             known,
             seed,
         );
-        let mut bed = Self {
+        let mut harness = Self {
             reactor,
             list,
             listener,
         };
-        bed.list.start(&mut bed.reactor);
-        bed
+        harness.list.start(&mut harness.reactor);
+        harness
     }
 
-    /// Lets what has come on sockets be read, until `done`.
+    /// Serves ready connections until `done`.
     fn until(&mut self, mut done: impl FnMut(&mut Self) -> bool) {
         let (start, mut events) = (Instant::now(), Vec::new());
         while !done(self) {
-            assert!(start.elapsed() < LIMIT, "it never came");
+            assert!(start.elapsed() < LIMIT, "nothing happened in time");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
                 assert_eq!(owner(event.key), Owner::Discovery);
@@ -104,8 +106,8 @@
         }
     }
 
-    /// Lets the time come.
-    fn at(&mut self, now: f64) {
+    /// Advances the time, and handles the timers that expire.
+    fn advance_to(&mut self, now: f64) {
         while self.reactor.now < now {
             self.reactor.now = (self.reactor.now + 0.002).min(now);
             for due in self.reactor.expired_timers() {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The next call, on a connection of its own, if there is one by this time; and when.
+    /// Returns the next call on a connection of its own and the time at which it was made, if there is one by this time.
     fn call(&mut self, by: f64) -> Option<(f64, Call)> {
         self.listener.set_nonblocking(true).expect("a setting");
         while self.reactor.now <= by {
@@ -132,7 +134,7 @@
                     peer,
                     target: String::new(),
                 };
-                // It is written once the connection is known to be made.
+                // It is written once the connection is known to be established.
                 let mut peek = [0];
                 call.peer.set_nonblocking(true).expect("a setting");
                 self.until(|_| call.peer.peek(&mut peek).is_ok_and(|size| size == 1));
@@ -140,14 +142,14 @@
                 call.next();
                 return Some((at, call));
             }
-            self.at(self.reactor.now + 0.01);
+            self.advance_to(self.reactor.now + 0.01);
         }
         None
     }
 
-    /// Has an answer read, and tells what kind of list the hub is told.
-    fn told(&mut self) -> ListKind {
-        self.until(|bed| !bed.reactor.queue.is_empty());
+    /// Waits for the next list that is reported, and returns its kind.
+    fn next_list_kind(&mut self) -> ListKind {
+        self.until(|harness| !harness.reactor.queue.is_empty());
         match self.reactor.queue.pop_front() {
             Some(Input::WorkerListReceived { kind, .. }) => kind,
             _ => panic!("no list"),
@@ -155,72 +157,75 @@
     }
 }
 
-/// Guards against a node without a worker that waits for its turn to ask, gives up when discovery is not up yet, or goes on
-/// asking for the whole list after it has been told one.
+/// Guards against a node without a list that delays its first call, gives up when discovery is not up yet, or goes on requesting the
+/// full list after it has one.
 #[test]
-fn a_node_without_a_list_asks_until_it_has_one() {
-    let mut bed = Bed::new(None, 7);
-    let at = bed.listener.local_addr().expect("an address");
-    let (_, first) = bed.call(1000.0).expect("a call at once");
+fn node_without_a_list_calls_until_it_has_one() {
+    let mut harness = WorkerListHarness::new(None, 7);
+    let at = harness.listener.local_addr().expect("an address");
+    let (_, first) = harness.call(1000.0).expect("a call at once");
     assert_eq!(first.target, "/api/targets");
-    // Nobody listens there from now on.
-    bed.listener = TcpListener::bind("127.0.0.1:0").expect("another port");
+    // Nothing listens there from now on.
+    harness.listener = TcpListener::bind("127.0.0.1:0").expect("another port");
     drop(first);
     let (mut waits, mut last) = (Vec::new(), 1000.0);
     for _ in 0..4 {
-        // A refused connection is told by the poller.
-        let before = bed.list.call_count();
+        // A refused connection is reported by the poller.
+        let before = harness.list.call_count();
         let start = Instant::now();
-        while bed.list.call_count() == before {
+        while harness.list.call_count() == before {
             assert!(start.elapsed() < LIMIT);
             let mut events = Vec::new();
-            bed.reactor.wait(&mut events, f64::MAX).expect("a poller");
+            harness
+                .reactor
+                .wait(&mut events, f64::MAX)
+                .expect("a poller");
             events.iter().for_each(|e| {
-                bed.list
-                    .handle_ready(&mut bed.reactor, e.key, e.readable, e.writable)
+                harness
+                    .list
+                    .handle_ready(&mut harness.reactor, e.key, e.readable, e.writable)
             });
-            let now = bed.reactor.now;
-            if events.is_empty() && bed.list.open_call_count() == 0 {
-                bed.at(now + 0.002);
+            let now = harness.reactor.now;
+            if events.is_empty() && harness.list.open_call_count() == 0 {
+                harness.advance_to(now + 0.002);
             }
         }
-        waits.push(bed.reactor.now - last);
-        last = bed.reactor.now;
+        waits.push(harness.reactor.now - last);
+        last = harness.reactor.now;
     }
     assert!((0.1..0.11).contains(&waits[0]), "{waits:?}");
     assert!(
         waits[1] < 0.21 && waits[2] < 0.41 && waits[3] < 0.81,
         "{waits:?}"
     );
-    assert!(
-        bed.reactor.queue.is_empty(),
-        "the hub has nothing to do with it"
-    );
-    bed.until(|bed| bed.list.open_call_count() == 0);
-    bed.listener = TcpListener::bind(at).expect("the port again");
-    let (_, mut call) = bed.call(bed.reactor.now + 2.0).expect("it is asked again");
+    assert!(harness.reactor.queue.is_empty(), "no list is reported");
+    harness.until(|harness| harness.list.open_call_count() == 0);
+    harness.listener = TcpListener::bind(at).expect("the port again");
+    let (_, mut call) = harness
+        .call(harness.reactor.now + 2.0)
+        .expect("another call");
     call.answer(1, true, MEMBER);
-    assert_eq!(bed.told(), ListKind::Full);
+    assert_eq!(harness.next_list_kind(), ListKind::Full);
     call.next();
     assert!(
         call.target.starts_with("/api/targets?since=1&"),
-        "a watch, and no whole list any more"
+        "a watch, and no full list any more"
     );
 }
 
-/// Guards against a list that is pushed and is never asked for, since the node waits for what can only come as an answer; and
-/// against a start at which what has changed meanwhile stays unknown.
+/// Guards against a pushed list that is never requested, since the node waits for what can come as an answer only; and against a start
+/// at which what has changed meanwhile stays unknown.
 #[test]
-fn what_is_pushed_is_called_for_at_once() {
+fn pushed_lists_are_watched_at_once() {
     for how in ["pushed", "some other word"] {
-        let mut bed = Bed::with(Some(5), 1023, how);
-        let (at, mut call) = bed.call(1000.0).expect("a call");
+        let mut harness = WorkerListHarness::with(Some(5), 1023, how);
+        let (at, mut call) = harness.call(1000.0).expect("a call");
         assert_eq!(
             (at, call.target.starts_with("/api/targets?since=5&")),
             (1000.0, true)
         );
         call.answer(6, false, MEMBER);
-        assert_eq!(bed.told(), ListKind::Delta);
+        assert_eq!(harness.next_list_kind(), ListKind::Delta);
         call.next();
         assert!(
             call.target.starts_with("/api/targets?since=6&"),
@@ -229,67 +234,64 @@
     }
 }
 
-/// Guards against a watch that has fallen silent and is believed until after what it missed counts as told, 6 s after discovery
-/// had it; against one silent call after the other, each believed for as long; against calls that add up; and against
-/// silence that is told as something to decide on.
+/// Guards against an unanswered watch that is trusted until after what it missed had to be applied, 6 s after discovery had it; against
+/// one unanswered call after the other, each trusted for as long; against calls that add up; and against a report of a list where
+/// there was no answer.
 #[test]
-fn a_silent_watch_has_another_call_beside_it_and_then_in_its_place() {
+fn unanswered_watch_gets_a_second_call_and_is_then_superseded() {
     for seed in [0, 7, 1023] {
-        let mut bed = Bed::new(Some(5), seed);
-        let (_, mut watch) = bed.call(1001.0).expect("a watch");
+        let mut harness = WorkerListHarness::new(Some(5), seed);
+        let (_, mut watch) = harness.call(1001.0).expect("a watch");
         watch.answer(5, true, MEMBER);
-        assert_eq!(bed.told(), ListKind::Full);
+        assert_eq!(harness.next_list_kind(), ListKind::Full);
         watch.next();
-        let (opened, wait) = (bed.reactor.now, watch.wait().expect("it waits"));
+        let (opened, wait) = (harness.reactor.now, watch.wait().expect("it waits"));
         assert!((2600..=3400).contains(&wait), "{wait}");
-        let (at, mut beside) = bed.call(opened + 10.0).expect("another");
-        let silent = at - opened;
+        let (at, mut second) = harness.call(opened + 10.0).expect("another");
+        let waited = at - opened;
         assert!(
-            (silent - (wait as f64 / 1000.0 + 0.5)).abs() < 0.03,
-            "seed {seed}: after {silent} s"
+            (waited - (wait as f64 / 1000.0 + 0.5)).abs() < 0.03,
+            "seed {seed}: after {waited} s"
         );
-        assert_eq!(beside.wait(), Some(1), "it does not wait");
-        let (at, third) = bed.call(opened + 10.0).expect("a third");
+        assert_eq!(second.wait(), Some(1), "it does not wait");
+        let (at, third) = harness.call(opened + 10.0).expect("a third");
         assert!(
-            (at - opened - silent - 1.1).abs() < 0.03 && at - opened < 5.05,
+            (at - opened - waited - 1.1).abs() < 0.03 && at - opened < 5.05,
             "seed {seed}: {}",
             at - opened
         );
-        assert!(watch.given_up(), "two are out at most");
-        assert!(
-            bed.reactor.queue.is_empty(),
-            "the hub has nothing to do with it"
-        );
-        beside.answer(6, false, "");
-        assert_eq!(bed.told(), ListKind::Delta);
+        assert!(watch.is_closed(), "two calls are open at most");
+        assert!(harness.reactor.queue.is_empty(), "no list is reported");
+        second.answer(6, false, "");
+        assert_eq!(harness.next_list_kind(), ListKind::Delta);
         let mut third = third;
-        assert!(third.given_up(), "the first answer counts");
-        beside.next();
+        assert!(third.is_closed(), "the first answer counts");
+        second.next();
         assert!(
-            beside.target.contains("since=6&") && beside.wait() > Some(2000),
+            second.target.contains("since=6&") && second.wait() > Some(2000),
             "the watch goes on there"
         );
     }
 }
 
-/// Guards against an older list that takes the place of a newer one, in which a worker that leaves is in service; against
-/// one clock of versions that runs on when discovery has begun anew.
+/// Guards against an older list that replaces a newer one, in which a worker that leaves is in service; and against revisions that are
+/// compared with older ones after discovery has started again.
 #[test]
-fn an_older_list_does_not_take_the_place_of_a_newer_one() {
-    let mut bed = Bed::new(Some(5), 7);
-    let (_, mut call) = bed.call(1001.0).expect("a watch");
+fn older_list_does_not_replace_a_newer_one() {
+    let mut harness = WorkerListHarness::new(Some(5), 7);
+    let (_, mut call) = harness.call(1001.0).expect("a watch");
     call.answer(8, true, &MEMBER.replace("in_service", "terminating"));
-    assert_eq!(bed.told(), ListKind::Full);
+    assert_eq!(harness.next_list_kind(), ListKind::Full);
     call.next();
     for (revision, complete) in [(7, true), (7, false)] {
-        let before = bed.list.call_count();
+        let before = harness.list.call_count();
         call.answer(revision, complete, MEMBER);
-        bed.until(|bed| bed.list.call_count() > before);
+        harness.until(|harness| harness.list.call_count() > before);
         call.next();
-        assert_eq!(call.target, "/api/targets", "the whole list is asked for");
+        assert_eq!(call.target, "/api/targets", "the full list is requested");
         assert!(
-            bed.reactor.queue.is_empty(),
-            "and nothing is told before it is there"
+            harness.reactor.queue.is_empty(),
+            "and no list is reported before it is there"
         );
         let (last, text) = if complete {
             (9, "terminating")
@@ -297,17 +299,16 @@
             (2, "in_service")
         };
         call.answer(last, true, &MEMBER.replace("in_service", text));
-        assert_eq!(bed.told(), ListKind::Full);
+        assert_eq!(harness.next_list_kind(), ListKind::Full);
         call.next();
         assert!(call.target.contains(&format!("since={last}&")));
     }
 }
 
-/// Guards against a wait that is not renewed after an answer that is none: refused, cut short, spoilt, none in time, and one
-/// that never ends.
+/// Guards against a watch that is not renewed after an invalid answer: refused, cut short, malformed, late, or without end.
 #[test]
-fn answers_that_are_none_have_the_call_made_again_soon() {
-    let spoilt: [&[u8]; 7] = [
+fn invalid_answers_are_retried_soon() {
+    let malformed: [&[u8]; 7] = [
         b"",
         b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"revision\":9,",
@@ -316,45 +317,45 @@
         b"HTTP/1.1 200 O",
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
     ];
-    for text in spoilt {
-        let mut bed = Bed::new(Some(5), 7);
-        let (at, mut call) = bed.call(1001.0).expect("a watch");
+    for text in malformed {
+        let mut harness = WorkerListHarness::new(Some(5), 7);
+        let (at, mut call) = harness.call(1001.0).expect("a watch");
         call.peer.write_all(text).expect("it is written");
         drop(call);
-        let before = bed.list.call_count();
-        bed.until(|bed| bed.list.open_call_count() == 0);
-        let (again, call) = bed.call(at + 5.0).expect("another");
+        let before = harness.list.call_count();
+        harness.until(|harness| harness.list.open_call_count() == 0);
+        let (again, call) = harness.call(at + 5.0).expect("another");
         assert!(
-            bed.list.call_count() > before && again - at < 0.2,
+            harness.list.call_count() > before && again - at < 0.2,
             "{text:?}: after {} s",
             again - at
         );
         assert!(call.target.starts_with("/api/targets?since=5&"));
-        assert!(bed.reactor.queue.is_empty());
+        assert!(harness.reactor.queue.is_empty());
     }
-    // One that trickles is silent: no byte gives it more time.
-    let mut bed = Bed::new(Some(5), 7);
-    let (at, mut call) = bed.call(1001.0).expect("a watch");
+    // An answer that trickles counts as none: no byte gives it more time.
+    let mut harness = WorkerListHarness::new(Some(5), 7);
+    let (at, mut call) = harness.call(1001.0).expect("a watch");
     let mut left = b"HTTP/1.1 200 OK\r\nX-Endless: "
         .iter()
         .chain(std::iter::repeat(&b'x'));
     let mut second = None;
-    while second.is_none() && bed.reactor.now < at + 9.0 {
+    while second.is_none() && harness.reactor.now < at + 9.0 {
         call.peer
             .write_all(&[*left.next().expect("another byte")])
             .expect("it is written");
-        second = bed.call(bed.reactor.now + 0.05);
+        second = harness.call(harness.reactor.now + 0.05);
     }
     assert!(
         second.is_some_and(|(second, _)| second - at < 4.0),
-        "beside one that never ends"
+        "a second call beside one that never ends"
     );
 }
 
-/// Guards against an answer of discovery that never ends and is read for ever, or is held until its call has had its time though it
-/// can't become a list any more: the call is made again soon, on another connection.
+/// Guards against an answer of discovery without end that is read for ever, or keeps its call open until the timeout though it can't
+/// become a list any more: the call is repeated soon, on another connection.
 #[test]
-fn an_answer_without_end_ends_its_call() {
+fn endless_answer_ends_its_call() {
     let chunk = format!("100000\r\n{}\r\n", "x".repeat(1 << 20));
     let endless = [
         (
@@ -369,35 +370,35 @@
         ("HTTP/1.1 200 OK\r\nX-Line: ", "of the same "),
         ("no HTTP\r\n\r\n", "of the same "),
     ];
-    for (begins, goes_on) in endless {
-        let mut bed = Bed::new(Some(5), 7);
-        let (at, call) = bed.call(1001.0).expect("a watch");
+    for (beginning, continuation) in endless {
+        let mut harness = WorkerListHarness::new(Some(5), 7);
+        let (at, call) = harness.call(1001.0).expect("a watch");
         let (mut peer, text) = (
             call.peer,
-            begins.to_owned() + &goes_on.repeat((16 << 20) / goes_on.len()),
+            beginning.to_owned() + &continuation.repeat((16 << 20) / continuation.len()),
         );
         let writer = std::thread::spawn(move || {
             peer.write_all(text.as_bytes()).is_err() || !matches!(peer.read(&mut [0]), Ok(1..))
         });
-        bed.until(|bed| bed.list.open_call_count() == 0);
+        harness.until(|harness| harness.list.open_call_count() == 0);
         assert!(
-            writer.join().expect("discovery's part"),
-            "{begins:?}: its connection goes on"
+            writer.join().expect("discovery's thread"),
+            "{beginning:?}: its connection stays open"
         );
-        let (again, call) = bed.call(at + 5.0).expect("another");
+        let (again, call) = harness.call(at + 5.0).expect("another");
         assert!(
             again - at < 0.2 && call.target.starts_with("/api/targets?since=5&"),
-            "{begins:?}: after {} s",
+            "{beginning:?}: after {} s",
             again - at
         );
-        assert!(bed.reactor.queue.is_empty());
+        assert!(harness.reactor.queue.is_empty());
     }
 }
 
-/// Guards against a start with an older list than the one that was held, or with one whose versions mean nothing here;
-/// against a kept list that misses changes, or holds what has gone.
+/// Guards against a start with an older list than the one that was stored, or with one whose revisions can't be compared; and against a
+/// snapshot that misses changes, or holds workers that have been terminated.
 #[test]
-fn the_newer_list_counts_at_a_start() {
+fn newer_list_is_used_at_the_start() {
     let member = |id: &str, phase: &str| {
         format!(r#"{{"id":"{id}","host_port":"10.0.0.1:80","phase":"{phase}","cell":2}}"#)
     };
@@ -407,23 +408,30 @@
             format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#);
         DiscoveryList::from_json(text.as_bytes()).expect("a list")
     };
-    let mut bed = Bed::new(Some(5), 7);
-    let at = bed.listener.local_addr().expect("an address");
-    bed.list
+    let mut harness = WorkerListHarness::new(Some(5), 7);
+    let at = harness.listener.local_addr().expect("an address");
+    harness
+        .list
         .retain_list(Some(&list(5, true, &[member("a", "in_service")])));
-    assert!(bed.list.take_changed_snapshot().is_none());
+    assert!(harness.list.take_changed_snapshot().is_none());
     let changes = [
         member("a", "terminated"),
         member("b", "in_service"),
         member("c", "terminating"),
     ];
-    let (_, mut call) = bed.call(1001.0).expect("a watch");
+    let (_, mut call) = harness.call(1001.0).expect("a watch");
     call.answer(8, false, &changes.join(","));
-    assert_eq!(bed.told(), ListKind::Delta);
-    let kept = bed.list.take_changed_snapshot().expect("it has changed");
-    assert!(bed.list.take_changed_snapshot().is_none(), "it was taken");
+    assert_eq!(harness.next_list_kind(), ListKind::Delta);
+    let snapshot = harness
+        .list
+        .take_changed_snapshot()
+        .expect("it has changed");
+    assert!(
+        harness.list.take_changed_snapshot().is_none(),
+        "it was taken"
+    );
     let start = |known: Option<DiscoveryList>, discovery: SocketAddr| {
-        let list = WorkerListSnapshot::from_json(&kept)
+        let list = WorkerListSnapshot::from_json(&snapshot)
             .expect("a list")
             .select_initial_list(known, discovery)
             .expect("a list");
@@ -455,13 +463,13 @@
     assert_eq!(
         start(Some(list(9, true, &[])), at),
         (8, "b,c".into()),
-        "one without a worker is none"
+        "a list without workers does not count"
     );
 }
 
-/// Guards against workers that each node prefers for subjects of its own: their addresses differ from node to node, their ids do not.
+/// Guards against an affinity that differs from node to node: addresses of workers differ between nodes, their ids do not.
 #[test]
-fn a_worker_has_the_same_identity_at_every_node() {
+fn worker_has_the_same_identity_at_every_node() {
     let identities = |addresses: [&str; 2]| {
         let member = |id: &str, at: &str| {
             format!(r#"{{"id": "{id}", "host_port": "{at}", "phase": "in_service"}}"#)
@@ -482,10 +490,10 @@
     assert_ne!(here[0], here[1]);
 }
 
-/// Guards against a start that is lost in the change of clocks (0 stays 0), names joined to wrong numbers, and an entry that
-/// can't be read taking the others with it or being sent to.
+/// Guards against a start time that is lost in the conversion (0 stays 0), names resolved to wrong numbers, and an invalid entry that
+/// makes the others invalid or gets requests.
 #[test]
-fn members_are_joined_by_name() {
+fn zones_and_kinds_are_resolved_by_name() {
     let settings = r#"{"dcs": ["riga", "liepaja"], "machine-types": ["std-4", "eco-4"]}"#;
     let settings = Settings::from_json(settings).expect("sound settings");
     let text = br#"{"revision": 3, "complete": true, "members": [
