--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,7 +1,7 @@
 //! Access to files: a folder of flat names, and files that are read and written at offsets.
 //!
 //! The engine reaches the disk only through [`Disk`] and [`File`], so that tests can replace it by a simulated one
-//! ([`crate::sim::SimDisk`]) which crashes, fills up and fails as they say.
+//! ([`crate::sim::SimDisk`]) which crashes, fills up and fails on demand.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
--- a/crates/store/src/engine/mod.rs
+++ b/crates/store/src/engine/mod.rs
@@ -6,7 +6,7 @@
 //! A frame is acknowledged when [`Engine::commit`] has returned without error after it was appended. Segments are
 //! written in order and synced before the next one begins; an acknowledged frame thus has only acknowledged frames
 //! before it. After a crash any part of what was not synced may be there, in any order. Recovery tells the torn end of
-//! the last segment, of which nothing was acknowledged, from damage inside what was: a sound frame behind the hole that
+//! the last segment, of which nothing was acknowledged, from damage inside what was: an intact frame behind the hole that
 //! was made when the missing ones were durable already.
 
 mod compaction;
--- a/crates/store/src/engine/read.rs
+++ b/crates/store/src/engine/read.rs
@@ -1,4 +1,4 @@
-//! The read path: single values and scans, each frame from a copy that has it sound.
+//! The read path: single values and scans, each frame from a copy that holds it intact.
 
 use super::Engine;
 use super::segment::{file_name, frames, is_intact, read_file};
@@ -8,9 +8,9 @@
 
 /// One frame as it was read from the copies.
 struct FrameRead {
-    /// Its bytes, from the first copy that has it sound.
-    sound: Option<Vec<u8>>,
-    /// The copies that don't have it sound.
+    /// Its bytes, from the first copy that holds it intact.
+    intact: Option<Vec<u8>>,
+    /// The copies that don't hold it intact.
     bad_copies: Vec<usize>,
     /// The error to report if no copy serves.
     error: io::Error,
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// An error of the disk, and `InvalidData` if no copy has the value sound.
+    /// An error of the disk, and `InvalidData` if no copy holds the value intact.
     pub fn get(&mut self, key: &[u8]) -> io::Result<Option<Vec<u8>>> {
         let Some(location) = self.index.get(key) else {
             return Ok(None);
@@ -34,7 +34,7 @@
         let number = u64::from(location.segment);
         let offset = u64::from(location.frame);
         let read = self.read_frame_of_any_copy(number, offset);
-        let Some(frame) = read.sound else {
+        let Some(frame) = read.intact else {
             self.record_damage(number);
             return Err(read.error);
         };
@@ -56,7 +56,7 @@
 
     fn read_frame_of_any_copy(&mut self, number: u64, offset: u64) -> FrameRead {
         let mut read = FrameRead {
-            sound: None,
+            intact: None,
             bad_copies: Vec::new(),
             error: io::Error::new(
                 io::ErrorKind::InvalidData,
@@ -66,7 +66,7 @@
         for copy in 0..self.disks.len() {
             match self.read_frame(number, copy, offset) {
                 Ok(Some(frame)) => {
-                    read.sound.get_or_insert(frame);
+                    read.intact.get_or_insert(frame);
                 }
                 Ok(None) => read.bad_copies.push(copy),
                 Err(error) => {
@@ -82,7 +82,7 @@
         read
     }
 
-    /// The bytes of one frame, if this copy has them sound.
+    /// The bytes of one frame, if this copy holds them intact.
     fn read_frame(&mut self, number: u64, copy: usize, offset: u64) -> io::Result<Option<Vec<u8>>> {
         let file = self.open_file(number, copy)?;
         let mut bytes = vec![0; FRAME_HEADER_BYTES];
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// The bytes of a segment, each frame from a copy that has it sound.
+    /// The bytes of a segment, each frame from a copy that holds it intact.
     pub(super) fn read_image(&mut self, number: u64) -> io::Result<Vec<u8>> {
         let size = self
             .segments
--- a/crates/store/src/engine/recovery.rs
+++ b/crates/store/src/engine/recovery.rs
@@ -21,12 +21,12 @@
 /// The bytes of one segment, in all its copies.
 struct SegmentCopies {
     images: Vec<Vec<u8>>,
-    /// The header, from the first copy that has it sound.
+    /// The header, from the first copy that holds it intact.
     header: Option<Header>,
 }
 
 impl SegmentCopies {
-    /// The frame at this offset, from the first copy that has it sound, and that copy's index.
+    /// The frame at this offset, from the first copy that holds it intact, and that copy's index.
     fn frame_at(&self, segment: u64, offset: usize) -> Option<(usize, Frame<'_>)> {
         self.images
             .iter()
@@ -38,12 +38,12 @@
         self.images.iter().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// Bytes behind `sound_end` up to the last that is not zero, of the copy that has most of them.
-    fn torn_bytes(&self, sound_end: usize) -> u64 {
+    /// Bytes behind `intact_end` up to the last that is not zero, of the copy that has most of them.
+    fn torn_bytes(&self, intact_end: usize) -> u64 {
         let tails = self
             .images
             .iter()
-            .filter_map(|image| image.get(sound_end..));
+            .filter_map(|image| image.get(intact_end..));
         let last = tails.filter_map(|tail| tail.iter().rposition(|byte| *byte != 0));
         last.max().map_or(0, |last| last as u64 + 1)
     }
@@ -59,10 +59,10 @@
             // A repair that did not end; the file that it was to replace is still there.
             let _ = self.disks[copy].remove(&name);
         }
-        let sound = headers.values().flatten();
-        let oldest = sound.clone().map(|header| header.oldest_segment).max();
+        let known = headers.values().flatten();
+        let oldest = known.clone().map(|header| header.oldest_segment).max();
         let oldest = oldest.unwrap_or(0);
-        if let Some(header) = sound.clone().next() {
+        if let Some(header) = known.clone().next() {
             self.store_id = header.store_id;
         }
         if let Some(last) = listing.segments.last() {
@@ -108,7 +108,7 @@
         Ok(listing)
     }
 
-    /// The headers of all segments, each from the first copy that has it sound.
+    /// The headers of all segments, each from the first copy that holds it intact.
     fn read_headers(&self, numbers: &[u64]) -> Result<BTreeMap<u64, Option<Header>>, OpenError> {
         let mut headers = BTreeMap::new();
         let mut store_id = None;
@@ -128,7 +128,7 @@
         Ok(headers)
     }
 
-    /// Recovers one segment: its frames in their order, from whichever copy has them sound. `next_header` is the header
+    /// Recovers one segment: its frames in their order, from whichever copy holds them intact. `next_header` is the header
     /// of the segment behind it.
     fn recover_segment(
         &mut self,
@@ -178,7 +178,7 @@
         Ok(copies)
     }
 
-    /// The header that a segment without a sound one gets.
+    /// The header that a segment without an intact one gets.
     fn missing_header(&self, number: u64) -> Header {
         let previous = self.segments.get(&(number - 1));
         Header {
@@ -226,7 +226,7 @@
     }
 
     /// Returns the bytes of a segment up to the end of its last frame that counts, each frame from a copy that has it
-    /// sound. Where a frame is damaged in all copies, those behind it still count if they are known to have been
+    /// intact. Where a frame is damaged in all copies, those behind it still count if they are known to have been
     /// durable: if the next segment says so, or a frame behind them does.
     fn assemble_segment(
         &self,
@@ -241,7 +241,7 @@
         let end = counted.unwrap_or(longest).min(longest);
         let mut bytes = vec![0; end.max(HEADER_BYTES)];
         let mut offset = HEADER_BYTES;
-        let mut sound_end = HEADER_BYTES;
+        let mut intact_end = HEADER_BYTES;
         let mut last_seq = self.last_seq;
         while offset < end {
             let next = copies
@@ -260,7 +260,7 @@
                 bytes[range.clone()].copy_from_slice(&copies.images[copy][range]);
                 last_seq = frame.seq;
                 offset += frame.size();
-                sound_end = offset;
+                intact_end = offset;
                 continue;
             }
             let behind_hole = (offset + 1..end).find(|&offset| {
@@ -283,9 +283,9 @@
                 });
             }
             Some(_) => {}
-            None => report.torn_bytes += copies.torn_bytes(sound_end),
+            None => report.torn_bytes += copies.torn_bytes(intact_end),
         }
-        bytes.truncate(sound_end);
+        bytes.truncate(intact_end);
         bytes
     }
 
--- a/crates/store/src/engine/segment.rs
+++ b/crates/store/src/engine/segment.rs
@@ -92,7 +92,7 @@
     let mut bytes = vec![0; usize::try_from(file.size()?).map_err(io::Error::other)?];
     match file.read_at(0, &mut bytes) {
         Ok(size) => bytes.truncate(size),
-        // One bad sector fails the whole read: block by block, all but the bad blocks is had.
+        // One bad sector fails the whole read; block by block, only the bad blocks are lost.
         Err(_) => read_blocks(&file, &mut bytes),
     }
     Ok(bytes)
@@ -110,7 +110,7 @@
     }
 }
 
-/// A sound frame and where it begins in its segment.
+/// An intact frame and where it begins in its segment.
 pub(super) struct LocatedFrame<'a> {
     pub(super) offset: usize,
     pub(super) frame: Frame<'a>,
@@ -149,7 +149,7 @@
     pub(super) change: usize,
 }
 
-/// Returns the next sound frame that begins at `from` or later; damaged bytes are passed over.
+/// Returns the next intact frame that begins at `from` or later; damaged bytes are passed over.
 pub(super) fn find_frame(segment: u64, image: &[u8], from: usize) -> Option<LocatedFrame<'_>> {
     (from..image.len()).find_map(|offset| {
         Some(LocatedFrame {
@@ -159,7 +159,7 @@
     })
 }
 
-/// Returns all sound frames of a segment's bytes.
+/// Returns all intact frames of a segment's bytes.
 pub(super) fn frames(segment: u64, image: &[u8]) -> impl Iterator<Item = LocatedFrame<'_>> {
     let mut position = HEADER_BYTES;
     std::iter::from_fn(move || {
@@ -169,7 +169,7 @@
     })
 }
 
-/// Whether a segment's bytes consist of sound frames without a gap.
+/// Whether a segment's bytes consist of intact frames without a gap.
 pub(super) fn is_intact(segment: u64, image: &[u8]) -> bool {
     let mut position = HEADER_BYTES;
     while let Some(frame) = Frame::decode(segment, image, position) {
--- a/crates/store/src/engine/types.rs
+++ b/crates/store/src/engine/types.rs
@@ -80,7 +80,7 @@
     pub live_keys: usize,
     /// Bytes of all files, one copy.
     pub file_bytes: u64,
-    /// Bytes behind the last sound frame, none of which had been acknowledged.
+    /// Bytes behind the last intact frame, none of which had been acknowledged.
     pub torn_bytes: u64,
     /// Frames that had been acknowledged and are gone.
     pub lost: Vec<LostFrames>,
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -88,7 +88,7 @@
 pub enum HeaderError {
     /// They are damaged or cut short.
     Damaged,
-    /// They are sound, and of a version that this program doesn't know.
+    /// They are intact, and of a version that this program doesn't know.
     Version(u32),
 }
 
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     ///
-    /// If it is damaged, or sound and of another version.
+    /// If it is damaged, or intact and of another version.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeaderError> {
         if bytes.len() < HEADER_BYTES
             || &bytes[..8] != MAGIC
@@ -261,7 +261,7 @@
     })
 }
 
-/// A sound frame.
+/// An intact frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     /// Its sequence number.
@@ -283,7 +283,7 @@
         FRAME_HEADER_BYTES + self.content.len()
     }
 
-    /// Decodes the frame that begins at `offset` of a segment's file; `None` if there is no sound one.
+    /// Decodes the frame that begins at `offset` of a segment's file; `None` if there is none.
     pub fn decode(segment: u64, file: &'a [u8], offset: usize) -> Option<Self> {
         let header = file.get(offset..offset.checked_add(FRAME_HEADER_BYTES)?)?;
         let size = u32_at(header, 0) as usize;
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,4 +1,4 @@
-//! A simulated disk in memory that crashes, fills up and fails as a test says. What is not synced is lost, kept or
+//! A simulated disk in memory that crashes, fills up and fails on demand. What is not synced is lost, kept or
 //! reordered at a crash, at random by a seed.
 
 use crate::disk::{Disk, File};
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -245,65 +245,87 @@
     assert_eq!(peer.request().headers.get("x-request-id"), Some("job-1"));
 }
 
+/// A response that can't be parsed, or that never ends.
+struct MalformedResponse {
+    name: &'static str,
+    beginning: &'static str,
+    /// Repeated without end behind the beginning; if it is empty, other bytes follow.
+    continuation: &'static str,
+}
+
+const MALFORMED_RESPONSES: [MalformedResponse; 12] = [
+    MalformedResponse {
+        name: "no HTTP",
+        beginning: "what is this\r\n\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "bytes that are not text",
+        beginning: "\u{1}\u{2}\u{3}\r\n\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "no status",
+        beginning: "HTTP/1.1 many Accepted\r\nContent-Length: 0\r\n\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "a negative length",
+        beginning: "HTTP/1.1 202 Accepted\r\nContent-Length: -1\r\n\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "two lengths",
+        beginning: "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nContent-Length: 7\r\n\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "'not run' with an invalid length",
+        beginning: "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: all\r\n\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "a chunk without a size",
+        beginning: "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nlong\r\n",
+        continuation: "",
+    },
+    MalformedResponse {
+        name: "a head without end",
+        beginning: "HTTP/1.1 202 Accepted\r\n",
+        continuation: "X-More: of the same\r\n",
+    },
+    MalformedResponse {
+        name: "a line without end",
+        beginning: "HTTP/1.1 202 Accepted\r\nX-Line: ",
+        continuation: "of the same ",
+    },
+    MalformedResponse {
+        name: "a body without end",
+        beginning: "HTTP/1.1 202 Accepted\r\nContent-Length: 99999999999\r\n\r\n",
+        continuation: "of the same ",
+    },
+    MalformedResponse {
+        name: "chunks without end",
+        beginning: "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n",
+        continuation: "4\r\nmore\r\n",
+    },
+    MalformedResponse {
+        name: "interim responses without end",
+        beginning: "HTTP/1.1 100 Continue\r\n\r\n",
+        continuation: "HTTP/1.1 102 Processing\r\n\r\n",
+    },
+];
+
 /// Guards against a malformed response that is accepted or read for ever: the attempt ends once, as one that may have run, and its
 /// connection is closed whatever is still to come.
 #[test]
 fn malformed_response_ends_the_attempt_and_closes_the_connection() {
-    let malformed = [
-        ("no HTTP", "what is this\r\n\r\n", ""),
-        ("bytes that are not text", "\u{1}\u{2}\u{3}\r\n\r\n", ""),
-        (
-            "no status",
-            "HTTP/1.1 many Accepted\r\nContent-Length: 0\r\n\r\n",
-            "",
-        ),
-        (
-            "a negative length",
-            "HTTP/1.1 202 Accepted\r\nContent-Length: -1\r\n\r\n",
-            "",
-        ),
-        (
-            "two lengths",
-            "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nContent-Length: 7\r\n\r\n",
-            "",
-        ),
-        (
-            "'not run' with an invalid length",
-            "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: all\r\n\r\n",
-            "",
-        ),
-        (
-            "a chunk without a size",
-            "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\nlong\r\n",
-            "",
-        ),
-        (
-            "a head without end",
-            "HTTP/1.1 202 Accepted\r\n",
-            "X-More: of the same\r\n",
-        ),
-        (
-            "a line without end",
-            "HTTP/1.1 202 Accepted\r\nX-Line: ",
-            "of the same ",
-        ),
-        (
-            "a body without end",
-            "HTTP/1.1 202 Accepted\r\nContent-Length: 99999999999\r\n\r\n",
-            "of the same ",
-        ),
-        (
-            "chunks without end",
-            "HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n",
-            "4\r\nmore\r\n",
-        ),
-        (
-            "interim responses without end",
-            "HTTP/1.1 100 Continue\r\n\r\n",
-            "HTTP/1.1 102 Processing\r\n\r\n",
-        ),
-    ];
-    for (what, beginning, continuation) in malformed {
+    for MalformedResponse {
+        name,
+        beginning,
+        continuation,
+    } in MALFORMED_RESPONSES
+    {
         let mut harness = AttemptsHarness::new();
         harness.start(1);
         let mut peer = Peer::accept(&harness.worker);
@@ -322,22 +344,22 @@
             sent.is_err() || peer.ended()
         });
         let (attempt, end) = harness.end();
-        assert_eq!(attempt, 1, "{what}");
+        assert_eq!(attempt, 1, "{name}");
         assert!(
             matches!(end, AttemptEnd::Error | AttemptEnd::Reset),
-            "{what}: {end:?}"
+            "{name}: {end:?}"
         );
         harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
         assert!(
             worker.join().expect("the worker's thread"),
-            "{what}: its connection stays open"
+            "{name}: its connection stays open"
         );
         let again = harness
             .reactor
             .queue
             .iter()
             .any(|input| matches!(input, Input::ExchangeEnded { .. }));
-        assert!(!again, "{what}: a second end");
+        assert!(!again, "{name}: a second end");
     }
 }
 
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -223,11 +223,16 @@
 /// The connection of the property test: what the worker has sent, how much it receives, and how it fails.
 #[derive(Default)]
 struct WireState {
+    /// Bytes that the worker has sent and the node has not read.
     arrived: Vec<u8>,
+    /// Bytes that the node may still write.
     room: usize,
     written: usize,
+    /// The worker has closed its side.
     over: bool,
+    /// The connection has been reset.
     broken: bool,
+    /// The connection is refused.
     refused: bool,
 }
 
@@ -297,6 +302,51 @@
     answered_before_written: bool,
 }
 
+/// Does what the worker does between two turns, sometimes several things at once; returns whether it answered.
+fn act_as_worker(wire: &RefCell<WireState>, rng: &mut Random) -> bool {
+    let mut answered = false;
+    for _ in 0..=(2.0 * rng.uniform()) as usize {
+        let mut wire = wire.borrow_mut();
+        match (rng.uniform() * 9.0) as u32 {
+            0..=3 => wire.room += (200.0 * rng.uniform()) as usize,
+            4 => {
+                let answer = if rng.uniform() < 0.7 {
+                    NOT_RUN
+                } else {
+                    ACCEPTED
+                };
+                wire.arrived.extend_from_slice(answer);
+                answered = true;
+            }
+            5 if rng.uniform() < 0.3 => wire.over = true,
+            6 if rng.uniform() < 0.3 => wire.broken = true,
+            _ => {}
+        }
+    }
+    answered
+}
+
+/// Carries one request on the connection before the scenario, so that it is reused.
+fn carry_first_request(
+    exchange: &mut Exchange,
+    connection: &mut Connection<ScriptedStream>,
+    wire: &RefCell<WireState>,
+    reactor: &mut Reactor,
+) {
+    let first = OutgoingRequest::Attempt {
+        payload: payload(0),
+        deadline: 1009.0,
+    };
+    exchange.start(ExchangeKind::Attempt(7), first, connection, reactor);
+    wire.borrow_mut().room = 1 << 20;
+    wire.borrow_mut().refused = false;
+    exchange.handle_ready(false, true, connection, reactor);
+    wire.borrow_mut().arrived.extend_from_slice(ACCEPTED);
+    exchange.handle_ready(true, false, connection, reactor);
+    assert_eq!(exchange.kind(), ExchangeKind::Idle);
+    reactor.queue.clear();
+}
+
 /// Runs the random scenario of this seed.
 fn run_scenario(seed: u64) -> ScenarioResult {
     let mut rng = Random::new(seed);
@@ -310,23 +360,7 @@
     let mut connection = Connection::new(ScriptedStream(wire.clone()), true, 1 << 16);
     let reused = rng.uniform() < 0.5;
     if reused {
-        let cancel = OutgoingRequest::Attempt {
-            payload: payload(0),
-            deadline: 1009.0,
-        };
-        exchange.start(
-            ExchangeKind::Attempt(7),
-            cancel,
-            &mut connection,
-            &mut reactor,
-        );
-        wire.borrow_mut().room = 1 << 20;
-        wire.borrow_mut().refused = false;
-        exchange.handle_ready(false, true, &mut connection, &mut reactor);
-        wire.borrow_mut().arrived.extend_from_slice(ACCEPTED);
-        exchange.handle_ready(true, false, &mut connection, &mut reactor);
-        assert_eq!(exchange.kind(), ExchangeKind::Idle);
-        reactor.queue.clear();
+        carry_first_request(&mut exchange, &mut connection, &wire, &mut reactor);
     }
     let refused = wire.borrow().refused;
     *wire.borrow_mut() = WireState {
@@ -346,26 +380,7 @@
     let (mut ends, mut written_reported, mut answered_before_written, mut size) =
         (Vec::new(), false, false, 0);
     for _ in 0..40 {
-        // What the worker does between two turns, sometimes several things at once.
-        let mut answered = false;
-        for _ in 0..=(2.0 * rng.uniform()) as usize {
-            let mut wire = wire.borrow_mut();
-            match (rng.uniform() * 9.0) as u32 {
-                0..=3 => wire.room += (200.0 * rng.uniform()) as usize,
-                4 => {
-                    let answer = if rng.uniform() < 0.7 {
-                        NOT_RUN
-                    } else {
-                        ACCEPTED
-                    };
-                    wire.arrived.extend_from_slice(answer);
-                    answered = true;
-                }
-                5 if rng.uniform() < 0.3 => wire.over = true,
-                6 if rng.uniform() < 0.3 => wire.broken = true,
-                _ => {}
-            }
-        }
+        let answered = act_as_worker(&wire, &mut rng);
         let before = exchange.is_request_written(&connection);
         answered_before_written |= answered && !before && ends.is_empty();
         reactor.now += 0.05 * rng.uniform();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -7,7 +7,7 @@
 use dispatcher_harness::{sends, worker};
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
-    Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
+    Action, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
 };
 use postproxy::decision::random::Random;
 use postproxy::net::upstream::watch::{
@@ -41,22 +41,22 @@
     reachable_from: f64,
     /// Calls that are still left unanswered once it is healthy.
     unanswered: u32,
-    /// When workers leave, each with its number; the revision is the number of workers that have left.
-    leaves: Vec<(f64, u16)>,
+    /// The workers that leave, in order; the revision is the number of those that have left.
+    departures: Vec<Departure>,
 }
 
 impl Discovery {
-    fn left(&self, at: f64) -> u64 {
-        self.leaves.iter().filter(|(left, _)| *left <= at).count() as u64
+    fn revision(&self, now: f64) -> u64 {
+        self.departures.iter().filter(|d| d.at <= now).count() as u64
     }
 
     fn call_outcome(&mut self, now: f64, since: Option<u64>, wait: Option<f64>) -> CallOutcome {
         let answer_delay = MAX_ANSWER_SECONDS * self.rng.uniform();
-        let watch_seconds = wait.filter(|_| since == Some(self.left(now)));
+        let watch_seconds = wait.filter(|_| since == Some(self.revision(now)));
         let change = self
-            .leaves
+            .departures
             .iter()
-            .map(|(at, _)| *at)
+            .map(|departure| departure.at)
             .find(|at| *at > now)
             .unwrap_or(f64::INFINITY);
         let answer = CallOutcome::Answered(watch_seconds.map_or(now + answer_delay, |wait| {
@@ -83,144 +83,216 @@
     }
 }
 
-/// Runs one seed: the schedule, discovery, and a dispatcher that is given a request every 50 ms. Returns the number of attempts at
-/// workers that leave, or the first attempt that comes later than `max_delay` seconds after its worker left.
-fn run_scenario(seed: u64, max_delay: f64) -> Result<u64, String> {
-    let mut rng = Random::new(seed);
-    let reachable_from = 12.0 * rng.uniform();
-    let mut leaves: Vec<(f64, u16)> = (0..WORKERS / 2)
-        .map(|n| (30.0 * rng.uniform(), n))
-        .collect();
-    leaves.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut address_changes: Vec<f64> = (0..2).map(|_| 30.0 * rng.uniform()).collect();
-    address_changes.sort_by(f64::total_cmp);
-    let unanswered = (rng.uniform() * 2.0) as u32;
-    let mut discovery = Discovery {
-        rng: Random::new(seed + 1),
-        reachable_from,
-        unanswered,
-        leaves,
-    };
-    let nodes = [1, 5, 300][(seed % 3) as usize];
-    let mut schedule = Schedule::new(nodes, seed);
-    let settings = r#"{"discovery": "on_request", "services": [{"name": "a", "effect": "pure"}]}"#;
-    let mut dispatcher =
-        Dispatcher::new(Settings::from_json(settings).expect("settings"), seed).expect("sound");
-    let entry = |n: u16, health| Entry {
-        worker: worker(n),
-        health,
-        size: 1.0,
-        ..Entry::default()
-    };
-    let mut actions = Vec::new();
-    let list = |left: u64, leaves: &[(f64, u16)]| {
-        let gone: Vec<u16> = leaves.iter().take(left as usize).map(|(_, n)| *n).collect();
-        let health = |n| {
-            if gone.contains(&n) {
+/// A worker that leaves.
+#[derive(Clone, Copy)]
+struct Departure {
+    at: f64,
+    worker: u16,
+}
+
+/// A call that waits for its outcome.
+#[derive(Clone, Copy)]
+struct OpenCall {
+    call: Call,
+    /// The revision that it asks for changes of.
+    since: Option<u64>,
+    outcome: CallOutcome,
+}
+
+/// One run of the schedule against a discovery, with a dispatcher that gets the lists.
+struct Scenario {
+    seed: u64,
+    discovery: Discovery,
+    schedule: Schedule,
+    dispatcher: Dispatcher,
+    actions: Vec<Action>,
+    /// When the address of discovery changes.
+    address_changes: Vec<f64>,
+    revision: Option<u64>,
+    open_calls: Vec<OpenCall>,
+}
+
+impl Scenario {
+    fn new(seed: u64) -> Self {
+        let mut rng = Random::new(seed);
+        let reachable_from = 12.0 * rng.uniform();
+        let mut departures: Vec<Departure> = (0..WORKERS / 2)
+            .map(|worker| Departure {
+                at: 30.0 * rng.uniform(),
+                worker,
+            })
+            .collect();
+        departures.sort_by(|a, b| a.at.total_cmp(&b.at));
+        let mut address_changes: Vec<f64> = (0..2).map(|_| 30.0 * rng.uniform()).collect();
+        address_changes.sort_by(f64::total_cmp);
+        let unanswered = (rng.uniform() * 2.0) as u32;
+        let nodes = [1, 5, 300][(seed % 3) as usize];
+        let settings =
+            r#"{"discovery": "on_request", "services": [{"name": "a", "effect": "pure"}]}"#;
+        let settings = Settings::from_json(settings).expect("settings");
+        Self {
+            seed,
+            discovery: Discovery {
+                rng: Random::new(seed + 1),
+                reachable_from,
+                unanswered,
+                departures,
+            },
+            schedule: Schedule::new(nodes, seed),
+            dispatcher: Dispatcher::new(settings, seed).expect("sound"),
+            actions: Vec::new(),
+            address_changes,
+            revision: Some(0),
+            open_calls: Vec::new(),
+        }
+    }
+
+    /// Gives the dispatcher the list of this revision.
+    fn apply_list(&mut self, now: f64, kind: ListKind, revision: u64) {
+        let departed = self.discovery.departures.iter().take(revision as usize);
+        let departed: Vec<u16> = departed.map(|departure| departure.worker).collect();
+        let entry = |n: u16| Entry {
+            worker: worker(n),
+            health: if departed.contains(&n) {
                 Health::Draining
             } else {
                 Health::Ready
-            }
+            },
+            size: 1.0,
+            ..Entry::default()
         };
-        (0..WORKERS)
-            .map(|n| entry(n, health(n)))
-            .collect::<Vec<Entry>>()
-    };
-    let entries = list(0, &discovery.leaves);
-    dispatcher.handle(
-        0.0,
-        &Event::List {
-            kind: ListKind::Cached,
-            entries,
-        },
-        &mut actions,
-    );
-    let (mut revision, mut open_calls, mut checked) =
-        (Some(0), Vec::<(Call, Option<u64>, CallOutcome)>::new(), 0);
-    schedule.start(0.0, FirstCall::Spread);
-    for tick in 0..8_000u64 {
-        let now = tick as f64 * 0.005;
-        if address_changes.first().is_some_and(|at| *at <= now) {
-            address_changes.remove(0);
-            (revision, open_calls) = (None, Vec::new());
-            schedule.restart(now);
+        let entries = (0..WORKERS).map(entry).collect();
+        let list = Event::List { kind, entries };
+        self.dispatcher.handle(now, &list, &mut self.actions);
+    }
+
+    fn change_address_if_due(&mut self, now: f64) {
+        if self.address_changes.first().is_some_and(|at| *at <= now) {
+            self.address_changes.remove(0);
+            self.revision = None;
+            self.open_calls.clear();
+            self.schedule.restart(now);
         }
-        // Outcomes of calls in this turn.
-        for (call, since, call_outcome) in open_calls.clone() {
-            if !schedule.is_open(call.id) {
+    }
+
+    /// Applies the outcomes of calls that are due.
+    fn apply_outcomes(&mut self, now: f64) -> Result<(), String> {
+        for OpenCall {
+            call,
+            since,
+            outcome,
+        } in self.open_calls.clone()
+        {
+            if !self.schedule.is_open(call.id) {
                 continue;
             }
-            match call_outcome {
-                CallOutcome::Fails(at) if at <= now => schedule.record_failure(now, call.id),
+            match outcome {
+                CallOutcome::Fails(at) if at <= now => self.schedule.record_failure(now, call.id),
                 CallOutcome::Answered(at) if at <= now => {
-                    let left = discovery.left(now);
-                    let content = if since == Some(left) {
+                    let revision = self.discovery.revision(now);
+                    let content = if since == Some(revision) {
                         AnswerContent::Unchanged
                     } else {
                         AnswerContent::Changed
                     };
-                    revision = Some(left);
-                    let entries = list(left, &discovery.leaves);
-                    dispatcher.handle(
-                        now,
-                        &Event::List {
-                            kind: ListKind::Full,
-                            entries,
-                        },
-                        &mut actions,
-                    );
-                    schedule.record_answer(now, call.id, content);
+                    self.revision = Some(revision);
+                    self.apply_list(now, ListKind::Full, revision);
+                    self.schedule.record_answer(now, call.id, content);
                 }
                 _ => {}
             }
         }
-        open_calls.retain(|(call, ..)| schedule.is_open(call.id));
-        if open_calls.len() > 2 {
+        self.open_calls
+            .retain(|open| self.schedule.is_open(open.call.id));
+        if self.open_calls.len() > 2 {
             return Err(format!(
-                "seed {seed}: {} calls are open at {now:.3}",
-                open_calls.len()
+                "seed {}: {} calls are open at {now:.3}",
+                self.seed,
+                self.open_calls.len()
             ));
         }
-        while let Some(call) = schedule.take_due_call(now, revision.is_some()) {
-            let call_outcome = discovery.call_outcome(now, revision, call.wait_seconds);
-            open_calls.retain(|(other, ..)| call.supersedes != Some(other.id));
-            open_calls.push((call, revision, call_outcome));
+        Ok(())
+    }
+
+    fn make_due_calls(&mut self, now: f64) {
+        while let Some(call) = self.schedule.take_due_call(now, self.revision.is_some()) {
+            let outcome = self
+                .discovery
+                .call_outcome(now, self.revision, call.wait_seconds);
+            self.open_calls
+                .retain(|open| call.supersedes != Some(open.call.id));
+            self.open_calls.push(OpenCall {
+                call,
+                since: self.revision,
+                outcome,
+            });
         }
-        actions.clear();
-        if tick.is_multiple_of(10) {
-            let new = NewRequest {
-                request: tick + 1,
-                budget: 5.0,
-                slots: 1.0,
-                ..NewRequest::default()
-            };
-            dispatcher.handle(now, &Event::Request(new), &mut actions);
-            for to in sends(&actions) {
-                let leaving = discovery.leaves.iter().find(|(_, n)| worker(*n) == to);
-                if let Some((at, n)) = leaving
-                    .filter(|(at, _)| now > at.max(reachable_from) + max_delay + TOLERANCE_SECONDS)
-                {
-                    return Err(format!(
-                        "seed {seed}: at {now:.3} an attempt at {n}, which left at {at:.3}; discovery healthy from {reachable_from:.3}"
-                    ));
-                }
-                checked += u64::from(leaving.is_some());
-            }
-            let sent = sends(&actions);
-            dispatcher.handle(now, &Event::ClientGone { request: tick + 1 }, &mut actions);
-            for (worker, attempt) in sent.into_iter().zip(0..) {
-                let (request, outcome, report) = (tick + 1, Outcome::Cancelled, Vec::new());
-                let ended = Event::Outcome {
-                    request,
-                    attempt,
-                    worker,
-                    outcome,
-                    elapsed: 0.0,
-                    closed: false,
-                    report,
-                };
-                dispatcher.handle(now, &ended, &mut actions);
+    }
+
+    /// Has the dispatcher place one request. Returns the number of attempts at workers that leave at some time, or an
+    /// error if one of these has left longer ago than `max_delay` seconds.
+    fn place_request(&mut self, now: f64, request: u64, max_delay: f64) -> Result<u64, String> {
+        let new = NewRequest {
+            request,
+            budget: 5.0,
+            slots: 1.0,
+            ..NewRequest::default()
+        };
+        self.dispatcher
+            .handle(now, &Event::Request(new), &mut self.actions);
+        let reachable_from = self.discovery.reachable_from;
+        let mut checked = 0;
+        for to in sends(&self.actions) {
+            let departures = &self.discovery.departures;
+            let leaving = departures.iter().find(|d| worker(d.worker) == to);
+            if let Some(Departure { at, worker }) =
+                leaving.filter(|d| now > d.at.max(reachable_from) + max_delay + TOLERANCE_SECONDS)
+            {
+                return Err(format!(
+                    "seed {}: at {now:.3} an attempt at {worker}, which left at {at:.3}; discovery healthy from {reachable_from:.3}",
+                    self.seed
+                ));
             }
+            checked += u64::from(leaving.is_some());
+        }
+        self.cancel_request(now, request);
+        Ok(checked)
+    }
+
+    fn cancel_request(&mut self, now: f64, request: u64) {
+        let sent = sends(&self.actions);
+        self.dispatcher
+            .handle(now, &Event::ClientGone { request }, &mut self.actions);
+        for (worker, attempt) in sent.into_iter().zip(0..) {
+            let ended = Event::Outcome {
+                request,
+                attempt,
+                worker,
+                outcome: Outcome::Cancelled,
+                elapsed: 0.0,
+                closed: false,
+                report: Vec::new(),
+            };
+            self.dispatcher.handle(now, &ended, &mut self.actions);
+        }
+    }
+}
+
+/// Runs one seed: the schedule, discovery, and a dispatcher that is given a request every 50 ms. Returns the number of attempts at
+/// workers that leave, or the first attempt that comes later than `max_delay` seconds after its worker left.
+fn run_scenario(seed: u64, max_delay: f64) -> Result<u64, String> {
+    let mut scenario = Scenario::new(seed);
+    scenario.apply_list(0.0, ListKind::Cached, 0);
+    scenario.schedule.start(0.0, FirstCall::Spread);
+    let mut checked = 0;
+    for tick in 0..8_000u64 {
+        let now = tick as f64 * 0.005;
+        scenario.change_address_if_due(now);
+        scenario.apply_outcomes(now)?;
+        scenario.make_due_calls(now);
+        scenario.actions.clear();
+        if tick.is_multiple_of(10) {
+            checked += scenario.place_request(now, tick + 1, max_delay)?;
         }
     }
     Ok(checked)
