--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -65,7 +65,9 @@
         wake: Box::new(|| {}),
     };
     let (mut store, events) = Store::start(engine(folder), options).expect("a thread");
-    let (mut sent, mut done, mut latency) = (Vec::new(), 0usize, histogram());
+    let mut sent = Vec::new();
+    let mut done = 0usize;
+    let mut latency = histogram();
     let start = Instant::now();
     loop {
         while sent.len() - done < outstanding && start.elapsed() < time {
@@ -102,7 +104,8 @@
     time: Duration,
     mut commit: impl FnMut(std::ops::Range<u64>),
 ) -> Line {
-    let (mut done, mut latency) = (0u64, histogram());
+    let mut done = 0u64;
+    let mut latency = histogram();
     let start = Instant::now();
     while start.elapsed() < time {
         let began = Instant::now();
@@ -164,7 +167,8 @@
     let folder = tempfile::tempdir_in(target()).expect("a folder");
     let mut store = engine(folder.path());
     for n in 0..records {
-        let (key, value) = (key(n), VALUE);
+        let key = key(n);
+        let value = VALUE;
         store
             .append(&[postproxy_store::Change::Put {
                 key: &key,
@@ -202,7 +206,10 @@
     let mut store = Engine::open(vec![disk], options, "a bench", 1, 0)
         .expect("a store")
         .0;
-    let (mut random, mut max, mut sum, mut count) = (1u64, 0f64, 0f64, 0f64);
+    let mut random = 1u64;
+    let mut max = 0f64;
+    let mut sum = 0f64;
+    let mut count = 0f64;
     for n in 0..writes {
         random = random
             .wrapping_mul(6_364_136_223_846_793_005)
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -145,17 +145,20 @@
 /// Calls `check` with a copy of the disk for each way to cut, remove or overwrite one file.
 fn each_damage(disk: &SimDisk, mut check: impl FnMut(&str, usize, SimDisk)) {
     for name in disk.list().expect("names") {
-        let whole = disk.content(&name);
-        for size in 0..whole.len() {
+        let original = disk.content(&name);
+        for size in 0..original.len() {
             let cut = disk.after_crash();
-            cut.set_content(&name, Some(whole[..size].to_vec()));
+            cut.set_content(&name, Some(original[..size].to_vec()));
             check(&name, size, cut);
         }
         let gone = disk.after_crash();
         gone.set_content(&name, None);
         check(&name, usize::MAX, gone);
         let other = disk.after_crash();
-        other.set_content(&name, Some(whole.iter().map(|byte| byte ^ 0x5a).collect()));
+        other.set_content(
+            &name,
+            Some(original.iter().map(|byte| byte ^ 0x5a).collect()),
+        );
         check(&name, usize::MAX, other);
     }
 }
@@ -164,14 +167,12 @@
 fn jobs(disks: &[SimDisk], count: usize) -> Records {
     let (mut engine, _) = open_store(disks);
     for step in 0..2 * count {
-        let (job, value) = (
-            step / 2,
-            if step % 2 == 0 {
-                "begun"
-            } else {
-                "done, and its result"
-            },
-        );
+        let job = step / 2;
+        let value = if step % 2 == 0 {
+            "begun"
+        } else {
+            "done, and its result"
+        };
         engine
             .append(&[put(format!("job-{job}").as_bytes(), value.as_bytes())])
             .expect("it is accepted");
@@ -185,7 +186,7 @@
 #[test]
 fn file_cut_at_any_byte_loses_only_records_behind_the_cut() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let whole = jobs(std::slice::from_ref(&disk), 40);
+    let original = jobs(std::slice::from_ref(&disk), 40);
     assert!(
         disk.list().expect("names").len() > 2,
         "more than one segment"
@@ -194,12 +195,12 @@
     each_damage(&disk, |name, size, cut| {
         let (mut engine, recovery) = open_store(&[cut]);
         let found = read_all(&mut engine);
-        let missing = whole
+        let missing = original
             .iter()
             .filter(|(key, value)| found.get(*key) != Some(value))
             .count();
         assert!(
-            found.keys().all(|key| whole.contains_key(key)),
+            found.keys().all(|key| original.contains_key(key)),
             "{name} {size}: something new"
         );
         let last = disk
@@ -220,26 +221,24 @@
 /// copy that is not repaired.
 #[test]
 fn mirror_survives_damage_of_any_single_file() {
-    let (left, right) = (
-        SimDisk::new(Faults::default(), 3),
-        SimDisk::new(Faults::default(), 4),
-    );
-    let whole = jobs(&[left.clone(), right.clone()], 40);
+    let left = SimDisk::new(Faults::default(), 3);
+    let right = SimDisk::new(Faults::default(), 4);
+    let original = jobs(&[left.clone(), right.clone()], 40);
     for side in 0..2 {
-        let (damaged, kept) = if side == 0 {
+        let (damaged, intact) = if side == 0 {
             (&left, &right)
         } else {
             (&right, &left)
         };
         each_damage(damaged, |name, size, cut| {
-            let other = kept.after_crash();
+            let other = intact.after_crash();
             let disks = if side == 0 {
                 [cut.clone(), other.clone()]
             } else {
                 [other.clone(), cut.clone()]
             };
             let (mut engine, recovery) = open_store(&disks);
-            assert_eq!(read_all(&mut engine), whole, "{name} {size}");
+            assert_eq!(read_all(&mut engine), original, "{name} {size}");
             // Zeros that were written ahead need not be equal.
             let counts = |disk: &SimDisk| {
                 let mut bytes = disk.content(name);
@@ -269,7 +268,7 @@
 #[test]
 fn flipped_bit_costs_at_most_one_frame() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let whole = jobs(std::slice::from_ref(&disk), 12);
+    let original = jobs(std::slice::from_ref(&disk), 12);
     for name in disk.list().expect("names") {
         let bytes = disk.content(&name);
         for bit in (0..bytes.len() * 8).step_by(3) {
@@ -279,12 +278,12 @@
             flipped.set_content(&name, Some(bytes));
             let (mut engine, _) = open_store(&[flipped]);
             let found = read_all(&mut engine);
-            let wrong = whole
+            let wrong = original
                 .iter()
                 .filter(|(key, value)| found.get(*key) != Some(value))
                 .count();
             assert!(
-                wrong <= 1 && found.keys().all(|k| whole.contains_key(k)),
+                wrong <= 1 && found.keys().all(|k| original.contains_key(k)),
                 "{name} bit {bit}: {wrong} wrong"
             );
         }
@@ -410,10 +409,8 @@
             let (mut engine, _) = open_store(std::slice::from_ref(&disk));
             let mut model = Records::new();
             for step in 0..120u32 {
-                let (key, value) = (
-                    format!("k{}", step % 9).into_bytes(),
-                    step.to_be_bytes().repeat(9),
-                );
+                let key = format!("k{}", step % 9).into_bytes();
+                let value = step.to_be_bytes().repeat(9);
                 engine.append(&[put(&key, &value)]).expect("accepted");
                 // A failed commit has no effect.
                 if engine.commit().is_ok() {
@@ -443,9 +440,11 @@
         1,
     );
     let (mut engine, _) = open_store(std::slice::from_ref(&disk));
-    let (mut model, mut rejected) = (Records::new(), 0);
+    let mut model = Records::new();
+    let mut rejected = 0;
     for n in 0..40u8 {
-        let (key, value) = (vec![n], vec![n; 150]);
+        let key = vec![n];
+        let value = vec![n; 150];
         engine.append(&[put(&key, &value)]).expect("accepted");
         match engine.commit() {
             Ok(_) => _ = model.insert(key, value),
@@ -485,7 +484,8 @@
             .0
     };
     let mut engine = open();
-    let (mut random, mut max_ratio) = (Random(4), 0f64);
+    let mut random = Random(4);
+    let mut max_ratio = 0f64;
     for step in 0..20_000 {
         let key = format!("key-{}", random.below(500));
         engine
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -133,7 +133,8 @@
     let disk = disk(Faults::default());
     disk.gate.set_closed(true);
     let (mut store, events) = start(&disk, 20_000);
-    let (mut accepted, mut last) = (0, 0);
+    let mut accepted = 0;
+    let mut last = 0;
     // More than the queue holds: if an append waited, this would not end.
     for n in 1..=400 {
         let ticket = store.append(batch(n));
@@ -176,7 +177,8 @@
     });
     let (mut store, events) = start(&disk, 1 << 20);
     store.append(batch(1)).expect("it is accepted");
-    let (mut rejected, mut writes_failed) = (false, false);
+    let mut rejected = false;
+    let mut writes_failed = false;
     while !(rejected && writes_failed) {
         match events.recv_timeout(LIMIT).expect("an event") {
             Event::Rejected {
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -213,7 +213,7 @@
     }
 
     /// Withdraws an attempt whose last byte has not been written: nothing ran, and its worker is not to blame. Only the
-    /// connection knows that; an attempt that has been written whole goes on.
+    /// connection knows that; an attempt that has been written completely goes on.
     pub fn withdraw_attempt(&mut self, reactor: &mut Reactor, attempt: AttemptId) {
         let Some(key) = self.by_attempt.get(&attempt).copied() else {
             return;
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -97,7 +97,7 @@
     request_end: Option<u64>,
     /// [`Input::AttemptWritten`] has been queued.
     written_reported: bool,
-    /// The request had been written whole before the last read, so that a response may be its own.
+    /// The request had been written completely before the last read, so that a response may be its own.
     written_before_read: bool,
     /// The number of requests that the connection has carried.
     request_count: u64,
@@ -196,7 +196,7 @@
         self.callbacks(reactor).ended(connection);
     }
 
-    /// Closes the connection of a request that has not been written whole, and reports an end that does not blame the
+    /// Closes the connection of a request that has not been written completely, and reports an end that does not blame the
     /// worker. Returns whether it did; a request that has been written goes on.
     pub fn withdraw<S: Stream>(
         &mut self,
@@ -247,7 +247,7 @@
         connection.handle_ready(true, false, self);
     }
 
-    /// Reports, once, that an attempt has been written whole.
+    /// Reports, once, that an attempt has been written completely.
     fn report_written<S: Stream>(&mut self, connection: &Connection<S>) {
         if self.exchange.written_reported || !self.exchange.is_request_written(connection) {
             return;
@@ -301,7 +301,7 @@
         let not_run = response.headers.get("x-not-run") == Some("1");
         match response.status {
             202 if written => AttemptEnd::Accepted,
-            // The connection is closed, so that the worker never has the whole request.
+            // The connection is closed, so that the worker never has the complete request.
             202 => AttemptEnd::NeverSent,
             503 | 504 if not_run && (!written || self.is_own_response()) => AttemptEnd::NotRun,
             503 | 504 if not_run => AttemptEnd::TurnedAway,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -77,7 +77,8 @@
 
     /// Serves ready connections until `found` returns something.
     fn until<T>(&mut self, mut found: impl FnMut(&mut Self) -> Option<T>) -> T {
-        let (start, mut events) = (Instant::now(), Vec::new());
+        let start = Instant::now();
+        let mut events = Vec::new();
         loop {
             if let Some(found) = found(self) {
                 return found;
@@ -364,19 +365,19 @@
 }
 
 /// Guards against a retry of a request that a worker may have run, and against none of one that it can't have run: a pooled
-/// connection breaks under a request that is written whole or in part, whether the worker resets or closes it.
+/// connection breaks under a request that is written completely or in part, whether the worker resets or closes it.
 #[test]
 fn partly_written_request_is_reported_as_never_sent() {
-    for (resets, whole) in [(true, true), (false, true), (true, false), (false, false)] {
+    for (resets, fully_written) in [(true, true), (false, true), (true, false), (false, false)] {
         let mut harness = AttemptsHarness::new();
-        // The worker receives little at a time, and the body is larger than all buffers in between, so that it is not written whole.
+        // The worker receives little at a time, and the body is larger than all buffers in between, so that it is not written completely.
         socket2::SockRef::from(&harness.worker)
             .set_recv_buffer_size(1 << 10)
             .expect("a setting");
         let peer = harness.accepted_attempts(&[1]).remove(0);
         harness.reactor.now = 1000.1;
         let at = harness.worker.local_addr().expect("an address");
-        let body = vec![b'x'; if whole { 10 } else { 16 << 20 }];
+        let body = vec![b'x'; if fully_written { 10 } else { 16 << 20 }];
         let payload = Payload {
             id: "two".into(),
             method: "POST".into(),
@@ -393,14 +394,14 @@
             .queue
             .iter()
             .any(|input| matches!(input, Input::AttemptWritten { attempt: 2 }));
-        assert_eq!(written, whole);
+        assert_eq!(written, fully_written);
         if resets {
             socket2::SockRef::from(&peer.stream)
                 .set_linger(Some(std::time::Duration::ZERO))
                 .expect("a setting");
         }
         drop(peer);
-        let expected = if whole {
+        let expected = if fully_written {
             AttemptEnd::Reset
         } else {
             AttemptEnd::NeverSent
@@ -408,7 +409,7 @@
         assert_eq!(
             harness.end(),
             (2, expected),
-            "reset: {resets}, whole: {whole}"
+            "reset: {resets}, fully written: {fully_written}"
         );
         assert_eq!(harness.attempts.connection_count(), 0);
     }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -43,7 +43,8 @@
         let mut backoff = Backoff::new(0.1, 2.0, seed);
         (0..40).map(|_| backoff.next_wait()).collect::<Vec<f64>>()
     };
-    let (one, other) = (waits(1), waits(2));
+    let one = waits(1);
+    let other = waits(2);
     assert_eq!(one[0], 0.1);
     for (step, wait) in one.iter().enumerate().skip(1) {
         let full = (0.1 * 2f64.powi(step as i32)).min(2.0);
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -21,7 +21,9 @@
 const ACCEPTED: &[u8] = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
 fn payload(body: usize) -> Rc<Payload> {
-    let (id, method, target) = ("one".to_owned(), "POST".to_owned(), "/render".to_owned());
+    let id = "one".to_owned();
+    let method = "POST".to_owned();
+    let target = "/render".to_owned();
     Rc::new(Payload {
         id,
         method,
@@ -95,7 +97,7 @@
     }
 }
 
-/// Guards against a request that its worker has read whole and that is reported as never sent: its last byte is written and the reset
+/// Guards against a request that its worker has read completely and that is reported as never sent: its last byte is written and the reset
 /// read in one turn.
 #[test]
 fn reset_in_the_turn_of_the_last_byte_counts_as_written() {
@@ -112,7 +114,7 @@
     let mut worker = Some(Peer::accept(&listener));
     let after_write = move || {
         let _ = &watched;
-        // The worker has read the whole request, perhaps run it, and its process dies.
+        // The worker has read the complete request, perhaps run it, and its process dies.
         let Some(mut peer) = worker.take() else {
             return;
         };
@@ -121,7 +123,8 @@
             .set_linger(Some(Duration::ZERO))
             .expect("a setting");
         drop(peer);
-        let (mut events, mut event_count) = (Vec::new(), 0);
+        let mut events = Vec::new();
+        let mut event_count = 0;
         while event_count == 0 {
             event_count = poller
                 .wait(&mut events, Some(node_harness::LIMIT))
@@ -294,11 +297,11 @@
     ends: Vec<AttemptEnd>,
     /// The request was reported as written before any end.
     written_reported: bool,
-    /// The whole request was written.
-    whole: bool,
+    /// The complete request was written.
+    fully_written: bool,
     /// The connection had carried another request.
     reused: bool,
-    /// A response was sent before the request had been written whole.
+    /// A response was sent before the request had been written completely.
     answered_before_written: bool,
 }
 
@@ -377,14 +380,17 @@
         &mut connection,
         &mut reactor,
     );
-    let (mut ends, mut written_reported, mut answered_before_written, mut size) =
-        (Vec::new(), false, false, 0);
+    let mut ends = Vec::new();
+    let mut written_reported = false;
+    let mut answered_before_written = false;
+    let mut size = 0;
     for _ in 0..40 {
         let answered = act_as_worker(&wire, &mut rng);
         let before = exchange.is_request_written(&connection);
         answered_before_written |= answered && !before && ends.is_empty();
         reactor.now += 0.05 * rng.uniform();
-        let (readable, writable) = (rng.uniform() < 0.7, rng.uniform() < 0.7);
+        let readable = rng.uniform() < 0.7;
+        let writable = rng.uniform() < 0.7;
         match (rng.uniform() * 24.0) as u32 {
             0 => exchange.handle_timeout(&mut connection, &mut reactor),
             1 if exchange.kind() == ExchangeKind::Attempt(ATTEMPT) => {
@@ -400,18 +406,18 @@
             break;
         }
     }
-    let whole = size > 0 && exchange.is_request_written(&connection);
+    let fully_written = size > 0 && exchange.is_request_written(&connection);
     ScenarioResult {
         ends,
         written_reported,
-        whole,
+        fully_written,
         reused,
         answered_before_written,
     }
 }
 
 /// Guards the table of all ends, over all orders of events: one end for each request; an end that proves that nothing ran only if the
-/// worker doesn't have the whole request or the response is certainly its own; the report that it was written comes before the end.
+/// worker doesn't have the complete request or the response is certainly its own; the report that it was written comes before the end.
 #[test]
 fn end_proves_not_run_only_if_the_written_bytes_do() {
     let mut seen = std::collections::BTreeMap::<String, u32>::new();
@@ -419,30 +425,34 @@
         let ScenarioResult {
             ends,
             written_reported,
-            whole,
+            fully_written,
             reused,
             answered_before_written,
         } = run_scenario(seed);
         assert!(ends.len() <= 1, "seed {seed}: {ends:?}");
         let Some(end) = ends.first() else { continue };
-        *seen.entry(format!("{end:?}, whole {whole}")).or_default() += 1;
+        *seen
+            .entry(format!("{end:?}, complete: {fully_written}"))
+            .or_default() += 1;
         match end {
-            AttemptEnd::NeverSent | AttemptEnd::NoRoom => assert!(!whole, "seed {seed}: {end:?}"),
-            AttemptEnd::NotRun if whole => {
+            AttemptEnd::NeverSent | AttemptEnd::NoRoom => {
+                assert!(!fully_written, "seed {seed}: {end:?}")
+            }
+            AttemptEnd::NotRun if fully_written => {
                 assert!(!reused && !answered_before_written, "seed {seed}")
             }
             AttemptEnd::Reset | AttemptEnd::Accepted | AttemptEnd::TurnedAway => {
-                assert!(whole && written_reported, "seed {seed}: {end:?}");
+                assert!(fully_written && written_reported, "seed {seed}: {end:?}");
             }
             AttemptEnd::NotRun | AttemptEnd::Error => {}
         }
-        assert_eq!(written_reported, whole, "seed {seed}: {end:?}");
+        assert_eq!(written_reported, fully_written, "seed {seed}: {end:?}");
     }
     for end in [
-        "Reset, whole true",
-        "NeverSent, whole false",
-        "NoRoom, whole false",
-        "NotRun, whole true",
+        "Reset, complete: true",
+        "NeverSent, complete: false",
+        "NoRoom, complete: false",
+        "NotRun, complete: true",
     ] {
         assert!(
             seen.get(end).is_some_and(|count| *count > 50),
@@ -450,7 +460,8 @@
         );
     }
     assert!(
-        seen.contains_key("TurnedAway, whole true") && seen.contains_key("Accepted, whole true"),
+        seen.contains_key("TurnedAway, complete: true")
+            && seen.contains_key("Accepted, complete: true"),
         "{seen:?}"
     );
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -427,7 +427,8 @@
 #[test]
 fn immediate_answers_do_not_cause_a_call_loop() {
     let mut schedule = Schedule::new(1, 7);
-    let (mut now, mut calls) = (100.0, 0);
+    let mut now = 100.0;
+    let mut calls = 0;
     schedule.restart(now);
     while now < 101.0 {
         if let Some(call) = schedule.take_due_call(now, true) {
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -29,7 +29,8 @@
 impl Call {
     /// Reads the next call on the same connection.
     fn next(&mut self) {
-        let (mut text, mut byte) = (String::new(), [0]);
+        let mut text = String::new();
+        let mut byte = [0];
         while !text.ends_with("\r\n\r\n") {
             assert_eq!(
                 self.peer.read(&mut byte).expect("a call"),
@@ -52,7 +53,7 @@
         .expect("it is written");
     }
 
-    /// How long it waits, in milliseconds; `None` for the whole list.
+    /// How long it waits, in milliseconds; `None` for the full list.
     fn wait(&self) -> Option<u64> {
         self.target.split("timeout_ms=").nth(1)?.parse().ok()
     }
@@ -90,7 +91,8 @@
 
     /// Serves ready connections until `done`.
     fn until(&mut self, mut done: impl FnMut(&mut Self) -> bool) {
-        let (start, mut events) = (Instant::now(), Vec::new());
+        let start = Instant::now();
+        let mut events = Vec::new();
         while !done(self) {
             assert!(start.elapsed() < LIMIT, "nothing happened in time");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
@@ -168,7 +170,8 @@
     // Nothing listens there from now on.
     harness.listener = TcpListener::bind("127.0.0.1:0").expect("another port");
     drop(first);
-    let (mut waits, mut last) = (Vec::new(), 1000.0);
+    let mut waits = Vec::new();
+    let mut last = 1000.0;
     for _ in 0..4 {
         // A refused connection is reported by the poller.
         let before = harness.list.call_count();
@@ -245,7 +248,8 @@
         watch.answer(5, true, MEMBER);
         assert_eq!(harness.next_list_kind(), ListKind::Full);
         watch.next();
-        let (opened, wait) = (harness.reactor.now, watch.wait().expect("it waits"));
+        let opened = harness.reactor.now;
+        let wait = watch.wait().expect("it waits");
         assert!((2600..=3400).contains(&wait), "{wait}");
         let (at, mut second) = harness.call(opened + 10.0).expect("another");
         let waited = at - opened;
@@ -373,10 +377,8 @@
     for (beginning, continuation) in endless {
         let mut harness = WorkerListHarness::new(Some(5), 7);
         let (at, call) = harness.call(1001.0).expect("a watch");
-        let (mut peer, text) = (
-            call.peer,
-            beginning.to_owned() + &continuation.repeat((16 << 20) / continuation.len()),
-        );
+        let mut peer = call.peer;
+        let text = beginning.to_owned() + &continuation.repeat((16 << 20) / continuation.len());
         let writer = std::thread::spawn(move || {
             peer.write_all(text.as_bytes()).is_err() || !matches!(peer.read(&mut [0]), Ok(1..))
         });
