--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -1,28 +1,31 @@
-//! The engine on a simulated disk: cuts at every byte, crashes after every operation, a model of what was
+//! The engine on a simulated disk: cuts at every byte, crashes after every operation, compared with a model of what was
 //! acknowledged.
 
 use postproxy_store::sim::{Faults, SimDisk};
 use postproxy_store::{Change, Disk, Engine, OpenError, Options, Recovery, Rejected};
 use std::collections::{BTreeMap, BTreeSet};
 
-const SMALL: Options = Options {
-    segment: 2048,
-    most: 0,
-    slack: 1.7,
+/// Segments that are full after a few records.
+const SMALL_SEGMENTS: Options = Options {
+    segment_bytes: 2048,
+    max_bytes: 0,
+    max_space_ratio: 1.7,
 };
 
-type Model = BTreeMap<Vec<u8>, Vec<u8>>;
+/// The values of all keys.
+type Records = BTreeMap<Vec<u8>, Vec<u8>>;
 
 fn open(disks: &[SimDisk]) -> Result<(Engine<SimDisk>, Recovery), OpenError> {
-    Engine::open(disks.to_vec(), SMALL, "a test", 77, 1_000)
+    Engine::open(disks.to_vec(), SMALL_SEGMENTS, "a test", 77, 1_000)
 }
 
-fn sound(disks: &[SimDisk]) -> (Engine<SimDisk>, Recovery) {
+fn open_store(disks: &[SimDisk]) -> (Engine<SimDisk>, Recovery) {
     open(disks).expect("a store")
 }
 
-fn content(engine: &mut Engine<SimDisk>) -> Model {
-    let mut model = Model::new();
+/// Returns all records, read by a scan and one by one.
+fn read_all(engine: &mut Engine<SimDisk>) -> Records {
+    let mut model = Records::new();
     engine
         .scan(|key, value| {
             assert!(
@@ -31,7 +34,7 @@
             )
         })
         .expect("read");
-    assert_eq!(model.len(), engine.stat().live);
+    assert_eq!(model.len(), engine.statistics().live_keys);
     for (key, value) in &model {
         assert_eq!(engine.get(key).expect("a read").as_ref(), Some(value));
     }
@@ -42,11 +45,11 @@
     Change::Put {
         key,
         value,
-        until: 0,
+        expires_at_ms: 0,
     }
 }
 
-/// Small random numbers, the same every time.
+/// A small generator of random numbers, the same every time.
 struct Random(u64);
 
 impl Random {
@@ -59,16 +62,16 @@
     }
 }
 
-/// What a run did: per batch, its changes; and the states a recovery may come to.
+/// What a run did: the states that a recovery may return to.
 struct Run {
     /// The state after each batch, the first one empty.
-    states: Vec<Model>,
-    /// So many batches are acknowledged.
+    states: Vec<Records>,
+    /// The number of batches that have been acknowledged.
     acknowledged: usize,
 }
 
-/// A mixed run of puts, overwrites and deletes with cleaning in between, until it is over or the disk fails.
-fn run(engine: &mut Engine<SimDisk>, start: Model, seed: u64, batches: usize) -> Run {
+/// Runs puts, overwrites and deletes with cleaning in between, until all batches are done or the disk fails.
+fn run(engine: &mut Engine<SimDisk>, start: Records, seed: u64, batches: usize) -> Run {
     let mut random = Random(seed);
     let mut run = Run {
         states: vec![start],
@@ -96,7 +99,7 @@
                 None => next.remove(key),
             };
         }
-        engine.append(&batch).expect("it is taken");
+        engine.append(&batch).expect("it is accepted");
         run.states.push(next);
         if random.below(3) == 0 {
             if engine.commit().is_err() {
@@ -104,7 +107,7 @@
             }
             run.acknowledged = run.states.len() - 1;
         }
-        if engine.wants_cleaning() && random.below(2) == 0 && engine.clean().is_err() {
+        if engine.needs_cleaning() && random.below(2) == 0 && engine.clean().is_err() {
             return run;
         }
     }
@@ -114,86 +117,90 @@
     run
 }
 
-/// Guards against a store that forgets, or brings back, anything over an ordinary end and start.
+/// Guards against a store that loses, or brings back, anything over an ordinary stop and start.
 #[test]
-fn what_is_acknowledged_is_there_after_a_start() {
+fn acknowledged_records_survive_a_restart() {
     let disks = [SimDisk::new(Faults::default(), 1)];
-    let (mut engine, first) = sound(&disks);
+    let (mut engine, first) = open_store(&disks);
     assert_eq!(first, Recovery::default());
-    let done = run(&mut engine, Model::new(), 5, 400);
-    let stat = engine.stat();
+    let done = run(&mut engine, Records::new(), 5, 400);
+    let stat = engine.statistics();
     assert!(
-        stat.copied > 0 && stat.segments > 1,
+        stat.copied_bytes > 0 && stat.segments > 1,
         "it was cleaned: {stat:?}"
     );
     drop(engine);
-    let (mut engine, recovery) = sound(&disks);
-    assert_eq!(content(&mut engine), done.states[done.acknowledged]);
+    let (mut engine, recovery) = open_store(&disks);
+    assert_eq!(read_all(&mut engine), done.states[done.acknowledged]);
     assert_eq!(
-        (recovery.torn, recovery.lost.len(), recovery.repaired.len()),
+        (
+            recovery.torn_bytes,
+            recovery.lost.len(),
+            recovery.repaired.len()
+        ),
         (0, 0, 0)
     );
 }
 
-/// Cuts, empties, removes or overwrites one file and opens the store.
+/// Calls `check` with a copy of the disk for each way to cut, remove or overwrite one file.
 fn each_damage(disk: &SimDisk, mut check: impl FnMut(&str, usize, SimDisk)) {
     for name in disk.list().expect("names") {
-        let whole = disk.content(&name);
-        for size in 0..whole.len() {
+        let original = disk.content(&name);
+        for size in 0..original.len() {
             let cut = disk.after_crash();
-            cut.set_content(&name, Some(whole[..size].to_vec()));
+            cut.set_content(&name, Some(original[..size].to_vec()));
             check(&name, size, cut);
         }
         let gone = disk.after_crash();
         gone.set_content(&name, None);
         check(&name, usize::MAX, gone);
         let other = disk.after_crash();
-        other.set_content(&name, Some(whole.iter().map(|byte| byte ^ 0x5a).collect()));
+        other.set_content(
+            &name,
+            Some(original.iter().map(|byte| byte ^ 0x5a).collect()),
+        );
         check(&name, usize::MAX, other);
     }
 }
 
-/// A store of jobs that were begun and completed: `begun` first, `done` in its place later.
-fn jobs(disks: &[SimDisk], count: usize) -> Model {
-    let (mut engine, _) = sound(disks);
+/// Fills a store with jobs that are started and completed: one value first, another in its place later.
+fn jobs(disks: &[SimDisk], count: usize) -> Records {
+    let (mut engine, _) = open_store(disks);
     for step in 0..2 * count {
-        let (job, value) = (
-            step / 2,
-            if step % 2 == 0 {
-                "begun"
-            } else {
-                "done, and its result"
-            },
-        );
+        let job = step / 2;
+        let value = if step % 2 == 0 {
+            "begun"
+        } else {
+            "done, and its result"
+        };
         engine
             .append(&[put(format!("job-{job}").as_bytes(), value.as_bytes())])
-            .expect("it is taken");
+            .expect("it is accepted");
         engine.commit().expect("it is durable");
     }
-    content(&mut engine)
+    read_all(&mut engine)
 }
 
-/// Guards against a start that fails, or that invents something, after any file was cut at any byte (also inside
-/// a length field), emptied, removed or overwritten; against losing more than the records behind the cut, or
-/// saying nothing of it.
+/// Guards against a start that fails, or invents records, after any file was cut at any byte (also inside a length field), emptied,
+/// removed or overwritten; and against a loss of more than the records behind the cut, or one that is not reported.
 #[test]
-fn a_file_cut_at_any_byte_loses_only_what_was_behind_the_cut() {
+fn file_cut_at_any_byte_loses_only_records_behind_the_cut() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let whole = jobs(std::slice::from_ref(&disk), 40);
+    let original = jobs(std::slice::from_ref(&disk), 40);
     assert!(
         disk.list().expect("names").len() > 2,
         "more than one segment"
     );
     let mut cuts = 0;
     each_damage(&disk, |name, size, cut| {
-        let (mut engine, recovery) = sound(&[cut]);
-        let found = content(&mut engine);
-        let missing = whole
+        let (mut engine, recovery) = open_store(&[cut]);
+        let found = read_all(&mut engine);
+        let missing = original
             .iter()
             .filter(|(key, value)| found.get(*key) != Some(value))
             .count();
         assert!(
-            found.keys().all(|key| whole.contains_key(key)),
+            found.keys().all(|key| original.contains_key(key)),
             "{name} {size}: something new"
         );
         let last = disk
@@ -203,38 +210,36 @@
             .is_some_and(|last| last == name);
         assert!(
             missing == 0 || last || !recovery.lost.is_empty(),
-            "{name} {size}: {missing} lost without a word"
+            "{name} {size}: {missing} lost without a report"
         );
         cuts += 1;
     });
     assert!(cuts > 4000, "{cuts} cuts");
 }
 
-/// Guards against losing anything at all where every file has a copy, whichever single file is cut, emptied,
-/// removed or overwritten; and against a copy that is not made whole again.
+/// Guards against any loss where every file has a copy, whichever single file is cut, emptied, removed or overwritten; and against a
+/// copy that is not repaired.
 #[test]
-fn with_a_mirror_no_single_file_matters() {
-    let (left, right) = (
-        SimDisk::new(Faults::default(), 3),
-        SimDisk::new(Faults::default(), 4),
-    );
-    let whole = jobs(&[left.clone(), right.clone()], 40);
+fn mirror_survives_damage_of_any_single_file() {
+    let left = SimDisk::new(Faults::default(), 3);
+    let right = SimDisk::new(Faults::default(), 4);
+    let original = jobs(&[left.clone(), right.clone()], 40);
     for side in 0..2 {
-        let (damaged, kept) = if side == 0 {
+        let (damaged, intact) = if side == 0 {
             (&left, &right)
         } else {
             (&right, &left)
         };
         each_damage(damaged, |name, size, cut| {
-            let other = kept.after_crash();
+            let other = intact.after_crash();
             let disks = if side == 0 {
                 [cut.clone(), other.clone()]
             } else {
                 [other.clone(), cut.clone()]
             };
-            let (mut engine, recovery) = sound(&disks);
-            assert_eq!(content(&mut engine), whole, "{name} {size}");
-            // Zeros that were written ahead need no copy.
+            let (mut engine, recovery) = open_store(&disks);
+            assert_eq!(read_all(&mut engine), original, "{name} {size}");
+            // Zeros that were written ahead need not be equal.
             let counts = |disk: &SimDisk| {
                 let mut bytes = disk.content(name);
                 bytes.truncate(
@@ -259,12 +264,11 @@
     }
 }
 
-/// Guards against a record lost by a flipped bit in front of it or behind it, and against one that is read
-/// though it was changed.
+/// Guards against a record lost by a flipped bit outside its frame, and against one that is read though it was changed.
 #[test]
-fn a_flipped_bit_costs_one_frame_at_most() {
+fn flipped_bit_costs_at_most_one_frame() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let whole = jobs(std::slice::from_ref(&disk), 12);
+    let original = jobs(std::slice::from_ref(&disk), 12);
     for name in disk.list().expect("names") {
         let bytes = disk.content(&name);
         for bit in (0..bytes.len() * 8).step_by(3) {
@@ -272,30 +276,32 @@
             let mut bytes = bytes.clone();
             bytes[bit / 8] ^= 1 << (bit % 8);
             flipped.set_content(&name, Some(bytes));
-            let (mut engine, _) = sound(&[flipped]);
-            let found = content(&mut engine);
-            let wrong = whole
+            let (mut engine, _) = open_store(&[flipped]);
+            let found = read_all(&mut engine);
+            let wrong = original
                 .iter()
                 .filter(|(key, value)| found.get(*key) != Some(value))
                 .count();
             assert!(
-                wrong <= 1 && found.keys().all(|k| whole.contains_key(k)),
+                wrong <= 1 && found.keys().all(|k| original.contains_key(k)),
                 "{name} bit {bit}: {wrong} wrong"
             );
         }
     }
 }
 
-/// Guards against a torn write whose later part alone reached the disk: the whole records behind the hole were
-/// never acknowledged and do not come back, not even at the start after the next.
+/// Guards against a torn write whose later part alone reached the disk: the sound records behind the hole were never acknowledged and
+/// do not come back, not even at the start after the next.
 #[test]
-fn whole_records_behind_a_torn_write_stay_away() {
+fn records_behind_a_torn_write_do_not_come_back() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let (mut engine, _) = sound(std::slice::from_ref(&disk));
-    engine.append(&[put(b"kept", b"1")]).expect("taken");
+    let (mut engine, _) = open_store(std::slice::from_ref(&disk));
+    engine.append(&[put(b"kept", b"1")]).expect("accepted");
     engine.commit().expect("durable");
     for n in 0..3u8 {
-        engine.append(&[put(&[b'u', n], &[n; 600])]).expect("taken");
+        engine
+            .append(&[put(&[b'u', n], &[n; 600])])
+            .expect("accepted");
     }
     engine.commit().expect("durable");
     drop(engine);
@@ -304,18 +310,18 @@
     bytes[64 + 24 + 20 + 30] ^= 1; // inside the first of the three
     disk.set_content(&name, Some(bytes));
     for _ in 0..3 {
-        let (mut engine, recovery) = sound(std::slice::from_ref(&disk));
+        let (mut engine, recovery) = open_store(std::slice::from_ref(&disk));
         assert_eq!(
-            content(&mut engine).into_keys().collect::<Vec<_>>(),
+            read_all(&mut engine).into_keys().collect::<Vec<_>>(),
             [b"kept".to_vec()]
         );
         assert_eq!(recovery.lost, []);
-        engine.append(&[put(b"kept", b"1")]).expect("taken");
+        engine.append(&[put(b"kept", b"1")]).expect("accepted");
         engine.commit().expect("durable");
     }
 }
 
-/// A crash after each operation of a run in turn, then a start, a further run from there, and a crash in that.
+/// Crashes after each operation of a run in turn, then during the recovery, and goes on from there with another run.
 fn crash_everywhere(copies: usize, seed: u64) {
     let fresh = |faults: &Faults| -> Vec<SimDisk> {
         (0..copies as u64)
@@ -323,7 +329,7 @@
             .collect()
     };
     let disks = fresh(&Faults::default());
-    run(&mut sound(&disks).0, Model::new(), seed, 120);
+    run(&mut open_store(&disks).0, Records::new(), seed, 120);
     let operations = disks[0].operations();
     assert!(operations > 120, "{operations} operations");
     for at in 0..operations {
@@ -332,42 +338,42 @@
             ..Faults::default()
         });
         let done = match open(&disks) {
-            Ok((mut engine, _)) => run(&mut engine, Model::new(), seed, 120),
+            Ok((mut engine, _)) => run(&mut engine, Records::new(), seed, 120),
             Err(_) => Run {
-                states: vec![Model::new()],
+                states: vec![Records::new()],
                 acknowledged: 0,
             },
         };
         let mut disks: Vec<SimDisk> = disks.iter().map(SimDisk::after_crash).collect();
-        // A death during the recovery itself, five times in a row.
-        for death in 0..5 {
+        // Crashes during the recovery itself, five in a row.
+        for operation in 0..5 {
             disks
                 .iter()
-                .for_each(|d| d.set(|f| f.crash_at = Some(death)));
+                .for_each(|d| d.set_faults(|f| f.crash_at = Some(operation)));
             let _ = open(&disks);
             disks = disks.iter().map(SimDisk::after_crash).collect();
         }
-        let (mut engine, recovery) = sound(&disks);
-        let found = content(&mut engine);
-        let may_be = &done.states[done.acknowledged..];
+        let (mut engine, recovery) = open_store(&disks);
+        let found = read_all(&mut engine);
+        let allowed_states = &done.states[done.acknowledged..];
         assert!(
-            may_be.contains(&found),
-            "after {at} operations: neither acknowledged nor asked for"
+            allowed_states.contains(&found),
+            "after {at} operations: neither acknowledged nor appended"
         );
         assert_eq!(recovery.lost, [], "after {at} operations");
-        // And on from there.
+        // The store goes on from there.
         let further = run(&mut engine, found, seed + at, 20);
         assert_eq!(further.acknowledged, 20, "after {at} operations it goes on");
         drop(engine);
-        let (mut engine, _) = sound(&disks);
-        assert_eq!(content(&mut engine), further.states[20]);
+        let (mut engine, _) = open_store(&disks);
+        assert_eq!(read_all(&mut engine), further.states[20]);
     }
 }
 
-/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of cleaning)
-/// that loses what was acknowledged, brings back what was deleted, or counts half a batch.
+/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of cleaning) that loses what was
+/// acknowledged, brings back what was deleted, or counts half a batch.
 #[test]
-fn a_crash_after_any_operation_keeps_what_was_acknowledged() {
+fn acknowledged_records_survive_a_crash_at_any_operation() {
     for seed in [11, 12] {
         crash_everywhere(1, seed);
     }
@@ -375,14 +381,14 @@
 
 /// The same with a mirror, whose two folders crash at different places.
 #[test]
-fn a_crash_after_any_operation_with_a_mirror() {
+fn acknowledged_records_survive_a_crash_at_any_operation_with_a_mirror() {
     crash_everywhere(2, 13);
 }
 
-/// Guards against a failed sync that is taken for a good one later, of a file or of the folder: all that is
-/// acknowledged afterwards, and all that was before, is there after a crash.
+/// Guards against a failed sync of a file or of the folder that counts as successful later: all that is acknowledged after it, and all
+/// that was before it, is there after a crash.
 #[test]
-fn a_failed_sync_is_never_trusted() {
+fn failed_sync_is_never_trusted() {
     for failing in 0..40u64 {
         let faults = [
             Faults {
@@ -400,34 +406,32 @@
         ];
         for faults in faults {
             let disk = SimDisk::new(faults, failing);
-            let (mut engine, _) = sound(std::slice::from_ref(&disk));
-            let mut model = Model::new();
+            let (mut engine, _) = open_store(std::slice::from_ref(&disk));
+            let mut model = Records::new();
             for step in 0..120u32 {
-                let (key, value) = (
-                    format!("k{}", step % 9).into_bytes(),
-                    step.to_be_bytes().repeat(9),
-                );
-                engine.append(&[put(&key, &value)]).expect("taken");
-                // What is refused is as if it had not been asked for.
+                let key = format!("k{}", step % 9).into_bytes();
+                let value = step.to_be_bytes().repeat(9);
+                engine.append(&[put(&key, &value)]).expect("accepted");
+                // A failed commit has no effect.
                 if engine.commit().is_ok() {
                     model.insert(key, value);
                 }
-                if engine.wants_cleaning() {
+                if engine.needs_cleaning() {
                     let _ = engine.clean();
                 }
             }
-            assert_eq!(content(&mut engine), model);
+            assert_eq!(read_all(&mut engine), model);
             drop(engine);
-            let (mut engine, recovery) = sound(&[disk.after_crash()]);
-            assert_eq!(content(&mut engine), model, "sync {failing}");
+            let (mut engine, recovery) = open_store(&[disk.after_crash()]);
+            assert_eq!(read_all(&mut engine), model, "sync {failing}");
             assert_eq!(recovery.lost, []);
         }
     }
 }
 
-/// Guards against a full disk that costs more than the records which did not fit: half of one was written.
+/// Guards against a full disk that costs more than the records which did not fit, of which a part was written.
 #[test]
-fn a_full_disk_refuses_and_comes_back() {
+fn full_disk_rejects_commits_until_it_has_room() {
     let disk = SimDisk::new(
         Faults {
             capacity: Some(3000),
@@ -435,42 +439,44 @@
         },
         1,
     );
-    let (mut engine, _) = sound(std::slice::from_ref(&disk));
-    let (mut model, mut refused) = (Model::new(), 0);
+    let (mut engine, _) = open_store(std::slice::from_ref(&disk));
+    let mut model = Records::new();
+    let mut rejected = 0;
     for n in 0..40u8 {
-        let (key, value) = (vec![n], vec![n; 150]);
-        engine.append(&[put(&key, &value)]).expect("taken");
+        let key = vec![n];
+        let value = vec![n; 150];
+        engine.append(&[put(&key, &value)]).expect("accepted");
         match engine.commit() {
             Ok(_) => _ = model.insert(key, value),
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
         }
     }
     assert!(
-        model.len() > 10 && refused > 10,
-        "{} taken, {refused} refused",
+        model.len() > 10 && rejected > 10,
+        "{} accepted, {rejected} rejected",
         model.len()
     );
-    assert_eq!(content(&mut engine), model);
+    assert_eq!(read_all(&mut engine), model);
     assert!(engine.probe().is_err(), "it is full still");
-    disk.set(|faults| faults.capacity = None);
+    disk.set_faults(|faults| faults.capacity = None);
     engine.probe().expect("it takes writes again");
-    engine.append(&[put(b"more", b"m")]).expect("taken");
+    engine.append(&[put(b"more", b"m")]).expect("accepted");
     engine.commit().expect("durable");
     model.insert(b"more".to_vec(), b"m".to_vec());
     drop(engine);
-    let (mut engine, recovery) = sound(&[disk.after_crash()]);
-    assert_eq!(content(&mut engine), model);
+    let (mut engine, recovery) = open_store(&[disk.after_crash()]);
+    assert_eq!(read_all(&mut engine), model);
     assert_eq!(recovery.lost, []);
 }
 
-/// Guards against files that grow without end under steady overwriting, and against a limit that is passed.
+/// Guards against files that grow without end under steady overwriting, and against a limit that is exceeded.
 #[test]
-fn overwriting_takes_a_bounded_space() {
+fn overwriting_uses_bounded_space() {
     let disk = SimDisk::new(Faults::default(), 1);
     let options = Options {
-        segment: 4096,
-        most: 400_000,
-        slack: 1.7,
+        segment_bytes: 4096,
+        max_bytes: 400_000,
+        max_space_ratio: 1.7,
     };
     let open = || {
         Engine::open(vec![disk.clone()], options, "a test", 7, 1_000)
@@ -478,7 +484,8 @@
             .0
     };
     let mut engine = open();
-    let (mut random, mut most) = (Random(4), 0f64);
+    let mut random = Random(4);
+    let mut max_ratio = 0f64;
     for step in 0..20_000 {
         let key = format!("key-{}", random.below(500));
         engine
@@ -486,24 +493,25 @@
             .expect("there is room");
         if step % 8 == 0 {
             engine.commit().expect("durable");
-            while engine.wants_cleaning() {
+            while engine.needs_cleaning() {
                 engine.clean().expect("cleaned");
                 engine.commit().expect("durable");
             }
         }
-        let stat = engine.stat();
+        let stat = engine.statistics();
         if step > 5000 {
-            most = most.max(stat.bytes as f64 / stat.live_bytes as f64);
+            max_ratio = max_ratio.max(stat.file_bytes as f64 / stat.live_bytes as f64);
         }
     }
-    assert!(most <= 2.0, "{most} times what is live");
-    let stat = engine.stat();
-    assert_eq!(stat.live, 500);
+    assert!(max_ratio <= 2.0, "{max_ratio} times what is live");
+    let stat = engine.statistics();
+    assert_eq!(stat.live_keys, 500);
     engine.compact().expect("compacted");
     assert!(
-        engine.stat().bytes <= stat.live_bytes + 500 + 150 * engine.stat().segments as u64,
+        engine.statistics().file_bytes
+            <= stat.live_bytes + 500 + 150 * engine.statistics().segments as u64,
         "{:?}",
-        engine.stat()
+        engine.statistics()
     );
     for n in 0.. {
         match engine.append(&[put(format!("more-{n}").as_bytes(), &[7; 2000])]) {
@@ -514,24 +522,24 @@
             }
         }
     }
-    assert!(engine.stat().bytes <= options.most);
+    assert!(engine.statistics().file_bytes <= options.max_bytes);
     engine
         .append(&[Change::Delete { key: b"more-0" }])
         .expect("deletes make room");
-    assert!(open_refuses(&disk), "it is locked");
+    assert!(open_fails_with_io_error(&disk), "it is locked");
 }
 
-fn open_refuses(disk: &SimDisk) -> bool {
+fn open_fails_with_io_error(disk: &SimDisk) -> bool {
     matches!(open(std::slice::from_ref(disk)), Err(OpenError::Io(..)))
 }
 
-/// Guards against an expired record that stays for ever, comes back, or leaves early because the clock was set
-/// back between two starts.
+/// Guards against an expired record that stays for ever, comes back, or is removed early because the clock was set back between two
+/// starts.
 #[test]
-fn expired_records_leave() {
+fn expired_records_are_removed() {
     let disk = SimDisk::new(Faults::default(), 1);
     let at = |now| {
-        Engine::open(vec![disk.clone()], SMALL, "a test", 7, now)
+        Engine::open(vec![disk.clone()], SMALL_SEGMENTS, "a test", 7, now)
             .expect("a store")
             .0
     };
@@ -540,17 +548,17 @@
         .append(&[Change::Put {
             key: b"old",
             value: b"first",
-            until: 0,
+            expires_at_ms: 0,
         }])
-        .expect("taken");
+        .expect("accepted");
     engine
         .append(&[Change::Put {
             key: b"old",
             value: b"second",
-            until: 5_000,
+            expires_at_ms: 5_000,
         }])
-        .expect("taken");
-    engine.append(&[put(b"kept", b"k")]).expect("taken");
+        .expect("accepted");
+    engine.append(&[put(b"kept", b"k")]).expect("accepted");
     engine.commit().expect("durable");
     drop(engine);
     let mut engine = at(200); // set back
@@ -558,20 +566,20 @@
         engine.get(b"old").expect("a read").as_deref(),
         Some(&b"second"[..])
     );
-    engine.tell(5_000);
+    engine.set_time(5_000);
     engine.compact().expect("compacted");
     assert!(!engine.has(b"old") && engine.has(b"kept"));
     drop(engine);
     let mut engine = at(200);
     assert_eq!(
-        content(&mut engine).into_keys().collect::<Vec<_>>(),
+        read_all(&mut engine).into_keys().collect::<Vec<_>>(),
         [b"kept".to_vec()]
     );
 }
 
 /// Guards against overwriting files of a newer format, or of another store.
 #[test]
-fn files_that_are_not_understood_are_left_alone() {
+fn files_of_other_formats_and_stores_are_left_alone() {
     let disk = SimDisk::new(Faults::default(), 1);
     jobs(std::slice::from_ref(&disk), 3);
     let names: BTreeSet<String> = disk.list().expect("names").into_iter().collect();
@@ -597,10 +605,10 @@
         names
     );
     let other = SimDisk::new(Faults::default(), 2);
-    let mut engine = Engine::open(vec![other.clone()], SMALL, "a test", 78, 0)
+    let mut engine = Engine::open(vec![other.clone()], SMALL_SEGMENTS, "a test", 78, 0)
         .expect("a store")
         .0;
-    engine.append(&[put(b"a", b"b")]).expect("taken");
+    engine.append(&[put(b"a", b"b")]).expect("accepted");
     engine.commit().expect("durable");
     drop(engine);
     let mixed = [other, SimDisk::new(Faults::default(), 3)];
