--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -4,11 +4,11 @@
 use std::fmt;
 
 /// What every link begins with, before the version.
-pub const HELLO: &[u8; 6] = b"ppho\r\n";
+pub const GREETING_MAGIC: &[u8; 6] = b"ppho\r\n";
 /// The version of what follows. Another version is another language: nothing is read of it.
 pub const VERSION: u16 = 1;
 /// The longest body of a frame: a list of many thousand workers.
-pub const MOST_FRAME: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Why a peer's bytes can't be gone by.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// What each side sends first.
 pub fn greeting() -> Vec<u8> {
-    let mut bytes = HELLO.to_vec();
+    let mut bytes = GREETING_MAGIC.to_vec();
     bytes.extend(VERSION.to_be_bytes());
     bytes
 }
@@ -82,25 +82,25 @@
     pub fn next(&mut self) -> Result<Option<Message>, DecodeError> {
         let rest = &self.bytes[self.taken..];
         if !self.greeted {
-            let size = rest.len().min(HELLO.len());
-            if rest[..size] != HELLO[..size] {
+            let size = rest.len().min(GREETING_MAGIC.len());
+            if rest[..size] != GREETING_MAGIC[..size] {
                 return Err(DecodeError::Foreign);
             }
-            let Some(version) = rest.get(HELLO.len()..HELLO.len() + 2) else {
+            let Some(version) = rest.get(GREETING_MAGIC.len()..GREETING_MAGIC.len() + 2) else {
                 return Ok(None);
             };
             let version = u16::from_be_bytes([version[0], version[1]]);
             if version != VERSION {
                 return Err(DecodeError::Version(version));
             }
-            (self.greeted, self.taken) = (true, self.taken + HELLO.len() + 2);
+            (self.greeted, self.taken) = (true, self.taken + GREETING_MAGIC.len() + 2);
             return self.next();
         }
         let Some(size) = rest.get(..4) else {
             return Ok(None);
         };
         let size = u32::from_be_bytes([size[0], size[1], size[2], size[3]]);
-        if size as usize > MOST_FRAME {
+        if size as usize > MAX_FRAME_BYTES {
             return Err(DecodeError::Long(size));
         }
         let Some(body) = rest.get(4..4 + size as usize) else {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -4,7 +4,7 @@
 mod codec;
 mod link;
 
-pub use codec::{DecodeError, HELLO, MOST_FRAME, VERSION, frame, greeting};
+pub use codec::{DecodeError, GREETING_MAGIC, MAX_FRAME_BYTES, VERSION, frame, greeting};
 pub use link::{Link, LinkEvent, Role};
 
 use serde::{Deserialize, Serialize};
@@ -13,30 +13,30 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StateUpdate {
     /// An operator takes a worker out of use, or back into it.
-    Use {
+    WorkerSuspensionChanged {
         /// Its name.
         worker: String,
         /// It is to be used again.
         again: bool,
     },
     /// An operator drains the node, or ends the drain.
-    Drain {
+    DrainChanged {
         /// It is drained.
         on: bool,
         /// Since so many seconds.
         ago: f32,
     },
     /// The list of workers, as it is kept.
-    List(Vec<u8>),
+    WorkerList(Vec<u8>),
     /// A job is held: no other of this id may be taken.
-    Taken {
+    RequestAdmitted {
         /// Its id.
         id: String,
         /// It is new, and counts towards budgets.
         counts: bool,
     },
     /// An attempt was sent.
-    Sent {
+    AttemptSent {
         /// The job's id.
         id: String,
         /// The attempt's number.
@@ -53,19 +53,19 @@
         counts: bool,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The job's id.
         id: String,
         /// The attempt's number.
         attempt: u16,
     },
     /// A job has its answer, and no attempt is out.
-    Over {
+    RequestFinished {
         /// Its id.
         id: String,
     },
     /// Jobs taken, and further attempts made, so many seconds ago: what budgets have counted before.
-    Past {
+    BudgetHistory {
         /// Jobs taken.
         taken: Vec<f32>,
         /// Further attempts.
@@ -86,32 +86,32 @@
     /// News of its work.
     StateUpdate(StateUpdate),
     /// The older side has told all that was so when it was greeted.
-    Told,
+    SnapshotComplete,
     /// The sender holds no more descriptors than this until it says otherwise.
-    Holds(u32),
+    DescriptorsHeld(u32),
     /// A worker's call-back that the sender does not know, as it came.
-    Call {
+    Callback {
         /// Counts the sender's calls.
         number: u64,
         /// The call-back's body.
         body: Vec<u8>,
     },
     /// What became of the call of this number: it may be acknowledged.
-    Called {
+    CallbackResult {
         /// The number.
         number: u64,
         /// The job is, or was, the teller's.
         known: bool,
     },
     /// A user agent's connection, which comes with this message as a descriptor.
-    Client {
+    QuietConnection {
         /// What had been read from it.
         input: Vec<u8>,
         /// It has brought a job or a call-back before.
         useful: bool,
     },
     /// A job that is held, with its user agent's connection, which comes as a descriptor.
-    Job {
+    Request {
         /// The job, encoded by its owner.
         job: Vec<u8>,
         /// What had been read from the connection.
@@ -120,5 +120,5 @@
         closes: bool,
     },
     /// The sender has been told to stop: it takes nothing new, and its connections come over.
-    Leaves,
+    ShuttingDown,
 }
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -27,20 +27,20 @@
     /// News of the other side's work.
     StateUpdate(StateUpdate),
     /// All has been told that was so at the greeting.
-    Told,
+    SnapshotComplete,
     /// The other side holds at most so many descriptors.
-    Holds(u32),
+    DescriptorsHeld(u32),
     /// A call-back that the other side does not know; it waits for `Called` with this number.
-    Call(u64, Vec<u8>),
+    Callback(u64, Vec<u8>),
     /// The word on an own call: who waits for it, and whether the other side knows the job.
-    Called(u64, bool),
+    CallbackResult(u64, bool),
     /// A user agent's connection, whose descriptor came with it: what was read from it, and whether it was of use.
-    Client(Vec<u8>, bool),
+    QuietConnection(Vec<u8>, bool),
     /// A held job, whose user agent's descriptor came with it: the job, what was read from the connection, and
     /// whether that ends behind the answer.
-    Job(Vec<u8>, Vec<u8>, bool),
+    Request(Vec<u8>, Vec<u8>, bool),
     /// The other side takes nothing new any more.
-    Leaves,
+    ShuttingDown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,30 +100,30 @@
     }
 
     /// Whether the other side has greeted.
-    pub fn greeted(&self) -> bool {
+    pub fn is_greeted(&self) -> bool {
         self.state != State::Greeting
     }
 
     /// Whether both sides know all that the other had to tell at first.
-    pub fn joined(&self) -> bool {
+    pub fn is_joined(&self) -> bool {
         self.state == State::Joined
     }
 
     /// Whether the other side has said that it leaves.
-    pub fn leaves(&self) -> bool {
+    pub fn is_peer_shutting_down(&self) -> bool {
         self.leaves
     }
 
     /// A call-back to send over, for which `who` waits here.
-    pub fn call(&mut self, now: f64, who: u64, body: Vec<u8>) -> Message {
+    pub fn forward_callback(&mut self, now: f64, who: u64, body: Vec<u8>) -> Message {
         let number = self.next_call;
         self.next_call += 1;
         self.calls.insert(number, (who, now));
-        Message::Call { number, body }
+        Message::Callback { number, body }
     }
 
     /// Who waits for words that will not come, once the link is over.
-    pub fn waiting(&self) -> Vec<u64> {
+    pub fn pending_callers(&self) -> Vec<u64> {
         self.calls.values().map(|(who, _)| *who).collect()
     }
 
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// If so: the link is to be dropped.
-    pub fn late(&self, now: f64) -> Result<(), DecodeError> {
+    pub fn check_timeouts(&self, now: f64) -> Result<(), DecodeError> {
         let greeting = self.state != State::Joined && now - self.since > GREETING;
         let word = self.calls.values().any(|(_, since)| now - since > WORD);
         if greeting || word {
@@ -143,7 +143,7 @@
     }
 
     /// The older side has told all: from here on both tell what changes.
-    pub fn told(&mut self) {
+    pub fn complete_snapshot(&mut self) {
         if self.state == State::Telling {
             self.state = State::Joined;
         }
@@ -157,12 +157,12 @@
     pub fn receive(&mut self, bytes: &[u8], news: &mut Vec<LinkEvent>) -> Result<(), DecodeError> {
         self.reader.push(bytes);
         while let Some(message) = self.reader.next()? {
-            news.push(self.take(message)?);
+            news.push(self.handle_message(message)?);
         }
         Ok(())
     }
 
-    fn take(&mut self, message: Message) -> Result<LinkEvent, DecodeError> {
+    fn handle_message(&mut self, message: Message) -> Result<LinkEvent, DecodeError> {
         Ok(match (self.state, message) {
             (State::Greeting, Message::Hello { name, listen }) => {
                 if (&name, &listen) != (&self.name, &self.listen) {
@@ -174,31 +174,31 @@
             (State::Greeting, _) | (_, Message::Hello { .. }) => {
                 return Err(DecodeError::OutOfTurn);
             }
-            (State::Telling, Message::Told) if self.role == Role::Newer => {
+            (State::Telling, Message::SnapshotComplete) if self.role == Role::Newer => {
                 self.state = State::Joined;
-                LinkEvent::Told
+                LinkEvent::SnapshotComplete
             }
-            (_, Message::Told) => return Err(DecodeError::OutOfTurn),
+            (_, Message::SnapshotComplete) => return Err(DecodeError::OutOfTurn),
             (_, Message::StateUpdate(tale)) => LinkEvent::StateUpdate(tale),
-            (_, Message::Holds(most)) => LinkEvent::Holds(most),
-            (_, Message::Call { number, body }) => LinkEvent::Call(number, body),
-            (_, Message::Called { number, known }) => {
+            (_, Message::DescriptorsHeld(most)) => LinkEvent::DescriptorsHeld(most),
+            (_, Message::Callback { number, body }) => LinkEvent::Callback(number, body),
+            (_, Message::CallbackResult { number, known }) => {
                 let (who, _) = self.calls.remove(&number).ok_or(DecodeError::OutOfTurn)?;
-                LinkEvent::Called(who, known)
+                LinkEvent::CallbackResult(who, known)
             }
             // Only a side that leaves gives its connections away.
-            (State::Joined, Message::Client { input, useful }) if self.leaves => {
-                LinkEvent::Client(input, useful)
+            (State::Joined, Message::QuietConnection { input, useful }) if self.leaves => {
+                LinkEvent::QuietConnection(input, useful)
             }
-            (State::Joined, Message::Job { job, input, closes }) if self.leaves => {
-                LinkEvent::Job(job, input, closes)
+            (State::Joined, Message::Request { job, input, closes }) if self.leaves => {
+                LinkEvent::Request(job, input, closes)
             }
-            (_, Message::Client { .. } | Message::Job { .. }) => {
+            (_, Message::QuietConnection { .. } | Message::Request { .. }) => {
                 return Err(DecodeError::OutOfTurn);
             }
-            (_, Message::Leaves) => {
+            (_, Message::ShuttingDown) => {
                 self.leaves = true;
-                LinkEvent::Leaves
+                LinkEvent::ShuttingDown
             }
         })
     }
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -1,8 +1,8 @@
 //! Two links against each other, cut anywhere, and one against whatever bytes come. Fixed seeds.
 
 use postproxy_handover::{
-    DecodeError, HELLO, Link, LinkEvent, MOST_FRAME, Message, Role, StateUpdate, VERSION, frame,
-    greeting,
+    DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
+    VERSION, frame, greeting,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -32,26 +32,27 @@
         received(&mut newer, &first(&older)),
         Ok(vec![LinkEvent::Greeted])
     );
-    assert!(!older.joined() && !newer.joined());
-    older.told();
+    assert!(!older.is_joined() && !newer.is_joined());
+    older.complete_snapshot();
     assert_eq!(
-        received(&mut newer, &frame(&Message::Told)),
-        Ok(vec![LinkEvent::Told])
+        received(&mut newer, &frame(&Message::SnapshotComplete)),
+        Ok(vec![LinkEvent::SnapshotComplete])
     );
-    assert!(older.joined() && newer.joined());
+    assert!(older.is_joined() && newer.is_joined());
     (older, newer)
 }
 
 fn tale() -> impl Strategy<Value = StateUpdate> {
     let id = "[a-z0-9]{0,12}";
     prop_oneof![
-        (id, any::<bool>()).prop_map(|(worker, again)| StateUpdate::Use { worker, again }),
-        (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| StateUpdate::Drain { on, ago }),
-        proptest::collection::vec(any::<u8>(), 0..600).prop_map(StateUpdate::List),
-        (id, any::<bool>()).prop_map(|(id, counts)| StateUpdate::Taken { id, counts }),
+        (id, any::<bool>())
+            .prop_map(|(worker, again)| StateUpdate::WorkerSuspensionChanged { worker, again }),
+        (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| StateUpdate::DrainChanged { on, ago }),
+        proptest::collection::vec(any::<u8>(), 0..600).prop_map(StateUpdate::WorkerList),
+        (id, any::<bool>()).prop_map(|(id, counts)| StateUpdate::RequestAdmitted { id, counts }),
         (id, any::<u16>(), id, 0f32..9.0, any::<bool>()).prop_map(
             |(id, attempt, worker, ago, counts)| {
-                StateUpdate::Sent {
+                StateUpdate::AttemptSent {
                     id,
                     attempt,
                     worker,
@@ -62,9 +63,9 @@
                 }
             }
         ),
-        (id, any::<u16>()).prop_map(|(id, attempt)| StateUpdate::Ended { id, attempt }),
-        id.prop_map(|id| StateUpdate::Over { id }),
-        proptest::collection::vec(0f32..9.0, 0..50).prop_map(|taken| StateUpdate::Past {
+        (id, any::<u16>()).prop_map(|(id, attempt)| StateUpdate::AttemptEnded { id, attempt }),
+        id.prop_map(|id| StateUpdate::RequestFinished { id }),
+        proptest::collection::vec(0f32..9.0, 0..50).prop_map(|taken| StateUpdate::BudgetHistory {
             taken,
             further: vec![1.0]
         }),
@@ -126,7 +127,9 @@
             let mut older = link(Role::Older);
             if let Ok(news) = received(&mut older, &bytes) {
                 prop_assert!(news.is_empty(), "{:?}", news);
-                prop_assert!(HELLO.starts_with(&bytes[..bytes.len().min(HELLO.len())]));
+                prop_assert!(
+                    GREETING_MAGIC.starts_with(&bytes[..bytes.len().min(GREETING_MAGIC.len())])
+                );
             }
             // Behind a true greeting, too.
             let (_, mut newer) = joined();
@@ -139,7 +142,7 @@
 /// Guards against going by another version, another node, a message out of turn, or a frame of any length.
 #[test]
 fn what_can_not_be_gone_by_is_named() {
-    let mut other = HELLO.to_vec();
+    let mut other = GREETING_MAGIC.to_vec();
     other.extend((VERSION + 1).to_be_bytes());
     assert_eq!(
         received(&mut link(Role::Older), &other),
@@ -154,21 +157,25 @@
         received(&mut link(Role::Older), &first(&foreign)),
         Err(DecodeError::OtherNode(_))
     ));
-    let long = [greeting(), (MOST_FRAME as u32 + 1).to_be_bytes().to_vec()].concat();
+    let long = [
+        greeting(),
+        (MAX_FRAME_BYTES as u32 + 1).to_be_bytes().to_vec(),
+    ]
+    .concat();
     assert_eq!(
         received(&mut link(Role::Older), &long),
-        Err(DecodeError::Long(MOST_FRAME as u32 + 1))
+        Err(DecodeError::Long(MAX_FRAME_BYTES as u32 + 1))
     );
-    let early = [greeting(), frame(&Message::Leaves)].concat();
+    let early = [greeting(), frame(&Message::ShuttingDown)].concat();
     assert_eq!(
         received(&mut link(Role::Older), &early),
         Err(DecodeError::OutOfTurn)
     );
-    let client = Message::Client {
+    let client = Message::QuietConnection {
         input: Vec::new(),
         useful: true,
     };
-    let job = Message::Job {
+    let job = Message::Request {
         job: vec![1],
         input: Vec::new(),
         closes: false,
@@ -176,8 +183,8 @@
     let (mut older, mut newer) = joined();
     for message in [
         link(Role::Older).hello(),
-        Message::Told,
-        Message::Called {
+        Message::SnapshotComplete,
+        Message::CallbackResult {
             number: 3,
             known: true,
         },
@@ -192,21 +199,21 @@
         );
     }
     assert_eq!(
-        received(&mut older, &frame(&Message::Told)),
+        received(&mut older, &frame(&Message::SnapshotComplete)),
         Err(DecodeError::OutOfTurn),
         "only the newer is told all"
     );
     assert_eq!(
-        received(&mut newer, &frame(&Message::Leaves)),
-        Ok(vec![LinkEvent::Leaves])
+        received(&mut newer, &frame(&Message::ShuttingDown)),
+        Ok(vec![LinkEvent::ShuttingDown])
     );
     assert_eq!(
         received(&mut newer, &frame(&client)),
-        Ok(vec![LinkEvent::Client(Vec::new(), true)])
+        Ok(vec![LinkEvent::QuietConnection(Vec::new(), true)])
     );
     assert_eq!(
         received(&mut newer, &frame(&job)),
-        Ok(vec![LinkEvent::Job(vec![1], Vec::new(), false)])
+        Ok(vec![LinkEvent::Request(vec![1], Vec::new(), false)])
     );
     let mut empty = 0u32.to_be_bytes().to_vec();
     assert_eq!(received(&mut newer, &empty), Err(DecodeError::Malformed));
@@ -221,44 +228,51 @@
 #[test]
 fn each_call_has_its_word_or_its_time() {
     let (mut older, mut newer) = joined();
-    let one = newer.call(100.0, 11, b"a".to_vec());
-    let two = newer.call(100.5, 22, b"b".to_vec());
+    let one = newer.forward_callback(100.0, 11, b"a".to_vec());
+    let two = newer.forward_callback(100.5, 22, b"b".to_vec());
     let news = received(&mut older, &[frame(&one), frame(&two)].concat()).expect("calls");
-    let [LinkEvent::Call(first, a), LinkEvent::Call(second, b)] = &news[..] else {
+    let [
+        LinkEvent::Callback(first, a),
+        LinkEvent::Callback(second, b),
+    ] = &news[..]
+    else {
         panic!("{news:?}")
     };
     assert_eq!(
-        (&a[..], &b[..], newer.waiting()),
+        (&a[..], &b[..], newer.pending_callers()),
         (&b"a"[..], &b"b"[..], vec![11, 22])
     );
-    let word = frame(&Message::Called {
+    let word = frame(&Message::CallbackResult {
         number: *second,
         known: true,
     });
     assert_eq!(
         received(&mut newer, &word),
-        Ok(vec![LinkEvent::Called(22, true)])
+        Ok(vec![LinkEvent::CallbackResult(22, true)])
     );
     assert_eq!(
         received(&mut newer, &word),
         Err(DecodeError::OutOfTurn),
         "one word a call"
     );
-    assert!(newer.late(101.9).is_ok());
+    assert!(newer.check_timeouts(101.9).is_ok());
     assert_eq!(
-        (newer.late(102.1), newer.waiting()),
+        (newer.check_timeouts(102.1), newer.pending_callers()),
         (Err(DecodeError::Stalled), vec![11])
     );
-    let word = frame(&Message::Called {
+    let word = frame(&Message::CallbackResult {
         number: *first,
         known: false,
     });
     let mut newer_two = joined().1;
     assert!(received(&mut newer_two, &word).is_err());
-    assert!(link(Role::Newer).late(100.9).is_ok());
-    assert_eq!(link(Role::Newer).late(101.1), Err(DecodeError::Stalled));
+    assert!(link(Role::Newer).check_timeouts(100.9).is_ok());
+    assert_eq!(
+        link(Role::Newer).check_timeouts(101.1),
+        Err(DecodeError::Stalled)
+    );
     assert!(
-        older.late(500.0).is_ok(),
+        older.check_timeouts(500.0).is_ok(),
         "a link on which nothing is owed lasts"
     );
 }
@@ -293,18 +307,18 @@
         for (what, newer, size) in steps {
             let (at, to) = (usize::from(newer), usize::from(!newer));
             let message = match what {
-                0 => Some(Message::StateUpdate(StateUpdate::Over {
+                0 => Some(Message::StateUpdate(StateUpdate::RequestFinished {
                     id: format!("{who}"),
                 })),
-                1 => Some(Message::Holds(size as u32)),
+                1 => Some(Message::DescriptorsHeld(size as u32)),
                 2 => {
                     who += 1;
-                    let message = links[at].call(now, who, vec![7]);
+                    let message = links[at].forward_callback(now, who, vec![7]);
                     models[at].next += 1;
                     let number = models[at].next;
                     prop_assert_eq!(
                         &message,
-                        &Message::Call {
+                        &Message::Callback {
                             number,
                             body: vec![7]
                         }
@@ -312,17 +326,17 @@
                     models[at].calls.push((number, who));
                     Some(message)
                 }
-                3 => Some(Message::Called {
+                3 => Some(Message::CallbackResult {
                     number: size as u64 % 4 + 1,
                     known: newer,
                 }),
                 4 if at == 0 && models[0].greeted && !models[0].told => {
-                    links[0].told();
+                    links[0].complete_snapshot();
                     models[0].told = true;
-                    Some(Message::Told)
+                    Some(Message::SnapshotComplete)
                 }
-                5 if size > 50 => Some(Message::Leaves),
-                6 if size > 40 => Some(Message::Client {
+                5 if size > 50 => Some(Message::ShuttingDown),
+                6 if size > 40 => Some(Message::QuietConnection {
                     input: vec![1],
                     useful: newer,
                 }),
@@ -348,23 +362,23 @@
                         model.greeted = true;
                         Some(LinkEvent::Greeted)
                     }
-                    Message::Told => {
+                    Message::SnapshotComplete => {
                         model.told = true;
-                        Some(LinkEvent::Told)
+                        Some(LinkEvent::SnapshotComplete)
                     }
                     Message::StateUpdate(tale) => Some(LinkEvent::StateUpdate(tale)),
-                    Message::Holds(most) => Some(LinkEvent::Holds(most)),
-                    Message::Call { number, body } => Some(LinkEvent::Call(number, body)),
-                    Message::Called { number, known } => {
+                    Message::DescriptorsHeld(most) => Some(LinkEvent::DescriptorsHeld(most)),
+                    Message::Callback { number, body } => Some(LinkEvent::Callback(number, body)),
+                    Message::CallbackResult { number, known } => {
                         let waits = model.calls.iter().position(|(n, _)| *n == number);
-                        waits.map(|i| LinkEvent::Called(model.calls.remove(i).1, known))
+                        waits.map(|i| LinkEvent::CallbackResult(model.calls.remove(i).1, known))
                     }
-                    Message::Leaves => {
+                    Message::ShuttingDown => {
                         model.leaves = true;
-                        Some(LinkEvent::Leaves)
+                        Some(LinkEvent::ShuttingDown)
                     }
-                    Message::Client { input, useful } if joined && model.leaves => {
-                        Some(LinkEvent::Client(input, useful))
+                    Message::QuietConnection { input, useful } if joined && model.leaves => {
+                        Some(LinkEvent::QuietConnection(input, useful))
                     }
                     _ => None,
                 };
@@ -379,11 +393,11 @@
                 return Ok(());
             }
             let (link, model) = (&links[at], &models[at]);
-            prop_assert_eq!(link.greeted(), model.greeted);
-            prop_assert_eq!(link.joined(), model.greeted && model.told);
-            prop_assert_eq!(link.leaves(), model.leaves);
+            prop_assert_eq!(link.is_greeted(), model.greeted);
+            prop_assert_eq!(link.is_joined(), model.greeted && model.told);
+            prop_assert_eq!(link.is_peer_shutting_down(), model.leaves);
             prop_assert_eq!(
-                link.waiting(),
+                link.pending_callers(),
                 model.calls.iter().map(|(_, who)| *who).collect::<Vec<_>>()
             );
         }
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -3,8 +3,8 @@
 //! rename. The literals were written by the version before the renames.
 
 use postproxy_handover::{
-    DecodeError, HELLO, Link, LinkEvent, MOST_FRAME, Message, Role, StateUpdate, VERSION, frame,
-    greeting,
+    DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
+    VERSION, frame, greeting,
 };
 
 /// Returns the bytes as lower-case hexadecimal digits.
@@ -35,9 +35,9 @@
 
 #[test]
 fn greeting_and_limits_are_unchanged() {
-    assert_eq!(HELLO, b"ppho\r\n");
+    assert_eq!(GREETING_MAGIC, b"ppho\r\n");
     assert_eq!(VERSION, 1);
-    assert_eq!(MOST_FRAME, 8_388_608);
+    assert_eq!(MAX_FRAME_BYTES, 8_388_608);
     assert_eq!(hex(&greeting()), "7070686f0d0a0001");
 }
 
@@ -57,52 +57,52 @@
         },
         "000000",
     );
-    pin(Message::Told, "02");
-    pin(Message::Holds(300), "03ac02");
+    pin(Message::SnapshotComplete, "02");
+    pin(Message::DescriptorsHeld(300), "03ac02");
     pin(
-        Message::Call {
+        Message::Callback {
             number: 5,
             body: vec![1, 2, 255],
         },
         "0405030102ff",
     );
     pin(
-        Message::Call {
+        Message::Callback {
             number: u64::MAX,
             body: Vec::new(),
         },
         "04ffffffffffffffffff0100",
     );
     pin(
-        Message::Called {
+        Message::CallbackResult {
             number: 6,
             known: true,
         },
         "050601",
     );
     pin(
-        Message::Called {
+        Message::CallbackResult {
             number: 7,
             known: false,
         },
         "050700",
     );
     pin(
-        Message::Client {
+        Message::QuietConnection {
             input: b"GET".to_vec(),
             useful: true,
         },
         "060347455401",
     );
     pin(
-        Message::Client {
+        Message::QuietConnection {
             input: Vec::new(),
             useful: false,
         },
         "060000",
     );
     pin(
-        Message::Job {
+        Message::Request {
             job: vec![9, 8],
             input: vec![7],
             closes: true,
@@ -110,67 +110,67 @@
         "07020908010701",
     );
     pin(
-        Message::Job {
+        Message::Request {
             job: Vec::new(),
             input: Vec::new(),
             closes: false,
         },
         "07000000",
     );
-    pin(Message::Leaves, "08");
+    pin(Message::ShuttingDown, "08");
 }
 
 #[test]
 fn state_updates_keep_their_bytes() {
     pin(
-        Message::StateUpdate(StateUpdate::Use {
+        Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-1".into(),
             again: true,
         }),
         "010003772d3101",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Use {
+        Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-2".into(),
             again: false,
         }),
         "010003772d3200",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Drain { on: true, ago: 1.5 }),
+        Message::StateUpdate(StateUpdate::DrainChanged { on: true, ago: 1.5 }),
         "0101010000c03f",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Drain {
+        Message::StateUpdate(StateUpdate::DrainChanged {
             on: false,
             ago: 0.0,
         }),
         "01010000000000",
     );
     pin(
-        Message::StateUpdate(StateUpdate::List(vec![3, 4, 5])),
+        Message::StateUpdate(StateUpdate::WorkerList(vec![3, 4, 5])),
         "010203030405",
     );
     pin(
-        Message::StateUpdate(StateUpdate::List(Vec::new())),
+        Message::StateUpdate(StateUpdate::WorkerList(Vec::new())),
         "010200",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Taken {
+        Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
             counts: true,
         }),
         "0103036a2d3101",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Taken {
+        Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-2".into(),
             counts: false,
         }),
         "0103036a2d3200",
     );
     let (id, worker) = ("j-3".to_owned(), "w-3".to_owned());
-    let sent = StateUpdate::Sent {
+    let sent = StateUpdate::AttemptSent {
         id,
         attempt: 515,
         worker,
@@ -184,7 +184,7 @@
         "0104036a2d33830403772d33000020400000803e0000003e01",
     );
     let (id, worker) = (String::new(), String::new());
-    let sent = StateUpdate::Sent {
+    let sent = StateUpdate::AttemptSent {
         id,
         attempt: 0,
         worker,
@@ -198,25 +198,25 @@
         "01040000000000803f000000000000000000",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Ended {
+        Message::StateUpdate(StateUpdate::AttemptEnded {
             id: "j-4".into(),
             attempt: 2,
         }),
         "0105036a2d3402",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Over { id: "j-5".into() }),
+        Message::StateUpdate(StateUpdate::RequestFinished { id: "j-5".into() }),
         "0106036a2d35",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Past {
+        Message::StateUpdate(StateUpdate::BudgetHistory {
             taken: vec![0.5, 4.0],
             further: vec![8.0],
         }),
         "0107020000003f000080400100000041",
     );
     pin(
-        Message::StateUpdate(StateUpdate::Past {
+        Message::StateUpdate(StateUpdate::BudgetHistory {
             taken: Vec::new(),
             further: Vec::new(),
         }),
@@ -302,7 +302,7 @@
 /// The messages that the older process of a node writes during a handover, in their order.
 fn conversation() -> Vec<Message> {
     let (id, worker) = ("j-1".to_owned(), "w-1".to_owned());
-    let sent = StateUpdate::Sent {
+    let sent = StateUpdate::AttemptSent {
         id,
         attempt: 1,
         worker,
@@ -316,45 +316,45 @@
             name: "n-1".into(),
             listen: "127.0.0.1:7070".into(),
         },
-        Message::StateUpdate(StateUpdate::Use {
+        Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-9".into(),
             again: false,
         }),
-        Message::StateUpdate(StateUpdate::Past {
+        Message::StateUpdate(StateUpdate::BudgetHistory {
             taken: vec![1.0],
             further: vec![2.0],
         }),
-        Message::StateUpdate(StateUpdate::Taken {
+        Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
             counts: false,
         }),
         Message::StateUpdate(sent),
-        Message::StateUpdate(StateUpdate::List(vec![1, 2])),
-        Message::Told,
-        Message::Holds(17),
-        Message::Call {
+        Message::StateUpdate(StateUpdate::WorkerList(vec![1, 2])),
+        Message::SnapshotComplete,
+        Message::DescriptorsHeld(17),
+        Message::Callback {
             number: 1,
             body: b"{}".to_vec(),
         },
-        Message::Called {
+        Message::CallbackResult {
             number: 1,
             known: true,
         },
-        Message::Leaves,
-        Message::Client {
+        Message::ShuttingDown,
+        Message::QuietConnection {
             input: b"GET /".to_vec(),
             useful: true,
         },
-        Message::Job {
+        Message::Request {
             job: vec![1, 2, 3],
             input: b"P".to_vec(),
             closes: true,
         },
-        Message::StateUpdate(StateUpdate::Ended {
+        Message::StateUpdate(StateUpdate::AttemptEnded {
             id: "j-1".into(),
             attempt: 1,
         }),
-        Message::StateUpdate(StateUpdate::Over { id: "j-1".into() }),
+        Message::StateUpdate(StateUpdate::RequestFinished { id: "j-1".into() }),
     ]
 }
 
@@ -391,22 +391,22 @@
     let sent = conversation()
         .into_iter()
         .filter_map(|message| match message {
-            Message::StateUpdate(tale @ StateUpdate::Sent { .. }) => {
+            Message::StateUpdate(tale @ StateUpdate::AttemptSent { .. }) => {
                 Some(LinkEvent::StateUpdate(tale))
             }
             _ => None,
         });
     let expected: Vec<LinkEvent> = [
         LinkEvent::Greeted,
-        LinkEvent::StateUpdate(StateUpdate::Use {
+        LinkEvent::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-9".into(),
             again: false,
         }),
-        LinkEvent::StateUpdate(StateUpdate::Past {
+        LinkEvent::StateUpdate(StateUpdate::BudgetHistory {
             taken: vec![1.0],
             further: vec![2.0],
         }),
-        LinkEvent::StateUpdate(StateUpdate::Taken {
+        LinkEvent::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
             counts: false,
         }),
@@ -414,30 +414,30 @@
     .into_iter()
     .chain(sent)
     .chain([
-        LinkEvent::StateUpdate(StateUpdate::List(vec![1, 2])),
-        LinkEvent::Told,
-        LinkEvent::Holds(17),
-        LinkEvent::Call(1, b"{}".to_vec()),
-        LinkEvent::Called(44, true),
-        LinkEvent::Leaves,
-        LinkEvent::Client(b"GET /".to_vec(), true),
-        LinkEvent::Job(vec![1, 2, 3], b"P".to_vec(), true),
-        LinkEvent::StateUpdate(StateUpdate::Ended {
+        LinkEvent::StateUpdate(StateUpdate::WorkerList(vec![1, 2])),
+        LinkEvent::SnapshotComplete,
+        LinkEvent::DescriptorsHeld(17),
+        LinkEvent::Callback(1, b"{}".to_vec()),
+        LinkEvent::CallbackResult(44, true),
+        LinkEvent::ShuttingDown,
+        LinkEvent::QuietConnection(b"GET /".to_vec(), true),
+        LinkEvent::Request(vec![1, 2, 3], b"P".to_vec(), true),
+        LinkEvent::StateUpdate(StateUpdate::AttemptEnded {
             id: "j-1".into(),
             attempt: 1,
         }),
-        LinkEvent::StateUpdate(StateUpdate::Over { id: "j-1".into() }),
+        LinkEvent::StateUpdate(StateUpdate::RequestFinished { id: "j-1".into() }),
     ])
     .collect();
     for size in 1..=recorded.len() {
         let mut link = link(Role::Newer);
-        link.call(0.0, 44, Vec::new());
+        link.forward_callback(0.0, 44, Vec::new());
         let mut news = Vec::new();
         recorded
             .chunks(size)
             .for_each(|part| link.receive(part, &mut news).expect("sound bytes"));
         assert_eq!(news, expected, "pieces of {size} bytes");
-        assert!(link.joined() && link.leaves());
+        assert!(link.is_joined() && link.is_peer_shutting_down());
     }
 }
 
@@ -449,11 +449,11 @@
         "0000001400036e2d310e3132372e302e302e313a37303730"
     );
     assert_eq!(
-        hex(&frame(&link.call(0.0, 9, vec![10]))),
+        hex(&frame(&link.forward_callback(0.0, 9, vec![10]))),
         "000000040401010a"
     );
     assert_eq!(
-        hex(&frame(&link.call(0.0, 9, vec![11]))),
+        hex(&frame(&link.forward_callback(0.0, 9, vec![11]))),
         "000000040402010b",
         "calls are counted from 1"
     );
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -137,7 +137,7 @@
 }
 
 /// Where processes of the node of this name meet. One of an odd name meets at its digits.
-fn meeting(folder: &Path, name: &str) -> PathBuf {
+fn socket_path(folder: &Path, name: &str) -> PathBuf {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
     let word: String = name.chars().filter(|c| plain(*c)).take(40).collect();
     folder.join(format!("postproxy-{word}.handover"))
@@ -168,7 +168,7 @@
 impl Handover {
     /// Calls the process that serves the node now, if there is one.
     pub fn start(reactor: &mut Reactor, folder: &Path, name: &str, listen: &str) -> Self {
-        let path = meeting(folder, name);
+        let path = socket_path(folder, name);
         let (listener, sessions, looking) = (None, BTreeMap::new(), false);
         let mut own = Self {
             name: name.to_owned(),
@@ -179,7 +179,7 @@
             looking,
         };
         match short(&own.path).and_then(|(path, _folder)| UnixStream::connect(path)) {
-            Ok(stream) => own.begin(reactor, stream, Role::Newer),
+            Ok(stream) => own.open_link(reactor, stream, Role::Newer),
             // Nobody, or one that is gone and has left its socket.
             Err(error)
                 if matches!(
@@ -193,7 +193,7 @@
         own
     }
 
-    fn begin(&mut self, reactor: &mut Reactor, stream: UnixStream, role: Role) {
+    fn open_link(&mut self, reactor: &mut Reactor, stream: UnixStream, role: Role) {
         if self.sessions.len() >= MOST_LINKS || !same_user(&stream) {
             return tracing::warn!("a link was not taken up");
         }
@@ -245,14 +245,14 @@
     pub fn is_waiting_for_snapshot(&self) -> bool {
         self.sessions
             .values()
-            .any(|s| s.link.role() == Role::Newer && !s.link.joined())
+            .any(|s| s.link.role() == Role::Newer && !s.link.is_joined())
     }
 
     /// The process that takes over from this one, if one does.
     pub fn successor(&self) -> Option<usize> {
         self.sessions
             .iter()
-            .rfind(|(_, s)| s.link.role() == Role::Older && s.link.joined())
+            .rfind(|(_, s)| s.link.role() == Role::Older && s.link.is_joined())
             .map(|(key, _)| *key)
     }
 
@@ -270,7 +270,7 @@
     pub fn has_successor(&self) -> bool {
         self.sessions
             .values()
-            .any(|s| s.link.role() == Role::Older && s.link.greeted())
+            .any(|s| s.link.role() == Role::Older && s.link.is_greeted())
     }
 
     /// Says something to newer processes.
@@ -312,7 +312,7 @@
             let accepted = listener.accept();
             reactor.rearm(listener, key, (true, false));
             if let Ok((stream, _)) = accepted {
-                self.begin(reactor, stream, Role::Older);
+                self.open_link(reactor, stream, Role::Older);
             }
             return Vec::new();
         }
@@ -328,7 +328,10 @@
         let ended = read.and_then(|()| session.flush());
         let mut events = Vec::new();
         for news in news {
-            let descriptor = if matches!(news, LinkEvent::Client(..) | LinkEvent::Job(..)) {
+            let descriptor = if matches!(
+                news,
+                LinkEvent::QuietConnection(..) | LinkEvent::Request(..)
+            ) {
                 session.came.pop_front().flatten()
             } else {
                 None
@@ -337,7 +340,7 @@
         }
         match ended {
             Ok(()) => self.rearm(reactor, key),
-            Err(error) => events.extend(self.drop(reactor, key, &error)),
+            Err(error) => events.extend(self.close_link(reactor, key, &error)),
         }
         events
     }
@@ -349,13 +352,16 @@
             let Some(session) = self.sessions.get_mut(&key) else {
                 continue;
             };
-            let late = session.link.late(reactor.now).map_err(io::Error::other);
+            let late = session
+                .link
+                .check_timeouts(reactor.now)
+                .map_err(io::Error::other);
             let full = session.queued > MOST_QUEUED;
             let ended = late.and_then(|()| session.flush());
             let stalled = || io::Error::other("it does not read");
             match ended.and_then(|()| if full { Err(stalled()) } else { Ok(()) }) {
                 Ok(()) => self.rearm(reactor, key),
-                Err(error) => events.extend(self.drop(reactor, key, &error)),
+                Err(error) => events.extend(self.close_link(reactor, key, &error)),
             }
         }
         self.looking = !self.sessions.is_empty();
@@ -365,7 +371,12 @@
         events
     }
 
-    fn drop(&mut self, reactor: &mut Reactor, key: usize, error: &io::Error) -> Option<Event> {
+    fn close_link(
+        &mut self,
+        reactor: &mut Reactor,
+        key: usize,
+        error: &io::Error,
+    ) -> Option<Event> {
         let session = self.sessions.remove(&key)?;
         reactor.deregister(&session.stream);
         let gone = matches!(
@@ -377,7 +388,7 @@
         } else {
             tracing::warn!(%error, "the link to the other process of this node is dropped");
         }
-        Some(Event::Over(key, session.link.waiting(), !gone))
+        Some(Event::Over(key, session.link.pending_callers(), !gone))
     }
 
     fn rearm(&self, reactor: &Reactor, key: usize) {
@@ -409,9 +420,9 @@
 
     /// All has been told on this link.
     pub fn complete_snapshot(&mut self, reactor: &Reactor, key: usize) {
-        self.send(reactor, key, &Message::Told);
+        self.send(reactor, key, &Message::SnapshotComplete);
         if let Some(session) = self.sessions.get_mut(&key) {
-            session.link.told();
+            session.link.complete_snapshot();
         }
     }
 
@@ -433,7 +444,9 @@
         let keys = self.others(except);
         for key in &keys {
             if let Some(session) = self.sessions.get_mut(key) {
-                let call = session.link.call(reactor.now, who, body.to_vec());
+                let call = session
+                    .link
+                    .forward_callback(reactor.now, who, body.to_vec());
                 self.send(reactor, *key, &call);
             }
         }
@@ -442,7 +455,7 @@
 
     fn others(&self, except: Option<usize>) -> Vec<usize> {
         let told = |(key, s): (&usize, &Session)| {
-            (Some(*key) != except && s.link.greeted()).then_some(*key)
+            (Some(*key) != except && s.link.is_greeted()).then_some(*key)
         };
         self.sessions.iter().filter_map(told).collect()
     }
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,12 +1,12 @@
 //! Pins the name of the socket on which two processes of a node meet: the other one may run another version of the program.
 
-use super::meeting;
+use super::socket_path;
 use std::path::Path;
 
 #[test]
 fn socket_keeps_its_name() {
     let name = |node: &str| {
-        meeting(Path::new("/run/postproxy"), node)
+        socket_path(Path::new("/run/postproxy"), node)
             .display()
             .to_string()
     };
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -766,7 +766,7 @@
                 .set_timer(self.reactor.now + DRAIN_LOOK, Timer::Drain);
             self.tell(
                 link,
-                &Message::StateUpdate(StateUpdate::Drain {
+                &Message::StateUpdate(StateUpdate::DrainChanged {
                     on: true,
                     ago: ago as f32,
                 }),
@@ -780,7 +780,7 @@
         if self.life.is_draining() {
             self.tell(
                 None,
-                &Message::StateUpdate(StateUpdate::Drain {
+                &Message::StateUpdate(StateUpdate::DrainChanged {
                     on: false,
                     ago: 0.0,
                 }),
@@ -834,7 +834,7 @@
                 fleet.yield_socket(&self.reactor);
             }
             self.heed();
-            self.tell(None, &Message::Leaves);
+            self.tell(None, &Message::ShuttingDown);
         }
     }
 
@@ -863,7 +863,7 @@
             handover.send_with_descriptor(
                 &self.reactor,
                 to,
-                &Message::Client { input, useful },
+                &Message::QuietConnection { input, useful },
                 Some(stream.into()),
             );
         }
@@ -882,7 +882,7 @@
                 .clients
                 .release_waiting_connection(&self.reactor, client)
             {
-                let message = Message::Job { job, input, closes };
+                let message = Message::Request { job, input, closes };
                 handover.send_with_descriptor(&self.reactor, to, &message, Some(stream.into()));
             }
         }
@@ -911,7 +911,7 @@
         } else if self.links.said.is_none_or(|said| share + FEWER <= said) {
             self.links.said = Some(share);
             let all = u32::try_from(share + self.room.kept + others).unwrap_or(u32::MAX);
-            handover.send_to_successors(&self.reactor, &Message::Holds(all));
+            handover.send_to_successors(&self.reactor, &Message::DescriptorsHeld(all));
         }
         if leaves {
             // Danger: with less room, a job that still comes on a connection of its would fail for want of it.
@@ -929,7 +929,7 @@
             match event {
                 handover::Event::LinkEvent(
                     _,
-                    LinkEvent::Client(input, useful),
+                    LinkEvent::QuietConnection(input, useful),
                     Some(descriptor),
                 ) => {
                     self.clients.adopt_connection(
@@ -941,7 +941,7 @@
                 }
                 handover::Event::LinkEvent(
                     link,
-                    LinkEvent::Job(job, input, closes),
+                    LinkEvent::Request(job, input, closes),
                     descriptor,
                 ) => {
                     // Without its connection, for which there may have been no descriptor left, its client has gone.
@@ -1002,13 +1002,13 @@
                 self.hub.set_siblings_linked(true);
                 self.greeted(link);
             }
-            LinkEvent::StateUpdate(StateUpdate::Drain { on: true, ago }) => {
+            LinkEvent::StateUpdate(StateUpdate::DrainChanged { on: true, ago }) => {
                 self.drain(Some(link), f64::from(ago).max(0.0))
             }
-            LinkEvent::StateUpdate(StateUpdate::Drain { on: false, .. }) => {
+            LinkEvent::StateUpdate(StateUpdate::DrainChanged { on: false, .. }) => {
                 self.activate();
             }
-            LinkEvent::StateUpdate(StateUpdate::List(kept)) => {
+            LinkEvent::StateUpdate(StateUpdate::WorkerList(kept)) => {
                 self.list.adopt_snapshot(&mut self.reactor, &kept)
             }
             LinkEvent::StateUpdate(tale) => {
@@ -1019,7 +1019,7 @@
                     .as_ref()
                     .is_some_and(|h| h.role_of(link) == Some(Role::Newer));
                 let new = !older || self.links.told.contains(&link);
-                if let (StateUpdate::Use { worker, again }, Some(fleet), true) =
+                if let (StateUpdate::WorkerSuspensionChanged { worker, again }, Some(fleet), true) =
                     (&tale, &mut self.fleet, new)
                 {
                     let (_, events) = fleet.set_suspended(&mut self.reactor, None, worker, *again);
@@ -1029,15 +1029,15 @@
                     .queue
                     .push_back(Input::SiblingUpdate { link, update: tale });
             }
-            LinkEvent::Told => {
+            LinkEvent::SnapshotComplete => {
                 self.links.told.insert(link);
                 self.begin();
             }
-            LinkEvent::Holds(most) => {
+            LinkEvent::DescriptorsHeld(most) => {
                 self.links.holds.insert(link, most as usize);
                 self.share();
             }
-            LinkEvent::Call(number, body) => match clients::call(&body) {
+            LinkEvent::Callback(number, body) => match clients::call(&body) {
                 Some(call) => {
                     self.links.next += 1;
                     let client = LINKED | self.links.next;
@@ -1049,16 +1049,16 @@
                 }
                 None => self.say(
                     link,
-                    &Message::Called {
+                    &Message::CallbackResult {
                         number,
                         known: false,
                     },
                 ),
             },
-            LinkEvent::Called(client, known) => self.word(client, known),
+            LinkEvent::CallbackResult(client, known) => self.word(client, known),
             // Without its descriptor there is nothing to take over; what becomes of a job is said with its event.
-            LinkEvent::Client(..) | LinkEvent::Job(..) => {}
-            LinkEvent::Leaves => tracing::info!("the older process of this node leaves"),
+            LinkEvent::QuietConnection(..) | LinkEvent::Request(..) => {}
+            LinkEvent::ShuttingDown => tracing::info!("the older process of this node leaves"),
         }
     }
 
@@ -1072,13 +1072,16 @@
             return;
         };
         let now = self.reactor.now;
-        let drain = self.life.draining_since().map(|at| StateUpdate::Drain {
-            on: true,
-            ago: (now - at) as f32,
-        });
+        let drain = self
+            .life
+            .draining_since()
+            .map(|at| StateUpdate::DrainChanged {
+                on: true,
+                ago: (now - at) as f32,
+            });
         let tales = drain
             .into_iter()
-            .chain(self.list.snapshot().map(StateUpdate::List))
+            .chain(self.list.snapshot().map(StateUpdate::WorkerList))
             .chain(self.hub.snapshot_updates(now));
         for tale in tales {
             handover.send(&self.reactor, link, &Message::StateUpdate(tale));
@@ -1125,7 +1128,7 @@
             return self.clients.acknowledge_callback(&mut self.reactor, client);
         }
         if let Some((link, number)) = self.links.origins.remove(&client) {
-            self.say(link, &Message::Called { number, known });
+            self.say(link, &Message::CallbackResult { number, known });
         }
     }
 
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -251,7 +251,7 @@
                 let gone =
                     |(id, d): (&String, &SiblingRequest)| (d.link == link).then(|| id.clone());
                 for id in self.distant.iter().filter_map(gone).collect::<Vec<_>>() {
-                    self.heard(now, link, StateUpdate::Over { id }, out);
+                    self.heard(now, link, StateUpdate::RequestFinished { id }, out);
                 }
             }
             Input::TimerExpired {
@@ -340,7 +340,7 @@
         self.next_request += 1;
         self.by_id.insert(submission.payload.id.clone(), request);
         self.by_client.insert(client, request);
-        self.tell(|| StateUpdate::Taken {
+        self.tell(|| StateUpdate::RequestAdmitted {
             id: submission.payload.id.clone(),
             counts: true,
         });
@@ -436,7 +436,7 @@
         }
         let (worker, elapsed) = (worker_id(a.worker), now - a.sent);
         if self.linked {
-            self.tales.push(StateUpdate::Ended {
+            self.tales.push(StateUpdate::AttemptEnded {
                 id: t.payload.id.clone(),
                 attempt,
             });
@@ -484,7 +484,7 @@
             return;
         };
         t.span.record("attempts", t.attempts.len());
-        self.tell(|| StateUpdate::Over {
+        self.tell(|| StateUpdate::RequestFinished {
             id: t.payload.id.clone(),
         });
         self.by_id.remove(&t.payload.id);
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -60,20 +60,20 @@
         let ago = |at: f64| (now - at) as f32;
         let banned = self.banned.iter();
         let mut tales: Vec<StateUpdate> = banned
-            .map(|&w| StateUpdate::Use {
+            .map(|&w| StateUpdate::WorkerSuspensionChanged {
                 worker: self.names[w].clone(),
                 again: false,
             })
             .collect();
         let (taken, further) = self.dispatcher.past(MOST_PAST);
         let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
-        tales.push(StateUpdate::Past {
+        tales.push(StateUpdate::BudgetHistory {
             taken: agos(taken),
             further: agos(further),
         });
         for t in self.requests.values() {
             let id = &t.payload.id;
-            tales.push(StateUpdate::Taken {
+            tales.push(StateUpdate::RequestAdmitted {
                 id: id.clone(),
                 counts: false,
             });
@@ -82,13 +82,13 @@
         }
         // What comes from a third process.
         for (id, d) in &self.distant {
-            tales.push(StateUpdate::Taken {
+            tales.push(StateUpdate::RequestAdmitted {
                 id: id.clone(),
                 counts: false,
             });
             tales.extend(d.out.iter().map(|&(attempt, worker)| {
                 let (id, worker) = (id.clone(), self.names[worker].clone());
-                StateUpdate::Sent {
+                StateUpdate::AttemptSent {
                     id,
                     attempt,
                     worker,
@@ -161,7 +161,12 @@
     ) -> Option<()> {
         let mut moved: Moved = postcard::from_bytes(job).ok()?;
         let id = moved.payload.id.clone();
-        self.heard(now, link, StateUpdate::Over { id: id.clone() }, out);
+        self.heard(
+            now,
+            link,
+            StateUpdate::RequestFinished { id: id.clone() },
+            out,
+        );
         let sound =
             moved.attempts.len() == moved.carried.workers.len() && moved.deadline.is_finite();
         if !sound
@@ -226,7 +231,7 @@
             hint: moved.hint,
             span: tracing::Span::none(),
         };
-        self.tales.push(StateUpdate::Taken {
+        self.tales.push(StateUpdate::RequestAdmitted {
             id: t.payload.id.clone(),
             counts: false,
         });
@@ -270,7 +275,7 @@
     ) -> StateUpdate {
         let (id, worker) = (t.payload.id.clone(), self.names[a.worker].clone());
         let (need, work) = (t.need as f32, t.hint.unwrap_or(0.0) as f32);
-        StateUpdate::Sent {
+        StateUpdate::AttemptSent {
             id,
             attempt,
             worker,
@@ -292,20 +297,20 @@
         let then = |ago: f32| now - f64::from(ago).max(0.0);
         let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
         match &tale {
-            StateUpdate::Use { worker, again } => {
+            StateUpdate::WorkerSuspensionChanged { worker, again } => {
                 // It may be known there before this process has it from the list.
                 self.number(worker);
                 self.employ(now, worker, *again, out);
                 return;
             }
-            StateUpdate::Past { taken, further } => {
+            StateUpdate::BudgetHistory { taken, further } => {
                 let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
                 tell(SiblingEvent::Past {
                     taken: times(taken),
                     further: times(further),
                 });
             }
-            StateUpdate::Taken { id, counts } => {
+            StateUpdate::RequestAdmitted { id, counts } => {
                 if *counts {
                     tell(SiblingEvent::Past {
                         taken: vec![now],
@@ -320,7 +325,7 @@
                 self.next_request += 1;
                 self.distant.entry(id.clone()).or_insert(distant);
             }
-            StateUpdate::Sent {
+            StateUpdate::AttemptSent {
                 id,
                 attempt,
                 worker,
@@ -353,7 +358,7 @@
                     });
                 }
             }
-            StateUpdate::Ended { id, attempt } => {
+            StateUpdate::AttemptEnded { id, attempt } => {
                 let Some(d) = self.distant.get_mut(id) else {
                     return;
                 };
@@ -367,7 +372,7 @@
                     worker: worker_id(worker),
                 });
             }
-            StateUpdate::Over { id } => {
+            StateUpdate::RequestFinished { id } => {
                 let Some(d) = self.distant.remove(id) else {
                     return;
                 };
@@ -379,7 +384,7 @@
                     });
                 }
             }
-            StateUpdate::Drain { .. } | StateUpdate::List(_) => return, // the node's own
+            StateUpdate::DrainChanged { .. } | StateUpdate::WorkerList(_) => return, // the node's own
         }
         out.push(Command::UpdateSiblings {
             except: Some(link),
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -53,7 +53,7 @@
             return Reply::Yes;
         }
         tracing::info!(worker = name, again, "an operator's word on a worker's use");
-        self.tell(|| StateUpdate::Use {
+        self.tell(|| StateUpdate::WorkerSuspensionChanged {
             worker: name.to_owned(),
             again,
         });
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -34,8 +34,8 @@
 
     /// Says that all has been told.
     fn told(&mut self) {
-        self.say(&[Message::Told]);
-        self.link.told();
+        self.say(&[Message::SnapshotComplete]);
+        self.link.complete_snapshot();
     }
 
     /// Waits for news of this kind; `None` if the newer process has ended the link.
@@ -189,7 +189,7 @@
 }
 
 fn tale(worker: &str, again: bool) -> StateUpdate {
-    StateUpdate::Use {
+    StateUpdate::WorkerSuspensionChanged {
         worker: worker.into(),
         again,
     }
@@ -199,7 +199,7 @@
 /// that had greeted, or had been told what was so before.
 #[test]
 fn an_operators_word_before_the_older_process_has_told_all_is_the_last_one() {
-    let drained = |on, ago| StateUpdate::Drain { on, ago };
+    let drained = |on, ago| StateUpdate::DrainChanged { on, ago };
     for greeted in [false, true] {
         for (name, path, before, word) in [
             // The older process has it out of use, and does not know yet that it is wanted again.
@@ -286,10 +286,10 @@
     /// Whether the newer process has heard the last word: it answers a call-back after it.
     fn hears_alive(&mut self) -> Option<()> {
         let body = br#"{"id": "nobody's", "from": "s-0", "state": "done", "result": "x"}"#;
-        let call = self.older.link.call(0.0, 77, body.to_vec());
+        let call = self.older.link.forward_callback(0.0, 77, body.to_vec());
         self.older.say(&[call]);
         self.older
-            .until(|news| matches!(news, LinkEvent::Called(..)).then_some(()))
+            .until(|news| matches!(news, LinkEvent::CallbackResult(..)).then_some(()))
     }
 }
 
@@ -299,10 +299,11 @@
 fn a_call_back_on_the_older_processs_job_is_acknowledged_on_its_word_alone() {
     play("call", |bed| {
         bed.greet();
-        bed.older.say(&[Message::StateUpdate(StateUpdate::Taken {
-            id: "held".into(),
-            counts: false,
-        })]);
+        bed.older
+            .say(&[Message::StateUpdate(StateUpdate::RequestAdmitted {
+                id: "held".into(),
+                counts: false,
+            })]);
         bed.older.told();
         let at = bed.address;
         let body = br#"{"id": "held", "from": "s-0", "state": "done", "result": "x"}"#;
@@ -317,7 +318,7 @@
             .expect("an answer")
         });
         let number = bed.older.until(|news| match news {
-            LinkEvent::Call(number, body) if body.windows(4).any(|four| four == b"held") => {
+            LinkEvent::Callback(number, body) if body.windows(4).any(|four| four == b"held") => {
                 Some(*number)
             }
             _ => None,
@@ -336,7 +337,7 @@
                 "acknowledged without a word"
             );
         }
-        bed.older.say(&[Message::Called {
+        bed.older.say(&[Message::CallbackResult {
             number,
             known: true,
         }]);
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -65,7 +65,7 @@
 }
 
 fn job(name: &str) -> Vec<u8> {
-    frame(&Message::Job {
+    frame(&Message::Request {
         job: name.into(),
         input: Vec::new(),
         closes: false,
@@ -92,14 +92,15 @@
     let words = [
         greeting(),
         frame(&hello),
-        frame(&Message::Told),
-        frame(&Message::Leaves),
+        frame(&Message::SnapshotComplete),
+        frame(&Message::ShuttingDown),
     ]
     .concat();
     link.write_all(&words).expect("it is written");
     until("the older process's words", || {
         let came = turn(&mut reactor, &mut handover);
-        let leaves = |event: &Event| matches!(event, Event::LinkEvent(_, LinkEvent::Leaves, _));
+        let leaves =
+            |event: &Event| matches!(event, Event::LinkEvent(_, LinkEvent::ShuttingDown, _));
         came.iter().flatten().any(leaves).then_some(())
     });
     let ((mut first, firsts), (mut second, seconds)) =
@@ -132,8 +133,8 @@
         came.into_iter().find(|events| !events.is_empty())
     });
     let [
-        Event::LinkEvent(_, LinkEvent::Job(one, ..), lost),
-        Event::LinkEvent(_, LinkEvent::Job(other, ..), Some(kept)),
+        Event::LinkEvent(_, LinkEvent::Request(one, ..), lost),
+        Event::LinkEvent(_, LinkEvent::Request(other, ..), Some(kept)),
     ] = &came[..]
     else {
         panic!("both come in one read: {came:?}");
