--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -3,30 +3,35 @@
 use crate::Message;
 use std::fmt;
 
-/// What every link begins with, before the version.
+/// The bytes with which every link begins, before the version.
 pub const GREETING_MAGIC: &[u8; 6] = b"ppho\r\n";
-/// The version of what follows. Another version is another language: nothing is read of it.
+/// The protocol version. Bytes of another version are not read.
 pub const VERSION: u16 = 1;
-/// The longest body of a frame: a list of many thousand workers.
+/// The longest body of a frame, in bytes: a list of many thousand workers fits.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Why a peer's bytes can't be gone by.
+/// Bytes of the greeting: the magic and the version.
+const GREETING_BYTES: usize = GREETING_MAGIC.len() + size_of::<u16>();
+/// Bytes of a frame's length.
+const LENGTH_BYTES: usize = size_of::<u32>();
+
+/// Why the other side's bytes are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// It does not speak this language at all.
+    /// The bytes do not begin with the greeting.
     Foreign,
-    /// It speaks another version.
+    /// The other side speaks this other version.
     Version(u16),
-    /// A frame is longer than any may be.
+    /// A frame claims this body length, which is over [`MAX_FRAME_BYTES`].
     Long(u32),
     /// A frame holds no message.
     Malformed,
-    /// A message that can't come now.
+    /// A message that is not allowed in the link's state.
     OutOfTurn,
-    /// It is of another node.
+    /// The other side is a process of another node, with this name and address.
     OtherNode(String),
-    /// It took too long.
+    /// The other side has taken too long.
     Stalled,
 }
 
@@ -46,64 +51,61 @@
 
 impl std::error::Error for DecodeError {}
 
-/// What each side sends first.
+/// Returns the bytes that each side sends first.
 pub fn greeting() -> Vec<u8> {
     let mut bytes = GREETING_MAGIC.to_vec();
     bytes.extend(VERSION.to_be_bytes());
     bytes
 }
 
-/// A message as a frame.
+/// Encodes a message as a frame.
 pub fn frame(message: &Message) -> Vec<u8> {
-    // Messages hold strings, numbers and bytes, which can't fail; an empty frame would be malformed.
+    // Messages hold only strings, numbers and bytes, whose encoding can't fail; an empty frame would be malformed.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend(body);
     bytes
 }
 
-/// Takes messages off bytes that come in any pieces.
+/// Decodes messages from bytes that arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct Reader {
     greeted: bool,
-    bytes: Vec<u8>,
-    taken: usize,
+    buffer: Vec<u8>,
+    /// Bytes of the buffer that are decoded.
+    consumed: usize,
 }
 
 impl Reader {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.taken);
-        self.taken = 0;
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message, if it is whole.
+    /// Returns the next message; `None` if it is not yet complete.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes hold no message of this protocol.
     pub fn next(&mut self) -> Result<Option<Message>, DecodeError> {
-        let rest = &self.bytes[self.taken..];
         if !self.greeted {
-            let size = rest.len().min(GREETING_MAGIC.len());
-            if rest[..size] != GREETING_MAGIC[..size] {
-                return Err(DecodeError::Foreign);
-            }
-            let Some(version) = rest.get(GREETING_MAGIC.len()..GREETING_MAGIC.len() + 2) else {
+            self.greeted = self.read_greeting()?;
+            if !self.greeted {
                 return Ok(None);
-            };
-            let version = u16::from_be_bytes([version[0], version[1]]);
-            if version != VERSION {
-                return Err(DecodeError::Version(version));
             }
-            (self.greeted, self.taken) = (true, self.taken + GREETING_MAGIC.len() + 2);
-            return self.next();
         }
-        let Some(size) = rest.get(..4) else {
+        let rest = &self.buffer[self.consumed..];
+        let Some(size) = rest.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
-        let size = u32::from_be_bytes([size[0], size[1], size[2], size[3]]);
+        let size = u32::from_be_bytes(*size);
         if size as usize > MAX_FRAME_BYTES {
             return Err(DecodeError::Long(size));
         }
-        let Some(body) = rest.get(4..4 + size as usize) else {
+        let end = LENGTH_BYTES + size as usize;
+        let Some(body) = rest.get(LENGTH_BYTES..end) else {
             return Ok(None);
         };
         let (message, left) =
@@ -111,7 +113,25 @@
         if !left.is_empty() {
             return Err(DecodeError::Malformed);
         }
-        self.taken += 4 + size as usize;
+        self.consumed += end;
         Ok(Some(message))
     }
+
+    /// Reads the greeting; `false` if it is not yet complete.
+    fn read_greeting(&mut self) -> Result<bool, DecodeError> {
+        let rest = &self.buffer[self.consumed..];
+        let size = rest.len().min(GREETING_MAGIC.len());
+        if rest[..size] != GREETING_MAGIC[..size] {
+            return Err(DecodeError::Foreign);
+        }
+        let Some(version) = rest.get(GREETING_MAGIC.len()..GREETING_BYTES) else {
+            return Ok(false);
+        };
+        let version = u16::from_be_bytes([version[0], version[1]]);
+        if version != VERSION {
+            return Err(DecodeError::Version(version));
+        }
+        self.consumed += GREETING_BYTES;
+        Ok(true)
+    }
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,5 +1,8 @@
-//! What two processes of one node tell each other while the newer takes over from the older: messages, their codec,
-//! and the state of one link. No I/O: bytes come in and go out, and the time is told.
+//! Hot restart: the messages that two processes of one node exchange while the newer takes over from the older,
+//! their codec, and the state of one link. The crate does no I/O: bytes go in and out, and callers pass the time.
+//!
+//! The encoding is postcard, which writes variants by position and fields by order: neither may change within a
+//! protocol [`VERSION`].
 
 mod codec;
 mod link;
@@ -9,116 +12,116 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What one process has to say about its work.
+/// A change of one process's state that the other one follows.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StateUpdate {
-    /// An operator takes a worker out of use, or back into it.
+    /// An operator has suspended or resumed a worker.
     WorkerSuspensionChanged {
-        /// Its name.
+        /// The worker's name.
         worker: String,
-        /// It is to be used again.
-        again: bool,
+        /// `true` if the worker is resumed, `false` if it is suspended.
+        resume: bool,
     },
-    /// An operator drains the node, or ends the drain.
+    /// An operator has drained the node, or ended the drain.
     DrainChanged {
-        /// It is drained.
-        on: bool,
-        /// Since so many seconds.
-        ago: f32,
+        /// Whether the node drains.
+        draining: bool,
+        /// How long ago the drain began, in seconds.
+        seconds_ago: f32,
     },
-    /// The list of workers, as it is kept.
+    /// The cached worker list, encoded by its owner.
     WorkerList(Vec<u8>),
-    /// A job is held: no other of this id may be taken.
+    /// A request was admitted: no other with its id may be.
     RequestAdmitted {
-        /// Its id.
+        /// The request's id.
         id: String,
-        /// It is new, and counts towards budgets.
-        counts: bool,
+        /// Whether the request is new, and counts towards budgets.
+        is_new: bool,
     },
-    /// An attempt was sent.
+    /// An attempt was sent to a worker.
     AttemptSent {
-        /// The job's id.
+        /// The request's id.
         id: String,
-        /// The attempt's number.
+        /// The attempt's number within the request.
         attempt: u16,
         /// The worker's name.
         worker: String,
-        /// Slots.
-        need: f32,
-        /// Expected work in seconds.
-        work: f32,
-        /// So many seconds ago.
-        ago: f32,
-        /// It is new, and counts towards budgets.
-        counts: bool,
+        /// Slots that the request takes at the worker.
+        slots: f32,
+        /// Expected work in seconds; 0 if it is unknown.
+        expected_work: f32,
+        /// How long ago it was sent, in seconds.
+        seconds_ago: f32,
+        /// Whether the attempt is new, and counts towards budgets.
+        is_new: bool,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded {
-        /// The job's id.
+        /// The request's id.
         id: String,
-        /// The attempt's number.
+        /// The attempt's number within the request.
         attempt: u16,
     },
-    /// A job has its answer, and no attempt is out.
+    /// A request has its answer, and no attempt of it is in flight.
     RequestFinished {
-        /// Its id.
+        /// The request's id.
         id: String,
     },
-    /// Jobs taken, and further attempts made, so many seconds ago: what budgets have counted before.
+    /// What retry budgets have counted so far: how long ago each event was, in seconds.
     BudgetHistory {
-        /// Jobs taken.
-        taken: Vec<f32>,
-        /// Further attempts.
-        further: Vec<f32>,
+        /// Admitted requests.
+        admissions: Vec<f32>,
+        /// Attempts after a request's first.
+        retries: Vec<f32>,
     },
 }
 
 /// One message on a link.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// The first of each side: the node's name, and where it listens.
+    /// The first message of each side.
     Hello {
         /// The node's name.
         name: String,
-        /// Where it listens.
+        /// The address on which the node listens for clients.
         listen: String,
     },
-    /// News of its work.
+    /// The sender's state has changed, or is told for the first time.
     StateUpdate(StateUpdate),
-    /// The older side has told all that was so when it was greeted.
+    /// The older side has sent all the state that it had when it was greeted.
     SnapshotComplete,
-    /// The sender holds no more descriptors than this until it says otherwise.
+    /// The number of descriptors that the sender and older processes hold at most, until it sends another.
     DescriptorsHeld(u32),
-    /// A worker's call-back that the sender does not know, as it came.
+    /// A worker's call-back on a request that the sender does not know.
     Callback {
-        /// Counts the sender's calls.
+        /// Counts the sender's forwarded call-backs, from 1.
         number: u64,
         /// The call-back's body.
         body: Vec<u8>,
     },
-    /// What became of the call of this number: it may be acknowledged.
+    /// The result of a forwarded call-back: the sender of the call-back may acknowledge it.
     CallbackResult {
-        /// The number.
+        /// The number of the call-back.
         number: u64,
-        /// The job is, or was, the teller's.
+        /// Whether the sender of this message knows, or knew, the request.
         known: bool,
     },
-    /// A user agent's connection, which comes with this message as a descriptor.
+    /// A client's connection on which no answer is owed. Its descriptor comes with this message.
     QuietConnection {
-        /// What had been read from it.
+        /// Bytes that were read from the connection and not yet used.
         input: Vec<u8>,
-        /// It has brought a job or a call-back before.
-        useful: bool,
+        /// Whether the connection has carried a request or a call-back before.
+        used_before: bool,
     },
-    /// A job that is held, with its user agent's connection, which comes as a descriptor.
+    /// A request in flight. The descriptor of its client's connection comes with this message.
     Request {
-        /// The job, encoded by its owner.
-        job: Vec<u8>,
-        /// What had been read from the connection.
+        /// The request, encoded by its owner.
+        request: Vec<u8>,
+        /// Bytes that were read from the connection and not yet used.
         input: Vec<u8>,
-        /// The connection ends behind the answer.
-        closes: bool,
+        /// Whether the connection closes after the answer.
+        close_after_answer: bool,
     },
-    /// The sender has been told to stop: it takes nothing new, and its connections come over.
+    /// The sender is shutting down: it accepts nothing new, and its connections follow.
     ShuttingDown,
 }
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -4,56 +4,85 @@
 use crate::{Message, StateUpdate};
 use std::collections::BTreeMap;
 
-/// How long the older side may take to greet and to tell all, in seconds. The newer one is owed to its operators
-/// within seconds, so it then serves alone.
-const GREETING: f64 = 1.0;
-/// How long the other side may leave a call-back without its word.
-const WORD: f64 = 2.0;
+/// How long the older side may take to greet and to send its snapshot, in seconds. Operators expect the newer
+/// process to serve within seconds, so it then serves alone.
+const SNAPSHOT_TIMEOUT_SECONDS: f64 = 1.0;
+/// How long the other side may take to send the result of a forwarded call-back, in seconds.
+const CALLBACK_TIMEOUT_SECONDS: f64 = 2.0;
 
-/// Which side of a link a process is on.
+/// A process's side of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It served before.
+    /// The process that served before.
     Older,
-    /// It takes over.
+    /// The process that takes over.
     Newer,
 }
 
-/// What comes of a message, or of time.
+/// What the other side has sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkEvent {
-    /// The other side has greeted: it is told all that is so now.
+    /// The other side has greeted: it is to be sent this side's snapshot.
     Greeted,
-    /// News of the other side's work.
+    /// The other side's state has changed, or was told for the first time.
     StateUpdate(StateUpdate),
-    /// All has been told that was so at the greeting.
+    /// The older side has sent its whole snapshot.
     SnapshotComplete,
-    /// The other side holds at most so many descriptors.
+    /// The number of descriptors that the other side holds at most.
     DescriptorsHeld(u32),
-    /// A call-back that the other side does not know; it waits for `Called` with this number.
-    Callback(u64, Vec<u8>),
-    /// The word on an own call: who waits for it, and whether the other side knows the job.
-    CallbackResult(u64, bool),
-    /// A user agent's connection, whose descriptor came with it: what was read from it, and whether it was of use.
-    QuietConnection(Vec<u8>, bool),
-    /// A held job, whose user agent's descriptor came with it: the job, what was read from the connection, and
-    /// whether that ends behind the answer.
-    Request(Vec<u8>, Vec<u8>, bool),
-    /// The other side takes nothing new any more.
+    /// A call-back that the other side does not know; it waits for a [`Message::CallbackResult`].
+    Callback {
+        /// The number that the result must carry.
+        number: u64,
+        /// The call-back's body.
+        body: Vec<u8>,
+    },
+    /// The result of a call-back that this side has forwarded.
+    CallbackResult {
+        /// Who waits for the result on this side.
+        caller: u64,
+        /// Whether the other side knows the request.
+        known: bool,
+    },
+    /// A client's connection on which no answer is owed; its descriptor came with it.
+    QuietConnection {
+        /// Bytes that were read from the connection and not yet used.
+        input: Vec<u8>,
+        /// Whether the connection has carried a request or a call-back before.
+        used_before: bool,
+    },
+    /// A request in flight; the descriptor of its client's connection came with it.
+    Request {
+        /// The request, encoded by its owner.
+        request: Vec<u8>,
+        /// Bytes that were read from the connection and not yet used.
+        input: Vec<u8>,
+        /// Whether the connection closes after the answer.
+        close_after_answer: bool,
+    },
+    /// The other side is shutting down and accepts nothing new.
     ShuttingDown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The other side's first message has not come.
-    Greeting,
-    /// It has; the older side tells all.
-    Telling,
-    /// Both tell what changes.
+    /// The other side's hello has not come.
+    AwaitingHello,
+    /// The hello has come; the older side sends its snapshot.
+    SendingSnapshot,
+    /// Both sides send what changes.
     Joined,
 }
 
-/// One link.
+/// A call-back that was forwarded to the other side.
+#[derive(Debug)]
+struct ForwardedCallback {
+    caller: u64,
+    /// When it was forwarded, in seconds.
+    since: f64,
+}
+
+/// The state of one link. Times are in seconds, of any fixed origin.
 #[derive(Debug)]
 pub struct Link {
     role: Role,
@@ -61,32 +90,30 @@
     listen: String,
     state: State,
     reader: Reader,
-    since: f64,
-    leaves: bool,
-    /// Own calls that wait for the other side's word: who waits here, and since when.
-    calls: BTreeMap<u64, (u64, f64)>,
-    next_call: u64,
+    opened_at: f64,
+    peer_shutting_down: bool,
+    /// Forwarded call-backs that wait for their results, by number.
+    callbacks: BTreeMap<u64, ForwardedCallback>,
+    next_callback: u64,
 }
 
 impl Link {
-    /// A link of the node of this name that listens here.
+    /// Creates a link of the node with this name that listens at `listen`.
     pub fn new(role: Role, name: &str, listen: &str, now: f64) -> Self {
-        let (name, listen, state) = (name.to_owned(), listen.to_owned(), State::Greeting);
-        let (reader, calls) = Default::default();
         Self {
             role,
-            name,
-            listen,
-            state,
-            reader,
-            since: now,
-            leaves: false,
-            calls,
-            next_call: 1,
+            name: name.to_owned(),
+            listen: listen.to_owned(),
+            state: State::AwaitingHello,
+            reader: Reader::default(),
+            opened_at: now,
+            peer_shutting_down: false,
+            callbacks: BTreeMap::new(),
+            next_callback: 1,
         }
     }
 
-    /// What this side says first, after the greeting's bytes.
+    /// Returns this side's first message, which follows the greeting's bytes.
     pub fn hello(&self) -> Message {
         Message::Hello {
             name: self.name.clone(),
@@ -94,112 +121,145 @@
         }
     }
 
-    /// The side that this process is on.
+    /// Returns this process's side of the link.
     pub fn role(&self) -> Role {
         self.role
     }
 
     /// Whether the other side has greeted.
     pub fn is_greeted(&self) -> bool {
-        self.state != State::Greeting
+        self.state != State::AwaitingHello
     }
 
-    /// Whether both sides know all that the other had to tell at first.
+    /// Whether the newer side has the older side's whole snapshot.
     pub fn is_joined(&self) -> bool {
         self.state == State::Joined
     }
 
-    /// Whether the other side has said that it leaves.
+    /// Whether the other side has announced that it is shutting down.
     pub fn is_peer_shutting_down(&self) -> bool {
-        self.leaves
+        self.peer_shutting_down
     }
 
-    /// A call-back to send over, for which `who` waits here.
-    pub fn forward_callback(&mut self, now: f64, who: u64, body: Vec<u8>) -> Message {
-        let number = self.next_call;
-        self.next_call += 1;
-        self.calls.insert(number, (who, now));
+    /// Returns the message that forwards a call-back to the other side; `caller` waits for its result.
+    pub fn forward_callback(&mut self, now: f64, caller: u64, body: Vec<u8>) -> Message {
+        let number = self.next_callback;
+        self.next_callback += 1;
+        let callback = ForwardedCallback { caller, since: now };
+        self.callbacks.insert(number, callback);
         Message::Callback { number, body }
     }
 
-    /// Who waits for words that will not come, once the link is over.
+    /// Returns the callers whose results will not come if the link is closed now.
     pub fn pending_callers(&self) -> Vec<u64> {
-        self.calls.values().map(|(who, _)| *who).collect()
+        self.callbacks
+            .values()
+            .map(|callback| callback.caller)
+            .collect()
     }
 
-    /// Whether the other side has taken too long.
+    /// Checks whether the other side has taken too long.
     ///
     /// # Errors
     ///
-    /// If so: the link is to be dropped.
+    /// [`DecodeError::Stalled`] if it has: the link is to be closed.
     pub fn check_timeouts(&self, now: f64) -> Result<(), DecodeError> {
-        let greeting = self.state != State::Joined && now - self.since > GREETING;
-        let word = self.calls.values().any(|(_, since)| now - since > WORD);
-        if greeting || word {
+        let snapshot_late =
+            self.state != State::Joined && now - self.opened_at > SNAPSHOT_TIMEOUT_SECONDS;
+        let callback_late = self
+            .callbacks
+            .values()
+            .any(|callback| now - callback.since > CALLBACK_TIMEOUT_SECONDS);
+        if snapshot_late || callback_late {
             Err(DecodeError::Stalled)
         } else {
             Ok(())
         }
     }
 
-    /// The older side has told all: from here on both tell what changes.
+    /// Records that this older side has sent its whole snapshot.
     pub fn complete_snapshot(&mut self) {
-        if self.state == State::Telling {
+        if self.state == State::SendingSnapshot {
             self.state = State::Joined;
         }
     }
 
-    /// Takes bytes in, cut anywhere.
+    /// Decodes received bytes, cut anywhere, and appends their events to `events`.
     ///
     /// # Errors
     ///
-    /// If they can't be gone by: the link is to be dropped. What came before the fault counts.
-    pub fn receive(&mut self, bytes: &[u8], news: &mut Vec<LinkEvent>) -> Result<(), DecodeError> {
+    /// If the bytes or a message are invalid: the link is to be closed. The events before the fault are appended.
+    pub fn receive(
+        &mut self,
+        bytes: &[u8],
+        events: &mut Vec<LinkEvent>,
+    ) -> Result<(), DecodeError> {
         self.reader.push(bytes);
         while let Some(message) = self.reader.next()? {
-            news.push(self.handle_message(message)?);
+            events.push(self.handle_message(message)?);
         }
         Ok(())
     }
 
     fn handle_message(&mut self, message: Message) -> Result<LinkEvent, DecodeError> {
-        Ok(match (self.state, message) {
-            (State::Greeting, Message::Hello { name, listen }) => {
-                if (&name, &listen) != (&self.name, &self.listen) {
-                    return Err(DecodeError::OtherNode(format!("{name} at {listen}")));
-                }
-                self.state = State::Telling;
-                LinkEvent::Greeted
-            }
-            (State::Greeting, _) | (_, Message::Hello { .. }) => {
-                return Err(DecodeError::OutOfTurn);
-            }
-            (State::Telling, Message::SnapshotComplete) if self.role == Role::Newer => {
+        match message {
+            Message::Hello { name, listen } => return self.handle_hello(&name, &listen),
+            _ if self.state == State::AwaitingHello => return Err(DecodeError::OutOfTurn),
+            _ => {}
+        }
+        // Only a side that shuts down gives its connections away.
+        let accepts_connections = self.state == State::Joined && self.peer_shutting_down;
+        Ok(match message {
+            Message::StateUpdate(update) => LinkEvent::StateUpdate(update),
+            Message::SnapshotComplete
+                if self.state == State::SendingSnapshot && self.role == Role::Newer =>
+            {
                 self.state = State::Joined;
                 LinkEvent::SnapshotComplete
             }
-            (_, Message::SnapshotComplete) => return Err(DecodeError::OutOfTurn),
-            (_, Message::StateUpdate(tale)) => LinkEvent::StateUpdate(tale),
-            (_, Message::DescriptorsHeld(most)) => LinkEvent::DescriptorsHeld(most),
-            (_, Message::Callback { number, body }) => LinkEvent::Callback(number, body),
-            (_, Message::CallbackResult { number, known }) => {
-                let (who, _) = self.calls.remove(&number).ok_or(DecodeError::OutOfTurn)?;
-                LinkEvent::CallbackResult(who, known)
-            }
-            // Only a side that leaves gives its connections away.
-            (State::Joined, Message::QuietConnection { input, useful }) if self.leaves => {
-                LinkEvent::QuietConnection(input, useful)
-            }
-            (State::Joined, Message::Request { job, input, closes }) if self.leaves => {
-                LinkEvent::Request(job, input, closes)
+            Message::DescriptorsHeld(count) => LinkEvent::DescriptorsHeld(count),
+            Message::Callback { number, body } => LinkEvent::Callback { number, body },
+            Message::CallbackResult { number, known } => {
+                let callback = self
+                    .callbacks
+                    .remove(&number)
+                    .ok_or(DecodeError::OutOfTurn)?;
+                LinkEvent::CallbackResult {
+                    caller: callback.caller,
+                    known,
+                }
             }
-            (_, Message::QuietConnection { .. } | Message::Request { .. }) => {
-                return Err(DecodeError::OutOfTurn);
+            Message::QuietConnection { input, used_before } if accepts_connections => {
+                LinkEvent::QuietConnection { input, used_before }
             }
-            (_, Message::ShuttingDown) => {
-                self.leaves = true;
+            Message::Request {
+                request,
+                input,
+                close_after_answer,
+            } if accepts_connections => LinkEvent::Request {
+                request,
+                input,
+                close_after_answer,
+            },
+            Message::ShuttingDown => {
+                self.peer_shutting_down = true;
                 LinkEvent::ShuttingDown
             }
+            Message::Hello { .. }
+            | Message::SnapshotComplete
+            | Message::QuietConnection { .. }
+            | Message::Request { .. } => return Err(DecodeError::OutOfTurn),
         })
     }
+
+    fn handle_hello(&mut self, name: &str, listen: &str) -> Result<LinkEvent, DecodeError> {
+        if self.state != State::AwaitingHello {
+            return Err(DecodeError::OutOfTurn);
+        }
+        if name != self.name || listen != self.listen {
+            return Err(DecodeError::OtherNode(format!("{name} at {listen}")));
+        }
+        self.state = State::SendingSnapshot;
+        Ok(LinkEvent::Greeted)
+    }
 }
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -45,29 +45,35 @@
 fn tale() -> impl Strategy<Value = StateUpdate> {
     let id = "[a-z0-9]{0,12}";
     prop_oneof![
-        (id, any::<bool>())
-            .prop_map(|(worker, again)| StateUpdate::WorkerSuspensionChanged { worker, again }),
-        (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| StateUpdate::DrainChanged { on, ago }),
+        (id, any::<bool>()).prop_map(|(worker, again)| StateUpdate::WorkerSuspensionChanged {
+            worker,
+            resume: again
+        }),
+        (any::<bool>(), 0f32..9.0).prop_map(|(on, ago)| StateUpdate::DrainChanged {
+            draining: on,
+            seconds_ago: ago
+        }),
         proptest::collection::vec(any::<u8>(), 0..600).prop_map(StateUpdate::WorkerList),
-        (id, any::<bool>()).prop_map(|(id, counts)| StateUpdate::RequestAdmitted { id, counts }),
+        (id, any::<bool>())
+            .prop_map(|(id, counts)| StateUpdate::RequestAdmitted { id, is_new: counts }),
         (id, any::<u16>(), id, 0f32..9.0, any::<bool>()).prop_map(
             |(id, attempt, worker, ago, counts)| {
                 StateUpdate::AttemptSent {
                     id,
                     attempt,
                     worker,
-                    need: 1.0,
-                    work: 0.5,
-                    ago,
-                    counts,
+                    slots: 1.0,
+                    expected_work: 0.5,
+                    seconds_ago: ago,
+                    is_new: counts,
                 }
             }
         ),
         (id, any::<u16>()).prop_map(|(id, attempt)| StateUpdate::AttemptEnded { id, attempt }),
         id.prop_map(|id| StateUpdate::RequestFinished { id }),
         proptest::collection::vec(0f32..9.0, 0..50).prop_map(|taken| StateUpdate::BudgetHistory {
-            taken,
-            further: vec![1.0]
+            admissions: taken,
+            retries: vec![1.0]
         }),
     ]
 }
@@ -173,12 +179,12 @@
     );
     let client = Message::QuietConnection {
         input: Vec::new(),
-        useful: true,
+        used_before: true,
     };
     let job = Message::Request {
-        job: vec![1],
+        request: vec![1],
         input: Vec::new(),
-        closes: false,
+        close_after_answer: false,
     };
     let (mut older, mut newer) = joined();
     for message in [
@@ -209,11 +215,18 @@
     );
     assert_eq!(
         received(&mut newer, &frame(&client)),
-        Ok(vec![LinkEvent::QuietConnection(Vec::new(), true)])
+        Ok(vec![LinkEvent::QuietConnection {
+            input: Vec::new(),
+            used_before: true
+        }])
     );
     assert_eq!(
         received(&mut newer, &frame(&job)),
-        Ok(vec![LinkEvent::Request(vec![1], Vec::new(), false)])
+        Ok(vec![LinkEvent::Request {
+            request: vec![1],
+            input: Vec::new(),
+            close_after_answer: false
+        }])
     );
     let mut empty = 0u32.to_be_bytes().to_vec();
     assert_eq!(received(&mut newer, &empty), Err(DecodeError::Malformed));
@@ -232,8 +245,14 @@
     let two = newer.forward_callback(100.5, 22, b"b".to_vec());
     let news = received(&mut older, &[frame(&one), frame(&two)].concat()).expect("calls");
     let [
-        LinkEvent::Callback(first, a),
-        LinkEvent::Callback(second, b),
+        LinkEvent::Callback {
+            number: first,
+            body: a,
+        },
+        LinkEvent::Callback {
+            number: second,
+            body: b,
+        },
     ] = &news[..]
     else {
         panic!("{news:?}")
@@ -248,7 +267,10 @@
     });
     assert_eq!(
         received(&mut newer, &word),
-        Ok(vec![LinkEvent::CallbackResult(22, true)])
+        Ok(vec![LinkEvent::CallbackResult {
+            caller: 22,
+            known: true
+        }])
     );
     assert_eq!(
         received(&mut newer, &word),
@@ -338,7 +360,7 @@
                 5 if size > 50 => Some(Message::ShuttingDown),
                 6 if size > 40 => Some(Message::QuietConnection {
                     input: vec![1],
-                    useful: newer,
+                    used_before: newer,
                 }),
                 _ => None,
             };
@@ -368,18 +390,27 @@
                     }
                     Message::StateUpdate(tale) => Some(LinkEvent::StateUpdate(tale)),
                     Message::DescriptorsHeld(most) => Some(LinkEvent::DescriptorsHeld(most)),
-                    Message::Callback { number, body } => Some(LinkEvent::Callback(number, body)),
+                    Message::Callback { number, body } => {
+                        Some(LinkEvent::Callback { number, body })
+                    }
                     Message::CallbackResult { number, known } => {
                         let waits = model.calls.iter().position(|(n, _)| *n == number);
-                        waits.map(|i| LinkEvent::CallbackResult(model.calls.remove(i).1, known))
+                        waits.map(|i| LinkEvent::CallbackResult {
+                            caller: model.calls.remove(i).1,
+                            known,
+                        })
                     }
                     Message::ShuttingDown => {
                         model.leaves = true;
                         Some(LinkEvent::ShuttingDown)
                     }
-                    Message::QuietConnection { input, useful } if joined && model.leaves => {
-                        Some(LinkEvent::QuietConnection(input, useful))
-                    }
+                    Message::QuietConnection {
+                        input,
+                        used_before: useful,
+                    } if joined && model.leaves => Some(LinkEvent::QuietConnection {
+                        input,
+                        used_before: useful,
+                    }),
                     _ => None,
                 };
                 fault = news.is_none();
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -90,30 +90,30 @@
     pin(
         Message::QuietConnection {
             input: b"GET".to_vec(),
-            useful: true,
+            used_before: true,
         },
         "060347455401",
     );
     pin(
         Message::QuietConnection {
             input: Vec::new(),
-            useful: false,
+            used_before: false,
         },
         "060000",
     );
     pin(
         Message::Request {
-            job: vec![9, 8],
+            request: vec![9, 8],
             input: vec![7],
-            closes: true,
+            close_after_answer: true,
         },
         "07020908010701",
     );
     pin(
         Message::Request {
-            job: Vec::new(),
+            request: Vec::new(),
             input: Vec::new(),
-            closes: false,
+            close_after_answer: false,
         },
         "07000000",
     );
@@ -125,25 +125,28 @@
     pin(
         Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-1".into(),
-            again: true,
+            resume: true,
         }),
         "010003772d3101",
     );
     pin(
         Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-2".into(),
-            again: false,
+            resume: false,
         }),
         "010003772d3200",
     );
     pin(
-        Message::StateUpdate(StateUpdate::DrainChanged { on: true, ago: 1.5 }),
+        Message::StateUpdate(StateUpdate::DrainChanged {
+            draining: true,
+            seconds_ago: 1.5,
+        }),
         "0101010000c03f",
     );
     pin(
         Message::StateUpdate(StateUpdate::DrainChanged {
-            on: false,
-            ago: 0.0,
+            draining: false,
+            seconds_ago: 0.0,
         }),
         "01010000000000",
     );
@@ -158,14 +161,14 @@
     pin(
         Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
-            counts: true,
+            is_new: true,
         }),
         "0103036a2d3101",
     );
     pin(
         Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-2".into(),
-            counts: false,
+            is_new: false,
         }),
         "0103036a2d3200",
     );
@@ -174,10 +177,10 @@
         id,
         attempt: 515,
         worker,
-        need: 2.5,
-        work: 0.25,
-        ago: 0.125,
-        counts: true,
+        slots: 2.5,
+        expected_work: 0.25,
+        seconds_ago: 0.125,
+        is_new: true,
     };
     pin(
         Message::StateUpdate(sent),
@@ -188,10 +191,10 @@
         id,
         attempt: 0,
         worker,
-        need: 1.0,
-        work: 0.0,
-        ago: 0.0,
-        counts: false,
+        slots: 1.0,
+        expected_work: 0.0,
+        seconds_ago: 0.0,
+        is_new: false,
     };
     pin(
         Message::StateUpdate(sent),
@@ -210,15 +213,15 @@
     );
     pin(
         Message::StateUpdate(StateUpdate::BudgetHistory {
-            taken: vec![0.5, 4.0],
-            further: vec![8.0],
+            admissions: vec![0.5, 4.0],
+            retries: vec![8.0],
         }),
         "0107020000003f000080400100000041",
     );
     pin(
         Message::StateUpdate(StateUpdate::BudgetHistory {
-            taken: Vec::new(),
-            further: Vec::new(),
+            admissions: Vec::new(),
+            retries: Vec::new(),
         }),
         "01070000",
     );
@@ -306,10 +309,10 @@
         id,
         attempt: 1,
         worker,
-        need: 2.0,
-        work: 0.5,
-        ago: 0.25,
-        counts: false,
+        slots: 2.0,
+        expected_work: 0.5,
+        seconds_ago: 0.25,
+        is_new: false,
     };
     vec![
         Message::Hello {
@@ -318,15 +321,15 @@
         },
         Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-9".into(),
-            again: false,
+            resume: false,
         }),
         Message::StateUpdate(StateUpdate::BudgetHistory {
-            taken: vec![1.0],
-            further: vec![2.0],
+            admissions: vec![1.0],
+            retries: vec![2.0],
         }),
         Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
-            counts: false,
+            is_new: false,
         }),
         Message::StateUpdate(sent),
         Message::StateUpdate(StateUpdate::WorkerList(vec![1, 2])),
@@ -343,12 +346,12 @@
         Message::ShuttingDown,
         Message::QuietConnection {
             input: b"GET /".to_vec(),
-            useful: true,
+            used_before: true,
         },
         Message::Request {
-            job: vec![1, 2, 3],
+            request: vec![1, 2, 3],
             input: b"P".to_vec(),
-            closes: true,
+            close_after_answer: true,
         },
         Message::StateUpdate(StateUpdate::AttemptEnded {
             id: "j-1".into(),
@@ -362,20 +365,20 @@
 const RECORDED: &str = concat!(
     "7070686f0d0a0001",                                         // greeting
     "0000001400036e2d310e3132372e302e302e313a37303730",         // Hello
-    "00000007010003772d3900",                                   // Tale::Use
-    "0000000c0107010000803f0100000040",                         // Tale::Past
-    "000000070103036a2d3100",                                   // Tale::Taken
-    "000000180104036a2d310103772d31000000400000003f0000803e00", // Tale::Sent
-    "000000050102020102",                                       // Tale::List
-    "0000000102",                                               // Told
-    "000000020311",                                             // Holds
-    "000000050401027b7d",                                       // Call
-    "00000003050101",                                           // Called
-    "0000000108",                                               // Leaves
-    "000000080605474554202f01",                                 // Client
-    "000000080703010203015001",                                 // Job
-    "000000070105036a2d3101",                                   // Tale::Ended
-    "000000060106036a2d31",                                     // Tale::Over
+    "00000007010003772d3900",                                   // WorkerSuspensionChanged
+    "0000000c0107010000803f0100000040",                         // BudgetHistory
+    "000000070103036a2d3100",                                   // RequestAdmitted
+    "000000180104036a2d310103772d31000000400000003f0000803e00", // AttemptSent
+    "000000050102020102",                                       // WorkerList
+    "0000000102",                                               // SnapshotComplete
+    "000000020311",                                             // DescriptorsHeld
+    "000000050401027b7d",                                       // Callback
+    "00000003050101",                                           // CallbackResult
+    "0000000108",                                               // ShuttingDown
+    "000000080605474554202f01",                                 // QuietConnection
+    "000000080703010203015001",                                 // Request
+    "000000070105036a2d3101",                                   // AttemptEnded
+    "000000060106036a2d31",                                     // RequestFinished
 );
 
 #[test]
@@ -400,15 +403,15 @@
         LinkEvent::Greeted,
         LinkEvent::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-9".into(),
-            again: false,
+            resume: false,
         }),
         LinkEvent::StateUpdate(StateUpdate::BudgetHistory {
-            taken: vec![1.0],
-            further: vec![2.0],
+            admissions: vec![1.0],
+            retries: vec![2.0],
         }),
         LinkEvent::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
-            counts: false,
+            is_new: false,
         }),
     ]
     .into_iter()
@@ -417,11 +420,24 @@
         LinkEvent::StateUpdate(StateUpdate::WorkerList(vec![1, 2])),
         LinkEvent::SnapshotComplete,
         LinkEvent::DescriptorsHeld(17),
-        LinkEvent::Callback(1, b"{}".to_vec()),
-        LinkEvent::CallbackResult(44, true),
+        LinkEvent::Callback {
+            number: 1,
+            body: b"{}".to_vec(),
+        },
+        LinkEvent::CallbackResult {
+            caller: 44,
+            known: true,
+        },
         LinkEvent::ShuttingDown,
-        LinkEvent::QuietConnection(b"GET /".to_vec(), true),
-        LinkEvent::Request(vec![1, 2, 3], b"P".to_vec(), true),
+        LinkEvent::QuietConnection {
+            input: b"GET /".to_vec(),
+            used_before: true,
+        },
+        LinkEvent::Request {
+            request: vec![1, 2, 3],
+            input: b"P".to_vec(),
+            close_after_answer: true,
+        },
         LinkEvent::StateUpdate(StateUpdate::AttemptEnded {
             id: "j-1".into(),
             attempt: 1,
--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -1,7 +1,7 @@
 //! The connections that streams between nodes go over: it moves bytes, and the machine in `postproxy-streams` decides.
 
 use crate::net::transport::connection::{Callbacks, Connection, State};
-use crate::net::transport::reactor::{self, Owner, Reactor};
+use crate::net::transport::reactor::{self, Reactor, SocketOwner};
 use postproxy_streams::{DecodeError, Effect, QueueFull, Streams};
 use std::collections::HashMap;
 use std::io;
@@ -65,7 +65,7 @@
     /// If it can't be listened there.
     pub fn start(reactor: &mut Reactor, at: SocketAddr, streams: Streams) -> io::Result<Self> {
         let listener = reactor::listen(at)?;
-        let key = reactor.register(&listener, Owner::Peers)?;
+        let key = reactor.register(&listener, SocketOwner::Peers)?;
         reactor.rearm(&listener, key, (true, false));
         let from = Some(at.ip()).filter(|ip| !ip.is_unspecified());
         Ok(Self {
@@ -174,7 +174,7 @@
             let _ = stream.set_nodelay(true);
             let key = stream
                 .set_nonblocking(true)
-                .and_then(|()| reactor.register(&stream, Owner::Peers));
+                .and_then(|()| reactor.register(&stream, SocketOwner::Peers));
             let Ok(key) = key else { continue };
             self.sockets
                 .insert(key, Connection::new(stream, false, MOST_UNREAD));
@@ -203,7 +203,8 @@
 
     fn dial(&mut self, reactor: &mut Reactor, to: &str, at: SocketAddr, out: &mut Vec<Effect>) {
         let stream = reactor::dial_from(self.from, at);
-        let made = stream.and_then(|stream| Ok((reactor.register(&stream, Owner::Peers)?, stream)));
+        let made =
+            stream.and_then(|stream| Ok((reactor.register(&stream, SocketOwner::Peers)?, stream)));
         let key = made.ok().map(|(key, stream)| {
             let connection = Connection::new(stream, true, MOST_UNREAD);
             reactor.rearm(connection.stream(), key, connection.interest());
@@ -267,7 +268,7 @@
     /// One turn of a node's loop, so much later; what was heard, and how long it took.
     fn turn(reactor: &mut Reactor, wires: &mut PeerConnections) -> (Vec<PeerMessage>, Duration) {
         reactor.now += 0.01;
-        reactor.set_timer(reactor.now + 0.01, reactor::Timer::Peers(0));
+        reactor.set_timer(reactor.now + 0.01, reactor::Timer::Peers { number: 0 });
         let mut events = Vec::new();
         reactor.wait(&mut events, reactor.now).expect("a poller");
         let start = Instant::now();
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -5,7 +5,7 @@
 use crate::net::cluster::peer_connections::{PeerConnections, PeerMessage};
 use crate::net::cluster::versions::{self, Audit};
 use crate::net::store_adapter::RecoveredState;
-use crate::net::transport::reactor::{Owner, Reactor, Timer};
+use crate::net::transport::reactor::{Reactor, SocketOwner, Timer};
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection};
 use postproxy_coordination::StorageChange;
 use postproxy_membership::{
@@ -262,7 +262,7 @@
         // The life must differ from every other's: from the system's own chance, not from the seed.
         let seed = RandomState::new().build_hasher().finish();
         let (socket, peer_connections) = self.sockets(reactor, seed)?;
-        let key = reactor.register(&socket, Owner::Peers)?;
+        let key = reactor.register(&socket, SocketOwner::Peers)?;
         reactor.rearm(&socket, key, (true, false));
         let told = self.section.told(socket.local_addr()?);
         let started = (reactor.now * 1000.0) as u64;
@@ -364,7 +364,12 @@
             .fold(at, f64::min);
         if at < self.look.1 {
             self.look = (self.look.0 + 1, at);
-            reactor.set_timer(at, Timer::Peers(self.look.0));
+            reactor.set_timer(
+                at,
+                Timer::Peers {
+                    number: self.look.0,
+                },
+            );
         }
     }
 
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -4,7 +4,7 @@
 use crate::net::messages::{Answer, Input, JobCall, JobState, Load, Payload, Submission};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Headers, ParseError, Read, Request, RequestReader};
-use crate::net::transport::reactor::{Owner, Reactor, Timer};
+use crate::net::transport::reactor::{Reactor, SocketOwner, Timer};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::io;
@@ -329,7 +329,10 @@
     fn wait(&mut self, time: f64) {
         self.client.round += 1;
         self.client.since = self.reactor.now;
-        let due = Timer::Client(self.client.key, self.client.round);
+        let due = Timer::Client {
+            key: self.client.key,
+            round: self.client.round,
+        };
         self.reactor.set_timer(self.reactor.now + time, due);
     }
 
@@ -511,7 +514,7 @@
         settings: Settings,
         most: usize,
     ) -> io::Result<Self> {
-        let listener_key = reactor.register(&listener, Owner::Client)?;
+        let listener_key = reactor.register(&listener, SocketOwner::Client)?;
         reactor.rearm(&listener, listener_key, (true, false));
         let sessions = HashMap::new();
         Ok(Self {
@@ -665,7 +668,7 @@
     ) -> Option<usize> {
         let key = stream
             .set_nonblocking(true)
-            .and_then(|()| reactor.register(&stream, Owner::Client))
+            .and_then(|()| reactor.register(&stream, SocketOwner::Client))
             .ok()?;
         let mut connection = Connection::new(stream, false, MOST_INPUT);
         connection.input = input;
@@ -829,7 +832,7 @@
     fn wake(&mut self, reactor: &mut Reactor, after: f64) {
         if reactor.now + after < self.wakes {
             self.wakes = reactor.now + after;
-            reactor.set_timer(self.wakes, Timer::Accept);
+            reactor.set_timer(self.wakes, Timer::ClientAccept);
         }
     }
 
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,6 +1,6 @@
 //! Pins the name of the socket on which two processes of a node meet: the other one may run another version of the program.
 
-use super::socket_path;
+use super::socket::socket_path;
 use std::path::Path;
 
 #[test]
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -4,7 +4,7 @@
 use crate::net::messages::Reply;
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read, Request, RequestReader};
-use crate::net::transport::reactor::{Owner, Reactor, Timer};
+use crate::net::transport::reactor::{Reactor, SocketOwner, Timer};
 use std::collections::HashMap;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -189,7 +189,7 @@
     ///
     /// If the system's poller refuses the listener.
     pub fn new(reactor: &mut Reactor, listener: TcpListener) -> io::Result<Self> {
-        let listener_key = reactor.register(&listener, Owner::ManagementServer)?;
+        let listener_key = reactor.register(&listener, SocketOwner::ManagementServer)?;
         reactor.rearm(&listener, listener_key, (true, false));
         Ok(Self {
             listener,
@@ -253,7 +253,7 @@
                 answer(connection, caller, status, None, words);
             }
         });
-        reactor.set_timer(reactor.now + LINGER, Timer::Caller(key));
+        reactor.set_timer(reactor.now + LINGER, Timer::ManagementConnection { key });
     }
 
     /// A caller has had its time.
@@ -268,7 +268,7 @@
         let mut calls = Vec::new();
         for _ in 0..ACCEPTS {
             if self.sessions.len() >= MOST && !self.make_room(reactor) {
-                reactor.set_timer(reactor.now + YOUNG, Timer::Callers);
+                reactor.set_timer(reactor.now + YOUNG, Timer::ManagementAccept);
                 return calls;
             }
             match self.listener.accept() {
@@ -276,7 +276,7 @@
                     let _ = stream.set_nodelay(true);
                     let key = stream
                         .set_nonblocking(true)
-                        .and_then(|()| reactor.register(&stream, Owner::ManagementServer));
+                        .and_then(|()| reactor.register(&stream, SocketOwner::ManagementServer));
                     let Ok(key) = key else { continue };
                     let connection =
                         Connection::new(stream, false, http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES);
@@ -291,14 +291,14 @@
                         news,
                     };
                     self.sessions.insert(key, Session { connection, caller });
-                    reactor.set_timer(reactor.now + PATIENCE, Timer::Caller(key));
+                    reactor.set_timer(reactor.now + PATIENCE, Timer::ManagementConnection { key });
                     calls.extend(self.handle_ready(reactor, key, true, false));
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(_) => {
-                    reactor.set_timer(reactor.now + YOUNG, Timer::Callers);
+                    reactor.set_timer(reactor.now + YOUNG, Timer::ManagementAccept);
                     return calls;
                 }
             }
--- /dev/null
+++ b/src/net/node/management.rs
@@ -0,0 +1,213 @@
+//! Dispatches requests of the management API and sends their replies.
+
+use super::Node;
+use crate::net::cluster::coordination::AdminRequest;
+use crate::net::cluster::service::ClusterService;
+use crate::net::management::Call;
+use crate::net::messages::{Input, Reply};
+use postproxy_membership::Rejection;
+
+/// A request of the management API that waits until an older process has sent its whole snapshot.
+pub(super) struct DeferredRequest {
+    caller: usize,
+    call: Call,
+}
+
+/// A change of a worker's suspension that the request manager has yet to accept.
+pub(super) struct PendingSuspension {
+    worker: String,
+    /// `true` to resume the worker, `false` to suspend it.
+    resume: bool,
+}
+
+impl Node {
+    /// Handles readiness of the management API's listener or of one of its connections.
+    pub(super) fn handle_management_ready(&mut self, key: usize, readable: bool, writable: bool) {
+        let calls = self
+            .management
+            .as_mut()
+            .map(|management| management.handle_ready(&mut self.reactor, key, readable, writable));
+        self.handle_management_requests(calls.unwrap_or_default());
+    }
+
+    /// Accepts connections of the management API again after a pause.
+    pub(super) fn resume_accepting_management(&mut self) {
+        let calls = self
+            .management
+            .as_mut()
+            .map(|management| management.accept(&mut self.reactor));
+        self.handle_management_requests(calls.unwrap_or_default());
+    }
+
+    /// Carries out requests of the management API, each with its caller's connection. Requests that change the
+    /// node are deferred while an older process still sends its snapshot: the snapshot would override them.
+    pub(super) fn handle_management_requests(&mut self, requests: Vec<(usize, Call)>) {
+        for (caller, call) in requests {
+            let changes_node = matches!(
+                call,
+                Call::Drain | Call::Activate | Call::Suspend(_) | Call::Resume(_)
+            );
+            if changes_node && self.is_waiting_for_snapshot() {
+                self.deferred_requests
+                    .push(DeferredRequest { caller, call });
+                continue;
+            }
+            self.handle_management_request(caller, call);
+        }
+    }
+
+    /// Carries out the deferred requests.
+    pub(super) fn handle_deferred_requests(&mut self) {
+        let requests = std::mem::take(&mut self.deferred_requests);
+        let requests = requests
+            .into_iter()
+            .map(|request| (request.caller, request.call));
+        self.handle_management_requests(requests.collect());
+    }
+
+    fn handle_management_request(&mut self, caller: usize, call: Call) {
+        match call {
+            Call::Ready => {
+                let ready = self.lifecycle.is_serving();
+                self.reply(caller, if ready { Reply::Yes } else { Reply::NotNow });
+            }
+            Call::Drain => {
+                self.drain(None, 0.0);
+                self.reply(caller, Reply::Yes);
+            }
+            Call::Activate => {
+                let reply = self.activate();
+                self.reply(caller, reply);
+            }
+            Call::Suspend(worker) => self.request_suspension(caller, worker, false),
+            Call::Resume(worker) => self.request_suspension(caller, worker, true),
+            Call::Forget(name) => {
+                let reply = self.forget_member(&name);
+                self.reply(caller, reply);
+            }
+            Call::Owners => self.show_lease_status(caller),
+            Call::Versions => self.show_versions(caller),
+            Call::Audit => self.show_audit_log(caller),
+            Call::Release(duty) => self.submit_admin_request(caller, AdminRequest::Release(duty)),
+            Call::Hand(duty, to) => self.submit_admin_request(caller, AdminRequest::Hand(duty, to)),
+            Call::Voter(name, add) => {
+                self.submit_admin_request(caller, AdminRequest::Voter(name, add));
+            }
+            Call::Members => self.show_members(caller),
+        }
+    }
+
+    /// Sends a reply to a caller of the management API.
+    pub(super) fn reply(&mut self, caller: usize, reply: Reply) {
+        if let Some(management) = &mut self.management {
+            management.send_reply(&mut self.reactor, caller, reply);
+        }
+    }
+
+    /// Sends a text to a caller of the management API, or `otherwise` if there is none.
+    fn reply_with_text(&mut self, caller: usize, text: Option<String>, otherwise: Reply) {
+        match (&mut self.management, text) {
+            (Some(management), Some(text)) => {
+                management.send_text(&mut self.reactor, caller, 200, &text);
+            }
+            (Some(management), None) => {
+                management.send_reply(&mut self.reactor, caller, otherwise);
+            }
+            (None, _) => {}
+        }
+    }
+
+    fn show_lease_status(&mut self, caller: usize) {
+        let text = self
+            .cluster
+            .as_ref()
+            .and_then(|cluster| cluster.lease_status_json(self.reactor.now));
+        self.reply_with_text(caller, text, Reply::NoDuties);
+    }
+
+    fn show_versions(&mut self, caller: usize) {
+        let text = self
+            .cluster
+            .as_ref()
+            .and_then(|cluster| cluster.versions_json(self.reactor.now));
+        self.reply_with_text(caller, text, Reply::NoAudit);
+    }
+
+    fn show_audit_log(&mut self, caller: usize) {
+        let text = self
+            .cluster
+            .as_ref()
+            .and_then(|cluster| cluster.audit_log_json(self.attempts_on_version));
+        self.reply_with_text(caller, text, Reply::NoAudit);
+    }
+
+    fn show_members(&mut self, caller: usize) {
+        let status = self.cluster.as_ref().and_then(ClusterService::status);
+        let text = status.and_then(|status| serde_json::to_string(&status).ok());
+        self.reply_with_text(caller, text.map(|text| text + "\n"), Reply::NoFleet);
+    }
+
+    /// Submits a request to the cluster's coordination; the caller gets its reply once the request is decided.
+    fn submit_admin_request(&mut self, caller: usize, request: AdminRequest) {
+        let events = self
+            .cluster
+            .as_mut()
+            .and_then(|cluster| cluster.handle_admin_request(&mut self.reactor, caller, request));
+        match events {
+            Some(events) => self.handle_cluster_events(events),
+            None => self.reply(caller, Reply::NoDuties),
+        }
+    }
+
+    /// Removes a failed node from the cluster's members.
+    fn forget_member(&mut self, name: &str) -> Reply {
+        let Some(cluster) = &mut self.cluster else {
+            return Reply::NoFleet;
+        };
+        match cluster.forget_member(&mut self.reactor, name) {
+            Ok(events) => {
+                self.handle_cluster_events(events);
+                Reply::Yes
+            }
+            Err(Some(Rejection::Nobody)) => Reply::Nobody,
+            Err(Some(Rejection::Lives)) => Reply::Lives,
+            Err(Some(Rejection::Full) | None) => Reply::NotNow,
+        }
+    }
+
+    /// Asks the request manager to suspend or to resume a worker; [`Self::complete_suspension`] follows.
+    fn request_suspension(&mut self, caller: usize, worker: String, resume: bool) {
+        if self.cluster.is_some() {
+            let worker = worker.clone();
+            self.pending_suspensions
+                .insert(caller, PendingSuspension { worker, resume });
+        }
+        self.reactor.queue.push_back(Input::SuspensionRequested {
+            caller,
+            worker,
+            resume,
+        });
+    }
+
+    /// Passes an accepted suspension on to the other nodes, which then confirm it to the caller; without other
+    /// nodes the caller gets the request manager's reply at once.
+    pub(super) fn complete_suspension(&mut self, caller: usize, reply: Reply) {
+        let suspension = self
+            .pending_suspensions
+            .remove(&caller)
+            .filter(|_| reply == Reply::Yes);
+        if let (Some(suspension), Some(cluster)) = (suspension, &mut self.cluster) {
+            let (awaits_nodes, events) = cluster.set_suspended(
+                &mut self.reactor,
+                Some(caller),
+                &suspension.worker,
+                suspension.resume,
+            );
+            self.handle_cluster_events(events);
+            if awaits_nodes {
+                return;
+            }
+        }
+        self.reply(caller, reply);
+    }
+}
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -342,7 +342,7 @@
         self.by_client.insert(client, request);
         self.tell(|| StateUpdate::RequestAdmitted {
             id: submission.payload.id.clone(),
-            counts: true,
+            is_new: true,
         });
         let tenants = &self.settings.tenant_names;
         let tenant = tenants
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -62,20 +62,20 @@
         let mut tales: Vec<StateUpdate> = banned
             .map(|&w| StateUpdate::WorkerSuspensionChanged {
                 worker: self.names[w].clone(),
-                again: false,
+                resume: false,
             })
             .collect();
         let (taken, further) = self.dispatcher.past(MOST_PAST);
         let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
         tales.push(StateUpdate::BudgetHistory {
-            taken: agos(taken),
-            further: agos(further),
+            admissions: agos(taken),
+            retries: agos(further),
         });
         for t in self.requests.values() {
             let id = &t.payload.id;
             tales.push(StateUpdate::RequestAdmitted {
                 id: id.clone(),
-                counts: false,
+                is_new: false,
             });
             let out = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
             tales.extend(out.map(|(a, attempt)| self.sent(now, t, a, attempt, false)));
@@ -84,7 +84,7 @@
         for (id, d) in &self.distant {
             tales.push(StateUpdate::RequestAdmitted {
                 id: id.clone(),
-                counts: false,
+                is_new: false,
             });
             tales.extend(d.out.iter().map(|&(attempt, worker)| {
                 let (id, worker) = (id.clone(), self.names[worker].clone());
@@ -92,10 +92,10 @@
                     id,
                     attempt,
                     worker,
-                    need: 1.0,
-                    work: 0.0,
-                    ago: 0.0,
-                    counts: false,
+                    slots: 1.0,
+                    expected_work: 0.0,
+                    seconds_ago: 0.0,
+                    is_new: false,
                 }
             }));
         }
@@ -233,7 +233,7 @@
         };
         self.tales.push(StateUpdate::RequestAdmitted {
             id: t.payload.id.clone(),
-            counts: false,
+            is_new: false,
         });
         let open = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
         let open: Vec<StateUpdate> = open
@@ -279,10 +279,10 @@
             id,
             attempt,
             worker,
-            need,
-            work,
-            ago: (now - a.sent) as f32,
-            counts,
+            slots: need,
+            expected_work: work,
+            seconds_ago: (now - a.sent) as f32,
+            is_new: counts,
         }
     }
 
@@ -297,20 +297,26 @@
         let then = |ago: f32| now - f64::from(ago).max(0.0);
         let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
         match &tale {
-            StateUpdate::WorkerSuspensionChanged { worker, again } => {
+            StateUpdate::WorkerSuspensionChanged {
+                worker,
+                resume: again,
+            } => {
                 // It may be known there before this process has it from the list.
                 self.number(worker);
                 self.employ(now, worker, *again, out);
                 return;
             }
-            StateUpdate::BudgetHistory { taken, further } => {
+            StateUpdate::BudgetHistory {
+                admissions: taken,
+                retries: further,
+            } => {
                 let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
                 tell(SiblingEvent::Past {
                     taken: times(taken),
                     further: times(further),
                 });
             }
-            StateUpdate::RequestAdmitted { id, counts } => {
+            StateUpdate::RequestAdmitted { id, is_new: counts } => {
                 if *counts {
                     tell(SiblingEvent::Past {
                         taken: vec![now],
@@ -329,10 +335,10 @@
                 id,
                 attempt,
                 worker,
-                need,
-                work,
-                ago,
-                counts,
+                slots: need,
+                expected_work: work,
+                seconds_ago: ago,
+                is_new: counts,
             } => {
                 let number = self.number(worker);
                 let Some(d) = self.distant.get_mut(id) else {
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -55,7 +55,7 @@
         tracing::info!(worker = name, again, "an operator's word on a worker's use");
         self.tell(|| StateUpdate::WorkerSuspensionChanged {
             worker: name.to_owned(),
-            again,
+            resume: again,
         });
         if again {
             self.banned.remove(&worker);
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -3,7 +3,7 @@
 
 use super::upstream::worker_list::Kept;
 use crate::net::messages::{ClientId, Input, Wait};
-use crate::net::transport::reactor::{Owner, Reactor};
+use crate::net::transport::reactor::{Reactor, SocketOwner};
 use crate::operator_config::StoreSection;
 use postproxy_coordination::StorageChange;
 use postproxy_idempotency::{RequestLog, Write, result_key};
@@ -150,7 +150,7 @@
             .and_then(|()| waker.set_nonblocking(true));
         nonblocking.map_err(|error| format!("store: {error}"))?;
         let key = reactor
-            .register(&woken, Owner::Store)
+            .register(&woken, SocketOwner::Store)
             .map_err(|error| format!("store: {error}"))?;
         reactor.rearm(&woken, key, (true, false));
         let pending = Arc::new(AtomicBool::new(false));
--- a/src/net/transport/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -1,4 +1,5 @@
-//! What the owners of sockets stand on: the poller, the timers, the clock and the queue to the hub.
+//! The reactor: the poller, the timers, the clock of the current turn, and the queue of events for the request
+//! manager. It is shared by all owners of sockets.
 
 use super::timer_wheel::TimerWheel;
 use crate::net::messages::{self, Input};
@@ -10,42 +11,47 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// A tick of the timers, in seconds.
-const TICK: f64 = 0.002;
+const TICK_SECONDS: f64 = 0.002;
+/// Connections that the kernel queues at a listener until they are accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+/// The error of Linux for a connection that is still being made.
+const EINPROGRESS: i32 = 115;
 
-/// Whose a socket is.
+/// The part of the node that owns a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owner {
-    /// The operators' door's.
+pub enum SocketOwner {
+    /// The management API: its listener or a connection.
     ManagementServer,
-    /// Another process's of this node, or where it comes to.
+    /// The handover: its listener or a link to a sibling process.
     Handover,
-    /// The listener's or a client's.
+    /// The clients' side: its listener or a connection.
     Client,
-    /// An attempt's.
+    /// A connection to a worker.
     Attempt,
-    /// Discovery's.
+    /// A connection to discovery.
     Discovery,
-    /// The store's, which tells what has become of writes.
+    /// The store, which signals completed writes.
     Store,
-    /// Other nodes'.
+    /// The cluster: datagrams or a connection to another node.
     Peers,
     /// A signal to stop or to reload.
     Signal,
 }
 
-const OWNERS: [Owner; 8] = [
-    Owner::Discovery,
-    Owner::ManagementServer,
-    Owner::Handover,
-    Owner::Store,
-    Owner::Attempt,
-    Owner::Client,
-    Owner::Peers,
-    Owner::Signal,
+/// All owners, in the order in which their events are handled within one turn.
+const OWNERS: [SocketOwner; 8] = [
+    SocketOwner::Discovery,
+    SocketOwner::ManagementServer,
+    SocketOwner::Handover,
+    SocketOwner::Store,
+    SocketOwner::Attempt,
+    SocketOwner::Client,
+    SocketOwner::Peers,
+    SocketOwner::Signal,
 ];
 
-/// Whose socket a key is.
-pub fn owner(key: usize) -> Owner {
+/// Returns the owner of the socket with this key.
+pub fn owner(key: usize) -> SocketOwner {
     OWNERS[key % OWNERS.len()]
 }
 
@@ -54,42 +60,64 @@
 pub enum Timer {
     /// A timer of the request manager.
     Requests(messages::RequestTimer),
-    /// A look at the links to other processes of this node.
+    /// The check of the links to sibling processes.
     Handover,
-    /// What other nodes are owed, or are waited for; this look is the one of that number.
-    Peers(u64),
-    /// A caller at the operators' door.
-    Caller(usize),
-    /// Callers are taken again.
-    Callers,
-    /// A look at idle connections in a drain.
+    /// A timer of the cluster service.
+    Peers {
+        /// The timer's number; only the latest counts.
+        number: u64,
+    },
+    /// The timeout of a connection of the management API.
+    ManagementConnection {
+        /// The connection's key.
+        key: usize,
+    },
+    /// The management API accepts connections again.
+    ManagementAccept,
+    /// The check of idle connections in a drain.
     Drain,
-    /// A client's connection, in its round.
-    Client(usize, u64),
-    /// Accepting goes on.
-    Accept,
-    /// A worker's connection, in its round.
-    Attempt(usize, u64),
-    /// A worker's connection that is being made.
-    Dial(usize),
-    /// A look at which call to discovery is due.
+    /// The timeout of a client's connection.
+    Client {
+        /// The connection's key.
+        key: usize,
+        /// The connection's round that the timer was set in; it is void in a later one.
+        round: u64,
+    },
+    /// The clients' listener accepts connections again.
+    ClientAccept,
+    /// The timeout of a connection to a worker.
+    Attempt {
+        /// The connection's key.
+        key: usize,
+        /// The connection's round that the timer was set in; it is void in a later one.
+        round: u64,
+    },
+    /// The time in which a connection to a worker must be made.
+    AttemptConnect {
+        /// The connection's key.
+        key: usize,
+    },
+    /// The check whether a call to discovery is due.
     Discovery,
-    /// The connection for a call to discovery.
-    DiscoveryDial(u64),
-    /// Keeping the list of workers, if it has changed.
-    ListKept,
-    /// The end of the accept window, or a look after it.
-    WindUp,
+    /// The time in which the connection for a call to discovery must be made.
+    DiscoveryConnect {
+        /// The call's number.
+        call: u64,
+    },
+    /// The worker list and the suspensions are saved if they have changed.
+    SaveSnapshots,
+    /// The end of the accept window of a shutdown, or a check after it.
+    Shutdown,
 }
 
-/// One monotonic clock that shows Unix time as it was at the start.
+/// A monotonic clock that counts from the Unix time at its creation.
 pub struct Clock {
     start: Instant,
     unix: f64,
 }
 
 impl Clock {
-    /// Anchors it now.
+    /// Creates a clock that begins with the current Unix time.
     pub fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -100,7 +128,7 @@
         }
     }
 
-    /// Seconds since 1970.
+    /// Returns the time in seconds since the Unix epoch.
     pub fn now(&self) -> f64 {
         self.unix + self.start.elapsed().as_secs_f64()
     }
@@ -112,44 +140,43 @@
     }
 }
 
-/// What the owners of connections share: the poller, the timers, the time, and the queue to the hub.
+/// The poller, the timers, the time of the turn, and the queue to the request manager.
 pub struct Reactor {
     poller: Poller,
-    wheel: TimerWheel<Timer>,
+    timers: TimerWheel<Timer>,
     next_key: usize,
-    /// The time of this turn of the loop.
+    /// The time at which this turn of the loop began, in seconds.
     pub now: f64,
-    /// News for the hub, in their order.
+    /// Events for the request manager, in order.
     pub queue: VecDeque<Input>,
 }
 
 impl Reactor {
-    /// A reactor without sockets and timers.
+    /// Creates a reactor without sockets and timers.
     ///
     /// # Errors
     ///
     /// If the system gives no poller.
     pub fn new(now: f64) -> io::Result<Self> {
-        let (poller, wheel, queue) = (Poller::new()?, TimerWheel::new(TICK, now), VecDeque::new());
         Ok(Self {
-            poller,
-            wheel,
+            poller: Poller::new()?,
+            timers: TimerWheel::new(TICK_SECONDS, now),
             next_key: 1,
             now,
-            queue,
+            queue: VecDeque::new(),
         })
     }
 
-    /// Takes a socket in, without interest yet; keys are never used again.
+    /// Registers a socket, without interest yet, and returns its key. Keys are never reused.
     ///
     /// # Errors
     ///
     /// If the poller refuses it.
-    pub fn register(&mut self, source: impl Source, whose: Owner) -> io::Result<usize> {
-        // One without a rank would have its events told to another.
+    pub fn register(&mut self, source: impl Source, owner: SocketOwner) -> io::Result<usize> {
+        // The rank is part of the key: it orders the events of a turn and leads back to the owner.
         let rank = OWNERS
             .iter()
-            .position(|o| *o == whose)
+            .position(|candidate| *candidate == owner)
             .ok_or(io::ErrorKind::InvalidInput)?;
         let key = self.next_key * OWNERS.len() + rank;
         self.poller.add(source, Event::none(key))?;
@@ -157,9 +184,9 @@
         Ok(key)
     }
 
-    /// Says what a socket waits for; it holds for one event.
+    /// Sets whether a socket waits to be readable and writable, until its next event.
     pub fn rearm(&self, source: impl Source, key: usize, (readable, writable): (bool, bool)) {
-        // A socket that the poller holds can be changed; if not, its owner's timer ends it.
+        // This can't fail for a registered socket; if it does, the owner's timeout closes the socket.
         let _ = self.poller.modify(
             source,
             Event {
@@ -170,21 +197,21 @@
         );
     }
 
-    /// Lets a socket go, before it is closed.
+    /// Removes a socket; must be called before the socket is closed.
     pub fn deregister(&self, source: impl Source) {
         let _ = self.poller.delete(source);
     }
 
-    /// Waits for sockets, or until the next timer is due; what comes of the same owner's rank stays together.
-    /// News of the list come first: what the list says comes before all that might be sent by an older one; then
-    /// operators' calls, which are owed an answer however busy the node is.
+    /// Waits for events, or until the next timer is due, and sorts the events by the rank of their owners.
+    /// Discovery comes first, so that nothing is sent by an outdated worker list; then the management API, which
+    /// must answer however busy the node is.
     ///
     /// # Errors
     ///
     /// If the system's poller fails.
     pub fn wait(&self, events: &mut Vec<Event>, now: f64) -> io::Result<()> {
         let until = self
-            .wheel
+            .timers
             .next()
             .map(|at| Duration::from_secs_f64((at - now).max(0.0)));
         events.clear();
@@ -197,31 +224,31 @@
         Ok(())
     }
 
-    /// The timers that are due now.
+    /// Removes and returns the timers that are due, in order.
     pub fn expired_timers(&mut self) -> Vec<Timer> {
-        self.wheel.advance(self.now)
+        self.timers.advance(self.now)
     }
 
-    /// Sets a timer.
-    pub fn set_timer(&mut self, at: f64, due: Timer) {
-        self.wheel.insert(at, due);
+    /// Sets a timer that expires at `at`, in seconds. Timers can't be cancelled.
+    pub fn set_timer(&mut self, at: f64, timer: Timer) {
+        self.timers.insert(at, timer);
     }
 }
 
-/// Starts to connect, without waiting.
+/// Starts a non-blocking connection.
 ///
 /// # Errors
 ///
-/// If the connection can't even be started.
+/// If the connection can't be started.
 pub fn dial(to: SocketAddr) -> io::Result<TcpStream> {
     dial_from(None, to)
 }
 
-/// The same from this address of this machine.
+/// Starts a non-blocking connection from a local address, if one is given.
 ///
 /// # Errors
 ///
-/// If the connection can't even be started.
+/// If the connection can't be started.
 pub fn dial_from(from: Option<IpAddr>, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
     if let Some(from) = from {
@@ -232,22 +259,23 @@
     match socket.connect(&to.into()) {
         Ok(()) => {}
         Err(error)
-            if error.raw_os_error() == Some(115) || error.kind() == io::ErrorKind::WouldBlock => {}
+            if error.raw_os_error() == Some(EINPROGRESS)
+                || error.kind() == io::ErrorKind::WouldBlock => {}
         Err(error) => return Err(error),
     }
     Ok(socket.into())
 }
 
-/// Listens, without waiting for anybody.
+/// Opens a non-blocking listener.
 ///
 /// # Errors
 ///
-/// If the address is none of this machine's, or taken.
+/// If the address is not local, or in use.
 pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
-    socket.listen(1024)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -5,7 +5,7 @@
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Connection, State};
 use crate::net::transport::http;
-use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
+use crate::net::transport::reactor::{self, Reactor, SocketOwner, Timer};
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -158,7 +158,13 @@
         session.round += 1;
         session.attempt = carries.id();
         self.by_attempt.extend(session.attempt.map(|id| (id, key)));
-        reactor.set_timer(until, Timer::Attempt(key, session.round));
+        reactor.set_timer(
+            until,
+            Timer::Attempt {
+                key,
+                round: session.round,
+            },
+        );
         session
             .exchange
             .begin(carries, outgoing, &mut session.connection, reactor);
@@ -235,7 +241,7 @@
             _ => AttemptEnd::NoRoom,
         })?;
         let key = reactor
-            .register(&stream, Owner::Attempt)
+            .register(&stream, SocketOwner::Attempt)
             .map_err(|_| AttemptEnd::NoRoom)?;
         let connection = Connection::new(
             stream,
@@ -255,7 +261,10 @@
                 round,
             },
         );
-        reactor.set_timer(reactor.now + self.dial_timeout, Timer::Dial(key));
+        reactor.set_timer(
+            reactor.now + self.dial_timeout,
+            Timer::AttemptConnect { key },
+        );
         Ok(key)
     }
 
@@ -334,7 +343,10 @@
             session.since = reactor.now;
             reactor.set_timer(
                 reactor.now + self.pool.keep(),
-                Timer::Attempt(key, session.round),
+                Timer::Attempt {
+                    key,
+                    round: session.round,
+                },
             );
         }
     }
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -6,7 +6,7 @@
 use crate::net::messages::{Input, Member};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read};
-use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
+use crate::net::transport::reactor::{self, Reactor, SocketOwner, Timer};
 use postproxy_version_tracking::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -381,7 +381,7 @@
             Some(at) => at,
             None => {
                 let dialed = reactor::dial(self.discovery).and_then(|stream| {
-                    let key = reactor.register(&stream, Owner::Discovery)?;
+                    let key = reactor.register(&stream, SocketOwner::Discovery)?;
                     let connection = Connection::new(stream, true, MOST_LIST);
                     Ok(Session {
                         connection,
@@ -395,7 +395,7 @@
                 };
                 reactor.set_timer(
                     reactor.now + self.dial_timeout,
-                    Timer::DiscoveryDial(call.id),
+                    Timer::DiscoveryConnect { call: call.id },
                 );
                 self.sessions.push(session);
                 self.sessions.len() - 1
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -582,7 +582,7 @@
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
         world.reactor.now = now;
         for due in world.reactor.expired_timers() {
-            if let Timer::Attempt(key, round) = due {
+            if let Timer::Attempt { key, round } = due {
                 world
                     .attempts
                     .handle_attempt_timer(&mut world.reactor, key, round);
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -55,10 +55,10 @@
         self.reactor.now = now;
         for due in self.reactor.expired_timers() {
             match due {
-                Timer::Client(key, round) => {
+                Timer::Client { key, round } => {
                     self.clients.handle_timer(&mut self.reactor, key, round)
                 }
-                Timer::Accept => self.clients.resume_accepting(&mut self.reactor),
+                Timer::ClientAccept => self.clients.resume_accepting(&mut self.reactor),
                 _ => {}
             }
         }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -191,7 +191,7 @@
 fn tale(worker: &str, again: bool) -> StateUpdate {
     StateUpdate::WorkerSuspensionChanged {
         worker: worker.into(),
-        again,
+        resume: again,
     }
 }
 
@@ -199,7 +199,10 @@
 /// that had greeted, or had been told what was so before.
 #[test]
 fn an_operators_word_before_the_older_process_has_told_all_is_the_last_one() {
-    let drained = |on, ago| StateUpdate::DrainChanged { on, ago };
+    let drained = |on, ago| StateUpdate::DrainChanged {
+        draining: on,
+        seconds_ago: ago,
+    };
     for greeted in [false, true] {
         for (name, path, before, word) in [
             // The older process has it out of use, and does not know yet that it is wanted again.
@@ -289,7 +292,7 @@
         let call = self.older.link.forward_callback(0.0, 77, body.to_vec());
         self.older.say(&[call]);
         self.older
-            .until(|news| matches!(news, LinkEvent::CallbackResult(..)).then_some(()))
+            .until(|news| matches!(news, LinkEvent::CallbackResult { .. }).then_some(()))
     }
 }
 
@@ -302,7 +305,7 @@
         bed.older
             .say(&[Message::StateUpdate(StateUpdate::RequestAdmitted {
                 id: "held".into(),
-                counts: false,
+                is_new: false,
             })]);
         bed.older.told();
         let at = bed.address;
@@ -318,7 +321,7 @@
             .expect("an answer")
         });
         let number = bed.older.until(|news| match news {
-            LinkEvent::Callback(number, body) if body.windows(4).any(|four| four == b"held") => {
+            LinkEvent::Callback { number, body } if body.windows(4).any(|four| four == b"held") => {
                 Some(*number)
             }
             _ => None,
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -1,7 +1,7 @@
 //! A hand-over to a process that has no descriptor left, alone in its process: the limit on descriptors holds for all of it.
 
 use postproxy::net::handover::{Event, Handover};
-use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
+use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
 use postproxy_handover::{LinkEvent, Message, frame, greeting};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
@@ -19,11 +19,11 @@
 fn turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
     let mut events = Vec::new();
     // The loop is asked, and does not wait.
-    reactor.set_timer(reactor.now, Timer::Accept);
+    reactor.set_timer(reactor.now, Timer::ClientAccept);
     reactor.wait(&mut events, f64::MAX).expect("a poller");
     let of_link = events
         .iter()
-        .filter(|event| owner(event.key) == Owner::Handover);
+        .filter(|event| owner(event.key) == SocketOwner::Handover);
     of_link
         .map(|event| (event.key, event.readable))
         .map(|(key, read)| handover.handle_ready(reactor, key, read))
@@ -66,9 +66,9 @@
 
 fn job(name: &str) -> Vec<u8> {
     frame(&Message::Request {
-        job: name.into(),
+        request: name.into(),
         input: Vec::new(),
-        closes: false,
+        close_after_answer: false,
     })
 }
 
@@ -99,8 +99,15 @@
     link.write_all(&words).expect("it is written");
     until("the older process's words", || {
         let came = turn(&mut reactor, &mut handover);
-        let leaves =
-            |event: &Event| matches!(event, Event::LinkEvent(_, LinkEvent::ShuttingDown, _));
+        let leaves = |event: &Event| {
+            matches!(
+                event,
+                Event::Received {
+                    event: LinkEvent::ShuttingDown,
+                    ..
+                }
+            )
+        };
         came.iter().flatten().any(leaves).then_some(())
     });
     let ((mut first, firsts), (mut second, seconds)) =
@@ -133,8 +140,16 @@
         came.into_iter().find(|events| !events.is_empty())
     });
     let [
-        Event::LinkEvent(_, LinkEvent::Request(one, ..), lost),
-        Event::LinkEvent(_, LinkEvent::Request(other, ..), Some(kept)),
+        Event::Received {
+            event: LinkEvent::Request { request: one, .. },
+            descriptor: lost,
+            ..
+        },
+        Event::Received {
+            event: LinkEvent::Request { request: other, .. },
+            descriptor: Some(kept),
+            ..
+        },
     ] = &came[..]
     else {
         panic!("both come in one read: {came:?}");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -8,7 +8,7 @@
 use postproxy::decision::interface::Settings;
 use postproxy::net::downstream::clients::Clients;
 use postproxy::net::messages::{AttemptEnd, Input, Payload};
-use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
+use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
 use postproxy::net::upstream::attempts::Attempts;
 use std::io::Write as _;
 use std::net::TcpListener;
@@ -303,14 +303,14 @@
     ] {
         let (mut reactor, mut clients) = accepted_behind_the_end(way);
         // What did not fit into one read comes with the next ones; nothing of the queue has been taken meanwhile.
-        reactor.set_timer(1000.0, Timer::Accept);
+        reactor.set_timer(1000.0, Timer::ClientAccept);
         let (start, mut events) = (Instant::now(), Vec::new());
         while clients.connection_count() > 0 {
             assert!(start.elapsed() < LIMIT, "{way:?}: its end is not seen");
             reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in events
                 .iter()
-                .filter(|event| owner(event.key) == Owner::Client)
+                .filter(|event| owner(event.key) == SocketOwner::Client)
             {
                 clients.handle_ready(&mut reactor, event.key, event.readable, event.writable);
             }
@@ -364,7 +364,7 @@
             .adopt_waiting_connection(&mut reactor, stream, Vec::new(), false)
             .expect("it is taken in");
         let (start, mut events) = (Instant::now(), Vec::new());
-        reactor.set_timer(1000.0, Timer::Accept);
+        reactor.set_timer(1000.0, Timer::ClientAccept);
         // What does not fit into the first read comes with the next ones.
         while clients.awaits_answer(client) != waits {
             assert!(
@@ -374,7 +374,7 @@
             reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in events
                 .iter()
-                .filter(|event| owner(event.key) == Owner::Client)
+                .filter(|event| owner(event.key) == SocketOwner::Client)
             {
                 clients.handle_ready(&mut reactor, event.key, event.readable, event.writable);
             }
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -49,7 +49,7 @@
         let (tell, told) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
             let mut node = Node::new(config, signal).expect("a node");
-            tell.send(node.door().expect("a management address"))
+            tell.send(node.management_address().expect("a management address"))
                 .expect("the test waits");
             node.run().expect("it runs");
         });
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -3,7 +3,7 @@
 
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
-use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
+use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
 use postproxy::net::upstream::worker_list::{Kept, List, WorkerList};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -93,7 +93,7 @@
             assert!(start.elapsed() < LIMIT, "it never came");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
-                assert_eq!(owner(event.key), Owner::Discovery);
+                assert_eq!(owner(event.key), SocketOwner::Discovery);
                 self.list.handle_ready(
                     &mut self.reactor,
                     event.key,
@@ -111,7 +111,7 @@
             for due in self.reactor.expired_timers() {
                 match due {
                     Timer::Discovery => self.list.handle_timer(&mut self.reactor),
-                    Timer::DiscoveryDial(call) => {
+                    Timer::DiscoveryConnect { call } => {
                         self.list.handle_dial_timer(&mut self.reactor, call)
                     }
                     _ => {}
