--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -20,31 +20,33 @@
 #[non_exhaustive]
 pub enum DecodeError {
     /// The bytes do not begin with the greeting.
-    Foreign,
+    UnknownProtocol,
     /// The other side speaks this other version.
-    Version(u16),
+    UnsupportedVersion(u16),
     /// A frame claims this body length, which is over [`MAX_FRAME_BYTES`].
-    Long(u32),
+    FrameTooLong(u32),
     /// A frame holds no message.
     Malformed,
     /// A message that is not allowed in the link's state.
-    OutOfTurn,
+    UnexpectedMessage,
     /// The other side is a process of another node, with this name and address.
     OtherNode(String),
     /// The other side has taken too long.
-    Stalled,
+    TimedOut,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Foreign => write!(f, "it speaks another language"),
-            Self::Version(version) => write!(f, "it speaks version {version}, this is {VERSION}"),
-            Self::Long(size) => write!(f, "a message of {size} bytes is too long"),
+            Self::UnknownProtocol => write!(f, "it speaks another language"),
+            Self::UnsupportedVersion(version) => {
+                write!(f, "it speaks version {version}, this is {VERSION}")
+            }
+            Self::FrameTooLong(size) => write!(f, "a message of {size} bytes is too long"),
             Self::Malformed => write!(f, "a message that can't be read"),
-            Self::OutOfTurn => write!(f, "a message that can't come now"),
+            Self::UnexpectedMessage => write!(f, "a message that can't come now"),
             Self::OtherNode(name) => write!(f, "it is {name}"),
-            Self::Stalled => write!(f, "it took too long"),
+            Self::TimedOut => write!(f, "it took too long"),
         }
     }
 }
@@ -102,7 +104,7 @@
         };
         let size = u32::from_be_bytes(*size);
         if size as usize > MAX_FRAME_BYTES {
-            return Err(DecodeError::Long(size));
+            return Err(DecodeError::FrameTooLong(size));
         }
         let end = LENGTH_BYTES + size as usize;
         let Some(body) = rest.get(LENGTH_BYTES..end) else {
@@ -122,14 +124,14 @@
         let rest = &self.buffer[self.consumed..];
         let size = rest.len().min(GREETING_MAGIC.len());
         if rest[..size] != GREETING_MAGIC[..size] {
-            return Err(DecodeError::Foreign);
+            return Err(DecodeError::UnknownProtocol);
         }
         let Some(version) = rest.get(GREETING_MAGIC.len()..GREETING_BYTES) else {
             return Ok(false);
         };
         let version = u16::from_be_bytes([version[0], version[1]]);
         if version != VERSION {
-            return Err(DecodeError::Version(version));
+            return Err(DecodeError::UnsupportedVersion(version));
         }
         self.consumed += GREETING_BYTES;
         Ok(true)
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -171,7 +171,7 @@
             .values()
             .any(|callback| now - callback.since > CALLBACK_TIMEOUT_SECONDS);
         if snapshot_late || callback_late {
-            Err(DecodeError::Stalled)
+            Err(DecodeError::TimedOut)
         } else {
             Ok(())
         }
@@ -204,7 +204,7 @@
     fn handle_message(&mut self, message: Message) -> Result<LinkEvent, DecodeError> {
         match message {
             Message::Hello { name, listen } => return self.handle_hello(&name, &listen),
-            _ if self.state == State::AwaitingHello => return Err(DecodeError::OutOfTurn),
+            _ if self.state == State::AwaitingHello => return Err(DecodeError::UnexpectedMessage),
             _ => {}
         }
         // Only a side that shuts down gives its connections away.
@@ -223,7 +223,7 @@
                 let callback = self
                     .callbacks
                     .remove(&number)
-                    .ok_or(DecodeError::OutOfTurn)?;
+                    .ok_or(DecodeError::UnexpectedMessage)?;
                 LinkEvent::CallbackResult {
                     caller: callback.caller,
                     known,
@@ -248,13 +248,13 @@
             Message::Hello { .. }
             | Message::SnapshotComplete
             | Message::QuietConnection { .. }
-            | Message::Request { .. } => return Err(DecodeError::OutOfTurn),
+            | Message::Request { .. } => return Err(DecodeError::UnexpectedMessage),
         })
     }
 
     fn handle_hello(&mut self, name: &str, listen: &str) -> Result<LinkEvent, DecodeError> {
         if self.state != State::AwaitingHello {
-            return Err(DecodeError::OutOfTurn);
+            return Err(DecodeError::UnexpectedMessage);
         }
         if name != self.name || listen != self.listen {
             return Err(DecodeError::OtherNode(format!("{name} at {listen}")));
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -152,11 +152,11 @@
     other.extend((VERSION + 1).to_be_bytes());
     assert_eq!(
         received(&mut link(Role::Older), &other),
-        Err(DecodeError::Version(VERSION + 1))
+        Err(DecodeError::UnsupportedVersion(VERSION + 1))
     );
     assert_eq!(
         received(&mut link(Role::Older), b"GET / HTTP/1.1"),
-        Err(DecodeError::Foreign)
+        Err(DecodeError::UnknownProtocol)
     );
     let foreign = Link::new(Role::Newer, "n2", "127.0.0.1:80", 100.0);
     assert!(matches!(
@@ -170,12 +170,12 @@
     .concat();
     assert_eq!(
         received(&mut link(Role::Older), &long),
-        Err(DecodeError::Long(MAX_FRAME_BYTES as u32 + 1))
+        Err(DecodeError::FrameTooLong(MAX_FRAME_BYTES as u32 + 1))
     );
     let early = [greeting(), frame(&Message::ShuttingDown)].concat();
     assert_eq!(
         received(&mut link(Role::Older), &early),
-        Err(DecodeError::OutOfTurn)
+        Err(DecodeError::UnexpectedMessage)
     );
     let client = Message::QuietConnection {
         input: Vec::new(),
@@ -200,13 +200,13 @@
         let (_, mut newer) = joined();
         assert_eq!(
             received(&mut newer, &frame(&message)),
-            Err(DecodeError::OutOfTurn),
+            Err(DecodeError::UnexpectedMessage),
             "{message:?}"
         );
     }
     assert_eq!(
         received(&mut older, &frame(&Message::SnapshotComplete)),
-        Err(DecodeError::OutOfTurn),
+        Err(DecodeError::UnexpectedMessage),
         "only the newer is told all"
     );
     assert_eq!(
@@ -274,13 +274,13 @@
     );
     assert_eq!(
         received(&mut newer, &word),
-        Err(DecodeError::OutOfTurn),
+        Err(DecodeError::UnexpectedMessage),
         "one word a call"
     );
     assert!(newer.check_timeouts(101.9).is_ok());
     assert_eq!(
         (newer.check_timeouts(102.1), newer.pending_callers()),
-        (Err(DecodeError::Stalled), vec![11])
+        (Err(DecodeError::TimedOut), vec![11])
     );
     let word = frame(&Message::CallbackResult {
         number: *first,
@@ -291,7 +291,7 @@
     assert!(link(Role::Newer).check_timeouts(100.9).is_ok());
     assert_eq!(
         link(Role::Newer).check_timeouts(101.1),
-        Err(DecodeError::Stalled)
+        Err(DecodeError::TimedOut)
     );
     assert!(
         older.check_timeouts(500.0).is_ok(),
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -242,12 +242,15 @@
 
 #[test]
 fn damaged_bytes_keep_their_errors() {
-    assert_eq!(fault("7070686f0d0b"), DecodeError::Foreign);
-    assert_eq!(fault("00"), DecodeError::Foreign);
-    assert_eq!(fault("7070686f0d0a0002"), DecodeError::Version(2));
+    assert_eq!(fault("7070686f0d0b"), DecodeError::UnknownProtocol);
+    assert_eq!(fault("00"), DecodeError::UnknownProtocol);
+    assert_eq!(
+        fault("7070686f0d0a0002"),
+        DecodeError::UnsupportedVersion(2)
+    );
     assert_eq!(
         fault("7070686f0d0a000100800001"),
-        DecodeError::Long(8_388_609)
+        DecodeError::FrameTooLong(8_388_609)
     );
     // An empty body, a variant that does not exist, a string that is cut, and a byte too many.
     assert_eq!(fault("7070686f0d0a000100000000"), DecodeError::Malformed);
@@ -266,7 +269,10 @@
         DecodeError::Malformed
     );
     // `Told` before `Hello`; and a `Hello` of another node.
-    assert_eq!(fault("7070686f0d0a00010000000102"), DecodeError::OutOfTurn);
+    assert_eq!(
+        fault("7070686f0d0a00010000000102"),
+        DecodeError::UnexpectedMessage
+    );
     assert_eq!(
         fault("7070686f0d0a00010000000500016e0178"),
         DecodeError::OtherNode("n at x".into())
@@ -276,15 +282,15 @@
 #[test]
 fn error_texts_are_unchanged() {
     assert_eq!(
-        DecodeError::Foreign.to_string(),
+        DecodeError::UnknownProtocol.to_string(),
         "it speaks another language"
     );
     assert_eq!(
-        DecodeError::Version(2).to_string(),
+        DecodeError::UnsupportedVersion(2).to_string(),
         "it speaks version 2, this is 1"
     );
     assert_eq!(
-        DecodeError::Long(9).to_string(),
+        DecodeError::FrameTooLong(9).to_string(),
         "a message of 9 bytes is too long"
     );
     assert_eq!(
@@ -292,14 +298,14 @@
         "a message that can't be read"
     );
     assert_eq!(
-        DecodeError::OutOfTurn.to_string(),
+        DecodeError::UnexpectedMessage.to_string(),
         "a message that can't come now"
     );
     assert_eq!(
         DecodeError::OtherNode("n at x".into()).to_string(),
         "it is n at x"
     );
-    assert_eq!(DecodeError::Stalled.to_string(), "it took too long");
+    assert_eq!(DecodeError::TimedOut.to_string(), "it took too long");
 }
 
 /// The messages that the older process of a node writes during a handover, in their order.
--- a/crates/handover/tests/surface_errors.rs
+++ b/crates/handover/tests/surface_errors.rs
@@ -6,16 +6,22 @@
 #[test]
 fn every_fault_has_its_message() {
     let cases = [
-        (DecodeError::Foreign, "it speaks another language"),
-        (DecodeError::Version(9), "it speaks version 9, this is 1"),
+        (DecodeError::UnknownProtocol, "it speaks another language"),
         (
-            DecodeError::Long(70_000),
+            DecodeError::UnsupportedVersion(9),
+            "it speaks version 9, this is 1",
+        ),
+        (
+            DecodeError::FrameTooLong(70_000),
             "a message of 70000 bytes is too long",
         ),
         (DecodeError::Malformed, "a message that can't be read"),
-        (DecodeError::OutOfTurn, "a message that can't come now"),
+        (
+            DecodeError::UnexpectedMessage,
+            "a message that can't come now",
+        ),
         (DecodeError::OtherNode("n1".into()), "it is n1"),
-        (DecodeError::Stalled, "it took too long"),
+        (DecodeError::TimedOut, "it took too long"),
     ];
     for (fault, message) in cases {
         assert_eq!(fault.to_string(), message);
--- a/crates/inherited-listener/tests/surface_errors.rs
+++ b/crates/inherited-listener/tests/surface_errors.rs
@@ -9,11 +9,14 @@
 fn every_problem_has_its_message() {
     let other = SocketAddr::from(([127, 0, 0, 1], 80));
     let cases = [
-        (InheritError::Number, "is no number of a descriptor above 2"),
-        (InheritError::Taken, "was taken over before"),
-        (InheritError::Closed, "names a descriptor that is not open"),
         (
-            InheritError::NoSocket,
+            InheritError::InvalidNumber,
+            "is no number of a descriptor above 2",
+        ),
+        (InheritError::AlreadyAdopted, "was taken over before"),
+        (InheritError::NotOpen, "names a descriptor that is not open"),
+        (
+            InheritError::NotASocket,
             "names a descriptor that is no socket",
         ),
         (
@@ -21,11 +24,11 @@
             "names a socket that does not listen for streams",
         ),
         (
-            InheritError::Elsewhere(Some(other)),
+            InheritError::OtherAddress(Some(other)),
             "names a socket that listens at 127.0.0.1:80",
         ),
         (
-            InheritError::Elsewhere(None),
+            InheritError::OtherAddress(None),
             "names a socket that listens at no internet address",
         ),
         (
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -15,7 +15,7 @@
 pub fn run(args: Serve) -> Result<(), Failure> {
     // Before anything is opened that could bear the number of an inherited descriptor.
     let mut config = Config::from_env()?;
-    config.take_over()?;
+    config.adopt_inherited_listener()?;
     let (stop, signal) = UnixStream::pair()?;
     signal_hook::low_level::pipe::register(SIGINT, signal.try_clone()?)?;
     signal_hook::low_level::pipe::register(SIGTERM, signal)?;
@@ -38,7 +38,7 @@
     let name = config.name.clone();
     let mut node = Node::new(config, stop)?;
     let words = name.clone();
-    node.reload_on(reload, move || match Config::reloaded() {
+    node.reload_on(reload, move || match Config::from_env_for_reload() {
         Ok(config) => {
             tracing::info!(node = words, discovery = %config.discovery, "reloaded");
             Some(config)
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,49 +1,54 @@
-//! What a node is told at its start: the environment's `RELAY_*` and a JSON file.
+//! A node's configuration, from the environment variables `RELAY_*` and a JSON file.
 
 use crate::decision::interface::Settings;
 use crate::net::upstream::worker_list::List;
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection, StoreSection};
 use postproxy_diagnostics::Diagnostic as _;
+use postproxy_inherited_listener::adopt_listener;
 use serde::Deserialize;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
 /// A node's configuration.
 pub struct Config {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Where operators call, if anywhere.
-    pub mgmt: Option<SocketAddr>,
-    /// The number of a descriptor that listens at `listen` already; see [`Config::take_over`].
-    pub inherited: Option<String>,
-    /// The listener behind it.
+    /// The address of the management API, if it is enabled.
+    pub management: Option<SocketAddr>,
+    /// The number of an inherited descriptor that already listens at `listen`; see
+    /// [`Config::adopt_inherited_listener`].
+    pub inherited_descriptor: Option<String>,
+    /// The listener of that descriptor, once it is adopted.
     pub listener: Option<TcpListener>,
-    /// The node's folder for passing files, in which its processes meet.
-    pub folder: Option<PathBuf>,
-    /// How many descriptors it may hold.
+    /// The folder for temporary files, in which the processes of the node find each other for a handover.
+    pub temporary_folder: Option<PathBuf>,
+    /// Descriptors that the node may hold.
     pub sockets: usize,
-    /// How much memory it may use, in MiB.
+    /// Memory that the node may use, in MiB.
     pub memory_mb: usize,
-    /// The list of workers as it was last held.
-    pub known: Option<List>,
-    /// The settings.
+    /// The worker list as it was last cached.
+    pub cached_list: Option<List>,
+    /// The settings of the dispatcher and of the connections.
     pub settings: Settings,
-    /// Where jobs are kept beyond the node's life; the operator's file says so, not the configuration.
+    /// The store of requests and results, which outlives the process. This and the next three sections come from
+    /// the operator's file.
     pub store: Option<StoreSection>,
-    /// The other nodes; as above.
+    /// Membership in a cluster of nodes.
     pub fleet: Option<FleetSection>,
-    /// What one node does for all; as above.
+    /// Leases that the nodes share out.
     pub duties: Option<DutiesSection>,
-    /// Which node acts on which version; as above.
+    /// Tracking of the configuration versions that the nodes use.
     pub audit: Option<AuditSection>,
 }
 
+/// The configuration file as it is written. Error texts contain the names of this struct and of [`Limits`], so
+/// that they must stay.
 #[derive(Deserialize)]
 struct Raw {
     #[serde(default)]
@@ -62,6 +67,7 @@
     settings: serde_json::Value,
 }
 
+/// The section `limits` of the configuration file.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -69,37 +75,43 @@
     memory_mb: usize,
 }
 
+/// Descriptors that a node may hold if the file does not say: the usual limit of a process.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Memory that a node may use if the file does not say, in MiB.
+const DEFAULT_MEMORY_MB: usize = 192;
+
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            sockets: 1024,
-            memory_mb: 192,
+            sockets: DEFAULT_SOCKETS,
+            memory_mb: DEFAULT_MEMORY_MB,
         }
     }
 }
 
-fn variable(name: &str) -> Option<String> {
+/// Reads an environment variable; an empty one counts as not set.
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names; the other variables go before what it says.
+    /// Reads the file that `RELAY_CONFIG` names; the other variables override its values.
     ///
     /// # Errors
     ///
-    /// Says in plain words what is missing or wrong.
+    /// A text for the operator that names what is missing or wrong.
     pub fn from_env() -> Result<Self, String> {
-        Self::from_file(variable)
+        Self::from_file(environment_variable)
     }
 
-    /// Reads that file again, for a node that runs: discovery is now where the file says, also where
-    /// `RELAY_DISCOVERY` was set at the start.
+    /// Reads that file again for a running node. The file's address of discovery counts even if `RELAY_DISCOVERY`
+    /// was set at the start.
     ///
     /// # Errors
     ///
     /// As [`Self::from_env`].
-    pub fn reloaded() -> Result<Self, String> {
-        Self::from_file(|name| variable(name).filter(|_| name != "RELAY_DISCOVERY"))
+    pub fn from_env_for_reload() -> Result<Self, String> {
+        Self::from_file(|name| environment_variable(name).filter(|_| name != "RELAY_DISCOVERY"))
     }
 
     fn from_file(variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
@@ -108,28 +120,30 @@
         Self::from_json(&text, variable).map_err(|e| format!("{path}: {e}"))
     }
 
-    /// Takes the inherited listener over, if one is named. Only at the program's start: it must have opened
-    /// nothing that could bear the number.
+    /// Adopts the inherited listener, if one is named. To be called at the program's start only: it must not have
+    /// opened a descriptor that could have the number.
     ///
     /// # Errors
     ///
-    /// If what is named is no listener at `listen`.
-    pub fn take_over(&mut self) -> Result<(), String> {
-        if let Some(number) = &self.inherited {
-            let taken = postproxy_inherited_listener::listener(number, self.listen);
-            self.listener =
-                Some(taken.map_err(|e| {
-                    format!("RELAY_SOCKET_FD: '{number}' {e}, not at {}", self.listen)
-                })?);
+    /// If the descriptor is not a listener at `listen`.
+    pub fn adopt_inherited_listener(&mut self) -> Result<(), String> {
+        if let Some(number) = &self.inherited_descriptor {
+            let listener = adopt_listener(number, self.listen).map_err(|error| {
+                format!(
+                    "RELAY_SOCKET_FD: '{number}' {error}, not at {}",
+                    self.listen
+                )
+            })?;
+            self.listener = Some(listener);
         }
         Ok(())
     }
 
-    /// Reads a configuration; a variable that is set goes before what the text says.
+    /// Parses a configuration; a variable that is set overrides the value in the text.
     ///
     /// # Errors
     ///
-    /// Says in plain words what is missing or wrong.
+    /// A text for the operator that names what is missing or wrong.
     pub fn from_json(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -143,26 +157,27 @@
         let seed = u64::from_str_radix(&raw.seed, 16)
             .map_err(|_| format!("seed: '{}' is no hexadecimal number", raw.seed))?;
         let listen: SocketAddr = address("RELAY_LISTEN", raw.listen)?;
-        let named = variable("RELAY_MGMT").is_some() || !raw.mgmt.is_empty();
-        let mgmt: Option<SocketAddr> =
-            named.then(|| address("RELAY_MGMT", raw.mgmt)).transpose()?;
-        if mgmt.is_some_and(|mgmt| mgmt == listen && listen.port() != 0) {
+        let management_enabled = variable("RELAY_MGMT").is_some() || !raw.mgmt.is_empty();
+        let management: Option<SocketAddr> = management_enabled
+            .then(|| address("RELAY_MGMT", raw.mgmt))
+            .transpose()?;
+        if management.is_some_and(|management| management == listen && listen.port() != 0) {
             return Err(format!(
                 "RELAY_MGMT: {listen} is where clients are listened for"
             ));
         }
         Ok(Self {
             listen,
-            mgmt,
-            inherited: variable("RELAY_SOCKET_FD"),
+            management,
+            inherited_descriptor: variable("RELAY_SOCKET_FD"),
             listener: None,
-            folder: variable("TMPDIR").map(PathBuf::from),
+            temporary_folder: variable("TMPDIR").map(PathBuf::from),
             discovery: address("RELAY_DISCOVERY", raw.discovery)?,
             name: variable("RELAY_NAME").unwrap_or(raw.name),
             seed,
             sockets: raw.limits.sockets,
             memory_mb: raw.limits.memory_mb,
-            known: raw.known,
+            cached_list: raw.known,
             store: None,
             fleet: None,
             duties: None,
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,90 +1,100 @@
-//! The node's life: whether it serves, wants new clients, and keeps their connections. No I/O; it is told the
-//! time, in seconds.
+//! The node's lifecycle: whether it serves, wants new connections, and keeps those it has. A state machine without
+//! I/O; callers pass the time, in seconds.
 
-/// For so long after a drain begins the front may still send new connections, and what is idle is left alone.
-const WINDOW: f64 = 0.5;
-/// By then after it begins all idle connections are closed: a job that comes on one later would still be here when
-/// the operators look.
-const EMPTY: f64 = 1.8;
-/// When closing begins, connections idle for longer go first: they are the least likely to be used just now.
-const IDLE_FIRST: f64 = 2.0;
+/// For this long after a drain begins, in seconds, idle connections are left alone: the front may still send new
+/// connections and requests.
+const DRAIN_GRACE_SECONDS: f64 = 0.5;
+/// All idle connections are closed by this long after a drain begins, in seconds: a request that came on one
+/// later would still be in flight when the operators check the node.
+const DRAIN_END_SECONDS: f64 = 1.8;
+/// When closing begins, connections that have been idle for longer than this go first, in seconds: they are the
+/// least likely to be used at that moment.
+const INITIAL_MAX_IDLE_SECONDS: f64 = 2.0;
 
-/// Where a node is in its life.
+/// A stage of the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It can't serve yet.
+    /// The node can't serve yet.
     Starting,
-    /// It serves.
+    /// The node serves.
     Serving,
-    /// It serves, and wants no new clients.
+    /// The node serves, and wants no new connections.
     Draining,
-    /// Another process of this node serves: it answers what it holds, gives its connections over, and ends.
+    /// Another process of this node serves: this one answers its requests in flight, passes its connections on,
+    /// and ends.
     HandingOver,
-    /// It answers what it holds, and ends.
+    /// The node answers its requests in flight, and ends.
     Stopping,
 }
 
-/// One node's life.
+/// The state of one node's lifecycle.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     started: bool,
-    drained: Option<f64>,
+    /// When the drain began, if the node drains.
+    draining_since: Option<f64>,
     stopped: bool,
-    handing: bool,
+    handing_over: bool,
 }
 
 impl Lifecycle {
-    /// Where it is.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
-        match (self.stopped, self.started, self.drained) {
-            (true, ..) if self.handing => Stage::HandingOver,
-            (true, ..) => Stage::Stopping,
-            (_, false, _) => Stage::Starting,
-            (.., Some(_)) => Stage::Draining,
-            _ => Stage::Serving,
+        if self.stopped {
+            if self.handing_over {
+                Stage::HandingOver
+            } else {
+                Stage::Stopping
+            }
+        } else if !self.started {
+            Stage::Starting
+        } else if self.is_draining() {
+            Stage::Draining
+        } else {
+            Stage::Serving
         }
     }
 
-    /// It can serve from now on.
+    /// Records that the node can serve from now on.
     pub fn start(&mut self) {
         self.started = true;
     }
 
-    /// It was told to stop; whether for the first time. There is no way back.
+    /// Records the stop signal, and returns whether it is the first. A stop can't be undone.
     pub fn stop(&mut self) -> bool {
         !std::mem::replace(&mut self.stopped, true)
     }
 
-    /// Whether another process of this node takes over from one that was told to stop. If that ends, this one is
-    /// on its own again.
-    pub fn set_handing_over(&mut self, handing: bool) {
-        self.handing = handing;
+    /// Sets whether another process of this node takes over from this stopped one. If that process ends, this one
+    /// serves its connections again until it ends.
+    pub fn set_handing_over(&mut self, handing_over: bool) {
+        self.handing_over = handing_over;
     }
 
-    /// An operator drains the node. Always heeded: a node that starts begins drained, one that stops is being
-    /// emptied already. A second call changes nothing.
+    /// Drains the node. Possible in every stage: a node that starts begins drained, one that stops is being emptied
+    /// already. A drain of a draining node changes nothing.
     pub fn drain(&mut self, now: f64) {
-        self.drained.get_or_insert(now);
+        self.draining_since.get_or_insert(now);
     }
 
-    /// An operator ends the drain; whether that could be done: not on a node that ends. Without a drain there is
-    /// nothing to do.
+    /// Ends the drain, if there is one, and returns whether that was possible: not on a node that stops without
+    /// a handover.
     pub fn activate(&mut self) -> bool {
-        let can = !self.stopped || self.handing;
-        if can {
-            self.drained = None;
+        let possible = !self.stopped || self.handing_over;
+        if possible {
+            self.draining_since = None;
         }
-        can
+        possible
     }
 
-    /// Whether an operator has drained it.
+    /// Whether the node is drained, in whatever stage.
     pub fn is_draining(&self) -> bool {
-        self.drained.is_some()
+        self.draining_since.is_some()
     }
 
-    /// Since when.
+    /// Returns when the drain began.
     pub fn draining_since(&self) -> Option<f64> {
-        self.drained
+        self.draining_since
     }
 
     /// Whether this process can serve.
@@ -92,24 +102,28 @@
         matches!(self.stage(), Stage::Serving | Stage::Draining)
     }
 
-    /// Whether the node wants new clients; while it is handed over, the other process does.
+    /// Whether the node wants new connections; during a handover, the other process does.
     pub fn wants_connections(&self) -> bool {
         match self.stage() {
             Stage::Serving => true,
-            Stage::HandingOver => self.drained.is_none(),
+            Stage::HandingOver => !self.is_draining(),
             _ => false,
         }
     }
 
-    /// Whether answers end their connections.
+    /// Whether a connection closes after its answer.
     pub fn closes_after_answer(&self) -> bool {
         matches!(self.stage(), Stage::Draining | Stage::Stopping)
     }
 
-    /// In a drain, how long clients' connections may lie idle now; `None` where as long as usual.
+    /// Returns how long clients' connections may be idle now, in seconds, during a drain; `None` if the usual limit
+    /// applies. The time falls to 0 over the drain.
     pub fn max_idle_time(&self, now: f64) -> Option<f64> {
-        let since = self.drained.filter(|_| !self.stopped)?;
-        let left = (since + EMPTY - now).max(0.0);
-        (now - since >= WINDOW).then_some(IDLE_FIRST * left / (EMPTY - WINDOW))
+        let since = self.draining_since.filter(|_| !self.stopped)?;
+        if now - since < DRAIN_GRACE_SECONDS {
+            return None;
+        }
+        let left = (since + DRAIN_END_SECONDS - now).max(0.0);
+        Some(INITIAL_MAX_IDLE_SECONDS * left / (DRAIN_END_SECONDS - DRAIN_GRACE_SECONDS))
     }
 }
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -83,7 +83,7 @@
         )?;
         let attempts = Attempts::new(limits.attempts, settings.dial_timeout, settings.conn_idle);
 
-        let cached = cached_workers(config.known.as_ref(), &settings);
+        let cached = cached_workers(config.cached_list.as_ref(), &settings);
         let mut worker_list = WorkerList::new(
             config.discovery,
             settings.clone(),
@@ -99,7 +99,7 @@
             });
         }
         if store.is_some() || shared_listener || config.audit.is_some() {
-            worker_list.retain_list(config.known.as_ref());
+            worker_list.retain_list(config.cached_list.as_ref());
         }
         if store.is_some() {
             let first_save = reactor.now + SAVE_INTERVAL_SECONDS;
@@ -159,7 +159,7 @@
     let (adapter, mut request_log, state) = StoreAdapter::start(reactor, section, &config.name)?;
     *recovered = state;
     if let Some(list) = recovered.list.take() {
-        config.known = list.or(config.known.take(), config.discovery);
+        config.cached_list = list.or(config.cached_list.take(), config.discovery);
     }
     let initial_writes = request_log.loaded();
     let durability = DurabilityPolicy::new(
@@ -199,7 +199,7 @@
         Some(inherited) => inherited,
         None => listen(config.listen)?,
     };
-    let management = config.mgmt.map(listen).transpose()?;
+    let management = config.management.map(listen).transpose()?;
     let management = management
         .map(|listener| ManagementServer::new(reactor, listener))
         .transpose()?;
@@ -250,7 +250,7 @@
     if !shared_listener {
         return None;
     }
-    let Some(folder) = &config.folder else {
+    let Some(folder) = &config.temporary_folder else {
         tracing::warn!("TMPDIR is not set: handover between processes of this node is disabled");
         return None;
     };
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -45,7 +45,7 @@
         ("baltvedums".into(), 5.0)
     );
     assert_eq!(settings.field_names, ["backlog", "errors_per_s", "x0"]);
-    assert_eq!(config.known.map(|list| list.revision), Some(1));
+    assert_eq!(config.cached_list.map(|list| list.revision), Some(1));
 }
 
 /// Guards against the environment being passed over.
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -1623,9 +1623,12 @@
     assert_eq!((&*config.name, config.seed), ("n7", 0x8c1f_30d2_7a5b_e964));
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 1], 8080)));
     assert_eq!(config.discovery, SocketAddr::from(([127, 0, 0, 2], 8500)));
-    assert_eq!(config.mgmt, Some(SocketAddr::from(([127, 0, 0, 3], 8081))));
+    assert_eq!(
+        config.management,
+        Some(SocketAddr::from(([127, 0, 0, 3], 8081)))
+    );
     assert_eq!((config.sockets, config.memory_mb), (99, 33));
-    let known = config.known.expect("a list");
+    let known = config.cached_list.expect("a list");
     assert_eq!((known.revision, known.complete), (12, true));
     let members = known.members(&config.settings);
     let names: Vec<&str> = members.iter().map(|member| &*member.id).collect();
@@ -1653,7 +1656,11 @@
 fn absent_keys_of_the_configuration_have_their_defaults() {
     let config = Config::from_json(&configuration("{}"), unset).expect("it is sound");
     assert_eq!((config.sockets, config.memory_mb), (1024, 192));
-    assert!(config.mgmt.is_none() && config.known.is_none() && config.folder.is_none());
+    assert!(
+        config.management.is_none()
+            && config.cached_list.is_none()
+            && config.temporary_folder.is_none()
+    );
 }
 
 // The environment.
@@ -1676,9 +1683,15 @@
     assert_eq!(config.name, "n9");
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 9], 1)));
     assert_eq!(config.discovery, SocketAddr::from(([127, 0, 0, 9], 2)));
-    assert_eq!(config.mgmt, Some(SocketAddr::from(([127, 0, 0, 9], 3))));
-    assert_eq!(config.inherited.as_deref(), Some("11"));
-    assert_eq!(config.folder.as_deref(), Some(Path::new("/run/node")));
+    assert_eq!(
+        config.management,
+        Some(SocketAddr::from(([127, 0, 0, 9], 3)))
+    );
+    assert_eq!(config.inherited_descriptor.as_deref(), Some("11"));
+    assert_eq!(
+        config.temporary_folder.as_deref(),
+        Some(Path::new("/run/node"))
+    );
 }
 
 #[test]
