--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -1,4 +1,4 @@
-//! Two links against each other, cut anywhere, and one against whatever bytes come. Fixed seeds.
+//! Two links against each other, with bytes cut anywhere, and one link against arbitrary bytes. Fixed seeds.
 
 use postproxy_handover::{
     DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
@@ -7,42 +7,43 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn link(role: Role) -> Link {
+fn new_link(role: Role) -> Link {
     Link::new(role, "n1", "127.0.0.1:80", 100.0)
 }
 
-/// What a side has sent at first.
-fn first(link: &Link) -> Vec<u8> {
+/// The bytes that a side sends first.
+fn opening_bytes(link: &Link) -> Vec<u8> {
     [greeting(), frame(&link.hello())].concat()
 }
 
-fn received(link: &mut Link, bytes: &[u8]) -> Result<Vec<LinkEvent>, DecodeError> {
-    let mut news = Vec::new();
-    link.receive(bytes, &mut news).map(|()| news)
+fn receive(link: &mut Link, bytes: &[u8]) -> Result<Vec<LinkEvent>, DecodeError> {
+    let mut events = Vec::new();
+    link.receive(bytes, &mut events).map(|()| events)
 }
 
-/// Both sides after the greeting, the older one has told all.
-fn joined() -> (Link, Link) {
-    let (mut older, mut newer) = (link(Role::Older), link(Role::Newer));
+/// Both sides after the greeting and the older side's snapshot.
+fn joined_links() -> (Link, Link) {
+    let mut older = new_link(Role::Older);
+    let mut newer = new_link(Role::Newer);
     assert_eq!(
-        received(&mut older, &first(&newer)),
+        receive(&mut older, &opening_bytes(&newer)),
         Ok(vec![LinkEvent::Greeted])
     );
     assert_eq!(
-        received(&mut newer, &first(&older)),
+        receive(&mut newer, &opening_bytes(&older)),
         Ok(vec![LinkEvent::Greeted])
     );
     assert!(!older.is_joined() && !newer.is_joined());
     older.complete_snapshot();
     assert_eq!(
-        received(&mut newer, &frame(&Message::SnapshotComplete)),
+        receive(&mut newer, &frame(&Message::SnapshotComplete)),
         Ok(vec![LinkEvent::SnapshotComplete])
     );
     assert!(older.is_joined() && newer.is_joined());
     (older, newer)
 }
 
-fn tale() -> impl Strategy<Value = StateUpdate> {
+fn any_state_update() -> impl Strategy<Value = StateUpdate> {
     let id = "[a-z0-9]{0,12}";
     prop_oneof![
         (id, any::<bool>()).prop_map(|(worker, again)| StateUpdate::WorkerSuspensionChanged {
@@ -78,7 +79,11 @@
     ]
 }
 
-fn run<S: Strategy>(cases: u32, strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
+fn check_property<S: Strategy>(
+    cases: u32,
+    strategy: S,
+    test: impl Fn(S::Value) -> Result<(), TestCaseError>,
+) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = Config {
         cases,
@@ -92,28 +97,30 @@
 
 /// Guards against a message that is lost, doubled or changed by where its bytes are cut.
 #[test]
-fn what_is_told_arrives_however_it_is_cut() {
+fn state_updates_arrive_however_the_bytes_are_cut() {
     let cuts = proptest::collection::vec(1usize..40, 1..20);
-    run(
+    check_property(
         400,
-        (proptest::collection::vec(tale(), 0..20), cuts),
-        |(tales, cuts)| {
-            let (_, mut newer) = joined();
-            let bytes: Vec<u8> = tales
+        (proptest::collection::vec(any_state_update(), 0..20), cuts),
+        |(updates, cuts)| {
+            let (_, mut newer) = joined_links();
+            let bytes: Vec<u8> = updates
                 .iter()
                 .flat_map(|t| frame(&Message::StateUpdate(t.clone())))
                 .collect();
-            let (mut news, mut rest, mut cuts) = (Vec::new(), &bytes[..], cuts.iter().cycle());
+            let mut events = Vec::new();
+            let mut rest = &bytes[..];
+            let mut cuts = cuts.iter().cycle();
             while !rest.is_empty() {
                 let size = rest.len().min(*cuts.next().expect("a cycle"));
                 newer
-                    .receive(&rest[..size], &mut news)
+                    .receive(&rest[..size], &mut events)
                     .expect("sound messages");
                 rest = &rest[size..];
             }
             prop_assert_eq!(
-                news,
-                tales
+                events,
+                updates
                     .into_iter()
                     .map(LinkEvent::StateUpdate)
                     .collect::<Vec<_>>()
@@ -123,44 +130,44 @@
     );
 }
 
-/// Guards against bytes that panic, are held without a bound, or are taken for a greeting.
+/// Guards against bytes that cause a panic, are buffered without a bound, or pass for a greeting.
 #[test]
-fn foreign_bytes_end_in_a_fault() {
-    run(
+fn invalid_bytes_are_rejected() {
+    check_property(
         2000,
         proptest::collection::vec(any::<u8>(), 0..300),
         |bytes| {
-            let mut older = link(Role::Older);
-            if let Ok(news) = received(&mut older, &bytes) {
-                prop_assert!(news.is_empty(), "{:?}", news);
+            let mut older = new_link(Role::Older);
+            if let Ok(events) = receive(&mut older, &bytes) {
+                prop_assert!(events.is_empty(), "{:?}", events);
                 prop_assert!(
                     GREETING_MAGIC.starts_with(&bytes[..bytes.len().min(GREETING_MAGIC.len())])
                 );
             }
-            // Behind a true greeting, too.
-            let (_, mut newer) = joined();
-            let _ = received(&mut newer, &bytes);
+            // After a valid greeting, too.
+            let (_, mut newer) = joined_links();
+            let _ = receive(&mut newer, &bytes);
             Ok(())
         },
     );
 }
 
-/// Guards against going by another version, another node, a message out of turn, or a frame of any length.
+/// Guards against accepting another version, another node, an unexpected message, or a frame of any length.
 #[test]
-fn what_can_not_be_gone_by_is_named() {
+fn each_protocol_violation_has_its_error() {
     let mut other = GREETING_MAGIC.to_vec();
     other.extend((VERSION + 1).to_be_bytes());
     assert_eq!(
-        received(&mut link(Role::Older), &other),
+        receive(&mut new_link(Role::Older), &other),
         Err(DecodeError::UnsupportedVersion(VERSION + 1))
     );
     assert_eq!(
-        received(&mut link(Role::Older), b"GET / HTTP/1.1"),
+        receive(&mut new_link(Role::Older), b"GET / HTTP/1.1"),
         Err(DecodeError::UnknownProtocol)
     );
     let foreign = Link::new(Role::Newer, "n2", "127.0.0.1:80", 100.0);
     assert!(matches!(
-        received(&mut link(Role::Older), &first(&foreign)),
+        receive(&mut new_link(Role::Older), &opening_bytes(&foreign)),
         Err(DecodeError::OtherNode(_))
     ));
     let long = [
@@ -169,59 +176,59 @@
     ]
     .concat();
     assert_eq!(
-        received(&mut link(Role::Older), &long),
+        receive(&mut new_link(Role::Older), &long),
         Err(DecodeError::FrameTooLong(MAX_FRAME_BYTES as u32 + 1))
     );
-    let early = [greeting(), frame(&Message::ShuttingDown)].concat();
+    let premature = [greeting(), frame(&Message::ShuttingDown)].concat();
     assert_eq!(
-        received(&mut link(Role::Older), &early),
+        receive(&mut new_link(Role::Older), &premature),
         Err(DecodeError::UnexpectedMessage)
     );
     let client = Message::QuietConnection {
         input: Vec::new(),
         used_before: true,
     };
-    let job = Message::Request {
+    let request = Message::Request {
         request: vec![1],
         input: Vec::new(),
         close_after_answer: false,
     };
-    let (mut older, mut newer) = joined();
+    let (mut older, mut newer) = joined_links();
     for message in [
-        link(Role::Older).hello(),
+        new_link(Role::Older).hello(),
         Message::SnapshotComplete,
         Message::CallbackResult {
             number: 3,
             known: true,
         },
         client.clone(),
-        job.clone(),
+        request.clone(),
     ] {
-        let (_, mut newer) = joined();
+        let (_, mut newer) = joined_links();
         assert_eq!(
-            received(&mut newer, &frame(&message)),
+            receive(&mut newer, &frame(&message)),
             Err(DecodeError::UnexpectedMessage),
             "{message:?}"
         );
     }
     assert_eq!(
-        received(&mut older, &frame(&Message::SnapshotComplete)),
+        receive(&mut older, &frame(&Message::SnapshotComplete)),
         Err(DecodeError::UnexpectedMessage),
-        "only the newer is told all"
+        "only the newer side receives a snapshot"
     );
     assert_eq!(
-        received(&mut newer, &frame(&Message::ShuttingDown)),
+        receive(&mut newer, &frame(&Message::ShuttingDown)),
         Ok(vec![LinkEvent::ShuttingDown])
     );
     assert_eq!(
-        received(&mut newer, &frame(&client)),
+        receive(&mut newer, &frame(&client)),
         Ok(vec![LinkEvent::QuietConnection {
             input: Vec::new(),
             used_before: true
         }])
     );
     assert_eq!(
-        received(&mut newer, &frame(&job)),
+        receive(&mut newer, &frame(&request)),
         Ok(vec![LinkEvent::Request {
             request: vec![1],
             input: Vec::new(),
@@ -229,21 +236,21 @@
         }])
     );
     let mut empty = 0u32.to_be_bytes().to_vec();
-    assert_eq!(received(&mut newer, &empty), Err(DecodeError::Malformed));
+    assert_eq!(receive(&mut newer, &empty), Err(DecodeError::Malformed));
     empty = [3u32.to_be_bytes().to_vec(), vec![255, 255, 255]].concat();
     assert_eq!(
-        received(&mut joined().0, &empty),
+        receive(&mut joined_links().0, &empty),
         Err(DecodeError::Malformed)
     );
 }
 
-/// Guards against a word that reaches another call, a call that waits for ever, and a greeting that does.
+/// Guards against a result that reaches another call-back, and a call-back or a greeting that is awaited for ever.
 #[test]
-fn each_call_has_its_word_or_its_time() {
-    let (mut older, mut newer) = joined();
+fn each_callback_gets_its_result_or_times_out() {
+    let (mut older, mut newer) = joined_links();
     let one = newer.forward_callback(100.0, 11, b"a".to_vec());
     let two = newer.forward_callback(100.5, 22, b"b".to_vec());
-    let news = received(&mut older, &[frame(&one), frame(&two)].concat()).expect("calls");
+    let events = receive(&mut older, &[frame(&one), frame(&two)].concat()).expect("callbacks");
     let [
         LinkEvent::Callback {
             number: first,
@@ -253,89 +260,91 @@
             number: second,
             body: b,
         },
-    ] = &news[..]
+    ] = &events[..]
     else {
-        panic!("{news:?}")
+        panic!("{events:?}")
     };
     assert_eq!(
         (&a[..], &b[..], newer.pending_callers()),
         (&b"a"[..], &b"b"[..], vec![11, 22])
     );
-    let word = frame(&Message::CallbackResult {
+    let result = frame(&Message::CallbackResult {
         number: *second,
         known: true,
     });
     assert_eq!(
-        received(&mut newer, &word),
+        receive(&mut newer, &result),
         Ok(vec![LinkEvent::CallbackResult {
             caller: 22,
             known: true
         }])
     );
     assert_eq!(
-        received(&mut newer, &word),
+        receive(&mut newer, &result),
         Err(DecodeError::UnexpectedMessage),
-        "one word a call"
+        "one result for each call-back"
     );
     assert!(newer.check_timeouts(101.9).is_ok());
     assert_eq!(
         (newer.check_timeouts(102.1), newer.pending_callers()),
         (Err(DecodeError::TimedOut), vec![11])
     );
-    let word = frame(&Message::CallbackResult {
+    let result = frame(&Message::CallbackResult {
         number: *first,
         known: false,
     });
-    let mut newer_two = joined().1;
-    assert!(received(&mut newer_two, &word).is_err());
-    assert!(link(Role::Newer).check_timeouts(100.9).is_ok());
+    let mut newer_two = joined_links().1;
+    assert!(receive(&mut newer_two, &result).is_err());
+    assert!(new_link(Role::Newer).check_timeouts(100.9).is_ok());
     assert_eq!(
-        link(Role::Newer).check_timeouts(101.1),
+        new_link(Role::Newer).check_timeouts(101.1),
         Err(DecodeError::TimedOut)
     );
     assert!(
         older.check_timeouts(500.0).is_ok(),
-        "a link on which nothing is owed lasts"
+        "a link on which nothing is awaited stays open"
     );
 }
 
-/// What the model knows of one side.
+/// The model's state of one side.
 #[derive(Clone, Default)]
 struct Model {
     greeted: bool,
-    told: bool,
+    has_snapshot: bool,
     leaves: bool,
-    /// Own calls that wait, by their number, with who waits.
-    calls: Vec<(u64, u64)>,
+    /// Own call-backs that wait: their numbers and callers.
+    callbacks: Vec<(u64, u64)>,
     next: u64,
 }
 
-/// Guards against a link whose state is not what was said on it: two sides, random steps, bytes delivered in random
-/// pieces, and sides that say what they may not. The model says which news, or that it is a fault.
+/// Guards against a link whose state differs from the messages on it: two sides, random steps, bytes delivered in
+/// random pieces, and messages that are not allowed. The model predicts the events, or an error.
 #[test]
-fn a_link_is_what_was_said_on_it() {
+fn link_state_follows_its_messages() {
     let step = (0usize..9, any::<bool>(), 1usize..60);
-    run(600, proptest::collection::vec(step, 1..120), |steps| {
-        let mut links = [link(Role::Older), link(Role::Newer)];
+    check_property(600, proptest::collection::vec(step, 1..120), |steps| {
+        let mut links = [new_link(Role::Older), new_link(Role::Newer)];
         let mut models = [Model::default(), Model::default()];
-        // Messages on their way to each side, their bytes, and how much of these has been delivered.
+        // Messages in transit to each side, their bytes, and how many of these were delivered.
         let mut queues: [Vec<Message>; 2] = Default::default();
-        let mut wires = [first(&links[1]), first(&links[0])];
-        let mut sizes: [Vec<usize>; 2] = [vec![wires[0].len()], vec![wires[1].len()]];
+        let mut streams = [opening_bytes(&links[1]), opening_bytes(&links[0])];
+        let mut frame_sizes: [Vec<usize>; 2] = [vec![streams[0].len()], vec![streams[1].len()]];
         queues[0].push(links[1].hello());
         queues[1].push(links[0].hello());
         let mut delivered = [0, 0];
-        let (mut who, now) = (0, 100.0);
-        for (what, newer, size) in steps {
-            let (at, to) = (usize::from(newer), usize::from(!newer));
-            let message = match what {
+        let now = 100.0;
+        let mut caller = 0;
+        for (action, newer, size) in steps {
+            let at = usize::from(newer);
+            let to = usize::from(!newer);
+            let message = match action {
                 0 => Some(Message::StateUpdate(StateUpdate::RequestFinished {
-                    id: format!("{who}"),
+                    id: format!("{caller}"),
                 })),
                 1 => Some(Message::DescriptorsHeld(size as u32)),
                 2 => {
-                    who += 1;
-                    let message = links[at].forward_callback(now, who, vec![7]);
+                    caller += 1;
+                    let message = links[at].forward_callback(now, caller, vec![7]);
                     models[at].next += 1;
                     let number = models[at].next;
                     prop_assert_eq!(
@@ -345,16 +354,16 @@
                             body: vec![7]
                         }
                     );
-                    models[at].calls.push((number, who));
+                    models[at].callbacks.push((number, caller));
                     Some(message)
                 }
                 3 => Some(Message::CallbackResult {
                     number: size as u64 % 4 + 1,
                     known: newer,
                 }),
-                4 if at == 0 && models[0].greeted && !models[0].told => {
+                4 if at == 0 && models[0].greeted && !models[0].has_snapshot => {
                     links[0].complete_snapshot();
-                    models[0].told = true;
+                    models[0].has_snapshot = true;
                     Some(Message::SnapshotComplete)
                 }
                 5 if size > 50 => Some(Message::ShuttingDown),
@@ -366,37 +375,42 @@
             };
             if let Some(message) = message {
                 let bytes = frame(&message);
-                sizes[to].push(bytes.len());
-                wires[to].extend(bytes);
+                frame_sizes[to].push(bytes.len());
+                streams[to].extend(bytes);
                 queues[to].push(message);
             }
             // A piece is delivered to the side of this step.
-            let piece: Vec<u8> = wires[at].drain(..size.min(wires[at].len())).collect();
+            let piece: Vec<u8> = streams[at].drain(..size.min(streams[at].len())).collect();
             delivered[at] += piece.len();
-            let mut wanted = Vec::new();
-            let mut fault = false;
-            while sizes[at].first().is_some_and(|size| delivered[at] >= *size) && !fault {
-                delivered[at] -= sizes[at].remove(0);
-                let (message, model) = (queues[at].remove(0), &mut models[at]);
-                let joined = model.greeted && model.told;
-                let news = match message {
+            let mut expected = Vec::new();
+            let mut invalid = false;
+            while frame_sizes[at]
+                .first()
+                .is_some_and(|size| delivered[at] >= *size)
+                && !invalid
+            {
+                delivered[at] -= frame_sizes[at].remove(0);
+                let message = queues[at].remove(0);
+                let model = &mut models[at];
+                let joined = model.greeted && model.has_snapshot;
+                let events = match message {
                     Message::Hello { .. } => {
                         model.greeted = true;
                         Some(LinkEvent::Greeted)
                     }
                     Message::SnapshotComplete => {
-                        model.told = true;
+                        model.has_snapshot = true;
                         Some(LinkEvent::SnapshotComplete)
                     }
-                    Message::StateUpdate(tale) => Some(LinkEvent::StateUpdate(tale)),
+                    Message::StateUpdate(update) => Some(LinkEvent::StateUpdate(update)),
                     Message::DescriptorsHeld(most) => Some(LinkEvent::DescriptorsHeld(most)),
                     Message::Callback { number, body } => {
                         Some(LinkEvent::Callback { number, body })
                     }
                     Message::CallbackResult { number, known } => {
-                        let waits = model.calls.iter().position(|(n, _)| *n == number);
+                        let waits = model.callbacks.iter().position(|(n, _)| *n == number);
                         waits.map(|i| LinkEvent::CallbackResult {
-                            caller: model.calls.remove(i).1,
+                            caller: model.callbacks.remove(i).1,
                             known,
                         })
                     }
@@ -413,23 +427,28 @@
                     }),
                     _ => None,
                 };
-                fault = news.is_none();
-                wanted.extend(news);
+                invalid = events.is_none();
+                expected.extend(events);
             }
-            let mut news = Vec::new();
-            let received = links[at].receive(&piece, &mut news);
-            prop_assert_eq!(&news, &wanted);
-            prop_assert_eq!(received.is_err(), fault, "{:?}", received);
-            if fault {
+            let mut events = Vec::new();
+            let result = links[at].receive(&piece, &mut events);
+            prop_assert_eq!(&events, &expected);
+            prop_assert_eq!(result.is_err(), invalid, "{:?}", result);
+            if invalid {
                 return Ok(());
             }
-            let (link, model) = (&links[at], &models[at]);
+            let link = &links[at];
+            let model = &models[at];
             prop_assert_eq!(link.is_greeted(), model.greeted);
-            prop_assert_eq!(link.is_joined(), model.greeted && model.told);
+            prop_assert_eq!(link.is_joined(), model.greeted && model.has_snapshot);
             prop_assert_eq!(link.is_peer_shutting_down(), model.leaves);
             prop_assert_eq!(
                 link.pending_callers(),
-                model.calls.iter().map(|(_, who)| *who).collect::<Vec<_>>()
+                model
+                    .callbacks
+                    .iter()
+                    .map(|(_, caller)| *caller)
+                    .collect::<Vec<_>>()
             );
         }
         Ok(())
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -400,8 +400,8 @@
     let sent = conversation()
         .into_iter()
         .filter_map(|message| match message {
-            Message::StateUpdate(tale @ StateUpdate::AttemptSent { .. }) => {
-                Some(LinkEvent::StateUpdate(tale))
+            Message::StateUpdate(update @ StateUpdate::AttemptSent { .. }) => {
+                Some(LinkEvent::StateUpdate(update))
             }
             _ => None,
         });
@@ -454,11 +454,11 @@
     for size in 1..=recorded.len() {
         let mut link = link(Role::Newer);
         link.forward_callback(0.0, 44, Vec::new());
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         recorded
             .chunks(size)
-            .for_each(|part| link.receive(part, &mut news).expect("sound bytes"));
-        assert_eq!(news, expected, "pieces of {size} bytes");
+            .for_each(|part| link.receive(part, &mut events).expect("sound bytes"));
+        assert_eq!(events, expected, "pieces of {size} bytes");
         assert!(link.is_joined() && link.is_peer_shutting_down());
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! What comes to a process that takes over between the older one's greeting and its last word. The older process is played by the
-//! test, so that each order is forced.
+//! What reaches a process that takes over between the older one's greeting and the end of its snapshot. The test plays
+//! the older process, so that each order of events is forced.
 
 use postproxy::net::transport::http::Response;
 use postproxy::stand_ins::{Discovery, Worker, ask};
@@ -15,62 +15,64 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(20);
-/// So often a start is tried: the newer process serves alone where the older one has not told all in 1 s.
-const TRIES: usize = 20;
+/// How long the test waits for an event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Starts that are tried: the newer process serves alone if the older one's snapshot is not complete within 1 s.
+const MAX_STARTS: usize = 20;
 
 /// The older process, as far as the newer one can tell.
-struct Older {
+struct OlderProcess {
     stream: UnixStream,
     link: Link,
-    came: Vec<LinkEvent>,
+    events: Vec<LinkEvent>,
 }
 
-impl Older {
-    fn say(&mut self, messages: &[Message]) {
+impl OlderProcess {
+    fn send(&mut self, messages: &[Message]) {
         let bytes: Vec<u8> = messages.iter().flat_map(frame).collect();
         self.stream.write_all(&bytes).expect("the link holds");
     }
 
-    /// Says that all has been told.
-    fn told(&mut self) {
-        self.say(&[Message::SnapshotComplete]);
+    /// Completes the snapshot.
+    fn complete_snapshot(&mut self) {
+        self.send(&[Message::SnapshotComplete]);
         self.link.complete_snapshot();
     }
 
-    /// Waits for news of this kind; `None` if the newer process has ended the link.
-    fn until<T>(&mut self, wanted: impl Fn(&LinkEvent) -> Option<T>) -> Option<T> {
+    /// Waits for an event that `wanted` accepts; `None` if the newer process has closed the link.
+    fn wait_for<T>(&mut self, wanted: impl Fn(&LinkEvent) -> Option<T>) -> Option<T> {
         loop {
-            if let Some(found) = self.came.iter().find_map(&wanted) {
+            if let Some(found) = self.events.iter().find_map(&wanted) {
                 return Some(found);
             }
             let mut bytes = [0; 4096];
             let size = self
                 .stream
                 .read(&mut bytes)
-                .expect("the newer process says it in time");
+                .expect("the newer process sends it in time");
             if size == 0 {
                 return None;
             }
             self.link
-                .receive(&bytes[..size], &mut self.came)
-                .expect("words that can be read");
+                .receive(&bytes[..size], &mut self.events)
+                .expect("valid messages");
         }
     }
 }
 
-struct Bed {
+/// The newer process with the older one, workers and discovery.
+struct HandoverHarness {
     listener: Socket,
     address: SocketAddr,
-    door: SocketAddr,
-    older: Older,
+    management: SocketAddr,
+    older: OlderProcess,
     process: Process,
     folder: PathBuf,
     workers: Vec<Worker>,
     _discovery: Discovery,
 }
 
-impl Drop for Bed {
+impl Drop for HandoverHarness {
     fn drop(&mut self) {
         self.process.kill();
         self.workers.iter().for_each(Worker::stop);
@@ -78,8 +80,8 @@
     }
 }
 
-impl Bed {
-    /// The real program, which has called the older process and greeted it, and has heard nothing yet.
+impl HandoverHarness {
+    /// Starts the real program, which has connected to the older process and greeted it, and has received nothing yet.
     fn new(name: &str) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener
@@ -105,32 +107,34 @@
         config["discovery"] = discovery.address.to_string().into();
         config["known"] = serde_json::Value::Null;
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
-        let meeting =
-            UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
-        let door = SocketAddr::new(addresses(1)[0], 8081);
+        let handover_socket =
+            UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a handover socket");
+        let management = SocketAddr::new(addresses(1)[0], 8081);
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
         command
             .args(["serve", "--log-levels", "error"])
             .env("RELAY_CONFIG", folder.join("config.json"))
-            .env("RELAY_MGMT", door.to_string())
+            .env("RELAY_MGMT", management.to_string())
             .env("RELAY_SOCKET_FD", listener.as_raw_fd().to_string())
             .env("TMPDIR", &folder);
         let process = Process::of(&mut command).expect("the program starts");
-        let (stream, _) = meeting.accept().expect("it calls");
-        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
+        let (stream, _) = handover_socket.accept().expect("it connects");
+        stream
+            .set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time limit");
         let link = Link::new(Role::Older, "n0", &address.to_string(), 0.0);
-        let mut older = Older {
+        let mut older = OlderProcess {
             stream,
             link,
-            came: Vec::new(),
+            events: Vec::new(),
         };
         older
-            .until(|news| matches!(news, LinkEvent::Greeted).then_some(()))
+            .wait_for(|event| matches!(event, LinkEvent::Greeted).then_some(()))
             .expect("it greets");
         Self {
             listener,
             address,
-            door,
+            management,
             older,
             process,
             folder,
@@ -148,14 +152,15 @@
             .expect("the link holds");
     }
 
-    /// Calls at the door, and goes on once the process has read the call; what is answered comes later.
-    fn calls(&self, path: &str) -> TcpStream {
-        let mut call = TcpStream::connect(self.door).expect("the door is open");
-        call.set_read_timeout(Some(LIMIT)).expect("a time limit");
+    /// Sends a management request, and returns once the process has read it; the answer comes later.
+    fn begin_management_request(&self, path: &str) -> TcpStream {
+        let mut call = TcpStream::connect(self.management).expect("the management API listens");
+        call.set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time limit");
         write!(call, "POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("it is written");
-        // Whoever comes later is read later.
+        // Connections are read in the order in which they come.
         assert_eq!(
-            ask(self.door, "GET", "/v1/readyz", &[], b"")
+            ask(self.management, "GET", "/v1/readyz", &[], b"")
                 .expect("an answer")
                 .status,
             503
@@ -163,117 +168,120 @@
         call
     }
 
-    /// Whether the process has told the older one this within its time to hear all.
-    fn hears(&mut self, tale: &StateUpdate) -> Option<()> {
-        self.older.until(|news| {
-            matches!(news, LinkEvent::StateUpdate(told) if told == tale).then_some(())
+    /// Waits until the process has sent the older one this update; `None` if it has closed the link before.
+    fn wait_for_update(&mut self, update: &StateUpdate) -> Option<()> {
+        self.older.wait_for(|event| {
+            matches!(event, LinkEvent::StateUpdate(sent) if sent == update).then_some(())
         })
     }
 }
 
-fn answered(mut call: TcpStream) -> String {
+fn read_answer(mut call: TcpStream) -> String {
     let mut answer = String::new();
     call.read_to_string(&mut answer).expect("an answer");
     answer
 }
 
-/// Plays a start until the newer process has waited for the older one's last word.
-fn play(name: &str, mut start: impl FnMut(&mut Bed) -> Option<()>) {
-    for n in 0..TRIES {
-        let mut bed = Bed::new(&format!("{name}-{n}"));
-        if start(&mut bed).is_some() {
+/// Repeats a start until the newer process has waited for the older one's whole snapshot.
+fn run_until_joined(name: &str, mut scenario: impl FnMut(&mut HandoverHarness) -> Option<()>) {
+    for number in 0..MAX_STARTS {
+        let mut harness = HandoverHarness::new(&format!("{name}-{number}"));
+        if scenario(&mut harness).is_some() {
             return;
         }
     }
-    panic!("in {TRIES} starts the newer process never waited");
+    panic!("in {MAX_STARTS} starts the newer process never waited");
 }
 
-fn tale(worker: &str, again: bool) -> StateUpdate {
+fn suspension_changed(worker: &str, resume: bool) -> StateUpdate {
     StateUpdate::WorkerSuspensionChanged {
         worker: worker.into(),
-        resume: again,
+        resume,
     }
 }
 
-/// Guards against an operator's word that is answered with a yes and lost: it was given to the process that takes over before
-/// that had greeted, or had been told what was so before.
+/// Guards against a management request that is confirmed and lost: it came to the process that takes over before the
+/// older one had greeted, or before its snapshot was complete.
 #[test]
-fn an_operators_word_before_the_older_process_has_told_all_is_the_last_one() {
-    let drained = |on, ago| StateUpdate::DrainChanged {
-        draining: on,
-        seconds_ago: ago,
+fn management_requests_before_the_end_of_the_snapshot_override_it() {
+    let drain_changed = |draining, seconds_ago| StateUpdate::DrainChanged {
+        draining,
+        seconds_ago,
     };
     for greeted in [false, true] {
-        for (name, path, before, word) in [
-            // The older process has it out of use, and does not know yet that it is wanted again.
+        for (name, path, snapshot, expected) in [
+            // The older process has suspended the worker, and does not know yet that it is to be resumed.
             (
                 "resume",
                 "/v1/route-workers/s-0/resume",
-                tale("s-0", false),
-                tale("s-0", true),
+                suspension_changed("s-0", false),
+                suspension_changed("s-0", true),
             ),
-            // It is to go out of use, which the older process, which goes on sending, has to know.
+            // The older process, which still sends to the worker, must learn that it is suspended.
             (
                 "suspend",
                 "/v1/route-workers/s-0/suspend",
-                tale("s-0", true),
-                tale("s-0", false),
+                suspension_changed("s-0", true),
+                suspension_changed("s-0", false),
             ),
-            // A drain of the older process that has been ended.
+            // The older process drains, and the drain is ended.
             (
                 "activate",
                 "/v1/node/activate",
-                drained(true, 1.0),
-                drained(false, 0.0),
+                drain_changed(true, 1.0),
+                drain_changed(false, 0.0),
             ),
         ] {
-            play(name, |bed| {
+            run_until_joined(name, |harness| {
                 if greeted {
-                    bed.greet();
+                    harness.greet();
                 }
-                let call = bed.calls(path);
+                let call = harness.begin_management_request(path);
                 if !greeted {
-                    bed.greet();
+                    harness.greet();
                 }
-                bed.older.say(&[Message::StateUpdate(before.clone())]);
-                bed.older.told();
-                bed.hears(&word)?;
-                assert!(answered(call).starts_with("HTTP/1.1 200 "));
+                harness
+                    .older
+                    .send(&[Message::StateUpdate(snapshot.clone())]);
+                harness.older.complete_snapshot();
+                harness.wait_for_update(&expected)?;
+                assert!(read_answer(call).starts_with("HTTP/1.1 200 "));
                 Some(())
             });
         }
     }
 }
 
-/// Guards against a request that is taken by a process that does not know yet what the older one holds.
+/// Guards against a request that is admitted by a process that does not know the older one's requests yet.
 #[test]
-fn requests_wait_for_the_older_process_until_it_has_told_all() {
-    play("request", |bed| {
-        bed.greet();
-        let mut client = TcpStream::connect(bed.address).expect("a connection");
-        client.set_read_timeout(Some(LIMIT)).expect("a time limit");
+fn requests_wait_until_the_snapshot_is_complete() {
+    run_until_joined("request", |harness| {
+        harness.greet();
+        let mut client = TcpStream::connect(harness.address).expect("a connection");
+        client
+            .set_read_timeout(Some(EVENT_TIMEOUT))
+            .expect("a time limit");
         write!(client, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
             .expect("it is written");
-        // Two turns of its loop later it is still the older process's to take.
+        // Two turns of its loop later the connection is still the older process's to accept.
         for _ in 0..2 {
             assert_eq!(
-                ask(bed.door, "GET", "/v1/readyz", &[], b"")
+                ask(harness.management, "GET", "/v1/readyz", &[], b"")
                     .expect("an answer")
                     .status,
                 503
             );
         }
-        // The setting is the listener's, and so the process's, too: taken back, its next look would wait there.
-        bed.listener.set_nonblocking(true).expect("a setting");
-        let taken = bed.listener.accept();
-        // Unless the newer process had waited for too long already.
-        let taken = taken.ok().map(|(stream, _)| stream);
-        bed.older.told();
-        bed.hears_alive()?;
-        assert!(taken.is_some(), "the newer process took it");
-        // From now on it is the newer one's.
+        // The listener is shared: it stays non-blocking, for the process would block at its next accept otherwise.
+        harness.listener.set_nonblocking(true).expect("a setting");
+        // The newer process may have given up waiting already, and have accepted it.
+        let accepted = harness.listener.accept().ok().map(|(stream, _)| stream);
+        harness.older.complete_snapshot();
+        harness.wait_for_callback_result()?;
+        assert!(accepted.is_some(), "the newer process accepted it");
+        // From now on the newer process accepts.
         let answer = ask(
-            bed.address,
+            harness.address,
             "GET",
             "/-/ready",
             &[("Connection", "close")],
@@ -285,30 +293,32 @@
     });
 }
 
-impl Bed {
-    /// Whether the newer process has heard the last word: it answers a call-back after it.
-    fn hears_alive(&mut self) -> Option<()> {
+impl HandoverHarness {
+    /// Waits until the newer process has handled all messages: it answers a call-back after them. `None` if it has
+    /// closed the link before.
+    fn wait_for_callback_result(&mut self) -> Option<()> {
         let body = br#"{"id": "nobody's", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = self.older.link.forward_callback(0.0, 77, body.to_vec());
-        self.older.say(&[call]);
+        self.older.send(&[call]);
         self.older
-            .until(|news| matches!(news, LinkEvent::CallbackResult { .. }).then_some(()))
+            .wait_for(|event| matches!(event, LinkEvent::CallbackResult { .. }).then_some(()))
     }
 }
 
-/// Guards against a call-back that is acknowledged though nobody has taken it: of a job that the older process holds, it came to the
-/// newer one, as soon as that serves.
+/// Guards against a call-back that is acknowledged although no process has handled it: it came to the newer process, as
+/// soon as that serves, on a request of the older one.
 #[test]
-fn a_call_back_on_the_older_processs_job_is_acknowledged_on_its_word_alone() {
-    play("call", |bed| {
-        bed.greet();
-        bed.older
-            .say(&[Message::StateUpdate(StateUpdate::RequestAdmitted {
+fn callbacks_on_the_older_processs_requests_are_acknowledged_only_on_its_result() {
+    run_until_joined("call", |harness| {
+        harness.greet();
+        harness
+            .older
+            .send(&[Message::StateUpdate(StateUpdate::RequestAdmitted {
                 id: "held".into(),
                 is_new: false,
             })]);
-        bed.older.told();
-        let at = bed.address;
+        harness.older.complete_snapshot();
+        let at = harness.address;
         let body = br#"{"id": "held", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = thread::spawn(move || -> Response {
             ask(
@@ -320,27 +330,27 @@
             )
             .expect("an answer")
         });
-        let number = bed.older.until(|news| match news {
+        let number = harness.older.wait_for(|event| match event {
             LinkEvent::Callback { number, body } if body.windows(4).any(|four| four == b"held") => {
                 Some(*number)
             }
             _ => None,
         })?;
         let start = Instant::now();
-        // Other calls are answered meanwhile, this one is not.
+        // Other requests are answered meanwhile, the call-back is not acknowledged.
         for _ in 0..5 {
             assert_eq!(
-                ask(bed.door, "GET", "/v1/readyz", &[], b"")
+                ask(harness.management, "GET", "/v1/readyz", &[], b"")
                     .expect("an answer")
                     .status,
                 200
             );
             assert!(
-                !call.is_finished() || start.elapsed() > LIMIT,
-                "acknowledged without a word"
+                !call.is_finished() || start.elapsed() > EVENT_TIMEOUT,
+                "acknowledged without a result"
             );
         }
-        bed.older.say(&[Message::CallbackResult {
+        harness.older.send(&[Message::CallbackResult {
             number,
             known: true,
         }]);
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -1,4 +1,5 @@
-//! A hand-over to a process that has no descriptor left, alone in its process: the limit on descriptors holds for all of it.
+//! A handover to a process that has no descriptor left. The test is alone in its process, because the limit on
+//! descriptors applies to the whole process.
 
 use postproxy::net::handover::{Event, Handover};
 use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
@@ -13,36 +14,35 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-const LIMIT: Duration = Duration::from_secs(20);
+/// How long the test waits for an event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One turn of the loop: what came of the link in it, by event of its socket.
-fn turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
-    let mut events = Vec::new();
-    // The loop is asked, and does not wait.
+/// Runs one turn of the loop, and returns the handover's events by the readiness event that led to them.
+fn run_turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
+    let mut ready = Vec::new();
+    // A timer that is due keeps the reactor from waiting.
     reactor.set_timer(reactor.now, Timer::ClientAccept);
-    reactor.wait(&mut events, f64::MAX).expect("a poller");
-    let of_link = events
+    reactor.wait(&mut ready, f64::MAX).expect("a poller");
+    ready
         .iter()
-        .filter(|event| owner(event.key) == SocketOwner::Handover);
-    of_link
-        .map(|event| (event.key, event.readable))
-        .map(|(key, read)| handover.handle_ready(reactor, key, read))
+        .filter(|event| owner(event.key) == SocketOwner::Handover)
+        .map(|event| handover.handle_ready(reactor, event.key, event.readable))
         .collect()
 }
 
-fn until<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = found() {
             return found;
         }
-        assert!(start.elapsed() < LIMIT, "not seen: {what}");
+        assert!(start.elapsed() < EVENT_TIMEOUT, "not seen: {what}");
         std::thread::yield_now();
     }
 }
 
 /// Sends bytes with the node's end of a connection.
-fn pass(link: &UnixStream, bytes: &[u8], connection: TcpStream) {
+fn send_with_connection(link: &UnixStream, bytes: &[u8], connection: TcpStream) {
     let passed = [connection.as_fd()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
@@ -57,49 +57,61 @@
     assert_eq!(sent, bytes.len());
 }
 
-/// A client's end and the node's.
-fn connection(listener: &TcpListener) -> (TcpStream, TcpStream) {
+/// Both ends of a connection.
+struct Connection {
+    client: TcpStream,
+    node: TcpStream,
+}
+
+fn connect(listener: &TcpListener) -> Connection {
     let client =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    (client, listener.accept().expect("it comes").0)
+    let node = listener.accept().expect("it is accepted").0;
+    Connection { client, node }
 }
 
-fn job(name: &str) -> Vec<u8> {
+fn request_frame(request: &str) -> Vec<u8> {
     frame(&Message::Request {
-        request: name.into(),
+        request: request.into(),
         input: Vec::new(),
         close_after_answer: false,
     })
 }
 
-/// Guards against a job that is answered to another's client: the descriptor that came with one message found no place here, the
-/// message came whole only later, and the next message's descriptor was taken for its own.
-#[test]
-fn a_connection_that_finds_no_place_leaves_the_others_with_their_jobs() {
-    let folder =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lost-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let meeting =
-        UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut reactor = Reactor::new(1000.0).expect("a reactor");
-    let mut handover = Handover::start(&mut reactor, &folder, "n0", "127.0.0.1:1");
-    let (mut link, _) = meeting.accept().expect("the newer process calls");
+/// What an older process sends up to the end of its snapshot and its shutdown.
+fn handover_messages() -> Vec<u8> {
     let hello = Message::Hello {
         name: "n0".into(),
         listen: "127.0.0.1:1".into(),
     };
-    let words = [
+    [
         greeting(),
         frame(&hello),
         frame(&Message::SnapshotComplete),
         frame(&Message::ShuttingDown),
     ]
-    .concat();
-    link.write_all(&words).expect("it is written");
-    until("the older process's words", || {
-        let came = turn(&mut reactor, &mut handover);
-        let leaves = |event: &Event| {
+    .concat()
+}
+
+/// Guards against a request that is answered to another's client: there was no room for the descriptor that came with
+/// one message, the rest of the message came only later, and it was matched with the next message's descriptor.
+#[test]
+fn a_lost_descriptor_leaves_the_others_with_their_requests() {
+    let folder =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lost-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let handover_socket =
+        UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a handover socket");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut reactor = Reactor::new(1000.0).expect("a reactor");
+    let mut handover = Handover::start(&mut reactor, &folder, "n0", "127.0.0.1:1");
+    let (mut link, _) = handover_socket
+        .accept()
+        .expect("the newer process connects");
+    link.write_all(&handover_messages()).expect("it is written");
+    wait_for("the older process's messages", || {
+        let events = run_turn(&mut reactor, &mut handover);
+        let is_shutdown = |event: &Event| {
             matches!(
                 event,
                 Event::Received {
@@ -108,36 +120,39 @@
                 }
             )
         };
-        came.iter().flatten().any(leaves).then_some(())
+        events.iter().flatten().any(is_shutdown).then_some(())
     });
-    let ((mut first, firsts), (mut second, seconds)) =
-        (connection(&listener), connection(&listener));
-    first.set_nonblocking(true).expect("a setting");
-    let (a, b) = (job("a"), job("b"));
-    let usual = getrlimit(Resource::Nofile);
+    let mut first = connect(&listener);
+    let mut second = connect(&listener);
+    first.client.set_nonblocking(true).expect("a setting");
+    let first_frame = request_frame("a");
+    let second_frame = request_frame("b");
+    let usual_limit = getrlimit(Resource::Nofile);
     setrlimit(
         Resource::Nofile,
         Rlimit {
             current: Some(3),
-            ..usual
+            ..usual_limit
         },
     )
     .expect("a lower limit");
-    pass(&link, &a[..5], firsts);
-    // The node's end of it went with the descriptor, which shows that its first bytes have been read.
-    until("the first connection's end", || {
+    send_with_connection(&link, &first_frame[..5], first.node);
+    // The node's end was closed with the lost descriptor, which shows that its first bytes have been read.
+    wait_for("the first connection's end", || {
         assert!(
-            turn(&mut reactor, &mut handover).iter().all(Vec::is_empty),
+            run_turn(&mut reactor, &mut handover)
+                .iter()
+                .all(Vec::is_empty),
             "a part of a message is none"
         );
-        first.read(&mut [0; 1]).ok()
+        first.client.read(&mut [0; 1]).ok()
     });
-    setrlimit(Resource::Nofile, usual).expect("the usual limit");
-    link.write_all(&a[5..]).expect("it is written");
-    pass(&link, &b, seconds);
-    let came = until("both jobs", || {
-        let came = turn(&mut reactor, &mut handover);
-        came.into_iter().find(|events| !events.is_empty())
+    setrlimit(Resource::Nofile, usual_limit).expect("the usual limit");
+    link.write_all(&first_frame[5..]).expect("it is written");
+    send_with_connection(&link, &second_frame, second.node);
+    let events = wait_for("both requests", || {
+        let events = run_turn(&mut reactor, &mut handover);
+        events.into_iter().find(|events| !events.is_empty())
     });
     let [
         Event::Received {
@@ -147,21 +162,24 @@
         },
         Event::Received {
             event: LinkEvent::Request { request: other, .. },
-            descriptor: Some(kept),
+            descriptor: Some(passed),
             ..
         },
-    ] = &came[..]
+    ] = &events[..]
     else {
-        panic!("both come in one read: {came:?}");
+        panic!("both come in one read: {events:?}");
     };
     assert_eq!((&one[..], &other[..]), (&b"a"[..], &b"b"[..]));
-    assert!(lost.is_none(), "the first job's client has gone");
-    TcpStream::from(kept.try_clone().expect("a descriptor"))
+    assert!(lost.is_none(), "the first request's client has gone");
+    TcpStream::from(passed.try_clone().expect("a descriptor"))
         .write_all(b"yours")
         .expect("it is written");
     let mut answer = [0; 5];
-    second.set_read_timeout(Some(LIMIT)).expect("a time limit");
-    second.read_exact(&mut answer).expect("an answer");
+    second
+        .client
+        .set_read_timeout(Some(EVENT_TIMEOUT))
+        .expect("a time limit");
+    second.client.read_exact(&mut answer).expect("an answer");
     assert_eq!(&answer, b"yours");
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,71 +1,88 @@
-//! A node's life, with told calls and times.
+//! The lifecycle of a node, with calls and times that the test passes.
 
 use postproxy::net::lifecycle::Lifecycle;
 use quickcheck::{Gen, QuickCheck};
 
-/// Guards against idle connections that go at once, when the front still sends and requests still cross, or
-/// that are left when the operators look, 4 s after the call, with a job from the last 2 s on them.
+/// Guards against idle connections that are closed at once, when the front still sends and requests still cross, or
+/// that are still open when the operators check, 4 s after the call, with a request from the last 2 s on them.
 #[test]
-fn a_drain_lets_idle_connections_go_over_time() {
-    let mut life = Lifecycle::default();
-    life.start();
-    assert_eq!(life.max_idle_time(10.0), None);
-    life.drain(10.0);
-    let at = |after: f64| life.max_idle_time(10.0 + after);
-    assert!(at(0.0).is_none() && at(0.49).is_none());
-    assert!(at(0.51).is_some_and(|idle| idle > 1.5));
-    assert!(at(1.2) < at(0.9) && at(1.7) > Some(0.0));
-    assert!((19..100).all(|tenth| at(f64::from(tenth) / 10.0) == Some(0.0)));
+fn a_drain_closes_idle_connections_over_time() {
+    let mut lifecycle = Lifecycle::default();
+    lifecycle.start();
+    assert_eq!(lifecycle.max_idle_time(10.0), None);
+    lifecycle.drain(10.0);
+    let max_idle_after = |seconds: f64| lifecycle.max_idle_time(10.0 + seconds);
+    assert!(max_idle_after(0.0).is_none() && max_idle_after(0.49).is_none());
+    assert!(max_idle_after(0.51).is_some_and(|idle| idle > 1.5));
+    assert!(max_idle_after(1.2) < max_idle_after(0.9) && max_idle_after(1.7) > Some(0.0));
+    assert!((19..100).all(|tenth| max_idle_after(f64::from(tenth) / 10.0) == Some(0.0)));
     assert!(
-        life.activate()
-            && life.max_idle_time(11.0).is_none()
-            && life.wants_connections()
-            && !life.closes_after_answer()
+        lifecycle.activate()
+            && lifecycle.max_idle_time(11.0).is_none()
+            && lifecycle.wants_connections()
+            && !lifecycle.closes_after_answer()
     );
 }
 
-/// Guards against a stage that contradicts what was told, whatever the order: a model of four facts against
-/// random calls. Calls twice, a drain in a stop, an activate without a drain have their answers here.
+/// The facts that a lifecycle was told.
+#[derive(Clone, Copy, Default)]
+struct Model {
+    started: bool,
+    drained: bool,
+    stopped: bool,
+    handing_over: bool,
+}
+
+impl Model {
+    /// Whether the lifecycle answers as these facts demand.
+    fn agrees_with(self, lifecycle: &Lifecycle) -> bool {
+        let serves = self.started && !self.stopped;
+        let wants_connections = (serves || self.stopped && self.handing_over) && !self.drained;
+        let closes_after_answer =
+            self.stopped && !self.handing_over || !self.stopped && self.started && self.drained;
+        lifecycle.is_serving() == serves
+            && lifecycle.wants_connections() == wants_connections
+            && lifecycle.closes_after_answer() == closes_after_answer
+            && lifecycle.is_draining() == self.drained
+    }
+}
+
+/// Guards against a stage that contradicts the calls, whatever their order: a model of four facts against random
+/// calls. Repeated calls, a drain during a stop and an activation without a drain are among them.
 #[test]
-fn every_order_of_calls_has_its_answers() {
-    let random = |calls: Vec<u8>| {
-        let (mut life, mut model) = (Lifecycle::default(), (false, false, false, false));
+fn every_order_of_calls_agrees_with_the_model() {
+    let agrees = |calls: Vec<u8>| {
+        let mut lifecycle = Lifecycle::default();
+        let mut model = Model::default();
         for (call, now) in calls.into_iter().zip(0u32..) {
             match call % 5 {
                 0 => {
-                    life.start();
-                    model.0 = true;
+                    lifecycle.start();
+                    model.started = true;
                 }
                 1 => {
-                    life.drain(now.into());
-                    model.1 = true;
+                    lifecycle.drain(now.into());
+                    model.drained = true;
                 }
                 2 => {
-                    let can = !model.2 || model.3;
-                    if life.activate() != can {
+                    let possible = !model.stopped || model.handing_over;
+                    if lifecycle.activate() != possible {
                         return false;
                     }
-                    model.1 &= !can;
+                    model.drained &= !possible;
                 }
                 3 => {
-                    life.set_handing_over(now % 2 == 0);
-                    model.3 = now % 2 == 0;
+                    lifecycle.set_handing_over(now % 2 == 0);
+                    model.handing_over = now % 2 == 0;
                 }
                 _ => {
-                    if life.stop() == model.2 {
+                    if lifecycle.stop() == model.stopped {
                         return false;
                     }
-                    model.2 = true;
+                    model.stopped = true;
                 }
             }
-            let (started, drained, stopped, handing) = model;
-            let serves = started && !stopped;
-            let held = life.is_serving() == serves
-                && life.wants_connections() == ((serves || stopped && handing) && !drained)
-                && life.closes_after_answer()
-                    == (stopped && !handing || !stopped && started && drained)
-                && life.is_draining() == drained;
-            if !held {
+            if !model.agrees_with(&lifecycle) {
                 return false;
             }
         }
@@ -74,5 +91,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 13))
         .tests(500)
-        .quickcheck(random as fn(Vec<u8>) -> bool);
+        .quickcheck(agrees as fn(Vec<u8>) -> bool);
 }
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,4 +1,4 @@
-//! The real program where something is short: descriptors, discovery, time at a start.
+//! The real program when something is short: descriptors, discovery, or time at a start.
 
 use postproxy::net::transport::http;
 use postproxy::stand_ins::{Discovery, Worker, ask};
@@ -9,21 +9,22 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The longest that is waited for what must come.
-const MOST: Duration = Duration::from_secs(30);
-/// From when discovery can be reached again, what it has counts as told; a drain has its grace beside it.
-const TOLD: Duration = Duration::from_millis(6000 + 300);
-/// By when nine in ten restarted processes are ready.
-const READY: Duration = Duration::from_secs(10);
+/// How long the tests wait for a condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long after discovery is reachable again the node may still use its old list: 6 s to poll it, and 300 ms of grace
+/// for a drain.
+const LIST_UPDATE_TIMEOUT: Duration = Duration::from_millis(6000 + 300);
+/// How long nine in ten restarted processes may take to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A program that does not outlive its test.
-struct Running {
+/// A running program, which ends with its test.
+struct RunningNode {
     child: Child,
     at: SocketAddr,
     folder: PathBuf,
 }
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -31,8 +32,8 @@
     }
 }
 
-/// An address at which nobody listens, and which nobody else is given.
-fn free() -> SocketAddr {
+/// An address on which nobody listens, and which no other test uses.
+fn unused_address() -> SocketAddr {
     SocketAddr::new(addresses(1)[0], 8080)
 }
 
@@ -41,8 +42,8 @@
         "phase": "in_service", "size": 1.0, "up_since_ms": 0})
 }
 
-impl Running {
-    /// Starts the program at its limit of descriptors, with this list.
+impl RunningNode {
+    /// Starts the program with a limit of descriptors and a cached worker list.
     fn start(
         name: &str,
         discovery: SocketAddr,
@@ -52,7 +53,7 @@
         let folder =
             std::env::temp_dir().join(format!("postproxy-shortage-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let at = free();
+        let at = unused_address();
         let config = serde_json::json!({
             "name": name, "listen": at.to_string(), "discovery": discovery.to_string(), "seed": "7",
             "limits": {"sockets": sockets},
@@ -78,7 +79,7 @@
         Self { child, at, folder }
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         ask(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
             .is_ok_and(|answer| answer.status == 200)
     }
@@ -87,8 +88,8 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Processor time used so far, in ticks of the system: a hundred a second.
-    fn used(&self) -> u64 {
+    /// Returns the processor time used so far, in ticks of the system: a hundred a second.
+    fn processor_ticks(&self) -> u64 {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
         let fields: Vec<&str> = stat
@@ -100,8 +101,8 @@
         fields[11].parse::<u64>().expect("a number") + fields[12].parse::<u64>().expect("a number")
     }
 
-    /// The most memory it has held so far, in kB.
-    fn most_memory(&self) -> u64 {
+    /// Returns the most memory that the program has held so far, in kB.
+    fn peak_memory_kb(&self) -> u64 {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status
@@ -114,43 +115,43 @@
             .expect("a number")
     }
 
-    fn descriptors(&self) -> usize {
+    fn descriptor_count(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("it runs")
             .count()
     }
 }
 
-/// Waits for a condition; how long it took.
-fn until(what: &str, mut holds: impl FnMut() -> bool) -> Duration {
+/// Waits for a condition, and returns how long it took.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < MOST, "{what}");
+        assert!(start.elapsed() < CONDITION_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
     start.elapsed()
 }
 
-/// Connections that lie idle, and are opened anew when they are closed, as clients do that wait for better times.
-fn crowd(at: SocketAddr, crowd: &mut Vec<TcpStream>, size: usize) {
-    crowd.retain_mut(|stream| {
+/// Opens idle connections until there are `size`, also in place of those that were closed.
+fn refill_idle_connections(at: SocketAddr, idle: &mut Vec<TcpStream>, size: usize) {
+    idle.retain_mut(|stream| {
         let _ = stream.set_nonblocking(true);
         !matches!(stream.read(&mut [0; 512]), Ok(0))
             && stream.take_error().is_ok_and(|error| error.is_none())
     });
-    while crowd.len() < size {
+    while idle.len() < size {
         let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else {
             return;
         };
-        // Every other one has asked for something and rests, and the rest says nothing.
-        if crowd.len().is_multiple_of(2) {
+        // Every other connection has sent one request; the others send nothing.
+        if idle.len().is_multiple_of(2) {
             let _ = stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        crowd.push(stream);
+        idle.push(stream);
     }
 }
 
-fn job(at: SocketAddr, id: &str) -> Option<http::Response> {
+fn submit(at: SocketAddr, id: &str) -> Option<http::Response> {
     let fields = [
         ("X-Request-Id", id),
         ("X-Deadline", "5"),
@@ -159,12 +160,12 @@
     ask(at, "POST", "/reroute/x", &fields, b"work").ok()
 }
 
-/// Guards against a node that can't dial discovery or a worker because idle clients hold all its descriptors, that does not
-/// answer whether it is ready, or that spins on a listener from which it can accept nothing. While discovery is down clients
-/// come and stay; then it is back, and what it has is told in time.
+/// Guards against a node that can't connect to discovery or to a worker because idle clients hold all its descriptors,
+/// that does not answer readiness checks, or that spins on a listener from which it can accept nothing. While discovery
+/// is down, clients connect and stay idle; once it is back, its list must take effect in time.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
-    let discovery = free();
+    let discovery = unused_address();
     let time = Duration::from_millis(5);
     let workers: Vec<Worker> = ["old", "new"]
         .iter()
@@ -174,37 +175,40 @@
         member("old", workers[0].address),
         member("new", workers[1].address),
     ];
-    let running = Running::start("idle", discovery, &known, 64);
-    until("it is ready", || running.ready());
+    let running = RunningNode::start("idle", discovery, &known, 64);
+    wait_until("it is ready", || running.is_ready());
     workers
         .iter()
         .for_each(|worker| worker.reports_to(running.at));
     let mut idle = Vec::new();
     for n in 0..5 {
-        crowd(running.at, &mut idle, 200);
-        assert!(until("ready", || running.ready()) < Duration::from_secs(3));
-        let answer = job(running.at, &format!("before-{n}")).expect("an answer");
+        refill_idle_connections(running.at, &mut idle, 200);
+        assert!(wait_until("ready", || running.is_ready()) < Duration::from_secs(3));
+        let answer = submit(running.at, &format!("before-{n}")).expect("an answer");
         assert_eq!(answer.status, 200, "a worker is dialled: {}", running.log());
     }
-    assert!(running.descriptors() <= 64);
-    crowd(running.at, &mut idle, 200);
-    let (before, start) = (running.used(), Instant::now());
+    assert!(running.descriptor_count() <= 64);
+    refill_idle_connections(running.at, &mut idle, 200);
+    let ticks_before = running.processor_ticks();
+    let start = Instant::now();
     std::thread::sleep(Duration::from_secs(1));
-    let used = (running.used() - before) as f64 / 100.0 / start.elapsed().as_secs_f64();
+    let used =
+        (running.processor_ticks() - ticks_before) as f64 / 100.0 / start.elapsed().as_secs_f64();
     assert!(used < 0.3, "{used:.2} of a core while nothing is asked for");
-    let held = running.descriptors();
+    let held = running.descriptor_count();
     assert!(
         held >= 36,
         "the clients fill what there is for them: {held}"
     );
-    // It is back, and one worker leaves. What is told by then is told, however the clients come and go meanwhile.
+    // Discovery is back, and one worker drains. The node must learn it in time, however clients come and go meanwhile.
     let back = Discovery::start_at(discovery, &workers).expect("discovery");
     back.drain("old");
-    let (start, mut n) = (Instant::now(), 0);
-    while start.elapsed() < TOLD {
+    let start = Instant::now();
+    let mut n = 0;
+    while start.elapsed() < LIST_UPDATE_TIMEOUT {
         n += 1;
-        crowd(running.at, &mut idle, 200);
-        job(running.at, &format!("after-{n}"));
+        refill_idle_connections(running.at, &mut idle, 200);
+        submit(running.at, &format!("after-{n}"));
     }
     let old = workers[0].runs().len();
     assert!(
@@ -213,7 +217,7 @@
     );
     for n in 0..10 {
         assert_eq!(
-            job(running.at, &format!("last-{n}")).map(|answer| answer.status),
+            submit(running.at, &format!("last-{n}")).map(|answer| answer.status),
             Some(200)
         );
     }
@@ -225,15 +229,22 @@
     );
 }
 
-/// Guards against a flood that takes the others' places, memory or descriptors: clients that send much at once and go, with an end or a
-/// reset, come back at once, and say nothing, half a request, or what can't be read. Beside them others work as before.
+/// Guards against a flood that takes the other clients' connections, memory or descriptors: clients that send much at once
+/// and disconnect, with an end or a reset, reconnect at once, and send nothing, half a request, or invalid bytes. The
+/// others are served meanwhile.
 #[test]
-fn who_sends_much_and_goes_leaves_the_others_served() {
+fn a_flood_of_connections_leaves_the_other_clients_served() {
     let worker = Worker::start("s-0", Duration::from_millis(5)).expect("a worker");
-    let running = Running::start("flood", free(), &[member("s-0", worker.address)], 128);
-    until("it is ready", || running.ready());
+    let running = RunningNode::start(
+        "flood",
+        unused_address(),
+        &[member("s-0", worker.address)],
+        128,
+    );
+    wait_until("it is ready", || running.is_ready());
     worker.reports_to(running.at);
-    let (at, over) = (running.at, std::sync::atomic::AtomicBool::new(false));
+    let at = running.at;
+    let over = std::sync::atomic::AtomicBool::new(false);
     let going = || !over.load(std::sync::atomic::Ordering::SeqCst);
     let much = vec![b'x'; 300 << 10];
     let texts: [&[u8]; 5] = [
@@ -273,7 +284,7 @@
             .map(|client| {
                 scope.spawn(move || {
                     let answers = (0..50).map(|n| {
-                        job(at, &format!("other-{client}-{n}")).map(|answer| answer.status)
+                        submit(at, &format!("other-{client}-{n}")).map(|answer| answer.status)
                     });
                     answers.filter(|status| *status == Some(200)).count()
                 })
@@ -283,48 +294,51 @@
             .into_iter()
             .map(|other| other.join().expect("a client"))
             .collect();
-        let (descriptors, most) = (running.descriptors(), running.most_memory());
+        let descriptors = running.descriptor_count();
+        let peak_memory_kb = running.peak_memory_kb();
         over.store(true, std::sync::atomic::Ordering::SeqCst);
         assert!(
             served.iter().all(|served| *served == 50),
             "{served:?} of 50 each"
         );
         assert!(
-            descriptors <= 128 && most < 64 << 10,
-            "{descriptors} descriptors, {most} kB"
+            descriptors <= 128 && peak_memory_kb < 64 << 10,
+            "{descriptors} descriptors, {peak_memory_kb} kB"
         );
     });
-    // What was opened for it is closed again.
-    until("the flood's connections end", || running.descriptors() < 40);
+    // The descriptors of the flood are closed again.
+    wait_until("the flood's connections end", || {
+        running.descriptor_count() < 40
+    });
 }
 
-/// What discovery is like when processes start.
+/// The behaviour of discovery while processes start.
 #[derive(Clone, Copy, Debug)]
-enum Is {
+enum DiscoveryBehaviour {
     Down,
-    /// It accepts nothing: what is sent there stays unread.
+    /// It accepts no connection: what is sent there stays unread.
     Silent,
     /// It answers after 1.9 s.
     Slow,
-    /// It has too many callers.
-    Crowded,
+    /// It rejects all calls, as with too many callers.
+    Overloaded,
 }
 
-fn discovery(is: Is) -> (SocketAddr, Option<TcpListener>) {
+fn start_discovery(behaviour: DiscoveryBehaviour) -> (SocketAddr, Option<TcpListener>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
-    match is {
-        // Where nobody else can come to listen.
-        Is::Down => (free(), None),
-        Is::Silent => (at, Some(listener)),
-        Is::Slow | Is::Crowded => {
-            let kept = listener.try_clone().expect("a listener");
+    match behaviour {
+        // An address on which no other program can listen.
+        DiscoveryBehaviour::Down => (unused_address(), None),
+        DiscoveryBehaviour::Silent => (at, Some(listener)),
+        DiscoveryBehaviour::Slow | DiscoveryBehaviour::Overloaded => {
+            let second = listener.try_clone().expect("a listener");
             std::thread::spawn(move || {
                 for mut stream in listener.incoming().flatten() {
                     std::thread::spawn(move || {
                         while matches!(stream.read(&mut [0; 4096]), Ok(1..)) {
-                            let text = match is {
-                                Is::Crowded => {
+                            let text = match behaviour {
+                                DiscoveryBehaviour::Overloaded => {
                                     "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned()
                                 }
                                 _ => {
@@ -343,44 +357,53 @@
                     });
                 }
             });
-            (at, Some(kept))
+            (at, Some(second))
         }
     }
 }
 
-/// Guards against a start that waits for a discovery which is down, silent, slow or crowded, with a list that is old or none at
-/// all, while clients fill the descriptors; against one that is ready and can't serve.
+/// Guards against a start that waits for a discovery which is down, silent, slow or overloaded, with an old list or none,
+/// while clients fill the descriptors; and against a node that is ready and can't serve.
 #[test]
-fn restarted_processes_are_ready_whatever_discovery_is_like() {
+fn restarted_processes_become_ready_whatever_discovery_does() {
     let worker = Worker::start("old", Duration::from_millis(5)).expect("a worker");
-    let gone = free();
+    let gone = unused_address();
     let mut times = Vec::new();
-    for is in [Is::Down, Is::Silent, Is::Slow, Is::Crowded] {
-        let (at, _kept) = discovery(is);
-        // One that is gone long since and one that is there; and nobody.
+    for behaviour in [
+        DiscoveryBehaviour::Down,
+        DiscoveryBehaviour::Silent,
+        DiscoveryBehaviour::Slow,
+        DiscoveryBehaviour::Overloaded,
+    ] {
+        let (at, _listener) = start_discovery(behaviour);
+        // A worker that is gone and one that runs; and an empty list.
         for known in [
             vec![member("gone", gone), member("old", worker.address)],
             Vec::new(),
         ] {
-            let name = format!("{is:?}-{}", known.len());
+            let name = format!("{behaviour:?}-{}", known.len());
             let start = Instant::now();
-            let running = Running::start(&name, at, &known, 64);
+            let running = RunningNode::start(&name, at, &known, 64);
             let mut idle = Vec::new();
-            until(&name, || {
-                crowd(running.at, &mut idle, 100);
-                running.ready()
+            wait_until(&name, || {
+                refill_idle_connections(running.at, &mut idle, 100);
+                running.is_ready()
             });
             times.push((start.elapsed(), name));
             worker.reports_to(running.at);
             if known.len() == 2 {
                 let served = |n: u32| {
-                    job(running.at, &format!("{is:?}-{n}")).is_some_and(|a| a.status == 200)
+                    submit(running.at, &format!("{behaviour:?}-{n}"))
+                        .is_some_and(|a| a.status == 200)
                 };
-                assert!((0..3).all(served), "{is:?}: {}", running.log());
+                assert!((0..3).all(served), "{behaviour:?}: {}", running.log());
             }
         }
     }
-    let late: Vec<_> = times.iter().filter(|(time, _)| *time > READY).collect();
+    let late: Vec<_> = times
+        .iter()
+        .filter(|(time, _)| *time > READY_TIMEOUT)
+        .collect();
     assert!(
         late.len() * 10 <= times.len(),
         "{late:?} of {}",
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! A node that is told to stop while a request is in each of its states. Real connections; the bad order is made each time: the node
-//! has taken in the signal before the test goes on.
+//! A node that is stopped while requests are in each of their states. Real connections; each test waits until the node
+//! has handled the signal, so that the order of events is forced.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -8,14 +8,14 @@
 use std::io::Write as _;
 use std::time::{Duration, Instant};
 
-/// Signals, and waits until the node has seen it.
-fn stop(harness: &mut NodeHarness) {
+/// Signals a stop, and waits until the node has handled it.
+fn stop_node(harness: &mut NodeHarness) {
     harness.stop.write_all(b"x").expect("a signal");
     while Peer::to(harness.node).ask("GET /-/ready HTTP/1.1\r\n\r\n") != 500 {}
 }
 
-/// Has the worker's job done, and its client hear of it on a connection that ends then.
-fn served(harness: &NodeHarness, id: &str, client: &mut Peer) {
+/// Has the worker call back with a result, and checks that the client gets it on a connection that ends then.
+fn complete_and_check(harness: &NodeHarness, id: &str, client: &mut Peer) {
     assert_eq!(harness.call(id, 0, r#""state":"done","result":"r""#), 200);
     let answer = client.response();
     assert_eq!(
@@ -23,15 +23,15 @@
         (200, &b"r"[..], false),
         "{id}"
     );
-    assert!(client.ended(), "{id}: nothing more is said");
+    assert!(client.ended(), "{id}: nothing more is sent");
 }
 
-/// Guards against a request that is dropped, answered with what no worker made, or sent twice, since the signal came while it was
-/// half read, waited for a worker, was sent and not accepted, or accepted.
+/// Guards against a request that is dropped, answered without a worker's result, or sent twice, because the signal came
+/// while it was half read, waited for a worker, was sent and not accepted, or was accepted.
 #[test]
-fn a_request_in_any_state_has_its_one_answer() {
+fn a_request_in_any_state_gets_exactly_one_answer() {
     let mut harness = NodeHarness::new(1, 256);
-    // The first call of the start is answered: one that is not is given up after 2.2 s, which is when the first request would be sent.
+    // The first call to discovery is answered: otherwise it would time out after 2.2 s, and the first request be sent only then.
     let mut discovery = Peer::accept(&harness.discovery);
     discovery.request();
     list(
@@ -40,7 +40,8 @@
     );
     discovery.request();
     let at = harness.workers[0].local_addr().expect("an address");
-    let (mut accepted, mut sent) = (Peer::to(harness.node), Peer::to(harness.node));
+    let mut accepted = Peer::to(harness.node);
+    let mut sent = Peer::to(harness.node);
     accepted.submit("accepted");
     let mut first = Peer::accept(&harness.workers[0]);
     first.request();
@@ -48,7 +49,7 @@
     harness.settled();
     sent.submit("sent");
     first.request();
-    // No worker is in service any more: the next one waits.
+    // No worker is in service any more: the next request waits.
     list(
         &mut discovery,
         &format!(
@@ -59,19 +60,16 @@
     discovery.request();
     let mut waits = Peer::to(harness.node);
     waits.submit("waits");
-    let (mut half, head) = (
-        Peer::to(harness.node),
-        "POST /render/a HTTP/1.1\r\nX-Request-Id: half\r\nX-Dead",
-    );
-    half.write(head);
+    let mut half = Peer::to(harness.node);
+    half.write("POST /render/a HTTP/1.1\r\nX-Request-Id: half\r\nX-Dead");
     harness.settled();
-    stop(&mut harness);
+    stop_node(&mut harness);
     half.write("line: 5.0\r\nContent-Length: 0\r\n\r\n");
     harness.settled();
     first.write(ACCEPTED);
     harness.settled();
-    served(&harness, "accepted", &mut accepted);
-    served(&harness, "sent", &mut sent);
+    complete_and_check(&harness, "accepted", &mut accepted);
+    complete_and_check(&harness, "sent", &mut sent);
     list(
         &mut discovery,
         &format!(
@@ -79,7 +77,7 @@
             member(0, at, "in_service")
         ),
     );
-    // Both that have waited are sent now, once each, one of them on the pooled connection.
+    // Both waiting requests are sent now, once each, one of them on the pooled connection.
     let mut second = Peer::accept(&harness.workers[0]);
     let mut ids: Vec<String> = [&mut first, &mut second]
         .map(|worker| {
@@ -96,8 +94,8 @@
     ids.sort();
     assert_eq!(ids, ["half", "waits"]);
     harness.settled();
-    served(&harness, "waits", &mut waits);
-    served(&harness, "half", &mut half);
+    complete_and_check(&harness, "waits", &mut waits);
+    complete_and_check(&harness, "half", &mut half);
     harness.thread.join().expect("the node ends in good order");
     harness.workers[0].set_nonblocking(true).expect("a setting");
     assert!(
@@ -106,17 +104,18 @@
     );
 }
 
-/// Guards against a node that does not end, or lets its client go unheard, since a worker hangs just then: with the job read or
-/// accepted, and no word after that.
+/// Guards against a node that does not end, or leaves its client without an answer, because a worker hangs: it has read or
+/// accepted the request, and does not call back.
 #[test]
-fn a_worker_that_hangs_keeps_the_node_no_longer_than_its_job() {
+fn a_hanging_worker_delays_the_end_no_longer_than_the_deadline() {
     let mut harness = NodeHarness::new(1, 256);
     let text = |id: &str| {
         format!(
             "POST /render HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Deadline: 1.0\r\nContent-Length: 0\r\n\r\n"
         )
     };
-    let (mut accepted, mut sent) = (Peer::to(harness.node), Peer::to(harness.node));
+    let mut accepted = Peer::to(harness.node);
+    let mut sent = Peer::to(harness.node);
     accepted.write(&text("accepted"));
     let mut worker = Peer::accept(&harness.workers[0]);
     worker.request();
@@ -125,7 +124,7 @@
     sent.write(&text("sent"));
     worker.request();
     let start = Instant::now();
-    stop(&mut harness);
+    stop_node(&mut harness);
     for client in [&mut accepted, &mut sent] {
         let answer = client.response();
         assert!(
@@ -143,21 +142,21 @@
     );
 }
 
-/// Guards against a request that reaches a worker though its connection was closed before it was read: clients that go on sending
-/// on every open connection have one answer for each request that the node has taken, and an orderly end.
+/// Guards against a request that reaches a worker although its connection was closed before it was read: clients that
+/// keep sending on every open connection get one answer for each request that the node has read, and an orderly end.
 #[test]
-fn clients_that_go_on_sending_have_an_answer_or_an_end() {
+fn clients_that_keep_sending_get_an_answer_or_an_end() {
     let mut harness = NodeHarness::new(1, 256);
     let mut clients: Vec<Peer> = (0..8).map(|_| Peer::to(harness.node)).collect();
     for client in &mut clients {
         assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\n\r\n"), 200);
     }
-    stop(&mut harness);
-    // Two requests at once, on connections that rest: both are read, so that both are owed an answer; the last one ends the connection.
-    for (n, client) in clients.iter_mut().enumerate() {
+    stop_node(&mut harness);
+    // Two requests at once on idle connections: both are read, so that both get an answer; the last one ends the connection.
+    for (number, client) in clients.iter_mut().enumerate() {
         client.stream.set_nodelay(true).expect("a setting");
-        client.submit(&format!("first-{n}"));
-        client.submit(&format!("behind-{n}"));
+        client.submit(&format!("first-{number}"));
+        client.submit(&format!("behind-{number}"));
     }
     harness.settled();
     let mut ids = Vec::new();
