--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,4 +1,4 @@
-//! Pins the name of the socket on which two processes of a node meet: the other one may run another version of the program.
+//! Pins the name of the handover socket: the other process may run another version of the program.
 
 use super::socket::socket_path;
 use std::path::Path;
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -13,8 +13,9 @@
     call: Call,
 }
 
-/// A change of a worker's suspension that the request manager has yet to accept.
-pub(super) struct PendingSuspension {
+/// A requested change of a worker's suspension.
+#[derive(Clone)]
+pub(super) struct SuspensionChange {
     worker: String,
     /// `true` to resume the worker, `false` to suspend it.
     resume: bool,
@@ -79,8 +80,14 @@
                 let reply = self.activate();
                 self.reply(caller, reply);
             }
-            Call::Suspend(worker) => self.request_suspension(caller, worker, false),
-            Call::Resume(worker) => self.request_suspension(caller, worker, true),
+            Call::Suspend(worker) => {
+                let resume = false;
+                self.request_suspension(caller, SuspensionChange { worker, resume });
+            }
+            Call::Resume(worker) => {
+                let resume = true;
+                self.request_suspension(caller, SuspensionChange { worker, resume });
+            }
             Call::Forget(name) => {
                 let reply = self.forget_member(&name);
                 self.reply(caller, reply);
@@ -176,32 +183,30 @@
     }
 
     /// Asks the request manager to suspend or to resume a worker; [`Self::complete_suspension`] follows.
-    fn request_suspension(&mut self, caller: usize, worker: String, resume: bool) {
+    fn request_suspension(&mut self, caller: usize, change: SuspensionChange) {
         if self.cluster.is_some() {
-            let worker = worker.clone();
-            self.pending_suspensions
-                .insert(caller, PendingSuspension { worker, resume });
+            self.pending_suspensions.insert(caller, change.clone());
         }
         self.reactor.queue.push_back(Input::SuspensionRequested {
             caller,
-            worker,
-            resume,
+            worker: change.worker,
+            resume: change.resume,
         });
     }
 
     /// Passes an accepted suspension on to the other nodes, which then confirm it to the caller; without other
     /// nodes the caller gets the request manager's reply at once.
     pub(super) fn complete_suspension(&mut self, caller: usize, reply: Reply) {
-        let suspension = self
+        let change = self
             .pending_suspensions
             .remove(&caller)
             .filter(|_| reply == Reply::Yes);
-        if let (Some(suspension), Some(cluster)) = (suspension, &mut self.cluster) {
+        if let (Some(change), Some(cluster)) = (change, &mut self.cluster) {
             let (awaits_nodes, events) = cluster.set_suspended(
                 &mut self.reactor,
                 Some(caller),
-                &suspension.worker,
-                suspension.resume,
+                &change.worker,
+                change.resume,
             );
             self.handle_cluster_events(events);
             if awaits_nodes {
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -31,7 +31,7 @@
 use crate::net::upstream::attempts::Attempts;
 use crate::net::upstream::worker_list::WorkerList;
 use descriptor_budget::DescriptorBudget;
-use management::{DeferredRequest, PendingSuspension};
+use management::{DeferredRequest, SuspensionChange};
 use polling::Event;
 use postproxy_version_tracking::Source;
 use signals::{ReloadSource, Signal};
@@ -54,7 +54,7 @@
     cluster: Option<ClusterService>,
     /// Suspensions requested through the management API, by the caller's connection. The cluster is notified
     /// once the request manager has accepted the change.
-    pending_suspensions: HashMap<usize, PendingSuspension>,
+    pending_suspensions: HashMap<usize, SuspensionChange>,
     forwarded_callbacks: ForwardedCallbacks,
     descriptor_shares: DescriptorShares,
     /// Links over which an older process has sent its whole snapshot.
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -94,7 +94,8 @@
 }
 
 /// Guards against a request that is answered to another's client: there was no room for the descriptor that came with
-/// one message, the rest of the message came only later, and it was matched with the next message's descriptor.
+/// one message, the rest of the message came only later, and it was matched with the next message's descriptor. The
+/// function is long because it is one scenario, step after step.
 #[test]
 fn a_lost_descriptor_leaves_the_others_with_their_requests() {
     let folder =
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -231,7 +231,7 @@
 
 /// Guards against a flood that takes the other clients' connections, memory or descriptors: clients that send much at once
 /// and disconnect, with an end or a reset, reconnect at once, and send nothing, half a request, or invalid bytes. The
-/// others are served meanwhile.
+/// others are served meanwhile. The function is long because flood and other clients share its scope of threads.
 #[test]
 fn a_flood_of_connections_leaves_the_other_clients_served() {
     let worker = Worker::start("s-0", Duration::from_millis(5)).expect("a worker");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -27,7 +27,8 @@
 }
 
 /// Guards against a request that is dropped, answered without a worker's result, or sent twice, because the signal came
-/// while it was half read, waited for a worker, was sent and not accepted, or was accepted.
+/// while it was half read, waited for a worker, was sent and not accepted, or was accepted. The function is long because
+/// it is one scenario, step after step.
 #[test]
 fn a_request_in_any_state_gets_exactly_one_answer() {
     let mut harness = NodeHarness::new(1, 256);
