--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// [`DecodeError::Stalled`] if it has: the link is to be closed.
+    /// [`DecodeError::TimedOut`] if it has: the link is to be closed.
     pub fn check_timeouts(&self, now: f64) -> Result<(), DecodeError> {
         let snapshot_late =
             self.state != State::Joined && now - self.opened_at > SNAPSHOT_TIMEOUT_SECONDS;
