--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -60,42 +60,42 @@
         let ago = |at: f64| (now - at) as f32;
         let banned = self.banned.iter();
         let mut tales: Vec<StateUpdate> = banned
-            .map(|&w| StateUpdate::Use {
+            .map(|&w| StateUpdate::WorkerSuspensionChanged {
                 worker: self.names[w].clone(),
-                again: false,
+                resume: false,
             })
             .collect();
         let history = self.dispatcher.budget_history(MOST_PAST);
         let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
-        tales.push(StateUpdate::Past {
-            taken: agos(history.admitted),
-            further: agos(history.retries),
+        tales.push(StateUpdate::BudgetHistory {
+            admissions: agos(history.admitted),
+            retries: agos(history.retries),
         });
         for t in self.requests.values() {
             let id = &t.payload.id;
-            tales.push(StateUpdate::Taken {
+            tales.push(StateUpdate::RequestAdmitted {
                 id: id.clone(),
-                counts: false,
+                is_new: false,
             });
             let out = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
             tales.extend(out.map(|(a, attempt)| self.sent(now, t, a, attempt, false)));
         }
         // What comes from a third process.
         for (id, d) in &self.distant {
-            tales.push(StateUpdate::Taken {
+            tales.push(StateUpdate::RequestAdmitted {
                 id: id.clone(),
-                counts: false,
+                is_new: false,
             });
             tales.extend(d.out.iter().map(|&(attempt, worker)| {
                 let (id, worker) = (id.clone(), self.names[worker].clone());
-                StateUpdate::Sent {
+                StateUpdate::AttemptSent {
                     id,
                     attempt,
                     worker,
-                    need: 1.0,
-                    work: 0.0,
-                    ago: 0.0,
-                    counts: false,
+                    slots: 1.0,
+                    expected_work: 0.0,
+                    seconds_ago: 0.0,
+                    is_new: false,
                 }
             }));
         }
@@ -161,7 +161,12 @@
     ) -> Option<()> {
         let mut moved: Moved = postcard::from_bytes(job).ok()?;
         let id = moved.payload.id.clone();
-        self.heard(now, link, StateUpdate::Over { id: id.clone() }, out);
+        self.heard(
+            now,
+            link,
+            StateUpdate::RequestFinished { id: id.clone() },
+            out,
+        );
         let sound =
             moved.attempts.len() == moved.carried.workers.len() && moved.deadline.is_finite();
         if !sound
@@ -226,9 +231,9 @@
             hint: moved.hint,
             span: tracing::Span::none(),
         };
-        self.tales.push(StateUpdate::Taken {
+        self.tales.push(StateUpdate::RequestAdmitted {
             id: t.payload.id.clone(),
-            counts: false,
+            is_new: false,
         });
         let open = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
         let open: Vec<StateUpdate> = open
@@ -270,14 +275,14 @@
     ) -> StateUpdate {
         let (id, worker) = (t.payload.id.clone(), self.names[a.worker].clone());
         let (need, work) = (t.need as f32, t.hint.unwrap_or(0.0) as f32);
-        StateUpdate::Sent {
+        StateUpdate::AttemptSent {
             id,
             attempt,
             worker,
-            need,
-            work,
-            ago: (now - a.sent) as f32,
-            counts,
+            slots: need,
+            expected_work: work,
+            seconds_ago: (now - a.sent) as f32,
+            is_new: counts,
         }
     }
 
@@ -292,20 +297,26 @@
         let then = |ago: f32| now - f64::from(ago).max(0.0);
         let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
         match &tale {
-            StateUpdate::Use { worker, again } => {
+            StateUpdate::WorkerSuspensionChanged {
+                worker,
+                resume: again,
+            } => {
                 // It may be known there before this process has it from the list.
                 self.number(worker);
                 self.employ(now, worker, *again, out);
                 return;
             }
-            StateUpdate::Past { taken, further } => {
+            StateUpdate::BudgetHistory {
+                admissions: taken,
+                retries: further,
+            } => {
                 let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
                 tell(SiblingEvent::Past {
                     taken: times(taken),
                     further: times(further),
                 });
             }
-            StateUpdate::Taken { id, counts } => {
+            StateUpdate::RequestAdmitted { id, is_new: counts } => {
                 if *counts {
                     tell(SiblingEvent::Past {
                         taken: vec![now],
@@ -320,14 +331,14 @@
                 self.next_request += 1;
                 self.distant.entry(id.clone()).or_insert(distant);
             }
-            StateUpdate::Sent {
+            StateUpdate::AttemptSent {
                 id,
                 attempt,
                 worker,
-                need,
-                work,
-                ago,
-                counts,
+                slots: need,
+                expected_work: work,
+                seconds_ago: ago,
+                is_new: counts,
             } => {
                 let number = self.number(worker);
                 let Some(d) = self.distant.get_mut(id) else {
@@ -353,7 +364,7 @@
                     });
                 }
             }
-            StateUpdate::Ended { id, attempt } => {
+            StateUpdate::AttemptEnded { id, attempt } => {
                 let Some(d) = self.distant.get_mut(id) else {
                     return;
                 };
@@ -367,7 +378,7 @@
                     worker: worker_id(worker),
                 });
             }
-            StateUpdate::Over { id } => {
+            StateUpdate::RequestFinished { id } => {
                 let Some(d) = self.distant.remove(id) else {
                     return;
                 };
@@ -379,7 +390,7 @@
                     });
                 }
             }
-            StateUpdate::Drain { .. } | StateUpdate::List(_) => return, // the node's own
+            StateUpdate::DrainChanged { .. } | StateUpdate::WorkerList(_) => return, // the node's own
         }
         out.push(Command::UpdateSiblings {
             except: Some(link),
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -53,9 +53,9 @@
             return Reply::Yes;
         }
         tracing::info!(worker = name, again, "an operator's word on a worker's use");
-        self.tell(|| StateUpdate::Use {
+        self.tell(|| StateUpdate::WorkerSuspensionChanged {
             worker: name.to_owned(),
-            again,
+            resume: again,
         });
         if again {
             self.banned.remove(&worker);
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -5,7 +5,7 @@
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Connection, State};
 use crate::net::transport::http;
-use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
+use crate::net::transport::reactor::{self, Reactor, SocketOwner, Timer};
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpStream};
@@ -187,7 +187,13 @@
         session.round += 1;
         session.attempt = kind.attempt_id();
         self.by_attempt.extend(session.attempt.map(|id| (id, key)));
-        reactor.set_timer(timeout_at, Timer::Attempt(key, session.round));
+        reactor.set_timer(
+            timeout_at,
+            Timer::Attempt {
+                key,
+                round: session.round,
+            },
+        );
         session
             .exchange
             .start(kind, outgoing, &mut session.connection, reactor);
@@ -261,7 +267,7 @@
         }
         let stream = reactor::dial(worker).map_err(|error| dial_failure(&error))?;
         let key = reactor
-            .register(&stream, Owner::Attempt)
+            .register(&stream, SocketOwner::Attempt)
             .map_err(|_| AttemptEnd::NoRoom)?;
         let session = Session {
             connection: Connection::new(stream, true, MAX_RESPONSE_BYTES),
@@ -272,7 +278,10 @@
             round: 0,
         };
         self.sessions.insert(key, session);
-        reactor.set_timer(reactor.now + self.dial_timeout, Timer::Dial(key));
+        reactor.set_timer(
+            reactor.now + self.dial_timeout,
+            Timer::AttemptConnect { key },
+        );
         Ok(key)
     }
 
@@ -350,7 +359,10 @@
             session.since = reactor.now;
             reactor.set_timer(
                 reactor.now + self.pool.keep_seconds(),
-                Timer::Attempt(key, session.round),
+                Timer::Attempt {
+                    key,
+                    round: session.round,
+                },
             );
         }
     }
--- a/src/net/upstream/worker_list/calls.rs
+++ b/src/net/upstream/worker_list/calls.rs
@@ -4,7 +4,7 @@
 use super::{InitialSync, LOG_TARGET, WorkerList};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read, Response};
-use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
+use crate::net::transport::reactor::{self, Reactor, SocketOwner, Timer};
 use crate::net::upstream::watch::{Call, CallId};
 use std::io;
 use std::net::TcpStream;
@@ -114,7 +114,7 @@
                 };
                 reactor.set_timer(
                     reactor.now + self.dial_timeout,
-                    Timer::DiscoveryDial(call.id),
+                    Timer::DiscoveryConnect { call: call.id },
                 );
                 self.sessions.push(session);
                 self.sessions.len() - 1
@@ -145,7 +145,7 @@
 
     fn open_session(&self, reactor: &mut Reactor) -> io::Result<Session> {
         let stream = reactor::dial(self.discovery)?;
-        let key = reactor.register(&stream, Owner::Discovery)?;
+        let key = reactor.register(&stream, SocketOwner::Discovery)?;
         Ok(Session {
             connection: Connection::new(stream, true, MAX_RESPONSE_BYTES),
             key,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -612,7 +612,11 @@
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
         harness.reactor.now = now;
         for due in harness.reactor.expired_timers() {
-            if let Timer::Attempt(key, round) = due {
+            if let Timer::Attempt {
+                key: key,
+                round: round,
+            } = due
+            {
                 harness
                     .attempts
                     .handle_attempt_timer(&mut harness.reactor, key, round);
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -2,7 +2,7 @@
 
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
-use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
+use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
 use postproxy::net::upstream::worker_list::{DiscoveryList, WorkerList, WorkerListSnapshot};
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -97,7 +97,7 @@
             assert!(start.elapsed() < LIMIT, "nothing happened in time");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
-                assert_eq!(owner(event.key), Owner::Discovery);
+                assert_eq!(owner(event.key), SocketOwner::Discovery);
                 self.list.handle_ready(
                     &mut self.reactor,
                     event.key,
@@ -115,7 +115,7 @@
             for due in self.reactor.expired_timers() {
                 match due {
                     Timer::Discovery => self.list.handle_timer(&mut self.reactor),
-                    Timer::DiscoveryDial(call) => {
+                    Timer::DiscoveryConnect { call } => {
                         self.list.handle_dial_timer(&mut self.reactor, call)
                     }
                     _ => {}
