--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -1,62 +1,66 @@
-//! What can go wrong with a call, and what an operator can do.
+//! The errors of calls and membership changes, with what an operator can do.
 
 use postproxy_leases::Rejection;
 use serde::{Deserialize, Serialize};
 
-/// Why a node does not vote although it has, or had, a seat.
+/// Why a node does not vote.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum NotVotingReason {
-    /// It has none.
+    /// It is not a voter.
     #[default]
-    NoSeat,
-    /// It waits for the word of the other voters on what it had promised.
-    Waits,
-    /// It has lost what it had promised: an empty or an older store.
-    Lost,
-    /// Its seat was taken away.
+    #[serde(rename = "NoSeat")]
+    NotAVoter,
+    /// It has started and waits until the other voters have confirmed that it has kept its promises.
+    #[serde(rename = "Waits")]
+    AwaitingAdmission,
+    /// It has lost its promises: its store is empty or an older one.
+    #[serde(rename = "Lost")]
+    PromisesLost,
+    /// It was removed from the voters.
     Removed,
-    /// Its log contradicts itself, or can't be read.
-    Damaged(String),
+    /// Its log is inconsistent or can't be read. Carries the reason.
+    #[serde(rename = "Damaged")]
+    LogDamaged(String),
 }
 
-/// Why a call came to nothing.
+/// Why a call or a membership change has failed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, thiserror::Error)]
 pub enum Error {
-    /// Nothing was decided in time.
-    #[error("not decided in time; voters not heard: {}", named(.0))]
+    /// Nothing was committed in time. Carries the names of the voters that are silent.
+    #[error("not decided in time; voters not heard: {}", name_list(.0))]
     NoMajority(Vec<String>),
-    /// Too many calls wait already.
+    /// Too many calls are queued.
     #[error("too many calls wait")]
     Busy,
     /// No voter is known.
     #[error("no node votes")]
     NoVoters,
-    /// The state of duties forbids it.
+    /// The lease table has rejected the operation.
     #[error("{0}")]
     Rejected(Rejection),
-    /// A change of the voters would leave no majority of those that live.
+    /// The membership change would leave less than a majority of live voters.
     #[error("it would leave {living} living voters of {of}")]
-    WouldStop {
-        /// Living voters after it.
+    WouldLoseMajority {
+        /// The number of live voters after the change.
         living: usize,
-        /// All voters after it.
+        /// The number of all voters after the change.
         of: usize,
     },
-    /// Seven seats are the most, two the least.
+    /// The number of voters would be outside two to seven.
     #[error("two to seven nodes vote")]
-    Count,
-    /// Nobody has that name.
+    VoterCount,
+    /// No node of this name is known.
     #[error("no node of that name is known")]
-    Nobody,
-    /// The name is empty or too long.
+    UnknownNode,
+    /// The name of a node is empty or too long.
     #[error("a name must have 1 to 64 bytes")]
-    Name,
-    /// Another node leads; the caller is sent there by itself.
+    InvalidName,
+    /// The named node leads; the call is repeated there.
     #[error("{0} leads")]
-    Elsewhere(String),
+    NotLeader(String),
 }
 
-fn named(names: &[String]) -> String {
+fn name_list(names: &[String]) -> String {
     if names.is_empty() {
         "none".to_owned()
     } else {
@@ -72,26 +76,26 @@
         "wait a second and ask again";
     Self::NoVoters => "duties.no_voters",
         "name voters in the section fleet of every node, and start them";
-    Self::Rejected(Rejection::Owned(..)) => "duties.owned",
+    Self::Rejected(Rejection::OwnedByOther { .. }) => "duties.owned",
         "ask its owner to release it, or hand it on";
     Self::Rejected(Rejection::StaleToken(_)) => "duties.stale",
         "nothing: another owner has it, and the old one has stopped";
-    Self::Rejected(Rejection::Unknown) => "duties.unknown",
+    Self::Rejected(Rejection::UnknownLease) => "duties.unknown",
         "see GET /v1/fleet/owners for the duties that there are";
     Self::Rejected(Rejection::Malformed) => "duties.malformed",
         "give a name of 1 to 64 bytes";
-    Self::Rejected(Rejection::Full) => "duties.full",
+    Self::Rejected(Rejection::TooManyLeases) => "duties.full",
         "no more than 4096 duties can be known: end parts that make them";
-    Self::Rejected(Rejection::Old) => "duties.old",
+    Self::Rejected(Rejection::SupersededCommand) => "duties.old",
         "nothing: a later call of the same node has been answered";
-    Self::WouldStop { .. } => "voters.would_stop",
+    Self::WouldLoseMajority { .. } => "voters.would_stop",
         "start voters that are down first, or remove a dead one instead of a living one";
-    Self::Count => "voters.count",
+    Self::VoterCount => "voters.count",
         "remove a seat before another is added; two voters are the least";
-    Self::Nobody => "voters.nobody",
+    Self::UnknownNode => "voters.nobody",
         "see GET /v1/fleet/members for the names; the node must be there to get a seat";
-    Self::Name => "voters.name",
+    Self::InvalidName => "voters.name",
         "give a name of 1 to 64 bytes";
-    Self::Elsewhere(_) => "voters.elsewhere",
+    Self::NotLeader(_) => "voters.elsewhere",
         "ask again: who leads has just changed";
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,26 +1,34 @@
-//! A node's part in what the fleet decides together: its seat among the voters, if it has one; the duties that it stands for or
-//! owns; its calls to the log, and others' that it passes on.
+//! A node's part in the coordination service of its cluster: its replica of the replicated log, if it is a voter; the leases that it
+//! acquires and holds; its calls to the log, and those of other nodes that it forwards.
 //!
-//! [`Coordinator`] has no socket, disk or clock: it is told words, the time and which writes are durable, and says what to send,
-//! what to write and what is new. The same code runs in the node and in simulation. The design note is `docs/design/duties.md`.
+//! [`Coordinator`] has no socket, disk or clock. It receives messages, the time and the numbers of durable writes, and returns what to
+//! send, what to write and what has changed. The same code runs in the node and in simulation. The design note is
+//! `docs/design/duties.md`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod calls;
 mod coordinator;
 mod error;
+mod followers;
+mod lease_acquisition;
+mod membership_changes;
 mod message;
 mod replica;
+mod status;
 #[cfg(test)]
 mod tests;
+mod timing;
 
-pub use coordinator::{
-    Coordinator, Event, LeaseStatus, MAX_QUEUED_CALLS, Output, ReplicaStatus, Settings, Status,
-};
+pub use calls::MAX_QUEUED_CALLS;
+pub use coordinator::{Coordinator, Event, Output, Settings};
 pub use error::{Error, NotVotingReason, REMEDIES};
-pub use message::{PREFIX, founding};
+pub use membership_changes::VoterAction;
+pub use message::{MESSAGE_PREFIX, cluster_id};
 pub use postproxy_leases::{
-    Effect, Fence, FencingToken, Lease, LeasePermit, LeaseTable, LeaseTiming, Operation, Rejection,
-    Response, StaleToken,
+    Effect, Fence, FencingToken, Lease, LeaseOwner, LeasePermit, LeaseTable, LeaseTiming,
+    Operation, Rejection, Response, StaleToken,
 };
 pub use postproxy_replicated_log::StorageChange;
+pub use status::{LeaseStatus, ReplicaStatus, Status};
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other about what they decide.
+//! The messages of the coordination service between nodes, and their encoding.
 
 use crate::error::Error;
 use postproxy_leases::{Command, LeaseTable, Response};
@@ -6,65 +6,109 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Words begin with this, the last byte being the version: others over the same stream begin otherwise.
-pub const PREFIX: [u8; 3] = *b"PC\x01";
+/// The first bytes of every message. The last of them is the version; messages of other parts over the same stream begin otherwise.
+pub const MESSAGE_PREFIX: [u8; 3] = *b"PC\x01";
 
-/// What one node says to another.
+/// A message from one node to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// From a seat to a seat, on who may vote.
-    Admission(u64, u64, AdmissionMessage),
-    /// From voter to voter, in this life of the sender's: the log's own.
-    Log(u64, Vec<u8>),
-    /// Who votes, as of this place of the log.
-    Seats(u64, BTreeMap<u64, String>),
-    /// The sender's seat has lost its promises.
-    Lost(u64),
-    /// A call to the log.
-    Operation(Command),
-    /// What the receiver's call of this life and number came to.
-    Came(u64, u64, Response),
-    /// A node gets a seat, or loses it: the sender's ticket.
-    MembershipChange(u64, bool, String),
-    /// What became of that.
-    Seated(u64, Result<(), Error>),
-    /// A node without a vote asks for what is decided, and has this.
-    Follow(u64),
-    /// It is this.
-    Decided(Box<FollowerSnapshot>),
+    /// From one voter to another, on its admission.
+    Admission {
+        /// The number of the sender.
+        from: u64,
+        /// The number of the receiver.
+        to: u64,
+        /// The message.
+        message: AdmissionMessage,
+    },
+    /// A message of the replicated log, from one voter to another.
+    Log {
+        /// The incarnation of the sender's process.
+        incarnation: u64,
+        /// The encoded message.
+        message: Vec<u8>,
+    },
+    /// Announces who votes.
+    VotersAnnounced {
+        /// The index of the log at which this holds.
+        applied_index: u64,
+        /// The voters.
+        voters: BTreeMap<u64, String>,
+    },
+    /// The sender has lost the promises that it made as this voter.
+    PromisesLost {
+        /// The number of the sender.
+        voter: u64,
+    },
+    /// A call to be put to the log.
+    Call(Command),
+    /// The result of a call of the receiver.
+    CallCompleted {
+        /// The incarnation of the receiver's process that made the call.
+        incarnation: u64,
+        /// The number of the call.
+        sequence: u64,
+        /// The result.
+        response: Response,
+    },
+    /// Asks the leader for a change of the voters.
+    MembershipChangeRequested {
+        /// The sender's ticket.
+        ticket: u64,
+        /// Whether the node is to become a voter, or to be removed.
+        add: bool,
+        /// The name of the node.
+        node: String,
+    },
+    /// The result of a membership change that the receiver has asked for.
+    MembershipChangeCompleted {
+        /// The receiver's ticket.
+        ticket: u64,
+        /// The result.
+        result: Result<(), Error>,
+    },
+    /// A node that does not vote asks for the committed state.
+    FollowRequested {
+        /// The index of the state that it has.
+        applied_index: u64,
+    },
+    /// The committed state, for a node that does not vote.
+    FollowerSnapshot(Box<FollowerSnapshot>),
 }
 
-/// What has been decided, for nodes that do not vote.
+/// The committed state, as nodes that do not vote have it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FollowerSnapshot {
-    /// As of this place of the log.
-    pub place: u64,
-    /// Who leads, if the teller knows.
+    /// The index of the log at which this was the state.
+    pub applied_index: u64,
+    /// The leader, if the sender knows it.
     pub leader: Option<String>,
-    /// Who votes.
-    pub seats: BTreeMap<u64, String>,
-    /// Who owns what.
-    pub state: LeaseTable,
+    /// The voters.
+    pub voters: BTreeMap<u64, String>,
+    /// The leases.
+    pub leases: LeaseTable,
 }
 
-/// A number that tells one set of founders from another: voters of two sets are two fleets, whose words must not meet.
-pub fn founding(cluster: &str, founders: &BTreeSet<String>) -> u64 {
-    let bytes = std::iter::once(cluster).chain(founders.iter().map(String::as_str));
-    let bytes = bytes.flat_map(|name| name.bytes().chain([0]));
-    bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
-        (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+/// Returns a number that differs between clusters with different names or initial voters (FNV-1a). Messages between such clusters must
+/// be ignored, because their logs have nothing in common.
+pub fn cluster_id(cluster: &str, initial_voters: &BTreeSet<String>) -> u64 {
+    let names = std::iter::once(cluster).chain(initial_voters.iter().map(String::as_str));
+    let bytes = names.flat_map(|name| name.bytes().chain([0]));
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
-/// A word of this founding.
-pub fn encode(founding: u64, talk: &Message) -> Vec<u8> {
-    // Writing to memory fails at nothing but its end.
-    postcard::to_extend(&(founding, talk), PREFIX.to_vec()).unwrap_or_default()
+/// Encodes a message of this cluster.
+pub fn encode(cluster_id: u64, message: &Message) -> Vec<u8> {
+    // Encoding to memory fails only when memory is exhausted.
+    postcard::to_extend(&(cluster_id, message), MESSAGE_PREFIX.to_vec()).unwrap_or_default()
 }
 
-/// Reads a word; `None` if it is another founding's, or none.
-pub fn decode(founding: u64, bytes: &[u8]) -> Option<Message> {
-    let rest = bytes.strip_prefix(&PREFIX)?;
-    let ((of, talk), left) = postcard::take_from_bytes::<(u64, Message)>(rest).ok()?;
-    (of == founding && left.is_empty()).then_some(talk)
+/// Decodes a message. Returns `None` if it is invalid or of another cluster.
+pub fn decode(cluster_id: u64, bytes: &[u8]) -> Option<Message> {
+    let encoded = bytes.strip_prefix(&MESSAGE_PREFIX)?;
+    let ((sender_cluster_id, message), rest) =
+        postcard::take_from_bytes::<(u64, Message)>(encoded).ok()?;
+    (sender_cluster_id == cluster_id && rest.is_empty()).then_some(message)
 }
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -1,4 +1,4 @@
-//! A node's seat among the voters: whether it has one, whether it may vote, and what it has promised.
+//! A node's replica of the log: whether it is a voter, whether it may vote, and what it has stored.
 
 use crate::error::NotVotingReason;
 use crate::message::Message;
@@ -7,433 +7,529 @@
     Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict,
 };
 use postproxy_replicated_log::{
-    MembershipChange, Output as Said, ProposalRejected, StateMachine, StorageChange, Voter,
+    MembershipChange, Output as VoterOutput, ProposalRejected, StateMachine, StorageChange, Voter,
+    message_promise, stored_log_end,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The log's words are commands on duties.
+/// The state machine of the log: its entries are commands on the lease table.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LeaseStateMachine(pub LeaseTable);
 
 impl StateMachine for LeaseStateMachine {
-    fn apply(&mut self, word: &[u8]) {
-        // What can't be read says nothing, at every voter alike.
-        if let Ok(command) = postcard::from_bytes::<Command>(word) {
+    fn apply(&mut self, entry: &[u8]) {
+        // An entry that can't be read changes nothing, at every voter alike.
+        if let Ok(command) = postcard::from_bytes::<Command>(entry) {
             self.0.apply(&command);
         }
     }
 }
 
-/// What a seat wants done.
+/// What the owner of a replica is to do, or what has happened.
 pub enum ReplicaOutput {
-    /// To that node.
-    Send(String, Message),
-    /// Write these; [`Replica::durable`] is told this number.
-    Write(u64, Vec<StorageChange>),
-    /// What is decided has changed.
-    Decided,
+    /// Send a message to a node.
+    Send {
+        /// The name of the node.
+        to: String,
+        /// The message.
+        message: Message,
+    },
+    /// Write these changes; report them by [`Replica::record_durable`].
+    Write {
+        /// The number of the write.
+        number: u64,
+        /// The changes.
+        changes: Vec<StorageChange>,
+    },
+    /// The committed state has changed.
+    StateChanged,
 }
 
-/// Whose write a number is.
-enum Of {
-    Seat,
-    Admission(u64),
-    Voter(u64),
+/// The part of the replica that has begun a write, with that part's own number of it.
+enum WriteOrigin {
+    Replica,
+    Admission { number: u64 },
+    Voter { number: u64 },
 }
 
-/// The seat's key: its number, and whether it is a founder's.
-const SEAT: &[u8] = b"c/seat";
+struct PendingWrite {
+    number: u64,
+    origin: WriteOrigin,
+}
+
+/// Key of the number of the replica, and whether it is an initial voter.
+const REPLICA_KEY: &[u8] = b"c/seat";
+
+/// Prefix of the keys of the log.
+const LOG_KEY_PREFIX: &[u8] = b"a/";
+
+/// Prefix of the keys of the admission.
+const ADMISSION_KEY_PREFIX: &[u8] = b"s/";
+
+type StoredKeys = BTreeMap<Vec<u8>, Vec<u8>>;
+
+/// The voters as of an index of the log.
+#[derive(Clone, Copy)]
+pub struct VotersAt<'a> {
+    /// The index of the log.
+    pub applied_index: u64,
+    /// The name of each voter's node, by the voter's number.
+    pub voters: &'a BTreeMap<u64, String>,
+}
+
+impl VotersAt<'_> {
+    fn id_of(&self, node: &str) -> Option<u64> {
+        voter_id_of(self.voters, node)
+    }
+}
 
-type Kept = BTreeMap<Vec<u8>, Vec<u8>>;
+/// Returns the number under which a node votes.
+pub fn voter_id_of(voters: &BTreeMap<u64, String>, node: &str) -> Option<u64> {
+    voters
+        .iter()
+        .find(|(_, name)| *name == node)
+        .map(|(id, _)| *id)
+}
 
-/// A seat, and all that goes with it.
+/// The replica of a node, which may be a voter.
 pub struct Replica {
-    name: String,
-    life: u64,
-    founders: BTreeMap<u64, String>,
-    /// Its number; 0 for none.
+    node: String,
+    incarnation: u64,
+    initial_voters: BTreeMap<u64, String>,
+    /// Its number as a voter; 0 if it is none.
     id: u64,
-    founder: bool,
+    is_initial_voter: bool,
     admission: Option<Admission>,
     voter: Option<Voter<LeaseStateMachine>>,
-    why: NotVotingReason,
-    /// What was kept of the log, until it votes; and the keys that are there now, to be cleared with the seat.
-    kept: Kept,
-    /// Who votes, and as of which place, as far as it has been told.
-    seats: (u64, BTreeMap<u64, String>),
-    numbers: u64,
-    waiting: VecDeque<(u64, Of)>,
+    not_voting_reason: NotVotingReason,
+    /// The stored keys, to be removed with the voter; with their values until it votes.
+    stored: StoredKeys,
+    /// The voters that have been announced or committed last, and the index at which.
+    known_voters: BTreeMap<u64, String>,
+    known_voters_index: u64,
+    last_write: u64,
+    pending_writes: VecDeque<PendingWrite>,
 }
 
 impl Replica {
-    /// From what was kept (keys that begin with `a/`, `c/` or `s/`); a founder with nothing kept takes the seat that the
-    /// settings give it.
+    /// Restores the replica from its stored keys (those that begin with `a/`, `c/` or `s/`) and values. An initial voter with nothing
+    /// stored takes the number that the settings give it.
     pub fn new(
-        name: &str,
-        life: u64,
-        founders: BTreeMap<u64, String>,
-        kept: Kept,
+        node: &str,
+        incarnation: u64,
+        initial_voters: BTreeMap<u64, String>,
+        stored: StoredKeys,
         out: &mut Vec<ReplicaOutput>,
     ) -> Self {
-        let seat = kept
-            .get(SEAT)
+        let stored_id = stored
+            .get(REPLICA_KEY)
             .and_then(|bytes| postcard::from_bytes::<(u64, bool)>(bytes).ok());
-        let own = founders
-            .iter()
-            .find(|(_, founder)| *founder == name)
-            .map(|(id, _)| (*id, true));
-        let (id, founder) = seat.or(own).unwrap_or((0, false));
-        let mut bench = Self {
-            name: name.to_owned(),
-            life,
-            seats: (0, founders.clone()),
-            founders,
+        let initial_id = voter_id_of(&initial_voters, node).map(|id| (id, true));
+        let (id, is_initial_voter) = stored_id.or(initial_id).unwrap_or((0, false));
+        let mut replica = Self {
+            node: node.to_owned(),
+            incarnation,
+            known_voters: initial_voters.clone(),
+            known_voters_index: 0,
+            initial_voters,
             id,
-            founder,
+            is_initial_voter,
             admission: None,
             voter: None,
-            why: NotVotingReason::NoSeat,
-            kept,
-            numbers: 0,
-            waiting: VecDeque::new(),
+            not_voting_reason: NotVotingReason::NotAVoter,
+            stored,
+            last_write: 0,
+            pending_writes: VecDeque::new(),
         };
         if id > 0 {
-            if seat.is_none() {
-                bench.write(Of::Seat, vec![seat_change(id, founder)], out);
+            if stored_id.is_none() {
+                let change = replica_change(id, is_initial_voter);
+                replica.write(WriteOrigin::Replica, vec![change], out);
             }
-            bench.ask();
+            replica.begin_admission();
         }
-        bench
+        replica
     }
 
-    /// Begins to ask whether it may vote.
-    fn ask(&mut self) {
-        let promises = self.kept.iter().filter(|(key, _)| key.starts_with(b"s/"));
-        let promises: Vec<_> = promises
-            .map(|(key, value)| (key.clone(), value.clone()))
-            .collect();
-        let mut ids: Vec<u64> = self.seats.1.keys().copied().collect();
+    fn begin_admission(&mut self) {
+        let promises = self.stored_under(ADMISSION_KEY_PREFIX);
+        let mut ids: Vec<u64> = self.known_voters.keys().copied().collect();
         if !ids.contains(&self.id) {
             ids.push(self.id);
         }
-        let log = postproxy_replicated_log::stored(&self.kept);
-        self.admission = Some(Admission::new(self.id, self.life, &ids, log, promises));
-        self.why = NotVotingReason::Waits;
+        let log_end = stored_log_end(&self.stored);
+        let admission = Admission::new(self.id, self.incarnation, &ids, log_end, promises);
+        self.admission = Some(admission);
+        self.not_voting_reason = NotVotingReason::AwaitingAdmission;
+    }
+
+    fn stored_under(&self, prefix: &[u8]) -> Vec<(Vec<u8>, Vec<u8>)> {
+        self.stored
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix))
+            .map(|(key, value)| (key.clone(), value.clone()))
+            .collect()
     }
 
-    /// Its number; 0 for none.
+    /// Returns its number as a voter; 0 if it is none.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// The voter, if it votes.
+    /// Returns the voter, if it votes.
     pub fn voter(&self) -> Option<&Voter<LeaseStateMachine>> {
         self.voter.as_ref()
     }
 
-    /// Why it does not vote.
-    pub fn why(&self) -> Option<&NotVotingReason> {
-        self.voter.is_none().then_some(&self.why)
+    /// Returns whether it leads the log.
+    pub fn is_leader(&self) -> bool {
+        self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
-    /// Who votes, as far as it knows, and as of which place.
-    pub fn seats(&self) -> (u64, &BTreeMap<u64, String>) {
+    /// Returns why it does not vote.
+    pub fn not_voting_reason(&self) -> Option<&NotVotingReason> {
+        self.voter.is_none().then_some(&self.not_voting_reason)
+    }
+
+    /// Returns the latest voters that it knows.
+    pub fn voters(&self) -> VotersAt<'_> {
         match &self.voter {
-            // One that was added has nothing in its own log yet.
-            Some(voter) if voter.place() >= self.seats.0 => (voter.place(), voter.seats()),
-            _ => (self.seats.0, &self.seats.1),
+            // A voter that was just added has nothing in its own log yet.
+            Some(voter) if voter.applied_index() >= self.known_voters_index => VotersAt {
+                applied_index: voter.applied_index(),
+                voters: voter.voters(),
+            },
+            _ => VotersAt {
+                applied_index: self.known_voters_index,
+                voters: &self.known_voters,
+            },
         }
     }
 
-    fn write(&mut self, of: Of, changes: Vec<StorageChange>, out: &mut Vec<ReplicaOutput>) {
+    fn write(
+        &mut self,
+        origin: WriteOrigin,
+        changes: Vec<StorageChange>,
+        out: &mut Vec<ReplicaOutput>,
+    ) {
         for change in &changes {
             match &change.value {
                 Some(value) if self.voter.is_none() => {
-                    self.kept.insert(change.key.clone(), value.clone());
+                    self.stored.insert(change.key.clone(), value.clone());
                 }
-                // Of a voter's log the keys are enough, to clear them.
+                // Once it votes only the keys are needed, to remove them with the voter.
                 Some(_) => {
-                    self.kept.insert(change.key.clone(), Vec::new());
+                    self.stored.insert(change.key.clone(), Vec::new());
                 }
                 None => {
-                    self.kept.remove(&change.key);
+                    self.stored.remove(&change.key);
                 }
             }
         }
-        self.numbers += 1;
-        self.waiting.push_back((self.numbers, of));
-        out.push(ReplicaOutput::Write(self.numbers, changes));
+        self.last_write += 1;
+        let number = self.last_write;
+        self.pending_writes
+            .push_back(PendingWrite { number, origin });
+        out.push(ReplicaOutput::Write { number, changes });
     }
 
-    /// All writes up to this one are durable.
-    pub fn durable(&mut self, number: u64, out: &mut Vec<ReplicaOutput>) {
-        while let Some((_, of)) = self.waiting.pop_front_if(|(at, _)| *at <= number) {
-            match of {
-                Of::Seat => {}
-                Of::Admission(number) => {
-                    self.admit(|admission, acts| admission.durable(number, acts), out)
-                }
-                Of::Voter(number) => {
-                    self.vote(|voter, said| voter.durable(number, said), out);
+    /// Records that all writes up to this number are durable.
+    pub fn record_durable(&mut self, number: u64, out: &mut Vec<ReplicaOutput>) {
+        while let Some(write) = self
+            .pending_writes
+            .pop_front_if(|write| write.number <= number)
+        {
+            match write.origin {
+                WriteOrigin::Replica => {}
+                WriteOrigin::Admission { number } => self.with_admission(
+                    |admission, effects| admission.record_durable(number, effects),
+                    out,
+                ),
+                WriteOrigin::Voter { number } => {
+                    self.with_voter(|voter, outputs| voter.record_durable(number, outputs), out);
                 }
             }
         }
     }
 
-    /// Has the admission take something in, and does what comes of it.
-    fn admit(
+    /// Runs an action of the admission and carries out its effects.
+    fn with_admission(
         &mut self,
-        act: impl FnOnce(&mut Admission, &mut Vec<AdmissionEffect>),
+        action: impl FnOnce(&mut Admission, &mut Vec<AdmissionEffect>),
         out: &mut Vec<ReplicaOutput>,
     ) {
         let Some(admission) = &mut self.admission else {
             return;
         };
-        let mut acts = Vec::new();
-        act(admission, &mut acts);
+        let mut effects = Vec::new();
+        action(admission, &mut effects);
         let verdict = admission.verdict();
-        for act in acts {
-            match act {
-                AdmissionEffect::AdmissionMessage(to, say) => {
-                    if let Some(name) = self.seats().1.get(&to).cloned() {
-                        out.push(ReplicaOutput::Send(
-                            name,
-                            Message::Admission(self.id, to, say),
-                        ));
-                    }
-                }
-                AdmissionEffect::Write(number, changes) => {
-                    self.write(Of::Admission(number), changes, out)
+        for effect in effects {
+            match effect {
+                AdmissionEffect::Send { to, message } => self.send_admission(to, message, out),
+                AdmissionEffect::Write { number, changes } => {
+                    self.write(WriteOrigin::Admission { number }, changes, out);
                 }
             }
         }
+        let is_waiting = self.not_voting_reason == NotVotingReason::AwaitingAdmission;
         match verdict {
-            AdmissionVerdict::Vote
-                if self.voter.is_none() && self.why == NotVotingReason::Waits =>
-            {
-                self.begin(out)
+            AdmissionVerdict::Admitted if self.voter.is_none() && is_waiting => {
+                self.begin_voting(out);
             }
-            AdmissionVerdict::Lost if self.why != NotVotingReason::Lost => {
-                (self.voter, self.why) = (None, NotVotingReason::Lost);
-                out.push(ReplicaOutput::Decided);
+            AdmissionVerdict::PromisesLost
+                if self.not_voting_reason != NotVotingReason::PromisesLost =>
+            {
+                self.voter = None;
+                self.not_voting_reason = NotVotingReason::PromisesLost;
+                out.push(ReplicaOutput::StateChanged);
             }
             _ => {}
         }
     }
 
-    /// Begins to vote.
-    fn begin(&mut self, out: &mut Vec<ReplicaOutput>) {
-        let log = self.kept.iter().filter(|(key, _)| key.starts_with(b"a/"));
-        let log: Vec<_> = log
-            .map(|(key, value)| (key.clone(), value.clone()))
-            .collect();
-        let founders = if self.founder {
-            self.founders.clone()
+    fn send_admission(&self, to: u64, message: AdmissionMessage, out: &mut Vec<ReplicaOutput>) {
+        if let Some(name) = self.voters().voters.get(&to).cloned() {
+            let message = Message::Admission {
+                from: self.id,
+                to,
+                message,
+            };
+            out.push(ReplicaOutput::Send { to: name, message });
+        }
+    }
+
+    fn begin_voting(&mut self, out: &mut Vec<ReplicaOutput>) {
+        let log = self.stored_under(LOG_KEY_PREFIX);
+        let initial_voters = if self.is_initial_voter {
+            self.initial_voters.clone()
         } else {
             BTreeMap::new()
         };
-        match Voter::new(self.id, &founders, log) {
-            Ok((voter, said)) => {
+        match Voter::new(self.id, &initial_voters, log) {
+            Ok((voter, outputs)) => {
                 self.voter = Some(voter);
-                self.heed(said, out);
-                out.push(ReplicaOutput::Decided);
+                self.carry_out(outputs, out);
+                out.push(ReplicaOutput::StateChanged);
             }
-            Err(damage) => self.why = NotVotingReason::Damaged(damage.0),
+            Err(corrupt) => self.not_voting_reason = NotVotingReason::LogDamaged(corrupt.0),
         }
     }
 
-    /// Has the voter take something in, and does what comes of it.
-    fn vote<T>(
+    /// Runs an action of the voter and carries out its outputs. Returns `None` if the replica does not vote.
+    fn with_voter<T>(
         &mut self,
-        act: impl FnOnce(&mut Voter<LeaseStateMachine>, &mut Vec<Said>) -> T,
+        action: impl FnOnce(&mut Voter<LeaseStateMachine>, &mut Vec<VoterOutput>) -> T,
         out: &mut Vec<ReplicaOutput>,
     ) -> Option<T> {
         let voter = self.voter.as_mut()?;
-        let mut said = Vec::new();
-        let came = act(voter, &mut said);
-        self.heed(said, out);
-        if let Some(why) = self.voter.as_ref().and_then(Voter::ended) {
-            self.why = NotVotingReason::Damaged(why.to_owned());
+        let mut outputs = Vec::new();
+        let result = action(voter, &mut outputs);
+        self.carry_out(outputs, out);
+        if let Some(reason) = self.voter.as_ref().and_then(Voter::failure) {
+            self.not_voting_reason = NotVotingReason::LogDamaged(reason.to_owned());
             self.voter = None;
-            out.push(ReplicaOutput::Decided);
+            out.push(ReplicaOutput::StateChanged);
         }
-        Some(came)
+        Some(result)
     }
 
-    fn heed(&mut self, said: Vec<Said>, out: &mut Vec<ReplicaOutput>) {
-        let mut decided = false;
-        for one in said {
-            match one {
-                Said::Write(number, changes) => self.write(Of::Voter(number), changes, out),
-                Said::Send(to, bytes) => {
-                    if let Some(name) = self.seats().1.get(&to).cloned() {
-                        out.push(ReplicaOutput::Send(name, Message::Log(self.life, bytes)));
+    fn carry_out(&mut self, outputs: Vec<VoterOutput>, out: &mut Vec<ReplicaOutput>) {
+        let mut state_changed = false;
+        for output in outputs {
+            match output {
+                VoterOutput::Write { number, changes } => {
+                    self.write(WriteOrigin::Voter { number }, changes, out);
+                }
+                VoterOutput::Send { to, message } => {
+                    if let Some(name) = self.voters().voters.get(&to).cloned() {
+                        let incarnation = self.incarnation;
+                        let message = Message::Log {
+                            incarnation,
+                            message,
+                        };
+                        out.push(ReplicaOutput::Send { to: name, message });
                     }
                 }
-                Said::Decided(..) | Said::Skipped(_) => decided = true,
-                Said::Seats => {
-                    decided = true;
-                    self.reseated();
+                VoterOutput::Committed { .. } | VoterOutput::SnapshotInstalled { .. } => {
+                    state_changed = true;
+                }
+                VoterOutput::VotersChanged => {
+                    state_changed = true;
+                    self.update_voters();
                 }
             }
         }
-        if decided {
-            out.push(ReplicaOutput::Decided);
+        if state_changed {
+            out.push(ReplicaOutput::StateChanged);
         }
     }
 
-    /// Who votes has changed, by this voter's own log.
-    fn reseated(&mut self) {
-        let (place, seats) = self.seats();
-        self.seats = (place, seats.clone());
-        let ids: Vec<u64> = self.seats.1.keys().copied().collect();
-        if let Some(admission) = self.admission.as_mut().filter(|_| ids.contains(&self.id)) {
-            admission.seats(&ids);
+    /// Takes the voters over from the replica's own log.
+    fn update_voters(&mut self) {
+        let latest = self.voters();
+        let applied_index = latest.applied_index;
+        let voters = latest.voters.clone();
+        self.known_voters_index = applied_index;
+        self.known_voters = voters;
+        let ids: Vec<u64> = self.known_voters.keys().copied().collect();
+        if let Some(admission) = &mut self.admission
+            && ids.contains(&self.id)
+        {
+            admission.set_voters(&ids);
         }
     }
 
-    /// A tick: twenty a second.
+    /// Counts a tick; there are twenty a second.
     pub fn tick(&mut self, out: &mut Vec<ReplicaOutput>) {
-        if matches!(self.why, NotVotingReason::Waits) {
-            self.admit(Admission::tick, out);
+        if self.not_voting_reason == NotVotingReason::AwaitingAdmission {
+            self.with_admission(Admission::tick, out);
         }
-        self.vote(Voter::tick, out);
-        // One that was taken away by a word that it has decided itself.
-        if self.id > 0
-            && self.voter.is_some()
-            && !self.seats().1.contains_key(&self.id)
-            && self.seats().0 > 1
-        {
-            self.leave(0, out);
+        self.with_voter(Voter::tick, out);
+        // Its own log may show that it was removed.
+        let latest = self.voters();
+        let was_removed = !latest.voters.contains_key(&self.id) && latest.applied_index > 1;
+        if self.id > 0 && self.voter.is_some() && was_removed {
+            self.reset(0, out);
         }
     }
 
-    /// A seat says something on who may vote.
-    pub fn admission(
+    /// Handles a message of another voter on admission.
+    pub fn receive_admission(
         &mut self,
         from: u64,
         to: u64,
-        say: AdmissionMessage,
+        message: AdmissionMessage,
         out: &mut Vec<ReplicaOutput>,
     ) {
         if to == self.id {
-            self.admit(|admission, acts| admission.receive(from, say, acts), out);
+            self.with_admission(
+                |admission, effects| admission.receive(from, message, effects),
+                out,
+            );
         }
     }
 
-    /// A voter says something on the log; whether it was taken in.
-    /// Words of a life whose start is not known here count for nothing: what it comes back with is looked at first.
-    pub fn log(
+    /// Handles a message of the log from another voter. It is dropped while the start of the sender's incarnation is not known: the
+    /// sender may have lost promises, and has to announce its start first.
+    pub fn receive_log(
         &mut self,
         from: u64,
-        life: u64,
-        bytes: &[u8],
+        incarnation: u64,
+        message: &[u8],
         out: &mut Vec<ReplicaOutput>,
-    ) -> bool {
+    ) {
         let Some(admission) = &mut self.admission else {
-            return false;
+            return;
         };
-        if !admission.knows(from, life) {
-            if let Some(name) = self.seats().1.get(&from).cloned() {
-                out.push(ReplicaOutput::Send(
-                    name,
-                    Message::Admission(self.id, from, AdmissionMessage::Again),
-                ));
-            }
-            return false;
+        if !admission.knows(from, incarnation) {
+            self.send_admission(from, AdmissionMessage::AnnounceAgain, out);
+            return;
         }
-        let (_, term, place) = postproxy_replicated_log::promise(bytes);
-        admission.heard(from, term, place);
-        self.vote(|voter, said| voter.receive(bytes, said), out)
-            .unwrap_or_default()
+        let promise = message_promise(message);
+        admission.record_promise(from, promise.term, promise.index);
+        self.with_voter(|voter, outputs| voter.receive(message, outputs), out);
     }
 
-    /// What was on the way to and from a node may be lost.
-    pub fn reconnected(&mut self, name: &str, out: &mut Vec<ReplicaOutput>) {
-        let seat = self
-            .seats()
-            .1
-            .iter()
-            .find(|(_, of)| *of == name)
-            .map(|(id, _)| *id);
-        if let Some(seat) = seat.filter(|seat| *seat != self.id) {
-            self.vote(|voter, said| voter.reconnected(seat, said), out);
+    /// Records that messages to and from a node may have been lost.
+    pub fn peer_reconnected(&mut self, node: &str, out: &mut Vec<ReplicaOutput>) {
+        let peer = self.voters().id_of(node);
+        if let Some(peer) = peer.filter(|peer| *peer != self.id) {
+            self.with_voter(|voter, outputs| voter.peer_reconnected(peer, outputs), out);
         }
     }
 
-    /// Puts a word to the log.
+    /// Proposes a command to the log.
+    ///
+    /// # Errors
+    ///
+    /// If the proposal is rejected without an attempt.
     pub fn propose(
         &mut self,
         command: &Command,
         out: &mut Vec<ReplicaOutput>,
     ) -> Result<(), ProposalRejected> {
-        let word = postcard::to_stdvec(command).unwrap_or_default();
-        self.vote(|voter, said| voter.propose(word, said), out)
-            .unwrap_or(Err(ProposalRejected::Leaderless))
+        let entry = postcard::to_stdvec(command).unwrap_or_default();
+        self.with_voter(|voter, outputs| voter.propose(entry, outputs), out)
+            .unwrap_or(Err(ProposalRejected::NoLeader))
     }
 
-    /// Changes who votes.
-    pub fn seat(
+    /// Proposes a change of the voters.
+    ///
+    /// # Errors
+    ///
+    /// If the proposal is rejected without an attempt.
+    pub fn propose_membership_change(
         &mut self,
         change: &MembershipChange,
         out: &mut Vec<ReplicaOutput>,
     ) -> Result<(), ProposalRejected> {
-        self.vote(|voter, said| voter.seat(change, said), out)
-            .unwrap_or(Err(ProposalRejected::Leaderless))
+        self.with_voter(
+            |voter, outputs| voter.propose_membership_change(change, outputs),
+            out,
+        )
+        .unwrap_or(Err(ProposalRejected::NoLeader))
     }
 
-    /// Another node tells who votes as of a place of the log. What this one's own log says goes before.
-    pub fn told(&mut self, place: u64, seats: BTreeMap<u64, String>, out: &mut Vec<ReplicaOutput>) {
-        if place <= self.seats().0 {
+    /// Records the voters that another node has announced, unless the replica knows later ones.
+    pub fn voters_announced(
+        &mut self,
+        applied_index: u64,
+        voters: BTreeMap<u64, String>,
+        out: &mut Vec<ReplicaOutput>,
+    ) {
+        if applied_index <= self.voters().applied_index {
             return;
         }
-        let own = seats
-            .iter()
-            .find(|(_, name)| **name == self.name)
-            .map(|(id, _)| *id);
-        let ids: Vec<u64> = seats.keys().copied().collect();
-        self.seats = (place, seats);
-        match own {
+        let own_id = voter_id_of(&voters, &self.node);
+        let ids: Vec<u64> = voters.keys().copied().collect();
+        self.known_voters_index = applied_index;
+        self.known_voters = voters;
+        match own_id {
             Some(id) if id == self.id => {
                 if let Some(admission) = self.admission.as_mut().filter(|_| self.voter.is_none()) {
-                    admission.seats(&ids);
+                    admission.set_voters(&ids);
                 }
             }
-            // A new seat: all that went with an older one is over. Numbers only grow, so a late word gives none back.
-            Some(id) if id > self.id => self.leave(id, out),
+            // It has become another voter. Numbers only grow, so that a late message brings no earlier one back.
+            Some(id) if id > self.id => self.reset(id, out),
             Some(_) => {}
-            None if self.id > 0 => self.leave(0, out),
+            None if self.id > 0 => self.reset(0, out),
             None => {}
         }
     }
 
-    /// Its seat is over; it may have got another.
-    fn leave(&mut self, next: u64, out: &mut Vec<ReplicaOutput>) {
-        (self.voter, self.admission) = (None, None);
-        let gone = |key: &[u8]| key.starts_with(b"a/") || key.starts_with(b"s/");
-        let clear = self.kept.keys().filter(|key| gone(key));
-        let mut changes: Vec<StorageChange> = clear
+    /// Removes all that belongs to the present voter. `next_id` is its new number; 0 if it is no voter any more.
+    fn reset(&mut self, next_id: u64, out: &mut Vec<ReplicaOutput>) {
+        self.voter = None;
+        self.admission = None;
+        let is_removed =
+            |key: &[u8]| key.starts_with(LOG_KEY_PREFIX) || key.starts_with(ADMISSION_KEY_PREFIX);
+        let removed = self.stored.keys().filter(|key| is_removed(key));
+        let mut changes: Vec<StorageChange> = removed
             .map(|key| StorageChange {
                 key: key.clone(),
                 value: None,
             })
             .collect();
-        changes.push(seat_change(next, false));
-        // What others said of seats is told again when they start.
-        self.waiting.clear();
-        (self.id, self.founder, self.why) = (next, false, NotVotingReason::Removed);
-        self.write(Of::Seat, changes, out);
-        if next > 0 {
-            self.ask();
+        changes.push(replica_change(next_id, false));
+        // The starts that it had confirmed are announced to it again.
+        self.pending_writes.clear();
+        self.id = next_id;
+        self.is_initial_voter = false;
+        self.not_voting_reason = NotVotingReason::Removed;
+        self.write(WriteOrigin::Replica, changes, out);
+        if next_id > 0 {
+            self.begin_admission();
         }
-        out.push(ReplicaOutput::Decided);
+        out.push(ReplicaOutput::StateChanged);
     }
 }
 
-fn seat_change(id: u64, founder: bool) -> StorageChange {
+fn replica_change(id: u64, is_initial_voter: bool) -> StorageChange {
     StorageChange {
-        key: SEAT.to_vec(),
-        value: postcard::to_stdvec(&(id, founder)).ok(),
+        key: REPLICA_KEY.to_vec(),
+        value: postcard::to_stdvec(&(id, is_initial_voter)).ok(),
     }
 }
--- a/crates/coordination/tests/surface.rs
+++ b/crates/coordination/tests/surface.rs
@@ -17,28 +17,28 @@
     assert_eq!(&serde_json::from_str::<T>(text).expect("a value"), value);
 }
 
-fn owned() -> LeaseStatus {
+fn owned_lease() -> LeaseStatus {
     LeaseStatus {
-        duty: "bans".into(),
+        lease: "bans".into(),
         owner: Some("n0".into()),
         token: Some(7),
-        next: Some("n1".into()),
+        next_owner: Some("n1".into()),
         value_bytes: 12,
-        left_ms: Some(2500),
+        remaining_ms: Some(2500),
     }
 }
 
 const OWNED: &str =
     r#"{"duty":"bans","owner":"n0","token":7,"next":"n1","value_bytes":12,"left_ms":2500}"#;
 
-fn free() -> LeaseStatus {
+fn free_lease() -> LeaseStatus {
     LeaseStatus {
-        duty: "bans".into(),
+        lease: "bans".into(),
         owner: None,
         token: None,
-        next: None,
+        next_owner: None,
         value_bytes: 0,
-        left_ms: None,
+        remaining_ms: None,
     }
 }
 
@@ -46,22 +46,22 @@
     r#"{"duty":"bans","owner":null,"token":null,"next":null,"value_bytes":0,"left_ms":null}"#;
 
 #[test]
-fn a_duty_with_an_owner_has_this_json() {
-    pinned(&owned(), OWNED);
+fn a_lease_with_an_owner_has_this_json() {
+    pinned(&owned_lease(), OWNED);
 }
 
 #[test]
-fn a_duty_without_an_owner_has_this_json() {
-    pinned(&free(), FREE);
+fn a_lease_without_an_owner_has_this_json() {
+    pinned(&free_lease(), FREE);
 }
 
 #[test]
 fn a_voter_has_this_json() {
-    let voter = |heard, lost| ReplicaStatus {
-        seat: 3,
+    let voter = |recently_heard, promises_lost| ReplicaStatus {
+        voter_id: 3,
         node: "n2".into(),
-        heard,
-        lost,
+        recently_heard,
+        promises_lost,
     };
     pinned(
         &voter(Some(true), true),
@@ -79,32 +79,32 @@
 
 #[test]
 fn each_reason_for_not_voting_has_this_json() {
-    pinned(&NotVotingReason::NoSeat, r#""NoSeat""#);
-    pinned(&NotVotingReason::Waits, r#""Waits""#);
-    pinned(&NotVotingReason::Lost, r#""Lost""#);
+    pinned(&NotVotingReason::NotAVoter, r#""NoSeat""#);
+    pinned(&NotVotingReason::AwaitingAdmission, r#""Waits""#);
+    pinned(&NotVotingReason::PromisesLost, r#""Lost""#);
     pinned(&NotVotingReason::Removed, r#""Removed""#);
     pinned(
-        &NotVotingReason::Damaged("entry 3 is gone".into()),
+        &NotVotingReason::LogDamaged("entry 3 is gone".into()),
         r#"{"Damaged":"entry 3 is gone"}"#,
     );
 }
 
 #[test]
-fn a_full_view_has_this_json() {
-    let view = Status {
+fn a_full_status_has_this_json() {
+    let status = Status {
         node: "n0".into(),
-        votes: false,
-        why: Some(NotVotingReason::Damaged("entry 3 is gone".into())),
+        is_voter: false,
+        not_voting_reason: Some(NotVotingReason::LogDamaged("entry 3 is gone".into())),
         leader: Some("n1".into()),
-        place: 41,
+        applied_index: 41,
         voters: vec![ReplicaStatus {
-            seat: 1,
+            voter_id: 1,
             node: "n0".into(),
-            heard: Some(true),
-            lost: false,
+            recently_heard: Some(true),
+            promises_lost: false,
         }],
-        duties: vec![owned(), free()],
-        token: 9,
+        leases: vec![owned_lease(), free_lease()],
+        latest_token: 9,
     };
     let text = [
         r#"{"node":"n0","votes":false,"why":{"Damaged":"entry 3 is gone"},"leader":"n1","place":41,"#,
@@ -115,24 +115,23 @@
         r#"],"token":9}"#,
     ]
     .concat();
-    pinned(&view, &text);
+    pinned(&status, &text);
 }
 
 #[test]
-fn an_empty_view_has_this_json() {
-    let (voters, duties) = (Vec::new(), Vec::new());
-    let view = Status {
+fn an_empty_status_has_this_json() {
+    let status = Status {
         node: "n0".into(),
-        votes: true,
-        why: None,
+        is_voter: true,
+        not_voting_reason: None,
         leader: None,
-        place: 0,
-        voters,
-        duties,
-        token: 0,
+        applied_index: 0,
+        voters: Vec::new(),
+        leases: Vec::new(),
+        latest_token: 0,
     };
     pinned(
-        &view,
+        &status,
         r#"{"node":"n0","votes":true,"why":null,"leader":null,"place":0,"voters":[],"duties":[],"token":0}"#,
     );
 }
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn calls_that_were_not_decided_have_these_error_bodies() {
+fn calls_that_were_not_committed_have_these_error_bodies() {
     let remedy = "ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network \
                   between them, and remove one that will not come back";
     let body = |heard: &str| {
@@ -165,15 +164,18 @@
         r#"{"error":"duties","code":"duties.no_voters","what":"no node votes","remedy":"name voters in the section fleet of every node, and start them"}"#,
     );
     rejected(
-        &Error::Elsewhere("n1".into()),
+        &Error::NotLeader("n1".into()),
         r#"{"error":"voters","code":"voters.elsewhere","what":"n1 leads","remedy":"ask again: who leads has just changed"}"#,
     );
 }
 
 #[test]
-fn calls_on_duties_that_are_rejected_have_these_error_bodies() {
+fn calls_on_leases_that_are_rejected_have_these_error_bodies() {
     rejected(
-        &Error::Rejected(Rejection::Owned("n1".into(), 7)),
+        &Error::Rejected(Rejection::OwnedByOther {
+            owner: "n1".into(),
+            token: 7,
+        }),
         r#"{"error":"duties","code":"duties.owned","what":"n1 owns it under token 7","remedy":"ask its owner to release it, or hand it on"}"#,
     );
     rejected(
@@ -185,7 +187,7 @@
         r#"{"error":"duties","code":"duties.stale","what":"the token is over: nobody owns it now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
     );
     rejected(
-        &Error::Rejected(Rejection::Unknown),
+        &Error::Rejected(Rejection::UnknownLease),
         r#"{"error":"duties","code":"duties.unknown","what":"nobody knows this duty","remedy":"see GET /v1/fleet/owners for the duties that there are"}"#,
     );
     rejected(
@@ -193,11 +195,11 @@
         r#"{"error":"duties","code":"duties.malformed","what":"a name must have 1 to 64 bytes, a value at most 65536","remedy":"give a name of 1 to 64 bytes"}"#,
     );
     rejected(
-        &Error::Rejected(Rejection::Full),
+        &Error::Rejected(Rejection::TooManyLeases),
         r#"{"error":"duties","code":"duties.full","what":"no more duties can be remembered","remedy":"no more than 4096 duties can be known: end parts that make them"}"#,
     );
     rejected(
-        &Error::Rejected(Rejection::Old),
+        &Error::Rejected(Rejection::SupersededCommand),
         r#"{"error":"duties","code":"duties.old","what":"a later call of this client has been answered","remedy":"nothing: a later call of the same node has been answered"}"#,
     );
 }
@@ -205,19 +207,19 @@
 #[test]
 fn calls_on_voters_that_are_rejected_have_these_error_bodies() {
     rejected(
-        &Error::WouldStop { living: 1, of: 3 },
+        &Error::WouldLoseMajority { living: 1, of: 3 },
         r#"{"error":"voters","code":"voters.would_stop","what":"it would leave 1 living voters of 3","remedy":"start voters that are down first, or remove a dead one instead of a living one"}"#,
     );
     rejected(
-        &Error::Count,
+        &Error::VoterCount,
         r#"{"error":"voters","code":"voters.count","what":"two to seven nodes vote","remedy":"remove a seat before another is added; two voters are the least"}"#,
     );
     rejected(
-        &Error::Nobody,
+        &Error::UnknownNode,
         r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; the node must be there to get a seat"}"#,
     );
     rejected(
-        &Error::Name,
+        &Error::InvalidName,
         r#"{"error":"voters","code":"voters.name","what":"a name must have 1 to 64 bytes","remedy":"give a name of 1 to 64 bytes"}"#,
     );
 }
--- a/crates/coordination/tests/surface_errors.rs
+++ b/crates/coordination/tests/surface_errors.rs
@@ -20,7 +20,10 @@
         (Error::Busy, "too many calls wait", "duties.busy"),
         (Error::NoVoters, "no node votes", "duties.no_voters"),
         (
-            Error::Rejected(Rejection::Owned("n1".into(), 7)),
+            Error::Rejected(Rejection::OwnedByOther {
+                owner: "n1".into(),
+                token: 7,
+            }),
             "n1 owns it under token 7",
             "duties.owned",
         ),
@@ -30,7 +33,7 @@
             "duties.stale",
         ),
         (
-            Error::Rejected(Rejection::Unknown),
+            Error::Rejected(Rejection::UnknownLease),
             "nobody knows this duty",
             "duties.unknown",
         ),
@@ -40,29 +43,33 @@
             "duties.malformed",
         ),
         (
-            Error::Rejected(Rejection::Full),
+            Error::Rejected(Rejection::TooManyLeases),
             "no more duties can be remembered",
             "duties.full",
         ),
         (
-            Error::Rejected(Rejection::Old),
+            Error::Rejected(Rejection::SupersededCommand),
             "a later call of this client has been answered",
             "duties.old",
         ),
         (
-            Error::WouldStop { living: 1, of: 3 },
+            Error::WouldLoseMajority { living: 1, of: 3 },
             "it would leave 1 living voters of 3",
             "voters.would_stop",
         ),
-        (Error::Count, "two to seven nodes vote", "voters.count"),
+        (Error::VoterCount, "two to seven nodes vote", "voters.count"),
         (
-            Error::Nobody,
+            Error::UnknownNode,
             "no node of that name is known",
             "voters.nobody",
         ),
-        (Error::Name, "a name must have 1 to 64 bytes", "voters.name"),
         (
-            Error::Elsewhere("n2".into()),
+            Error::InvalidName,
+            "a name must have 1 to 64 bytes",
+            "voters.name",
+        ),
+        (
+            Error::NotLeader("n2".into()),
             "n2 leads",
             "voters.elsewhere",
         ),
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,115 +1,120 @@
-//! What stands before every effect.
+//! Fencing: effects carry the token of their owner, and whoever carries them out rejects stale tokens.
 
 use crate::holder::LeasePermit;
-use crate::state::FencingToken;
+use crate::operation::FencingToken;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Something that an owner wants done, with the token under which it may be. It goes to whoever does it, who must ask
-/// its own fence first: there is no other way to what it holds.
+/// An action of a lease's owner, with the token under which it is made. The payload can only be reached through
+/// [`Fence::admit`], so that whoever carries the action out has to check the token first.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Effect<T> {
-    duty: String,
+    lease: String,
     token: FencingToken,
-    what: T,
+    payload: T,
 }
 
 impl<T> Effect<T> {
-    /// An effect under a permit.
-    pub fn new(permit: &LeasePermit, what: T) -> Self {
+    /// Creates an effect under a permit.
+    pub fn new(permit: &LeasePermit, payload: T) -> Self {
         Self {
-            duty: permit.duty().to_owned(),
+            lease: permit.lease().to_owned(),
             token: permit.token(),
-            what,
+            payload,
         }
     }
 
-    /// The duty that it is of.
-    pub fn duty(&self) -> &str {
-        &self.duty
+    /// Returns the name of the lease.
+    pub fn lease(&self) -> &str {
+        &self.lease
     }
 
-    /// Its token.
+    /// Returns the token under which the effect was made.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 }
 
-/// An effect comes from an owner that is none any more.
+/// An effect was made under the token of an earlier owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StaleToken {
-    /// The duty.
-    pub duty: String,
-    /// The token that came.
+    /// The name of the lease.
+    pub lease: String,
+    /// The token of the effect.
     pub token: FencingToken,
-    /// The highest that has been seen.
-    pub seen: FencingToken,
+    /// The highest token that the fence has seen.
+    pub highest_seen: FencingToken,
 }
 
 impl fmt::Display for StaleToken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { duty, token, seen } = self;
-        write!(f, "token {token} of '{duty}' is over: {seen} has been seen")
+        let Self {
+            lease,
+            token,
+            highest_seen,
+        } = self;
+        write!(
+            f,
+            "token {token} of '{lease}' is over: {highest_seen} has been seen"
+        )
     }
 }
 
 impl std::error::Error for StaleToken {}
 
-/// The highest token seen of each duty.
+/// Remembers the highest token seen of each lease and rejects lower ones.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Fence {
-    seen: BTreeMap<String, FencingToken>,
-    /// Effects refused so far.
-    refused: u64,
+    highest_tokens: BTreeMap<String, FencingToken>,
+    rejected_count: u64,
 }
 
 impl Fence {
-    /// Takes an effect in, or refuses it. Where the fence must outlive its process, it is to be durable before the
-    /// effect is done: [`Fence::known`] tells whether it has to be written.
+    /// Admits an effect and returns its payload. Where the fence must outlive its process, [`Fence::highest_seen`] is to be durable
+    /// before the effect is carried out.
     ///
     /// # Errors
     ///
-    /// If a higher token has been seen.
+    /// If the fence has seen a higher token.
     pub fn admit<T>(&mut self, effect: Effect<T>) -> Result<T, StaleToken> {
-        let Effect { duty, token, what } = effect;
-        self.learn(&duty, token)?;
-        Ok(what)
+        self.observe(&effect.lease, effect.token)?;
+        Ok(effect.payload)
     }
 
-    /// Takes in that this token has been granted, without an effect.
+    /// Records that this token has been granted, without an effect.
     ///
     /// # Errors
     ///
-    /// If a higher one has been seen.
-    pub fn learn(&mut self, duty: &str, token: FencingToken) -> Result<(), StaleToken> {
-        match self.seen.get_mut(duty) {
-            Some(seen) if *seen > token => {
-                self.refused += 1;
+    /// If the fence has seen a higher token.
+    pub fn observe(&mut self, lease: &str, token: FencingToken) -> Result<(), StaleToken> {
+        match self.highest_tokens.get_mut(lease) {
+            Some(highest) if *highest > token => {
+                self.rejected_count += 1;
                 Err(StaleToken {
-                    duty: duty.to_owned(),
+                    lease: lease.to_owned(),
                     token,
-                    seen: *seen,
+                    highest_seen: *highest,
                 })
             }
-            Some(seen) => {
-                *seen = token;
+            Some(highest) => {
+                *highest = token;
                 Ok(())
             }
             None => {
-                self.seen.insert(duty.to_owned(), token);
+                self.highest_tokens.insert(lease.to_owned(), token);
                 Ok(())
             }
         }
     }
 
-    /// The highest token seen of a duty.
-    pub fn known(&self, duty: &str) -> Option<FencingToken> {
-        self.seen.get(duty).copied()
+    /// Returns the highest token seen of a lease.
+    pub fn highest_seen(&self, lease: &str) -> Option<FencingToken> {
+        self.highest_tokens.get(lease).copied()
     }
 
-    /// How many effects it has refused.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Returns how many effects and tokens the fence has rejected.
+    pub fn rejected_count(&self) -> u64 {
+        self.rejected_count
     }
 }
--- a/crates/leases/src/granter.rs
+++ b/crates/leases/src/granter.rs
@@ -1,90 +1,120 @@
-//! The time of whoever leads the log: it says when a lease is over, by its own clock alone.
+//! The expiry of leases as the leader of the log measures it, by its own clock alone.
 
-use crate::LeaseTiming;
-use crate::state::{FencingToken, LeaseTable, Operation};
+use crate::operation::{ExpiredLease, FencingToken, Operation};
+use crate::{LeaseTable, LeaseTiming};
 use std::collections::BTreeMap;
 
-/// What is proposed and not applied is proposed again after this, in milliseconds.
-const AGAIN: u64 = 1000;
+/// An expiry that was proposed and has not been applied is proposed again after this many milliseconds: the proposal may be lost.
+const PROPOSAL_RETRY_MS: u64 = 1000;
 
-/// Leases as one voter sees them. It counts each from when it has itself applied the grant or the renewal, which is after the
-/// owner asked, wherever it is applied: so a voter that comes to lead need not wait for more than what is left.
+/// An owned lease as this voter has seen it.
+#[derive(Clone, Debug, Eq, Hash, PartialEq)]
+struct ObservedLease {
+    token: FencingToken,
+    renewals: u64,
+    /// When this voter first saw this token with this many renewals, in milliseconds.
+    observed_at: u64,
+}
+
+/// An expiry that this voter has proposed.
+#[derive(Clone, Debug, Eq, Hash, PartialEq)]
+struct ProposedExpiry {
+    renewals: u64,
+    proposed_at: u64,
+}
+
+/// Finds expired leases. Each voter counts a lease from the moment when it has itself applied the grant or the renewal, which is
+/// after the owner asked for it. So a new leader need not wait for a whole lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseGranter {
-    times: LeaseTiming,
-    /// Of each duty that is owned: its token, its renewals, and when this node has seen them so first.
-    seen: BTreeMap<String, (FencingToken, u64, u64)>,
-    leads: bool,
-    /// What has been proposed, and when: not again each turn.
-    proposed: BTreeMap<String, (u64, u64)>,
+    timing: LeaseTiming,
+    observed: BTreeMap<String, ObservedLease>,
+    leading: bool,
+    proposed: BTreeMap<String, ProposedExpiry>,
 }
 
 impl LeaseGranter {
-    /// One that does not lead and has applied nothing.
-    pub fn new(times: LeaseTiming) -> Self {
+    /// Creates the granter of a voter that does not lead and has applied nothing.
+    pub fn new(timing: LeaseTiming) -> Self {
         Self {
-            times,
-            seen: BTreeMap::new(),
-            leads: false,
+            timing,
+            observed: BTreeMap::new(),
+            leading: false,
             proposed: BTreeMap::new(),
         }
     }
 
-    /// Whether this node leads now.
-    pub fn lead(&mut self, leads: bool) {
-        if leads != self.leads {
+    /// Records whether this node leads the log now.
+    pub fn set_leading(&mut self, leading: bool) {
+        if leading != self.leading {
             self.proposed.clear();
         }
-        self.leads = leads;
+        self.leading = leading;
     }
 
-    /// Takes in what the log has come to, after commands were applied.
-    pub fn applied(&mut self, now: u64, state: &LeaseTable) {
-        self.seen
-            .retain(|name, _| state.duty(name).is_some_and(|duty| duty.owner.is_some()));
-        for (name, duty) in state.duties() {
-            let Some((_, token)) = &duty.owner else {
+    /// Records the state of the leases after commands were applied.
+    pub fn record_applied(&mut self, now: u64, table: &LeaseTable) {
+        self.observed
+            .retain(|name, _| table.lease(name).is_some_and(|lease| lease.owner.is_some()));
+        for (name, lease) in table.leases() {
+            let Some(owner) = &lease.owner else {
                 continue;
             };
-            let known = self
-                .seen
-                .get(name)
-                .map(|(token, renewals, _)| (*token, *renewals));
-            if known != Some((*token, duty.renewals)) {
-                self.seen
-                    .insert(name.to_owned(), (*token, duty.renewals, now));
+            let unchanged = self.observed.get(name).is_some_and(|observed| {
+                observed.token == owner.token && observed.renewals == lease.renewals
+            });
+            if !unchanged {
+                let observed = ObservedLease {
+                    token: owner.token,
+                    renewals: lease.renewals,
+                    observed_at: now,
+                };
+                self.observed.insert(name.to_owned(), observed);
             }
         }
     }
 
-    /// When a lease of this many renewals that was seen then is to be put to the log as over.
-    fn over(&self, name: &str, renewals: u64, since: u64) -> u64 {
-        let proposed = self.proposed.get(name).filter(|(of, _)| *of == renewals);
-        (since + self.times.granter()).max(proposed.map_or(0, |(_, at)| at + AGAIN))
+    /// Returns when the expiry of a lease is to be proposed, in milliseconds.
+    fn expiry_due_at(&self, name: &str, lease: &ObservedLease) -> u64 {
+        let proposed = self
+            .proposed
+            .get(name)
+            .filter(|proposed| proposed.renewals == lease.renewals);
+        let retry_at = proposed.map_or(0, |proposed| proposed.proposed_at + PROPOSAL_RETRY_MS);
+        (lease.observed_at + self.timing.granter_duration_ms()).max(retry_at)
     }
 
-    /// When it is to be asked next, while it leads.
-    pub fn next(&self) -> Option<u64> {
-        let all = self.seen.iter().filter(|_| self.leads);
-        all.map(|(name, (_, renewals, since))| self.over(name, *renewals, *since))
+    /// Returns when [`LeaseGranter::expire_due_leases`] is to be called next, in milliseconds, if this node leads.
+    pub fn next_expiry(&self) -> Option<u64> {
+        let leases = self.observed.iter().filter(|_| self.leading);
+        leases
+            .map(|(name, lease)| self.expiry_due_at(name, lease))
             .min()
     }
 
-    /// The leases that are over, to be put to the log.
-    pub fn due(&mut self, now: u64) -> Option<Operation> {
-        if !self.leads {
+    /// Returns the operation that expires all leases that are due, to be proposed to the log.
+    pub fn expire_due_leases(&mut self, now: u64) -> Option<Operation> {
+        if !self.leading {
             return None;
         }
-        let all = self
-            .seen
+        let due = self
+            .observed
             .iter()
-            .filter(|(name, (_, renewals, since))| self.over(name, *renewals, *since) <= now);
-        let over: Vec<(String, FencingToken, u64)> = all
-            .map(|(name, (token, renewals, _))| (name.clone(), *token, *renewals))
+            .filter(|(name, lease)| self.expiry_due_at(name, lease) <= now);
+        let leases: Vec<ExpiredLease> = due
+            .map(|(name, lease)| ExpiredLease {
+                lease: name.clone(),
+                token: lease.token,
+                renewals: lease.renewals,
+            })
             .collect();
-        for (name, _, renewals) in &over {
-            self.proposed.insert(name.clone(), (*renewals, now));
+        for expired in &leases {
+            let proposed = ProposedExpiry {
+                renewals: expired.renewals,
+                proposed_at: now,
+            };
+            self.proposed.insert(expired.lease.clone(), proposed);
         }
-        (!over.is_empty()).then_some(Operation::Expire(over))
+        (!leases.is_empty()).then_some(Operation::Expire { leases })
     }
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,128 +1,142 @@
-//! The time of a node that owns duties: whether it may still act, by its own clock alone.
+//! The leases that a node holds, and whether it may still act, by its own clock alone.
 
 use crate::LeaseTiming;
-use crate::state::FencingToken;
+use crate::operation::{FencingToken, LeaseClaim};
 use std::collections::BTreeMap;
 
-/// That a node may act now for a duty. It is good for the effect that is made at once, not for one that is made later.
+/// Permission of a node to act for a lease now. It covers the effect that is made at once, not one that is made later.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeasePermit {
-    duty: String,
+    lease: String,
     token: FencingToken,
-    left: u64,
+    remaining_ms: u64,
 }
 
 impl LeasePermit {
-    /// The duty.
-    pub fn duty(&self) -> &str {
-        &self.duty
+    /// Returns the name of the lease.
+    pub fn lease(&self) -> &str {
+        &self.lease
     }
 
-    /// The token to act under.
+    /// Returns the token to act under.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// How long the lease still runs, in milliseconds.
-    pub fn left(&self) -> u64 {
-        self.left
+    /// Returns how long the lease still runs, in milliseconds.
+    pub fn remaining_ms(&self) -> u64 {
+        self.remaining_ms
     }
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Held {
+struct HeldLease {
     token: FencingToken,
-    /// By this clock; none where it must be renewed before anything is done.
-    until: Option<u64>,
+    /// When the lease ends by this node's clock, in milliseconds; `None` if it must be renewed before the node may act.
+    valid_until: Option<u64>,
 }
 
-/// What a node owns.
+/// The leases that a node holds.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseHolder {
-    times: LeaseTiming,
-    held: BTreeMap<String, Held>,
-    /// When the latest turn was.
-    turn: Option<u64>,
-    /// What was asked before this counts for nothing any more.
-    since: u64,
+    timing: LeaseTiming,
+    held: BTreeMap<String, HeldLease>,
+    /// When [`LeaseHolder::detect_pause`] was called last, in milliseconds.
+    last_turn: Option<u64>,
+    /// When the latest pause ended, in milliseconds; answers to calls made before it do not extend a lease.
+    resumed_at: u64,
 }
 
 impl LeaseHolder {
-    /// One that owns nothing.
-    pub fn new(times: LeaseTiming) -> Self {
+    /// Creates a holder without leases.
+    pub fn new(timing: LeaseTiming) -> Self {
         Self {
-            times,
+            timing,
             held: BTreeMap::new(),
-            turn: None,
-            since: 0,
+            last_turn: None,
+            resumed_at: 0,
         }
     }
 
-    /// A turn of the loop; it is to come at least every half of `late`. One that comes later than `late` after the one
-    /// before has been a pause: nothing is thought to be owned until it has been renewed. Gives whether it was.
-    pub fn turn(&mut self, now: u64) -> bool {
-        let late = self.turn.is_some_and(|last| now > last + self.times.late);
-        self.turn = Some(now);
-        if late {
-            self.since = now;
-            self.held.values_mut().for_each(|held| held.until = None);
+    /// Records a turn of the event loop, which must come at least every half of [`LeaseTiming::pause_threshold_ms`]. Returns whether
+    /// the process was paused since the previous one; if so, every lease has to be renewed before the node may act for it.
+    pub fn detect_pause(&mut self, now: u64) -> bool {
+        let paused = self
+            .last_turn
+            .is_some_and(|last| now > last + self.timing.pause_threshold_ms);
+        self.last_turn = Some(now);
+        if paused {
+            self.resumed_at = now;
+            self.held
+                .values_mut()
+                .for_each(|held| held.valid_until = None);
         }
-        late
+        paused
     }
 
-    /// A grant has come, or a renewal, that was asked for then: the lease counts from before it was asked. An answer to what
-    /// was asked before a pause counts for nothing.
-    pub fn granted(&mut self, asked: u64, duty: &str, token: FencingToken) {
-        let until = (asked >= self.since).then(|| asked + self.times.owner());
+    /// Records a grant or a renewal that was asked for at `asked_at`. The lease counts from that time, which is before the log
+    /// granted it. An answer to a call made before a pause does not extend the lease.
+    pub fn record_grant(&mut self, asked_at: u64, lease: &str, token: FencingToken) {
+        let valid_until =
+            (asked_at >= self.resumed_at).then(|| asked_at + self.timing.holder_duration_ms());
+        let granted = HeldLease { token, valid_until };
         let held = self
             .held
-            .entry(duty.to_owned())
-            .or_insert(Held { token, until });
+            .entry(lease.to_owned())
+            .or_insert_with(|| granted.clone());
         if held.token < token {
-            *held = Held { token, until };
+            *held = granted;
         } else if held.token == token {
-            held.until = held.until.max(until);
+            held.valid_until = held.valid_until.max(valid_until);
         }
     }
 
-    /// A duty is this node's no more, as of this token: refused, released, lost, or handed on.
-    pub fn lost(&mut self, duty: &str, token: FencingToken) {
-        if self.held.get(duty).is_some_and(|held| held.token <= token) {
-            self.held.remove(duty);
+    /// Removes a lease that this node has lost, released or transferred, unless it holds it under a higher token than this one.
+    pub fn remove(&mut self, lease: &str, token: FencingToken) {
+        if self.held.get(lease).is_some_and(|held| held.token <= token) {
+            self.held.remove(lease);
         }
     }
 
-    /// Whether it may act now; asked before each effect.
-    pub fn may(&self, now: u64, duty: &str) -> Option<LeasePermit> {
-        let held = self.held.get(duty)?;
-        // The same as in `turn`, for who asks in the middle of one.
-        let awake = self.turn.is_some_and(|last| now <= last + self.times.late);
-        let left = held
-            .until?
+    /// Returns a permit if this node may act for the lease now; to be asked before each effect.
+    pub fn permit(&self, now: u64, lease: &str) -> Option<LeasePermit> {
+        let held = self.held.get(lease)?;
+        // The same check as in `detect_pause`, for a caller in the middle of a turn.
+        let not_paused = self
+            .last_turn
+            .is_some_and(|last| now <= last + self.timing.pause_threshold_ms);
+        let remaining_ms = held
+            .valid_until?
             .checked_sub(now)
-            .filter(|left| *left > 0 && awake)?;
+            .filter(|remaining| *remaining > 0 && not_paused)?;
         Some(LeasePermit {
-            duty: duty.to_owned(),
+            lease: lease.to_owned(),
             token: held.token,
-            left,
+            remaining_ms,
         })
     }
 
-    /// All that it believes to own, to be renewed at once; also what has to be, after a pause.
-    pub fn all(&self) -> Vec<(String, FencingToken)> {
+    /// Returns all leases that this node believes to own, also those that must be renewed after a pause.
+    pub fn claims(&self) -> Vec<LeaseClaim> {
         self.held
             .iter()
-            .map(|(duty, held)| (duty.clone(), held.token))
+            .map(|(lease, held)| LeaseClaim {
+                lease: lease.clone(),
+                token: held.token,
+            })
             .collect()
     }
 
-    /// When to renew: with two thirds of the shortest lease left, so that two renewals may be lost. 0 where one must be before
-    /// anything else is done.
+    /// Returns when to renew, in milliseconds: with two thirds of the shortest lease left, so that two renewals may be lost. Returns
+    /// 0 if a lease must be renewed before the node may act for it.
     pub fn renew_at(&self) -> Option<u64> {
-        let left = self.times.owner() * 2 / 3;
+        let remaining_at_renewal = self.timing.holder_duration_ms() * 2 / 3;
         self.held
             .values()
-            .map(|held| held.until.map_or(0, |until| until.saturating_sub(left)))
+            .map(|held| {
+                held.valid_until
+                    .map_or(0, |until| until.saturating_sub(remaining_at_renewal))
+            })
             .min()
     }
 }
--- a/crates/leases/tests/surface_bytes.rs
+++ b/crates/leases/tests/surface_bytes.rs
@@ -1,10 +1,10 @@
-//! Pins the encodings of commands, answers and the state of duties. Commands are entries of the replicated log and the
+//! Pins the encodings of commands, responses and the lease table. Commands are entries of the replicated log and the
 //! state is part of its snapshots; both are stored and sent to other nodes, which may run another version. So these bytes
 //! must not change with a rename. The literals were written by the version before the renames.
 
 use postproxy_leases::{
-    Command, Effect, Fence, Lease, LeaseTable, MAX_LEASES, MAX_NAME_BYTES, MAX_VALUE_BYTES,
-    Operation, Rejection, Response, StaleToken,
+    Command, Effect, ExpiredLease, Fence, Lease, LeaseClaim, LeaseOwner, LeaseTable, MAX_LEASES,
+    MAX_NAME_BYTES, MAX_VALUE_BYTES, Operation, Rejection, RenewedLease, Response, StaleToken,
 };
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
@@ -33,6 +33,14 @@
     );
 }
 
+/// Returns a lease with its token.
+fn claim(lease: &str, token: u64) -> LeaseClaim {
+    LeaseClaim {
+        lease: lease.into(),
+        token,
+    }
+}
+
 #[test]
 fn limits_are_unchanged() {
     assert_eq!(
@@ -42,139 +50,249 @@
 }
 
 #[test]
-fn calls_keep_their_bytes() {
-    pin(Operation::Acquire("d-1".into()), "0003642d31");
+fn operations_keep_their_bytes() {
+    pin(
+        Operation::Acquire {
+            lease: "d-1".into(),
+        },
+        "0003642d31",
+    );
     pin(
-        Operation::Renew(vec![("d-2".into(), 300), ("d-3".into(), 4)]),
+        Operation::Renew {
+            claims: vec![claim("d-2", 300), claim("d-3", 4)],
+        },
         "010203642d32ac0203642d3304",
     );
-    pin(Operation::Renew(Vec::new()), "0100");
-    pin(Operation::Release("d-4".into(), 5), "0203642d3405");
+    pin(Operation::Renew { claims: Vec::new() }, "0100");
     pin(
-        Operation::Hand("d-5".into(), Some(6), "n-2".into()),
+        Operation::Release {
+            lease: "d-4".into(),
+            token: 5,
+        },
+        "0203642d3405",
+    );
+    pin(
+        Operation::Transfer {
+            lease: "d-5".into(),
+            token: Some(6),
+            to: "n-2".into(),
+        },
         "0303642d350106036e2d32",
     );
     pin(
-        Operation::Hand("d-5".into(), None, "n-2".into()),
+        Operation::Transfer {
+            lease: "d-5".into(),
+            token: None,
+            to: "n-2".into(),
+        },
         "0303642d3500036e2d32",
     );
     pin(
-        Operation::Save("d-6".into(), 7, vec![8, 9]),
+        Operation::Save {
+            lease: "d-6".into(),
+            token: 7,
+            value: vec![8, 9],
+        },
         "0403642d3607020809",
     );
     pin(
-        Operation::Save("d-6".into(), 7, Vec::new()),
+        Operation::Save {
+            lease: "d-6".into(),
+            token: 7,
+            value: Vec::new(),
+        },
         "0403642d360700",
     );
     pin(
-        Operation::Expire(vec![("d-7".into(), 10, 11)]),
+        Operation::Expire {
+            leases: vec![ExpiredLease {
+                lease: "d-7".into(),
+                token: 10,
+                renewals: 11,
+            }],
+        },
         "050103642d370a0b",
     );
-    pin(Operation::Expire(Vec::new()), "0500");
+    pin(Operation::Expire { leases: Vec::new() }, "0500");
 }
 
 #[test]
 fn commands_keep_their_bytes() {
-    let call = Operation::Acquire("d-1".into());
+    let call = Operation::Acquire {
+        lease: "d-1".into(),
+    };
     pin(
         Command {
             node: "n-1".into(),
-            life: u64::MAX,
-            number: 2,
-            call,
+            incarnation: u64::MAX,
+            sequence: 2,
+            operation: call,
         },
         "036e2d31ffffffffffffffffff01020003642d31",
     );
-    let call = Operation::Renew(Vec::new());
+    let call = Operation::Renew { claims: Vec::new() };
     pin(
         Command {
             node: String::new(),
-            life: 0,
-            number: 0,
-            call,
+            incarnation: 0,
+            sequence: 0,
+            operation: call,
         },
         "0000000100",
     );
 }
 
 #[test]
-fn answers_keep_their_bytes() {
-    pin(Response::Owns(300, vec![1, 2]), "00ac02020102");
-    pin(Response::Owns(1, Vec::new()), "000100");
-    let renewed = vec![("d-1".into(), Some("n-2".into())), ("d-2".into(), None)];
+fn responses_keep_their_bytes() {
+    pin(
+        Response::Granted {
+            token: 300,
+            value: vec![1, 2],
+        },
+        "00ac02020102",
+    );
+    pin(
+        Response::Granted {
+            token: 1,
+            value: Vec::new(),
+        },
+        "000100",
+    );
+    let renewed = vec![
+        RenewedLease {
+            lease: "d-1".into(),
+            next_owner: Some("n-2".into()),
+        },
+        RenewedLease {
+            lease: "d-2".into(),
+            next_owner: None,
+        },
+    ];
     pin(
-        Response::Renewed(renewed, vec!["d-3".into()]),
+        Response::Renewed {
+            renewed,
+            lost: vec!["d-3".into()],
+        },
         "010203642d3101036e2d3203642d32000103642d33",
     );
-    pin(Response::Renewed(Vec::new(), Vec::new()), "010000");
-    pin(Response::Done, "02");
     pin(
-        Response::Refused(Rejection::Owned("n-3".into(), 4)),
+        Response::Renewed {
+            renewed: Vec::new(),
+            lost: Vec::new(),
+        },
+        "010000",
+    );
+    pin(Response::Completed, "02");
+    pin(
+        Response::Rejected(Rejection::OwnedByOther {
+            owner: "n-3".into(),
+            token: 4,
+        }),
         "0300036e2d3304",
     );
     pin(
-        Response::Refused(Rejection::StaleToken(Some(5))),
+        Response::Rejected(Rejection::StaleToken(Some(5))),
         "03010105",
     );
-    pin(Response::Refused(Rejection::StaleToken(None)), "030100");
-    pin(Response::Refused(Rejection::Unknown), "0302");
-    pin(Response::Refused(Rejection::Malformed), "0303");
-    pin(Response::Refused(Rejection::Full), "0304");
-    pin(Response::Refused(Rejection::Old), "0305");
+    pin(Response::Rejected(Rejection::StaleToken(None)), "030100");
+    pin(Response::Rejected(Rejection::UnknownLease), "0302");
+    pin(Response::Rejected(Rejection::Malformed), "0303");
+    pin(Response::Rejected(Rejection::TooManyLeases), "0304");
+    pin(Response::Rejected(Rejection::SupersededCommand), "0305");
 }
 
 #[test]
-fn duties_keep_their_bytes() {
-    let (owner, next) = (Some(("n-1".to_owned(), 2)), Some("n-2".to_owned()));
+fn leases_keep_their_bytes() {
+    let owner = LeaseOwner {
+        node: "n-1".into(),
+        token: 2,
+    };
     pin(
         Lease {
-            owner,
+            owner: Some(owner),
             renewals: 3,
-            next,
+            next_owner: Some("n-2".into()),
             value: vec![4, 5],
-            saved: 6,
+            value_token: 6,
         },
         "01036e2d31020301036e2d3202040506",
     );
     pin(Lease::default(), "0000000000");
 }
 
-/// A state that these calls have led to: two duties, one of them without an owner, and two clients.
-fn state() -> LeaseTable {
+/// The table after these operations: two leases, one of them without an owner, and two clients.
+fn table() -> LeaseTable {
     let calls = [
-        ("n-1", 17, 1, Operation::Acquire("audit".into())),
+        (
+            "n-1",
+            17,
+            1,
+            Operation::Acquire {
+                lease: "audit".into(),
+            },
+        ),
         (
             "n-1",
             17,
             2,
-            Operation::Save("audit".into(), 1, vec![0xaa, 0xbb]),
+            Operation::Save {
+                lease: "audit".into(),
+                token: 1,
+                value: vec![0xaa, 0xbb],
+            },
+        ),
+        (
+            "n-2",
+            18,
+            1,
+            Operation::Acquire {
+                lease: "other".into(),
+            },
         ),
-        ("n-2", 18, 1, Operation::Acquire("other".into())),
         (
             "n-2",
             18,
             2,
-            Operation::Hand("audit".into(), None, "n-2".into()),
+            Operation::Transfer {
+                lease: "audit".into(),
+                token: None,
+                to: "n-2".into(),
+            },
+        ),
+        (
+            "n-2",
+            18,
+            3,
+            Operation::Release {
+                lease: "other".into(),
+                token: 2,
+            },
+        ),
+        (
+            "n-1",
+            17,
+            3,
+            Operation::Renew {
+                claims: vec![claim("audit", 1)],
+            },
         ),
-        ("n-2", 18, 3, Operation::Release("other".into(), 2)),
-        ("n-1", 17, 3, Operation::Renew(vec![("audit".into(), 1)])),
     ];
     let mut state = LeaseTable::default();
-    for (node, life, number, call) in calls {
+    for (node, incarnation, sequence, operation) in calls {
         state.apply(&Command {
             node: node.into(),
-            life,
-            number,
-            call,
+            incarnation,
+            sequence,
+            operation,
         });
     }
     state
 }
 
 #[test]
-fn state_keeps_its_bytes() {
+fn table_keeps_its_bytes() {
     pin(
-        state(),
+        table(),
         "0205617564697401036e2d31010201036e2d3202aabb01056f7468657200010000000202036e2d311103010105617564697401036e2d320006036e2d321203020506",
     );
     pin(LeaseTable::default(), "00000000");
@@ -184,20 +302,20 @@
 fn fences_and_effects_keep_their_bytes() {
     let mut fence = Fence::default();
     pin(fence.clone(), "0000");
-    fence.learn("d-1", 5).expect("a first token");
-    fence.learn("d-2", 300).expect("a first token");
-    fence.learn("d-1", 4).expect_err("a stale token");
+    fence.observe("d-1", 5).expect("a first token");
+    fence.observe("d-2", 300).expect("a first token");
+    fence.observe("d-1", 4).expect_err("a stale token");
     pin(fence, "0203642d310503642d32ac0201");
     pin(
         StaleToken {
-            duty: "d-1".into(),
+            lease: "d-1".into(),
             token: 2,
-            seen: 3,
+            highest_seen: 3,
         },
         "03642d310203",
     );
-    // An effect can't be made without a permit, but it can be read: duty, token, content.
+    // An effect can't be made without a permit, but it can be read: lease, token, payload.
     let read: Effect<u8> = postcard::from_bytes(&unhex("03642d310509")).expect("an effect");
-    assert_eq!((read.duty(), read.token()), ("d-1", 5));
+    assert_eq!((read.lease(), read.token()), ("d-1", 5));
     pin(read, "03642d310509");
 }
--- a/crates/leases/tests/surface_errors.rs
+++ b/crates/leases/tests/surface_errors.rs
@@ -4,9 +4,15 @@
 use postproxy_leases::{Rejection, StaleToken};
 
 #[test]
-fn every_refusal_has_its_message() {
+fn every_rejection_has_its_message() {
     let cases = [
-        (Rejection::Owned("n1".into(), 7), "n1 owns it under token 7"),
+        (
+            Rejection::OwnedByOther {
+                owner: "n1".into(),
+                token: 7,
+            },
+            "n1 owns it under token 7",
+        ),
         (
             Rejection::StaleToken(Some(8)),
             "the token is over: it is 8 now",
@@ -15,28 +21,28 @@
             Rejection::StaleToken(None),
             "the token is over: nobody owns it now",
         ),
-        (Rejection::Unknown, "nobody knows this duty"),
+        (Rejection::UnknownLease, "nobody knows this duty"),
         (
             Rejection::Malformed,
             "a name must have 1 to 64 bytes, a value at most 65536",
         ),
-        (Rejection::Full, "no more duties can be remembered"),
+        (Rejection::TooManyLeases, "no more duties can be remembered"),
         (
-            Rejection::Old,
+            Rejection::SupersededCommand,
             "a later call of this client has been answered",
         ),
     ];
-    for (refusal, message) in cases {
-        assert_eq!(refusal.to_string(), message);
+    for (rejection, message) in cases {
+        assert_eq!(rejection.to_string(), message);
     }
 }
 
 #[test]
 fn a_stale_token_is_named_with_the_highest_one() {
     let stale = StaleToken {
-        duty: "bans".into(),
+        lease: "bans".into(),
         token: 3,
-        seen: 5,
+        highest_seen: 5,
     };
     assert_eq!(
         stale.to_string(),
--- a/crates/replicated-log/src/durability_gate.rs
+++ b/crates/replicated-log/src/durability_gate.rs
@@ -1,51 +1,52 @@
-//! What may be told only once the writes before it are durable.
+//! Holds back messages until the writes before them are durable.
 
 use std::collections::VecDeque;
 
-/// Counts writes, and holds back what rests on them.
+/// Numbers writes, and holds items back until all writes that were begun before them are durable.
 #[derive(Debug)]
 pub struct DurabilityGate<T> {
-    written: u64,
-    durable: u64,
-    held: VecDeque<(u64, T)>,
+    last_write: u64,
+    last_durable: u64,
+    /// Each with the number of the write that it waits for.
+    pending: VecDeque<(u64, T)>,
 }
 
 impl<T> Default for DurabilityGate<T> {
     fn default() -> Self {
         Self {
-            written: 0,
-            durable: 0,
-            held: VecDeque::new(),
+            last_write: 0,
+            last_durable: 0,
+            pending: VecDeque::new(),
         }
     }
 }
 
 impl<T> DurabilityGate<T> {
-    /// The number of another write.
-    pub fn write(&mut self) -> u64 {
-        self.written += 1;
-        self.written
+    /// Begins another write and returns its number, from 1 on.
+    pub fn begin_write(&mut self) -> u64 {
+        self.last_write += 1;
+        self.last_write
     }
 
-    /// Holds this back until all writes so far are durable.
-    pub fn hold(&mut self, what: T) {
-        self.held.push_back((self.written, what));
+    /// Holds an item back until all writes begun so far are durable.
+    pub fn hold(&mut self, item: T) {
+        self.pending.push_back((self.last_write, item));
     }
 
-    /// All writes up to this one are durable.
-    pub fn durable(&mut self, number: u64) {
-        self.durable = self.durable.max(number);
+    /// Records that all writes up to this number are durable.
+    pub fn record_durable(&mut self, number: u64) {
+        self.last_durable = self.last_durable.max(number);
     }
 
-    /// The next that may be told.
-    pub fn free(&mut self) -> Option<T> {
-        self.held
-            .pop_front_if(|(after, _)| *after <= self.durable)
-            .map(|(_, what)| what)
+    /// Returns the next item whose writes are durable.
+    pub fn pop_released(&mut self) -> Option<T> {
+        self.pending
+            .pop_front_if(|(write, _)| *write <= self.last_durable)
+            .map(|(_, item)| item)
     }
 
-    /// How much is held back.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Returns how many items are held back.
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
     }
 }
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,29 +1,33 @@
-//! One order of words among voters, and what comes of it. The log is that of `raft`; this wraps it so that nothing is said to
-//! anybody, and nothing is taken for decided, before what it rests on is durable.
+//! A replicated log: all voters agree on one order of entries and apply them to the same state machine. Consensus is that of the
+//! `raft` library; this crate wraps it so that no message that makes a promise is sent, and no entry counts as committed, before the
+//! writes that it rests on are durable.
 //!
-//! [`Voter`] has no socket, disk or clock: it is told messages, ticks and which writes are durable, and says what to send,
-//! what to write, and what has been decided. The design note is `docs/design/duties.md`.
+//! [`Voter`] has no socket, disk or clock. It receives messages, ticks and the numbers of durable writes, and returns what to send,
+//! what to write and what has been committed. The design note is `docs/design/duties.md`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod admission;
 mod durability_gate;
+mod message;
+mod proposal;
+mod ready;
 mod storage;
 mod voter;
 
-pub use storage::{CorruptLog, StorageChange, stored};
-pub use voter::{
-    MAX_ENTRY_BYTES, MAX_VOTERS, MembershipChange, Output, ProposalRejected, Voter, promise,
-};
+pub use message::{MessagePromise, message_promise};
+pub use proposal::{MAX_ENTRY_BYTES, MembershipChange, ProposalRejected};
+pub use storage::{CorruptLog, LogEnd, StorageChange, stored_log_end};
+pub use voter::{MAX_VOTERS, Output, Voter};
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Debug;
 
-/// What the words of the log come to: the same at every voter, whatever else is so there.
+/// A deterministic state machine: the same entries in the same order lead to the same state at every voter.
 pub trait StateMachine:
     Clone + Debug + Default + PartialEq + Serialize + for<'a> Deserialize<'a>
 {
-    /// The next word.
-    fn apply(&mut self, word: &[u8]);
+    /// Applies the next entry of the log.
+    fn apply(&mut self, entry: &[u8]);
 }
--- a/crates/replicated-log/src/storage.rs
+++ b/crates/replicated-log/src/storage.rs
@@ -1,4 +1,4 @@
-//! The log as it is in memory, with each change noted as it is to be kept.
+//! The log in memory. Each change is recorded, to be written to the store by the caller.
 
 use crate::StateMachine;
 use protobuf::Message as _;
@@ -7,323 +7,395 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change of what is kept: a key, and its value or none any more.
+/// A change of the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StorageChange {
-    /// The key; all begin with `a/`.
+    /// The key.
     pub key: Vec<u8>,
-    /// Its value.
+    /// The new value; `None` removes the key.
     pub value: Option<Vec<u8>>,
 }
 
-/// What was kept can't be gone by.
+/// The stored log can't be used. Carries the reason.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the log of the voters: {0}")]
 pub struct CorruptLog(pub String);
 
-/// Where the log of founders begins: a place that is folded from the start, so that who is added later gets a state, never a
-/// log from its first word without the voters that it began with.
-pub const FOUNDED: u64 = 1;
-const LOG: &[u8] = b"a/l/";
-const HARD: &[u8] = b"a/hard";
-/// What is folded, and where the log begins: in one value, so that one can't be kept without the other.
-const FOLDED: &[u8] = b"a/folded";
-/// So many words stay in the log when others are folded, for who is a little behind.
-const TAIL: u64 = 64;
-
-fn place(index: u64) -> Vec<u8> {
-    [LOG, &index.to_be_bytes()].concat()
+/// Index and term at which the log of the initial voters begins, with a snapshot. So a voter that is added later gets a snapshot with
+/// the voters, never the log from its first entry without them.
+const INITIAL_INDEX: u64 = 1;
+
+/// Prefix of the keys of entries; the index follows, with the most significant byte first.
+const ENTRY_KEY_PREFIX: &[u8] = b"a/l/";
+
+/// Key of the library's hard state: the term, the vote, and the committed index.
+const HARD_STATE_KEY: &[u8] = b"a/hard";
+
+/// Key of the snapshot and of the index where the log begins. They share a value, so that neither is stored without the other.
+const SNAPSHOT_KEY: &[u8] = b"a/folded";
+
+/// Number of applied entries that a compaction leaves in the log, so that a voter that is little behind needs no snapshot.
+const RETAINED_ENTRIES: u64 = 64;
+
+fn entry_key(index: u64) -> Vec<u8> {
+    [ENTRY_KEY_PREFIX, &index.to_be_bytes()].concat()
+}
+
+/// A position in the log.
+#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
+struct LogPosition {
+    index: u64,
+    term: u64,
+}
+
+/// How far a log has got.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
+pub struct LogEnd {
+    /// The latest term that the voter has reached.
+    pub term: u64,
+    /// The index of the last entry.
+    pub index: u64,
 }
 
-/// What all entries up to a place come to.
+/// The state after all applied entries. The leader also sends it to a voter that is far behind.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(bound = "")]
-pub struct StateSnapshot<F: StateMachine> {
-    pub state: F,
-    /// How many words that is: the library's own entries are none.
-    pub words: u64,
-    /// Who votes: the number of each seat, and the node that has it.
-    pub seats: BTreeMap<u64, String>,
-    /// The highest number that a seat ever had: none is given twice.
-    pub highest: u64,
+pub struct StateSnapshot<S: StateMachine> {
+    pub state: S,
+    /// The number of entries applied to the state; the library's own entries don't count.
+    pub entries: u64,
+    /// The name of each voter's node, by the voter's number.
+    pub voters: BTreeMap<u64, String>,
+    /// The highest number that a voter ever had; no number is used twice.
+    pub highest_voter_id: u64,
 }
 
-/// How `StateSnapshot` is kept.
+/// The stored form of the snapshot.
 #[derive(Deserialize, Serialize)]
 #[serde(bound = "")]
-struct Kept<F: StateMachine> {
-    index: u64,
-    term: u64,
-    compacted: (u64, u64),
-    voters: Vec<u8>,
-    folded: StateSnapshot<F>,
+struct StoredSnapshot<S: StateMachine> {
+    applied: LogPosition,
+    /// The last position that is not in the log any more.
+    compacted: LogPosition,
+    /// The encoded [`ConfState`] of the library.
+    conf_state: Vec<u8>,
+    snapshot: StateSnapshot<S>,
 }
 
-/// The term of a log that was kept, and where it ends; what can't be read counts as nothing.
-pub fn stored<'a>(kept: impl IntoIterator<Item = (&'a Vec<u8>, &'a Vec<u8>)>) -> (u64, u64) {
-    let (mut term, mut last) = (0, 0);
-    for (key, value) in kept {
-        if let Some(index) = key.strip_prefix(LOG) {
-            last = last.max(index.try_into().map(u64::from_be_bytes).unwrap_or_default());
-        } else if key == HARD {
-            term = HardState::parse_from_bytes(value)
-                .map(|hard| hard.term)
-                .unwrap_or_default();
-        } else if key == FOLDED {
-            // The place stands first.
-            last = last.max(
-                postcard::take_from_bytes::<u64>(value)
-                    .map(|(at, _)| at)
-                    .unwrap_or_default(),
-            );
+/// Returns how far a stored log has got. Values that can't be read count as missing.
+pub fn stored_log_end<'a>(stored: impl IntoIterator<Item = (&'a Vec<u8>, &'a Vec<u8>)>) -> LogEnd {
+    let mut end = LogEnd::default();
+    for (key, value) in stored {
+        if let Some(index) = key.strip_prefix(ENTRY_KEY_PREFIX) {
+            let index = index.try_into().map(u64::from_be_bytes);
+            end.index = end.index.max(index.unwrap_or_default());
+        } else if key == HARD_STATE_KEY {
+            let hard_state = HardState::parse_from_bytes(value);
+            end.term = hard_state.map(|state| state.term).unwrap_or_default();
+        } else if key == SNAPSHOT_KEY {
+            // The index comes first in the stored form.
+            let index = postcard::take_from_bytes::<u64>(value).map(|(index, _)| index);
+            end.index = end.index.max(index.unwrap_or_default());
         }
     }
-    (term, last)
+    end
 }
 
 /// The log in memory.
 #[derive(Debug)]
-pub struct LogStorage<F: StateMachine> {
+pub struct LogStorage<S: StateMachine> {
     log: Vec<Entry>,
-    /// The last place that is no more in the log, and its term.
-    compacted: (u64, u64),
-    pub hard: HardState,
-    pub voters: ConfState,
-    /// What has been applied, up to this place.
-    pub applied: u64,
-    pub folded: StateSnapshot<F>,
+    /// The last position that is not in the log any more.
+    compacted: LogPosition,
+    hard_state: HardState,
+    /// The voters in the library's form.
+    pub conf_state: ConfState,
+    /// The index of the last applied entry.
+    pub applied_index: u64,
+    /// The state at `applied_index`.
+    pub snapshot: StateSnapshot<S>,
     changes: Vec<StorageChange>,
 }
 
-fn bytes(message: &impl protobuf::Message) -> Vec<u8> {
-    // Writing to memory fails at nothing but its end.
+fn encode(message: &impl protobuf::Message) -> Vec<u8> {
+    // Encoding to memory fails only when memory is exhausted.
     message.write_to_bytes().unwrap_or_default()
 }
 
-fn read<M: protobuf::Message>(what: &str, value: &[u8]) -> std::result::Result<M, CorruptLog> {
-    M::parse_from_bytes(value).map_err(|_| CorruptLog(format!("{what} can't be read")))
+/// Decodes a stored value; `name` is its name in the error.
+fn decode<M: protobuf::Message>(name: &str, value: &[u8]) -> std::result::Result<M, CorruptLog> {
+    M::parse_from_bytes(value).map_err(|_| CorruptLog(format!("{name} can't be read")))
 }
 
-impl<F: StateMachine> LogStorage<F> {
-    /// As it was kept. With nothing kept, the founders'; with no founders, that of one who waits to be told.
+impl<S: StateMachine> LogStorage<S> {
+    /// Restores the log from its stored keys and values. With nothing stored it is the log that the initial voters begin with; if
+    /// there are none, an empty log that waits for the leader.
+    ///
+    /// # Errors
+    ///
+    /// If a value can't be read or is missing.
     pub fn restore(
-        founders: &BTreeMap<u64, String>,
-        kept: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
+        initial_voters: &BTreeMap<u64, String>,
+        stored: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
     ) -> std::result::Result<Self, CorruptLog> {
-        let mut memory = Self {
+        let mut storage = Self {
             log: Vec::new(),
-            compacted: (0, 0),
-            hard: HardState::default(),
-            voters: ConfState::default(),
-            applied: 0,
-            folded: StateSnapshot::default(),
+            compacted: LogPosition::default(),
+            hard_state: HardState::default(),
+            conf_state: ConfState::default(),
+            applied_index: 0,
+            snapshot: StateSnapshot::default(),
             changes: Vec::new(),
         };
-        let (mut words, mut any) = (BTreeMap::new(), false);
-        for (key, value) in kept {
-            any = true;
-            if let Some(index) = key.strip_prefix(LOG) {
+        let mut entries = BTreeMap::new();
+        let mut is_new = true;
+        for (key, value) in stored {
+            is_new = false;
+            if let Some(index) = key.strip_prefix(ENTRY_KEY_PREFIX) {
                 let index = index
                     .try_into()
                     .map_err(|_| CorruptLog("a place has no number".into()))?;
-                words.insert(u64::from_be_bytes(index), read::<Entry>("a word", &value)?);
-                continue;
+                entries.insert(u64::from_be_bytes(index), decode("a word", &value)?);
+            } else {
+                storage.restore_value(&key, &value)?;
             }
-            match &key[..] {
-                HARD => memory.hard = read("the promise", &value)?,
-                FOLDED => {
-                    let Ok((kept, [])) = postcard::take_from_bytes::<Kept<F>>(&value) else {
-                        return Err(CorruptLog("what is folded can't be read".into()));
-                    };
-                    memory.voters = read("the voters", &kept.voters)?;
-                    (memory.applied, memory.compacted, memory.folded) =
-                        (kept.index, kept.compacted, kept.folded);
-                    if kept.index < kept.compacted.0 || memory.voters.get_voters().is_empty() {
-                        return Err(CorruptLog("what is folded contradicts itself".into()));
-                    }
-                }
-                key => {
-                    return Err(CorruptLog(format!(
-                        "{} is nothing of it",
-                        String::from_utf8_lossy(key)
-                    )));
+        }
+        if is_new && !initial_voters.is_empty() {
+            storage.initialize(initial_voters);
+        }
+        storage.restore_entries(entries)?;
+        Ok(storage)
+    }
+
+    /// Restores a value that is not an entry.
+    fn restore_value(&mut self, key: &[u8], value: &[u8]) -> std::result::Result<(), CorruptLog> {
+        match key {
+            HARD_STATE_KEY => self.hard_state = decode("the promise", value)?,
+            SNAPSHOT_KEY => {
+                let Ok((stored, [])) = postcard::take_from_bytes::<StoredSnapshot<S>>(value) else {
+                    return Err(CorruptLog("what is folded can't be read".into()));
+                };
+                self.conf_state = decode("the voters", &stored.conf_state)?;
+                self.applied_index = stored.applied.index;
+                self.compacted = stored.compacted;
+                self.snapshot = stored.snapshot;
+                if self.applied_index < self.compacted.index
+                    || self.conf_state.get_voters().is_empty()
+                {
+                    return Err(CorruptLog("what is folded contradicts itself".into()));
                 }
             }
+            key => {
+                return Err(CorruptLog(format!(
+                    "{} is nothing of it",
+                    String::from_utf8_lossy(key)
+                )));
+            }
         }
-        if !any && !founders.is_empty() {
-            memory.found(founders);
-        }
-        for (index, entry) in words {
-            let next = memory.last() + 1;
-            if index != next || entry.index != index {
+        Ok(())
+    }
+
+    fn restore_entries(
+        &mut self,
+        entries: BTreeMap<u64, Entry>,
+    ) -> std::result::Result<(), CorruptLog> {
+        for (index, entry) in entries {
+            let expected = self.last_entry_index() + 1;
+            if index != expected || entry.index != index {
                 return Err(CorruptLog(format!(
-                    "place {next} is missing: {index} is the next that is there"
+                    "place {expected} is missing: {index} is the next that is there"
                 )));
             }
-            memory.log.push(entry);
+            self.log.push(entry);
         }
-        if memory.applied > memory.last() || memory.hard.commit > memory.last() {
+        let last = self.last_entry_index();
+        if self.applied_index > last || self.hard_state.commit > last {
             return Err(CorruptLog("more is decided than is there".into()));
         }
-        Ok(memory)
+        Ok(())
     }
 
-    fn found(&mut self, founders: &BTreeMap<u64, String>) {
-        (self.compacted, self.applied) = ((FOUNDED, FOUNDED), FOUNDED);
-        self.voters.set_voters(founders.keys().copied().collect());
-        self.hard.set_term(FOUNDED);
-        self.hard.set_commit(FOUNDED);
-        self.folded.seats = founders.clone();
-        self.folded.highest = founders.keys().copied().max().unwrap_or_default();
-        self.keep_folded();
-        self.keep_hard(self.hard.clone());
+    /// Begins the log of the initial voters.
+    fn initialize(&mut self, initial_voters: &BTreeMap<u64, String>) {
+        self.compacted = LogPosition {
+            index: INITIAL_INDEX,
+            term: INITIAL_INDEX,
+        };
+        self.applied_index = INITIAL_INDEX;
+        self.conf_state
+            .set_voters(initial_voters.keys().copied().collect());
+        self.hard_state.set_term(INITIAL_INDEX);
+        self.hard_state.set_commit(INITIAL_INDEX);
+        self.snapshot.voters = initial_voters.clone();
+        self.snapshot.highest_voter_id = initial_voters.keys().copied().max().unwrap_or_default();
+        self.record_snapshot();
+        self.set_hard_state(self.hard_state.clone());
     }
 
-    fn put(&mut self, key: &[u8], value: Option<Vec<u8>>) {
+    fn record_change(&mut self, key: &[u8], value: Option<Vec<u8>>) {
         self.changes.push(StorageChange {
             key: key.to_vec(),
             value,
         });
     }
 
-    /// What is to be written now.
-    pub fn take(&mut self) -> Vec<StorageChange> {
+    /// Returns the changes since the last call, to be written.
+    pub fn take_changes(&mut self) -> Vec<StorageChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// The last place.
-    fn last(&self) -> u64 {
-        self.compacted.0 + self.log.len() as u64
+    fn last_entry_index(&self) -> u64 {
+        self.compacted.index + self.log.len() as u64
     }
 
-    /// Words in memory.
-    pub fn length(&self) -> usize {
+    /// Returns the number of entries in memory.
+    pub fn entries_in_memory(&self) -> usize {
         self.log.len()
     }
 
-    pub fn keep_hard(&mut self, hard: HardState) {
-        self.put(HARD, Some(bytes(&hard)));
-        self.hard = hard;
+    /// Replaces the hard state of the library.
+    pub fn set_hard_state(&mut self, hard_state: HardState) {
+        self.record_change(HARD_STATE_KEY, Some(encode(&hard_state)));
+        self.hard_state = hard_state;
     }
 
-    fn keep_folded(&mut self) {
-        let kept = Kept {
-            index: self.applied,
-            term: self.term(self.applied).unwrap_or_default(),
+    fn record_snapshot(&mut self) {
+        let applied = LogPosition {
+            index: self.applied_index,
+            term: self.term(self.applied_index).unwrap_or_default(),
+        };
+        let stored = StoredSnapshot {
+            applied,
             compacted: self.compacted,
-            voters: bytes(&self.voters),
-            folded: self.folded.clone(),
+            conf_state: encode(&self.conf_state),
+            snapshot: self.snapshot.clone(),
         };
-        self.put(FOLDED, Some(postcard::to_stdvec(&kept).unwrap_or_default()));
+        let value = postcard::to_stdvec(&stored).unwrap_or_default();
+        self.record_change(SNAPSHOT_KEY, Some(value));
     }
 
-    /// Takes in entries, which go before what is there from the first of them on.
+    /// Appends entries. They replace those that are in the log from the first of their indexes on.
     pub fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first().map(|entry| entry.index) else {
             return;
         };
-        let keep = first.saturating_sub(self.compacted.0 + 1);
-        for index in first + entries.len() as u64..=self.last() {
-            self.put(&place(index), None);
+        for index in first + entries.len() as u64..=self.last_entry_index() {
+            self.record_change(&entry_key(index), None);
         }
-        self.log.truncate(keep as usize);
+        let retained = first.saturating_sub(self.compacted.index + 1);
+        self.log.truncate(retained as usize);
         for entry in entries {
-            self.put(&place(entry.index), Some(bytes(&entry)));
+            self.record_change(&entry_key(entry.index), Some(encode(&entry)));
             self.log.push(entry);
         }
     }
 
-    /// Takes a state in place of all that is there; `false` if it can't be read.
-    pub fn take_over(&mut self, snapshot: &Snapshot) -> bool {
-        let Ok((folded, [])) = postcard::take_from_bytes::<StateSnapshot<F>>(snapshot.get_data())
+    /// Replaces the log and the state by a snapshot of the leader's. Returns `false` and changes nothing if it can't be read.
+    pub fn install_snapshot(&mut self, snapshot: &Snapshot) -> bool {
+        let Ok((state, [])) = postcard::take_from_bytes::<StateSnapshot<S>>(snapshot.get_data())
         else {
             return false;
         };
-        let meta = snapshot.get_metadata();
-        for index in self.compacted.0 + 1..=self.last() {
-            self.put(&place(index), None);
+        let metadata = snapshot.get_metadata();
+        for index in self.compacted.index + 1..=self.last_entry_index() {
+            self.record_change(&entry_key(index), None);
         }
         self.log.clear();
-        (self.compacted, self.applied) = ((meta.index, meta.term), meta.index);
-        self.voters = meta.get_conf_state().clone();
-        self.folded = folded;
-        self.keep_folded();
+        self.compacted = LogPosition {
+            index: metadata.index,
+            term: metadata.term,
+        };
+        self.applied_index = metadata.index;
+        self.conf_state = metadata.get_conf_state().clone();
+        self.snapshot = state;
+        self.record_snapshot();
         true
     }
 
-    /// Folds what has been applied, and lets all but the last words go.
+    /// Stores a snapshot and removes all applied entries but the last ones from the log.
     pub fn compact(&mut self) {
-        let upto = self.applied.saturating_sub(TAIL).max(self.compacted.0);
-        let Ok(term) = self.term(upto) else { return };
-        for index in self.compacted.0 + 1..=upto {
-            self.put(&place(index), None);
+        let index = self
+            .applied_index
+            .saturating_sub(RETAINED_ENTRIES)
+            .max(self.compacted.index);
+        let Ok(term) = self.term(index) else { return };
+        for removed in self.compacted.index + 1..=index {
+            self.record_change(&entry_key(removed), None);
         }
-        self.log.drain(..(upto - self.compacted.0) as usize);
-        self.compacted = (upto, term);
-        self.keep_folded();
+        self.log.drain(..(index - self.compacted.index) as usize);
+        self.compacted = LogPosition { index, term };
+        self.record_snapshot();
     }
 
-    /// Whether so many words have been applied since they were folded last that it is time.
-    pub fn grown(&self, fold: u64) -> bool {
-        self.applied >= self.compacted.0 + TAIL + fold
+    /// Returns whether at least this many entries have been applied since the last compaction.
+    pub fn needs_compaction(&self, interval_entries: u64) -> bool {
+        self.applied_index >= self.compacted.index + RETAINED_ENTRIES + interval_entries
     }
 }
 
-impl<F: StateMachine> Storage for LogStorage<F> {
+impl<S: StateMachine> Storage for LogStorage<S> {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.voters.clone()))
+        Ok(RaftState::new(
+            self.hard_state.clone(),
+            self.conf_state.clone(),
+        ))
     }
 
     fn entries(
         &self,
         low: u64,
         high: u64,
-        most: impl Into<Option<u64>>,
+        max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        if low <= self.compacted.0 {
+        if low <= self.compacted.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = |index: u64| (index - self.compacted.0 - 1) as usize;
-        let all = self
+        let offset = |index: u64| (index - self.compacted.index - 1) as usize;
+        let range = self
             .log
-            .get(at(low)..at(high))
+            .get(offset(low)..offset(high))
             .ok_or(Error::Store(StorageError::Unavailable))?;
-        let mut entries = all.to_vec();
-        raft::util::limit_size(&mut entries, most.into());
+        let mut entries = range.to_vec();
+        raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.compacted.0 {
-            return Ok(self.compacted.1);
+        if index == self.compacted.index {
+            return Ok(self.compacted.term);
         }
-        if index < self.compacted.0 {
+        if index < self.compacted.index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let entry = self.log.get((index - self.compacted.0 - 1) as usize);
+        let entry = self.log.get((index - self.compacted.index - 1) as usize);
         entry
             .map(|entry| entry.term)
             .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.compacted.0 + 1)
+        Ok(self.compacted.index + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.last())
+        Ok(self.last_entry_index())
     }
 
-    fn snapshot(&self, wanted: u64, _: u64) -> Result<Snapshot> {
-        if self.applied < wanted {
+    fn snapshot(&self, request_index: u64, _: u64) -> Result<Snapshot> {
+        if self.applied_index < request_index {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         let mut snapshot = Snapshot::default();
-        snapshot.set_data(postcard::to_stdvec(&self.folded).unwrap_or_default().into());
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (self.applied, self.term(self.applied)?);
-        meta.set_conf_state(self.voters.clone());
+        snapshot.set_data(
+            postcard::to_stdvec(&self.snapshot)
+                .unwrap_or_default()
+                .into(),
+        );
+        let metadata = snapshot.mut_metadata();
+        metadata.index = self.applied_index;
+        metadata.term = self.term(self.applied_index)?;
+        metadata.set_conf_state(self.conf_state.clone());
         Ok(snapshot)
     }
 }
--- a/crates/replicated-log/src/voter.rs
+++ b/crates/replicated-log/src/voter.rs
@@ -1,540 +1,250 @@
-//! One voter.
+//! A voter: its inputs, its state and what it asks the caller to do.
 
 use crate::StateMachine;
 use crate::durability_gate::DurabilityGate;
+use crate::message;
+use crate::ready::PendingReady;
 use crate::storage::{CorruptLog, LogStorage, StorageChange};
 use protobuf::Message as _;
-use raft::eraftpb::{
-    ConfChange, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
-};
+use raft::eraftpb::{Message, MessageType};
 use raft::{Config, RawNode, SnapshotStatus, StateRole};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The longest word, in bytes.
-pub const MAX_ENTRY_BYTES: usize = 256 << 10;
-/// Seats, at most.
+/// Maximum number of voters. More make each commit slower and hardly add to availability.
 pub const MAX_VOTERS: usize = 7;
-/// So many words are folded at a time.
-const FOLD: u64 = 512;
-/// Inputs that wait for a disk; beyond it nothing new is taken in.
-const MOST_HELD: usize = 4096;
-/// Ticks without a word of the leader before another is sought, at least; each voter waits so many more by its number, so that two
-/// seldom try at once. No chance is in it: a seed replays a run.
-const ELECTION: usize = 10;
-const STAGGER: usize = 3;
-/// Ticks between hellos of the leader.
-const HEARTBEAT: usize = 2;
-/// Bytes of a message, about; and of what a leader has put to the log and is not decided.
-const MESSAGE: u64 = 64 << 10;
-const UNDECIDED: u64 = 4 << 20;
 
-/// What is to be done, or has come of it.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Output {
-    /// Write these, all or none, in the order of their numbers; [`Voter::durable`] is told when they are.
-    Write(u64, Vec<StorageChange>),
-    /// Send this to that voter.
-    Send(u64, Vec<u8>),
-    /// A word is decided, at this place from 1 on: [`Voter::state`] has it in.
-    Decided(u64, Vec<u8>),
-    /// Many are, up to this place, whose words are not told: [`Voter::state`] has them in.
-    Skipped(u64),
-    /// Who votes has changed.
-    Seats,
-}
+/// Minimum number of voters that a removal may leave.
+pub const MIN_VOTERS: usize = 2;
 
-/// Why a word is not proposed.
-#[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum ProposalRejected {
-    /// It is longer than any may be.
-    #[error("it is too long")]
-    Long,
-    /// Too much waits for the disk, or to be decided.
-    #[error("too much waits for the disk or to be decided")]
-    Busy,
-    /// No voter leads that this one knows of.
-    #[error("no voter leads")]
-    Leaderless,
-    /// Another one leads, which is to be asked.
-    #[error("voter {0} leads")]
-    Elsewhere(u64),
-    /// A change of who votes is under way.
-    #[error("another change of the voters is not decided yet")]
-    Changing,
-    /// No more than seven vote, no fewer than two.
-    #[error("two to seven nodes vote")]
-    Count,
-    /// The library has come to an end with itself: this process votes no more.
-    #[error("the log of this process is at its end")]
-    Ended,
-}
+/// Maximum number of ready states that wait for the disk. Beyond it the voter drops its inputs, which bounds its memory.
+pub const MAX_PENDING_READIES: usize = 4096;
 
-/// A change of who votes.
-#[derive(Clone, Debug, Eq, PartialEq)]
-pub enum MembershipChange {
-    /// This node gets a seat, with a number that none has had.
-    Add(String),
-    /// The seat of this number is taken away.
-    Remove(u64),
-}
+/// Minimum number of ticks without a message of the leader before a voter stands for election.
+const ELECTION_TICKS: usize = 10;
+
+/// Each voter waits this many more ticks for each unit of its number, so that two seldom stand at once. There is no randomness in
+/// it, so that a seed replays a run of the simulation.
+const ELECTION_STAGGER_TICKS: usize = 3;
+
+/// Number of ticks between two heartbeats of the leader.
+const HEARTBEAT_TICKS: usize = 2;
+
+/// Approximate maximum size of a message with entries, in bytes.
+const MAX_MESSAGE_BYTES: u64 = 64 << 10;
 
-/// What may be told once a write is durable.
-struct Held {
-    ready: u64,
-    messages: Vec<Message>,
+/// Maximum size of the proposed entries that are not committed, in bytes.
+const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
+
+/// What the caller is to do, or what has happened.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Output {
+    /// Write these changes, all or none, in the order of the numbers; report them by [`Voter::record_durable`].
+    Write {
+        /// The number of the write.
+        number: u64,
+        /// The changes.
+        changes: Vec<StorageChange>,
+    },
+    /// Send a message to another voter.
+    Send {
+        /// The number of the voter.
+        to: u64,
+        /// The encoded message.
+        message: Vec<u8>,
+    },
+    /// An entry has been committed and applied to [`Voter::state`].
+    Committed {
+        /// The number of the entry, from 1 on.
+        number: u64,
+        /// The entry.
+        entry: Vec<u8>,
+    },
+    /// A snapshot of the leader's has replaced the state, and these entries are part of [`Voter::state`] without a
+    /// [`Output::Committed`] each.
+    SnapshotInstalled {
+        /// The number of entries applied so far.
+        applied_entries: u64,
+    },
+    /// [`Voter::voters`] has changed.
+    VotersChanged,
 }
 
-/// One voter, by the number of its seat.
-pub struct Voter<F: StateMachine> {
-    me: u64,
-    raft: RawNode<LogStorage<F>>,
-    gate: DurabilityGate<Held>,
-    ended: Option<String>,
+/// A voter of the replicated log.
+pub struct Voter<S: StateMachine> {
+    id: u64,
+    pub(crate) raft: RawNode<LogStorage<S>>,
+    pub(crate) gate: DurabilityGate<PendingReady>,
+    failure: Option<String>,
 }
 
-impl<F: StateMachine> Voter<F> {
-    /// The voter of this seat, from what it had kept. With nothing kept it is one of these founders; with no founders given, one
-    /// that has been added and waits to be told. **One that has voted before and comes back with less than it had kept must
-    /// not be this number any more** ([`crate::admission`] says): it may break what it has promised. What comes of it is to be
-    /// done as of any other call.
+impl<S: StateMachine> Voter<S> {
+    /// Restores the voter of this number from its stored keys and values. With nothing stored it is one of `initial_voters`; if these
+    /// are empty, it has been added to a running log and waits for the leader. Also returns what the caller is to do.
+    ///
+    /// **A voter that has voted and comes back with less than it had stored must not be restored under its number**, because it may
+    /// break its promises; [`crate::admission`] finds that out.
     ///
     /// # Errors
     ///
-    /// If what was kept can't be gone by, or the founders are none.
+    /// If the stored log is corrupt, or the number is not one of the initial voters'.
     pub fn new(
-        me: u64,
-        founders: &BTreeMap<u64, String>,
-        kept: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
+        id: u64,
+        initial_voters: &BTreeMap<u64, String>,
+        stored: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
     ) -> Result<(Self, Vec<Output>), CorruptLog> {
-        let sound = founders.is_empty() || founders.contains_key(&me) && !founders.contains_key(&0);
-        if !sound || me == 0 || founders.len() > MAX_VOTERS {
+        let is_initial = initial_voters.contains_key(&id) && !initial_voters.contains_key(&0);
+        let valid = initial_voters.is_empty() || is_initial;
+        if !valid || id == 0 || initial_voters.len() > MAX_VOTERS {
             return Err(CorruptLog(format!(
-                "voter {me} of {founders:?}: up to {MAX_VOTERS} numbers above 0, its own among them"
+                "voter {id} of {initial_voters:?}: up to {MAX_VOTERS} numbers above 0, its own among them"
             )));
         }
-        let memory = LogStorage::<F>::restore(founders, kept)?;
+        let storage = LogStorage::<S>::restore(initial_voters, stored)?;
+        let election_ticks =
+            ELECTION_TICKS + ELECTION_STAGGER_TICKS * (id % MAX_VOTERS as u64) as usize;
         let config = Config {
-            id: me,
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
-            min_election_tick: ELECTION + STAGGER * (me % MAX_VOTERS as u64) as usize,
-            max_election_tick: ELECTION + STAGGER * (me % MAX_VOTERS as u64) as usize + 1,
-            applied: memory.applied,
-            max_size_per_msg: MESSAGE,
-            max_uncommitted_size: UNDECIDED,
+            id,
+            election_tick: ELECTION_TICKS,
+            heartbeat_tick: HEARTBEAT_TICKS,
+            min_election_tick: election_ticks,
+            max_election_tick: election_ticks + 1,
+            applied: storage.applied_index,
+            max_size_per_msg: MAX_MESSAGE_BYTES,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             max_committed_size_per_ready: u64::MAX,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
-        let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let raft =
-            RawNode::new(&config, memory, &quiet).map_err(|error| CorruptLog(error.to_string()))?;
+        let no_logs = slog::Logger::root(slog::Discard, slog::o!());
+        let raft = RawNode::new(&config, storage, &no_logs)
+            .map_err(|error| CorruptLog(error.to_string()))?;
         let mut voter = Self {
-            me,
+            id,
             raft,
             gate: DurabilityGate::default(),
-            ended: None,
+            failure: None,
         };
-        // What was kept is durable: what is decided of it holds at once.
+        // What was stored is durable, so that its committed entries are applied at once.
         let mut out = Vec::new();
-        voter.pass(&mut out);
+        voter.process_ready(&mut out);
         Ok((voter, out))
     }
 
-    /// Its number.
-    pub fn me(&self) -> u64 {
-        self.me
+    /// Returns its number.
+    pub fn id(&self) -> u64 {
+        self.id
     }
 
-    /// What the words that it has told as decided come to.
-    pub fn state(&self) -> &F {
-        &self.raft.store().folded.state
+    /// Returns the state after all entries that have been committed and applied.
+    pub fn state(&self) -> &S {
+        &self.raft.store().snapshot.state
     }
 
-    /// How many words that is.
-    pub fn told(&self) -> u64 {
-        self.raft.store().folded.words
+    /// Returns how many entries have been applied to the state.
+    pub fn applied_entries(&self) -> u64 {
+        self.raft.store().snapshot.entries
     }
 
-    /// Who votes: the number of each seat, and the node that has it.
-    pub fn seats(&self) -> &BTreeMap<u64, String> {
-        &self.raft.store().folded.seats
+    /// Returns the voters: the number of each, and the name of its node.
+    pub fn voters(&self) -> &BTreeMap<u64, String> {
+        &self.raft.store().snapshot.voters
     }
 
-    /// The place of the log that has been applied, the library's own entries and changes of who votes counted.
-    pub fn place(&self) -> u64 {
-        self.raft.store().applied
+    /// Returns the index of the log that has been applied. It also counts the library's own entries and membership changes.
+    pub fn applied_index(&self) -> u64 {
+        self.raft.store().applied_index
     }
 
-    /// Who leads, as far as it knows.
+    /// Returns the number of the leader, as far as this voter knows.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raft.raft.leader_id).filter(|leader| *leader > 0)
     }
 
-    /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    /// Returns whether this voter leads.
+    pub fn is_leader(&self) -> bool {
         self.raft.raft.state == StateRole::Leader
     }
 
-    /// Words of the log in memory.
-    pub fn length(&self) -> usize {
-        self.raft.store().length()
+    /// Returns the number of entries of the log in memory.
+    pub fn entries_in_memory(&self) -> usize {
+        self.raft.store().entries_in_memory()
     }
 
-    /// Why it votes no more, if the library has come to an end with itself.
-    pub fn ended(&self) -> Option<&str> {
-        self.ended.as_deref()
+    /// Returns why this process votes no more, if the library has found its log inconsistent.
+    pub fn failure(&self) -> Option<&str> {
+        self.failure.as_deref()
     }
 
-    /// A tick: they come evenly, some twenty a second.
+    pub(crate) fn fail(&mut self, reason: String) {
+        self.failure = Some(reason);
+    }
+
+    /// Counts a tick; they come evenly, about twenty a second.
     pub fn tick(&mut self, out: &mut Vec<Output>) {
-        // One whose disk does not come to an end says nothing new meanwhile: others will see to it.
-        if self.gate.held() < MOST_HELD {
-            self.guarded(|raft| {
+        // A voter whose disk does not finish its writes starts nothing new; the others elect another leader.
+        if self.gate.pending_count() < MAX_PENDING_READIES {
+            self.run_guarded(|raft| {
                 raft.tick();
             });
         }
-        self.pass(out);
+        self.process_ready(out);
     }
 
-    /// A message of a voter has come; one that can't be read or is none that could have been sent is passed over, and `false`
-    /// is given.
+    /// Handles a message of another voter. Returns `false` if the message can't be read or no voter could have sent it.
     pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Output>) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return false;
         };
-        // A proposal keeps its first sender's number and may come back to it, where who leads has changed.
-        let own = message.from == self.me && message.get_msg_type() != MessageType::MsgPropose;
-        if message.to != self.me || message.from == 0 || own || !sound(&message) {
+        // A forwarded proposal keeps the number of its first sender, and may come back to it after a change of the leader.
+        let claims_own_id =
+            message.from == self.id && message.get_msg_type() != MessageType::MsgPropose;
+        if message.to != self.id
+            || message.from == 0
+            || claims_own_id
+            || !message::is_valid(&message)
+        {
             return false;
         }
-        if self.gate.held() < MOST_HELD {
-            self.guarded(|raft| {
-                // A refusal leaves all as it is.
+        if self.gate.pending_count() < MAX_PENDING_READIES {
+            self.run_guarded(|raft| {
+                // A rejected message changes nothing.
                 let _ = raft.step(message);
             });
         }
-        self.pass(out);
+        self.process_ready(out);
         true
     }
 
-    /// Messages to and from a voter may have been lost: its connection was made anew.
-    pub fn reconnected(&mut self, voter: u64, out: &mut Vec<Output>) {
-        self.guarded(|raft| {
+    /// Records that the connection to another voter was made anew: messages in both directions may have been lost.
+    pub fn peer_reconnected(&mut self, voter: u64, out: &mut Vec<Output>) {
+        self.run_guarded(|raft| {
             raft.report_unreachable(voter);
             raft.report_snapshot(voter, SnapshotStatus::Failure);
         });
-        self.pass(out);
+        self.process_ready(out);
     }
 
-    /// Puts a word to the log. That it was taken says nothing: it may be lost, or come twice where it is proposed again. It is
-    /// decided when it is told to be.
-    ///
-    /// # Errors
-    ///
-    /// If it is not even tried.
-    pub fn propose(
-        &mut self,
-        word: Vec<u8>,
-        out: &mut Vec<Output>,
-    ) -> Result<(), ProposalRejected> {
-        if word.len() > MAX_ENTRY_BYTES {
-            return Err(ProposalRejected::Long);
-        }
-        self.open()?;
-        let mut proposed = false;
-        self.guarded(|raft| proposed = raft.propose(Vec::new(), word).is_ok());
-        self.pass(out);
-        if proposed {
-            Ok(())
-        } else {
-            Err(ProposalRejected::Busy)
-        }
-    }
-
-    /// Changes who votes; it holds once [`Voter::seats`] says so. One change is made at a time, and by who leads.
-    ///
-    /// # Errors
-    ///
-    /// If it is not even tried.
-    pub fn seat(
-        &mut self,
-        change: &MembershipChange,
-        out: &mut Vec<Output>,
-    ) -> Result<(), ProposalRejected> {
-        self.open()?;
-        if !self.leads() {
-            return Err(self
-                .leader()
-                .map_or(ProposalRejected::Leaderless, ProposalRejected::Elsewhere));
-        }
-        if self.raft.raft.has_pending_conf() {
-            return Err(ProposalRejected::Changing);
-        }
-        let (seats, mut cc, mut name) = (self.seats(), ConfChange::default(), String::new());
-        match change {
-            MembershipChange::Add(_) if seats.len() >= MAX_VOTERS => {
-                return Err(ProposalRejected::Count);
-            }
-            MembershipChange::Add(node) if seats.values().any(|name| name == node) => return Ok(()),
-            MembershipChange::Add(node) => {
-                cc.set_change_type(ConfChangeType::AddNode);
-                cc.node_id = self.raft.store().folded.highest + 1;
-                name.clone_from(node);
-            }
-            MembershipChange::Remove(seat) if !seats.contains_key(seat) => return Ok(()),
-            MembershipChange::Remove(_) if seats.len() <= 2 => return Err(ProposalRejected::Count),
-            MembershipChange::Remove(seat) if *seat == self.me => {
-                // Another leads first, that takes the seat away then.
-                let other = seats
-                    .keys()
-                    .copied()
-                    .find(|seat| *seat != self.me)
-                    .unwrap_or_default();
-                self.guarded(|raft| raft.transfer_leader(other));
-                self.pass(out);
-                return Err(ProposalRejected::Changing);
-            }
-            MembershipChange::Remove(seat) => {
-                cc.set_change_type(ConfChangeType::RemoveNode);
-                cc.node_id = *seat;
-            }
-        }
-        let mut proposed = false;
-        self.guarded(|raft| proposed = raft.propose_conf_change(name.into_bytes(), cc).is_ok());
-        self.pass(out);
-        if proposed {
-            Ok(())
-        } else {
-            Err(ProposalRejected::Busy)
-        }
+    /// Records that all writes up to this number are durable.
+    pub fn record_durable(&mut self, number: u64, out: &mut Vec<Output>) {
+        self.gate.record_durable(number);
+        self.process_ready(out);
     }
 
-    fn open(&self) -> Result<(), ProposalRejected> {
-        if self.ended.is_some() {
-            return Err(ProposalRejected::Ended);
-        }
-        if self.gate.held() >= MOST_HELD {
-            return Err(ProposalRejected::Busy);
-        }
-        self.leader()
-            .map(|_| ())
-            .ok_or(ProposalRejected::Leaderless)
-    }
-
-    /// All writes up to this one are durable.
-    pub fn durable(&mut self, number: u64, out: &mut Vec<Output>) {
-        self.gate.durable(number);
-        self.pass(out);
-    }
-
-    /// The library ends the process where it finds its log contradicting itself: here it ends this process's vote.
-    fn guarded(&mut self, act: impl FnOnce(&mut RawNode<LogStorage<F>>)) {
-        if self.ended.is_some() {
+    /// Runs an action of the library. The library panics if it finds its log inconsistent; here that only ends the voting of this
+    /// process.
+    pub(crate) fn run_guarded(&mut self, action: impl FnOnce(&mut RawNode<LogStorage<S>>)) {
+        if self.failure.is_some() {
             return;
         }
         let raft = &mut self.raft;
-        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| act(raft))) {
-            let why = panic.downcast_ref::<String>().cloned();
-            let why = why.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned()));
-            self.ended = Some(why.unwrap_or_else(|| "the library gave up".to_owned()));
-        }
-    }
-
-    /// Takes what an input has led to: changes to be written, and what may be told once they are durable. A leader's own
-    /// messages may go before: that others have a word makes no promise of its own.
-    fn pass(&mut self, out: &mut Vec<Output>) {
-        loop {
-            while let Some(held) = self.gate.free() {
-                self.guarded(|raft| raft.on_persist_ready(held.ready));
-                self.send(held.messages, out);
-            }
-            self.guarded(|raft| {
-                // A state that was taken over counts as applied only once it is durable.
-                let upto = raft.store().applied.min(raft.raft.raft_log.persisted);
-                if upto > raft.raft.raft_log.applied {
-                    raft.advance_apply_to(upto);
-                }
-            });
-            if self.ended.is_some() || !self.raft.has_ready() {
-                break;
-            }
-            let (mut at_once, mut later, mut number, mut decided) =
-                (Vec::new(), Vec::new(), 0, Vec::new());
-            let mut over = None;
-            self.guarded(|raft| {
-                let mut ready = raft.ready();
-                (at_once, later, number) = (
-                    ready.take_messages(),
-                    ready.take_persisted_messages(),
-                    ready.number(),
-                );
-                decided = ready.take_committed_entries();
-                if !ready.snapshot().is_empty() {
-                    over = Some(raft.mut_store().take_over(ready.snapshot()));
-                }
-                raft.mut_store().append(ready.take_entries());
-                if let Some(hard) = ready.hs() {
-                    let hard = hard.clone();
-                    raft.mut_store().keep_hard(hard);
-                }
-                raft.advance_append_async(ready);
-            });
-            match over {
-                Some(true) => {
-                    out.push(Output::Skipped(self.told()));
-                    out.push(Output::Seats);
-                }
-                Some(false) => {
-                    self.ended = Some("a state of the leader's can't be read".to_owned())
-                }
-                None => {}
-            }
-            for entry in decided {
-                self.apply(entry, out);
-            }
-            if self.raft.store().grown(FOLD) {
-                self.raft.mut_store().compact();
-            }
-            let changes = self.raft.mut_store().take();
-            if !changes.is_empty() {
-                out.push(Output::Write(self.gate.write(), changes));
-            }
-            self.send(at_once, out);
-            self.gate.hold(Held {
-                ready: number,
-                messages: later,
-            });
-        }
-        let changes = self.raft.mut_store().take();
-        if !changes.is_empty() {
-            // What the founders begin with.
-            out.push(Output::Write(self.gate.write(), changes));
-        }
-    }
-
-    fn send(&mut self, messages: Vec<Message>, out: &mut Vec<Output>) {
-        for message in messages {
-            out.push(Output::Send(
-                message.to,
-                message.write_to_bytes().unwrap_or_default(),
-            ));
-            if message.get_msg_type() == MessageType::MsgSnapshot {
-                // Whether it arrives is seen by what comes next: till then the leader would wait for ever.
-                self.guarded(|raft| raft.report_snapshot(message.to, SnapshotStatus::Finish));
-            }
-        }
-    }
-
-    fn apply(&mut self, mut entry: Entry, out: &mut Vec<Output>) {
-        let word = entry.take_data();
-        match entry.get_entry_type() {
-            EntryType::EntryNormal => {
-                let store = self.raft.mut_store();
-                store.applied = entry.index;
-                // The library's own are empty.
-                if !word.is_empty() {
-                    store.folded.words += 1;
-                    store.folded.state.apply(&word);
-                    out.push(Output::Decided(store.folded.words, word.to_vec()));
-                }
-            }
-            EntryType::EntryConfChange | EntryType::EntryConfChangeV2 => {
-                let change = ConfChange::parse_from_bytes(&word).ok();
-                let name = String::from_utf8_lossy(&entry.take_context()).into_owned();
-                let change = change.filter(|change| self.fits(change, &name));
-                let mut voters = None;
-                self.guarded(|raft| {
-                    voters = match &change {
-                        Some(change) => raft.apply_conf_change(change).ok(),
-                        None => raft.apply_conf_change(&ConfChangeV2::default()).ok(),
-                    };
-                });
-                let store = self.raft.mut_store();
-                store.applied = entry.index;
-                if let (Some(voters), Some(change)) = (voters, change) {
-                    store.voters = voters;
-                    let seats = &mut store.folded.seats;
-                    if change.get_change_type() == ConfChangeType::AddNode {
-                        store.folded.highest = change.node_id;
-                        seats.insert(change.node_id, name);
-                    } else {
-                        seats.remove(&change.node_id);
-                    }
-                    out.push(Output::Seats);
-                }
-                // The library's leader goes on without a seat, and ends the process at its next write.
-                if self.leads() && !self.seats().contains_key(&self.me) {
-                    self.guarded(|raft| raft.raft.become_follower(raft.raft.term, 0));
-                }
-            }
-        }
-    }
-
-    /// Whether a change that was put to the log still fits when it is decided.
-    fn fits(&self, change: &ConfChange, name: &str) -> bool {
-        let folded = &self.raft.store().folded;
-        match change.get_change_type() {
-            ConfChangeType::AddNode => {
-                let new = change.node_id > folded.highest
-                    && !folded.seats.values().any(|seat| seat == name);
-                new && folded.seats.len() < MAX_VOTERS
-            }
-            ConfChangeType::RemoveNode => {
-                folded.seats.contains_key(&change.node_id) && folded.seats.len() > 2
-            }
-            ConfChangeType::AddLearnerNode => false,
+        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| action(raft))) {
+            let reason = panic
+                .downcast_ref::<String>()
+                .cloned()
+                .or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
+            self.failure = Some(reason.unwrap_or_else(|| "the library gave up".to_owned()));
         }
     }
 }
-
-/// What a message of the log's promises for its sender: which seat that is, the term that it speaks in, and the place up to which
-/// it says to have all. A proposal, which others pass on, promises nothing.
-pub fn promise(bytes: &[u8]) -> (u64, u64, u64) {
-    let Ok(message) = Message::parse_from_bytes(bytes) else {
-        return (0, 0, 0);
-    };
-    match message.get_msg_type() {
-        MessageType::MsgPropose => (0, 0, 0),
-        // Their term is one that the sender may have later.
-        MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse => {
-            (message.from, 0, 0)
-        }
-        MessageType::MsgAppendResponse if !message.reject => {
-            (message.from, message.term, message.index)
-        }
-        _ => (message.from, message.term, 0),
-    }
-}
-
-/// Whether a message could have been sent by a voter: the library ends the process at some that could not.
-fn sound(message: &Message) -> bool {
-    use MessageType::*;
-    let kind = matches!(
-        message.get_msg_type(),
-        MsgPropose
-            | MsgAppend
-            | MsgAppendResponse
-            | MsgRequestVote
-            | MsgRequestVoteResponse
-            | MsgRequestPreVote
-            | MsgRequestPreVoteResponse
-            | MsgSnapshot
-            | MsgHeartbeat
-            | MsgHeartbeatResponse
-            | MsgTransferLeader
-            | MsgTimeoutNow
-    );
-    let entries = message.get_entries();
-    let row = message.get_msg_type() != MsgAppend
-        || entries
-            .iter()
-            .zip(message.index + 1..)
-            .all(|(e, at)| e.index == at && e.term <= message.term);
-    let proposed = message.get_msg_type() != MsgPropose || !entries.is_empty();
-    kind && row
-        && proposed
-        && (message.get_msg_type() != MsgSnapshot || !message.get_snapshot().is_empty())
-}
--- a/crates/replicated-log/tests/admission.rs
+++ b/crates/replicated-log/tests/admission.rs
@@ -1,64 +1,77 @@
-//! Voters that come back with all, less or nothing of what they had kept: who may vote, and that nobody else does.
+//! Voters that restart with all, a part or nothing of what they had stored: those that have everything may vote, and no others.
 
-use postproxy_replicated_log::StorageChange;
 use postproxy_replicated_log::admission::{
     Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict,
 };
+use postproxy_replicated_log::{LogEnd, StorageChange};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-type Kept = BTreeMap<Vec<u8>, Vec<u8>>;
+type Store = BTreeMap<Vec<u8>, Vec<u8>>;
+
+/// A write in progress.
+struct PendingWrite {
+    durable_at: u64,
+    number: u64,
+    changes: Vec<StorageChange>,
+}
+
+/// A message in transit.
+struct Transmission {
+    arrives_at: u64,
+    from: usize,
+    to: usize,
+    message: AdmissionMessage,
+}
 
 #[derive(Default)]
 struct Node {
     admission: Option<Admission>,
-    kept: Kept,
-    /// Writes on their way, with when they are durable.
-    writes: Vec<(u64, u64, Vec<StorageChange>)>,
+    store: Store,
+    writes: Vec<PendingWrite>,
     /// The store as it was at some earlier time.
-    old: Option<Kept>,
-    /// What it has today is less than it once had kept.
-    less: bool,
-    voted: bool,
+    backup: Option<Store>,
+    /// Whether the store has less than what was durable once.
+    has_lost_data: bool,
 }
 
-struct Sim {
+struct Simulation {
     now: u64,
-    draws: Pcg64Mcg,
+    random: Pcg64Mcg,
     nodes: Vec<Node>,
-    words: Vec<(u64, usize, usize, AdmissionMessage)>,
-    lives: u64,
+    in_transit: Vec<Transmission>,
+    incarnations: u64,
 }
 
-impl Sim {
+impl Simulation {
     fn new(count: usize, seed: u64) -> Self {
         let nodes = (0..count).map(|_| Node::default()).collect();
         let mut sim = Self {
             now: 0,
-            draws: Pcg64Mcg::seed_from_u64(seed),
+            random: Pcg64Mcg::seed_from_u64(seed),
             nodes,
-            words: Vec::new(),
-            lives: 0,
+            in_transit: Vec::new(),
+            incarnations: 0,
         };
         (0..count).for_each(|n| sim.start(n));
         sim
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        self.draws.next_u64() % below.max(1)
+        self.random.next_u64() % below.max(1)
     }
 
     fn start(&mut self, n: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let voters: Vec<u64> = (1..=self.nodes.len() as u64).collect();
-        let kept = self.nodes[n].kept.clone();
+        let store = self.nodes[n].store.clone();
         self.nodes[n].admission = Some(Admission::new(
             n as u64 + 1,
-            self.lives,
+            self.incarnations,
             &voters,
-            (0, 0),
-            kept,
+            LogEnd::default(),
+            store,
         ));
     }
 
@@ -67,22 +80,31 @@
         self.nodes[n].writes.clear();
     }
 
-    fn carry(&mut self, n: usize, out: Vec<AdmissionEffect>) {
-        for act in out {
-            match act {
-                AdmissionEffect::Write(number, changes) => {
-                    let at = self.nodes[n]
-                        .writes
-                        .last()
-                        .map_or(0, |(at, ..)| *at)
-                        .max(self.now + 1 + self.draw(4));
-                    self.nodes[n].writes.push((at, number, changes));
+    fn carry_out(&mut self, n: usize, out: Vec<AdmissionEffect>) {
+        for effect in out {
+            match effect {
+                AdmissionEffect::Write { number, changes } => {
+                    let duration = 1 + self.draw(4);
+                    let previous = self.nodes[n].writes.last();
+                    let durable_at = previous
+                        .map_or(0, |write| write.durable_at)
+                        .max(self.now + duration);
+                    self.nodes[n].writes.push(PendingWrite {
+                        durable_at,
+                        number,
+                        changes,
+                    });
                 }
-                AdmissionEffect::AdmissionMessage(to, say) => {
-                    // Lost, late and out of order.
+                AdmissionEffect::Send { to, message } => {
+                    // Messages are lost, delayed and reordered.
                     if self.draw(10) > 0 {
-                        let at = self.now + 1 + self.draw(8);
-                        self.words.push((at, n, to as usize - 1, say));
+                        let arrives_at = self.now + 1 + self.draw(8);
+                        self.in_transit.push(Transmission {
+                            arrives_at,
+                            from: n,
+                            to: to as usize - 1,
+                            message,
+                        });
                     }
                 }
             }
@@ -92,40 +114,53 @@
     fn step(&mut self) {
         self.now += 1;
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = self.words.drain(..).partition(|(at, ..)| *at <= now);
-        self.words = rest;
-        for (_, from, to, say) in due {
+        let (due, rest): (Vec<_>, Vec<_>) = self
+            .in_transit
+            .drain(..)
+            .partition(|transmission| transmission.arrives_at <= now);
+        self.in_transit = rest;
+        for Transmission {
+            from, to, message, ..
+        } in due
+        {
             let mut out = Vec::new();
             if let Some(admission) = &mut self.nodes[to].admission {
-                admission.receive(from as u64 + 1, say, &mut out);
+                admission.receive(from as u64 + 1, message, &mut out);
             }
-            self.carry(to, out);
+            self.carry_out(to, out);
         }
         for n in 0..self.nodes.len() {
             let mut out = Vec::new();
             let node = &mut self.nodes[n];
-            let (due, rest): (Vec<_>, Vec<_>) =
-                node.writes.drain(..).partition(|(at, ..)| *at <= now);
+            let (due, rest): (Vec<_>, Vec<_>) = node
+                .writes
+                .drain(..)
+                .partition(|write| write.durable_at <= now);
             node.writes = rest;
-            for (_, number, changes) in due {
+            for PendingWrite {
+                number, changes, ..
+            } in due
+            {
                 for change in changes {
-                    node.kept
+                    node.store
                         .insert(change.key, change.value.expect("nothing is removed"));
                 }
                 if let Some(admission) = &mut node.admission {
-                    admission.durable(number, &mut out);
+                    admission.record_durable(number, &mut out);
                 }
             }
             if let Some(admission) = &mut node.admission {
                 if now.is_multiple_of(5) {
                     admission.tick(&mut out);
                 }
-                if admission.verdict() == AdmissionVerdict::Vote {
-                    assert!(!node.less, "voter {n} votes with less than it had kept");
-                    node.voted = true;
+                if admission.verdict() == AdmissionVerdict::Admitted {
+                    assert!(
+                        !node.has_lost_data,
+                        "voter {n} votes with less than it had stored"
+                    );
                 }
             }
-            self.carry(n, out);
+            self.carry_out(n, out);
         }
     }
 
@@ -141,26 +176,27 @@
     }
 }
 
-/// Guards against a voter that votes with an empty or an older store, one that has all and may not, and a first start of all
-/// that does not come about. One store is lost a run, while the others are there; any may die and come back before.
+/// A voter with an empty or an older store is not admitted, one that has everything is, and so are all at their first start. One
+/// store is lost in each run, while the other voters are there; any may be killed and restarted before.
 #[test]
-fn who_has_less_than_it_had_kept_does_not_vote_and_who_has_all_does() {
-    let (mut lost, mut older) = (0, 0);
+fn only_voters_with_everything_they_stored_are_admitted() {
+    let mut lost = 0;
+    let mut older = 0;
     for seed in 0..2000 {
-        let mut sim = Sim::new([3, 5, 7][seed as usize % 3], seed);
+        let mut sim = Simulation::new([3, 5, 7][seed as usize % 3], seed);
         sim.run(200);
         assert!(
             sim.verdicts()
                 .iter()
-                .all(|v| *v == Some(AdmissionVerdict::Vote)),
-            "seed {seed}: born: {:?}",
+                .all(|v| *v == Some(AdmissionVerdict::Admitted)),
+            "seed {seed}: at the first start: {:?}",
             sim.verdicts()
         );
         for _ in 0..sim.draw(8) {
             let n = sim.draw(sim.nodes.len() as u64) as usize;
             if sim.draw(3) == 0 {
-                let kept = sim.nodes[n].kept.clone();
-                sim.nodes[n].old = Some(kept);
+                let store = sim.nodes[n].store.clone();
+                sim.nodes[n].backup = Some(store);
             }
             sim.kill(n);
             let wait = sim.draw(40);
@@ -173,46 +209,46 @@
         assert!(
             sim.verdicts()
                 .iter()
-                .all(|v| *v == Some(AdmissionVerdict::Vote)),
-            "seed {seed}: back: {:?}",
+                .all(|v| *v == Some(AdmissionVerdict::Admitted)),
+            "seed {seed}: after restarts: {:?}",
             sim.verdicts()
         );
-        // One comes back with less. All others are there.
+        // One voter restarts with less, while all others are there.
         let n = sim.draw(sim.nodes.len() as u64) as usize;
         sim.kill(n);
-        let kept = sim.nodes[n].kept.clone();
+        let store = sim.nodes[n].store.clone();
         let node = &mut sim.nodes[n];
-        match node.old.take().filter(|old| *old != kept) {
-            Some(old) => {
+        match node.backup.take().filter(|backup| *backup != store) {
+            Some(backup) => {
                 older += 1;
-                node.kept = old;
+                node.store = backup;
             }
             None => {
                 lost += 1;
-                node.kept.clear();
+                node.store.clear();
             }
         }
-        node.less = true;
+        node.has_lost_data = true;
         sim.start(n);
         sim.run(300);
         assert_eq!(
             sim.nodes[n].admission.as_ref().map(Admission::verdict),
-            Some(AdmissionVerdict::Lost),
+            Some(AdmissionVerdict::PromisesLost),
             "seed {seed}"
         );
-        // The others die and come back, all at once, without it: they are not held up by it.
+        // All others restart at once: they are admitted without that one.
         for other in (0..sim.nodes.len()).filter(|other| *other != n) {
             sim.kill(other);
             sim.start(other);
         }
         sim.run(300);
-        let votes = sim
+        let admitted = sim
             .verdicts()
             .iter()
-            .filter(|v| **v == Some(AdmissionVerdict::Vote))
+            .filter(|v| **v == Some(AdmissionVerdict::Admitted))
             .count();
         assert_eq!(
-            votes,
+            admitted,
             sim.nodes.len() - 1,
             "seed {seed}: {:?}",
             sim.verdicts()
@@ -221,87 +257,155 @@
     assert!(lost > 100 && older > 100, "{lost} lost, {older} older");
 }
 
-/// Guards against a start that is told before it is kept, an answer before what it says is, and words of strangers.
+/// A start is announced, and another's confirmed, only after it is durable; messages of strangers are ignored.
 #[test]
-fn nothing_is_said_before_it_is_kept() {
-    let kept = [(b"s/start".to_vec(), 4u64.to_be_bytes().to_vec())];
-    let (mut admission, mut out) = (Admission::new(1, 77, &[1, 2, 3], (0, 0), kept), Vec::new());
+fn nothing_is_announced_or_confirmed_before_it_is_durable() {
+    let stored = [(b"s/start".to_vec(), 4u64.to_be_bytes().to_vec())];
+    let mut admission = Admission::new(1, 77, &[1, 2, 3], LogEnd::default(), stored);
+    let mut out = Vec::new();
     admission.tick(&mut out);
     let key = b"s/start".to_vec();
     let write = StorageChange {
         key,
         value: Some(5u64.to_be_bytes().to_vec()),
     };
-    assert_eq!(out, [AdmissionEffect::Write(1, vec![write])]);
+    assert_eq!(
+        out,
+        [AdmissionEffect::Write {
+            number: 1,
+            changes: vec![write]
+        }]
+    );
     out.clear();
     admission.tick(&mut out);
-    admission.receive(9, AdmissionMessage::Seen(5), &mut out);
-    admission.receive(2, AdmissionMessage::Seen(5), &mut out);
+    admission.receive(9, AdmissionMessage::StartConfirmed(5), &mut out);
+    admission.receive(2, AdmissionMessage::StartConfirmed(5), &mut out);
     assert_eq!(
         (&out[..], admission.verdict()),
-        (&[][..], AdmissionVerdict::Wait),
+        (&[][..], AdmissionVerdict::Pending),
         "it has not started"
     );
-    admission.receive(3, AdmissionMessage::Started(8, 1, (0, 0)), &mut out);
-    assert!(matches!(out[..], [AdmissionEffect::Write(2, _)]), "{out:?}");
+    admission.receive(
+        3,
+        AdmissionMessage::StartAnnounced {
+            start: 8,
+            incarnation: 1,
+            log_end: LogEnd::default(),
+        },
+        &mut out,
+    );
+    assert!(
+        matches!(out[..], [AdmissionEffect::Write { number: 2, .. }]),
+        "{out:?}"
+    );
     out.clear();
-    admission.receive(3, AdmissionMessage::Started(8, 1, (0, 0)), &mut out);
-    assert_eq!(out, [], "again, while it is not kept");
-    admission.durable(1, &mut out);
+    admission.receive(
+        3,
+        AdmissionMessage::StartAnnounced {
+            start: 8,
+            incarnation: 1,
+            log_end: LogEnd::default(),
+        },
+        &mut out,
+    );
+    assert_eq!(out, [], "announced again before the write is durable");
+    admission.record_durable(1, &mut out);
     assert_eq!(
         out,
         [
-            AdmissionEffect::AdmissionMessage(2, AdmissionMessage::Started(5, 77, (0, 0))),
-            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Started(5, 77, (0, 0)))
+            AdmissionEffect::Send {
+                to: 2,
+                message: AdmissionMessage::StartAnnounced {
+                    start: 5,
+                    incarnation: 77,
+                    log_end: LogEnd::default()
+                }
+            },
+            AdmissionEffect::Send {
+                to: 3,
+                message: AdmissionMessage::StartAnnounced {
+                    start: 5,
+                    incarnation: 77,
+                    log_end: LogEnd::default()
+                }
+            }
         ]
     );
     out.clear();
-    admission.durable(2, &mut out);
+    admission.record_durable(2, &mut out);
     assert_eq!(
         out,
         [
-            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Seen(8)),
-            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Seen(8))
+            AdmissionEffect::Send {
+                to: 3,
+                message: AdmissionMessage::StartConfirmed(8)
+            },
+            AdmissionEffect::Send {
+                to: 3,
+                message: AdmissionMessage::StartConfirmed(8)
+            }
         ]
     );
     out.clear();
-    admission.receive(3, AdmissionMessage::Started(8, 2, (0, 0)), &mut out);
-    admission.receive(3, AdmissionMessage::Started(7, 1, (0, 0)), &mut out);
+    admission.receive(
+        3,
+        AdmissionMessage::StartAnnounced {
+            start: 8,
+            incarnation: 2,
+            log_end: LogEnd::default(),
+        },
+        &mut out,
+    );
+    admission.receive(
+        3,
+        AdmissionMessage::StartAnnounced {
+            start: 7,
+            incarnation: 1,
+            log_end: LogEnd::default(),
+        },
+        &mut out,
+    );
     assert_eq!(
         out,
         [
-            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Old(8)),
-            AdmissionEffect::AdmissionMessage(3, AdmissionMessage::Old(7))
+            AdmissionEffect::Send {
+                to: 3,
+                message: AdmissionMessage::StartOutdated(8)
+            },
+            AdmissionEffect::Send {
+                to: 3,
+                message: AdmissionMessage::StartOutdated(7)
+            }
         ],
         "another process, or an older start"
     );
-    admission.receive(2, AdmissionMessage::Seen(4), &mut out);
+    admission.receive(2, AdmissionMessage::StartConfirmed(4), &mut out);
     assert_eq!(
         admission.verdict(),
-        AdmissionVerdict::Wait,
+        AdmissionVerdict::Pending,
         "of an earlier start"
     );
-    admission.receive(2, AdmissionMessage::Seen(5), &mut out);
+    admission.receive(2, AdmissionMessage::StartConfirmed(5), &mut out);
     assert_eq!(
         admission.verdict(),
-        AdmissionVerdict::Wait,
-        "enough, and the third may know more"
+        AdmissionVerdict::Pending,
+        "a majority, and the third voter may know more"
     );
-    admission.receive(3, AdmissionMessage::Seen(5), &mut out);
-    assert_eq!(admission.verdict(), AdmissionVerdict::Vote);
-    admission.receive(3, AdmissionMessage::Old(5), &mut out);
+    admission.receive(3, AdmissionMessage::StartConfirmed(5), &mut out);
+    assert_eq!(admission.verdict(), AdmissionVerdict::Admitted);
+    admission.receive(3, AdmissionMessage::StartOutdated(5), &mut out);
     assert_eq!(
         admission.verdict(),
-        AdmissionVerdict::Lost,
+        AdmissionVerdict::PromisesLost,
         "better late than never"
     );
 }
 
-/// Guards against three voters without a majority for ever, once one has died for good and another was started anew.
+/// After the grace period a majority is enough: three voters keep a majority after one has died for good and another restarted.
 #[test]
-fn who_is_silent_is_not_waited_for_without_an_end() {
+fn silent_voters_are_waited_for_only_during_the_grace_period() {
     for seed in 0..200 {
-        let mut sim = Sim::new(3, seed);
+        let mut sim = Simulation::new(3, seed);
         sim.run(200);
         sim.kill(2);
         sim.kill(1);
@@ -310,40 +414,40 @@
         sim.run(100);
         assert_eq!(
             sim.verdicts()[1],
-            Some(AdmissionVerdict::Wait),
+            Some(AdmissionVerdict::Pending),
             "seed {seed}: it waits"
         );
         sim.run(400);
         assert_eq!(
             sim.verdicts()[1],
-            Some(AdmissionVerdict::Vote),
+            Some(AdmissionVerdict::Admitted),
             "seed {seed}"
         );
-        // With one store lost and one voter away there is no majority: it must not make one.
+        // With one store lost and one voter away there is no majority of confirmations.
         sim.kill(1);
-        sim.nodes[1].kept.clear();
-        sim.nodes[1].less = true;
+        sim.nodes[1].store.clear();
+        sim.nodes[1].has_lost_data = true;
         sim.start(1);
         sim.run(600);
         assert_ne!(
             sim.verdicts()[1],
-            Some(AdmissionVerdict::Vote),
+            Some(AdmissionVerdict::Admitted),
             "seed {seed}"
         );
     }
 }
 
-/// Guards against a voter with an empty store that takes itself for a new one because those who knew of it are away.
+/// A voter with an empty store must not take itself for a new one because those that knew of its start are away.
 #[test]
-fn who_has_nothing_needs_the_word_of_all() {
+fn a_voter_with_an_empty_store_needs_the_answers_of_all() {
     for seed in 0..200 {
-        let mut sim = Sim::new(5, seed);
+        let mut sim = Simulation::new(5, seed);
         sim.run(200);
-        // Never told of by the two that are away now, as if they had been since before its first start.
+        // Two voters know of no start of it, as if they had been away since before its first one.
         for n in [3, 4] {
             sim.kill(n);
             sim.nodes[n]
-                .kept
+                .store
                 .retain(|key, _| *key != [&b"s/known/"[..], &1u64.to_be_bytes()].concat());
         }
         sim.kill(0);
@@ -351,27 +455,28 @@
         sim.run(400);
         assert_eq!(
             sim.verdicts()[0],
-            Some(AdmissionVerdict::Vote),
+            Some(AdmissionVerdict::Admitted),
             "seed {seed}"
         );
         (0..3).for_each(|n| sim.kill(n));
-        sim.run(20); // what was on the way is gone
+        // Messages in transit are gone after that.
+        sim.run(20);
         sim.start(3);
         sim.start(4);
-        sim.nodes[0].kept.clear();
-        sim.nodes[0].less = true;
+        sim.nodes[0].store.clear();
+        sim.nodes[0].has_lost_data = true;
         sim.start(0);
         sim.run(600);
         assert_eq!(
             sim.verdicts()[0],
-            Some(AdmissionVerdict::Wait),
-            "seed {seed}: it asks on"
+            Some(AdmissionVerdict::Pending),
+            "seed {seed}: it goes on asking"
         );
         sim.start(1);
         sim.run(100);
         assert_eq!(
             sim.verdicts()[0],
-            Some(AdmissionVerdict::Lost),
+            Some(AdmissionVerdict::PromisesLost),
             "seed {seed}"
         );
     }
--- a/crates/replicated-log/tests/surface_bytes.rs
+++ b/crates/replicated-log/tests/surface_bytes.rs
@@ -5,7 +5,8 @@
 
 use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage};
 use postproxy_replicated_log::{
-    MembershipChange, Output, StateMachine, StorageChange, Voter, promise, stored,
+    LogEnd, MembershipChange, MessagePromise, Output, StateMachine, StorageChange, Voter,
+    message_promise, stored_log_end,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -25,32 +26,43 @@
 
 /// The admission message, encoded.
 #[track_caller]
-fn pin(say: AdmissionMessage, literal: &str) {
-    let bytes = postcard::to_stdvec(&say).expect("an encoded message");
-    assert_eq!(hex(&bytes), literal, "{say:?}");
+fn pin(message: AdmissionMessage, literal: &str) {
+    let bytes = postcard::to_stdvec(&message).expect("an encoded message");
+    assert_eq!(hex(&bytes), literal, "{message:?}");
     assert_eq!(
         postcard::from_bytes::<AdmissionMessage>(&unhex(literal)).expect("a message"),
-        say
+        message
     );
 }
 
 #[test]
 fn admission_messages_keep_their_bytes() {
-    pin(AdmissionMessage::Who, "00");
-    pin(AdmissionMessage::Known(300), "01ac02");
-    pin(AdmissionMessage::Started(1, 2, (3, 4)), "0201020304");
-    pin(AdmissionMessage::Seen(5), "0305");
-    pin(AdmissionMessage::Old(6), "0406");
-    pin(AdmissionMessage::Again, "05");
+    pin(AdmissionMessage::QueryLatestStart, "00");
+    pin(AdmissionMessage::LatestStart(300), "01ac02");
+    pin(
+        AdmissionMessage::StartAnnounced {
+            start: 1,
+            incarnation: 2,
+            log_end: LogEnd { term: 3, index: 4 },
+        },
+        "0201020304",
+    );
+    pin(AdmissionMessage::StartConfirmed(5), "0305");
+    pin(AdmissionMessage::StartOutdated(6), "0406");
+    pin(AdmissionMessage::AnnounceAgain, "05");
 }
 
-/// A state machine that counts the words and keeps the bytes of the last.
+/// A state machine that counts the entries and stores the last one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-struct Last(u64, Vec<u8>);
+struct LastEntry {
+    count: u64,
+    entry: Vec<u8>,
+}
 
-impl StateMachine for Last {
-    fn apply(&mut self, word: &[u8]) {
-        (self.0, self.1) = (self.0 + 1, word.to_vec());
+impl StateMachine for LastEntry {
+    fn apply(&mut self, entry: &[u8]) {
+        self.count += 1;
+        self.entry = entry.to_vec();
     }
 }
 
@@ -70,14 +82,22 @@
 
 #[test]
 fn stored_start_and_known_starts_keep_their_keys_and_bytes() {
-    // A founder with nothing stored hears that the other knows nothing of it, and stores its first start.
-    let mut acts = Vec::new();
-    let mut admission = Admission::new(1, 7, &[1, 2], (0, 0), []);
-    admission.receive(2, AdmissionMessage::Known(0), &mut acts);
+    // A voter with nothing stored learns that the other knows of no start of it, and stores its first start.
+    let mut effects = Vec::new();
+    let mut admission = Admission::new(1, 7, &[1, 2], LogEnd::default(), []);
+    admission.receive(2, AdmissionMessage::LatestStart(0), &mut effects);
     // The other's start is stored under its number.
-    admission.receive(2, AdmissionMessage::Started(3, 300, (0, 0)), &mut acts);
-    let writes = acts.iter().filter_map(|act| {
-        if let AdmissionEffect::Write(_, changes) = act {
+    admission.receive(
+        2,
+        AdmissionMessage::StartAnnounced {
+            start: 3,
+            incarnation: 300,
+            log_end: LogEnd::default(),
+        },
+        &mut effects,
+    );
+    let writes = effects.iter().filter_map(|effect| {
+        if let AdmissionEffect::Write { changes, .. } = effect {
             Some(changes)
         } else {
             None
@@ -95,56 +115,59 @@
 
 #[test]
 fn stored_start_and_known_starts_are_read() {
-    let kept = [
+    let stored = [
         (b"s/start".to_vec(), unhex("0000000000000005")),
         (
             unhex("732f6b6e6f776e2f0000000000000002"),
             unhex("0000000000000003000000000000012c"),
         ),
     ];
-    let mut admission = Admission::new(1, 7, &[1, 2], (8, 9), kept);
+    let mut admission = Admission::new(1, 7, &[1, 2], LogEnd { term: 8, index: 9 }, stored);
     assert!(admission.knows(2, 300));
-    let mut acts = Vec::new();
-    admission.tick(&mut acts);
+    let mut effects = Vec::new();
+    admission.tick(&mut effects);
     assert_eq!(
-        acts,
-        [AdmissionEffect::Write(
-            1,
-            vec![StorageChange {
+        effects,
+        [AdmissionEffect::Write {
+            number: 1,
+            changes: vec![StorageChange {
                 key: b"s/start".to_vec(),
                 value: Some(unhex("0000000000000006"))
             }]
-        )]
+        }]
     );
-    acts.clear();
-    admission.durable(1, &mut acts);
+    effects.clear();
+    admission.record_durable(1, &mut effects);
     assert_eq!(
-        acts,
-        [AdmissionEffect::AdmissionMessage(
-            2,
-            AdmissionMessage::Started(6, 7, (8, 9))
-        )]
+        effects,
+        [AdmissionEffect::Send {
+            to: 2,
+            message: AdmissionMessage::StartAnnounced {
+                start: 6,
+                incarnation: 7,
+                log_end: LogEnd { term: 8, index: 9 }
+            }
+        }]
     );
 }
 
 /// Two voters whose messages and writes are recorded as they are made.
 struct Pair {
-    voters: BTreeMap<u64, Voter<Last>>,
-    kept: BTreeMap<u64, BTreeMap<Vec<u8>, Vec<u8>>>,
+    voters: BTreeMap<u64, Voter<LastEntry>>,
+    stores: BTreeMap<u64, BTreeMap<Vec<u8>, Vec<u8>>>,
     record: Vec<String>,
 }
 
 impl Pair {
     fn new() -> Self {
-        let founders = BTreeMap::from([(1, "n-1".to_owned()), (2, "n-2".to_owned())]);
-        let (voters, kept) = Default::default();
+        let initial_voters = BTreeMap::from([(1, "n-1".to_owned()), (2, "n-2".to_owned())]);
         let mut pair = Self {
-            voters,
-            kept,
+            voters: BTreeMap::new(),
+            stores: BTreeMap::new(),
             record: Vec::new(),
         };
         for id in [1, 2] {
-            let (voter, out) = Voter::new(id, &founders, []).expect("a founder");
+            let (voter, out) = Voter::new(id, &initial_voters, []).expect("an initial voter");
             pair.voters.insert(id, voter);
             pair.handle(id, out);
         }
@@ -152,42 +175,43 @@
     }
 
     /// Has a voter take something in, and carries out what comes of it.
-    fn act(&mut self, id: u64, act: impl FnOnce(&mut Voter<Last>, &mut Vec<Output>)) {
+    fn act(&mut self, id: u64, action: impl FnOnce(&mut Voter<LastEntry>, &mut Vec<Output>)) {
         let mut out = Vec::new();
-        act(self.voters.get_mut(&id).expect("a voter"), &mut out);
+        action(self.voters.get_mut(&id).expect("a voter"), &mut out);
         self.handle(id, out);
     }
 
     fn handle(&mut self, id: u64, out: Vec<Output>) {
-        for one in out {
-            match one {
-                Output::Write(number, changes) => {
+        for output in out {
+            match output {
+                Output::Write { number, changes } => {
                     self.record.extend(
                         shown(&changes)
                             .into_iter()
                             .map(|line| format!("{id} writes {line}")),
                     );
-                    let kept = self.kept.entry(id).or_default();
+                    let store = self.stores.entry(id).or_default();
                     for StorageChange { key, value } in changes {
                         match value {
-                            Some(value) => _ = kept.insert(key, value),
-                            None => _ = kept.remove(&key),
+                            Some(value) => _ = store.insert(key, value),
+                            None => _ = store.remove(&key),
                         }
                     }
-                    self.act(id, |voter, out| voter.durable(number, out));
+                    self.act(id, |voter, out| voter.record_durable(number, out));
                 }
-                Output::Send(to, bytes) => {
-                    self.record.push(format!("{id} sends {to} {}", hex(&bytes)));
+                Output::Send { to, message } => {
+                    self.record
+                        .push(format!("{id} sends {to} {}", hex(&message)));
                     if self.voters.contains_key(&to) {
                         self.act(to, |voter, out| {
-                            assert!(voter.receive(&bytes, out), "a sound message")
+                            assert!(voter.receive(&message, out), "a sound message")
                         });
                     }
                 }
-                Output::Decided(number, word) => self
+                Output::Committed { number, entry } => self
                     .record
-                    .push(format!("{id} decides {number} {}", hex(&word))),
-                Output::Skipped(_) | Output::Seats => {}
+                    .push(format!("{id} decides {number} {}", hex(&entry))),
+                Output::SnapshotInstalled { .. } | Output::VotersChanged => {}
             }
         }
     }
@@ -195,7 +219,7 @@
     /// Ticks the first voter until it leads.
     fn elect(&mut self) {
         for _ in 0..1000 {
-            if self.voters[&1].leads() {
+            if self.voters[&1].is_leader() {
                 return;
             }
             self.act(1, Voter::tick);
@@ -204,7 +228,7 @@
     }
 }
 
-/// An election, a word and a change of the voters: all that the two store and send.
+/// An election, an entry and a membership change: all that the two store and send.
 const RECORD: &[&str] = &[
     "1 writes a/folded  0101010104080108020000000201036e2d3102036e2d3202",
     "1 writes a/hard  08011801",
@@ -246,7 +270,7 @@
 ];
 
 #[test]
-fn election_word_and_membership_change_keep_their_bytes() {
+fn election_entry_and_membership_change_keep_their_bytes() {
     let mut pair = Pair::new();
     pair.elect();
     pair.act(1, |voter, out| {
@@ -254,17 +278,17 @@
     });
     pair.act(1, |voter, out| {
         voter
-            .seat(&MembershipChange::Add("n-3".into()), out)
+            .propose_membership_change(&MembershipChange::Add("n-3".into()), out)
             .expect("a leader")
     });
-    let kept = pair.kept[&1]
+    let actual = pair.stores[&1]
         .iter()
         .map(|(key, value)| (hex(key), hex(value)));
     let stored = STORED
         .iter()
         .map(|(key, value)| (key.to_string(), value.to_string()));
     assert_eq!(pair.record, RECORD);
-    assert_eq!(kept.collect::<Vec<_>>(), stored.collect::<Vec<_>>());
+    assert_eq!(actual.collect::<Vec<_>>(), stored.collect::<Vec<_>>());
 }
 
 /// What a voter has stored after that, as it was written.
@@ -281,31 +305,41 @@
 
 #[test]
 fn stored_log_is_read() {
-    let kept: Vec<(Vec<u8>, Vec<u8>)> = STORED
+    let stored: Vec<(Vec<u8>, Vec<u8>)> = STORED
         .iter()
         .map(|(key, value)| (unhex(key), unhex(value)))
         .collect();
     assert_eq!(
-        stored(kept.iter().map(|(key, value)| (key, value))),
-        (2, 4),
-        "the term, and the last place"
+        stored_log_end(stored.iter().map(|(key, value)| (key, value))),
+        LogEnd { term: 2, index: 4 }
+    );
+    let (voter, out) = Voter::<LastEntry>::new(1, &BTreeMap::new(), stored).expect("a sound log");
+    assert_eq!(
+        voter.state(),
+        &LastEntry {
+            count: 1,
+            entry: b"word".to_vec()
+        }
+    );
+    assert_eq!((voter.applied_index(), voter.entries_in_memory()), (4, 3));
+    assert!(
+        out.contains(&Output::Committed {
+            number: 1,
+            entry: b"word".to_vec()
+        }) && out.contains(&Output::VotersChanged)
     );
-    let (voter, out) = Voter::<Last>::new(1, &BTreeMap::new(), kept).expect("a sound log");
-    assert_eq!(voter.state(), &Last(1, b"word".to_vec()));
-    assert_eq!((voter.place(), voter.length()), (4, 3));
-    assert!(out.contains(&Output::Decided(1, b"word".to_vec())) && out.contains(&Output::Seats));
     let names = [(1, "n-1"), (2, "n-2"), (3, "n-3")].map(|(id, name)| (id, name.to_owned()));
-    assert_eq!(voter.seats(), &BTreeMap::from(names));
+    assert_eq!(voter.voters(), &BTreeMap::from(names));
 }
 
 #[test]
 fn damaged_stored_log_is_not_read() {
     let with = |key: &str, value: &str| {
-        let kept = STORED.iter().map(|(key, value)| (unhex(key), unhex(value)));
-        let kept: BTreeMap<_, _> = kept
+        let sound = STORED.iter().map(|(key, value)| (unhex(key), unhex(value)));
+        let damaged: BTreeMap<_, _> = sound
             .chain([(key.as_bytes().to_vec(), unhex(value))])
             .collect();
-        Voter::<Last>::new(1, &BTreeMap::new(), kept)
+        Voter::<LastEntry>::new(1, &BTreeMap::new(), damaged)
             .err()
             .expect("damage")
             .to_string()
@@ -330,41 +364,41 @@
 
 #[test]
 fn promises_are_read_from_recorded_messages() {
-    // No message, a request for a vote in advance, a request for a vote, an append, and an answer to it.
-    assert_eq!(promise(&unhex("ff")), (0, 0, 0));
+    let promise = |digits: &str| message_promise(&unhex(digits));
+    let expected = |voter, term, index| MessagePromise { voter, term, index };
+    // No message, a request for a vote in advance, a request for a vote, an append, and a response to it.
+    assert_eq!(promise("ff"), expected(0, 0, 0));
     assert_eq!(
-        promise(&unhex("08111002180120022801300140017801")),
-        (1, 0, 0)
+        promise("08111002180120022801300140017801"),
+        expected(1, 0, 0)
     );
     assert_eq!(
-        promise(&unhex("08051002180120022801300140017801")),
-        (1, 2, 0)
+        promise("08051002180120022801300140017801"),
+        expected(1, 2, 0)
     );
     assert_eq!(
-        promise(&unhex(
-            "0803100218012002280230023a0a100218032204776f72644002"
-        )),
-        (1, 2, 0)
+        promise("0803100218012002280230023a0a100218032204776f72644002"),
+        expected(1, 2, 0)
     );
-    assert_eq!(promise(&unhex("080410011802200230034002")), (2, 2, 3));
+    assert_eq!(promise("080410011802200230034002"), expected(2, 2, 3));
 }
 
-/// A voter that is added when the log begins later gets a snapshot; a snapshot is stored once in 512 words.
+/// A voter that is added when the log begins later gets a snapshot; a snapshot is stored once in 512 entries.
 #[test]
 fn compacted_log_and_snapshot_message_keep_their_bytes() {
     let mut pair = Pair::new();
     pair.elect();
     for number in 0..600u16 {
-        let word = number.to_be_bytes().to_vec();
-        pair.act(1, |voter, out| voter.propose(word, out).expect("a leader"));
+        let entry = number.to_be_bytes().to_vec();
+        pair.act(1, |voter, out| voter.propose(entry, out).expect("a leader"));
     }
-    let kept = &pair.kept[&1];
-    let folded = kept.get(&b"a/folded"[..]).expect("a stored state");
+    let store = &pair.stores[&1];
+    let snapshot = store.get(&b"a/folded"[..]).expect("a stored state");
     assert_eq!(
-        hex(folded),
+        hex(snapshot),
         "c104028104020408010802bf0402023ebf040201036e2d3102036e2d3202"
     );
-    let (first, _) = kept
+    let (first, _) = store
         .range(b"a/l/".to_vec()..)
         .next()
         .expect("a stored entry");
@@ -375,7 +409,7 @@
     pair.record.clear();
     pair.act(1, |voter, out| {
         voter
-            .seat(&MembershipChange::Add("n-3".into()), out)
+            .propose_membership_change(&MembershipChange::Add("n-3".into()), out)
             .expect("a leader")
     });
     let snapshot = pair
@@ -398,11 +432,11 @@
         ]
     );
     assert_eq!(pair.voters[&3].state(), pair.voters[&1].state());
-    // Its seat is taken away again.
+    // It is removed again.
     pair.record.clear();
     pair.act(1, |voter, out| {
         voter
-            .seat(&MembershipChange::Remove(3), out)
+            .propose_membership_change(&MembershipChange::Remove(3), out)
             .expect("a leader")
     });
     assert_eq!(
--- a/crates/replicated-log/tests/surface_errors.rs
+++ b/crates/replicated-log/tests/surface_errors.rs
@@ -3,27 +3,27 @@
 use postproxy_replicated_log::{CorruptLog, ProposalRejected};
 
 #[test]
-fn every_reason_not_to_propose_has_its_message() {
+fn every_rejection_of_a_proposal_has_its_message() {
     let cases = [
-        (ProposalRejected::Long, "it is too long"),
+        (ProposalRejected::TooLong, "it is too long"),
         (
             ProposalRejected::Busy,
             "too much waits for the disk or to be decided",
         ),
-        (ProposalRejected::Leaderless, "no voter leads"),
-        (ProposalRejected::Elsewhere(3), "voter 3 leads"),
+        (ProposalRejected::NoLeader, "no voter leads"),
+        (ProposalRejected::NotLeader(3), "voter 3 leads"),
         (
-            ProposalRejected::Changing,
+            ProposalRejected::ChangePending,
             "another change of the voters is not decided yet",
         ),
-        (ProposalRejected::Count, "two to seven nodes vote"),
+        (ProposalRejected::VoterCount, "two to seven nodes vote"),
         (
-            ProposalRejected::Ended,
+            ProposalRejected::VoterFailed,
             "the log of this process is at its end",
         ),
     ];
-    for (refused, message) in cases {
-        assert_eq!(refused.to_string(), message);
+    for (rejected, message) in cases {
+        assert_eq!(rejected.to_string(), message);
     }
 }
 
