--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -1,300 +1,298 @@
-//! What the nodes decide together: it carries words, writes and the time to and from the machine in `postproxy-coordination`, and
-//! words what the operators' door is asked of it.
+//! The coordination service in the node: it carries messages, writes and the time to and from the coordinator of
+//! `postproxy-coordination`, answers requests of the management API, and logs events.
+
+mod write_queue;
 
 use postproxy_coordination::{
-    Coordinator, Error, Event, Operation, Output, Response, Settings, Status, StorageChange,
+    Coordinator, Error, Event, LeaseOwner, MESSAGE_PREFIX, Operation, Output, Rejection, Response,
+    Settings, Status, StorageChange, VoterAction,
 };
-use postproxy_diagnostics::{Diagnostic, ErrorBody};
+use postproxy_diagnostics::Diagnostic;
 use std::collections::{HashMap, HashSet};
+use write_queue::WriteQueue;
 
-/// A write that the disk refused is tried again after this, in seconds.
-const AGAIN: f64 = 0.2;
-
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminRequest {
-    /// That whoever owns this duty gives it up.
-    Release(String),
-    /// That this node owns this duty.
-    Hand(String, String),
-    /// That this node votes, or does so no more.
-    Voter(String, bool),
+    /// Release a lease, whoever owns it.
+    Release {
+        /// The name of the lease.
+        lease: String,
+    },
+    /// Transfer a lease to a node.
+    Transfer {
+        /// The name of the lease.
+        lease: String,
+        /// The name of the node.
+        to: String,
+    },
+    /// Make a node a voter, or remove it from the voters.
+    ChangeVoter {
+        /// The name of the node.
+        node: String,
+        /// Whether it is to become a voter.
+        add: bool,
+    },
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Debug)]
-pub enum Do {
-    /// Send this to that node.
-    Send(String, Vec<u8>),
-    /// Write these; [`CoordinationService::written`] is told what became of it.
+pub enum CoordinationEffect {
+    /// Send a message to a node.
+    Send {
+        /// The name of the node.
+        to: String,
+        /// The encoded message.
+        message: Vec<u8>,
+    },
+    /// Write these changes; report the result by [`CoordinationService::handle_write_completed`].
     Write(Vec<StorageChange>),
-    /// Answer a caller at the door.
-    Tell(usize, u16, String),
+    /// Answer a caller of the management API.
+    Respond {
+        /// The number of the caller.
+        caller: usize,
+        /// The answer.
+        response: AdminResponse,
+    },
 }
 
-/// Writes, one batch on its way at a time: what is refused goes again before anything later, so that the disk never holds a
-/// later change without an earlier one.
-#[derive(Debug, Default)]
-struct WriteQueue {
-    behind: (u64, Vec<StorageChange>),
-    flying: Option<(u64, Vec<StorageChange>)>,
-    /// When the disk is tried again, after a refusal.
-    again: Option<f64>,
-}
-
-impl WriteQueue {
-    fn push(&mut self, number: u64, changes: Vec<StorageChange>) {
-        self.behind.0 = number;
-        self.behind.1.extend(changes);
-    }
-
-    /// The next batch, if one may go.
-    fn next(&mut self, now: f64) -> Option<Vec<StorageChange>> {
-        if self.again.is_some_and(|at| at > now) {
-            return None;
-        }
-        if self.again.take().is_some() {
-            return self.flying.as_ref().map(|(_, changes)| changes.clone());
-        }
-        if self.flying.is_some() || self.behind.1.is_empty() {
-            return None;
-        }
-        let (number, changes) = std::mem::take(&mut self.behind);
-        self.flying = Some((number, changes.clone()));
-        Some(changes)
-    }
-
-    /// What became of the batch on its way: the number up to which all is durable.
-    fn written(&mut self, now: f64, well: bool) -> Option<u64> {
-        if !well {
-            self.again = Some(now + AGAIN);
-            return None;
-        }
-        self.flying.take().map(|(number, _)| number)
-    }
+/// An answer of the management API.
+#[derive(Debug)]
+pub struct AdminResponse {
+    /// The HTTP status code.
+    pub status: u16,
+    /// The body.
+    pub body: String,
 }
 
-/// A node's part in what is decided.
+/// A node's part in the coordination service.
 pub struct CoordinationService {
-    council: Coordinator,
-    scribe: WriteQueue,
-    ticket: u64,
-    /// Callers at the door, by ticket.
+    coordinator: Coordinator,
+    writes: WriteQueue,
+    last_ticket: u64,
+    /// Callers of the management API, by ticket.
     callers: HashMap<u64, usize>,
-    /// To whom words are lost that are to be said anew.
-    lost: HashSet<String>,
+    /// Nodes whose messages may have been lost since the last turn.
+    reconnected_peers: HashSet<String>,
 }
 
-/// The time as the machines beside the jobs count it, in milliseconds.
+/// Converts the time of the event loop, in seconds, to the milliseconds of the coordinator.
 pub(super) fn ms(now: f64) -> u64 {
     (now * 1000.0) as u64
 }
 
-/// An error as the door words it, with a status.
-pub fn refusal(error: &Error) -> (u16, String) {
+/// Returns the answer of the management API to a request that has failed.
+pub fn error_response(error: &Error) -> AdminResponse {
     let status = match error {
-        Error::NoMajority(_) | Error::Busy | Error::NoVoters | Error::Elsewhere(_) => 503,
-        Error::Nobody => 404,
-        Error::Name => 400,
-        Error::Rejected(postproxy_coordination::Rejection::Unknown) => 404,
-        Error::Rejected(_) | Error::WouldStop { .. } | Error::Count => 409,
+        Error::NoMajority(_) | Error::Busy | Error::NoVoters | Error::NotLeader(_) => 503,
+        Error::UnknownNode | Error::Rejected(Rejection::UnknownLease) => 404,
+        Error::InvalidName => 400,
+        Error::Rejected(_) | Error::WouldLoseMajority { .. } | Error::VoterCount => 409,
     };
-    (status, worded(&error.told()))
-}
-
-fn worded(told: &ErrorBody) -> String {
-    serde_json::to_string(told).unwrap_or_default() + "\n"
+    let body = serde_json::to_string(&error.told()).unwrap_or_default() + "\n";
+    AdminResponse { status, body }
 }
 
 impl CoordinationService {
-    /// From what was kept, in this life of the process.
+    /// Creates the service of a new process from what is stored. Also returns what the caller is to do.
     pub fn new(
         settings: Settings,
         now: f64,
-        life: u64,
-        kept: Vec<(Vec<u8>, Vec<u8>)>,
-    ) -> (Self, Vec<Do>) {
+        incarnation: u64,
+        stored: Vec<(Vec<u8>, Vec<u8>)>,
+    ) -> (Self, Vec<CoordinationEffect>) {
         let mut out = Vec::new();
-        let council = Coordinator::new(settings, ms(now), life, kept, &mut out);
-        let mut affairs = Self {
-            council,
-            scribe: WriteQueue::default(),
-            ticket: 0,
+        let coordinator = Coordinator::new(settings, ms(now), incarnation, stored, &mut out);
+        let mut service = Self {
+            coordinator,
+            writes: WriteQueue::default(),
+            last_ticket: 0,
             callers: HashMap::new(),
-            lost: HashSet::new(),
+            reconnected_peers: HashSet::new(),
         };
-        let todo = affairs.carry(now, out);
-        (affairs, todo)
+        let effects = service.carry_out(now, out);
+        (service, effects)
     }
 
-    /// When it is to be called next.
-    pub fn next(&self) -> f64 {
-        self.council.next() as f64 / 1000.0
+    /// Returns when [`CoordinationService::run_turn`] is to be called next, in seconds.
+    pub fn next_turn_at(&self) -> f64 {
+        self.coordinator.next_turn_at() as f64 / 1000.0
     }
 
-    /// A turn of the loop.
-    pub fn turn(&mut self, now: f64) -> Vec<Do> {
+    /// Does what is due; to be called in each turn of the event loop.
+    pub fn run_turn(&mut self, now: f64) -> Vec<CoordinationEffect> {
         let mut out = Vec::new();
-        for name in std::mem::take(&mut self.lost) {
-            self.council.reconnected(ms(now), &name, &mut out);
+        for name in std::mem::take(&mut self.reconnected_peers) {
+            self.coordinator.peer_reconnected(ms(now), &name, &mut out);
         }
-        self.council.turn(ms(now), &mut out);
-        self.carry(now, out)
+        self.coordinator.run_turn(ms(now), &mut out);
+        self.carry_out(now, out)
     }
 
-    /// Another node says something; `None` if it is no word of its.
-    pub fn receive(&mut self, now: f64, from: &str, bytes: &[u8]) -> Option<Vec<Do>> {
+    /// Handles a message of another node. Returns `None` if it is not a message of the coordination service.
+    pub fn receive(
+        &mut self,
+        now: f64,
+        from: &str,
+        message: &[u8],
+    ) -> Option<Vec<CoordinationEffect>> {
+        if !message.starts_with(&MESSAGE_PREFIX) {
+            return None;
+        }
         let mut out = Vec::new();
-        let ours = bytes.starts_with(&postproxy_coordination::PREFIX);
-        if ours && !self.council.receive(ms(now), from, bytes, &mut out) {
-            tracing::debug!(from, "a word of other founders: dropped");
+        if !self.coordinator.receive(ms(now), from, message, &mut out) {
+            tracing::debug!(from, "message of another cluster dropped");
         }
-        ours.then(|| self.carry(now, out))
+        Some(self.carry_out(now, out))
     }
 
-    /// What was on its way to or from a node may be lost.
-    pub fn reconnected(&mut self, name: &str) {
-        self.lost.insert(name.to_owned());
+    /// Records that messages to and from a node may have been lost. The coordinator repeats them in the next turn.
+    pub fn peer_reconnected(&mut self, name: &str) {
+        self.reconnected_peers.insert(name.to_owned());
     }
 
-    /// What became of the writes on their way.
-    pub fn written(&mut self, now: f64, well: bool) -> Vec<Do> {
+    /// Records the result of [`CoordinationEffect::Write`].
+    pub fn handle_write_completed(&mut self, now: f64, succeeded: bool) -> Vec<CoordinationEffect> {
         let mut out = Vec::new();
-        if let Some(number) = self.scribe.written(now, well) {
-            self.council.durable(ms(now), number, &mut out);
+        if !succeeded {
+            self.writes.record_failure(now);
+        } else if let Some(number) = self.writes.record_success() {
+            self.coordinator.record_durable(ms(now), number, &mut out);
         }
-        self.carry(now, out)
+        self.carry_out(now, out)
     }
 
-    /// A caller at the door asks for something.
-    pub fn ask(&mut self, now: f64, caller: usize, ask: AdminRequest) -> Vec<Do> {
-        self.ticket += 1;
-        self.callers.insert(self.ticket, caller);
-        let (now_ms, mut out) = (ms(now), Vec::new());
-        match ask {
-            AdminRequest::Release(duty) => {
+    /// Handles a request of a caller of the management API, who is answered by [`CoordinationEffect::Respond`].
+    pub fn handle_admin_request(
+        &mut self,
+        now: f64,
+        caller: usize,
+        request: AdminRequest,
+    ) -> Vec<CoordinationEffect> {
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        self.callers.insert(ticket, caller);
+        let mut out = Vec::new();
+        match request {
+            AdminRequest::Release { lease } => {
                 let token = self
-                    .council
-                    .state()
-                    .duty(&duty)
-                    .and_then(|duty| duty.owner.as_ref())
-                    .map(|(_, t)| *t);
-                self.council.call(
-                    now_ms,
-                    self.ticket,
-                    Operation::Release(duty, token.unwrap_or_default()),
-                    &mut out,
-                );
+                    .coordinator
+                    .lease_table()
+                    .lease(&lease)
+                    .and_then(|lease| lease.owner.as_ref())
+                    .map_or(0, |owner| owner.token);
+                let operation = Operation::Release { lease, token };
+                self.coordinator.call(ms(now), ticket, operation, &mut out);
             }
-            AdminRequest::Hand(duty, to) => {
-                self.council.call(
-                    now_ms,
-                    self.ticket,
-                    Operation::Hand(duty, None, to),
-                    &mut out,
-                );
+            AdminRequest::Transfer { lease, to } => {
+                let operation = Operation::Transfer {
+                    lease,
+                    token: None,
+                    to,
+                };
+                self.coordinator.call(ms(now), ticket, operation, &mut out);
             }
-            AdminRequest::Voter(name, add) => {
-                self.council
-                    .seating(now_ms, self.ticket, add, &name, &mut out)
+            AdminRequest::ChangeVoter { node, add } => {
+                let action = if add {
+                    VoterAction::Add
+                } else {
+                    VoterAction::Remove
+                };
+                self.coordinator
+                    .change_membership(ms(now), ticket, action, &node, &mut out);
             }
         }
-        self.carry(now, out)
+        self.carry_out(now, out)
+    }
+
+    /// Returns the status for the management API.
+    pub fn status(&self, now: f64) -> Status {
+        self.coordinator.status(ms(now))
     }
 
-    /// What the door shows.
-    pub fn view(&self, now: f64) -> Status {
-        self.council.view(ms(now))
+    /// Returns the names of the voters, as far as this node knows.
+    pub fn voters(&self) -> Vec<String> {
+        self.coordinator.voters().values().cloned().collect()
     }
 
-    /// Who votes, and who leads, as far as this node knows.
-    pub fn voters(&self) -> (Vec<String>, Option<String>) {
-        (
-            self.council.seats().values().cloned().collect(),
-            self.council.leader().cloned(),
-        )
+    /// Returns the name of the leader, as far as this node knows.
+    pub fn leader(&self) -> Option<String> {
+        self.coordinator.leader().cloned()
     }
 
-    fn tell(&mut self, ticket: u64, came: Result<String, Error>) -> Option<Do> {
+    /// Returns the answer to the caller of a ticket, if there is one.
+    fn respond(&mut self, ticket: u64, result: Result<&str, Error>) -> Option<CoordinationEffect> {
         let caller = self.callers.remove(&ticket)?;
-        Some(match came {
-            Ok(words) => Do::Tell(caller, 200, words),
+        let response = match result {
+            Ok(body) => AdminResponse {
+                status: 200,
+                body: body.to_owned(),
+            },
             Err(error) => {
-                tracing::info!(code = error.code(), %error, remedy = error.remedy(), "an operator's call is refused");
-                let (status, words) = refusal(&error);
-                Do::Tell(caller, status, words)
+                tracing::info!(code = error.code(), %error, remedy = error.remedy(), "management request rejected");
+                error_response(&error)
             }
-        })
+        };
+        Some(CoordinationEffect::Respond { caller, response })
     }
 
-    fn carry(&mut self, now: f64, out: Vec<Output>) -> Vec<Do> {
-        let mut todo = Vec::new();
-        for one in out {
-            match one {
-                Output::Send(to, bytes) => todo.push(Do::Send(to, bytes)),
-                Output::Write(number, changes) => self.scribe.push(number, changes),
-                Output::Event(Event::Answered(ticket, came)) => {
-                    todo.extend(self.tell(ticket, came.map(|answer| said(&answer).to_owned())));
+    /// Carries out the outputs of the coordinator.
+    fn carry_out(&mut self, now: f64, out: Vec<Output>) -> Vec<CoordinationEffect> {
+        let mut effects = Vec::new();
+        for output in out {
+            match output {
+                Output::Send { to, message } => {
+                    effects.push(CoordinationEffect::Send { to, message });
+                }
+                Output::Write { number, changes } => self.writes.push(number, changes),
+                Output::Event(Event::CallCompleted { ticket, result }) => {
+                    let result = result.map(|response| response_body(&response));
+                    effects.extend(self.respond(ticket, result));
                 }
-                Output::Event(Event::Seated(ticket, came)) => {
-                    todo.extend(self.tell(ticket, came.map(|()| "yes\n".to_owned())));
+                Output::Event(Event::MembershipChangeCompleted { ticket, result }) => {
+                    effects.extend(self.respond(ticket, result.map(|()| "yes\n")));
                 }
-                Output::Event(event) => log(&event),
+                Output::Event(event) => log_event(&event),
             }
         }
-        todo.extend(self.scribe.next(now).map(Do::Write));
-        todo
+        effects.extend(self.writes.next_batch(now).map(CoordinationEffect::Write));
+        effects
     }
 }
 
-fn said(answer: &Response) -> &'static str {
-    match answer {
-        Response::Refused(_) => "no\n",
+fn response_body(response: &Response) -> &'static str {
+    match response {
+        Response::Rejected(_) => "no\n",
         _ => "yes\n",
     }
 }
 
-fn log(event: &Event) {
+fn log_event(event: &Event) {
     match event {
-        Event::Gained(duty, token, _) => tracing::info!(duty, token, "this node owns a duty"),
-        Event::Lost(duty, token) => tracing::info!(duty, token, "this node owns a duty no more"),
-        Event::Owner(duty, Some((owner, token))) => {
-            tracing::info!(duty, owner, token, "a duty has an owner")
+        Event::LeaseAcquired { lease, token, .. } => {
+            tracing::info!(lease, token, "lease acquired");
         }
-        Event::Owner(duty, None) => tracing::warn!(duty, "a duty has no owner"),
-        Event::Leader(Some(leader)) => tracing::info!(leader, "the voters have a leader"),
-        Event::Leader(None) => tracing::warn!("the voters have no leader that this node knows of"),
-        Event::Votes(None) => tracing::info!("this node votes"),
-        Event::Votes(Some(why)) => tracing::warn!(?why, "this node does not vote"),
-        Event::Paused => tracing::warn!("a pause: nothing is owned until it has been renewed"),
-        Event::Decided | Event::Answered(..) | Event::Seated(..) => {}
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a later write that is durable where an earlier one was refused.
-    #[test]
-    fn what_the_disk_refused_goes_again_before_anything_later() {
-        let change = |n: u8| StorageChange {
-            key: vec![n],
-            value: None,
-        };
-        let mut scribe = WriteQueue::default();
-        scribe.push(1, vec![change(1)]);
-        assert_eq!(scribe.next(0.0), Some(vec![change(1)]));
-        scribe.push(2, vec![change(2)]);
-        scribe.push(3, vec![change(3)]);
-        assert_eq!(scribe.next(0.0), None, "one is on its way");
-        assert_eq!(scribe.written(1.0, false), None);
-        assert_eq!(scribe.next(1.1), None, "not at once");
-        assert_eq!(scribe.next(1.0 + AGAIN), Some(vec![change(1)]));
-        assert_eq!(scribe.next(9.0), None);
-        assert_eq!(scribe.written(2.0, true), Some(1));
-        assert_eq!(scribe.next(2.0), Some(vec![change(2), change(3)]));
-        assert_eq!(scribe.written(2.0, true), Some(3));
-        assert_eq!(scribe.next(2.0), None);
+        Event::LeaseLost { lease, token } => tracing::info!(lease, token, "lease lost"),
+        Event::OwnerChanged {
+            lease,
+            owner: Some(LeaseOwner { node, token }),
+        } => tracing::info!(lease, owner = node, token, "lease owner changed"),
+        Event::OwnerChanged { lease, owner: None } => {
+            tracing::warn!(lease, "lease without an owner");
+        }
+        Event::LeaderChanged {
+            leader: Some(leader),
+        } => tracing::info!(leader, "leader changed"),
+        Event::LeaderChanged { leader: None } => tracing::warn!("no leader known"),
+        Event::VotingChanged {
+            not_voting_reason: None,
+        } => tracing::info!("voting started"),
+        Event::VotingChanged {
+            not_voting_reason: Some(reason),
+        } => tracing::warn!(?reason, "not voting"),
+        Event::PauseDetected => tracing::warn!("pause detected: leases must be renewed"),
+        Event::StateChanged
+        | Event::CallCompleted { .. }
+        | Event::MembershipChangeCompleted { .. } => {}
     }
 }
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -1,7 +1,9 @@
 //! The other nodes: it moves datagrams and words over streams to and from the machine that knows who is there, and words
 //! what the operators' door is asked.
 
-use crate::net::cluster::coordination::{self, AdminRequest, CoordinationService};
+use crate::net::cluster::coordination::{
+    self, AdminRequest, CoordinationEffect, CoordinationService,
+};
 use crate::net::cluster::peer_connections::{PeerConnections, PeerMessage};
 use crate::net::cluster::versions::{self, Audit};
 use crate::net::store_adapter::RecoveredState;
@@ -122,7 +124,7 @@
         now: f64,
         heard: Vec<PeerMessage>,
         out: &mut Vec<Output>,
-    ) -> Vec<coordination::Do> {
+    ) -> Vec<CoordinationEffect> {
         let mut todo = Vec::new();
         for heard in heard {
             match heard {
@@ -148,7 +150,7 @@
                 PeerMessage::Anew(name) => {
                     tracing::debug!(name, "a node in a new life: what waited for it is dropped");
                     if let Some(coordination) = &mut self.coordination {
-                        coordination.reconnected(&name);
+                        coordination.peer_reconnected(&name);
                     }
                 }
             }
@@ -258,7 +260,7 @@
         Ok((fleet, events))
     }
 
-    fn take_place(&mut self, reactor: &mut Reactor) -> std::io::Result<Vec<coordination::Do>> {
+    fn take_place(&mut self, reactor: &mut Reactor) -> std::io::Result<Vec<CoordinationEffect>> {
         // The life must differ from every other's: from the system's own chance, not from the seed.
         let seed = RandomState::new().build_hasher().finish();
         let (socket, peer_connections) = self.sockets(reactor, seed)?;
@@ -282,14 +284,14 @@
             .duties
             .as_ref()
             .map(|section| postproxy_coordination::Settings {
-                name: self.name.clone(),
+                node: self.name.clone(),
                 cluster: self.section.cluster.clone(),
-                founders: self.section.voters.iter().cloned().collect(),
-                times: postproxy_coordination::LeaseTiming {
-                    lease: section.lease_ms,
+                initial_voters: self.section.voters.iter().cloned().collect(),
+                lease_timing: postproxy_coordination::LeaseTiming {
+                    lease_ms: section.lease_ms,
                     ..Default::default()
                 },
-                duties: ["bans".to_owned()].into(),
+                wanted_leases: ["bans".to_owned()].into(),
             });
         let kept = std::mem::take(&mut self.council);
         let (coordination, todo) = council
@@ -349,7 +351,10 @@
                 place.members.next(),
                 place.peer_connections.next(),
                 Some(place.settled),
-                place.coordination.as_ref().map(CoordinationService::next),
+                place
+                    .coordination
+                    .as_ref()
+                    .map(CoordinationService::next_turn_at),
                 place.audit.as_ref().map(Audit::next),
             ]
             .into_iter()
@@ -397,7 +402,7 @@
             let heard = place.peer_connections.due(reactor);
             todo.extend(place.heed(reactor.now, heard, &mut out));
             if let Some(coordination) = place.coordination.as_mut() {
-                todo.extend(coordination.turn(reactor.now));
+                todo.extend(coordination.run_turn(reactor.now));
             }
             if let Some(audit) = place.audit.as_mut() {
                 told = audit.due(reactor.now);
@@ -493,11 +498,11 @@
     }
 
     /// Does what is decided together.
-    fn do_all(&mut self, reactor: &mut Reactor, todo: Vec<coordination::Do>) -> Vec<Event> {
+    fn do_all(&mut self, reactor: &mut Reactor, todo: Vec<CoordinationEffect>) -> Vec<Event> {
         let mut events = Vec::new();
         for one in todo {
             match one {
-                coordination::Do::Send(to, bytes) => {
+                CoordinationEffect::Send { to, message: bytes } => {
                     let Some(place) = &mut self.place else {
                         continue;
                     };
@@ -508,13 +513,13 @@
                     if place.peer_connections.say(reactor, &to, at, bytes).is_err() {
                         tracing::debug!(to, "too much waits for a node: not told");
                         if let Some(coordination) = &mut place.coordination {
-                            coordination.reconnected(&to);
+                            coordination.peer_reconnected(&to);
                         }
                     }
                 }
-                coordination::Do::Write(changes) => events.push(Event::Write(changes)),
-                coordination::Do::Tell(caller, status, words) => {
-                    events.push(Event::Tell(caller, status, words))
+                CoordinationEffect::Write(changes) => events.push(Event::Write(changes)),
+                CoordinationEffect::Respond { caller, response } => {
+                    events.push(Event::Tell(caller, response.status, response.body))
                 }
             }
         }
@@ -528,7 +533,7 @@
             .as_mut()
             .and_then(|place| place.coordination.as_mut());
         let todo = coordination
-            .map(|coordination| coordination.written(reactor.now, well))
+            .map(|coordination| coordination.handle_write_completed(reactor.now, well))
             .unwrap_or_default();
         let events = self.do_all(reactor, todo);
         self.plan(reactor);
@@ -542,7 +547,10 @@
         caller: usize,
         ask: AdminRequest,
     ) -> Option<Vec<Event>> {
-        if let AdminRequest::Voter(name, true) = &ask
+        if let AdminRequest::ChangeVoter {
+            node: name,
+            add: true,
+        } = &ask
             && self
                 .place
                 .as_ref()
@@ -550,15 +558,16 @@
             && *name != self.name
         {
             // A seat that nobody takes counts towards the majority all the same.
-            let (status, words) = coordination::refusal(&postproxy_coordination::Error::Nobody);
-            return Some(vec![Event::Tell(caller, status, words)]);
+            let response =
+                coordination::error_response(&postproxy_coordination::Error::UnknownNode);
+            return Some(vec![Event::Tell(caller, response.status, response.body)]);
         }
         let todo = self
             .place
             .as_mut()?
             .coordination
             .as_mut()?
-            .ask(reactor.now, caller, ask);
+            .handle_admin_request(reactor.now, caller, ask);
         let events = self.do_all(reactor, todo);
         self.plan(reactor);
         Some(events)
@@ -566,7 +575,7 @@
 
     /// Who votes and who owns what, as the door shows it.
     pub fn lease_status_json(&self, now: f64) -> Option<String> {
-        let view = self.place.as_ref()?.coordination.as_ref()?.view(now);
+        let view = self.place.as_ref()?.coordination.as_ref()?.status(now);
         serde_json::to_string(&view).ok().map(|text| text + "\n")
     }
 
@@ -697,7 +706,7 @@
         let place = self.place.as_ref()?;
         let members = &place.members;
         let (voters, leader) = match &place.coordination {
-            Some(coordination) => coordination.voters(),
+            Some(coordination) => (coordination.voters(), coordination.leader()),
             None => (self.section.voters.clone(), None),
         };
         let voter = |name: &str| voters.iter().any(|voter| voter == name);
@@ -789,7 +798,7 @@
                             .as_mut()
                             .and_then(|place| place.coordination.as_mut())
                     {
-                        coordination.reconnected(&id.name);
+                        coordination.peer_reconnected(&id.name);
                     }
                     log(&news);
                     changed = true;
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -584,15 +584,15 @@
                     continue;
                 }
                 Call::Release(duty) => {
-                    self.affair(key, AdminRequest::Release(duty));
+                    self.affair(key, AdminRequest::Release { lease: duty });
                     continue;
                 }
                 Call::Hand(duty, to) => {
-                    self.affair(key, AdminRequest::Hand(duty, to));
+                    self.affair(key, AdminRequest::Transfer { lease: duty, to });
                     continue;
                 }
                 Call::Voter(name, add) => {
-                    self.affair(key, AdminRequest::Voter(name, add));
+                    self.affair(key, AdminRequest::ChangeVoter { node: name, add });
                     continue;
                 }
                 Call::Members => {
--- /dev/null
+++ b/tests/leases.rs
@@ -0,0 +1,285 @@
+//! Leases in clusters of processes of the real program, with faults of processes and of the network.
+
+#[path = "support/fleet_harness.rs"]
+mod fleet_harness;
+
+use fleet_harness::{Fleet, MOST};
+use postproxy::net::cluster::service::ClusterStatus;
+use postproxy::stand_ins::ask;
+use postproxy_coordination::{LeaseStatus, NotVotingReason, Status};
+use postproxy_diagnostics::ErrorBody;
+use postproxy_fault_injection::wait;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+fn start_fleet(count: usize, voters: usize, seed: u64) -> Fleet {
+    let sections = serde_json::json!({"duties": {}, "voters": voters});
+    Fleet::with_sections(count, seed, true, &["w-0".into()], &sections)
+}
+
+fn node_status(fleet: &Fleet, n: usize) -> Option<Status> {
+    let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
+    serde_json::from_slice(&answer.body).ok()
+}
+
+fn bans_lease(fleet: &Fleet, n: usize) -> Option<LeaseStatus> {
+    node_status(fleet, n)?
+        .leases
+        .into_iter()
+        .find(|lease| lease.lease == "bans")
+}
+
+/// Returns which of these nodes may act as the owner of the lease now, as they show themselves.
+fn acting_owners(fleet: &Fleet, nodes: &[usize]) -> Vec<usize> {
+    nodes
+        .iter()
+        .copied()
+        .filter(|n| bans_lease(fleet, *n).is_some_and(|lease| lease.remaining_ms.is_some()))
+        .collect()
+}
+
+/// Waits until exactly one of these nodes may act as the owner of the lease and shows itself as its owner, under a token above this one,
+/// and returns the node and the token. Whether a node may act and under which token is read from one answer of it. With two answers, a
+/// node that stops acting in between could be taken for the holder of the next owner's token.
+fn wait_for_owner(fleet: &Fleet, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
+    let mut found = None;
+    let is_owned = wait(MOST, || {
+        let leases = nodes
+            .iter()
+            .filter_map(|n| Some((*n, bans_lease(fleet, *n)?)));
+        let acting: Vec<(usize, LeaseStatus)> = leases
+            .filter(|(_, lease)| lease.remaining_ms.is_some())
+            .collect();
+        found = acting.first().and_then(|(n, lease)| {
+            let owns = lease.owner.as_ref() == Some(&fleet.nodes[*n].name);
+            Some((*n, lease.token.filter(|token| owns && *token > above)?))
+        });
+        acting.len() == 1 && found.is_some()
+    });
+    assert!(is_owned, "{what}: {}", fleet.told());
+    fleet.history.note(format!("{what}: {found:?}"));
+    found.expect("it was found")
+}
+
+fn post(fleet: &Fleet, n: usize, path: &str) -> (u16, String) {
+    let answer = ask(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
+    let text = String::from_utf8_lossy(&answer.body).into_owned();
+    fleet
+        .history
+        .note(format!("{path} at n{n}: {} {text}", answer.status));
+    (answer.status, text)
+}
+
+fn error_body(text: &str) -> ErrorBody {
+    serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"))
+}
+
+/// Returns each token that any of the logs names, with the nodes that have acquired the lease under it.
+fn logged_tokens(fleet: &Fleet) -> BTreeMap<u64, Vec<usize>> {
+    let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
+    for (n, _, log) in fleet.logs() {
+        for line in log
+            .lines()
+            .filter(|line| line.contains("lease acquired lease=\"bans\""))
+        {
+            let token = line
+                .split("token=")
+                .nth(1)
+                .and_then(|rest| rest.split_whitespace().next()?.parse().ok());
+            tokens.entry(token.expect("a token")).or_default().push(n);
+        }
+    }
+    tokens
+}
+
+/// Tokens only grow, and each has one owner: over a kill, a pause of the owner, a cut, and the death of all nodes at once with a start in
+/// another order. Without a majority nobody owns anything, and everything resumes without help.
+#[test]
+fn a_lease_has_one_owner_over_kills_pauses_cuts_and_the_death_of_all() {
+    let mut fleet = start_fleet(4, 3, 31);
+    let all = [0, 1, 2, 3];
+    let (first, token) = wait_for_owner(&fleet, "an owner", &all, 0);
+    fleet.kill(first);
+    let rest: Vec<usize> = all.into_iter().filter(|n| *n != first).collect();
+    let (second, token) = wait_for_owner(&fleet, "another after the kill", &rest, token);
+    fleet.start(first);
+    fleet.pause(&[second], Duration::from_secs(6));
+    let (third, token) = wait_for_owner(&fleet, "another after the pause", &all, token);
+    assert_ne!(third, second, "{}", fleet.told());
+    assert!(
+        wait(MOST, || fleet.lines(second, "pause detected") >= 1),
+        "the pause is logged: {}",
+        fleet.told()
+    );
+    // An owner that is cut off stops at its lease's end, and the others go on.
+    let others: Vec<usize> = all.into_iter().filter(|n| *n != third).collect();
+    fleet.net.part(&[third], &others);
+    fleet.history.note(format!("cut off n{third}"));
+    let (_, token) = wait_for_owner(&fleet, "another after the cut", &others, token);
+    assert!(
+        acting_owners(&fleet, &[third]).is_empty(),
+        "{}",
+        fleet.told()
+    );
+    fleet.net.heal();
+    fleet.whole();
+    let voters: Vec<usize> = (0..3).collect();
+    for n in [0, 1] {
+        fleet.kill(n);
+    }
+    assert!(
+        wait(MOST, || acting_owners(&fleet, &[2, 3]).is_empty()),
+        "without a majority: {}",
+        fleet.told()
+    );
+    let (status, text) = post(&fleet, 3, "/v1/fleet/owners/bans/hand/n3");
+    let error = error_body(&text);
+    assert_eq!(
+        (status, error.code.as_str(), error.error.as_str()),
+        (503, "duties.no_majority", "duties")
+    );
+    assert!(
+        error.what.contains("n0, n1") && error.remedy.contains("start the voters"),
+        "{error:?}"
+    );
+    for n in [2, 3] {
+        fleet.kill(n);
+    }
+    for n in [3, 1, 2, 0] {
+        fleet.start(n);
+    }
+    let (_, last) = wait_for_owner(&fleet, "an owner after all died", &all, token);
+    assert!(
+        voters.iter().all(|n| wait(MOST, || node_status(&fleet, *n)
+            .is_some_and(|status| status.is_voter))),
+        "{}",
+        fleet.told()
+    );
+    let tokens = logged_tokens(&fleet);
+    assert!(
+        tokens.values().all(|nodes| nodes.len() == 1),
+        "a token of two owners: {tokens:?}"
+    );
+    assert!(
+        tokens.contains_key(&last) && tokens.len() >= 5,
+        "{tokens:?}"
+    );
+}
+
+/// A voter that restarts with an empty store does not vote under its old number: it shows that, is added anew by a call, and votes. A
+/// membership change that would leave no majority is rejected with a remedy.
+#[test]
+fn a_voter_without_its_store_is_added_anew_and_no_change_loses_the_majority() {
+    let mut fleet = start_fleet(4, 3, 32);
+    wait_for_owner(&fleet, "an owner", &[0, 1, 2, 3], 0);
+    fleet.kill(2);
+    std::fs::remove_dir_all(fleet.nodes[2].folder.join("store")).expect("its store");
+    fleet.start(2);
+    let lost = || {
+        node_status(&fleet, 2).is_some_and(|status| {
+            status.not_voting_reason == Some(NotVotingReason::PromisesLost) && !status.is_voter
+        })
+    };
+    assert!(
+        wait(MOST, lost),
+        "it has lost its promises: {}",
+        fleet.told()
+    );
+    let known = || {
+        node_status(&fleet, 0).is_some_and(|status| {
+            status
+                .voters
+                .iter()
+                .any(|voter| voter.node == "n2" && voter.promises_lost)
+        })
+    };
+    assert!(wait(MOST, known), "others know: {}", fleet.told());
+    assert_eq!(
+        post(&fleet, 3, "/v1/fleet/voters/n2/add").0,
+        200,
+        "{}",
+        fleet.told()
+    );
+    assert!(
+        wait(MOST, || node_status(&fleet, 2)
+            .is_some_and(|status| status.is_voter)),
+        "it votes anew: {}",
+        fleet.told()
+    );
+    let voter = node_status(&fleet, 0)
+        .and_then(|status| status.voters.into_iter().find(|voter| voter.node == "n2"));
+    assert!(
+        voter.is_some_and(|voter| voter.voter_id > 3 && !voter.promises_lost),
+        "{}",
+        fleet.told()
+    );
+    // A node that does not vote becomes a voter and is removed again.
+    assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
+    assert!(
+        wait(MOST, || node_status(&fleet, 3)
+            .is_some_and(|status| status.is_voter)),
+        "{}",
+        fleet.told()
+    );
+    let shown = |p: &ClusterStatus| {
+        p.members.iter().filter(|m| m.voter).count() == 4
+            && p.members.iter().filter(|m| m.leads).count() == 1
+    };
+    fleet.until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
+        shown(picture)
+    });
+    assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
+    assert!(
+        wait(MOST, || node_status(&fleet, 3)
+            .is_some_and(|status| !status.is_voter)),
+        "{}",
+        fleet.told()
+    );
+    fleet.kill(1);
+    let dead = || {
+        node_status(&fleet, 0).is_some_and(|status| {
+            status
+                .voters
+                .iter()
+                .any(|voter| voter.node == "n1" && voter.recently_heard == Some(false))
+        })
+    };
+    assert!(wait(MOST, dead), "{}", fleet.told());
+    let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
+    assert_eq!(
+        (status, error_body(&text).code.as_str()),
+        (409, "voters.would_stop"),
+        "{}",
+        fleet.told()
+    );
+    let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n33/add");
+    assert_eq!(
+        (status, error_body(&text).code.as_str()),
+        (404, "voters.nobody"),
+        "{}",
+        fleet.told()
+    );
+    let (status, text) = post(&fleet, 0, "/v1/fleet/owners/nothing/release");
+    assert_eq!(
+        (status, error_body(&text).code.as_str()),
+        (404, "duties.unknown")
+    );
+}
+
+/// A lease can be transferred and released at any node, and does not return to the node that was made to release it.
+#[test]
+fn a_lease_is_transferred_and_released_at_any_node() {
+    let fleet = start_fleet(3, 3, 33);
+    let (first, token) = wait_for_owner(&fleet, "an owner", &[0, 1, 2], 0);
+    let to = (first + 1) % 3;
+    let at = (first + 2) % 3;
+    assert_eq!(
+        post(&fleet, at, &format!("/v1/fleet/owners/bans/hand/n{to}")),
+        (200, "yes\n".into())
+    );
+    let (second, token) = wait_for_owner(&fleet, "transferred", &[0, 1, 2], token);
+    assert_eq!(second, to, "{}", fleet.told());
+    assert_eq!(post(&fleet, at, "/v1/fleet/owners/bans/release").0, 200);
+    let (third, _) = wait_for_owner(&fleet, "released", &[0, 1, 2], token);
+    assert_ne!(third, to, "{}", fleet.told());
+}
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -3,7 +3,7 @@
 //! out, so that no renaming in the code can change what operators and scripts read.
 
 use postproxy::decision::interface::SettingsError;
-use postproxy::net::cluster::coordination::refusal;
+use postproxy::net::cluster::coordination::error_response;
 use postproxy::net::messages::Answer;
 use postproxy::operator_config::OperatorConfigError;
 use postproxy::simulator_protocol::WireError;
@@ -90,7 +90,11 @@
 
 /// Asserts the status and the body with which the management API rejects a call that came to this.
 fn assert_rejection(error: Error, status: u16, body: &str) {
-    assert_eq!(refusal(&error), (status, format!("{body}\n")));
+    let response = error_response(&error);
+    assert_eq!(
+        (response.status, response.body),
+        (status, format!("{body}\n"))
+    );
 }
 
 #[test]
@@ -116,7 +120,7 @@
         r#"{"error":"duties","code":"duties.no_voters","what":"no node votes","remedy":"name voters in the section fleet of every node, and start them"}"#,
     );
     assert_rejection(
-        Error::Elsewhere("n2".into()),
+        Error::NotLeader("n2".into()),
         503,
         r#"{"error":"voters","code":"voters.elsewhere","what":"n2 leads","remedy":"ask again: who leads has just changed"}"#,
     );
@@ -125,7 +129,10 @@
 #[test]
 fn calls_that_the_state_forbids_are_shown_with_status_409() {
     assert_rejection(
-        Error::Rejected(Rejection::Owned("n1".into(), 7)),
+        Error::Rejected(Rejection::OwnedByOther {
+            owner: "n1".into(),
+            token: 7,
+        }),
         409,
         r#"{"error":"duties","code":"duties.owned","what":"n1 owns it under token 7","remedy":"ask its owner to release it, or hand it on"}"#,
     );
@@ -145,12 +152,12 @@
         r#"{"error":"duties","code":"duties.malformed","what":"a name must have 1 to 64 bytes, a value at most 65536","remedy":"give a name of 1 to 64 bytes"}"#,
     );
     assert_rejection(
-        Error::Rejected(Rejection::Full),
+        Error::Rejected(Rejection::TooManyLeases),
         409,
         r#"{"error":"duties","code":"duties.full","what":"no more duties can be remembered","remedy":"no more than 4096 duties can be known: end parts that make them"}"#,
     );
     assert_rejection(
-        Error::Rejected(Rejection::Old),
+        Error::Rejected(Rejection::SupersededCommand),
         409,
         r#"{"error":"duties","code":"duties.old","what":"a later call of this client has been answered","remedy":"nothing: a later call of the same node has been answered"}"#,
     );
@@ -159,12 +166,12 @@
 #[test]
 fn changes_of_the_voters_that_are_not_possible_are_shown_with_status_409() {
     assert_rejection(
-        Error::WouldStop { living: 1, of: 3 },
+        Error::WouldLoseMajority { living: 1, of: 3 },
         409,
         r#"{"error":"voters","code":"voters.would_stop","what":"it would leave 1 living voters of 3","remedy":"start voters that are down first, or remove a dead one instead of a living one"}"#,
     );
     assert_rejection(
-        Error::Count,
+        Error::VoterCount,
         409,
         r#"{"error":"voters","code":"voters.count","what":"two to seven nodes vote","remedy":"remove a seat before another is added; two voters are the least"}"#,
     );
@@ -173,12 +180,12 @@
 #[test]
 fn calls_for_what_is_not_there_are_shown_with_status_404() {
     assert_rejection(
-        Error::Rejected(Rejection::Unknown),
+        Error::Rejected(Rejection::UnknownLease),
         404,
         r#"{"error":"duties","code":"duties.unknown","what":"nobody knows this duty","remedy":"see GET /v1/fleet/owners for the duties that there are"}"#,
     );
     assert_rejection(
-        Error::Nobody,
+        Error::UnknownNode,
         404,
         r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; the node must be there to get a seat"}"#,
     );
@@ -187,7 +194,7 @@
 #[test]
 fn a_name_that_is_none_is_shown_with_status_400() {
     assert_rejection(
-        Error::Name,
+        Error::InvalidName,
         400,
         r#"{"error":"voters","code":"voters.name","what":"a name must have 1 to 64 bytes","remedy":"give a name of 1 to 64 bytes"}"#,
     );
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -5,7 +5,7 @@
 //! `#[serde(rename)]`), not the literal. Ports, times and drawn numbers are replaced by a word before the comparison. The number
 //! and digest of the kind `program` follow the package's version, and change with a release.
 
-use postproxy::net::cluster::coordination::refusal;
+use postproxy::net::cluster::coordination::error_response;
 use postproxy::net::cluster::service::{ClusterStatus, MemberStatus};
 use postproxy::net::cluster::versions::Audit;
 use postproxy::net::{Config, Node};
@@ -464,36 +464,40 @@
 /// Pins a rejected call's status beside its body, whose other forms the crate `council` pins.
 #[test]
 fn each_rejected_call_has_this_status() {
-    let status = |error: &Error| refusal(error).0;
-    let stop = Error::WouldStop { living: 1, of: 3 };
+    let status = |error: &Error| error_response(error).status;
+    let stop = Error::WouldLoseMajority { living: 1, of: 3 };
     for error in [
         Error::NoMajority(Vec::new()),
         Error::Busy,
         Error::NoVoters,
-        Error::Elsewhere("n1".into()),
+        Error::NotLeader("n1".into()),
     ] {
         assert_eq!(status(&error), 503, "{error}");
     }
-    for error in [Error::Nobody, Error::Rejected(Rejection::Unknown)] {
+    for error in [Error::UnknownNode, Error::Rejected(Rejection::UnknownLease)] {
         assert_eq!(status(&error), 404, "{error}");
     }
-    assert_eq!(status(&Error::Name), 400);
+    assert_eq!(status(&Error::InvalidName), 400);
     let refused = [
-        Rejection::Owned("n1".into(), 7),
+        Rejection::OwnedByOther {
+            owner: "n1".into(),
+            token: 7,
+        },
         Rejection::StaleToken(None),
         Rejection::Malformed,
-        Rejection::Full,
-        Rejection::Old,
+        Rejection::TooManyLeases,
+        Rejection::SupersededCommand,
     ];
     for error in refused
         .map(Error::Rejected)
         .into_iter()
-        .chain([stop, Error::Count])
+        .chain([stop, Error::VoterCount])
     {
         assert_eq!(status(&error), 409, "{error}");
     }
+    let response = error_response(&Error::InvalidName);
     assert_eq!(
-        refusal(&Error::Name),
+        (response.status, response.body),
         (
             400,
             "{\"error\":\"voters\",\"code\":\"voters.name\",\"what\":\"a name must have 1 to 64 bytes\",\
