--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -4,8 +4,9 @@
 use crate::error::{Error, NotVotingReason};
 use crate::membership_changes::{MembershipChangeInProgress, RequestedChange};
 use crate::message::{FollowerSnapshot, Message, cluster_id, decode, encode};
-use crate::replica::{Replica, ReplicaOutput, voter_id_of};
+use crate::replica::{Replica, ReplicaOutput};
 use crate::timing::{LIVENESS_TIMEOUT_MS, TICK_INTERVAL_MS};
+use crate::voters::voter_id_of;
 use postproxy_leases::{
     FencingToken, LeaseGranter, LeaseHolder, LeaseOwner, LeasePermit, LeaseTable, LeaseTiming,
     Response,
@@ -294,7 +295,7 @@
         true
     }
 
-    /// Handles a message of a node, which is the voter of this number if it is one.
+    /// Handles a message of a node, which is the voter of this number if it is one. Long only by its patterns: a call for each case.
     fn handle_message(
         &mut self,
         now: u64,
@@ -318,16 +319,12 @@
             Message::Log {
                 incarnation,
                 message,
-            } => {
-                let promising_id = message_promise(&message).voter;
-                match sender_id {
-                    Some(id) if promising_id == id || promising_id == 0 => {
-                        self.replica
-                            .receive_log(id, incarnation, &message, replica_outputs);
-                    }
-                    _ => self.send_voters(from, out),
-                }
-            }
+            } => match sender_id.filter(|id| may_be_from(&message, *id)) {
+                Some(id) => self
+                    .replica
+                    .receive_log(id, incarnation, &message, replica_outputs),
+                None => self.send_voters(from, out),
+            },
             Message::VotersAnnounced {
                 applied_index,
                 voters,
@@ -460,6 +457,12 @@
     }
 }
 
+/// Returns whether a message of the log may come from this voter: it promises something for it, or for nobody.
+fn may_be_from(message: &[u8], voter_id: u64) -> bool {
+    let promising_id = message_promise(message).voter;
+    promising_id == voter_id || promising_id == 0
+}
+
 impl std::fmt::Debug for Coordinator {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -16,10 +16,12 @@
 mod membership_changes;
 mod message;
 mod replica;
+mod state_machine;
 mod status;
 #[cfg(test)]
 mod tests;
 mod timing;
+mod voters;
 
 pub use calls::MAX_QUEUED_CALLS;
 pub use coordinator::{Coordinator, Event, Output, Settings};
--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -5,8 +5,8 @@
 use crate::coordinator::{Coordinator, Event, Output};
 use crate::error::Error;
 use crate::message::Message;
-use crate::replica::voter_id_of;
 use crate::timing::{CALL_RETRY_INTERVAL_MS, CALL_TIMEOUT_MS};
+use crate::voters::voter_id_of;
 use postproxy_leases::MAX_NAME_BYTES;
 use postproxy_replicated_log::{MembershipChange, ProposalRejected};
 use std::collections::BTreeMap;
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -2,30 +2,18 @@
 
 use crate::error::NotVotingReason;
 use crate::message::Message;
-use postproxy_leases::{Command, LeaseTable};
+use crate::state_machine::LeaseStateMachine;
+use crate::voters::{VotersAt, voter_id_of};
+use postproxy_leases::Command;
 use postproxy_replicated_log::admission::{
     Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict,
 };
 use postproxy_replicated_log::{
-    MembershipChange, Output as VoterOutput, ProposalRejected, StateMachine, StorageChange, Voter,
+    MembershipChange, Output as VoterOutput, ProposalRejected, StorageChange, Voter,
     message_promise, stored_log_end,
 };
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The state machine of the log: its entries are commands on the lease table.
-#[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct LeaseStateMachine(pub LeaseTable);
-
-impl StateMachine for LeaseStateMachine {
-    fn apply(&mut self, entry: &[u8]) {
-        // An entry that can't be read changes nothing, at every voter alike.
-        if let Ok(command) = postcard::from_bytes::<Command>(entry) {
-            self.0.apply(&command);
-        }
-    }
-}
-
 /// What the owner of a replica is to do, or what has happened.
 pub enum ReplicaOutput {
     /// Send a message to a node.
@@ -69,29 +57,6 @@
 
 type StoredKeys = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// The voters as of an index of the log.
-#[derive(Clone, Copy)]
-pub struct VotersAt<'a> {
-    /// The index of the log.
-    pub applied_index: u64,
-    /// The name of each voter's node, by the voter's number.
-    pub voters: &'a BTreeMap<u64, String>,
-}
-
-impl VotersAt<'_> {
-    fn id_of(&self, node: &str) -> Option<u64> {
-        voter_id_of(self.voters, node)
-    }
-}
-
-/// Returns the number under which a node votes.
-pub fn voter_id_of(voters: &BTreeMap<u64, String>, node: &str) -> Option<u64> {
-    voters
-        .iter()
-        .find(|(_, name)| *name == node)
-        .map(|(id, _)| *id)
-}
-
 /// The replica of a node, which may be a voter.
 pub struct Replica {
     node: String,
@@ -434,7 +399,7 @@
 
     /// Records that messages to and from a node may have been lost.
     pub fn peer_reconnected(&mut self, node: &str, out: &mut Vec<ReplicaOutput>) {
-        let peer = self.voters().id_of(node);
+        let peer = voter_id_of(self.voters().voters, node);
         if let Some(peer) = peer.filter(|peer| *peer != self.id) {
             self.with_voter(|voter, outputs| voter.peer_reconnected(peer, outputs), out);
         }
--- /dev/null
+++ b/crates/coordination/src/state_machine.rs
@@ -0,0 +1,18 @@
+//! The state machine of the replicated log: the lease table.
+
+use postproxy_leases::{Command, LeaseTable};
+use postproxy_replicated_log::StateMachine;
+use serde::{Deserialize, Serialize};
+
+/// The lease table as the state machine of the log, whose entries are commands on it.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
+pub struct LeaseStateMachine(pub LeaseTable);
+
+impl StateMachine for LeaseStateMachine {
+    fn apply(&mut self, entry: &[u8]) {
+        // An entry that can't be read changes nothing, at every voter alike.
+        if let Ok(command) = postcard::from_bytes::<Command>(entry) {
+            self.0.apply(&command);
+        }
+    }
+}
--- a/crates/coordination/src/tests.rs
+++ b/crates/coordination/src/tests.rs
@@ -3,7 +3,8 @@
 //! what an older version stored, so these bytes must not change with a rename. The literals were written by the version before the renames.
 
 use crate::message::{FollowerSnapshot, MESSAGE_PREFIX, Message, cluster_id, decode, encode};
-use crate::replica::{LeaseStateMachine, Replica, ReplicaOutput};
+use crate::replica::{Replica, ReplicaOutput};
+use crate::state_machine::LeaseStateMachine;
 use crate::{Error, NotVotingReason, StorageChange};
 use postproxy_leases::{Command, LeaseTable, Operation, Rejection, Response};
 use postproxy_replicated_log::LogEnd;
--- a/crates/replicated-log/tests/admission.rs
+++ b/crates/replicated-log/tests/admission.rs
@@ -257,25 +257,39 @@
     assert!(lost > 100 && older > 100, "{lost} lost, {older} older");
 }
 
+fn announcement(start: u64, incarnation: u64) -> AdmissionMessage {
+    AdmissionMessage::StartAnnounced {
+        start,
+        incarnation,
+        log_end: LogEnd::default(),
+    }
+}
+
+fn send(to: u64, message: AdmissionMessage) -> AdmissionEffect {
+    AdmissionEffect::Send { to, message }
+}
+
+/// Returns voter 1 of three, in its incarnation 77, which has stored its start 4.
+fn restarted_voter() -> Admission {
+    let stored = [(b"s/start".to_vec(), 4u64.to_be_bytes().to_vec())];
+    Admission::new(1, 77, &[1, 2, 3], LogEnd::default(), stored)
+}
+
 /// A start is announced, and another's confirmed, only after it is durable; messages of strangers are ignored.
 #[test]
 fn nothing_is_announced_or_confirmed_before_it_is_durable() {
-    let stored = [(b"s/start".to_vec(), 4u64.to_be_bytes().to_vec())];
-    let mut admission = Admission::new(1, 77, &[1, 2, 3], LogEnd::default(), stored);
+    let mut admission = restarted_voter();
     let mut out = Vec::new();
     admission.tick(&mut out);
-    let key = b"s/start".to_vec();
-    let write = StorageChange {
-        key,
+    let change = StorageChange {
+        key: b"s/start".to_vec(),
         value: Some(5u64.to_be_bytes().to_vec()),
     };
-    assert_eq!(
-        out,
-        [AdmissionEffect::Write {
-            number: 1,
-            changes: vec![write]
-        }]
-    );
+    let write = AdmissionEffect::Write {
+        number: 1,
+        changes: vec![change],
+    };
+    assert_eq!(out, [write]);
     out.clear();
     admission.tick(&mut out);
     admission.receive(9, AdmissionMessage::StartConfirmed(5), &mut out);
@@ -285,105 +299,50 @@
         (&[][..], AdmissionVerdict::Pending),
         "it has not started"
     );
-    admission.receive(
-        3,
-        AdmissionMessage::StartAnnounced {
-            start: 8,
-            incarnation: 1,
-            log_end: LogEnd::default(),
-        },
-        &mut out,
-    );
+    admission.receive(3, announcement(8, 1), &mut out);
     assert!(
         matches!(out[..], [AdmissionEffect::Write { number: 2, .. }]),
         "{out:?}"
     );
     out.clear();
-    admission.receive(
-        3,
-        AdmissionMessage::StartAnnounced {
-            start: 8,
-            incarnation: 1,
-            log_end: LogEnd::default(),
-        },
-        &mut out,
-    );
+    admission.receive(3, announcement(8, 1), &mut out);
     assert_eq!(out, [], "announced again before the write is durable");
     admission.record_durable(1, &mut out);
     assert_eq!(
         out,
-        [
-            AdmissionEffect::Send {
-                to: 2,
-                message: AdmissionMessage::StartAnnounced {
-                    start: 5,
-                    incarnation: 77,
-                    log_end: LogEnd::default()
-                }
-            },
-            AdmissionEffect::Send {
-                to: 3,
-                message: AdmissionMessage::StartAnnounced {
-                    start: 5,
-                    incarnation: 77,
-                    log_end: LogEnd::default()
-                }
-            }
-        ]
+        [send(2, announcement(5, 77)), send(3, announcement(5, 77))]
     );
     out.clear();
     admission.record_durable(2, &mut out);
-    assert_eq!(
-        out,
-        [
-            AdmissionEffect::Send {
-                to: 3,
-                message: AdmissionMessage::StartConfirmed(8)
-            },
-            AdmissionEffect::Send {
-                to: 3,
-                message: AdmissionMessage::StartConfirmed(8)
-            }
-        ]
-    );
+    let confirmation = send(3, AdmissionMessage::StartConfirmed(8));
+    assert_eq!(out, [confirmation.clone(), confirmation]);
     out.clear();
-    admission.receive(
-        3,
-        AdmissionMessage::StartAnnounced {
-            start: 8,
-            incarnation: 2,
-            log_end: LogEnd::default(),
-        },
-        &mut out,
-    );
-    admission.receive(
-        3,
-        AdmissionMessage::StartAnnounced {
-            start: 7,
-            incarnation: 1,
-            log_end: LogEnd::default(),
-        },
-        &mut out,
-    );
+    admission.receive(3, announcement(8, 2), &mut out);
+    admission.receive(3, announcement(7, 1), &mut out);
     assert_eq!(
         out,
         [
-            AdmissionEffect::Send {
-                to: 3,
-                message: AdmissionMessage::StartOutdated(8)
-            },
-            AdmissionEffect::Send {
-                to: 3,
-                message: AdmissionMessage::StartOutdated(7)
-            }
+            send(3, AdmissionMessage::StartOutdated(8)),
+            send(3, AdmissionMessage::StartOutdated(7))
         ],
         "another process, or an older start"
     );
+}
+
+/// A majority of confirmations does not admit a voter before the grace period, all do, and a late contradiction ends the admission.
+#[test]
+fn a_voter_is_admitted_once_all_have_confirmed_its_start() {
+    let mut admission = restarted_voter();
+    let mut out = Vec::new();
+    admission.tick(&mut out);
+    admission.receive(2, AdmissionMessage::StartConfirmed(5), &mut out);
+    admission.record_durable(1, &mut out);
+    admission.receive(9, AdmissionMessage::StartConfirmed(5), &mut out);
     admission.receive(2, AdmissionMessage::StartConfirmed(4), &mut out);
     assert_eq!(
         admission.verdict(),
         AdmissionVerdict::Pending,
-        "of an earlier start"
+        "before the start, of a stranger, and of an earlier start"
     );
     admission.receive(2, AdmissionMessage::StartConfirmed(5), &mut out);
     assert_eq!(
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -93,7 +93,8 @@
 }
 
 /// Tokens only grow, and each has one owner: over a kill, a pause of the owner, a cut, and the death of all nodes at once with a start in
-/// another order. Without a majority nobody owns anything, and everything resumes without help.
+/// another order. Without a majority nobody owns anything, and everything resumes without help. One long scenario, because each fault
+/// needs the owner that the one before has led to.
 #[test]
 fn a_lease_has_one_owner_over_kills_pauses_cuts_and_the_death_of_all() {
     let mut fleet = start_fleet(4, 3, 31);
@@ -167,7 +168,8 @@
 }
 
 /// A voter that restarts with an empty store does not vote under its old number: it shows that, is added anew by a call, and votes. A
-/// membership change that would leave no majority is rejected with a remedy.
+/// membership change that would leave no majority is rejected with a remedy. One long scenario, because the last changes need the voters
+/// that the first have made.
 #[test]
 fn a_voter_without_its_store_is_added_anew_and_no_change_loses_the_majority() {
     let mut fleet = start_fleet(4, 3, 32);
