--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -95,10 +95,14 @@
             Call::Owners => self.show_lease_status(caller),
             Call::Versions => self.show_versions(caller),
             Call::Audit => self.show_audit_log(caller),
-            Call::Release(duty) => self.submit_admin_request(caller, AdminRequest::Release(duty)),
-            Call::Hand(duty, to) => self.submit_admin_request(caller, AdminRequest::Hand(duty, to)),
+            Call::Release(duty) => {
+                self.submit_admin_request(caller, AdminRequest::Release { lease: duty })
+            }
+            Call::Hand(duty, to) => {
+                self.submit_admin_request(caller, AdminRequest::Transfer { lease: duty, to })
+            }
             Call::Voter(name, add) => {
-                self.submit_admin_request(caller, AdminRequest::Voter(name, add));
+                self.submit_admin_request(caller, AdminRequest::ChangeVoter { node: name, add });
             }
             Call::Members => self.show_members(caller),
         }
