--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -1,96 +1,92 @@
-//! The form of what is kept: keys, and values in postcard behind a byte that tells their version.
+//! The stored form of a request: postcard behind a byte with the version of the format.
+//!
+//! Postcard writes fields and variants by their order, so a new name is free and a new order isn't.
 
 use serde::{Deserialize, Serialize};
 
-/// The version that this program writes.
-const VERSION: u8 = 1;
+/// The format version that this program writes and reads.
+const FORMAT_VERSION: u8 = 1;
 
 /// What is known of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum AttemptOutcome {
-    /// Its end was not told: after a restart it may have run, run still, or be done.
-    Out,
+    /// No end was reported: after a restart it may have run, be running or be done.
+    InFlight,
     /// It never ran.
     NeverRan,
     /// It ended, and may have run.
     MayHaveRun,
 }
 
-/// An attempt at a worker.
+/// An attempt: one sending of a request to a worker.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Attempt {
-    /// The worker, as the list names it.
+    /// The worker's id in the worker list.
     pub worker: String,
-    /// What is known of it.
-    pub fate: AttemptOutcome,
+    /// What is known of the attempt.
+    pub outcome: AttemptOutcome,
 }
 
-/// How far a job has come.
+/// How far a request has come.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Stage {
-    /// It has no final answer that is kept.
-    Open,
-    /// It was served; whether its result is kept beside it.
-    Served(bool),
+    /// It has no final answer in the log.
+    Pending,
+    /// It was served.
+    Served {
+        /// Whether its result is stored beside the record.
+        result_stored: bool,
+    },
     /// It failed, and may have run.
     Failed,
 }
 
-/// A job as it is kept.
+/// A request in the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Record {
-    /// The name of its class; numbers differ between configurations.
+pub struct RequestRecord {
+    /// The name of its class; the numbers of classes differ between configurations.
     pub class: String,
-    /// What lets a repeat be known, where the client gave it.
-    pub key: Option<String>,
-    /// Digest of what was asked for.
+    /// The idempotency key, where the client gave one.
+    pub idempotency_key: Option<String>,
+    /// Digest of the request's content.
     pub digest: [u8; 32],
-    /// How far it has come.
+    /// How far the request has come.
     pub stage: Stage,
-    /// Its attempts, in their order.
+    /// Its attempts in the order in which they were sent.
     pub attempts: Vec<Attempt>,
     /// When its client stops waiting, in milliseconds of Unix time.
-    pub deadline: u64,
+    pub deadline_ms: u64,
     /// When the record expires, in milliseconds of Unix time.
-    pub until: u64,
+    pub expires_at_ms: u64,
 }
 
-impl Record {
-    /// Whether an attempt may have run, or may yet.
+impl RequestRecord {
+    /// Whether an attempt may have run, or may run yet.
     pub fn may_have_run(&self) -> bool {
         self.attempts
             .iter()
-            .any(|attempt| attempt.fate != AttemptOutcome::NeverRan)
+            .any(|attempt| attempt.outcome != AttemptOutcome::NeverRan)
     }
 
-    /// Its bytes.
+    /// Whether the end of an attempt is unknown.
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.outcome == AttemptOutcome::InFlight)
+    }
+
+    /// Returns the stored form.
     pub fn encode(&self) -> Vec<u8> {
-        // Nothing in a record can fail to be written to memory.
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        // No field of a record can fail to be written to memory.
+        postcard::to_extend(self, vec![FORMAT_VERSION]).unwrap_or_default()
     }
 
-    /// Reads it; `None` for what this version can't read.
+    /// Reads the stored form; `None` if it is damaged or of another version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&version, rest) = bytes.split_first()?;
-        if version != VERSION {
-            None
-        } else {
-            postcard::from_bytes(rest).ok()
+        if version != FORMAT_VERSION {
+            return None;
         }
+        postcard::from_bytes(rest).ok()
     }
 }
-
-/// The key of a job's record.
-pub fn job_key(id: &str) -> Vec<u8> {
-    [b"j/", id.as_bytes()].concat()
-}
-
-/// The key of a job's result.
-pub fn result_key(id: &str) -> Vec<u8> {
-    [b"r/", id.as_bytes()].concat()
-}
-
-/// The id in a job's key.
-pub fn job_id(key: &[u8]) -> Option<&str> {
-    std::str::from_utf8(key.strip_prefix(b"j/")?).ok()
-}
--- a/crates/idempotency/tests/request_log.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -1,4 +1,5 @@
-//! The ledger against a model: random steps, a death after any of them with any part of the last writes lost.
+//! The request log, by scenarios and against a model: random steps, and after any of them a restart of the node that loses
+//! any part of the last writes.
 
 use postproxy_idempotency::{
     Completion, Limits, Lookup, RequestIdentity, RequestLog, Resolution, Write, result_key,
@@ -8,176 +9,183 @@
 
 const DIGEST: [u8; 32] = [7; 32];
 
-fn asked<'a>(id: &'a str, key: Option<&'a str>) -> RequestIdentity<'a> {
+fn identity<'a>(id: &'a str, key: Option<&'a str>) -> RequestIdentity<'a> {
     RequestIdentity {
         id,
-        key,
+        idempotency_key: key,
         class: "day-plan",
         digest: DIGEST,
     }
 }
 
-/// What is on the disk.
+/// The keys and values that are durable.
 #[derive(Clone, Debug, Default)]
-struct Disk(BTreeMap<Vec<u8>, Vec<u8>>);
+struct Disk {
+    values: BTreeMap<Vec<u8>, Vec<u8>>,
+}
 
 impl Disk {
     fn write(&mut self, writes: Vec<Write>) {
         for write in writes {
             match write {
-                Write::Put { key, value, .. } => _ = self.0.insert(key, value),
-                Write::Delete { key } => _ = self.0.remove(&key),
+                Write::Put { key, value, .. } => _ = self.values.insert(key, value),
+                Write::Delete { key } => _ = self.values.remove(&key),
             }
         }
     }
 
-    fn start(&mut self, limits: Limits) -> RequestLog {
-        let mut ledger = RequestLog::new(limits);
-        for (key, value) in &self.0 {
-            ledger.load(key, value);
+    fn restart(&mut self, limits: Limits) -> RequestLog {
+        let mut log = RequestLog::new(limits);
+        for (key, value) in &self.values {
+            log.load_record(key, value);
         }
-        let writes = ledger.loaded();
+        let writes = log.finish_loading();
         self.write(writes);
-        ledger
+        log
     }
 }
 
-/// Guards against a returning client's getting anything but what its job has come to.
+/// A client that repeats a request gets what became of it: its result, a wait, or a conflict.
 #[test]
-fn a_returning_client_gets_what_its_job_came_to() {
-    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
-    let look = |ledger: &RequestLog, id, key| ledger.standing(&asked(id, key));
-    assert_eq!(look(&ledger, "a", Some("k")), Lookup::New);
-    disk.write(ledger.intend(100.0, &asked("a", Some("k")), "w-1", 112.0));
-    assert_eq!(look(&ledger, "b", Some("k")), Lookup::Running("a".into()));
-    let mut other = asked("b", Some("k"));
+fn a_repeated_request_gets_the_state_of_the_first() {
+    let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
+    let lookup = |log: &RequestLog, id, key| log.lookup(&identity(id, key));
+    assert_eq!(lookup(&log, "a", Some("k")), Lookup::New);
+    disk.write(log.record_attempt_intent(100.0, &identity("a", Some("k")), "w-1", 112.0));
+    assert_eq!(lookup(&log, "b", Some("k")), Lookup::InFlight("a".into()));
+    let mut other = identity("b", Some("k"));
     other.digest = [8; 32];
-    assert_eq!(ledger.standing(&other), Lookup::Conflict);
-    let mut ledger = disk.start(Limits::default());
-    assert_eq!(ledger.in_doubt(), 1);
-    assert_eq!(look(&ledger, "b", Some("k")), Lookup::InDoubt("a".into()));
-    assert_eq!(look(&ledger, "a", None), Lookup::InDoubt("a".into()));
-    // Another worker's word is not this one's.
+    assert_eq!(log.lookup(&other), Lookup::Conflict);
+    let mut log = disk.restart(Limits::default());
+    assert_eq!(log.in_doubt_count(), 1);
+    assert_eq!(lookup(&log, "b", Some("k")), Lookup::InDoubt("a".into()));
+    assert_eq!(lookup(&log, "a", None), Lookup::InDoubt("a".into()));
+    // The call-back of another worker settles nothing.
+    assert_eq!(
+        log.resolve_late_callback(101.0, "a", "w-2", Completion::Done(b"x"))
+            .resolution,
+        Resolution::Unresolved
+    );
+    let callback = log.resolve_late_callback(101.0, "a", "w-1", Completion::Done(b"result"));
     assert_eq!(
-        ledger.word(101.0, "a", "w-2", Completion::Done(b"x")).0,
-        Resolution::Nothing
+        (callback.resolution, log.in_doubt_count()),
+        (Resolution::Served, 0)
     );
-    let (settled, writes) = ledger.word(101.0, "a", "w-1", Completion::Done(b"result"));
-    assert_eq!((settled, ledger.in_doubt()), (Resolution::Served, 0));
-    disk.write(writes);
+    disk.write(callback.writes);
     assert_eq!(
-        ledger.word(102.0, "a", "w-1", Completion::Failed).0,
-        Resolution::Nothing,
+        log.resolve_late_callback(102.0, "a", "w-1", Completion::Failed)
+            .resolution,
+        Resolution::Unresolved,
         "it is settled"
     );
-    let ledger = disk.start(Limits::default());
-    assert_eq!(look(&ledger, "c", Some("k")), Lookup::Served("a".into()));
+    let log = disk.restart(Limits::default());
+    assert_eq!(lookup(&log, "c", Some("k")), Lookup::Served("a".into()));
     assert_eq!(
-        disk.0.get(&result_key("a")).map(Vec::as_slice),
+        disk.values.get(&result_key("a")).map(Vec::as_slice),
         Some(&b"result"[..])
     );
 }
 
-/// Guards against a second run because a word proves less than it seems to, and against none though nothing ran.
+/// A call-back of an earlier attempt doesn't prove that the last one never ran; once that is proved, the request is new.
 #[test]
-fn only_a_job_that_never_ran_runs_afresh() {
-    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
-    disk.write(ledger.intend(100.0, &asked("a", None), "w-1", 112.0));
-    disk.write(ledger.ended(100.1, "a", 0, false));
-    let fresh = disk.start(Limits::default());
+fn only_a_request_that_never_ran_is_new_again() {
+    let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
+    disk.write(log.record_attempt_intent(100.0, &identity("a", None), "w-1", 112.0));
+    disk.write(log.record_attempt_ended(100.1, "a", 0, false));
+    let restarted = disk.restart(Limits::default());
     assert_eq!(
-        fresh.standing(&asked("a", None)),
+        restarted.lookup(&identity("a", None)),
         Lookup::New,
         "it was handed back before the end"
     );
-    assert!(disk.0.is_empty());
-    disk.write(ledger.intend(100.2, &asked("a", None), "w-2", 112.0));
-    let mut ledger = disk.start(Limits::default());
+    assert!(disk.values.is_empty());
+    disk.write(log.record_attempt_intent(100.2, &identity("a", None), "w-2", 112.0));
+    let mut log = disk.restart(Limits::default());
     assert_eq!(
-        ledger.word(101.0, "a", "w-1", Completion::Returned).0,
-        Resolution::Nothing,
+        log.resolve_late_callback(101.0, "a", "w-1", Completion::Returned)
+            .resolution,
+        Resolution::Unresolved,
         "of an earlier attempt"
     );
-    let (settled, writes) = ledger.word(101.0, "a", "w-2", Completion::Returned);
-    disk.write(writes);
-    assert_eq!(settled, Resolution::NeverRan);
-    assert_eq!(ledger.standing(&asked("a", None)), Lookup::New);
-    disk.write(ledger.intend(102.0, &asked("a", None), "w-1", 112.0));
-    disk.write(ledger.ended(103.0, "a", 0, true));
-    disk.write(ledger.over(103.0, "a"));
-    assert_eq!(ledger.standing(&asked("a", None)), Lookup::Failed);
+    let callback = log.resolve_late_callback(101.0, "a", "w-2", Completion::Returned);
+    disk.write(callback.writes);
+    assert_eq!(callback.resolution, Resolution::NeverRan);
+    assert_eq!(log.lookup(&identity("a", None)), Lookup::New);
+    disk.write(log.record_attempt_intent(102.0, &identity("a", None), "w-1", 112.0));
+    disk.write(log.record_attempt_ended(103.0, "a", 0, true));
+    disk.write(log.record_finished(103.0, "a"));
+    assert_eq!(log.lookup(&identity("a", None)), Lookup::Failed);
     assert_eq!(
-        disk.start(Limits::default()).standing(&asked("a", None)),
+        disk.restart(Limits::default()).lookup(&identity("a", None)),
         Lookup::Failed
     );
 }
 
-/// Guards against results beyond the limit, a full ledger that drops a job in doubt, and one that is full for
-/// ever.
+/// Results beyond the limit aren't stored; a full log removes only requests with a final answer; expired ones are removed.
 #[test]
-fn a_full_ledger_drops_only_what_is_settled() {
+fn a_full_log_removes_only_requests_with_a_final_answer() {
     let limits = Limits {
-        jobs: 2,
-        result: 4,
-        retention_of: HashMap::from([("day-plan".into(), 50.0)]),
-        retention: 9.0,
+        max_requests: 2,
+        max_result_bytes: 4,
+        retention_seconds_by_class: HashMap::from([("day-plan".into(), 50.0)]),
+        retention_seconds: 9.0,
     };
-    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(limits.clone()));
-    disk.write(ledger.intend(100.0, &asked("a", None), "w", 112.0));
-    disk.write(ledger.intend(100.0, &asked("b", None), "w", 112.0));
-    assert_eq!(ledger.make_room(), None, "both may still run");
-    let mut doubts = disk.start(limits.clone());
-    assert_eq!((doubts.make_room(), doubts.in_doubt()), (None, 2));
-    disk.write(ledger.served(101.0, "b", b"far too long"));
+    let (mut disk, mut log) = (Disk::default(), RequestLog::new(limits.clone()));
+    disk.write(log.record_attempt_intent(100.0, &identity("a", None), "w", 112.0));
+    disk.write(log.record_attempt_intent(100.0, &identity("b", None), "w", 112.0));
+    assert_eq!(log.make_room(), None, "both may still run");
+    let mut in_doubt = disk.restart(limits.clone());
+    assert_eq!((in_doubt.make_room(), in_doubt.in_doubt_count()), (None, 2));
+    disk.write(log.record_served(101.0, "b", b"far too long"));
     assert_eq!(
-        ledger.standing(&asked("b", None)),
+        log.lookup(&identity("b", None)),
         Lookup::Failed,
         "its result is not kept"
     );
-    assert!(!disk.0.contains_key(&result_key("b")));
-    disk.write(ledger.make_room().expect("one is settled"));
+    assert!(!disk.values.contains_key(&result_key("b")));
+    disk.write(log.make_room().expect("one is settled"));
     assert_eq!(
-        (ledger.len(), ledger.standing(&asked("b", None))),
+        (log.len(), log.lookup(&identity("b", None))),
         (1, Lookup::New)
     );
-    let mut ledger = disk.start(limits);
-    ledger.expire(149.9);
-    assert_eq!(ledger.len(), 1);
-    ledger.expire(150.1);
-    assert!(ledger.is_empty() && ledger.in_doubt() == 0);
+    let mut log = disk.restart(limits);
+    log.remove_expired(149.9);
+    assert_eq!(log.len(), 1);
+    log.remove_expired(150.1);
+    assert!(log.is_empty() && log.in_doubt_count() == 0);
 }
 
-/// Guards against forgetting what could not be written while the disk was full.
+/// Writes that were refused while the disk was full are repeated once it accepts writes again.
 #[test]
-fn what_was_refused_is_written_when_the_disk_is_back() {
-    let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
-    disk.write(ledger.intend(100.0, &asked("a", None), "w", 112.0));
-    drop(ledger.served(101.0, "a", b"lost"));
-    ledger.unwritten("a");
-    disk.write(ledger.rewrite());
-    assert_eq!(ledger.rewrite(), []);
+fn refused_writes_are_repeated_when_the_disk_accepts_writes() {
+    let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
+    disk.write(log.record_attempt_intent(100.0, &identity("a", None), "w", 112.0));
+    drop(log.record_served(101.0, "a", b"lost"));
+    log.mark_unwritten("a");
+    disk.write(log.rewrite_unwritten());
+    assert_eq!(log.rewrite_unwritten(), []);
     assert_eq!(
-        disk.start(Limits::default()).standing(&asked("a", None)),
+        disk.restart(Limits::default()).lookup(&identity("a", None)),
         Lookup::Failed
     );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(u8),
+    Submit(u8),
     NeverRan(u8),
     MayHaveRun(u8),
     Done(u8),
-    Die(u8),
+    Restart(u8),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = (0..5u8, 0..4u8).prop_map(|(kind, n)| match kind {
-        0 => Step::Ask(n),
+        0 => Step::Submit(n),
         1 => Step::NeverRan(n),
         2 => Step::MayHaveRun(n),
         3 => Step::Done(n),
-        _ => Step::Die(n),
+        _ => Step::Restart(n),
     });
     prop::collection::vec(step, 1..60)
 }
@@ -185,79 +193,79 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Guards against a second run of a job that may have run, whatever order of ends, answers and deaths. A
-    /// worker runs each attempt that is sent; it is sent only behind its durable intent. All other writes may be
-    /// lost at a death.
+    /// A request that may have run never runs again, in whatever order attempts end, call-backs arrive and the node
+    /// restarts. A worker runs each attempt that is sent; an attempt is sent only after its intent is durable. All other
+    /// writes may be lost at a restart.
     #[test]
-    fn a_job_that_may_have_run_never_runs_again(steps in steps()) {
-        let (mut disk, mut ledger) = (Disk::default(), RequestLog::new(Limits::default()));
+    fn a_request_that_may_have_run_never_runs_again(steps in steps()) {
+        let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
         let mut unsynced: Vec<Vec<Write>> = Vec::new();
-        // Of each job: how often it may have run; whether its attempt is out in this life, and its number.
-        let (mut runs, mut out, mut tries) = ([0u32; 4], [None::<usize>; 4], [0usize; 4]);
+        // Of each request: how often it may have run; the number of its attempt in flight; how many were sent.
+        let (mut runs, mut in_flight, mut attempts_sent) = ([0u32; 4], [None::<usize>; 4], [0usize; 4]);
         let mut served = [false; 4];
         let mut now = 100.0;
         for step in steps {
             now += 0.1;
             match step {
-                Step::Ask(n) => {
-                    let id = format!("job-{n}");
-                    let standing = ledger.standing(&asked(&id, None));
+                Step::Submit(n) => {
+                    let id = format!("request-{n}");
+                    let lookup = log.lookup(&identity(&id, None));
                     let at = n as usize;
-                    match standing {
+                    match lookup {
                         Lookup::New => {
                             prop_assert_eq!(runs[at], 0, "{} would run again", id);
                             // Group commit: what was written before is durable with it.
                             unsynced.drain(..).for_each(|writes| disk.write(writes));
-                            disk.write(ledger.intend(now, &asked(&id, None), "w", now + 10.0));
-                            (runs[at], out[at], tries[at]) = (1, Some(0), 1);
+                            disk.write(log.record_attempt_intent(now, &identity(&id, None), "w", now + 10.0));
+                            (runs[at], in_flight[at], attempts_sent[at]) = (1, Some(0), 1);
                         }
-                        Lookup::Running(_) => prop_assert!(out[at].is_some()),
-                        // It may be that nothing ran, if the word of that was lost: no harm but a failure.
-                        Lookup::InDoubt(_) | Lookup::Failed => prop_assert!(out[at].is_none()),
+                        Lookup::InFlight(_) => prop_assert!(in_flight[at].is_some()),
+                        // If the write that says that nothing ran was lost, the request only fails.
+                        Lookup::InDoubt(_) | Lookup::Failed => prop_assert!(in_flight[at].is_none()),
                         Lookup::Served(_) => prop_assert!(served[at]),
                         Lookup::Conflict => prop_assert!(false, "no other request has this id"),
                     }
                 }
                 Step::NeverRan(n) => {
-                    let (id, at) = (format!("job-{n}"), n as usize);
-                    if let Some(attempt) = out[at].take() {
+                    let (id, at) = (format!("request-{n}"), n as usize);
+                    if let Some(attempt) = in_flight[at].take() {
                         runs[at] = 0;
-                        unsynced.push(ledger.ended(now, &id, attempt, false));
-                        unsynced.push(ledger.over(now, &id));
+                        unsynced.push(log.record_attempt_ended(now, &id, attempt, false));
+                        unsynced.push(log.record_finished(now, &id));
                     }
                 }
                 Step::MayHaveRun(n) => {
-                    let (id, at) = (format!("job-{n}"), n as usize);
-                    if let Some(attempt) = out[at].take() {
-                        unsynced.push(ledger.ended(now, &id, attempt, true));
-                        unsynced.push(ledger.over(now, &id));
+                    let (id, at) = (format!("request-{n}"), n as usize);
+                    if let Some(attempt) = in_flight[at].take() {
+                        unsynced.push(log.record_attempt_ended(now, &id, attempt, true));
+                        unsynced.push(log.record_finished(now, &id));
                     }
                 }
                 Step::Done(n) => {
-                    let (id, at) = (format!("job-{n}"), n as usize);
-                    if out[at].take().is_some() {
-                        unsynced.push(ledger.served(now, &id, b"result"));
+                    let (id, at) = (format!("request-{n}"), n as usize);
+                    if in_flight[at].take().is_some() {
+                        unsynced.push(log.record_served(now, &id, b"result"));
                         served[at] = true;
                     } else if runs[at] > 0 && !served[at] {
-                        let (settled, writes) = ledger.word(now, &id, "w", Completion::Done(b"result"));
-                        served[at] = settled == Resolution::Served;
-                        unsynced.push(writes);
+                        let callback = log.resolve_late_callback(now, &id, "w", Completion::Done(b"result"));
+                        served[at] = callback.resolution == Resolution::Served;
+                        unsynced.push(callback.writes);
                     }
                 }
-                Step::Die(keep) => {
+                Step::Restart(keep) => {
                     let keep = unsynced.len() * keep as usize / 3;
                     unsynced.drain(..).take(keep).for_each(|writes| disk.write(writes));
-                    ledger = disk.start(Limits::default());
-                    out = [None; 4];
-                    // What was served and is not known to be is in doubt, or failed: never new.
+                    log = disk.restart(Limits::default());
+                    in_flight = [None; 4];
+                    // A served request whose record was lost is in doubt or failed, never new.
                     for n in 0..4 {
-                        let standing = ledger.standing(&asked(&format!("job-{n}"), None));
-                        prop_assert!(runs[n] == 0 || standing != Lookup::New, "job-{} is forgotten", n);
-                        served[n] &= matches!(standing, Lookup::Served(_));
+                        let lookup = log.lookup(&identity(&format!("request-{n}"), None));
+                        prop_assert!(runs[n] == 0 || lookup != Lookup::New, "request-{} is new again", n);
+                        served[n] &= matches!(lookup, Lookup::Served(_));
                     }
                 }
             }
         }
-        prop_assert!(tries.iter().all(|t| *t <= 1));
+        prop_assert!(attempts_sent.iter().all(|sent| *sent <= 1));
     }
 }
--- a/crates/idempotency/tests/surface_bytes.rs
+++ b/crates/idempotency/tests/surface_bytes.rs
@@ -1,9 +1,9 @@
-//! Pins the keys and values that the ledger stores. A data directory of an older version of the program must be readable,
+//! Pins the keys and values that the request log stores. A data directory of an older version of the program must be readable,
 //! so these bytes must not change with a rename. The literals were written by the version before the renames.
 
 use postproxy_idempotency::{
-    Attempt, AttemptOutcome, Limits, Record, RequestIdentity, RequestLog, Stage, Write, job_id,
-    job_key, result_key,
+    Attempt, AttemptOutcome, Limits, RequestIdentity, RequestLog, RequestRecord, Stage, Write,
+    request_id, request_key, result_key,
 };
 
 /// Returns the bytes as lower-case hexadecimal digits.
@@ -21,24 +21,24 @@
 
 /// Asserts that the record is stored as this literal, and read from it.
 #[track_caller]
-fn pin(record: Record, literal: &str) {
+fn pin(record: RequestRecord, literal: &str) {
     let bytes = record.encode();
     assert_eq!(hex(&bytes), literal, "{record:?}");
-    assert_eq!(Record::decode(&unhex(literal)), Some(record));
+    assert_eq!(RequestRecord::decode(&unhex(literal)), Some(record));
 }
 
 /// A record in this stage, with these attempts.
-fn record(stage: Stage, attempts: Vec<Attempt>) -> Record {
+fn record(stage: Stage, attempts: Vec<Attempt>) -> RequestRecord {
     let digest = std::array::from_fn(|at| at as u8);
     let (class, key) = ("day-plan".to_owned(), Some("k-1".to_owned()));
-    Record {
+    RequestRecord {
         class,
-        key,
+        idempotency_key: key,
         digest,
         stage,
         attempts,
-        deadline: 1_700_000_012_000,
-        until: 1_700_003_600_000,
+        deadline_ms: 1_700_000_012_000,
+        expires_at_ms: 1_700_003_600_000,
     }
 }
 
@@ -47,19 +47,29 @@
     let out = || {
         vec![Attempt {
             worker: "w-1".into(),
-            fate: AttemptOutcome::Out,
+            outcome: AttemptOutcome::InFlight,
         }]
     };
     pin(
-        record(Stage::Open, out()),
+        record(Stage::Pending, out()),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f000103772d3100e0ad96ffbc3180adf180bd31",
     );
     pin(
-        record(Stage::Served(true), out()),
+        record(
+            Stage::Served {
+                result_stored: true,
+            },
+            out(),
+        ),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f01010103772d3100e0ad96ffbc3180adf180bd31",
     );
     pin(
-        record(Stage::Served(false), out()),
+        record(
+            Stage::Served {
+                result_stored: false,
+            },
+            out(),
+        ),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f01000103772d3100e0ad96ffbc3180adf180bd31",
     );
     pin(
@@ -70,21 +80,21 @@
 
 #[test]
 fn attempts_keep_their_bytes_with_every_outcome() {
-    let attempt = |worker: &str, fate| Attempt {
+    let attempt = |worker: &str, outcome| Attempt {
         worker: worker.into(),
-        fate,
+        outcome,
     };
     let attempts = vec![
-        attempt("w-1", AttemptOutcome::Out),
+        attempt("w-1", AttemptOutcome::InFlight),
         attempt("w-2", AttemptOutcome::NeverRan),
         attempt("w-3", AttemptOutcome::MayHaveRun),
     ];
     pin(
-        record(Stage::Open, attempts),
+        record(Stage::Pending, attempts),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f000303772d310003772d320103772d3302e0ad96ffbc3180adf180bd31",
     );
     pin(
-        record(Stage::Open, Vec::new()),
+        record(Stage::Pending, Vec::new()),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f0000e0ad96ffbc3180adf180bd31",
     );
 }
@@ -93,14 +103,14 @@
 fn empty_record_keeps_its_bytes() {
     let (class, attempts) = (String::new(), Vec::new());
     let (stage, digest) = (Stage::Failed, [0; 32]);
-    let record = Record {
+    let record = RequestRecord {
         class,
-        key: None,
+        idempotency_key: None,
         digest,
         stage,
         attempts,
-        deadline: 0,
-        until: 0,
+        deadline_ms: 0,
+        expires_at_ms: 0,
     };
     pin(
         record,
@@ -110,31 +120,35 @@
 
 #[test]
 fn records_of_other_versions_and_cut_records_are_not_read() {
-    let sound = record(Stage::Open, Vec::new()).encode();
+    let sound = record(Stage::Pending, Vec::new()).encode();
     assert_eq!(sound[0], 1, "the version");
     for version in [0, 2, 255] {
         let mut other = sound.clone();
         other[0] = version;
-        assert_eq!(Record::decode(&other), None);
+        assert_eq!(RequestRecord::decode(&other), None);
     }
-    assert!((0..sound.len()).all(|size| Record::decode(&sound[..size]).is_none()));
+    assert!((0..sound.len()).all(|size| RequestRecord::decode(&sound[..size]).is_none()));
 }
 
 #[test]
 fn keys_keep_their_bytes() {
-    assert_eq!(job_key("a-1"), b"j/a-1");
+    assert_eq!(request_key("a-1"), b"j/a-1");
     assert_eq!(result_key("a-1"), b"r/a-1");
-    assert_eq!(job_id(b"j/a-1"), Some("a-1"));
-    assert_eq!(job_id(b"r/a-1"), None);
-    assert_eq!(job_id(b"j/\xff"), None);
+    assert_eq!(request_id(b"j/a-1"), Some("a-1"));
+    assert_eq!(request_id(b"r/a-1"), None);
+    assert_eq!(request_id(b"j/\xff"), None);
 }
 
 /// The writes as text: the key, the value, and when it expires.
 fn shown(writes: &[Write]) -> Vec<String> {
     let shown = |write: &Write| match write {
-        Write::Put { key, value, until } => {
+        Write::Put {
+            key,
+            value,
+            expires_at_ms,
+        } => {
             format!(
-                "put {} {} {until}",
+                "put {} {} {expires_at_ms}",
                 String::from_utf8_lossy(key),
                 hex(value)
             )
@@ -144,28 +158,28 @@
     writes.iter().map(shown).collect()
 }
 
-/// The writes of a job that fails at one worker and is served by another, and of one that never runs.
+/// The writes of a request that fails at one worker and is served by another, and of one that never runs.
 #[test]
-fn writes_of_a_job_keep_their_bytes() {
-    let mut ledger = RequestLog::new(Limits::default());
-    let asked = RequestIdentity {
+fn writes_of_a_request_keep_their_bytes() {
+    let mut log = RequestLog::new(Limits::default());
+    let identity = RequestIdentity {
         id: "a",
-        key: Some("k"),
+        idempotency_key: Some("k"),
         class: "c",
         digest: [7; 32],
     };
-    let mut writes = ledger.intend(100.0, &asked, "w-1", 112.0);
-    writes.extend(ledger.ended(101.0, "a", 0, true));
-    writes.extend(ledger.intend(102.0, &asked, "w-2", 112.0));
-    writes.extend(ledger.served(103.0, "a", b"result"));
+    let mut writes = log.record_attempt_intent(100.0, &identity, "w-1", 112.0);
+    writes.extend(log.record_attempt_ended(101.0, "a", 0, true));
+    writes.extend(log.record_attempt_intent(102.0, &identity, "w-2", 112.0));
+    writes.extend(log.record_served(103.0, "a", b"result"));
     let other = RequestIdentity {
         id: "b",
-        key: None,
-        ..asked
+        idempotency_key: None,
+        ..identity
     };
-    writes.extend(ledger.intend(104.0, &other, "w-3", 112.0));
-    writes.extend(ledger.ended(105.0, "b", 0, false));
-    writes.extend(ledger.over(106.0, "b"));
+    writes.extend(log.record_attempt_intent(104.0, &other, "w-3", 112.0));
+    writes.extend(log.record_attempt_ended(105.0, "b", 0, false));
+    writes.extend(log.record_finished(106.0, "b"));
     let expected: &[&str] = &[
         "put j/a 01016301016b0707070707070707070707070707070707070707070707070707070707070707000103772d310080eb06a0eae101 3700000",
         "put j/a 01016301016b0707070707070707070707070707070707070707070707070707070707070707000103772d310280eb0688f2e101 3701000",
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -40,7 +40,7 @@
     },
     /// Look at a store's files, with its node stopped
     #[command(subcommand)]
-    Store(store::Action),
+    Store(store::StoreCommand),
     /// Ask a running node about the other nodes
     #[command(subcommand)]
     Fleet(fleet::Action),
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -1,29 +1,29 @@
-//! `postproxy store`: looks at a store's files, with the node stopped.
+//! `postproxy store`: inspects and compacts a store's files while its node is stopped.
 
 use super::Failure;
 use clap::{Args, Subcommand};
 use postproxy::net::store_adapter;
 use postproxy::operator_config::StoreSection;
-use postproxy_idempotency::{AttemptOutcome, Record, Stage, job_id};
+use postproxy_idempotency::{AttemptOutcome, RequestRecord, Stage, request_id};
 use postproxy_store::{Engine, OsDisk, Recovery};
 use std::io::Write;
 
-/// What `store` does.
+/// The subcommands of `store`. Their doc comments are the command's help texts.
 #[derive(Debug, Subcommand)]
-pub enum Action {
+pub enum StoreCommand {
     /// Read every record and say what is damaged, torn or lost; with a mirror, repair it
-    Verify(Folder),
+    Verify(StoreFolders),
     /// Print every record as an object a line
-    Dump(Folder),
+    Dump(StoreFolders),
     /// Give back the space of all that is not live
-    Compact(Folder),
+    Compact(StoreFolders),
     /// Print figures
-    Stat(Folder),
+    Stat(StoreFolders),
 }
 
-/// Which store.
+/// The folders of the store. The doc comments are help texts.
 #[derive(Args, Debug)]
-pub struct Folder {
+pub struct StoreFolders {
     /// The store's folder
     dir: String,
     /// Its mirror's folder
@@ -31,8 +31,8 @@
     mirror: Option<String>,
 }
 
-impl Folder {
-    /// Opens it, which recovers it as a node's start does; a folder that is not there is not made.
+impl StoreFolders {
+    /// Opens the store, which recovers it as the start of a node does; a missing folder is an error and isn't created.
     fn open(&self) -> Result<(Engine<OsDisk>, Recovery), Failure> {
         if !std::fs::metadata(&self.dir)
             .map_err(|error| format!("{}: {error}", self.dir))?
@@ -46,42 +46,46 @@
     }
 }
 
-/// Does it.
+/// Runs a subcommand of `store`.
 ///
 /// # Errors
 ///
 /// If the store can't be opened or read, or `verify` finds records lost.
-pub fn run(action: Action) -> Result<(), Failure> {
-    match action {
-        Action::Verify(folder) => verify(&folder),
-        Action::Dump(folder) => dump(&folder),
-        Action::Compact(folder) => {
-            let (mut engine, _) = folder.open()?;
-            let before = engine.stat().bytes;
-            engine.compact()?;
-            println!("{before} bytes before, {} after", engine.stat().bytes);
-            Ok(())
-        }
-        Action::Stat(folder) => {
-            let (engine, recovery) = folder.open()?;
-            let stat = engine.stat();
-            println!("records      {}", stat.live);
-            println!("live bytes   {}", stat.live_bytes);
-            println!("file bytes   {}", stat.bytes);
-            println!("segments     {}", stat.segments);
-            println!("index bytes  {} beside the keys", stat.index_bytes);
-            println!("torn bytes   {}", recovery.torn);
-            Ok(())
-        }
+pub fn run(command: StoreCommand) -> Result<(), Failure> {
+    match command {
+        StoreCommand::Verify(store) => verify(&store),
+        StoreCommand::Dump(store) => dump(&store),
+        StoreCommand::Compact(store) => compact(&store),
+        StoreCommand::Stat(store) => print_stat(&store),
     }
 }
 
-fn verify(folder: &Folder) -> Result<(), Failure> {
-    let (mut engine, recovery) = folder.open()?;
-    let mut read = 0usize;
-    engine.scan(|_, _| read += 1)?;
+fn compact(store: &StoreFolders) -> Result<(), Failure> {
+    let (mut engine, _) = store.open()?;
+    let bytes_before = engine.stat().bytes;
+    engine.compact()?;
+    println!("{bytes_before} bytes before, {} after", engine.stat().bytes);
+    Ok(())
+}
+
+fn print_stat(store: &StoreFolders) -> Result<(), Failure> {
+    let (engine, recovery) = store.open()?;
+    let stat = engine.stat();
+    println!("records      {}", stat.live);
+    println!("live bytes   {}", stat.live_bytes);
+    println!("file bytes   {}", stat.bytes);
+    println!("segments     {}", stat.segments);
+    println!("index bytes  {} beside the keys", stat.index_bytes);
+    println!("torn bytes   {}", recovery.torn);
+    Ok(())
+}
+
+fn verify(store: &StoreFolders) -> Result<(), Failure> {
+    let (mut engine, recovery) = store.open()?;
+    let mut record_count = 0usize;
+    engine.scan(|_, _| record_count += 1)?;
     println!(
-        "{read} records in {} segments, {} bytes",
+        "{record_count} records in {} segments, {} bytes",
         recovery.segments, recovery.bytes
     );
     if recovery.torn > 0 {
@@ -106,55 +110,89 @@
     if recovery.lost.is_empty() && engine.damaged().is_empty() {
         return Ok(());
     }
-    Err(format!("{}: acknowledged records are lost", folder.dir).into())
+    Err(format!("{}: acknowledged records are lost", store.dir).into())
 }
 
-/// The word for an attempt's outcome in the output of `dump`, which scripts read: it stays when the type is renamed.
-fn fate_word(fate: AttemptOutcome) -> &'static str {
-    match fate {
-        AttemptOutcome::Out => "Out",
+/// Returns the word for an attempt's outcome in the output of `dump`. Scripts read it, so that it stays when the type is
+/// renamed.
+fn outcome_word(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::InFlight => "Out",
         AttemptOutcome::NeverRan => "NeverRan",
         AttemptOutcome::MayHaveRun => "MayHaveRun",
     }
 }
 
-/// The word for a job's stage in the output of `dump`, which scripts read: it stays when the type is renamed.
+/// Returns the word for a request's stage in the output of `dump`. Scripts read it, so that it stays when the type is
+/// renamed.
 fn stage_word(stage: Stage) -> &'static str {
     match stage {
-        Stage::Open => "Open",
-        Stage::Served(true) => "Served(true)",
-        Stage::Served(false) => "Served(false)",
+        Stage::Pending => "Open",
+        Stage::Served {
+            result_stored: true,
+        } => "Served(true)",
+        Stage::Served {
+            result_stored: false,
+        } => "Served(false)",
         Stage::Failed => "Failed",
     }
 }
 
-fn dump(folder: &Folder) -> Result<(), Failure> {
-    let (mut engine, _) = folder.open()?;
+/// Returns a record of the request log as `dump` prints it.
+fn request_json(id: &str, record: &RequestRecord) -> serde_json::Value {
+    let digest: String = record
+        .digest
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
+    let attempts: Vec<_> = record
+        .attempts
+        .iter()
+        .map(|attempt| {
+            serde_json::json!({
+                "worker": attempt.worker,
+                "fate": outcome_word(attempt.outcome),
+            })
+        })
+        .collect();
+    serde_json::json!({
+        "job": id,
+        "class": record.class,
+        "key": record.idempotency_key,
+        "digest": digest,
+        "stage": stage_word(record.stage),
+        "attempts": attempts,
+        "deadline_ms": record.deadline_ms,
+        "until_ms": record.expires_at_ms,
+    })
+}
+
+/// Returns a key and its value as `dump` prints them.
+fn entry_json(key: &[u8], value: &[u8]) -> serde_json::Value {
+    if let Some(id) = request_id(key)
+        && let Some(record) = RequestRecord::decode(value)
+    {
+        return request_json(id, &record);
+    }
+    serde_json::json!({
+        "key": String::from_utf8_lossy(key),
+        "bytes": value.len(),
+        "value": String::from_utf8_lossy(value),
+    })
+}
+
+fn dump(store: &StoreFolders) -> Result<(), Failure> {
+    let (mut engine, _) = store.open()?;
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
-    let mut failed = None;
+    let mut write_error = None;
     engine.scan(|key, value| {
-        let name = String::from_utf8_lossy(key);
-        let line = match job_id(key).and_then(|id| Some((id, Record::decode(value)?))) {
-            Some((id, record)) => {
-                let digest: String = record.digest.iter().map(|byte| format!("{byte:02x}")).collect();
-                let attempts: Vec<_> = record
-                    .attempts
-                    .iter()
-                    .map(|a| serde_json::json!({"worker": a.worker, "fate": fate_word(a.fate)}))
-                    .collect();
-                serde_json::json!({"job": id, "class": record.class, "key": record.key, "digest": digest,
-                    "stage": stage_word(record.stage), "attempts": attempts,
-                    "deadline_ms": record.deadline, "until_ms": record.until})
-            }
-            None => serde_json::json!({"key": name, "bytes": value.len(),
-                "value": String::from_utf8_lossy(value)}),
-        };
-        if failed.is_none() {
-            failed = writeln!(out, "{line}").err();
+        let line = entry_json(key, value);
+        if write_error.is_none() {
+            write_error = writeln!(out, "{line}").err();
         }
     })?;
-    match failed {
-        // Who reads no more has had enough.
+    match write_error {
+        // The reader has closed the pipe, for example `head`: it has all that it wanted.
         Some(error) if error.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
         Some(error) => Err(error.into()),
         None => Ok(out.flush()?),
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -180,7 +180,7 @@
                 if let Some(list) = found.list.take() {
                     known = list.or(known, config.discovery);
                 }
-                let nothing_ran = ledger.loaded();
+                let nothing_ran = ledger.finish_loading();
                 let keeping = DurabilityPolicy::new(
                     &settings,
                     ledger,
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -4,7 +4,7 @@
 use super::in_flight::{Attempt, CoalescedWaiter, RequestManager};
 use crate::decision::interface::{Event, Note, Outcome, RequestId};
 use crate::net::messages::{Answer, ClientId, Command, JobCall, JobState, Wait};
-use postproxy_idempotency::{Completion, Resolution};
+use postproxy_idempotency::{Completion, LateCallback, Resolution};
 
 impl RequestManager {
     /// Takes a call-back; whether its acknowledgement waits for a write.
@@ -53,7 +53,7 @@
             JobState::Done(result) => {
                 let care = t.care != Durability::None;
                 let writes = match self.keeping.as_mut().filter(|_| care) {
-                    Some(keeping) => keeping.ledger.served(now, &call.id, &result),
+                    Some(keeping) => keeping.ledger.record_served(now, &call.id, &result),
                     None => Vec::new(),
                 };
                 if let Some(client) = t.client {
@@ -94,10 +94,15 @@
             JobState::Returned => Completion::Returned,
             JobState::Started | JobState::Running(_) | JobState::Unknown => return false,
         };
-        let (settled, writes) = keeping.ledger.word(now, &call.id, &call.from, word);
+        let LateCallback {
+            resolution: settled,
+            writes,
+        } = keeping
+            .ledger
+            .resolve_late_callback(now, &call.id, &call.from, word);
         let waits = !writes.is_empty();
         self.write(writes, Wait::Call(client, call.id.clone()));
-        if settled == Resolution::Nothing {
+        if settled == Resolution::Unresolved {
             return waits;
         }
         let waiting = |joiner: &CoalescedWaiter| matches!(joiner, CoalescedWaiter::InDoubt(id, ..) if *id == call.id);
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -86,8 +86,8 @@
             {
                 Lookup::Conflict
             }
-            Some(t) => Lookup::Running(t.payload.id.clone()),
-            None => keeping.ledger.standing(&asker.asked()),
+            Some(t) => Lookup::InFlight(t.payload.id.clone()),
+            None => keeping.ledger.lookup(&asker.asked()),
         };
         let joiner = match standing {
             Lookup::New if keeping.broken && keeping.care(class) == Durability::Durable => {
@@ -110,7 +110,7 @@
                     return None;
                 }
             },
-            Lookup::Running(id) => {
+            Lookup::InFlight(id) => {
                 let request = self.by_id.get(&id).copied();
                 let t = request.and_then(|r| Some((r, self.requests.get_mut(&r)?)));
                 match t.filter(|(_, t)| t.client.is_some()) {
@@ -169,7 +169,7 @@
             Wait::Nobody(id) => id,
         };
         if let Some(keeping) = self.keeping.as_mut().filter(|_| !durable) {
-            keeping.ledger.unwritten(&id);
+            keeping.ledger.mark_unwritten(&id);
         }
     }
 
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -116,7 +116,7 @@
     pub fn asked(&self) -> RequestIdentity<'_> {
         RequestIdentity {
             id: &self.id,
-            key: self.key.as_deref(),
+            idempotency_key: self.key.as_deref(),
             class: &self.class,
             digest: self.digest,
         }
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -185,7 +185,7 @@
                 };
                 keeping.broken = !sound;
                 let anew = if sound {
-                    keeping.ledger.rewrite()
+                    keeping.ledger.rewrite_unwritten()
                 } else {
                     Vec::new()
                 };
@@ -281,7 +281,7 @@
                 timer: RequestTimer::Expire,
             } => {
                 if let Some(keeping) = &mut self.keeping {
-                    keeping.ledger.expire(now);
+                    keeping.ledger.remove_expired(now);
                     out.push(Command::SetTimer {
                         at: now + EXPIRY,
                         timer: RequestTimer::Expire,
@@ -426,9 +426,10 @@
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker)
             && outcome != Outcome::Ok
         {
-            let writes = keeping
-                .ledger
-                .ended(now, &t.payload.id, attempt.into(), !never);
+            let writes =
+                keeping
+                    .ledger
+                    .record_attempt_ended(now, &t.payload.id, attempt.into(), !never);
             if !writes.is_empty() {
                 self.writes
                     .push((writes, Wait::Nobody(t.payload.id.clone())));
@@ -494,7 +495,7 @@
             self.by_key.remove(&(t.class, key.clone()));
         }
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker) {
-            let writes = keeping.ledger.over(now, &t.payload.id);
+            let writes = keeping.ledger.record_finished(now, &t.payload.id);
             self.write(writes, Wait::Nobody(t.payload.id.clone()));
         }
     }
@@ -593,10 +594,12 @@
             timer: RequestTimer::Attempt(request, attempt),
         });
         if let (Some(keeping), Some(asker)) = (&mut self.keeping, &t.asker) {
-            let writes =
-                keeping
-                    .ledger
-                    .intend(now, &asker.asked(), &self.names[number], t.deadline);
+            let writes = keeping.ledger.record_attempt_intent(
+                now,
+                &asker.asked(),
+                &self.names[number],
+                t.deadline,
+            );
             let id = &t.payload.id;
             let wait = if cleared {
                 Wait::Nobody(id.clone())
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -120,7 +120,7 @@
                 } else if COUNCIL.iter().any(|of| key.starts_with(of)) {
                     found.council.push((key.to_vec(), value.to_vec()));
                 } else {
-                    ledger.load(key, value);
+                    ledger.load_record(key, value);
                 }
             })
             .map_err(|error| format!("store: {error}"))?;
@@ -130,7 +130,7 @@
             records = recovery.live,
             bytes = recovery.bytes,
             torn_bytes = recovery.torn,
-            in_doubt = ledger.in_doubt(),
+            in_doubt = ledger.in_doubt_count(),
             "the store is recovered"
         );
         for lost in &recovery.lost {
@@ -191,7 +191,11 @@
         let batch = writes
             .into_iter()
             .fold(Batch::new(), |batch, write| match write {
-                Write::Put { key, value, until } => batch.put(&key, &value, until),
+                Write::Put {
+                    key,
+                    value,
+                    expires_at_ms,
+                } => batch.put(&key, &value, expires_at_ms),
                 Write::Delete { key } => batch.delete(&key),
             });
         match self.store.append(batch) {
--- a/src/operator_config.rs
+++ b/src/operator_config.rs
@@ -343,10 +343,10 @@
     /// What the ledger keeps to.
     pub fn limits(&self) -> Limits {
         Limits {
-            retention: self.retention_s,
-            retention_of: self.retention_of_s.clone(),
-            result: self.result_kb << 10,
-            jobs: self.most_jobs,
+            retention_seconds: self.retention_s,
+            retention_seconds_by_class: self.retention_of_s.clone(),
+            max_result_bytes: self.result_kb << 10,
+            max_requests: self.most_jobs,
         }
     }
 
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -43,8 +43,8 @@
         let settings = Settings::from_json(SETTINGS).expect("sound settings");
         let mut ledger = RequestLog::new(limits);
         disk.iter()
-            .for_each(|(key, value)| _ = ledger.load(key, value));
-        let nothing_ran = ledger.loaded();
+            .for_each(|(key, value)| _ = ledger.load_record(key, value));
+        let nothing_ran = ledger.finish_loading();
         let mut hub = RequestManager::new(settings.clone(), 7).expect("a hub");
         hub.enable_durability(DurabilityPolicy::new(&settings, ledger, 0.5, false));
         let mut bed = Self {
@@ -435,8 +435,8 @@
         bed.accepted(n, &format!("job-{n}"), None);
     }
     let limits = Limits {
-        jobs: 3,
-        retention: 60.0,
+        max_requests: 3,
+        retention_seconds: 60.0,
         ..Limits::default()
     };
     let mut bed = Bed::start(bed.disk, bed.now, limits);
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -265,19 +265,24 @@
         let id = format!("job-{n}");
         let asked = RequestIdentity {
             id: &id,
-            key: Some("k"),
+            idempotency_key: Some("k"),
             class: "day-plan",
             digest: [7; 32],
         };
-        for write in ledger.intend(4e9, &asked, "s-1", 4e9 + 12.0) {
-            let Change::Put { key, value, until } = write else {
+        for write in ledger.record_attempt_intent(4e9, &asked, "s-1", 4e9 + 12.0) {
+            let Change::Put {
+                key,
+                value,
+                expires_at_ms,
+            } = write
+            else {
                 panic!("a put")
             };
             engine
                 .append(&[Op::Put {
                     key: &key,
                     value: &value,
-                    until,
+                    until: expires_at_ms,
                 }])
                 .expect("room");
             engine.commit().expect("durable");
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -2,7 +2,9 @@
 //! the output of `check`, `store` and `fleet`. Every expected text is written out, so that no renaming in the code can
 //! change what the program prints.
 
-use postproxy_idempotency::{Attempt, AttemptOutcome, Record, Stage, job_key, result_key};
+use postproxy_idempotency::{
+    Attempt, AttemptOutcome, RequestRecord, Stage, request_key, result_key,
+};
 use postproxy_store::{Change, Engine, Options, OsDisk};
 use std::fs;
 use std::io::{Read, Write};
@@ -131,44 +133,56 @@
 const EXPIRES: u64 = 4_102_444_800_000;
 
 fn job(key: Option<&str>, stage: Stage, attempts: &[(&str, AttemptOutcome)]) -> Vec<u8> {
-    let attempt = |(worker, fate): &(&str, AttemptOutcome)| Attempt {
+    let attempt = |(worker, outcome): &(&str, AttemptOutcome)| Attempt {
         worker: (*worker).into(),
-        fate: *fate,
+        outcome: *outcome,
     };
-    let record = Record {
+    let record = RequestRecord {
         class: "day-plan".into(),
-        key: key.map(str::to_owned),
+        idempotency_key: key.map(str::to_owned),
         digest: [0xab; 32],
         stage,
         attempts: attempts.iter().map(attempt).collect(),
-        deadline: 1_700_000_000_123,
-        until: EXPIRES,
+        deadline_ms: 1_700_000_000_123,
+        expires_at_ms: EXPIRES,
     };
     record.encode()
 }
 
 /// One record of each kind that a node keeps, in the order in which they are written.
 fn records() -> Vec<(Vec<u8>, Vec<u8>)> {
-    let all_fates = [
-        ("s-1", AttemptOutcome::Out),
+    let all_outcomes = [
+        ("s-1", AttemptOutcome::InFlight),
         ("s-2", AttemptOutcome::NeverRan),
         ("s-3", AttemptOutcome::MayHaveRun),
     ];
     let list = br#"{"discovery":"127.0.0.1:8500","revision":3,"members":[]}"#;
     vec![
         (
-            job_key("job-open"),
-            job(Some("key-1"), Stage::Open, &all_fates),
+            request_key("job-open"),
+            job(Some("key-1"), Stage::Pending, &all_outcomes),
         ),
         (
-            job_key("job-kept"),
-            job(None, Stage::Served(true), &all_fates[2..]),
+            request_key("job-kept"),
+            job(
+                None,
+                Stage::Served {
+                    result_stored: true,
+                },
+                &all_outcomes[2..],
+            ),
         ),
         (
-            job_key("job-too-long"),
-            job(None, Stage::Served(false), &all_fates[2..]),
+            request_key("job-too-long"),
+            job(
+                None,
+                Stage::Served {
+                    result_stored: false,
+                },
+                &all_outcomes[2..],
+            ),
         ),
-        (job_key("job-failed"), job(None, Stage::Failed, &[])),
+        (request_key("job-failed"), job(None, Stage::Failed, &[])),
         (result_key("job-kept"), b"via cesis".to_vec()),
         (b"j/unreadable".to_vec(), vec![9, b'x']),
         (b"f/list".to_vec(), list.to_vec()),
