--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -230,7 +230,7 @@
                 "fleet: the node's name '{name}' must have 1 to 64 bytes"
             ));
         }
-        let restored = postcard::from_bytes(&kept.bans).unwrap_or_default();
+        let restored = postcard::from_bytes(&kept.suspensions).unwrap_or_default();
         let (place, callers) = (None, HashMap::new());
         let (look, logged) = ((0, f64::INFINITY), (0, reactor.now));
         let name = name.to_owned();
@@ -242,7 +242,7 @@
             place,
             over: false,
             restored,
-            council: kept.council,
+            council: kept.coordination_records,
             look,
             callers,
             told: (0, (0, 1)),
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -12,7 +12,9 @@
 use crate::net::messages::{self, ClientId, Command, Input, Reply};
 use crate::net::requests::durability::DurabilityPolicy;
 use crate::net::requests::manager::RequestManager;
-use crate::net::store_adapter::{RecoveredState, StoreAdapter};
+use crate::net::store_adapter::{
+    CoordinationWriteOutcome, RecoveredState, StartedStore, StoreAdapter,
+};
 use crate::net::transport::reactor::{self, Clock, Owner, Reactor, Timer};
 use crate::net::upstream::attempts::Attempts;
 use crate::net::upstream::worker_list::WorkerList;
@@ -174,10 +176,13 @@
         let mut found = RecoveredState::default();
         let kept = match &config.store {
             Some(section) => {
-                let (keeper, mut ledger, kept) =
-                    StoreAdapter::start(&mut reactor, section, &config.name)?;
+                let StartedStore {
+                    adapter: keeper,
+                    request_log: mut ledger,
+                    recovered: kept,
+                } = StoreAdapter::start(&mut reactor, section, &config.name)?;
                 found = kept;
-                if let Some(list) = found.list.take() {
+                if let Some(list) = found.worker_list.take() {
                     known = list.or(known, config.discovery);
                 }
                 let nothing_ran = ledger.finish_loading();
@@ -423,11 +428,12 @@
                     .keeper
                     .as_mut()
                     .and_then(|keeper| keeper.handle_ready(reactor));
-                let events = self
-                    .fleet
-                    .as_mut()
-                    .zip(written)
-                    .map(|(fleet, well)| fleet.handle_write_completed(reactor, well));
+                let events = self.fleet.as_mut().zip(written).map(|(fleet, outcome)| {
+                    fleet.handle_write_completed(
+                        reactor,
+                        outcome == CoordinationWriteOutcome::Durable,
+                    )
+                });
                 self.told_by_fleet(events.unwrap_or_default());
             }
             Owner::Signal if key == self.stop.key => self.stop(),
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -610,7 +610,7 @@
         std::fs::write(&trouble, word).expect("it is written");
         fleet.history.note(format!("n1's disk: {word}"));
         assert_eq!(fleet.suspend(1, worker, false), "yes, at 3 of 3 nodes\n");
-        let troubled = || fleet.lines(1, "the store takes no writes") == n + 1;
+        let troubled = || fleet.lines(1, "store not writable") == n + 1;
         assert!(wait(MOST, troubled), "{}", fleet.told());
         fleet.whole();
         let client = fleet.nodes[1].client;
@@ -624,7 +624,7 @@
             "safe jobs go on"
         );
         std::fs::remove_file(&trouble).expect("it was there");
-        let sound = || fleet.lines(1, "the store takes writes again") == n + 1;
+        let sound = || fleet.lines(1, "store writable again") == n + 1;
         assert!(wait(MOST, sound), "{}", fleet.told());
     }
     // Long enough for the store's look at what was refused.
--- a/tests/surface_bytes.rs
+++ b/tests/surface_bytes.rs
@@ -5,7 +5,7 @@
 
 use postproxy::Settings;
 use postproxy::net::cluster::versions;
-use postproxy::net::store_adapter::{StoreAdapter, open};
+use postproxy::net::store_adapter::{StartedStore, StoreAdapter, open};
 use postproxy::net::transport::reactor::Reactor;
 use postproxy::net::upstream::worker_list::{Kept, List, WorkerList};
 use postproxy::operator_config::StoreSection;
@@ -150,10 +150,10 @@
 fn node_writes_its_keys() {
     let folder = Folder::new("writes");
     let mut reactor = Reactor::new(0.0).expect("a poller");
-    let (mut keeper, _, _) =
+    let StartedStore { mut adapter, .. } =
         StoreAdapter::start(&mut reactor, &folder.store(), "n-1").expect("a store");
-    keeper.save_worker_list(&[1, 2]);
-    keeper.save_suspensions(&[3, 4]);
+    adapter.save_worker_list(&[1, 2]);
+    adapter.save_suspensions(&[3, 4]);
     let change = |key: &[u8], value: Option<Vec<u8>>| StorageChange {
         key: key.to_vec(),
         value,
@@ -163,9 +163,9 @@
         change(b"c/seat", Some(vec![6])),
         change(b"s/start", Some(vec![7])),
     ];
-    assert!(keeper.write_coordination_records(&changes));
-    assert!(keeper.write_coordination_records(&[change(b"s/start", None)]));
-    drop(keeper); // waits for its writes
+    assert!(adapter.write_coordination_records(&changes));
+    assert!(adapter.write_coordination_records(&[change(b"s/start", None)]));
+    drop(adapter); // waits for its writes
     let expected = [
         ("a/hard", "05"),
         ("c/seat", "06"),
@@ -202,15 +202,18 @@
     engine.commit().expect("a sound disk");
     drop(engine);
     let mut reactor = Reactor::new(0.0).expect("a poller");
-    let (_keeper, ledger, mut found) =
-        StoreAdapter::start(&mut reactor, &folder.store(), "n-1").expect("a store");
-    assert_eq!(ledger.len(), 1);
-    assert!(found.list.is_some());
-    assert_eq!(found.bans, [3, 4]);
-    found.council.sort();
-    let council = [(&b"a/hard"[..], 5), (b"c/seat", 6), (b"s/start", 7)];
+    let StartedStore {
+        adapter: _adapter,
+        request_log,
+        mut recovered,
+    } = StoreAdapter::start(&mut reactor, &folder.store(), "n-1").expect("a store");
+    assert_eq!(request_log.len(), 1);
+    assert!(recovered.worker_list.is_some());
+    assert_eq!(recovered.suspensions, [3, 4]);
+    recovered.coordination_records.sort();
+    let coordination_records = [(&b"a/hard"[..], 5), (b"c/seat", 6), (b"s/start", 7)];
     assert_eq!(
-        found.council,
-        council.map(|(key, value)| (key.to_vec(), vec![value]))
+        recovered.coordination_records,
+        coordination_records.map(|(key, value)| (key.to_vec(), vec![value]))
     );
 }
