--- a/benches/node.rs
+++ b/benches/node.rs
@@ -15,7 +15,7 @@
 
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
-use postproxy::operator_config::{FleetSection, Operator, StoreSection};
+use postproxy::operator_config::{FleetSection, OperatorConfig, StoreSection};
 use postproxy::stand_ins::{Discovery, Worker, ask};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
         let fleet =
             serde_json::json!({"cluster": "bench", "listen": at, "seeds": seeds, "voters": ["n0"]});
         let text = serde_json::json!({"fleet": fleet}).to_string();
-        Operator::from_json(&text)
+        OperatorConfig::from_json(&text)
             .expect("a section")
             .fleet
             .expect("it is there")
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -9,7 +9,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use postproxy::logging::Format;
 use postproxy::net::Config;
-use postproxy::operator_config::Operator;
+use postproxy::operator_config::OperatorConfig;
 
 /// What a command ends with when it fails.
 pub type Failure = Box<dyn std::error::Error>;
@@ -110,7 +110,7 @@
 }
 
 fn check(file: &str, config: Option<&str>) -> Result<(), Failure> {
-    Operator::from_file(file)?;
+    OperatorConfig::from_file(file)?;
     if let Some(path) = config {
         let text =
             std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -3,7 +3,7 @@
 use super::{Failure, Serve};
 use postproxy::logging;
 use postproxy::net::{Config, Node};
-use postproxy::operator_config::Operator;
+use postproxy::operator_config::OperatorConfig;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 
@@ -24,7 +24,7 @@
     let mut operator = args
         .operator
         .as_deref()
-        .map(Operator::from_file)
+        .map(OperatorConfig::from_file)
         .transpose()?
         .unwrap_or_default();
     let log = &mut operator.log;
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -267,10 +267,10 @@
         let (socket, peer_connections) = self.sockets(reactor, seed)?;
         let key = reactor.register(&socket, Owner::Peers)?;
         reactor.rearm(&socket, key, (true, false));
-        let told = self.section.told(socket.local_addr()?);
+        let told = self.section.advertised_address(socket.local_addr()?);
         let started = (reactor.now * 1000.0) as u64;
         let mut members = Membership::new(
-            self.section.settings(),
+            self.section.membership_settings(),
             &self.name,
             told,
             started,
--- /dev/null
+++ b/src/operator_config/error.rs
@@ -0,0 +1,30 @@
+//! Errors of the operator's configuration file.
+
+use std::fmt;
+
+/// What is wrong with an operator's configuration file, and where.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OperatorConfigError {
+    /// The path of the wrong value, such as `store.retention_s`; `.` for the whole document.
+    pub path: String,
+    /// What is wrong with it.
+    pub what: String,
+}
+
+impl OperatorConfigError {
+    /// Returns the error that the value at `path` is wrong.
+    pub(super) fn new(path: impl Into<String>, what: impl Into<String>) -> Self {
+        Self {
+            path: path.into(),
+            what: what.into(),
+        }
+    }
+}
+
+impl fmt::Display for OperatorConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.path, self.what)
+    }
+}
+
+impl std::error::Error for OperatorConfigError {}
--- /dev/null
+++ b/src/operator_config/fleet.rs
@@ -0,0 +1,215 @@
+//! The section `fleet`: the cluster that the node is a member of.
+
+use super::error::OperatorConfigError;
+use postproxy_membership::MAX_NAME_BYTES;
+use serde::Deserialize;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+
+/// Default of [`FleetSection::probe_ms`].
+const DEFAULT_PROBE_MS: u64 = 250;
+/// Default of [`FleetSection::answer_ms`].
+const DEFAULT_ANSWER_MS: u64 = 100;
+/// Default of [`FleetSection::suspicion_ms`].
+const DEFAULT_SUSPICION_MS: u64 = 1100;
+/// Default of [`FleetSection::gossip_ms`].
+const DEFAULT_GOSSIP_MS: u64 = 100;
+/// Default of [`FleetSection::hello_ms`].
+const DEFAULT_HELLO_MS: u64 = 500;
+/// Default of [`FleetSection::look_back_ms`].
+const DEFAULT_LOOK_BACK_MS: u64 = 1000;
+/// Allowed values of the section's times, in milliseconds.
+const TIME_MS_RANGE: RangeInclusive<u64> = 10..=600_000;
+/// The most voters: each more makes a majority slower to reach.
+const MAX_VOTERS: usize = 7;
+
+/// The section `fleet`: the cluster that the node is a member of.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields)]
+pub struct FleetSection {
+    /// The cluster's name: messages of another cluster are dropped.
+    pub cluster: String,
+    /// Where the messages of other nodes are received.
+    pub listen: SocketAddr,
+    /// The address that other nodes are given; by default that of `listen`.
+    #[serde(default)]
+    pub advertise: Option<SocketAddr>,
+    /// The addresses of nodes to join by; the node's own may be among them.
+    #[serde(default)]
+    pub seeds: Vec<SocketAddr>,
+    /// The names of the nodes whose majority decides which side of a partition goes on.
+    #[serde(default)]
+    pub voters: Vec<String>,
+    /// Time between two probes of other nodes, in milliseconds.
+    #[serde(default = "default_probe_ms")]
+    pub probe_ms: u64,
+    /// How long a probed node may take to answer before others are asked to probe it too, in milliseconds.
+    #[serde(default = "default_answer_ms")]
+    pub answer_ms: u64,
+    /// How long a suspected node has to refute the suspicion, in milliseconds.
+    #[serde(default = "default_suspicion_ms")]
+    pub suspicion_ms: u64,
+    /// Time between two gossip messages while there is something to gossip, in milliseconds.
+    #[serde(default = "default_gossip_ms")]
+    pub gossip_ms: u64,
+    /// Time between two heartbeats, in milliseconds; a node that is silent for 3.5 of these is unreachable.
+    #[serde(default = "default_hello_ms")]
+    pub hello_ms: u64,
+    /// Time between two probes of failed nodes, in milliseconds.
+    #[serde(default = "default_look_back_ms")]
+    pub look_back_ms: u64,
+}
+
+fn default_probe_ms() -> u64 {
+    DEFAULT_PROBE_MS
+}
+
+fn default_answer_ms() -> u64 {
+    DEFAULT_ANSWER_MS
+}
+
+fn default_suspicion_ms() -> u64 {
+    DEFAULT_SUSPICION_MS
+}
+
+fn default_gossip_ms() -> u64 {
+    DEFAULT_GOSSIP_MS
+}
+
+fn default_hello_ms() -> u64 {
+    DEFAULT_HELLO_MS
+}
+
+fn default_look_back_ms() -> u64 {
+    DEFAULT_LOOK_BACK_MS
+}
+
+/// A wrong value of the section, by its path below `fleet`.
+struct Mistake {
+    path: String,
+    what: &'static str,
+}
+
+impl Mistake {
+    fn new(path: impl Into<String>, what: &'static str) -> Self {
+        Self {
+            path: path.into(),
+            what,
+        }
+    }
+}
+
+impl FleetSection {
+    /// Returns the address that other nodes are given, where the node listens at `bound`.
+    pub fn advertised_address(&self, bound: SocketAddr) -> SocketAddr {
+        self.advertise.unwrap_or(bound)
+    }
+
+    /// Returns the settings of the membership protocol.
+    pub fn membership_settings(&self) -> postproxy_membership::Settings {
+        let seconds = |ms: u64| ms as f64 / 1000.0;
+        postproxy_membership::Settings {
+            cluster: self.cluster.clone(),
+            seeds: self.seeds.clone(),
+            voters: self.voters.iter().cloned().collect(),
+            probe: seconds(self.probe_ms),
+            answer: seconds(self.answer_ms),
+            suspicion: seconds(self.suspicion_ms),
+            gossip: seconds(self.gossip_ms),
+            hello: seconds(self.hello_ms),
+            look_back: seconds(self.look_back_ms),
+        }
+    }
+
+    /// Checks the section; the error names all that is wrong with it.
+    pub(super) fn validate(&self) -> Result<(), OperatorConfigError> {
+        let mut mistakes = Vec::new();
+        if self.cluster.is_empty() {
+            mistakes.push(Mistake::new("cluster", "names no cluster"));
+        }
+        mistakes.extend(self.advertise_mistake());
+        mistakes.extend(self.seed_mistakes());
+        mistakes.extend(self.voter_mistakes());
+        mistakes.extend(self.time_mistakes());
+        let mut mistakes = mistakes.into_iter();
+        let Some(first) = mistakes.next() else {
+            return Ok(());
+        };
+        let what = mistakes.fold(first.what.to_owned(), |text, Mistake { path, what }| {
+            format!("{text}; fleet.{path}: {what}")
+        });
+        Err(OperatorConfigError::new(
+            format!("fleet.{}", first.path),
+            what,
+        ))
+    }
+
+    fn advertise_mistake(&self) -> Option<Mistake> {
+        let what = match self.advertise {
+            Some(address) if address.is_ipv4() != self.listen.is_ipv4() => {
+                "is of another family of addresses than fleet.listen"
+            }
+            Some(address) if address.ip().is_unspecified() || address.port() == 0 => {
+                "is no address that others could reach"
+            }
+            None if self.listen.ip().is_unspecified() => {
+                "must be given where fleet.listen is no single address"
+            }
+            _ => return None,
+        };
+        Some(Mistake::new("advertise", what))
+    }
+
+    fn seed_mistakes(&self) -> impl Iterator<Item = Mistake> {
+        self.seeds
+            .iter()
+            .enumerate()
+            .filter(|(_, seed)| seed.is_ipv4() != self.listen.is_ipv4())
+            .map(|(index, _)| {
+                Mistake::new(
+                    format!("seeds[{index}]"),
+                    "is of another family of addresses than fleet.listen",
+                )
+            })
+    }
+
+    fn voter_mistakes(&self) -> Vec<Mistake> {
+        let mut mistakes = Vec::new();
+        if self.voters.len().is_multiple_of(2) || self.voters.len() > MAX_VOTERS {
+            mistakes.push(Mistake::new("voters", "must name 1, 3, 5 or 7 nodes"));
+        }
+        for (index, voter) in self.voters.iter().enumerate() {
+            let path = || format!("voters[{index}]");
+            if voter.is_empty() || voter.len() > MAX_NAME_BYTES {
+                mistakes.push(Mistake::new(path(), "must be a name of 1 to 64 bytes"));
+            }
+            if self.voters[..index].contains(voter) {
+                mistakes.push(Mistake::new(path(), "is named twice"));
+            }
+        }
+        mistakes
+    }
+
+    fn time_mistakes(&self) -> Vec<Mistake> {
+        let times = [
+            ("probe_ms", self.probe_ms),
+            ("answer_ms", self.answer_ms),
+            ("suspicion_ms", self.suspicion_ms),
+            ("gossip_ms", self.gossip_ms),
+            ("hello_ms", self.hello_ms),
+            ("look_back_ms", self.look_back_ms),
+        ];
+        let mut mistakes: Vec<Mistake> = times
+            .into_iter()
+            .filter(|(_, ms)| !TIME_MS_RANGE.contains(ms))
+            .map(|(key, _)| Mistake::new(key, "must be between 10 and 600000"))
+            .collect();
+        if self.answer_ms * 2 > self.probe_ms {
+            mistakes.push(Mistake::new(
+                "answer_ms",
+                "must be at most half of fleet.probe_ms",
+            ));
+        }
+        mistakes
+    }
+}
--- /dev/null
+++ b/src/operator_config/mod.rs
@@ -0,0 +1,106 @@
+//! The operator's configuration file: JSON with a section for each part of the program that can be switched on.
+//!
+//! A part whose section is absent is off. An unknown name is an error that gives the nearest known one.
+
+mod audit;
+mod duties;
+mod error;
+mod fleet;
+mod store;
+
+pub use audit::AuditSection;
+pub use duties::DutiesSection;
+pub use error::OperatorConfigError;
+pub use fleet::FleetSection;
+pub use store::StoreSection;
+
+use crate::logging::LogSection;
+use audit::FleetPresence;
+use serde::Deserialize;
+
+/// All sections.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq)]
+// The type's name is part of error texts that operators read: it stays as it was when the type is renamed.
+#[serde(default, deny_unknown_fields, expecting = "struct Operator")]
+pub struct OperatorConfig {
+    /// Logging.
+    pub log: LogSection,
+    /// The store of requests.
+    pub store: Option<StoreSection>,
+    /// The cluster that the node is a member of.
+    pub fleet: Option<FleetSection>,
+    /// Leases on tasks that one node does for the whole cluster.
+    pub duties: Option<DutiesSection>,
+    /// Configuration version tracking.
+    pub audit: Option<AuditSection>,
+}
+
+impl OperatorConfig {
+    /// Reads and checks the sections.
+    ///
+    /// # Errors
+    ///
+    /// The first mistake, with its place.
+    pub fn from_json(text: &str) -> Result<Self, OperatorConfigError> {
+        let mut json = serde_json::Deserializer::from_str(text);
+        let config: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+            let path = error.path().to_string().replace('?', ".");
+            let message = error.inner().to_string();
+            OperatorConfigError::new(path, with_nearest_name(&message).unwrap_or(message))
+        })?;
+        json.end()
+            .map_err(|error| OperatorConfigError::new(".", error.to_string()))?;
+        config.validate()?;
+        Ok(config)
+    }
+
+    /// Reads and checks the file at this path.
+    ///
+    /// # Errors
+    ///
+    /// A message that contains the path.
+    pub fn from_file(path: &str) -> Result<Self, String> {
+        let text =
+            std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
+        Self::from_json(&text).map_err(|error| format!("{path}: {error}"))
+    }
+
+    fn validate(&self) -> Result<(), OperatorConfigError> {
+        self.log
+            .validate()
+            .map_err(|what| OperatorConfigError::new("log.levels", what))?;
+        if let Some(store) = &self.store {
+            store.validate()?;
+        }
+        if let Some(fleet) = &self.fleet {
+            fleet.validate()?;
+        }
+        if let Some(duties) = &self.duties {
+            duties.validate(self.fleet.as_ref())?;
+        }
+        if let Some(audit) = &self.audit {
+            let fleet = match self.fleet {
+                Some(_) => FleetPresence::Present,
+                None => FleetPresence::Absent,
+            };
+            audit.validate(fleet)?;
+        }
+        Ok(())
+    }
+}
+
+/// Replaces the list of all known names in a message of serde's on an unknown one by the nearest name.
+fn with_nearest_name(message: &str) -> Option<String> {
+    let rest = message
+        .strip_prefix("unknown field `")
+        .or_else(|| message.strip_prefix("unknown variant `"))?;
+    let (name, rest) = rest.split_once('`')?;
+    // Known names stand between pairs of backticks.
+    let known_names = rest.split('`').skip(1).step_by(2);
+    let nearest = known_names
+        .max_by(|a, b| strsim::jaro_winkler(name, a).total_cmp(&strsim::jaro_winkler(name, b)))?;
+    let place = message.rfind(" at line ").map_or("", |at| &message[at..]);
+    Some(format!(
+        "'{name}' is not known here; the nearest name is '{nearest}'{place}"
+    ))
+}
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -6,7 +6,7 @@
     Class, Effect, Entry, Field, Group, Health, Reports, RetryBudget, Settings, WorkerId,
 };
 use postproxy::net::Config;
-use postproxy::operator_config::Operator;
+use postproxy::operator_config::OperatorConfig;
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -153,7 +153,7 @@
 
 #[test]
 fn every_key_of_the_operator_file_reaches_its_field() {
-    let operator = Operator::from_json(FULL_OPERATOR_FILE).expect("it is sound");
+    let operator = OperatorConfig::from_json(FULL_OPERATOR_FILE).expect("it is sound");
     assert_eq!(operator.log.levels, "warn,postproxy=debug");
     assert_eq!(operator.log.format, postproxy::logging::Format::Json);
     let store = operator.store.expect("a store");
@@ -205,7 +205,7 @@
 #[test]
 fn absent_keys_of_the_operator_file_have_their_defaults() {
     let text = r#"{"store": {"folder": "data"}, "fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a", "b", "c"]}, "duties": {}, "audit": {}}"#;
-    let operator = Operator::from_json(text).expect("it is sound");
+    let operator = OperatorConfig::from_json(text).expect("it is sound");
     assert_eq!(operator.log.levels, "info");
     assert_eq!(operator.log.format, postproxy::logging::Format::Text);
     let store = operator.store.expect("a store");
