--- a/benches/node.rs
+++ b/benches/node.rs
@@ -16,7 +16,7 @@
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
 use postproxy::operator_config::{FleetSection, OperatorConfig, StoreSection};
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
@@ -83,7 +83,7 @@
             ("X-Deadline", "10"),
             ("Connection", "close"),
         ];
-        match ask(node, "POST", "/day-plan/x", &fields, b"work") {
+        match send_request(node, "POST", "/day-plan/x", &fields, b"work") {
             Ok(answer) if answer.status == 200 => {
                 served += 1;
                 latency
@@ -113,7 +113,7 @@
             start(config)
         })
         .collect();
-    workers.iter().for_each(|worker| worker.reports_to(address));
+    workers.iter().for_each(|worker| worker.report_to(address));
     thread::sleep(Duration::from_millis(200));
     let (start, end) = (Instant::now(), Instant::now() + TIME);
     let clients: Vec<_> = (0..CLIENTS)
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -3,7 +3,7 @@
 use super::Failure;
 use clap::{Args, Subcommand};
 use postproxy::net::cluster::service::ClusterStatus;
-use postproxy::stand_ins::ask;
+use postproxy::stand_ins::send_request;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -69,7 +69,7 @@
 fn forget(args: &Forget) -> Result<(), Failure> {
     let name =
         percent_encoding::utf8_percent_encode(&args.name, percent_encoding::NON_ALPHANUMERIC);
-    let answer = ask(
+    let answer = send_request(
         args.mgmt,
         "POST",
         &format!("/v1/fleet/members/{name}/forget"),
@@ -89,7 +89,7 @@
 }
 
 fn picture(mgmt: SocketAddr) -> Result<String, Failure> {
-    let answer = ask(mgmt, "GET", "/v1/fleet/members", &[], b"")
+    let answer = send_request(mgmt, "GET", "/v1/fleet/members", &[], b"")
         .map_err(|error| format!("{mgmt}: {error}"))?;
     let text = String::from_utf8(answer.body)?;
     if answer.status == 200 {
--- a/src/cli/fleet_trial.rs
+++ b/src/cli/fleet_trial.rs
@@ -3,7 +3,7 @@
 
 use super::{Failure, fleet};
 use postproxy::net::cluster::service::ClusterStatus;
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
     }
 
     fn picture(&self) -> Option<ClusterStatus> {
-        let answer = ask(self.door, "GET", "/v1/fleet/members", &[], b"").ok()?;
+        let answer = send_request(self.door, "GET", "/v1/fleet/members", &[], b"").ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 }
@@ -189,7 +189,7 @@
         let mut answer = None;
         for _ in 0..nodes.len() {
             at = (at + 1) % nodes.len();
-            match ask(nodes[at], "POST", "/reroute", &fields, b"riga to liepaja") {
+            match send_request(nodes[at], "POST", "/reroute", &fields, b"riga to liepaja") {
                 Ok(done) => {
                     answer = Some(done.status);
                     break;
@@ -224,7 +224,7 @@
     let clients: Vec<SocketAddr> = nodes.iter().map(|node| node.client).collect();
     workers
         .iter()
-        .for_each(|worker| worker.reports_to_all(&clients));
+        .for_each(|worker| worker.report_to_all(&clients));
     println!(
         "{count} nodes, each a process; they know each other by {} seeds",
         count.min(3)
@@ -266,7 +266,7 @@
     let last = nodes.len() - 1;
     let name = nodes[last].name.clone();
     println!("s-1 is taken out of use at node-1");
-    let answer = ask(
+    let answer = send_request(
         nodes[0].door,
         "POST",
         "/v1/route-workers/s-1/suspend",
@@ -320,7 +320,7 @@
     let missed = nodes[1].picture().map_or(0.0, |picture| picture.missed_s);
     println!("  it knows that it missed {missed:.1} s");
     println!("s-1 is used again, by a word at {name}");
-    ask(
+    send_request(
         nodes[last].door,
         "POST",
         "/v1/route-workers/s-1/resume",
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -5,7 +5,7 @@
 use clap::Args;
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -92,7 +92,7 @@
             .unwrap_or_default()
             .into());
     };
-    workers.iter().for_each(|worker| worker.reports_to(address));
+    workers.iter().for_each(|worker| worker.report_to(address));
     println!(
         "discovery at {}, a node at {address}, workers:",
         discovery.address
@@ -133,7 +133,7 @@
                     ("Connection", "close"),
                 ];
                 let began = Instant::now();
-                let answer = ask(address, "POST", &target, &fields, b"riga to liepaja");
+                let answer = send_request(address, "POST", &target, &fields, b"riga to liepaja");
                 let status = answer.map(|a| a.status).map_err(|error| error.to_string());
                 let _ = tell.send(Done {
                     class,
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -4,7 +4,7 @@
 mod fleet_harness;
 
 use fleet_harness::{Fleet, MOST};
-use postproxy::stand_ins::{Discovery, ask};
+use postproxy::stand_ins::{Discovery, send_request};
 use postproxy_fault_injection::{addresses, wait};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -29,7 +29,7 @@
 }
 
 fn versions(fleet: &Fleet, n: usize) -> Option<serde_json::Value> {
-    let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/versions", &[], b"").ok()?;
+    let answer = send_request(fleet.nodes[n].door, "GET", "/v1/fleet/versions", &[], b"").ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
@@ -58,7 +58,7 @@
                     ("X-Deadline", "5"),
                     ("Connection", "close"),
                 ];
-                let _ = ask(at, "POST", "/reroute/x", &fields, b"work");
+                let _ = send_request(at, "POST", "/reroute/x", &fields, b"work");
                 std::thread::sleep(Duration::from_millis(5));
             }
         })
@@ -120,7 +120,8 @@
         "{}",
         fleet.told()
     );
-    let answer = ask(fleet.nodes[2].door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
+    let answer =
+        send_request(fleet.nodes[2].door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
     let trail: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let adopted = trail["records"]
         .as_array()
@@ -179,7 +180,7 @@
         without.told()
     );
     assert_eq!(
-        ask(without.nodes[0].door, "GET", "/v1/fleet/versions", &[], b"")
+        send_request(without.nodes[0].door, "GET", "/v1/fleet/versions", &[], b"")
             .expect("an answer")
             .status,
         404
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -5,7 +5,7 @@
 
 use fleet_harness::{Fleet, MOST};
 use postproxy::net::cluster::service::ClusterStatus;
-use postproxy::stand_ins::ask;
+use postproxy::stand_ins::send_request;
 use postproxy_coordination::{LeaseStatus, Status};
 use postproxy_diagnostics::ErrorBody;
 use postproxy_fault_injection::wait;
@@ -18,7 +18,7 @@
 }
 
 fn view(fleet: &Fleet, n: usize) -> Option<Status> {
-    let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
+    let answer = send_request(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
@@ -59,7 +59,7 @@
 }
 
 fn post(fleet: &Fleet, n: usize, path: &str) -> (u16, String) {
-    let answer = ask(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
+    let answer = send_request(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     fleet
         .history
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,7 +2,7 @@
 //! test, so that each order is forced.
 
 use postproxy::net::transport::http::Response;
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::{Process, addresses};
 use postproxy_handover::{Link, LinkEvent, Message, Role, StateUpdate, frame, greeting};
 use socket2::{Domain, Socket, Type};
@@ -93,7 +93,7 @@
             .and_then(|a| a.as_socket())
             .expect("an address");
         let workers = vec![Worker::start("s-0", Duration::ZERO).expect("a worker")];
-        workers[0].reports_to(address);
+        workers[0].report_to(address);
         let discovery = Discovery::start(&workers).expect("discovery");
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("hand-{name}-{}", std::process::id()));
@@ -155,7 +155,7 @@
         write!(call, "POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("it is written");
         // Whoever comes later is read later.
         assert_eq!(
-            ask(self.door, "GET", "/v1/readyz", &[], b"")
+            send_request(self.door, "GET", "/v1/readyz", &[], b"")
                 .expect("an answer")
                 .status,
             503
@@ -254,7 +254,7 @@
         // Two turns of its loop later it is still the older process's to take.
         for _ in 0..2 {
             assert_eq!(
-                ask(bed.door, "GET", "/v1/readyz", &[], b"")
+                send_request(bed.door, "GET", "/v1/readyz", &[], b"")
                     .expect("an answer")
                     .status,
                 503
@@ -269,7 +269,7 @@
         bed.hears_alive()?;
         assert!(taken.is_some(), "the newer process took it");
         // From now on it is the newer one's.
-        let answer = ask(
+        let answer = send_request(
             bed.address,
             "GET",
             "/-/ready",
@@ -307,7 +307,7 @@
         let at = bed.address;
         let body = br#"{"id": "held", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = thread::spawn(move || -> Response {
-            ask(
+            send_request(
                 at,
                 "POST",
                 "/v1/job-events",
@@ -326,7 +326,7 @@
         // Other calls are answered meanwhile, this one is not.
         for _ in 0..5 {
             assert_eq!(
-                ask(bed.door, "GET", "/v1/readyz", &[], b"")
+                send_request(bed.door, "GET", "/v1/readyz", &[], b"")
                     .expect("an answer")
                     .status,
                 200
--- a/tests/kill.rs
+++ b/tests/kill.rs
@@ -1,6 +1,6 @@
 //! The real program with a store, killed again and again under jobs that must not run twice.
 
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::{Process, addresses, wait};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
             &self.folder.join("log"),
         );
         self.process = Some(process.expect("the program starts"));
-        let ready = || ask(self.address, "GET", "/-/ready", &[], b"").is_ok();
+        let ready = || send_request(self.address, "GET", "/-/ready", &[], b"").is_ok();
         assert!(wait(Duration::from_secs(20), ready), "it is not ready");
     }
 
@@ -75,7 +75,7 @@
                 return;
             }
             let id = format!("id-{number}-{job}-{attempt}");
-            match ask(
+            match send_request(
                 node,
                 "POST",
                 "/day-plan/x",
@@ -125,7 +125,7 @@
         .collect();
     let discovery = Discovery::start(&workers).expect("discovery");
     let address = SocketAddr::new(addresses(1)[0], 8080);
-    workers.iter().for_each(|worker| worker.reports_to(address));
+    workers.iter().for_each(|worker| worker.report_to(address));
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("kill-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -183,7 +183,7 @@
     for (job, result) in workers.iter().flat_map(Worker::acknowledged) {
         let id = format!("again-{job}");
         let body = result.to_lowercase();
-        let answer = ask(
+        let answer = send_request(
             address,
             "POST",
             "/day-plan/x",
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -5,7 +5,7 @@
 
 use fleet_harness::{Fleet, MOST, Node};
 use postproxy::net::cluster::service::ClusterStatus;
-use postproxy::stand_ins::{Worker, ask};
+use postproxy::stand_ins::{Worker, send_request};
 use postproxy_fault_injection::{Event, Link, Schedule, Step, addresses, check, wait};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -241,7 +241,7 @@
     let client = fleet.nodes[one].client;
     let served = || {
         let fields = [("X-Request-Id", "j-1"), ("X-Deadline", "5")];
-        ask(client, "GET", "/-/ready", &fields, b"").is_ok_and(|a| a.status == 200)
+        send_request(client, "GET", "/-/ready", &fields, b"").is_ok_and(|a| a.status == 200)
     };
     assert!(wait(MOST, served), "it serves alone: {}", fleet.told());
     assert!(fleet.lines(one, "another process has this node's name") >= 1);
@@ -371,8 +371,8 @@
     for n in 0..50 {
         let id = format!("j-{n}");
         let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5")];
-        let answer =
-            ask(fleet.nodes[0].client, "GET", "/-/ready", &fields, b"").expect("an answer");
+        let answer = send_request(fleet.nodes[0].client, "GET", "/-/ready", &fields, b"")
+            .expect("an answer");
         assert_eq!(answer.status, 200);
     }
     assert_eq!(fleet.suspend(0, "w-0", false), "yes, at 3 of 3 nodes\n");
@@ -617,7 +617,7 @@
         let id = format!("j-{word}");
         let fields = [("X-Request-Id", id.as_str()), ("X-Deadline", "5")];
         assert_eq!(
-            ask(client, "POST", "/reroute/x", &fields, b"s")
+            send_request(client, "POST", "/reroute/x", &fields, b"s")
                 .expect("an answer")
                 .status,
             200,
@@ -701,8 +701,8 @@
     fn word(&mut self, n: usize, worker: usize, again: bool) {
         let word = if again { "resume" } else { "suspend" };
         let call = format!("/v1/route-workers/w-{worker}/{word}");
-        let answer =
-            ask(self.nodes[n].door, "POST", &call, &[], b"").expect("a node that lives answers");
+        let answer = send_request(self.nodes[n].door, "POST", &call, &[], b"")
+            .expect("a node that lives answers");
         self.history.note(format!(
             "{}: {}",
             answer.status,
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -2,7 +2,7 @@
 //! node drained, its process replaced while it serves, on a listener that all processes inherit.
 
 use postproxy::net::transport::http::{self, Read as Parsed};
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::addresses;
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 impl Process {
     fn post(&self, path: &str) -> u16 {
         let asked = Instant::now();
-        let status = ask(self.door, "POST", path, &[], b"")
+        let status = send_request(self.door, "POST", path, &[], b"")
             .expect("an answer")
             .status;
         assert!(
@@ -89,7 +89,7 @@
             Worker::start(&format!("s-{n}"), ms(*time)).expect("a worker")
         };
         let workers: Vec<Worker> = times.iter().enumerate().map(worker).collect();
-        workers.iter().for_each(|worker| worker.reports_to(address));
+        workers.iter().for_each(|worker| worker.report_to(address));
         let discovery = Discovery::start(&workers).expect("discovery");
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("ops-{name}-{}", std::process::id()));
@@ -135,7 +135,7 @@
             it: postproxy_fault_injection::Process::of(&mut command).expect("the program starts"),
             door,
         };
-        while !ask(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|a| a.status == 200) {
+        while !send_request(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|a| a.status == 200) {
             assert!(start.elapsed() < ms(6000), "its yes is late");
             sleep(ms(2));
         }
@@ -143,7 +143,7 @@
     }
 
     fn ready(&self) -> u16 {
-        ask(
+        send_request(
             self.address,
             "GET",
             "/-/ready",
@@ -377,7 +377,7 @@
                 } else {
                     "/reroute/x"
                 };
-                let answer = ask(at, "POST", path, &fields, b"long").ok()?;
+                let answer = send_request(at, "POST", path, &fields, b"long").ok()?;
                 assert!(answer.status != 200 || answer.body == b"LONG");
                 Some(answer.status)
             })
@@ -406,7 +406,7 @@
     // What is held elsewhere is held here.
     let again = [("X-Request-Id", "long-3"), ("Idempotency-Key", "other")];
     assert_eq!(
-        ask(bed.address, "POST", "/reroute/x", &again, b"x")
+        send_request(bed.address, "POST", "/reroute/x", &again, b"x")
             .expect("an answer")
             .status,
         409
@@ -531,7 +531,7 @@
     assert_eq!(process.post("/v1/node/drain"), 200, "twice");
     // New clients are served, and sent away.
     let job = [("X-Request-Id", "new"), ("Idempotency-Key", "new")];
-    let answer = ask(bed.address, "POST", "/reroute/x", &job, b"n").expect("an answer");
+    let answer = send_request(bed.address, "POST", "/reroute/x", &job, b"n").expect("an answer");
     assert_eq!((answer.status, answer.keeps), (200, false));
     let (mut next, _) = bed.start_with(|_| {});
     process.it.end();
@@ -567,7 +567,7 @@
             ("Connection", "close"),
         ];
         assert_eq!(
-            ask(bed.address, "POST", "/reroute/x", &job, b"m")
+            send_request(bed.address, "POST", "/reroute/x", &job, b"m")
                 .expect("an answer")
                 .status,
             200,
@@ -699,7 +699,7 @@
             ("Idempotency-Key", id),
             ("Connection", "close"),
         ];
-        ask(bed.address, "POST", "/reroute/x", &job, b"s")
+        send_request(bed.address, "POST", "/reroute/x", &job, b"s")
             .expect("an answer")
             .status
     };
@@ -712,11 +712,11 @@
         door,
     };
     let start = Instant::now();
-    while ask(door, "GET", "/v1/readyz", &[], b"").is_err() {
+    while send_request(door, "GET", "/v1/readyz", &[], b"").is_err() {
         assert!(start.elapsed() < LIMIT, "its door does not open");
         sleep(ms(2));
     }
-    let answer = ask(door, "GET", "/v1/readyz", &[], b"").expect("an answer");
+    let answer = send_request(door, "GET", "/v1/readyz", &[], b"").expect("an answer");
     assert_eq!(answer.status, 503, "it waits for the older one");
     early.it.reload();
     early.it.end();
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,7 +1,7 @@
 //! The real program where something is short: descriptors, discovery, time at a start.
 
 use postproxy::net::transport::http;
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::addresses;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -79,7 +79,7 @@
     }
 
     fn ready(&self) -> bool {
-        ask(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
+        send_request(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
             .is_ok_and(|answer| answer.status == 200)
     }
 
@@ -156,7 +156,7 @@
         ("X-Deadline", "5"),
         ("Connection", "close"),
     ];
-    ask(at, "POST", "/reroute/x", &fields, b"work").ok()
+    send_request(at, "POST", "/reroute/x", &fields, b"work").ok()
 }
 
 /// Guards against a node that can't dial discovery or a worker because idle clients hold all its descriptors, that does not
@@ -178,7 +178,7 @@
     until("it is ready", || running.ready());
     workers
         .iter()
-        .for_each(|worker| worker.reports_to(running.at));
+        .for_each(|worker| worker.report_to(running.at));
     let mut idle = Vec::new();
     for n in 0..5 {
         crowd(running.at, &mut idle, 200);
@@ -232,7 +232,7 @@
     let worker = Worker::start("s-0", Duration::from_millis(5)).expect("a worker");
     let running = Running::start("flood", free(), &[member("s-0", worker.address)], 128);
     until("it is ready", || running.ready());
-    worker.reports_to(running.at);
+    worker.report_to(running.at);
     let (at, over) = (running.at, std::sync::atomic::AtomicBool::new(false));
     let going = || !over.load(std::sync::atomic::Ordering::SeqCst);
     let much = vec![b'x'; 300 << 10];
@@ -371,7 +371,7 @@
                 running.ready()
             });
             times.push((start.elapsed(), name));
-            worker.reports_to(running.at);
+            worker.report_to(running.at);
             if known.len() == 2 {
                 let served = |n: u32| {
                     job(running.at, &format!("{is:?}-{n}")).is_some_and(|a| a.status == 200)
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use postproxy::net::cluster::service::ClusterStatus;
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::{Event, History, Net, Process, Step, addresses, wait};
 use socket2::Socket;
 use std::net::SocketAddr;
@@ -83,7 +83,7 @@
         let clients: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 8080)).collect();
         workers
             .iter()
-            .for_each(|worker| worker.reports_to_all(&clients));
+            .for_each(|worker| worker.report_to_all(&clients));
         let at: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 7946)).collect();
         let net = Net::start(&at, seed).expect("relays");
         // A seed that never answers, and the node itself, among them.
@@ -167,8 +167,10 @@
         );
         node.process = Some(process.expect("the program starts"));
         let door = node.door;
-        let ready =
-            || ask(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|answer| answer.status == 200);
+        let ready = || {
+            send_request(door, "GET", "/v1/readyz", &[], b"")
+                .is_ok_and(|answer| answer.status == 200)
+        };
         assert!(wait(MOST, ready), "n{n} is not ready: {}", self.told());
     }
 
@@ -192,7 +194,8 @@
                     ("Connection", "close"),
                 ];
                 history.add(Event::Asked(id.clone(), n));
-                let answer = ask(nodes[n], "POST", "/reroute/x", &fields, body.as_bytes()).ok();
+                let answer =
+                    send_request(nodes[n], "POST", "/reroute/x", &fields, body.as_bytes()).ok();
                 let sound = answer.as_ref().is_none_or(|answer| match answer.status {
                     200 => answer.body == body.to_uppercase().as_bytes(),
                     status => [429, 502, 503, 504].contains(&status),
@@ -239,7 +242,7 @@
     }
 
     pub fn picture(&self, n: usize) -> Option<ClusterStatus> {
-        let answer = ask(self.nodes[n].door, "GET", "/v1/fleet/members", &[], b"").ok()?;
+        let answer = send_request(self.nodes[n].door, "GET", "/v1/fleet/members", &[], b"").ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
@@ -299,7 +302,7 @@
 
     pub fn suspend(&self, n: usize, worker: &str, again: bool) -> String {
         let word = if again { "resume" } else { "suspend" };
-        let answer = ask(
+        let answer = send_request(
             self.nodes[n].door,
             "POST",
             &format!("/v1/route-workers/{worker}/{word}"),
