--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! `postproxy fleet`: asks a running node what it knows of the others.
+//! `postproxy fleet`: shows and changes the cluster membership through a running node.
 
 use super::Failure;
 use clap::{Args, Subcommand};
@@ -8,18 +8,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What `fleet` does.
+/// How long `members --watch` waits between two queries.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The subcommands of `fleet`.
 #[derive(Debug, Subcommand)]
-pub enum Action {
+pub enum FleetCommand {
     /// Who is there, who has failed or left, and how things stand, as one node sees it
-    Members(Members),
+    Members(MembersArgs),
     /// Counts a node that has failed no more, at all nodes: it will not come back
-    Forget(Forget),
+    Forget(ForgetArgs),
 }
 
-/// Which node is told, and of which.
+/// The arguments of `fleet forget`.
 #[derive(Args, Debug)]
-pub struct Forget {
+pub struct ForgetArgs {
     /// The name of the node that will not come back
     name: String,
     /// Where the operators of some other node call
@@ -27,9 +30,9 @@
     mgmt: SocketAddr,
 }
 
-/// Which node, and how it is told.
+/// The arguments of `fleet members`.
 #[derive(Args, Debug)]
-pub struct Members {
+pub struct MembersArgs {
     /// Where the node's operators call
     #[arg(long, value_name = "ADDR")]
     mgmt: SocketAddr,
@@ -41,18 +44,21 @@
     watch: bool,
 }
 
-/// Does it.
+/// Runs a subcommand of `fleet`.
 ///
 /// # Errors
 ///
-/// If the node can't be asked, or knows no others.
-pub fn run(action: Action) -> Result<(), Failure> {
-    let args = match action {
-        Action::Members(args) => args,
-        Action::Forget(args) => return forget(&args),
-    };
+/// If the node can't be reached or rejects the call.
+pub fn run(command: FleetCommand) -> Result<(), Failure> {
+    match command {
+        FleetCommand::Members(args) => show_members(&args),
+        FleetCommand::Forget(args) => forget(&args),
+    }
+}
+
+fn show_members(args: &MembersArgs) -> Result<(), Failure> {
     loop {
-        let text = picture(args.mgmt)?;
+        let text = fetch_status(args.mgmt)?;
         if args.json {
             println!("{}", text.trim_end());
         } else {
@@ -62,102 +68,109 @@
             return Ok(());
         }
         println!();
-        std::thread::sleep(Duration::from_secs(1));
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
-fn forget(args: &Forget) -> Result<(), Failure> {
+fn forget(args: &ForgetArgs) -> Result<(), Failure> {
     let name =
         percent_encoding::utf8_percent_encode(&args.name, percent_encoding::NON_ALPHANUMERIC);
-    let answer = send_request(
-        args.mgmt,
-        "POST",
-        &format!("/v1/fleet/members/{name}/forget"),
-        &[],
-        b"",
-    )
-    .map_err(|error| format!("{}: {error}", args.mgmt))?;
-    let text = String::from_utf8_lossy(&answer.body);
-    match answer.status {
-        200 => println!("{} is forgotten", args.name),
-        409 => {
-            return Err(format!("{}: it has not failed; end it, then ask again", args.name).into());
+    let target = format!("/v1/fleet/members/{name}/forget");
+    let response = send_request(args.mgmt, "POST", &target, &[], b"")
+        .map_err(|error| format!("{}: {error}", args.mgmt))?;
+    match response.status {
+        200 => {
+            println!("{} is forgotten", args.name);
+            Ok(())
+        }
+        409 => Err(format!("{}: it has not failed; end it, then ask again", args.name).into()),
+        _ => {
+            let text = String::from_utf8_lossy(&response.body);
+            Err(format!("{}: {}", args.name, text.trim_end()).into())
         }
-        _ => return Err(format!("{}: {}", args.name, text.trim_end()).into()),
     }
-    Ok(())
 }
 
-fn picture(mgmt: SocketAddr) -> Result<String, Failure> {
-    let answer = send_request(mgmt, "GET", "/v1/fleet/members", &[], b"")
+/// Returns the JSON text of the cluster's status as the node with this management address sees it.
+fn fetch_status(mgmt: SocketAddr) -> Result<String, Failure> {
+    let response = send_request(mgmt, "GET", "/v1/fleet/members", &[], b"")
         .map_err(|error| format!("{mgmt}: {error}"))?;
-    let text = String::from_utf8(answer.body)?;
-    if answer.status == 200 {
+    let text = String::from_utf8(response.body)?;
+    if response.status == 200 {
         Ok(text)
     } else {
         Err(format!("{mgmt}: {}", text.trim_end()).into())
     }
 }
 
-/// What one node sees, for people.
-pub fn table(picture: &ClusterStatus) -> String {
+/// Returns the cluster's status as one node sees it, as text for people.
+pub fn table(status: &ClusterStatus) -> String {
     let mut out = String::new();
-    let mut line = |text: String| {
-        // Writing to a string fails at nothing.
-        let _ = writeln!(out, "{text}");
-    };
-    line(format!(
+    // Writing to a string can't fail.
+    let _ = write_summary(&mut out, status);
+    let _ = write_members(&mut out, status);
+    let _ = write_remarks(&mut out, status);
+    out
+}
+
+fn write_summary(out: &mut String, status: &ClusterStatus) -> std::fmt::Result {
+    writeln!(
+        out,
         "{} of {}: {}",
-        picture.node, picture.cluster, picture.standing
-    ));
-    picture
-        .reasons
-        .iter()
-        .for_each(|reason| line(format!("  {reason}")));
-    match picture.namesake {
-        Some(at) => line(format!(
-            "  no member: the process at {at} has this name, too"
-        )),
-        None if !picture.member => line("  no member yet".to_owned()),
-        None => {}
+        status.node, status.cluster, status.standing
+    )?;
+    for reason in &status.reasons {
+        writeln!(out, "  {reason}")?;
     }
-    line(format!(
+    match status.namesake {
+        Some(address) => writeln!(
+            out,
+            "  no member: the process at {address} has this name, too"
+        ),
+        None if !status.member => writeln!(out, "  no member yet"),
+        None => Ok(()),
+    }
+}
+
+fn write_members(out: &mut String, status: &ClusterStatus) -> std::fmt::Result {
+    writeln!(
+        out,
         "{:<20} {:<8} {:<6} {:<22} incarnation",
         "node", "state", "votes", "address"
-    ));
-    for node in &picture.members {
+    )?;
+    for node in &status.members {
         let votes = if node.voter { "yes" } else { "" };
         let address = node.address.to_string();
-        line(format!(
+        writeln!(
+            out,
             "{:<20} {:<8} {votes:<6} {address:<22} {}",
             node.name, node.state, node.incarnation
-        ));
+        )?;
     }
-    if !picture.unheard.is_empty() {
-        line(format!(
-            "not heard directly: {}",
-            picture.unheard.join(", ")
-        ));
+    Ok(())
+}
+
+fn write_remarks(out: &mut String, status: &ClusterStatus) -> std::fmt::Result {
+    if !status.unheard.is_empty() {
+        writeln!(out, "not heard directly: {}", status.unheard.join(", "))?;
     }
-    if !picture.bans.is_empty() {
-        line(format!(
-            "out of use for the fleet: {}",
-            picture.bans.join(", ")
-        ));
+    if !status.bans.is_empty() {
+        writeln!(out, "out of use for the fleet: {}", status.bans.join(", "))?;
     }
-    if picture.missed_s > 0.0 {
-        line(format!(
+    if status.missed_s > 0.0 {
+        writeln!(
+            out,
             "this process missed {:.1} s; {:.1} of 8 from well",
-            picture.missed_s, picture.ill
-        ));
+            status.missed_s, status.ill
+        )?;
     }
-    if !picture.dropped.is_empty() {
-        let by: Vec<String> = picture
+    if !status.dropped.is_empty() {
+        let counts: Vec<String> = status
             .dropped
             .iter()
-            .map(|(why, n)| format!("{why} {n}"))
+            .map(|(reason, count)| format!("{reason} {count}"))
             .collect();
-        line(format!("datagrams and streams dropped: {}", by.join(", ")));
+        writeln!(out, "datagrams and streams dropped: {}", counts.join(", "))?;
     }
-    out
+    Ok(())
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line. The doc comments of commands and arguments are their help texts.
 
 mod fleet;
 mod fleet_trial;
@@ -11,7 +11,7 @@
 use postproxy::net::Config;
 use postproxy::operator_config::OperatorConfig;
 
-/// What a command ends with when it fails.
+/// The error of a command that fails; its text is printed to standard error.
 pub type Failure = Box<dyn std::error::Error>;
 
 /// Pushes jobs to workers by lottery. Without a command it serves, as RELAY_CONFIG says.
@@ -29,7 +29,7 @@
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Run a node until SIGTERM or SIGINT; RELAY_CONFIG names its configuration
-    Serve(Serve),
+    Serve(ServeArgs),
     /// Say what is wrong with an operator's file, or that nothing is
     Check {
         /// The operator's file
@@ -43,9 +43,9 @@
     Store(store::StoreCommand),
     /// Ask a running node about the other nodes
     #[command(subcommand)]
-    Fleet(fleet::Action),
+    Fleet(fleet::FleetCommand),
     /// Try it all in one process: discovery, four workers, a node, and jobs of two classes
-    Try(trial::Trial),
+    Try(trial::TrialArgs),
     /// Print a script that completes this program's words in a shell
     Completions {
         /// The shell
@@ -53,9 +53,9 @@
     },
 }
 
-/// What `serve` takes.
+/// The arguments of `serve`.
 #[derive(Args, Debug, Default)]
-pub struct Serve {
+pub struct ServeArgs {
     /// The operator's file: which parts of the program are on
     #[arg(long, value_name = "FILE", env = "POSTPROXY_OPERATOR")]
     operator: Option<String>,
@@ -84,31 +84,28 @@
     }
 }
 
-/// Does what the command line asks for.
+/// Runs the command.
 ///
 /// # Errors
 ///
-/// In plain words.
+/// If the command fails.
 pub fn run(cli: Cli) -> Result<(), Failure> {
     match cli.command {
-        None => serve::run(Serve::default()),
-        Some(Command::Serve(serve)) => serve::run(serve),
+        None => serve::run(ServeArgs::default()),
+        Some(Command::Serve(args)) => serve::run(args),
         Some(Command::Check { file, config }) => check(&file, config.as_deref()),
-        Some(Command::Store(action)) => store::run(action),
-        Some(Command::Fleet(action)) => fleet::run(action),
-        Some(Command::Try(trial)) => trial::run(&trial),
+        Some(Command::Store(command)) => store::run(command),
+        Some(Command::Fleet(command)) => fleet::run(command),
+        Some(Command::Try(args)) => trial::run(&args),
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(
-                shell,
-                &mut Cli::command(),
-                "postproxy",
-                &mut std::io::stdout(),
-            );
+            let mut command = Cli::command();
+            clap_complete::generate(shell, &mut command, "postproxy", &mut std::io::stdout());
             Ok(())
         }
     }
 }
 
+/// Checks an operator's file, and a node's configuration with it.
 fn check(file: &str, config: Option<&str>) -> Result<(), Failure> {
     OperatorConfig::from_file(file)?;
     if let Some(path) = config {
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,55 +1,73 @@
-//! `postproxy serve`: one node in this process, until a signal ends it.
+//! `postproxy serve`: runs a node in this process until a signal ends it.
 
-use super::{Failure, Serve};
+use super::{Failure, ServeArgs};
 use postproxy::logging;
 use postproxy::net::{Config, Node};
 use postproxy::operator_config::OperatorConfig;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 
-/// Serves.
+/// Runs a node.
 ///
 /// # Errors
 ///
 /// If the node can't be started, or the system's poller fails.
-pub fn run(args: Serve) -> Result<(), Failure> {
-    // Before anything is opened that could bear the number of an inherited descriptor.
+pub fn run(args: ServeArgs) -> Result<(), Failure> {
     let mut config = Config::from_env()?;
+    // Before any file is opened: it could get the number of an inherited descriptor.
     config.take_over()?;
-    let (stop, signal) = UnixStream::pair()?;
-    signal_hook::low_level::pipe::register(SIGINT, signal.try_clone()?)?;
-    signal_hook::low_level::pipe::register(SIGTERM, signal)?;
-    let (reload, signal) = UnixStream::pair()?;
-    signal_hook::low_level::pipe::register(SIGHUP, signal)?;
-    let mut operator = args
-        .operator
-        .as_deref()
-        .map(OperatorConfig::from_file)
-        .transpose()?
-        .unwrap_or_default();
-    let log = &mut operator.log;
-    log.format = args.log_format.map_or(log.format, Into::into);
-    log.levels = args.log_levels.unwrap_or_else(|| log.levels.clone());
-    let _written_at_the_end = logging::start(log)?;
-    config.store = operator.store;
-    config.fleet = operator.fleet;
-    config.duties = operator.duties;
-    config.audit = operator.audit;
+    let stop = signal_stream(&[SIGINT, SIGTERM])?;
+    let reload = signal_stream(&[SIGHUP])?;
+    let operator_config = operator_config(args)?;
+    let _guard = logging::start(&operator_config.log)?;
+    config.store = operator_config.store;
+    config.fleet = operator_config.fleet;
+    config.duties = operator_config.duties;
+    config.audit = operator_config.audit;
     let name = config.name.clone();
     let mut node = Node::new(config, stop)?;
-    let words = name.clone();
-    node.reload_on(reload, move || match Config::reloaded() {
+    let name_of_reloaded = name.clone();
+    node.reload_on(reload, move || reload_config(&name_of_reloaded))?;
+    tracing::info!(node = name, address = %node.address(), "listening");
+    node.run()?;
+    tracing::info!(node = name, "stopped");
+    Ok(())
+}
+
+/// Returns a stream that becomes readable when one of these signals comes.
+fn signal_stream(signals: &[i32]) -> Result<UnixStream, Failure> {
+    let (receiver, sender) = UnixStream::pair()?;
+    for signal in signals {
+        signal_hook::low_level::pipe::register(*signal, sender.try_clone()?)?;
+    }
+    Ok(receiver)
+}
+
+/// Returns the operator's configuration, in which the command line's arguments take precedence over the file.
+fn operator_config(args: ServeArgs) -> Result<OperatorConfig, Failure> {
+    let mut config = match &args.operator {
+        Some(path) => OperatorConfig::from_file(path)?,
+        None => OperatorConfig::default(),
+    };
+    if let Some(format) = args.log_format {
+        config.log.format = format.into();
+    }
+    if let Some(levels) = args.log_levels {
+        config.log.levels = levels;
+    }
+    Ok(config)
+}
+
+/// Reads the node's configuration again; `None` if it can't be read.
+fn reload_config(node: &str) -> Option<Config> {
+    match Config::reloaded() {
         Ok(config) => {
-            tracing::info!(node = words, discovery = %config.discovery, "reloaded");
+            tracing::info!(node, discovery = %config.discovery, "configuration reloaded");
             Some(config)
         }
         Err(error) => {
-            tracing::error!(node = words, error, "the old configuration stays");
+            tracing::error!(node, error, "configuration rejected: the old one stays");
             None
         }
-    })?;
-    tracing::info!(node = name, address = %node.address(), "listening");
-    node.run()?;
-    tracing::info!(node = name, "stopped");
-    Ok(())
+    }
 }
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -1,5 +1,5 @@
-//! `postproxy try`: discovery, workers and a node in one process on free ports of loopback, and jobs of two
-//! classes sent through them.
+//! `postproxy try`: runs discovery, workers and a node in one process on free ports of loopback, and sends requests of two
+//! classes through them.
 
 use super::{Failure, fleet_trial};
 use clap::Args;
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc;
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What `try` takes.
+/// The arguments of `try`.
 #[derive(Args, Debug)]
-pub struct Trial {
+pub struct TrialArgs {
     /// How many jobs of each class
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     jobs: u32,
@@ -28,20 +28,39 @@
     fleet: Option<u8>,
 }
 
+/// The classes of the trial's requests.
 const CLASSES: [&str; 2] = ["reroute", "day-plan"];
-/// How long a job takes at each of the workers, in milliseconds.
-const WORKERS: [u64; 4] = [20, 30, 40, 60];
+/// How long a request takes at each of the workers, in milliseconds.
+const SERVICE_TIMES_MS: [u64; 4] = [20, 30, 40, 60];
 
-/// What became of a job.
-struct Done {
+/// The outcome of a request.
+struct Outcome {
+    /// The index of its class.
     class: usize,
     id: String,
+    /// The status of the response, or why there was none.
     status: Result<u16, String>,
-    took: Duration,
+    latency: Duration,
 }
 
-/// A configuration for loopback alone.
-fn config(discovery: SocketAddr) -> Result<Config, String> {
+impl Outcome {
+    fn has_status(&self, status: u16) -> bool {
+        self.status == Ok(status)
+    }
+
+    /// Returns the word for the outcome in the output.
+    fn word(&self) -> &str {
+        match &self.status {
+            Ok(200) => "served",
+            Ok(503) => "refused",
+            Ok(_) => "failed",
+            Err(error) => error,
+        }
+    }
+}
+
+/// Returns the configuration of the trial's node, which listens on loopback only.
+fn node_config(discovery: SocketAddr) -> Result<Config, String> {
     let text = serde_json::json!({
         "name": "try", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "7",
         "settings": {
@@ -64,141 +83,194 @@
 ///
 /// # Errors
 ///
-/// If there are no ports, or the node can't be started; if a job was neither served nor refused, or was run
-/// twice.
-pub fn run(trial: &Trial) -> Result<(), Failure> {
-    if let Some(nodes) = trial.fleet {
-        return fleet_trial::run(usize::from(nodes));
+/// If there are no free ports or the node can't be started; if a request was neither served nor rejected, or was run twice.
+pub fn run(args: &TrialArgs) -> Result<(), Failure> {
+    if let Some(node_count) = args.fleet {
+        return fleet_trial::run(usize::from(node_count));
     }
-    let workers: Result<Vec<Worker>, _> = (0..)
-        .zip(WORKERS)
-        .map(|(n, ms)| Worker::start(&format!("s-{n}"), Duration::from_millis(ms)))
-        .collect();
-    let workers = workers?;
+    let workers = SERVICE_TIMES_MS
+        .iter()
+        .enumerate()
+        .map(|(n, ms)| Worker::start(&format!("s-{n}"), Duration::from_millis(*ms)))
+        .collect::<Result<Vec<Worker>, _>>()?;
     let discovery = Discovery::start(&workers)?;
-    let (mut stop, signal) = UnixStream::pair()?;
-    let (tell, told) = mpsc::channel();
-    let config = config(discovery.address)?;
-    let node = thread::spawn(move || {
-        let mut node = Node::new(config, signal).map_err(|error| error.to_string())?;
-        let _ = tell.send(node.address());
-        node.run().map_err(|error| error.to_string())
-    });
-    let Ok(address) = told.recv() else {
-        return Err(node
-            .join()
-            .map_err(|_| "the node panicked")?
-            .err()
-            .unwrap_or_default()
-            .into());
-    };
-    workers.iter().for_each(|worker| worker.report_to(address));
+    let mut node = RunningNode::start(discovery.address)?;
+    workers
+        .iter()
+        .for_each(|worker| worker.report_to(node.address));
     println!(
-        "discovery at {}, a node at {address}, workers:",
-        discovery.address
+        "discovery at {}, a node at {}, workers:",
+        discovery.address, node.address
     );
-    for (worker, ms) in workers.iter().zip(WORKERS) {
+    for (worker, ms) in workers.iter().zip(SERVICE_TIMES_MS) {
         println!("  {} at {}, {ms} ms a job", worker.name, worker.address);
     }
-    // The first answer tells that the list is there: until then every job is refused.
     let start = Instant::now();
-    let done = submit(trial, address);
-    let took = start.elapsed();
-    stop.write_all(b"x")?;
-    node.join().map_err(|_| "the node panicked")??;
+    let outcomes = send_requests(args, node.address);
+    let duration = start.elapsed();
+    node.stop()?;
     workers.iter().for_each(Worker::stop);
-    report(&done, &workers, took)
+    report(&outcomes, &workers, duration)
+}
+
+/// A node that runs in a thread.
+struct RunningNode {
+    address: SocketAddr,
+    /// A byte on this stream stops the node.
+    stop: UnixStream,
+    thread: Option<JoinHandle<Result<(), String>>>,
+}
+
+impl RunningNode {
+    fn start(discovery: SocketAddr) -> Result<Self, Failure> {
+        let (stop, stop_receiver) = UnixStream::pair()?;
+        let (address_sender, address_receiver) = mpsc::channel();
+        let config = node_config(discovery)?;
+        let thread = thread::spawn(move || {
+            let mut node = Node::new(config, stop_receiver).map_err(|error| error.to_string())?;
+            let _ = address_sender.send(node.address());
+            node.run().map_err(|error| error.to_string())
+        });
+        match address_receiver.recv() {
+            Ok(address) => Ok(Self {
+                address,
+                stop,
+                thread: Some(thread),
+            }),
+            // The thread ended before it had an address: its result says why.
+            Err(_) => Err(join(thread).err().unwrap_or_default().into()),
+        }
+    }
+
+    fn stop(&mut self) -> Result<(), Failure> {
+        self.stop.write_all(b"x")?;
+        if let Some(thread) = self.thread.take() {
+            join(thread)?;
+        }
+        Ok(())
+    }
+}
+
+fn join(thread: JoinHandle<Result<(), String>>) -> Result<(), String> {
+    thread.join().map_err(|_| "the node panicked")?
 }
 
-/// Sends all jobs and prints a line for each.
-fn submit(trial: &Trial, address: SocketAddr) -> Vec<Done> {
-    let (tell, told) = mpsc::channel();
-    let jobs: Vec<(usize, u32)> = (0..trial.jobs).flat_map(|n| [(0, n), (1, n)]).collect();
-    for client in 0..trial.clients as usize {
-        let own: Vec<_> = jobs
+/// Sends all requests from several clients at once, and prints a line for each.
+fn send_requests(args: &TrialArgs, node: SocketAddr) -> Vec<Outcome> {
+    let (outcome_sender, outcomes) = mpsc::channel();
+    let requests: Vec<(usize, u32)> = (0..args.jobs)
+        .flat_map(|number| (0..CLASSES.len()).map(move |class| (class, number)))
+        .collect();
+    let client_count = args.clients as usize;
+    for client in 0..client_count {
+        let own_requests: Vec<_> = requests
             .iter()
             .copied()
             .skip(client)
-            .step_by(trial.clients as usize)
+            .step_by(client_count)
             .collect();
-        let tell = tell.clone();
+        let outcome_sender = outcome_sender.clone();
         thread::spawn(move || {
-            for (class, n) in own {
-                let id = format!("{}-{n}", CLASSES[class]);
-                let target = format!("/{}", CLASSES[class]);
-                let fields = [
-                    ("X-Request-Id", id.as_str()),
-                    ("Idempotency-Key", id.as_str()),
-                    ("X-Deadline", "5"),
-                    ("Connection", "close"),
-                ];
-                let began = Instant::now();
-                let answer = send_request(address, "POST", &target, &fields, b"riga to liepaja");
-                let status = answer.map(|a| a.status).map_err(|error| error.to_string());
-                let _ = tell.send(Done {
-                    class,
-                    id,
-                    status,
-                    took: began.elapsed(),
-                });
+            for (class, number) in own_requests {
+                let _ = outcome_sender.send(send(node, class, number));
             }
         });
     }
-    drop(tell);
-    told.into_iter()
-        .inspect(|done| {
-            let word = match &done.status {
-                Ok(200) => "served",
-                Ok(503) => "refused",
-                Ok(_) => "failed",
-                Err(error) => error,
-            };
+    drop(outcome_sender);
+    outcomes
+        .into_iter()
+        .inspect(|outcome| {
             println!(
-                "{:>7.1} ms  {:<14} {word}",
-                done.took.as_secs_f64() * 1e3,
-                done.id
+                "{:>7.1} ms  {:<14} {}",
+                outcome.latency.as_secs_f64() * 1e3,
+                outcome.id,
+                outcome.word()
             );
         })
         .collect()
 }
 
-fn report(done: &[Done], workers: &[Worker], took: Duration) -> Result<(), Failure> {
+/// Sends one request and waits for its outcome.
+fn send(node: SocketAddr, class: usize, number: u32) -> Outcome {
+    let id = format!("{}-{number}", CLASSES[class]);
+    let target = format!("/{}", CLASSES[class]);
+    let fields = [
+        ("X-Request-Id", id.as_str()),
+        ("Idempotency-Key", id.as_str()),
+        ("X-Deadline", "5"),
+        ("Connection", "close"),
+    ];
+    let start = Instant::now();
+    let response = send_request(node, "POST", &target, &fields, b"riga to liepaja");
+    let latency = start.elapsed();
+    Outcome {
+        class,
+        status: response
+            .map(|response| response.status)
+            .map_err(|error| error.to_string()),
+        id,
+        latency,
+    }
+}
+
+/// Prints the table of classes; fails if a request was neither served nor rejected, or was run twice.
+fn report(outcomes: &[Outcome], workers: &[Worker], duration: Duration) -> Result<(), Failure> {
     let mut runs: HashMap<String, u32> = HashMap::new();
-    for worker in workers {
-        worker
-            .runs()
-            .into_iter()
-            .for_each(|(job, times)| *runs.entry(job).or_default() += times);
+    for (id, count) in workers.iter().flat_map(Worker::runs) {
+        *runs.entry(id).or_default() += count;
     }
     println!();
     println!("class     jobs  served  refused  failed  runs a job  p50 ms  p99 ms");
-    let mut unanswered = 0;
-    for (class, name) in CLASSES.iter().enumerate() {
-        let of: Vec<&Done> = done.iter().filter(|done| done.class == class).collect();
-        let count = |wanted: u16| of.iter().filter(|done| done.status == Ok(wanted)).count();
-        let (served, refused) = (count(200), count(503));
-        let failed = of.len() - served - refused;
-        unanswered += failed;
-        let times: u32 = of.iter().filter_map(|done| runs.get(&done.id)).sum();
-        let mut latency = Histogram::<u64>::new(3)?;
-        for job in of.iter().filter(|done| done.status == Ok(200)) {
-            latency.record(job.took.as_micros() as u64)?;
-        }
-        let at = |q| latency.value_at_quantile(q) as f64 / 1e3;
-        let (all, runs) = (of.len(), f64::from(times) / served.max(1) as f64);
-        println!(
-            "{name:<9} {all:>4}  {served:>6}  {refused:>7}  {failed:>6}  {runs:>10.2}  {:>6.1}  {:>6.1}",
-            at(0.5),
-            at(0.99)
-        );
+    let mut failed = 0;
+    for class in 0..CLASSES.len() {
+        failed += report_class(class, outcomes, &runs)?;
     }
-    println!("{:.1} s in all", took.as_secs_f64());
-    let plans = |(job, times): &(&String, &u32)| job.starts_with("day-plan") && **times > 1;
-    if let Some((job, times)) = runs.iter().find(plans) {
-        return Err(format!("{job} was run {times} times").into());
+    println!("{:.1} s in all", duration.as_secs_f64());
+    let is_run_twice = |(id, count): &(&String, &u32)| id.starts_with("day-plan") && **count > 1;
+    if let Some((id, count)) = runs.iter().find(is_run_twice) {
+        return Err(format!("{id} was run {count} times").into());
     }
-    if unanswered > 0 {
-        return Err(format!("{unanswered} jobs failed").into());
+    if failed > 0 {
+        return Err(format!("{failed} jobs failed").into());
     }
     Ok(())
 }
+
+/// Prints a class's line of the table; returns how many of its requests were neither served nor rejected.
+fn report_class(
+    class: usize,
+    outcomes: &[Outcome],
+    runs: &HashMap<String, u32>,
+) -> Result<usize, Failure> {
+    let outcomes: Vec<&Outcome> = outcomes
+        .iter()
+        .filter(|outcome| outcome.class == class)
+        .collect();
+    let count = |status| {
+        outcomes
+            .iter()
+            .filter(|outcome| outcome.has_status(status))
+            .count()
+    };
+    let served = count(200);
+    let rejected = count(503);
+    let failed = outcomes.len() - served - rejected;
+    let run_count: u32 = outcomes
+        .iter()
+        .filter_map(|outcome| runs.get(&outcome.id))
+        .sum();
+    let runs_per_request = f64::from(run_count) / served.max(1) as f64;
+    let mut latency = Histogram::<u64>::new(3)?;
+    for outcome in outcomes.iter().filter(|outcome| outcome.has_status(200)) {
+        latency.record(outcome.latency.as_micros() as u64)?;
+    }
+    let quantile_ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1e3;
+    println!(
+        "{:<9} {:>4}  {served:>6}  {rejected:>7}  {failed:>6}  {runs_per_request:>10.2}  {:>6.1}  {:>6.1}",
+        CLASSES[class],
+        outcomes.len(),
+        quantile_ms(0.5),
+        quantile_ms(0.99)
+    );
+    Ok(failed)
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,7 @@
-//! The program `postproxy`. Without arguments it is one node, configured by `RELAY_CONFIG`; SIGTERM and SIGINT
-//! end it in good order, SIGHUP has it read its file again.
+//! The program `postproxy`.
+//!
+//! Without arguments it runs one node, configured by `RELAY_CONFIG`. SIGTERM and SIGINT shut it down gracefully; SIGHUP
+//! reloads its configuration.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -142,14 +142,15 @@
     signal("HUP");
     let reloaded = next();
     assert!(
-        reloaded.ends_with("reloaded node=\"n0\" discovery=127.0.0.1:8500"),
+        reloaded.ends_with("configuration reloaded node=\"n0\" discovery=127.0.0.1:8500"),
         "{reloaded}"
     );
     std::fs::write(&path, "{").expect("a file");
     signal("HUP");
     let kept = next();
     assert!(
-        kept.contains("ERROR") && kept.contains("the old configuration stays node=\"n0\""),
+        kept.contains("ERROR")
+            && kept.contains("configuration rejected: the old one stays node=\"n0\""),
         "{kept}"
     );
     std::fs::remove_file(&path).expect("it was there");
