--- a/crates/coordination/tests/surface.rs
+++ b/crates/coordination/tests/surface.rs
@@ -139,7 +139,10 @@
 
 #[track_caller]
 fn rejected(error: &Error, text: &str) {
-    assert_eq!(serde_json::to_string(&error.told()).expect("JSON"), text);
+    assert_eq!(
+        serde_json::to_string(&error.error_body()).expect("JSON"),
+        text
+    );
 }
 
 #[test]
--- a/crates/coordination/tests/surface_errors.rs
+++ b/crates/coordination/tests/surface_errors.rs
@@ -80,5 +80,5 @@
         what: "too many calls wait".into(),
         remedy: "wait a second and ask again".into(),
     };
-    assert_eq!(Error::Busy.told(), expected);
+    assert_eq!(Error::Busy.error_body(), expected);
 }
--- a/crates/diagnostics/src/lib.rs
+++ b/crates/diagnostics/src/lib.rs
@@ -1,24 +1,27 @@
-//! Errors that say what an operator can do. Each has a stable code, such as `duties.no_majority`, and a remedy in plain words;
-//! the operators' door, the log and `check` show both. `docs/operate/errors.md` lists them all.
+//! Diagnostics: errors that tell an operator what to do.
+//!
+//! Each has a stable code, such as `duties.no_majority`, and a remedy in plain words. The management API, the log and the
+//! command `check` show both; `docs/operate/errors.md` lists them all.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use serde::{Deserialize, Serialize};
 
-/// An error with a remedy.
+/// An error with a code and a remedy. [`diagnostics!`] implements it for an error type.
 pub trait Diagnostic: std::error::Error {
-    /// What it is about, and a word for it: `SUBJECT.WORD`. It never changes.
+    /// Returns the code, `SUBJECT.WORD`. The code of an error never changes.
     fn code(&self) -> &'static str;
 
-    /// What an operator can do.
+    /// Returns what an operator can do.
     fn remedy(&self) -> &'static str;
 
-    /// As it is shown.
-    fn told(&self) -> ErrorBody {
+    /// Returns the error as the management API shows it.
+    fn error_body(&self) -> ErrorBody {
         let code = self.code();
+        let subject = code.split('.').next().unwrap_or_default();
         ErrorBody {
-            error: code.split('.').next().unwrap_or_default().to_owned(),
+            error: subject.to_owned(),
             code: code.to_owned(),
             what: self.to_string(),
             remedy: self.remedy().to_owned(),
@@ -26,12 +29,12 @@
     }
 }
 
-/// An error as the door shows it.
+/// The body of an error response of the management API. The names of the fields are its JSON keys.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ErrorBody {
-    /// What it is about.
+    /// The subject of the error: the code up to its dot.
     pub error: String,
-    /// Its code.
+    /// The code.
     pub code: String,
     /// What is wrong.
     pub what: String,
@@ -39,7 +42,32 @@
     pub remedy: String,
 }
 
-/// Gives an error type its codes and remedies, each pattern with its own, and a constant of this name that lists them all.
+/// Implements [`Diagnostic`] for an error type, from a list of patterns with the code and the remedy of each, and defines a
+/// constant that lists all codes with their remedies.
+///
+/// ```
+/// # #[derive(Debug)]
+/// enum StartError {
+///     AddressInUse,
+///     NoPermission,
+/// }
+/// # impl std::fmt::Display for StartError {
+/// #     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+/// #         f.write_str("it can't start")
+/// #     }
+/// # }
+/// # impl std::error::Error for StartError {}
+///
+/// postproxy_diagnostics::diagnostics! {
+///     StartError, REMEDIES:
+///     Self::AddressInUse => "start.address_in_use", "end the process that listens at this address";
+///     Self::NoPermission => "start.no_permission", "use a port above 1023";
+/// }
+///
+/// use postproxy_diagnostics::Diagnostic;
+/// assert_eq!(StartError::AddressInUse.code(), "start.address_in_use");
+/// assert_eq!(REMEDIES[1], ("start.no_permission", "use a port above 1023"));
+/// ```
 #[macro_export]
 macro_rules! diagnostics {
     ($type:ty, $all:ident: $($pattern:pat => $code:literal, $remedy:literal;)+) => {
--- a/crates/diagnostics/tests/surface.rs
+++ b/crates/diagnostics/tests/surface.rs
@@ -26,14 +26,17 @@
 
 #[test]
 fn an_error_body_has_exactly_these_keys_in_this_order() {
-    assert_eq!(serde_json::to_string(&Rejected.told()).expect("JSON"), JSON);
+    assert_eq!(
+        serde_json::to_string(&Rejected.error_body()).expect("JSON"),
+        JSON
+    );
 }
 
 #[test]
 fn an_error_body_is_read_from_these_keys() {
     assert_eq!(
         serde_json::from_str::<ErrorBody>(JSON).expect("an error body"),
-        Rejected.told()
+        Rejected.error_body()
     );
 }
 
--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -99,7 +99,7 @@
         Error::Rejected(postproxy_coordination::Rejection::Unknown) => 404,
         Error::Rejected(_) | Error::WouldStop { .. } | Error::Count => 409,
     };
-    (status, worded(&error.told()))
+    (status, worded(&error.error_body()))
 }
 
 fn worded(told: &ErrorBody) -> String {
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -201,7 +201,7 @@
             code,
             what,
             remedy,
-        } = error.told();
+        } = error.error_body();
         [error, code, what, remedy]
     };
     let word = SettingsError::Word {
