--- a/benches/node.rs
+++ b/benches/node.rs
@@ -41,7 +41,7 @@
 /// Sections of three nodes that know each other.
 fn fleet() -> Vec<FleetSection> {
     // Addresses of their own: a port that is free for datagrams may be taken for streams.
-    let seeds: Vec<String> = postproxy_fault_injection::addresses(3)
+    let seeds: Vec<String> = postproxy_fault_injection::loopback_addresses(3)
         .into_iter()
         .map(|ip| format!("{ip}:7946"))
         .collect();
@@ -147,7 +147,7 @@
 /// Calls at discovery of so many processes that start at once: all in 5 s without a list, the most in a tenth of a second
 /// from the second second on, and the same in the first second after there is a list.
 fn mass(count: usize, fleet: bool) {
-    let own = postproxy_fault_injection::addresses(count as u8);
+    let own = postproxy_fault_injection::loopback_addresses(count as u8);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = listener.local_addr().expect("an address");
     let (tell, calls) = mpsc::channel();
--- a/crates/coordination/tests/pictures.rs
+++ b/crates/coordination/tests/pictures.rs
@@ -49,7 +49,7 @@
     let (mut sim, owner) = steady(2);
     run(&mut sim, 1000);
     sim.nodes[owner].stopped = sim.now + 6000;
-    sim.timeline.event(sim.now, owner, "stopped for 6 s");
+    sim.timeline.add_event(sim.now, owner, "stopped for 6 s");
     run(&mut sim, 8000);
     drawn(&sim, "asleep");
 }
@@ -62,12 +62,12 @@
     for other in (0..4).filter(|other| *other != owner) {
         sim.cut.extend([(owner, other), (other, owner)]);
     }
-    sim.timeline.event(sim.now, owner, "cut off");
+    sim.timeline.add_event(sim.now, owner, "cut off");
     run(&mut sim, 6000);
     for (a, b) in std::mem::take(&mut sim.cut) {
         sim.reconnect(a, b);
     }
-    sim.timeline.all(sim.now, "healed");
+    sim.timeline.add_global_event(sim.now, "healed");
     run(&mut sim, 3000);
     drawn(&sim, "cut-off");
 }
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -120,13 +120,13 @@
             &mut out,
         );
         self.nodes[n].council = Some(council);
-        self.timeline.state(self.now, n, "");
+        self.timeline.set_state(self.now, n, "");
         self.carry(n, out);
         self.renew(n);
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.timeline.state(self.now, n, "dead");
+        self.timeline.set_state(self.now, n, "dead");
         let node = &mut self.nodes[n];
         (node.council, node.stopped) = (None, 0);
         node.writes.clear();
@@ -183,7 +183,7 @@
                 }
                 Output::Event(Event::Lost(duty, token)) if duty == "audit" => {
                     self.timeline
-                        .event(self.now, n, format!("gives up {token}"));
+                        .add_event(self.now, n, format!("gives up {token}"));
                 }
                 Output::Event(Event::Gained(duty, _, value)) => {
                     let value = value.try_into().map(u64::from_be_bytes).unwrap_or_default();
@@ -310,7 +310,7 @@
                 let permit = council.may(self.clock(n), "audit");
                 let state =
                     permit.map_or(String::new(), |permit| format!("owner {}", permit.token()));
-                self.timeline.state(now, n, state);
+                self.timeline.set_state(now, n, state);
             }
         }
         for duty in DUTIES {
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,102 +1,143 @@
-//! What was done to a fleet and seen of it, in its order.
+//! The history of a test: what was done to a cluster and seen of it, in order of time.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// One entry.
+/// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Something was done, or came to hold.
+    /// Something was done, or came to hold. The text of a [`crate::Step`] counts as that step.
     Note(String),
-    /// A client asks a node under this id.
-    Asked(String, usize),
-    /// It has an answer of this status, and whether that is one that a worker made or a node may give; or none, where the
-    /// connection ended.
-    Answered(String, Option<u16>, bool),
-    /// A worker runs the job of this key, for the so-manieth time over all.
-    Ran(String, u32),
+    /// A client sent a request to a node.
+    RequestSent {
+        /// The request's id.
+        id: String,
+        /// The index of the node.
+        node: usize,
+    },
+    /// A client got the response to its request, or the connection ended before that.
+    ResponseReceived {
+        /// The request's id.
+        id: String,
+        /// The status of the response; `None` if the connection ended.
+        status: Option<u16>,
+        /// Whether a worker made this response, or a node may give it.
+        plausible: bool,
+    },
+    /// Workers have run a request.
+    RequestRun {
+        /// The request's idempotency key, or else its id.
+        key: String,
+        /// How often it was run at all workers together.
+        run_count: u32,
+    },
 }
 
-/// A record that all parts of a test write to.
+/// An event with its time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HistoryEntry {
+    /// When it happened, in seconds from the history's start.
+    pub at_seconds: f64,
+    /// What happened.
+    pub event: Event,
+}
+
+impl HistoryEntry {
+    /// Returns an entry.
+    pub fn new(at_seconds: f64, event: Event) -> Self {
+        Self { at_seconds, event }
+    }
+}
+
+/// A history that all threads of a test record to.
 #[derive(Clone, Debug)]
 pub struct History {
     start: Instant,
-    /// Unix time at its start, in seconds: logs have their own times.
-    unix: f64,
-    events: Arc<Mutex<Vec<(f64, Event)>>>,
+    /// Unix time of the start, in seconds; the times in logs are Unix times.
+    start_unix_seconds: f64,
+    entries: Arc<Mutex<Vec<HistoryEntry>>>,
 }
 
 impl Default for History {
     fn default() -> Self {
-        let unix = SystemTime::now()
+        let start_unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_secs_f64();
+            .unwrap_or_default();
         Self {
             start: Instant::now(),
-            unix,
-            events: Arc::default(),
+            start_unix_seconds: start_unix.as_secs_f64(),
+            entries: Arc::default(),
         }
     }
 }
 
 impl History {
-    /// A history of these, each with its time in seconds, that began at this Unix time.
-    pub fn of(unix: f64, events: Vec<(f64, Event)>) -> Self {
+    /// Returns a history with these entries that began at this Unix time, in seconds.
+    pub fn with_entries(start_unix_seconds: f64, entries: Vec<HistoryEntry>) -> Self {
         Self {
             start: Instant::now(),
-            unix,
-            events: Arc::new(Mutex::new(events)),
+            start_unix_seconds,
+            entries: Arc::new(Mutex::new(entries)),
         }
     }
 
-    fn events(&self) -> MutexGuard<'_, Vec<(f64, Event)>> {
-        self.events.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<HistoryEntry>> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds what happens now.
-    pub fn add(&self, event: Event) {
-        // Within the lock, so that the order is that of the times.
-        let mut events = self.events();
-        events.push((self.start.elapsed().as_secs_f64(), event));
+    /// Records an event that happens now.
+    pub fn record(&self, event: Event) {
+        let mut entries = self.lock();
+        // The time is taken with the lock, so that the entries are in order of time.
+        let at_seconds = self.start.elapsed().as_secs_f64();
+        entries.push(HistoryEntry { at_seconds, event });
     }
 
-    /// Notes what is done now, or seen to hold.
-    pub fn note(&self, what: impl Into<String>) {
-        self.add(Event::Note(what.into()));
+    /// Records what is done now, or seen to hold.
+    pub fn note(&self, text: impl Into<String>) {
+        self.record(Event::Note(text.into()));
     }
 
-    /// All so far, each with its time in seconds from the start.
-    pub fn all(&self) -> Vec<(f64, Event)> {
-        self.events().clone()
+    /// Returns all entries so far.
+    pub fn entries(&self) -> Vec<HistoryEntry> {
+        self.lock().clone()
     }
 
-    /// Where a Unix time lies in it, in seconds from its start.
-    pub fn at(&self, unix: f64) -> f64 {
-        unix - self.unix
+    /// Converts a Unix time, in seconds, to seconds from the history's start.
+    pub fn seconds_since_start(&self, unix_seconds: f64) -> f64 {
+        unix_seconds - self.start_unix_seconds
     }
 }
 
-impl fmt::Display for History {
+impl fmt::Display for HistoryEntry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, event) in self.events().iter() {
-            match event {
-                Event::Note(what) => writeln!(f, "{at:8.3} {what}")?,
-                Event::Asked(id, node) => writeln!(f, "{at:8.3}   {id} asked at n{node}")?,
-                Event::Answered(id, Some(status), true) => {
-                    writeln!(f, "{at:8.3}   {id} answered {status}")?
-                }
-                Event::Answered(id, Some(status), false) => {
-                    writeln!(
-                        f,
-                        "{at:8.3}   {id} answered {status}, with what no worker made"
-                    )?;
-                }
-                Event::Answered(id, None, _) => writeln!(f, "{at:8.3}   {id} broken off")?,
-                Event::Ran(key, times) => writeln!(f, "{at:8.3}   {key} run, {times} in all")?,
-            }
+        write!(f, "{:8.3} ", self.at_seconds)?;
+        match &self.event {
+            Event::Note(text) => write!(f, "{text}"),
+            Event::RequestSent { id, node } => write!(f, "  {id} asked at n{node}"),
+            Event::ResponseReceived {
+                id,
+                status: Some(status),
+                plausible: true,
+            } => write!(f, "  {id} answered {status}"),
+            Event::ResponseReceived {
+                id,
+                status: Some(status),
+                plausible: false,
+            } => write!(f, "  {id} answered {status}, with what no worker made"),
+            Event::ResponseReceived {
+                id, status: None, ..
+            } => write!(f, "  {id} broken off"),
+            Event::RequestRun { key, run_count } => write!(f, "  {key} run, {run_count} in all"),
         }
-        Ok(())
+    }
+}
+
+impl fmt::Display for History {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.lock()
+            .iter()
+            .try_for_each(|entry| writeln!(f, "{entry}"))
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,38 +1,44 @@
-//! For tests and trials, no part of the node: starts processes of the program on loopback addresses of their own, leads
-//! what they say to each other through relays that can fail in each direction by itself, and stops, wakes and kills them.
+//! Fault injection for tests and trials; no part of the node.
 //!
-//! [`Net`] is the network, [`Process`] a process, [`Schedule`] what is done to
-//! them, [`History`] what was done and seen, for the message of a test that fails.
+//! - [`FaultyNetwork`]: proxies between nodes that lose, delay, cut and partition their traffic in each direction.
+//! - [`Process`]: a process of the program, to be paused, resumed and killed.
+//! - [`Schedule`]: a random sequence of faults that can be written down and run again.
+//! - [`History`]: what was done and seen, for the message of a test that fails; [`check`] finds violations in it.
+//! - [`Timeline`]: a drawing of what happened at several nodes.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod check;
+mod failure_reports;
 mod history;
-mod net;
+mod network;
 mod process;
 mod schedule;
 mod timeline;
 
-pub use check::Violation;
-pub use history::{Event, History};
-pub use net::{Link, Net, addresses};
+pub use check::{LogPosition, Violation};
+pub use history::{Event, History, HistoryEntry};
+pub use network::{FaultyNetwork, LinkFaults, loopback_addresses};
 pub use process::Process;
 pub use schedule::{Schedule, Step};
-pub use timeline::{Timeline, WIDEST};
+pub use timeline::{MAX_WIDTH, Timeline};
 
 use std::time::{Duration, Instant};
 
-/// Waits for a condition; whether it came to hold within the time.
-pub fn wait(most: Duration, mut holds: impl FnMut() -> bool) -> bool {
+/// How often [`wait_until`] evaluates its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Waits until the condition holds; returns whether it did within the timeout.
+pub fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let start = Instant::now();
     loop {
-        if holds() {
+        if condition() {
             return true;
         }
-        if start.elapsed() > most {
+        if start.elapsed() > timeout {
             return false;
         }
-        std::thread::sleep(Duration::from_millis(20));
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program: started, stopped, woken, killed, told to end.
+//! A process of the program under test: it can be paused, resumed, reloaded, shut down and killed.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -6,33 +6,34 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A process, its log in a file. It is killed when this is dropped.
+/// A process. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
+    /// The file that it logs to; empty if the caller has set up its output.
     log: PathBuf,
     paused: bool,
 }
 
 impl Process {
-    /// Starts the program; what it logs goes to the end of that file.
+    /// Starts the program; what it logs is appended to the file `log`.
     ///
     /// # Errors
     ///
-    /// If it can't be started.
+    /// If the file can't be opened or the program can't be started.
     pub fn start(
         program: &Path,
         args: &[&str],
         environment: &[(&str, &str)],
         log: &Path,
     ) -> io::Result<Self> {
-        let out = File::options().create(true).append(true).open(log)?;
+        let log_file = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(program);
         command
             .args(args)
             .envs(environment.iter().copied())
             .stdout(Stdio::null())
-            .stderr(out);
+            .stderr(log_file);
         Ok(Self {
             child: command.spawn()?,
             log: log.to_owned(),
@@ -45,7 +46,7 @@
     /// # Errors
     ///
     /// If it can't be started.
-    pub fn of(command: &mut Command) -> io::Result<Self> {
+    pub fn spawn(command: &mut Command) -> io::Result<Self> {
         Ok(Self {
             child: command.spawn()?,
             log: PathBuf::new(),
@@ -53,56 +54,56 @@
         })
     }
 
-    /// Tells it to read its configuration again.
+    /// Has it reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    fn signal(&self, signal: Signal) {
-        // The child is ours until it is waited for, so its number is no other's.
-        if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
-            let _ = kill_process(pid, signal);
-        }
-    }
-
-    /// Kills it.
+    /// Kills it and waits for its end (SIGKILL).
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Stops it where it is.
+    /// Pauses it (SIGSTOP).
     pub fn pause(&mut self) {
         self.signal(Signal::STOP);
         self.paused = true;
     }
 
-    /// Lets it go on.
-    pub fn wake(&mut self) {
+    /// Resumes it after a pause (SIGCONT).
+    pub fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.paused = false;
     }
 
-    /// Tells it to end in good order.
-    pub fn end(&self) {
+    /// Has it shut down gracefully (SIGTERM).
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Whether it has ended, and well.
-    pub fn ended(&mut self) -> Option<bool> {
+    /// Returns whether it has exited with success; `None` while it runs.
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok()?.map(|status| status.success())
     }
 
-    /// What it and its earlier lives have logged.
-    pub fn logged(&self) -> String {
+    /// Returns all text in its log file, also that of earlier processes with the same file.
+    pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
+
+    fn signal(&self, signal: Signal) {
+        // The process is our child and hasn't been waited for, so that its id can't be another process's.
+        if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
+            let _ = kill_process(pid, signal);
+        }
+    }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
         if self.paused {
-            self.wake();
+            self.resume();
         }
         self.kill();
     }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,4 +1,5 @@
-//! What is done to a fleet, step by step: drawn from a seed, written down a line a step, and played again from that.
+//! Schedules: the steps that are taken against a cluster, drawn from a seed, written down a line a step, and run again from
+//! that text.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,89 +7,158 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// One step.
+/// The shares of lost datagrams that a random step can set, in percent.
+const LOSS_PERCENT: [u8; 3] = [0, 5, 30];
+/// The shortest rest after a random step, and the unit in which it is prolonged, in milliseconds.
+const REST_UNIT_MS: u64 = 50;
+/// By how many units a rest is prolonged at most, exclusive.
+const MAX_REST_UNITS: usize = 40;
+
+/// A step. Nodes and workers are given by their indexes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A node's process is killed.
+    /// Kill the process of this node.
     Kill(usize),
-    /// It is started again.
+    /// Start the process of this node again.
     Start(usize),
-    /// A node's process is stopped.
+    /// Pause the process of this node.
     Pause(usize),
-    /// It goes on.
+    /// Resume the process of this node.
     Wake(usize),
-    /// What the first sends does not reach the second.
-    Cut(usize, usize),
-    /// All links from and to a node are cut.
+    /// Partition one direction between two nodes.
+    Cut {
+        /// The node whose messages don't arrive.
+        from: usize,
+        /// The node that doesn't get them.
+        to: usize,
+    },
+    /// Partition this node from all others.
     Isolate(usize),
-    /// All links are whole again.
+    /// End the faults of all links.
     Heal,
-    /// So many in a hundred datagrams are lost, everywhere.
-    Loss(u8),
-    /// An operator takes a worker out of use, at a node.
-    Suspend(usize, usize),
-    /// The same, back into use.
-    Resume(usize, usize),
-    /// Nothing, for so many milliseconds.
+    /// Lose datagrams on all links.
+    Loss {
+        /// The share of lost datagrams, in percent.
+        percent: u8,
+    },
+    /// Suspend a worker.
+    Suspend {
+        /// The node at which an operator does that.
+        node: usize,
+        /// The worker.
+        worker: usize,
+    },
+    /// Resume a suspended worker.
+    Resume {
+        /// The node at which an operator does that.
+        node: usize,
+        /// The worker.
+        worker: usize,
+    },
+    /// Wait for this many milliseconds.
     Rest(u64),
 }
 
 /// Steps in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Schedule(pub Vec<Step>);
+pub struct Schedule {
+    /// The steps.
+    pub steps: Vec<Step>,
+}
+
+/// Draws random steps that fit each other: only a running node is killed or paused, only a paused one resumed, and at least
+/// one runs at any time.
+struct Generator {
+    rng: Pcg64Mcg,
+    node_count: usize,
+    worker_count: usize,
+    killed: BTreeSet<usize>,
+    paused: BTreeSet<usize>,
+}
+
+impl Generator {
+    fn random_below(&mut self, below: usize) -> usize {
+        (self.rng.next_u64() % below.max(1) as u64) as usize
+    }
+
+    /// Returns a random step; `None` if the one that was drawn doesn't fit.
+    fn next_step(&mut self) -> Option<Step> {
+        let node = self.random_below(self.node_count);
+        let down_count = self.killed.len() + self.paused.len();
+        let is_last_running = down_count + 1 >= self.node_count;
+        let is_running = !self.killed.contains(&node) && !self.paused.contains(&node);
+        match self.random_below(12) {
+            0 | 1 if is_running && !is_last_running => {
+                self.killed.insert(node);
+                Some(Step::Kill(node))
+            }
+            2 | 3 if self.killed.remove(&node) => Some(Step::Start(node)),
+            4 if is_running && !is_last_running => {
+                self.paused.insert(node);
+                Some(Step::Pause(node))
+            }
+            5 if self.paused.remove(&node) => Some(Step::Wake(node)),
+            6 => {
+                let to = self.random_below(self.node_count);
+                (to != node).then_some(Step::Cut { from: node, to })
+            }
+            7 => Some(Step::Isolate(node)),
+            8 => Some(Step::Heal),
+            9 => Some(Step::Loss {
+                percent: LOSS_PERCENT[self.random_below(LOSS_PERCENT.len())],
+            }),
+            10 if is_running => Some(Step::Suspend {
+                node,
+                worker: self.random_below(self.worker_count),
+            }),
+            11 if is_running => Some(Step::Resume {
+                node,
+                worker: self.random_below(self.worker_count),
+            }),
+            _ => None,
+        }
+    }
+
+    fn next_rest(&mut self) -> Step {
+        let units = self.random_below(MAX_REST_UNITS) as u64;
+        Step::Rest(REST_UNIT_MS + REST_UNIT_MS * units)
+    }
+}
 
 impl Schedule {
-    /// So many steps for so many nodes and workers. A step fits what was done before: only who lives is stopped, only who is
-    /// stopped is woken, and one node at least goes on.
-    pub fn from_seed(seed: u64, nodes: usize, workers: usize, steps: usize) -> Self {
-        let mut draws = Pcg64Mcg::seed_from_u64(seed);
-        let mut draw = move |below: usize| (draws.next_u64() % below.max(1) as u64) as usize;
-        let (mut dead, mut paused, mut all) = (BTreeSet::new(), BTreeSet::new(), Vec::new());
-        while all.len() < 2 * steps {
-            let n = draw(nodes);
-            let busy = dead.len() + paused.len() + 1 >= nodes;
-            let up = !dead.contains(&n) && !paused.contains(&n);
-            let step = match draw(12) {
-                0 | 1 if up && !busy => {
-                    dead.insert(n);
-                    Step::Kill(n)
-                }
-                2 | 3 if dead.remove(&n) => Step::Start(n),
-                4 if up && !busy => {
-                    paused.insert(n);
-                    Step::Pause(n)
-                }
-                5 if paused.remove(&n) => Step::Wake(n),
-                6 => match draw(nodes) {
-                    other if other != n => Step::Cut(n, other),
-                    _ => continue,
-                },
-                7 => Step::Isolate(n),
-                8 => Step::Heal,
-                9 => Step::Loss([0, 5, 30][draw(3)]),
-                10 if up => Step::Suspend(n, draw(workers)),
-                11 if up => Step::Resume(n, draw(workers)),
-                _ => continue,
-            };
-            all.extend([step, Step::Rest(50 + 50 * draw(40) as u64)]);
+    /// Returns this many random steps for a cluster of this size, with a rest after each.
+    pub fn from_seed(seed: u64, node_count: usize, worker_count: usize, step_count: usize) -> Self {
+        let mut generator = Generator {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            node_count,
+            worker_count,
+            killed: BTreeSet::new(),
+            paused: BTreeSet::new(),
+        };
+        let mut steps = Vec::new();
+        while steps.len() < 2 * step_count {
+            if let Some(step) = generator.next_step() {
+                steps.push(step);
+                steps.push(generator.next_rest());
+            }
         }
-        Self(all)
+        Self { steps }
     }
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Kill(n) => write!(f, "kill {n}"),
-            Self::Start(n) => write!(f, "start {n}"),
-            Self::Pause(n) => write!(f, "pause {n}"),
-            Self::Wake(n) => write!(f, "wake {n}"),
-            Self::Cut(a, b) => write!(f, "cut {a} {b}"),
-            Self::Isolate(n) => write!(f, "isolate {n}"),
+            Self::Kill(node) => write!(f, "kill {node}"),
+            Self::Start(node) => write!(f, "start {node}"),
+            Self::Pause(node) => write!(f, "pause {node}"),
+            Self::Wake(node) => write!(f, "wake {node}"),
+            Self::Cut { from, to } => write!(f, "cut {from} {to}"),
+            Self::Isolate(node) => write!(f, "isolate {node}"),
             Self::Heal => write!(f, "heal"),
-            Self::Loss(share) => write!(f, "loss {share}"),
-            Self::Suspend(n, worker) => write!(f, "suspend {n} {worker}"),
-            Self::Resume(n, worker) => write!(f, "resume {n} {worker}"),
+            Self::Loss { percent } => write!(f, "loss {percent}"),
+            Self::Suspend { node, worker } => write!(f, "suspend {node} {worker}"),
+            Self::Resume { node, worker } => write!(f, "resume {node} {worker}"),
             Self::Rest(ms) => write!(f, "rest {ms}"),
         }
     }
@@ -98,30 +168,35 @@
     type Err = String;
 
     fn from_str(line: &str) -> Result<Self, String> {
-        let wrong = || format!("'{line}' is no step");
+        let error = || format!("'{line}' is no step");
         let mut words = line.split_whitespace();
-        let word = words.next().ok_or_else(wrong)?;
-        let numbers: Result<Vec<usize>, _> = words.map(str::parse).collect();
-        match (word, &numbers.map_err(|_| wrong())?[..]) {
-            ("kill", [n]) => Ok(Self::Kill(*n)),
-            ("start", [n]) => Ok(Self::Start(*n)),
-            ("pause", [n]) => Ok(Self::Pause(*n)),
-            ("wake", [n]) => Ok(Self::Wake(*n)),
-            ("cut", [a, b]) => Ok(Self::Cut(*a, *b)),
-            ("isolate", [n]) => Ok(Self::Isolate(*n)),
+        let name = words.next().ok_or_else(error)?;
+        let numbers = words
+            .map(str::parse)
+            .collect::<Result<Vec<usize>, _>>()
+            .map_err(|_| error())?;
+        match (name, numbers[..].as_ref()) {
+            ("kill", &[node]) => Ok(Self::Kill(node)),
+            ("start", &[node]) => Ok(Self::Start(node)),
+            ("pause", &[node]) => Ok(Self::Pause(node)),
+            ("wake", &[node]) => Ok(Self::Wake(node)),
+            ("cut", &[from, to]) => Ok(Self::Cut { from, to }),
+            ("isolate", &[node]) => Ok(Self::Isolate(node)),
             ("heal", []) => Ok(Self::Heal),
-            ("loss", [share @ 0..=100]) => Ok(Self::Loss(*share as u8)),
-            ("suspend", [n, worker]) => Ok(Self::Suspend(*n, *worker)),
-            ("resume", [n, worker]) => Ok(Self::Resume(*n, *worker)),
-            ("rest", [ms]) => Ok(Self::Rest(*ms as u64)),
-            _ => Err(wrong()),
+            ("loss", &[percent @ 0..=100]) => Ok(Self::Loss {
+                percent: percent as u8,
+            }),
+            ("suspend", &[node, worker]) => Ok(Self::Suspend { node, worker }),
+            ("resume", &[node, worker]) => Ok(Self::Resume { node, worker }),
+            ("rest", &[ms]) => Ok(Self::Rest(ms as u64)),
+            _ => Err(error()),
         }
     }
 }
 
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().try_for_each(|step| writeln!(f, "{step}"))
+        self.steps.iter().try_for_each(|step| writeln!(f, "{step}"))
     }
 }
 
@@ -129,42 +204,8 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        text.lines()
-            .filter(|line| !line.trim().is_empty())
-            .map(str::parse)
-            .collect::<Result<_, _>>()
-            .map(Self)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a schedule that is another when it is played again, and steps that can't be taken.
-    #[test]
-    fn a_schedule_is_the_same_from_its_seed_and_from_its_text() {
-        for seed in 0..200 {
-            let schedule = Schedule::from_seed(seed, 5, 3, 20);
-            assert_eq!(schedule, Schedule::from_seed(seed, 5, 3, 20));
-            assert_eq!(schedule.to_string().parse(), Ok(schedule.clone()));
-            let (mut dead, mut paused) = (BTreeSet::new(), BTreeSet::new());
-            for step in &schedule.0 {
-                let fits = match step {
-                    Step::Kill(n) => !paused.contains(n) && dead.insert(*n),
-                    Step::Start(n) => dead.remove(n),
-                    Step::Pause(n) => !dead.contains(n) && paused.insert(*n),
-                    Step::Wake(n) => paused.remove(n),
-                    Step::Suspend(n, _) | Step::Resume(n, _) => {
-                        !dead.contains(n) && !paused.contains(n)
-                    }
-                    _ => true,
-                };
-                assert!(fits && dead.len() + paused.len() < 5, "seed {seed}: {step}");
-            }
-        }
-        for line in ["kill", "kill x", "cut 1", "loss 101", "rest -1", "sleep 3"] {
-            assert!(line.parse::<Step>().is_err(), "{line}");
-        }
+        let lines = text.lines().filter(|line| !line.trim().is_empty());
+        let steps = lines.map(str::parse).collect::<Result<_, _>>()?;
+        Ok(Self { steps })
     }
 }
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -1,36 +1,54 @@
-//! A history drawn as text: time runs down, each node or worker has a column, what is so is a line, what crosses is a message.
+//! Timelines: a history drawn as text. Time runs down, each node or worker has a column, and messages cross from one column
+//! to another.
 
 use std::fmt::Write;
 
 /// The widest drawing, in characters.
-pub const WIDEST: usize = 160;
-/// The least width of a column.
-const LEAST: usize = 8;
-/// The width of the column of times.
-const TIMES: usize = 9;
+pub const MAX_WIDTH: usize = 160;
+/// The least width of a column, in characters.
+const MIN_COLUMN_WIDTH: usize = 8;
+/// The greatest width of a column, in characters.
+const MAX_COLUMN_WIDTH: usize = 24;
+/// The width of the column with the times, in characters.
+const TIME_WIDTH: usize = 9;
+/// A stretch without marks that is longer than this many rounding units is drawn as one line.
+const MAX_GAP_UNITS: u64 = 10;
+/// The least rounding unit that counts for the length of such a stretch, in milliseconds.
+const MIN_GAP_UNIT_MS: u64 = 50;
 
 /// What is drawn at a time.
 #[derive(Clone, Debug, PartialEq)]
 enum Mark {
-    /// What holds in this column from now on: empty for nothing in particular.
-    State(usize, String),
-    /// What happens there.
-    Event(usize, String),
-    /// What goes from one column to another, and arrives.
-    Message(usize, usize, String),
-    /// What happens to all.
-    All(String),
+    /// The state of a column from now on; empty for none in particular.
+    State { column: usize, state: String },
+    /// Something that happens in a column.
+    Event { column: usize, text: String },
+    /// A message from one column to another.
+    Message {
+        from: usize,
+        to: usize,
+        text: String,
+    },
+    /// Something that happens to all columns.
+    GlobalEvent { text: String },
 }
 
-/// A drawing in the making.
+/// A mark with its time.
+#[derive(Clone, Debug)]
+struct TimedMark {
+    at_ms: u64,
+    mark: Mark,
+}
+
+/// A history to be drawn.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     columns: Vec<String>,
-    marks: Vec<(u64, Mark)>,
+    marks: Vec<TimedMark>,
 }
 
 impl Timeline {
-    /// One with these columns.
+    /// Returns a timeline with columns of these names.
     pub fn new(columns: impl IntoIterator<Item = impl Into<String>>) -> Self {
         Self {
             columns: columns.into_iter().map(Into::into).collect(),
@@ -38,250 +56,218 @@
         }
     }
 
-    /// What holds in a column from this millisecond on; said again it is no news.
-    pub fn state(&mut self, at: u64, column: usize, state: impl Into<String>) {
+    /// Sets the state of a column from this time on, in milliseconds. The state that it has already is drawn once.
+    pub fn set_state(&mut self, at_ms: u64, column: usize, state: impl Into<String>) {
         let state = state.into();
-        let last = self.marks.iter().rev().find_map(|(_, mark)| match mark {
-            Mark::State(of, state) if *of == column => Some(state.clone()),
-            _ => None,
-        });
-        if last.unwrap_or_default() != state {
-            self.marks.push((at, Mark::State(column, state)));
+        if last_state(&self.marks, column) != state {
+            self.add(at_ms, Mark::State { column, state });
         }
     }
 
-    /// What happens in a column.
-    pub fn event(&mut self, at: u64, column: usize, what: impl Into<String>) {
-        self.marks.push((at, Mark::Event(column, what.into())));
+    /// Adds something that happens in a column.
+    pub fn add_event(&mut self, at_ms: u64, column: usize, text: impl Into<String>) {
+        let text = text.into();
+        self.add(at_ms, Mark::Event { column, text });
     }
 
-    /// What goes from one column to another.
-    pub fn message(&mut self, at: u64, from: usize, to: usize, what: impl Into<String>) {
-        self.marks.push((at, Mark::Message(from, to, what.into())));
+    /// Adds a message from one column to another.
+    pub fn add_message(&mut self, at_ms: u64, from: usize, to: usize, text: impl Into<String>) {
+        let text = text.into();
+        self.add(at_ms, Mark::Message { from, to, text });
     }
 
-    /// What happens to all.
-    pub fn all(&mut self, at: u64, what: impl Into<String>) {
-        self.marks.push((at, Mark::All(what.into())));
+    /// Adds something that happens to all columns.
+    pub fn add_global_event(&mut self, at_ms: u64, text: impl Into<String>) {
+        let text = text.into();
+        self.add(at_ms, Mark::GlobalEvent { text });
     }
 
-    /// What came from this millisecond on, with what held then.
-    pub fn since(&self, at: u64) -> Self {
-        let mut cut = Self::new(self.columns.clone());
-        let (before, after): (Vec<_>, Vec<_>) =
-            self.marks.iter().cloned().partition(|(of, _)| *of < at);
+    fn add(&mut self, at_ms: u64, mark: Mark) {
+        self.marks.push(TimedMark { at_ms, mark });
+    }
+
+    /// Returns the part of the timeline from this time on; it begins with the states that the columns had then.
+    pub fn since(&self, at_ms: u64) -> Self {
+        let (before, after): (Vec<TimedMark>, Vec<TimedMark>) = self
+            .marks
+            .iter()
+            .cloned()
+            .partition(|mark| mark.at_ms < at_ms);
+        let mut part = Self::new(self.columns.clone());
         for column in 0..self.columns.len() {
-            let last = before.iter().rev().find_map(|(_, mark)| match mark {
-                Mark::State(of, state) if *of == column => Some(state.clone()),
-                _ => None,
-            });
-            cut.state(at, column, last.unwrap_or_default());
+            part.set_state(at_ms, column, last_state(&before, column));
         }
-        cut.marks.extend(after);
-        cut
+        part.marks.extend(after);
+        part
     }
 
-    /// The drawing. Times are in milliseconds from the first mark, rounded down to so many; a stretch in which nothing is new is left
-    /// out, and told by its length.
-    pub fn draw(&self, round: u64) -> String {
-        let round = round.max(1);
-        let width = ((WIDEST - TIMES) / self.columns.len().max(1)).clamp(LEAST, 24);
+    /// Returns the drawing. Times are in milliseconds from the first mark, rounded down to a multiple of `round_ms`; a long
+    /// stretch without marks is drawn as one line without a time.
+    pub fn draw(&self, round_ms: u64) -> String {
+        let round_ms = round_ms.max(1);
         let mut marks = self.marks.clone();
-        // Of one time in the order in which they came.
-        marks.sort_by_key(|(at, _)| at / round);
-        let first = marks.first().map_or(0, |(at, _)| *at);
-        let mut states = vec![String::new(); self.columns.len()];
-        let mut text = " ".repeat(TIMES);
-        for column in &self.columns {
-            let _ = write!(text, "{:<width$}", fit(column, width - 1));
-        }
-        text = text.trim_end().to_owned() + "\n";
-        let mut last: Option<u64> = None;
-        for (at, mark) in marks {
-            let time = (at - first) / round * round;
-            if let Some(before) = last
-                && time >= before + 10 * round.max(50)
-            {
-                text += &line(None, &cells(&states, width), width);
-            }
-            let label = (last != Some(time)).then_some(time);
-            last = Some(time);
-            let mut row = cells(&states, width);
-            match mark {
-                Mark::State(column, state) => {
-                    if let Some(cell) = row.get_mut(column) {
-                        *cell = if state.is_empty() {
-                            "|".to_owned()
-                        } else {
-                            format!("[{state}]")
-                        };
-                        states[column] = state;
-                    }
-                    text += &line(label, &row, width);
-                }
-                Mark::Event(column, what) => {
-                    if let Some(cell) = row.get_mut(column) {
-                        *cell = format!("*{what}");
-                    }
-                    text += &line(label, &row, width);
-                }
-                Mark::Message(from, to, what) => {
-                    text += &crossing(label, &row, width, from, to, &what)
-                }
-                Mark::All(what) => {
-                    let time = label.map_or(String::new(), |time| time.to_string());
-                    let _ = writeln!(
-                        text,
-                        "{time:>7}  {}",
-                        fit(&format!("== {what} =="), WIDEST - TIMES)
-                    );
-                }
+        // The sort is stable: marks of one time stay in the order in which they were added.
+        marks.sort_by_key(|mark| mark.at_ms / round_ms);
+        let first_ms = marks.first().map_or(0, |mark| mark.at_ms);
+        let mut drawing = Drawing::new(&self.columns);
+        let mut last_ms: Option<u64> = None;
+        for TimedMark { at_ms, mark } in marks {
+            let time_ms = (at_ms - first_ms) / round_ms * round_ms;
+            let max_gap_ms = MAX_GAP_UNITS * round_ms.max(MIN_GAP_UNIT_MS);
+            if last_ms.is_some_and(|last_ms| time_ms >= last_ms + max_gap_ms) {
+                drawing.draw_gap();
             }
+            let label = (last_ms != Some(time_ms)).then_some(time_ms);
+            drawing.draw_mark(label, mark);
+            last_ms = Some(time_ms);
         }
-        text
+        drawing.text
     }
 }
 
-/// What stands in each column while nothing happens there: a line, or a sign for the state that holds.
-fn cells(states: &[String], width: usize) -> Vec<String> {
-    let sign = |state: &String| match state.split(' ').next().unwrap_or_default() {
-        "" => "|".to_owned(),
-        "gone" | "dead" => String::new(),
-        "stopped" => ":".to_owned(),
-        _ => "#".to_owned(),
-    };
-    states
-        .iter()
-        .map(|state| fit(&sign(state), width - 1))
-        .collect()
+/// Returns the latest state of a column; empty if it has none.
+fn last_state(marks: &[TimedMark], column: usize) -> String {
+    let last = marks.iter().rev().find_map(|timed| match &timed.mark {
+        Mark::State { column: of, state } if *of == column => Some(state.clone()),
+        _ => None,
+    });
+    last.unwrap_or_default()
 }
 
-fn fit(text: &str, width: usize) -> String {
-    if text.chars().count() <= width {
-        return text.to_owned();
-    }
-    text.chars()
-        .take(width.saturating_sub(1))
-        .chain(['~'])
-        .collect()
+/// A drawing in the making.
+struct Drawing {
+    text: String,
+    /// The width of a column, in characters.
+    width: usize,
+    /// The state of each column.
+    states: Vec<String>,
 }
 
-fn line(time: Option<u64>, cells: &[String], width: usize) -> String {
-    let time = time.map_or(String::new(), |time| time.to_string());
-    let mut text = format!("{time:>7}  ");
-    for cell in cells {
-        let _ = write!(text, "{:<width$}", fit(cell, width - 1));
+impl Drawing {
+    /// Returns a drawing with the names of the columns.
+    fn new(columns: &[String]) -> Self {
+        let width = (MAX_WIDTH - TIME_WIDTH) / columns.len().max(1);
+        let width = width.clamp(MIN_COLUMN_WIDTH, MAX_COLUMN_WIDTH);
+        let mut text = " ".repeat(TIME_WIDTH);
+        write_cells(&mut text, columns, width);
+        Self {
+            text: text.trim_end().to_owned() + "\n",
+            width,
+            states: vec![String::new(); columns.len()],
+        }
     }
-    text.trim_end().to_owned() + "\n"
-}
 
-/// A message from one column to another: `o---what--->`.
-fn crossing(
-    time: Option<u64>,
-    cells: &[String],
-    width: usize,
-    from: usize,
-    to: usize,
-    what: &str,
-) -> String {
-    let (left, right) = (from.min(to), from.max(to));
-    if left == right || right >= cells.len() {
-        return line(time, cells, width);
+    fn draw_gap(&mut self) {
+        let cells = self.resting_cells();
+        self.draw_line(None, &cells);
     }
-    let room = (right - left) * width - 1;
-    let label = fit(what, room.saturating_sub(4));
-    let dashes = room.saturating_sub(label.chars().count() + 2);
-    let (before, after) = ("-".repeat(dashes / 2), "-".repeat(dashes - dashes / 2));
-    let arrow = if from < to {
-        format!("o{before}{label}{after}->")
-    } else {
-        format!("<-{before}{label}{after}o")
-    };
-    let time = time.map_or(String::new(), |time| time.to_string());
-    let mut text = format!("{time:>7}  ");
-    for cell in &cells[..left] {
-        let _ = write!(text, "{:<width$}", fit(cell, width - 1));
+
+    fn draw_mark(&mut self, time_ms: Option<u64>, mark: Mark) {
+        let mut cells = self.resting_cells();
+        match mark {
+            Mark::State { column, state } => {
+                if let Some(cell) = cells.get_mut(column) {
+                    *cell = if state.is_empty() {
+                        "|".to_owned()
+                    } else {
+                        format!("[{state}]")
+                    };
+                    self.states[column] = state;
+                }
+                self.draw_line(time_ms, &cells);
+            }
+            Mark::Event { column, text } => {
+                if let Some(cell) = cells.get_mut(column) {
+                    *cell = format!("*{text}");
+                }
+                self.draw_line(time_ms, &cells);
+            }
+            Mark::Message { from, to, text } => {
+                self.draw_message(time_ms, &cells, from, to, &text);
+            }
+            Mark::GlobalEvent { text } => {
+                let text = fit(&format!("== {text} =="), MAX_WIDTH - TIME_WIDTH);
+                self.text += &(time_cell(time_ms) + &text + "\n");
+            }
+        }
     }
-    let arrow = format!("{:<width$}", arrow, width = (right - left + 1) * width);
-    text += &arrow;
-    for cell in &cells[right + 1..] {
-        let _ = write!(text, "{:<width$}", fit(cell, width - 1));
+
+    /// Returns what stands in each column while nothing happens there: a sign for its state.
+    fn resting_cells(&self) -> Vec<String> {
+        let sign = |state: &String| match state.split(' ').next().unwrap_or_default() {
+            "" => "|",
+            "gone" | "dead" => "",
+            "stopped" => ":",
+            _ => "#",
+        };
+        self.states
+            .iter()
+            .map(|state| sign(state).to_owned())
+            .collect()
     }
-    text.trim_end().to_owned() + "\n"
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    fn draw_line(&mut self, time_ms: Option<u64>, cells: &[String]) {
+        let mut line = time_cell(time_ms);
+        write_cells(&mut line, cells, self.width);
+        self.text += line.trim_end();
+        self.text.push('\n');
+    }
 
-    fn known() -> Timeline {
-        let mut timeline = Timeline::new(["n0", "n1", "worker"]);
-        timeline.state(1000, 0, "owner 7");
-        timeline.message(1200, 0, 2, "do 7");
-        timeline.state(1250, 0, "stopped");
-        timeline.state(4300, 1, "owner 8");
-        timeline.message(4400, 1, 2, "do 8");
-        timeline.state(5000, 0, "");
-        timeline.message(5010, 0, 2, "do 7");
-        timeline.event(5010, 2, "refused 7");
-        timeline
+    /// Draws a message from one column to another: `o---text--->`.
+    fn draw_message(
+        &mut self,
+        time_ms: Option<u64>,
+        cells: &[String],
+        from: usize,
+        to: usize,
+        text: &str,
+    ) {
+        let left = from.min(to);
+        let right = from.max(to);
+        if left == right || right >= cells.len() {
+            return self.draw_line(time_ms, cells);
+        }
+        let arrow_width = (right - left) * self.width - 1;
+        let label = fit(text, arrow_width.saturating_sub(4));
+        let dash_count = arrow_width.saturating_sub(label.chars().count() + 2);
+        let before = "-".repeat(dash_count / 2);
+        let after = "-".repeat(dash_count - dash_count / 2);
+        let arrow = if from < to {
+            format!("o{before}{label}{after}->")
+        } else {
+            format!("<-{before}{label}{after}o")
+        };
+        let mut line = time_cell(time_ms);
+        write_cells(&mut line, &cells[..left], self.width);
+        let crossed_width = (right - left + 1) * self.width;
+        let _ = write!(line, "{arrow:<crossed_width$}");
+        write_cells(&mut line, &cells[right + 1..], self.width);
+        self.text += line.trim_end();
+        self.text.push('\n');
     }
+}
 
-    /// Guards against a drawing in which the fault that is known to be in it can't be seen: the old owner's effect comes after the
-    /// newer one's.
-    #[test]
-    fn a_history_with_a_known_fault_shows_it() {
-        let drawn = known().draw(10);
-        let wanted = "         \
-         n0                      n1                      worker
-      0  [owner 7]               |                       |
-    200  o--------------------do 7---------------------->
-    250  [stopped]               |                       |
-         :                       |                       |
-   3300  :                       [owner 8]               |
-   3400  :                       o--------do 8---------->
-         :                       #                       |
-   4000  |                       #                       |
-   4010  o--------------------do 7---------------------->
-         |                       #                       *refused 7
-";
-        assert_eq!(drawn, wanted, "\n{drawn}\n{wanted}");
-        let order = |what: &str| drawn.find(what).unwrap_or(usize::MAX);
-        assert!(
-            order("do 8") < drawn.rfind("do 7").unwrap_or(0),
-            "the late effect is below the newer owner's"
-        );
+/// Returns the column with the time.
+fn time_cell(time_ms: Option<u64>) -> String {
+    let time = time_ms.map_or(String::new(), |time_ms| time_ms.to_string());
+    format!("{time:>7}  ")
+}
+
+/// Writes cells of this width, in characters.
+fn write_cells(line: &mut String, cells: &[String], width: usize) {
+    for cell in cells {
+        // Writing to a string can't fail.
+        let _ = write!(line, "{:<width$}", fit(cell, width - 1));
     }
+}
 
-    /// Guards against a drawing that is wider than a page, that loses what held before it was cut, and that tells a state twice.
-    #[test]
-    fn a_drawing_is_bounded_cut_and_says_a_state_once() {
-        let cut = known().since(4350).draw(10);
-        assert!(
-            cut.lines()
-                .nth(1)
-                .is_some_and(|line| line.contains("[stopped]")),
-            "{cut}"
-        );
-        assert!(
-            !cut.contains("[owner 7]") && cut.contains("[owner 8]"),
-            "{cut}"
-        );
-        let mut wide = Timeline::new((0..18).map(|n| format!("a-node-with-a-long-name-{n}")));
-        wide.message(
-            5,
-            17,
-            0,
-            "a message with a name that is longer than all there is room for, by far",
-        );
-        wide.all(6, "x".repeat(400));
-        wide.state(7, 3, "a state that says a good deal");
-        wide.state(8, 3, "a state that says a good deal");
-        let drawn = wide.draw(1);
-        assert!(
-            drawn.lines().all(|line| line.chars().count() <= WIDEST),
-            "{drawn}"
-        );
-        assert_eq!(drawn.lines().count(), 4, "{drawn}");
+/// Cuts a text off so that it has at most this many characters.
+fn fit(text: &str, max_chars: usize) -> String {
+    if text.chars().count() <= max_chars {
+        return text.to_owned();
     }
+    text.chars()
+        .take(max_chars.saturating_sub(1))
+        .chain(['~'])
+        .collect()
 }
--- a/crates/fault-injection/tests/surface_errors.rs
+++ b/crates/fault-injection/tests/surface_errors.rs
@@ -1,7 +1,7 @@
-//! Pins the text of schedules, which are kept in files and played again, and of broken promises. They must not change
+//! Pins the text of schedules, which are kept in files and run again, and of violations. They must not change
 //! with a name in the code.
 
-use postproxy_fault_injection::{Schedule, Step, Violation};
+use postproxy_fault_injection::{LogPosition, Schedule, Step, Violation};
 
 const TEXT: &str = "\
 kill 1
@@ -18,19 +18,21 @@
 ";
 
 fn schedule() -> Schedule {
-    Schedule(vec![
-        Step::Kill(1),
-        Step::Start(1),
-        Step::Pause(2),
-        Step::Wake(2),
-        Step::Cut(0, 1),
-        Step::Isolate(2),
-        Step::Heal,
-        Step::Loss(30),
-        Step::Suspend(0, 3),
-        Step::Resume(1, 3),
-        Step::Rest(250),
-    ])
+    Schedule {
+        steps: vec![
+            Step::Kill(1),
+            Step::Start(1),
+            Step::Pause(2),
+            Step::Wake(2),
+            Step::Cut { from: 0, to: 1 },
+            Step::Isolate(2),
+            Step::Heal,
+            Step::Loss { percent: 30 },
+            Step::Suspend { node: 0, worker: 3 },
+            Step::Resume { node: 1, worker: 3 },
+            Step::Rest(250),
+        ],
+    }
 }
 
 #[test]
@@ -48,19 +50,22 @@
 }
 
 #[test]
-fn a_broken_promise_names_its_time_step_and_place() {
-    let broken = Violation {
+fn a_violation_names_its_time_step_and_position() {
+    let violation = Violation {
         promise: "one answer",
-        at: 1.5,
+        at_seconds: 1.5,
         seen: "two".into(),
         step: "kill 1".into(),
-        place: Some(("n0.log".into(), 12)),
+        position: Some(LogPosition {
+            path: "n0.log".into(),
+            line: 12,
+        }),
     };
     let expected = "at 1.500 s: one answer: two; the step before: kill 1; n0.log:12";
-    assert_eq!(broken.to_string(), expected);
+    assert_eq!(violation.to_string(), expected);
     let nowhere = Violation {
-        place: None,
-        ..broken
+        position: None,
+        ..violation
     };
     assert_eq!(
         nowhere.to_string(),
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -5,7 +5,7 @@
 
 use fleet_harness::{Fleet, MOST};
 use postproxy::stand_ins::{Discovery, send_request};
-use postproxy_fault_injection::{addresses, wait};
+use postproxy_fault_injection::{loopback_addresses, wait_until};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 fn fleet(seed: u64, alike: bool, audit: bool) -> (Fleet, Discovery) {
     let names = ["w-0".to_owned(), "w-1".to_owned(), "w-2".to_owned()];
     // It has to know the workers, which the fleet starts: so it comes up after its node, which asks until it is there.
-    let stuck = std::net::SocketAddr::new(addresses(1)[0], 8500);
+    let stuck = std::net::SocketAddr::new(loopback_addresses(1)[0], 8500);
     let mut sections = serde_json::json!({"discovery_of": {"2": stuck.to_string()}});
     if audit {
         sections["audit"] = if alike {
@@ -66,7 +66,7 @@
     let clients: Vec<_> = (0..3).map(client).collect();
     let runs = || fleet.workers[0].runs().len();
     assert!(
-        wait(MOST, || runs() > 5),
+        wait_until(MOST, || runs() > 5),
         "the worker is used: {}",
         fleet.told()
     );
@@ -95,7 +95,7 @@
 fn a_node_whose_discovery_is_stuck_is_brought_up_by_the_others() {
     let (fleet, _stuck) = fleet(41, true, true);
     assert!(
-        wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(1))),
+        wait_until(MOST, || (0..3).all(|n| list(&fleet, n) == Some(1))),
         "{}",
         fleet.told()
     );
@@ -111,7 +111,7 @@
         fleet.told()
     );
     assert!(
-        wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(2))),
+        wait_until(MOST, || (0..3).all(|n| list(&fleet, n) == Some(2))),
         "all act on it: {}",
         fleet.told()
     );
@@ -152,7 +152,7 @@
 fn of_another_discovery_nothing_is_taken_and_without_the_audit_nothing_is_told() {
     let (other, _stuck) = fleet(42, false, true);
     assert!(
-        wait(MOST, || (0..3).all(|n| list(&other, n) == Some(1))),
+        wait_until(MOST, || (0..3).all(|n| list(&other, n) == Some(1))),
         "{}",
         other.told()
     );
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -8,7 +8,7 @@
 use postproxy::stand_ins::send_request;
 use postproxy_coordination::{LeaseStatus, Status};
 use postproxy_diagnostics::ErrorBody;
-use postproxy_fault_injection::wait;
+use postproxy_fault_injection::{check::NodeLog, wait_until};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 /// between could be taken for the holder of the next owner's token.
 fn owner(fleet: &Fleet, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
-    let so = wait(MOST, || {
+    let so = wait_until(MOST, || {
         let duties = nodes.iter().filter_map(|n| Some((*n, owned(fleet, *n)?)));
         let acting: Vec<(usize, LeaseStatus)> =
             duties.filter(|(_, duty)| duty.left_ms.is_some()).collect();
@@ -74,7 +74,10 @@
 /// Each token that any of the logs names, with the nodes that said to own the duty under it.
 fn tokens(fleet: &Fleet) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
-    for (n, _, log) in fleet.logs() {
+    for NodeLog {
+        node: n, text: log, ..
+    } in fleet.logs()
+    {
         for line in log
             .lines()
             .filter(|line| line.contains("this node owns a duty duty=\"bans\""))
@@ -104,14 +107,14 @@
     let (third, token) = owner(&fleet, "another after the pause", &all, token);
     assert_ne!(third, second, "{}", fleet.told());
     assert!(
-        wait(MOST, || fleet.lines(second, "a pause: nothing is owned")
+        wait_until(MOST, || fleet.lines(second, "a pause: nothing is owned")
             >= 1),
         "it knows: {}",
         fleet.told()
     );
     // Cut off with nobody: it stops at its lease's end, and the others go on.
     let others: Vec<usize> = all.into_iter().filter(|n| *n != third).collect();
-    fleet.net.part(&[third], &others);
+    fleet.net.partition(&[third], &others);
     fleet.history.note(format!("cut off n{third}"));
     let (_, token) = owner(&fleet, "another after the cut", &others, token);
     assert!(acting(&fleet, &[third]).is_empty(), "{}", fleet.told());
@@ -122,7 +125,7 @@
         fleet.kill(n);
     }
     assert!(
-        wait(MOST, || acting(&fleet, &[2, 3]).is_empty()),
+        wait_until(MOST, || acting(&fleet, &[2, 3]).is_empty()),
         "without a majority: {}",
         fleet.told()
     );
@@ -146,7 +149,7 @@
     assert!(
         voters
             .iter()
-            .all(|n| wait(MOST, || view(&fleet, *n).is_some_and(|view| view.votes))),
+            .all(|n| wait_until(MOST, || view(&fleet, *n).is_some_and(|view| view.votes))),
         "{}",
         fleet.told()
     );
@@ -176,7 +179,7 @@
         })
     };
     assert!(
-        wait(MOST, lost),
+        wait_until(MOST, lost),
         "it has lost its promises: {}",
         fleet.told()
     );
@@ -187,7 +190,7 @@
                 .any(|seat| seat.node == "n2" && seat.lost)
         })
     };
-    assert!(wait(MOST, known), "others know: {}", fleet.told());
+    assert!(wait_until(MOST, known), "others know: {}", fleet.told());
     assert_eq!(
         post(&fleet, 3, "/v1/fleet/voters/n2/add").0,
         200,
@@ -195,7 +198,7 @@
         fleet.told()
     );
     assert!(
-        wait(MOST, || view(&fleet, 2).is_some_and(|view| view.votes)),
+        wait_until(MOST, || view(&fleet, 2).is_some_and(|view| view.votes)),
         "it votes anew: {}",
         fleet.told()
     );
@@ -209,7 +212,7 @@
     // One that does not vote gets a seat and loses it again.
     assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
     assert!(
-        wait(MOST, || view(&fleet, 3).is_some_and(|view| view.votes)),
+        wait_until(MOST, || view(&fleet, 3).is_some_and(|view| view.votes)),
         "{}",
         fleet.told()
     );
@@ -222,7 +225,7 @@
     });
     assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
     assert!(
-        wait(MOST, || view(&fleet, 3).is_some_and(|view| !view.votes)),
+        wait_until(MOST, || view(&fleet, 3).is_some_and(|view| !view.votes)),
         "{}",
         fleet.told()
     );
@@ -234,7 +237,7 @@
                 .any(|seat| seat.node == "n1" && seat.heard == Some(false))
         })
     };
-    assert!(wait(MOST, dead), "{}", fleet.told());
+    assert!(wait_until(MOST, dead), "{}", fleet.told());
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
     assert_eq!(
         (status, told(&text).code.as_str()),
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -3,7 +3,7 @@
 
 use postproxy::net::transport::http::Response;
 use postproxy::stand_ins::{Discovery, Worker, send_request};
-use postproxy_fault_injection::{Process, addresses};
+use postproxy_fault_injection::{Process, loopback_addresses};
 use postproxy_handover::{Link, LinkEvent, Message, Role, StateUpdate, frame, greeting};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -107,7 +107,7 @@
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
         let meeting =
             UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a meeting place");
-        let door = SocketAddr::new(addresses(1)[0], 8081);
+        let door = SocketAddr::new(loopback_addresses(1)[0], 8081);
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
         command
             .args(["serve", "--log-levels", "error"])
@@ -115,7 +115,7 @@
             .env("RELAY_MGMT", door.to_string())
             .env("RELAY_SOCKET_FD", listener.as_raw_fd().to_string())
             .env("TMPDIR", &folder);
-        let process = Process::of(&mut command).expect("the program starts");
+        let process = Process::spawn(&mut command).expect("the program starts");
         let (stream, _) = meeting.accept().expect("it calls");
         stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
         let link = Link::new(Role::Older, "n0", &address.to_string(), 0.0);
--- a/tests/kill.rs
+++ b/tests/kill.rs
@@ -1,7 +1,7 @@
 //! The real program with a store, killed again and again under jobs that must not run twice.
 
 use postproxy::stand_ins::{Discovery, Worker, send_request};
-use postproxy_fault_injection::{Process, addresses, wait};
+use postproxy_fault_injection::{Process, loopback_addresses, wait_until};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -37,7 +37,10 @@
         );
         self.process = Some(process.expect("the program starts"));
         let ready = || send_request(self.address, "GET", "/-/ready", &[], b"").is_ok();
-        assert!(wait(Duration::from_secs(20), ready), "it is not ready");
+        assert!(
+            wait_until(Duration::from_secs(20), ready),
+            "it is not ready"
+        );
     }
 
     fn kill(&mut self) {
@@ -124,7 +127,7 @@
         })
         .collect();
     let discovery = Discovery::start(&workers).expect("discovery");
-    let address = SocketAddr::new(addresses(1)[0], 8080);
+    let address = SocketAddr::new(loopback_addresses(1)[0], 8080);
     workers.iter().for_each(|worker| worker.report_to(address));
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("kill-{}", std::process::id()));
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -6,7 +6,9 @@
 use fleet_harness::{Fleet, MOST, Node};
 use postproxy::net::cluster::service::ClusterStatus;
 use postproxy::stand_ins::{Worker, send_request};
-use postproxy_fault_injection::{Event, Link, Schedule, Step, addresses, check, wait};
+use postproxy_fault_injection::{
+    Event, LinkFaults, Schedule, Step, check, loopback_addresses, wait_until,
+};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,9 +33,9 @@
     );
     fleet.start(2);
     fleet.whole();
-    fleet.process(2).end();
+    fleet.process(2).terminate();
     assert!(
-        wait(MOST, || fleet.process(2).ended() == Some(true)),
+        wait_until(MOST, || fleet.process(2).exit_success() == Some(true)),
         "it ends in good order"
     );
     fleet.nodes[2].process = None;
@@ -95,19 +97,19 @@
 #[test]
 fn one_way_cuts_and_lines_are_named() {
     let fleet = Fleet::new(3, 4, false);
-    fleet.net.set(
+    fleet.net.set_link(
         0,
         1,
-        Link {
-            cut: true,
-            ..Link::default()
+        LinkFaults {
+            partitioned: true,
+            ..LinkFaults::default()
         },
     );
     fleet.history.note("cut n0 to n1");
     fleet.until("one way", &[0, 1, 2], |_, p| {
         p.standing == "some pairs cut" && p.reasons == ["n1 does not hear n0"]
     });
-    fleet.net.part(&[0], &[1]);
+    fleet.net.partition(&[0], &[1]);
     fleet.history.note("cut n1 to n0, too");
     fleet.until("a line", &[0, 1, 2], |_, p| {
         p.standing == "some pairs cut"
@@ -123,7 +125,7 @@
 fn a_cut_in_two_and_three_of_five_heals_also_if_it_flaps() {
     let fleet = Fleet::new(5, 5, false);
     let (few, many) = ([0, 3], [1, 2, 4]);
-    fleet.net.part(&few, &many);
+    fleet.net.partition(&few, &many);
     fleet.history.note("cut");
     fleet.until("the few", &few, |_, p| {
         p.standing == "cut off with a minority" && p.reasons.len() == 3
@@ -134,17 +136,17 @@
     fleet.net.heal();
     fleet.whole();
     for _ in 0..8 {
-        fleet.net.part(&few, &many);
+        fleet.net.partition(&few, &many);
         std::thread::sleep(Duration::from_millis(700));
         fleet.net.heal();
         std::thread::sleep(Duration::from_millis(700));
     }
     fleet.whole();
-    fleet.net.all(Link {
-        loss: 0.1,
-        twice: 0.2,
-        late: Duration::from_millis(300),
-        ..Link::default()
+    fleet.net.set_all_links(LinkFaults {
+        loss_rate: 0.1,
+        duplication_rate: 0.2,
+        max_delay: Duration::from_millis(300),
+        ..LinkFaults::default()
     });
     std::thread::sleep(Duration::from_secs(5));
     fleet.net.heal();
@@ -157,7 +159,7 @@
     let mut fleet = Fleet::new(3, 6, true);
     assert_eq!(fleet.suspend(0, "w-0", false), "yes, at 3 of 3 nodes\n");
     fleet.bans("w-0 is out", &["w-0"]);
-    fleet.net.part(&[0], &[1, 2]);
+    fleet.net.partition(&[0], &[1, 2]);
     fleet.history.note("cut");
     // Told while the cut is not known yet, or is: it holds where it was given, and there alone.
     assert_eq!(fleet.suspend(0, "w-0", true), "yes, at 1 of 3 nodes\n");
@@ -189,7 +191,7 @@
 fn of_two_processes_of_one_name_one_serves_alone() {
     let mut fleet = Fleet::new(3, 7, false);
     // n2's second process: the same name, all else its own.
-    let own = addresses(1)[0];
+    let own = loopback_addresses(1)[0];
     let folder = fleet.folder.join("twin");
     std::fs::create_dir_all(&folder).expect("a folder");
     let change = |file: &str, changes: &[(&str, &str, String)]| {
@@ -233,7 +235,7 @@
             .is_some_and(|p| p.namesake.is_some() && !p.member)
     };
     assert!(
-        wait(MOST, || apart(2) != apart(3)),
+        wait_until(MOST, || apart(2) != apart(3)),
         "one of them is apart: {}",
         fleet.told()
     );
@@ -243,7 +245,11 @@
         let fields = [("X-Request-Id", "j-1"), ("X-Deadline", "5")];
         send_request(client, "GET", "/-/ready", &fields, b"").is_ok_and(|a| a.status == 200)
     };
-    assert!(wait(MOST, served), "it serves alone: {}", fleet.told());
+    assert!(
+        wait_until(MOST, served),
+        "it serves alone: {}",
+        fleet.told()
+    );
     assert!(fleet.lines(one, "another process has this node's name") >= 1);
     // When the other is gone, the name is free.
     fleet.kill(other);
@@ -270,7 +276,7 @@
             bytes[..3].copy_from_slice(&[b'P', b'M', 1]);
         }
         socket
-            .send_to(&bytes, fleet.net.relay(0))
+            .send_to(&bytes, fleet.net.proxy_address(0))
             .expect("it is sent");
         if length % 50 == 0 {
             std::thread::sleep(Duration::from_millis(5));
@@ -295,24 +301,24 @@
         .map(|n| format!("w-{n:03}-{}", "x".repeat(200)))
         .collect();
     let mut fleet = Fleet::with(3, 11, true, &names);
-    fleet.net.part(&[0], &[1, 2]);
+    fleet.net.partition(&[0], &[1, 2]);
     fleet.history.note("cut");
     for (n, name) in names.iter().enumerate() {
         fleet.suspend(if n % 2 == 0 { 0 } else { 1 }, name, false);
     }
     fleet.net.heal();
     let late = Duration::from_millis(20);
-    fleet.net.all(Link {
-        torn: 0.5,
-        late,
-        ..Link::default()
+    fleet.net.set_all_links(LinkFaults {
+        reset_rate: 0.5,
+        max_delay: late,
+        ..LinkFaults::default()
     });
     fleet.history.note("torn");
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
     fleet.bans("torn, and they agree", &all);
-    fleet.net.all(Link {
-        slow: 8 << 10,
-        ..Link::default()
+    fleet.net.set_all_links(LinkFaults {
+        max_bytes_per_second: 8 << 10,
+        ..LinkFaults::default()
     });
     fleet.history.note("slow");
     fleet.kill(2);
@@ -342,7 +348,7 @@
         };
         [&GREETING[..], &frame(&hello)].concat()
     };
-    let connect = || TcpStream::connect(fleet.net.relay(0)).expect("a connection");
+    let connect = || TcpStream::connect(fleet.net.proxy_address(0)).expect("a connection");
     let whole = [hello(0), frame(&Packet::Word(1, vec![7; 40]))].concat();
     // One stalls behind each byte; one claims 4 GiB; ten flood, and read nothing.
     let stalled: Vec<TcpStream> = (0..whole.len())
@@ -468,9 +474,9 @@
     fleet.until("told by the one that has the place", &[0, 2], |_, p| {
         p.bans == ["w-1"]
     });
-    old.end();
+    old.terminate();
     assert!(
-        wait(MOST, || old.ended() == Some(true)),
+        wait_until(MOST, || old.exit_success() == Some(true)),
         "the first one ends"
     );
     fleet.whole();
@@ -532,9 +538,9 @@
     fleet.start(1);
     fleet.whole();
     fleet.bans("known to all", &["w-1"]);
-    old.end();
+    old.terminate();
     assert!(
-        wait(MOST, || old.ended() == Some(true)),
+        wait_until(MOST, || old.exit_success() == Some(true)),
         "the first one ends"
     );
     fleet.bans("still", &["w-1"]);
@@ -550,9 +556,9 @@
     fleet.bans("two are out", &["w-0", "w-1"]);
     // Long enough for the store's look at what has changed.
     std::thread::sleep(Duration::from_millis(2500));
-    fleet.process(2).end();
+    fleet.process(2).terminate();
     assert!(
-        wait(MOST, || fleet.process(2).ended() == Some(true)),
+        wait_until(MOST, || fleet.process(2).exit_success() == Some(true)),
         "it ends"
     );
     fleet.nodes[2].process = None;
@@ -595,9 +601,9 @@
 #[test]
 fn a_full_disk_and_syncs_that_fail_are_no_change_of_members_and_lose_no_ban() {
     let mut fleet = Fleet::new(3, 16, true);
-    fleet.process(1).end();
+    fleet.process(1).terminate();
     assert!(
-        wait(MOST, || fleet.process(1).ended() == Some(true)),
+        wait_until(MOST, || fleet.process(1).exit_success() == Some(true)),
         "it ends"
     );
     let trouble = fleet.nodes[1].folder.join("trouble");
@@ -611,7 +617,7 @@
         fleet.history.note(format!("n1's disk: {word}"));
         assert_eq!(fleet.suspend(1, worker, false), "yes, at 3 of 3 nodes\n");
         let troubled = || fleet.lines(1, "store not writable") == n + 1;
-        assert!(wait(MOST, troubled), "{}", fleet.told());
+        assert!(wait_until(MOST, troubled), "{}", fleet.told());
         fleet.whole();
         let client = fleet.nodes[1].client;
         let id = format!("j-{word}");
@@ -625,7 +631,7 @@
         );
         std::fs::remove_file(&trouble).expect("it was there");
         let sound = || fleet.lines(1, "store writable again") == n + 1;
-        assert!(wait(MOST, sound), "{}", fleet.told());
+        assert!(wait_until(MOST, sound), "{}", fleet.told());
     }
     // Long enough for the store's look at what was refused.
     std::thread::sleep(Duration::from_millis(2500));
@@ -640,7 +646,7 @@
 #[test]
 fn a_node_heard_of_through_a_third_is_stopped_and_killed() {
     let mut fleet = Fleet::new(3, 17, false);
-    fleet.net.part(&[0], &[2]);
+    fleet.net.partition(&[0], &[2]);
     fleet.history.note("cut 0 2");
     let line = |picture: &ClusterStatus| {
         picture.standing == "some pairs cut" && picture.reasons.len() == 2
@@ -681,7 +687,7 @@
 fn a_restart_at_another_address_is_the_same_node() {
     let mut fleet = Fleet::new(3, 10, false);
     fleet.kill(2);
-    let at = SocketAddr::new(addresses(1)[0], 7946).to_string();
+    let at = SocketAddr::new(loopback_addresses(1)[0], 7946).to_string();
     fleet.change(2, |json| {
         json["fleet"]["listen"] = at.clone().into();
         json["fleet"]["advertise"] = at.clone().into();
@@ -722,26 +728,26 @@
             Step::Kill(n) => self.kill(n),
             Step::Start(n) => self.start(n),
             Step::Pause(n) => self.process(n).pause(),
-            Step::Wake(n) => self.process(n).wake(),
-            Step::Cut(a, b) => self.net.set(
-                a,
-                b,
-                Link {
-                    cut: true,
-                    ..Link::default()
+            Step::Wake(n) => self.process(n).resume(),
+            Step::Cut { from, to } => self.net.set_link(
+                from,
+                to,
+                LinkFaults {
+                    partitioned: true,
+                    ..LinkFaults::default()
                 },
             ),
             Step::Isolate(n) => {
                 let others: Vec<usize> = (0..count).filter(|other| *other != n).collect();
-                self.net.part(&[n], &others);
+                self.net.partition(&[n], &others);
             }
             Step::Heal => self.net.heal(),
-            Step::Loss(share) => self.net.all(Link {
-                loss: f64::from(share) / 100.0,
-                ..Link::default()
+            Step::Loss { percent } => self.net.set_all_links(LinkFaults {
+                loss_rate: f64::from(percent) / 100.0,
+                ..LinkFaults::default()
             }),
-            Step::Suspend(n, worker) => self.word(n, worker, false),
-            Step::Resume(n, worker) => self.word(n, worker, true),
+            Step::Suspend { node: n, worker } => self.word(n, worker, false),
+            Step::Resume { node: n, worker } => self.word(n, worker, true),
             Step::Rest(ms) => std::thread::sleep(Duration::from_millis(ms)),
         }
     }
@@ -759,7 +765,7 @@
         fleet.history.note(format!("seed {seed}"));
         let over = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..3).map(|number| fleet.client(number, &over)).collect();
-        schedule.0.iter().for_each(|step| fleet.take(step));
+        schedule.steps.iter().for_each(|step| fleet.take(step));
         fleet.take(&Step::Heal);
         for n in 0..5 {
             if fleet.nodes[n].process.is_some() {
@@ -775,9 +781,17 @@
             .for_each(|client| client.join().expect("a client without a complaint"));
         let served = fleet
             .history
-            .all()
+            .entries()
             .iter()
-            .filter(|(_, e)| matches!(e, Event::Answered(_, Some(200), _)))
+            .filter(|entry| {
+                matches!(
+                    entry.event,
+                    Event::ResponseReceived {
+                        status: Some(200),
+                        ..
+                    }
+                )
+            })
             .count();
         assert!(
             served > 100,
@@ -785,11 +799,14 @@
             fleet.told()
         );
         for (job, times) in fleet.workers.iter().flat_map(Worker::runs) {
-            fleet.history.add(Event::Ran(job, times));
+            fleet.history.record(Event::RequestRun {
+                key: job,
+                run_count: times,
+            });
         }
         // Its class may be tried three times.
-        if let Err(broken) = check::answers(&fleet.history, 3)
-            .and_then(|()| check::blame(&fleet.history, &fleet.logs()))
+        if let Err(broken) = check::check_responses(&fleet.history, 3)
+            .and_then(|()| check::check_failure_reports(&fleet.history, &fleet.logs()))
         {
             panic!("seed {seed}: {broken}\n{}", fleet.told());
         }
@@ -800,7 +817,7 @@
             bans.len() == 5 && bans.windows(2).all(|pair| pair[0] == pair[1])
         };
         assert!(
-            wait(MOST, agree),
+            wait_until(MOST, agree),
             "seed {seed}, they agree: {}",
             fleet.told()
         );
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -3,7 +3,7 @@
 
 use postproxy::net::transport::http::{self, Read as Parsed};
 use postproxy::stand_ins::{Discovery, Worker, send_request};
-use postproxy_fault_injection::addresses;
+use postproxy_fault_injection::loopback_addresses;
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -48,11 +48,11 @@
         let start = Instant::now();
         let mut ended = None;
         let end = || {
-            ended = self.it.ended();
+            ended = self.it.exit_success();
             ended.is_some()
         };
         assert!(
-            postproxy_fault_injection::wait(LIMIT, end),
+            postproxy_fault_injection::wait_until(LIMIT, end),
             "it does not end"
         );
         (start.elapsed(), ended == Some(true))
@@ -111,7 +111,7 @@
     }
 
     fn command(&self) -> (Command, SocketAddr) {
-        let door = SocketAddr::new(addresses(1)[0], 8081);
+        let door = SocketAddr::new(loopback_addresses(1)[0], 8081);
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
         command
             .args(["serve", "--log-levels", "error"])
@@ -132,7 +132,8 @@
         change(&mut command);
         let start = Instant::now();
         let process = Process {
-            it: postproxy_fault_injection::Process::of(&mut command).expect("the program starts"),
+            it: postproxy_fault_injection::Process::spawn(&mut command)
+                .expect("the program starts"),
             door,
         };
         while !send_request(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|a| a.status == 200) {
@@ -326,7 +327,7 @@
     for _ in 0..10 {
         let (next, yes) = bed.start_with(|_| {});
         slowest = slowest.max(yes);
-        process.it.end();
+        process.it.terminate();
         let (ended, well) = process.end();
         assert!(
             well && ended < ms(3700),
@@ -337,9 +338,9 @@
     }
     // Two in quick succession, the second before the first one's predecessor has ended.
     let second = bed.start();
-    process.it.end();
+    process.it.terminate();
     let third = bed.start();
-    second.it.end();
+    second.it.terminate();
     load.more(40);
     let mut ended = [process, second];
     assert!(ended.iter_mut().all(|process| process.end().1));
@@ -397,7 +398,7 @@
         sleep(ms(5));
     }
     let mut second = bed.start();
-    first.it.end();
+    first.it.terminate();
     let (ended, well) = first.end();
     assert!(
         well && ended < ms(1500),
@@ -412,7 +413,7 @@
         409
     );
     let mut third = bed.start();
-    second.it.end();
+    second.it.terminate();
     let (ended, well) = second.end();
     assert!(
         well && ended < ms(1500),
@@ -440,7 +441,7 @@
         );
         sleep(ms(5));
     }
-    third.it.end();
+    third.it.terminate();
     assert!(third.end().1);
 }
 
@@ -454,7 +455,7 @@
     load.more(60);
     // The first six may all go to others, which are then known to have room: one job in twenty goes to one not heard of.
     assert!(
-        postproxy_fault_injection::wait(LIMIT, || bed.run_by(0) > 0),
+        postproxy_fault_injection::wait_until(LIMIT, || bed.run_by(0) > 0),
         "it is never drawn"
     );
     assert_eq!(process.post("/v1/route-workers/nobody/suspend"), 404);
@@ -472,7 +473,7 @@
     sleep(ms(50));
     let other = bed.run_by(1);
     load.more(30);
-    process.it.end();
+    process.it.terminate();
     assert!(process.end().1);
     load.more(60);
     assert_eq!(
@@ -493,7 +494,7 @@
         start.elapsed()
     );
     assert_eq!((refused, unheard), (0, 0));
-    next.it.end();
+    next.it.terminate();
     assert!(next.end().1);
 }
 
@@ -534,7 +535,7 @@
     let answer = send_request(bed.address, "POST", "/reroute/x", &job, b"n").expect("an answer");
     assert_eq!((answer.status, answer.keeps), (200, false));
     let (mut next, _) = bed.start_with(|_| {});
-    process.it.end();
+    process.it.terminate();
     assert_eq!(bed.ready(), 500, "the drain holds over the replacement");
     for stream in &mut kept {
         assert_eq!(stream.read(&mut [0; 64]).expect("its end"), 0);
@@ -547,7 +548,7 @@
     assert!(process.end().1);
     assert_eq!(next.post("/v1/node/activate"), 200);
     assert_eq!(bed.ready(), 200);
-    next.it.end();
+    next.it.terminate();
     assert!(next.end().1);
 }
 
@@ -707,7 +708,7 @@
     first.it.pause();
     let (mut command, door) = bed.command();
     let mut early = Process {
-        it: postproxy_fault_injection::Process::of(command.stderr(Stdio::null()))
+        it: postproxy_fault_injection::Process::spawn(command.stderr(Stdio::null()))
             .expect("the program starts"),
         door,
     };
@@ -719,10 +720,10 @@
     let answer = send_request(door, "GET", "/v1/readyz", &[], b"").expect("an answer");
     assert_eq!(answer.status, 503, "it waits for the older one");
     early.it.reload();
-    early.it.end();
+    early.it.terminate();
     let (ended, well) = early.end();
     assert!(well && ended < ms(800), "{ended:?}");
-    first.it.wake();
+    first.it.resume();
     assert_eq!(serves("after"), 200, "the older one goes on");
     // In a drain: a reload changes nothing of it, a stop ends it.
     assert_eq!(first.post("/v1/node/drain"), 200);
@@ -732,11 +733,11 @@
     second.it.reload();
     let mut first = first;
     first.it.reload();
-    first.it.end();
+    first.it.terminate();
     first.it.reload();
     assert!(first.end().1);
     assert_eq!((serves("over"), bed.ready()), (200, 500));
-    second.it.end();
+    second.it.terminate();
     assert!(second.end().1, "drained, and nobody takes over");
     // Killed while it hands over.
     let mut process = bed.start();
@@ -744,7 +745,7 @@
     for _ in 0..6 {
         load.more(30);
         let next = bed.start();
-        process.it.end();
+        process.it.terminate();
         process.it.kill();
         process.end();
         process = next;
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -2,7 +2,7 @@
 
 use postproxy::net::transport::http;
 use postproxy::stand_ins::{Discovery, Worker, send_request};
-use postproxy_fault_injection::addresses;
+use postproxy_fault_injection::loopback_addresses;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -33,7 +33,7 @@
 
 /// An address at which nobody listens, and which nobody else is given.
 fn free() -> SocketAddr {
-    SocketAddr::new(addresses(1)[0], 8080)
+    SocketAddr::new(loopback_addresses(1)[0], 8080)
 }
 
 fn member(name: &str, at: SocketAddr) -> serde_json::Value {
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -3,7 +3,10 @@
 
 use postproxy::net::cluster::service::ClusterStatus;
 use postproxy::stand_ins::{Discovery, Worker, send_request};
-use postproxy_fault_injection::{Event, History, Net, Process, Step, addresses, wait};
+use postproxy_fault_injection::check::NodeLog;
+use postproxy_fault_injection::{
+    Event, FaultyNetwork, History, Process, Step, loopback_addresses, wait_until,
+};
 use socket2::Socket;
 use std::net::SocketAddr;
 use std::os::fd::AsRawFd;
@@ -28,7 +31,7 @@
 /// Nodes with one discovery and three workers; what the nodes say to each other goes through relays.
 pub struct Fleet {
     pub nodes: Vec<Node>,
-    pub net: Net,
+    pub net: FaultyNetwork,
     pub history: History,
     pub folder: PathBuf,
     pub workers: Vec<Worker>,
@@ -79,16 +82,16 @@
             |name: &String| Worker::start(name, Duration::from_millis(20)).expect("a worker");
         let workers: Vec<Worker> = names.iter().map(start).collect();
         let discovery = Discovery::start(&workers).expect("discovery");
-        let own = addresses(count as u8);
+        let own = loopback_addresses(count as u8);
         let clients: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 8080)).collect();
         workers
             .iter()
             .for_each(|worker| worker.report_to_all(&clients));
         let at: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 7946)).collect();
-        let net = Net::start(&at, seed).expect("relays");
+        let net = FaultyNetwork::start(&at, seed).expect("relays");
         // A seed that never answers, and the node itself, among them.
         let mut seeds: Vec<String> = (0..count.min(3))
-            .map(|n| net.relay(n).to_string())
+            .map(|n| net.proxy_address(n).to_string())
             .collect();
         seeds.insert(0, "127.0.0.1:9".into());
         let votes = sections["voters"]
@@ -111,7 +114,7 @@
             });
             std::fs::write(mine.join("config.json"), config.to_string()).expect("it is written");
             let mut operator = serde_json::json!({"fleet": {"cluster": "riga", "listen": at[n].to_string(),
-                "advertise": net.relay(n).to_string(), "seeds": seeds, "voters": voters}});
+                "advertise": net.proxy_address(n).to_string(), "seeds": seeds, "voters": voters}});
             for (name, section) in sections.as_object().into_iter().flatten().filter(|(name, _)| !["voters", "discovery_of"].contains(&name.as_str())) {
                 operator[name] = section.clone();
             }
@@ -171,7 +174,11 @@
             send_request(door, "GET", "/v1/readyz", &[], b"")
                 .is_ok_and(|answer| answer.status == 200)
         };
-        assert!(wait(MOST, ready), "n{n} is not ready: {}", self.told());
+        assert!(
+            wait_until(MOST, ready),
+            "n{n} is not ready: {}",
+            self.told()
+        );
     }
 
     /// A client that sends a job after another to the nodes in turn, and notes what it is told, until it is over.
@@ -193,32 +200,35 @@
                     ("X-Deadline", "5"),
                     ("Connection", "close"),
                 ];
-                history.add(Event::Asked(id.clone(), n));
+                history.record(Event::RequestSent {
+                    id: id.clone(),
+                    node: n,
+                });
                 let answer =
                     send_request(nodes[n], "POST", "/reroute/x", &fields, body.as_bytes()).ok();
                 let sound = answer.as_ref().is_none_or(|answer| match answer.status {
                     200 => answer.body == body.to_uppercase().as_bytes(),
                     status => [429, 502, 503, 504].contains(&status),
                 });
-                history.add(Event::Answered(
+                history.record(Event::ResponseReceived {
                     id,
-                    answer.map(|answer| answer.status),
-                    sound,
-                ));
+                    status: answer.map(|answer| answer.status),
+                    plausible: sound,
+                });
                 std::thread::sleep(Duration::from_millis(20));
             }
         })
     }
 
     /// Each node's log, by its number.
-    pub fn logs(&self) -> Vec<(usize, String, String)> {
+    pub fn logs(&self) -> Vec<NodeLog> {
         let log = |(n, node): (usize, &Node)| {
             let path = node.folder.join("log");
-            (
-                n,
-                path.display().to_string(),
-                std::fs::read_to_string(path).unwrap_or_default(),
-            )
+            NodeLog {
+                node: n,
+                path: path.display().to_string(),
+                text: std::fs::read_to_string(path).unwrap_or_default(),
+            }
         };
         self.nodes.iter().enumerate().map(log).collect()
     }
@@ -237,7 +247,7 @@
         self.history.note(format!("pause {nodes:?} for {time:?}"));
         nodes.iter().for_each(|n| self.process(*n).pause());
         std::thread::sleep(time);
-        nodes.iter().for_each(|n| self.process(*n).wake());
+        nodes.iter().for_each(|n| self.process(*n).resume());
         self.history.note(format!("wake {nodes:?}"));
     }
 
@@ -279,7 +289,7 @@
                 .iter()
                 .all(|n| self.picture(*n).is_some_and(|picture| holds(*n, &picture)))
         };
-        assert!(wait(MOST, all), "{what}: {}", self.told());
+        assert!(wait_until(MOST, all), "{what}: {}", self.told());
         self.history.note(what);
     }
 
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -11,7 +11,7 @@
 use postproxy::net::{Config, Node};
 use postproxy::operator_config::{AuditSection, DutiesSection, FleetSection, StoreSection};
 use postproxy_coordination::{Error, Rejection};
-use postproxy_fault_injection::addresses;
+use postproxy_fault_injection::loopback_addresses;
 use postproxy_version_tracking::{Message, Settings, Source, VersionKind, VersionRecord};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -352,7 +352,7 @@
 
 /// So many whole nodes that hear each other, of which the first two vote.
 fn nodes<const COUNT: usize>(test: &str) -> [TestNode; COUNT] {
-    let at: Vec<SocketAddr> = addresses(COUNT as u8)
+    let at: Vec<SocketAddr> = loopback_addresses(COUNT as u8)
         .into_iter()
         .map(|ip| SocketAddr::new(ip, 8090))
         .collect();
