--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,40 +1,45 @@
-//! Errors say what an operator can do, and the page for operators has them all.
+//! Every error code has a remedy and is listed on the operators' page.
 
 use std::collections::BTreeSet;
 
-/// Guards against an error without a remedy, two of one code, and a code that the page does not tell.
+/// The shortest text that can be a remedy, in bytes.
+const MIN_REMEDY_BYTES: usize = 16;
+
+/// Codes are unique, each has a remedy, and the page for operators lists exactly these codes.
 #[test]
-fn every_code_has_a_remedy_and_stands_in_the_operators_page() {
+fn every_code_has_a_remedy_and_is_listed_on_the_operators_page() {
     let page = include_str!("../docs/operate/errors.md");
     let mut codes = BTreeSet::new();
-    for (code, remedy) in [
+    let remedies = [
         postproxy_version_tracking::REMEDIES,
         postproxy_coordination::REMEDIES,
         postproxy::decision::interface::REMEDIES,
-    ]
-    .concat()
-    {
+    ];
+    for (code, remedy) in remedies.concat() {
         let (subject, word) = code.split_once('.').expect("SUBJECT.WORD");
         assert!(
-            !subject.is_empty() && !word.is_empty() && remedy.len() > 15,
+            !subject.is_empty() && !word.is_empty() && remedy.len() >= MIN_REMEDY_BYTES,
             "{code}: {remedy}"
         );
         assert!(codes.insert(code), "{code} stands for two errors");
         assert!(
             page.contains(&format!("| `{code}` |")),
-            "{code} is not in the page"
+            "{code} is not on the page"
         );
     }
-    let told: BTreeSet<&str> = page
-        .lines()
-        .filter_map(|line| {
-            line.strip_prefix("| `")?
-                .split_once('`')
-                .map(|(code, _)| code)
-        })
-        .collect();
     assert_eq!(
-        told, codes,
-        "the page tells of errors that there are none of"
+        codes_of_page(page),
+        codes,
+        "the page lists codes that no error has"
     );
 }
+
+/// Returns the codes in the first column of the page's table.
+fn codes_of_page(page: &str) -> BTreeSet<&str> {
+    page.lines()
+        .filter_map(|line| {
+            let (code, _) = line.strip_prefix("| `")?.split_once('`')?;
+            Some(code)
+        })
+        .collect()
+}
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,30 +1,57 @@
-//! The node's program: its start, its end, and its words on a configuration that is none.
+//! The program `postproxy`: its start, its end, its commands, and its messages on a wrong configuration.
 
 use postproxy::net::Config;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
-use std::process::{Command, Stdio};
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output, Stdio};
 
 const EXAMPLE: &str = include_str!("../examples/config.json");
 
-/// A program that does not outlive its test.
-struct Running(std::process::Child);
+/// A running program, which is killed when this is dropped.
+struct RunningProgram(std::process::Child);
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn none(_: &str) -> Option<String> {
+/// An environment without any variable.
+fn empty_environment(_: &str) -> Option<String> {
     None
 }
 
-/// Guards against an example that the program does not take, and against names lost on the way.
+/// The outcome of a command that has ended.
+struct CommandOutcome {
+    exit_code: Option<i32>,
+    stdout: String,
+    stderr: String,
+}
+
+/// Runs the program with these arguments until it ends.
+fn run(args: &[&str]) -> CommandOutcome {
+    let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
+        .args(args)
+        .output();
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = output.expect("the program starts");
+    let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
+    CommandOutcome {
+        exit_code: status.code(),
+        stdout: text(stdout),
+        stderr: text(stderr),
+    }
+}
+
+/// The example is a valid configuration, and its names reach the settings.
 #[test]
-fn the_example_is_a_configuration() {
-    let config = Config::from_json(EXAMPLE, none).expect("a configuration");
+fn the_example_is_a_valid_configuration() {
+    let config = Config::from_json(EXAMPLE, empty_environment).expect("a configuration");
     assert_eq!(
         (config.name.as_str(), config.seed, config.sockets),
         ("n0", 0x8c1f_30d2_7a5b_e964, 1024)
@@ -48,18 +75,18 @@
     assert_eq!(config.known.map(|list| list.revision), Some(1));
 }
 
-/// Guards against the environment being passed over.
+/// Variables of the environment take precedence over the file.
 #[test]
-fn the_environment_goes_before_the_file() {
-    let set = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:81".to_owned());
-    let config = Config::from_json(EXAMPLE, set).expect("a configuration");
+fn the_environment_takes_precedence_over_the_file() {
+    let environment = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:81".to_owned());
+    let config = Config::from_json(EXAMPLE, environment).expect("a configuration");
     assert_eq!(config.listen.to_string(), "127.0.0.9:81");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:8500");
 }
 
-/// Guards against a start with a wrong or half configuration, or a message that names nothing.
+/// A wrong or incomplete configuration is an error whose message names the wrong place.
 #[test]
-fn a_bad_configuration_is_named() {
+fn an_error_names_the_wrong_place_of_a_configuration() {
     let cases = [
         (
             "\"listen\": \"127.0.0.1:8080\"",
@@ -74,14 +101,16 @@
     for (old, new, word) in cases {
         let text = EXAMPLE.replacen(old, new, 1);
         assert_ne!(text, EXAMPLE);
-        let message = Config::from_json(&text, none).err().expect("an error");
+        let message = Config::from_json(&text, empty_environment)
+            .err()
+            .expect("an error");
         assert!(message.contains(word), "{message}");
     }
 }
 
-/// Guards against a program that hangs or panics without its configuration.
+/// Without a configuration the program ends with a message.
 #[test]
-fn without_a_configuration_the_program_ends() {
+fn the_program_fails_without_a_configuration() {
     let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
         .env_remove("RELAY_CONFIG")
         .output();
@@ -93,8 +122,8 @@
     );
 }
 
-/// Guards against a SIGHUP or a SIGTERM that kills the node; against a reload that passes over the file's
-/// discovery because the environment named one at the start, or that ends the node over a file it can't read.
+/// SIGHUP reloads the configuration, also a discovery that the environment named at the start; a file that can't be read
+/// leaves the old configuration; SIGTERM ends the program with success.
 #[test]
 fn the_program_serves_reloads_and_ends_at_sigterm() {
     let path = std::env::temp_dir().join(format!("postproxy-{}.json", std::process::id()));
@@ -106,7 +135,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut running = Running(child);
+    let mut running = RunningProgram(child);
     let child = &mut running.0;
     let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
     let mut line = String::new();
@@ -126,86 +155,79 @@
             .status();
         assert!(status.expect("a shell").success());
     };
-    let mut next = || {
+    let mut next_line = || {
         loop {
             let mut line = String::new();
             assert!(
                 log.read_line(&mut line).expect("a line") > 0,
                 "the log ended"
             );
-            // That discovery is not there is told as often as it is noticed.
+            // The node logs that discovery can't be reached whenever it notices that.
             if !line.contains("postproxy::net::upstream::worker_list") {
                 return line.trim().to_owned();
             }
         }
     };
     signal("HUP");
-    let reloaded = next();
+    let reloaded = next_line();
     assert!(
         reloaded.ends_with("configuration reloaded node=\"n0\" discovery=127.0.0.1:8500"),
         "{reloaded}"
     );
     std::fs::write(&path, "{").expect("a file");
     signal("HUP");
-    let kept = next();
+    let rejected = next_line();
     assert!(
-        kept.contains("ERROR")
-            && kept.contains("configuration rejected: the old one stays node=\"n0\""),
-        "{kept}"
+        rejected.contains("ERROR")
+            && rejected.contains("configuration rejected: the old one stays node=\"n0\""),
+        "{rejected}"
     );
     std::fs::remove_file(&path).expect("it was there");
     signal("HUP");
-    assert!(next().contains("reading"), "the file is named");
+    assert!(next_line().contains("reading"), "the file is named");
     signal("TERM");
-    assert!(next().ends_with("stopped node=\"n0\""));
+    assert!(next_line().ends_with("stopped node=\"n0\""));
     assert!(child.wait().expect("it ends").success());
 }
 
-/// Guards against a command line whose mistakes look like failures of the work, or that hides its version;
-/// against an operator's file that is taken though it is wrong.
+/// Wrong usage has an exit status of its own, the version is shown, and `check` names what is wrong in an operator's file.
 #[test]
-fn the_command_line_says_what_is_wrong() {
-    let run = |args: &[&str]| {
-        let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
-            .args(args)
-            .output();
-        let output = output.expect("the program starts");
-        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        (
-            output.status.code(),
-            text(&output.stdout),
-            text(&output.stderr),
-        )
-    };
+fn the_command_line_reports_wrong_usage_and_wrong_files() {
     assert_eq!(
-        run(&["--version"]).1.trim(),
+        run(&["--version"]).stdout.trim(),
         format!("postproxy {}", env!("CARGO_PKG_VERSION"))
     );
     assert!(
         run(&["--help"])
-            .1
+            .stdout
             .contains("Exit status: 0 done, 1 failed, 2 wrong usage.")
     );
-    assert_eq!(run(&["swerve"]).0, Some(2));
-    assert!(run(&["completions", "bash"]).1.contains("postproxy"));
+    assert_eq!(run(&["swerve"]).exit_code, Some(2));
+    assert!(run(&["completions", "bash"]).stdout.contains("postproxy"));
     let folder = env!("CARGO_TARGET_TMPDIR");
     let bad = format!("{folder}/bad-operator.json");
     std::fs::write(&bad, "{\n  \"log\": {\"fromat\": \"json\"}\n}").expect("a file");
-    let (code, _, error) = run(&["check", &bad]);
-    assert_eq!(code, Some(1));
+    let CommandOutcome {
+        exit_code, stderr, ..
+    } = run(&["check", &bad]);
+    assert_eq!(exit_code, Some(1));
     assert!(
-        error.contains("log.fromat") && error.contains("'format'") && error.contains("line 2"),
-        "{error}"
+        stderr.contains("log.fromat") && stderr.contains("'format'") && stderr.contains("line 2"),
+        "{stderr}"
     );
     let good = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.json");
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
-    let (code, said, error) = run(&["check", good, "--config", example]);
-    assert!(code == Some(0) && said.contains("sound"), "{error}");
+    let outcome = run(&["check", good, "--config", example]);
+    assert!(
+        outcome.exit_code == Some(0) && outcome.stdout.contains("sound"),
+        "{}",
+        outcome.stderr
+    );
 }
 
-/// Guards against a trial that needs anything else to run, or that ends well though jobs failed or ran twice.
+/// A trial needs nothing else to run, serves all requests, and runs each of them once.
 #[test]
-fn a_trial_runs_by_itself() {
+fn a_trial_runs_without_any_set_up_and_runs_each_request_once() {
     let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
         .args(["try", "--jobs", "5"])
         .env_clear()
@@ -234,44 +256,44 @@
     }
 }
 
-/// Guards against tools that can't read what the node has written, that make a folder which is not there, or
-/// that say nothing of damage.
-#[test]
-fn a_store_can_be_looked_at() {
-    use postproxy_idempotency::{Limits, RequestIdentity, RequestLog, Write as Change};
-    use postproxy_store::{Change as Op, Engine, Options, OsDisk};
-    let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
-        .join(format!("tools-{}", std::process::id()));
-    let dir = folder.to_str().expect("a plain path");
-    let run = |args: &[&str]| {
-        let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
-            .arg("store")
-            .args(args)
-            .output();
-        let output = output.expect("the program starts");
-        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        (
-            output.status.code(),
-            text(&output.stdout),
-            text(&output.stderr),
-        )
-    };
-    assert!(run(&["stat", dir]).0 == Some(1) && !folder.exists());
-    let mut ledger = RequestLog::new(Limits::default());
-    let disk = OsDisk::new(&folder).expect("a folder");
-    let mut engine = Engine::open(vec![disk], Options::default(), "a test", 7, 0)
-        .expect("a store")
-        .0;
-    for n in 0..3 {
-        let id = format!("job-{n}");
-        let asked = RequestIdentity {
+/// The store's folder of a test, which is removed in the end.
+struct StoreFolder(PathBuf);
+
+impl StoreFolder {
+    fn path(&self) -> &Path {
+        &self.0
+    }
+
+    /// Runs a subcommand of `store` on the folder.
+    fn run(&self, subcommand: &str) -> CommandOutcome {
+        run(&["store", subcommand, self.0.to_str().expect("a plain path")])
+    }
+}
+
+impl Drop for StoreFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+/// Opens the store in a folder, and writes the records of three requests into it.
+fn write_three_requests(folder: &Path) -> postproxy_store::Engine<postproxy_store::OsDisk> {
+    use postproxy_idempotency::{Limits, RequestIdentity, RequestLog, Write as RecordWrite};
+    use postproxy_store::{Change, Engine, Options, OsDisk};
+    let mut log = RequestLog::new(Limits::default());
+    let disk = OsDisk::new(folder).expect("a folder");
+    let (mut engine, _) =
+        Engine::open(vec![disk], Options::default(), "a test", 7, 0).expect("a store");
+    for number in 0..3 {
+        let id = format!("job-{number}");
+        let request = RequestIdentity {
             id: &id,
             idempotency_key: Some("k"),
             class: "day-plan",
             digest: [7; 32],
         };
-        for write in ledger.record_attempt_intent(4e9, &asked, "s-1", 4e9 + 12.0) {
-            let Change::Put {
+        for write in log.record_attempt_intent(4e9, &request, "s-1", 4e9 + 12.0) {
+            let RecordWrite::Put {
                 key,
                 value,
                 expires_at_ms,
@@ -280,7 +302,7 @@
                 panic!("a put")
             };
             engine
-                .append(&[Op::Put {
+                .append(&[Change::Put {
                     key: &key,
                     value: &value,
                     until: expires_at_ms,
@@ -289,38 +311,57 @@
             engine.commit().expect("durable");
         }
     }
-    assert!(
-        run(&["stat", dir]).2.contains("is held by a test"),
-        "{:?}",
-        run(&["stat", dir])
-    );
-    drop(engine);
-    let (code, said, _) = run(&["dump", dir]);
-    assert_eq!((code, said.lines().count()), (Some(0), 3));
-    assert!(
-        said.contains(r#""job":"job-1""#) && said.contains(r#""worker":"s-1""#),
-        "{said}"
-    );
-    assert!(run(&["stat", dir]).1.contains("records      3"));
-    assert_eq!(run(&["verify", dir]).0, Some(0));
-    // The first frame behind the header is changed.
-    let file = std::fs::read_dir(&folder)
+    engine
+}
+
+/// Returns the path of the store's first segment file.
+fn segment_file(folder: &Path) -> PathBuf {
+    std::fs::read_dir(folder)
         .expect("a folder")
         .flatten()
         .map(|file| file.path())
         .find(|path| path.extension().is_some_and(|end| end == "seg"))
-        .expect("a file");
-    let bytes = std::fs::read(&file).expect("a file");
-    let mut damaged = bytes.clone();
-    damaged[70] ^= 1;
-    std::fs::write(&file, damaged).expect("it is written");
-    let (code, said, error) = run(&["verify", dir]);
+        .expect("a file")
+}
+
+/// `store` reads what the node has written, names the holder of a store in use, doesn't create a missing folder, and reports
+/// damage.
+#[test]
+fn store_commands_read_verify_and_compact_a_store() {
+    let folder = StoreFolder(
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tools-{}", std::process::id())),
+    );
+    assert!(folder.run("stat").exit_code == Some(1) && !folder.path().exists());
+    let engine = write_three_requests(folder.path());
+    let stderr = folder.run("stat").stderr;
+    assert!(stderr.contains("is held by a test"), "{stderr}");
+    drop(engine);
+    let dump = folder.run("dump");
+    assert_eq!((dump.exit_code, dump.stdout.lines().count()), (Some(0), 3));
+    assert!(
+        dump.stdout.contains(r#""job":"job-1""#) && dump.stdout.contains(r#""worker":"s-1""#),
+        "{}",
+        dump.stdout
+    );
+    assert!(folder.run("stat").stdout.contains("records      3"));
+    assert_eq!(folder.run("verify").exit_code, Some(0));
+    // The first frame after the header is damaged.
+    let file = segment_file(folder.path());
+    let sound_bytes = std::fs::read(&file).expect("a file");
+    let mut damaged_bytes = sound_bytes.clone();
+    damaged_bytes[70] ^= 1;
+    std::fs::write(&file, damaged_bytes).expect("it is written");
+    let verify = folder.run("verify");
     assert!(
-        code == Some(1) && said.contains("are lost") && error.contains("lost"),
-        "{said}{error}"
+        verify.exit_code == Some(1)
+            && verify.stdout.contains("are lost")
+            && verify.stderr.contains("lost"),
+        "{}{}",
+        verify.stdout,
+        verify.stderr
     );
-    std::fs::write(&file, bytes).expect("it is written");
-    assert_eq!(run(&["compact", dir]).0, Some(0));
-    assert!(run(&["verify", dir]).1.contains("3 records"));
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    std::fs::write(&file, sound_bytes).expect("it is written");
+    assert_eq!(folder.run("compact").exit_code, Some(0));
+    assert!(folder.run("verify").stdout.contains("3 records"));
+    std::fs::remove_dir_all(folder.path()).expect("it was there");
 }
