--- a/crates/version-tracking/src/auditor.rs
+++ b/crates/version-tracking/src/auditor.rs
@@ -214,7 +214,7 @@
                 events.push(AuditorEvent::VersionFaulty {
                     line: *line,
                     number: newest.number,
-                    reason: format!("most still hold {of_majority}"),
+                    reason: format!("the majority is still at version {of_majority}"),
                 });
             }
         }
@@ -291,7 +291,7 @@
                 line,
                 number,
                 reason: format!(
-                    "to shut out {} would leave {remaining_count} of {member_count}",
+                    "excluding {} would leave {remaining_count} of {member_count} members",
                     nodes.join(", "),
                 ),
             });
@@ -339,7 +339,7 @@
             node,
             line,
             state: NodeState::Excluded,
-            reason: format!("it is below the floor {floor}"),
+            reason: format!("below the floor {floor}"),
         });
     }
 }
@@ -359,24 +359,30 @@
     let has_caught_up = number >= majority.number.max(decisions.floor(line));
     match node.state {
         NodeState::Current if is_behind => {
-            let reason = format!("it holds {number}, most hold {}", majority.number);
+            let reason = format!(
+                "version {number} is older than {} of the majority",
+                majority.number
+            );
             Step::Change(NodeState::Behind, reason)
         }
-        NodeState::Behind if has_caught_up => {
-            Step::Change(NodeState::Current, format!("it holds {number}"))
-        }
+        NodeState::Behind if has_caught_up => Step::Change(
+            NodeState::Current,
+            format!("caught up with version {number}"),
+        ),
         NodeState::Behind if now_ms >= node.since_ms + timing.grace_ms => Step::Exclude,
-        NodeState::Excluded if has_caught_up => {
-            Step::Change(NodeState::CatchingUp, format!("it holds {number}"))
-        }
+        NodeState::Excluded if has_caught_up => Step::Change(
+            NodeState::CatchingUp,
+            format!("caught up with version {number}"),
+        ),
         // A node that falls behind again before it is readmitted starts over.
-        NodeState::CatchingUp if !has_caught_up => {
-            Step::Change(NodeState::Excluded, format!("it holds {number} again"))
-        }
+        NodeState::CatchingUp if !has_caught_up => Step::Change(
+            NodeState::Excluded,
+            format!("behind again with version {number}"),
+        ),
         NodeState::CatchingUp
             if now_ms >= node.since_ms + readmission_ms(timing, decisions, name) =>
         {
-            Step::Change(NodeState::Current, "let back".to_owned())
+            Step::Change(NodeState::Current, "readmitted".to_owned())
         }
         _ => Step::Stay,
     }
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -48,8 +48,8 @@
         self.status == Ok(status)
     }
 
-    /// Returns the word for the outcome in the output.
-    fn word(&self) -> &str {
+    /// Returns the name of the outcome in the output.
+    fn label(&self) -> &str {
         match &self.status {
             Ok(200) => "served",
             Ok(503) => "refused",
@@ -184,7 +184,7 @@
                 "{:>7.1} ms  {:<14} {}",
                 outcome.latency.as_secs_f64() * 1e3,
                 outcome.id,
-                outcome.word()
+                outcome.label()
             );
         })
         .collect()
