--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -35,4 +35,4 @@
 pub use limits::Limits;
 pub use lookup::{Lookup, RequestIdentity};
 pub use record::{Attempt, AttemptOutcome, RequestRecord, Stage};
-pub use request_log::{RequestLog, Write};
+pub use request_log::{AttemptFailure, RequestLog, Write};
--- a/crates/idempotency/src/request_log.rs
+++ b/crates/idempotency/src/request_log.rs
@@ -29,6 +29,15 @@
     },
 }
 
+/// How an attempt ended that didn't serve its request.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum AttemptFailure {
+    /// It never ran.
+    NeverRan,
+    /// It may have run.
+    MayHaveRun,
+}
+
 /// A request in the log, and what this process knows of it.
 #[derive(Debug)]
 struct Entry {
@@ -212,13 +221,13 @@
         vec![self.store(request.id, record, InFlight::Yes)]
     }
 
-    /// Records that the attempt with this number has ended without serving the request, and whether it may have run.
+    /// Records that the attempt with this number has ended without serving the request.
     pub fn record_attempt_ended(
         &mut self,
         now: f64,
         id: &str,
         attempt: usize,
-        may_have_run: bool,
+        failure: AttemptFailure,
     ) -> Vec<Write> {
         if !self.is_attempt_in_flight(id, attempt) {
             return Vec::new();
@@ -226,10 +235,9 @@
         let Some(mut entry) = self.remove(id) else {
             return Vec::new();
         };
-        entry.record.attempts[attempt].outcome = if may_have_run {
-            AttemptOutcome::MayHaveRun
-        } else {
-            AttemptOutcome::NeverRan
+        entry.record.attempts[attempt].outcome = match failure {
+            AttemptFailure::NeverRan => AttemptOutcome::NeverRan,
+            AttemptFailure::MayHaveRun => AttemptOutcome::MayHaveRun,
         };
         self.prolong(&mut entry.record, now);
         vec![self.store(id, entry.record, InFlight::Yes)]
--- a/crates/idempotency/tests/request_log.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -2,7 +2,8 @@
 //! any part of the last writes.
 
 use postproxy_idempotency::{
-    Completion, Limits, Lookup, RequestIdentity, RequestLog, Resolution, Write, result_key,
+    AttemptFailure, Completion, Limits, Lookup, RequestIdentity, RequestLog, Resolution, Write,
+    result_key,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashMap};
@@ -91,7 +92,7 @@
 fn only_a_request_that_never_ran_is_new_again() {
     let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
     disk.write(log.record_attempt_intent(100.0, &identity("a", None), "w-1", 112.0));
-    disk.write(log.record_attempt_ended(100.1, "a", 0, false));
+    disk.write(log.record_attempt_ended(100.1, "a", 0, AttemptFailure::NeverRan));
     let restarted = disk.restart(Limits::default());
     assert_eq!(
         restarted.lookup(&identity("a", None)),
@@ -112,7 +113,7 @@
     assert_eq!(callback.resolution, Resolution::NeverRan);
     assert_eq!(log.lookup(&identity("a", None)), Lookup::New);
     disk.write(log.record_attempt_intent(102.0, &identity("a", None), "w-1", 112.0));
-    disk.write(log.record_attempt_ended(103.0, "a", 0, true));
+    disk.write(log.record_attempt_ended(103.0, "a", 0, AttemptFailure::MayHaveRun));
     disk.write(log.record_finished(103.0, "a"));
     assert_eq!(log.lookup(&identity("a", None)), Lookup::Failed);
     assert_eq!(
@@ -230,14 +231,14 @@
                     let (id, at) = (format!("request-{n}"), n as usize);
                     if let Some(attempt) = in_flight[at].take() {
                         runs[at] = 0;
-                        unsynced.push(log.record_attempt_ended(now, &id, attempt, false));
+                        unsynced.push(log.record_attempt_ended(now, &id, attempt, AttemptFailure::NeverRan));
                         unsynced.push(log.record_finished(now, &id));
                     }
                 }
                 Step::MayHaveRun(n) => {
                     let (id, at) = (format!("request-{n}"), n as usize);
                     if let Some(attempt) = in_flight[at].take() {
-                        unsynced.push(log.record_attempt_ended(now, &id, attempt, true));
+                        unsynced.push(log.record_attempt_ended(now, &id, attempt, AttemptFailure::MayHaveRun));
                         unsynced.push(log.record_finished(now, &id));
                     }
                 }
--- a/crates/idempotency/tests/surface_bytes.rs
+++ b/crates/idempotency/tests/surface_bytes.rs
@@ -2,8 +2,8 @@
 //! so these bytes must not change with a rename. The literals were written by the version before the renames.
 
 use postproxy_idempotency::{
-    Attempt, AttemptOutcome, Limits, RequestIdentity, RequestLog, RequestRecord, Stage, Write,
-    request_id, request_key, result_key,
+    Attempt, AttemptFailure, AttemptOutcome, Limits, RequestIdentity, RequestLog, RequestRecord,
+    Stage, Write, request_id, request_key, result_key,
 };
 
 /// Returns the bytes as lower-case hexadecimal digits.
@@ -169,7 +169,7 @@
         digest: [7; 32],
     };
     let mut writes = log.record_attempt_intent(100.0, &identity, "w-1", 112.0);
-    writes.extend(log.record_attempt_ended(101.0, "a", 0, true));
+    writes.extend(log.record_attempt_ended(101.0, "a", 0, AttemptFailure::MayHaveRun));
     writes.extend(log.record_attempt_intent(102.0, &identity, "w-2", 112.0));
     writes.extend(log.record_served(103.0, "a", b"result"));
     let other = RequestIdentity {
@@ -178,7 +178,7 @@
         ..identity
     };
     writes.extend(log.record_attempt_intent(104.0, &other, "w-3", 112.0));
-    writes.extend(log.record_attempt_ended(105.0, "b", 0, false));
+    writes.extend(log.record_attempt_ended(105.0, "b", 0, AttemptFailure::NeverRan));
     writes.extend(log.record_finished(106.0, "b"));
     let expected: &[&str] = &[
         "put j/a 01016301016b0707070707070707070707070707070707070707070707070707070707070707000103772d310080eb06a0eae101 3700000",
--- /dev/null
+++ b/crates/version-tracking/tests/audit_log.rs
@@ -0,0 +1,57 @@
+//! The audit log: its chain of hashes and its compaction.
+
+use postproxy_version_tracking::{AuditEvent, AuditLog, Source, VersionKind, VersionRecord};
+
+/// A version of the worker list with this number.
+fn version(number: u64) -> VersionRecord {
+    VersionRecord {
+        generation: 1,
+        number,
+        digest: number,
+    }
+}
+
+/// A log that is changed anywhere no longer chains, and its length is bounded.
+#[test]
+fn a_change_anywhere_in_the_log_is_detected_and_old_entries_are_compacted() {
+    let mut log = AuditLog::new(5, 8);
+    for n in 1..=40u64 {
+        log.count_actions(n);
+        log.record_adoption(5 + n, VersionKind::WorkerList, version(n), Source::Own);
+        let entries: Vec<_> = log.entries().cloned().collect();
+        assert!(
+            entries.len() <= 8 && AuditLog::verify(&entries).is_ok(),
+            "{n}"
+        );
+        let action_count: u64 = entries.iter().map(|entry| entry.action_count).sum();
+        assert_eq!(
+            action_count,
+            (1..=n).sum::<u64>(),
+            "a compacted entry still counts its actions"
+        );
+    }
+    let entries: Vec<_> = log.entries().cloned().collect();
+    assert!(
+        matches!(entries[0].event, AuditEvent::Compacted(34)),
+        "{:?}",
+        entries[0]
+    );
+    // The content of the first entry is gone; its hash and all later entries can't be changed undetected.
+    for at in 1..entries.len() {
+        for change in 0..5 {
+            let mut bad = entries.clone();
+            match change {
+                0 => bad[at].action_count += 1,
+                1 => bad[at].at_ms ^= 1,
+                2 => {
+                    bad[at].event =
+                        AuditEvent::Adopted(VersionKind::WorkerList, version(99), Source::Own)
+                }
+                3 => bad[at].hash[31] ^= 1,
+                _ => drop(bad.remove(at)),
+            }
+            let last = at + 1 == entries.len() && change == 4;
+            assert!(last || AuditLog::verify(&bad).is_err(), "{at} {change}");
+        }
+    }
+}
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -12,6 +12,7 @@
     Answer, AttemptEnd, AttemptId, ClientId, Command, Input, Load, RequestTimer, Submission, Wait,
 };
 use postproxy_handover::StateUpdate;
+use postproxy_idempotency::AttemptFailure;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -426,10 +427,15 @@
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker)
             && outcome != Outcome::Ok
         {
+            let failure = if never {
+                AttemptFailure::NeverRan
+            } else {
+                AttemptFailure::MayHaveRun
+            };
             let writes =
                 keeping
                     .ledger
-                    .record_attempt_ended(now, &t.payload.id, attempt.into(), !never);
+                    .record_attempt_ended(now, &t.payload.id, attempt.into(), failure);
             if !writes.is_empty() {
                 self.writes
                     .push((writes, Wait::Nobody(t.payload.id.clone())));
