--- a/benches/node.rs
+++ b/benches/node.rs
@@ -15,8 +15,8 @@
 
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
-use postproxy::operator_config::{FleetSection, Operator, StoreSection};
-use postproxy::stand_ins::{Discovery, Worker, ask};
+use postproxy::operator_config::{FleetSection, OperatorConfig, StoreSection};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::Process;
 use std::io::Write;
 use std::net::{IpAddr, SocketAddr, TcpListener};
@@ -61,14 +61,14 @@
 /// The sections of three nodes of one cluster.
 fn cluster_of_three() -> Vec<FleetSection> {
     // Addresses of their own: a port that is free for datagrams may be in use for streams.
-    let seeds: Vec<String> = postproxy_fault_injection::addresses(3)
+    let seeds: Vec<String> = postproxy_fault_injection::loopback_addresses(3)
         .into_iter()
         .map(|ip| format!("{ip}:7946"))
         .collect();
     let section = |listen: &String| {
         let fleet = serde_json::json!({"cluster": "bench", "listen": listen, "seeds": seeds, "voters": ["n0"]});
         let text = serde_json::json!({"fleet": fleet}).to_string();
-        Operator::from_json(&text)
+        OperatorConfig::from_json(&text)
             .expect("a section")
             .fleet
             .expect("it is there")
@@ -148,7 +148,7 @@
             ("X-Deadline", "10"),
             ("Connection", "close"),
         ];
-        match ask(node, "POST", "/day-plan/x", &fields, b"work") {
+        match send_request(node, "POST", "/day-plan/x", &fields, b"work") {
             Ok(answer) if answer.status == 200 => {
                 results.served += 1;
                 let micros = began.elapsed().as_micros() as u64;
@@ -180,7 +180,7 @@
         })
         .collect();
     let address = node.address;
-    workers.iter().for_each(|worker| worker.reports_to(address));
+    workers.iter().for_each(|worker| worker.report_to(address));
     thread::sleep(Duration::from_millis(200));
 
     let start = Instant::now();
@@ -293,7 +293,7 @@
 /// Starts so many processes at once and prints their calls to discovery: all in 5 s without a list, the most in a tenth
 /// of a second in the first second, from then on, and after there is a list.
 fn measure_mass_start(count: usize, cluster: bool) {
-    let addresses = postproxy_fault_injection::addresses(count as u8);
+    let addresses = postproxy_fault_injection::loopback_addresses(count as u8);
     let discovery = SilentDiscovery::start();
     let folder =
         std::env::temp_dir().join(format!("postproxy-mass-{}-{cluster}", std::process::id()));
--- a/crates/coordination/tests/simulation/effects.rs
+++ b/crates/coordination/tests/simulation/effects.rs
@@ -52,7 +52,7 @@
                 let permit = coordinator.permit(self.clock(n), "audit");
                 let state =
                     permit.map_or(String::new(), |permit| format!("owner {}", permit.token()));
-                self.timeline.state(self.now, n, state);
+                self.timeline.set_state(self.now, n, state);
             }
         }
     }
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -182,13 +182,13 @@
             &mut out,
         );
         self.nodes[n].coordinator = Some(coordinator);
-        self.timeline.state(self.now, n, "");
+        self.timeline.set_state(self.now, n, "");
         self.carry_out(n, out);
         self.reconnect_all(n);
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.timeline.state(self.now, n, "dead");
+        self.timeline.set_state(self.now, n, "dead");
         let node = &mut self.nodes[n];
         node.coordinator = None;
         node.paused_until = 0;
@@ -262,7 +262,7 @@
             }
             Event::LeaseLost { lease, token } if lease == "audit" => {
                 self.timeline
-                    .event(self.now, n, format!("gives up {token}"));
+                    .add_event(self.now, n, format!("gives up {token}"));
             }
             Event::LeaseAcquired { lease, value, .. } => {
                 let value = value.try_into().map(u64::from_be_bytes).unwrap_or_default();
--- a/crates/coordination/tests/timelines.rs
+++ b/crates/coordination/tests/timelines.rs
@@ -51,7 +51,7 @@
     let (mut sim, owner) = run_until_owned(2);
     run(&mut sim, 1000);
     sim.nodes[owner].paused_until = sim.now + 6000;
-    sim.timeline.event(sim.now, owner, "stopped for 6 s");
+    sim.timeline.add_event(sim.now, owner, "stopped for 6 s");
     run(&mut sim, 8000);
     assert_timeline(&sim, "asleep");
 }
@@ -64,12 +64,12 @@
     for other in (0..4).filter(|other| *other != owner) {
         sim.cut_links.extend([(owner, other), (other, owner)]);
     }
-    sim.timeline.event(sim.now, owner, "cut off");
+    sim.timeline.add_event(sim.now, owner, "cut off");
     run(&mut sim, 6000);
     for (a, b) in std::mem::take(&mut sim.cut_links) {
         sim.reconnect(a, b);
     }
-    sim.timeline.all(sim.now, "healed");
+    sim.timeline.add_global_event(sim.now, "healed");
     run(&mut sim, 3000);
     assert_timeline(&sim, "cut-off");
 }
--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -89,7 +89,7 @@
         Error::InvalidName => 400,
         Error::Rejected(_) | Error::WouldLoseMajority { .. } | Error::VoterCount => 409,
     };
-    let body = serde_json::to_string(&error.told()).unwrap_or_default() + "\n";
+    let body = serde_json::to_string(&error.error_body()).unwrap_or_default() + "\n";
     AdminResponse { status, body }
 }
 
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -5,7 +5,7 @@
     self, AdminRequest, CoordinationEffect, CoordinationService,
 };
 use crate::net::cluster::peer_connections::{PeerConnections, PeerMessage};
-use crate::net::cluster::versions::{self, Audit};
+use crate::net::cluster::versions::{self, VersionService};
 use crate::net::store_adapter::RecoveredState;
 use crate::net::transport::reactor::{Reactor, SocketOwner, Timer};
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection};
@@ -14,7 +14,7 @@
     MemberState, Membership, MembershipEvent, Output, Rejection, Suspension,
 };
 use postproxy_streams::Streams;
-use postproxy_version_tracking::{Kind, Source, VersionRecord};
+use postproxy_version_tracking::{Source, VersionKind, VersionRecord};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -50,7 +50,7 @@
     /// Answer a caller at the door.
     Tell(usize, u16, String),
     /// That node wants what this one holds of a kind: [`ClusterService::send_worker_list`].
-    Give(String, Kind),
+    Give(String, VersionKind),
     /// That node passes on a list of this generation.
     Passed(String, u64, Vec<u8>),
 }
@@ -112,7 +112,7 @@
     /// What the nodes decide together, where that is on.
     coordination: Option<CoordinationService>,
     /// Which node acts on which version, where that is on.
-    audit: Option<Audit>,
+    audit: Option<VersionService>,
     /// When it is settled, if that is to come.
     settled: f64,
 }
@@ -128,10 +128,13 @@
         let mut todo = Vec::new();
         for heard in heard {
             match heard {
-                PeerMessage::Word(from, _, word) if word.starts_with(&versions::PREFIX) => {
+                PeerMessage::Word(from, _, word)
+                    if word.starts_with(&versions::WORKER_LIST_PREFIX) =>
+                {
                     if self.audit.is_some()
-                        && let Ok((generation, body)) =
-                            postcard::take_from_bytes::<u64>(&word[versions::PREFIX.len()..])
+                        && let Ok((generation, body)) = postcard::take_from_bytes::<u64>(
+                            &word[versions::WORKER_LIST_PREFIX.len()..],
+                        )
                     {
                         self.passed.push((from, generation, body.to_vec()));
                     }
@@ -229,7 +232,7 @@
                 "fleet: the node's name '{name}' must have 1 to 64 bytes"
             ));
         }
-        let restored = postcard::from_bytes(&kept.bans).unwrap_or_default();
+        let restored = postcard::from_bytes(&kept.suspensions).unwrap_or_default();
         let (place, callers) = (None, HashMap::new());
         let (look, logged) = ((0, f64::INFINITY), (0, reactor.now));
         let name = name.to_owned();
@@ -241,7 +244,7 @@
             place,
             over: false,
             restored,
-            council: kept.council,
+            council: kept.coordination_records,
             look,
             callers,
             told: (0, (0, 1)),
@@ -266,10 +269,10 @@
         let (socket, peer_connections) = self.sockets(reactor, seed)?;
         let key = reactor.register(&socket, SocketOwner::Peers)?;
         reactor.rearm(&socket, key, (true, false));
-        let told = self.section.told(socket.local_addr()?);
+        let told = self.section.advertised_address(socket.local_addr()?);
         let started = (reactor.now * 1000.0) as u64;
         let mut members = Membership::new(
-            self.section.settings(),
+            self.section.membership_settings(),
             &self.name,
             told,
             started,
@@ -299,9 +302,9 @@
             .unzip();
         let audit = self.audit.as_ref().map(|section| {
             let set = postproxy_version_tracking::Settings {
-                beat_ms: section.beat_ms,
+                gossip_interval_ms: section.beat_ms,
             };
-            Audit::new(set, &self.name, reactor.now, seed)
+            VersionService::new(set, &self.name, reactor.now, seed)
         });
         let passed = Vec::new();
         self.place = Some(Place {
@@ -355,7 +358,7 @@
                     .coordination
                     .as_ref()
                     .map(CoordinationService::next_turn_at),
-                place.audit.as_ref().map(Audit::next),
+                place.audit.as_ref().map(VersionService::next_timer),
             ]
             .into_iter()
             .flatten()
@@ -410,7 +413,7 @@
                 todo.extend(coordination.run_turn(reactor.now));
             }
             if let Some(audit) = place.audit.as_mut() {
-                told = audit.due(reactor.now);
+                told = audit.handle_timer(reactor.now);
             }
             if place.settled <= reactor.now {
                 // As long as it is none of the nodes, it does not know what they have said.
@@ -430,15 +433,17 @@
     }
 
     /// Says what the audit wants said; what is wanted of this node goes up.
-    fn tell(&mut self, told: Vec<versions::Do>, out: &mut Vec<Output>) -> Vec<Event> {
+    fn tell(&mut self, told: Vec<versions::VersionAction>, out: &mut Vec<Output>) -> Vec<Event> {
         let mut events = Vec::new();
         for one in told {
             match (one, &mut self.place) {
-                (versions::Do::Say(to, bytes), Some(place)) => {
+                (versions::VersionAction::Send { to, bytes }, Some(place)) => {
                     place.members.say_part(&to, &bytes, out);
                 }
-                (versions::Do::Give(to, kind), _) => events.push(Event::Give(to, kind)),
-                (versions::Do::Say(..), None) => {}
+                (versions::VersionAction::SendContent { to, kind }, _) => {
+                    events.push(Event::Give(to, kind))
+                }
+                (versions::VersionAction::Send { .. }, None) => {}
             }
         }
         events
@@ -458,7 +463,8 @@
         acts: u64,
     ) -> Vec<Event> {
         let audit = self.place.as_mut().and_then(|place| place.audit.as_mut());
-        let told = audit.map(|audit| audit.adopt(reactor.now, Kind::List, stand, source, acts));
+        let told = audit
+            .map(|audit| audit.adopt(reactor.now, VersionKind::WorkerList, stand, source, acts));
         let mut out = Vec::new();
         let mut events = self.tell(told.unwrap_or_default(), &mut out);
         events.extend(self.carry(reactor, out));
@@ -483,7 +489,8 @@
         body: &[u8],
     ) {
         let Some(place) = &mut self.place else { return };
-        let word = postcard::to_extend(&generation, versions::PREFIX.to_vec()).unwrap_or_default();
+        let word = postcard::to_extend(&generation, versions::WORKER_LIST_PREFIX.to_vec())
+            .unwrap_or_default();
         if let Some(at) = place.address(to) {
             // One that is too much or gets lost is asked for again.
             let _ = place
@@ -494,12 +501,12 @@
 
     /// Which node acts on which version, as the door shows it.
     pub fn versions_json(&self, now: f64) -> Option<String> {
-        Some(self.place.as_ref()?.audit.as_ref()?.versions(now))
+        Some(self.place.as_ref()?.audit.as_ref()?.versions_json(now))
     }
 
     /// What this node has acted on, as the door shows it.
     pub fn audit_log_json(&self, acts: u64) -> Option<String> {
-        Some(self.place.as_ref()?.audit.as_ref()?.trail(acts))
+        Some(self.place.as_ref()?.audit.as_ref()?.audit_log_json(acts))
     }
 
     /// Does what is decided together.
@@ -775,7 +782,8 @@
                 }
                 Output::MembershipEvent(MembershipEvent::Part(from, word)) => {
                     let audit = self.place.as_mut().and_then(|place| place.audit.as_mut());
-                    let told = audit.map(|audit| audit.heard(reactor.now, &from.name, &word));
+                    let told =
+                        audit.map(|audit| audit.handle_datagram(reactor.now, &from.name, &word));
                     let mut more = Vec::new();
                     events.extend(self.tell(told.unwrap_or_default(), &mut more));
                     out.extend(more);
@@ -820,7 +828,7 @@
             };
             let peers = place.members.others().filter_map(there).collect();
             if let Some(audit) = self.place.as_mut().and_then(|place| place.audit.as_mut()) {
-                audit.peers(peers);
+                audit.set_peers(peers);
             }
             if std::mem::replace(&mut self.told, told) != told {
                 events.push(Event::Nodes(told.0, told.1));
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -26,7 +26,7 @@
 use crate::net::lifecycle::{Lifecycle, Stage};
 use crate::net::management::ManagementServer;
 use crate::net::requests::manager::RequestManager;
-use crate::net::store_adapter::StoreAdapter;
+use crate::net::store_adapter::{CoordinationWriteOutcome, StoreAdapter};
 use crate::net::transport::reactor::{self, Clock, Reactor, SocketOwner};
 use crate::net::upstream::attempts::Attempts;
 use crate::net::upstream::worker_list::WorkerList;
@@ -178,8 +178,8 @@
             .store
             .as_mut()
             .and_then(|store| store.handle_ready(&mut self.reactor));
-        if let Some(durable) = written {
-            self.complete_coordination_write(durable);
+        if let Some(outcome) = written {
+            self.complete_coordination_write(outcome == CoordinationWriteOutcome::Durable);
         }
     }
 
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -17,7 +17,7 @@
 use crate::net::messages::{Input, Member, RequestTimer, Wait};
 use crate::net::requests::durability::DurabilityPolicy;
 use crate::net::requests::manager::RequestManager;
-use crate::net::store_adapter::{RecoveredState, StoreAdapter};
+use crate::net::store_adapter::{RecoveredState, StartedStore, StoreAdapter};
 use crate::net::transport::reactor::{self, Clock, Reactor, Timer};
 use crate::net::upstream::attempts::Attempts;
 use crate::net::upstream::worker_list::{DiscoveryList, WorkerList};
@@ -156,12 +156,16 @@
     let Some(section) = &config.store else {
         return Ok(None);
     };
-    let (adapter, mut request_log, state) = StoreAdapter::start(reactor, section, &config.name)?;
+    let StartedStore {
+        adapter,
+        mut request_log,
+        recovered: state,
+    } = StoreAdapter::start(reactor, section, &config.name)?;
     *recovered = state;
-    if let Some(list) = recovered.list.take() {
+    if let Some(list) = recovered.worker_list.take() {
         config.cached_list = list.select_initial_list(config.cached_list.take(), config.discovery);
     }
-    let initial_writes = request_log.loaded();
+    let initial_writes = request_log.finish_loading();
     let durability = DurabilityPolicy::new(
         &config.settings,
         request_log,
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -12,6 +12,7 @@
     Answer, AttemptEnd, AttemptId, ClientId, Command, Input, Load, RequestTimer, Submission, Wait,
 };
 use postproxy_handover::StateUpdate;
+use postproxy_idempotency::AttemptFailure;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -185,7 +186,7 @@
                 };
                 keeping.broken = !sound;
                 let anew = if sound {
-                    keeping.ledger.rewrite()
+                    keeping.ledger.rewrite_unwritten()
                 } else {
                     Vec::new()
                 };
@@ -281,7 +282,7 @@
                 timer: RequestTimer::Expire,
             } => {
                 if let Some(keeping) = &mut self.keeping {
-                    keeping.ledger.expire(now);
+                    keeping.ledger.remove_expired(now);
                     out.push(Command::SetTimer {
                         at: now + EXPIRY,
                         timer: RequestTimer::Expire,
@@ -426,9 +427,15 @@
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker)
             && outcome != Outcome::Ok
         {
-            let writes = keeping
-                .ledger
-                .ended(now, &t.payload.id, attempt.into(), !never);
+            let failure = if never {
+                AttemptFailure::NeverRan
+            } else {
+                AttemptFailure::MayHaveRun
+            };
+            let writes =
+                keeping
+                    .ledger
+                    .record_attempt_ended(now, &t.payload.id, attempt.into(), failure);
             if !writes.is_empty() {
                 self.writes
                     .push((writes, Wait::Nobody(t.payload.id.clone())));
@@ -494,7 +501,7 @@
             self.by_key.remove(&(t.class, key.clone()));
         }
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker) {
-            let writes = keeping.ledger.over(now, &t.payload.id);
+            let writes = keeping.ledger.record_finished(now, &t.payload.id);
             self.write(writes, Wait::Nobody(t.payload.id.clone()));
         }
     }
@@ -593,10 +600,12 @@
             timer: RequestTimer::Attempt(request, attempt),
         });
         if let (Some(keeping), Some(asker)) = (&mut self.keeping, &t.asker) {
-            let writes =
-                keeping
-                    .ledger
-                    .intend(now, &asker.asked(), &self.names[number], t.deadline);
+            let writes = keeping.ledger.record_attempt_intent(
+                now,
+                &asker.asked(),
+                &self.names[number],
+                t.deadline,
+            );
             let id = &t.payload.id;
             let wait = if cleared {
                 Wait::Nobody(id.clone())
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,8 +2,8 @@
 //! the older process, so that each order of events is forced.
 
 use postproxy::net::transport::http::Response;
-use postproxy::stand_ins::{Discovery, Worker, ask};
-use postproxy_fault_injection::{Process, addresses};
+use postproxy::stand_ins::{Discovery, Worker, send_request};
+use postproxy_fault_injection::{Process, loopback_addresses};
 use postproxy_handover::{Link, LinkEvent, Message, Role, StateUpdate, frame, greeting};
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -95,7 +95,7 @@
             .and_then(|a| a.as_socket())
             .expect("an address");
         let workers = vec![Worker::start("s-0", Duration::ZERO).expect("a worker")];
-        workers[0].reports_to(address);
+        workers[0].report_to(address);
         let discovery = Discovery::start(&workers).expect("discovery");
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("hand-{name}-{}", std::process::id()));
@@ -109,7 +109,7 @@
         std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
         let handover_socket =
             UnixListener::bind(folder.join("postproxy-n0.handover")).expect("a handover socket");
-        let management = SocketAddr::new(addresses(1)[0], 8081);
+        let management = SocketAddr::new(loopback_addresses(1)[0], 8081);
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
         command
             .args(["serve", "--log-levels", "error"])
@@ -117,7 +117,7 @@
             .env("RELAY_MGMT", management.to_string())
             .env("RELAY_SOCKET_FD", listener.as_raw_fd().to_string())
             .env("TMPDIR", &folder);
-        let process = Process::of(&mut command).expect("the program starts");
+        let process = Process::spawn(&mut command).expect("the program starts");
         let (stream, _) = handover_socket.accept().expect("it connects");
         stream
             .set_read_timeout(Some(EVENT_TIMEOUT))
@@ -160,7 +160,7 @@
         write!(call, "POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("it is written");
         // Connections are read in the order in which they come.
         assert_eq!(
-            ask(self.management, "GET", "/v1/readyz", &[], b"")
+            send_request(self.management, "GET", "/v1/readyz", &[], b"")
                 .expect("an answer")
                 .status,
             503
@@ -266,7 +266,7 @@
         // Two turns of its loop later the connection is still the older process's to accept.
         for _ in 0..2 {
             assert_eq!(
-                ask(harness.management, "GET", "/v1/readyz", &[], b"")
+                send_request(harness.management, "GET", "/v1/readyz", &[], b"")
                     .expect("an answer")
                     .status,
                 503
@@ -280,7 +280,7 @@
         harness.wait_for_callback_result()?;
         assert!(accepted.is_some(), "the newer process accepted it");
         // From now on the newer process accepts.
-        let answer = ask(
+        let answer = send_request(
             harness.address,
             "GET",
             "/-/ready",
@@ -321,7 +321,7 @@
         let at = harness.address;
         let body = br#"{"id": "held", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = thread::spawn(move || -> Response {
-            ask(
+            send_request(
                 at,
                 "POST",
                 "/v1/job-events",
@@ -340,7 +340,7 @@
         // Other requests are answered meanwhile, the call-back is not acknowledged.
         for _ in 0..5 {
             assert_eq!(
-                ask(harness.management, "GET", "/v1/readyz", &[], b"")
+                send_request(harness.management, "GET", "/v1/readyz", &[], b"")
                     .expect("an answer")
                     .status,
                 200
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -5,10 +5,10 @@
 
 use fleet_harness::{Fleet, MOST};
 use postproxy::net::cluster::service::ClusterStatus;
-use postproxy::stand_ins::ask;
+use postproxy::stand_ins::send_request;
 use postproxy_coordination::{LeaseStatus, NotVotingReason, Status};
 use postproxy_diagnostics::ErrorBody;
-use postproxy_fault_injection::wait;
+use postproxy_fault_injection::{check::NodeLog, wait_until};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 fn node_status(fleet: &Fleet, n: usize) -> Option<Status> {
-    let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
+    let answer = send_request(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
@@ -43,7 +43,7 @@
 /// node that stops acting in between could be taken for the holder of the next owner's token.
 fn wait_for_owner(fleet: &Fleet, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
-    let is_owned = wait(MOST, || {
+    let is_owned = wait_until(MOST, || {
         let leases = nodes
             .iter()
             .filter_map(|n| Some((*n, bans_lease(fleet, *n)?)));
@@ -62,7 +62,7 @@
 }
 
 fn post(fleet: &Fleet, n: usize, path: &str) -> (u16, String) {
-    let answer = ask(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
+    let answer = send_request(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     fleet
         .history
@@ -77,7 +77,10 @@
 /// Returns each token that any of the logs names, with the nodes that have acquired the lease under it.
 fn logged_tokens(fleet: &Fleet) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
-    for (n, _, log) in fleet.logs() {
+    for NodeLog {
+        node: n, text: log, ..
+    } in fleet.logs()
+    {
         for line in log
             .lines()
             .filter(|line| line.contains("lease acquired lease=\"bans\""))
@@ -108,13 +111,13 @@
     let (third, token) = wait_for_owner(&fleet, "another after the pause", &all, token);
     assert_ne!(third, second, "{}", fleet.told());
     assert!(
-        wait(MOST, || fleet.lines(second, "pause detected") >= 1),
+        wait_until(MOST, || fleet.lines(second, "pause detected") >= 1),
         "the pause is logged: {}",
         fleet.told()
     );
     // An owner that is cut off stops at its lease's end, and the others go on.
     let others: Vec<usize> = all.into_iter().filter(|n| *n != third).collect();
-    fleet.net.part(&[third], &others);
+    fleet.net.partition(&[third], &others);
     fleet.history.note(format!("cut off n{third}"));
     let (_, token) = wait_for_owner(&fleet, "another after the cut", &others, token);
     assert!(
@@ -129,7 +132,7 @@
         fleet.kill(n);
     }
     assert!(
-        wait(MOST, || acting_owners(&fleet, &[2, 3]).is_empty()),
+        wait_until(MOST, || acting_owners(&fleet, &[2, 3]).is_empty()),
         "without a majority: {}",
         fleet.told()
     );
@@ -151,8 +154,10 @@
     }
     let (_, last) = wait_for_owner(&fleet, "an owner after all died", &all, token);
     assert!(
-        voters.iter().all(|n| wait(MOST, || node_status(&fleet, *n)
-            .is_some_and(|status| status.is_voter))),
+        voters
+            .iter()
+            .all(|n| wait_until(MOST, || node_status(&fleet, *n)
+                .is_some_and(|status| status.is_voter))),
         "{}",
         fleet.told()
     );
@@ -183,7 +188,7 @@
         })
     };
     assert!(
-        wait(MOST, lost),
+        wait_until(MOST, lost),
         "it has lost its promises: {}",
         fleet.told()
     );
@@ -195,7 +200,7 @@
                 .any(|voter| voter.node == "n2" && voter.promises_lost)
         })
     };
-    assert!(wait(MOST, known), "others know: {}", fleet.told());
+    assert!(wait_until(MOST, known), "others know: {}", fleet.told());
     assert_eq!(
         post(&fleet, 3, "/v1/fleet/voters/n2/add").0,
         200,
@@ -203,7 +208,7 @@
         fleet.told()
     );
     assert!(
-        wait(MOST, || node_status(&fleet, 2)
+        wait_until(MOST, || node_status(&fleet, 2)
             .is_some_and(|status| status.is_voter)),
         "it votes anew: {}",
         fleet.told()
@@ -218,7 +223,7 @@
     // A node that does not vote becomes a voter and is removed again.
     assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
     assert!(
-        wait(MOST, || node_status(&fleet, 3)
+        wait_until(MOST, || node_status(&fleet, 3)
             .is_some_and(|status| status.is_voter)),
         "{}",
         fleet.told()
@@ -232,7 +237,7 @@
     });
     assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
     assert!(
-        wait(MOST, || node_status(&fleet, 3)
+        wait_until(MOST, || node_status(&fleet, 3)
             .is_some_and(|status| !status.is_voter)),
         "{}",
         fleet.told()
@@ -246,7 +251,7 @@
                 .any(|voter| voter.node == "n1" && voter.recently_heard == Some(false))
         })
     };
-    assert!(wait(MOST, dead), "{}", fleet.told());
+    assert!(wait_until(MOST, dead), "{}", fleet.told());
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
     assert_eq!(
         (status, error_body(&text).code.as_str()),
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,8 +1,8 @@
 //! The real program when something is short: descriptors, discovery, or time at a start.
 
 use postproxy::net::transport::http;
-use postproxy::stand_ins::{Discovery, Worker, ask};
-use postproxy_fault_injection::addresses;
+use postproxy::stand_ins::{Discovery, Worker, send_request};
+use postproxy_fault_injection::loopback_addresses;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -34,7 +34,7 @@
 
 /// An address on which nobody listens, and which no other test uses.
 fn unused_address() -> SocketAddr {
-    SocketAddr::new(addresses(1)[0], 8080)
+    SocketAddr::new(loopback_addresses(1)[0], 8080)
 }
 
 fn member(name: &str, at: SocketAddr) -> serde_json::Value {
@@ -80,7 +80,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        ask(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
+        send_request(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
             .is_ok_and(|answer| answer.status == 200)
     }
 
@@ -157,7 +157,7 @@
         ("X-Deadline", "5"),
         ("Connection", "close"),
     ];
-    ask(at, "POST", "/reroute/x", &fields, b"work").ok()
+    send_request(at, "POST", "/reroute/x", &fields, b"work").ok()
 }
 
 /// Guards against a node that can't connect to discovery or to a worker because idle clients hold all its descriptors,
@@ -179,7 +179,7 @@
     wait_until("it is ready", || running.is_ready());
     workers
         .iter()
-        .for_each(|worker| worker.reports_to(running.at));
+        .for_each(|worker| worker.report_to(running.at));
     let mut idle = Vec::new();
     for n in 0..5 {
         refill_idle_connections(running.at, &mut idle, 200);
@@ -242,7 +242,7 @@
         128,
     );
     wait_until("it is ready", || running.is_ready());
-    worker.reports_to(running.at);
+    worker.report_to(running.at);
     let at = running.at;
     let over = std::sync::atomic::AtomicBool::new(false);
     let going = || !over.load(std::sync::atomic::Ordering::SeqCst);
@@ -390,7 +390,7 @@
                 running.is_ready()
             });
             times.push((start.elapsed(), name));
-            worker.reports_to(running.at);
+            worker.report_to(running.at);
             if known.len() == 2 {
                 let served = |n: u32| {
                     submit(running.at, &format!("{behaviour:?}-{n}"))
