--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -1,19 +1,30 @@
-//! Measures fleets in simulation, with told time: `cargo run --release -p postproxy-membership --example measure -- 3 10 30`.
-//! Prints the table of `docs/measure/members.md`; seeds are fixed.
+//! Measures simulated clusters: `cargo run --release -p postproxy-membership --example measure -- 3 10 30`.
+//! Prints the tables of `docs/measure/members.md`; seeds are fixed.
+//!
+//! Arguments: sizes of clusters, each as `NODES`, `NODES:LOSS_PERCENT` or `NODES:LOSS_PERCENT:KILLS`; or `heal` with
+//! sizes; or `hours`.
 
-#[path = "../tests/sim/mod.rs"]
-mod sim;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
 use postproxy_membership::{ClusterHealth, MembershipEvent, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sim::Sim;
+use simulation::Simulation;
 
+/// Shares of datagrams lost that are measured.
 const LOSSES: [f64; 4] = [0.0, 0.01, 0.05, 0.3];
-/// Bytes of a heartbeat: the heads of UDP and IP, the envelope, a sender, a number.
-const BEAT: f64 = 28.0 + 11.0 + 30.0 + 9.0;
+/// Shares of datagrams lost under which the healing of a partition is measured.
+const HEALING_LOSSES: [f64; 3] = [0.0, 0.01, 0.05];
+/// Bytes of an all-to-all heartbeat: the headers of UDP and IP, the envelope, a sender and a number.
+const HEARTBEAT_BYTES: f64 = 28.0 + 11.0 + 30.0 + 9.0;
+/// Failures that are simulated with all-to-all heartbeats.
+const HEARTBEAT_KILLS: usize = 200;
+/// Seconds in an hour.
+const SECONDS_PER_HOUR: f64 = 3600.0;
 
-fn at(sorted: &[f64], share: f64) -> f64 {
+/// Returns the value of sorted samples at a quantile.
+fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     sorted
         .get((last as f64 * share).round() as usize)
@@ -26,256 +37,311 @@
     values
 }
 
-struct Line {
-    first: Vec<f64>,
-    all: Vec<f64>,
+fn is_failure(event: &MembershipEvent) -> bool {
+    matches!(event, MembershipEvent::Failed(_))
+}
+
+/// What is measured of the gossip protocol in one cluster.
+struct SwimMeasurement {
+    /// Seconds from each kill until the first node knows, sorted.
+    first_knows: Vec<f64>,
+    /// Seconds from each kill until all nodes know, sorted.
+    all_know: Vec<f64>,
+    /// Kills that not all nodes knew of after a minute.
     missed: usize,
-    wrong: f64,
+    /// Nodes wrongly declared failed, per hour and node.
+    wrongly_failed: f64,
+    /// Datagrams per second and node.
     datagrams: f64,
+    /// Bytes per second and node.
     bytes: f64,
 }
 
-/// Waits until all know each other, looking each second: to look at each news takes hours of many nodes.
-fn together(sim: &mut Sim) {
+/// Waits until all nodes know each other. It checks each second only: with many nodes a check at each event takes hours.
+fn wait_until_all_agree(simulation: &mut Simulation) {
     for _ in 0..60 {
-        sim.run(1.0);
-        if sim.agree() {
+        simulation.run(1.0);
+        if simulation.all_agree() {
             return;
         }
     }
     println!("not all know each other after 60 s");
 }
 
-/// Kills one node after another, each back after the fleet knows.
-fn swim(count: usize, loss: f64, kills: usize, quiet: f64, seed: u64) -> Line {
-    let mut sim = Sim::new(count, seed, Settings::default());
-    together(&mut sim);
-    sim.run(10.0);
-    sim.faults.loss = loss;
-    let from = sim.now;
-    let sent: Vec<(u64, u64)> = sim.nodes.iter().map(|n| (n.sent, n.bytes)).collect();
-    sim.run(quiet);
-    let wrong =
-        sim.told(from, |news| matches!(news, MembershipEvent::Failed(_))) as f64 / count as f64;
-    let share = 1.0 / (quiet * count as f64);
-    let datagrams: u64 = sim
-        .nodes
-        .iter()
-        .zip(&sent)
-        .map(|(n, (before, _))| n.sent - before)
-        .sum();
-    let bytes: u64 = sim
-        .nodes
-        .iter()
-        .zip(&sent)
-        .map(|(n, (_, before))| n.bytes - before)
-        .sum();
-    let mut line = Line {
-        first: Vec::new(),
-        all: Vec::new(),
+/// Measures an idle cluster for `quiet_seconds`, then kills one node after another, each of which restarts after all
+/// nodes know.
+fn measure_swim(
+    nodes: usize,
+    loss: f64,
+    kills: usize,
+    quiet_seconds: f64,
+    seed: u64,
+) -> SwimMeasurement {
+    let mut simulation = Simulation::new(nodes, seed, Settings::default());
+    wait_until_all_agree(&mut simulation);
+    simulation.run(10.0);
+    simulation.faults.loss = loss;
+    let start = simulation.now;
+    let total = |simulation: &Simulation| {
+        let all = simulation.nodes.iter();
+        let sums = all.map(|node| (node.datagrams_sent, node.bytes_sent));
+        sums.fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
+    };
+    let (datagrams_before, bytes_before) = total(&simulation);
+    simulation.run(quiet_seconds);
+    let (datagrams_after, bytes_after) = total(&simulation);
+    let wrongly_failed = simulation.count_events(start, is_failure) as f64 / nodes as f64;
+    let per_second_and_node = 1.0 / (quiet_seconds * nodes as f64);
+    let mut measurement = SwimMeasurement {
+        first_knows: Vec::new(),
+        all_know: Vec::new(),
         missed: 0,
-        wrong: wrong * 3600.0 / quiet,
-        datagrams: datagrams as f64 * share,
-        bytes: bytes as f64 * share,
+        wrongly_failed: wrongly_failed * SECONDS_PER_HOUR / quiet_seconds,
+        datagrams: (datagrams_after - datagrams_before) as f64 * per_second_and_node,
+        bytes: (bytes_after - bytes_before) as f64 * per_second_and_node,
     };
     for _ in 0..kills {
-        let (victim, wait) = (sim.draw(count), sim.uniform());
-        sim.run(wait);
-        let (name, killed) = (sim.nodes[victim].name.clone(), sim.now);
-        sim.kill(victim);
-        let told = |node: &sim::Node| {
-            let about = |news: &MembershipEvent| matches!(news, MembershipEvent::Failed(id) if *id.name == *name);
-            let mut recent = node.news.iter().rev().take_while(|(at, _)| *at > killed);
-            recent
-                .find(|(_, news)| about(news))
-                .map(|(at, _)| at - killed)
-        };
-        let knows = |sim: &Sim| {
-            sim.living()
-                .filter(|(_, node, _)| told(node).is_some())
-                .count()
-        };
-        // Looked at now and then: the times are those of the news.
-        let mut left = 600;
-        while left > 0 && knows(&sim) < count - 1 {
-            sim.run(0.1);
-            left -= 1;
-        }
-        line.missed += usize::from(left == 0);
-        let times = sorted(sim.nodes.iter().filter_map(told).collect());
-        line.first.extend(times.first());
-        line.all.extend(times.last());
-        sim.start(victim);
-        sim.run(8.0);
+        measure_kill(&mut simulation, &mut measurement);
     }
-    (line.first, line.all) = (sorted(line.first), sorted(line.all));
-    line
+    measurement.first_knows = sorted(measurement.first_knows);
+    measurement.all_know = sorted(measurement.all_know);
+    measurement
 }
 
-/// All-to-all heartbeats: every `period` to everybody, failed after `timeout` without any.
-fn heartbeats(
-    count: usize,
-    loss: f64,
-    kills: usize,
-    period: f64,
-    timeout: f64,
-    seed: u64,
-) -> (f64, f64) {
-    let mut draws = Pcg64Mcg::seed_from_u64(seed);
-    let mut uniform = || (draws.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-    let mut all = Vec::new();
-    for _ in 0..kills {
-        let since = uniform() * period;
-        // Each other node has heard the last beat that was not lost.
-        let times = (1..count).map(|_| {
-            let mut last = since;
+/// Kills a random node, waits until all others know it, and restarts it.
+fn measure_kill(simulation: &mut Simulation, measurement: &mut SwimMeasurement) {
+    let nodes = simulation.nodes.len();
+    let victim = simulation.random_below(nodes);
+    let wait = simulation.uniform();
+    simulation.run(wait);
+    let name = simulation.nodes[victim].name.clone();
+    let killed_at = simulation.now;
+    simulation.kill(victim);
+    let known_after = |node: &simulation::Node| {
+        let is_of_victim = |event: &MembershipEvent| matches!(event, MembershipEvent::Failed(id) if *id.name == *name);
+        let recent = node.events.iter().rev();
+        recent
+            .take_while(|(at, _)| *at > killed_at)
+            .find(|(_, event)| is_of_victim(event))
+            .map(|(at, _)| at - killed_at)
+    };
+    let nodes_that_know = |simulation: &Simulation| {
+        simulation
+            .live_nodes()
+            .filter(|(_, node, _)| known_after(node).is_some())
+            .count()
+    };
+    // The times are those of the events, so a coarse check is enough.
+    let mut checks_left = 600;
+    while checks_left > 0 && nodes_that_know(simulation) < nodes - 1 {
+        simulation.run(0.1);
+        checks_left -= 1;
+    }
+    measurement.missed += usize::from(checks_left == 0);
+    let times = sorted(simulation.nodes.iter().filter_map(known_after).collect());
+    measurement.first_knows.extend(times.first());
+    measurement.all_know.extend(times.last());
+    simulation.start(victim);
+    simulation.run(8.0);
+}
+
+/// What is measured of all-to-all heartbeats.
+struct HeartbeatMeasurement {
+    /// Seconds until all nodes know of a failure, at the 99th percentile.
+    all_know_p99: f64,
+    /// Nodes wrongly declared failed, per hour and node.
+    wrongly_failed: f64,
+}
+
+/// Measures all-to-all heartbeats: one every `period` to every node, which is declared failed after `timeout` without.
+fn measure_heartbeats(nodes: usize, loss: f64, period: f64, timeout: f64) -> HeartbeatMeasurement {
+    let mut rng = Pcg64Mcg::seed_from_u64(9);
+    let mut uniform = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+    let mut all_know = Vec::new();
+    for _ in 0..HEARTBEAT_KILLS {
+        let since_heartbeat = uniform() * period;
+        // Each other node has received the last heartbeat that wasn't lost.
+        let times = (1..nodes).map(|_| {
+            let mut since_received = since_heartbeat;
             while uniform() < loss {
-                last += period;
+                since_received += period;
             }
-            (timeout - last).max(0.0)
+            (timeout - since_received).max(0.0)
         });
-        all.push(times.fold(0.0, f64::max));
+        all_know.push(times.fold(0.0, f64::max));
+    }
+    // A node is wrongly declared failed if this number of its heartbeats is lost in a row.
+    let lost_in_a_row = (timeout / period).round() as i32;
+    let wrongly_failed =
+        loss.powi(lost_in_a_row) * (1.0 - loss) * (nodes - 1) as f64 * SECONDS_PER_HOUR / period;
+    HeartbeatMeasurement {
+        all_know_p99: quantile(&sorted(all_know), 0.99),
+        wrongly_failed,
     }
-    // Wrongly failed: so many beats in a row are lost, of each of the others, an hour and node.
-    let row = (timeout / period).round() as i32;
-    let wrong = loss.powi(row) * (1.0 - loss) * (count - 1) as f64 * 3600.0 / period;
-    (at(&sorted(all), 0.99), wrong)
 }
 
-/// Ten hours of ten nodes at 5 % loss, one of them stopped for less than a second every five to ten seconds.
-fn hours() {
-    let mut sim = Sim::new(10, 77, Settings::default());
-    sim.until(60.0, Sim::agree);
-    sim.faults.loss = 0.05;
-    let (from, mut pauses) = (sim.now, 0);
-    while sim.now < from + 36_000.0 {
-        let (node, pause, wait) = (sim.draw(10), sim.uniform(), 5.0 + 5.0 * sim.uniform());
-        sim.pause(node, pause);
-        sim.run(wait);
+/// Simulates ten hours of ten nodes at 5 % loss, one of which is stopped for less than a second every 5 to 10 s.
+fn measure_pauses() {
+    let mut simulation = Simulation::new(10, 77, Settings::default());
+    simulation.run_until(60.0, Simulation::all_agree);
+    simulation.faults.loss = 0.05;
+    let start = simulation.now;
+    let mut pauses = 0;
+    while simulation.now < start + 10.0 * SECONDS_PER_HOUR {
+        let node = simulation.random_below(10);
+        let pause = simulation.uniform();
+        let wait = 5.0 + 5.0 * simulation.uniform();
+        simulation.pause(node, pause);
+        simulation.run(wait);
         pauses += 1;
         if pauses % 500 == 0 {
             println!(
                 "{:.1} h, {pauses} pauses, {} wrongly failed",
-                (sim.now - from) / 3600.0,
-                sim.told(from, |n| matches!(n, MembershipEvent::Failed(_)))
+                (simulation.now - start) / SECONDS_PER_HOUR,
+                simulation.count_events(start, is_failure)
             );
         }
     }
     println!(
         "10 h, {pauses} pauses: {} wrongly failed",
-        sim.told(from, |news| matches!(news, MembershipEvent::Failed(_)))
+        simulation.count_events(start, is_failure)
     );
 }
 
-/// How long it takes until all agree again after a cut in two halves is over: all are members, and stand whole.
-fn heal(count: usize, loss: f64, times: usize, seed: u64) {
-    let mut sim = Sim::new(count, seed, Settings::default());
-    sim.until(60.0, Sim::agree);
-    let (mut members, mut whole, mut never) = (Vec::new(), Vec::new(), 0);
+/// Measures the time after a partition into halves until all nodes agree, and until all see a complete cluster.
+fn measure_healing(nodes: usize, loss: f64, times: usize, seed: u64) {
+    let mut simulation = Simulation::new(nodes, seed, Settings::default());
+    simulation.run_until(60.0, Simulation::all_agree);
+    let mut until_agreed = Vec::new();
+    let mut until_complete = Vec::new();
+    let mut never_agreed = 0;
     for _ in 0..times {
-        sim.run(20.0);
-        let halves: (Vec<usize>, Vec<usize>) = (0..count).partition(|n| n % 2 == 0);
-        sim.part(&halves.0, &halves.1);
-        sim.faults.loss = loss;
-        let wait = 20.0 + 10.0 * sim.uniform();
-        sim.run(wait);
-        sim.heal();
-        let from = sim.now;
-        if sim.until(120.0, Sim::agree) {
-            members.push(sim.now - from);
+        simulation.run(20.0);
+        let (even, odd): (Vec<usize>, Vec<usize>) = (0..nodes).partition(|n| n % 2 == 0);
+        simulation.partition(&even, &odd);
+        simulation.faults.loss = loss;
+        let wait = 20.0 + 10.0 * simulation.uniform();
+        simulation.run(wait);
+        simulation.heal();
+        let healed_at = simulation.now;
+        if simulation.run_until(120.0, Simulation::all_agree) {
+            until_agreed.push(simulation.now - healed_at);
         } else {
-            never += 1;
+            never_agreed += 1;
         }
-        if sim.until(120.0, |sim| {
-            sim.agree() && sim.all_stand(&ClusterHealth::Whole)
+        if simulation.run_until(120.0, |simulation| {
+            simulation.all_agree() && simulation.all_see_health(&ClusterHealth::Complete)
         }) {
-            whole.push(sim.now - from);
+            until_complete.push(simulation.now - healed_at);
         }
-        sim.faults.loss = 0.0;
+        simulation.faults.loss = 0.0;
     }
-    let (members, whole) = (sorted(members), sorted(whole));
+    let until_agreed = sorted(until_agreed);
+    let until_complete = sorted(until_complete);
     println!(
-        "| {count} | {} % | {:.2} / {:.2} | {:.2} / {:.2} | {never} of {times} | {} of {times} |",
+        "| {nodes} | {} % | {:.2} / {:.2} | {:.2} / {:.2} | {never_agreed} of {times} | {} of {times} |",
         loss * 100.0,
-        at(&members, 0.5),
-        at(&members, 1.0),
-        at(&whole, 0.5),
-        at(&whole, 1.0),
-        times - whole.len(),
+        quantile(&until_agreed, 0.5),
+        quantile(&until_agreed, 1.0),
+        quantile(&until_complete, 0.5),
+        quantile(&until_complete, 1.0),
+        times - until_complete.len(),
     );
 }
 
-fn main() {
-    let mut words = std::env::args().skip(1).peekable();
-    if words.peek().is_some_and(|word| word == "hours") {
-        return hours();
-    }
-    if words.peek().is_some_and(|word| word == "heal") {
-        println!(
-            "| nodes | loss | all are members, s, median / most | all stand whole, s | never | never whole |"
-        );
-        for count in words.skip(1).filter_map(|size| size.parse().ok()) {
-            for loss in [0.0, 0.01, 0.05] {
-                heal(
-                    count,
-                    loss,
-                    if count > 100 { 5 } else { 20 },
-                    5 + count as u64,
-                );
-            }
+fn print_healing_table(sizes: impl Iterator<Item = usize>) {
+    println!(
+        "| nodes | loss | all are members, s, median / most | all stand whole, s | never | never whole |"
+    );
+    for nodes in sizes {
+        let times = if nodes > 100 { 5 } else { 20 };
+        for loss in HEALING_LOSSES {
+            measure_healing(nodes, loss, times, 5 + nodes as u64);
         }
-        return;
     }
-    // A size, or a size and a loss in hundredths and perhaps the number of kills: `300`, `300:5` or `300:5:100`.
-    let parse = |word: String| {
-        let parts: Vec<&str> = word.split(':').collect();
-        let loss = parts
-            .get(1)
-            .and_then(|loss| loss.parse::<f64>().ok())
-            .map(|loss| loss / 100.0);
-        Some((
-            parts[0].parse::<usize>().ok()?,
-            loss,
-            parts.get(2).and_then(|kills| kills.parse().ok()),
-        ))
-    };
-    let sizes: Vec<(usize, Option<f64>, Option<usize>)> = words.filter_map(parse).collect();
+}
+
+/// A cluster to measure, from the command line.
+struct Case {
+    nodes: usize,
+    /// Measure this loss only.
+    loss: Option<f64>,
+    /// Kill this number of nodes instead of the usual one.
+    kills: Option<usize>,
+}
+
+impl Case {
+    /// Parses `NODES`, `NODES:LOSS_PERCENT` or `NODES:LOSS_PERCENT:KILLS`.
+    fn parse(text: &str) -> Option<Self> {
+        let mut parts = text.split(':');
+        let nodes = parts.next()?.parse().ok()?;
+        let percent: Option<f64> = parts.next().and_then(|loss| loss.parse().ok());
+        let kills = parts.next().and_then(|kills| kills.parse().ok());
+        Some(Self {
+            nodes,
+            loss: percent.map(|percent| percent / 100.0),
+            kills,
+        })
+    }
+}
+
+fn print_failure_table(cases: &[Case]) {
     println!(
         "| nodes | loss | first knows, s | all know, s | unknown after 60 s | wrongly failed | datagrams/s | bytes/s | \
          heartbeats: all know p99, s | wrongly failed | datagrams/s | bytes/s |"
     );
     println!("|{}", " --- |".repeat(12));
-    for &(count, only, wanted) in &sizes {
-        for loss in LOSSES
-            .into_iter()
-            .filter(|loss| only.is_none_or(|only| only == *loss))
-        {
-            let (kills, quiet) = match count {
-                0..=100 => (60, 300.0),
-                101..=300 => (20, 60.0),
-                _ => (8, 20.0),
-            };
-            let kills = wanted.unwrap_or(kills);
-            let line = swim(count, loss, kills, quiet, 7 + count as u64);
-            // Four beats in the time that SWIM took at its 99th percentile.
-            let timeout = at(&line.all, 0.99);
-            let period = timeout / 4.0;
-            let (p99, wrong) = heartbeats(count, loss, 200, period, timeout, 9);
-            let beats = (count - 1) as f64 / period;
-            println!(
-                "| {count} | {} % | {:.2} / {:.2} | {:.2} / {:.2} | {} of {kills} | {:.2} | {:.1} | {:.0} | {p99:.2} | \
-                 {wrong:.2} | {beats:.1} | {:.0} |",
-                loss * 100.0,
-                at(&line.first, 0.5),
-                at(&line.first, 0.99),
-                at(&line.all, 0.5),
-                at(&line.all, 0.99),
-                line.missed,
-                line.wrong,
-                line.datagrams,
-                line.bytes,
-                beats * BEAT,
-            );
+    for case in cases {
+        let is_wanted = |loss: &f64| case.loss.is_none_or(|wanted| wanted == *loss);
+        for loss in LOSSES.into_iter().filter(is_wanted) {
+            print_failure_row(case, loss);
+        }
+    }
+}
+
+fn print_failure_row(case: &Case, loss: f64) {
+    let nodes = case.nodes;
+    let (usual_kills, quiet_seconds) = match nodes {
+        0..=100 => (60, 300.0),
+        101..=300 => (20, 60.0),
+        _ => (8, 20.0),
+    };
+    let kills = case.kills.unwrap_or(usual_kills);
+    let swim = measure_swim(nodes, loss, kills, quiet_seconds, 7 + nodes as u64);
+    // Four heartbeats in the time that SWIM took at its 99th percentile.
+    let timeout = quantile(&swim.all_know, 0.99);
+    let period = timeout / 4.0;
+    let heartbeats = measure_heartbeats(nodes, loss, period, timeout);
+    let heartbeat_datagrams = (nodes - 1) as f64 / period;
+    println!(
+        "| {nodes} | {} % | {:.2} / {:.2} | {:.2} / {:.2} | {} of {kills} | {:.2} | {:.1} | {:.0} | {:.2} | {:.2} | \
+         {heartbeat_datagrams:.1} | {:.0} |",
+        loss * 100.0,
+        quantile(&swim.first_knows, 0.5),
+        quantile(&swim.first_knows, 0.99),
+        quantile(&swim.all_know, 0.5),
+        quantile(&swim.all_know, 0.99),
+        swim.missed,
+        swim.wrongly_failed,
+        swim.datagrams,
+        swim.bytes,
+        heartbeats.all_know_p99,
+        heartbeats.wrongly_failed,
+        heartbeat_datagrams * HEARTBEAT_BYTES,
+    );
+}
+
+fn main() {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match arguments.first().map(String::as_str) {
+        Some("hours") => measure_pauses(),
+        Some("heal") => {
+            let sizes = arguments.iter().skip(1);
+            print_healing_table(sizes.filter_map(|size| size.parse().ok()));
+        }
+        _ => {
+            let cases = arguments.iter().filter_map(|text| Case::parse(text));
+            print_failure_table(&cases.collect::<Vec<_>>());
         }
     }
 }
--- a/crates/membership/src/cluster_health.rs
+++ b/crates/membership/src/cluster_health.rs
@@ -1,78 +1,88 @@
-//! How things stand, from the list and from who hears whom. An opinion.
+//! The health of the cluster as one node sees it, derived from the list of members and from the reports on who reaches
+//! whom. It is an opinion: other nodes may see another one at the same time.
 
 use crate::reachability;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What is known, as far as it matters here.
+/// What one node knows of the cluster, as far as its health depends on it.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
-    /// This node.
-    pub me: String,
-    /// It is no member: the name is another's, or it has not joined.
-    pub apart: bool,
-    /// Members, this node among them, in the order of [`reachability::order`].
+pub struct ClusterView {
+    /// Name of this node.
+    pub local_node: String,
+    /// Whether this node isn't a member: it hasn't joined, or another process has its name.
+    pub isolated: bool,
+    /// Members, this node among them, in the order of [`reachability::sort_by_hash`].
     pub members: Vec<String>,
-    /// Nodes that have failed, and those that have left.
+    /// Nodes that have failed.
     pub failed: BTreeSet<String>,
-    /// Nodes that left in good order.
+    /// Nodes that have left the cluster.
     pub left: BTreeSet<String>,
-    /// Who votes, if anybody.
+    /// The configured voters; empty if there are none.
     pub voters: BTreeSet<String>,
-    /// By node, whom it should hear and does not.
-    pub deaf: BTreeMap<String, BTreeSet<String>>,
+    /// By node, the peers that it monitors and doesn't hear.
+    pub unreachable: BTreeMap<String, BTreeSet<String>>,
 }
 
-/// How things stand.
+/// Two members of which the first doesn't hear the second.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct UnreachablePair {
+    /// The node that reports it.
+    pub observer: String,
+    /// The node that it doesn't hear.
+    pub peer: String,
+}
+
+/// The health of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClusterHealth {
-    /// No other member is known, or this node is none.
+    /// No other member is known, or this node isn't a member.
     Alone,
-    /// All members that have not left are there and heard.
-    Whole,
-    /// All are there; the second of each pair is not heard by the first.
-    SomeCut(Vec<(String, String)>),
-    /// These have failed, and nobody is named to vote.
-    Failed(Vec<String>),
-    /// Cut off with more than half of the voters; who is missing.
-    Majority(Vec<String>),
-    /// Cut off with at most half of the voters; who of them is missing.
-    Minority(Vec<String>),
-    /// The voters have no majority anywhere, as far as can be known; who is not heard or has left.
+    /// All nodes that haven't left are members and reach each other.
+    Complete,
+    /// All nodes are members, but some don't hear others.
+    PartiallyUnreachable(Vec<UnreachablePair>),
+    /// These nodes have failed, and no voters are configured.
+    SomeFailed(Vec<String>),
+    /// This node reaches more than half of the voters; the nodes that it doesn't reach.
+    MajorityPartition(Vec<String>),
+    /// This node reaches at most half of the voters; the voters that it doesn't reach.
+    MinorityPartition(Vec<String>),
+    /// As far as this node knows, no side has a majority of the voters; the voters that it doesn't reach.
     NoMajority(Vec<String>),
 }
 
 impl ClusterHealth {
-    /// A word for logs and the door.
-    pub fn word(&self) -> &'static str {
+    /// Returns the text for logs and the management API. Programs compare it: it must not change.
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Alone => "alone",
-            Self::Whole => "whole",
-            Self::SomeCut(_) => "some pairs cut",
-            Self::Failed(_) => "some failed",
-            Self::Majority(_) => "cut off with a majority",
-            Self::Minority(_) => "cut off with a minority",
+            Self::Complete => "whole",
+            Self::PartiallyUnreachable(_) => "some pairs cut",
+            Self::SomeFailed(_) => "some failed",
+            Self::MajorityPartition(_) => "cut off with a majority",
+            Self::MinorityPartition(_) => "cut off with a minority",
             Self::NoMajority(_) => "no majority anywhere",
         }
     }
 
-    /// Why, in words; empty where there is nothing to say.
+    /// Returns the reasons as text, for logs and the management API; none for a complete cluster or a single node.
     pub fn reasons(&self) -> Vec<String> {
         match self {
-            Self::Alone | Self::Whole => Vec::new(),
-            Self::SomeCut(pairs) => pairs
+            Self::Alone | Self::Complete => Vec::new(),
+            Self::PartiallyUnreachable(pairs) => pairs
                 .iter()
-                .map(|(a, b)| format!("{a} does not hear {b}"))
+                .map(|pair| format!("{} does not hear {}", pair.observer, pair.peer))
                 .collect(),
-            Self::Failed(names) => names
+            Self::SomeFailed(names) => names
                 .iter()
                 .map(|name| format!("{name} has failed"))
                 .collect(),
-            Self::Majority(names) => names
+            Self::MajorityPartition(names) => names
                 .iter()
                 .map(|name| format!("{name} is not reached"))
                 .collect(),
-            Self::Minority(names) | Self::NoMajority(names) => names
+            Self::MinorityPartition(names) | Self::NoMajority(names) => names
                 .iter()
                 .map(|name| format!("voter {name} is not reached"))
                 .collect(),
@@ -82,103 +92,126 @@
 
 impl fmt::Display for ClusterHealth {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
-impl Known {
-    /// The pairs of members of which the first should hear the second and does not.
-    fn cuts(&self) -> Vec<(String, String)> {
-        let members: BTreeSet<&String> = self.members.iter().collect();
-        let is = |name: &String| members.contains(name);
-        let of = |(a, names): (&String, &BTreeSet<String>)| {
-            let pairs: Vec<_> = names
-                .iter()
-                .filter(|b| is(b))
-                .map(|b| (a.clone(), b.clone()))
-                .collect();
-            pairs
-        };
-        self.deaf
-            .iter()
-            .filter(|(a, _)| is(a))
-            .flat_map(of)
-            .collect()
-    }
-
-    /// Whom a member reaches, over others or not, where each hears the next and is heard by it.
-    fn reached(&self, from: &str) -> BTreeSet<&str> {
-        let cut = |a: &str, b: &str| self.deaf.get(a).is_some_and(|names| names.contains(b));
-        let Some(from) = self.members.iter().find(|name| *name == from) else {
-            return BTreeSet::new();
-        };
-        let (mut found, mut next) = (BTreeSet::from([from.as_str()]), vec![from]);
-        while let Some(at) = next.pop() {
-            for other in reachability::pairs(&self.members, &self.voters, at) {
-                if !cut(at, other) && !cut(other, at) && found.insert(other) {
-                    next.push(other);
-                }
+impl ClusterView {
+    /// Returns the health of the cluster in this view.
+    pub fn health(&self) -> ClusterHealth {
+        if self.isolated || self.members.len() + self.failed.len() <= 1 {
+            return ClusterHealth::Alone;
+        }
+        if self.voters.is_empty() {
+            if !self.failed.is_empty() {
+                return ClusterHealth::SomeFailed(self.failed.iter().cloned().collect());
             }
+        } else if let Some(partition) = self.partition() {
+            return partition;
+        }
+        let pairs = self.unreachable_pairs();
+        if pairs.is_empty() {
+            ClusterHealth::Complete
+        } else {
+            ClusterHealth::PartiallyUnreachable(pairs)
         }
-        found
     }
 
-    /// How things stand.
-    pub fn standing(&self) -> ClusterHealth {
-        if self.apart || self.members.len() + self.failed.len() <= 1 {
-            return ClusterHealth::Alone;
-        }
-        let reached = self.reached(&self.me);
-        let missing = |names: &BTreeSet<String>| {
+    /// Returns on which side of a partition this node is, judged by the voters; `None` if it reaches all nodes.
+    fn partition(&self) -> Option<ClusterHealth> {
+        let reached = self.reachable_from(&self.local_node);
+        let not_reached = |names: &BTreeSet<String>| -> Vec<String> {
             names
                 .iter()
-                .filter(|n| !reached.contains(n.as_str()))
+                .filter(|name| !reached.contains(name.as_str()))
                 .cloned()
                 .collect()
         };
         let majority = self.voters.len() / 2 + 1;
-        if !self.voters.is_empty() {
-            let possible = self
-                .voters
-                .iter()
-                .filter(|voter| !self.left.contains(*voter))
-                .count();
-            let here: Vec<String> = self
-                .voters
-                .iter()
-                .filter(|v| self.members.contains(v))
-                .cloned()
-                .collect();
-            let part = |voter: &String| {
-                let part = self.reached(voter);
-                here.iter().filter(|v| part.contains(v.as_str())).count()
-            };
-            let largest = here.iter().map(part).max().unwrap_or(0);
-            // Voters that are not members may have a majority where they are, unless they are too few.
-            let elsewhere = possible - here.iter().filter(|v| !self.left.contains(*v)).count();
-            if possible < majority || largest.max(elsewhere) < majority {
-                return ClusterHealth::NoMajority(missing(&self.voters));
-            }
-            let mine = here
-                .iter()
-                .filter(|voter| reached.contains(voter.as_str()))
+        if self.max_connected_voters() < majority {
+            return Some(ClusterHealth::NoMajority(not_reached(&self.voters)));
+        }
+        let reached_voters = self
+            .member_voters()
+            .filter(|voter| reached.contains(voter.as_str()))
+            .count();
+        if reached_voters < majority {
+            return Some(ClusterHealth::MinorityPartition(not_reached(&self.voters)));
+        }
+        let all: BTreeSet<String> = self.members.iter().chain(&self.failed).cloned().collect();
+        let away = not_reached(&all);
+        (!away.is_empty()).then_some(ClusterHealth::MajorityPartition(away))
+    }
+
+    /// Returns the voters that are members.
+    fn member_voters(&self) -> impl Iterator<Item = &String> {
+        self.voters
+            .iter()
+            .filter(|voter| self.members.contains(voter))
+    }
+
+    /// Returns the largest number of voters that may reach each other on any side of a partition.
+    fn max_connected_voters(&self) -> usize {
+        let has_left = |voter: &String| self.left.contains(voter);
+        let remaining = self.voters.iter().filter(|voter| !has_left(voter)).count();
+        let largest_side = self
+            .member_voters()
+            .map(|voter| {
+                let reached = self.reachable_from(voter);
+                self.member_voters()
+                    .filter(|other| reached.contains(other.as_str()))
+                    .count()
+            })
+            .max()
+            .unwrap_or(0);
+        // The voters that aren't members may all reach each other where they are.
+        let elsewhere = remaining
+            - self
+                .member_voters()
+                .filter(|voter| !has_left(voter))
                 .count();
-            if mine < majority {
-                return ClusterHealth::Minority(missing(&self.voters));
+        largest_side.max(elsewhere).min(remaining)
+    }
+
+    /// Returns the pairs of members of which the first monitors the second and doesn't hear it.
+    fn unreachable_pairs(&self) -> Vec<UnreachablePair> {
+        let members: BTreeSet<&String> = self.members.iter().collect();
+        let mut pairs = Vec::new();
+        for (observer, peers) in &self.unreachable {
+            if !members.contains(observer) {
+                continue;
             }
-            let all: BTreeSet<String> = self.members.iter().chain(&self.failed).cloned().collect();
-            let away: Vec<String> = missing(&all);
-            if !away.is_empty() {
-                return ClusterHealth::Majority(away);
+            for peer in peers.iter().filter(|peer| members.contains(peer)) {
+                pairs.push(UnreachablePair {
+                    observer: observer.clone(),
+                    peer: peer.clone(),
+                });
             }
-        } else if !self.failed.is_empty() {
-            return ClusterHealth::Failed(self.failed.iter().cloned().collect());
         }
-        let cuts = self.cuts();
-        if cuts.is_empty() {
-            ClusterHealth::Whole
-        } else {
-            ClusterHealth::SomeCut(cuts)
+        pairs
+    }
+
+    /// Returns the members that a member reaches, itself included, directly or over others, by links on which both
+    /// ends hear each other.
+    fn reachable_from(&self, start: &str) -> BTreeSet<&str> {
+        let is_unreachable = |observer: &str, peer: &str| {
+            self.unreachable
+                .get(observer)
+                .is_some_and(|peers| peers.contains(peer))
+        };
+        let Some(start) = self.members.iter().find(|name| *name == start) else {
+            return BTreeSet::new();
+        };
+        let mut reached = BTreeSet::from([start.as_str()]);
+        let mut unvisited = vec![start];
+        while let Some(node) = unvisited.pop() {
+            for peer in reachability::monitored_peers(&self.members, &self.voters, node) {
+                let linked = !is_unreachable(node, peer) && !is_unreachable(peer, node);
+                if linked && reached.insert(peer) {
+                    unvisited.push(peer);
+                }
+            }
         }
+        reached
     }
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,30 +1,32 @@
-//! Who a member is.
+//! The identity of a member.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The longest name of a node, in bytes.
+/// Longest name of a node, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// One life of a node.
+/// One incarnation of a node.
+///
+/// The order of the fields is that of the encoding.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Identity {
-    /// The node's name.
+    /// Name of the node, unique in the cluster.
     pub name: Arc<str>,
-    /// Where it is told to be.
+    /// Address at which other nodes reach it.
     pub address: SocketAddr,
-    /// Grows with each start and each return.
+    /// Grows with each start of the node's process and each return after it was declared failed.
     pub incarnation: u64,
-    /// Drawn at each start of a process: two processes that claim one name differ in it.
-    pub life: u64,
+    /// Random number drawn at the start of the process. Two processes that claim the same name differ in it.
+    pub process_nonce: u64,
 }
 
 impl Identity {
-    /// Whether this one counts, where both claim one name.
-    pub fn beats(&self, other: &Self) -> bool {
-        (self.incarnation, self.life) > (other.incarnation, other.life)
+    /// Returns whether this identity takes precedence over another one that claims the same name.
+    pub fn supersedes(&self, other: &Self) -> bool {
+        (self.incarnation, self.process_nonce) > (other.incarnation, other.process_nonce)
     }
 }
 
@@ -41,7 +43,7 @@
 impl foca::Identity for Identity {
     type Addr = Arc<str>;
 
-    /// Returning is the wrapper's to decide: another may bear the name by now.
+    /// Returns no identity: [`crate::Membership`] decides on a return, as another process may have the name by then.
     fn renew(&self) -> Option<Self> {
         None
     }
@@ -51,6 +53,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        self.beats(other)
+        self.supersedes(other)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,23 +1,29 @@
-//! Which nodes of a fleet are there, which have failed, what is out of use for all, and how things stand.
+//! Cluster membership by gossip (SWIM): which nodes are members, which have failed or left, which workers are suspended
+//! for the whole cluster, and the health of the cluster as this node sees it.
 //!
-//! [`Membership`] is a machine: it is told datagrams and the time, and says what to send, what is new and when to be
-//! called again. It has no socket and no clock, so that the same code runs in a node, in simulation and under a
-//! checker. What it says is an opinion: nothing that must be safe may rest on it.
-//! The design note is `docs/design/members.md`.
+//! [`Membership`] is a state machine without I/O: it receives datagrams and the time, and returns what to send, what has
+//! changed and when to call it next. It has no socket and no clock, so the same code runs in a node, in simulation and
+//! under a model checker. What it reports is an opinion: two nodes may disagree, so nothing that must be safe may depend
+//! on it. The design is described in `docs/design/members.md`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod cluster_health;
+mod events;
+mod fnv;
 mod identity;
 mod local_clock;
 mod membership;
 pub mod packet;
 pub mod reachability;
+mod settings;
 mod suspended_workers;
 
-pub use cluster_health::ClusterHealth;
+pub use cluster_health::{ClusterHealth, UnreachablePair};
+pub use events::{ForgetError, MemberState, MembershipEvent, Output};
 pub use identity::{Identity, MAX_NAME_BYTES};
 pub use local_clock::LocalClock;
-pub use membership::{MemberState, Membership, MembershipEvent, Output, Rejection, Settings};
-pub use suspended_workers::{SuspendedWorkers, Suspension};
+pub use membership::{LocalHealth, MemberRank, Membership, SuspensionChange};
+pub use settings::Settings;
+pub use suspended_workers::{SuspendedWorkers, Suspension, WorkerSuspension};
--- a/crates/membership/src/local_clock.rs
+++ b/crates/membership/src/local_clock.rs
@@ -1,70 +1,75 @@
-//! The time that this process had: what it missed in a pause is none, and after one it goes slower for a while.
+//! A clock that counts only the time in which this process ran. A pause of the process doesn't advance it, and after a
+//! pause it runs slower for a while, so that a paused or starved node doesn't declare others failed (Lifeguard's local
+//! health).
 
-/// So much later than asked for is no trouble, in seconds.
-const SLACK: f64 = 0.05;
-/// The slowest that own time goes is one part in so many and one.
-const MOST: f64 = 8.0;
-/// Being late by so many seconds slows by one part.
-const STEP: f64 = 0.25;
-/// Seconds in which one such part passes again.
-const RECOVERY: f64 = 2.0;
+/// A call that is late by no more than this, in seconds, counts as on time.
+const LATENESS_TOLERANCE_SECONDS: f64 = 0.05;
+/// Highest slowdown. At this value the clock runs at one ninth of the speed of the wall clock.
+const MAX_SLOWDOWN: f64 = 8.0;
+/// Lateness in seconds that raises the slowdown by 1.
+const LATENESS_PER_SLOWDOWN_SECONDS: f64 = 0.25;
+/// Time in seconds in which the slowdown falls by 1.
+const RECOVERY_SECONDS: f64 = 2.0;
 
-/// Own time, beside the clock that is told.
+/// Local time of this process. It starts at 0.
 #[derive(Debug)]
 pub struct LocalClock {
-    /// The latest time told.
-    told: f64,
-    own: f64,
-    /// How far from well this process is: 0 well.
-    ill: f64,
-    /// What has been left out so far.
-    missed: f64,
+    /// Latest reading of the wall clock, in seconds.
+    last_reading: f64,
+    /// Local time in seconds.
+    local_time: f64,
+    /// The clock runs at `1 / (1 + slowdown)` of the wall clock's speed.
+    slowdown: f64,
+    /// Seconds of the wall clock that were left out.
+    skipped_seconds: f64,
 }
 
 impl LocalClock {
-    /// Begins now.
+    /// Starts the clock at this reading of the wall clock, in seconds.
     pub fn new(now: f64) -> Self {
         Self {
-            told: now,
-            own: 0.0,
-            ill: 0.0,
-            missed: 0.0,
+            last_reading: now,
+            local_time: 0.0,
+            slowdown: 0.0,
+            skipped_seconds: 0.0,
         }
     }
 
-    /// It is `now`; what comes next was to come at `due` of own time. Gives own time.
-    pub fn at(&mut self, now: f64, due: Option<f64>) -> f64 {
-        let passed = (now - self.told).max(0.0);
-        let wake = due.map_or(f64::INFINITY, |due| {
-            (due - self.own).max(0.0) * (1.0 + self.ill)
+    /// Advances the clock to the wall clock's reading `now`. `deadline` is the local time at which this call was due:
+    /// what the call is late by is left out. Returns the local time in seconds.
+    pub fn advance(&mut self, now: f64, deadline: Option<f64>) -> f64 {
+        let elapsed = (now - self.last_reading).max(0.0);
+        let expected = deadline.map_or(f64::INFINITY, |deadline| {
+            (deadline - self.local_time).max(0.0) * (1.0 + self.slowdown)
         });
-        let late = (passed - wake - SLACK).max(0.0);
-        // What is left out counts as one slack: a pause is not measured by who slept through it.
-        self.own += (passed - late) / (1.0 + self.ill);
-        self.missed += late;
-        let well = (self.ill - (passed - late) / RECOVERY).max(0.0);
-        self.ill = (well + late / STEP).min(MOST);
-        self.told = self.told.max(now);
-        self.own
+        let lateness = (elapsed - expected - LATENESS_TOLERANCE_SECONDS).max(0.0);
+        // Of a pause only the tolerance counts: a process can't measure a pause that it slept through.
+        let counted = elapsed - lateness;
+        self.local_time += counted / (1.0 + self.slowdown);
+        self.skipped_seconds += lateness;
+        let recovered = (self.slowdown - counted / RECOVERY_SECONDS).max(0.0);
+        self.slowdown = (recovered + lateness / LATENESS_PER_SLOWDOWN_SECONDS).min(MAX_SLOWDOWN);
+        self.last_reading = self.last_reading.max(now);
+        self.local_time
     }
 
-    /// When it will be `due` of own time, by the clock that is told.
-    pub fn when(&self, due: f64) -> f64 {
-        self.told + (due - self.own).max(0.0) * (1.0 + self.ill)
+    /// Returns the wall clock's reading at which the local time will be `local_time`, in seconds.
+    pub fn wall_time_at(&self, local_time: f64) -> f64 {
+        self.last_reading + (local_time - self.local_time).max(0.0) * (1.0 + self.slowdown)
     }
 
-    /// Own time at the latest call.
-    pub fn own(&self) -> f64 {
-        self.own
+    /// Returns the local time at the latest call of [`Self::advance`], in seconds.
+    pub fn local_time(&self) -> f64 {
+        self.local_time
     }
 
-    /// How far from well: 0 well, at most 8.
-    pub fn ill(&self) -> f64 {
-        self.ill
+    /// Returns the slowdown: 0 for a process that runs on time, at most 8.
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 
-    /// Seconds that have been left out.
-    pub fn missed(&self) -> f64 {
-        self.missed
+    /// Returns the seconds of the wall clock that were left out so far.
+    pub fn skipped_seconds(&self) -> f64 {
+        self.skipped_seconds
     }
 }
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -1,32 +1,41 @@
-//! Pins the bytes of what the gossip carries beside the library's own updates. Nodes of a fleet may run different versions,
-//! so these bytes must not change with a rename. The literals were written by the version before the renames.
+//! Pins the bytes of what the gossip carries beside the SWIM library's own updates. Nodes of a cluster may run different
+//! versions, so these bytes must not change with a rename. The literals were written by the version before the renames.
 
-use super::GossipMessage;
+use super::dissemination::GossipMessage;
 
-/// Asserts that the word is encoded as this literal, and decoded from it.
+/// Asserts that the message is encoded as this literal, and decoded from it.
 #[track_caller]
-fn pin(word: GossipMessage, literal: &[u8]) {
+fn pin(message: GossipMessage, literal: &[u8]) {
     assert_eq!(
-        postcard::to_stdvec(&word).expect("an encoded word"),
+        postcard::to_stdvec(&message).expect("an encoded message"),
         literal,
-        "{word:?}"
+        "{message:?}"
     );
     assert_eq!(
-        postcard::from_bytes::<GossipMessage>(literal).expect("a word"),
-        word
+        postcard::from_bytes::<GossipMessage>(literal).expect("a message"),
+        message
     );
 }
 
 #[test]
-fn gossip_words_keep_their_bytes() {
-    let deaf = GossipMessage::Deaf("n-1".into(), 300, 515, vec!["n-2".into(), "n-3".into()]);
-    pin(deaf, b"\x00\x03n-1\xac\x02\x83\x04\x02\x03n-2\x03n-3");
-    pin(
-        GossipMessage::Deaf("n-1".into(), 1, 2, Vec::new()),
-        b"\x00\x03n-1\x01\x02\x00",
-    );
-    pin(
-        GossipMessage::Left("n-4".into(), u64::MAX),
-        b"\x01\x03n-4\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01",
-    );
+fn gossip_messages_keep_their_bytes() {
+    let report = GossipMessage::ReachabilityReport {
+        name: "n-1".into(),
+        process_nonce: 300,
+        sequence: 515,
+        unreachable: vec!["n-2".into(), "n-3".into()],
+    };
+    pin(report, b"\x00\x03n-1\xac\x02\x83\x04\x02\x03n-2\x03n-3");
+    let empty_report = GossipMessage::ReachabilityReport {
+        name: "n-1".into(),
+        process_nonce: 1,
+        sequence: 2,
+        unreachable: Vec::new(),
+    };
+    pin(empty_report, b"\x00\x03n-1\x01\x02\x00");
+    let left = GossipMessage::Left {
+        name: "n-4".into(),
+        process_nonce: u64::MAX,
+    };
+    pin(left, b"\x01\x03n-4\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01");
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,136 +1,181 @@
-//! Datagrams: an envelope that is checked before anything in it is believed.
+//! The datagrams between members: an envelope that is checked before its content is decoded.
 //!
-//! `P M`, version, cluster (4 bytes), checksum of what follows (4 bytes), then the sender and the message by postcard.
+//! Layout: `P M`, version (1 byte), number of the cluster (4 bytes, little-endian), CRC-32 of what follows (4 bytes,
+//! little-endian), then the sender's [`Identity`] and the [`Message`] in postcard encoding.
 
 use crate::identity::{Identity, MAX_NAME_BYTES};
-use crate::suspended_workers::Suspension;
+use crate::suspended_workers::WorkerSuspension;
 use serde::{Deserialize, Serialize};
 
-/// The longest datagram, in bytes.
-pub const MOST: usize = 1400;
-/// The version that this program speaks.
+/// Longest datagram in bytes. It fits the smallest MTU of usual networks, so that datagrams aren't fragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
+/// Version of the protocol.
 pub const VERSION: u8 = 1;
-const HEAD: usize = 11;
-/// What is left for the message inside after the envelope and the longest sender.
-pub const MOST_INSIDE: usize = MOST - HEAD - MAX_NAME_BYTES - 48;
+/// First bytes of each datagram.
+const MAGIC: [u8; 2] = *b"PM";
+/// Length of the envelope: magic, version, cluster number and checksum, in bytes.
+const ENVELOPE_BYTES: usize = 11;
+/// Offset of the cluster's number in the envelope.
+const CLUSTER_OFFSET: usize = 3;
+/// Offset of the checksum in the envelope.
+const CHECKSUM_OFFSET: usize = 7;
+/// Bytes of an encoded sender beside its name, and of the message's own frame, at most.
+const MAX_SENDER_OVERHEAD_BYTES: usize = 48;
+/// Bytes that are left for the content of a message after the envelope and the longest sender.
+pub const MAX_CONTENT_BYTES: usize =
+    MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - MAX_NAME_BYTES - MAX_SENDER_OVERHEAD_BYTES;
 
-/// A cluster's number in the envelope.
-pub fn cluster(name: &str) -> u32 {
+/// Returns the number in the envelope that stands for the cluster of this name.
+pub fn cluster_number(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// What one node says to another.
+/// A node that an operator declared permanently gone.
+///
+/// The order of the fields is that of the encoding.
+#[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
+pub struct ForgottenNode {
+    /// Name of the node.
+    pub name: String,
+    /// Highest incarnation that is forgotten; a later one is a member like any other.
+    pub up_to_incarnation: u64,
+}
+
+/// A message from one node to another.
+///
+/// The order of the variants and of their fields is that of the encoding.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// The library's own.
+    /// A packet of the SWIM library.
     Swim(Vec<u8>),
-    /// Heard directly; numbered, so that an old one counts for nothing. With the digest of the bans held.
-    Hello(u64, u64),
-    /// Who has this name, and is it you?
-    Ask,
-    /// Who has the asker's name; nobody known.
-    Record(Option<Identity>),
-    /// Say this number, if you live.
-    Sign(u64),
-    /// It does.
-    Signed(u64),
-    /// The sender suspects this life, as of this number of the library's: it is to say that it lives.
-    Suspected(u64, u16),
-    /// The sender leaves in good order.
-    Leaves,
-    /// Some of what is known of workers out of use; whether all that the other has is wanted back.
-    SuspendedWorkers(Vec<(String, Suspension)>, bool),
-    /// The bans of this ticket hold at the sender.
-    Held(u64),
-    /// Hold these bans and say so under this ticket.
-    Hold(u64, Vec<(String, Suspension)>),
-    /// Nodes that operators have said will not come back, each up to this incarnation.
-    Gone(Vec<(String, u64)>),
-    /// A word of another part of the program.
-    Part(Vec<u8>),
+    /// Shows that the sender reaches the receiver directly, and what it knows.
+    Heartbeat {
+        /// Grows with each heartbeat of a process, so that an overtaken one is recognised.
+        sequence: u64,
+        /// Digest of the suspensions and forgotten nodes that the sender knows.
+        digest: u64,
+    },
+    /// Asks which identity holds the sender's name, and which name the receiver has.
+    NameQuery,
+    /// The identity that holds the receiver's name, as far as the sender knows; `None` if it knows none.
+    NameHolder(Option<Identity>),
+    /// Asks a process whether it is alive; it answers with the same number.
+    LivenessChallenge(u64),
+    /// Answers a challenge with its number.
+    LivenessResponse(u64),
+    /// The sender suspects the receiver, which is to refute it.
+    Suspicion {
+        /// The process that is suspected.
+        process_nonce: u64,
+        /// The SWIM library's own incarnation number for it.
+        swim_incarnation: u16,
+    },
+    /// The sender leaves the cluster.
+    Leaving,
+    /// Suspensions that the sender knows.
+    Suspensions {
+        /// Some or all of them.
+        suspensions: Vec<WorkerSuspension>,
+        /// Whether the receiver is to send all that it knows in return.
+        reply_wanted: bool,
+    },
+    /// The sender has recorded the suspensions of this ticket.
+    SuspensionAcknowledged(u64),
+    /// Asks the receiver to record suspensions and to acknowledge it.
+    RecordSuspensions {
+        /// Number to acknowledge.
+        ticket: u64,
+        /// The suspensions to record.
+        suspensions: Vec<WorkerSuspension>,
+    },
+    /// Nodes that operators declared permanently gone.
+    Forgotten(Vec<ForgottenNode>),
+    /// A message of another part of the program.
+    Application(Vec<u8>),
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum DecodeError {
-    /// It is no datagram of this program's.
+    /// It isn't a datagram of this program.
     Foreign,
-    /// Another version's.
+    /// It is of another version of the protocol.
     Version,
-    /// Another cluster's.
+    /// It is of another cluster.
     Cluster,
-    /// Damaged on the way, or cut.
+    /// Its checksum is wrong, or it is too long.
     Damaged,
-    /// Whole, but not to be understood.
-    Unknown,
+    /// Its content can't be decoded.
+    Malformed,
 }
 
 impl DecodeError {
-    /// As logs and the door name it.
-    pub fn word(self) -> &'static str {
+    /// Returns the text by which logs and the management API name the error. Programs compare it: it must not change.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Foreign => "foreign",
             Self::Version => "another version",
             Self::Cluster => "another cluster",
             Self::Damaged => "damaged",
-            Self::Unknown => "not understood",
+            Self::Malformed => "not understood",
         }
     }
 }
 
-/// Words a datagram.
+/// Encodes a message as a datagram, or as a message for a stream.
 pub fn encode(cluster: u32, from: &Identity, message: &Message) -> Vec<u8> {
-    let mut bytes = vec![b'P', b'M', VERSION];
-    bytes.extend(cluster.to_le_bytes());
-    bytes.extend([0; 4]);
-    // Writing to memory fails at nothing but its end.
-    let bytes = postcard::to_extend(&(from, message), bytes);
-    let mut bytes = bytes.unwrap_or_default();
-    if bytes.len() > HEAD {
-        let sum = crc32fast::hash(&bytes[HEAD..]).to_le_bytes();
-        bytes[7..HEAD].copy_from_slice(&sum);
+    let mut envelope = Vec::from(MAGIC);
+    envelope.push(VERSION);
+    envelope.extend(cluster.to_le_bytes());
+    envelope.extend([0; 4]);
+    // Encoding to memory can't fail for these types.
+    let mut bytes = postcard::to_extend(&(from, message), envelope).unwrap_or_default();
+    if bytes.len() > ENVELOPE_BYTES {
+        let checksum = crc32fast::hash(&bytes[ENVELOPE_BYTES..]).to_le_bytes();
+        bytes[CHECKSUM_OFFSET..ENVELOPE_BYTES].copy_from_slice(&checksum);
     }
     bytes
 }
 
-/// Reads a datagram.
+/// Decodes a datagram into its sender and message.
 ///
 /// # Errors
 ///
-/// Why it is to be dropped.
+/// Returns why the datagram is to be dropped.
 pub fn decode(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), DecodeError> {
-    if bytes.len() > MOST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         Err(DecodeError::Damaged)
     } else {
-        decode_word(cluster, bytes)
+        decode_stream_message(cluster, bytes)
     }
 }
 
-/// Reads the same of a stream, where it may be longer.
+/// Decodes the same layout from a stream, where it may be longer than a datagram.
 ///
 /// # Errors
 ///
-/// Why it is to be dropped.
-pub fn decode_word(cluster: u32, bytes: &[u8]) -> Result<(Identity, Message), DecodeError> {
-    if bytes.len() < HEAD || bytes[..2] != *b"PM" {
+/// Returns why the message is to be dropped.
+pub fn decode_stream_message(
+    cluster: u32,
+    bytes: &[u8],
+) -> Result<(Identity, Message), DecodeError> {
+    if bytes.len() < ENVELOPE_BYTES || bytes[..MAGIC.len()] != MAGIC {
         return Err(DecodeError::Foreign);
     }
-    if bytes[2] != VERSION {
+    if bytes[MAGIC.len()] != VERSION {
         return Err(DecodeError::Version);
     }
-    if bytes[3..7] != cluster.to_le_bytes() {
+    if bytes[CLUSTER_OFFSET..CHECKSUM_OFFSET] != cluster.to_le_bytes() {
         return Err(DecodeError::Cluster);
     }
-    let rest = &bytes[HEAD..];
-    if bytes[7..HEAD] != crc32fast::hash(rest).to_le_bytes() {
+    let content = &bytes[ENVELOPE_BYTES..];
+    if bytes[CHECKSUM_OFFSET..ENVELOPE_BYTES] != crc32fast::hash(content).to_le_bytes() {
         return Err(DecodeError::Damaged);
     }
-    let (read, left): ((Identity, Message), _) =
-        postcard::take_from_bytes(rest).map_err(|_| DecodeError::Unknown)?;
-    let sound = left.is_empty() && (1..=MAX_NAME_BYTES).contains(&read.0.name.len());
-    if sound {
-        Ok(read)
-    } else {
-        Err(DecodeError::Unknown)
+    let ((from, message), rest): ((Identity, Message), _) =
+        postcard::take_from_bytes(content).map_err(|_| DecodeError::Malformed)?;
+    if !rest.is_empty() || !(1..=MAX_NAME_BYTES).contains(&from.name.len()) {
+        return Err(DecodeError::Malformed);
     }
+    Ok((from, message))
 }
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,98 +1,109 @@
-//! Who hears whom directly: whom this node should hear, whom it does not, and what others say of themselves.
+//! Direct reachability: which peers this node monitors with heartbeats, and which of them it doesn't hear.
 
-use crate::suspended_workers::Fnv;
+use crate::fnv::Fnv;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to so many nodes each hears every other.
-pub const ALL: usize = 16;
-/// Beyond, each hears so many on either side in the order of hashed names.
-const SIDE: usize = 2;
-/// So many complaints of one node are spread.
-pub const MOST_COMPLAINTS: usize = 32;
+/// Up to this number of nodes each node monitors every other. Beyond it the number of heartbeats would grow with the
+/// square of the nodes.
+pub const MAX_FULL_MESH_NODES: usize = 16;
+/// Neighbours that a node of a larger cluster monitors on either side, in the order of [`sort_by_hash`].
+const NEIGHBOURS_PER_SIDE: usize = 2;
+/// Largest number of unreachable peers in one reachability report. It keeps the report within a datagram.
+pub const MAX_REPORTED_PEERS: usize = 32;
 
-/// The names in the order of their hashes.
-pub fn order(names: impl Iterator<Item = String>) -> Vec<String> {
-    let mut order: Vec<String> = names.collect();
-    order.sort_by_cached_key(|name| (Fnv::of(name), name.clone()));
-    order.dedup();
-    order
+/// Returns the names in the order of their hashes, each once. All nodes that know the same names get the same order.
+pub fn sort_by_hash(names: impl Iterator<Item = String>) -> Vec<String> {
+    let mut sorted: Vec<String> = names.collect();
+    sorted.sort_by_cached_key(|name| (Fnv::hash_name(name), name.clone()));
+    sorted.dedup();
+    sorted
 }
 
-/// Those that a node should hear, and that should hear it, in a list in the order of [`order`].
-pub fn pairs<'a>(order: &'a [String], voters: &BTreeSet<String>, me: &str) -> Vec<&'a String> {
-    let key = (Fnv::of(me), me);
-    let Ok(at) = order.binary_search_by_key(&key, |name| (Fnv::of(name), name)) else {
+/// Returns the peers that `node` monitors, and that monitor it. `sorted` are all members in the order of
+/// [`sort_by_hash`]; a node that isn't among them monitors nobody. Voters monitor each other in a cluster of any size.
+pub fn monitored_peers<'a>(
+    sorted: &'a [String],
+    voters: &BTreeSet<String>,
+    node: &str,
+) -> Vec<&'a String> {
+    let key = (Fnv::hash_name(node), node);
+    let Ok(position) = sorted.binary_search_by_key(&key, |name| (Fnv::hash_name(name), name))
+    else {
         return Vec::new();
     };
-    let count = order.len();
-    if count <= ALL {
-        return order.iter().filter(|name| *name != me).collect();
+    let count = sorted.len();
+    if count <= MAX_FULL_MESH_NODES {
+        return sorted.iter().filter(|name| *name != node).collect();
     }
-    let beside =
-        (1..=SIDE).flat_map(|n| [&order[(at + n) % count], &order[(at + count - n) % count]]);
-    let mut found: BTreeSet<&String> = beside.collect();
-    if voters.contains(me) {
-        found.extend(order.iter().filter(|name| voters.contains(*name)));
+    let mut monitored: BTreeSet<&String> = BTreeSet::new();
+    for distance in 1..=NEIGHBOURS_PER_SIDE {
+        monitored.insert(&sorted[(position + distance) % count]);
+        monitored.insert(&sorted[(position + count - distance) % count]);
     }
-    found.into_iter().filter(|name| *name != me).collect()
+    if voters.contains(node) {
+        monitored.extend(sorted.iter().filter(|name| voters.contains(*name)));
+    }
+    monitored.into_iter().filter(|name| *name != node).collect()
 }
 
+/// The latest heartbeat of one peer.
 #[derive(Debug)]
-struct Heard {
-    /// Its life, and the highest number heard of it.
-    life: u64,
-    number: u64,
-    /// When it was heard last, or first should have been.
-    at: f64,
+struct LastHeartbeat {
+    process_nonce: u64,
+    /// Highest sequence number received from this process.
+    sequence: u64,
+    /// Local time of the heartbeat, or of the start of monitoring if none has been received, in seconds.
+    received_at: f64,
 }
 
-/// What this node hears.
+/// Heartbeats received from the monitored peers, and which of these are unreachable.
 #[derive(Debug, Default)]
 pub struct Reachability {
-    heard: BTreeMap<String, Heard>,
-    /// Whom it should hear and does not.
-    deaf: BTreeSet<String>,
+    heartbeats: BTreeMap<String, LastHeartbeat>,
+    unreachable: BTreeSet<String>,
 }
 
 impl Reachability {
-    /// It should hear these now; who is new among them has from now on to be heard.
-    pub fn should(&mut self, now: f64, names: &[String]) {
-        self.heard.retain(|name, _| names.contains(name));
-        self.deaf.retain(|name| names.contains(name));
+    /// Replaces the set of monitored peers. The timeout of a new one starts at `now`, in seconds.
+    pub fn set_monitored(&mut self, now: f64, names: &[String]) {
+        self.heartbeats.retain(|name, _| names.contains(name));
+        self.unreachable.retain(|name| names.contains(name));
         for name in names {
-            self.heard.entry(name.clone()).or_insert(Heard {
-                life: 0,
-                number: 0,
-                at: now,
-            });
+            self.heartbeats
+                .entry(name.clone())
+                .or_insert(LastHeartbeat {
+                    process_nonce: 0,
+                    sequence: 0,
+                    received_at: now,
+                });
         }
     }
 
-    /// It has heard a node directly; an old word counts for nothing.
-    pub fn hear(&mut self, now: f64, name: &str, life: u64, number: u64) {
-        if let Some(heard) = self.heard.get_mut(name)
-            && (heard.life != life || number > heard.number)
+    /// Records a heartbeat of a monitored peer. One that was overtaken or repeated by the network is ignored.
+    pub fn record_heartbeat(&mut self, now: f64, name: &str, process_nonce: u64, sequence: u64) {
+        if let Some(last) = self.heartbeats.get_mut(name)
+            && (last.process_nonce != process_nonce || sequence > last.sequence)
         {
-            *heard = Heard {
-                life,
-                number,
-                at: now,
+            *last = LastHeartbeat {
+                process_nonce,
+                sequence,
+                received_at: now,
             };
         }
     }
 
-    /// Looks whom it does not hear any more.
-    pub fn look(&mut self, now: f64, patience: f64) {
-        let deaf = self
-            .heard
+    /// Marks those monitored peers as unreachable whose latest heartbeat is older than `timeout` seconds.
+    pub fn update_unreachable(&mut self, now: f64, timeout: f64) {
+        self.unreachable = self
+            .heartbeats
             .iter()
-            .filter(|(_, h)| now - h.at > patience)
-            .map(|(name, _)| name.clone());
-        self.deaf = deaf.collect();
+            .filter(|(_, last)| now - last.received_at > timeout)
+            .map(|(name, _)| name.clone())
+            .collect();
     }
 
-    /// Whom it should hear and does not.
-    pub fn deaf(&self) -> impl Iterator<Item = &String> {
-        self.deaf.iter()
+    /// Returns the names of the monitored peers that are unreachable, in order.
+    pub fn unreachable(&self) -> impl Iterator<Item = &String> {
+        self.unreachable.iter()
     }
 }
--- a/crates/membership/src/suspended_workers.rs
+++ b/crates/membership/src/suspended_workers.rs
@@ -1,171 +1,182 @@
-//! Workers out of use, for the whole fleet. Merging is commutative, associative and idempotent, so that all agree who have
-//! heard the same, in whatever order; a resume undoes the suspends that it had heard of, and no other.
+//! The workers that operators have suspended for the whole cluster, as a conflict-free replicated data type.
+//!
+//! Merging is commutative, associative and idempotent, so nodes that have received the same suspensions agree, whatever
+//! the order. A resume undoes the suspends that its node had received, and no others.
 
+use crate::fnv::Fnv;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The suspends that one life of a node has given for one worker: how many, and how many of them are undone.
+/// Longest name of a worker that is accepted, in bytes.
+pub const MAX_WORKER_NAME_BYTES: usize = 256;
+/// Largest number of workers with a record. A suspend beyond it is rejected, so that no existing one gets lost.
+pub const MAX_WORKERS: usize = 4096;
+/// Largest number of processes with a record for one worker. More can only come from a faulty node.
+const MAX_PROCESSES_PER_WORKER: usize = 1024;
+
+/// The suspends of one worker that one process of a node has issued.
+///
+/// The order of the fields is that of the encoding, in datagrams and in the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Suspension {
-    /// The life that gave them.
-    pub life: u64,
-    /// Suspends given.
-    pub given: u32,
-    /// Of these, undone.
-    pub undone: u32,
+    /// [`crate::Identity::process_nonce`] of the process that issued them.
+    pub process_nonce: u64,
+    /// Number of suspends issued.
+    pub suspend_count: u32,
+    /// How many of these a resume has undone.
+    pub undone_count: u32,
+}
+
+impl Suspension {
+    /// Returns whether a suspend is in force.
+    pub fn is_active(&self) -> bool {
+        self.suspend_count > self.undone_count
+    }
+}
+
+/// A suspension with the worker that it is about.
+///
+/// The order of the fields is that of the encoding, in datagrams and in the store.
+#[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
+pub struct WorkerSuspension {
+    /// Name of the worker.
+    pub worker: String,
+    /// What one process has issued for it.
+    pub suspension: Suspension,
+}
+
+/// Counters of one process for one worker.
+#[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
+struct Counters {
+    suspend_count: u32,
+    undone_count: u32,
+}
+
+impl Counters {
+    fn is_active(self) -> bool {
+        self.suspend_count > self.undone_count
+    }
+
+    fn to_suspension(self, process_nonce: u64) -> Suspension {
+        Suspension {
+            process_nonce,
+            suspend_count: self.suspend_count,
+            undone_count: self.undone_count,
+        }
+    }
 }
 
-/// What is known of workers out of use.
+/// All suspensions that a node has issued or received.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SuspendedWorkers {
-    /// By worker and life: given and undone.
-    marks: BTreeMap<String, BTreeMap<u64, (u32, u32)>>,
+    /// By worker, then by the process that issued them.
+    records: BTreeMap<String, BTreeMap<u64, Counters>>,
 }
 
-/// The longest name of a worker that is taken in, in bytes.
-pub const MAX_WORKER_NAME_BYTES: usize = 256;
-/// So many workers are remembered at most; a suspend beyond is refused, not forgotten.
-pub const MOST: usize = 4096;
-/// So many lives are remembered for one worker; what is beyond comes from no sound node.
-const MOST_LIVES: usize = 1024;
-
 impl SuspendedWorkers {
-    /// Whether a worker is out of use.
-    pub fn holds(&self, worker: &str) -> bool {
-        self.marks
+    /// Returns whether a worker is suspended.
+    pub fn is_suspended(&self, worker: &str) -> bool {
+        self.records
             .get(worker)
-            .is_some_and(|lives| lives.values().any(|(given, undone)| given > undone))
+            .is_some_and(|processes| processes.values().any(|counters| counters.is_active()))
     }
 
-    /// Whether anything was ever said of a worker.
-    pub fn knows(&self, worker: &str) -> bool {
-        self.marks.contains_key(worker)
+    /// Returns whether there is any record of a worker, suspended or resumed.
+    pub fn has_record(&self, worker: &str) -> bool {
+        self.records.contains_key(worker)
     }
 
-    /// All that are out of use.
-    pub fn all(&self) -> impl Iterator<Item = &str> {
-        self.marks
+    /// Returns the names of all suspended workers, in order.
+    pub fn suspended(&self) -> impl Iterator<Item = &str> {
+        self.records
             .keys()
             .map(String::as_str)
-            .filter(|worker| self.holds(worker))
+            .filter(|worker| self.is_suspended(worker))
     }
 
-    /// Takes a worker out of use on the word of this life; gives what is to be told, or `None` if there is no room.
-    pub fn suspend(&mut self, life: u64, worker: &str) -> Option<Suspension> {
-        if !self.room(worker, life) {
+    /// Suspends a worker on behalf of a process. Returns the suspension to send to the other nodes, or `None` if there
+    /// are too many records.
+    pub fn suspend(&mut self, process_nonce: u64, worker: &str) -> Option<Suspension> {
+        if !self.has_room(worker, process_nonce) {
             return None;
         }
-        let (given, undone) = self
-            .marks
+        let counters = self
+            .records
             .entry(worker.to_owned())
             .or_default()
-            .entry(life)
+            .entry(process_nonce)
             .or_default();
-        if given <= undone {
-            *given = undone.saturating_add(1);
+        if !counters.is_active() {
+            counters.suspend_count = counters.undone_count.saturating_add(1);
         }
-        Some(Suspension {
-            life,
-            given: *given,
-            undone: *undone,
-        })
+        Some(counters.to_suspension(process_nonce))
     }
 
-    /// Undoes all suspends of a worker that are known here; gives what is to be told.
+    /// Undoes all active suspends of a worker. Returns the changed suspensions, to send to the other nodes.
     pub fn resume(&mut self, worker: &str) -> Vec<Suspension> {
-        let Some(lives) = self.marks.get_mut(worker) else {
+        let Some(processes) = self.records.get_mut(worker) else {
             return Vec::new();
         };
-        let undone = lives
-            .iter_mut()
-            .filter(|(_, (given, undone))| given > undone);
-        undone
-            .map(|(life, (given, undone))| {
-                *undone = *given;
-                Suspension {
-                    life: *life,
-                    given: *given,
-                    undone: *undone,
-                }
-            })
-            .collect()
+        let mut changed = Vec::new();
+        for (process_nonce, counters) in processes {
+            if counters.is_active() {
+                counters.undone_count = counters.suspend_count;
+                changed.push(counters.to_suspension(*process_nonce));
+            }
+        }
+        changed
     }
 
-    /// Takes in what another knows; whether the worker's use has changed by it.
-    pub fn merge(&mut self, worker: &str, mark: Suspension) -> bool {
+    /// Merges a suspension received from another node or read from the store. An invalid one, or one too many, is
+    /// ignored. Returns whether the worker became suspended or resumed by it.
+    pub fn merge(&mut self, worker: &str, received: Suspension) -> bool {
         if worker.is_empty()
             || worker.len() > MAX_WORKER_NAME_BYTES
-            || mark.undone > mark.given
-            || !self.room(worker, mark.life)
+            || received.undone_count > received.suspend_count
+            || !self.has_room(worker, received.process_nonce)
         {
             return false;
         }
-        let before = self.holds(worker);
-        let known = self
-            .marks
+        let before = self.is_suspended(worker);
+        let counters = self
+            .records
             .entry(worker.to_owned())
             .or_default()
-            .entry(mark.life)
+            .entry(received.process_nonce)
             .or_default();
-        *known = (known.0.max(mark.given), known.1.max(mark.undone));
-        self.holds(worker) != before
+        counters.suspend_count = counters.suspend_count.max(received.suspend_count);
+        counters.undone_count = counters.undone_count.max(received.undone_count);
+        self.is_suspended(worker) != before
     }
 
-    /// All that is known, worker by worker.
-    pub fn marks(&self) -> impl Iterator<Item = (&str, Suspension)> {
-        self.marks.iter().flat_map(|(worker, lives)| {
-            let mark = |(life, (given, undone)): (&u64, &(u32, u32))| Suspension {
-                life: *life,
-                given: *given,
-                undone: *undone,
-            };
-            lives
+    /// Returns all suspensions with their workers, ordered by worker and process.
+    pub fn records(&self) -> impl Iterator<Item = (&str, Suspension)> {
+        self.records.iter().flat_map(|(worker, processes)| {
+            processes
                 .iter()
-                .map(move |entry| (worker.as_str(), mark(entry)))
+                .map(|(nonce, counters)| (worker.as_str(), counters.to_suspension(*nonce)))
         })
     }
 
-    /// The same for the same knowledge, at every node.
+    /// Returns a digest that is equal at all nodes with equal records.
     pub fn digest(&self) -> u64 {
-        let mut sum = Fnv::default();
-        for (worker, mark) in self.marks() {
-            sum.add(worker.as_bytes());
-            sum.add(&[0]);
-            sum.add(&mark.life.to_le_bytes());
-            sum.add(&mark.given.to_le_bytes());
-            sum.add(&mark.undone.to_le_bytes());
+        let mut hash = Fnv::default();
+        for (worker, suspension) in self.records() {
+            hash.write(worker.as_bytes());
+            hash.write(&[0]);
+            hash.write(&suspension.process_nonce.to_le_bytes());
+            hash.write(&suspension.suspend_count.to_le_bytes());
+            hash.write(&suspension.undone_count.to_le_bytes());
         }
-        sum.0
+        hash.finish()
     }
 
-    fn room(&self, worker: &str, life: u64) -> bool {
-        match self.marks.get(worker) {
-            Some(lives) => lives.len() < MOST_LIVES || lives.contains_key(&life),
-            None => self.marks.len() < MOST,
+    fn has_room(&self, worker: &str, process_nonce: u64) -> bool {
+        match self.records.get(worker) {
+            Some(processes) => {
+                processes.len() < MAX_PROCESSES_PER_WORKER || processes.contains_key(&process_nonce)
+            }
+            None => self.records.len() < MAX_WORKERS,
         }
     }
 }
-
-/// FNV-1a in 64 bits: the same at every node, whatever it was built with.
-pub(crate) struct Fnv(pub(crate) u64);
-
-impl Default for Fnv {
-    fn default() -> Self {
-        Self(0xcbf2_9ce4_8422_2325)
-    }
-}
-
-impl Fnv {
-    pub(crate) fn add(&mut self, bytes: &[u8]) {
-        bytes
-            .iter()
-            .for_each(|byte| self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3));
-    }
-
-    pub(crate) fn of(name: &str) -> u64 {
-        let mut sum = Self::default();
-        sum.add(name.as_bytes());
-        // The low bits of short names lie close together.
-        sum.0 ^ sum.0.rotate_left(29).wrapping_mul(0x9e37_79b9_7f4a_7c15)
-    }
-}
--- a/crates/membership/tests/surface_bytes.rs
+++ b/crates/membership/tests/surface_bytes.rs
@@ -1,11 +1,14 @@
-//! Pins the datagrams between members: the envelope, every kind of message, marks of workers out of use, and the words that
-//! the gossip carries. Nodes of a fleet may run different versions, so these bytes must not change with a rename. The
+//! Pins the datagrams between members: the envelope, every kind of message, suspensions of workers, and the stored
+//! suspensions. Nodes of a fleet may run different versions, so these bytes must not change with a rename. The
 //! literals were written by the version before the renames.
 
 use postproxy_membership::packet::{
-    DecodeError, MOST, Message, VERSION, cluster, decode, decode_word, encode,
+    DecodeError, ForgottenNode, MAX_DATAGRAM_BYTES, Message, VERSION, cluster_number, decode,
+    decode_stream_message, encode,
+};
+use postproxy_membership::{
+    Identity, MAX_NAME_BYTES, SuspendedWorkers, Suspension, WorkerSuspension,
 };
-use postproxy_membership::{Identity, MAX_NAME_BYTES, SuspendedWorkers, Suspension};
 use std::net::SocketAddr;
 
 /// Returns the bytes as lower-case hexadecimal digits.
@@ -28,7 +31,7 @@
         name: "n-1".into(),
         address,
         incarnation: 300,
-        life: u64::MAX,
+        process_nonce: u64::MAX,
     }
 }
 
@@ -62,63 +65,100 @@
 
 #[test]
 fn version_limits_and_cluster_number_are_unchanged() {
-    assert_eq!((VERSION, MOST, MAX_NAME_BYTES), (1, 1400, 64));
-    assert_eq!(cluster("fleet"), 2690522695);
-    assert_eq!(cluster(""), 0);
+    assert_eq!((VERSION, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES), (1, 1400, 64));
+    assert_eq!(cluster_number("fleet"), 2690522695);
+    assert_eq!(cluster_number(""), 0);
 }
 
 #[test]
 fn messages_keep_their_bytes() {
-    let mark = Suspension {
-        life: 301,
-        given: 2,
-        undone: 1,
+    let suspension = Suspension {
+        process_nonce: 301,
+        suspend_count: 2,
+        undone_count: 1,
+    };
+    let of_worker = |worker: &str| WorkerSuspension {
+        worker: worker.into(),
+        suspension,
     };
     pin(Message::Swim(vec![1, 2, 255]), "00030102ff");
     pin(Message::Swim(Vec::new()), "0000");
     pin(
-        Message::Hello(300, 0x0102_0304_0506_0708),
+        Message::Heartbeat {
+            sequence: 300,
+            digest: 0x0102_0304_0506_0708,
+        },
         "01ac02888e98a8c0e0808101",
     );
-    pin(Message::Ask, "02");
+    pin(Message::NameQuery, "02");
     pin(
-        Message::Record(Some(sender())),
+        Message::NameHolder(Some(sender())),
         "0301036e2d31007f0000019e37ac02ffffffffffffffffff01",
     );
-    pin(Message::Record(None), "0300");
-    pin(Message::Sign(4), "0404");
-    pin(Message::Signed(5), "0505");
-    pin(Message::Suspected(6, 515), "06068304");
-    pin(Message::Leaves, "07");
+    pin(Message::NameHolder(None), "0300");
+    pin(Message::LivenessChallenge(4), "0404");
+    pin(Message::LivenessResponse(5), "0505");
+    pin(
+        Message::Suspicion {
+            process_nonce: 6,
+            swim_incarnation: 515,
+        },
+        "06068304",
+    );
+    pin(Message::Leaving, "07");
     pin(
-        Message::SuspendedWorkers(vec![("w-1".into(), mark)], true),
+        Message::Suspensions {
+            suspensions: vec![of_worker("w-1")],
+            reply_wanted: true,
+        },
         "080103772d31ad02020101",
     );
-    pin(Message::SuspendedWorkers(Vec::new(), false), "080000");
-    pin(Message::Held(7), "0907");
     pin(
-        Message::Hold(8, vec![("w-2".into(), mark)]),
+        Message::Suspensions {
+            suspensions: Vec::new(),
+            reply_wanted: false,
+        },
+        "080000",
+    );
+    pin(Message::SuspensionAcknowledged(7), "0907");
+    pin(
+        Message::RecordSuspensions {
+            ticket: 8,
+            suspensions: vec![of_worker("w-2")],
+        },
         "0a080103772d32ad020201",
     );
-    pin(Message::Hold(9, Vec::new()), "0a0900");
-    pin(Message::Gone(vec![("n-2".into(), 10)]), "0b01036e2d320a");
-    pin(Message::Gone(Vec::new()), "0b00");
-    pin(Message::Part(vec![11, 12]), "0c020b0c");
-    pin(Message::Part(Vec::new()), "0c00");
+    pin(
+        Message::RecordSuspensions {
+            ticket: 9,
+            suspensions: Vec::new(),
+        },
+        "0a0900",
+    );
+    pin(
+        Message::Forgotten(vec![ForgottenNode {
+            name: "n-2".into(),
+            up_to_incarnation: 10,
+        }]),
+        "0b01036e2d320a",
+    );
+    pin(Message::Forgotten(Vec::new()), "0b00");
+    pin(Message::Application(vec![11, 12]), "0c020b0c");
+    pin(Message::Application(Vec::new()), "0c00");
 }
 
-/// A whole datagram: `Ask`.
+/// A whole datagram: `NameQuery`.
 const DATAGRAM: &str = "504d01040302015dcc674e036e2d31007f0000019e37ac02ffffffffffffffffff0102";
 
 #[test]
 fn whole_datagram_keeps_its_bytes() {
     assert_eq!(
-        hex(&encode(0x0102_0304, &sender(), &Message::Ask)),
+        hex(&encode(0x0102_0304, &sender(), &Message::NameQuery)),
         DATAGRAM
     );
     assert_eq!(
         decode(0x0102_0304, &unhex(DATAGRAM)),
-        Ok((sender(), Message::Ask))
+        Ok((sender(), Message::NameQuery))
     );
 }
 
@@ -147,19 +187,22 @@
             &[&unhex("504d0104030201"), &sum[..], &rest].concat(),
         )
     };
-    assert_eq!(with(&(SENDER.to_owned() + "0d")), Err(DecodeError::Unknown));
+    assert_eq!(
+        with(&(SENDER.to_owned() + "0d")),
+        Err(DecodeError::Malformed)
+    );
     assert_eq!(
         with(&(SENDER.to_owned() + "0200")),
-        Err(DecodeError::Unknown)
+        Err(DecodeError::Malformed)
     );
     assert_eq!(
         with(&("00".to_owned() + &SENDER[8..] + "02")),
-        Err(DecodeError::Unknown)
+        Err(DecodeError::Malformed)
     );
     // Longer than a datagram may be; over a stream it is read.
-    let long = encode(0x0102_0304, &sender(), &Message::Part(vec![0; 1400]));
+    let long = encode(0x0102_0304, &sender(), &Message::Application(vec![0; 1400]));
     assert_eq!(decode(0x0102_0304, &long), Err(DecodeError::Damaged));
-    assert!(decode_word(0x0102_0304, &long).is_ok());
+    assert!(decode_stream_message(0x0102_0304, &long).is_ok());
 }
 
 #[test]
@@ -183,45 +226,45 @@
 /// Nodes compare these digests: each must come to the same number at every version.
 #[test]
 fn digest_of_suspended_workers_is_unchanged() {
-    let mut bans = SuspendedWorkers::default();
-    assert_eq!(format!("{:016x}", bans.digest()), "cbf29ce484222325");
-    bans.merge(
+    let mut workers = SuspendedWorkers::default();
+    assert_eq!(format!("{:016x}", workers.digest()), "cbf29ce484222325");
+    workers.merge(
         "w-1",
         Suspension {
-            life: 301,
-            given: 2,
-            undone: 1,
+            process_nonce: 301,
+            suspend_count: 2,
+            undone_count: 1,
         },
     );
-    bans.merge(
+    workers.merge(
         "w-2",
         Suspension {
-            life: 302,
-            given: 3,
-            undone: 3,
+            process_nonce: 302,
+            suspend_count: 3,
+            undone_count: 3,
         },
     );
-    assert_eq!(format!("{:016x}", bans.digest()), "f593dd39b26adc4e");
+    assert_eq!(format!("{:016x}", workers.digest()), "f593dd39b26adc4e");
 }
 
 /// The value that a node stores under `f/bans`.
 #[test]
-fn stored_marks_keep_their_bytes() {
-    let marks = vec![(
-        "w-1".to_owned(),
-        Suspension {
-            life: 301,
-            given: 2,
-            undone: 1,
+fn stored_suspensions_keep_their_bytes() {
+    let suspensions = vec![WorkerSuspension {
+        worker: "w-1".to_owned(),
+        suspension: Suspension {
+            process_nonce: 301,
+            suspend_count: 2,
+            undone_count: 1,
         },
-    )];
+    }];
     let literal = "0103772d31ad020201";
     assert_eq!(
-        hex(&postcard::to_stdvec(&marks).expect("encoded marks")),
+        hex(&postcard::to_stdvec(&suspensions).expect("encoded suspensions")),
         literal
     );
     assert_eq!(
-        postcard::from_bytes::<Vec<(String, Suspension)>>(&unhex(literal)),
-        Ok(marks)
+        postcard::from_bytes::<Vec<WorkerSuspension>>(&unhex(literal)),
+        Ok(suspensions)
     );
 }
--- a/crates/membership/tests/surface_errors.rs
+++ b/crates/membership/tests/surface_errors.rs
@@ -2,7 +2,7 @@
 //! nodes. They must not change with a name in the code.
 
 use postproxy_membership::packet::DecodeError;
-use postproxy_membership::{ClusterHealth, Identity};
+use postproxy_membership::{ClusterHealth, Identity, UnreachablePair};
 
 #[test]
 fn reasons_to_drop_a_datagram_have_their_words() {
@@ -11,7 +11,7 @@
         DecodeError::Version,
         DecodeError::Cluster,
         DecodeError::Damaged,
-        DecodeError::Unknown,
+        DecodeError::Malformed,
     ];
     let expected = [
         "foreign",
@@ -20,7 +20,7 @@
         "damaged",
         "not understood",
     ];
-    assert_eq!(flaws.map(DecodeError::word), expected);
+    assert_eq!(flaws.map(DecodeError::as_str), expected);
 }
 
 #[test]
@@ -28,24 +28,27 @@
     let names = || vec!["n1".to_owned(), "n2".to_owned()];
     let cases = [
         (ClusterHealth::Alone, "alone", vec![]),
-        (ClusterHealth::Whole, "whole", vec![]),
+        (ClusterHealth::Complete, "whole", vec![]),
         (
-            ClusterHealth::SomeCut(vec![("n0".into(), "n1".into())]),
+            ClusterHealth::PartiallyUnreachable(vec![UnreachablePair {
+                observer: "n0".into(),
+                peer: "n1".into(),
+            }]),
             "some pairs cut",
             vec!["n0 does not hear n1"],
         ),
         (
-            ClusterHealth::Failed(names()),
+            ClusterHealth::SomeFailed(names()),
             "some failed",
             vec!["n1 has failed", "n2 has failed"],
         ),
         (
-            ClusterHealth::Majority(names()),
+            ClusterHealth::MajorityPartition(names()),
             "cut off with a majority",
             vec!["n1 is not reached", "n2 is not reached"],
         ),
         (
-            ClusterHealth::Minority(names()),
+            ClusterHealth::MinorityPartition(names()),
             "cut off with a minority",
             vec!["voter n1 is not reached", "voter n2 is not reached"],
         ),
@@ -57,7 +60,7 @@
     ];
     for (standing, word, reasons) in cases {
         assert_eq!(
-            (standing.word(), standing.to_string().as_str()),
+            (standing.as_str(), standing.to_string().as_str()),
             (word, word)
         );
         assert_eq!(standing.reasons(), reasons);
@@ -71,7 +74,7 @@
         name: "n1".into(),
         address,
         incarnation: 3,
-        life: 9,
+        process_nonce: 9,
     };
     assert_eq!(identity.to_string(), "n1 at 127.0.0.1:7946, incarnation 3");
 }
--- a/crates/membership/tests/surface_json.rs
+++ b/crates/membership/tests/surface_json.rs
@@ -3,8 +3,8 @@
 //! `standing` and `reasons` are worded by [`ClusterHealth`], the keys of `dropped` by [`DecodeError`]. Programs compare them as text: they
 //! are literal here, so that renaming the types and variants can't change them unseen.
 
-use postproxy_membership::ClusterHealth;
 use postproxy_membership::packet::DecodeError;
+use postproxy_membership::{ClusterHealth, UnreachablePair};
 
 fn names() -> Vec<String> {
     vec!["n1".into(), "n2".into()]
@@ -13,7 +13,7 @@
 /// The standing is shown by this word, also in logs, and for these reasons.
 #[track_caller]
 fn pinned(standing: &ClusterHealth, word: &str, reasons: &[&str]) {
-    assert_eq!(standing.word(), word);
+    assert_eq!(standing.as_str(), word);
     assert_eq!(standing.to_string(), word);
     assert_eq!(standing.reasons(), reasons);
 }
@@ -21,27 +21,30 @@
 #[test]
 fn each_standing_has_this_word_and_these_reasons() {
     pinned(&ClusterHealth::Alone, "alone", &[]);
-    pinned(&ClusterHealth::Whole, "whole", &[]);
-    let pair = ("n0".to_owned(), "n1".to_owned());
+    pinned(&ClusterHealth::Complete, "whole", &[]);
+    let pair = UnreachablePair {
+        observer: "n0".to_owned(),
+        peer: "n1".to_owned(),
+    };
     pinned(
-        &ClusterHealth::SomeCut(vec![pair]),
+        &ClusterHealth::PartiallyUnreachable(vec![pair]),
         "some pairs cut",
         &["n0 does not hear n1"],
     );
     pinned(
-        &ClusterHealth::Failed(names()),
+        &ClusterHealth::SomeFailed(names()),
         "some failed",
         &["n1 has failed", "n2 has failed"],
     );
     let reasons = ["n1 is not reached", "n2 is not reached"];
     pinned(
-        &ClusterHealth::Majority(names()),
+        &ClusterHealth::MajorityPartition(names()),
         "cut off with a majority",
         &reasons,
     );
     let reasons = ["voter n1 is not reached", "voter n2 is not reached"];
     pinned(
-        &ClusterHealth::Minority(names()),
+        &ClusterHealth::MinorityPartition(names()),
         "cut off with a minority",
         &reasons,
     );
@@ -59,10 +62,10 @@
         DecodeError::Version,
         DecodeError::Cluster,
         DecodeError::Damaged,
-        DecodeError::Unknown,
+        DecodeError::Malformed,
     ];
     assert_eq!(
-        flaws.map(DecodeError::word),
+        flaws.map(DecodeError::as_str),
         [
             "foreign",
             "another version",
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -9,7 +9,8 @@
 use crate::operator_config::{AuditSection, DutiesSection, FleetSection};
 use postproxy_coordination::StorageChange;
 use postproxy_membership::{
-    MemberState, Membership, MembershipEvent, Output, Rejection, Suspension,
+    ForgetError, MemberState, Membership, MembershipEvent, Output, SuspensionChange,
+    WorkerSuspension,
 };
 use postproxy_streams::Streams;
 use postproxy_version_tracking::{Kind, Source, VersionRecord};
@@ -141,7 +142,7 @@
                         .and_then(|coordination| coordination.receive(now, &from, &word))
                     {
                         Some(more) => todo.extend(more),
-                        None => self.members.told(now, &word, out),
+                        None => self.members.handle_stream_message(now, &word, out),
                     }
                 }
                 // What was dropped is told again when digests differ.
@@ -159,7 +160,7 @@
     /// Where a node is, as far as this one knows.
     fn address(&self, name: &str) -> Option<SocketAddr> {
         self.members
-            .others()
+            .peers()
             .find(|(id, _)| &*id.name == name)
             .map(|(id, _)| id.address)
     }
@@ -170,7 +171,7 @@
             .members
             .dropped()
             .iter()
-            .map(|(flaw, n)| (flaw.word().to_owned(), *n));
+            .map(|(flaw, n)| (flaw.as_str().to_owned(), *n));
         datagrams
             .chain(
                 self.peer_connections
@@ -193,7 +194,7 @@
     /// It has let go.
     over: bool,
     /// What is kept from an earlier life.
-    restored: Vec<(String, Suspension)>,
+    restored: Vec<WorkerSuspension>,
     /// The same of what the nodes decide together.
     council: Vec<(Vec<u8>, Vec<u8>)>,
     /// Looks asked for: the latest, and when it comes.
@@ -274,8 +275,8 @@
             seed,
             reactor.now,
         );
-        members.restore(self.restored.drain(..));
-        self.kept = members.digest();
+        members.restore_suspensions(self.restored.drain(..));
+        self.kept = members.suspensions_digest();
         tracing::info!(name = self.name, address = %told, cluster = self.section.cluster, "among the nodes");
         let settled = reactor.now + SETTLED;
         let council = self
@@ -321,7 +322,7 @@
         reactor: &mut Reactor,
         life: u64,
     ) -> std::io::Result<(UdpSocket, PeerConnections)> {
-        let cluster = postproxy_membership::packet::cluster(&self.section.cluster);
+        let cluster = postproxy_membership::packet::cluster_number(&self.section.cluster);
         let mut choices = if self.section.listen.port() == 0 {
             CHOICES
         } else {
@@ -346,7 +347,7 @@
         }
         let at = match &self.place {
             Some(place) => [
-                place.members.next(),
+                place.members.next_timeout(),
                 place.peer_connections.next(),
                 Some(place.settled),
                 place.coordination.as_ref().map(CoordinationService::next),
@@ -386,13 +387,13 @@
         }
         let (mut out, mut settled, mut told) = (Vec::new(), false, Vec::new());
         if let Some(place) = &mut self.place {
-            place.members.due(reactor.now, &mut out);
+            place.members.handle_timeout(reactor.now, &mut out);
             for (ticket, _) in self
                 .callers
                 .iter()
                 .filter(|(_, (_, until))| *until <= reactor.now)
             {
-                place.members.press(reactor.now, *ticket, &mut out);
+                place.members.expire_ticket(reactor.now, *ticket, &mut out);
             }
             let heard = place.peer_connections.due(reactor);
             todo.extend(place.heed(reactor.now, heard, &mut out));
@@ -404,7 +405,7 @@
             }
             if place.settled <= reactor.now {
                 // As long as it is none of the nodes, it does not know what they have said.
-                settled = place.members.is_in();
+                settled = place.members.is_member();
                 place.settled = if settled {
                     f64::INFINITY
                 } else {
@@ -425,7 +426,7 @@
         for one in told {
             match (one, &mut self.place) {
                 (versions::Do::Say(to, bytes), Some(place)) => {
-                    place.members.say_part(&to, &bytes, out);
+                    place.members.send_application_message(&to, &bytes, out);
                 }
                 (versions::Do::Give(to, kind), _) => events.push(Event::Give(to, kind)),
                 (versions::Do::Say(..), None) => {}
@@ -594,7 +595,11 @@
         let (mut out, mut bytes) = (Vec::new(), [0; 2048]);
         for _ in 0..MOST_READ {
             match place.socket.recv_from(&mut bytes) {
-                Ok((size, _)) => place.members.receive(reactor.now, &bytes[..size], &mut out),
+                Ok((size, _)) => {
+                    place
+                        .members
+                        .handle_datagram(reactor.now, &bytes[..size], &mut out)
+                }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 // An error is that of an earlier datagram, which nobody took.
                 Err(_) => {}
@@ -617,7 +622,16 @@
             return (false, Vec::new());
         };
         let mut out = Vec::new();
-        let Some(ticket) = place.members.employ(reactor.now, worker, again, &mut out) else {
+        let Some(ticket) = place.members.change_suspension(
+            reactor.now,
+            worker,
+            if again {
+                SuspensionChange::Resume
+            } else {
+                SuspensionChange::Suspend
+            },
+            &mut out,
+        ) else {
             tracing::error!(worker, "too many workers are out of use: told to nobody");
             return (false, Vec::new());
         };
@@ -636,7 +650,7 @@
         &mut self,
         reactor: &mut Reactor,
         name: &str,
-    ) -> Result<Vec<Event>, Option<Rejection>> {
+    ) -> Result<Vec<Event>, Option<ForgetError>> {
         let (place, mut out) = (self.place.as_mut().ok_or(None)?, Vec::new());
         place.members.forget(reactor.now, name, &mut out)?;
         tracing::info!(name, "forgotten on an operator's word");
@@ -654,11 +668,16 @@
         if let Some(place) = &mut self.place {
             for worker in workers
                 .iter()
-                .filter(|worker| !place.members.knows(worker))
+                .filter(|worker| !place.members.has_suspension_record(worker))
                 .collect::<Vec<_>>()
             {
                 tracing::info!(worker, "out of use here before: told to the nodes");
-                let _ = place.members.employ(reactor.now, worker, false, &mut out);
+                let _ = place.members.change_suspension(
+                    reactor.now,
+                    worker,
+                    SuspensionChange::Suspend,
+                    &mut out,
+                );
             }
         }
         self.carry(reactor, out)
@@ -686,10 +705,13 @@
     /// The fleet's bans, if they have changed since they were kept, or are asked for again.
     pub fn take_changed_suspensions(&mut self, again: bool) -> Option<Vec<u8>> {
         let members = &self.place.as_ref()?.members;
-        if members.digest() == std::mem::replace(&mut self.kept, members.digest()) && !again {
+        if members.suspensions_digest()
+            == std::mem::replace(&mut self.kept, members.suspensions_digest())
+            && !again
+        {
             return None;
         }
-        postcard::to_stdvec(&members.bans()).ok()
+        postcard::to_stdvec(&members.suspensions()).ok()
     }
 
     /// What the door shows.
@@ -715,22 +737,22 @@
             MemberState::Failed => "failed",
             MemberState::Left => "left",
         };
-        let others = members.others().map(|(id, life)| shown((id, word(life))));
-        let (ill, missed_s) = members.health();
+        let others = members.peers().map(|(id, life)| shown((id, word(life))));
+        let local = members.local_health();
         Some(ClusterStatus {
             cluster: self.section.cluster.clone(),
             node: self.name.clone(),
-            member: members.is_in(),
-            namesake: members.namesake(),
-            standing: members.standing().word().to_owned(),
-            reasons: members.standing().reasons(),
-            members: std::iter::once(shown((members.me(), "here")))
+            member: members.is_member(),
+            namesake: members.name_conflict(),
+            standing: members.health().as_str().to_owned(),
+            reasons: members.health().reasons(),
+            members: std::iter::once(shown((members.local_identity(), "here")))
                 .chain(others)
                 .collect(),
-            unheard: members.deaf().cloned().collect(),
-            ill,
-            missed_s,
-            bans: members.out_of_use(),
+            unheard: members.unreachable().cloned().collect(),
+            ill: local.slowdown,
+            missed_s: local.skipped_seconds,
+            bans: members.suspended_workers(),
             dropped: place.dropped(),
         })
     }
@@ -741,13 +763,16 @@
             (Vec::new(), false, std::collections::VecDeque::from(out));
         while let Some(one) = out.pop_front() {
             match one {
-                Output::Send(to, bytes) => {
+                Output::SendDatagram {
+                    to,
+                    datagram: bytes,
+                } => {
                     if let Some(place) = &self.place {
                         // One that can't be sent is one that is lost.
                         let _ = place.socket.send_to(&bytes, to);
                     }
                 }
-                Output::Tell(to, bytes) => {
+                Output::SendOverStream { to, message: bytes } => {
                     let Some(place) = &mut self.place else {
                         continue;
                     };
@@ -759,22 +784,30 @@
                         tracing::warn!(name = &*to.name, "too much waits for a node: not told");
                     }
                 }
-                Output::MembershipEvent(MembershipEvent::Part(from, word)) => {
+                Output::Event(MembershipEvent::ApplicationMessage {
+                    from,
+                    message: word,
+                }) => {
                     let audit = self.place.as_mut().and_then(|place| place.audit.as_mut());
                     let told = audit.map(|audit| audit.heard(reactor.now, &from.name, &word));
                     let mut more = Vec::new();
                     events.extend(self.tell(told.unwrap_or_default(), &mut more));
                     out.extend(more);
                 }
-                Output::MembershipEvent(MembershipEvent::Ban(worker, out)) => {
-                    events.push(Event::Ban(worker, !out))
-                }
-                Output::MembershipEvent(MembershipEvent::Held(ticket, at, of)) => {
+                Output::Event(MembershipEvent::WorkerChanged {
+                    worker,
+                    is_suspended: out,
+                }) => events.push(Event::Ban(worker, !out)),
+                Output::Event(MembershipEvent::SuspensionRecorded {
+                    ticket,
+                    recorded: at,
+                    nodes: of,
+                }) => {
                     if let Some((caller, _)) = self.callers.remove(&ticket) {
                         events.push(Event::Held(caller, at, of));
                     }
                 }
-                Output::MembershipEvent(news) => {
+                Output::Event(news) => {
                     if let (MembershipEvent::Failed(id) | MembershipEvent::Left(id), Some(place)) =
                         (&news, &mut self.place)
                     {
@@ -782,8 +815,8 @@
                     }
                     if let MembershipEvent::Failed(id)
                     | MembershipEvent::Left(id)
-                    | MembershipEvent::Up(id)
-                    | MembershipEvent::Moved(id) = &news
+                    | MembershipEvent::Joined(id)
+                    | MembershipEvent::IdentityChanged(id) = &news
                         && let Some(coordination) = self
                             .place
                             .as_mut()
@@ -798,13 +831,16 @@
         }
         // Who is there changes with news alone.
         if let Some(place) = self.place.as_ref().filter(|_| changed) {
-            let count = place.members.count();
-            let told = (if count > 1 { count } else { 0 }, place.members.place());
+            let count = place.members.cluster_size();
+            let told = (if count > 1 { count } else { 0 }, {
+                let rank = place.members.rank();
+                (rank.position, rank.members)
+            });
             let there = |(id, life): (&postproxy_membership::Identity, MemberState)| {
                 matches!(life, MemberState::Alive | MemberState::Suspect)
                     .then(|| id.name.to_string())
             };
-            let peers = place.members.others().filter_map(there).collect();
+            let peers = place.members.peers().filter_map(there).collect();
             if let Some(audit) = self.place.as_mut().and_then(|place| place.audit.as_mut()) {
                 audit.peers(peers);
             }
@@ -848,28 +884,30 @@
 
 fn log(news: &MembershipEvent) {
     match news {
-        MembershipEvent::Up(id) => {
+        MembershipEvent::Joined(id) => {
             tracing::info!(name = &*id.name, address = %id.address, id.incarnation, "a node is there")
         }
-        MembershipEvent::Moved(id) => {
+        MembershipEvent::IdentityChanged(id) => {
             tracing::info!(name = &*id.name, address = %id.address, id.incarnation, "a node is there anew");
         }
         MembershipEvent::Failed(id) => {
             tracing::warn!(name = &*id.name, address = %id.address, "a node has failed")
         }
         MembershipEvent::Left(id) => tracing::info!(name = &*id.name, "a node has left"),
-        MembershipEvent::Returned(incarnation) => {
+        MembershipEvent::Rejoined { incarnation } => {
             tracing::warn!(
                 incarnation,
                 "others had called this node failed: it is back"
             );
         }
-        MembershipEvent::Namesake(at) => {
+        MembershipEvent::NameConflict { address: at } => {
             tracing::error!(%at, "another process has this node's name: this one is no member, and serves alone");
         }
-        MembershipEvent::ClusterHealth(standing) => {
+        MembershipEvent::HealthChanged(standing) => {
             tracing::info!(%standing, why = standing.reasons().join("; "), "how things stand");
         }
-        MembershipEvent::Ban(..) | MembershipEvent::Held(..) | MembershipEvent::Part(..) => {}
+        MembershipEvent::WorkerChanged { .. }
+        | MembershipEvent::SuspensionRecorded { .. }
+        | MembershipEvent::ApplicationMessage { .. } => {}
     }
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -19,7 +19,7 @@
 use crate::operator_config::FleetSection;
 use polling::Event;
 use postproxy_handover::{LinkEvent, Message, Role, StateUpdate};
-use postproxy_membership::Rejection;
+use postproxy_membership::ForgetError;
 use postproxy_version_tracking::{Source, VersionRecord};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, Read};
@@ -655,9 +655,9 @@
                 self.told_by_fleet(events);
                 Reply::Yes
             }
-            Err(Some(Rejection::Nobody)) => Reply::Nobody,
-            Err(Some(Rejection::Lives)) => Reply::Lives,
-            Err(Some(Rejection::Full) | None) => Reply::NotNow,
+            Err(Some(ForgetError::UnknownNode)) => Reply::Nobody,
+            Err(Some(ForgetError::StillAlive)) => Reply::Lives,
+            Err(Some(ForgetError::TooMany) | None) => Reply::NotNow,
         }
     }
 
--- a/src/operator_config.rs
+++ b/src/operator_config.rs
@@ -178,12 +178,12 @@
             cluster: self.cluster.clone(),
             seeds: self.seeds.clone(),
             voters: self.voters.iter().cloned().collect(),
-            probe: seconds(self.probe_ms),
-            answer: seconds(self.answer_ms),
-            suspicion: seconds(self.suspicion_ms),
-            gossip: seconds(self.gossip_ms),
-            hello: seconds(self.hello_ms),
-            look_back: seconds(self.look_back_ms),
+            probe_interval: seconds(self.probe_ms),
+            probe_timeout: seconds(self.answer_ms),
+            suspicion_timeout: seconds(self.suspicion_ms),
+            gossip_interval: seconds(self.gossip_ms),
+            heartbeat_interval: seconds(self.hello_ms),
+            failed_node_probe_interval: seconds(self.look_back_ms),
         }
     }
 
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -331,7 +331,7 @@
     use std::io::{Read, Write};
     use std::net::TcpStream;
     let fleet = Fleet::new(3, 12, false);
-    let cluster = postproxy_membership::packet::cluster("riga");
+    let cluster = postproxy_membership::packet::cluster_number("riga");
     let hello = |n: usize| {
         let hello = Packet::Hello {
             cluster,
