--- a/crates/streams/src/codec.rs
+++ b/crates/streams/src/codec.rs
@@ -1,162 +1,164 @@
-//! Packets as bytes: a greeting with the version, then frames of a length, a checksum and a body.
+//! The bytes on a connection: a preamble with the version, then frames of a length, a checksum and a packet.
 
+use crate::error::ConnectionError;
 use serde::{Deserialize, Serialize};
 
-/// What every connection begins with, on either side; the last two bytes are the version.
-pub const GREETING: &[u8; 8] = b"ppfl\r\n\x00\x01";
-/// The longest word, in bytes.
-pub const MOST_WORD: usize = 1 << 20;
-/// What a frame may hold beside the word.
-const BESIDE: usize = 256;
-const HEAD: usize = 8;
-/// The longest name of a node.
-const MOST_NAME: usize = 64;
+/// First bytes of each connection in either direction. The last two are the version.
+pub const PREAMBLE: &[u8; 8] = b"ppfl\r\n\x00\x01";
+/// Bytes of the version at the end of the preamble.
+const VERSION_BYTES: usize = 2;
+/// Longest message in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Bytes of a packet beside its message, at most.
+const MAX_PACKET_OVERHEAD_BYTES: usize = 256;
+/// Bytes of a frame before its packet: length and checksum, 4 bytes each, big-endian.
+const FRAME_HEADER_BYTES: usize = 8;
+/// Longest name of a node in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// What goes over a connection.
+/// What a frame carries, in postcard encoding.
+///
+/// The order of the variants and of their fields is that of the encoding.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Packet {
-    /// From who dials, first.
-    Hello {
-        /// The fleet's number.
+    /// First packet of the connecting node.
+    Greeting {
+        /// Number of the cluster.
         cluster: u32,
-        /// The name of who dials.
+        /// Name of the connecting node.
         from: String,
-        /// Its life.
-        life: u64,
-        /// Its session with this node: it grows within a life.
+        /// Nonce of its process.
+        process_nonce: u64,
+        /// Number of its session with this node; it grows within a process.
         session: u64,
-        /// Who is meant.
+        /// Name of the node that is meant.
         to: String,
     },
-    /// The answer: the life of who answers, and the last word of this session that it has.
-    Welcome {
-        /// The life of who answers.
-        life: u64,
-        /// The last word that it has.
-        got: u64,
+    /// Answer to a greeting.
+    GreetingAccepted {
+        /// Nonce of the answering node's process.
+        process_nonce: u64,
+        /// Sequence number of the last message of this session that it has received, 0 for none.
+        last_received: u64,
+    },
+    /// A message.
+    Data {
+        /// Sequence number in the session, from 1.
+        sequence: u64,
+        /// The message.
+        message: Vec<u8>,
+    },
+    /// All messages up to this sequence number have been received.
+    Acknowledgement {
+        /// Sequence number of the last message received.
+        sequence: u64,
     },
-    /// A word, by its number in the session.
-    Word(u64, Vec<u8>),
-    /// All up to this one have arrived.
-    Got(u64),
-}
-
-/// Why a connection's bytes can't be gone by.
-#[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum DecodeError {
-    /// It is no stream of this program's.
-    Foreign,
-    /// It speaks another version.
-    Version,
-    /// Another cluster's, or meant for another node.
-    Other,
-    /// A frame that claims to be longer than any may be.
-    Long,
-    /// Damaged on the way.
-    Damaged,
-    /// Whole, but not to be understood, or not to be said now.
-    Unknown,
-    /// It fell silent in a greeting or a frame.
-    Stalled,
-    /// Too many are there.
-    Crowded,
 }
 
-impl DecodeError {
-    /// As logs and the door name it.
-    pub fn word(self) -> &'static str {
+impl Packet {
+    fn is_within_limits(&self) -> bool {
         match self {
-            Self::Foreign => "stream: foreign",
-            Self::Version => "stream: another version",
-            Self::Other => "stream: for another node",
-            Self::Long => "stream: too long",
-            Self::Damaged => "stream: damaged",
-            Self::Unknown => "stream: not understood",
-            Self::Stalled => "stream: stalled",
-            Self::Crowded => "stream: too many",
+            Self::Greeting { from, to, .. } => {
+                from.len() <= MAX_NAME_BYTES && to.len() <= MAX_NAME_BYTES
+            }
+            Self::Data { message, .. } => message.len() <= MAX_MESSAGE_BYTES,
+            Self::GreetingAccepted { .. } | Self::Acknowledgement { .. } => true,
         }
     }
 }
 
-/// A packet as a frame.
-pub fn frame(packet: &Packet) -> Vec<u8> {
-    // Names, numbers and bytes: writing them to memory fails at nothing but its end.
+/// Encodes a packet as a frame.
+pub fn encode_frame(packet: &Packet) -> Vec<u8> {
+    // Encoding to memory can't fail for these types.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
-    let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
-    bytes.extend(crc32fast::hash(&body).to_be_bytes());
-    bytes.extend(body);
-    bytes
+    let mut frame = (body.len() as u32).to_be_bytes().to_vec();
+    frame.extend(crc32fast::hash(&body).to_be_bytes());
+    frame.extend(body);
+    frame
+}
+
+/// Encodes the preamble with the first packet of a connection.
+pub(crate) fn encode_opening(packet: &Packet) -> Vec<u8> {
+    [&PREAMBLE[..], &encode_frame(packet)].concat()
 }
 
-/// Takes packets off bytes that come in any pieces. It holds what has come, never what is only claimed.
+/// Decodes packets from bytes that come in pieces of any size. It allocates for bytes that have come, never for those
+/// that a length claims.
 #[derive(Debug, Default)]
-pub struct Reader {
-    greeted: bool,
+pub struct FrameReader {
+    preamble_read: bool,
     bytes: Vec<u8>,
-    taken: usize,
+    /// Number of bytes at the start that are decoded.
+    consumed: usize,
 }
 
-impl Reader {
-    /// Takes bytes in.
+impl FrameReader {
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.taken);
-        self.taken = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes that wait for the rest of their packet.
-    pub fn held(&self) -> usize {
-        self.bytes.len() - self.taken
+    /// Returns the number of bytes that wait for the rest of their packet.
+    pub fn buffered_bytes(&self) -> usize {
+        self.bytes.len() - self.consumed
     }
 
-    /// The next packet, if it is whole.
+    /// Returns the next packet, or `None` if it isn't complete yet.
     ///
     /// # Errors
     ///
-    /// Why the connection is to be dropped.
-    pub fn packet(&mut self) -> Result<Option<Packet>, DecodeError> {
-        if !self.greeted {
-            let rest = &self.bytes[self.taken..];
-            let size = rest.len().min(GREETING.len());
-            let words = size.min(GREETING.len() - 2);
-            if rest[..words] != GREETING[..words] {
-                return Err(DecodeError::Foreign);
-            }
-            if size < GREETING.len() {
+    /// Returns why the connection is to be dropped.
+    pub fn next_packet(&mut self) -> Result<Option<Packet>, ConnectionError> {
+        if !self.preamble_read {
+            self.preamble_read = self.read_preamble()?;
+            if !self.preamble_read {
                 return Ok(None);
             }
-            if rest[..size] != *GREETING {
-                return Err(DecodeError::Version);
-            }
-            self.greeted = true;
-            self.taken += size;
         }
-        let rest = &self.bytes[self.taken..];
-        let Some((head, rest)) = rest.split_at_checked(HEAD) else {
+        let rest = &self.bytes[self.consumed..];
+        let Some((header, rest)) = rest.split_at_checked(FRAME_HEADER_BYTES) else {
             return Ok(None);
         };
-        let number =
-            |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let size = number(0) as usize;
-        if size > MOST_WORD + BESIDE {
-            return Err(DecodeError::Long);
+        let number = |at: usize| {
+            u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
+        };
+        let length = number(0) as usize;
+        let checksum = number(4);
+        if length > MAX_MESSAGE_BYTES + MAX_PACKET_OVERHEAD_BYTES {
+            return Err(ConnectionError::TooLong);
         }
-        let Some(body) = rest.get(..size) else {
+        let Some(body) = rest.get(..length) else {
             return Ok(None);
         };
-        if crc32fast::hash(body) != number(4) {
-            return Err(DecodeError::Damaged);
+        if crc32fast::hash(body) != checksum {
+            return Err(ConnectionError::Damaged);
         }
-        let (packet, left) = postcard::take_from_bytes(body).map_err(|_| DecodeError::Unknown)?;
-        let sound = match &packet {
-            Packet::Hello { from, to, .. } => from.len() <= MOST_NAME && to.len() <= MOST_NAME,
-            Packet::Word(_, word) => word.len() <= MOST_WORD,
-            _ => true,
-        };
-        if !left.is_empty() || !sound {
-            return Err(DecodeError::Unknown);
+        let (packet, rest): (Packet, _) =
+            postcard::take_from_bytes(body).map_err(|_| ConnectionError::Malformed)?;
+        if !rest.is_empty() || !packet.is_within_limits() {
+            return Err(ConnectionError::Malformed);
         }
-        self.taken += HEAD + size;
+        self.consumed += FRAME_HEADER_BYTES + length;
         Ok(Some(packet))
     }
+
+    /// Reads the preamble. Returns whether it is complete. A wrong one is rejected at its first wrong byte.
+    fn read_preamble(&mut self) -> Result<bool, ConnectionError> {
+        let rest = &self.bytes[self.consumed..];
+        let available = rest.len().min(PREAMBLE.len());
+        let magic = available.min(PREAMBLE.len() - VERSION_BYTES);
+        if rest[..magic] != PREAMBLE[..magic] {
+            return Err(ConnectionError::Foreign);
+        }
+        if available < PREAMBLE.len() {
+            return Ok(false);
+        }
+        if rest[..available] != *PREAMBLE {
+            return Err(ConnectionError::Version);
+        }
+        self.consumed += available;
+        Ok(true)
+    }
 }
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -1,18 +1,24 @@
-//! Words between nodes that must arrive. A node dials whom it has something to say to; the other acknowledges on the same
-//! connection and says what it has to say on one of its own.
+//! Reliable ordered messages between nodes. A node connects to each node that it has messages for; the other one
+//! acknowledges on the same connection, and sends its own messages on a connection that it makes itself.
 //!
-//! What is promised, between two lives of nodes and within one session: each word arrives at most once and in order, and
-//! does arrive if connections can be made again and again until it has. A session ends, and with it what was
-//! queued, when either life ends or the owner gives the other node up; the owner is told and says again what still counts.
-//! What is not promised: who the other side is. Nothing here signs or encrypts.
+//! Guaranteed between two processes and within one session: each message is delivered at most once and in order, and it
+//! is delivered if connections can be made again and again until it is. A session ends, and with it what is queued, when
+//! either process ends or the owner gives the other node up; the owner is notified and sends again what still matters.
+//! Not guaranteed: who the other side is. Nothing here signs or encrypts.
 //!
-//! [`Streams`] has no socket and no clock: it is told what happens on connections, and says what is to be done.
+//! [`Streams`] has no socket and no clock: it is notified of what happens on connections, and returns what to do.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod codec;
+mod error;
+mod incoming;
+mod outgoing;
 mod streams;
 
-pub use codec::{DecodeError, GREETING, MOST_WORD, Packet, Reader, frame};
-pub use streams::{Effect, MOST_IN, MOST_OUT, MOST_QUEUED, QueueFull, Streams};
+pub use codec::{FrameReader, MAX_MESSAGE_BYTES, PREAMBLE, Packet, encode_frame};
+pub use error::ConnectionError;
+pub use incoming::MAX_INCOMING_CONNECTIONS;
+pub use outgoing::{MAX_OUTGOING_CONNECTIONS, MAX_QUEUED_BYTES, QueueFull, QueueLength};
+pub use streams::{Effect, Streams};
--- a/crates/streams/tests/surface_json.rs
+++ b/crates/streams/tests/surface_json.rs
@@ -2,22 +2,22 @@
 //!
 //! Programs compare them as text: they are literal here, so that renaming the type and its variants can't change them unseen.
 
-use postproxy_streams::DecodeError;
+use postproxy_streams::ConnectionError;
 
 #[test]
 fn each_reason_for_dropping_a_stream_has_this_word() {
     let flaws = [
-        DecodeError::Foreign,
-        DecodeError::Version,
-        DecodeError::Other,
-        DecodeError::Long,
-        DecodeError::Damaged,
-        DecodeError::Unknown,
-        DecodeError::Stalled,
-        DecodeError::Crowded,
+        ConnectionError::Foreign,
+        ConnectionError::Version,
+        ConnectionError::WrongReceiver,
+        ConnectionError::TooLong,
+        ConnectionError::Damaged,
+        ConnectionError::Malformed,
+        ConnectionError::Stalled,
+        ConnectionError::TooMany,
     ];
     assert_eq!(
-        flaws.map(DecodeError::word),
+        flaws.map(ConnectionError::as_str),
         [
             "stream: foreign",
             "stream: another version",
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -2,7 +2,7 @@
 //! what the operators' door is asked.
 
 use crate::net::cluster::coordination::{self, AdminRequest, CoordinationService};
-use crate::net::cluster::peer_connections::{PeerConnections, PeerMessage};
+use crate::net::cluster::peer_connections::{PeerConnections, PeerEvent};
 use crate::net::cluster::versions::{self, Audit};
 use crate::net::store_adapter::RecoveredState;
 use crate::net::transport::reactor::{Owner, Reactor, Timer};
@@ -121,13 +121,17 @@
     fn heed(
         &mut self,
         now: f64,
-        heard: Vec<PeerMessage>,
+        heard: Vec<PeerEvent>,
         out: &mut Vec<Output>,
     ) -> Vec<coordination::Do> {
         let mut todo = Vec::new();
         for heard in heard {
             match heard {
-                PeerMessage::Word(from, _, word) if word.starts_with(&versions::PREFIX) => {
+                PeerEvent::Message {
+                    from,
+                    message: word,
+                    ..
+                } if word.starts_with(&versions::PREFIX) => {
                     if self.audit.is_some()
                         && let Ok((generation, body)) =
                             postcard::take_from_bytes::<u64>(&word[versions::PREFIX.len()..])
@@ -135,7 +139,11 @@
                         self.passed.push((from, generation, body.to_vec()));
                     }
                 }
-                PeerMessage::Word(from, _, word) => {
+                PeerEvent::Message {
+                    from,
+                    message: word,
+                    ..
+                } => {
                     match self
                         .coordination
                         .as_mut()
@@ -146,7 +154,7 @@
                     }
                 }
                 // What was dropped is told again when digests differ.
-                PeerMessage::Anew(name) => {
+                PeerEvent::PeerRestarted { node: name } => {
                     tracing::debug!(name, "a node in a new life: what waited for it is dropped");
                     if let Some(coordination) = &mut self.coordination {
                         coordination.reconnected(&name);
@@ -175,9 +183,9 @@
         datagrams
             .chain(
                 self.peer_connections
-                    .flaws()
+                    .dropped()
                     .iter()
-                    .map(|(flaw, n)| (flaw.word().to_owned(), *n)),
+                    .map(|(flaw, n)| (flaw.as_str().to_owned(), *n)),
             )
             .collect()
     }
@@ -348,7 +356,7 @@
         let at = match &self.place {
             Some(place) => [
                 place.members.next_timeout(),
-                place.peer_connections.next(),
+                place.peer_connections.next_timeout(),
                 Some(place.settled),
                 place.coordination.as_ref().map(CoordinationService::next),
                 place.audit.as_ref().map(Audit::next),
@@ -395,7 +403,7 @@
             {
                 place.members.expire_ticket(reactor.now, *ticket, &mut out);
             }
-            let heard = place.peer_connections.due(reactor);
+            let heard = place.peer_connections.handle_timeout(reactor);
             todo.extend(place.heed(reactor.now, heard, &mut out));
             if let Some(coordination) = place.coordination.as_mut() {
                 todo.extend(coordination.turn(reactor.now));
@@ -479,7 +487,7 @@
             // One that is too much or gets lost is asked for again.
             let _ = place
                 .peer_connections
-                .say(reactor, to, at, [&word[..], body].concat());
+                .send(reactor, to, at, [&word[..], body].concat());
         }
     }
 
@@ -506,7 +514,11 @@
                     let Some(at) = place.address(&to) else {
                         continue;
                     };
-                    if place.peer_connections.say(reactor, &to, at, bytes).is_err() {
+                    if place
+                        .peer_connections
+                        .send(reactor, &to, at, bytes)
+                        .is_err()
+                    {
                         tracing::debug!(to, "too much waits for a node: not told");
                         if let Some(coordination) = &mut place.coordination {
                             coordination.reconnected(&to);
@@ -585,7 +597,7 @@
         if place.key != key {
             let heard = place
                 .peer_connections
-                .ready(reactor, key, readable, writable);
+                .handle_ready(reactor, key, readable, writable);
             let mut out = Vec::new();
             let todo = place.heed(reactor.now, heard, &mut out);
             let mut events = self.do_all(reactor, todo);
@@ -688,7 +700,7 @@
         self.over = true;
         if let Some(place) = self.place.take() {
             reactor.deregister(&place.socket);
-            place.peer_connections.end(reactor);
+            place.peer_connections.close(reactor);
         }
     }
 
@@ -778,7 +790,7 @@
                     };
                     if place
                         .peer_connections
-                        .say(reactor, &to.name, to.address, bytes)
+                        .send(reactor, &to.name, to.address, bytes)
                         .is_err()
                     {
                         tracing::warn!(name = &*to.name, "too much waits for a node: not told");
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -205,7 +205,7 @@
         let streams = config
             .fleet
             .as_ref()
-            .map_or(0, |_| peer_connections::SOCKETS);
+            .map_or(0, |_| peer_connections::MAX_DESCRIPTORS);
         let spare = SPARE + door.as_ref().map_or(0, |_| management::MOST) + streams;
         let room = DescriptorBudget {
             sockets: config.sockets,
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -327,23 +327,30 @@
 /// Guards against a stream that lies, floods, or stalls at any byte and holds up jobs, the list of nodes or another stream.
 #[test]
 fn streams_that_lie_or_stall_hold_up_nothing() {
-    use postproxy_streams::{GREETING, Packet, frame};
+    use postproxy_streams::{PREAMBLE, Packet, encode_frame};
     use std::io::{Read, Write};
     use std::net::TcpStream;
     let fleet = Fleet::new(3, 12, false);
     let cluster = postproxy_membership::packet::cluster_number("riga");
     let hello = |n: usize| {
-        let hello = Packet::Hello {
+        let hello = Packet::Greeting {
             cluster,
             from: format!("x{n}"),
-            life: 5,
+            process_nonce: 5,
             session: 1,
             to: "n0".into(),
         };
-        [&GREETING[..], &frame(&hello)].concat()
+        [&PREAMBLE[..], &encode_frame(&hello)].concat()
     };
     let connect = || TcpStream::connect(fleet.net.relay(0)).expect("a connection");
-    let whole = [hello(0), frame(&Packet::Word(1, vec![7; 40]))].concat();
+    let whole = [
+        hello(0),
+        encode_frame(&Packet::Data {
+            sequence: 1,
+            message: vec![7; 40],
+        }),
+    ]
+    .concat();
     // One stalls behind each byte; one claims 4 GiB; ten flood, and read nothing.
     let stalled: Vec<TcpStream> = (0..whole.len())
         .map(|cut| {
@@ -360,7 +367,12 @@
         .map(|n| {
             let (mut stream, bytes, over) = (connect(), hello(2 + n), over.clone());
             let words: Vec<u8> = (1..5000)
-                .flat_map(|number| frame(&Packet::Word(number, vec![7; 100])))
+                .flat_map(|sequence| {
+                    encode_frame(&Packet::Data {
+                        sequence,
+                        message: vec![7; 100],
+                    })
+                })
                 .collect();
             std::thread::spawn(move || {
                 let _ = stream.write_all(&bytes);
