--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -139,7 +139,7 @@
     let mut first: Option<Violation> = None;
     for (n, name, log) in logs {
         for (line, text) in log.lines().enumerate() {
-            let Some((before, after)) = text.split_once("a node has failed name=\"n") else {
+            let Some((before, after)) = text.split_once("peer failed name=\"n") else {
                 continue;
             };
             let whom = after
@@ -307,8 +307,8 @@
         let start = unix("2026-12-01T22:45:50.5Z").expect("a time");
         assert_eq!(unix("1970-01-02T00:00:01.25Z"), Some(86_401.25));
         assert_eq!(unix("2024-03-01T00:00:00Z"), Some(1_709_251_200.0));
-        let log = "2026-12-01T22:45:51.000000Z  INFO x: among the nodes\n\
-                   2026-12-01T22:46:00.500000Z  WARN x: a node has failed name=\"n2\" address=127.0.0.1:1\n";
+        let log = "2026-12-01T22:45:51.000000Z  INFO x: joining the cluster\n\
+                   2026-12-01T22:46:00.500000Z  WARN x: peer failed name=\"n2\" address=127.0.0.1:1\n";
         let logs = [(0, "n0/log".to_owned(), log.to_owned())];
         let check = |events: Vec<(f64, Event)>| blame(&History::of(start, events), &logs);
         let broken = check(vec![note(1.0, "kill 1")]).expect_err("no cause");
--- /dev/null
+++ b/src/net/cluster/service/events.rs
@@ -0,0 +1,63 @@
+//! What the node has to do for the cluster, or is notified of.
+
+use postproxy_coordination::StorageChange;
+use postproxy_membership::MemberRank;
+use postproxy_version_tracking::Kind;
+
+/// What the node has to do for the cluster, or is notified of.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Event {
+    /// A worker was suspended or resumed for the cluster.
+    WorkerChanged {
+        /// Name of the worker.
+        worker: String,
+        /// Whether it is suspended now.
+        is_suspended: bool,
+    },
+    /// The number of nodes has changed, or this node's position among them.
+    ClusterSizeChanged {
+        /// Number of nodes that may be alive, 0 if no other one is known.
+        nodes: usize,
+        /// Position of this node among the members.
+        rank: MemberRank,
+    },
+    /// Tell a caller of the management API at how many nodes its suspend or resume is recorded.
+    SuspensionRecorded {
+        /// Key of the caller's connection.
+        caller: usize,
+        /// Number of nodes that have recorded it, this one included.
+        recorded: usize,
+        /// Number of nodes in the cluster.
+        nodes: usize,
+    },
+    /// This node has learned what the cluster knows of workers. What it alone knows is to be announced, see
+    /// [`super::ClusterService::adopt_suspended_workers`].
+    Synchronised,
+    /// Write these changes; [`super::ClusterService::handle_write_completed`] is to be called for it.
+    Write(Vec<StorageChange>),
+    /// Answer a caller of the management API.
+    Reply {
+        /// Key of the caller's connection.
+        caller: usize,
+        /// HTTP status.
+        status: u16,
+        /// Body of the response.
+        body: String,
+    },
+    /// A node asks for what this one holds of a kind: [`super::ClusterService::send_worker_list`].
+    VersionRequested {
+        /// Name of the node.
+        node: String,
+        /// What it asks for.
+        kind: Kind,
+    },
+    /// A node sent a worker list.
+    WorkerListReceived {
+        /// Name of the node.
+        from: String,
+        /// Generation of the list.
+        generation: u64,
+        /// The list, as discovery sent it.
+        body: Vec<u8>,
+    },
+}
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -4,7 +4,7 @@
 use crate::decision::interface::ListKind;
 use crate::net::cluster::coordination::AdminRequest;
 use crate::net::cluster::peer_connections;
-use crate::net::cluster::service::{self, ClusterService};
+use crate::net::cluster::service::{self, AddressUse, ClusterSections, ClusterService};
 use crate::net::downstream::clients::{self, Clients};
 use crate::net::handover::{self, Handover};
 use crate::net::lifecycle::{Lifecycle, Stage};
@@ -276,11 +276,18 @@
         let fleet = config.fleet.map(|section| {
             ClusterService::start(
                 &mut reactor,
-                section,
-                (config.duties, config.audit),
+                ClusterSections {
+                    fleet: section,
+                    duties: config.duties,
+                    audit: config.audit,
+                },
                 &config.name,
                 found,
-                shared,
+                if shared {
+                    AddressUse::Shared
+                } else {
+                    AddressUse::Exclusive
+                },
             )
         });
         let (fleet, events) = fleet.transpose()?.unzip();
@@ -677,9 +684,9 @@
     fn operator(&mut self, key: usize, reply: Reply) {
         let ban = self.bans.remove(&key).filter(|_| reply == Reply::Yes);
         if let (Some((worker, again)), Some(fleet)) = (ban, &mut self.fleet) {
-            let (told, events) = fleet.set_suspended(&mut self.reactor, Some(key), &worker, again);
-            self.told_by_fleet(events);
-            if told {
+            let events = fleet.set_suspended(&mut self.reactor, Some(key), &worker, again);
+            if let Some(events) = events {
+                self.told_by_fleet(events);
                 return;
             }
         }
@@ -691,19 +698,23 @@
     fn told_by_fleet(&mut self, events: Vec<service::Event>) {
         for event in events {
             match event {
-                service::Event::Ban(worker, again) => {
+                service::Event::WorkerChanged {
+                    worker,
+                    is_suspended,
+                } => {
                     self.reactor.queue.push_back(Input::SuspensionLearned {
                         worker,
-                        resume: again,
+                        resume: !is_suspended,
                     });
                 }
-                service::Event::Nodes(count, place) => {
+                service::Event::ClusterSizeChanged { nodes, rank } => {
                     self.reactor
                         .queue
-                        .push_back(Input::NodeCountChanged { count });
-                    self.list.set_cluster_position(place);
+                        .push_back(Input::NodeCountChanged { count: nodes });
+                    self.list
+                        .set_cluster_position((rank.position, rank.members));
                 }
-                service::Event::Settled => {
+                service::Event::Synchronised => {
                     let workers = self.hub.suspended_workers();
                     let events = self
                         .fleet
@@ -724,13 +735,17 @@
                         self.told_by_fleet(events.unwrap_or_default());
                     }
                 }
-                service::Event::Give(to, _) => {
+                service::Event::VersionRequested { node: to, .. } => {
                     if let (Some(fleet), Some(body)) = (&mut self.fleet, self.list.body()) {
                         let generation = fleet.generation(self.list.discovery_address());
                         fleet.send_worker_list(&mut self.reactor, &to, generation, &body);
                     }
                 }
-                service::Event::Passed(from, generation, body) => {
+                service::Event::WorkerListReceived {
+                    from,
+                    generation,
+                    body,
+                } => {
                     let own = self
                         .fleet
                         .as_ref()
@@ -744,12 +759,20 @@
                         self.adopted(Source::Peer(from));
                     }
                 }
-                service::Event::Tell(key, status, words) => {
+                service::Event::Reply {
+                    caller: key,
+                    status,
+                    body: words,
+                } => {
                     if let Some(door) = &mut self.door {
                         door.send_text(&mut self.reactor, key, status, &words);
                     }
                 }
-                service::Event::Held(key, at, of) => {
+                service::Event::SuspensionRecorded {
+                    caller: key,
+                    recorded: at,
+                    nodes: of,
+                } => {
                     if let Some(door) = &mut self.door {
                         door.send_reply(&mut self.reactor, key, Reply::Held(at, of));
                     }
@@ -1022,8 +1045,8 @@
                 if let (StateUpdate::Use { worker, again }, Some(fleet), true) =
                     (&tale, &mut self.fleet, new)
                 {
-                    let (_, events) = fleet.set_suspended(&mut self.reactor, None, worker, *again);
-                    self.told_by_fleet(events);
+                    let events = fleet.set_suspended(&mut self.reactor, None, worker, *again);
+                    self.told_by_fleet(events.unwrap_or_default());
                 }
                 self.reactor
                     .queue
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -43,7 +43,7 @@
             .any(|m| m.name == "n2" && m.state == "left")
     });
     assert_eq!(
-        fleet.lines(0, "a node has failed"),
+        fleet.lines(0, "peer failed"),
         1,
         "the kill alone: {}",
         fleet.told()
@@ -59,19 +59,22 @@
         fleet.whole();
     }
     assert_eq!(
-        fleet.lines(1, "a node has failed"),
+        fleet.lines(1, "peer failed"),
         0,
         "it blames nobody: {}",
         fleet.told()
     );
     assert!(
-        fleet.lines(1, "others had called this node failed") >= 1,
+        fleet.lines(
+            1,
+            "rejoined the cluster after peers had declared this node failed"
+        ) >= 1,
         "{}",
         fleet.told()
     );
     for n in [0, 2] {
-        let blamed = fleet.lines(n, "a node has failed");
-        let it = fleet.lines(n, "a node has failed name=\"n1\"");
+        let blamed = fleet.lines(n, "peer failed");
+        let it = fleet.lines(n, "peer failed name=\"n1\"");
         assert_eq!(blamed, it, "others hear each other: {}", fleet.told());
     }
     let picture = fleet.picture(1).expect("a picture");
@@ -88,7 +91,7 @@
     let mut fleet = Fleet::new(3, 3, false);
     fleet.pause(&[0, 1, 2], Duration::from_secs(6));
     fleet.whole();
-    (0..3).for_each(|n| assert_eq!(fleet.lines(n, "a node has failed"), 0, "{}", fleet.told()));
+    (0..3).for_each(|n| assert_eq!(fleet.lines(n, "peer failed"), 0, "{}", fleet.told()));
 }
 
 /// Guards against a cut one way, or between two that meet through a third, that is not seen or is taken for a death.
@@ -115,7 +118,7 @@
     });
     fleet.net.heal();
     fleet.whole();
-    (0..3).for_each(|n| assert_eq!(fleet.lines(n, "a node has failed"), 0, "{}", fleet.told()));
+    (0..3).for_each(|n| assert_eq!(fleet.lines(n, "peer failed"), 0, "{}", fleet.told()));
 }
 
 /// Guards against a side of a cut that takes itself for the other, and one that does not come together again.
@@ -465,7 +468,7 @@
     fleet.whole();
     let before = [0, 2].map(|n| {
         (
-            fleet.lines(n, "a node has failed"),
+            fleet.lines(n, "peer failed"),
             fleet.lines(n, "a node has left"),
         )
     });
@@ -490,7 +493,7 @@
     assert!(fleet.picture(1).expect("a picture").members[0].incarnation > first);
     let after = [0, 2].map(|n| {
         (
-            fleet.lines(n, "a node has failed"),
+            fleet.lines(n, "peer failed"),
             fleet.lines(n, "a node has left"),
         )
     });
@@ -597,7 +600,7 @@
     );
     fleet.bans("w-2 is back", &["w-0"]);
     (0..2).for_each(|n| {
-        let failed = fleet.lines(n, "a node has failed");
+        let failed = fleet.lines(n, "peer failed");
         assert!(failed <= 1, "the kill alone: {}", fleet.told());
     });
 }
@@ -664,7 +667,7 @@
             line(p) && p.members.iter().all(|m| m.state != "failed")
         });
         assert_eq!(
-            fleet.lines(2, "a node has failed"),
+            fleet.lines(2, "peer failed"),
             0,
             "it blames nobody: {}",
             fleet.told()
@@ -678,7 +681,7 @@
                 .any(|m| m.name == "n2" && m.state == "failed")
     });
     assert_eq!(
-        fleet.lines(0, "a node has failed name=\"n1\""),
+        fleet.lines(0, "peer failed name=\"n1\""),
         0,
         "{}",
         fleet.told()
