--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -3,7 +3,7 @@
 #[path = "support/fleet_harness.rs"]
 mod fleet_harness;
 
-use fleet_harness::{Fleet, MOST};
+use fleet_harness::{FleetHarness, MAX_WAIT};
 use postproxy::stand_ins::{Discovery, ask};
 use postproxy_fault_injection::{addresses, wait};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Three nodes whose last one asks a discovery of its own, which stays as it is; all name discovery alike, or that one does not.
-fn fleet(seed: u64, alike: bool, audit: bool) -> (Fleet, Discovery) {
+fn fleet(seed: u64, alike: bool, audit: bool) -> (FleetHarness, Discovery) {
     let names = ["w-0".to_owned(), "w-1".to_owned(), "w-2".to_owned()];
     // It has to know the workers, which the fleet starts: so it comes up after its node, which asks until it is there.
     let stuck = std::net::SocketAddr::new(addresses(1)[0], 8500);
@@ -23,17 +23,24 @@
             serde_json::json!({})
         };
     }
-    let fleet = Fleet::with_sections(3, seed, false, &names, &sections);
+    let fleet = FleetHarness::with_sections(3, seed, false, &names, &sections);
     let discovery = Discovery::start_at(stuck, &fleet.workers).expect("discovery");
     (fleet, discovery)
 }
 
-fn versions(fleet: &Fleet, n: usize) -> Option<serde_json::Value> {
-    let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/versions", &[], b"").ok()?;
+fn versions(fleet: &FleetHarness, n: usize) -> Option<serde_json::Value> {
+    let answer = ask(
+        fleet.nodes[n].management_address,
+        "GET",
+        "/v1/fleet/versions",
+        &[],
+        b"",
+    )
+    .ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
-fn list(fleet: &Fleet, n: usize) -> Option<u64> {
+fn list(fleet: &FleetHarness, n: usize) -> Option<u64> {
     let all = versions(fleet, n)?;
     all[0]["versions"]
         .as_array()?
@@ -43,10 +50,10 @@
 }
 
 /// Clients send at the last node all the time; how long after the drain the last job went to the drained worker.
-fn last_send(fleet: &Fleet, drain: impl Fn(), time: Duration) -> Option<Duration> {
+fn last_send(fleet: &FleetHarness, drain: impl Fn(), time: Duration) -> Option<Duration> {
     let over = Arc::new(AtomicBool::new(false));
     let client = |number: usize| {
-        let (over, at) = (over.clone(), fleet.nodes[2].client);
+        let (over, at) = (over.clone(), fleet.nodes[2].client_address);
         std::thread::spawn(move || {
             for job in 0.. {
                 if over.load(Ordering::SeqCst) {
@@ -66,9 +73,9 @@
     let clients: Vec<_> = (0..3).map(client).collect();
     let runs = || fleet.workers[0].runs().len();
     assert!(
-        wait(MOST, || runs() > 5),
+        wait(MAX_WAIT, || runs() > 5),
         "the worker is used: {}",
-        fleet.told()
+        fleet.describe()
     );
     drain();
     let (start, mut last, mut before) = (Instant::now(), None, runs());
@@ -95,9 +102,9 @@
 fn a_node_whose_discovery_is_stuck_is_brought_up_by_the_others() {
     let (fleet, _stuck) = fleet(41, true, true);
     assert!(
-        wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(1))),
+        wait(MAX_WAIT, || (0..3).all(|n| list(&fleet, n) == Some(1))),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let last = last_send(
         &fleet,
@@ -108,19 +115,26 @@
     assert!(
         last.is_none_or(|last| last < Duration::from_secs(2)),
         "{last:?}: {}",
-        fleet.told()
+        fleet.describe()
     );
     assert!(
-        wait(MOST, || (0..3).all(|n| list(&fleet, n) == Some(2))),
+        wait(MAX_WAIT, || (0..3).all(|n| list(&fleet, n) == Some(2))),
         "all act on it: {}",
-        fleet.told()
+        fleet.describe()
     );
     assert!(
-        fleet.lines(2, "this node is brought up kind=\"list\" source=Peer") >= 1,
+        fleet.count_log_lines(2, "this node is brought up kind=\"list\" source=Peer") >= 1,
         "{}",
-        fleet.told()
+        fleet.describe()
     );
-    let answer = ask(fleet.nodes[2].door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
+    let answer = ask(
+        fleet.nodes[2].management_address,
+        "GET",
+        "/v1/fleet/audit",
+        &[],
+        b"",
+    )
+    .expect("an answer");
     let trail: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
     let adopted = trail["records"]
         .as_array()
@@ -151,9 +165,9 @@
 fn of_another_discovery_nothing_is_taken_and_without_the_audit_nothing_is_told() {
     let (other, _stuck) = fleet(42, false, true);
     assert!(
-        wait(MOST, || (0..3).all(|n| list(&other, n) == Some(1))),
+        wait(MAX_WAIT, || (0..3).all(|n| list(&other, n) == Some(1))),
         "{}",
-        other.told()
+        other.describe()
     );
     let last = last_send(
         &other,
@@ -163,7 +177,7 @@
     assert!(
         last > Some(Duration::from_secs(3)),
         "it has another discovery: {last:?}: {}",
-        other.told()
+        other.describe()
     );
     assert_eq!((list(&other, 1), list(&other, 2)), (Some(2), Some(1)));
     drop(other);
@@ -176,12 +190,18 @@
     assert!(
         last > Some(Duration::from_secs(3)),
         "{last:?}: {}",
-        without.told()
+        without.describe()
     );
     assert_eq!(
-        ask(without.nodes[0].door, "GET", "/v1/fleet/versions", &[], b"")
-            .expect("an answer")
-            .status,
+        ask(
+            without.nodes[0].management_address,
+            "GET",
+            "/v1/fleet/versions",
+            &[],
+            b""
+        )
+        .expect("an answer")
+        .status,
         404
     );
 }
--- /dev/null
+++ b/tests/cluster/trial.rs
@@ -0,0 +1,26 @@
+//! The command `postproxy try --fleet`.
+
+#[test]
+fn trial_of_a_cluster_shows_each_step() {
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_postproxy"))
+        .args(["try", "--fleet", "3"])
+        .output()
+        .expect("it runs");
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(
+        output.status.success(),
+        "{text}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    // At this address other programs' connections may take a node's port before the node does.
+    assert!(!text.contains(" 127.0.0.1:"), "{text}");
+    for step in [
+        "yes, at 3 of 3 nodes",
+        "cut off with a majority",
+        "gave it up",
+        "node-2 has left",
+        "served",
+    ] {
+        assert!(text.contains(step), "{step}: {text}");
+    }
+}
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -3,7 +3,7 @@
 #[path = "support/fleet_harness.rs"]
 mod fleet_harness;
 
-use fleet_harness::{Fleet, MOST};
+use fleet_harness::{FleetHarness, MAX_WAIT};
 use postproxy::net::cluster::service::ClusterStatus;
 use postproxy::stand_ins::ask;
 use postproxy_coordination::{LeaseStatus, Status};
@@ -12,17 +12,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn fleet(count: usize, votes: usize, seed: u64) -> Fleet {
+fn fleet(count: usize, votes: usize, seed: u64) -> FleetHarness {
     let sections = serde_json::json!({"duties": {}, "voters": votes});
-    Fleet::with_sections(count, seed, true, &["w-0".into()], &sections)
+    FleetHarness::with_sections(count, seed, true, &["w-0".into()], &sections)
 }
 
-fn view(fleet: &Fleet, n: usize) -> Option<Status> {
-    let answer = ask(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
+fn view(fleet: &FleetHarness, n: usize) -> Option<Status> {
+    let answer = ask(
+        fleet.nodes[n].management_address,
+        "GET",
+        "/v1/fleet/owners",
+        &[],
+        b"",
+    )
+    .ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
-fn owned(fleet: &Fleet, n: usize) -> Option<LeaseStatus> {
+fn owned(fleet: &FleetHarness, n: usize) -> Option<LeaseStatus> {
     view(fleet, n)?
         .duties
         .into_iter()
@@ -30,7 +37,7 @@
 }
 
 /// Which of these nodes may act for the duty now, by its own word.
-fn acting(fleet: &Fleet, nodes: &[usize]) -> Vec<usize> {
+fn acting(fleet: &FleetHarness, nodes: &[usize]) -> Vec<usize> {
     nodes
         .iter()
         .copied()
@@ -41,9 +48,9 @@
 /// Waits until one of these nodes alone may act for the duty and knows itself as its owner, under a token above this one; who, and the
 /// token. Whether a node may act and under which token is read from one answer of it. With two answers, a node that stops acting in
 /// between could be taken for the holder of the next owner's token.
-fn owner(fleet: &Fleet, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
+fn owner(fleet: &FleetHarness, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
-    let so = wait(MOST, || {
+    let so = wait(MAX_WAIT, || {
         let duties = nodes.iter().filter_map(|n| Some((*n, owned(fleet, *n)?)));
         let acting: Vec<(usize, LeaseStatus)> =
             duties.filter(|(_, duty)| duty.left_ms.is_some()).collect();
@@ -53,13 +60,13 @@
         });
         acting.len() == 1 && found.is_some()
     });
-    assert!(so, "{what}: {}", fleet.told());
+    assert!(so, "{what}: {}", fleet.describe());
     fleet.history.note(format!("{what}: {found:?}"));
     found.expect("it was found")
 }
 
-fn post(fleet: &Fleet, n: usize, path: &str) -> (u16, String) {
-    let answer = ask(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
+fn post(fleet: &FleetHarness, n: usize, path: &str) -> (u16, String) {
+    let answer = ask(fleet.nodes[n].management_address, "POST", path, &[], b"").expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     fleet
         .history
@@ -72,7 +79,7 @@
 }
 
 /// Each token that any of the logs names, with the nodes that said to own the duty under it.
-fn tokens(fleet: &Fleet) -> BTreeMap<u64, Vec<usize>> {
+fn tokens(fleet: &FleetHarness) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
     for (n, _, log) in fleet.logs() {
         for line in log
@@ -102,29 +109,30 @@
     fleet.start(first);
     fleet.pause(&[second], Duration::from_secs(6));
     let (third, token) = owner(&fleet, "another after the pause", &all, token);
-    assert_ne!(third, second, "{}", fleet.told());
+    assert_ne!(third, second, "{}", fleet.describe());
     assert!(
-        wait(MOST, || fleet.lines(second, "a pause: nothing is owned")
+        wait(MAX_WAIT, || fleet
+            .count_log_lines(second, "a pause: nothing is owned")
             >= 1),
         "it knows: {}",
-        fleet.told()
+        fleet.describe()
     );
     // Cut off with nobody: it stops at its lease's end, and the others go on.
     let others: Vec<usize> = all.into_iter().filter(|n| *n != third).collect();
     fleet.net.part(&[third], &others);
     fleet.history.note(format!("cut off n{third}"));
     let (_, token) = owner(&fleet, "another after the cut", &others, token);
-    assert!(acting(&fleet, &[third]).is_empty(), "{}", fleet.told());
+    assert!(acting(&fleet, &[third]).is_empty(), "{}", fleet.describe());
     fleet.net.heal();
-    fleet.whole();
+    fleet.wait_until_complete();
     let voters: Vec<usize> = (0..3).collect();
     for n in [0, 1] {
         fleet.kill(n);
     }
     assert!(
-        wait(MOST, || acting(&fleet, &[2, 3]).is_empty()),
+        wait(MAX_WAIT, || acting(&fleet, &[2, 3]).is_empty()),
         "without a majority: {}",
-        fleet.told()
+        fleet.describe()
     );
     let (status, text) = post(&fleet, 3, "/v1/fleet/owners/bans/hand/n3");
     let why = told(&text);
@@ -146,9 +154,9 @@
     assert!(
         voters
             .iter()
-            .all(|n| wait(MOST, || view(&fleet, *n).is_some_and(|view| view.votes))),
+            .all(|n| wait(MAX_WAIT, || view(&fleet, *n).is_some_and(|view| view.votes))),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let tokens = tokens(&fleet);
     assert!(
@@ -176,9 +184,9 @@
         })
     };
     assert!(
-        wait(MOST, lost),
+        wait(MAX_WAIT, lost),
         "it has lost its promises: {}",
-        fleet.told()
+        fleet.describe()
     );
     let known = || {
         view(&fleet, 0).is_some_and(|view| {
@@ -187,44 +195,44 @@
                 .any(|seat| seat.node == "n2" && seat.lost)
         })
     };
-    assert!(wait(MOST, known), "others know: {}", fleet.told());
+    assert!(wait(MAX_WAIT, known), "others know: {}", fleet.describe());
     assert_eq!(
         post(&fleet, 3, "/v1/fleet/voters/n2/add").0,
         200,
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     assert!(
-        wait(MOST, || view(&fleet, 2).is_some_and(|view| view.votes)),
+        wait(MAX_WAIT, || view(&fleet, 2).is_some_and(|view| view.votes)),
         "it votes anew: {}",
-        fleet.told()
+        fleet.describe()
     );
     let seat =
         view(&fleet, 0).and_then(|view| view.voters.into_iter().find(|seat| seat.node == "n2"));
     assert!(
         seat.is_some_and(|seat| seat.seat > 3 && !seat.lost),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     // One that does not vote gets a seat and loses it again.
     assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
     assert!(
-        wait(MOST, || view(&fleet, 3).is_some_and(|view| view.votes)),
+        wait(MAX_WAIT, || view(&fleet, 3).is_some_and(|view| view.votes)),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let shown = |p: &ClusterStatus| {
         p.members.iter().filter(|m| m.voter).count() == 4
             && p.members.iter().filter(|m| m.leads).count() == 1
     };
-    fleet.until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
+    fleet.wait_until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
         shown(picture)
     });
     assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
     assert!(
-        wait(MOST, || view(&fleet, 3).is_some_and(|view| !view.votes)),
+        wait(MAX_WAIT, || view(&fleet, 3).is_some_and(|view| !view.votes)),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     fleet.kill(1);
     let dead = || {
@@ -234,20 +242,20 @@
                 .any(|seat| seat.node == "n1" && seat.heard == Some(false))
         })
     };
-    assert!(wait(MOST, dead), "{}", fleet.told());
+    assert!(wait(MAX_WAIT, dead), "{}", fleet.describe());
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
     assert_eq!(
         (status, told(&text).code.as_str()),
         (409, "voters.would_stop"),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n33/add");
     assert_eq!(
         (status, told(&text).code.as_str()),
         (404, "voters.nobody"),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let (status, text) = post(&fleet, 0, "/v1/fleet/owners/nothing/release");
     assert_eq!((status, told(&text).code.as_str()), (404, "duties.unknown"));
@@ -265,8 +273,8 @@
         (200, "yes\n".into())
     );
     let (second, token) = owner(&fleet, "handed on", &[0, 1, 2], token);
-    assert_eq!(second, to, "{}", fleet.told());
+    assert_eq!(second, to, "{}", fleet.describe());
     assert_eq!(post(&fleet, at, "/v1/fleet/owners/bans/release").0, 200);
     let (third, _) = owner(&fleet, "released", &[0, 1, 2], token);
-    assert_ne!(third, to, "{}", fleet.told());
+    assert_ne!(third, to, "{}", fleet.describe());
 }
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes of the real program, with relays between them, for tests.
+//! A cluster of processes of the real program, with relays between them that can fail.
 #![allow(dead_code)]
 
 use postproxy::net::cluster::service::ClusterStatus;
@@ -12,33 +12,62 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::Duration;
 
-/// The longest that is waited for what must come; it comes much sooner.
-pub const MOST: Duration = Duration::from_secs(60);
+/// Longest time to wait for a condition; it usually holds much sooner.
+pub const MAX_WAIT: Duration = Duration::from_secs(60);
 
+/// A node of the cluster.
 pub struct Node {
     pub name: String,
+    /// `None` while it doesn't run.
     pub process: Option<Process>,
-    pub client: SocketAddr,
-    pub door: SocketAddr,
+    /// Address of the listener for clients.
+    pub client_address: SocketAddr,
+    /// Address of the management API.
+    pub management_address: SocketAddr,
+    /// Folder of its configuration, log and store.
     pub folder: PathBuf,
-    /// The clients' listener, where it outlives the process.
+    /// Listener for clients that outlives the node's processes, if there is one.
     pub listener: Option<Socket>,
 }
 
-/// Nodes with one discovery and three workers; what the nodes say to each other goes through relays.
-pub struct Fleet {
+/// What an operator does with a worker.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum WorkerAction {
+    Suspend,
+    Resume,
+}
+
+impl WorkerAction {
+    /// Returns the name of the action in the path of the management API.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Suspend => "suspend",
+            Self::Resume => "resume",
+        }
+    }
+}
+
+/// An action that a node has accepted.
+pub struct AcceptedAction {
+    /// Number of the worker.
+    pub worker: usize,
+    pub action: WorkerAction,
+}
+
+/// A cluster with one discovery service and some workers. Nodes reach each other through relays.
+pub struct FleetHarness {
     pub nodes: Vec<Node>,
     pub net: Net,
     pub history: History,
     pub folder: PathBuf,
     pub workers: Vec<Worker>,
-    /// Words on workers that a node has said yes to: the worker, and whether it is to be used again.
-    pub words: Vec<(usize, bool)>,
-    /// The discovery of all that have none of their own.
+    pub accepted_actions: Vec<AcceptedAction>,
+    /// The discovery service of all nodes that have none of their own.
     pub discovery: Discovery,
 }
 
-fn folder() -> PathBuf {
+/// Creates a folder for the files of a cluster.
+fn create_folder() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!(
         "postproxy-nodes-{}-{}",
@@ -50,23 +79,65 @@
     folder
 }
 
-impl Fleet {
-    /// So many nodes with three seeds at most, all of them voters where they are odd.
-    pub fn new(count: usize, seed: u64, stored: bool) -> Self {
-        Self::with(
-            count,
-            seed,
-            stored,
-            &["w-0".into(), "w-1".into(), "w-2".into()],
-        )
+fn default_workers() -> Vec<String> {
+    (0..3).map(|n| format!("w-{n}")).collect()
+}
+
+fn no_sections() -> serde_json::Value {
+    serde_json::json!({})
+}
+
+/// Returns the configuration of a node.
+fn config(node: &Node, count: usize, discovery: &str) -> serde_json::Value {
+    serde_json::json!({
+        "name": node.name,
+        "listen": node.client_address.to_string(),
+        "mgmt": node.management_address.to_string(),
+        "discovery": discovery,
+        "seed": "7",
+        "settings": {
+            "balancers": count,
+            "tick": 0.002,
+            "discovery": "on_request",
+            "dcs": ["riga"],
+            "machine-types": ["std-4"],
+            "services": [{"name": "reroute", "effect": "pure", "deadline": 6.0}],
+            "limits": {"cancel": true, "conn-idle": 5.0, "dial-timeout": 0.25, "max-attempts": 3},
+        },
+    })
+}
+
+/// Adds sections to an operator's file.
+fn add_sections(operator: &mut serde_json::Value, sections: &serde_json::Value) {
+    for (name, section) in sections.as_object().into_iter().flatten() {
+        if !["voters", "discovery_of"].contains(&name.as_str()) {
+            operator[name] = section.clone();
+        }
+    }
+}
+
+fn write_json(node: &Node, file: &str, value: &serde_json::Value) {
+    std::fs::write(node.folder.join(file), value.to_string()).expect("it is written");
+}
+
+impl FleetHarness {
+    /// Starts a cluster without stores, with workers `w-0` to `w-2`.
+    pub fn new(count: usize, seed: u64) -> Self {
+        Self::with_sections(count, seed, false, &default_workers(), &no_sections())
     }
 
-    /// The same with workers of these names.
-    pub fn with(count: usize, seed: u64, stored: bool, names: &[String]) -> Self {
-        Self::with_sections(count, seed, stored, names, &serde_json::json!({}))
+    /// Starts a cluster with stores, with workers `w-0` to `w-2`.
+    pub fn with_stores(count: usize, seed: u64) -> Self {
+        Self::with_workers(count, seed, &default_workers())
     }
 
-    /// The same with these sections of the operators' file, too; only the first so many nodes vote where `voters` says so.
+    /// Starts a cluster with stores, with workers of these names.
+    pub fn with_workers(count: usize, seed: u64, names: &[String]) -> Self {
+        Self::with_sections(count, seed, true, names, &no_sections())
+    }
+
+    /// Starts a cluster with these sections of the operator's file. Two keys aren't sections: `voters` is the number of
+    /// nodes that vote, instead of all; `discovery_of` has the addresses of discovery services of single nodes.
     pub fn with_sections(
         count: usize,
         seed: u64,
@@ -74,77 +145,83 @@
         names: &[String],
         sections: &serde_json::Value,
     ) -> Self {
-        let folder = folder();
-        let start =
+        let folder = create_folder();
+        let start_worker =
             |name: &String| Worker::start(name, Duration::from_millis(20)).expect("a worker");
-        let workers: Vec<Worker> = names.iter().map(start).collect();
+        let workers: Vec<Worker> = names.iter().map(start_worker).collect();
         let discovery = Discovery::start(&workers).expect("discovery");
-        let own = addresses(count as u8);
-        let clients: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 8080)).collect();
-        workers
-            .iter()
-            .for_each(|worker| worker.reports_to_all(&clients));
-        let at: Vec<SocketAddr> = own.iter().map(|ip| SocketAddr::new(*ip, 7946)).collect();
-        let net = Net::start(&at, seed).expect("relays");
-        // A seed that never answers, and the node itself, among them.
+        let ips = addresses(count as u8);
+        let client_addresses: Vec<SocketAddr> =
+            ips.iter().map(|ip| SocketAddr::new(*ip, 8080)).collect();
+        for worker in &workers {
+            worker.reports_to_all(&client_addresses);
+        }
+        let cluster_addresses: Vec<SocketAddr> =
+            ips.iter().map(|ip| SocketAddr::new(*ip, 7946)).collect();
+        let net = Net::start(&cluster_addresses, seed).expect("relays");
         let mut seeds: Vec<String> = (0..count.min(3))
             .map(|n| net.relay(n).to_string())
             .collect();
+        // A seed that never answers. The node itself is among the seeds as well.
         seeds.insert(0, "127.0.0.1:9".into());
-        let votes = sections["voters"]
+        let voter_count = sections["voters"]
             .as_u64()
-            .map_or(count | 1, |votes| votes as usize);
-        let voters: Vec<String> = (0..votes).map(|n| format!("n{n}")).collect();
-        let nodes = (0..count).map(|n| {
+            .map_or(count | 1, |voters| voters as usize);
+        let voters: Vec<String> = (0..voter_count).map(|n| format!("n{n}")).collect();
+        let mut nodes = Vec::new();
+        for (n, ip) in ips.iter().enumerate() {
             let name = format!("n{n}");
-            let mine = folder.join(&name);
-            std::fs::create_dir_all(&mine).expect("a folder");
-            let (client, door) = (SocketAddr::new(own[n], 8080), SocketAddr::new(own[n], 8081));
-            // Some nodes have a discovery of their own.
-            let own_discovery = sections["discovery_of"][n.to_string()].as_str().map(str::to_owned);
-            let config = serde_json::json!({
-                "name": name, "listen": client.to_string(), "mgmt": door.to_string(),
-                "discovery": own_discovery.unwrap_or(discovery.address.to_string()), "seed": "7",
-                "settings": {"balancers": count, "tick": 0.002, "discovery": "on_request", "dcs": ["riga"],
-                    "machine-types": ["std-4"], "services": [{"name": "reroute", "effect": "pure", "deadline": 6.0}],
-                    "limits": {"cancel": true, "conn-idle": 5.0, "dial-timeout": 0.25, "max-attempts": 3}}
-            });
-            std::fs::write(mine.join("config.json"), config.to_string()).expect("it is written");
-            let mut operator = serde_json::json!({"fleet": {"cluster": "riga", "listen": at[n].to_string(),
-                "advertise": net.relay(n).to_string(), "seeds": seeds, "voters": voters}});
-            for (name, section) in sections.as_object().into_iter().flatten().filter(|(name, _)| !["voters", "discovery_of"].contains(&name.as_str())) {
-                operator[name] = section.clone();
-            }
+            let node = Node {
+                client_address: client_addresses[n],
+                management_address: SocketAddr::new(*ip, 8081),
+                folder: folder.join(&name),
+                name,
+                process: None,
+                listener: None,
+            };
+            std::fs::create_dir_all(&node.folder).expect("a folder");
+            let own_discovery = sections["discovery_of"][n.to_string()].as_str();
+            let discovery =
+                own_discovery.map_or_else(|| discovery.address.to_string(), str::to_owned);
+            write_json(&node, "config.json", &config(&node, count, &discovery));
+            let mut operator = serde_json::json!({"fleet": {
+                "cluster": "riga",
+                "listen": cluster_addresses[n].to_string(),
+                "advertise": net.relay(n).to_string(),
+                "seeds": seeds,
+                "voters": voters,
+            }});
+            add_sections(&mut operator, sections);
             if stored {
-                operator["store"] = serde_json::json!({"folder": mine.join("store").display().to_string()});
+                let store = node.folder.join("store").display().to_string();
+                operator["store"] = serde_json::json!({"folder": store});
             }
-            std::fs::write(mine.join("operator.json"), operator.to_string()).expect("it is written");
-            Node { name, process: None, client, door, folder: mine, listener: None }
-        });
-        let nodes = nodes.collect();
+            write_json(&node, "operator.json", &operator);
+            nodes.push(node);
+        }
         let mut fleet = Self {
             nodes,
             net,
             history: History::default(),
             folder,
             workers,
-            words: Vec::new(),
+            accepted_actions: Vec::new(),
             discovery,
         };
         (0..count).for_each(|n| fleet.start(n));
-        fleet.whole();
+        fleet.wait_until_complete();
         fleet
     }
 
+    /// Starts a node's process and waits until it is ready.
     pub fn start(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         self.history.note(Step::Start(n).to_string());
-        let (config, operator) = (
-            node.folder.join("config.json"),
-            node.folder.join("operator.json"),
-        );
-        let (config, operator) = (config.display().to_string(), operator.display().to_string());
-        let (folder, door) = (node.folder.display().to_string(), node.door.to_string());
+        let config = node.folder.join("config.json").display().to_string();
+        let operator = node.folder.join("operator.json").display().to_string();
+        let folder = node.folder.display().to_string();
+        let management_address = node.management_address;
+        let management = management_address.to_string();
         let descriptor = node
             .listener
             .as_ref()
@@ -152,7 +229,7 @@
         let mut environment = vec![
             ("RELAY_CONFIG", config.as_str()),
             ("TMPDIR", &folder),
-            ("RELAY_MGMT", &door),
+            ("RELAY_MGMT", &management),
         ];
         environment.extend(
             descriptor
@@ -166,26 +243,35 @@
             &node.folder.join("log"),
         );
         node.process = Some(process.expect("the program starts"));
-        let door = node.door;
-        let ready =
-            || ask(door, "GET", "/v1/readyz", &[], b"").is_ok_and(|answer| answer.status == 200);
-        assert!(wait(MOST, ready), "n{n} is not ready: {}", self.told());
+        let is_ready = || {
+            ask(management_address, "GET", "/v1/readyz", &[], b"")
+                .is_ok_and(|answer| answer.status == 200)
+        };
+        assert!(
+            wait(MAX_WAIT, is_ready),
+            "n{n} is not ready: {}",
+            self.describe()
+        );
     }
 
-    /// A client that sends a job after another to the nodes in turn, and notes what it is told, until it is over.
-    pub fn client(&self, number: usize, over: &Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
-        let (history, over) = (self.history.clone(), over.clone());
-        let nodes: Vec<SocketAddr> = self.nodes.iter().map(|node| node.client).collect();
+    /// Starts a client that sends one request after another to the nodes in turn, and records the answers, until
+    /// `stop` is set.
+    pub fn spawn_client(
+        &self,
+        number: usize,
+        stop: &Arc<AtomicBool>,
+    ) -> std::thread::JoinHandle<()> {
+        let history = self.history.clone();
+        let stop = stop.clone();
+        let nodes: Vec<SocketAddr> = self.nodes.iter().map(|node| node.client_address).collect();
         std::thread::spawn(move || {
-            for job in 0.. {
-                if over.load(Ordering::SeqCst) {
+            for request in 0.. {
+                if stop.load(Ordering::SeqCst) {
                     return;
                 }
-                let (n, id, body) = (
-                    (number + job) % nodes.len(),
-                    format!("j-{number}-{job}"),
-                    format!("work {job}"),
-                );
+                let n = (number + request) % nodes.len();
+                let id = format!("j-{number}-{request}");
+                let body = format!("work {request}");
                 let fields = [
                     ("X-Request-Id", id.as_str()),
                     ("X-Deadline", "5"),
@@ -193,21 +279,18 @@
                 ];
                 history.add(Event::Asked(id.clone(), n));
                 let answer = ask(nodes[n], "POST", "/reroute/x", &fields, body.as_bytes()).ok();
-                let sound = answer.as_ref().is_none_or(|answer| match answer.status {
+                let is_valid = answer.as_ref().is_none_or(|answer| match answer.status {
                     200 => answer.body == body.to_uppercase().as_bytes(),
                     status => [429, 502, 503, 504].contains(&status),
                 });
-                history.add(Event::Answered(
-                    id,
-                    answer.map(|answer| answer.status),
-                    sound,
-                ));
+                let status = answer.map(|answer| answer.status);
+                history.add(Event::Answered(id, status, is_valid));
                 std::thread::sleep(Duration::from_millis(20));
             }
         })
     }
 
-    /// Each node's log, by its number.
+    /// Returns the number, the path of the log and the log of each node.
     pub fn logs(&self) -> Vec<(usize, String, String)> {
         let log = |(n, node): (usize, &Node)| {
             let path = node.folder.join("log");
@@ -220,16 +303,19 @@
         self.nodes.iter().enumerate().map(log).collect()
     }
 
+    /// Returns the process of a running node.
     pub fn process(&mut self, n: usize) -> &mut Process {
         self.nodes[n].process.as_mut().expect("it was started")
     }
 
+    /// Kills a node.
     pub fn kill(&mut self, n: usize) {
         self.history.note(Step::Kill(n).to_string());
         self.process(n).kill();
         self.nodes[n].process = None;
     }
 
+    /// Stops the processes of these nodes for a time.
     pub fn pause(&mut self, nodes: &[usize], time: Duration) {
         self.history.note(format!("pause {nodes:?} for {time:?}"));
         nodes.iter().for_each(|n| self.process(*n).pause());
@@ -238,19 +324,27 @@
         self.history.note(format!("wake {nodes:?}"));
     }
 
-    pub fn picture(&self, n: usize) -> Option<ClusterStatus> {
-        let answer = ask(self.nodes[n].door, "GET", "/v1/fleet/members", &[], b"").ok()?;
+    /// Returns the status of the cluster as a node sees it.
+    pub fn status(&self, n: usize) -> Option<ClusterStatus> {
+        let answer = ask(
+            self.nodes[n].management_address,
+            "GET",
+            "/v1/fleet/members",
+            &[],
+            b"",
+        )
+        .ok()?;
         serde_json::from_slice(&answer.body).ok()
     }
 
-    /// What `postproxy fleet members` prints of a node.
-    pub fn told_by_command(&self, n: usize) -> String {
+    /// Returns what `postproxy fleet members` prints for a node.
+    pub fn members_command_output(&self, n: usize) -> String {
         let output = std::process::Command::new(env!("CARGO_BIN_EXE_postproxy"))
             .args([
                 "fleet",
                 "members",
                 "--mgmt",
-                &self.nodes[n].door.to_string(),
+                &self.nodes[n].management_address.to_string(),
             ])
             .output()
             .expect("it runs");
@@ -258,89 +352,109 @@
         String::from_utf8(output.stdout).expect("text")
     }
 
-    pub fn living(&self) -> Vec<usize> {
+    /// Returns the numbers of the running nodes.
+    pub fn running_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|n| self.nodes[*n].process.is_some())
             .collect()
     }
 
-    /// Waits until a condition holds for the picture that each of these nodes gives.
-    pub fn until(
+    /// Waits until a condition holds for the status of the cluster at each of these nodes.
+    pub fn wait_until(
         &self,
-        what: &str,
+        condition: &str,
         nodes: &[usize],
         holds: impl Fn(usize, &ClusterStatus) -> bool,
     ) {
-        let all = || {
-            nodes
-                .iter()
-                .all(|n| self.picture(*n).is_some_and(|picture| holds(*n, &picture)))
-        };
-        assert!(wait(MOST, all), "{what}: {}", self.told());
-        self.history.note(what);
+        let holds_at = |n: usize| self.status(n).is_some_and(|status| holds(n, &status));
+        let holds_at_all = || nodes.iter().all(|n| holds_at(*n));
+        assert!(
+            wait(MAX_WAIT, holds_at_all),
+            "{condition}: {}",
+            self.describe()
+        );
+        self.history.note(condition);
     }
 
-    pub fn whole(&self) {
-        let living = self.living();
-        let names: Vec<&str> = living
+    /// Waits until all running nodes see each other as members of a complete cluster.
+    pub fn wait_until_complete(&self) {
+        let running = self.running_nodes();
+        let names: Vec<&str> = running
             .iter()
             .map(|n| self.nodes[*n].name.as_str())
             .collect();
-        self.until("whole", &living, |_, picture| {
-            let up = |name: &&str| {
-                picture
-                    .members
+        self.wait_until("complete", &running, |_, status| {
+            let is_member = |name: &&str| {
+                ["alive", "here"]
                     .iter()
-                    .any(|m| m.name == **name && ["alive", "here"].contains(&m.state.as_str()))
+                    .any(|state| has_state(status, name, state))
             };
-            picture.member && picture.standing == "whole" && names.iter().all(up)
+            status.member && status.standing == "whole" && names.iter().all(is_member)
         });
     }
 
-    pub fn suspend(&self, n: usize, worker: &str, again: bool) -> String {
-        let word = if again { "resume" } else { "suspend" };
-        let answer = ask(
-            self.nodes[n].door,
-            "POST",
-            &format!("/v1/route-workers/{worker}/{word}"),
-            &[],
-            b"",
-        );
-        let answer = answer.expect("an answer");
+    /// Waits until all running nodes have exactly these workers suspended.
+    pub fn wait_until_suspended(&self, condition: &str, workers: &[&str]) {
+        self.wait_until(condition, &self.running_nodes(), |_, status| {
+            status.bans == workers
+        });
+    }
+
+    /// Suspends a worker at a node. Returns the answer's text.
+    pub fn suspend(&self, n: usize, worker: &str) -> String {
+        self.change_worker(n, worker, WorkerAction::Suspend)
+    }
+
+    /// Resumes a worker at a node. Returns the answer's text.
+    pub fn resume(&self, n: usize, worker: &str) -> String {
+        self.change_worker(n, worker, WorkerAction::Resume)
+    }
+
+    fn change_worker(&self, n: usize, worker: &str, action: WorkerAction) -> String {
+        let action = action.name();
+        let path = format!("/v1/route-workers/{worker}/{action}");
+        let answer =
+            ask(self.nodes[n].management_address, "POST", &path, &[], b"").expect("an answer");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
+        let status = answer.status;
         self.history
-            .note(format!("{word} {worker} at n{n}: {} {text}", answer.status));
-        assert_eq!(answer.status, 200);
+            .note(format!("{action} {worker} at n{n}: {status} {text}"));
+        assert_eq!(status, 200);
         text
     }
 
-    pub fn bans(&self, what: &str, wanted: &[&str]) {
-        self.until(what, &self.living(), |_, picture| picture.bans == wanted);
-    }
-
-    /// How many lines of a node's log hold this.
-    pub fn lines(&self, n: usize, word: &str) -> usize {
+    /// Returns the number of lines in a node's log that contain a text.
+    pub fn count_log_lines(&self, n: usize, text: &str) -> usize {
         let log = std::fs::read_to_string(self.nodes[n].folder.join("log")).unwrap_or_default();
-        log.lines().filter(|line| line.contains(word)).count()
+        log.lines().filter(|line| line.contains(text)).count()
     }
 
-    /// All that a reader needs who wants to know why.
-    pub fn told(&self) -> String {
-        let picture = |n: &usize| {
-            format!("n{n}: {:?}\n{}\n", self.picture(*n), {
-                std::fs::read_to_string(self.nodes[*n].folder.join("log")).unwrap_or_default()
-            })
+    /// Describes what has happened and what each running node sees and has logged, for the message of a failed
+    /// assertion.
+    pub fn describe(&self) -> String {
+        let describe_node = |n: &usize| {
+            let log = std::fs::read_to_string(self.nodes[*n].folder.join("log"));
+            let log = log.unwrap_or_default();
+            format!("n{n}: {:?}\n{log}\n", self.status(*n))
         };
-        let pictures: String = self.living().iter().map(picture).collect();
+        let nodes: String = self.running_nodes().iter().map(describe_node).collect();
         format!(
-            "\n{}\n{pictures}\nlogs are in {}",
+            "\n{}\n{nodes}\nlogs are in {}",
             self.history,
             self.folder.display()
         )
     }
 }
 
-impl Drop for Fleet {
+/// Returns whether the status has a member of this name in this state.
+pub fn has_state(status: &ClusterStatus, name: &str, state: &str) -> bool {
+    status
+        .members
+        .iter()
+        .any(|member| member.name == name && member.state == state)
+}
+
+impl Drop for FleetHarness {
     fn drop(&mut self) {
         self.nodes.clear();
         if !std::thread::panicking() {
