--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many dispatchers over many workers: what is harmless at one and harmful at all.
+//! Many dispatchers over many workers: what is harmless at one dispatcher and harmful at all of them.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -7,101 +7,122 @@
 use postproxy::{Entry, Health, ListKind, Outcome, Settings, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Guards against a zone that its own dispatchers fill while the others idle: with few jobs each, none of them
-/// ever hears of another zone. One with many jobs hears of all, and stays in its own while that is no fuller.
-#[test]
-fn dispatchers_with_few_jobs_do_not_keep_to_their_zone() {
-    let crossed = |jobs_a_second: u64| {
-        let price =
-            |s: &mut serde_json::Value| s["prices"] = serde_json::json!({"cross-zone": 0.01});
-        let mut harness = DispatcherHarness::new(settings(price), 0);
-        let zoned = |n: u16| Entry {
-            zone: (n % 3) as u8,
-            ..entry(n)
-        };
-        harness.list(ListKind::Full, (0..30).map(zoned).collect());
-        let mut zones = BTreeMap::new();
-        let mut running = VecDeque::<(f64, u64, WorkerId)>::new();
-        for id in 1..=20 * jobs_a_second {
-            harness.now += 1.0 / jobs_a_second as f64;
-            while let Some((_, id, to)) = running.pop_front_if(|&mut (at, ..)| at <= harness.now) {
-                harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 8.0]);
-            }
-            for to in sends(&harness.request(id, 2)) {
-                *zones.entry(to.address[3] % 3).or_insert(0) += 1;
-                running.push_back((harness.now + 0.5, id, to));
-            }
-        }
-        let all: u64 = zones.values().sum();
-        assert!(all >= 15 * jobs_a_second, "{zones:?}");
-        (all - zones.get(&0).copied().unwrap_or(0)) as f64 / all as f64
+/// Time that each request runs, in seconds.
+const RUN_SECONDS: f64 = 0.5;
+
+/// A request that runs at a worker.
+struct RunningRequest {
+    ends_at: f64,
+    id: u64,
+    worker: WorkerId,
+}
+
+/// Returns the share of requests that a dispatcher of zone 0 with this rate sends to other zones in 20 s.
+fn share_sent_to_other_zones(requests_per_second: u64) -> f64 {
+    let set_price =
+        |s: &mut serde_json::Value| s["prices"] = serde_json::json!({"cross-zone": 0.01});
+    let mut harness = DispatcherHarness::new(settings(set_price), 0);
+    let entry_in_zone = |n: u16| Entry {
+        zone: (n % 3) as u8,
+        ..entry(n)
     };
-    assert!(crossed(2) > 0.5, "{}", crossed(2));
-    assert!(crossed(60) < 0.15, "{}", crossed(60));
+    harness.list(ListKind::Full, (0..30).map(entry_in_zone).collect());
+    let mut sent_by_zone = BTreeMap::new();
+    let mut running = VecDeque::<RunningRequest>::new();
+    for id in 1..=20 * requests_per_second {
+        harness.now += 1.0 / requests_per_second as f64;
+        let now = harness.now;
+        while let Some(ended) = running.pop_front_if(|request| request.ends_at <= now) {
+            harness.answer(ended.id, 0, ended.worker, Outcome::Ok, vec![0.0, 8.0]);
+        }
+        for worker in sends(&harness.request(id, 2)) {
+            *sent_by_zone.entry(worker.address[3] % 3).or_insert(0u64) += 1;
+            running.push_back(RunningRequest {
+                ends_at: harness.now + RUN_SECONDS,
+                id,
+                worker,
+            });
+        }
+    }
+    let all: u64 = sent_by_zone.values().sum();
+    assert!(all >= 15 * requests_per_second, "{sent_by_zone:?}");
+    let own_zone = sent_by_zone.get(&0).copied().unwrap_or(0);
+    (all - own_zone) as f64 / all as f64
 }
 
-/// Guards against settings that do not say how many dispatchers there are: such a one takes and places jobs, also
-/// beside a cold worker. That there are none is no sound figure, and its error names the key.
+/// A dispatcher with few requests learns little of other zones. If all such kept to their zone they would fill it while
+/// the others idle. One with many requests learns of all zones, and stays in its own while that one is no fuller.
 #[test]
-fn a_dispatcher_works_whatever_it_is_told_of_the_others() {
+fn dispatchers_with_few_requests_do_not_keep_to_their_zone() {
+    let with_few = share_sent_to_other_zones(2);
+    let with_many = share_sent_to_other_zones(60);
+    assert!(with_few > 0.5, "{with_few}");
+    assert!(with_many < 0.15, "{with_many}");
+}
+
+/// The number of dispatchers may be missing from the settings. Requests are sent, also to a cold worker.
+#[test]
+fn dispatcher_works_with_any_number_of_dispatchers_in_the_settings() {
     for balancers in [None, Some(1), Some(100)] {
         let change = |s: &mut serde_json::Value| match balancers {
             Some(n) => s["balancers"] = serde_json::json!(n),
             None => drop(s.as_object_mut().and_then(|s| s.remove("balancers"))),
         };
         let mut harness = DispatcherHarness::new(settings(change), 4);
-        harness.list(
-            ListKind::Delta,
-            vec![Entry {
-                started: harness.now - 1.0,
-                ..entry(0)
-            }],
-        );
+        let cold = Entry {
+            started: harness.now - 1.0,
+            ..entry(0)
+        };
+        harness.list(ListKind::Delta, vec![cold]);
         for id in 1..=4 {
             assert_eq!(sends(&harness.request(id, 2)).len(), 1, "{balancers:?}");
         }
     }
+}
+
+#[test]
+fn settings_without_dispatchers_are_rejected_by_the_name_of_the_key() {
     let error = Settings::from_json(r#"{"balancers": 0}"#)
-        .and_then(|s| s.validate())
-        .expect_err("none");
+        .and_then(|settings| settings.validate())
+        .expect_err("no dispatchers");
     assert!(error.to_string().contains("balancers"), "{error}");
 }
 
-/// Guards against a start with a list of workers that are all gone or draining: nothing is sent to them, and what
-/// is held goes out once discovery tells better.
+/// Nothing is sent to them. A held request is sent once discovery has a better list.
 #[test]
-fn a_list_of_workers_that_are_gone_serves_until_a_better_one_comes() {
-    let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
-    let gone = (0..60).map(|n| {
-        with_health(
-            n,
-            if n % 2 == 0 {
-                Health::Gone
-            } else {
-                Health::Draining
-            },
-        )
+fn list_of_workers_that_are_gone_serves_until_a_better_one_comes() {
+    let on_request = |s: &mut serde_json::Value| s["discovery"] = "on_request".into();
+    let mut harness = DispatcherHarness::new(settings(on_request), 0);
+    let gone_or_draining = (0..60).map(|n| {
+        let health = if n % 2 == 0 {
+            Health::Gone
+        } else {
+            Health::Draining
+        };
+        with_health(n, health)
     });
-    let mut due = timers(&harness.list(ListKind::Cached, gone.collect()));
-    let asked = harness.request(1, 2);
-    assert!(sends(&asked).is_empty());
-    due.extend(timers(&asked));
+    let mut due = timers(&harness.list(ListKind::Cached, gone_or_draining.collect()));
+    let actions = harness.request(1, 2);
+    assert!(sends(&actions).is_empty());
+    due.extend(timers(&actions));
     due.extend(timers(&harness.list(ListKind::Failed, Vec::new())));
     harness.list(ListKind::Full, (60..120).map(entry).collect());
     let until = harness.now + 1.0;
-    let to = sends(&harness.run(until, &mut due));
-    assert!(to.len() == 1 && to[0].address[3] >= 60, "{to:?}");
+    let sent_to = sends(&harness.run(until, &mut due));
+    assert!(
+        sent_to.len() == 1 && sent_to[0].address[3] >= 60,
+        "{sent_to:?}"
+    );
 }
 
-/// Guards against a draw or a list whose cost or choice breaks down with thousands of workers.
 #[test]
-fn thousands_of_workers_are_drawn_from() {
+fn requests_are_spread_over_thousands_of_workers() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 5000);
-    let mut drawn = BTreeSet::new();
+    let mut used = BTreeSet::new();
     for id in 1..=2000 {
-        let to = sends(&harness.request(id, 2));
-        assert_eq!(to.len(), 1);
-        drawn.extend(to);
+        let sent_to = sends(&harness.request(id, 2));
+        assert_eq!(sent_to.len(), 1);
+        used.extend(sent_to);
     }
-    assert!(drawn.len() > 1200, "{}", drawn.len());
+    assert!(used.len() > 1200, "{}", used.len());
 }
