--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -404,7 +404,7 @@
         })
     }
 
-    /// SimulationEvent each that lives takes for so, for a test's message.
+    /// Describes what each live node knows, for the message of a failed assertion.
     pub fn describe(&self) -> String {
         let describe = |(_, node, membership): (usize, &Node, &Membership)| {
             format!(
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -108,17 +108,17 @@
     };
     line(format!(
         "{} of {}: {}",
-        picture.node, picture.cluster, picture.standing
+        picture.node, picture.cluster, picture.health
     ));
     picture
         .reasons
         .iter()
         .for_each(|reason| line(format!("  {reason}")));
-    match picture.namesake {
+    match picture.name_conflict {
         Some(at) => line(format!(
             "  no member: the process at {at} has this name, too"
         )),
-        None if !picture.member => line("  no member yet".to_owned()),
+        None if !picture.is_member => line("  no member yet".to_owned()),
         None => {}
     }
     line(format!(
@@ -126,29 +126,29 @@
         "node", "state", "votes", "address"
     ));
     for node in &picture.members {
-        let votes = if node.voter { "yes" } else { "" };
+        let votes = if node.is_voter { "yes" } else { "" };
         let address = node.address.to_string();
         line(format!(
             "{:<20} {:<8} {votes:<6} {address:<22} {}",
             node.name, node.state, node.incarnation
         ));
     }
-    if !picture.unheard.is_empty() {
+    if !picture.unreachable_peers.is_empty() {
         line(format!(
             "not heard directly: {}",
-            picture.unheard.join(", ")
+            picture.unreachable_peers.join(", ")
         ));
     }
-    if !picture.bans.is_empty() {
+    if !picture.suspended_workers.is_empty() {
         line(format!(
             "out of use for the fleet: {}",
-            picture.bans.join(", ")
+            picture.suspended_workers.join(", ")
         ));
     }
-    if picture.missed_s > 0.0 {
+    if picture.skipped_seconds > 0.0 {
         line(format!(
             "this process missed {:.1} s; {:.1} of 8 from well",
-            picture.missed_s, picture.ill
+            picture.skipped_seconds, picture.clock_slowdown
         ));
     }
     if !picture.dropped.is_empty() {
--- a/src/cli/fleet_trial.rs
+++ b/src/cli/fleet_trial.rs
@@ -164,7 +164,7 @@
             .count()
     };
     until("all know all, and hear them", &all, |p| {
-        p.standing == "whole" && up(p) == nodes.len()
+        p.health == "whole" && up(p) == nodes.len()
     })
 }
 
@@ -278,7 +278,9 @@
         String::from_utf8_lossy(&answer.body).trim_end()
     );
     let all: Vec<&Node> = nodes.iter().collect();
-    until("it is out of use at all", &all, |p| p.bans == ["s-1"])?;
+    until("it is out of use at all", &all, |p| {
+        p.suspended_workers == ["s-1"]
+    })?;
     println!("{name} is killed");
     nodes[last].signal(Signal::KILL);
     nodes[last]
@@ -288,7 +290,7 @@
         .transpose()?;
     let rest: Vec<&Node> = nodes[..last].iter().collect();
     until("the others know", &rest, |p| {
-        state(p, &name) == "failed" && p.standing != "whole"
+        state(p, &name) == "failed" && p.health != "whole"
     })?;
     nodes[0]
         .picture()
@@ -299,7 +301,7 @@
     whole(nodes)?;
     let all: Vec<&Node> = nodes.iter().collect();
     until("it knows what is out of use", &all[last..], |p| {
-        p.bans == ["s-1"]
+        p.suspended_workers == ["s-1"]
     })?;
     println!("node-2 is stopped for {} s, and wakes", PAUSE.as_secs());
     nodes[1].signal(Signal::STOP);
@@ -317,7 +319,9 @@
         }
     );
     whole(nodes)?;
-    let missed = nodes[1].picture().map_or(0.0, |picture| picture.missed_s);
+    let missed = nodes[1]
+        .picture()
+        .map_or(0.0, |picture| picture.skipped_seconds);
     println!("  it knows that it missed {missed:.1} s");
     println!("s-1 is used again, by a word at {name}");
     ask(
@@ -328,7 +332,9 @@
         b"",
     )?;
     let all: Vec<&Node> = nodes.iter().collect();
-    until("it is in use at all", &all, |p| p.bans.is_empty())
+    until("it is in use at all", &all, |p| {
+        p.suspended_workers.is_empty()
+    })
 }
 
 /// Ends all, one after another, each told to.
--- a/src/net/cluster/service/status.rs
+++ b/src/net/cluster/service/status.rs
@@ -7,8 +7,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node in the answer of the management API. The names of the fields are its JSON keys.
+/// A node in the answer of the management API. The JSON keys, and the name in errors of deserialisation, are those of
+/// earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+#[serde(expecting = "struct Shown")]
 pub struct MemberStatus {
     /// Name of the node.
     pub name: String,
@@ -19,37 +21,47 @@
     /// `here` for the answering node, else `alive`, `suspect`, `failed` or `left`.
     pub state: String,
     /// Whether it is a voter.
-    pub voter: bool,
+    #[serde(rename = "voter")]
+    pub is_voter: bool,
     /// Whether it leads the voters, as far as the answering node knows.
-    #[serde(default)]
-    pub leads: bool,
+    #[serde(default, rename = "leads")]
+    pub is_leader: bool,
 }
 
-/// The cluster in the answer of the management API. The names of the fields are its JSON keys.
+/// The cluster in the answer of the management API. The JSON keys, and the name in errors of deserialisation, are those
+/// of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+#[serde(expecting = "struct Picture")]
 pub struct ClusterStatus {
     /// Name of the cluster.
     pub cluster: String,
     /// Name of the answering node.
     pub node: String,
     /// Whether the answering node is a member.
-    pub member: bool,
+    #[serde(rename = "member")]
+    pub is_member: bool,
     /// Address of another process with the answering node's name, if there is one.
-    pub namesake: Option<SocketAddr>,
+    #[serde(rename = "namesake")]
+    pub name_conflict: Option<SocketAddr>,
     /// Health of the cluster as the answering node sees it.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub health: String,
     /// Reasons for this health.
     pub reasons: Vec<String>,
     /// All nodes that are or were members, the answering node first.
     pub members: Vec<MemberStatus>,
     /// Peers that the answering node monitors and doesn't hear.
-    pub unheard: Vec<String>,
+    #[serde(rename = "unheard")]
+    pub unreachable_peers: Vec<String>,
     /// Slowdown of the answering node's clock: 0 for a process that runs on time, at most 8.
-    pub ill: f64,
+    #[serde(rename = "ill")]
+    pub clock_slowdown: f64,
     /// Seconds in which the answering process didn't run although a timer was due.
-    pub missed_s: f64,
+    #[serde(rename = "missed_s")]
+    pub skipped_seconds: f64,
     /// Workers that are suspended for the cluster.
-    pub bans: Vec<String>,
+    #[serde(rename = "bans")]
+    pub suspended_workers: Vec<String>,
     /// Numbers of datagrams and connections dropped, by reason.
     pub dropped: BTreeMap<String, u64>,
 }
@@ -67,8 +79,8 @@
             address: identity.address,
             incarnation: identity.incarnation,
             state: state.to_owned(),
-            voter: self.names.contains(&name),
-            leads: self.leader.as_ref() == Some(&name),
+            is_voter: self.names.contains(&name),
+            is_leader: self.leader.as_ref() == Some(&name),
             name,
         }
     }
@@ -98,15 +110,15 @@
         Some(ClusterStatus {
             cluster: self.settings.cluster.clone(),
             node: self.name.clone(),
-            member: membership.is_member(),
-            namesake: membership.name_conflict(),
-            standing: membership.health().as_str().to_owned(),
+            is_member: membership.is_member(),
+            name_conflict: membership.name_conflict(),
+            health: membership.health().as_str().to_owned(),
             reasons: membership.health().reasons(),
             members: std::iter::once(local).chain(peers).collect(),
-            unheard: membership.unreachable().cloned().collect(),
-            ill: local_health.slowdown,
-            missed_s: local_health.skipped_seconds,
-            bans: membership.suspended_workers(),
+            unreachable_peers: membership.unreachable().cloned().collect(),
+            clock_slowdown: local_health.slowdown,
+            skipped_seconds: local_health.skipped_seconds,
+            suspended_workers: membership.suspended_workers(),
             dropped: participant.dropped(),
         })
     }
--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -9,7 +9,7 @@
     let mut fleet = FleetHarness::new(3, 1);
     fleet.kill(2);
     fleet.wait_until("n2 has failed", &[0, 1], |_, status| {
-        status.standing == "cut off with a majority" && has_state(status, "n2", "failed")
+        status.health == "cut off with a majority" && has_state(status, "n2", "failed")
     });
     let table = fleet.members_command_output(0);
     assert!(
@@ -60,9 +60,9 @@
     }
     let status = fleet.status(1).expect("a status");
     assert!(
-        status.missed_s > 20.0,
+        status.skipped_seconds > 20.0,
         "it knows how long it was stopped: {}",
-        status.missed_s
+        status.skipped_seconds
     );
 }
 
@@ -82,7 +82,7 @@
     fleet.net.part(&[0], &[2]);
     fleet.history.note("cut 0 2");
     let is_line =
-        |status: &ClusterStatus| status.standing == "some pairs cut" && status.reasons.len() == 2;
+        |status: &ClusterStatus| status.health == "some pairs cut" && status.reasons.len() == 2;
     fleet.wait_until("a line", &[0, 1, 2], |_, status| is_line(status));
     for seconds in [1, 4, 20] {
         fleet.pause(&[2], Duration::from_secs(seconds));
@@ -94,7 +94,7 @@
     }
     fleet.kill(2);
     fleet.wait_until("known through the middle", &[0, 1], |_, status| {
-        status.standing == "cut off with a majority" && has_state(status, "n2", "failed")
+        status.health == "cut off with a majority" && has_state(status, "n2", "failed")
     });
     assert_eq!(
         fleet.count_log_lines(0, "peer failed name=\"n1\""),
--- a/tests/cluster/identity.rs
+++ b/tests/cluster/identity.rs
@@ -44,7 +44,7 @@
     let has_conflict = |n: usize| {
         fleet
             .status(n)
-            .is_some_and(|status| status.namesake.is_some() && !status.member)
+            .is_some_and(|status| status.name_conflict.is_some() && !status.is_member)
     };
     assert!(
         wait(MAX_WAIT, || has_conflict(2) != has_conflict(3)),
@@ -62,7 +62,7 @@
     // When the member is gone, the name is free.
     fleet.kill(member);
     fleet.wait_until("it is a member", &[alone], |_, status| {
-        status.member && status.standing == "whole"
+        status.is_member && status.health == "whole"
     });
 }
 
@@ -95,7 +95,7 @@
     assert!(fleet.status(1).is_none(), "one member, not two");
     assert_eq!(fleet.suspend(1, "w-1"), "yes\n");
     fleet.wait_until("announced by the member", &[0, 2], |_, status| {
-        status.bans == ["w-1"]
+        status.suspended_workers == ["w-1"]
     });
     first.end();
     assert!(
--- a/tests/cluster/invalid_traffic.rs
+++ b/tests/cluster/invalid_traffic.rs
@@ -129,6 +129,6 @@
     );
     drop(stalled);
     fleet.wait_until("only valid ones are left", &[0], |_, status| {
-        status.standing == "whole"
+        status.health == "whole"
     });
 }
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -14,12 +14,12 @@
     fleet.net.set(0, 1, cut);
     fleet.history.note("cut n0 to n1");
     fleet.wait_until("one way", &[0, 1, 2], |_, status| {
-        status.standing == "some pairs cut" && status.reasons == ["n1 does not hear n0"]
+        status.health == "some pairs cut" && status.reasons == ["n1 does not hear n0"]
     });
     fleet.net.part(&[0], &[1]);
     fleet.history.note("cut n1 to n0, too");
     fleet.wait_until("a line", &[0, 1, 2], |_, status| {
-        status.standing == "some pairs cut"
+        status.health == "some pairs cut"
             && status.reasons == ["n0 does not hear n1", "n1 does not hear n0"]
     });
     fleet.net.heal();
@@ -35,10 +35,10 @@
     fleet.net.part(&minority, &majority);
     fleet.history.note("cut");
     fleet.wait_until("the minority", &minority, |_, status| {
-        status.standing == "cut off with a minority" && status.reasons.len() == 3
+        status.health == "cut off with a minority" && status.reasons.len() == 3
     });
     fleet.wait_until("the majority", &majority, |_, status| {
-        status.standing == "cut off with a majority" && status.reasons.len() == 2
+        status.health == "cut off with a majority" && status.reasons.len() == 2
     });
     fleet.net.heal();
     fleet.wait_until_complete();
--- a/tests/cluster/schedules.rs
+++ b/tests/cluster/schedules.rs
@@ -102,7 +102,7 @@
     fn check_suspensions(&self, seed: u64) {
         let all_agree = || {
             let suspended: Vec<Vec<String>> = (0..NODES)
-                .filter_map(|n| Some(self.status(n)?.bans))
+                .filter_map(|n| Some(self.status(n)?.suspended_workers))
                 .collect();
             suspended.len() == NODES && suspended.windows(2).all(|pair| pair[0] == pair[1])
         };
@@ -111,7 +111,7 @@
             "seed {seed}, they agree: {}",
             self.describe()
         );
-        let suspended = self.status(0).expect("a status").bans;
+        let suspended = self.status(0).expect("a status").suspended_workers;
         for worker in 0..WORKERS {
             let mut actions = self
                 .accepted_actions
--- a/tests/cluster/suspensions.rs
+++ b/tests/cluster/suspensions.rs
@@ -182,5 +182,7 @@
     (0..3).for_each(|n| fleet.kill(n));
     // It starts alone, so it knows what it has stored and nothing else.
     fleet.start(1);
-    fleet.wait_until("restored", &[1], |_, status| status.bans == ["w-0", "w-1"]);
+    fleet.wait_until("restored", &[1], |_, status| {
+        status.suspended_workers == ["w-0", "w-1"]
+    });
 }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -222,8 +222,8 @@
         fleet.describe()
     );
     let shown = |p: &ClusterStatus| {
-        p.members.iter().filter(|m| m.voter).count() == 4
-            && p.members.iter().filter(|m| m.leads).count() == 1
+        p.members.iter().filter(|m| m.is_voter).count() == 4
+            && p.members.iter().filter(|m| m.is_leader).count() == 1
     };
     fleet.wait_until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
         shown(picture)
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -389,14 +389,14 @@
                     .iter()
                     .any(|state| has_state(status, name, state))
             };
-            status.member && status.standing == "whole" && names.iter().all(is_member)
+            status.is_member && status.health == "whole" && names.iter().all(is_member)
         });
     }
 
     /// Waits until all running nodes have exactly these workers suspended.
     pub fn wait_until_suspended(&self, condition: &str, workers: &[&str]) {
         self.wait_until(condition, &self.running_nodes(), |_, status| {
-            status.bans == workers
+            status.suspended_workers == workers
         });
     }
 
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -510,8 +510,8 @@
         address,
         incarnation: 12,
         state: state.into(),
-        voter,
-        leads,
+        is_voter: voter,
+        is_leader: leads,
     }
 }
 
@@ -519,15 +519,15 @@
     ClusterStatus {
         cluster: "riga".into(),
         node: "n0".into(),
-        member: false,
-        namesake: Some("10.0.0.9:8080".parse().expect("an address")),
-        standing: "some failed".into(),
+        is_member: false,
+        name_conflict: Some("10.0.0.9:8080".parse().expect("an address")),
+        health: "some failed".into(),
         reasons: vec!["n1 has failed".into()],
         members: vec![member("here", true, true), member("left", false, false)],
-        unheard: vec!["n2".into()],
-        ill: 0.5,
-        missed_s: 1.25,
-        bans: vec!["s-1".into()],
+        unreachable_peers: vec!["n2".into()],
+        clock_slowdown: 0.5,
+        skipped_seconds: 1.25,
+        suspended_workers: vec!["s-1".into()],
         dropped: [("foreign".to_owned(), 3)].into(),
     }
 }
@@ -559,11 +559,11 @@
     let (namesake, dropped) = (None, Default::default());
     pinned(
         &ClusterStatus {
-            namesake,
+            name_conflict: namesake,
             reasons,
             members,
-            unheard,
-            bans,
+            unreachable_peers: unheard,
+            suspended_workers: bans,
             dropped,
             ..picture()
         },
