--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -325,53 +325,8 @@
                 return false;
             };
             self.now = self.now.max(at as f64 / 1e6);
-            let mut out = Vec::new();
-            let n = match event {
-                SimulationEvent::Timer(n, number) => {
-                    let node = &mut self.nodes[n];
-                    if number != node.timer_number {
-                        continue;
-                    }
-                    let now = self.now * node.clock_rate;
-                    let buffered = std::mem::take(&mut node.inbox);
-                    let Some(membership) = &mut node.membership else {
-                        continue;
-                    };
-                    // As in the event loop of a node, datagrams are handled before timers.
-                    buffered
-                        .iter()
-                        .for_each(|bytes| membership.handle_datagram(now, bytes, &mut out));
-                    membership.handle_timeout(now, &mut out);
-                    n
-                }
-                SimulationEvent::StreamMessage(n, bytes) => {
-                    let node = &mut self.nodes[n];
-                    let now = self.now * node.clock_rate;
-                    let Some(membership) = node
-                        .membership
-                        .as_mut()
-                        .filter(|_| self.now >= node.paused_until)
-                    else {
-                        continue;
-                    };
-                    membership.handle_stream_message(now, &bytes, &mut out);
-                    n
-                }
-                SimulationEvent::Datagram(n, bytes) => {
-                    let node = &mut self.nodes[n];
-                    let now = self.now * node.clock_rate;
-                    let Some(membership) = &mut node.membership else {
-                        continue;
-                    };
-                    if self.now < node.paused_until {
-                        if node.inbox.len() < self.inbox_capacity {
-                            node.inbox.push(bytes);
-                        }
-                        continue;
-                    }
-                    membership.handle_datagram(now, &bytes, &mut out);
-                    n
-                }
+            let Some((n, out)) = self.handle_event(event) else {
+                continue;
             };
             let has_events = out.iter().any(|output| matches!(output, Output::Event(_)));
             self.carry_out(n, out);
@@ -382,6 +337,51 @@
         holds(self)
     }
 
+    /// Handles an event. Returns the node that has handled it, and what it wants done; `None` if none has.
+    fn handle_event(&mut self, event: SimulationEvent) -> Option<(usize, Vec<Output>)> {
+        let mut out = Vec::new();
+        match event {
+            SimulationEvent::Timer(n, number) => {
+                let node = &mut self.nodes[n];
+                if number != node.timer_number {
+                    return None;
+                }
+                let now = self.now * node.clock_rate;
+                let buffered = std::mem::take(&mut node.inbox);
+                let membership = node.membership.as_mut()?;
+                // As in the event loop of a node, datagrams are handled before timers.
+                for datagram in &buffered {
+                    membership.handle_datagram(now, datagram, &mut out);
+                }
+                membership.handle_timeout(now, &mut out);
+                Some((n, out))
+            }
+            SimulationEvent::StreamMessage(n, bytes) => {
+                let node = &mut self.nodes[n];
+                if self.now < node.paused_until {
+                    return None;
+                }
+                let now = self.now * node.clock_rate;
+                let membership = node.membership.as_mut()?;
+                membership.handle_stream_message(now, &bytes, &mut out);
+                Some((n, out))
+            }
+            SimulationEvent::Datagram(n, bytes) => {
+                let node = &mut self.nodes[n];
+                let now = self.now * node.clock_rate;
+                let membership = node.membership.as_mut()?;
+                if self.now < node.paused_until {
+                    if node.inbox.len() < self.inbox_capacity {
+                        node.inbox.push(bytes);
+                    }
+                    return None;
+                }
+                membership.handle_datagram(now, &bytes, &mut out);
+                Some((n, out))
+            }
+        }
+    }
+
     /// Returns the nodes whose processes are alive, with their numbers.
     pub fn live_nodes(&self) -> impl Iterator<Item = (usize, &Node, &Membership)> {
         self.nodes
--- a/crates/membership/tests/synchronisation.rs
+++ b/crates/membership/tests/synchronisation.rs
@@ -116,19 +116,21 @@
     );
 }
 
+/// Has an operator forget a node at node `n`.
+fn forget(simulation: &mut Simulation, n: usize, name: &str) -> Result<(), ForgetError> {
+    let now = simulation.now;
+    let mut out = Vec::new();
+    let result = simulation.membership(n).forget(now, name, &mut out);
+    simulation.carry_out(n, out);
+    result
+}
+
 /// A live node can't be forgotten. A forgotten one isn't counted, also by nodes that were cut off at the time.
 #[test]
 fn forgotten_node_is_forgotten_by_all_and_may_come_back() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(5, seed, Settings::default());
         assert!(simulation.run_until(30.0, Simulation::all_agree));
-        let forget = |simulation: &mut Simulation, n: usize, name: &str| {
-            let now = simulation.now;
-            let mut out = Vec::new();
-            let result = simulation.membership(n).forget(now, name, &mut out);
-            simulation.carry_out(n, out);
-            result
-        };
         assert_eq!(
             forget(&mut simulation, 0, "n4"),
             Err(ForgetError::StillAlive),
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -5,9 +5,9 @@
 use postproxy::stand_ins::{Discovery, Worker, ask};
 use postproxy_fault_injection::{Event, History, Net, Process, Step, addresses, wait};
 use socket2::Socket;
-use std::net::SocketAddr;
+use std::net::{IpAddr, SocketAddr};
 use std::os::fd::AsRawFd;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::Duration;
@@ -87,37 +87,65 @@
     serde_json::json!({})
 }
 
-/// Returns the configuration of a node.
-fn config(node: &Node, count: usize, discovery: &str) -> serde_json::Value {
-    serde_json::json!({
-        "name": node.name,
-        "listen": node.client_address.to_string(),
-        "mgmt": node.management_address.to_string(),
-        "discovery": discovery,
-        "seed": "7",
-        "settings": {
-            "balancers": count,
-            "tick": 0.002,
-            "discovery": "on_request",
-            "dcs": ["riga"],
-            "machine-types": ["std-4"],
-            "services": [{"name": "reroute", "effect": "pure", "deadline": 6.0}],
-            "limits": {"cancel": true, "conn-idle": 5.0, "dial-timeout": 0.25, "max-attempts": 3},
-        },
-    })
-}
+impl Node {
+    /// Creates node `n` at an address of its own, with an empty folder. It isn't started.
+    fn new(folder: &Path, n: usize, ip: IpAddr) -> Self {
+        let name = format!("n{n}");
+        let folder = folder.join(&name);
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Self {
+            name,
+            process: None,
+            client_address: SocketAddr::new(ip, 8080),
+            management_address: SocketAddr::new(ip, 8081),
+            folder,
+            listener: None,
+        }
+    }
 
-/// Adds sections to an operator's file.
-fn add_sections(operator: &mut serde_json::Value, sections: &serde_json::Value) {
-    for (name, section) in sections.as_object().into_iter().flatten() {
-        if !["voters", "discovery_of"].contains(&name.as_str()) {
-            operator[name] = section.clone();
+    /// Returns the node's configuration.
+    fn config(&self, count: usize, discovery: &str) -> serde_json::Value {
+        serde_json::json!({
+            "name": self.name,
+            "listen": self.client_address.to_string(),
+            "mgmt": self.management_address.to_string(),
+            "discovery": discovery,
+            "seed": "7",
+            "settings": {
+                "balancers": count,
+                "tick": 0.002,
+                "discovery": "on_request",
+                "dcs": ["riga"],
+                "machine-types": ["std-4"],
+                "services": [{"name": "reroute", "effect": "pure", "deadline": 6.0}],
+                "limits": {"cancel": true, "conn-idle": 5.0, "dial-timeout": 0.25, "max-attempts": 3},
+            },
+        })
+    }
+
+    /// Returns the node's operator's file, see [`FleetHarness::with_sections`].
+    fn operator_file(
+        &self,
+        fleet_section: serde_json::Value,
+        sections: &serde_json::Value,
+        stored: bool,
+    ) -> serde_json::Value {
+        let mut operator = serde_json::json!({"fleet": fleet_section});
+        for (name, section) in sections.as_object().into_iter().flatten() {
+            if !["voters", "discovery_of"].contains(&name.as_str()) {
+                operator[name] = section.clone();
+            }
+        }
+        if stored {
+            let store = self.folder.join("store").display().to_string();
+            operator["store"] = serde_json::json!({"folder": store});
         }
+        operator
     }
-}
 
-fn write_json(node: &Node, file: &str, value: &serde_json::Value) {
-    std::fs::write(node.folder.join(file), value.to_string()).expect("it is written");
+    fn write_json(&self, file: &str, value: &serde_json::Value) {
+        std::fs::write(self.folder.join(file), value.to_string()).expect("it is written");
+    }
 }
 
 impl FleetHarness {
@@ -170,33 +198,20 @@
         let voters: Vec<String> = (0..voter_count).map(|n| format!("n{n}")).collect();
         let mut nodes = Vec::new();
         for (n, ip) in ips.iter().enumerate() {
-            let name = format!("n{n}");
-            let node = Node {
-                client_address: client_addresses[n],
-                management_address: SocketAddr::new(*ip, 8081),
-                folder: folder.join(&name),
-                name,
-                process: None,
-                listener: None,
-            };
-            std::fs::create_dir_all(&node.folder).expect("a folder");
+            let node = Node::new(&folder, n, *ip);
             let own_discovery = sections["discovery_of"][n.to_string()].as_str();
             let discovery =
                 own_discovery.map_or_else(|| discovery.address.to_string(), str::to_owned);
-            write_json(&node, "config.json", &config(&node, count, &discovery));
-            let mut operator = serde_json::json!({"fleet": {
+            node.write_json("config.json", &node.config(count, &discovery));
+            let fleet_section = serde_json::json!({
                 "cluster": "riga",
                 "listen": cluster_addresses[n].to_string(),
                 "advertise": net.relay(n).to_string(),
                 "seeds": seeds,
                 "voters": voters,
-            }});
-            add_sections(&mut operator, sections);
-            if stored {
-                let store = node.folder.join("store").display().to_string();
-                operator["store"] = serde_json::json!({"folder": store});
-            }
-            write_json(&node, "operator.json", &operator);
+            });
+            let operator = node.operator_file(fleet_section, sections, stored);
+            node.write_json("operator.json", &operator);
             nodes.push(node);
         }
         let mut fleet = Self {
