--- a/crates/fault-injection/src/failure_reports.rs
+++ b/crates/fault-injection/src/failure_reports.rs
@@ -8,7 +8,7 @@
 /// datagrams may be on their way.
 const DETECTION_MARGIN_SECONDS: f64 = 10.0;
 /// What stands in a log line before the number of the node that is reported as failed.
-const REPORT: &str = "a node has failed name=\"n";
+const REPORT: &str = "peer failed name=\"n";
 
 /// The log of a node.
 #[derive(Clone, Debug)]
--- a/crates/fault-injection/tests/check.rs
+++ b/crates/fault-injection/tests/check.rs
@@ -120,7 +120,7 @@
         Some(1_709_251_200.0)
     );
     let log = "2026-12-01T22:45:51.000000Z  INFO x: among the nodes\n\
-               2026-12-01T22:46:00.500000Z  WARN x: a node has failed name=\"n2\" address=127.0.0.1:1\n";
+               2026-12-01T22:46:00.500000Z  WARN x: peer failed name=\"n2\" address=127.0.0.1:1\n";
     let logs = [NodeLog {
         node: 0,
         path: "n0/log".to_owned(),
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -117,17 +117,17 @@
     writeln!(
         out,
         "{} of {}: {}",
-        status.node, status.cluster, status.standing
+        status.node, status.cluster, status.health
     )?;
     for reason in &status.reasons {
         writeln!(out, "  {reason}")?;
     }
-    match status.namesake {
+    match status.name_conflict {
         Some(address) => writeln!(
             out,
             "  no member: the process at {address} has this name, too"
         ),
-        None if !status.member => writeln!(out, "  no member yet"),
+        None if !status.is_member => writeln!(out, "  no member yet"),
         None => Ok(()),
     }
 }
@@ -139,7 +139,7 @@
         "node", "state", "votes", "address"
     )?;
     for node in &status.members {
-        let votes = if node.voter { "yes" } else { "" };
+        let votes = if node.is_voter { "yes" } else { "" };
         let address = node.address.to_string();
         writeln!(
             out,
@@ -151,17 +151,25 @@
 }
 
 fn write_remarks(out: &mut String, status: &ClusterStatus) -> std::fmt::Result {
-    if !status.unheard.is_empty() {
-        writeln!(out, "not heard directly: {}", status.unheard.join(", "))?;
+    if !status.unreachable_peers.is_empty() {
+        writeln!(
+            out,
+            "not heard directly: {}",
+            status.unreachable_peers.join(", ")
+        )?;
     }
-    if !status.bans.is_empty() {
-        writeln!(out, "out of use for the fleet: {}", status.bans.join(", "))?;
+    if !status.suspended_workers.is_empty() {
+        writeln!(
+            out,
+            "out of use for the fleet: {}",
+            status.suspended_workers.join(", ")
+        )?;
     }
-    if status.missed_s > 0.0 {
+    if status.skipped_seconds > 0.0 {
         writeln!(
             out,
             "this process missed {:.1} s; {:.1} of 8 from well",
-            status.missed_s, status.ill
+            status.skipped_seconds, status.clock_slowdown
         )?;
     }
     if !status.dropped.is_empty() {
--- a/src/cli/fleet_trial/mod.rs
+++ b/src/cli/fleet_trial/mod.rs
@@ -71,7 +71,7 @@
             .members
             .iter()
             .filter(|member| is_alive(&member.state));
-        status.standing == "whole" && alive.count() == nodes.len()
+        status.health == "whole" && alive.count() == nodes.len()
     })
 }
 
@@ -131,7 +131,7 @@
     println!("  the door says: {}", answer.trim_end());
     let all: Vec<&Node> = nodes.iter().collect();
     wait_until("it is out of use at all", &all, |status| {
-        status.bans == [SUSPENDED_WORKER]
+        status.suspended_workers == [SUSPENDED_WORKER]
     })
 }
 
@@ -144,7 +144,9 @@
     let target = format!("/v1/route-workers/{SUSPENDED_WORKER}/resume");
     post(last, &target)?;
     let all: Vec<&Node> = nodes.iter().collect();
-    wait_until("it is in use at all", &all, |status| status.bans.is_empty())
+    wait_until("it is in use at all", &all, |status| {
+        status.suspended_workers.is_empty()
+    })
 }
 
 fn kill_last_node(nodes: &mut [Node]) -> Result<(), Failure> {
@@ -154,7 +156,7 @@
     nodes[last].end(Signal::KILL)?;
     let others: Vec<&Node> = nodes[..last].iter().collect();
     wait_until("the others know", &others, |status| {
-        member_state(status, &name) == "failed" && status.standing != "whole"
+        member_state(status, &name) == "failed" && status.health != "whole"
     })?;
     if let Some(status) = nodes[0].status() {
         print!("{}", indented(&fleet::table(&status)));
@@ -168,7 +170,7 @@
     nodes[last].start()?;
     wait_until_healthy(nodes)?;
     wait_until("it knows what is out of use", &[&nodes[last]], |status| {
-        status.bans == [SUSPENDED_WORKER]
+        status.suspended_workers == [SUSPENDED_WORKER]
     })
 }
 
@@ -186,7 +188,7 @@
     };
     println!("  the others {reaction} meanwhile");
     wait_until_healthy(nodes)?;
-    let missed = paused.status().map_or(0.0, |status| status.missed_s);
+    let missed = paused.status().map_or(0.0, |status| status.skipped_seconds);
     println!("  it knows that it missed {missed:.1} s");
     Ok(())
 }
--- a/src/net/node/cluster.rs
+++ b/src/net/node/cluster.rs
@@ -53,18 +53,23 @@
     pub(super) fn handle_cluster_events(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
-                Event::Ban(worker, resume) => {
-                    self.reactor
-                        .queue
-                        .push_back(Input::SuspensionLearned { worker, resume });
+                Event::WorkerChanged {
+                    worker,
+                    is_suspended,
+                } => {
+                    self.reactor.queue.push_back(Input::SuspensionLearned {
+                        worker,
+                        resume: !is_suspended,
+                    });
                 }
-                Event::Nodes(count, position) => {
+                Event::ClusterSizeChanged { nodes, rank } => {
                     self.reactor
                         .queue
-                        .push_back(Input::NodeCountChanged { count });
-                    self.worker_list.set_cluster_position(position);
+                        .push_back(Input::NodeCountChanged { count: nodes });
+                    self.worker_list
+                        .set_cluster_position((rank.position, rank.members));
                 }
-                Event::Settled => self.share_suspended_workers(),
+                Event::Synchronised => self.share_suspended_workers(),
                 Event::Write(changes) => {
                     let accepted = self
                         .store
@@ -74,16 +79,28 @@
                         self.complete_coordination_write(false);
                     }
                 }
-                Event::Give(to, _) => self.send_worker_list(&to),
-                Event::Passed(from, generation, body) => {
+                Event::VersionRequested { node, .. } => self.send_worker_list(&node),
+                Event::WorkerListReceived {
+                    from,
+                    generation,
+                    body,
+                } => {
                     self.adopt_peer_list(from, generation, &body);
                 }
-                Event::Tell(caller, status, text) => {
+                Event::Reply {
+                    caller,
+                    status,
+                    body,
+                } => {
                     if let Some(management) = &mut self.management {
-                        management.send_text(&mut self.reactor, caller, status, &text);
+                        management.send_text(&mut self.reactor, caller, status, &body);
                     }
                 }
-                Event::Held(caller, at, of) => self.reply(caller, Reply::Held(at, of)),
+                Event::SuspensionRecorded {
+                    caller,
+                    recorded,
+                    nodes,
+                } => self.reply(caller, Reply::Held(recorded, nodes)),
             }
         }
     }
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -190,8 +190,8 @@
             .is_some_and(|handover| handover.role_of(link) == Some(Role::Newer));
         let is_new = !from_older || self.completed_snapshots.contains(&link);
         if let (Some(cluster), true) = (&mut self.cluster, is_new) {
-            let (_, events) = cluster.set_suspended(&mut self.reactor, None, worker, resume);
-            self.handle_cluster_events(events);
+            let events = cluster.set_suspended(&mut self.reactor, None, worker, resume);
+            self.handle_cluster_events(events.unwrap_or_default());
         }
     }
 
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -5,7 +5,7 @@
 use crate::net::cluster::service::ClusterService;
 use crate::net::management::Call;
 use crate::net::messages::{Input, Reply};
-use postproxy_membership::Rejection;
+use postproxy_membership::ForgetError;
 
 /// A request of the management API that waits until an older process has sent its whole snapshot.
 pub(super) struct DeferredRequest {
@@ -180,9 +180,9 @@
                 self.handle_cluster_events(events);
                 Reply::Yes
             }
-            Err(Some(Rejection::Nobody)) => Reply::Nobody,
-            Err(Some(Rejection::Lives)) => Reply::Lives,
-            Err(Some(Rejection::Full) | None) => Reply::NotNow,
+            Err(Some(ForgetError::UnknownNode)) => Reply::Nobody,
+            Err(Some(ForgetError::StillAlive)) => Reply::Lives,
+            Err(Some(ForgetError::TooMany) | None) => Reply::NotNow,
         }
     }
 
@@ -206,15 +206,14 @@
             .remove(&caller)
             .filter(|_| reply == Reply::Yes);
         if let (Some(change), Some(cluster)) = (change, &mut self.cluster) {
-            let (awaits_nodes, events) = cluster.set_suspended(
+            let events = cluster.set_suspended(
                 &mut self.reactor,
                 Some(caller),
                 &change.worker,
                 change.resume,
             );
-            self.handle_cluster_events(events);
-            if awaits_nodes {
-                return;
+            if let Some(events) = events {
+                return self.handle_cluster_events(events);
             }
         }
         self.reply(caller, reply);
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -6,7 +6,7 @@
 use super::timers::SAVE_INTERVAL_SECONDS;
 use crate::decision::interface::{ListKind, Settings};
 use crate::net::cluster::peer_connections;
-use crate::net::cluster::service::{self, ClusterService};
+use crate::net::cluster::service::{self, AddressUse, ClusterSections, ClusterService};
 use crate::net::config::Config;
 use crate::net::downstream::clients::{self, Clients};
 use crate::net::handover::Handover;
@@ -219,7 +219,7 @@
     let clients_by_memory = (config.memory_mb << 20) / 4 * 3 / clients::MOST_HELD;
     let management = if has_management { management::MOST } else { 0 };
     let peers = if config.fleet.is_some() {
-        peer_connections::SOCKETS
+        peer_connections::MAX_DESCRIPTORS
     } else {
         0
     };
@@ -287,13 +287,17 @@
     let Some(section) = config.fleet else {
         return Ok((None, Vec::new()));
     };
-    let (cluster, events) = ClusterService::start(
-        reactor,
-        section,
-        (config.duties, config.audit),
-        &config.name,
-        recovered,
-        shared_listener,
-    )?;
+    let sections = ClusterSections {
+        fleet: section,
+        duties: config.duties,
+        audit: config.audit,
+    };
+    let address_use = if shared_listener {
+        AddressUse::Shared
+    } else {
+        AddressUse::Exclusive
+    };
+    let (cluster, events) =
+        ClusterService::start(reactor, sections, &config.name, recovered, address_use)?;
     Ok((Some(cluster), events))
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -3,7 +3,7 @@
 #[path = "support/fleet_harness.rs"]
 mod fleet_harness;
 
-use fleet_harness::{Fleet, MOST};
+use fleet_harness::{FleetHarness, MAX_WAIT};
 use postproxy::net::cluster::service::ClusterStatus;
 use postproxy::stand_ins::send_request;
 use postproxy_coordination::{LeaseStatus, NotVotingReason, Status};
@@ -12,17 +12,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn start_fleet(count: usize, voters: usize, seed: u64) -> Fleet {
+fn start_fleet(count: usize, voters: usize, seed: u64) -> FleetHarness {
     let sections = serde_json::json!({"duties": {}, "voters": voters});
-    Fleet::with_sections(count, seed, true, &["w-0".into()], &sections)
+    FleetHarness::with_sections(count, seed, true, &["w-0".into()], &sections)
 }
 
-fn node_status(fleet: &Fleet, n: usize) -> Option<Status> {
-    let answer = send_request(fleet.nodes[n].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
+fn node_status(fleet: &FleetHarness, n: usize) -> Option<Status> {
+    let answer = send_request(
+        fleet.nodes[n].management_address,
+        "GET",
+        "/v1/fleet/owners",
+        &[],
+        b"",
+    )
+    .ok()?;
     serde_json::from_slice(&answer.body).ok()
 }
 
-fn bans_lease(fleet: &Fleet, n: usize) -> Option<LeaseStatus> {
+fn bans_lease(fleet: &FleetHarness, n: usize) -> Option<LeaseStatus> {
     node_status(fleet, n)?
         .leases
         .into_iter()
@@ -30,7 +37,7 @@
 }
 
 /// Returns which of these nodes may act as the owner of the lease now, as they show themselves.
-fn acting_owners(fleet: &Fleet, nodes: &[usize]) -> Vec<usize> {
+fn acting_owners(fleet: &FleetHarness, nodes: &[usize]) -> Vec<usize> {
     nodes
         .iter()
         .copied()
@@ -41,9 +48,9 @@
 /// Waits until exactly one of these nodes may act as the owner of the lease and shows itself as its owner, under a token above this one,
 /// and returns the node and the token. Whether a node may act and under which token is read from one answer of it. With two answers, a
 /// node that stops acting in between could be taken for the holder of the next owner's token.
-fn wait_for_owner(fleet: &Fleet, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
+fn wait_for_owner(fleet: &FleetHarness, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
-    let is_owned = wait_until(MOST, || {
+    let is_owned = wait_until(MAX_WAIT, || {
         let leases = nodes
             .iter()
             .filter_map(|n| Some((*n, bans_lease(fleet, *n)?)));
@@ -56,13 +63,14 @@
         });
         acting.len() == 1 && found.is_some()
     });
-    assert!(is_owned, "{what}: {}", fleet.told());
+    assert!(is_owned, "{what}: {}", fleet.describe());
     fleet.history.note(format!("{what}: {found:?}"));
     found.expect("it was found")
 }
 
-fn post(fleet: &Fleet, n: usize, path: &str) -> (u16, String) {
-    let answer = send_request(fleet.nodes[n].door, "POST", path, &[], b"").expect("an answer");
+fn post(fleet: &FleetHarness, n: usize, path: &str) -> (u16, String) {
+    let answer =
+        send_request(fleet.nodes[n].management_address, "POST", path, &[], b"").expect("an answer");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
     fleet
         .history
@@ -75,7 +83,7 @@
 }
 
 /// Returns each token that any of the logs names, with the nodes that have acquired the lease under it.
-fn logged_tokens(fleet: &Fleet) -> BTreeMap<u64, Vec<usize>> {
+fn logged_tokens(fleet: &FleetHarness) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
     for NodeLog {
         node: n, text: log, ..
@@ -109,11 +117,12 @@
     fleet.start(first);
     fleet.pause(&[second], Duration::from_secs(6));
     let (third, token) = wait_for_owner(&fleet, "another after the pause", &all, token);
-    assert_ne!(third, second, "{}", fleet.told());
+    assert_ne!(third, second, "{}", fleet.describe());
     assert!(
-        wait_until(MOST, || fleet.lines(second, "pause detected") >= 1),
+        wait_until(MAX_WAIT, || fleet.count_log_lines(second, "pause detected")
+            >= 1),
         "the pause is logged: {}",
-        fleet.told()
+        fleet.describe()
     );
     // An owner that is cut off stops at its lease's end, and the others go on.
     let others: Vec<usize> = all.into_iter().filter(|n| *n != third).collect();
@@ -123,18 +132,18 @@
     assert!(
         acting_owners(&fleet, &[third]).is_empty(),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     fleet.net.heal();
-    fleet.whole();
+    fleet.wait_until_complete();
     let voters: Vec<usize> = (0..3).collect();
     for n in [0, 1] {
         fleet.kill(n);
     }
     assert!(
-        wait_until(MOST, || acting_owners(&fleet, &[2, 3]).is_empty()),
+        wait_until(MAX_WAIT, || acting_owners(&fleet, &[2, 3]).is_empty()),
         "without a majority: {}",
-        fleet.told()
+        fleet.describe()
     );
     let (status, text) = post(&fleet, 3, "/v1/fleet/owners/bans/hand/n3");
     let error = error_body(&text);
@@ -156,10 +165,10 @@
     assert!(
         voters
             .iter()
-            .all(|n| wait_until(MOST, || node_status(&fleet, *n)
+            .all(|n| wait_until(MAX_WAIT, || node_status(&fleet, *n)
                 .is_some_and(|status| status.is_voter))),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let tokens = logged_tokens(&fleet);
     assert!(
@@ -188,9 +197,9 @@
         })
     };
     assert!(
-        wait_until(MOST, lost),
+        wait_until(MAX_WAIT, lost),
         "it has lost its promises: {}",
-        fleet.told()
+        fleet.describe()
     );
     let known = || {
         node_status(&fleet, 0).is_some_and(|status| {
@@ -200,47 +209,51 @@
                 .any(|voter| voter.node == "n2" && voter.promises_lost)
         })
     };
-    assert!(wait_until(MOST, known), "others know: {}", fleet.told());
+    assert!(
+        wait_until(MAX_WAIT, known),
+        "others know: {}",
+        fleet.describe()
+    );
     assert_eq!(
         post(&fleet, 3, "/v1/fleet/voters/n2/add").0,
         200,
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     assert!(
-        wait_until(MOST, || node_status(&fleet, 2)
+        wait_until(MAX_WAIT, || node_status(&fleet, 2)
             .is_some_and(|status| status.is_voter)),
         "it votes anew: {}",
-        fleet.told()
+        fleet.describe()
     );
     let voter = node_status(&fleet, 0)
         .and_then(|status| status.voters.into_iter().find(|voter| voter.node == "n2"));
     assert!(
         voter.is_some_and(|voter| voter.voter_id > 3 && !voter.promises_lost),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     // A node that does not vote becomes a voter and is removed again.
     assert_eq!(post(&fleet, 0, "/v1/fleet/voters/n3/add").0, 200);
     assert!(
-        wait_until(MOST, || node_status(&fleet, 3)
+        wait_until(MAX_WAIT, || node_status(&fleet, 3)
             .is_some_and(|status| status.is_voter)),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let shown = |p: &ClusterStatus| {
-        p.members.iter().filter(|m| m.voter).count() == 4
-            && p.members.iter().filter(|m| m.leads).count() == 1
+        p.members.iter().filter(|m| m.is_voter).count() == 4
+            && p.members.iter().filter(|m| m.is_leader).count() == 1
     };
-    fleet.until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
+    fleet.wait_until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
         shown(picture)
     });
     assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
     assert!(
-        wait_until(MOST, || node_status(&fleet, 3)
+        wait_until(MAX_WAIT, || node_status(&fleet, 3)
             .is_some_and(|status| !status.is_voter)),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     fleet.kill(1);
     let dead = || {
@@ -251,20 +264,20 @@
                 .any(|voter| voter.node == "n1" && voter.recently_heard == Some(false))
         })
     };
-    assert!(wait_until(MOST, dead), "{}", fleet.told());
+    assert!(wait_until(MAX_WAIT, dead), "{}", fleet.describe());
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
     assert_eq!(
         (status, error_body(&text).code.as_str()),
         (409, "voters.would_stop"),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n33/add");
     assert_eq!(
         (status, error_body(&text).code.as_str()),
         (404, "voters.nobody"),
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     let (status, text) = post(&fleet, 0, "/v1/fleet/owners/nothing/release");
     assert_eq!(
@@ -285,8 +298,8 @@
         (200, "yes\n".into())
     );
     let (second, token) = wait_for_owner(&fleet, "transferred", &[0, 1, 2], token);
-    assert_eq!(second, to, "{}", fleet.told());
+    assert_eq!(second, to, "{}", fleet.describe());
     assert_eq!(post(&fleet, at, "/v1/fleet/owners/bans/release").0, 200);
     let (third, _) = wait_for_owner(&fleet, "released", &[0, 1, 2], token);
-    assert_ne!(third, to, "{}", fleet.told());
+    assert_ne!(third, to, "{}", fleet.describe());
 }
--- a/tests/version_tracking.rs
+++ b/tests/version_tracking.rs
@@ -3,7 +3,7 @@
 #[path = "support/fleet_harness.rs"]
 mod fleet_harness;
 
-use fleet_harness::{Fleet, MOST};
+use fleet_harness::{FleetHarness, MAX_WAIT};
 use postproxy::stand_ins::{Discovery, send_request};
 use postproxy_fault_injection::{loopback_addresses, wait_until};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 }
 
 /// Starts nodes of which the last one polls a discovery of its own, whose list never changes.
-fn start_cluster(seed: u64, audit: AuditSection) -> (Fleet, Discovery) {
+fn start_cluster(seed: u64, audit: AuditSection) -> (FleetHarness, Discovery) {
     let workers = ["w-0", "w-1", "w-2"].map(str::to_owned);
     let stuck_address = SocketAddr::new(loopback_addresses(1)[0], 8500);
     let mut sections = serde_json::json!({"discovery_of": {"2": stuck_address.to_string()}});
@@ -42,21 +42,21 @@
         AuditSection::SameDiscovery => sections["audit"] = serde_json::json!({"discovery": "riga"}),
         AuditSection::OtherDiscovery => sections["audit"] = serde_json::json!({}),
     }
-    let fleet = Fleet::with_sections(NODES, seed, false, &workers, &sections);
+    let fleet = FleetHarness::with_sections(NODES, seed, false, &workers, &sections);
     // It needs the addresses of the workers, which the cluster starts. Its node polls it until it is there.
     let stuck_discovery = Discovery::start_at(stuck_address, &fleet.workers).expect("discovery");
     (fleet, stuck_discovery)
 }
 
 /// Returns what a node answers on the versions of all nodes, its own first.
-fn versions(fleet: &Fleet, node: usize) -> Option<serde_json::Value> {
-    let door = fleet.nodes[node].door;
+fn versions(fleet: &FleetHarness, node: usize) -> Option<serde_json::Value> {
+    let door = fleet.nodes[node].management_address;
     let response = send_request(door, "GET", "/v1/fleet/versions", &[], b"").ok()?;
     serde_json::from_slice(&response.body).ok()
 }
 
 /// Returns the number of the worker list that a node acts on.
-fn worker_list_number(fleet: &Fleet, node: usize) -> Option<u64> {
+fn worker_list_number(fleet: &FleetHarness, node: usize) -> Option<u64> {
     let nodes = versions(fleet, node)?;
     nodes[0]["versions"]
         .as_array()?
@@ -66,7 +66,7 @@
 }
 
 /// Whether all nodes act on the worker list with this number.
-fn all_act_on(fleet: &Fleet, number: u64) -> bool {
+fn all_act_on(fleet: &FleetHarness, number: u64) -> bool {
     (0..NODES).all(|node| worker_list_number(fleet, node) == Some(number))
 }
 
@@ -92,17 +92,17 @@
 
 /// Drains a worker in the cluster's discovery while clients send requests to the stuck node. Returns how long after that the
 /// last attempt went to this worker within `observed`; `None` if there was none.
-fn last_attempt_after_drain(fleet: &Fleet, observed: Duration) -> Option<Duration> {
+fn last_attempt_after_drain(fleet: &FleetHarness, observed: Duration) -> Option<Duration> {
     let stopped = Arc::new(AtomicBool::new(false));
-    let node = fleet.nodes[STUCK_NODE].client;
+    let node = fleet.nodes[STUCK_NODE].client_address;
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| start_client(number, node, &stopped))
         .collect();
     let run_count = || fleet.workers[0].runs().len();
     assert!(
-        wait_until(MOST, || run_count() > 5),
+        wait_until(MAX_WAIT, || run_count() > 5),
         "the worker is used: {}",
-        fleet.told()
+        fleet.describe()
     );
     fleet.discovery.drain(DRAINED_WORKER);
     let start = Instant::now();
@@ -131,33 +131,33 @@
 fn a_node_whose_discovery_is_stuck_catches_up_from_its_peers() {
     let (fleet, _stuck_discovery) = start_cluster(41, AuditSection::SameDiscovery);
     assert!(
-        wait_until(MOST, || all_act_on(&fleet, 1)),
+        wait_until(MAX_WAIT, || all_act_on(&fleet, 1)),
         "not all act on list 1: {}",
-        fleet.told()
+        fleet.describe()
     );
     let last = last_attempt_after_drain(&fleet, Duration::from_secs(5));
     println!("the last attempt came {last:?} after the drain");
     assert!(
         last.is_none_or(|last| last < Duration::from_secs(2)),
         "{last:?}: {}",
-        fleet.told()
+        fleet.describe()
     );
     assert!(
-        wait_until(MOST, || all_act_on(&fleet, 2)),
+        wait_until(MAX_WAIT, || all_act_on(&fleet, 2)),
         "not all act on list 2: {}",
-        fleet.told()
+        fleet.describe()
     );
     assert!(
-        fleet.lines(STUCK_NODE, "node caught up kind=\"list\" source=Peer") >= 1,
+        fleet.count_log_lines(STUCK_NODE, "node caught up kind=\"list\" source=Peer") >= 1,
         "{}",
-        fleet.told()
+        fleet.describe()
     );
     check_audit_log(&fleet);
 }
 
 /// The audit log of the stuck node names the peer that the list came from, and counts the actions under each view.
-fn check_audit_log(fleet: &Fleet) {
-    let door = fleet.nodes[STUCK_NODE].door;
+fn check_audit_log(fleet: &FleetHarness) {
+    let door = fleet.nodes[STUCK_NODE].management_address;
     let response = send_request(door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
     let log: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     let entries = log["records"].as_array().expect("records");
@@ -186,15 +186,15 @@
 fn lists_of_another_discovery_are_ignored_and_without_the_audit_none_are_passed_on() {
     let (fleet, _stuck_discovery) = start_cluster(42, AuditSection::OtherDiscovery);
     assert!(
-        wait_until(MOST, || all_act_on(&fleet, 1)),
+        wait_until(MAX_WAIT, || all_act_on(&fleet, 1)),
         "not all act on list 1: {}",
-        fleet.told()
+        fleet.describe()
     );
     let last = last_attempt_after_drain(&fleet, Duration::from_secs(4));
     assert!(
         last > Some(Duration::from_secs(3)),
         "it has another discovery: {last:?}: {}",
-        fleet.told()
+        fleet.describe()
     );
     assert_eq!(
         (
@@ -209,9 +209,9 @@
     assert!(
         last > Some(Duration::from_secs(3)),
         "{last:?}: {}",
-        fleet.told()
+        fleet.describe()
     );
-    let door = fleet.nodes[0].door;
+    let door = fleet.nodes[0].management_address;
     let response = send_request(door, "GET", "/v1/fleet/versions", &[], b"").expect("an answer");
     assert_eq!(response.status, 404);
 }
