--- a/benches/request_manager.rs
+++ b/benches/request_manager.rs
@@ -4,7 +4,8 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use postproxy::net::messages::{
-    AttemptEnd, Command, Input, JobCall, JobState, Load, Member, Payload, Submission,
+    AttemptEnd, CallbackState, Command, Input, ListedWorker, Load, Payload, Submission,
+    WorkerCallback,
 };
 use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
@@ -20,7 +21,7 @@
 fn hub() -> RequestManager {
     let mut hub = RequestManager::new(Settings::from_json(SETTINGS).expect("sound settings"), 7)
         .expect("a hub");
-    let member = |n: u16| Member {
+    let member = |n: u16| ListedWorker {
         id: format!("s-{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
         entry: Entry {
@@ -77,8 +78,8 @@
         &mut out,
     );
     let load = vec![("queue".to_owned(), 0.0), ("x0".to_owned(), 4.0)];
-    let state = JobState::Done(b"result".to_vec());
-    let call = JobCall {
+    let state = CallbackState::Done(b"result".to_vec());
+    let call = WorkerCallback {
         id: format!("job-{n}"),
         from: format!("s-{worker}"),
         state,
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -1,7 +1,9 @@
 //! The clients' side: the listener, their connections, the workers' call-backs, the readiness check.
 
 use crate::decision::interface::{Settings, sound};
-use crate::net::messages::{Answer, Input, JobCall, JobState, Load, Payload, Submission};
+use crate::net::messages::{
+    Answer, CallbackState, Input, Load, Payload, Submission, WorkerCallback,
+};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Headers, ParseError, Read, Request, RequestReader};
 use crate::net::transport::reactor::{Owner, Reactor, Timer};
@@ -165,27 +167,27 @@
     /// An answer that can be given at once: status, fields, body.
     Now(u16, &'static [(&'static str, &'static str)], &'static str),
     /// A worker's call-back.
-    Call(JobCall),
+    Call(WorkerCallback),
     /// A request.
     Request(Box<Submission>),
 }
 
 /// A call-back as a worker words it, for another process of this node.
-pub fn wording(call: &JobCall) -> Vec<u8> {
+pub fn wording(call: &WorkerCallback) -> Vec<u8> {
     let mut json = serde_json::json!({"id": call.id, "from": call.from, "state": "unknown"});
     match &call.state {
-        JobState::Started => json["state"] = "started".into(),
-        JobState::Running(share) => {
+        CallbackState::Started => json["state"] = "started".into(),
+        CallbackState::Running(share) => {
             (json["state"], json["share"]) = ("running".into(), (*share).into())
         }
-        JobState::Done(result) => {
+        CallbackState::Done(result) => {
             (json["state"], json["result"]) =
                 ("done".into(), String::from_utf8_lossy(result).into());
         }
-        JobState::Failed => json["state"] = "failed".into(),
-        JobState::Returned => json["state"] = "returned".into(),
-        JobState::Lost => json["state"] = "lost".into(),
-        JobState::Unknown => {}
+        CallbackState::Failed => json["state"] = "failed".into(),
+        CallbackState::Returned => json["state"] = "returned".into(),
+        CallbackState::Lost => json["state"] = "lost".into(),
+        CallbackState::Unknown => {}
     }
     let load = call
         .load
@@ -196,23 +198,23 @@
 }
 
 /// Reads a worker's call-back.
-pub fn call(body: &[u8]) -> Option<JobCall> {
+pub fn call(body: &[u8]) -> Option<WorkerCallback> {
     let raw: RawCall = serde_json::from_slice(body).ok()?;
     let state = match raw.state.as_str() {
-        "started" => JobState::Started,
-        "running" => JobState::Running(raw.share),
-        "done" => JobState::Done(raw.result.into_bytes()),
-        "failed" => JobState::Failed,
-        "returned" => JobState::Returned,
-        "lost" => JobState::Lost,
-        _ => JobState::Unknown,
+        "started" => CallbackState::Started,
+        "running" => CallbackState::Running(raw.share),
+        "done" => CallbackState::Done(raw.result.into_bytes()),
+        "failed" => CallbackState::Failed,
+        "returned" => CallbackState::Returned,
+        "lost" => CallbackState::Lost,
+        _ => CallbackState::Unknown,
     };
     let load: Load = raw
         .load
         .into_iter()
         .filter_map(|(name, value)| Some((name, value.as_f64()?)))
         .collect();
-    Some(JobCall {
+    Some(WorkerCallback {
         id: raw.id,
         from: raw.from,
         state,
@@ -300,9 +302,9 @@
         payload,
         class: class as u8,
         tenant: request.headers.get("x-tenant").map(str::to_owned),
-        key: key(&request.headers),
+        affinity_key: key(&request.headers),
         budget,
-        hint: number("x-cost-hint").ok().flatten().map(|us| us / 1e6),
+        expected_work: number("x-cost-hint").ok().flatten().map(|us| us / 1e6),
         slots: extra(&request.headers, "slots"),
         memory: extra(&request.headers, "memory"),
         repeat: request.headers.get("x-retry") == Some("1"),
@@ -361,7 +363,7 @@
         self.client.phase = Phase::Reading;
         match answer {
             Answer::Served(result) => self.write(connection, 200, &[], result),
-            Answer::Unavailable(after) => {
+            Answer::RejectedWithRetryAfter(after) => {
                 // Advice of 0 s, where the settings allow none, would ask for the same again at once.
                 let text = format!("{after:.3}");
                 let advice = [("Retry-After", text.as_str())];
@@ -369,7 +371,7 @@
                 self.write(connection, 503, fields, b"unavailable\n");
             }
             Answer::Failed => self.write(connection, 502, &[], b"failed\n"),
-            Answer::Held => {
+            Answer::DuplicateRequestId => {
                 self.client.closes = true;
                 self.write(connection, 409, &[], b"held already\n");
             }
--- a/src/net/management.rs
+++ b/src/net/management.rs
@@ -1,7 +1,7 @@
 //! The operators' door: a listener of its own for calls to a running node, one call a connection. It reads calls
 //! and words answers; what a call means is decided elsewhere.
 
-use crate::net::messages::Reply;
+use crate::net::messages::ManagementReply;
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read, Request, RequestReader};
 use crate::net::transport::reactor::{Owner, Reactor, Timer};
@@ -227,22 +227,27 @@
     }
 
     /// Answers a caller, if it is still there.
-    pub fn send_reply(&mut self, reactor: &mut Reactor, key: usize, reply: Reply) {
+    pub fn send_reply(&mut self, reactor: &mut Reactor, key: usize, reply: ManagementReply) {
         match reply {
-            Reply::Yes => self.send_text(reactor, key, 200, "yes\n"),
-            Reply::NotNow => self.send_text(reactor, key, 503, "not now\n"),
-            Reply::Nobody => self.send_text(reactor, key, 404, "nobody has that name\n"),
-            Reply::Held(at, of) => {
-                self.send_text(reactor, key, 200, &format!("yes, at {at} of {of} nodes\n"))
+            ManagementReply::Done => self.send_text(reactor, key, 200, "yes\n"),
+            ManagementReply::NotNow => self.send_text(reactor, key, 503, "not now\n"),
+            ManagementReply::NotFound => {
+                self.send_text(reactor, key, 404, "nobody has that name\n")
             }
-            Reply::Lives => self.send_text(reactor, key, 409, "it has not failed\n"),
-            Reply::NoAudit => {
+            ManagementReply::PartiallyApplied {
+                applied: at,
+                nodes: of,
+            } => self.send_text(reactor, key, 200, &format!("yes, at {at} of {of} nodes\n")),
+            ManagementReply::StillAlive => self.send_text(reactor, key, 409, "it has not failed\n"),
+            ManagementReply::AuditDisabled => {
                 self.send_text(reactor, key, 404, "the section audit is not on here\n")
             }
-            Reply::NoDuties => {
+            ManagementReply::CoordinationDisabled => {
                 self.send_text(reactor, key, 404, "the section duties is not on here\n")
             }
-            Reply::NoFleet => self.send_text(reactor, key, 404, "this node knows no others\n"),
+            ManagementReply::ClusterDisabled => {
+                self.send_text(reactor, key, 404, "this node knows no others\n")
+            }
         }
     }
 
@@ -376,7 +381,7 @@
         }
 
         /// All that has come is read, and every call gets this reply.
-        fn turn(&mut self, reply: Reply) -> Vec<Call> {
+        fn turn(&mut self, reply: ManagementReply) -> Vec<Call> {
             let mut calls = self.door.accept(&mut self.reactor);
             let mut keys: Vec<usize> = self.door.sessions.keys().copied().collect();
             keys.sort_unstable();
@@ -498,7 +503,7 @@
             .expect("it is written");
         let mut calls = Vec::new();
         for _ in 0..20 {
-            calls.extend(bed.turn(Reply::Yes));
+            calls.extend(bed.turn(ManagementReply::Done));
             bed.reactor.now += YOUNG;
         }
         assert_eq!(calls, [Call::Ready]);
@@ -517,7 +522,7 @@
         let mut calls = Vec::new();
         for byte in text.bytes() {
             caller.write_all(&[byte]).expect("it is written");
-            calls.extend(bed.turn(Reply::Yes));
+            calls.extend(bed.turn(ManagementReply::Done));
         }
         assert_eq!(calls, [Call::Drain]);
         let answer = rest(&mut caller);
@@ -542,7 +547,7 @@
         ] {
             let mut caller = bed.connect();
             caller.write_all(text.as_bytes()).expect("it is written");
-            assert!(bed.turn(Reply::Yes).is_empty());
+            assert!(bed.turn(ManagementReply::Done).is_empty());
             assert!(
                 rest(&mut caller).starts_with(&format!("HTTP/1.1 {status} ")),
                 "{text:.40}"
@@ -552,7 +557,7 @@
         half.write_all(b"GET /v1/rea").expect("it is written");
         half.shutdown(std::net::Shutdown::Write)
             .expect("it is closed");
-        assert!(bed.turn(Reply::Yes).is_empty());
+        assert!(bed.turn(ManagementReply::Done).is_empty());
         assert_eq!(rest(&mut half), "", "half a call is none");
         let mut caller = bed.connect();
         caller
@@ -561,7 +566,7 @@
         caller
             .shutdown(std::net::Shutdown::Write)
             .expect("it is closed");
-        assert_eq!(bed.turn(Reply::NotNow), [Call::Ready]);
+        assert_eq!(bed.turn(ManagementReply::NotNow), [Call::Ready]);
         assert!(
             rest(&mut caller).starts_with("HTTP/1.1 503 "),
             "who has said all still hears"
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,4 +1,7 @@
-//! What the parts say to each other. Below them all: it knows no part, and holds no decision and no socket.
+//! The messages between the parts of the node: events for the request manager, and the commands that it answers
+//! with. The module depends on none of these parts, and has no logic and no I/O.
+//!
+//! Times are in seconds of the node's clock, durations in seconds.
 
 use crate::decision::interface::{Entry, ListKind, RequestId};
 use postproxy_handover::StateUpdate;
@@ -7,111 +10,113 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The client's side of a request, as its own module numbers it.
+/// Identifies a client's connection while it waits for an answer; assigned by the module that owns the connections.
 pub type ClientId = u64;
-/// An attempt; the hub numbers them.
+/// Identifies an attempt or a probe; assigned by the request manager, never reused.
 pub type AttemptId = u64;
 
-/// What passes through unchanged.
+/// The part of a request that is forwarded unchanged to a worker.
+///
+/// Part of the handover's encoding: order and types of the fields must not change.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Payload {
-    /// Its name among all that clients send.
+    /// Request id, unique among the requests of all clients.
     pub id: String,
-    /// What is to be done, as the client's protocol words it.
+    /// Method, as the client's protocol spells it.
     pub method: String,
-    /// On what.
+    /// Target of the method.
     pub target: String,
-    /// What lets a worker know a repeat.
+    /// Idempotency key, by which a worker recognises a repeated request.
     pub idempotency_key: Option<String>,
-    /// The content.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// What a client asks for.
+/// A request as a client submits it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Submission {
-    /// For the workers.
+    /// The part that is forwarded to a worker.
     pub payload: Payload,
-    /// Index of its class.
+    /// Index of the request's class in the settings.
     pub class: u8,
-    /// Name of its tenant.
+    /// Name of the tenant.
     pub tenant: Option<String>,
-    /// Its subject; 0 for none.
-    pub key: u64,
-    /// How long the client waits; its class's deadline where it does not say.
+    /// Hash of the request's subject, by which requests are kept at one worker; 0 for none.
+    pub affinity_key: u64,
+    /// How long the client waits, in seconds; `None` for the deadline of the class.
     pub budget: Option<f64>,
-    /// Expected work in seconds, where told.
-    pub hint: Option<f64>,
-    /// Slots that it takes, where told.
+    /// Expected work in seconds, if the client has given it.
+    pub expected_work: Option<f64>,
+    /// Slots that the request takes, if the client has given them.
     pub slots: Option<f64>,
-    /// Memory that it takes, where told.
+    /// Memory that the request takes, if the client has given it.
     pub memory: Option<f64>,
-    /// The client marked it as a repeat.
+    /// Whether the client has marked the request as a repetition.
     pub repeat: bool,
 }
 
-/// Figures of a load report by their names on the sockets.
+/// A load report: figures by the names that they have on the wire.
 pub type Load = Vec<(String, f64)>;
 
-/// How an attempt ended, as far as its connection or its worker's answer tells.
+/// How an attempt ended, as far as its connection and the worker's answer show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The worker has taken the job; its call-back decides.
+    /// The worker has accepted the request; its call-back brings the outcome.
     Accepted,
-    /// An error answer.
+    /// The worker has answered with an error.
     Error,
-    /// An answer that proves that nothing has run.
-    NotRun,
-    /// The same answer where it may be another request's: it proves nothing.
-    TurnedAway,
-    /// It never reached the worker whole.
+    /// The worker has rejected the attempt, and its answer proves that nothing has run.
+    RejectedUnstarted,
+    /// The worker's answer rejects the attempt, but may belong to another request: it proves nothing.
+    RejectedAmbiguous,
+    /// The attempt has not reached the worker completely.
     NeverSent,
-    /// This node had no connection to give it: that says nothing of the worker.
-    NoRoom,
-    /// It was written whole, then its connection broke.
+    /// This node had no connection to spare; the worker is not at fault.
+    LocalCapacityExhausted,
+    /// The attempt was written completely, then its connection broke.
     Reset,
 }
 
-/// What a call-back tells of a job.
+/// What a call-back reports of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum JobState {
-    /// It runs.
+pub enum CallbackState {
+    /// The worker has started the request.
     Started,
-    /// This share of it is done.
+    /// The request is running; the completed share, from 0 to 1.
     Running(f64),
-    /// It is done; the result.
+    /// The request is done; the result.
     Done(Vec<u8>),
-    /// It ended in an error.
+    /// The request has ended in an error.
     Failed,
-    /// Handed back unstarted.
+    /// The worker has handed the request back without starting it.
     Returned,
-    /// Killed, or its process died.
+    /// The request was killed, or its process has died.
     Lost,
     /// A state that this version does not know.
     Unknown,
 }
 
-/// A worker's call-back.
+/// A worker's call-back about a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobCall {
-    /// The payload's id.
+pub struct WorkerCallback {
+    /// Id of the request.
     pub id: String,
-    /// The worker, as the list names it.
+    /// Name of the worker, as in the worker list.
     pub from: String,
-    /// The news.
-    pub state: JobState,
+    /// The reported state.
+    pub state: CallbackState,
     /// Load report; empty for none.
     pub load: Load,
 }
 
-/// A worker as the list has it.
+/// A worker as the worker list names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
-    /// Its name, the same at every node.
+pub struct ListedWorker {
+    /// Name of the worker, the same at every node.
     pub id: String,
-    /// Where this node reaches it.
+    /// Address at which this node reaches the worker.
     pub address: SocketAddr,
-    /// Its entry; the hub fills in the worker's number.
+    /// The worker's entry; the request manager fills in [`Entry::worker`].
     pub entry: Entry,
 }
 
@@ -130,7 +135,7 @@
         /// The client's connection.
         client: ClientId,
     },
-    /// The last byte of an attempt has been written to its worker.
+    /// The last byte of an attempt has been written to the worker.
     AttemptWritten {
         /// The attempt.
         attempt: AttemptId,
@@ -144,17 +149,17 @@
         /// Load report of the worker's answer; empty for none.
         load: Load,
     },
-    /// A worker has called back about a job.
+    /// A worker has called back about a request.
     CallbackReceived {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
         /// The call-back.
-        callback: JobCall,
+        callback: WorkerCallback,
     },
     /// A write to the store has become durable, or never will.
     WriteCompleted {
         /// Who waits for the write.
-        waiter: Wait,
+        waiter: WriteWaiter,
         /// Whether the write is durable.
         durable: bool,
     },
@@ -170,12 +175,12 @@
         /// Whether the store accepts writes.
         writable: bool,
     },
-    /// Discovery, or whoever stands in for it, has sent a worker list.
+    /// A worker list has come from discovery, a peer or the cache.
     WorkerListReceived {
         /// Whether the list is complete, a change, or from a cache.
         kind: ListKind,
         /// The workers in it.
-        workers: Vec<Member>,
+        workers: Vec<ListedWorker>,
     },
     /// An operator has suspended or resumed a worker through the management API.
     SuspensionRequested {
@@ -195,7 +200,7 @@
     },
     /// The number of nodes that may send to the workers has changed.
     NodeCountChanged {
-        /// Number of nodes; 0 if this node knows no others.
+        /// Number of nodes; 0 if it is unknown, and the settings apply.
         count: usize,
     },
     /// A sibling process of this node has sent a state update.
@@ -205,7 +210,7 @@
         /// The update.
         update: StateUpdate,
     },
-    /// The link to a sibling process is closed: its requests are gone.
+    /// The link to a sibling process has closed; its requests are gone.
     SiblingLost {
         /// The link to the sibling.
         link: usize,
@@ -219,12 +224,12 @@
         /// The encoded request.
         request: Vec<u8>,
     },
-    /// No sibling process knows a call-back's job; the job may have migrated here since.
+    /// No sibling process knows the request of a call-back; it may have migrated here since.
     CallbackRetried {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
         /// The call-back.
-        callback: JobCall,
+        callback: WorkerCallback,
     },
     /// A timer set by [`Command::SetTimer`] has expired.
     TimerExpired {
@@ -236,50 +241,75 @@
 /// A timer of the request manager.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestTimer {
-    /// The dispatcher's own.
-    Dispatcher(u64),
-    /// An attempt's time is up.
-    Attempt(RequestId, u16),
-    /// The time is up in which an intent should have become durable.
-    Intent(AttemptId),
-    /// One who waits for another's request has waited long enough.
-    Joined(ClientId),
-    /// Look for what has expired.
-    Expire,
+    /// A timer of the dispatcher.
+    Dispatcher {
+        /// The dispatcher's token for the timer.
+        token: u64,
+    },
+    /// An attempt has had no answer in time.
+    AttemptTimeout {
+        /// The request.
+        request: RequestId,
+        /// Number of the attempt within the request, from 0.
+        attempt: u16,
+    },
+    /// The record of an attempt has not become durable in time.
+    DurabilityTimeout {
+        /// The attempt.
+        attempt: AttemptId,
+    },
+    /// A client that waits for the answer of another's request has reached its deadline.
+    CoalescedRequestTimeout {
+        /// The waiting client.
+        client: ClientId,
+    },
+    /// Expired records are due to be removed from the request log.
+    ExpireRecords,
 }
 
-/// What waits for a write.
+/// What waits until a write to the store is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wait {
-    /// An attempt, to start.
-    Attempt(AttemptId),
-    /// A worker, for the acknowledgement of its call-back on the job of this id.
-    Call(ClientId, String),
-    /// Nobody; the job's id.
-    Nobody(String),
+pub enum WriteWaiter {
+    /// An attempt, which starts then.
+    Attempt {
+        /// The attempt.
+        attempt: AttemptId,
+    },
+    /// A worker, whose call-back is acknowledged then.
+    Callback {
+        /// The connection that waits for the acknowledgement.
+        client: ClientId,
+        /// Id of the request that the call-back is about.
+        request_id: String,
+    },
+    /// Nothing waits.
+    NoWaiter {
+        /// Id of the request whose record is written; empty if the write belongs to no single request.
+        request_id: String,
+    },
 }
 
-/// The final answer of a request.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// A worker's result.
     Served(Vec<u8>),
-    /// An unavailable answer: trying again is harmless, after so many seconds.
-    Unavailable(f64),
-    /// Failed; nothing is promised.
+    /// Rejected, and proven not to have run; seconds after which to retry, 0 for no advice.
+    RejectedWithRetryAfter(f64),
+    /// Failed; the request may have run.
     Failed,
-    /// A request of this id is held already.
-    Held,
+    /// Another request with this id is in flight, or the idempotency key belongs to a different request.
+    DuplicateRequestId,
 }
 
 impl Answer {
-    /// As logs name it.
-    pub fn word(&self) -> &'static str {
+    /// Returns the name of the answer in logs.
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
-            Self::Unavailable(_) => "unavailable",
+            Self::RejectedWithRetryAfter(_) => "unavailable",
             Self::Failed => "failed",
-            Self::Held => "held",
+            Self::DuplicateRequestId => "held",
         }
     }
 }
@@ -295,7 +325,7 @@
         worker: SocketAddr,
         /// The request to forward.
         payload: Rc<Payload>,
-        /// Until when the client waits.
+        /// When the attempt ends for want of an answer.
         deadline: f64,
     },
     /// Cancel an attempt.
@@ -306,7 +336,7 @@
         worker: SocketAddr,
         /// The forwarded request.
         payload: Rc<Payload>,
-        /// Whether the worker has accepted the job.
+        /// Whether the worker has accepted the request.
         accepted: bool,
     },
     /// Ask a worker for its load; the answer is an [`Input::ExchangeEnded`] with this attempt's number.
@@ -333,7 +363,7 @@
         /// The management connection.
         caller: usize,
         /// The answer.
-        reply: Reply,
+        reply: ManagementReply,
     },
     /// Send a state update to the sibling processes.
     UpdateSiblings {
@@ -342,12 +372,12 @@
         /// The update.
         update: StateUpdate,
     },
-    /// Ask the sibling processes whether they know the job of a call-back.
+    /// Ask the sibling processes whether they know the request of a call-back.
     ForwardCallback {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
         /// The call-back.
-        callback: JobCall,
+        callback: WorkerCallback,
     },
     /// Send a client its final answer.
     AnswerClient {
@@ -360,7 +390,7 @@
     AcknowledgeCallback {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
-        /// Whether the job's request is held here.
+        /// Whether the request is in flight here.
         known: bool,
     },
     /// Write records to the store in one batch.
@@ -368,13 +398,13 @@
         /// The records.
         writes: Vec<Write>,
         /// Who waits for the write.
-        waiter: Wait,
+        waiter: WriteWaiter,
     },
     /// Read a stored result.
     ReadResult {
         /// The client that waits for the result.
         client: ClientId,
-        /// The job's id.
+        /// Id of the request.
         id: String,
     },
     /// Set a timer.
@@ -386,23 +416,28 @@
     },
 }
 
-/// What is said to an operator's call.
+/// The answer to a request of the management API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
-    /// It is so, or is done.
-    Yes,
-    /// Not now.
+pub enum ManagementReply {
+    /// Done, or already so.
+    Done,
+    /// Not possible at the moment.
     NotNow,
-    /// Nobody has that name.
-    Nobody,
-    /// It is so here, and holds at so many of so many nodes.
-    Held(usize, usize),
-    /// This node knows no others.
-    NoFleet,
-    /// This node keeps no audit.
-    NoAudit,
-    /// This node does nothing together with others.
-    NoDuties,
-    /// A node that is to be forgotten has not failed.
-    Lives,
+    /// No worker or node has the given name.
+    NotFound,
+    /// Done at this node, and confirmed by part of the cluster so far.
+    PartiallyApplied {
+        /// Number of nodes, this one included, at which it is done.
+        applied: usize,
+        /// Number of nodes in the cluster.
+        nodes: usize,
+    },
+    /// The settings of this node name no other nodes.
+    ClusterDisabled,
+    /// Configuration tracking is disabled at this node.
+    AuditDisabled,
+    /// Coordination between nodes is disabled at this node.
+    CoordinationDisabled,
+    /// The node that is to be removed has not failed.
+    StillAlive,
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -9,7 +9,7 @@
 use crate::net::handover::{self, Handover};
 use crate::net::lifecycle::{Lifecycle, Stage};
 use crate::net::management::{self, Call, ManagementServer};
-use crate::net::messages::{self, ClientId, Command, Input, Reply};
+use crate::net::messages::{self, ClientId, Command, Input, ManagementReply};
 use crate::net::requests::durability::DurabilityPolicy;
 use crate::net::requests::manager::RequestManager;
 use crate::net::store_adapter::{RecoveredState, StoreAdapter};
@@ -80,7 +80,7 @@
 #[derive(Default)]
 struct SiblingLinks {
     /// How many words are still to come for those who wait with a call-back here, and on what.
-    words: HashMap<ClientId, (usize, messages::JobCall)>,
+    words: HashMap<ClientId, (usize, messages::WorkerCallback)>,
     /// Call-backs of other processes: the link, and their number there.
     origins: HashMap<ClientId, (usize, u64)>,
     next: ClientId,
@@ -231,10 +231,12 @@
             keeper.write(
                 &mut reactor,
                 nothing_ran,
-                messages::Wait::Nobody(String::new()),
+                messages::WriteWaiter::NoWaiter {
+                    request_id: String::new(),
+                },
             );
             reactor.queue.push_back(Input::TimerExpired {
-                timer: messages::RequestTimer::Expire,
+                timer: messages::RequestTimer::ExpireRecords,
             });
             keeper
         });
@@ -551,11 +553,11 @@
                 continue;
             }
             let reply = match call {
-                Call::Ready if self.life.is_serving() => Reply::Yes,
-                Call::Ready => Reply::NotNow,
+                Call::Ready if self.life.is_serving() => ManagementReply::Done,
+                Call::Ready => ManagementReply::NotNow,
                 Call::Drain => {
                     self.drain(None, 0.0);
-                    Reply::Yes
+                    ManagementReply::Done
                 }
                 Call::Activate => self.activate(),
                 Call::Suspend(id) => {
@@ -572,7 +574,7 @@
                         .fleet
                         .as_ref()
                         .and_then(|fleet| fleet.lease_status_json(self.reactor.now));
-                    self.show(key, text, Reply::NoDuties);
+                    self.show(key, text, ManagementReply::CoordinationDisabled);
                     continue;
                 }
                 Call::Versions | Call::Audit => {
@@ -580,7 +582,7 @@
                         Call::Audit => fleet.audit_log_json(self.acts),
                         _ => fleet.versions_json(self.reactor.now),
                     });
-                    self.show(key, text, Reply::NoAudit);
+                    self.show(key, text, ManagementReply::AuditDisabled);
                     continue;
                 }
                 Call::Release(duty) => {
@@ -598,7 +600,11 @@
                 Call::Members => {
                     let picture = self.fleet.as_ref().and_then(ClusterService::status);
                     let text = picture.and_then(|picture| serde_json::to_string(&picture).ok());
-                    self.show(key, text.map(|text| text + "\n"), Reply::NoFleet);
+                    self.show(
+                        key,
+                        text.map(|text| text + "\n"),
+                        ManagementReply::ClusterDisabled,
+                    );
                     continue;
                 }
             };
@@ -609,7 +615,7 @@
     }
 
     /// Shows a caller at the door this, or says why there is nothing to show.
-    fn show(&mut self, key: usize, text: Option<String>, none: Reply) {
+    fn show(&mut self, key: usize, text: Option<String>, none: ManagementReply) {
         match (&mut self.door, text) {
             (Some(door), Some(text)) => door.send_text(&mut self.reactor, key, 200, &text),
             (Some(door), None) => door.send_reply(&mut self.reactor, key, none),
@@ -640,24 +646,28 @@
             .and_then(|fleet| fleet.handle_admin_request(&mut self.reactor, key, ask));
         match (events, &mut self.door) {
             (Some(events), _) => self.told_by_fleet(events),
-            (None, Some(door)) => door.send_reply(&mut self.reactor, key, Reply::NoDuties),
+            (None, Some(door)) => door.send_reply(
+                &mut self.reactor,
+                key,
+                ManagementReply::CoordinationDisabled,
+            ),
             (None, None) => {}
         }
     }
 
     /// Counts a node that has failed no more, on the word of a caller at the door.
-    fn forget(&mut self, name: &str) -> Reply {
+    fn forget(&mut self, name: &str) -> ManagementReply {
         let Some(fleet) = &mut self.fleet else {
-            return Reply::NoFleet;
+            return ManagementReply::ClusterDisabled;
         };
         match fleet.forget_member(&mut self.reactor, name) {
             Ok(events) => {
                 self.told_by_fleet(events);
-                Reply::Yes
+                ManagementReply::Done
             }
-            Err(Some(Rejection::Nobody)) => Reply::Nobody,
-            Err(Some(Rejection::Lives)) => Reply::Lives,
-            Err(Some(Rejection::Full) | None) => Reply::NotNow,
+            Err(Some(Rejection::Nobody)) => ManagementReply::NotFound,
+            Err(Some(Rejection::Lives)) => ManagementReply::StillAlive,
+            Err(Some(Rejection::Full) | None) => ManagementReply::NotNow,
         }
     }
 
@@ -674,8 +684,11 @@
     }
 
     /// What became of a caller's word on a worker here: where it holds, and there are other nodes, they are told first.
-    fn operator(&mut self, key: usize, reply: Reply) {
-        let ban = self.bans.remove(&key).filter(|_| reply == Reply::Yes);
+    fn operator(&mut self, key: usize, reply: ManagementReply) {
+        let ban = self
+            .bans
+            .remove(&key)
+            .filter(|_| reply == ManagementReply::Done);
         if let (Some((worker, again)), Some(fleet)) = (ban, &mut self.fleet) {
             let (told, events) = fleet.set_suspended(&mut self.reactor, Some(key), &worker, again);
             self.told_by_fleet(events);
@@ -751,7 +764,14 @@
                 }
                 service::Event::Held(key, at, of) => {
                     if let Some(door) = &mut self.door {
-                        door.send_reply(&mut self.reactor, key, Reply::Held(at, of));
+                        door.send_reply(
+                            &mut self.reactor,
+                            key,
+                            ManagementReply::PartiallyApplied {
+                                applied: at,
+                                nodes: of,
+                            },
+                        );
                     }
                 }
             }
@@ -776,7 +796,7 @@
         self.heed();
     }
 
-    fn activate(&mut self) -> Reply {
+    fn activate(&mut self) -> ManagementReply {
         if self.life.is_draining() {
             self.tell(
                 None,
@@ -789,7 +809,11 @@
         let can = self.life.activate();
         tracing::info!(can, "activated");
         self.heed();
-        if can { Reply::Yes } else { Reply::NotNow }
+        if can {
+            ManagementReply::Done
+        } else {
+            ManagementReply::NotNow
+        }
     }
 
     fn tell(&mut self, except: Option<usize>, message: &Message) {
@@ -1130,7 +1154,7 @@
     }
 
     /// Asks the other processes of this node whether they know what a call-back is on.
-    fn forward(&mut self, client: ClientId, call: messages::JobCall) {
+    fn forward(&mut self, client: ClientId, call: messages::WorkerCallback) {
         let except = self.links.origins.get(&client).map(|(link, _)| *link);
         let body = clients::wording(&call);
         let asked = self.handover.as_mut().map_or(0, |h| {
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -3,7 +3,7 @@
 use super::durability::Durability;
 use super::in_flight::{Attempt, CoalescedWaiter, RequestManager};
 use crate::decision::interface::{Event, Note, Outcome, RequestId};
-use crate::net::messages::{Answer, ClientId, Command, JobCall, JobState, Wait};
+use crate::net::messages::{Answer, CallbackState, ClientId, Command, WorkerCallback, WriteWaiter};
 use postproxy_idempotency::{Completion, Resolution};
 
 impl RequestManager {
@@ -12,7 +12,7 @@
         &mut self,
         now: f64,
         client: ClientId,
-        call: JobCall,
+        call: WorkerCallback,
         out: &mut Vec<Command>,
     ) -> bool {
         let Some(&request) = self.by_id.get(&call.id) else {
@@ -31,26 +31,26 @@
             return false;
         };
         // Danger: a call is repeated until it is answered. A second 'returned' may be about an earlier attempt, while this one runs.
-        let returns = call.state == JobState::Returned;
+        let returns = call.state == CallbackState::Returned;
         let returned = |a: &Attempt| a.worker == from && a.returned;
         if returns && t.attempts[..attempt].iter().any(returned) {
             return false;
         }
         let key = (request, attempt as u16);
         let (outcome, mut writes) = match call.state {
-            JobState::Started => {
+            CallbackState::Started => {
                 self.note(key, Note::Started);
                 return false;
             }
-            JobState::Running(share) => {
+            CallbackState::Running(share) => {
                 self.note(key, Note::Progress(share));
                 return false;
             }
-            JobState::Unknown => {
+            CallbackState::Unknown => {
                 self.note(key, Note::Other);
                 return false;
             }
-            JobState::Done(result) => {
+            CallbackState::Done(result) => {
                 let care = t.care != Durability::None;
                 let writes = match self.keeping.as_mut().filter(|_| care) {
                     Some(keeping) => keeping.ledger.served(now, &call.id, &result),
@@ -61,9 +61,9 @@
                 }
                 (Outcome::Ok, writes)
             }
-            JobState::Failed => (Outcome::Error, Vec::new()),
-            JobState::Returned => (Outcome::Full, Vec::new()),
-            JobState::Lost => (Outcome::Reset, Vec::new()),
+            CallbackState::Failed => (Outcome::Error, Vec::new()),
+            CallbackState::Returned => (Outcome::Full, Vec::new()),
+            CallbackState::Lost => (Outcome::Reset, Vec::new()),
         };
         if let Some(t) = self.requests.get_mut(&request) {
             t.attempts[attempt].returned = returns;
@@ -73,7 +73,13 @@
         self.ended(now, key, outcome, &call.load);
         writes.extend(self.writes.drain(before..).flat_map(|(writes, _)| writes));
         let waits = !writes.is_empty();
-        self.write(writes, Wait::Call(client, call.id));
+        self.write(
+            writes,
+            WriteWaiter::Callback {
+                client,
+                request_id: call.id,
+            },
+        );
         waits
     }
 
@@ -82,21 +88,29 @@
         &mut self,
         now: f64,
         client: ClientId,
-        call: JobCall,
+        call: WorkerCallback,
         out: &mut Vec<Command>,
     ) -> bool {
         let Some(keeping) = &mut self.keeping else {
             return false;
         };
         let word = match &call.state {
-            JobState::Done(result) => Completion::Done(result),
-            JobState::Failed | JobState::Lost => Completion::Failed,
-            JobState::Returned => Completion::Returned,
-            JobState::Started | JobState::Running(_) | JobState::Unknown => return false,
+            CallbackState::Done(result) => Completion::Done(result),
+            CallbackState::Failed | CallbackState::Lost => Completion::Failed,
+            CallbackState::Returned => Completion::Returned,
+            CallbackState::Started | CallbackState::Running(_) | CallbackState::Unknown => {
+                return false;
+            }
         };
         let (settled, writes) = keeping.ledger.word(now, &call.id, &call.from, word);
         let waits = !writes.is_empty();
-        self.write(writes, Wait::Call(client, call.id.clone()));
+        self.write(
+            writes,
+            WriteWaiter::Callback {
+                client,
+                request_id: call.id.clone(),
+            },
+        );
         if settled == Resolution::Nothing {
             return waits;
         }
@@ -114,7 +128,7 @@
                 continue;
             };
             match (&settled, &call.state) {
-                (Resolution::Served, JobState::Done(result)) => {
+                (Resolution::Served, CallbackState::Done(result)) => {
                     out.push(Command::AnswerClient {
                         client,
                         answer: Answer::Served(result.clone()),
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -4,14 +4,14 @@
 use super::in_flight::{CoalescedWaiter, RequestManager};
 use crate::decision::interface::{Event, Outcome};
 use crate::net::messages::{
-    Answer, AttemptId, ClientId, Command, Load, RequestTimer, Submission, Wait,
+    Answer, AttemptId, ClientId, Command, Load, RequestTimer, Submission, WriteWaiter,
 };
 use postproxy_idempotency::{Lookup, Write};
 use std::rc::Rc;
 
 impl RequestManager {
     /// Has changes written, if there are any.
-    pub(super) fn write(&mut self, writes: Vec<Write>, wait: Wait) {
+    pub(super) fn write(&mut self, writes: Vec<Write>, wait: WriteWaiter) {
         if !writes.is_empty() {
             self.writes.push((writes, wait));
         }
@@ -93,19 +93,24 @@
             Lookup::New if keeping.broken && keeping.care(class) == Durability::Durable => {
                 out.push(Command::AnswerClient {
                     client,
-                    answer: Answer::Unavailable(keeping.retry_after),
+                    answer: Answer::RejectedWithRetryAfter(keeping.retry_after),
                 });
                 return None;
             }
             Lookup::New => match keeping.ledger.make_room() {
                 Some(writes) => {
-                    self.write(writes, Wait::Nobody(String::new()));
+                    self.write(
+                        writes,
+                        WriteWaiter::NoWaiter {
+                            request_id: String::new(),
+                        },
+                    );
                     return Some((submission, Some(Rc::new(asker))));
                 }
                 None => {
                     out.push(Command::AnswerClient {
                         client,
-                        answer: Answer::Unavailable(keeping.retry_after),
+                        answer: Answer::RejectedWithRetryAfter(keeping.retry_after),
                     });
                     return None;
                 }
@@ -143,7 +148,7 @@
             Lookup::Conflict => {
                 out.push(Command::AnswerClient {
                     client,
-                    answer: Answer::Held,
+                    answer: Answer::DuplicateRequestId,
                 });
                 return None;
             }
@@ -151,22 +156,33 @@
         self.joiners.insert(client, joiner);
         out.push(Command::SetTimer {
             at: until,
-            timer: RequestTimer::Joined(client),
+            timer: RequestTimer::CoalescedRequestTimeout { client },
         });
         None
     }
 
-    pub(super) fn stored(&mut self, now: f64, wait: Wait, durable: bool, out: &mut Vec<Command>) {
+    pub(super) fn stored(
+        &mut self,
+        now: f64,
+        wait: WriteWaiter,
+        durable: bool,
+        out: &mut Vec<Command>,
+    ) {
         let id = match wait {
-            Wait::Attempt(attempt_id) => return self.intent_stored(now, attempt_id, durable, out),
-            Wait::Call(client, id) => {
+            WriteWaiter::Attempt {
+                attempt: attempt_id,
+            } => return self.intent_stored(now, attempt_id, durable, out),
+            WriteWaiter::Callback {
+                client,
+                request_id: id,
+            } => {
                 out.push(Command::AcknowledgeCallback {
                     client,
                     known: true,
                 });
                 id
             }
-            Wait::Nobody(id) => id,
+            WriteWaiter::NoWaiter { request_id: id } => id,
         };
         if let Some(keeping) = self.keeping.as_mut().filter(|_| !durable) {
             keeping.ledger.unwritten(&id);
@@ -209,7 +225,7 @@
         let answer = if before {
             Answer::Failed
         } else {
-            Answer::Unavailable(after)
+            Answer::RejectedWithRetryAfter(after)
         };
         self.finish(request, answer, out);
         self.events.push_back(Event::ClientGone { request });
--- a/src/net/requests/in_flight.rs
+++ b/src/net/requests/in_flight.rs
@@ -3,7 +3,7 @@
 use super::durability::{Durability, DurabilityPolicy, RequestFingerprint};
 use crate::decision::dispatcher::Dispatcher;
 use crate::decision::interface::{Event, RequestId, Settings, WorkerId};
-use crate::net::messages::{AttemptId, ClientId, Payload, Submission, Wait};
+use crate::net::messages::{AttemptId, ClientId, Payload, Submission, WriteWaiter};
 use postproxy_handover::StateUpdate;
 use postproxy_idempotency::Write;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -118,7 +118,7 @@
     /// Requests that are kept, by their class and idempotency key.
     pub(super) by_key: HashMap<(u8, String), RequestId>,
     /// What is to be written, in its order.
-    pub(super) writes: Vec<(Vec<Write>, Wait)>,
+    pub(super) writes: Vec<(Vec<Write>, WriteWaiter)>,
     /// Other processes of this node are linked: they are told what changes.
     pub(super) linked: bool,
     /// What they are still to be told.
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -9,7 +9,8 @@
     Action, Entry, Event, NewRequest, Outcome, RequestId, Settings, SettingsError, WorkerId,
 };
 use crate::net::messages::{
-    Answer, AttemptEnd, AttemptId, ClientId, Command, Input, Load, RequestTimer, Submission, Wait,
+    Answer, AttemptEnd, AttemptId, ClientId, Command, Input, Load, RequestTimer, Submission,
+    WriteWaiter,
 };
 use postproxy_handover::StateUpdate;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -144,9 +145,9 @@
                     return;
                 };
                 let outcome = match end {
-                    AttemptEnd::NotRun => Outcome::Full,
-                    AttemptEnd::TurnedAway => Outcome::Unknown(TURNED_AWAY),
-                    AttemptEnd::NoRoom => Outcome::Moot,
+                    AttemptEnd::RejectedUnstarted => Outcome::Full,
+                    AttemptEnd::RejectedAmbiguous => Outcome::Unknown(TURNED_AWAY),
+                    AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
                     AttemptEnd::NeverSent if !a.written => Outcome::ConnectFailed,
                     AttemptEnd::NeverSent | AttemptEnd::Reset => Outcome::Reset,
                     AttemptEnd::Accepted | AttemptEnd::Error => Outcome::Error,
@@ -189,7 +190,12 @@
                 } else {
                     Vec::new()
                 };
-                self.write(anew, Wait::Nobody(String::new()));
+                self.write(
+                    anew,
+                    WriteWaiter::NoWaiter {
+                        request_id: String::new(),
+                    },
+                );
             }
             Input::WorkerListReceived {
                 kind,
@@ -255,19 +261,22 @@
                 }
             }
             Input::TimerExpired {
-                timer: RequestTimer::Dispatcher(token),
+                timer: RequestTimer::Dispatcher { token },
             } => self.events.push_back(Event::Timer { token }),
             Input::TimerExpired {
-                timer: RequestTimer::Attempt(request, attempt),
+                timer: RequestTimer::AttemptTimeout { request, attempt },
             } => {
                 self.abandon(request, attempt, out);
                 self.ended(now, (request, attempt), Outcome::Timeout, &Load::new());
             }
             Input::TimerExpired {
-                timer: RequestTimer::Intent(attempt_id),
+                timer:
+                    RequestTimer::DurabilityTimeout {
+                        attempt: attempt_id,
+                    },
             } => self.intent_stored(now, attempt_id, false, out),
             Input::TimerExpired {
-                timer: RequestTimer::Joined(client),
+                timer: RequestTimer::CoalescedRequestTimeout { client },
             } => {
                 // It may have run, and may run yet: no refusal would be true.
                 if self.unjoin(client) {
@@ -278,13 +287,13 @@
                 }
             }
             Input::TimerExpired {
-                timer: RequestTimer::Expire,
+                timer: RequestTimer::ExpireRecords,
             } => {
                 if let Some(keeping) = &mut self.keeping {
                     keeping.ledger.expire(now);
                     out.push(Command::SetTimer {
                         at: now + EXPIRY,
-                        timer: RequestTimer::Expire,
+                        timer: RequestTimer::ExpireRecords,
                     });
                 }
             }
@@ -312,7 +321,7 @@
         if self.by_id.contains_key(id) || self.distant.contains_key(id) {
             return out.push(Command::AnswerClient {
                 client,
-                answer: Answer::Held,
+                answer: Answer::DuplicateRequestId,
             });
         }
         if self.settings.max_open > 0
@@ -353,9 +362,9 @@
             request,
             class: submission.class,
             tenant: tenant as u16,
-            key: submission.key,
+            key: submission.affinity_key,
             budget,
-            hint: submission.hint,
+            hint: submission.expected_work,
             slots: submission.slots.unwrap_or(1.0),
             memory: submission.memory.unwrap_or(0.0),
             repeat: submission.repeat,
@@ -430,8 +439,12 @@
                 .ledger
                 .ended(now, &t.payload.id, attempt.into(), !never);
             if !writes.is_empty() {
-                self.writes
-                    .push((writes, Wait::Nobody(t.payload.id.clone())));
+                self.writes.push((
+                    writes,
+                    WriteWaiter::NoWaiter {
+                        request_id: t.payload.id.clone(),
+                    },
+                ));
             }
         }
         let (worker, elapsed) = (worker_id(a.worker), now - a.sent);
@@ -460,7 +473,7 @@
         if let Some(request) = self.by_client.remove(&client) {
             if let Some(t) = self.requests.get_mut(&request) {
                 t.client = None;
-                t.span.record("answer", answer.word());
+                t.span.record("answer", answer.as_str());
                 for other in std::mem::take(&mut t.joined) {
                     self.joiners.remove(&other);
                     out.push(Command::AnswerClient {
@@ -495,7 +508,12 @@
         }
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker) {
             let writes = keeping.ledger.over(now, &t.payload.id);
-            self.write(writes, Wait::Nobody(t.payload.id.clone()));
+            self.write(
+                writes,
+                WriteWaiter::NoWaiter {
+                    request_id: t.payload.id.clone(),
+                },
+            );
         }
     }
 
@@ -516,12 +534,12 @@
                 request,
                 retry_after,
             } => {
-                self.finish(request, Answer::Unavailable(retry_after), out);
+                self.finish(request, Answer::RejectedWithRetryAfter(retry_after), out);
             }
             Action::Fail { request } => self.finish(request, Answer::Failed, out),
             Action::Timer { at, token } => out.push(Command::SetTimer {
                 at,
-                timer: RequestTimer::Dispatcher(token),
+                timer: RequestTimer::Dispatcher { token },
             }),
             Action::Probe { worker } => self.probe(now, number(worker), out),
         }
@@ -590,7 +608,7 @@
         }
         out.push(Command::SetTimer {
             at: now + wait,
-            timer: RequestTimer::Attempt(request, attempt),
+            timer: RequestTimer::AttemptTimeout { request, attempt },
         });
         if let (Some(keeping), Some(asker)) = (&mut self.keeping, &t.asker) {
             let writes =
@@ -599,15 +617,21 @@
                     .intend(now, &asker.asked(), &self.names[number], t.deadline);
             let id = &t.payload.id;
             let wait = if cleared {
-                Wait::Nobody(id.clone())
+                WriteWaiter::NoWaiter {
+                    request_id: id.clone(),
+                }
             } else {
-                Wait::Attempt(attempt_id)
+                WriteWaiter::Attempt {
+                    attempt: attempt_id,
+                }
             };
             self.writes.push((writes, wait));
             if !cleared {
                 out.push(Command::SetTimer {
                     at: now + keeping.patience,
-                    timer: RequestTimer::Intent(attempt_id),
+                    timer: RequestTimer::DurabilityTimeout {
+                        attempt: attempt_id,
+                    },
                 });
                 return;
             }
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -205,7 +205,10 @@
                 self.by_attempt.insert(attempt_id, (request, number));
                 out.push(Command::SetTimer {
                     at: until,
-                    timer: RequestTimer::Attempt(request, number),
+                    timer: RequestTimer::AttemptTimeout {
+                        request,
+                        attempt: number,
+                    },
                 });
             }
         }
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -2,7 +2,7 @@
 
 use super::in_flight::{InFlightRequest, RequestManager, Unwritten, number, worker_id};
 use crate::decision::interface::{Entry, Event, Health, ListKind, Outcome, RequestId};
-use crate::net::messages::{AttemptEnd, Command, Load, Member, Reply};
+use crate::net::messages::{AttemptEnd, Command, ListedWorker, Load, ManagementReply};
 use postproxy_handover::StateUpdate;
 use std::collections::BTreeSet;
 
@@ -45,12 +45,12 @@
         name: &str,
         again: bool,
         out: &mut Vec<Command>,
-    ) -> Reply {
+    ) -> ManagementReply {
         let Some(&worker) = self.numbers.get(name) else {
-            return Reply::Nobody;
+            return ManagementReply::NotFound;
         };
         if again != self.banned.contains(&worker) {
-            return Reply::Yes;
+            return ManagementReply::Done;
         }
         tracing::info!(worker = name, again, "an operator's word on a worker's use");
         self.tell(|| StateUpdate::Use {
@@ -74,7 +74,7 @@
             let unwritten = self.unwritten_to(&BTreeSet::from([worker]));
             self.withdraw(now, unwritten, out);
         }
-        Reply::Yes
+        ManagementReply::Done
     }
 
     /// Workers that a list says want nothing new. What it does not name has gone, if it is the whole list.
@@ -146,10 +146,12 @@
     pub(super) fn probed(&mut self, worker: usize, end: AttemptEnd, elapsed: f64, load: &Load) {
         let outcome = match end {
             AttemptEnd::Accepted => Outcome::Ok,
-            AttemptEnd::NoRoom => Outcome::Moot,
+            AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
             AttemptEnd::NeverSent => Outcome::ConnectFailed,
             AttemptEnd::Reset => Outcome::Timeout,
-            AttemptEnd::NotRun | AttemptEnd::TurnedAway | AttemptEnd::Error => Outcome::Error,
+            AttemptEnd::RejectedUnstarted | AttemptEnd::RejectedAmbiguous | AttemptEnd::Error => {
+                Outcome::Error
+            }
         };
         let (worker, report) = (worker_id(worker), self.report(load));
         self.events.push_back(Event::Probed {
@@ -188,7 +190,7 @@
         at
     }
 
-    pub(super) fn member(&mut self, member: Member) -> Entry {
+    pub(super) fn member(&mut self, member: ListedWorker) -> Entry {
         let at = self.number(&member.id);
         self.workers[at] = member.address;
         Entry {
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -2,7 +2,7 @@
 //! them. The disk is waited for by the store's own thread.
 
 use super::upstream::worker_list::Kept;
-use crate::net::messages::{ClientId, Input, Wait};
+use crate::net::messages::{ClientId, Input, WriteWaiter};
 use crate::net::transport::reactor::{Owner, Reactor};
 use crate::operator_config::StoreSection;
 use postproxy_coordination::StorageChange;
@@ -54,7 +54,7 @@
     pending: Arc<AtomicBool>,
     key: usize,
     /// What waits for its write, in the order of the tickets.
-    waiting: VecDeque<(u64, Wait)>,
+    waiting: VecDeque<(u64, WriteWaiter)>,
     reads: HashMap<u64, ClientId>,
     next_read: u64,
     /// Writes of the list of workers and of the fleet's bans that are on their way.
@@ -187,7 +187,7 @@
     }
 
     /// Has changes written together; what waits for them is told later, through the queue.
-    pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, wait: Wait) {
+    pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, wait: WriteWaiter) {
         let batch = writes
             .into_iter()
             .fold(Batch::new(), |batch, write| match write {
@@ -228,8 +228,12 @@
             });
         let ticket = self.store.append(batch).ok();
         if let Some(ticket) = ticket {
-            self.waiting
-                .push_back((ticket, Wait::Nobody(String::new())));
+            self.waiting.push_back((
+                ticket,
+                WriteWaiter::NoWaiter {
+                    request_id: String::new(),
+                },
+            ));
             self.council = Some(ticket);
         }
         ticket.is_some()
@@ -238,8 +242,12 @@
     fn keep(&mut self, key: &[u8], value: &[u8]) {
         match self.store.append(Batch::new().put(key, value, 0)) {
             Ok(ticket) => {
-                self.waiting
-                    .push_back((ticket, Wait::Nobody(String::new())));
+                self.waiting.push_back((
+                    ticket,
+                    WriteWaiter::NoWaiter {
+                        request_id: String::new(),
+                    },
+                ));
                 self.keeps.push_back(ticket);
             }
             Err(_) => self.unkept = true,
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -224,7 +224,10 @@
 
     fn dial(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Result<usize, AttemptEnd> {
         if self.sessions.len() >= self.most {
-            let oldest = self.pool.oldest().ok_or(AttemptEnd::NoRoom)?;
+            let oldest = self
+                .pool
+                .oldest()
+                .ok_or(AttemptEnd::LocalCapacityExhausted)?;
             self.drop(reactor, oldest);
         }
         // Danger: a shortage here told as a worker's fault would take sound workers out of the draw.
@@ -232,11 +235,11 @@
             ErrorKind::ConnectionRefused
             | ErrorKind::HostUnreachable
             | ErrorKind::NetworkUnreachable => AttemptEnd::NeverSent,
-            _ => AttemptEnd::NoRoom,
+            _ => AttemptEnd::LocalCapacityExhausted,
         })?;
         let key = reactor
             .register(&stream, Owner::Attempt)
-            .map_err(|_| AttemptEnd::NoRoom)?;
+            .map_err(|_| AttemptEnd::LocalCapacityExhausted)?;
         let connection = Connection::new(
             stream,
             true,
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -200,7 +200,7 @@
             exchange: self,
             reactor,
         }
-        .end(connection, AttemptEnd::NoRoom, Load::new());
+        .end(connection, AttemptEnd::LocalCapacityExhausted, Load::new());
         true
     }
 }
@@ -218,7 +218,7 @@
         };
         if outgoing.is_late(self.reactor.now) {
             connection.abort();
-            return self.end(connection, AttemptEnd::NoRoom, Load::new());
+            return self.end(connection, AttemptEnd::LocalCapacityExhausted, Load::new());
         }
         let bytes = outgoing.into_bytes(self.exchange.worker, self.reactor.now);
         self.exchange.last_byte = Some(connection.queued() + bytes.len() as u64);
@@ -299,8 +299,10 @@
         match response.status {
             202 if whole => AttemptEnd::Accepted,
             202 => AttemptEnd::NeverSent, // the connection ends, and the worker never has it whole
-            503 | 504 if not_run && (!whole || self.is_own_answer()) => AttemptEnd::NotRun,
-            503 | 504 if not_run => AttemptEnd::TurnedAway,
+            503 | 504 if not_run && (!whole || self.is_own_answer()) => {
+                AttemptEnd::RejectedUnstarted
+            }
+            503 | 504 if not_run => AttemptEnd::RejectedAmbiguous,
             _ => AttemptEnd::Error,
         }
     }
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -3,7 +3,7 @@
 use super::watch::{Call, CallId, START_PATIENCE, Schedule};
 use crate::decision::affinity;
 use crate::decision::interface::{Entry, Health, ListKind, NO_CELL, NO_ZONE, Settings};
-use crate::net::messages::{Input, Member};
+use crate::net::messages::{Input, ListedWorker};
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::http::{self, Read};
 use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
@@ -91,7 +91,7 @@
     }
 
     /// Its members; one without a usable address is left out. Times are Unix time, as the node's clock is.
-    pub fn members(self, settings: &Settings) -> Vec<Member> {
+    pub fn members(self, settings: &Settings) -> Vec<ListedWorker> {
         let at = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let member = |m: RawMember| {
             let address: SocketAddr = m.host_port.parse().ok()?;
@@ -109,7 +109,7 @@
                 started: m.up_since_ms / 1000.0,
                 ..Entry::default()
             };
-            Some(Member {
+            Some(ListedWorker {
                 id: m.id,
                 address,
                 entry,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -142,7 +142,7 @@
     world.reaches(&first);
     assert_eq!(first.request().headers.get("x-request-id"), Some("job-1"));
     first.write(NOT_RUN);
-    assert_eq!(world.end(), (1, AttemptEnd::NotRun));
+    assert_eq!(world.end(), (1, AttemptEnd::RejectedUnstarted));
     world.reactor.now = 1000.01;
     world.start(2);
     // It comes when the next attempt has been written, wherever that is; nobody may be there to read it.
@@ -218,7 +218,7 @@
     world.start(2);
     world.reaches(&peer);
     peer.write(NOT_RUN);
-    assert_eq!(world.end(), (2, AttemptEnd::TurnedAway));
+    assert_eq!(world.end(), (2, AttemptEnd::RejectedAmbiguous));
     assert!(
         peer.request().headers.get("x-request-id") == Some("job-2"),
         "it was read, and may run"
@@ -229,7 +229,7 @@
     world.reaches(&peer);
     peer.request();
     peer.write(NOT_RUN);
-    assert_eq!(world.end(), (1, AttemptEnd::NotRun));
+    assert_eq!(world.end(), (1, AttemptEnd::RejectedUnstarted));
 }
 
 /// Guards against an answer that is there before the worker can have read the request, and is taken for its own: it proves nothing, also
@@ -245,7 +245,7 @@
     world
         .attempts
         .handle_ready(&mut world.reactor, key, true, true);
-    assert_eq!(world.end(), (1, AttemptEnd::TurnedAway));
+    assert_eq!(world.end(), (1, AttemptEnd::RejectedAmbiguous));
     assert_eq!(peer.request().headers.get("x-request-id"), Some("job-1"));
 }
 
@@ -466,7 +466,7 @@
         world.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 7,
-            end: AttemptEnd::NoRoom,
+            end: AttemptEnd::LocalCapacityExhausted,
             ..
         })
     ));
@@ -605,7 +605,7 @@
         world.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 3,
-            end: AttemptEnd::NoRoom,
+            end: AttemptEnd::LocalCapacityExhausted,
             ..
         })
     ));
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -2,7 +2,7 @@
 
 use postproxy::decision::interface::Settings;
 use postproxy::net::downstream::clients::{BAD, Clients, Wanted, call, wanted, wording};
-use postproxy::net::messages::{Answer, Input, JobCall, JobState, Payload, Submission};
+use postproxy::net::messages::{Answer, CallbackState, Input, Payload, Submission, WorkerCallback};
 use postproxy::net::transport::http::{self, Read, Request};
 use postproxy::net::transport::reactor::{Reactor, Timer};
 use std::io::{Read as _, Write as _};
@@ -148,8 +148,11 @@
         let mut peer = bed.connect();
         let fields = "X-Request-Id: a\r\nConnection: close\r\n";
         bed.send(&mut peer, &format!("POST /render HTTP/1.1\r\n{fields}\r\n"));
-        bed.clients
-            .send_answer(&mut bed.reactor, peer.1 as u64, &Answer::Unavailable(after));
+        bed.clients.send_answer(
+            &mut bed.reactor,
+            peer.1 as u64,
+            &Answer::RejectedWithRetryAfter(after),
+        );
         let text = rest(&mut peer);
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
         assert_eq!(text.contains("Retry-After"), field.is_some(), "{text}");
@@ -284,9 +287,9 @@
         payload,
         class: 1,
         tenant: Some("acme".into()),
-        key: 0x7f3a_9c21_e0b4_d655,
+        affinity_key: 0x7f3a_9c21_e0b4_d655,
         budget: Some(0.48),
-        hint: Some(0.25),
+        expected_work: Some(0.25),
         slots: Some(2.0),
         memory: Some(0.5),
         repeat: true,
@@ -300,7 +303,13 @@
         panic!("no transaction")
     };
     assert_eq!(
-        (bare.key, bare.budget, bare.hint, bare.slots, bare.repeat),
+        (
+            bare.affinity_key,
+            bare.budget,
+            bare.expected_work,
+            bare.slots,
+            bare.repeat
+        ),
         (0, None, None, None, false)
     );
 }
@@ -312,7 +321,7 @@
     let read = call(load.as_bytes()).expect("a call-back");
     assert_eq!(
         (read.id.as_str(), read.from.as_str(), read.state),
-        ("9b1f", "s-1", JobState::Running(0.4))
+        ("9b1f", "s-1", CallbackState::Running(0.4))
     );
     assert_eq!(
         read.load,
@@ -321,26 +330,26 @@
     let state = |text: &str| call(text.as_bytes()).map(|call| call.state);
     assert_eq!(
         state(r#"{"id":"a","from":"b","state":"done","result":"r"}"#),
-        Some(JobState::Done(b"r".into()))
+        Some(CallbackState::Done(b"r".into()))
     );
     assert_eq!(
         state(r#"{"id":"a","from":"b","state":"asleep"}"#),
-        Some(JobState::Unknown)
+        Some(CallbackState::Unknown)
     );
     assert_eq!(state(r#"{"id":"a","state":"done"}"#), None);
     // Through another process it stays the same.
     let states = [
-        JobState::Started,
-        JobState::Running(0.25),
-        JobState::Done("\u{161}\n\"r\"".into()),
-        JobState::Failed,
-        JobState::Returned,
-        JobState::Lost,
-        JobState::Unknown,
+        CallbackState::Started,
+        CallbackState::Running(0.25),
+        CallbackState::Done("\u{161}\n\"r\"".into()),
+        CallbackState::Failed,
+        CallbackState::Returned,
+        CallbackState::Lost,
+        CallbackState::Unknown,
     ];
     for state in states {
         let load = vec![("queue".to_owned(), 2.0), ("x0".to_owned(), 1.5)];
-        let told = JobCall {
+        let told = WorkerCallback {
             id: "9b1f".into(),
             from: "s-1".into(),
             state,
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -175,7 +175,10 @@
                 worker.ended(),
                 "nothing was written for a client whose time is over"
             );
-            assert_eq!(told(&mut reactor), (false, vec![AttemptEnd::NoRoom]));
+            assert_eq!(
+                told(&mut reactor),
+                (false, vec![AttemptEnd::LocalCapacityExhausted])
+            );
             continue;
         };
         let request = worker.request();
@@ -367,20 +370,24 @@
         let Some(end) = ends.first() else { continue };
         *seen.entry(format!("{end:?}, whole {whole}")).or_default() += 1;
         match end {
-            AttemptEnd::NeverSent | AttemptEnd::NoRoom => assert!(!whole, "seed {seed}: {end:?}"),
-            AttemptEnd::NotRun if whole => assert!(!used && !answered_early, "seed {seed}"),
-            AttemptEnd::Reset | AttemptEnd::Accepted | AttemptEnd::TurnedAway => {
+            AttemptEnd::NeverSent | AttemptEnd::LocalCapacityExhausted => {
+                assert!(!whole, "seed {seed}: {end:?}")
+            }
+            AttemptEnd::RejectedUnstarted if whole => {
+                assert!(!used && !answered_early, "seed {seed}")
+            }
+            AttemptEnd::Reset | AttemptEnd::Accepted | AttemptEnd::RejectedAmbiguous => {
                 assert!(whole && told_written, "seed {seed}: {end:?}");
             }
-            AttemptEnd::NotRun | AttemptEnd::Error => {}
+            AttemptEnd::RejectedUnstarted | AttemptEnd::Error => {}
         }
         assert_eq!(told_written, whole, "seed {seed}: {end:?}");
     }
     for end in [
         "Reset, whole true",
         "NeverSent, whole false",
-        "NoRoom, whole false",
-        "NotRun, whole true",
+        "LocalCapacityExhausted, whole false",
+        "RejectedUnstarted, whole true",
     ] {
         assert!(
             seen.get(end).is_some_and(|count| *count > 50),
@@ -388,7 +395,8 @@
         );
     }
     assert!(
-        seen.contains_key("TurnedAway, whole true") && seen.contains_key("Accepted, whole true"),
+        seen.contains_key("RejectedAmbiguous, whole true")
+            && seen.contains_key("Accepted, whole true"),
         "{seen:?}"
     );
 }
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -2,8 +2,8 @@
 //! owed which answer.
 
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, Command, Input, JobCall, JobState, Load, Member, Payload,
-    RequestTimer, Submission, Wait,
+    Answer, AttemptEnd, AttemptId, CallbackState, Command, Input, ListedWorker, Load, Payload,
+    RequestTimer, Submission, WorkerCallback, WriteWaiter,
 };
 use postproxy::net::requests::durability::DurabilityPolicy;
 use postproxy::net::requests::manager::RequestManager;
@@ -31,7 +31,7 @@
     timers: Vec<(f64, RequestTimer)>,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
     /// Writes that the disk has not done yet.
-    pending: Vec<(Vec<Write>, Wait)>,
+    pending: Vec<(Vec<Write>, WriteWaiter)>,
 }
 
 impl Bed {
@@ -55,7 +55,7 @@
             pending: Vec::new(),
         };
         bed.apply(nothing_ran);
-        let member = |n: u16| Member {
+        let member = |n: u16| ListedWorker {
             id: format!("s-{n}"),
             address: ([127, 0, 0, 1], 9000 + n).into(),
             entry: Entry {
@@ -178,10 +178,10 @@
         (attempt, worker)
     }
 
-    fn call(&mut self, id: &str, from: &str, state: JobState) -> Vec<Command> {
+    fn call(&mut self, id: &str, from: &str, state: CallbackState) -> Vec<Command> {
         self.tell(Input::CallbackReceived {
             client: 99,
-            callback: JobCall {
+            callback: WorkerCallback {
                 id: id.into(),
                 from: from.into(),
                 state,
@@ -258,7 +258,7 @@
 fn a_result_is_acknowledged_when_it_is_durable() {
     let mut bed = Bed::new();
     let (_, worker) = bed.accepted(1, "job", Some("k"));
-    let commands = bed.call("job", &worker, JobState::Done(b"result".to_vec()));
+    let commands = bed.call("job", &worker, CallbackState::Done(b"result".to_vec()));
     assert_eq!(answers(&commands), [(1, served("result"))]);
     assert!(!acknowledged(&commands));
     assert!(acknowledged(&bed.sync(true)));
@@ -267,7 +267,7 @@
         Some(&b"result"[..])
     );
     assert!(
-        acknowledged(&bed.call("job", &worker, JobState::Done(b"result".to_vec()))),
+        acknowledged(&bed.call("job", &worker, CallbackState::Done(b"result".to_vec()))),
         "repeated"
     );
     let mut bed = bed.restart();
@@ -287,7 +287,7 @@
     let other = bed.submit(6, "third", Some("k"), COMMIT, "another body");
     assert_eq!(
         answers(&other),
-        [(6, Answer::Held)],
+        [(6, Answer::DuplicateRequestId)],
         "409: the key came with another request"
     );
     assert_eq!(bed.hub.pending_count(), 0);
@@ -306,7 +306,7 @@
         "by its id as well"
     );
     bed.now += 1.0;
-    let commands = bed.call("job", &worker, JobState::Done(b"late".to_vec()));
+    let commands = bed.call("job", &worker, CallbackState::Done(b"late".to_vec()));
     assert_eq!(
         answers(&commands),
         [(2, served("late")), (3, served("late"))]
@@ -340,7 +340,7 @@
     let mut bed = bed.restart();
     bed.submit(2, "again", Some("k"), COMMIT, "body");
     bed.submit(3, "more", Some("k"), COMMIT, "body");
-    bed.call("job", &worker, JobState::Returned);
+    bed.call("job", &worker, CallbackState::Returned);
     let commands = bed.sync(true);
     let starts = commands
         .iter()
@@ -353,7 +353,7 @@
         end: AttemptEnd::Accepted,
         load: Load::new(),
     });
-    let commands = bed.call("again", &worker, JobState::Done(b"x".to_vec()));
+    let commands = bed.call("again", &worker, CallbackState::Done(b"x".to_vec()));
     assert_eq!(answers(&commands), [(3, served("x")), (2, served("x"))]);
 }
 
@@ -374,7 +374,7 @@
         "no cancel: others wait for it: {commands:?}"
     );
     bed.tell(Input::ClientDisconnected { client: 3 });
-    let commands = bed.call("job", &worker, JobState::Done(b"x".to_vec()));
+    let commands = bed.call("job", &worker, CallbackState::Done(b"x".to_vec()));
     assert_eq!(answers(&commands), [(2, served("x"))]);
     bed.sync(true);
     assert_eq!(bed.hub.pending_count(), 0);
@@ -391,13 +391,16 @@
     let mut bed = Bed::new();
     bed.submit(1, "job", Some("k"), COMMIT, "body");
     let commands = bed.sync(false);
-    assert_eq!(answers(&commands), [(1, Answer::Unavailable(1.0))]);
+    assert_eq!(
+        answers(&commands),
+        [(1, Answer::RejectedWithRetryAfter(1.0))]
+    );
     assert!(started(&commands).is_none());
     assert_eq!(bed.hub.pending_count(), 0, "it is forgotten");
     bed.tell(Input::StoreHealthChanged { writable: false });
     assert_eq!(
         answers(&bed.submit(2, "next", None, COMMIT, "")),
-        [(2, Answer::Unavailable(1.0))]
+        [(2, Answer::RejectedWithRetryAfter(1.0))]
     );
     assert!(started(&bed.submit(3, "safe", None, RENDER, "")).is_some());
     assert!(started(&bed.submit(4, "keyed", None, TOKEN, "")).is_some());
@@ -416,7 +419,10 @@
     let mut bed = Bed::new();
     bed.submit(1, "job", None, COMMIT, "body");
     let commands = bed.play(1000.6);
-    assert_eq!(answers(&commands), [(1, Answer::Unavailable(1.0))]);
+    assert_eq!(
+        answers(&commands),
+        [(1, Answer::RejectedWithRetryAfter(1.0))]
+    );
     let commands = bed.sync(true);
     assert!(commands.is_empty(), "{commands:?}");
     let bed = bed.restart();
@@ -442,14 +448,14 @@
     let mut bed = Bed::start(bed.disk, bed.now, limits);
     assert_eq!(
         answers(&bed.submit(1, "new", None, COMMIT, "")),
-        [(1, Answer::Unavailable(1.0))]
+        [(1, Answer::RejectedWithRetryAfter(1.0))]
     );
     assert!(
         bed.submit(2, "job-1", None, COMMIT, "body").is_empty(),
         "it is in doubt still"
     );
     bed.tell(Input::TimerExpired {
-        timer: RequestTimer::Expire,
+        timer: RequestTimer::ExpireRecords,
     });
     bed.play(5000.0);
     assert!(
@@ -464,7 +470,7 @@
 fn after_an_attempt_that_may_have_run_it_fails() {
     let mut bed = Bed::new();
     let (attempt, worker) = bed.accepted(1, "job", Some("k"));
-    let commands = bed.call("job", &worker, JobState::Lost);
+    let commands = bed.call("job", &worker, CallbackState::Lost);
     assert_eq!(answers(&commands), [(1, Answer::Failed)]);
     assert!(
         bed.tell(Input::ExchangeEnded {
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -268,7 +268,7 @@
         reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 1,
-            end: AttemptEnd::NoRoom,
+            end: AttemptEnd::LocalCapacityExhausted,
             ..
         })
     ));
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -252,11 +252,11 @@
 fn answers_have_their_words_in_logs() {
     let words = [
         Answer::Served(vec![]),
-        Answer::Unavailable(1.0),
+        Answer::RejectedWithRetryAfter(1.0),
         Answer::Failed,
-        Answer::Held,
+        Answer::DuplicateRequestId,
     ]
-    .map(|answer| answer.word());
+    .map(|answer| answer.as_str());
     assert_eq!(words, ["served", "unavailable", "failed", "held"]);
 }
 
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -10,7 +10,7 @@
 use node_harness::{ACCEPTED, NodeHarness, Peer, list};
 use postproxy::decision::interface::{Entry, Health, Settings};
 use postproxy::net::downstream::clients::{Wanted, call, wanted, wording};
-use postproxy::net::messages::{JobCall, JobState, Member, Payload, Submission};
+use postproxy::net::messages::{CallbackState, ListedWorker, Payload, Submission, WorkerCallback};
 use postproxy::net::transport::http;
 use postproxy::net::upstream::worker_list::List;
 use std::io::Write as _;
@@ -425,9 +425,9 @@
         payload,
         class: 1,
         tenant: Some("t".into()),
-        key: 255,
+        affinity_key: 255,
         budget: Some(5.0),
-        hint: Some(1.5),
+        expected_work: Some(1.5),
         slots: Some(2.0),
         memory: Some(3.0),
         repeat: true,
@@ -441,48 +441,48 @@
 /// A call-back is read from these fields, and passed on to another process of this node in these.
 #[test]
 fn a_call_back_has_this_json() {
-    let of = |state| JobCall {
+    let of = |state| WorkerCallback {
         id: "one".into(),
         from: "s-0".into(),
         state,
         load: vec![("queue".into(), 3.0)],
     };
-    let pinned = |state: JobState, text: &str| {
+    let pinned = |state: CallbackState, text: &str| {
         let call_back = of(state);
         assert_eq!(String::from_utf8(wording(&call_back)).expect("text"), text);
         assert_eq!(call(text.as_bytes()), Some(call_back));
     };
     pinned(
-        JobState::Started,
+        CallbackState::Started,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"started"}"#,
     );
     pinned(
-        JobState::Running(0.5),
+        CallbackState::Running(0.5),
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"share":0.5,"state":"running"}"#,
     );
     pinned(
-        JobState::Done(b"r".to_vec()),
+        CallbackState::Done(b"r".to_vec()),
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"result":"r","state":"done"}"#,
     );
     pinned(
-        JobState::Failed,
+        CallbackState::Failed,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"failed"}"#,
     );
     pinned(
-        JobState::Returned,
+        CallbackState::Returned,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"returned"}"#,
     );
     pinned(
-        JobState::Lost,
+        CallbackState::Lost,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"lost"}"#,
     );
     pinned(
-        JobState::Unknown,
+        CallbackState::Unknown,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"unknown"}"#,
     );
-    let bare = JobCall {
+    let bare = WorkerCallback {
         load: Vec::new(),
-        ..of(JobState::Running(0.0))
+        ..of(CallbackState::Running(0.0))
     };
     assert_eq!(
         call(br#"{"id":"one","from":"s-0","state":"running"}"#),
@@ -519,7 +519,7 @@
         let address = "10.0.0.4:80".parse().expect("an address");
         assert_eq!(
             list.members(&settings()),
-            [Member {
+            [ListedWorker {
                 id: "s-0".into(),
                 address,
                 entry
--- a/tests/transaction.rs
+++ b/tests/transaction.rs
@@ -1,9 +1,9 @@
 //! The hub without sockets: one final answer, one outcome for each send, call-backs in any order.
 
-use postproxy::net::messages::Reply;
+use postproxy::net::messages::ManagementReply;
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, Command, Input, JobCall, JobState, Load, Member, Payload,
-    RequestTimer, Submission,
+    Answer, AttemptEnd, AttemptId, CallbackState, Command, Input, ListedWorker, Load, Payload,
+    RequestTimer, Submission, WorkerCallback,
 };
 use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
@@ -35,7 +35,7 @@
             now: 1000.0,
             timers: Vec::new(),
         };
-        let member = |n: u16| Member {
+        let member = |n: u16| ListedWorker {
             id: format!("s-{n}"),
             address: ([127, 0, 0, 1], 9000 + n).into(),
             entry: Entry {
@@ -121,10 +121,10 @@
         (attempt, from)
     }
 
-    fn call(&mut self, id: &str, from: &str, state: JobState) -> Vec<Command> {
+    fn call(&mut self, id: &str, from: &str, state: CallbackState) -> Vec<Command> {
         self.tell(Input::CallbackReceived {
             client: 2,
-            callback: JobCall {
+            callback: WorkerCallback {
                 id: id.into(),
                 from: from.into(),
                 state,
@@ -160,21 +160,21 @@
     let mut bed = Bed::new(2);
     let (_, from) = bed.accepted("a", 0);
     assert!(
-        bed.call("a", "s-unknown", JobState::Done(b"x".into()))
+        bed.call("a", "s-unknown", CallbackState::Done(b"x".into()))
             .is_empty()
     );
     assert!(
-        bed.call("unknown", &from, JobState::Done(b"x".into()))
+        bed.call("unknown", &from, CallbackState::Done(b"x".into()))
             .is_empty()
     );
-    assert!(bed.call("a", &from, JobState::Running(0.4)).is_empty());
-    let done = bed.call("a", &from, JobState::Done(b"result".into()));
+    assert!(bed.call("a", &from, CallbackState::Running(0.4)).is_empty());
+    let done = bed.call("a", &from, CallbackState::Done(b"result".into()));
     assert_eq!(answers(&done), [&Answer::Served(b"result".into())]);
     assert!(
-        bed.call("a", &from, JobState::Done(b"result".into()))
+        bed.call("a", &from, CallbackState::Done(b"result".into()))
             .is_empty()
     );
-    assert!(bed.call("a", &from, JobState::Lost).is_empty());
+    assert!(bed.call("a", &from, CallbackState::Lost).is_empty());
     assert_eq!(bed.hub.pending_count(), 0);
     assert!(
         bed.play(1010.0).is_empty(),
@@ -189,7 +189,7 @@
     let (attempt, from) = start(&bed.submit("a", 0)).expect("an attempt");
     bed.tell(Input::AttemptWritten { attempt });
     assert_eq!(
-        answers(&bed.call("a", &from, JobState::Done(b"r".into()))),
+        answers(&bed.call("a", &from, CallbackState::Done(b"r".into()))),
         [&Answer::Served(b"r".into())]
     );
     assert!(
@@ -208,18 +208,18 @@
 fn a_repeated_call_does_not_end_the_next_attempt() {
     let mut bed = Bed::new(1);
     let (_, from) = bed.accepted("a", 0);
-    let mut again = bed.call("a", &from, JobState::Returned);
+    let mut again = bed.call("a", &from, CallbackState::Returned);
     again.extend(bed.play(1001.0));
     let (attempt, _) = start(&again).expect("what never ran is sent again");
-    assert!(bed.call("a", &from, JobState::Returned).is_empty());
+    assert!(bed.call("a", &from, CallbackState::Returned).is_empty());
     bed.tell(Input::AttemptWritten { attempt });
     // Up to ten times, also behind the next attempt's last byte: that one runs.
     for _ in 0..8 {
-        assert!(bed.call("a", &from, JobState::Returned).is_empty());
+        assert!(bed.call("a", &from, CallbackState::Returned).is_empty());
     }
     assert!(start(&bed.play(1002.0)).is_none(), "no third attempt");
     assert_eq!(
-        answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(),
+        answers(&bed.call("a", &from, CallbackState::Done(b"r".into()))).len(),
         1
     );
 }
@@ -229,8 +229,8 @@
 fn only_what_never_ran_is_sent_again() {
     let cases = [
         (AttemptEnd::NeverSent, false, true),
-        (AttemptEnd::NoRoom, false, true),
-        (AttemptEnd::NotRun, true, true),
+        (AttemptEnd::LocalCapacityExhausted, false, true),
+        (AttemptEnd::RejectedUnstarted, true, true),
         (AttemptEnd::Reset, true, false),
         (AttemptEnd::Error, true, false),
         (AttemptEnd::NeverSent, true, false),
@@ -260,7 +260,7 @@
     let (attempt, blamed) = start(&bed.submit("a", 0)).expect("an attempt");
     bed.tell(Input::ExchangeEnded {
         attempt,
-        end: AttemptEnd::NoRoom,
+        end: AttemptEnd::LocalCapacityExhausted,
         load: Load::new(),
     });
     let more: Vec<_> = (0..12)
@@ -283,7 +283,7 @@
         .is_empty()
     );
     assert_eq!(
-        answers(&bed.call("a", &from, JobState::Done(b"r".into()))).len(),
+        answers(&bed.call("a", &from, CallbackState::Done(b"r".into()))).len(),
         1
     );
 }
@@ -318,7 +318,7 @@
     assert!(bed.submit("a", 0).is_empty());
     let all = bed.play(1005.0);
     assert!(
-        matches!(answers(&all)[..], [Answer::Unavailable(after)] if *after > 0.0),
+        matches!(answers(&all)[..], [Answer::RejectedWithRetryAfter(after)] if *after > 0.0),
         "{all:?}"
     );
     assert_eq!(bed.hub.pending_count(), 0);
@@ -356,7 +356,7 @@
             ..Submission::default()
         },
     });
-    assert_eq!(answers(&twice), [&Answer::Held]);
+    assert_eq!(answers(&twice), [&Answer::DuplicateRequestId]);
     assert_eq!(bed.hub.pending_count(), 1);
 }
 
@@ -439,11 +439,17 @@
             }
         })
     };
-    assert_eq!(reply(&employ(&mut bed, "s-9", false)), Some(Reply::Nobody));
-    assert_eq!(reply(&employ(&mut bed, "s-9", true)), Some(Reply::Nobody));
+    assert_eq!(
+        reply(&employ(&mut bed, "s-9", false)),
+        Some(ManagementReply::NotFound)
+    );
+    assert_eq!(
+        reply(&employ(&mut bed, "s-9", true)),
+        Some(ManagementReply::NotFound)
+    );
     assert_eq!(
         reply(&employ(&mut bed, "s-1", true)),
-        Some(Reply::Yes),
+        Some(ManagementReply::Done),
         "it was never out"
     );
     let (unsent, to) = start(&bed.submit("a", 1)).expect("an attempt");
@@ -468,7 +474,7 @@
         bed.now += 0.01;
     };
     let out = employ(&mut bed, &to, false);
-    assert_eq!(reply(&out), Some(Reply::Yes));
+    assert_eq!(reply(&out), Some(ManagementReply::Done));
     assert!(
         out.iter()
             .any(|c| matches!(c, Command::WithdrawAttempt { attempt } if *attempt == unsent))
@@ -483,18 +489,18 @@
     );
     assert_eq!(
         reply(&employ(&mut bed, &to, false)),
-        Some(Reply::Yes),
+        Some(ManagementReply::Done),
         "twice is once"
     );
     // What never ran goes elsewhere; also after a whole list that names the worker as ready.
     let (_, other) = start(&bed.tell(Input::ExchangeEnded {
         attempt: unsent,
-        end: AttemptEnd::NoRoom,
+        end: AttemptEnd::LocalCapacityExhausted,
         load: Load::new(),
     }))
     .expect("another attempt");
     assert_ne!(other, to);
-    let member = |n: u16| Member {
+    let member = |n: u16| ListedWorker {
         id: format!("s-{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
         entry: Entry {
@@ -511,19 +517,25 @@
         let (_, from) = start(&bed.submit(&format!("c{n}"), 0)).expect("an attempt");
         assert_ne!(from, to);
     }
-    assert_eq!(reply(&employ(&mut bed, &other, false)), Some(Reply::Yes));
+    assert_eq!(
+        reply(&employ(&mut bed, &other, false)),
+        Some(ManagementReply::Done)
+    );
     let out = bed.submit("d", 0);
     assert!(
         out.iter().any(|c| matches!(
             c,
             Command::AnswerClient {
                 client: 1,
-                answer: Answer::Unavailable(_)
+                answer: Answer::RejectedWithRetryAfter(_)
             }
         )),
         "all are out: {out:?}"
     );
-    assert_eq!(reply(&employ(&mut bed, &to, true)), Some(Reply::Yes));
+    assert_eq!(
+        reply(&employ(&mut bed, &to, true)),
+        Some(ManagementReply::Done)
+    );
     let (_, from) = start(&bed.submit("e", 0)).expect("an attempt");
     assert_eq!(from, to, "one call back undoes two out");
 }
@@ -547,7 +559,7 @@
             assert!(
                 bed.tell(Input::ExchangeEnded {
                     attempt,
-                    end: AttemptEnd::NoRoom,
+                    end: AttemptEnd::LocalCapacityExhausted,
                     load: Load::new()
                 })
                 .is_empty()
@@ -564,7 +576,7 @@
                 "{sent} has been written"
             );
             assert!(
-                start(&bed.call("b", &from, JobState::Lost)).is_none(),
+                start(&bed.call("b", &from, CallbackState::Lost)).is_none(),
                 "no further attempt"
             );
             assert!(
@@ -587,7 +599,7 @@
             health,
             ..Entry::default()
         };
-        Member {
+        ListedWorker {
             id: name.to_owned(),
             address: ([127, 0, 0, 1], 9000 + n).into(),
             entry,
@@ -631,7 +643,7 @@
             if back {
                 let again = start(&bed.tell(Input::ExchangeEnded {
                     attempt,
-                    end: AttemptEnd::NoRoom,
+                    end: AttemptEnd::LocalCapacityExhausted,
                     load: Load::new(),
                 }));
                 assert_eq!(again.expect("another attempt").1, other(&to));
@@ -657,7 +669,7 @@
             .iter()
             .any(|c| matches!(c, Command::CancelAttempt { payload: p, accepted: true, .. } if p.id == "a"));
         assert_eq!((given_up, start(&out)), (!goes_on, None), "{out:?}");
-        let again = start(&new.call("a", &from, JobState::Lost));
+        let again = start(&new.call("a", &from, CallbackState::Lost));
         assert_eq!(again.is_some(), goes_on);
         assert_eq!(new.hub.pending_count(), usize::from(goes_on));
     }
@@ -668,8 +680,9 @@
 fn call_backs_of_a_killed_job_change_nothing_of_its_second_start() {
     let mut bed = Bed::new(2);
     let (_, first) = bed.accepted("a", 0);
-    assert!(bed.call("a", &first, JobState::Started).is_empty());
-    let (attempt, second) = start(&bed.call("a", &first, JobState::Lost)).expect("it starts over");
+    assert!(bed.call("a", &first, CallbackState::Started).is_empty());
+    let (attempt, second) =
+        start(&bed.call("a", &first, CallbackState::Lost)).expect("it starts over");
     assert_ne!(second, first);
     bed.tell(Input::AttemptWritten { attempt });
     bed.tell(Input::ExchangeEnded {
@@ -678,16 +691,16 @@
         load: Load::new(),
     });
     for late in [
-        JobState::Lost,
-        JobState::Failed,
-        JobState::Returned,
-        JobState::Started,
-        JobState::Running(0.9),
+        CallbackState::Lost,
+        CallbackState::Failed,
+        CallbackState::Returned,
+        CallbackState::Started,
+        CallbackState::Running(0.9),
     ] {
         let out = bed.call("a", &first, late.clone());
         assert!(out.is_empty(), "{late:?}: {out:?}");
     }
-    let done = bed.call("a", &second, JobState::Done(b"result".into()));
+    let done = bed.call("a", &second, CallbackState::Done(b"result".into()));
     assert_eq!(answers(&done), [&Answer::Served(b"result".into())]);
 }
 
