--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -10,7 +10,7 @@
 use crate::net::lifecycle::{Lifecycle, Stage};
 use crate::net::management::{self, Call, ManagementServer};
 use crate::net::messages::{self, ClientId, Command, Input, ManagementReply};
-use crate::net::requests::durability::DurabilityPolicy;
+use crate::net::requests::durability::{Durability, DurabilityPolicy};
 use crate::net::requests::manager::RequestManager;
 use crate::net::store_adapter::{RecoveredState, StoreAdapter};
 use crate::net::transport::reactor::{self, Clock, Owner, Reactor, Timer};
@@ -185,7 +185,11 @@
                     &settings,
                     ledger,
                     section.patience_ms as f64 / 1000.0,
-                    section.keyed_durable,
+                    if section.keyed_durable {
+                        Durability::Durable
+                    } else {
+                        Durability::Relaxed
+                    },
                 );
                 Some((keeper, keeping, nothing_ran))
             }
--- /dev/null
+++ b/src/net/requests/admission.rs
@@ -0,0 +1,151 @@
+//! Admission: whether a submitted request is taken in, and what happens when its client disconnects.
+
+use super::coalescing::NewSubmission;
+use super::in_flight::InFlightRequest;
+use super::manager::RequestManager;
+use crate::decision::interface::{Event, NewRequest, RequestId};
+use crate::net::messages::{Answer, ClientId, Command, Submission};
+use postproxy_handover::StateUpdate;
+use std::rc::Rc;
+
+/// Slots that a request takes whose client has not given them.
+const DEFAULT_SLOTS: f64 = 1.0;
+
+impl RequestManager {
+    /// Admits a submitted request, has it wait for an equal one, or answers it at once.
+    pub(super) fn handle_request_received(
+        &mut self,
+        now: f64,
+        client: ClientId,
+        submission: Submission,
+        out: &mut Vec<Command>,
+    ) {
+        let budget = match self.check_admissible(&submission) {
+            Ok(budget) => budget,
+            Err(answer) => return out.push(Command::AnswerClient { client, answer }),
+        };
+        if let Some(new) = self.deduplicate(client, submission, now + budget, out) {
+            self.admit_request(now, client, new, budget);
+        }
+    }
+
+    /// Returns how long the client waits, in seconds, or the answer with which the request is rejected.
+    fn check_admissible(&self, submission: &Submission) -> Result<f64, Answer> {
+        let id = &submission.payload.id;
+        if self.requests_by_id.contains_key(id) || self.sibling_requests.contains_key(id) {
+            return Err(Answer::DuplicateRequestId);
+        }
+        let limit = self.settings.max_open;
+        if limit > 0 && self.waiting_client_count() >= limit {
+            return Err(Answer::Failed);
+        }
+        let Some(class) = self.settings.classes.get(submission.class as usize) else {
+            return Err(Answer::Failed);
+        };
+        let budget = submission.budget.unwrap_or(class.deadline);
+        Ok(budget.min(class.deadline))
+    }
+
+    /// Takes a request in: from now on it is in flight, and the dispatcher decides on it.
+    fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, budget: f64) {
+        let NewSubmission {
+            submission,
+            fingerprint,
+        } = new;
+        let request = self.next_request;
+        self.next_request += 1;
+        let payload = &submission.payload;
+        self.requests_by_id.insert(payload.id.clone(), request);
+        self.requests_by_client.insert(client, request);
+        self.notify_siblings(|| StateUpdate::Taken {
+            id: payload.id.clone(),
+            counts: true,
+        });
+        if let (Some(_), Some(key)) = (&fingerprint, &payload.idempotency_key) {
+            self.requests_by_key
+                .insert((submission.class, key.clone()), request);
+        }
+        let event = self.new_request_event(request, &submission, budget);
+        let in_flight = InFlightRequest {
+            client: Some(client),
+            deadline: now + budget,
+            attempts: Vec::new(),
+            class: submission.class,
+            durability: self.class_durability(submission.class),
+            fingerprint,
+            waiters: Vec::new(),
+            may_have_run: false,
+            slots: event.slots,
+            expected_work: event.hint,
+            span: self.request_span(&submission),
+            payload: Rc::new(submission.payload),
+        };
+        self.requests.insert(request, in_flight);
+        self.dispatcher_events.push_back(Event::Request(event));
+    }
+
+    fn new_request_event(
+        &self,
+        request: RequestId,
+        submission: &Submission,
+        budget: f64,
+    ) -> NewRequest {
+        let tenants = &self.settings.tenant_names;
+        let tenant = tenants
+            .iter()
+            .position(|name| Some(name) == submission.tenant.as_ref())
+            .unwrap_or(0);
+        NewRequest {
+            request,
+            class: submission.class,
+            tenant: tenant as u16,
+            key: submission.affinity_key,
+            budget,
+            hint: submission.expected_work,
+            slots: submission.slots.unwrap_or(DEFAULT_SLOTS),
+            memory: submission.memory.unwrap_or(0.0),
+            repeat: submission.repeat,
+            keyless: submission.payload.idempotency_key.is_none(),
+        }
+    }
+
+    /// Opens the request's span in the logs. Its fields are evaluated only if the level `debug` is on.
+    fn request_span(&self, submission: &Submission) -> tracing::Span {
+        tracing::debug_span!(
+            target: "postproxy::request",
+            "request",
+            id = %submission.payload.id,
+            class = self.settings.classes[submission.class as usize].name,
+            attempts = tracing::field::Empty,
+            answer = tracing::field::Empty
+        )
+    }
+
+    /// Gives up the request of a client that has disconnected, unless others wait for the same answer.
+    pub(super) fn handle_client_disconnected(
+        &mut self,
+        now: f64,
+        client: ClientId,
+        out: &mut Vec<Command>,
+    ) {
+        if self.promote_waiter(client) || self.remove_waiter(client) {
+            return;
+        }
+        let Some(request) = self.requests_by_client.remove(&client) else {
+            return;
+        };
+        let mut unwritten = Vec::new();
+        if let Some(in_flight) = self.requests.get_mut(&request) {
+            in_flight.client = None;
+            // Where settings allow cancels, the dispatcher cancels all attempts. What has not been sent can be
+            // withdrawn even where they don't.
+            if !self.settings.may_cancel {
+                unwritten.extend(in_flight.unwritten_attempts(request));
+            }
+        }
+        self.dispatcher_events
+            .push_back(Event::ClientGone { request });
+        self.maybe_complete.push(request);
+        self.withdraw_attempts(now, unwritten, out);
+    }
+}
--- /dev/null
+++ b/src/net/requests/attempts.rs
@@ -0,0 +1,303 @@
+//! Attempts: their start, their end, and their withdrawal.
+
+use super::durability::Durability;
+use super::in_flight::{Attempt, AttemptKey, InFlightRequest, UnwrittenAttempt};
+use super::manager::RequestManager;
+use super::siblings::BudgetCounting;
+use super::worker_table::WorkerIndex;
+use crate::decision::interface::{Event, Outcome, RequestId};
+use crate::net::messages::{AttemptEnd, AttemptId, Command, Load, RequestTimer, WriteWaiter};
+use postproxy_handover::StateUpdate;
+use std::collections::BTreeSet;
+
+/// The outcome code that the dispatcher is given for an ambiguous rejection. It knows no outcome of this number, and
+/// so takes the attempt as one that may have run.
+const AMBIGUOUS_REJECTION_CODE: u16 = 503;
+
+impl RequestManager {
+    /// Starts an attempt that the dispatcher has decided on; at once, or when its record is durable.
+    ///
+    /// A `timeout` of 0 stands for the client's deadline. A negative one, a client that has disconnected, or an
+    /// exhausted number of attempts ends the attempt before anything is sent.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        worker: WorkerIndex,
+        timeout: f64,
+        out: &mut Vec<Command>,
+    ) {
+        if !self.workers.contains(worker) {
+            return;
+        }
+        let Some(key) = self.add_attempt(now, request, worker, timeout) else {
+            return;
+        };
+        let in_flight = &self.requests[&request];
+        if self.siblings_linked {
+            let update = self.attempt_sent_update(now, in_flight, key.attempt, BudgetCounting::New);
+            self.sibling_updates.push(update);
+        }
+        if let Some(outcome) = self.outcome_before_start(now, key, timeout) {
+            return self.record_attempt_end(now, key, outcome, &Load::new());
+        }
+        let attempt = &self.requests[&request].attempts[key.attempt as usize];
+        let may_start = attempt.may_start;
+        out.push(Command::SetTimer {
+            at: attempt.deadline,
+            timer: RequestTimer::AttemptTimeout {
+                request,
+                attempt: key.attempt,
+            },
+        });
+        self.write_attempt_record(now, key, out);
+        if may_start {
+            self.push_start_command(key, out);
+        }
+    }
+
+    /// Adds an attempt to its request.
+    fn add_attempt(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        worker: WorkerIndex,
+        timeout: f64,
+    ) -> Option<AttemptKey> {
+        let in_flight = self.requests.get_mut(&request)?;
+        let id = self.next_attempt;
+        self.next_attempt += 1;
+        let remaining = in_flight.deadline - now;
+        let duration = if timeout > 0.0 {
+            timeout.min(remaining)
+        } else {
+            remaining
+        };
+        let key = AttemptKey {
+            request,
+            attempt: in_flight.attempts.len() as u16,
+        };
+        in_flight.attempts.push(Attempt {
+            id,
+            worker,
+            sent_at: now,
+            deadline: now + duration,
+            may_start: in_flight.durability != Durability::Durable,
+            written: false,
+            accepted: false,
+            ended: false,
+            returned: false,
+        });
+        self.attempts.insert(id, key);
+        Some(key)
+    }
+
+    /// Returns the outcome of an attempt that ends before it starts, if it does.
+    fn outcome_before_start(&self, now: f64, key: AttemptKey, timeout: f64) -> Option<Outcome> {
+        let in_flight = &self.requests[&key.request];
+        let given_up = in_flight.client.is_none()
+            || in_flight.deadline - now <= 0.0
+            || key.attempt >= self.settings.max_attempts;
+        if given_up {
+            Some(Outcome::Moot)
+        } else if timeout < 0.0 {
+            Some(Outcome::Timeout)
+        } else {
+            None
+        }
+    }
+
+    /// Has the attempt's exchange with its worker started.
+    pub(super) fn push_start_command(&self, key: AttemptKey, out: &mut Vec<Command>) {
+        let Some(in_flight) = self.requests.get(&key.request) else {
+            return;
+        };
+        let attempt = &in_flight.attempts[key.attempt as usize];
+        out.push(Command::StartAttempt {
+            attempt: attempt.id,
+            worker: self.workers.address(attempt.worker),
+            payload: in_flight.payload.clone(),
+            deadline: attempt.deadline,
+        });
+    }
+
+    /// Returns an attempt that has not ended.
+    pub(super) fn open_attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        let key = self.attempts.get(&id)?;
+        self.requests
+            .get_mut(&key.request)?
+            .attempts
+            .get_mut(key.attempt as usize)
+            .filter(|attempt| !attempt.ended)
+    }
+
+    pub(super) fn handle_attempt_written(&mut self, id: AttemptId) {
+        if let Some(attempt) = self.open_attempt(id) {
+            attempt.written = true;
+        }
+    }
+
+    /// Handles the end of the HTTP exchange of an attempt or of a probe.
+    pub(super) fn handle_exchange_ended(
+        &mut self,
+        now: f64,
+        id: AttemptId,
+        end: AttemptEnd,
+        load: &Load,
+    ) {
+        if let Some(probe) = self.probes.remove(&id) {
+            return self.record_probe_end(now, &probe, end, load);
+        }
+        let Some(&key) = self.attempts.get(&id) else {
+            return;
+        };
+        let Some(attempt) = self.open_attempt(id) else {
+            return;
+        };
+        if end == AttemptEnd::Accepted {
+            attempt.written = true;
+            attempt.accepted = true;
+            return;
+        }
+        // Once a worker has accepted an attempt, a broken connection says nothing of it: its call-back decides.
+        if !attempt.accepted {
+            let outcome = outcome_of_end(end, attempt.written);
+            self.record_attempt_end(now, key, outcome, load);
+        }
+    }
+
+    pub(super) fn handle_attempt_timeout(
+        &mut self,
+        now: f64,
+        key: AttemptKey,
+        out: &mut Vec<Command>,
+    ) {
+        self.push_cancel_command(key, out);
+        self.record_attempt_end(now, key, Outcome::Timeout, &Load::new());
+    }
+
+    /// Cancels an attempt at its worker, and ends it.
+    pub(super) fn cancel_attempt(&mut self, now: f64, key: AttemptKey, out: &mut Vec<Command>) {
+        self.push_cancel_command(key, out);
+        self.record_attempt_end(now, key, Outcome::Cancelled, &Load::new());
+    }
+
+    /// Has an attempt cancelled at its worker, if it was started and has not ended.
+    fn push_cancel_command(&self, key: AttemptKey, out: &mut Vec<Command>) {
+        let Some(in_flight) = self.requests.get(&key.request) else {
+            return;
+        };
+        let attempt = in_flight.attempts.get(key.attempt as usize);
+        if let Some(attempt) = attempt.filter(|attempt| !attempt.ended && attempt.may_start) {
+            out.push(Command::CancelAttempt {
+                attempt: attempt.id,
+                worker: self.workers.address(attempt.worker),
+                payload: in_flight.payload.clone(),
+                accepted: attempt.accepted,
+            });
+        }
+    }
+
+    /// Records the end of an attempt in the request, the request log, at the siblings and at the dispatcher; once.
+    pub(super) fn record_attempt_end(
+        &mut self,
+        now: f64,
+        key: AttemptKey,
+        outcome: Outcome,
+        load: &Load,
+    ) {
+        let AttemptKey { request, attempt } = key;
+        let Some(in_flight) = self.requests.get_mut(&request) else {
+            return;
+        };
+        let closed = in_flight.client.is_none();
+        let ended = in_flight.attempts.get_mut(attempt as usize);
+        let Some(ended) = ended.filter(|attempt| !attempt.ended) else {
+            return;
+        };
+        ended.ended = true;
+        let never_ran =
+            !ended.may_start || outcome.proves_never_ran(self.settings.full_proves_nothing);
+        let worker = ended.worker.id();
+        let elapsed = now - ended.sent_at;
+        self.attempts.remove(&ended.id);
+        in_flight.may_have_run |= !never_ran;
+        let request_id = &in_flight.payload.id;
+        if let (Some(policy), Some(_)) = (&mut self.durability, &in_flight.fingerprint)
+            && outcome != Outcome::Ok
+        {
+            let records = policy
+                .request_log
+                .ended(now, request_id, attempt.into(), !never_ran);
+            let request_id = request_id.clone();
+            self.queue_write(records, WriteWaiter::NoWaiter { request_id });
+        }
+        if self.siblings_linked {
+            let id = self.requests[&request].payload.id.clone();
+            self.sibling_updates
+                .push(StateUpdate::Ended { id, attempt });
+        }
+        let report = self.load_report(load);
+        self.dispatcher_events.push_back(Event::Outcome {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed,
+            closed,
+            report,
+        });
+        self.maybe_complete.push(request);
+    }
+
+    /// Returns the attempts to these workers whose last byte has not been written.
+    ///
+    /// They include attempts whose connection is being made. A worker's drain counts from the first byte, and a
+    /// connection may take longer to come up than the drain allows.
+    pub(super) fn unwritten_attempts_to(
+        &self,
+        workers: &BTreeSet<WorkerIndex>,
+    ) -> Vec<UnwrittenAttempt> {
+        if workers.is_empty() {
+            return Vec::new();
+        }
+        let unwritten = |(&request, in_flight): (&RequestId, &InFlightRequest)| {
+            in_flight
+                .unwritten_attempts(request)
+                .filter(|attempt| workers.contains(&attempt.worker))
+                .collect::<Vec<_>>()
+        };
+        self.requests.iter().flat_map(unwritten).collect()
+    }
+
+    /// Withdraws attempts whose last byte has not been written. Nothing of them runs, so that this is allowed where
+    /// settings forbid cancels, too.
+    pub(super) fn withdraw_attempts(
+        &mut self,
+        now: f64,
+        attempts: Vec<UnwrittenAttempt>,
+        out: &mut Vec<Command>,
+    ) {
+        for attempt in attempts {
+            if attempt.may_start {
+                out.push(Command::WithdrawAttempt {
+                    attempt: attempt.id,
+                });
+            } else {
+                self.record_attempt_end(now, attempt.key, Outcome::Moot, &Load::new());
+            }
+        }
+    }
+}
+
+/// Returns the dispatcher's outcome for the end of an attempt's exchange; `written` if its last byte was.
+fn outcome_of_end(end: AttemptEnd, written: bool) -> Outcome {
+    match end {
+        AttemptEnd::RejectedUnstarted => Outcome::Full,
+        AttemptEnd::RejectedAmbiguous => Outcome::Unknown(AMBIGUOUS_REJECTION_CODE),
+        AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
+        AttemptEnd::NeverSent if !written => Outcome::ConnectFailed,
+        AttemptEnd::NeverSent | AttemptEnd::Reset => Outcome::Reset,
+        AttemptEnd::Accepted | AttemptEnd::Error => Outcome::Error,
+    }
+}
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -1,157 +1,224 @@
-//! Workers' call-backs: to which attempt each belongs, and what it changes.
+//! Workers' call-backs: the attempt that each belongs to, and what it changes.
 
 use super::durability::Durability;
-use super::in_flight::{Attempt, CoalescedWaiter, RequestManager};
+use super::in_flight::{Attempt, AttemptKey, CoalescedWaiter};
+use super::manager::RequestManager;
 use crate::decision::interface::{Event, Note, Outcome, RequestId};
 use crate::net::messages::{Answer, CallbackState, ClientId, Command, WorkerCallback, WriteWaiter};
-use postproxy_idempotency::{Completion, Resolution};
+use postproxy_idempotency::{Completion, Resolution, Write};
+
+/// When a call-back is acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Acknowledgement {
+    /// At once.
+    Immediate,
+    /// When what it has changed is durable: the worker then forgets the request.
+    AfterWrite,
+}
 
 impl RequestManager {
-    /// Takes a call-back; whether its acknowledgement waits for a write.
-    pub(super) fn call(
+    /// Handles a call-back. If its request is not in flight here, the siblings are asked first.
+    pub(super) fn handle_callback_received(
         &mut self,
         now: f64,
         client: ClientId,
-        call: WorkerCallback,
+        callback: WorkerCallback,
         out: &mut Vec<Command>,
-    ) -> bool {
-        let Some(&request) = self.by_id.get(&call.id) else {
-            return self.late_call(now, client, call, out);
-        };
-        let Some(&from) = self.numbers.get(&call.from) else {
-            return false;
-        };
-        let Some(t) = self.requests.get(&request) else {
-            return false;
-        };
-        // A worker has one attempt of a request at a time. What it told before it had all of this one
-        // belongs to an earlier one.
-        let open = |a: &Attempt| a.worker == from && a.written && !a.ended;
-        let Some(attempt) = t.attempts.iter().position(open) else {
-            return false;
+    ) {
+        if self.siblings_linked && !self.requests_by_id.contains_key(&callback.id) {
+            out.push(Command::ForwardCallback { client, callback });
+        } else {
+            self.handle_callback(now, client, callback, out);
+        }
+    }
+
+    /// Handles a call-back whose request is in flight here or at no sibling. If it has migrated once more since the
+    /// siblings were asked, the acknowledgement says so, and the sibling that asked looks again.
+    pub(super) fn handle_callback(
+        &mut self,
+        now: f64,
+        client: ClientId,
+        callback: WorkerCallback,
+        out: &mut Vec<Command>,
+    ) {
+        let request = self.requests_by_id.get(&callback.id).copied();
+        let acknowledgement = match request {
+            Some(request) => self.apply_callback(now, client, request, callback, out),
+            None => self.apply_late_callback(now, client, callback, out),
         };
-        // Danger: a call is repeated until it is answered. A second 'returned' may be about an earlier attempt, while this one runs.
-        let returns = call.state == CallbackState::Returned;
-        let returned = |a: &Attempt| a.worker == from && a.returned;
-        if returns && t.attempts[..attempt].iter().any(returned) {
-            return false;
+        if acknowledgement == Acknowledgement::Immediate {
+            out.push(Command::AcknowledgeCallback {
+                client,
+                known: request.is_some(),
+            });
         }
-        let key = (request, attempt as u16);
-        let (outcome, mut writes) = match call.state {
-            CallbackState::Started => {
-                self.note(key, Note::Started);
-                return false;
-            }
-            CallbackState::Running(share) => {
-                self.note(key, Note::Progress(share));
-                return false;
-            }
-            CallbackState::Unknown => {
-                self.note(key, Note::Other);
-                return false;
-            }
+    }
+
+    /// Applies a call-back about a request in flight.
+    fn apply_callback(
+        &mut self,
+        now: f64,
+        client: ClientId,
+        request: RequestId,
+        callback: WorkerCallback,
+        out: &mut Vec<Command>,
+    ) -> Acknowledgement {
+        let Some(key) = self.attempt_of_callback(request, &callback) else {
+            return Acknowledgement::Immediate;
+        };
+        let returned = callback.state == CallbackState::Returned;
+        let (outcome, mut records) = match callback.state {
+            CallbackState::Started => return self.push_note(key, Note::Started),
+            CallbackState::Running(share) => return self.push_note(key, Note::Progress(share)),
+            CallbackState::Unknown => return self.push_note(key, Note::Other),
             CallbackState::Done(result) => {
-                let care = t.care != Durability::None;
-                let writes = match self.keeping.as_mut().filter(|_| care) {
-                    Some(keeping) => keeping.ledger.served(now, &call.id, &result),
-                    None => Vec::new(),
-                };
-                if let Some(client) = t.client {
-                    self.answer(client, Answer::Served(result), out);
-                }
-                (Outcome::Ok, writes)
+                let records = self.record_result(now, request, &result);
+                self.answer_request(request, Answer::Served(result), out);
+                (Outcome::Ok, records)
             }
             CallbackState::Failed => (Outcome::Error, Vec::new()),
             CallbackState::Returned => (Outcome::Full, Vec::new()),
             CallbackState::Lost => (Outcome::Reset, Vec::new()),
         };
-        if let Some(t) = self.requests.get_mut(&request) {
-            t.attempts[attempt].returned = returns;
+        if let Some(in_flight) = self.requests.get_mut(&request) {
+            in_flight.attempts[key.attempt as usize].returned = returned;
         }
-        // What the end of the attempt has written goes with it: the worker forgets once it is acknowledged.
-        let before = self.writes.len();
-        self.ended(now, key, outcome, &call.load);
-        writes.extend(self.writes.drain(before..).flat_map(|(writes, _)| writes));
-        let waits = !writes.is_empty();
-        self.write(
-            writes,
-            WriteWaiter::Callback {
-                client,
-                request_id: call.id,
-            },
-        );
-        waits
+        // The records of the attempt's end join the same batch, so that the acknowledgement waits for them as well.
+        let queued_before = self.pending_writes.len();
+        self.record_attempt_end(now, key, outcome, &callback.load);
+        let records_of_end = self.pending_writes.drain(queued_before..);
+        records.extend(records_of_end.flat_map(|write| write.records));
+        self.acknowledge_after(records, client, callback.id)
     }
 
-    /// A call-back on what this life of the node has not sent, or has forgotten.
-    pub(super) fn late_call(
+    /// Returns the attempt that a call-back is about; `None` if it is about none that is still open.
+    ///
+    /// A worker has at most one open attempt of a request. A call-back from before that attempt was written is about
+    /// an earlier one.
+    fn attempt_of_callback(
+        &self,
+        request: RequestId,
+        callback: &WorkerCallback,
+    ) -> Option<AttemptKey> {
+        let worker = self.workers.find(&callback.from)?;
+        let attempts = &self.requests.get(&request)?.attempts;
+        let is_open =
+            |attempt: &Attempt| attempt.worker == worker && attempt.written && !attempt.ended;
+        let number = attempts.iter().position(is_open)?;
+        // A worker repeats its call-back until it is acknowledged. A second `returned` may thus be about an earlier
+        // attempt, while this one runs.
+        let was_returned = |attempt: &Attempt| attempt.worker == worker && attempt.returned;
+        if callback.state == CallbackState::Returned && attempts[..number].iter().any(was_returned)
+        {
+            return None;
+        }
+        Some(AttemptKey {
+            request,
+            attempt: number as u16,
+        })
+    }
+
+    /// Informs the dispatcher of an attempt's progress.
+    fn push_note(&mut self, key: AttemptKey, note: Note) -> Acknowledgement {
+        self.dispatcher_events.push_back(Event::Note {
+            request: key.request,
+            attempt: key.attempt,
+            note,
+        });
+        Acknowledgement::Immediate
+    }
+
+    /// Returns the records of a result, if its request is recorded.
+    fn record_result(&mut self, now: f64, request: RequestId, result: &[u8]) -> Vec<Write> {
+        match (&mut self.durability, self.requests.get(&request)) {
+            (Some(policy), Some(in_flight)) if in_flight.durability != Durability::None => policy
+                .request_log
+                .served(now, &in_flight.payload.id, result),
+            _ => Vec::new(),
+        }
+    }
+
+    /// Queues the records that a call-back has changed; the acknowledgement waits for them, if there are any.
+    fn acknowledge_after(
+        &mut self,
+        records: Vec<Write>,
+        client: ClientId,
+        request_id: String,
+    ) -> Acknowledgement {
+        if records.is_empty() {
+            return Acknowledgement::Immediate;
+        }
+        self.queue_write(records, WriteWaiter::Callback { client, request_id });
+        Acknowledgement::AfterWrite
+    }
+
+    /// Applies a call-back about a request that was sent before a restart, or that is complete.
+    fn apply_late_callback(
         &mut self,
         now: f64,
         client: ClientId,
-        call: WorkerCallback,
+        callback: WorkerCallback,
         out: &mut Vec<Command>,
-    ) -> bool {
-        let Some(keeping) = &mut self.keeping else {
-            return false;
+    ) -> Acknowledgement {
+        let Some(policy) = &mut self.durability else {
+            return Acknowledgement::Immediate;
         };
-        let word = match &call.state {
+        let completion = match &callback.state {
             CallbackState::Done(result) => Completion::Done(result),
             CallbackState::Failed | CallbackState::Lost => Completion::Failed,
             CallbackState::Returned => Completion::Returned,
             CallbackState::Started | CallbackState::Running(_) | CallbackState::Unknown => {
-                return false;
+                return Acknowledgement::Immediate;
             }
         };
-        let (settled, writes) = keeping.ledger.word(now, &call.id, &call.from, word);
-        let waits = !writes.is_empty();
-        self.write(
-            writes,
-            WriteWaiter::Callback {
-                client,
-                request_id: call.id.clone(),
-            },
-        );
-        if settled == Resolution::Nothing {
-            return waits;
+        let (resolution, records) =
+            policy
+                .request_log
+                .word(now, &callback.id, &callback.from, completion);
+        let acknowledgement = self.acknowledge_after(records, client, callback.id.clone());
+        if resolution != Resolution::Nothing {
+            for client in self.in_doubt_waiters(&callback.id) {
+                self.resolve_in_doubt(now, client, &resolution, &callback.state, out);
+            }
         }
-        let waiting = |joiner: &CoalescedWaiter| matches!(joiner, CoalescedWaiter::InDoubt(id, ..) if *id == call.id);
-        let clients: Vec<ClientId> = self
-            .joiners
+        acknowledgement
+    }
+
+    /// Returns the clients that wait for the outcome of a recorded request.
+    fn in_doubt_waiters(&self, recorded_id: &str) -> Vec<ClientId> {
+        let is_waiting = |waiter: &CoalescedWaiter| match waiter {
+            CoalescedWaiter::InDoubt(waiting) => waiting.recorded_id == recorded_id,
+            _ => false,
+        };
+        self.coalesced
             .iter()
-            .filter(|(_, joiner)| waiting(joiner))
+            .filter(|(_, waiter)| is_waiting(waiter))
             .map(|(client, _)| *client)
-            .collect();
-        for client in clients {
-            let Some(CoalescedWaiter::InDoubt(_, mut submission, until)) =
-                self.joiners.remove(&client)
-            else {
-                continue;
-            };
-            match (&settled, &call.state) {
-                (Resolution::Served, CallbackState::Done(result)) => {
-                    out.push(Command::AnswerClient {
-                        client,
-                        answer: Answer::Served(result.clone()),
-                    });
-                }
-                (Resolution::NeverRan, _) => {
-                    submission.budget = Some((until - now).max(0.0));
-                    self.arrived(now, client, *submission, out);
-                }
-                _ => out.push(Command::AnswerClient {
-                    client,
-                    answer: Answer::Failed,
-                }),
-            }
-        }
-        waits
+            .collect()
     }
 
-    pub(super) fn note(&mut self, (request, attempt): (RequestId, u16), note: Note) {
-        self.events.push_back(Event::Note {
-            request,
-            attempt,
-            note,
-        });
+    /// Answers a client whose request repeats a recorded one of which the outcome is known now; or has it run, if the
+    /// recorded one never has.
+    fn resolve_in_doubt(
+        &mut self,
+        now: f64,
+        client: ClientId,
+        resolution: &Resolution,
+        state: &CallbackState,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(CoalescedWaiter::InDoubt(waiting)) = self.coalesced.remove(&client) else {
+            return;
+        };
+        let answer = match (resolution, state) {
+            (Resolution::NeverRan, _) => {
+                let mut submission = *waiting.submission;
+                submission.budget = Some((waiting.deadline - now).max(0.0));
+                return self.handle_request_received(now, client, submission, out);
+            }
+            (Resolution::Served, CallbackState::Done(result)) => Answer::Served(result.clone()),
+            _ => Answer::Failed,
+        };
+        out.push(Command::AnswerClient { client, answer });
     }
 }
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -1,234 +1,198 @@
-//! Requests that are kept beyond the node's life: who joins one, what waits for a write, and what a stored result answers.
+//! Repetitions of recorded requests: they cause no attempts of their own, but wait for the request that is in flight,
+//! for the outcome of one that was sent before a restart, or for a stored result.
 
 use super::durability::{Durability, RequestFingerprint};
-use super::in_flight::{CoalescedWaiter, RequestManager};
-use crate::decision::interface::{Event, Outcome};
-use crate::net::messages::{
-    Answer, AttemptId, ClientId, Command, Load, RequestTimer, Submission, WriteWaiter,
-};
-use postproxy_idempotency::{Lookup, Write};
+use super::in_flight::{CoalescedWaiter, InDoubtRequest, InFlightRequest};
+use super::manager::RequestManager;
+use crate::net::messages::{Answer, ClientId, Command, RequestTimer, Submission, WriteWaiter};
+use postproxy_idempotency::Lookup;
 use std::rc::Rc;
 
-impl RequestManager {
-    /// Has changes written, if there are any.
-    pub(super) fn write(&mut self, writes: Vec<Write>, wait: WriteWaiter) {
-        if !writes.is_empty() {
-            self.writes.push((writes, wait));
-        }
-    }
-
-    /// Where the client of a request leaves and others wait for the same, one of them takes its place.
-    pub(super) fn promoted(&mut self, client: ClientId) -> bool {
-        let Some(&request) = self.by_client.get(&client) else {
-            return false;
-        };
-        let Some(t) = self
-            .requests
-            .get_mut(&request)
-            .filter(|t| !t.joined.is_empty())
-        else {
-            return false;
-        };
-        let next = t.joined.remove(0);
-        t.client = Some(next);
-        self.joiners.remove(&next);
-        self.by_client.remove(&client);
-        self.by_client.insert(next, request);
-        true
-    }
-
-    /// One who waits for what another asked for waits no more; whether it did.
-    pub(super) fn unjoin(&mut self, client: ClientId) -> bool {
-        match self.joiners.remove(&client) {
-            None => false,
-            Some(CoalescedWaiter::Request(request)) => {
-                if let Some(t) = self.requests.get_mut(&request) {
-                    t.joined.retain(|other| *other != client);
-                }
-                true
-            }
-            Some(_) => true,
-        }
-    }
+/// A submitted request that repeats no other, and is to run.
+pub(super) struct NewSubmission {
+    pub(super) submission: Submission,
+    /// What identifies the request in the request log; `None` if it is not recorded there.
+    pub(super) fingerprint: Option<Rc<RequestFingerprint>>,
+}
 
-    /// What a job of an earlier life, or of another connection, has come to decides on one that arrives. Gives
-    /// back what is new and is to run.
-    pub(super) fn known(
+impl RequestManager {
+    /// Looks a submitted request up among the recorded ones. Returns it if it is to run; otherwise its client waits
+    /// until `deadline` for the answer of the request that it repeats, or has been answered.
+    pub(super) fn deduplicate(
         &mut self,
         client: ClientId,
         submission: Submission,
-        until: f64,
+        deadline: f64,
         out: &mut Vec<Command>,
-    ) -> Option<(Submission, Option<Rc<RequestFingerprint>>)> {
-        let class = submission.class;
-        let Some(keeping) = self
-            .keeping
-            .as_mut()
-            .filter(|k| k.care(class) != Durability::None)
-        else {
-            return Some((submission, None));
-        };
-        let asker = RequestFingerprint::new(&submission, &self.settings);
-        // The ledger knows of a request once something of it is to be sent; before that, it is here alone.
-        let key = submission
-            .payload
-            .idempotency_key
-            .clone()
-            .map(|key| (class, key));
-        let held = key
-            .and_then(|key| self.by_key.get(&key))
-            .and_then(|r| self.requests.get(r));
-        let standing = match held {
-            Some(t)
-                if t.asker
-                    .as_ref()
-                    .is_none_or(|held| held.digest() != asker.digest()) =>
-            {
-                Lookup::Conflict
-            }
-            Some(t) => Lookup::Running(t.payload.id.clone()),
-            None => keeping.ledger.standing(&asker.asked()),
-        };
-        let joiner = match standing {
-            Lookup::New if keeping.broken && keeping.care(class) == Durability::Durable => {
-                out.push(Command::AnswerClient {
-                    client,
-                    answer: Answer::RejectedWithRetryAfter(keeping.retry_after),
-                });
-                return None;
-            }
-            Lookup::New => match keeping.ledger.make_room() {
-                Some(writes) => {
-                    self.write(
-                        writes,
-                        WriteWaiter::NoWaiter {
-                            request_id: String::new(),
-                        },
-                    );
-                    return Some((submission, Some(Rc::new(asker))));
-                }
-                None => {
-                    out.push(Command::AnswerClient {
-                        client,
-                        answer: Answer::RejectedWithRetryAfter(keeping.retry_after),
+    ) -> Option<NewSubmission> {
+        if self.class_durability(submission.class) == Durability::None {
+            return Some(NewSubmission {
+                submission,
+                fingerprint: None,
+            });
+        }
+        let fingerprint = RequestFingerprint::new(&submission, &self.settings);
+        let waiter = match self.look_up(&submission, &fingerprint) {
+            Lookup::New => match self.reserve_record(submission.class) {
+                Ok(()) => {
+                    return Some(NewSubmission {
+                        submission,
+                        fingerprint: Some(Rc::new(fingerprint)),
                     });
-                    return None;
                 }
+                Err(answer) => Err(answer),
             },
-            Lookup::Running(id) => {
-                let request = self.by_id.get(&id).copied();
-                let t = request.and_then(|r| Some((r, self.requests.get_mut(&r)?)));
-                match t.filter(|(_, t)| t.client.is_some()) {
-                    Some((request, t)) => {
-                        t.joined.push(client);
-                        CoalescedWaiter::Request(request)
-                    }
-                    // Its client has had its answer; what its attempt comes to will never be told.
-                    None => {
-                        out.push(Command::AnswerClient {
-                            client,
-                            answer: Answer::Failed,
-                        });
-                        return None;
-                    }
-                }
-            }
-            Lookup::InDoubt(id) => CoalescedWaiter::InDoubt(id, Box::new(submission), until),
+            Lookup::Running(id) => self.join_request_in_flight(client, &id),
+            Lookup::InDoubt(recorded_id) => Ok(CoalescedWaiter::InDoubt(InDoubtRequest {
+                recorded_id,
+                submission: Box::new(submission),
+                deadline,
+            })),
             Lookup::Served(id) => {
                 out.push(Command::ReadResult { client, id });
-                CoalescedWaiter::Result
+                Ok(CoalescedWaiter::StoredResult)
             }
-            Lookup::Failed => {
-                out.push(Command::AnswerClient {
-                    client,
-                    answer: Answer::Failed,
+            Lookup::Failed => Err(Answer::Failed),
+            Lookup::Conflict => Err(Answer::DuplicateRequestId),
+        };
+        match waiter {
+            Ok(waiter) => {
+                self.coalesced.insert(client, waiter);
+                out.push(Command::SetTimer {
+                    at: deadline,
+                    timer: RequestTimer::CoalescedRequestTimeout { client },
                 });
-                return None;
             }
-            Lookup::Conflict => {
-                out.push(Command::AnswerClient {
-                    client,
-                    answer: Answer::DuplicateRequestId,
-                });
-                return None;
+            Err(answer) => out.push(Command::AnswerClient { client, answer }),
+        }
+        None
+    }
+
+    /// Looks a request up, first among the requests in flight by its idempotency key, then in the request log. The
+    /// log knows a request only from its first attempt on.
+    fn look_up(&self, submission: &Submission, fingerprint: &RequestFingerprint) -> Lookup {
+        let in_flight = submission
+            .payload
+            .idempotency_key
+            .as_ref()
+            .and_then(|key| self.requests_by_key.get(&(submission.class, key.clone())))
+            .and_then(|request| self.requests.get(request));
+        match (in_flight, &self.durability) {
+            (Some(in_flight), _) if is_same_request(in_flight, fingerprint) => {
+                Lookup::Running(in_flight.payload.id.clone())
             }
+            (Some(_), _) => Lookup::Conflict,
+            (None, Some(policy)) => policy.request_log.standing(&fingerprint.identity()),
+            (None, None) => Lookup::New,
+        }
+    }
+
+    /// Makes sure that the request log can take another request of this class, or returns the answer with which the
+    /// request is rejected.
+    fn reserve_record(&mut self, class: u8) -> Result<(), Answer> {
+        let Some(policy) = &mut self.durability else {
+            return Ok(());
         };
-        self.joiners.insert(client, joiner);
-        out.push(Command::SetTimer {
-            at: until,
-            timer: RequestTimer::CoalescedRequestTimeout { client },
+        let rejected = Answer::RejectedWithRetryAfter(policy.retry_after);
+        if policy.store_failed && policy.class_durability(class) == Durability::Durable {
+            return Err(rejected);
+        }
+        let records = policy.request_log.make_room().ok_or(rejected)?;
+        self.queue_write(
+            records,
+            WriteWaiter::NoWaiter {
+                request_id: String::new(),
+            },
+        );
+        Ok(())
+    }
+
+    /// Has a client wait for the answer of the request in flight with this id.
+    fn join_request_in_flight(
+        &mut self,
+        client: ClientId,
+        id: &str,
+    ) -> Result<CoalescedWaiter, Answer> {
+        let joined = self.requests_by_id.get(id).and_then(|request| {
+            let in_flight = self.requests.get_mut(request)?;
+            Some((*request, in_flight))
         });
-        None
+        match joined.filter(|(_, in_flight)| in_flight.client.is_some()) {
+            Some((request, in_flight)) => {
+                in_flight.waiters.push(client);
+                Ok(CoalescedWaiter::InFlight(request))
+            }
+            // The client of that request has had its answer; there will be no other.
+            None => Err(Answer::Failed),
+        }
     }
 
-    pub(super) fn stored(
+    /// Puts the first waiter of a client's request in the client's place. Returns whether there was one.
+    pub(super) fn promote_waiter(&mut self, client: ClientId) -> bool {
+        let Some(&request) = self.requests_by_client.get(&client) else {
+            return false;
+        };
+        let Some(in_flight) = self
+            .requests
+            .get_mut(&request)
+            .filter(|in_flight| !in_flight.waiters.is_empty())
+        else {
+            return false;
+        };
+        let next = in_flight.waiters.remove(0);
+        in_flight.client = Some(next);
+        self.coalesced.remove(&next);
+        self.requests_by_client.remove(&client);
+        self.requests_by_client.insert(next, request);
+        true
+    }
+
+    /// Ends a client's waiting for the answer of a request that it repeats. Returns whether it was waiting for one.
+    pub(super) fn remove_waiter(&mut self, client: ClientId) -> bool {
+        let Some(waiter) = self.coalesced.remove(&client) else {
+            return false;
+        };
+        if let CoalescedWaiter::InFlight(request) = waiter
+            && let Some(in_flight) = self.requests.get_mut(&request)
+        {
+            in_flight.waiters.retain(|other| *other != client);
+        }
+        true
+    }
+
+    /// Answers a client with a stored result; with a failure if it could not be read.
+    pub(super) fn handle_result_read(
         &mut self,
-        now: f64,
-        wait: WriteWaiter,
-        durable: bool,
+        client: ClientId,
+        result: Option<Vec<u8>>,
         out: &mut Vec<Command>,
     ) {
-        let id = match wait {
-            WriteWaiter::Attempt {
-                attempt: attempt_id,
-            } => return self.intent_stored(now, attempt_id, durable, out),
-            WriteWaiter::Callback {
-                client,
-                request_id: id,
-            } => {
-                out.push(Command::AcknowledgeCallback {
-                    client,
-                    known: true,
-                });
-                id
-            }
-            WriteWaiter::NoWaiter { request_id: id } => id,
-        };
-        if let Some(keeping) = self.keeping.as_mut().filter(|_| !durable) {
-            keeping.ledger.unwritten(&id);
+        if self.remove_waiter(client) {
+            let answer = result.map_or(Answer::Failed, Answer::Served);
+            out.push(Command::AnswerClient { client, answer });
         }
     }
 
-    /// The intent of an attempt is durable, and the attempt starts; or it never will be, and the job is refused.
-    pub(super) fn intent_stored(
+    /// Answers a client that has waited in vain for the answer of a request that it repeats. It fails: that request
+    /// may have run or may yet run, so that a rejection would promise too much.
+    pub(super) fn handle_coalesced_request_timeout(
         &mut self,
-        now: f64,
-        attempt_id: AttemptId,
-        durable: bool,
+        client: ClientId,
         out: &mut Vec<Command>,
     ) {
-        let Some(&key @ (request, _)) = self.by_attempt.get(&attempt_id) else {
-            return;
-        };
-        let Some(a) = self.attempt(attempt_id).filter(|a| !a.cleared) else {
-            return;
-        };
-        if durable {
-            a.cleared = true;
-            let (worker, until) = (a.worker, a.until);
-            let (Some(t), address) = (self.requests.get(&request), self.workers[worker]) else {
-                return;
-            };
-            return out.push(Command::StartAttempt {
-                attempt: attempt_id,
-                worker: address,
-                payload: t.payload.clone(),
-                deadline: until,
+        if self.remove_waiter(client) {
+            out.push(Command::AnswerClient {
+                client,
+                answer: Answer::Failed,
             });
         }
-        // Nothing of this attempt was sent. What was promised to be kept can't be: the answer comes at once.
-        let before = self.requests.get(&request).is_some_and(|t| t.may_have_run);
-        let after = self
-            .keeping
-            .as_ref()
-            .map_or(0.0, |keeping| keeping.retry_after);
-        let answer = if before {
-            Answer::Failed
-        } else {
-            Answer::RejectedWithRetryAfter(after)
-        };
-        self.finish(request, answer, out);
-        self.events.push_back(Event::ClientGone { request });
-        self.ended(now, key, Outcome::Moot, &Load::new());
     }
 }
+
+/// Whether a request in flight asks for the same as the one with this fingerprint.
+fn is_same_request(in_flight: &InFlightRequest, fingerprint: &RequestFingerprint) -> bool {
+    in_flight
+        .fingerprint
+        .as_ref()
+        .is_some_and(|other| other.digest() == fingerprint.digest())
+}
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -1,92 +1,93 @@
-//! What the hub keeps of jobs beyond the node's life: which care each class is owed, and the ledger. No I/O.
+//! What is recorded of requests beyond the life of this process: the durability of each class, the request log, and
+//! what identifies a request in it. No I/O.
 
 use crate::decision::interface::{Effect, Settings};
 use crate::net::messages::Submission;
 use postproxy_idempotency::{RequestIdentity, RequestLog};
 use sha2::{Digest, Sha256};
 
-/// The care that a class is owed.
+/// How durably the requests of a class are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// Nothing of its jobs is kept: they may run again.
+    /// Not at all: they may run again.
     None,
-    /// What is kept is written without waiting for it.
+    /// Recorded, without waiting for the write.
     Relaxed,
-    /// No attempt is sent before it is durable that it will be.
+    /// No attempt is sent before its record is durable.
     Durable,
 }
 
-/// What is kept, and how.
+/// What is recorded, and how.
 #[derive(Debug)]
 pub struct DurabilityPolicy {
-    /// The jobs.
-    pub ledger: RequestLog,
-    /// The care by class.
-    care: Vec<Durability>,
-    /// How long an intent may take to become durable, in seconds, before its job is refused.
-    pub patience: f64,
-    /// When to come back after a refusal for want of a disk, in seconds; 0 where the settings allow no advice.
+    /// The recorded requests.
+    pub request_log: RequestLog,
+    /// Durability by the index of the class.
+    by_class: Vec<Durability>,
+    /// How long the record of an attempt may take to become durable, in seconds, before its request is rejected.
+    pub write_timeout: f64,
+    /// Retry-After of a request that is rejected for want of a working store, in seconds; 0 where settings allow no
+    /// advice.
     pub retry_after: f64,
-    /// The disk takes no writes.
-    pub broken: bool,
+    /// Whether the store accepts no writes.
+    pub store_failed: bool,
 }
 
-/// When a client should come back whose job the disk had no room for, in seconds; the settings may allow less.
-const COME_BACK: f64 = 1.0;
+/// Retry-After of a request that is rejected for want of a working store, in seconds, unless settings allow only
+/// less. Short, since a store that fails does so mostly for a moment.
+const STORE_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 impl DurabilityPolicy {
-    /// Classes that must not run twice are owed durable intents; keyed ones, too, where that is asked for.
+    /// Returns the policy that follows from the effect of each class: safe requests are not recorded, those that must
+    /// not run twice durably, and those with an idempotency key as `keyed` says.
+    ///
+    /// `write_timeout` is in seconds.
     pub fn new(
         settings: &Settings,
-        ledger: RequestLog,
-        patience: f64,
-        keyed_durable: bool,
+        request_log: RequestLog,
+        write_timeout: f64,
+        keyed: Durability,
     ) -> Self {
-        let keyed = if keyed_durable {
-            Durability::Durable
-        } else {
-            Durability::Relaxed
-        };
-        let care = |effect: Effect| match effect {
+        let durability = |effect: Effect| match effect {
             Effect::Safe => Durability::None,
             Effect::Keyed => keyed,
             Effect::Unsafe => Durability::Durable,
         };
-        let care = settings
+        let by_class = settings
             .classes
             .iter()
-            .map(|class| care(class.effect))
+            .map(|class| durability(class.effect))
             .collect();
-        let retry_after = COME_BACK.min(settings.max_retry_after);
         Self {
-            ledger,
-            care,
-            patience,
-            retry_after,
-            broken: false,
+            request_log,
+            by_class,
+            write_timeout,
+            retry_after: STORE_RETRY_AFTER_SECONDS.min(settings.max_retry_after),
+            store_failed: false,
         }
     }
 
-    /// The care that a class is owed.
-    pub fn care(&self, class: u8) -> Durability {
-        self.care
+    /// Returns the durability of the class with this index.
+    pub fn class_durability(&self, class: u8) -> Durability {
+        self.by_class
             .get(class as usize)
             .copied()
             .unwrap_or(Durability::None)
     }
 }
 
-/// A job's names and digest, as they are kept.
+/// What identifies a request in the request log: its names, and a digest of what it asks for.
 #[derive(Debug)]
 pub struct RequestFingerprint {
     id: String,
-    key: Option<String>,
+    idempotency_key: Option<String>,
+    /// Name of the class: indices differ between configurations.
     class: String,
     digest: [u8; 32],
 }
 
 impl RequestFingerprint {
-    /// Those of a submission.
+    /// Returns the fingerprint of a submitted request.
     pub fn new(submission: &Submission, settings: &Settings) -> Self {
         let payload = &submission.payload;
         let mut digest = Sha256::new();
@@ -95,28 +96,29 @@
             payload.target.as_bytes(),
             &payload.body,
         ] {
+            // The length of each part, so that no byte can move from one part to the next.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
         let class = settings.classes.get(submission.class as usize);
         Self {
             id: payload.id.clone(),
-            key: payload.idempotency_key.clone(),
+            idempotency_key: payload.idempotency_key.clone(),
             class: class.map(|class| class.name.clone()).unwrap_or_default(),
             digest: digest.finalize().into(),
         }
     }
 
-    /// Digest of what is asked for.
+    /// Returns the SHA-256 digest of method, target and body.
     pub fn digest(&self) -> &[u8; 32] {
         &self.digest
     }
 
-    /// As the ledger takes it.
-    pub fn asked(&self) -> RequestIdentity<'_> {
+    /// Returns the fingerprint as the request log takes it.
+    pub fn identity(&self) -> RequestIdentity<'_> {
         RequestIdentity {
             id: &self.id,
-            key: self.key.as_deref(),
+            key: self.idempotency_key.as_deref(),
             class: &self.class,
             digest: self.digest,
         }
--- a/src/net/requests/in_flight.rs
+++ b/src/net/requests/in_flight.rs
@@ -1,139 +1,154 @@
-//! What the hub holds: requests with their attempts, who waits for them, and what other processes of this node hold.
+//! The records of the request core: requests in flight, their attempts, the clients that wait for them, and the
+//! requests of sibling processes. Plain data.
 
-use super::durability::{Durability, DurabilityPolicy, RequestFingerprint};
-use crate::decision::dispatcher::Dispatcher;
-use crate::decision::interface::{Event, RequestId, Settings, WorkerId};
+use super::durability::{Durability, RequestFingerprint};
+use super::worker_table::WorkerIndex;
+use crate::decision::interface::RequestId;
 use crate::net::messages::{AttemptId, ClientId, Payload, Submission, WriteWaiter};
-use postproxy_handover::StateUpdate;
 use postproxy_idempotency::Write;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
+/// An attempt by its request and its number within the request, as the dispatcher names it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct AttemptKey {
+    pub(super) request: RequestId,
+    /// Number of the attempt within the request, from 0.
+    pub(super) attempt: u16,
+}
+
 /// One sending of a request to a worker.
 pub(super) struct Attempt {
-    pub(super) worker: usize,
-    pub(super) attempt_id: AttemptId,
-    pub(super) sent: f64,
-    /// When it ends for want of an answer.
-    pub(super) until: f64,
-    /// Its attempt may start, or has: what must be durable first is.
-    pub(super) cleared: bool,
+    pub(super) id: AttemptId,
+    pub(super) worker: WorkerIndex,
+    /// When the dispatcher decided on the attempt.
+    pub(super) sent_at: f64,
+    /// When the attempt ends for want of an answer.
+    pub(super) deadline: f64,
+    /// Whether the attempt may start, or has: what must be durable before its first byte is.
+    pub(super) may_start: bool,
+    /// Whether its last byte has been written to the worker.
     pub(super) written: bool,
+    /// Whether the worker has accepted it; from then on only its call-backs decide on it.
     pub(super) accepted: bool,
     pub(super) ended: bool,
-    /// Its worker has handed it back by a call, which it may repeat.
+    /// Whether the worker has handed it back in a call-back. It may repeat that call-back.
     pub(super) returned: bool,
 }
 
-/// A job that another process of this node holds.
-pub(super) struct SiblingRequest {
-    pub(super) link: usize,
-    pub(super) request: RequestId,
-    /// Its attempts that are out, each with its worker.
-    pub(super) out: Vec<(u16, usize)>,
-}
-
+/// A request that waits for its final answer or for the end of an attempt.
 pub(super) struct InFlightRequest {
     pub(super) payload: Rc<Payload>,
     /// The client, while it waits for its final answer.
     pub(super) client: Option<ClientId>,
+    /// When the client stops waiting.
     pub(super) deadline: f64,
+    /// All attempts so far; the position is the attempt's number.
     pub(super) attempts: Vec<Attempt>,
+    /// Index of the class in the settings.
     pub(super) class: u8,
-    /// The care that its class is owed, and what is kept of it.
-    pub(super) care: Durability,
-    pub(super) asker: Option<Rc<RequestFingerprint>>,
-    /// Others who wait for its answer.
-    pub(super) joined: Vec<ClientId>,
-    /// An attempt has ended that may have run.
+    /// How durably the request is recorded.
+    pub(super) durability: Durability,
+    /// What identifies the request in the request log; `None` if it is not recorded there.
+    pub(super) fingerprint: Option<Rc<RequestFingerprint>>,
+    /// Further clients that wait for the same answer, in the order of their arrival.
+    pub(super) waiters: Vec<ClientId>,
+    /// Whether an attempt has ended that may have run.
     pub(super) may_have_run: bool,
-    /// Slots, and expected work, where told.
-    pub(super) need: f64,
-    pub(super) hint: Option<f64>,
-    /// In the logs; none where its level is off.
+    /// Slots that the request takes.
+    pub(super) slots: f64,
+    /// Expected work in seconds, if the client has given it.
+    pub(super) expected_work: Option<f64>,
+    /// The request's span in the logs; disabled where its level is off.
     pub(super) span: tracing::Span,
 }
 
-/// An attempt whose last byte has not been written.
-pub(super) struct Unwritten {
-    pub(super) request: RequestId,
-    pub(super) attempt: u16,
-    pub(super) attempt_id: AttemptId,
-    pub(super) cleared: bool,
-}
-
 impl InFlightRequest {
-    pub(super) fn unwritten(&self, request: RequestId) -> impl Iterator<Item = Unwritten> {
-        let open = self
-            .attempts
-            .iter()
-            .zip(0..)
-            .filter(|(a, _)| !a.written && !a.ended);
-        open.map(move |(a, attempt)| Unwritten {
-            request,
-            attempt,
-            attempt_id: a.attempt_id,
-            cleared: a.cleared,
-        })
+    /// Returns the attempts that have not ended, each with its number.
+    pub(super) fn open_attempts(&self) -> impl Iterator<Item = (u16, &Attempt)> {
+        (0..)
+            .zip(&self.attempts)
+            .filter(|(_, attempt)| !attempt.ended)
+    }
+
+    /// Returns the attempts whose last byte has not been written.
+    pub(super) fn unwritten_attempts(
+        &self,
+        request: RequestId,
+    ) -> impl Iterator<Item = UnwrittenAttempt> {
+        self.open_attempts()
+            .filter(|(_, attempt)| !attempt.written)
+            .map(move |(number, attempt)| UnwrittenAttempt {
+                key: AttemptKey {
+                    request,
+                    attempt: number,
+                },
+                id: attempt.id,
+                worker: attempt.worker,
+                may_start: attempt.may_start,
+            })
+    }
+
+    /// Whether the request has its final answer and no attempt out.
+    pub(super) fn is_complete(&self) -> bool {
+        self.client.is_none() && self.attempts.iter().all(|attempt| attempt.ended)
     }
 }
 
-/// One who waits for what another has asked for.
+/// An attempt whose last byte has not been written.
+pub(super) struct UnwrittenAttempt {
+    pub(super) key: AttemptKey,
+    pub(super) id: AttemptId,
+    pub(super) worker: WorkerIndex,
+    /// Whether the attempt may start, or has.
+    pub(super) may_start: bool,
+}
+
+/// What a client waits for that does not cause attempts of its own.
 pub(super) enum CoalescedWaiter {
-    /// For this request.
-    Request(RequestId),
-    /// For the word on a job of an earlier life; what to run if nothing ran, and until when.
-    InDoubt(String, Box<Submission>, f64),
-    /// For a result that is being read.
-    Result,
+    /// The answer of a request in flight.
+    InFlight(RequestId),
+    /// The outcome of a request that was recorded before a restart, and may have run.
+    InDoubt(InDoubtRequest),
+    /// A stored result, which is being read.
+    StoredResult,
 }
 
-/// Every request and the dispatcher that decides on them.
-pub struct RequestManager {
-    pub(super) settings: Settings,
-    pub(super) dispatcher: Dispatcher,
-    /// Where this node reaches each worker, by its number.
-    pub(super) workers: Vec<std::net::SocketAddr>,
-    pub(super) names: Vec<String>,
-    pub(super) numbers: HashMap<String, usize>,
-    /// Workers that operators have taken out of use.
-    pub(super) banned: BTreeSet<usize>,
-    pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
-    /// Requests by their payload's id and by their client.
-    pub(super) by_id: HashMap<String, RequestId>,
-    pub(super) by_client: HashMap<ClientId, RequestId>,
-    /// Attempts by their attempt.
-    pub(super) by_attempt: HashMap<AttemptId, (RequestId, u16)>,
-    /// Workers that have been asked for their load, and when.
-    pub(super) probes: HashMap<AttemptId, (usize, f64)>,
-    pub(super) next_request: RequestId,
-    pub(super) next_attempt: AttemptId,
-    /// What the dispatcher is still to be told; it is never called from within its own actions.
-    pub(super) events: VecDeque<Event>,
-    /// Requests that may be over.
-    pub(super) touched: Vec<RequestId>,
-    /// What is kept beyond this node's life, if anything is.
-    pub(super) keeping: Option<DurabilityPolicy>,
-    pub(super) joiners: BTreeMap<ClientId, CoalescedWaiter>,
-    /// Requests that are kept, by their class and idempotency key.
-    pub(super) by_key: HashMap<(u8, String), RequestId>,
-    /// What is to be written, in its order.
-    pub(super) writes: Vec<(Vec<Write>, WriteWaiter)>,
-    /// Other processes of this node are linked: they are told what changes.
-    pub(super) linked: bool,
-    /// What they are still to be told.
-    pub(super) tales: Vec<StateUpdate>,
-    /// What they hold, by its id.
-    pub(super) distant: BTreeMap<String, SiblingRequest>,
+/// A repetition of a request that was recorded before a restart, and may have run.
+pub(super) struct InDoubtRequest {
+    /// Id under which the request is recorded.
+    pub(super) recorded_id: String,
+    /// The repetition, which runs if a call-back proves that the recorded request never has.
+    pub(super) submission: Box<Submission>,
+    /// When the client stops waiting.
+    pub(super) deadline: f64,
 }
 
-pub(super) fn worker_id(number: usize) -> WorkerId {
-    WorkerId {
-        address: (number as u32).to_be_bytes(),
-        port: 0,
-    }
+/// A request that a sibling process of this node holds.
+pub(super) struct SiblingRequest {
+    /// The link to the sibling.
+    pub(super) link: usize,
+    /// Number under which the dispatcher of this process counts it.
+    pub(super) request: RequestId,
+    /// Its attempts that have not ended.
+    pub(super) open_attempts: Vec<SiblingAttempt>,
+}
+
+/// An attempt that a sibling process of this node has out.
+#[derive(Clone, Copy)]
+pub(super) struct SiblingAttempt {
+    /// Number of the attempt within the request, from 0.
+    pub(super) attempt: u16,
+    pub(super) worker: WorkerIndex,
+}
+
+/// A probe that has not ended.
+pub(super) struct PendingProbe {
+    pub(super) worker: WorkerIndex,
+    pub(super) sent_at: f64,
 }
 
-pub(super) fn number(worker: WorkerId) -> usize {
-    u32::from_be_bytes(worker.address) as usize
+/// Records on their way to the store.
+pub(super) struct PendingWrite {
+    pub(super) records: Vec<Write>,
+    pub(super) waiter: WriteWaiter,
 }
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -1,665 +1,244 @@
-//! The hub: every request, from its arrival to the last word on its attempts. It alone calls the [`Dispatcher`]; it knows no sockets and
-//! no HTTP, so that another protocol can come through the same door. Its other parts are beside this file.
+//! The request manager: the state of all requests, and the dispatch of events and of the dispatcher's actions.
+//!
+//! It alone calls the [`Dispatcher`]. It knows neither sockets nor HTTP, so that requests can come in by another
+//! protocol as well.
 
 use super::durability::{Durability, DurabilityPolicy};
-pub use super::in_flight::RequestManager;
-use super::in_flight::{Attempt, InFlightRequest, SiblingRequest, number, worker_id};
-use crate::decision::dispatcher::Dispatcher;
-use crate::decision::interface::{
-    Action, Entry, Event, NewRequest, Outcome, RequestId, Settings, SettingsError, WorkerId,
-};
-use crate::net::messages::{
-    Answer, AttemptEnd, AttemptId, ClientId, Command, Input, Load, RequestTimer, Submission,
-    WriteWaiter,
+use super::in_flight::{
+    AttemptKey, CoalescedWaiter, InFlightRequest, PendingProbe, PendingWrite, SiblingRequest,
 };
+use super::worker_table::{WorkerIndex, WorkerTable};
+use crate::decision::dispatcher::Dispatcher;
+use crate::decision::interface::{Action, Event, RequestId, Settings, SettingsError};
+use crate::net::messages::{Answer, AttemptId, ClientId, Command, Input, RequestTimer};
 use postproxy_handover::StateUpdate;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::rc::Rc;
-
-/// How often it is looked for records that have expired, in seconds.
-const EXPIRY: f64 = 10.0;
-/// What the dispatcher is told of an attempt that was turned away without proof: it takes no outcome of this number for one.
-const TURNED_AWAY: u16 = 503;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+
+/// Handles every request from its arrival to the end of its last attempt.
+pub struct RequestManager {
+    pub(super) settings: Settings,
+    pub(super) dispatcher: Dispatcher,
+    /// Events that the dispatcher has yet to handle. They are queued, since it must not be called while its own
+    /// actions are carried out.
+    pub(super) dispatcher_events: VecDeque<Event>,
+    pub(super) workers: WorkerTable,
+    pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
+    /// Requests in flight by the id that their client gave them.
+    pub(super) requests_by_id: HashMap<String, RequestId>,
+    /// Requests in flight by the client that waits for the final answer.
+    pub(super) requests_by_client: HashMap<ClientId, RequestId>,
+    /// Recorded requests in flight by their class and idempotency key.
+    pub(super) requests_by_key: HashMap<(u8, String), RequestId>,
+    /// Requests that may be complete; checked once an event has been handled.
+    pub(super) maybe_complete: Vec<RequestId>,
+    /// Attempts that have not ended.
+    pub(super) attempts: HashMap<AttemptId, AttemptKey>,
+    /// Probes that have not ended.
+    pub(super) probes: HashMap<AttemptId, PendingProbe>,
+    pub(super) next_request: RequestId,
+    pub(super) next_attempt: AttemptId,
+    /// What is recorded beyond the life of this process; `None` without a store.
+    pub(super) durability: Option<DurabilityPolicy>,
+    /// Clients whose answer depends on another client's request, or on a recorded one.
+    pub(super) coalesced: BTreeMap<ClientId, CoalescedWaiter>,
+    /// Records that are written once an event has been handled, in their order.
+    pub(super) pending_writes: Vec<PendingWrite>,
+    /// Whether sibling processes of this node are linked, which are sent each change.
+    pub(super) siblings_linked: bool,
+    /// Changes that are sent to the siblings once an event has been handled, in their order.
+    pub(super) sibling_updates: Vec<StateUpdate>,
+    /// The siblings' requests, by their id.
+    pub(super) sibling_requests: BTreeMap<String, SiblingRequest>,
+}
 
 impl RequestManager {
-    /// A hub without requests.
+    /// Returns a request manager without requests and workers. The seed is that of the dispatcher's random draws.
     ///
     /// # Errors
     ///
-    /// If the settings hold a figure out of range.
+    /// If a setting is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Self {
             dispatcher: Dispatcher::new(settings.clone(), seed)?,
             settings,
-            workers: Vec::new(),
-            names: Vec::new(),
-            numbers: HashMap::new(),
-            banned: BTreeSet::new(),
+            dispatcher_events: VecDeque::new(),
+            workers: WorkerTable::default(),
             requests: BTreeMap::new(),
-            by_id: HashMap::new(),
-            by_client: HashMap::new(),
-            by_attempt: HashMap::new(),
+            requests_by_id: HashMap::new(),
+            requests_by_client: HashMap::new(),
+            requests_by_key: HashMap::new(),
+            maybe_complete: Vec::new(),
+            attempts: HashMap::new(),
             probes: HashMap::new(),
             next_request: 1,
             next_attempt: 1,
-            events: VecDeque::new(),
-            touched: Vec::new(),
-            keeping: None,
-            joiners: BTreeMap::new(),
-            by_key: HashMap::new(),
-            writes: Vec::new(),
-            linked: false,
-            tales: Vec::new(),
-            distant: BTreeMap::new(),
+            durability: None,
+            coalesced: BTreeMap::new(),
+            pending_writes: Vec::new(),
+            siblings_linked: false,
+            sibling_updates: Vec::new(),
+            sibling_requests: BTreeMap::new(),
         })
     }
 
-    /// Keeps jobs beyond this node's life from now on.
-    pub fn enable_durability(&mut self, keeping: DurabilityPolicy) {
-        self.keeping = Some(keeping);
+    /// Records requests beyond the life of this process from now on, as the policy says.
+    pub fn enable_durability(&mut self, policy: DurabilityPolicy) {
+        self.durability = Some(policy);
     }
 
-    /// How many requests wait for their final answer or for the end of an attempt.
+    /// Sets how many clients may wait for an answer at a time; 0 for no limit.
+    pub fn set_waiting_limit(&mut self, limit: usize) {
+        self.settings.max_open = limit;
+    }
+
+    /// Returns the number of requests that wait for their final answer or for the end of an attempt.
     pub fn pending_count(&self) -> usize {
-        self.requests.len() + self.joiners.len()
+        self.requests.len() + self.coalesced.len()
+    }
+
+    /// Returns the number of clients that wait for their final answer.
+    pub fn waiting_client_count(&self) -> usize {
+        self.requests_by_client.len() + self.coalesced.len()
     }
 
-    /// Takes one piece of news that happens at `now` and adds what is to be done to `out`.
+    /// Handles an event that occurs at `now`, and appends the commands that follow from it to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         self.handle_input(now, input, out);
-        let mut actions = Vec::new();
-        while let Some(event) = self.events.pop_front() {
-            self.dispatcher.handle(now, &event, &mut actions);
-            for action in actions.drain(..) {
-                self.act(now, action, out);
-            }
-        }
-        for request in std::mem::take(&mut self.touched) {
-            self.forget(now, request);
+        self.run_dispatcher(now, out);
+        for request in std::mem::take(&mut self.maybe_complete) {
+            self.remove_if_complete(now, request);
         }
-        out.extend(self.tales.drain(..).map(|tale| Command::UpdateSiblings {
-            except: None,
-            update: tale,
-        }));
         out.extend(
-            self.writes
+            self.sibling_updates
+                .drain(..)
+                .map(|update| Command::UpdateSiblings {
+                    except: None,
+                    update,
+                }),
+        );
+        out.extend(
+            self.pending_writes
                 .drain(..)
-                .map(|(writes, wait)| Command::WriteRecords {
-                    writes,
-                    waiter: wait,
+                .map(|write| Command::WriteRecords {
+                    writes: write.records,
+                    waiter: write.waiter,
                 }),
         );
     }
 
-    pub(super) fn handle_input(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
+    /// Passes each event to the function that handles it.
+    fn handle_input(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::RequestReceived { client, submission } => {
-                self.arrived(now, client, submission, out)
+                self.handle_request_received(now, client, submission, out)
             }
             Input::ClientDisconnected { client } => {
-                if self.promoted(client) || self.unjoin(client) {
-                    return;
-                }
-                if let Some(request) = self.by_client.remove(&client) {
-                    let mut unwritten = Vec::new();
-                    if let Some(t) = self.requests.get_mut(&request) {
-                        t.client = None;
-                        // With leave to cancel the dispatcher does so; what was never sent needs no leave.
-                        if !self.settings.may_cancel {
-                            unwritten.extend(t.unwritten(request));
-                        }
-                    }
-                    self.events.push_back(Event::ClientGone { request });
-                    self.touched.push(request);
-                    self.withdraw(now, unwritten, out);
-                }
+                self.handle_client_disconnected(now, client, out)
             }
-            Input::AttemptWritten {
-                attempt: attempt_id,
-            } => {
-                if let Some(a) = self.attempt(attempt_id) {
-                    a.written = true;
-                }
+            Input::AttemptWritten { attempt } => self.handle_attempt_written(attempt),
+            Input::ExchangeEnded { attempt, end, load } => {
+                self.handle_exchange_ended(now, attempt, end, &load)
             }
-            Input::ExchangeEnded {
-                attempt: attempt_id,
-                end: AttemptEnd::Accepted,
-                ..
-            } if !self.probes.contains_key(&attempt_id) => {
-                if let Some(a) = self.attempt(attempt_id) {
-                    (a.written, a.accepted) = (true, true);
-                }
+            Input::CallbackReceived { client, callback } => {
+                self.handle_callback_received(now, client, callback, out)
             }
-            Input::ExchangeEnded {
-                attempt: attempt_id,
-                end,
-                load,
-            } => {
-                if let Some((worker, asked)) = self.probes.remove(&attempt_id) {
-                    return self.probed(worker, end, now - asked, &load);
-                }
-                let Some(&(request, attempt)) = self.by_attempt.get(&attempt_id) else {
-                    return;
-                };
-                let Some(a) = self.attempt(attempt_id).filter(|a| !a.accepted) else {
-                    return;
-                };
-                let outcome = match end {
-                    AttemptEnd::RejectedUnstarted => Outcome::Full,
-                    AttemptEnd::RejectedAmbiguous => Outcome::Unknown(TURNED_AWAY),
-                    AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
-                    AttemptEnd::NeverSent if !a.written => Outcome::ConnectFailed,
-                    AttemptEnd::NeverSent | AttemptEnd::Reset => Outcome::Reset,
-                    AttemptEnd::Accepted | AttemptEnd::Error => Outcome::Error,
-                };
-                self.ended(now, (request, attempt), outcome, &load);
+            Input::CallbackRetried { client, callback } => {
+                self.handle_callback(now, client, callback, out)
             }
-            Input::CallbackReceived {
-                client,
-                callback: call,
-            } => {
-                let known = self.by_id.contains_key(&call.id);
-                if self.linked && !known {
-                    out.push(Command::ForwardCallback {
-                        client,
-                        callback: call,
-                    });
-                } else if !self.call(now, client, call, out) {
-                    out.push(Command::AcknowledgeCallback { client, known });
-                }
-            }
-            Input::WriteCompleted {
-                waiter: wait,
-                durable,
-            } => self.stored(now, wait, durable, out),
-            Input::ResultRead { client, result } => {
-                if self.unjoin(client) {
-                    out.push(Command::AnswerClient {
-                        client,
-                        answer: result.map_or(Answer::Failed, Answer::Served),
-                    });
-                }
-            }
-            Input::StoreHealthChanged { writable: sound } => {
-                let Some(keeping) = &mut self.keeping else {
-                    return;
-                };
-                keeping.broken = !sound;
-                let anew = if sound {
-                    keeping.ledger.rewrite()
-                } else {
-                    Vec::new()
-                };
-                self.write(
-                    anew,
-                    WriteWaiter::NoWaiter {
-                        request_id: String::new(),
-                    },
-                );
+            Input::WriteCompleted { waiter, durable } => {
+                self.handle_write_completed(now, waiter, durable, out)
             }
-            Input::WorkerListReceived {
-                kind,
-                workers: members,
-            } => {
-                let entries: Vec<Entry> = members
-                    .into_iter()
-                    .map(|member| self.member(member))
-                    .collect();
-                let unwritten = self.unwritten_to(&self.leaving(kind, &entries));
-                self.events.push_back(Event::List { kind, entries });
-                self.withdraw(now, unwritten, out);
+            Input::ResultRead { client, result } => self.handle_result_read(client, result, out),
+            Input::StoreHealthChanged { writable } => self.handle_store_health_changed(writable),
+            Input::WorkerListReceived { kind, workers } => {
+                self.handle_worker_list(now, kind, workers, out)
             }
             Input::SuspensionRequested {
                 caller,
-                worker: name,
-                resume: again,
-            } => {
-                let reply = self.employ(now, &name, again, out);
-                out.push(Command::ReplyToManagement { caller, reply });
-            }
-            Input::SuspensionLearned {
-                worker: name,
-                resume: again,
-            } => {
-                // It may be known elsewhere before this node has it from the list.
-                self.number(&name);
-                self.employ(now, &name, again, out);
+                worker,
+                resume,
+            } => self.handle_suspension_requested(now, caller, &worker, resume, out),
+            Input::SuspensionLearned { worker, resume } => {
+                self.handle_suspension_learned(now, &worker, resume, out)
             }
-            Input::NodeCountChanged { count } => {
-                let known = u32::try_from(count).ok().filter(|count| *count > 0);
-                self.events
-                    .push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
+            Input::NodeCountChanged { count } => self.handle_node_count_changed(count),
+            Input::SiblingUpdate { link, update } => {
+                self.handle_sibling_update(now, link, update, out)
             }
-            Input::SiblingUpdate { link, update: tale } => self.heard(now, link, tale, out),
+            Input::SiblingLost { link } => self.handle_sibling_lost(now, link, out),
             Input::RequestMigrated {
                 link,
                 client,
-                request: job,
-            } => {
-                if self.carry_on(now, link, client, &job, out).is_none() {
-                    out.extend(client.map(|client| Command::AnswerClient {
-                        client,
-                        answer: Answer::Failed,
-                    }));
-                }
-            }
-            Input::CallbackRetried {
-                client,
-                callback: call,
-            } => {
-                // It may even have moved on: then the one who asked looks again, too.
-                let known = self.by_id.contains_key(&call.id);
-                if !self.call(now, client, call, out) {
-                    out.push(Command::AcknowledgeCallback { client, known });
-                }
-            }
-            Input::SiblingLost { link } => {
-                let gone =
-                    |(id, d): (&String, &SiblingRequest)| (d.link == link).then(|| id.clone());
-                for id in self.distant.iter().filter_map(gone).collect::<Vec<_>>() {
-                    self.heard(now, link, StateUpdate::Over { id }, out);
-                }
+                request,
+            } => self.handle_request_migrated(now, link, client, &request, out),
+            Input::TimerExpired { timer } => self.handle_timer_expired(now, timer, out),
+        }
+    }
+
+    fn handle_timer_expired(&mut self, now: f64, timer: RequestTimer, out: &mut Vec<Command>) {
+        match timer {
+            RequestTimer::Dispatcher { token } => {
+                self.dispatcher_events.push_back(Event::Timer { token })
             }
-            Input::TimerExpired {
-                timer: RequestTimer::Dispatcher { token },
-            } => self.events.push_back(Event::Timer { token }),
-            Input::TimerExpired {
-                timer: RequestTimer::AttemptTimeout { request, attempt },
-            } => {
-                self.abandon(request, attempt, out);
-                self.ended(now, (request, attempt), Outcome::Timeout, &Load::new());
+            RequestTimer::AttemptTimeout { request, attempt } => {
+                self.handle_attempt_timeout(now, AttemptKey { request, attempt }, out)
             }
-            Input::TimerExpired {
-                timer:
-                    RequestTimer::DurabilityTimeout {
-                        attempt: attempt_id,
-                    },
-            } => self.intent_stored(now, attempt_id, false, out),
-            Input::TimerExpired {
-                timer: RequestTimer::CoalescedRequestTimeout { client },
-            } => {
-                // It may have run, and may run yet: no refusal would be true.
-                if self.unjoin(client) {
-                    out.push(Command::AnswerClient {
-                        client,
-                        answer: Answer::Failed,
-                    });
-                }
+            RequestTimer::DurabilityTimeout { attempt } => {
+                self.reject_unrecorded_attempt(now, attempt, out)
             }
-            Input::TimerExpired {
-                timer: RequestTimer::ExpireRecords,
-            } => {
-                if let Some(keeping) = &mut self.keeping {
-                    keeping.ledger.expire(now);
-                    out.push(Command::SetTimer {
-                        at: now + EXPIRY,
-                        timer: RequestTimer::ExpireRecords,
-                    });
-                }
+            RequestTimer::CoalescedRequestTimeout { client } => {
+                self.handle_coalesced_request_timeout(client, out)
             }
+            RequestTimer::ExpireRecords => self.expire_records(now, out),
         }
     }
 
-    /// How many clients may wait at a time.
-    pub fn set_waiting_limit(&mut self, most: usize) {
-        self.settings.max_open = most;
+    fn handle_node_count_changed(&mut self, count: usize) {
+        let known = u32::try_from(count).ok().filter(|count| *count > 0);
+        self.dispatcher_events
+            .push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
     }
 
-    /// How many clients wait for their final answer.
-    pub fn waiting_client_count(&self) -> usize {
-        self.by_client.len() + self.joiners.len()
-    }
-
-    pub(super) fn arrived(
-        &mut self,
-        now: f64,
-        client: ClientId,
-        submission: Submission,
-        out: &mut Vec<Command>,
-    ) {
-        let id = &submission.payload.id;
-        if self.by_id.contains_key(id) || self.distant.contains_key(id) {
-            return out.push(Command::AnswerClient {
-                client,
-                answer: Answer::DuplicateRequestId,
-            });
-        }
-        if self.settings.max_open > 0
-            && self.by_client.len() + self.joiners.len() >= self.settings.max_open
-        {
-            return out.push(Command::AnswerClient {
-                client,
-                answer: Answer::Failed,
-            });
-        }
-        let Some(class) = self.settings.classes.get(submission.class as usize) else {
-            return out.push(Command::AnswerClient {
-                client,
-                answer: Answer::Failed,
-            });
-        };
-        let budget = submission
-            .budget
-            .unwrap_or(class.deadline)
-            .min(class.deadline);
-        let Some((submission, asker)) = self.known(client, submission, now + budget, out) else {
-            return;
-        };
-        let request = self.next_request;
-        self.next_request += 1;
-        self.by_id.insert(submission.payload.id.clone(), request);
-        self.by_client.insert(client, request);
-        self.tell(|| StateUpdate::Taken {
-            id: submission.payload.id.clone(),
-            counts: true,
-        });
-        let tenants = &self.settings.tenant_names;
-        let tenant = tenants
-            .iter()
-            .position(|name| Some(name) == submission.tenant.as_ref())
-            .unwrap_or(0);
-        let new = NewRequest {
-            request,
-            class: submission.class,
-            tenant: tenant as u16,
-            key: submission.affinity_key,
-            budget,
-            hint: submission.expected_work,
-            slots: submission.slots.unwrap_or(1.0),
-            memory: submission.memory.unwrap_or(0.0),
-            repeat: submission.repeat,
-            keyless: submission.payload.idempotency_key.is_none(),
-        };
-        if let (Some(_), Some(key)) = (&asker, &submission.payload.idempotency_key) {
-            self.by_key.insert((submission.class, key.clone()), request);
-        }
-        let care = self
-            .keeping
-            .as_ref()
-            .map_or(Durability::None, |keeping| keeping.care(submission.class));
-        // A span that is off costs a look at a flag: its fields are then not made.
-        let span = tracing::debug_span!(
-            target: "postproxy::transaction",
-            "transaction",
-            id = %submission.payload.id,
-            class = self.settings.classes[submission.class as usize].name,
-            attempts = tracing::field::Empty,
-            answer = tracing::field::Empty
-        );
-        let held = InFlightRequest {
-            payload: Rc::new(submission.payload),
-            client: Some(client),
-            deadline: now + budget,
-            attempts: Vec::new(),
-            class: submission.class,
-            care,
-            asker,
-            joined: Vec::new(),
-            may_have_run: false,
-            need: new.slots,
-            hint: new.hint,
-            span,
-        };
-        self.requests.insert(request, held);
-        self.events.push_back(Event::Request(new));
-    }
-
-    /// The attempt of an attempt that has not ended.
-    pub(super) fn attempt(&mut self, attempt_id: AttemptId) -> Option<&mut Attempt> {
-        let &(request, attempt) = self.by_attempt.get(&attempt_id)?;
-        self.requests
-            .get_mut(&request)?
-            .attempts
-            .get_mut(attempt as usize)
-            .filter(|a| !a.ended)
-    }
-
-    /// Books the end of an attempt and tells the dispatcher, once.
-    pub(super) fn ended(
-        &mut self,
-        now: f64,
-        (request, attempt): (RequestId, u16),
-        outcome: Outcome,
-        load: &Load,
-    ) {
-        let Some(t) = self.requests.get_mut(&request) else {
-            return;
-        };
-        let closed = t.client.is_none();
-        let Some(a) = t.attempts.get_mut(attempt as usize).filter(|a| !a.ended) else {
-            return;
-        };
-        a.ended = true;
-        let never = !a.cleared || outcome.proves_never_ran(self.settings.full_proves_nothing);
-        t.may_have_run |= !never;
-        if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker)
-            && outcome != Outcome::Ok
-        {
-            let writes = keeping
-                .ledger
-                .ended(now, &t.payload.id, attempt.into(), !never);
-            if !writes.is_empty() {
-                self.writes.push((
-                    writes,
-                    WriteWaiter::NoWaiter {
-                        request_id: t.payload.id.clone(),
-                    },
-                ));
-            }
-        }
-        let (worker, elapsed) = (worker_id(a.worker), now - a.sent);
-        if self.linked {
-            self.tales.push(StateUpdate::Ended {
-                id: t.payload.id.clone(),
-                attempt,
-            });
-        }
-        self.by_attempt.remove(&a.attempt_id);
-        let report = self.report(load);
-        let event = Event::Outcome {
-            request,
-            attempt,
-            worker,
-            outcome,
-            elapsed,
-            closed,
-            report,
-        };
-        self.events.push_back(event);
-        self.touched.push(request);
-    }
-
-    pub(super) fn answer(&mut self, client: ClientId, answer: Answer, out: &mut Vec<Command>) {
-        if let Some(request) = self.by_client.remove(&client) {
-            if let Some(t) = self.requests.get_mut(&request) {
-                t.client = None;
-                t.span.record("answer", answer.as_str());
-                for other in std::mem::take(&mut t.joined) {
-                    self.joiners.remove(&other);
-                    out.push(Command::AnswerClient {
-                        client: other,
-                        answer: answer.clone(),
-                    });
-                }
+    /// Has the dispatcher handle its events, and carries out the actions that it returns, until none is left.
+    fn run_dispatcher(&mut self, now: f64, out: &mut Vec<Command>) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.dispatcher_events.pop_front() {
+            self.dispatcher.handle(now, &event, &mut actions);
+            for action in actions.drain(..) {
+                self.apply_action(now, action, out);
             }
-            self.touched.push(request);
-            out.push(Command::AnswerClient { client, answer });
         }
     }
 
-    /// Drops a request that has its final answer and no attempt out.
-    pub(super) fn forget(&mut self, now: f64, request: RequestId) {
-        let over = |t: &&InFlightRequest| t.client.is_none() && t.attempts.iter().all(|a| a.ended);
-        if self.requests.get(&request).filter(over).is_none() {
-            return;
-        }
-        let Some(t) = self.requests.remove(&request) else {
-            return;
-        };
-        t.span.record("attempts", t.attempts.len());
-        self.tell(|| StateUpdate::Over {
-            id: t.payload.id.clone(),
-        });
-        self.by_id.remove(&t.payload.id);
-        if let Some(key) = &t.payload.idempotency_key
-            && self.by_key.get(&(t.class, key.clone())) == Some(&request)
-        {
-            self.by_key.remove(&(t.class, key.clone()));
-        }
-        if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker) {
-            let writes = keeping.ledger.over(now, &t.payload.id);
-            self.write(
-                writes,
-                WriteWaiter::NoWaiter {
-                    request_id: t.payload.id.clone(),
-                },
-            );
-        }
-    }
-
-    /// Does what the dispatcher asks for.
-    pub(super) fn act(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
+    /// Carries out an action of the dispatcher.
+    fn apply_action(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Watch => {} // on sockets calls for the list have a schedule of their own
+            Action::Watch => {} // the worker list's watch has a schedule of its own
             Action::Send {
                 request,
                 worker,
                 timeout,
-            } => self.send(now, request, worker, timeout, out),
+            } => self.start_attempt(now, request, WorkerIndex::from_id(worker), timeout, out),
             Action::Cancel { request, attempt } => {
-                self.abandon(request, attempt, out);
-                self.ended(now, (request, attempt), Outcome::Cancelled, &Load::new());
+                self.cancel_attempt(now, AttemptKey { request, attempt }, out)
             }
             Action::Refuse {
                 request,
                 retry_after,
-            } => {
-                self.finish(request, Answer::RejectedWithRetryAfter(retry_after), out);
-            }
-            Action::Fail { request } => self.finish(request, Answer::Failed, out),
+            } => self.answer_request(request, Answer::RejectedWithRetryAfter(retry_after), out),
+            Action::Fail { request } => self.answer_request(request, Answer::Failed, out),
             Action::Timer { at, token } => out.push(Command::SetTimer {
                 at,
                 timer: RequestTimer::Dispatcher { token },
             }),
-            Action::Probe { worker } => self.probe(now, number(worker), out),
-        }
-    }
-
-    pub(super) fn finish(&mut self, request: RequestId, answer: Answer, out: &mut Vec<Command>) {
-        if let Some(client) = self.requests.get(&request).and_then(|t| t.client) {
-            self.answer(client, answer, out);
+            Action::Probe { worker } => self.start_probe(now, WorkerIndex::from_id(worker), out),
         }
     }
 
-    pub(super) fn send(
-        &mut self,
-        now: f64,
-        request: RequestId,
-        worker: WorkerId,
-        timeout: f64,
-        out: &mut Vec<Command>,
-    ) {
-        let number = number(worker);
-        let (Some(t), Some(address)) = (self.requests.get_mut(&request), self.workers.get(number))
-        else {
-            return;
-        };
-        let attempt = t.attempts.len() as u16;
-        let attempt_id = self.next_attempt;
-        self.next_attempt += 1;
-        let (written, accepted, ended, returned) = (false, false, false, false);
-        let left = t.deadline - now;
-        let wait = if timeout > 0.0 {
-            timeout.min(left)
-        } else {
-            left
-        };
-        let (until, cleared) = (now + wait, t.care != Durability::Durable);
-        let sent = now;
-        let new = Attempt {
-            worker: number,
-            attempt_id,
-            sent,
-            until,
-            cleared,
-            written,
-            accepted,
-            ended,
-            returned,
-        };
-        t.attempts.push(new);
-        self.by_attempt.insert(attempt_id, (request, attempt));
-        if self.linked {
-            let t = &self.requests[&request];
-            self.tales
-                .push(self.sent(now, t, &t.attempts[attempt as usize], attempt, true));
-        }
-        let Some(t) = self.requests.get_mut(&request) else {
-            return;
-        };
-        let moot = t.client.is_none() || left <= 0.0 || attempt >= self.settings.max_attempts;
-        if moot || timeout < 0.0 {
-            let outcome = if moot {
-                Outcome::Moot
-            } else {
-                Outcome::Timeout
-            };
-            return self.ended(now, (request, attempt), outcome, &Load::new());
-        }
-        out.push(Command::SetTimer {
-            at: now + wait,
-            timer: RequestTimer::AttemptTimeout { request, attempt },
-        });
-        if let (Some(keeping), Some(asker)) = (&mut self.keeping, &t.asker) {
-            let writes =
-                keeping
-                    .ledger
-                    .intend(now, &asker.asked(), &self.names[number], t.deadline);
-            let id = &t.payload.id;
-            let wait = if cleared {
-                WriteWaiter::NoWaiter {
-                    request_id: id.clone(),
-                }
-            } else {
-                WriteWaiter::Attempt {
-                    attempt: attempt_id,
-                }
-            };
-            self.writes.push((writes, wait));
-            if !cleared {
-                out.push(Command::SetTimer {
-                    at: now + keeping.patience,
-                    timer: RequestTimer::DurabilityTimeout {
-                        attempt: attempt_id,
-                    },
-                });
-                return;
-            }
-        }
-        out.push(Command::StartAttempt {
-            attempt: attempt_id,
-            worker: *address,
-            payload: t.payload.clone(),
-            deadline: until,
-        });
-    }
-
-    /// Gives an attempt up towards its worker, if it has not ended.
-    pub(super) fn abandon(&mut self, request: RequestId, attempt: u16, out: &mut Vec<Command>) {
-        let Some(t) = self.requests.get(&request) else {
-            return;
-        };
-        if let Some(a) = t.attempts.get(attempt as usize).filter(|a| !a.ended) {
-            if !a.cleared {
-                return; // its attempt was never started
-            }
-            let address = self.workers[a.worker];
-            out.push(Command::CancelAttempt {
-                attempt: a.attempt_id,
-                worker: address,
-                payload: t.payload.clone(),
-                accepted: a.accepted,
-            });
-        }
+    /// Returns how durably requests of a class are recorded.
+    pub(super) fn class_durability(&self, class: u8) -> Durability {
+        self.durability
+            .as_ref()
+            .map_or(Durability::None, |policy| policy.class_durability(class))
     }
 }
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -1,9 +1,11 @@
-//! What two processes of this node tell each other of requests, and how a request moves from one to the other.
+//! Migration of a request in flight to a sibling process of this node.
 
 use super::durability::Durability;
-use super::in_flight::{Attempt, InFlightRequest, RequestManager, SiblingRequest, worker_id};
-use crate::decision::interface::{Event, MigratedRequest, Outcome, SiblingEvent, sound};
-use crate::net::messages::{ClientId, Command, Load, Payload, RequestTimer};
+use super::in_flight::{Attempt, AttemptKey, InFlightRequest};
+use super::manager::RequestManager;
+use super::siblings::BudgetCounting;
+use crate::decision::interface::{Event, MigratedRequest, RequestId};
+use crate::net::messages::{Answer, ClientId, Command, Payload, RequestTimer};
 use postproxy_handover::StateUpdate;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -11,382 +13,256 @@
 #[cfg(test)]
 mod tests;
 
-/// So many of the latest requests and further attempts are told to another process: budgets count no more.
-const MOST_PAST: usize = 8192;
+/// Difference in seconds up to which the clocks of two processes count as equal. Each sets its clock at its start by
+/// the system's; a larger difference is taken for a step of the system's clock between the starts, and made up for.
+const CLOCK_TOLERANCE_SECONDS: f64 = 0.05;
 
-/// Two processes' clocks, each set at its start, show the same but for so many seconds; what is beyond is taken for
-/// a step of the system's clock between the starts.
-const CLOCKS_APART: f64 = 0.05;
-
-/// A request on its way to another process of this node.
+/// A request as it is encoded for a sibling, which may run another version: order and types of the fields must not
+/// change. Times are those of the sender's clock.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-pub(super) struct Moved {
-    /// The time there.
-    pub(super) now: f64,
+pub(super) struct EncodedRequest {
+    /// The time at which it was encoded.
+    pub(super) sender_now: f64,
     pub(super) payload: Payload,
+    /// Index of the class in the settings.
     pub(super) class: u8,
+    /// When the client stops waiting.
     pub(super) deadline: f64,
-    pub(super) attempts: Vec<MovedAttempt>,
+    pub(super) attempts: Vec<EncodedAttempt>,
+    /// Whether an attempt has ended that may have run.
     pub(super) may_have_run: bool,
-    pub(super) need: f64,
-    pub(super) hint: Option<f64>,
-    pub(super) carried: MigratedRequest,
+    pub(super) slots: f64,
+    /// Expected work in seconds, if the client has given it.
+    pub(super) expected_work: Option<f64>,
+    /// What the dispatcher notes of the request.
+    pub(super) dispatcher_state: MigratedRequest,
 }
 
+/// An attempt of an [`EncodedRequest`].
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-pub(super) struct MovedAttempt {
+pub(super) struct EncodedAttempt {
+    /// Name of the worker: indices differ between processes.
     pub(super) worker: String,
-    pub(super) sent: f64,
-    pub(super) until: f64,
+    pub(super) sent_at: f64,
+    /// When the attempt ends for want of an answer.
+    pub(super) deadline: f64,
     pub(super) written: bool,
     pub(super) ended: bool,
 }
 
-impl RequestManager {
-    /// Tells other processes of this node, if there are any.
-    pub(super) fn tell(&mut self, tale: impl FnOnce() -> StateUpdate) {
-        if self.linked {
-            self.tales.push(tale());
-        }
+impl EncodedRequest {
+    /// Whether the parts of the request agree with each other.
+    fn is_consistent(&self) -> bool {
+        self.attempts.len() == self.dispatcher_state.workers.len() && self.deadline.is_finite()
     }
 
-    /// Whether other processes of this node are linked, which are to be told what changes from now on.
-    pub fn set_siblings_linked(&mut self, linked: bool) {
-        self.linked = linked;
-    }
-
-    /// All that another process of this node must know of what is so now; budgets count it as old.
-    pub fn snapshot_updates(&self, now: f64) -> Vec<StateUpdate> {
-        let ago = |at: f64| (now - at) as f32;
-        let banned = self.banned.iter();
-        let mut tales: Vec<StateUpdate> = banned
-            .map(|&w| StateUpdate::Use {
-                worker: self.names[w].clone(),
-                again: false,
-            })
-            .collect();
-        let (taken, further) = self.dispatcher.past(MOST_PAST);
-        let agos = |times: Vec<f64>| times.into_iter().map(ago).collect();
-        tales.push(StateUpdate::Past {
-            taken: agos(taken),
-            further: agos(further),
-        });
-        for t in self.requests.values() {
-            let id = &t.payload.id;
-            tales.push(StateUpdate::Taken {
-                id: id.clone(),
-                counts: false,
-            });
-            let out = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
-            tales.extend(out.map(|(a, attempt)| self.sent(now, t, a, attempt, false)));
-        }
-        // What comes from a third process.
-        for (id, d) in &self.distant {
-            tales.push(StateUpdate::Taken {
-                id: id.clone(),
-                counts: false,
-            });
-            tales.extend(d.out.iter().map(|&(attempt, worker)| {
-                let (id, worker) = (id.clone(), self.names[worker].clone());
-                StateUpdate::Sent {
-                    id,
-                    attempt,
-                    worker,
-                    need: 1.0,
-                    work: 0.0,
-                    ago: 0.0,
-                    counts: false,
-                }
-            }));
+    /// Converts all times from the sender's clock to this process's.
+    fn adjust_clock(&mut self, now: f64) {
+        let difference = now - self.sender_now;
+        let shift = if difference.abs() > CLOCK_TOLERANCE_SECONDS {
+            difference
+        } else {
+            0.0
+        };
+        self.dispatcher_state.shift(shift);
+        self.deadline += shift;
+        for attempt in &mut self.attempts {
+            attempt.sent_at += shift;
+            attempt.deadline += shift;
         }
-        tales
     }
+}
 
-    /// The clients whose requests can move to another process now: no attempt is on its way to its worker,
-    /// and nothing of them is kept here.
+impl RequestManager {
+    /// Returns the clients whose requests can migrate now. A request whose attempt is on its way to a worker can't, as
+    /// nobody would know whether the worker has accepted it; nor can one that is recorded or that others wait for.
     pub fn migratable_clients(&self) -> Vec<ClientId> {
-        let moves = |t: &InFlightRequest| {
-            t.asker.is_none()
-                && t.joined.is_empty()
-                && t.attempts.iter().all(|a| a.ended || a.accepted)
+        let can_migrate = |in_flight: &InFlightRequest| {
+            in_flight.fingerprint.is_none()
+                && in_flight.waiters.is_empty()
+                && in_flight
+                    .open_attempts()
+                    .all(|(_, attempt)| attempt.accepted)
         };
-        let client = |t: &InFlightRequest| t.client.filter(|_| moves(t));
-        self.requests.values().filter_map(client).collect()
+        self.requests
+            .values()
+            .filter(|in_flight| can_migrate(in_flight))
+            .filter_map(|in_flight| in_flight.client)
+            .collect()
     }
 
-    /// Lets a client's request go: what another process needs to go on with it.
+    /// Removes a client's request, and returns it as a sibling process takes it over.
     pub fn release_request(&mut self, now: f64, client: ClientId) -> Option<Vec<u8>> {
-        let request = *self.by_client.get(&client)?;
-        let carried = self.dispatcher.release(request)?;
-        let t = self.requests.remove(&request)?;
-        self.by_client.remove(&client);
-        self.by_id.remove(&t.payload.id);
-        for a in &t.attempts {
-            self.by_attempt.remove(&a.attempt_id);
+        let request = *self.requests_by_client.get(&client)?;
+        let dispatcher_state = self.dispatcher.release(request)?;
+        let released = self.requests.remove(&request)?;
+        self.requests_by_client.remove(&client);
+        self.requests_by_id.remove(&released.payload.id);
+        for attempt in &released.attempts {
+            self.attempts.remove(&attempt.id);
         }
-        let attempt = |a: &Attempt| MovedAttempt {
-            worker: self.names[a.worker].clone(),
-            sent: a.sent,
-            until: a.until,
-            written: a.written,
-            ended: a.ended,
+        let encode_attempt = |attempt: &Attempt| EncodedAttempt {
+            worker: self.workers.name(attempt.worker).to_owned(),
+            sent_at: attempt.sent_at,
+            deadline: attempt.deadline,
+            written: attempt.written,
+            ended: attempt.ended,
         };
-        let attempts = t.attempts.iter().map(attempt).collect();
-        let payload = Rc::unwrap_or_clone(t.payload);
-        let (class, may_have_run) = (t.class, t.may_have_run);
-        let (deadline, need, hint) = (t.deadline, t.need, t.hint);
-        let moved = Moved {
-            now,
-            payload,
-            class,
-            deadline,
-            attempts,
-            may_have_run,
-            need,
-            hint,
-            carried,
+        let encoded = EncodedRequest {
+            sender_now: now,
+            attempts: released.attempts.iter().map(encode_attempt).collect(),
+            payload: Rc::unwrap_or_clone(released.payload),
+            class: released.class,
+            deadline: released.deadline,
+            may_have_run: released.may_have_run,
+            slots: released.slots,
+            expected_work: released.expected_work,
+            dispatcher_state,
         };
-        postcard::to_stdvec(&moved).ok()
+        postcard::to_stdvec(&encoded).ok()
     }
 
-    /// Goes on with a request of another process; `None` if it can't be read. Without its client nothing new begins,
-    /// and what is out is given up.
-    pub(super) fn carry_on(
+    /// Takes over a sibling's request. If it can't be taken over, its client is answered that it has failed.
+    pub(super) fn handle_request_migrated(
         &mut self,
         now: f64,
         link: usize,
         client: Option<ClientId>,
-        job: &[u8],
+        encoded: &[u8],
+        out: &mut Vec<Command>,
+    ) {
+        match self.decode_migrated_request(now, link, encoded, out) {
+            Some(migrated) => self.resume_migrated_request(now, client, migrated, out),
+            None => out.extend(client.map(|client| Command::AnswerClient {
+                client,
+                answer: Answer::Failed,
+            })),
+        }
+    }
+
+    /// Decodes a sibling's request, which is the sibling's no more; `None` if it can't be taken over.
+    fn decode_migrated_request(
+        &mut self,
+        now: f64,
+        link: usize,
+        encoded: &[u8],
         out: &mut Vec<Command>,
-    ) -> Option<()> {
-        let mut moved: Moved = postcard::from_bytes(job).ok()?;
-        let id = moved.payload.id.clone();
-        self.heard(now, link, StateUpdate::Over { id: id.clone() }, out);
-        let sound =
-            moved.attempts.len() == moved.carried.workers.len() && moved.deadline.is_finite();
-        if !sound
-            || self.by_id.contains_key(&id)
-            || self.settings.classes.len() <= moved.class as usize
-        {
+    ) -> Option<EncodedRequest> {
+        let mut migrated: EncodedRequest = postcard::from_bytes(encoded).ok()?;
+        let id = migrated.payload.id.clone();
+        self.handle_sibling_update(now, link, StateUpdate::Over { id }, out);
+        let is_acceptable = migrated.is_consistent()
+            && !self.requests_by_id.contains_key(&migrated.payload.id)
+            && (migrated.class as usize) < self.settings.classes.len();
+        if !is_acceptable {
             return None;
         }
-        let apart = now - moved.now;
-        let shift = if apart.abs() > CLOCKS_APART {
-            apart
-        } else {
-            0.0
-        };
-        moved.carried.shift(shift);
-        moved
-            .carried
-            .set_keyless(moved.payload.idempotency_key.is_none());
+        migrated.adjust_clock(now);
+        let keyless = migrated.payload.idempotency_key.is_none();
+        migrated.dispatcher_state.set_keyless(keyless);
+        Some(migrated)
+    }
+
+    /// Goes on with a sibling's request. Without its client, no attempt is started, and those that are out are
+    /// cancelled.
+    fn resume_migrated_request(
+        &mut self,
+        now: f64,
+        client: Option<ClientId>,
+        mut migrated: EncodedRequest,
+        out: &mut Vec<Command>,
+    ) {
         let request = self.next_request;
         self.next_request += 1;
-        let mut attempts = Vec::new();
-        for (a, number) in moved.attempts.iter().zip(0u16..) {
-            let worker = self.number(&a.worker);
-            let (attempt_id, sent, until) = (self.next_attempt, a.sent + shift, a.until + shift);
-            self.next_attempt += 1;
-            moved.carried.workers[number as usize] = worker_id(worker);
-            let (cleared, written, ended) = (true, a.written, a.ended);
-            attempts.push(Attempt {
-                worker,
-                attempt_id,
-                sent,
-                until,
-                cleared,
-                written,
-                accepted: written,
-                ended,
-                // How it ended is not told; a call on it may be repeated.
-                returned: written && ended,
-            });
-            if !ended {
-                self.by_attempt.insert(attempt_id, (request, number));
-                out.push(Command::SetTimer {
-                    at: until,
-                    timer: RequestTimer::AttemptTimeout {
-                        request,
-                        attempt: number,
-                    },
-                });
-            }
-        }
-        self.by_id.insert(id, request);
-        self.by_client
+        let attempts = self.add_migrated_attempts(request, &mut migrated, out);
+        self.requests_by_id
+            .insert(migrated.payload.id.clone(), request);
+        self.requests_by_client
             .extend(client.map(|client| (client, request)));
-        let t = InFlightRequest {
-            payload: Rc::new(moved.payload),
+        let in_flight = InFlightRequest {
+            payload: Rc::new(migrated.payload),
             client,
-            deadline: moved.deadline + shift,
+            deadline: migrated.deadline,
             attempts,
-            class: moved.class,
-            care: Durability::None,
-            asker: None,
-            joined: Vec::new(),
-            may_have_run: moved.may_have_run,
-            need: moved.need,
-            hint: moved.hint,
+            class: migrated.class,
+            durability: Durability::None,
+            fingerprint: None,
+            waiters: Vec::new(),
+            may_have_run: migrated.may_have_run,
+            slots: migrated.slots,
+            expected_work: migrated.expected_work,
             span: tracing::Span::none(),
         };
-        self.tales.push(StateUpdate::Taken {
-            id: t.payload.id.clone(),
-            counts: false,
-        });
-        let open = t.attempts.iter().zip(0..).filter(|(a, _)| !a.ended);
-        let open: Vec<StateUpdate> = open
-            .map(|(a, attempt)| self.sent(now, &t, a, attempt, false))
-            .collect();
-        self.tales.extend(open);
-        let out_there: Vec<u16> = t
-            .attempts
-            .iter()
-            .zip(0..)
-            .filter(|(a, _)| !a.ended)
-            .map(|(_, n)| n)
+        let open_attempts: Vec<u16> = in_flight
+            .open_attempts()
+            .map(|(number, _)| number)
             .collect();
-        self.requests.insert(request, t);
+        self.push_migrated_request_updates(now, &in_flight);
+        self.requests.insert(request, in_flight);
         if client.is_some() {
-            self.events.push_back(Event::MigratedRequest {
+            self.dispatcher_events.push_back(Event::MigratedRequest {
                 request,
-                carried: Box::new(moved.carried),
+                carried: Box::new(migrated.dispatcher_state),
             });
-            return Some(());
+            return;
         }
-        self.touched.push(request);
+        self.maybe_complete.push(request);
         if self.settings.may_cancel {
-            for attempt in out_there {
-                self.abandon(request, attempt, out);
-                self.ended(now, (request, attempt), Outcome::Cancelled, &Load::new());
+            for attempt in open_attempts {
+                self.cancel_attempt(now, AttemptKey { request, attempt }, out);
             }
         }
-        Some(())
-    }
-
-    pub(super) fn sent(
-        &self,
-        now: f64,
-        t: &InFlightRequest,
-        a: &Attempt,
-        attempt: u16,
-        counts: bool,
-    ) -> StateUpdate {
-        let (id, worker) = (t.payload.id.clone(), self.names[a.worker].clone());
-        let (need, work) = (t.need as f32, t.hint.unwrap_or(0.0) as f32);
-        StateUpdate::Sent {
-            id,
-            attempt,
-            worker,
-            need,
-            work,
-            ago: (now - a.sent) as f32,
-            counts,
-        }
     }
 
-    /// Takes in what another process of this node tells, and passes on what is new to the others.
-    pub(super) fn heard(
+    /// Returns the attempts of a sibling's request under ids of this process, and sets the timers of those that are
+    /// out. The dispatcher's state is given this process's ids of their workers.
+    fn add_migrated_attempts(
         &mut self,
-        now: f64,
-        link: usize,
-        tale: StateUpdate,
+        request: RequestId,
+        migrated: &mut EncodedRequest,
         out: &mut Vec<Command>,
-    ) {
-        let then = |ago: f32| now - f64::from(ago).max(0.0);
-        let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
-        match &tale {
-            StateUpdate::Use { worker, again } => {
-                // It may be known there before this process has it from the list.
-                self.number(worker);
-                self.employ(now, worker, *again, out);
-                return;
-            }
-            StateUpdate::Past { taken, further } => {
-                let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
-                tell(SiblingEvent::Past {
-                    taken: times(taken),
-                    further: times(further),
-                });
-            }
-            StateUpdate::Taken { id, counts } => {
-                if *counts {
-                    tell(SiblingEvent::Past {
-                        taken: vec![now],
-                        further: Vec::new(),
-                    });
-                }
-                let distant = SiblingRequest {
-                    link,
-                    request: self.next_request,
-                    out: Vec::new(),
-                };
-                self.next_request += 1;
-                self.distant.entry(id.clone()).or_insert(distant);
-            }
-            StateUpdate::Sent {
+    ) -> Vec<Attempt> {
+        let mut attempts = Vec::new();
+        let workers = &mut migrated.dispatcher_state.workers;
+        for ((number, encoded), worker_id) in (0u16..).zip(&migrated.attempts).zip(workers) {
+            let worker = self.workers.find_or_add(&encoded.worker);
+            let id = self.next_attempt;
+            self.next_attempt += 1;
+            *worker_id = worker.id();
+            attempts.push(Attempt {
                 id,
-                attempt,
                 worker,
-                need,
-                work,
-                ago,
-                counts,
-            } => {
-                let number = self.number(worker);
-                let Some(d) = self.distant.get_mut(id) else {
-                    return;
-                };
-                d.out.push((*attempt, number));
-                let (request, attempt, worker, sent) =
-                    (d.request, *attempt, worker_id(number), then(*ago));
-                let (need, work) = (f64::from(*need), sound((*work).into()).filter(|w| *w > 0.0));
-                let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
-                tell(SiblingEvent::Sent {
-                    request,
-                    attempt,
-                    worker,
-                    need,
-                    work,
-                    sent,
-                });
-                if *counts && attempt > 0 {
-                    tell(SiblingEvent::Past {
-                        taken: Vec::new(),
-                        further: vec![now],
-                    });
-                }
-            }
-            StateUpdate::Ended { id, attempt } => {
-                let Some(d) = self.distant.get_mut(id) else {
-                    return;
-                };
-                let Some(at) = d.out.iter().position(|(a, _)| a == attempt) else {
-                    return;
-                };
-                let (attempt, worker) = d.out.swap_remove(at);
-                tell(SiblingEvent::Ended {
-                    request: d.request,
-                    attempt,
-                    worker: worker_id(worker),
+                sent_at: encoded.sent_at,
+                deadline: encoded.deadline,
+                may_start: true,
+                written: encoded.written,
+                // Only decided attempts migrate: one that was written and has not ended was accepted.
+                accepted: encoded.written,
+                ended: encoded.ended,
+                // Whether it was returned is not encoded; its call-back may be repeated.
+                returned: encoded.written && encoded.ended,
+            });
+            if !encoded.ended {
+                let attempt = number;
+                self.attempts.insert(id, AttemptKey { request, attempt });
+                out.push(Command::SetTimer {
+                    at: encoded.deadline,
+                    timer: RequestTimer::AttemptTimeout { request, attempt },
                 });
             }
-            StateUpdate::Over { id } => {
-                let Some(d) = self.distant.remove(id) else {
-                    return;
-                };
-                for (attempt, worker) in d.out {
-                    tell(SiblingEvent::Ended {
-                        request: d.request,
-                        attempt,
-                        worker: worker_id(worker),
-                    });
-                }
-            }
-            StateUpdate::Drain { .. } | StateUpdate::List(_) => return, // the node's own
         }
-        out.push(Command::UpdateSiblings {
-            except: Some(link),
-            update: tale,
-        });
+        attempts
+    }
+
+    /// Tells the siblings that the request is this process's now.
+    fn push_migrated_request_updates(&mut self, now: f64, in_flight: &InFlightRequest) {
+        let mut updates = vec![StateUpdate::Taken {
+            id: in_flight.payload.id.clone(),
+            counts: false,
+        }];
+        updates.extend(in_flight.open_attempts().map(|(number, _)| {
+            self.attempt_sent_update(now, in_flight, number, BudgetCounting::Counted)
+        }));
+        self.sibling_updates.extend(updates);
     }
 }
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -1,8 +1,8 @@
-//! Pins the bytes of a request that moves to another process of the node: the field `job` of the handover's message `Job`.
+//! Pins the bytes of a request that migrates to a sibling process of the node: the field `job` of the handover's message `Job`.
 //! The other process may run another version of the program, so these bytes must not change with a rename. The literals
 //! were written by the version before the renames.
 
-use super::{Moved, MovedAttempt};
+use super::{EncodedAttempt, EncodedRequest};
 use crate::decision::interface::{MigratedRequest, WorkerId};
 use crate::decision::request::{Attempt, Request, State};
 use crate::net::messages::Payload;
@@ -139,52 +139,52 @@
 }
 
 #[test]
-fn moved_request_keeps_its_bytes() {
+fn migrated_request_keeps_its_bytes() {
     let workers = vec![WorkerId {
         address: [127, 0, 0, 1],
         port: 9000,
     }];
-    let out = MovedAttempt {
+    let attempt = EncodedAttempt {
         worker: "w-1".into(),
-        sent: 1.5,
-        until: 9.5,
+        sent_at: 1.5,
+        deadline: 9.5,
         written: true,
         ended: false,
     };
-    let moved = Moved {
-        now: 103.0,
+    let migrated = EncodedRequest {
+        sender_now: 103.0,
         payload: payload(),
         class: 1,
         deadline: 112.0,
-        attempts: vec![out],
+        attempts: vec![attempt],
         may_have_run: true,
-        need: 2.0,
-        hint: Some(0.5),
-        carried: MigratedRequest {
+        slots: 2.0,
+        expected_work: Some(0.5),
+        dispatcher_state: MigratedRequest {
             request: request(),
             workers,
         },
     };
     pin(
-        moved,
+        migrated,
         "0000000000c05940036a2d3104504f5354072f72656e64657201036b2d31030102ff010000000000005c400103772d31000000000000f83f0000000000002340010001000000000000004001000000000000e03f010000000000000040000000000000d03f000000000000e03f000000000000c03f00000000000059400000000000005c4001ac02028304000000000000f83f000100000000000004400000000000000c40010002030401050000000000405940ad02010607000000000080594001017f000001a846",
     );
-    let moved = Moved {
-        now: 0.0,
+    let migrated = EncodedRequest {
+        sender_now: 0.0,
         payload: Payload::default(),
         class: 0,
         deadline: 0.0,
         attempts: Vec::new(),
         may_have_run: false,
-        need: 0.0,
-        hint: None,
-        carried: MigratedRequest {
+        slots: 0.0,
+        expected_work: None,
+        dispatcher_state: MigratedRequest {
             request: Request::default(),
             workers: Vec::new(),
         },
     };
     pin(
-        moved,
+        migrated,
         "00000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
     );
 }
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -1,201 +1,137 @@
-//! Workers by name and number: what the list, operators and probes say of them, and what is taken back with that.
+//! Changes of the worker list, and suspension of workers by operators.
 
-use super::in_flight::{InFlightRequest, RequestManager, Unwritten, number, worker_id};
-use crate::decision::interface::{Entry, Event, Health, ListKind, Outcome, RequestId};
-use crate::net::messages::{AttemptEnd, Command, ListedWorker, Load, ManagementReply};
+use super::manager::RequestManager;
+use super::worker_table::WorkerIndex;
+use crate::decision::interface::{Entry, Event, Health, ListKind};
+use crate::net::messages::{Command, ListedWorker, ManagementReply};
 use postproxy_handover::StateUpdate;
 use std::collections::BTreeSet;
 
-/// A worker is given so many times the time of a connection to tell its load; then it counts as silent.
-const PROBE_DIALS: f64 = 4.0;
-
-/// Where a worker is that the list has not named yet: nobody is reached there, and none is sent there.
-const NOWHERE: std::net::SocketAddr = std::net::SocketAddr::V4(std::net::SocketAddrV4::new(
-    std::net::Ipv4Addr::UNSPECIFIED,
-    0,
-));
-
-/// The name that settings have for a figure of this name on the sockets.
-fn field(name: &str) -> &str {
-    match name {
-        "queue" => "backlog",
-        "eps" => "errors_per_s",
-        "inflight" => "outstanding",
-        "util" => "utilization",
-        "latency_ms" => "recent_ms",
-        "qps" => "throughput",
-        name => name,
-    }
-}
-
 impl RequestManager {
-    /// Workers that operators have taken out of use.
+    /// Returns the names of the workers that operators have suspended.
     pub fn suspended_workers(&self) -> Vec<String> {
-        self.banned
-            .iter()
-            .map(|&worker| self.names[worker].clone())
-            .collect()
+        self.workers.suspended_names().collect()
     }
 
-    /// Takes a worker out of use, or back into it. What runs there ends there; what has not been sent whole
-    /// goes elsewhere.
-    pub(super) fn employ(
+    /// Takes over a worker list, and withdraws what has not been sent to workers that are leaving.
+    pub(super) fn handle_worker_list(
         &mut self,
         now: f64,
-        name: &str,
-        again: bool,
+        kind: ListKind,
+        workers: Vec<ListedWorker>,
         out: &mut Vec<Command>,
-    ) -> ManagementReply {
-        let Some(&worker) = self.numbers.get(name) else {
-            return ManagementReply::NotFound;
-        };
-        if again != self.banned.contains(&worker) {
-            return ManagementReply::Done;
-        }
-        tracing::info!(worker = name, again, "an operator's word on a worker's use");
-        self.tell(|| StateUpdate::Use {
-            worker: name.to_owned(),
-            again,
-        });
-        if again {
-            self.banned.remove(&worker);
-        } else {
-            self.banned.insert(worker);
-        }
-        // First of all: what comes back now must not go there again.
-        self.events.push_back(Event::Use {
-            worker: worker_id(worker),
-            again,
-        });
-        out.push(Command::CloseIdleConnections {
-            worker: self.workers[worker],
-        });
-        if !again {
-            let unwritten = self.unwritten_to(&BTreeSet::from([worker]));
-            self.withdraw(now, unwritten, out);
+    ) {
+        let entries: Vec<Entry> = workers
+            .into_iter()
+            .map(|worker| self.update_worker(worker))
+            .collect();
+        let leaving = self.leaving_workers(kind, &entries);
+        let unwritten = self.unwritten_attempts_to(&leaving);
+        self.dispatcher_events
+            .push_back(Event::List { kind, entries });
+        self.withdraw_attempts(now, unwritten, out);
+    }
+
+    /// Takes over a worker's address, and returns its entry as the dispatcher takes it.
+    fn update_worker(&mut self, listed: ListedWorker) -> Entry {
+        let worker = self.workers.find_or_add(&listed.id);
+        self.workers.set_address(worker, listed.address);
+        Entry {
+            worker: worker.id(),
+            ..listed.entry
         }
-        ManagementReply::Done
     }
 
-    /// Workers that a list says want nothing new. What it does not name has gone, if it is the whole list.
-    pub(super) fn leaving(&self, kind: ListKind, entries: &[Entry]) -> BTreeSet<usize> {
-        let of = |wanted: bool| {
-            let fits = move |e: &&Entry| (e.health == Health::Ready) == wanted;
+    /// Returns the workers that are to get no further requests after a list: in a full list, all that it does not name
+    /// as ready; in any other, those that it names as not ready.
+    fn leaving_workers(&self, kind: ListKind, entries: &[Entry]) -> BTreeSet<WorkerIndex> {
+        let (ready, not_ready): (Vec<&Entry>, Vec<&Entry>) = entries
+            .iter()
+            .partition(|entry| entry.health == Health::Ready);
+        let indices = |entries: Vec<&Entry>| -> BTreeSet<WorkerIndex> {
             entries
-                .iter()
-                .filter(fits)
-                .map(|e| number(e.worker))
-                .collect::<BTreeSet<usize>>()
+                .into_iter()
+                .map(|entry| WorkerIndex::from_id(entry.worker))
+                .collect()
         };
         match kind {
             ListKind::Full => {
-                let ready = of(true);
-                (0..self.workers.len())
+                let ready = indices(ready);
+                self.workers
+                    .indices()
                     .filter(|worker| !ready.contains(worker))
                     .collect()
             }
-            _ => of(false),
+            _ => indices(not_ready),
         }
     }
 
-    /// Danger: what counts for a drain is the first byte, and a connection may take longer to come up than the drain allows.
-    pub(super) fn unwritten_to(&self, workers: &BTreeSet<usize>) -> Vec<Unwritten> {
-        if workers.is_empty() {
-            return Vec::new();
-        }
-        let to_them = |(&request, t): (&RequestId, &InFlightRequest)| {
-            let to_one = |u: &Unwritten| workers.contains(&t.attempts[u.attempt as usize].worker);
-            t.unwritten(request).filter(to_one).collect::<Vec<_>>()
-        };
-        self.requests.iter().flat_map(to_them).collect()
-    }
-
-    /// Takes attempts back whose last byte has not been written. This gives up nothing that runs, so that it needs no leave
-    /// to cancel.
-    pub(super) fn withdraw(&mut self, now: f64, attempts: Vec<Unwritten>, out: &mut Vec<Command>) {
-        for Unwritten {
-            request,
-            attempt,
-            attempt_id,
-            cleared,
-        } in attempts
-        {
-            if cleared {
-                out.push(Command::WithdrawAttempt {
-                    attempt: attempt_id,
-                });
-            } else {
-                self.ended(now, (request, attempt), Outcome::Moot, &Load::new());
+    /// Suspends or resumes a worker for a request of the management API, and answers that request.
+    pub(super) fn handle_suspension_requested(
+        &mut self,
+        now: f64,
+        caller: usize,
+        name: &str,
+        resume: bool,
+        out: &mut Vec<Command>,
+    ) {
+        let reply = match self.workers.find(name) {
+            Some(worker) => {
+                self.change_suspension(now, worker, resume, out);
+                ManagementReply::Done
             }
-        }
+            None => ManagementReply::NotFound,
+        };
+        out.push(Command::ReplyToManagement { caller, reply });
     }
 
-    /// Asks a worker for its load.
-    pub(super) fn probe(&mut self, now: f64, worker: usize, out: &mut Vec<Command>) {
-        let attempt_id = self.next_attempt;
-        self.next_attempt += 1;
-        self.probes.insert(attempt_id, (worker, now));
-        out.push(Command::ProbeWorker {
-            attempt: attempt_id,
-            worker: self.workers[worker],
-            timeout: PROBE_DIALS * self.settings.dial_timeout,
-        });
+    /// Suspends or resumes a worker as the cluster or a sibling has done, who may know it before this process has it
+    /// from a worker list.
+    pub(super) fn handle_suspension_learned(
+        &mut self,
+        now: f64,
+        name: &str,
+        resume: bool,
+        out: &mut Vec<Command>,
+    ) {
+        let worker = self.workers.find_or_add(name);
+        self.change_suspension(now, worker, resume, out);
     }
 
-    /// What became of it. A shortage here says nothing of the worker.
-    pub(super) fn probed(&mut self, worker: usize, end: AttemptEnd, elapsed: f64, load: &Load) {
-        let outcome = match end {
-            AttemptEnd::Accepted => Outcome::Ok,
-            AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
-            AttemptEnd::NeverSent => Outcome::ConnectFailed,
-            AttemptEnd::Reset => Outcome::Timeout,
-            AttemptEnd::RejectedUnstarted | AttemptEnd::RejectedAmbiguous | AttemptEnd::Error => {
-                Outcome::Error
-            }
-        };
-        let (worker, report) = (worker_id(worker), self.report(load));
-        self.events.push_back(Event::Probed {
-            worker,
-            outcome,
-            elapsed,
-            report,
+    /// Suspends or resumes a worker, unless that is so already. Requests that run at a suspended worker end there;
+    /// those that have not been sent completely go to another one.
+    fn change_suspension(
+        &mut self,
+        now: f64,
+        worker: WorkerIndex,
+        resume: bool,
+        out: &mut Vec<Command>,
+    ) {
+        if resume != self.workers.is_suspended(worker) {
+            return;
+        }
+        let name = self.workers.name(worker).to_owned();
+        tracing::info!(worker = name, resume, "worker suspension changed");
+        self.notify_siblings(|| StateUpdate::Use {
+            worker: name,
+            again: resume,
         });
-    }
-
-    /// A load report in the settings' order; figures that are not there are no numbers, never 0.
-    pub fn report(&self, load: &Load) -> Vec<f32> {
-        let figure = |wanted: &String| {
-            let found = load
-                .iter()
-                .find(|(name, _)| field(name) == wanted || name == wanted);
-            found.map_or(f32::NAN, |(_, value)| *value as f32)
-        };
-        let report: Vec<f32> = self.settings.field_names.iter().map(figure).collect();
-        if report.iter().all(|figure| figure.is_nan()) {
-            Vec::new()
+        if resume {
+            self.workers.resume(worker);
         } else {
-            report
-        }
-    }
-
-    /// The number of the worker of this name, which may be new.
-    pub(super) fn number(&mut self, name: &str) -> usize {
-        if let Some(&at) = self.numbers.get(name) {
-            return at;
+            self.workers.suspend(worker);
         }
-        let at = self.workers.len();
-        self.numbers.insert(name.to_owned(), at);
-        self.workers.push(NOWHERE);
-        self.names.push(name.to_owned());
-        at
-    }
-
-    pub(super) fn member(&mut self, member: ListedWorker) -> Entry {
-        let at = self.number(&member.id);
-        self.workers[at] = member.address;
-        Entry {
-            worker: worker_id(at),
-            ..member.entry
+        // Before any attempt is withdrawn: what is withdrawn must not go to the same worker again.
+        self.dispatcher_events.push_back(Event::Use {
+            worker: worker.id(),
+            again: resume,
+        });
+        out.push(Command::CloseIdleConnections {
+            worker: self.workers.address(worker),
+        });
+        if !resume {
+            let unwritten = self.unwritten_attempts_to(&BTreeSet::from([worker]));
+            self.withdraw_attempts(now, unwritten, out);
         }
     }
 }
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -5,7 +5,7 @@
     Answer, AttemptEnd, AttemptId, CallbackState, Command, Input, ListedWorker, Load, Payload,
     RequestTimer, Submission, WorkerCallback, WriteWaiter,
 };
-use postproxy::net::requests::durability::DurabilityPolicy;
+use postproxy::net::requests::durability::{Durability, DurabilityPolicy};
 use postproxy::net::requests::manager::RequestManager;
 use postproxy::{Entry, ListKind, Settings};
 use postproxy_idempotency::{Limits, RequestLog, Write, result_key};
@@ -46,7 +46,12 @@
             .for_each(|(key, value)| _ = ledger.load(key, value));
         let nothing_ran = ledger.loaded();
         let mut hub = RequestManager::new(settings.clone(), 7).expect("a hub");
-        hub.enable_durability(DurabilityPolicy::new(&settings, ledger, 0.5, false));
+        hub.enable_durability(DurabilityPolicy::new(
+            &settings,
+            ledger,
+            0.5,
+            Durability::Relaxed,
+        ));
         let mut bed = Self {
             hub,
             now,
--- a/tests/transaction.rs
+++ b/tests/transaction.rs
@@ -406,16 +406,16 @@
     };
     let report = bed
         .hub
-        .report(&load(&[("x0", 3.0), ("inflight", 7.0), ("queue", 2.0)]));
+        .load_report(&load(&[("x0", 3.0), ("inflight", 7.0), ("queue", 2.0)]));
     assert_eq!((report[0], report[2], report[3]), (2.0, 7.0, 3.0));
     assert!(report[1].is_nan());
-    let report = bed.hub.report(&load(&[
+    let report = bed.hub.load_report(&load(&[
         ("backlog", 1.0),
         ("errors_per_s", 0.5),
         ("outstanding", 4.0),
     ]));
     assert_eq!(report[..3], [1.0, 0.5, 4.0]);
-    assert!(bed.hub.report(&load(&[("cpu", 1.0)])).is_empty());
+    assert!(bed.hub.load_report(&load(&[("cpu", 1.0)])).is_empty());
 }
 
 /// Guards against a ban that is forgotten with the list, that leaves unsent what was on its way there, or that
