--- a/benches/request_manager.rs
+++ b/benches/request_manager.rs
@@ -1,14 +1,18 @@
-//! The cost of a transaction in the hub, and what logs add to it.
+//! Cost of a request in the request manager, from its arrival to its end, and what logs add to it.
 //!
-//!     cargo bench --bench hub
+//!     cargo bench --bench request_manager
+
+#[path = "../tests/support/request_manager_harness.rs"]
+mod request_manager_harness;
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use postproxy::net::messages::{
-    AttemptEnd, CallbackState, Command, Input, ListedWorker, Load, Payload, Submission,
-    WorkerCallback,
+    AttemptEnd, CallbackState, Command, Input, Load, Payload, Submission, WorkerCallback,
 };
 use postproxy::net::requests::manager::RequestManager;
-use postproxy::{Entry, ListKind, Settings};
+use request_manager_harness::{
+    START, StartedAttempt, full_worker_list, request_manager, started_attempt,
+};
 use tracing_subscriber::EnvFilter;
 
 const SETTINGS: &str = r#"{
@@ -18,85 +22,56 @@
     "report": {"fields": ["backlog", "x0"], "via": "answers"},
     "extra": {"report-x0": "free slots"}}"#;
 
-fn hub() -> RequestManager {
-    let mut hub = RequestManager::new(Settings::from_json(SETTINGS).expect("sound settings"), 7)
-        .expect("a hub");
-    let member = |n: u16| ListedWorker {
-        id: format!("s-{n}"),
-        address: ([127, 0, 0, 1], 9000 + n).into(),
-        entry: Entry {
-            size: 1.0,
-            ..Entry::default()
-        },
-    };
-    let members = (0..9).map(member).collect();
-    hub.handle(
-        1000.0,
-        Input::WorkerListReceived {
-            kind: ListKind::Full,
-            workers: members,
-        },
-        &mut Vec::new(),
-    );
-    hub
+/// Number of the listed workers.
+const WORKERS: u16 = 9;
+/// Time that passes with each client number, in seconds.
+const CLIENT_NUMBER_SECONDS: f64 = 0.001;
+/// Connections of a request: the client's, and the next one is the call-back's.
+const CONNECTIONS_PER_REQUEST: u64 = 2;
+
+fn manager_with_workers() -> RequestManager {
+    let mut manager = request_manager(SETTINGS);
+    manager.handle(START, full_worker_list(WORKERS), &mut Vec::new());
+    manager
 }
 
-/// One job from its arrival to its end.
-fn job(hub: &mut RequestManager, n: u64, now: f64) {
+/// Runs one request from its arrival to its end.
+fn run_request(manager: &mut RequestManager, client: u64, now: f64) {
     let payload = Payload {
-        id: format!("job-{n}"),
+        id: format!("job-{client}"),
         method: "POST".into(),
         ..Payload::default()
     };
-    let mut out = Vec::new();
-    hub.handle(
-        now,
-        Input::RequestReceived {
-            client: n,
-            submission: Submission {
-                payload,
-                ..Submission::default()
-            },
-        },
-        &mut out,
-    );
-    let started = out.iter().find_map(|command| match command {
-        Command::StartAttempt {
-            attempt, worker, ..
-        } => Some((*attempt, worker.port() - 9000)),
-        _ => None,
-    });
-    let (attempt, worker) = started.expect("an attempt");
-    hub.handle(now, Input::AttemptWritten { attempt }, &mut out);
-    hub.handle(
-        now,
-        Input::ExchangeEnded {
-            attempt,
-            end: AttemptEnd::Accepted,
-            load: Load::new(),
-        },
-        &mut out,
-    );
-    let load = vec![("queue".to_owned(), 0.0), ("x0".to_owned(), 4.0)];
-    let state = CallbackState::Done(b"result".to_vec());
-    let call = WorkerCallback {
-        id: format!("job-{n}"),
-        from: format!("s-{worker}"),
-        state,
-        load,
+    let submission = Submission {
+        payload,
+        ..Submission::default()
+    };
+    let mut commands: Vec<Command> = Vec::new();
+    let submitted = Input::RequestReceived { client, submission };
+    manager.handle(now, submitted, &mut commands);
+    let StartedAttempt { attempt, worker } = started_attempt(&commands).expect("an attempt");
+    manager.handle(now, Input::AttemptWritten { attempt }, &mut commands);
+    let accepted = Input::ExchangeEnded {
+        attempt,
+        end: AttemptEnd::Accepted,
+        load: Load::new(),
+    };
+    manager.handle(now, accepted, &mut commands);
+    let callback = WorkerCallback {
+        id: format!("job-{client}"),
+        from: worker,
+        state: CallbackState::Done(b"result".to_vec()),
+        load: vec![("queue".to_owned(), 0.0), ("x0".to_owned(), 4.0)],
+    };
+    let called_back = Input::CallbackReceived {
+        client: client + 1,
+        callback,
     };
-    hub.handle(
-        now,
-        Input::CallbackReceived {
-            client: n + 1,
-            callback: call,
-        },
-        &mut out,
-    );
-    assert_eq!(hub.pending_count(), 0);
+    manager.handle(now, called_back, &mut commands);
+    assert_eq!(manager.pending_count(), 0);
 }
 
-fn jobs(c: &mut Criterion) {
+fn request_at_each_log_level(criterion: &mut Criterion) {
     let levels = [
         ("no subscriber", None),
         ("info, the default", Some("info")),
@@ -112,21 +87,25 @@
                 .with_writer(writer)
                 .finish()
         });
-        let run = |c: &mut Criterion| {
-            let (mut hub, mut n) = (hub(), 0);
-            c.bench_function(&format!("hub, logs: {name}"), |b| {
-                b.iter(|| {
-                    n += 2;
-                    job(&mut hub, n, 1000.0 + n as f64 * 0.001);
+        let measure = |criterion: &mut Criterion| {
+            let mut manager = manager_with_workers();
+            let mut client = 0;
+            criterion.bench_function(&format!("request manager, logs: {name}"), |bencher| {
+                bencher.iter(|| {
+                    client += CONNECTIONS_PER_REQUEST;
+                    let now = START + client as f64 * CLIENT_NUMBER_SECONDS;
+                    run_request(&mut manager, client, now);
                 });
             });
         };
         match subscriber {
-            Some(subscriber) => tracing::subscriber::with_default(subscriber, || run(c)),
-            None => run(c),
+            Some(subscriber) => {
+                tracing::subscriber::with_default(subscriber, || measure(criterion))
+            }
+            None => measure(criterion),
         }
     }
 }
 
-criterion_group!(benches, jobs);
+criterion_group!(benches, request_at_each_log_level);
 criterion_main!(benches);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -41,7 +41,7 @@
     pub class: u8,
     /// Name of the tenant.
     pub tenant: Option<String>,
-    /// Hash of the request's subject, by which requests are kept at one worker; 0 for none.
+    /// Hash of the request's subject, by which requests are routed to the same worker; 0 for none.
     pub affinity_key: u64,
     /// How long the client waits, in seconds; `None` for the deadline of the class.
     pub budget: Option<f64>,
--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a submitted request is taken in, and what happens when its client disconnects.
+//! Admission: whether a submitted request is admitted, and what happens when its client disconnects.
 
 use super::coalescing::NewSubmission;
 use super::in_flight::InFlightRequest;
@@ -46,7 +46,7 @@
         Ok(budget.min(class.deadline))
     }
 
-    /// Takes a request in: from now on it is in flight, and the dispatcher decides on it.
+    /// Admits a request: from now on it is in flight, and the dispatcher decides on it.
     fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, budget: f64) {
         let NewSubmission {
             submission,
--- a/src/net/requests/answers.rs
+++ b/src/net/requests/answers.rs
@@ -13,7 +13,11 @@
         answer: Answer,
         out: &mut Vec<Command>,
     ) {
-        if let Some(client) = self.requests.get(&request).and_then(|held| held.client) {
+        if let Some(client) = self
+            .requests
+            .get(&request)
+            .and_then(|in_flight| in_flight.client)
+        {
             self.answer_client(client, answer, out);
         }
     }
--- a/src/net/requests/attempts.rs
+++ b/src/net/requests/attempts.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// The outcome code that the dispatcher is given for an ambiguous rejection. It knows no outcome of this number, and
-/// so takes the attempt as one that may have run.
+/// so counts the attempt as one that may have run.
 const AMBIGUOUS_REJECTION_CODE: u16 = 503;
 
 impl RequestManager {
@@ -159,7 +159,7 @@
             attempt.accepted = true;
             return;
         }
-        // Once a worker has accepted an attempt, a broken connection says nothing of it: its call-back decides.
+        // Once a worker has accepted an attempt, a broken connection proves nothing: its call-back decides.
         if !attempt.accepted {
             let outcome = outcome_of_end(end, attempt.written);
             self.record_attempt_end(now, key, outcome, load);
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -33,7 +33,7 @@
     }
 
     /// Handles a call-back whose request is in flight here or at no sibling. If it has migrated once more since the
-    /// siblings were asked, the acknowledgement says so, and the sibling that asked looks again.
+    /// siblings were asked, the acknowledgement is negative, and the sibling that asked looks the request up again.
     pub(super) fn handle_callback(
         &mut self,
         now: f64,
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -39,7 +39,7 @@
 
 impl DurabilityPolicy {
     /// Returns the policy that follows from the effect of each class: safe requests are not recorded, those that must
-    /// not run twice durably, and those with an idempotency key as `keyed` says.
+    /// not run twice durably, and those with an idempotency key with the durability `keyed`.
     ///
     /// `write_timeout` is in seconds.
     pub fn new(
@@ -114,7 +114,7 @@
         &self.digest
     }
 
-    /// Returns the fingerprint as the request log takes it.
+    /// Returns the fingerprint in the form that the request log expects.
     pub fn identity(&self) -> RequestIdentity<'_> {
         RequestIdentity {
             id: &self.id,
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Records requests beyond the life of this process from now on, as the policy says.
+    /// Records requests beyond the life of this process from now on, according to the policy.
     pub fn enable_durability(&mut self, policy: DurabilityPolicy) {
         self.durability = Some(policy);
     }
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -14,7 +14,7 @@
 mod tests;
 
 /// Difference in seconds up to which the clocks of two processes count as equal. Each sets its clock at its start by
-/// the system's; a larger difference is taken for a step of the system's clock between the starts, and made up for.
+/// the system's; a larger difference counts as a step of the system's clock between the starts, and made up for.
 const CLOCK_TOLERANCE_SECONDS: f64 = 0.05;
 
 /// A request as it is encoded for a sibling, which may run another version: order and types of the fields must not
@@ -254,7 +254,7 @@
         attempts
     }
 
-    /// Tells the siblings that the request is this process's now.
+    /// Announces to the siblings that the request is this process's now.
     fn push_migrated_request_updates(&mut self, now: f64, in_flight: &InFlightRequest) {
         let mut updates = vec![StateUpdate::Taken {
             id: in_flight.payload.id.clone(),
--- a/src/net/requests/siblings.rs
+++ b/src/net/requests/siblings.rs
@@ -11,7 +11,7 @@
 /// the first message long, and budgets only count the last seconds.
 const MAX_BUDGET_HISTORY: usize = 8192;
 
-/// Slots of an attempt of which a third process has told; their number isn't passed on.
+/// Slots of an attempt of a third process: this process does not store their number.
 const UNKNOWN_SLOTS: f32 = 1.0;
 
 /// Whether an attempt counts towards the siblings' budgets.
@@ -26,9 +26,9 @@
 /// Whether a sibling's update changes what the other siblings have to know.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Relay {
-    /// It is passed on to them.
+    /// It is relayed to them.
     ToOthers,
-    /// It is not passed on: it is about nothing known, or they are sent an update of this process.
+    /// It is not relayed: it is about an unknown request, or they are sent an update of this process instead.
     Stop,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns the updates that tell of a third process's request.
+    /// Returns the updates that announce a third process's request.
     fn sibling_request_updates(&self, id: &str, request: &SiblingRequest) -> Vec<StateUpdate> {
         let admitted = StateUpdate::Taken {
             id: id.to_owned(),
@@ -99,7 +99,7 @@
         std::iter::once(admitted).chain(sent).collect()
     }
 
-    /// Returns the update that tells of an attempt.
+    /// Returns the update that announces an attempt.
     pub(super) fn attempt_sent_update(
         &self,
         now: f64,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes over a sibling's update, and passes it on to the other siblings.
+    /// Applies a sibling's update, and relays it to the other siblings.
     pub(super) fn handle_sibling_update(
         &mut self,
         now: f64,
@@ -129,7 +129,7 @@
     ) {
         let relay = match &update {
             StateUpdate::Use { worker, again } => {
-                // A change is passed on as this process's own.
+                // A change is announced as this process's own.
                 self.handle_suspension_learned(now, worker, *again, out);
                 Relay::Stop
             }
@@ -195,7 +195,7 @@
             .or_insert(request);
     }
 
-    /// Adds the attempt that a [`StateUpdate::Sent`] tells of.
+    /// Adds the attempt that a [`StateUpdate::Sent`] announces.
     fn add_sibling_attempt(&mut self, now: f64, update: &StateUpdate) -> Relay {
         let StateUpdate::Sent {
             id,
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -13,7 +13,7 @@
         self.workers.suspended_names().collect()
     }
 
-    /// Takes over a worker list, and withdraws what has not been sent to workers that are leaving.
+    /// Applies a worker list, and withdraws what has not been sent to workers that are leaving.
     pub(super) fn handle_worker_list(
         &mut self,
         now: f64,
@@ -32,7 +32,7 @@
         self.withdraw_attempts(now, unwritten, out);
     }
 
-    /// Takes over a worker's address, and returns its entry as the dispatcher takes it.
+    /// Sets a worker's address, and returns its entry with the id that the dispatcher knows.
     fn update_worker(&mut self, listed: ListedWorker) -> Entry {
         let worker = self.workers.find_or_add(&listed.id);
         self.workers.set_address(worker, listed.address);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the workers that are to get no further requests after a list: in a full list, all that it does not name
+    /// Returns the workers that are to get no more requests after a list: in a full list, all that it does not name
     /// as ready; in any other, those that it names as not ready.
     fn leaving_workers(&self, kind: ListKind, entries: &[Entry]) -> BTreeSet<WorkerIndex> {
         let (ready, not_ready): (Vec<&Entry>, Vec<&Entry>) = entries
--- a/tests/durable_requests.rs
+++ b/tests/durable_requests.rs
@@ -1,14 +1,20 @@
-//! The hub with a ledger, without disk or sockets: what waits for a write, what a restart leaves in doubt, who is
-//! owed which answer.
+//! The request manager with a request log, without disk or sockets: what waits for a write, what a restart leaves in
+//! doubt, and which answer each client gets.
 
+#[path = "support/request_manager_harness.rs"]
+mod request_manager_harness;
+
+use postproxy::Settings;
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, CallbackState, Command, Input, ListedWorker, Load, Payload,
-    RequestTimer, Submission, WorkerCallback, WriteWaiter,
+    Answer, AttemptEnd, CallbackState, ClientId, Command, Input, Payload, RequestTimer, Submission,
+    WriteWaiter,
 };
 use postproxy::net::requests::durability::{Durability, DurabilityPolicy};
-use postproxy::net::requests::manager::RequestManager;
-use postproxy::{Entry, ListKind, Settings};
 use postproxy_idempotency::{Limits, RequestLog, Write, result_key};
+use request_manager_harness::{
+    RequestManagerHarness, START, StartedAttempt, answers, full_worker_list, request_manager,
+    started_attempt,
+};
 use std::collections::BTreeMap;
 
 const SETTINGS: &str = r#"{
@@ -21,129 +27,129 @@
     "report": {"fields": ["backlog", "x0"], "via": "answers"},
     "extra": {"report-x0": "free slots"}}"#;
 
+/// Class of requests that may run twice.
 const RENDER: u8 = 0;
+/// Class of requests that must not run twice.
 const COMMIT: u8 = 1;
+/// Class of requests that workers deduplicate by their idempotency key.
 const TOKEN: u8 = 2;
 
-struct Bed {
-    hub: RequestManager,
-    now: f64,
-    timers: Vec<(f64, RequestTimer)>,
-    disk: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Writes that the disk has not done yet.
-    pending: Vec<(Vec<Write>, WriteWaiter)>,
+/// How long the record of an attempt may take to become durable, in seconds.
+const WRITE_TIMEOUT_SECONDS: f64 = 0.5;
+/// Number of the listed workers.
+const WORKERS: u16 = 3;
+/// The connection of the call-backs.
+const CALLBACK_CLIENT: ClientId = 99;
+
+type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
+
+/// A batch of records that the disk has not written yet.
+struct PendingWrite {
+    records: Vec<Write>,
+    waiter: WriteWaiter,
 }
 
-impl Bed {
+/// Whether the disk writes the records or refuses them.
+#[derive(Clone, Copy, PartialEq)]
+enum DiskState {
+    Working,
+    Failed,
+}
+
+/// A request manager with a request log and a simulated disk.
+struct DurableHarness {
+    base: RequestManagerHarness,
+    disk: Disk,
+    pending_writes: Vec<PendingWrite>,
+}
+
+impl DurableHarness {
     fn new() -> Self {
-        Self::start(BTreeMap::new(), 1000.0, Limits::default())
+        Self::start(Disk::new(), START, Limits::default())
     }
 
-    fn start(disk: BTreeMap<Vec<u8>, Vec<u8>>, now: f64, limits: Limits) -> Self {
-        let settings = Settings::from_json(SETTINGS).expect("sound settings");
-        let mut ledger = RequestLog::new(limits);
+    /// Starts a node on what the disk holds.
+    fn start(disk: Disk, now: f64, limits: Limits) -> Self {
+        let settings = Settings::from_json(SETTINGS).expect("valid settings");
+        let mut request_log = RequestLog::new(limits);
         disk.iter()
-            .for_each(|(key, value)| _ = ledger.load(key, value));
-        let nothing_ran = ledger.loaded();
-        let mut hub = RequestManager::new(settings.clone(), 7).expect("a hub");
-        hub.enable_durability(DurabilityPolicy::new(
+            .for_each(|(key, value)| _ = request_log.load(key, value));
+        let never_ran = request_log.loaded();
+        let mut manager = request_manager(SETTINGS);
+        manager.enable_durability(DurabilityPolicy::new(
             &settings,
-            ledger,
-            0.5,
+            request_log,
+            WRITE_TIMEOUT_SECONDS,
             Durability::Relaxed,
         ));
-        let mut bed = Self {
-            hub,
-            now,
-            timers: Vec::new(),
+        let mut harness = Self {
+            base: RequestManagerHarness::new(manager, now),
             disk,
-            pending: Vec::new(),
-        };
-        bed.apply(nothing_ran);
-        let member = |n: u16| ListedWorker {
-            id: format!("s-{n}"),
-            address: ([127, 0, 0, 1], 9000 + n).into(),
-            entry: Entry {
-                size: 1.0,
-                ..Entry::default()
-            },
+            pending_writes: Vec::new(),
         };
-        bed.tell(Input::WorkerListReceived {
-            kind: ListKind::Full,
-            workers: (0..3).map(member).collect(),
-        });
-        bed
+        harness.apply(never_ran);
+        harness.handle(full_worker_list(WORKERS));
+        harness
     }
 
-    /// The node dies and starts again; what the disk has not done is gone.
+    /// Kills the node and starts it again; what the disk has not written is gone.
     fn restart(self) -> Self {
-        Self::start(self.disk, self.now + 1.0, Limits::default())
+        Self::start(self.disk, self.base.now + 1.0, Limits::default())
     }
 
-    fn apply(&mut self, writes: Vec<Write>) {
-        for write in writes {
-            match write {
+    fn apply(&mut self, records: Vec<Write>) {
+        for record in records {
+            match record {
                 Write::Put { key, value, .. } => _ = self.disk.insert(key, value),
                 Write::Delete { key } => _ = self.disk.remove(&key),
             }
         }
     }
 
-    /// The commands that follow, timers and writes apart.
-    fn tell(&mut self, input: Input) -> Vec<Command> {
-        let mut out = Vec::new();
-        self.hub.handle(self.now, input, &mut out);
-        let mut rest = Vec::new();
-        for command in out {
+    /// Moves the writes among these commands to the pending ones, and returns the other commands.
+    fn collect_writes(&mut self, commands: Vec<Command>) -> Vec<Command> {
+        let mut others = Vec::new();
+        for command in commands {
             match command {
-                Command::SetTimer { at, timer: due } => self.timers.push((at, due)),
-                Command::WriteRecords {
-                    writes,
-                    waiter: wait,
-                } => self.pending.push((writes, wait)),
-                other => rest.push(other),
+                Command::WriteRecords { writes, waiter } => {
+                    self.pending_writes.push(PendingWrite {
+                        records: writes,
+                        waiter,
+                    });
+                }
+                other => others.push(other),
             }
         }
-        rest
+        others
+    }
+
+    /// Handles an event, and returns the commands that follow. Timers and writes are kept in the harness.
+    fn handle(&mut self, input: Input) -> Vec<Command> {
+        let commands = self.base.handle(input);
+        self.collect_writes(commands)
     }
 
-    /// The disk does all that it was given, or refuses it.
-    fn sync(&mut self, durable: bool) -> Vec<Command> {
-        let mut all = Vec::new();
-        for (writes, wait) in std::mem::take(&mut self.pending) {
+    /// Has the disk write all that it was given, or refuse it.
+    fn complete_writes(&mut self, disk: DiskState) -> Vec<Command> {
+        let mut commands = Vec::new();
+        let durable = disk == DiskState::Working;
+        for PendingWrite { records, waiter } in std::mem::take(&mut self.pending_writes) {
             if durable {
-                self.apply(writes);
+                self.apply(records);
             }
-            all.extend(self.tell(Input::WriteCompleted {
-                waiter: wait,
-                durable,
-            }));
+            commands.extend(self.handle(Input::WriteCompleted { waiter, durable }));
         }
-        all
+        commands
     }
 
-    fn play(&mut self, until: f64) -> Vec<Command> {
-        let mut all = Vec::new();
-        loop {
-            let next = self
-                .timers
-                .iter()
-                .enumerate()
-                .min_by(|a, b| a.1.0.total_cmp(&b.1.0));
-            let Some((i, &(at, due))) = next.filter(|(_, (at, _))| *at <= until) else {
-                break;
-            };
-            self.timers.remove(i);
-            self.now = self.now.max(at);
-            all.extend(self.tell(Input::TimerExpired { timer: due }));
-        }
-        self.now = until;
-        all
+    fn advance_to(&mut self, until: f64) -> Vec<Command> {
+        let commands = self.base.advance_to(until);
+        self.collect_writes(commands)
     }
 
     fn submit(
         &mut self,
-        client: u64,
+        client: ClientId,
         id: &str,
         key: Option<&str>,
         class: u8,
@@ -156,344 +162,345 @@
             body: body.into(),
             ..Payload::default()
         };
-        self.tell(Input::RequestReceived {
-            client,
-            submission: Submission {
-                payload,
-                class,
-                ..Submission::default()
-            },
-        })
+        let submission = Submission {
+            payload,
+            class,
+            ..Submission::default()
+        };
+        self.handle(Input::RequestReceived { client, submission })
     }
 
-    /// Submits a job that must not run twice, and has its attempt started, written and accepted; its worker.
-    fn accepted(&mut self, client: u64, id: &str, key: Option<&str>) -> (AttemptId, String) {
+    /// Submits a request that must not run twice, and has its attempt started, written and accepted.
+    fn submit_and_accept(
+        &mut self,
+        client: ClientId,
+        id: &str,
+        key: Option<&str>,
+    ) -> StartedAttempt {
         assert!(
             self.submit(client, id, key, COMMIT, "body").is_empty(),
-            "it waits for its intent"
+            "it waits for its record"
         );
-        let commands = self.sync(true);
-        let (attempt, worker) = started(&commands).expect("an attempt");
-        self.tell(Input::AttemptWritten { attempt });
-        self.tell(Input::ExchangeEnded {
-            attempt,
-            end: AttemptEnd::Accepted,
-            load: Load::new(),
-        });
-        (attempt, worker)
+        let commands = self.complete_writes(DiskState::Working);
+        let started = started_attempt(&commands).expect("an attempt");
+        let attempt = started.attempt;
+        self.handle(Input::AttemptWritten { attempt });
+        self.end_attempt(attempt, AttemptEnd::Accepted);
+        started
     }
 
-    fn call(&mut self, id: &str, from: &str, state: CallbackState) -> Vec<Command> {
-        self.tell(Input::CallbackReceived {
-            client: 99,
-            callback: WorkerCallback {
-                id: id.into(),
-                from: from.into(),
-                state,
-                load: Load::new(),
-            },
-        })
+    fn end_attempt(&mut self, attempt: u64, end: AttemptEnd) -> Vec<Command> {
+        let commands = self.base.end_attempt(attempt, end);
+        self.collect_writes(commands)
     }
-}
-
-fn started(commands: &[Command]) -> Option<(AttemptId, String)> {
-    commands.iter().find_map(|command| match command {
-        Command::StartAttempt {
-            attempt, worker, ..
-        } => Some((*attempt, format!("s-{}", worker.port() - 9000))),
-        _ => None,
-    })
-}
 
-fn answers(commands: &[Command]) -> Vec<(u64, Answer)> {
-    let answer = |command: &Command| match command {
-        Command::AnswerClient { client, answer } => Some((*client, answer.clone())),
-        _ => None,
-    };
-    commands.iter().filter_map(answer).collect()
+    fn call_back(&mut self, id: &str, worker: &str, state: CallbackState) -> Vec<Command> {
+        let commands = self.base.call_back(CALLBACK_CLIENT, id, worker, state);
+        self.collect_writes(commands)
+    }
 }
 
-fn acknowledged(commands: &[Command]) -> bool {
-    commands
-        .iter()
-        .any(|command| matches!(command, Command::AcknowledgeCallback { client: 99, .. }))
+fn is_acknowledged(commands: &[Command]) -> bool {
+    commands.iter().any(|command| {
+        matches!(
+            command,
+            Command::AcknowledgeCallback {
+                client: CALLBACK_CLIENT,
+                ..
+            }
+        )
+    })
 }
 
 fn served(text: &str) -> Answer {
     Answer::Served(text.into())
 }
 
-/// Guards against a first byte that leaves before its intent is durable, and against safe jobs that wait too.
+fn done(text: &str) -> CallbackState {
+    CallbackState::Done(text.into())
+}
+
+/// Guards against a first byte that leaves before its record is durable, and against safe requests that wait as well.
 #[test]
-fn a_pass_starts_when_its_intent_is_durable() {
-    let mut bed = Bed::new();
+fn attempt_starts_when_its_record_is_durable() {
+    let mut harness = DurableHarness::new();
     assert!(
-        started(&bed.submit(1, "safe", None, RENDER, "")).is_some(),
-        "nothing is kept of it"
+        started_attempt(&harness.submit(1, "safe", None, RENDER, "")).is_some(),
+        "nothing of it is recorded"
     );
-    assert!(bed.pending.is_empty());
+    assert!(harness.pending_writes.is_empty());
     assert!(
-        started(&bed.submit(2, "keyed", Some("k"), TOKEN, "")).is_some(),
-        "it is written, not waited for"
+        started_attempt(&harness.submit(2, "keyed", Some("k"), TOKEN, "")).is_some(),
+        "its record is written, but not waited for"
     );
-    assert_eq!(bed.pending.len(), 1);
-    let commands = bed.submit(3, "job", None, COMMIT, "");
-    assert!(started(&commands).is_none() && bed.pending.len() == 2);
-    bed.now += 0.1;
-    let commands = bed.sync(true);
-    let until = commands.iter().find_map(|c| {
-        if let Command::StartAttempt {
-            deadline: until, ..
-        } = c
-        {
-            Some(*until)
-        } else {
-            None
-        }
+    assert_eq!(harness.pending_writes.len(), 1);
+    let commands = harness.submit(3, "job", None, COMMIT, "");
+    assert!(started_attempt(&commands).is_none() && harness.pending_writes.len() == 2);
+    harness.base.now += 0.1;
+    let commands = harness.complete_writes(DiskState::Working);
+    let deadline = commands.iter().find_map(|command| match command {
+        Command::StartAttempt { deadline, .. } => Some(*deadline),
+        _ => None,
     });
-    let wait = until.map(|until| until - bed.now);
+    let remaining = deadline.map(|deadline| deadline - harness.base.now);
     assert!(
-        wait.is_some_and(|wait| wait < 4.91),
-        "the attempt's time runs from its decision: {wait:?}"
+        remaining.is_some_and(|remaining| remaining < 4.91),
+        "the attempt's time runs from its decision: {remaining:?}"
     );
 }
 
-/// Guards against a worker that forgets a result which is not kept yet, and against a client that waits for it.
+/// Guards against a worker that forgets a result before it is durable, and against a client that waits for that.
 #[test]
-fn a_result_is_acknowledged_when_it_is_durable() {
-    let mut bed = Bed::new();
-    let (_, worker) = bed.accepted(1, "job", Some("k"));
-    let commands = bed.call("job", &worker, CallbackState::Done(b"result".to_vec()));
+fn acknowledges_a_result_when_it_is_durable() {
+    let mut harness = DurableHarness::new();
+    let worker = harness.submit_and_accept(1, "job", Some("k")).worker;
+    let commands = harness.call_back("job", &worker, done("result"));
     assert_eq!(answers(&commands), [(1, served("result"))]);
-    assert!(!acknowledged(&commands));
-    assert!(acknowledged(&bed.sync(true)));
+    assert!(!is_acknowledged(&commands));
+    assert!(is_acknowledged(
+        &harness.complete_writes(DiskState::Working)
+    ));
     assert_eq!(
-        bed.disk.get(&result_key("job")).map(Vec::as_slice),
+        harness.disk.get(&result_key("job")).map(Vec::as_slice),
         Some(&b"result"[..])
     );
     assert!(
-        acknowledged(&bed.call("job", &worker, CallbackState::Done(b"result".to_vec()))),
+        is_acknowledged(&harness.call_back("job", &worker, done("result"))),
         "repeated"
     );
-    let mut bed = bed.restart();
-    let commands = bed.submit(5, "other", Some("k"), COMMIT, "body");
+    let mut harness = harness.restart();
+    let commands = harness.submit(5, "other", Some("k"), COMMIT, "body");
     assert!(
         matches!(&commands[..], [Command::ReadResult { client: 5, id }] if id == "job"),
         "{commands:?}"
     );
-    assert_eq!(
-        answers(&bed.tell(Input::ResultRead {
-            client: 5,
-            result: Some(b"result".to_vec())
-        })),
-        [(5, served("result"))]
+    let commands = harness.handle(Input::ResultRead {
+        client: 5,
+        result: Some(b"result".to_vec()),
+    });
+    assert_eq!(answers(&commands), [(5, served("result"))]);
+    assert!(
+        answers(&harness.advance_to(1100.0)).is_empty(),
+        "one final answer"
     );
-    assert!(answers(&bed.play(1100.0)).is_empty(), "one final answer");
-    let other = bed.submit(6, "third", Some("k"), COMMIT, "another body");
+    let commands = harness.submit(6, "third", Some("k"), COMMIT, "another body");
     assert_eq!(
-        answers(&other),
+        answers(&commands),
         [(6, Answer::DuplicateRequestId)],
         "409: the key came with another request"
     );
-    assert_eq!(bed.hub.pending_count(), 0);
+    assert_eq!(harness.base.manager.pending_count(), 0);
 }
 
-/// Guards against sending again what was sent in an earlier life, and against refusing it: that would promise
-/// that nothing ran.
+/// Guards against a second attempt of what was sent before a restart, and against its rejection: that would promise that
+/// nothing ran.
 #[test]
-fn in_doubt_it_waits_for_the_word_of_its_worker() {
-    let mut bed = Bed::new();
-    let (_, worker) = bed.accepted(1, "job", Some("k"));
-    let mut bed = bed.restart();
-    assert!(bed.submit(2, "again", Some("k"), COMMIT, "body").is_empty());
+fn repetition_of_a_request_in_doubt_waits_for_its_callback() {
+    let mut harness = DurableHarness::new();
+    let worker = harness.submit_and_accept(1, "job", Some("k")).worker;
+    let mut harness = harness.restart();
+    assert!(
+        harness
+            .submit(2, "again", Some("k"), COMMIT, "body")
+            .is_empty()
+    );
     assert!(
-        bed.submit(3, "job", None, COMMIT, "body").is_empty(),
+        harness.submit(3, "job", None, COMMIT, "body").is_empty(),
         "by its id as well"
     );
-    bed.now += 1.0;
-    let commands = bed.call("job", &worker, CallbackState::Done(b"late".to_vec()));
+    harness.base.now += 1.0;
+    let commands = harness.call_back("job", &worker, done("late"));
     assert_eq!(
         answers(&commands),
         [(2, served("late")), (3, served("late"))]
     );
-    assert!(!acknowledged(&commands) && acknowledged(&bed.sync(true)));
-    assert!(answers(&bed.play(1100.0)).is_empty());
-
-    let mut bed = Bed::new();
-    bed.accepted(1, "job", Some("k"));
-    let mut bed = bed.restart();
-    bed.submit(2, "again", Some("k"), COMMIT, "body");
-    let commands = bed.play(bed.now + 4.9);
+    assert!(
+        !is_acknowledged(&commands)
+            && is_acknowledged(&harness.complete_writes(DiskState::Working))
+    );
+    assert!(answers(&harness.advance_to(1100.0)).is_empty());
+
+    let mut harness = DurableHarness::new();
+    harness.submit_and_accept(1, "job", Some("k"));
+    let mut harness = harness.restart();
+    harness.submit(2, "again", Some("k"), COMMIT, "body");
+    let commands = harness.advance_to(harness.base.now + 4.9);
     assert!(answers(&commands).is_empty());
-    let commands = bed.play(bed.now + 0.2);
+    let commands = harness.advance_to(harness.base.now + 0.2);
     assert_eq!(
         answers(&commands),
         [(2, Answer::Failed)],
-        "at its deadline: a failure, no refusal"
+        "at its deadline: a failure, no rejection"
     );
     assert!(
-        bed.pending.iter().all(|(writes, _)| writes.is_empty()) && started(&commands).is_none()
+        harness
+            .pending_writes
+            .iter()
+            .all(|write| write.records.is_empty())
+            && started_attempt(&commands).is_none()
     );
 }
 
-/// Guards against no run at all where the worker has proved that none took place, and against two for two who
-/// wait.
+/// Guards against no run at all where the worker has proved that none took place, and against two runs for two that wait.
 #[test]
-fn what_was_handed_back_runs_afresh_and_once() {
-    let mut bed = Bed::new();
-    let (_, worker) = bed.accepted(1, "job", Some("k"));
-    let mut bed = bed.restart();
-    bed.submit(2, "again", Some("k"), COMMIT, "body");
-    bed.submit(3, "more", Some("k"), COMMIT, "body");
-    bed.call("job", &worker, CallbackState::Returned);
-    let commands = bed.sync(true);
+fn returned_request_runs_again_once() {
+    let mut harness = DurableHarness::new();
+    let worker = harness.submit_and_accept(1, "job", Some("k")).worker;
+    let mut harness = harness.restart();
+    harness.submit(2, "again", Some("k"), COMMIT, "body");
+    harness.submit(3, "more", Some("k"), COMMIT, "body");
+    harness.call_back("job", &worker, CallbackState::Returned);
+    let commands = harness.complete_writes(DiskState::Working);
     let starts = commands
         .iter()
-        .filter(|c| matches!(c, Command::StartAttempt { .. }))
+        .filter(|command| matches!(command, Command::StartAttempt { .. }))
         .count();
     assert_eq!(starts, 1, "{commands:?}");
-    let (attempt, worker) = started(&commands).expect("an attempt");
-    bed.tell(Input::ExchangeEnded {
-        attempt,
-        end: AttemptEnd::Accepted,
-        load: Load::new(),
-    });
-    let commands = bed.call("again", &worker, CallbackState::Done(b"x".to_vec()));
+    let started = started_attempt(&commands).expect("an attempt");
+    harness.end_attempt(started.attempt, AttemptEnd::Accepted);
+    let commands = harness.call_back("again", &started.worker, done("x"));
     assert_eq!(answers(&commands), [(3, served("x")), (2, served("x"))]);
 }
 
-/// Guards against two runs for one key on two connections, and against a run that ends with the connection that
-/// came first.
+/// Guards against two runs for one key on two connections, and against a run that ends with the connection that came first.
 #[test]
-fn one_key_on_two_connections_runs_once() {
-    let mut bed = Bed::new();
-    let (_, worker) = bed.accepted(1, "job", Some("k"));
+fn same_key_on_two_connections_runs_once() {
+    let mut harness = DurableHarness::new();
+    let worker = harness.submit_and_accept(1, "job", Some("k")).worker;
+    assert!(
+        harness
+            .submit(2, "second", Some("k"), COMMIT, "body")
+            .is_empty()
+    );
     assert!(
-        bed.submit(2, "second", Some("k"), COMMIT, "body")
+        harness
+            .submit(3, "third", Some("k"), COMMIT, "body")
             .is_empty()
     );
-    assert!(bed.submit(3, "third", Some("k"), COMMIT, "body").is_empty());
-    let commands = bed.tell(Input::ClientDisconnected { client: 1 });
+    let commands = harness.handle(Input::ClientDisconnected { client: 1 });
     assert!(
         commands.is_empty(),
         "no cancel: others wait for it: {commands:?}"
     );
-    bed.tell(Input::ClientDisconnected { client: 3 });
-    let commands = bed.call("job", &worker, CallbackState::Done(b"x".to_vec()));
+    harness.handle(Input::ClientDisconnected { client: 3 });
+    let commands = harness.call_back("job", &worker, done("x"));
     assert_eq!(answers(&commands), [(2, served("x"))]);
-    bed.sync(true);
-    assert_eq!(bed.hub.pending_count(), 0);
-    let same_id = bed.submit(4, "job", None, RENDER, "body");
+    harness.complete_writes(DiskState::Working);
+    assert_eq!(harness.base.manager.pending_count(), 0);
+    let commands = harness.submit(4, "job", None, RENDER, "body");
     assert!(
-        started(&same_id).is_some(),
-        "a class of which nothing is kept is not looked up"
+        started_attempt(&commands).is_some(),
+        "a class of which nothing is recorded is not looked up"
     );
 }
 
-/// Guards against holding, failing or sending a job that the disk has no room for; against refusing any other.
+/// Guards against holding, failing or sending a request that the disk can't record; against rejecting any other.
 #[test]
-fn without_a_disk_only_what_must_not_run_twice_is_refused_and_at_once() {
-    let mut bed = Bed::new();
-    bed.submit(1, "job", Some("k"), COMMIT, "body");
-    let commands = bed.sync(false);
+fn failed_store_rejects_only_unsafe_requests_at_once() {
+    let mut harness = DurableHarness::new();
+    harness.submit(1, "job", Some("k"), COMMIT, "body");
+    let commands = harness.complete_writes(DiskState::Failed);
     assert_eq!(
         answers(&commands),
         [(1, Answer::RejectedWithRetryAfter(1.0))]
     );
-    assert!(started(&commands).is_none());
-    assert_eq!(bed.hub.pending_count(), 0, "it is forgotten");
-    bed.tell(Input::StoreHealthChanged { writable: false });
+    assert!(started_attempt(&commands).is_none());
+    assert_eq!(
+        harness.base.manager.pending_count(),
+        0,
+        "nothing of it is left"
+    );
+    harness.handle(Input::StoreHealthChanged { writable: false });
     assert_eq!(
-        answers(&bed.submit(2, "next", None, COMMIT, "")),
+        answers(&harness.submit(2, "next", None, COMMIT, "")),
         [(2, Answer::RejectedWithRetryAfter(1.0))]
     );
-    assert!(started(&bed.submit(3, "safe", None, RENDER, "")).is_some());
-    assert!(started(&bed.submit(4, "keyed", None, TOKEN, "")).is_some());
-    bed.tell(Input::StoreHealthChanged { writable: true });
-    assert!(bed.submit(5, "again", Some("k"), COMMIT, "body").is_empty());
+    assert!(started_attempt(&harness.submit(3, "safe", None, RENDER, "")).is_some());
+    assert!(started_attempt(&harness.submit(4, "keyed", None, TOKEN, "")).is_some());
+    harness.handle(Input::StoreHealthChanged { writable: true });
+    assert!(
+        harness
+            .submit(5, "again", Some("k"), COMMIT, "body")
+            .is_empty()
+    );
     assert!(
-        started(&bed.sync(true)).is_some(),
+        started_attempt(&harness.complete_writes(DiskState::Working)).is_some(),
         "nothing of it was ever sent"
     );
 }
 
-/// Guards against a disk that hangs and takes a job's whole time with it; against an attempt that starts when it
-/// comes back, after the refusal.
+/// Guards against a disk that hangs and takes a request's whole time with it; against an attempt that starts when the disk
+/// works again, after the rejection.
 #[test]
-fn an_intent_that_hangs_is_refused_in_time() {
-    let mut bed = Bed::new();
-    bed.submit(1, "job", None, COMMIT, "body");
-    let commands = bed.play(1000.6);
+fn rejects_in_time_when_a_record_write_hangs() {
+    let mut harness = DurableHarness::new();
+    harness.submit(1, "job", None, COMMIT, "body");
+    let commands = harness.advance_to(1000.6);
     assert_eq!(
         answers(&commands),
         [(1, Answer::RejectedWithRetryAfter(1.0))]
     );
-    let commands = bed.sync(true);
+    let commands = harness.complete_writes(DiskState::Working);
     assert!(commands.is_empty(), "{commands:?}");
-    let bed = bed.restart();
+    let harness = harness.restart();
     assert!(
-        bed.disk.is_empty(),
+        harness.disk.is_empty(),
         "nothing of it was ever sent: {:?}",
-        bed.disk.keys()
+        harness.disk.keys()
     );
 }
 
-/// Guards against a ledger full of jobs in doubt that drops one of them, or takes more.
+/// Guards against a request log full of requests in doubt that drops one of them, or takes more.
 #[test]
-fn a_store_full_of_jobs_in_doubt_refuses() {
-    let mut bed = Bed::new();
+fn rejects_when_the_log_is_full_of_requests_in_doubt() {
+    let mut harness = DurableHarness::new();
     for n in 0..3 {
-        bed.accepted(n, &format!("job-{n}"), None);
+        harness.submit_and_accept(n, &format!("job-{n}"), None);
     }
     let limits = Limits {
         jobs: 3,
         retention: 60.0,
         ..Limits::default()
     };
-    let mut bed = Bed::start(bed.disk, bed.now, limits);
+    let mut harness = DurableHarness::start(harness.disk, harness.base.now, limits);
     assert_eq!(
-        answers(&bed.submit(1, "new", None, COMMIT, "")),
+        answers(&harness.submit(1, "new", None, COMMIT, "")),
         [(1, Answer::RejectedWithRetryAfter(1.0))]
     );
     assert!(
-        bed.submit(2, "job-1", None, COMMIT, "body").is_empty(),
+        harness.submit(2, "job-1", None, COMMIT, "body").is_empty(),
         "it is in doubt still"
     );
-    bed.tell(Input::TimerExpired {
+    harness.handle(Input::TimerExpired {
         timer: RequestTimer::ExpireRecords,
     });
-    bed.play(5000.0);
+    harness.advance_to(5000.0);
     assert!(
-        bed.submit(3, "new", None, COMMIT, "").is_empty(),
-        "it is taken"
+        harness.submit(3, "new", None, COMMIT, "").is_empty(),
+        "it is admitted"
     );
-    assert!(started(&bed.sync(true)).is_some());
+    assert!(started_attempt(&harness.complete_writes(DiskState::Working)).is_some());
 }
 
-/// Guards against a refusal after an attempt that may have run.
+/// Guards against a rejection after an attempt that may have run.
 #[test]
-fn after_an_attempt_that_may_have_run_it_fails() {
-    let mut bed = Bed::new();
-    let (attempt, worker) = bed.accepted(1, "job", Some("k"));
-    let commands = bed.call("job", &worker, CallbackState::Lost);
+fn fails_after_an_attempt_that_may_have_run() {
+    let mut harness = DurableHarness::new();
+    let StartedAttempt { attempt, worker } = harness.submit_and_accept(1, "job", Some("k"));
+    let commands = harness.call_back("job", &worker, CallbackState::Lost);
     assert_eq!(answers(&commands), [(1, Answer::Failed)]);
     assert!(
-        bed.tell(Input::ExchangeEnded {
-            attempt,
-            end: AttemptEnd::Reset,
-            load: Load::new()
-        })
-        .is_empty(),
+        harness.end_attempt(attempt, AttemptEnd::Reset).is_empty(),
         "late"
     );
-    bed.sync(true);
+    harness.complete_writes(DiskState::Working);
     assert_eq!(
-        answers(&bed.submit(2, "again", Some("k"), COMMIT, "body")),
+        answers(&harness.submit(2, "again", Some("k"), COMMIT, "body")),
         [(2, Answer::Failed)]
     );
-    let mut bed = bed.restart();
+    let mut harness = harness.restart();
     assert_eq!(
-        answers(&bed.submit(3, "more", Some("k"), COMMIT, "body")),
+        answers(&harness.submit(3, "more", Some("k"), COMMIT, "body")),
         [(3, Answer::Failed)]
     );
 }
--- a/tests/kill.rs
+++ b/tests/kill.rs
@@ -1,26 +1,38 @@
-//! The real program with a store, killed again and again under jobs that must not run twice.
+//! The program with a store, killed again and again while it serves requests that must not run twice.
 
 use postproxy::stand_ins::{Discovery, Worker, ask};
 use postproxy_fault_injection::{Process, addresses, wait};
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread;
 use std::time::Duration;
 
-/// How often the node is killed; `POSTPROXY_KILLS` may ask for more.
-const KILLS: u32 = 20;
+/// How often the node is killed; the environment variable `POSTPROXY_KILLS` may ask for more.
+const DEFAULT_KILLS: u32 = 20;
+/// Number of clients that submit requests at the same time.
 const CLIENTS: u64 = 8;
+/// Number of workers; each takes longer for a request than the one before.
+const WORKERS: u64 = 4;
+/// How long the node may take from its start until it is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a client waits after a rejection before it retries.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How long a client waits after a broken connection before it connects again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(5);
+/// How long the clients go on after the last kill.
+const LAST_RUN: Duration = Duration::from_millis(300);
 
-struct Node {
+/// The program under test, as a process of its own.
+struct NodeProcess {
     process: Option<Process>,
     folder: PathBuf,
     address: SocketAddr,
 }
 
-impl Node {
+impl NodeProcess {
     fn start(&mut self) {
         let file = |name: &str| self.folder.join(name).display().to_string();
         let process = Process::start(
@@ -36,8 +48,8 @@
             &self.folder.join("log"),
         );
         self.process = Some(process.expect("the program starts"));
-        let ready = || ask(self.address, "GET", "/-/ready", &[], b"").is_ok();
-        assert!(wait(Duration::from_secs(20), ready), "it is not ready");
+        let is_ready = || ask(self.address, "GET", "/-/ready", &[], b"").is_ok();
+        assert!(wait(START_TIMEOUT, is_ready), "it is not ready");
     }
 
     fn kill(&mut self) {
@@ -45,15 +57,36 @@
     }
 }
 
+/// Writes the configuration of a node with a store in this folder.
+fn write_config(folder: &Path, address: SocketAddr, discovery: SocketAddr) {
+    let mut config: serde_json::Value =
+        serde_json::from_str(include_str!("../examples/config.json")).expect("the example");
+    config["listen"] = address.to_string().into();
+    config["discovery"] = discovery.to_string().into();
+    config["known"] = serde_json::Value::Null;
+    let operator = serde_json::json!({"store": {"folder": folder.join("store"), "segment_mb": 1}});
+    std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
+    std::fs::write(folder.join("operator.json"), operator.to_string()).expect("a file");
+}
+
+/// How often the clients' requests ended in each way.
 #[derive(Default)]
 struct Counts {
     served: AtomicU64,
     failed: AtomicU64,
-    refused: AtomicU64,
-    broken: AtomicU64,
+    rejected: AtomicU64,
+    connection_broken: AtomicU64,
 }
 
-fn fields<'a>(id: &'a str, key: &'a str) -> [(&'a str, &'a str); 4] {
+fn increment(count: &AtomicU64) {
+    count.fetch_add(1, Ordering::SeqCst);
+}
+
+fn read(count: &AtomicU64) -> u64 {
+    count.load(Ordering::SeqCst)
+}
+
+fn headers<'a>(id: &'a str, key: &'a str) -> [(&'a str, &'a str); 4] {
     [
         ("X-Request-Id", id),
         ("Idempotency-Key", key),
@@ -62,63 +95,96 @@
     ]
 }
 
-/// One client: a job after another, each asked for again under its key until it has a final answer.
-fn client(number: u64, node: SocketAddr, over: &AtomicBool, counts: &Counts) {
-    let count = |what: &AtomicU64| what.fetch_add(1, Ordering::SeqCst);
+/// Runs one client: one request after another, each retried under its key until it has a final answer.
+fn run_client(number: u64, node: SocketAddr, stop: &AtomicBool, counts: &Counts) {
     for job in 0.. {
-        let (key, body) = (
-            format!("key-{number}-{job}"),
-            format!("work {number} {job}"),
-        );
+        let key = format!("key-{number}-{job}");
+        let body = format!("work {number} {job}");
         for attempt in 0.. {
-            if over.load(Ordering::SeqCst) {
+            if stop.load(Ordering::SeqCst) {
                 return;
             }
             let id = format!("id-{number}-{job}-{attempt}");
-            match ask(
-                node,
-                "POST",
-                "/day-plan/x",
-                &fields(&id, &key),
-                body.as_bytes(),
-            ) {
+            let fields = headers(&id, &key);
+            match ask(node, "POST", "/day-plan/x", &fields, body.as_bytes()) {
                 Ok(answer) if answer.status == 200 => {
                     assert_eq!(
                         answer.body,
                         body.to_uppercase().as_bytes(),
                         "an answer that no worker made"
                     );
-                    count(&counts.served);
+                    increment(&counts.served);
                     break;
                 }
                 Ok(answer) if answer.status == 502 => {
-                    count(&counts.failed);
+                    increment(&counts.failed);
                     break;
                 }
                 Ok(answer) if answer.status == 503 => {
-                    count(&counts.refused);
-                    thread::sleep(Duration::from_millis(20));
+                    increment(&counts.rejected);
+                    thread::sleep(RETRY_DELAY);
                 }
                 Ok(answer) => panic!("{key}: {}", answer.status),
-                // It died: asked again with the same key, on a new connection.
+                // The node was killed: retried with the same key on a new connection.
                 Err(_) => {
-                    count(&counts.broken);
-                    thread::sleep(Duration::from_millis(5));
+                    increment(&counts.connection_broken);
+                    thread::sleep(RECONNECT_DELAY);
                 }
             }
         }
     }
 }
 
-/// Guards against a second run of a job that must not run twice, a result that was acknowledged to its worker
-/// and is gone, and an answer that no worker made, whenever the node dies.
+/// Kills the node so many times, each after a pseudo-random time, and starts it again.
+fn kill_repeatedly(node: &mut NodeProcess, kills: u32) {
+    let mut random = 7u64;
+    for _ in 0..kills {
+        random = random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1);
+        thread::sleep(Duration::from_millis(60 + (random >> 33) % 240));
+        node.kill();
+        node.start();
+    }
+}
+
+/// Returns how often each request has run, over all workers.
+fn total_runs(workers: &[Worker]) -> HashMap<String, u32> {
+    let mut runs: HashMap<String, u32> = HashMap::new();
+    for (key, times) in workers.iter().flat_map(Worker::runs) {
+        *runs.entry(key).or_default() += times;
+    }
+    runs
+}
+
+/// Submits each request again of which a worker's result was acknowledged, and asserts that it is answered with that
+/// result. Returns their number.
+fn check_acknowledged_results(workers: &[Worker], node: SocketAddr) -> u64 {
+    let mut checked = 0;
+    for (key, result) in workers.iter().flat_map(Worker::acknowledged) {
+        let id = format!("again-{key}");
+        let body = result.to_lowercase();
+        let fields = headers(&id, &key);
+        let answer = ask(node, "POST", "/day-plan/x", &fields, body.as_bytes()).expect("an answer");
+        assert_eq!(
+            (answer.status, answer.body),
+            (200, result.into_bytes()),
+            "{key}: acknowledged and lost"
+        );
+        checked += 1;
+    }
+    checked
+}
+
+/// Guards against a second run of a request that must not run twice, a result that was acknowledged to its worker and is
+/// gone, and an answer that no worker made, whenever the node dies.
 #[test]
-fn killed_at_any_moment_it_runs_nothing_twice_and_loses_no_result() {
+fn killed_node_runs_nothing_twice_and_loses_no_acknowledged_result() {
     let kills = std::env::var("POSTPROXY_KILLS")
         .ok()
         .and_then(|kills| kills.parse().ok())
-        .unwrap_or(KILLS);
-    let workers: Vec<Worker> = (0..4)
+        .unwrap_or(DEFAULT_KILLS);
+    let workers: Vec<Worker> = (0..WORKERS)
         .map(|n| {
             Worker::start(&format!("s-{n}"), Duration::from_millis(10 + 15 * n)).expect("a worker")
         })
@@ -129,86 +195,46 @@
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("kill-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut config: serde_json::Value =
-        serde_json::from_str(include_str!("../examples/config.json")).expect("the example");
-    config["listen"] = address.to_string().into();
-    config["discovery"] = discovery.address.to_string().into();
-    config["known"] = serde_json::Value::Null;
-    let operator = serde_json::json!({"store": {"folder": folder.join("store"), "segment_mb": 1}});
-    let mut node = Node {
+    write_config(&folder, address, discovery.address);
+    let mut node = NodeProcess {
         process: None,
         folder: folder.clone(),
         address,
     };
-    std::fs::write(folder.join("config.json"), config.to_string()).expect("a file");
-    std::fs::write(folder.join("operator.json"), operator.to_string()).expect("a file");
     node.start();
-    let (over, counts) = (
-        Arc::new(AtomicBool::new(false)),
-        Arc::new(Counts::default()),
-    );
+    let stop = Arc::new(AtomicBool::new(false));
+    let counts = Arc::new(Counts::default());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let (over, counts) = (over.clone(), counts.clone());
-            thread::spawn(move || client(number, address, &over, &counts))
+            let stop = stop.clone();
+            let counts = counts.clone();
+            thread::spawn(move || run_client(number, address, &stop, &counts))
         })
         .collect();
-    let mut random = 7u64;
-    for _ in 0..kills {
-        random = random
-            .wrapping_mul(6_364_136_223_846_793_005)
-            .wrapping_add(1);
-        thread::sleep(Duration::from_millis(60 + (random >> 33) % 240));
-        node.kill();
-        node.start();
-    }
-    thread::sleep(Duration::from_millis(300));
-    over.store(true, Ordering::SeqCst);
+    kill_repeatedly(&mut node, kills);
+    thread::sleep(LAST_RUN);
+    stop.store(true, Ordering::SeqCst);
     for client in clients {
-        client.join().expect("a client without a complaint");
+        client.join().expect("a client without a failed assertion");
     }
-    // A last death, and then all that was acknowledged is asked for again.
+    // After a last kill, all results that were acknowledged must still be there.
     node.kill();
     node.start();
-    let mut runs: HashMap<String, u32> = HashMap::new();
-    for worker in &workers {
-        worker
-            .runs()
-            .into_iter()
-            .for_each(|(job, times)| *runs.entry(job).or_default() += times);
-    }
-    let twice: Vec<_> = runs.iter().filter(|(_, times)| **times > 1).collect();
-    assert!(twice.is_empty(), "run twice: {twice:?}");
-    let mut checked = 0;
-    for (job, result) in workers.iter().flat_map(Worker::acknowledged) {
-        let id = format!("again-{job}");
-        let body = result.to_lowercase();
-        let answer = ask(
-            address,
-            "POST",
-            "/day-plan/x",
-            &fields(&id, &job),
-            body.as_bytes(),
-        )
-        .expect("an answer");
-        assert_eq!(
-            (answer.status, answer.body),
-            (200, result.into_bytes()),
-            "{job}: acknowledged and lost"
-        );
-        checked += 1;
-    }
-    let get = |what: &AtomicU64| what.load(Ordering::SeqCst);
+    let runs = total_runs(&workers);
+    let run_twice: Vec<_> = runs.iter().filter(|(_, times)| **times > 1).collect();
+    assert!(run_twice.is_empty(), "run twice: {run_twice:?}");
+    let checked = check_acknowledged_results(&workers, address);
+    let served = read(&counts.served);
+    let connections_broken = read(&counts.connection_broken);
     println!(
-        "{kills} kills: {} jobs run, {} served, {} failed, {} refused, {} broken off, {checked} results kept",
+        "{kills} kills: {} requests run, {served} served, {} failed, {} rejected, {connections_broken} broken off, \
+         {checked} results kept",
         runs.len(),
-        get(&counts.served),
-        get(&counts.failed),
-        get(&counts.refused),
-        get(&counts.broken)
+        read(&counts.failed),
+        read(&counts.rejected),
     );
-    assert!(get(&counts.served) > 50 && get(&counts.broken) > 5 && checked > 50);
+    assert!(served > 50 && connections_broken > 5 && checked > 50);
     workers.iter().for_each(Worker::stop);
     drop(node);
-    std::fs::remove_dir_all(&folder).expect("it was there");
+    std::fs::remove_dir_all(&folder).expect("the folder was there");
 }
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -1,4 +1,4 @@
-//! A worker is sent a further attempt of a request only once the earlier one there has ended, and was not given up.
+//! A worker is sent another attempt of a request only if the earlier one there has ended and was not cancelled.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -7,87 +7,94 @@
 
 use dispatcher_harness::*;
 use node_harness::Peer;
-use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId};
+use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId, WorkerId};
+use std::net::TcpListener;
 use std::time::Duration;
 
-/// Takes all workers but one out of the list, and lets the request be looked at for so long.
-fn alone(
-    harness: &mut DispatcherHarness,
-    stays: u16,
-    due: &mut Vec<(f64, u64)>,
-    until: f64,
-) -> Vec<Action> {
-    let others = (0..8)
-        .filter(|n| *n != stays)
+/// Number of listed workers in the tests with a choice.
+const WORKERS: u16 = 8;
+/// Classes of [`settings`]: requests that are safe to repeat, those with an idempotency key, and those that must not run
+/// twice.
+const SAFE: u8 = 0;
+const KEYED: u8 = 1;
+const UNSAFE: u8 = 2;
+/// The request whose attempts are counted.
+const REQUEST: RequestId = 1;
+
+/// Returns the number of the worker with this id.
+fn worker_number(worker: WorkerId) -> u16 {
+    u16::from(worker.address[3])
+}
+
+/// Has all workers but one drain.
+fn drain_others(harness: &mut DispatcherHarness, remaining: u16) {
+    let others = (0..WORKERS)
+        .filter(|n| *n != remaining)
         .map(|n| with_health(n, Health::Draining))
         .collect();
     harness.list(ListKind::Delta, others);
-    // Requests bring the budget for copies.
-    (1000..1040).for_each(|id| drop(harness.request(id, 2)));
-    harness.run(until, due)
 }
 
-/// Those of these actions that send an attempt of this request.
-fn sends_of(actions: &[Action], wanted: RequestId) -> usize {
-    let is_wanted = |a: &&Action| matches!(a, Action::Send { request, .. } if *request == wanted);
-    actions.iter().filter(is_wanted).count()
+/// Returns how many of these actions send an attempt of the request.
+fn count_sends(actions: &[Action]) -> usize {
+    let is_send =
+        |action: &&Action| matches!(action, Action::Send { request, .. } if *request == REQUEST);
+    actions.iter().filter(is_send).count()
 }
 
-/// Guards against a second copy at the worker that has been silent, where no other is left.
+/// Guards against a hedged request at the worker that has been silent, where no other is left.
 #[test]
-fn a_silent_attempt_is_not_copied_to_its_own_worker() {
-    for class in [0, 1] {
-        for tells_start in [true, false] {
-            let settings = settings(|json| json["extra"]["tells-start"] = tells_start.into());
-            let mut harness = DispatcherHarness::new(settings, 8);
-            let actions = harness.request(1, class);
-            let (to, mut due) = (sends(&actions), timers(&actions));
-            let stays = u16::from(to[0].address[3]);
-            let all = alone(&mut harness, stays, &mut due, 103.9);
+fn does_not_hedge_at_the_worker_of_a_silent_attempt() {
+    for class in [SAFE, KEYED] {
+        for reports_start in [true, false] {
+            let settings = settings(|json| json["extra"]["tells-start"] = reports_start.into());
+            let mut harness = DispatcherHarness::new(settings, WORKERS);
+            let actions = harness.request(REQUEST, class);
+            let mut timers = timers(&actions);
+            drain_others(&mut harness, worker_number(sends(&actions)[0]));
+            // Requests fill the budget for hedged requests.
+            (1000..1040).for_each(|id| drop(harness.request(id, UNSAFE)));
+            let actions = harness.run(103.9, &mut timers);
             assert_eq!(
-                sends_of(&all, 1),
+                count_sends(&actions),
                 0,
-                "class {class}, starts told: {tells_start}"
+                "class {class}, starts reported: {reports_start}"
             );
         }
     }
 }
 
-/// Guards against a send to a worker to which a cancel of the same request is on its way: it may arrive behind the new attempt and end
-/// that one, or miss the old one.
+/// Guards against a send to a worker to which a cancel of the same request is on its way: it may arrive after the new
+/// attempt and end that one, or miss the old one.
 #[test]
-fn a_worker_whose_attempt_was_cancelled_gets_no_other_one() {
-    let mut harness =
-        DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
-    let actions = harness.request(1, 0);
-    let (first, mut due) = (sends(&actions), timers(&actions));
-    let copy = sends(&harness.run(100.3, &mut due));
+fn does_not_retry_at_the_worker_of_a_cancelled_attempt() {
+    let settings = settings(|json| json["extra"]["tells-start"] = true.into());
+    let mut harness = DispatcherHarness::new(settings, WORKERS);
+    let actions = harness.request(REQUEST, SAFE);
+    let first = sends(&actions)[0];
+    let mut timers = timers(&actions);
+    let hedge = sends(&harness.run(100.3, &mut timers))[0];
     assert_eq!(
-        harness.note(1, 1, Note::Started),
+        harness.note(REQUEST, 1, Note::Started),
         [Action::Cancel {
-            request: 1,
+            request: REQUEST,
             attempt: 0
         }]
     );
-    harness.outcome(1, 0, first[0], Outcome::Cancelled);
-    // Only the worker of the cancelled attempt is left when the other one fails.
-    let stays = u16::from(first[0].address[3]);
-    let others = (0..8)
-        .filter(|n| *n != stays)
-        .map(|n| with_health(n, Health::Draining))
-        .collect();
-    harness.list(ListKind::Delta, others);
-    let mut all = harness.outcome(1, 1, copy[0], Outcome::Reset);
-    due.extend(timers(&all));
-    all.extend(harness.run(102.0, &mut due));
-    assert_eq!(sends_of(&all, 1), 0);
+    harness.outcome(REQUEST, 0, first, Outcome::Cancelled);
+    // Only the worker of the cancelled attempt is left when the other attempt fails.
+    drain_others(&mut harness, worker_number(first));
+    let mut actions = harness.outcome(REQUEST, 1, hedge, Outcome::Reset);
+    timers.extend(dispatcher_harness::timers(&actions));
+    actions.extend(harness.run(102.0, &mut timers));
+    assert_eq!(count_sends(&actions), 0);
 }
 
-/// Guards against an end that is taken for a proof in one place and not in another: of each end, whether the only worker may be sent the
-/// request again, and whether the request counts as having perhaps run.
+/// Guards against an outcome that is taken for a proof in one place and not in another: of each outcome, whether the only
+/// worker may be sent the request again, and whether the request counts as one that may have run.
 #[test]
-fn only_an_end_that_proves_that_nothing_ran_lets_the_worker_have_it_again() {
-    let ends = [
+fn retries_at_the_same_worker_only_if_nothing_ran() {
+    let outcomes = [
         (Outcome::Error, false),
         (Outcome::Timeout, false),
         (Outcome::Reset, false),
@@ -97,28 +104,51 @@
         (Outcome::Moot, true),
         (Outcome::Full, true),
     ];
-    for (end, never_ran) in ends {
-        assert_eq!(end.proves_never_ran(false), never_ran, "{end:?}");
+    for (outcome, never_ran) in outcomes {
+        assert_eq!(outcome.proves_never_ran(false), never_ran, "{outcome:?}");
         assert!(
-            !end.proves_never_ran(true) || end != Outcome::Full,
+            !outcome.proves_never_ran(true) || outcome != Outcome::Full,
             "unless the settings say so"
         );
-        for class in 0..3 {
+        for class in [SAFE, KEYED, UNSAFE] {
             let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
-            let actions = harness.request(1, class);
-            let (to, mut due) = (sends(&actions), timers(&actions));
-            let mut all = harness.outcome(1, 0, to[0], end);
-            due.extend(timers(&all));
-            all.extend(harness.run(103.0, &mut due));
-            assert_eq!(sends_of(&all, 1) > 0, never_ran, "class {class}, {end:?}");
+            let actions = harness.request(REQUEST, class);
+            let mut timers = timers(&actions);
+            let mut actions = harness.outcome(REQUEST, 0, sends(&actions)[0], outcome);
+            timers.extend(dispatcher_harness::timers(&actions));
+            actions.extend(harness.run(103.0, &mut timers));
+            assert_eq!(
+                count_sends(&actions) > 0,
+                never_ran,
+                "class {class}, {outcome:?}"
+            );
         }
     }
 }
 
-/// Guards against the same in a whole node, on real connections: the worker has read the request whole, and its connection is reset
-/// before the 202. It runs there, so that the only worker is sent nothing more of it, whatever its class allows.
+/// Closes a worker's connection with a reset.
+fn reset_connection(worker: Peer) {
+    socket2::SockRef::from(&worker.stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("a socket option");
+    drop(worker);
+}
+
+/// Waits until the node connects to one of the workers, and returns that connection.
+fn accept_any(workers: &[TcpListener]) -> Peer {
+    loop {
+        if let Some((stream, _)) = workers.iter().find_map(|worker| worker.accept().ok()) {
+            stream.set_nonblocking(false).expect("a socket option");
+            return Peer::new(stream);
+        }
+        std::thread::yield_now();
+    }
+}
+
+/// Guards against the same in a whole node, on real connections: the worker has read the complete request, and its connection
+/// is reset before the 202. It runs there, so that the only worker is sent no other attempt, whatever its class allows.
 #[test]
-fn a_request_whose_connection_broke_is_not_sent_to_that_worker_again() {
+fn does_not_retry_at_a_worker_that_reset_the_connection() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
         let harness = node_harness::NodeHarness::with(1, 256, &[], |settings| {
             settings["services"][0]["effect"] = effect.into();
@@ -132,12 +162,11 @@
         );
         let mut worker = Peer::accept(&harness.workers[0]);
         assert_eq!(worker.request().headers.get("x-request-id"), Some("one"));
-        socket2::SockRef::from(&worker.stream)
-            .set_linger(Some(Duration::ZERO))
-            .expect("a setting");
-        drop(worker);
+        reset_connection(worker);
         assert_eq!(client.response().status, status, "{effect}");
-        harness.workers[0].set_nonblocking(true).expect("a setting");
+        harness.workers[0]
+            .set_nonblocking(true)
+            .expect("a socket option");
         assert!(
             harness.workers[0].accept().is_err(),
             "{effect}: a second attempt at the worker"
@@ -147,49 +176,39 @@
     }
 }
 
-/// Guards against a repeat that no worker can know: the class is keyed, every worker drops repeats, and this request came without a key.
-/// On real connections: the first worker breaks off, and a second one is there.
+/// Guards against a repetition that no worker can recognise: the class is keyed, every worker drops repetitions, and this
+/// request came without a key. On real connections: the first worker resets its connection, and a second one is there.
 #[test]
-fn a_request_of_a_keyed_class_without_a_key_is_not_sent_again() {
-    for key in [true, false] {
+fn does_not_retry_a_keyed_request_without_a_key() {
+    for has_key in [true, false] {
         let harness = node_harness::NodeHarness::with(2, 256, &[], |settings| {
             settings["services"][0]["effect"] = "token".into();
             settings["services"][0]["dedup-scope"] = "all".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
         let mut client = Peer::to(harness.node);
-        let header = if key { "Idempotency-Key: k\r\n" } else { "" };
+        let header = if has_key {
+            "Idempotency-Key: k\r\n"
+        } else {
+            ""
+        };
         client.write(&format!(
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 2.0\r\n{header}Content-Length: 0\r\n\r\n"
         ));
-        // The one that has it first is whichever the lottery drew.
+        // Either worker may be selected first.
         harness
             .workers
             .iter()
-            .for_each(|worker| worker.set_nonblocking(true).expect("a setting"));
-        let accept = || loop {
-            if let Some((stream, _)) = harness
-                .workers
-                .iter()
-                .find_map(|worker| worker.accept().ok())
-            {
-                stream.set_nonblocking(false).expect("a setting");
-                return Peer::new(stream);
-            }
-            std::thread::yield_now();
-        };
-        let mut worker = accept();
+            .for_each(|worker| worker.set_nonblocking(true).expect("a socket option"));
+        let mut worker = accept_any(&harness.workers);
         worker.request();
-        socket2::SockRef::from(&worker.stream)
-            .set_linger(Some(Duration::ZERO))
-            .expect("a setting");
-        drop(worker);
-        if key {
-            let mut second = accept();
+        reset_connection(worker);
+        if has_key {
+            let mut second = accept_any(&harness.workers);
             assert_eq!(second.request().headers.get("x-request-id"), Some("one"));
             second.write(node_harness::ACCEPTED);
-            let done = |n| harness.call("one", n, r#""state":"done","result":"r""#);
-            assert_eq!((done(0), done(1)), (200, 200));
+            let call_back = |n| harness.call("one", n, r#""state":"done","result":"r""#);
+            assert_eq!((call_back(0), call_back(1)), (200, 200));
             assert_eq!(client.response().status, 200);
         } else {
             assert_eq!(
--- a/tests/request_manager.rs
+++ b/tests/request_manager.rs
@@ -1,12 +1,17 @@
-//! The hub without sockets: one final answer, one outcome for each send, call-backs in any order.
+//! The request manager without sockets: one final answer a request, one outcome an attempt, call-backs in any order.
+
+#[path = "support/request_manager_harness.rs"]
+mod request_manager_harness;
 
-use postproxy::net::messages::ManagementReply;
 use postproxy::net::messages::{
-    Answer, AttemptEnd, AttemptId, CallbackState, Command, Input, ListedWorker, Load, Payload,
-    RequestTimer, Submission, WorkerCallback,
+    Answer, AttemptEnd, CallbackState, ClientId, Command, Input, ListedWorker, Load,
+    ManagementReply, Payload, Submission,
+};
+use postproxy::{Entry, Health, ListKind};
+use request_manager_harness::{
+    RequestManagerHarness, StartedAttempt, listed_worker, request_manager, started_attempt,
+    started_probes,
 };
-use postproxy::net::requests::manager::RequestManager;
-use postproxy::{Entry, ListKind, Settings};
 
 const SETTINGS: &str = r#"{
     "balancers": 1, "tick": 0.002, "discovery": "on_request",
@@ -16,217 +21,150 @@
     "report": {"fields": ["backlog", "errors_per_s", "outstanding", "x0"], "via": "answers"},
     "extra": {"report-x0": "free slots"}}"#;
 
-struct Bed {
-    hub: RequestManager,
-    now: f64,
-    timers: Vec<(f64, RequestTimer)>,
-}
+/// Class of requests that may run twice.
+const RENDER: u8 = 0;
+/// Class of requests that must not run twice.
+const COMMIT: u8 = 1;
 
-impl Bed {
-    fn new(workers: u16) -> Self {
-        Self::with(workers, SETTINGS)
-    }
+/// The client of the requests, unless a test says otherwise.
+const CLIENT: ClientId = 1;
+/// The connection of the call-backs.
+const CALLBACK_CLIENT: ClientId = 2;
+/// The management connection of suspensions.
+const MANAGEMENT_CALLER: usize = 9;
 
-    fn with(workers: u16, settings: &str) -> Self {
-        let hub = RequestManager::new(Settings::from_json(settings).expect("sound settings"), 7)
-            .expect("a hub");
-        let mut bed = Self {
-            hub,
-            now: 1000.0,
-            timers: Vec::new(),
-        };
-        let member = |n: u16| ListedWorker {
-            id: format!("s-{n}"),
-            address: ([127, 0, 0, 1], 9000 + n).into(),
-            entry: Entry {
-                size: 1.0,
-                ..Entry::default()
-            },
-        };
-        bed.tell(Input::WorkerListReceived {
-            kind: ListKind::Full,
-            workers: (0..workers).map(member).collect(),
-        });
-        bed
-    }
+fn harness(workers: u16) -> RequestManagerHarness {
+    RequestManagerHarness::with_workers(SETTINGS, workers)
+}
 
-    /// The commands that follow, timers apart.
-    fn tell(&mut self, input: Input) -> Vec<Command> {
-        let mut out = Vec::new();
-        self.hub.handle(self.now, input, &mut out);
-        let (timers, rest) = out
-            .into_iter()
-            .partition(|c| matches!(c, Command::SetTimer { .. }));
-        let timers: Vec<Command> = timers;
-        self.timers
-            .extend(timers.into_iter().filter_map(|c| match c {
-                Command::SetTimer { at, timer: due } => Some((at, due)),
-                _ => None,
-            }));
-        // Acknowledgements have a test of their own.
-        let rest: Vec<Command> = rest;
-        rest.into_iter()
-            .filter(|c| !matches!(c, Command::AcknowledgeCallback { client: 2, .. }))
-            .collect()
+fn submission(id: &str, class: u8) -> Submission {
+    let payload = Payload {
+        id: id.into(),
+        method: "POST".into(),
+        ..Payload::default()
+    };
+    Submission {
+        payload,
+        class,
+        ..Submission::default()
     }
+}
 
-    /// Plays the timers up to a time.
-    fn play(&mut self, until: f64) -> Vec<Command> {
-        let mut all = Vec::new();
-        loop {
-            let next = self
-                .timers
-                .iter()
-                .enumerate()
-                .min_by(|a, b| a.1.0.total_cmp(&b.1.0));
-            let Some((i, &(at, due))) = next.filter(|(_, (at, _))| *at <= until) else {
-                break;
-            };
-            self.timers.remove(i);
-            self.now = self.now.max(at);
-            all.extend(self.tell(Input::TimerExpired { timer: due }));
-        }
-        self.now = until;
-        all
-    }
+fn submit(harness: &mut RequestManagerHarness, id: &str, class: u8) -> Vec<Command> {
+    harness.submit(CLIENT, submission(id, class))
+}
 
-    fn submit(&mut self, id: &str, class: u8) -> Vec<Command> {
-        let payload = Payload {
-            id: id.into(),
-            method: "POST".into(),
-            ..Payload::default()
-        };
-        self.tell(Input::RequestReceived {
-            client: 1,
-            submission: Submission {
-                payload,
-                class,
-                ..Submission::default()
-            },
-        })
-    }
+/// Submits a request, and returns the attempt that is started for it.
+fn submit_and_start(harness: &mut RequestManagerHarness, id: &str, class: u8) -> StartedAttempt {
+    started_attempt(&submit(harness, id, class)).expect("an attempt")
+}
 
-    /// Submits, and has the attempt written and accepted; the attempt and its worker's name.
-    fn accepted(&mut self, id: &str, class: u8) -> (AttemptId, String) {
-        let (attempt, from) = start(&self.submit(id, class)).expect("an attempt");
-        assert!(self.tell(Input::AttemptWritten { attempt }).is_empty());
-        assert!(
-            self.tell(Input::ExchangeEnded {
-                attempt,
-                end: AttemptEnd::Accepted,
-                load: Load::new()
-            })
+/// Submits a request, and has its attempt written and accepted by the worker.
+fn submit_and_accept(harness: &mut RequestManagerHarness, id: &str, class: u8) -> StartedAttempt {
+    let started = submit_and_start(harness, id, class);
+    assert!(harness.write_attempt(started.attempt).is_empty());
+    assert!(
+        harness
+            .end_attempt(started.attempt, AttemptEnd::Accepted)
             .is_empty()
-        );
-        (attempt, from)
-    }
+    );
+    started
+}
 
-    fn call(&mut self, id: &str, from: &str, state: CallbackState) -> Vec<Command> {
-        self.tell(Input::CallbackReceived {
-            client: 2,
-            callback: WorkerCallback {
-                id: id.into(),
-                from: from.into(),
-                state,
-                load: Load::new(),
-            },
-        })
-    }
+/// Delivers a call-back, and returns the commands that follow but its acknowledgement.
+fn call_back(
+    harness: &mut RequestManagerHarness,
+    id: &str,
+    worker: &str,
+    state: CallbackState,
+) -> Vec<Command> {
+    let mut commands = harness.call_back(CALLBACK_CLIENT, id, worker, state);
+    commands.retain(|command| {
+        !matches!(
+            command,
+            Command::AcknowledgeCallback {
+                client: CALLBACK_CLIENT,
+                ..
+            }
+        )
+    });
+    commands
 }
 
-fn start(commands: &[Command]) -> Option<(AttemptId, String)> {
-    commands.iter().find_map(|c| match c {
-        Command::StartAttempt {
-            attempt, worker, ..
-        } => Some((*attempt, format!("s-{}", worker.port() - 9000))),
-        _ => None,
-    })
+fn answers(commands: &[Command]) -> Vec<Answer> {
+    request_manager_harness::answers(commands)
+        .into_iter()
+        .map(|(_, answer)| answer)
+        .collect()
 }
 
-fn answers<'a>(commands: &'a [Command]) -> Vec<&'a Answer> {
-    let answer = |c: &'a Command| {
-        if let Command::AnswerClient { answer, .. } = c {
-            Some(answer)
-        } else {
-            None
-        }
-    };
-    commands.iter().filter_map(answer).collect()
+fn withdraws(commands: &[Command], wanted: &StartedAttempt) -> bool {
+    commands.iter().any(
+        |command| matches!(command, Command::WithdrawAttempt { attempt } if *attempt == wanted.attempt),
+    )
 }
 
 /// Guards against a second final answer, and against call-backs that change what has ended.
 #[test]
-fn a_result_is_given_once() {
-    let mut bed = Bed::new(2);
-    let (_, from) = bed.accepted("a", 0);
-    assert!(
-        bed.call("a", "s-unknown", CallbackState::Done(b"x".into()))
-            .is_empty()
-    );
-    assert!(
-        bed.call("unknown", &from, CallbackState::Done(b"x".into()))
-            .is_empty()
-    );
-    assert!(bed.call("a", &from, CallbackState::Running(0.4)).is_empty());
-    let done = bed.call("a", &from, CallbackState::Done(b"result".into()));
-    assert_eq!(answers(&done), [&Answer::Served(b"result".into())]);
-    assert!(
-        bed.call("a", &from, CallbackState::Done(b"result".into()))
-            .is_empty()
-    );
-    assert!(bed.call("a", &from, CallbackState::Lost).is_empty());
-    assert_eq!(bed.hub.pending_count(), 0);
+fn answers_a_client_once() {
+    let mut harness = harness(2);
+    let worker = submit_and_accept(&mut harness, "a", RENDER).worker;
+    let done = |result: &[u8]| CallbackState::Done(result.into());
+    assert!(call_back(&mut harness, "a", "s-unknown", done(b"x")).is_empty());
+    assert!(call_back(&mut harness, "unknown", &worker, done(b"x")).is_empty());
+    assert!(call_back(&mut harness, "a", &worker, CallbackState::Running(0.4)).is_empty());
+    let commands = call_back(&mut harness, "a", &worker, done(b"result"));
+    assert_eq!(answers(&commands), [Answer::Served(b"result".into())]);
+    assert!(call_back(&mut harness, "a", &worker, done(b"result")).is_empty());
+    assert!(call_back(&mut harness, "a", &worker, CallbackState::Lost).is_empty());
+    assert_eq!(harness.manager.pending_count(), 0);
     assert!(
-        bed.play(1010.0).is_empty(),
+        harness.advance_to(1010.0).is_empty(),
         "no timer of the past may answer again"
     );
 }
 
 /// Guards against losing a call-back that comes before the 202, and against the 202 reviving its attempt.
 #[test]
-fn a_call_may_come_before_the_202() {
-    let mut bed = Bed::new(1);
-    let (attempt, from) = start(&bed.submit("a", 0)).expect("an attempt");
-    bed.tell(Input::AttemptWritten { attempt });
-    assert_eq!(
-        answers(&bed.call("a", &from, CallbackState::Done(b"r".into()))),
-        [&Answer::Served(b"r".into())]
-    );
+fn applies_a_callback_that_precedes_the_202() {
+    let mut harness = harness(1);
+    let StartedAttempt { attempt, worker } = submit_and_start(&mut harness, "a", RENDER);
+    harness.write_attempt(attempt);
+    let commands = call_back(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
+    assert_eq!(answers(&commands), [Answer::Served(b"r".into())]);
     assert!(
-        bed.tell(Input::ExchangeEnded {
-            attempt,
-            end: AttemptEnd::Accepted,
-            load: Load::new()
-        })
-        .is_empty()
+        harness
+            .end_attempt(attempt, AttemptEnd::Accepted)
+            .is_empty()
     );
-    assert_eq!(bed.hub.pending_count(), 0);
+    assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against taking a repeated call for news of the next attempt at the same worker.
+/// Guards against applying a repeated call-back to the next attempt at the same worker.
 #[test]
-fn a_repeated_call_does_not_end_the_next_attempt() {
-    let mut bed = Bed::new(1);
-    let (_, from) = bed.accepted("a", 0);
-    let mut again = bed.call("a", &from, CallbackState::Returned);
-    again.extend(bed.play(1001.0));
-    let (attempt, _) = start(&again).expect("what never ran is sent again");
-    assert!(bed.call("a", &from, CallbackState::Returned).is_empty());
-    bed.tell(Input::AttemptWritten { attempt });
-    // Up to ten times, also behind the next attempt's last byte: that one runs.
+fn repeated_callback_does_not_end_the_next_attempt() {
+    let mut harness = harness(1);
+    let worker = submit_and_accept(&mut harness, "a", RENDER).worker;
+    let mut commands = call_back(&mut harness, "a", &worker, CallbackState::Returned);
+    commands.extend(harness.advance_to(1001.0));
+    let retry = started_attempt(&commands).expect("a retry of what never ran");
+    assert!(call_back(&mut harness, "a", &worker, CallbackState::Returned).is_empty());
+    harness.write_attempt(retry.attempt);
+    // Repeated also after the retry's last byte has been written: the retry runs.
     for _ in 0..8 {
-        assert!(bed.call("a", &from, CallbackState::Returned).is_empty());
+        assert!(call_back(&mut harness, "a", &worker, CallbackState::Returned).is_empty());
     }
-    assert!(start(&bed.play(1002.0)).is_none(), "no third attempt");
-    assert_eq!(
-        answers(&bed.call("a", &from, CallbackState::Done(b"r".into()))).len(),
-        1
+    assert!(
+        started_attempt(&harness.advance_to(1002.0)).is_none(),
+        "no third attempt"
     );
+    let commands = call_back(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
+    assert_eq!(answers(&commands).len(), 1);
 }
 
-/// Guards against sending again what may have run; only PROTOCOL's cases prove that nothing has.
+/// Guards against a retry of what may have run; only the protocol's cases prove that nothing has.
 #[test]
-fn only_what_never_ran_is_sent_again() {
+fn retries_only_attempts_that_never_ran() {
     let cases = [
         (AttemptEnd::NeverSent, false, true),
         (AttemptEnd::LocalCapacityExhausted, false, true),
@@ -235,461 +173,444 @@
         (AttemptEnd::Error, true, false),
         (AttemptEnd::NeverSent, true, false),
     ];
-    for (end, written, again) in cases {
-        let mut bed = Bed::new(3);
-        let (attempt, _) = start(&bed.submit("a", 1)).expect("an attempt");
+    for (end, written, retried) in cases {
+        let mut harness = harness(3);
+        let attempt = submit_and_start(&mut harness, "a", COMMIT).attempt;
         if written {
-            bed.tell(Input::AttemptWritten { attempt });
+            harness.write_attempt(attempt);
         }
-        let mut after = bed.tell(Input::ExchangeEnded {
-            attempt,
-            end,
-            load: Load::new(),
-        });
-        after.extend(bed.play(1006.0));
-        assert_eq!(start(&after).is_some(), again, "{end:?}");
-        assert_eq!(answers(&after), [&Answer::Failed], "{end:?}");
-        assert_eq!(bed.hub.pending_count(), 0);
+        let mut commands = harness.end_attempt(attempt, end);
+        commands.extend(harness.advance_to(1006.0));
+        assert_eq!(started_attempt(&commands).is_some(), retried, "{end:?}");
+        assert_eq!(answers(&commands), [Answer::Failed], "{end:?}");
+        assert_eq!(harness.manager.pending_count(), 0);
     }
 }
 
-/// Guards against a worker left out of the draw because this node had no connection to spare.
+/// Guards against a worker that is no longer selected because this node had no connection to spare.
 #[test]
-fn a_shortage_here_is_not_held_against_the_worker() {
-    let mut bed = Bed::new(2);
-    let (attempt, blamed) = start(&bed.submit("a", 0)).expect("an attempt");
-    bed.tell(Input::ExchangeEnded {
-        attempt,
-        end: AttemptEnd::LocalCapacityExhausted,
-        load: Load::new(),
-    });
-    let more: Vec<_> = (0..12)
-        .filter_map(|n| start(&bed.submit(&format!("b{n}"), 0)))
+fn local_capacity_shortage_does_not_count_against_the_worker() {
+    let mut harness = harness(2);
+    let first = submit_and_start(&mut harness, "a", RENDER);
+    harness.end_attempt(first.attempt, AttemptEnd::LocalCapacityExhausted);
+    let later: Vec<_> = (0..12)
+        .filter_map(|n| started_attempt(&submit(&mut harness, &format!("b{n}"), RENDER)))
         .collect();
-    assert!(more.iter().any(|(_, worker)| *worker == blamed), "{more:?}");
+    assert!(
+        later.iter().any(|started| started.worker == first.worker),
+        "{later:?}"
+    );
 }
 
-/// Guards against a broken connection deciding on a job that its worker has taken.
+/// Guards against a broken connection that decides on a request which its worker has accepted.
 #[test]
-fn after_the_202_a_broken_connection_decides_nothing() {
-    let mut bed = Bed::new(2);
-    let (attempt, from) = bed.accepted("a", 0);
-    assert!(
-        bed.tell(Input::ExchangeEnded {
-            attempt,
-            end: AttemptEnd::Reset,
-            load: Load::new()
-        })
-        .is_empty()
-    );
-    assert_eq!(
-        answers(&bed.call("a", &from, CallbackState::Done(b"r".into()))).len(),
-        1
-    );
+fn connection_reset_after_acceptance_is_ignored() {
+    let mut harness = harness(2);
+    let StartedAttempt { attempt, worker } = submit_and_accept(&mut harness, "a", RENDER);
+    assert!(harness.end_attempt(attempt, AttemptEnd::Reset).is_empty());
+    let commands = call_back(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
+    assert_eq!(answers(&commands).len(), 1);
 }
 
-/// Guards against work that goes on for nobody: the worker is told, by a message only after its 202.
+/// Guards against work that goes on for nobody: the attempt is cancelled, by a message to the worker only if the worker
+/// has accepted it.
 #[test]
-fn a_client_that_leaves_has_its_pass_given_up() {
-    for taken in [false, true] {
-        let mut bed = Bed::new(1);
-        let (attempt, _) = start(&bed.submit("a", 0)).expect("an attempt");
-        if taken {
-            bed.tell(Input::ExchangeEnded {
-                attempt,
-                end: AttemptEnd::Accepted,
-                load: Load::new(),
-            });
+fn cancels_the_attempt_of_a_disconnected_client() {
+    for accepted_before in [false, true] {
+        let mut harness = harness(1);
+        let started = submit_and_start(&mut harness, "a", RENDER);
+        if accepted_before {
+            harness.end_attempt(started.attempt, AttemptEnd::Accepted);
         }
-        let left = bed.tell(Input::ClientDisconnected { client: 1 });
+        let commands = harness.handle(Input::ClientDisconnected { client: CLIENT });
         assert!(
-            matches!(left[..], [Command::CancelAttempt { attempt: p, accepted: t, .. }] if (p, t) == (attempt, taken)),
-            "{left:?}"
+            matches!(
+                commands[..],
+                [Command::CancelAttempt { attempt, accepted, .. }]
+                    if attempt == started.attempt && accepted == accepted_before
+            ),
+            "{commands:?}"
         );
-        assert_eq!(bed.hub.pending_count(), 0);
-        assert!(bed.play(1010.0).is_empty());
+        assert_eq!(harness.manager.pending_count(), 0);
+        assert!(harness.advance_to(1010.0).is_empty());
     }
 }
 
-/// Guards against silence: without any worker the unavailable answer comes before the deadline, with advice.
+/// Guards against silence: without any worker the request is rejected before its deadline, with a Retry-After.
 #[test]
-fn without_workers_the_answer_is_unavailable_in_time() {
-    let mut bed = Bed::new(0);
-    assert!(bed.submit("a", 0).is_empty());
-    let all = bed.play(1005.0);
+fn rejects_in_time_without_workers() {
+    let mut harness = harness(0);
+    assert!(submit(&mut harness, "a", RENDER).is_empty());
+    let commands = harness.advance_to(1005.0);
     assert!(
-        matches!(answers(&all)[..], [Answer::RejectedWithRetryAfter(after)] if *after > 0.0),
-        "{all:?}"
+        matches!(answers(&commands)[..], [Answer::RejectedWithRetryAfter(after)] if after > 0.0),
+        "{commands:?}"
     );
-    assert_eq!(bed.hub.pending_count(), 0);
+    assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against an attempt without end: a time-out of 0 is the client's deadline, and is followed by
-/// the final answer; the worker is told.
+/// Guards against an attempt without end: a time-out of 0 is the client's deadline, and is followed by the final answer;
+/// the worker is sent a cancel.
 #[test]
-fn an_attempt_that_stays_silent_ends_at_the_deadline() {
-    let mut bed = Bed::new(1);
-    bed.accepted("a", 1);
-    let all = bed.play(1005.01);
-    assert_eq!(answers(&all), [&Answer::Failed]);
+fn silent_attempt_ends_at_the_deadline() {
+    let mut harness = harness(1);
+    submit_and_accept(&mut harness, "a", COMMIT);
+    let commands = harness.advance_to(1005.01);
+    assert_eq!(answers(&commands), [Answer::Failed]);
     assert!(
-        all.iter()
-            .any(|c| matches!(c, Command::CancelAttempt { accepted: true, .. })),
-        "{all:?}"
+        commands
+            .iter()
+            .any(|command| matches!(command, Command::CancelAttempt { accepted: true, .. })),
+        "{commands:?}"
     );
-    assert_eq!(bed.hub.pending_count(), 0);
+    assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against two transactions of one id, whose call-backs could not be told apart.
+/// Guards against two requests of one id, whose call-backs could not be distinguished.
 #[test]
-fn an_id_that_is_held_is_not_taken_twice() {
-    let mut bed = Bed::new(1);
-    bed.accepted("a", 0);
+fn rejects_a_duplicate_request_id() {
+    let mut harness = harness(1);
+    submit_and_accept(&mut harness, "a", RENDER);
     let payload = Payload {
         id: "a".into(),
         ..Payload::default()
     };
-    let twice = bed.tell(Input::RequestReceived {
-        client: 2,
-        submission: Submission {
-            payload,
-            ..Submission::default()
-        },
-    });
-    assert_eq!(answers(&twice), [&Answer::DuplicateRequestId]);
-    assert_eq!(bed.hub.pending_count(), 1);
+    let duplicate = Submission {
+        payload,
+        ..Submission::default()
+    };
+    let commands = harness.submit(2, duplicate);
+    assert_eq!(answers(&commands), [Answer::DuplicateRequestId]);
+    assert_eq!(harness.manager.pending_count(), 1);
 }
 
-/// Guards against more transactions than the settings allow; the first ones stay untouched.
+/// Guards against more requests than the settings allow; the first ones stay untouched.
 #[test]
-fn what_exceeds_max_open_fails_at_once() {
+fn fails_requests_beyond_max_open_at_once() {
     let settings = SETTINGS.replace("\"max-attempts\"", "\"max-open\": 1, \"max-attempts\"");
-    let mut hub = RequestManager::new(Settings::from_json(&settings).expect("sound settings"), 7)
-        .expect("a hub");
-    let mut out = Vec::new();
+    let mut manager = request_manager(&settings);
+    let mut commands = Vec::new();
     for (client, id) in [(1, "a"), (2, "b")] {
         let payload = Payload {
             id: id.into(),
             ..Payload::default()
         };
-        hub.handle(
-            1000.0,
-            Input::RequestReceived {
-                client,
-                submission: Submission {
-                    payload,
-                    ..Submission::default()
-                },
-            },
-            &mut out,
-        );
+        let submission = Submission {
+            payload,
+            ..Submission::default()
+        };
+        let input = Input::RequestReceived { client, submission };
+        manager.handle(1000.0, input, &mut commands);
     }
     assert!(
-        out.iter().any(|c| matches!(
-            c,
+        commands.iter().any(|command| matches!(
+            command,
             Command::AnswerClient {
                 client: 2,
                 answer: Answer::Failed
             }
         )),
-        "{out:?}"
+        "{commands:?}"
     );
-    assert_eq!((answers(&out).len(), hub.pending_count()), (1, 1));
+    assert_eq!((answers(&commands).len(), manager.pending_count()), (1, 1));
 }
 
 /// Guards against load figures that are taken for others, and against an absent one that reads as 0.
 #[test]
-fn load_reports_are_joined_by_name() {
-    let bed = Bed::new(1);
-    let load = |pairs: &[(&str, f64)]| -> Load {
-        pairs.iter().map(|(n, v)| ((*n).to_owned(), *v)).collect()
+fn load_report_figures_are_matched_by_name() {
+    let harness = harness(1);
+    let report = |figures: &[(&str, f64)]| {
+        let load: Load = figures
+            .iter()
+            .map(|(name, value)| ((*name).to_owned(), *value))
+            .collect();
+        harness.manager.load_report(&load)
     };
-    let report = bed
-        .hub
-        .load_report(&load(&[("x0", 3.0), ("inflight", 7.0), ("queue", 2.0)]));
-    assert_eq!((report[0], report[2], report[3]), (2.0, 7.0, 3.0));
-    assert!(report[1].is_nan());
-    let report = bed.hub.load_report(&load(&[
+    let wire_names = report(&[("x0", 3.0), ("inflight", 7.0), ("queue", 2.0)]);
+    assert_eq!(
+        (wire_names[0], wire_names[2], wire_names[3]),
+        (2.0, 7.0, 3.0)
+    );
+    assert!(wire_names[1].is_nan());
+    let settings_names = report(&[
         ("backlog", 1.0),
         ("errors_per_s", 0.5),
         ("outstanding", 4.0),
-    ]));
-    assert_eq!(report[..3], [1.0, 0.5, 4.0]);
-    assert!(bed.hub.load_report(&load(&[("cpu", 1.0)])).is_empty());
+    ]);
+    assert_eq!(settings_names[..3], [1.0, 0.5, 4.0]);
+    assert!(report(&[("cpu", 1.0)]).is_empty());
+}
+
+/// Suspends or resumes a worker, and returns the commands that follow.
+fn set_suspension(harness: &mut RequestManagerHarness, name: &str, resume: bool) -> Vec<Command> {
+    harness.handle(Input::SuspensionRequested {
+        caller: MANAGEMENT_CALLER,
+        worker: name.into(),
+        resume,
+    })
+}
+
+fn suspend(harness: &mut RequestManagerHarness, name: &str) -> Vec<Command> {
+    set_suspension(harness, name, false)
+}
+
+fn resume(harness: &mut RequestManagerHarness, name: &str) -> Vec<Command> {
+    set_suspension(harness, name, true)
 }
 
-/// Guards against a ban that is forgotten with the list, that leaves unsent what was on its way there, or that
-/// tells what has been sent whole to run elsewhere, too.
+fn management_reply(commands: &[Command]) -> Option<ManagementReply> {
+    commands.iter().find_map(|command| match command {
+        Command::ReplyToManagement {
+            caller: MANAGEMENT_CALLER,
+            reply,
+        } => Some(*reply),
+        _ => None,
+    })
+}
+
+/// Submits requests until one is sent to this worker, and has each written; returns the last one's attempt.
+fn write_attempt_at(harness: &mut RequestManagerHarness, worker: &str) -> StartedAttempt {
+    loop {
+        let submission = submission(&format!("b{}", harness.now), COMMIT);
+        let started = started_attempt(&harness.submit(3, submission)).expect("an attempt");
+        harness.write_attempt(started.attempt);
+        if started.worker == worker {
+            return started;
+        }
+        harness.now += 0.01;
+    }
+}
+
+/// Guards against a suspension that is forgotten with the next worker list, that leaves unsent attempts on their way to the
+/// worker, or that withdraws what has been sent completely.
 #[test]
-fn a_worker_out_of_use_gets_nothing_more_and_keeps_what_it_has() {
-    let mut bed = Bed::new(2);
-    let employ = |bed: &mut Bed, name: &str, again| {
-        bed.tell(Input::SuspensionRequested {
-            caller: 9,
-            worker: name.into(),
-            resume: again,
-        })
-    };
-    let reply = |out: &[Command]| {
-        out.iter().find_map(|c| {
-            if let Command::ReplyToManagement { caller: 9, reply } = c {
-                Some(*reply)
-            } else {
-                None
-            }
-        })
-    };
-    assert_eq!(
-        reply(&employ(&mut bed, "s-9", false)),
-        Some(ManagementReply::NotFound)
-    );
+fn suspended_worker_gets_no_requests_and_keeps_running_ones() {
+    let mut harness = harness(2);
+    let not_found = Some(ManagementReply::NotFound);
+    let done = Some(ManagementReply::Done);
+    assert_eq!(management_reply(&suspend(&mut harness, "s-9")), not_found);
+    assert_eq!(management_reply(&resume(&mut harness, "s-9")), not_found);
     assert_eq!(
-        reply(&employ(&mut bed, "s-9", true)),
-        Some(ManagementReply::NotFound)
+        management_reply(&resume(&mut harness, "s-1")),
+        done,
+        "it was never suspended"
     );
-    assert_eq!(
-        reply(&employ(&mut bed, "s-1", true)),
-        Some(ManagementReply::Done),
-        "it was never out"
-    );
-    let (unsent, to) = start(&bed.submit("a", 1)).expect("an attempt");
-    let (sent, _) = loop {
-        let (attempt, from) = start(&bed.tell(Input::RequestReceived {
-            client: 3,
-            submission: Submission {
-                payload: Payload {
-                    id: format!("b{}", bed.now),
-                    method: "POST".into(),
-                    ..Payload::default()
-                },
-                class: 1,
-                ..Submission::default()
-            },
-        }))
-        .expect("an attempt");
-        bed.tell(Input::AttemptWritten { attempt });
-        if from == to {
-            break (attempt, from);
-        }
-        bed.now += 0.01;
-    };
-    let out = employ(&mut bed, &to, false);
-    assert_eq!(reply(&out), Some(ManagementReply::Done));
+    let unsent = submit_and_start(&mut harness, "a", COMMIT);
+    let suspended = unsent.worker.clone();
+    let sent = write_attempt_at(&mut harness, &suspended);
+    let commands = suspend(&mut harness, &suspended);
+    assert_eq!(management_reply(&commands), done);
+    assert!(withdraws(&commands, &unsent));
+    assert!(!withdraws(&commands, &sent));
     assert!(
-        out.iter()
-            .any(|c| matches!(c, Command::WithdrawAttempt { attempt } if *attempt == unsent))
-    );
-    assert!(
-        !out.iter()
-            .any(|c| matches!(c, Command::WithdrawAttempt { attempt } if *attempt == sent))
-    );
-    assert!(
-        out.iter()
-            .any(|c| matches!(c, Command::CloseIdleConnections { .. }))
+        commands
+            .iter()
+            .any(|command| matches!(command, Command::CloseIdleConnections { .. }))
     );
     assert_eq!(
-        reply(&employ(&mut bed, &to, false)),
-        Some(ManagementReply::Done),
-        "twice is once"
+        management_reply(&suspend(&mut harness, &suspended)),
+        done,
+        "suspending twice is as once"
     );
-    // What never ran goes elsewhere; also after a whole list that names the worker as ready.
-    let (_, other) = start(&bed.tell(Input::ExchangeEnded {
-        attempt: unsent,
-        end: AttemptEnd::LocalCapacityExhausted,
-        load: Load::new(),
-    }))
-    .expect("another attempt");
-    assert_ne!(other, to);
-    let member = |n: u16| ListedWorker {
-        id: format!("s-{n}"),
-        address: ([127, 0, 0, 1], 9000 + n).into(),
-        entry: Entry {
-            size: 1.0,
-            started: 1000.0,
-            ..Entry::default()
-        },
+    // What never ran goes to the other worker; also after a full list that names the suspended one as ready.
+    let commands = harness.end_attempt(unsent.attempt, AttemptEnd::LocalCapacityExhausted);
+    let other = started_attempt(&commands).expect("another attempt").worker;
+    assert_ne!(other, suspended);
+    let restarted = |n: u16| {
+        let mut worker = listed_worker(n);
+        worker.entry.started = 1000.0;
+        worker
     };
-    bed.tell(Input::WorkerListReceived {
+    harness.handle(Input::WorkerListReceived {
         kind: ListKind::Full,
-        workers: vec![member(0), member(1)],
+        workers: vec![restarted(0), restarted(1)],
     });
     for n in 0..20 {
-        let (_, from) = start(&bed.submit(&format!("c{n}"), 0)).expect("an attempt");
-        assert_ne!(from, to);
+        let started = submit_and_start(&mut harness, &format!("c{n}"), RENDER);
+        assert_ne!(started.worker, suspended);
     }
-    assert_eq!(
-        reply(&employ(&mut bed, &other, false)),
-        Some(ManagementReply::Done)
-    );
-    let out = bed.submit("d", 0);
+    assert_eq!(management_reply(&suspend(&mut harness, &other)), done);
+    let commands = submit(&mut harness, "d", RENDER);
     assert!(
-        out.iter().any(|c| matches!(
-            c,
+        commands.iter().any(|command| matches!(
+            command,
             Command::AnswerClient {
-                client: 1,
+                client: CLIENT,
                 answer: Answer::RejectedWithRetryAfter(_)
             }
         )),
-        "all are out: {out:?}"
+        "all are suspended: {commands:?}"
     );
+    assert_eq!(management_reply(&resume(&mut harness, &suspended)), done);
+    let started = submit_and_start(&mut harness, "e", RENDER);
     assert_eq!(
-        reply(&employ(&mut bed, &to, true)),
-        Some(ManagementReply::Done)
+        started.worker, suspended,
+        "one resumption undoes two suspensions"
     );
-    let (_, from) = start(&bed.submit("e", 0)).expect("an attempt");
-    assert_eq!(from, to, "one call back undoes two out");
 }
 
-/// Guards against an attempt that is dialled for and begins after its client has left, where settings forbid cancels:
-/// nothing was sent, so there is nothing to cancel. One that was written whole goes on there.
+/// Guards against an attempt whose connection is being made and that begins after its client has disconnected, where
+/// settings forbid cancels: nothing was sent, so there is nothing to cancel. One that was written completely goes on.
 #[test]
-fn what_is_not_written_is_taken_back_when_the_client_leaves() {
-    for cancel in ["true", "false"] {
-        for class in [0, 1] {
-            let settings = SETTINGS.replace("\"cancel\": true", &format!("\"cancel\": {cancel}"));
-            let mut bed = Bed::with(2, &settings);
-            let (attempt, _) = start(&bed.submit("a", class)).expect("an attempt");
-            let out = bed.tell(Input::ClientDisconnected { client: 1 });
-            let back = |c: &Command| match c {
-                Command::CancelAttempt { attempt: p, .. } => cancel == "true" && *p == attempt,
-                Command::WithdrawAttempt { attempt: p } => cancel == "false" && *p == attempt,
+fn withdraws_unwritten_attempts_of_a_disconnected_client() {
+    for may_cancel in [true, false] {
+        for class in [RENDER, COMMIT] {
+            let settings =
+                SETTINGS.replace("\"cancel\": true", &format!("\"cancel\": {may_cancel}"));
+            let mut harness = RequestManagerHarness::with_workers(&settings, 2);
+            let unwritten = submit_and_start(&mut harness, "a", class).attempt;
+            let commands = harness.handle(Input::ClientDisconnected { client: CLIENT });
+            let takes_back = |command: &Command| match command {
+                Command::CancelAttempt { attempt, .. } => may_cancel && *attempt == unwritten,
+                Command::WithdrawAttempt { attempt } => !may_cancel && *attempt == unwritten,
                 _ => false,
             };
-            assert!(out.iter().any(back), "cancel {cancel}: {out:?}");
             assert!(
-                bed.tell(Input::ExchangeEnded {
-                    attempt,
-                    end: AttemptEnd::LocalCapacityExhausted,
-                    load: Load::new()
-                })
-                .is_empty()
+                commands.iter().any(takes_back),
+                "cancel {may_cancel}: {commands:?}"
             );
             assert!(
-                start(&bed.play(1010.0)).is_none() && bed.hub.pending_count() == 0,
-                "cancel {cancel}"
+                harness
+                    .end_attempt(unwritten, AttemptEnd::LocalCapacityExhausted)
+                    .is_empty()
             );
-            let (sent, from) = bed.accepted("b", class);
-            let out = bed.tell(Input::ClientDisconnected { client: 1 });
             assert!(
-                !out.iter()
-                    .any(|c| matches!(c, Command::WithdrawAttempt { .. })),
-                "{sent} has been written"
+                started_attempt(&harness.advance_to(1010.0)).is_none()
+                    && harness.manager.pending_count() == 0,
+                "cancel {may_cancel}"
             );
+            let StartedAttempt { attempt, worker } = submit_and_accept(&mut harness, "b", class);
+            let commands = harness.handle(Input::ClientDisconnected { client: CLIENT });
             assert!(
-                start(&bed.call("b", &from, CallbackState::Lost)).is_none(),
-                "no further attempt"
+                !commands
+                    .iter()
+                    .any(|command| matches!(command, Command::WithdrawAttempt { .. })),
+                "{attempt} has been written"
             );
+            let commands = call_back(&mut harness, "b", &worker, CallbackState::Lost);
+            assert!(started_attempt(&commands).is_none(), "no retry");
             assert!(
-                start(&bed.play(1020.0)).is_none() && bed.hub.pending_count() == 0,
-                "cancel {cancel}"
+                started_attempt(&harness.advance_to(1020.0)).is_none()
+                    && harness.manager.pending_count() == 0,
+                "cancel {may_cancel}"
             );
         }
     }
 }
 
-/// Guards against a send to a worker that has been announced as leaving: the attempt was decided before, and its connection
-/// comes up after; what counts is the first byte. It goes elsewhere, since nothing ran; one that is written whole goes on.
-#[test]
-fn what_is_not_written_is_taken_back_when_its_worker_leaves() {
-    use postproxy::Health;
-    let member = |name: &str, health: Health| {
-        let n: u16 = name.trim_start_matches("s-").parse().expect("a number");
-        let entry = Entry {
-            size: 1.0,
+/// The ways in which a worker list announces that a worker leaves.
+#[derive(Clone, Copy, Debug)]
+enum Departure {
+    /// A change names the worker as draining.
+    DrainingInDelta,
+    /// A full list names the worker as draining.
+    DrainingInFullList,
+    /// A full list does not name the worker.
+    AbsentFromFullList,
+}
+
+/// Returns the worker of this name as a worker list names it, with this health.
+fn listed_worker_named(name: &str, health: Health) -> ListedWorker {
+    let n: u16 = name.trim_start_matches("s-").parse().expect("a number");
+    let listed = listed_worker(n);
+    ListedWorker {
+        entry: Entry {
             health,
-            ..Entry::default()
-        };
-        ListedWorker {
-            id: name.to_owned(),
-            address: ([127, 0, 0, 1], 9000 + n).into(),
-            entry,
-        }
-    };
-    let other = |name: &str| if name == "s-0" { "s-1" } else { "s-0" };
+            ..listed.entry
+        },
+        ..listed
+    }
+}
+
+/// Guards against an attempt that is sent to a worker which has been announced as leaving: the attempt was decided on
+/// before, and its connection comes up after; what counts is the first byte. It goes to another worker, since nothing ran;
+/// one that is written completely goes on.
+#[test]
+fn withdraws_unwritten_attempts_to_a_leaving_worker() {
+    let other_worker = |name: &str| if name == "s-0" { "s-1" } else { "s-0" };
     for written in [false, true] {
-        for how in 0..3 {
-            let mut bed = Bed::new(2);
-            let (attempt, to) = start(&bed.submit("a", 1)).expect("an attempt");
-            assert!(
-                bed.tell(Input::WorkerListReceived {
-                    kind: ListKind::Delta,
-                    workers: vec![]
-                })
-                .is_empty(),
-                "no change"
-            );
+        for departure in [
+            Departure::DrainingInDelta,
+            Departure::DrainingInFullList,
+            Departure::AbsentFromFullList,
+        ] {
+            let mut harness = harness(2);
+            let started = submit_and_start(&mut harness, "a", COMMIT);
+            let no_change = Input::WorkerListReceived {
+                kind: ListKind::Delta,
+                workers: vec![],
+            };
+            assert!(harness.handle(no_change).is_empty(), "no change");
             if written {
-                bed.tell(Input::AttemptWritten { attempt });
+                harness.write_attempt(started.attempt);
             }
-            let stays = member(other(&to), Health::Ready);
-            let out = bed.tell(match how {
-                0 => Input::WorkerListReceived {
-                    kind: ListKind::Delta,
-                    workers: vec![member(&to, Health::Draining)],
-                },
-                1 => Input::WorkerListReceived {
-                    kind: ListKind::Full,
-                    workers: vec![member(&to, Health::Draining), stays],
-                },
-                _ => Input::WorkerListReceived {
-                    kind: ListKind::Full,
-                    workers: vec![stays],
-                },
-            });
-            let back = out
-                .iter()
-                .any(|c| matches!(c, Command::WithdrawAttempt { attempt: p } if *p == attempt));
-            assert_eq!(back, !written, "{how}: {out:?}");
-            if back {
-                let again = start(&bed.tell(Input::ExchangeEnded {
-                    attempt,
-                    end: AttemptEnd::LocalCapacityExhausted,
-                    load: Load::new(),
-                }));
-                assert_eq!(again.expect("another attempt").1, other(&to));
+            let leaving = listed_worker_named(&started.worker, Health::Draining);
+            let staying = listed_worker_named(other_worker(&started.worker), Health::Ready);
+            let (kind, workers) = match departure {
+                Departure::DrainingInDelta => (ListKind::Delta, vec![leaving]),
+                Departure::DrainingInFullList => (ListKind::Full, vec![leaving, staying]),
+                Departure::AbsentFromFullList => (ListKind::Full, vec![staying]),
+            };
+            let commands = harness.handle(Input::WorkerListReceived { kind, workers });
+            let withdrawn = withdraws(&commands, &started);
+            assert_eq!(withdrawn, !written, "{departure:?}: {commands:?}");
+            if withdrawn {
+                let commands =
+                    harness.end_attempt(started.attempt, AttemptEnd::LocalCapacityExhausted);
+                let retry = started_attempt(&commands).expect("another attempt");
+                assert_eq!(retry.worker, other_worker(&started.worker));
             }
         }
     }
 }
 
-/// Guards against an attempt for nobody in a hand-over: the client leaves between the one process's last look and the
-/// other's first. Its job's next attempt does not begin there, and what is out is given up; with it, the job goes on.
+/// Guards against an attempt for nobody in a handover: the client disconnects between the one process's last look at the
+/// connection and the other's first. No further attempt begins there, and those that are out are cancelled; with its
+/// client, the request goes on.
 #[test]
-fn a_job_that_moves_without_its_client_is_given_up() {
+fn cancels_a_migrated_request_without_its_client() {
     for (client, goes_on) in [(Some(9), true), (None, false)] {
-        let (mut old, mut new) = (Bed::new(2), Bed::new(2));
-        let (_, from) = old.accepted("a", 0);
-        let job = old.hub.release_request(old.now, 1).expect("it can move");
-        let out = new.tell(Input::RequestMigrated {
+        let mut sender = harness(2);
+        let mut receiver = harness(2);
+        let worker = submit_and_accept(&mut sender, "a", RENDER).worker;
+        let request = sender
+            .manager
+            .release_request(sender.now, CLIENT)
+            .expect("it can migrate");
+        let commands = receiver.handle(Input::RequestMigrated {
             link: 1,
             client,
-            request: job,
+            request,
         });
-        let given_up = out
-            .iter()
-            .any(|c| matches!(c, Command::CancelAttempt { payload: p, accepted: true, .. } if p.id == "a"));
-        assert_eq!((given_up, start(&out)), (!goes_on, None), "{out:?}");
-        let again = start(&new.call("a", &from, CallbackState::Lost));
-        assert_eq!(again.is_some(), goes_on);
-        assert_eq!(new.hub.pending_count(), usize::from(goes_on));
+        let cancelled = commands.iter().any(|command| {
+            matches!(
+                command,
+                Command::CancelAttempt { payload, accepted: true, .. } if payload.id == "a"
+            )
+        });
+        assert_eq!(
+            (cancelled, started_attempt(&commands)),
+            (!goes_on, None),
+            "{commands:?}"
+        );
+        let commands = call_back(&mut receiver, "a", &worker, CallbackState::Lost);
+        assert_eq!(started_attempt(&commands).is_some(), goes_on);
+        assert_eq!(receiver.manager.pending_count(), usize::from(goes_on));
     }
 }
 
-/// Guards against a killed job whose call-backs come after its second start: they are about what is over, and end nothing of what runs.
+/// Guards against late call-backs of a lost attempt after the retry has started: they are about what has ended, and end
+/// nothing of what runs.
 #[test]
-fn call_backs_of_a_killed_job_change_nothing_of_its_second_start() {
-    let mut bed = Bed::new(2);
-    let (_, first) = bed.accepted("a", 0);
-    assert!(bed.call("a", &first, CallbackState::Started).is_empty());
-    let (attempt, second) =
-        start(&bed.call("a", &first, CallbackState::Lost)).expect("it starts over");
-    assert_ne!(second, first);
-    bed.tell(Input::AttemptWritten { attempt });
-    bed.tell(Input::ExchangeEnded {
-        attempt,
-        end: AttemptEnd::Accepted,
-        load: Load::new(),
-    });
+fn callbacks_of_a_lost_attempt_do_not_change_the_next_one() {
+    let mut harness = harness(2);
+    let first_worker = submit_and_accept(&mut harness, "a", RENDER).worker;
+    assert!(call_back(&mut harness, "a", &first_worker, CallbackState::Started).is_empty());
+    let commands = call_back(&mut harness, "a", &first_worker, CallbackState::Lost);
+    let retry = started_attempt(&commands).expect("a retry");
+    assert_ne!(retry.worker, first_worker);
+    harness.write_attempt(retry.attempt);
+    harness.end_attempt(retry.attempt, AttemptEnd::Accepted);
     for late in [
         CallbackState::Lost,
         CallbackState::Failed,
@@ -697,94 +618,92 @@
         CallbackState::Started,
         CallbackState::Running(0.9),
     ] {
-        let out = bed.call("a", &first, late.clone());
-        assert!(out.is_empty(), "{late:?}: {out:?}");
+        let commands = call_back(&mut harness, "a", &first_worker, late.clone());
+        assert!(commands.is_empty(), "{late:?}: {commands:?}");
     }
-    let done = bed.call("a", &second, CallbackState::Done(b"result".into()));
-    assert_eq!(answers(&done), [&Answer::Served(b"result".into())]);
+    let done = CallbackState::Done(b"result".into());
+    let commands = call_back(&mut harness, "a", &retry.worker, done);
+    assert_eq!(answers(&commands), [Answer::Served(b"result".into())]);
 }
 
-fn probes(commands: &[Command]) -> Vec<(AttemptId, String)> {
-    let probe = |c: &Command| match c {
-        Command::ProbeWorker {
-            attempt: id,
-            worker,
-            ..
-        } => Some((*id, format!("s-{}", worker.port() - 9000))),
-        _ => None,
-    };
-    commands.iter().filter_map(probe).collect()
-}
-
-/// Guards against probes that the dispatcher asks for and nobody makes, or whose answers it never hears: where load comes by
-/// probes alone, a job goes to the worker that has told of room. And against probes where the settings allow none.
+/// Guards against probes that the dispatcher asks for and nobody makes, or whose answers it never gets: where load comes by
+/// probes alone, a request goes to the worker that has reported free slots. And against probes where the settings allow none.
 #[test]
-fn workers_are_asked_for_their_load_where_that_is_allowed() {
-    assert!(probes(&Bed::new(3).submit("a", 0)).is_empty());
+fn probes_workers_only_where_settings_allow() {
+    assert!(started_probes(&submit(&mut harness(3), "a", RENDER)).is_empty());
     let settings = SETTINGS
         .replace("\"via\": \"answers\"", "\"via\": \"probe\"")
         .replace("\"cancel\": true", "\"cancel\": true, \"may-probe\": true");
-    for told in [Some(4.0), None] {
-        let mut bed = Bed::with(3, &settings);
-        let out = bed.submit("a", 0);
-        assert!(start(&out).is_none(), "it is asked first");
-        let asked = probes(&out);
-        assert!(!asked.is_empty());
+    for reported_slots in [Some(4.0), None] {
+        let mut harness = RequestManagerHarness::with_workers(&settings, 3);
+        let commands = submit(&mut harness, "a", RENDER);
+        assert!(
+            started_attempt(&commands).is_none(),
+            "the workers are probed first"
+        );
+        let probes = started_probes(&commands);
+        assert!(!probes.is_empty());
         let mut sent = None;
-        for (id, worker) in &asked {
-            let free = if *worker == asked[0].1 {
-                told.unwrap_or(0.0)
+        for probe in &probes {
+            let free_slots = if probe.worker == probes[0].worker {
+                reported_slots.unwrap_or(0.0)
             } else {
                 0.0
             };
             let load = vec![
-                ("x0".to_owned(), free),
+                ("x0".to_owned(), free_slots),
                 ("backlog".to_owned(), 0.0),
-                ("outstanding".to_owned(), 4.0 - free),
+                ("outstanding".to_owned(), 4.0 - free_slots),
             ];
-            let end = if told.is_some() {
+            let end = if reported_slots.is_some() {
                 AttemptEnd::Accepted
             } else {
                 AttemptEnd::Reset
             };
-            sent = sent.or(start(&bed.tell(Input::ExchangeEnded {
-                attempt: *id,
+            let commands = harness.handle(Input::ExchangeEnded {
+                attempt: probe.attempt,
                 end,
                 load,
-            })));
+            });
+            sent = sent.or(started_attempt(&commands));
             assert!(
-                bed.tell(Input::ExchangeEnded {
-                    attempt: *id,
-                    end: AttemptEnd::Accepted,
-                    load: Load::new()
-                })
-                .is_empty(),
-                "once"
+                harness
+                    .end_attempt(probe.attempt, AttemptEnd::Accepted)
+                    .is_empty(),
+                "a probe ends once"
             );
         }
-        match told {
-            Some(_) => assert_eq!(sent.map(|(_, worker)| worker), Some(asked[0].1.clone())),
-            // Nothing is known: the job is not lost for it.
-            None => assert!(sent.is_some() || start(&bed.play(1001.0)).is_some()),
+        match reported_slots {
+            Some(_) => assert_eq!(
+                sent.map(|started| started.worker),
+                Some(probes[0].worker.clone())
+            ),
+            // No load is known, and the request is sent all the same.
+            None => {
+                assert!(sent.is_some() || started_attempt(&harness.advance_to(1001.0)).is_some())
+            }
         }
     }
 }
 
-/// Guards against an attempt that moves to another process while its last byte is on its way: there it would count as never sent.
+/// Guards against an attempt that migrates while its last byte is on its way: there it would count as never sent.
 #[test]
-fn a_job_moves_only_when_its_attempts_are_decided() {
-    let mut bed = Bed::new(2);
-    let (attempt, _) = start(&bed.submit("a", 1)).expect("an attempt");
-    assert!(bed.hub.migratable_clients().is_empty(), "it is dialled for");
-    bed.tell(Input::AttemptWritten { attempt });
+fn request_migrates_only_when_its_attempts_are_decided() {
+    let mut harness = harness(2);
+    let attempt = submit_and_start(&mut harness, "a", COMMIT).attempt;
     assert!(
-        bed.hub.migratable_clients().is_empty(),
-        "it is written, and nobody knows whether it was taken"
+        harness.manager.migratable_clients().is_empty(),
+        "its connection is being made"
+    );
+    harness.write_attempt(attempt);
+    assert!(
+        harness.manager.migratable_clients().is_empty(),
+        "it is written, and nobody knows whether it was accepted"
+    );
+    harness.end_attempt(attempt, AttemptEnd::Accepted);
+    assert_eq!(
+        harness.manager.migratable_clients(),
+        [CLIENT],
+        "it was accepted"
     );
-    bed.tell(Input::ExchangeEnded {
-        attempt,
-        end: AttemptEnd::Accepted,
-        load: Load::new(),
-    });
-    assert_eq!(bed.hub.migratable_clients(), [1], "it was taken");
 }
