--- a/tests/durable_requests.rs
+++ b/tests/durable_requests.rs
@@ -6,8 +6,8 @@
 
 use postproxy::Settings;
 use postproxy::net::messages::{
-    Answer, AttemptEnd, CallbackState, ClientId, Command, Input, Payload, RequestTimer, Submission,
-    WriteWaiter,
+    Answer, AttemptEnd, AttemptId, CallbackState, ClientId, Command, Input, Payload, RequestTimer,
+    Submission, WriteWaiter,
 };
 use postproxy::net::requests::durability::{Durability, DurabilityPolicy};
 use postproxy_idempotency::{Limits, RequestLog, Write, result_key};
@@ -189,7 +189,7 @@
         started
     }
 
-    fn end_attempt(&mut self, attempt: u64, end: AttemptEnd) -> Vec<Command> {
+    fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) -> Vec<Command> {
         let commands = self.base.end_attempt(attempt, end);
         self.collect_writes(commands)
     }
