--- a/src/net/handover/callbacks.rs
+++ b/src/net/handover/callbacks.rs
@@ -1,7 +1,7 @@
 //! Call-backs that cross between sibling processes: those forwarded to siblings, which wait for their results,
 //! and those that siblings have forwarded here, which wait for this process's own.
 
-use crate::net::messages::{ClientId, JobCall};
+use crate::net::messages::{ClientId, WorkerCallback};
 use std::collections::HashMap;
 
 /// Marks the client numbers of call-backs that siblings have forwarded here, apart from those of connections.
@@ -20,7 +20,7 @@
 struct PendingCallback {
     /// Siblings that have yet to send their result.
     results_left: usize,
-    callback: JobCall,
+    callback: WorkerCallback,
 }
 
 /// What is known of a forwarded call-back after a result.
@@ -31,7 +31,7 @@
     /// A sibling knows the call-back's request.
     Known,
     /// No sibling knows the request.
-    Unknown(JobCall),
+    Unknown(WorkerCallback),
 }
 
 /// The call-backs that cross between this process and its siblings.
@@ -67,7 +67,7 @@
     }
 
     /// Waits for the results of so many siblings to which a call-back was forwarded.
-    pub fn await_results(&mut self, client: ClientId, siblings: usize, callback: JobCall) {
+    pub fn await_results(&mut self, client: ClientId, siblings: usize, callback: WorkerCallback) {
         let pending = PendingCallback {
             results_left: siblings,
             callback,
--- a/src/net/node/cluster.rs
+++ b/src/net/node/cluster.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::net::cluster::service::Event;
-use crate::net::messages::{Input, Reply};
+use crate::net::messages::{Input, ManagementReply};
 use postproxy_version_tracking::{Source, VersionRecord};
 
 impl Node {
@@ -100,7 +100,13 @@
                     caller,
                     recorded,
                     nodes,
-                } => self.reply(caller, Reply::Held(recorded, nodes)),
+                } => self.reply(
+                    caller,
+                    ManagementReply::PartiallyApplied {
+                        applied: recorded,
+                        nodes: nodes,
+                    },
+                ),
             }
         }
     }
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -6,7 +6,7 @@
 use crate::net::handover::descriptors::DescriptorUsage;
 use crate::net::handover::{Event, Handover};
 use crate::net::lifecycle::Stage;
-use crate::net::messages::{ClientId, Input, JobCall};
+use crate::net::messages::{ClientId, Input, WorkerCallback};
 use postproxy_handover::{LinkEvent, Message, Role, StateUpdate};
 use std::os::fd::OwnedFd;
 
@@ -356,7 +356,7 @@
     }
 
     /// Forwards a call-back on an unknown request to the siblings; without any it is acknowledged at once.
-    pub(super) fn forward_callback(&mut self, client: ClientId, callback: JobCall) {
+    pub(super) fn forward_callback(&mut self, client: ClientId, callback: WorkerCallback) {
         let except = self.forwarded_callbacks.origin_link(client);
         let body = clients::wording(&callback);
         let siblings = self.handover.as_mut().map_or(0, |handover| {
--- a/src/net/node/lifecycle.rs
+++ b/src/net/node/lifecycle.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::net::handover::Handover;
 use crate::net::lifecycle::Stage;
-use crate::net::messages::Reply;
+use crate::net::messages::ManagementReply;
 use crate::net::transport::reactor::Timer;
 use postproxy_handover::{Message, StateUpdate};
 
@@ -72,7 +72,7 @@
     }
 
     /// Ends a drain, and returns the reply to whoever asked for it.
-    pub(super) fn activate(&mut self) -> Reply {
+    pub(super) fn activate(&mut self) -> ManagementReply {
         if self.lifecycle.is_draining() {
             let update = StateUpdate::DrainChanged {
                 draining: false,
@@ -83,7 +83,11 @@
         let accepted = self.lifecycle.activate();
         tracing::info!(accepted, "activated");
         self.apply_readiness();
-        if accepted { Reply::Yes } else { Reply::NotNow }
+        if accepted {
+            ManagementReply::Done
+        } else {
+            ManagementReply::NotNow
+        }
     }
 
     /// Closes connections that have been idle for longer than the drain allows.
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -4,7 +4,7 @@
 use crate::net::cluster::coordination::AdminRequest;
 use crate::net::cluster::service::ClusterService;
 use crate::net::management::Call;
-use crate::net::messages::{Input, Reply};
+use crate::net::messages::{Input, ManagementReply};
 use postproxy_membership::ForgetError;
 
 /// A request of the management API that waits until an older process has sent its whole snapshot.
@@ -70,11 +70,18 @@
         match call {
             Call::Ready => {
                 let ready = self.lifecycle.is_serving();
-                self.reply(caller, if ready { Reply::Yes } else { Reply::NotNow });
+                self.reply(
+                    caller,
+                    if ready {
+                        ManagementReply::Done
+                    } else {
+                        ManagementReply::NotNow
+                    },
+                );
             }
             Call::Drain => {
                 self.drain(None, 0.0);
-                self.reply(caller, Reply::Yes);
+                self.reply(caller, ManagementReply::Done);
             }
             Call::Activate => {
                 let reply = self.activate();
@@ -109,14 +116,14 @@
     }
 
     /// Sends a reply to a caller of the management API.
-    pub(super) fn reply(&mut self, caller: usize, reply: Reply) {
+    pub(super) fn reply(&mut self, caller: usize, reply: ManagementReply) {
         if let Some(management) = &mut self.management {
             management.send_reply(&mut self.reactor, caller, reply);
         }
     }
 
     /// Sends a text to a caller of the management API, or `otherwise` if there is none.
-    fn reply_with_text(&mut self, caller: usize, text: Option<String>, otherwise: Reply) {
+    fn reply_with_text(&mut self, caller: usize, text: Option<String>, otherwise: ManagementReply) {
         match (&mut self.management, text) {
             (Some(management), Some(text)) => {
                 management.send_text(&mut self.reactor, caller, 200, &text);
@@ -133,7 +140,7 @@
             .cluster
             .as_ref()
             .and_then(|cluster| cluster.lease_status_json(self.reactor.now));
-        self.reply_with_text(caller, text, Reply::NoDuties);
+        self.reply_with_text(caller, text, ManagementReply::CoordinationDisabled);
     }
 
     fn show_versions(&mut self, caller: usize) {
@@ -141,7 +148,7 @@
             .cluster
             .as_ref()
             .and_then(|cluster| cluster.versions_json(self.reactor.now));
-        self.reply_with_text(caller, text, Reply::NoAudit);
+        self.reply_with_text(caller, text, ManagementReply::AuditDisabled);
     }
 
     fn show_audit_log(&mut self, caller: usize) {
@@ -149,13 +156,17 @@
             .cluster
             .as_ref()
             .and_then(|cluster| cluster.audit_log_json(self.attempts_on_version));
-        self.reply_with_text(caller, text, Reply::NoAudit);
+        self.reply_with_text(caller, text, ManagementReply::AuditDisabled);
     }
 
     fn show_members(&mut self, caller: usize) {
         let status = self.cluster.as_ref().and_then(ClusterService::status);
         let text = status.and_then(|status| serde_json::to_string(&status).ok());
-        self.reply_with_text(caller, text.map(|text| text + "\n"), Reply::NoFleet);
+        self.reply_with_text(
+            caller,
+            text.map(|text| text + "\n"),
+            ManagementReply::ClusterDisabled,
+        );
     }
 
     /// Submits a request to the cluster's coordination; the caller gets its reply once the request is decided.
@@ -166,23 +177,23 @@
             .and_then(|cluster| cluster.handle_admin_request(&mut self.reactor, caller, request));
         match events {
             Some(events) => self.handle_cluster_events(events),
-            None => self.reply(caller, Reply::NoDuties),
+            None => self.reply(caller, ManagementReply::CoordinationDisabled),
         }
     }
 
     /// Removes a failed node from the cluster's members.
-    fn forget_member(&mut self, name: &str) -> Reply {
+    fn forget_member(&mut self, name: &str) -> ManagementReply {
         let Some(cluster) = &mut self.cluster else {
-            return Reply::NoFleet;
+            return ManagementReply::ClusterDisabled;
         };
         match cluster.forget_member(&mut self.reactor, name) {
             Ok(events) => {
                 self.handle_cluster_events(events);
-                Reply::Yes
+                ManagementReply::Done
             }
-            Err(Some(ForgetError::UnknownNode)) => Reply::Nobody,
-            Err(Some(ForgetError::StillAlive)) => Reply::Lives,
-            Err(Some(ForgetError::TooMany) | None) => Reply::NotNow,
+            Err(Some(ForgetError::UnknownNode)) => ManagementReply::NotFound,
+            Err(Some(ForgetError::StillAlive)) => ManagementReply::StillAlive,
+            Err(Some(ForgetError::TooMany) | None) => ManagementReply::NotNow,
         }
     }
 
@@ -200,11 +211,11 @@
 
     /// Passes an accepted suspension on to the other nodes, which then confirm it to the caller; without other
     /// nodes the caller gets the request manager's reply at once.
-    pub(super) fn complete_suspension(&mut self, caller: usize, reply: Reply) {
+    pub(super) fn complete_suspension(&mut self, caller: usize, reply: ManagementReply) {
         let change = self
             .pending_suspensions
             .remove(&caller)
-            .filter(|_| reply == Reply::Yes);
+            .filter(|_| reply == ManagementReply::Done);
         if let (Some(change), Some(cluster)) = (change, &mut self.cluster) {
             let events = cluster.set_suspended(
                 &mut self.reactor,
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -14,8 +14,8 @@
 use crate::net::handover::descriptors::DescriptorShares;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::management::{self, ManagementServer};
-use crate::net::messages::{Input, Member, RequestTimer, Wait};
-use crate::net::requests::durability::DurabilityPolicy;
+use crate::net::messages::{Input, ListedWorker, RequestTimer, WriteWaiter};
+use crate::net::requests::durability::{Durability, DurabilityPolicy};
 use crate::net::requests::manager::RequestManager;
 use crate::net::store_adapter::{RecoveredState, StartedStore, StoreAdapter};
 use crate::net::transport::reactor::{self, Clock, Reactor, Timer};
@@ -48,7 +48,7 @@
 struct CachedWorkers {
     /// The list's revision; `None` if it has no workers.
     revision: Option<u64>,
-    workers: Vec<Member>,
+    workers: Vec<ListedWorker>,
 }
 
 impl Node {
@@ -166,11 +166,16 @@
         config.cached_list = list.select_initial_list(config.cached_list.take(), config.discovery);
     }
     let initial_writes = request_log.finish_loading();
+    let keyed_durability = if section.keyed_durable {
+        Durability::Durable
+    } else {
+        Durability::Relaxed
+    };
     let durability = DurabilityPolicy::new(
         &config.settings,
         request_log,
         section.patience_ms as f64 / 1000.0,
-        section.keyed_durable,
+        keyed_durability,
     );
     Ok(Some(OpenedStore {
         adapter,
@@ -187,9 +192,15 @@
 ) -> StoreAdapter {
     let mut adapter = store.adapter;
     requests.enable_durability(store.durability);
-    adapter.write(reactor, store.initial_writes, Wait::Nobody(String::new()));
+    adapter.write(
+        reactor,
+        store.initial_writes,
+        WriteWaiter::NoWaiter {
+            request_id: String::new(),
+        },
+    );
     reactor.queue.push_back(Input::TimerExpired {
-        timer: RequestTimer::Expire,
+        timer: RequestTimer::ExpireRecords,
     });
     adapter
 }
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -2,7 +2,7 @@
 //! for the disk, and reports what became of them to the request core.
 
 use super::upstream::worker_list::WorkerListSnapshot;
-use crate::net::messages::{ClientId, Input, Wait};
+use crate::net::messages::{ClientId, Input, WriteWaiter};
 use crate::net::transport::reactor::{Reactor, SocketOwner};
 use crate::operator_config::StoreSection;
 use postproxy_coordination::StorageChange;
@@ -75,7 +75,7 @@
     wake_pending: Arc<AtomicBool>,
     reactor_key: usize,
     /// Who waits for which write, in the order of the tickets.
-    waiting: VecDeque<(u64, Wait)>,
+    waiting: VecDeque<(u64, WriteWaiter)>,
     /// The clients that wait for the result of a read.
     reads: HashMap<u64, ClientId>,
     last_read: u64,
@@ -236,7 +236,7 @@
     }
 
     /// Writes these changes together. Their outcome comes later as [`Input::WriteCompleted`].
-    pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, wait: Wait) {
+    pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, wait: WriteWaiter) {
         let batch = writes
             .into_iter()
             .fold(Batch::new(), |batch, write| match write {
@@ -275,8 +275,12 @@
     fn save_snapshot(&mut self, key: &[u8], value: &[u8]) {
         match self.store.append(Batch::new().put(key, value, 0)) {
             Ok(ticket) => {
-                self.waiting
-                    .push_back((ticket, Wait::Nobody(String::new())));
+                self.waiting.push_back((
+                    ticket,
+                    WriteWaiter::NoWaiter {
+                        request_id: String::new(),
+                    },
+                ));
                 self.snapshot_writes.push_back(ticket);
             }
             Err(_) => self.snapshot_write_failed = true,
@@ -295,8 +299,12 @@
         let Ok(ticket) = self.store.append(batch) else {
             return false;
         };
-        self.waiting
-            .push_back((ticket, Wait::Nobody(String::new())));
+        self.waiting.push_back((
+            ticket,
+            WriteWaiter::NoWaiter {
+                request_id: String::new(),
+            },
+        ));
         self.coordination_write = Some(ticket);
         true
     }
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -262,13 +262,16 @@
     /// reached ends in [`AttemptEnd::NeverSent`]: a shortage on this side must not count against the worker.
     fn dial(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Result<usize, AttemptEnd> {
         if self.sessions.len() >= self.max_connections {
-            let oldest = self.pool.oldest().ok_or(AttemptEnd::NoRoom)?;
+            let oldest = self
+                .pool
+                .oldest()
+                .ok_or(AttemptEnd::LocalCapacityExhausted)?;
             self.close(reactor, oldest);
         }
         let stream = reactor::dial(worker).map_err(|error| dial_failure(&error))?;
         let key = reactor
             .register(&stream, SocketOwner::Attempt)
-            .map_err(|_| AttemptEnd::NoRoom)?;
+            .map_err(|_| AttemptEnd::LocalCapacityExhausted)?;
         let session = Session {
             connection: Connection::new(stream, true, MAX_RESPONSE_BYTES),
             exchange: Exchange::new(worker),
@@ -385,7 +388,7 @@
         ErrorKind::ConnectionRefused
         | ErrorKind::HostUnreachable
         | ErrorKind::NetworkUnreachable => AttemptEnd::NeverSent,
-        _ => AttemptEnd::NoRoom,
+        _ => AttemptEnd::LocalCapacityExhausted,
     }
 }
 
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -208,7 +208,7 @@
         }
         connection.abort();
         self.callbacks(reactor)
-            .finish(connection, AttemptEnd::NoRoom, Load::new());
+            .finish(connection, AttemptEnd::LocalCapacityExhausted, Load::new());
         true
     }
 
@@ -233,7 +233,7 @@
         };
         if outgoing.is_expired(self.reactor.now) {
             connection.abort();
-            return self.finish(connection, AttemptEnd::NoRoom, Load::new());
+            return self.finish(connection, AttemptEnd::LocalCapacityExhausted, Load::new());
         }
         let bytes = outgoing.into_bytes(self.exchange.worker, self.reactor.now);
         self.exchange.request_end = Some(connection.queued() + bytes.len() as u64);
@@ -303,8 +303,10 @@
             202 if written => AttemptEnd::Accepted,
             // The connection is closed, so that the worker never has the complete request.
             202 => AttemptEnd::NeverSent,
-            503 | 504 if not_run && (!written || self.is_own_response()) => AttemptEnd::NotRun,
-            503 | 504 if not_run => AttemptEnd::TurnedAway,
+            503 | 504 if not_run && (!written || self.is_own_response()) => {
+                AttemptEnd::RejectedUnstarted
+            }
+            503 | 504 if not_run => AttemptEnd::RejectedAmbiguous,
             _ => AttemptEnd::Error,
         }
     }
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::affinity;
 use crate::decision::interface::{Entry, Health, NO_CELL, NO_ZONE, Settings};
-use crate::net::messages::Member;
+use crate::net::messages::ListedWorker;
 use postproxy_version_tracking::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
     }
 
     /// The member that the dispatcher is given; `None` without a usable address.
-    fn into_member(self, settings: &Settings) -> Option<Member> {
+    fn into_member(self, settings: &Settings) -> Option<ListedWorker> {
         let address: SocketAddr = self.host_port.parse().ok()?;
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let zone = position(&settings.zone_names, &self.locality);
@@ -101,7 +101,7 @@
             started: self.up_since_ms / 1000.0,
             ..Entry::default()
         };
-        Some(Member {
+        Some(ListedWorker {
             id: self.id,
             address,
             entry,
@@ -151,7 +151,7 @@
     }
 
     /// The members for the dispatcher. Workers without a usable address are left out. Times are Unix time in seconds.
-    pub fn into_members(self, settings: &Settings) -> Vec<Member> {
+    pub fn into_members(self, settings: &Settings) -> Vec<ListedWorker> {
         self.records
             .into_iter()
             .filter_map(|record| record.into_member(settings))
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -139,7 +139,7 @@
     harness.run_until_received(&first);
     assert_eq!(first.request().headers.get("x-request-id"), Some("job-1"));
     first.write(NOT_RUN);
-    assert_eq!(harness.end(), (1, AttemptEnd::NotRun));
+    assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
     harness.reactor.now = 1000.01;
     harness.start(2);
     // It arrives after the next attempt has been written, on whichever connection; perhaps nobody reads it.
@@ -215,7 +215,7 @@
     harness.start(2);
     harness.run_until_received(&peer);
     peer.write(NOT_RUN);
-    assert_eq!(harness.end(), (2, AttemptEnd::TurnedAway));
+    assert_eq!(harness.end(), (2, AttemptEnd::RejectedAmbiguous));
     assert!(
         peer.request().headers.get("x-request-id") == Some("job-2"),
         "the worker has read it, and may run it"
@@ -226,7 +226,7 @@
     harness.run_until_received(&peer);
     peer.request();
     peer.write(NOT_RUN);
-    assert_eq!(harness.end(), (1, AttemptEnd::NotRun));
+    assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
 }
 
 /// Guards against a response that arrived before the worker can have read the request and is taken for its own: it proves
@@ -242,7 +242,7 @@
     harness
         .attempts
         .handle_ready(&mut harness.reactor, key, true, true);
-    assert_eq!(harness.end(), (1, AttemptEnd::TurnedAway));
+    assert_eq!(harness.end(), (1, AttemptEnd::RejectedAmbiguous));
     assert_eq!(peer.request().headers.get("x-request-id"), Some("job-1"));
 }
 
@@ -488,7 +488,7 @@
         harness.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 7,
-            end: AttemptEnd::NoRoom,
+            end: AttemptEnd::LocalCapacityExhausted,
             ..
         })
     ));
@@ -643,7 +643,7 @@
         harness.reactor.queue.pop_front(),
         Some(Input::ExchangeEnded {
             attempt: 3,
-            end: AttemptEnd::NoRoom,
+            end: AttemptEnd::LocalCapacityExhausted,
             ..
         })
     ));
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -204,7 +204,7 @@
                 drain_reports(&mut reactor),
                 Reports {
                     written: false,
-                    ends: vec![AttemptEnd::NoRoom]
+                    ends: vec![AttemptEnd::LocalCapacityExhausted]
                 }
             );
             continue;
@@ -435,16 +435,16 @@
             .entry(format!("{end:?}, complete: {fully_written}"))
             .or_default() += 1;
         match end {
-            AttemptEnd::NeverSent | AttemptEnd::NoRoom => {
+            AttemptEnd::NeverSent | AttemptEnd::LocalCapacityExhausted => {
                 assert!(!fully_written, "seed {seed}: {end:?}")
             }
-            AttemptEnd::NotRun if fully_written => {
+            AttemptEnd::RejectedUnstarted if fully_written => {
                 assert!(!reused && !answered_before_written, "seed {seed}")
             }
-            AttemptEnd::Reset | AttemptEnd::Accepted | AttemptEnd::TurnedAway => {
+            AttemptEnd::Reset | AttemptEnd::Accepted | AttemptEnd::RejectedAmbiguous => {
                 assert!(fully_written && written_reported, "seed {seed}: {end:?}");
             }
-            AttemptEnd::NotRun | AttemptEnd::Error => {}
+            AttemptEnd::RejectedUnstarted | AttemptEnd::Error => {}
         }
         assert_eq!(written_reported, fully_written, "seed {seed}: {end:?}");
     }
--- a/tests/handover_bookkeeping.rs
+++ b/tests/handover_bookkeeping.rs
@@ -2,15 +2,15 @@
 
 use postproxy::net::handover::callbacks::{CallbackResolution, ForwardedCallbacks};
 use postproxy::net::handover::descriptors::{DescriptorShare, DescriptorShares, DescriptorUsage};
-use postproxy::net::messages::{JobCall, JobState};
+use postproxy::net::messages::{CallbackState, WorkerCallback};
 
 const CLIENT: u64 = 7;
 
-fn callback() -> JobCall {
-    JobCall {
+fn callback() -> WorkerCallback {
+    WorkerCallback {
         id: "j".into(),
         from: "w".into(),
-        state: JobState::Started,
+        state: CallbackState::Started,
         load: Vec::new(),
     }
 }
