--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -177,7 +177,7 @@
                 .and_then(|()| reactor.register(&stream, Owner::Peers));
             let Ok(key) = key else { continue };
             self.sockets
-                .insert(key, Connection::new(stream, false, MOST_UNREAD));
+                .insert(key, Connection::established(stream, MOST_UNREAD));
             let mut out = Vec::new();
             self.streams.accepted(reactor.now, key, &mut out);
             heard.extend(self.carry(reactor, out));
@@ -205,7 +205,7 @@
         let stream = reactor::dial_from(self.from, at);
         let made = stream.and_then(|stream| Ok((reactor.register(&stream, Owner::Peers)?, stream)));
         let key = made.ok().map(|(key, stream)| {
-            let connection = Connection::new(stream, true, MOST_UNREAD);
+            let connection = Connection::dialing(stream, MOST_UNREAD);
             reactor.rearm(connection.stream(), key, connection.interest());
             self.sockets.insert(key, connection);
             key
--- /dev/null
+++ b/src/net/downstream/migration.rs
@@ -0,0 +1,115 @@
+//! Passes connections on to, and takes them over from, sibling processes of this node during a hot restart.
+
+use super::clients::Clients;
+use super::session::{IDLE_TIMEOUT_SECONDS, Phase, Session, SessionState};
+use crate::net::messages::ClientId;
+use crate::net::transport::reactor::Reactor;
+use std::net::TcpStream;
+
+/// A connection between two requests, on its way from one process to another.
+#[derive(Debug)]
+pub struct ReleasedIdleConnection {
+    /// The socket; unread input stays in it.
+    pub stream: TcpStream,
+    /// Input that was read and not consumed.
+    pub input: Vec<u8>,
+    /// Whether the connection has brought a request for the workers or a call-back.
+    pub useful: bool,
+}
+
+/// A connection whose client waits for its final answer, on its way from one process to another.
+#[derive(Debug)]
+pub struct ReleasedWaitingConnection {
+    /// The socket; unread input stays in it.
+    pub stream: TcpStream,
+    /// Input that was read behind the request.
+    pub input: Vec<u8>,
+    /// Whether the connection is closed after the answer.
+    pub close_after_response: bool,
+}
+
+/// The parts of a connection that was removed without being closed.
+struct ReleasedParts {
+    stream: TcpStream,
+    input: Vec<u8>,
+    state: SessionState,
+}
+
+impl Clients {
+    /// Gives away a connection on which nothing is owed and no request is in progress, if there is one.
+    pub fn release_idle_connection(&mut self, reactor: &Reactor) -> Option<ReleasedIdleConnection> {
+        let (&key, _) = self
+            .sessions
+            .iter()
+            .find(|(_, session)| session.is_quiet())?;
+        let parts = self.release_connection(reactor, key)?;
+        Some(ReleasedIdleConnection {
+            stream: parts.stream,
+            input: parts.input,
+            useful: parts.state.useful,
+        })
+    }
+
+    /// Gives away the connection of a client, if it waits for its final answer.
+    pub fn release_waiting_connection(
+        &mut self,
+        reactor: &Reactor,
+        client: ClientId,
+    ) -> Option<ReleasedWaitingConnection> {
+        if !self.awaits_answer(client) {
+            return None;
+        }
+        let parts = self.release_connection(reactor, client as usize)?;
+        Some(ReleasedWaitingConnection {
+            stream: parts.stream,
+            input: parts.input,
+            close_after_response: parts.state.close_after_response,
+        })
+    }
+
+    /// Takes over a connection between two requests; the input that came with it is handled at once.
+    pub fn adopt_idle_connection(
+        &mut self,
+        reactor: &mut Reactor,
+        released: ReleasedIdleConnection,
+    ) {
+        let Some(key) = self.add_connection(reactor, released.stream, released.input) else {
+            return;
+        };
+        self.with_session(reactor, key, |connection, handler| {
+            handler.state.useful = released.useful;
+            handler.start_wait(IDLE_TIMEOUT_SECONDS);
+            handler.read_requests(connection);
+            connection.handle_ready(true, false, handler);
+        });
+    }
+
+    /// Takes over the connection of a client that waits for its final answer; returns the client's id here.
+    pub fn adopt_waiting_connection(
+        &mut self,
+        reactor: &mut Reactor,
+        released: ReleasedWaitingConnection,
+    ) -> Option<ClientId> {
+        let key = self.add_connection(reactor, released.stream, released.input)?;
+        self.with_session(reactor, key, |_, handler| {
+            handler.state.phase = Phase::AwaitingAnswer;
+            handler.state.useful = true;
+            handler.state.close_after_response = released.close_after_response;
+        });
+        // The client may have disconnected on the way: its end must be read before a further attempt begins.
+        self.handle_ready(reactor, key, true, false);
+        Some(key as ClientId)
+    }
+
+    /// Removes a connection without closing it.
+    fn release_connection(&mut self, reactor: &Reactor, key: usize) -> Option<ReleasedParts> {
+        let Session { connection, state } = self.sessions.remove(&key)?;
+        reactor.deregister(connection.stream());
+        let (stream, input) = connection.into_parts();
+        Some(ReleasedParts {
+            stream,
+            input,
+            state,
+        })
+    }
+}
--- /dev/null
+++ b/src/net/downstream/response.rs
@@ -0,0 +1,40 @@
+//! Turns final answers into HTTP responses.
+
+use crate::net::messages::Answer;
+
+/// The HTTP response that carries a final answer.
+pub(super) struct AnswerResponse<'a> {
+    pub(super) status: u16,
+    /// Value of the field `Retry-After`, in seconds.
+    pub(super) retry_after: Option<String>,
+    pub(super) body: &'a [u8],
+    /// Whether the connection is closed after the response, whatever the client asked for.
+    pub(super) close_connection: bool,
+}
+
+impl<'a> AnswerResponse<'a> {
+    pub(super) fn new(answer: &'a Answer) -> Self {
+        match answer {
+            Answer::Served(result) => Self::with_body(200, result),
+            Answer::Unavailable(retry_after) => Self {
+                // Where the settings allow no advice, 0 s would make the client retry at once.
+                retry_after: (*retry_after > 0.0).then(|| format!("{retry_after:.3}")),
+                ..Self::with_body(503, b"unavailable\n")
+            },
+            Answer::Failed => Self::with_body(502, b"failed\n"),
+            Answer::Held => Self {
+                close_connection: true,
+                ..Self::with_body(409, b"held already\n")
+            },
+        }
+    }
+
+    fn with_body(status: u16, body: &'a [u8]) -> Self {
+        Self {
+            status,
+            retry_after: None,
+            body,
+            close_connection: false,
+        }
+    }
+}
--- /dev/null
+++ b/src/net/downstream/routing.rs
@@ -0,0 +1,111 @@
+//! Finds out what a request at the clients' listener asks for.
+
+use super::{callback, submission};
+use crate::decision::interface::Settings;
+use crate::net::messages::{JobCall, Submission};
+use crate::net::transport::http::Request;
+
+/// Path of the readiness check.
+const READINESS_PATH: &str = "/-/ready";
+/// Path where workers call back.
+const CALLBACK_PATH: &str = "/v1/job-events";
+
+/// Whether this node wants new clients; the readiness check reports it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Readiness {
+    /// New clients are welcome.
+    Ready,
+    /// New clients should go elsewhere.
+    NotReady,
+}
+
+/// A response that does not depend on the request's content.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FixedResponse {
+    /// The status code.
+    pub status: u16,
+    /// Header fields, as name and value.
+    pub fields: &'static [(&'static str, &'static str)],
+    /// The body.
+    pub body: &'static str,
+}
+
+impl FixedResponse {
+    const fn new(status: u16, body: &'static str) -> Self {
+        Self {
+            status,
+            fields: &[],
+            body,
+        }
+    }
+
+    const fn method_not_allowed(fields: &'static [(&'static str, &'static str)]) -> Self {
+        Self {
+            status: 405,
+            fields,
+            body: "wrong method\n",
+        }
+    }
+}
+
+/// The response to a request that can't be parsed.
+pub const BAD_REQUEST: FixedResponse = FixedResponse::new(400, "bad request\n");
+const NOT_FOUND: FixedResponse = FixedResponse::new(404, "unknown path\n");
+const READY: FixedResponse = FixedResponse::new(200, "ready\n");
+/// Not a 503: that would count as an unavailable answer.
+const NOT_READY: FixedResponse = FixedResponse::new(500, "not ready\n");
+const ONLY_GET: FixedResponse = FixedResponse::method_not_allowed(&[("Allow", "GET, HEAD")]);
+const ONLY_POST: FixedResponse = FixedResponse::method_not_allowed(&[("Allow", "POST")]);
+
+/// What a request asks for.
+#[derive(Debug, PartialEq)]
+pub enum Route {
+    /// The request is answered at once.
+    Respond(FixedResponse),
+    /// The request is a worker's call-back.
+    Callback(JobCall),
+    /// The request is for the workers.
+    Submission(Box<Submission>),
+}
+
+/// Routes a request by its path and method.
+pub fn route(request: Request, settings: &Settings, readiness: Readiness) -> Route {
+    let method = request.method.as_str();
+    let path = request.target.split('?').next().unwrap_or_default();
+    match path {
+        READINESS_PATH => Route::Respond(readiness_response(method, readiness)),
+        CALLBACK_PATH if method == "POST" => {
+            callback::parse(&request.body).map_or(Route::Respond(BAD_REQUEST), Route::Callback)
+        }
+        CALLBACK_PATH => Route::Respond(ONLY_POST),
+        _ => match class_of_path(path, settings) {
+            None => Route::Respond(NOT_FOUND),
+            Some(_) if method != "POST" => Route::Respond(ONLY_POST),
+            Some(class) => submission::parse(request, class)
+                .map_or(Route::Respond(BAD_REQUEST), |submission| {
+                    Route::Submission(Box::new(submission))
+                }),
+        },
+    }
+}
+
+fn readiness_response(method: &str, readiness: Readiness) -> FixedResponse {
+    match (method, readiness) {
+        ("GET" | "HEAD", Readiness::Ready) => READY,
+        ("GET" | "HEAD", Readiness::NotReady) => NOT_READY,
+        _ => ONLY_GET,
+    }
+}
+
+/// Returns the index of the class that the first segment of a path names.
+fn class_of_path(path: &str, settings: &Settings) -> Option<u8> {
+    let segment = path.strip_prefix('/')?.split('/').next()?;
+    if segment.is_empty() {
+        return None;
+    }
+    let class = settings
+        .classes
+        .iter()
+        .position(|class| class.name == segment)?;
+    Some(class as u8)
+}
--- /dev/null
+++ b/src/net/downstream/submission.rs
@@ -0,0 +1,88 @@
+//! Parses the header fields of a client's request.
+
+use crate::decision::interface::sound;
+use crate::net::messages::{Payload, Submission};
+use crate::net::transport::http::{Headers, ParseError, Request};
+
+/// Longest request id, in bytes.
+const MAX_REQUEST_ID_BYTES: usize = 256;
+/// Microseconds in a second; `X-Cost-Hint` is given in microseconds.
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// Makes a submission of a request for the class with this index.
+///
+/// # Errors
+///
+/// [`ParseError::Malformed`] if the request can't be forwarded: a worker closes its connection on what it can't read,
+/// whatever other requests wait there.
+pub(super) fn parse(request: Request, class: u8) -> Result<Submission, ParseError> {
+    let headers = &request.headers;
+    let id = headers
+        .get_unique("x-request-id")?
+        .filter(|id| is_valid_request_id(id))
+        .ok_or(ParseError::Malformed)?;
+    let idempotency_key = headers.get_unique("idempotency-key")?;
+    if !is_visible_ascii(&request.target) || !idempotency_key.is_none_or(is_visible_ascii) {
+        return Err(ParseError::Malformed);
+    }
+    // Unlike the deadline, a hint that can't be read is left out: the request can be served without it.
+    let cost_hint = number(headers, "x-cost-hint").ok().flatten();
+    Ok(Submission {
+        class,
+        tenant: headers.get("x-tenant").map(str::to_owned),
+        key: affinity_key(headers),
+        budget: number(headers, "x-deadline")?,
+        hint: cost_hint.map(|microseconds| microseconds / MICROSECONDS_PER_SECOND),
+        slots: extra(headers, "slots"),
+        memory: extra(headers, "memory"),
+        repeat: headers.get("x-retry") == Some("1"),
+        payload: Payload {
+            id: id.to_owned(),
+            idempotency_key: idempotency_key.map(str::to_owned),
+            method: request.method,
+            target: request.target,
+            body: request.body,
+        },
+    })
+}
+
+/// Returns the number in a header field that may be given once.
+fn number(headers: &Headers, name: &str) -> Result<Option<f64>, ParseError> {
+    let Some(value) = headers.get_unique(name)? else {
+        return Ok(None);
+    };
+    let number = value.parse().map_err(|_| ParseError::Malformed)?;
+    sound(number).map(Some).ok_or(ParseError::Malformed)
+}
+
+/// Returns the affinity key in the cookie `k`, in hexadecimal digits; 0 if there is none.
+fn affinity_key(headers: &Headers) -> u64 {
+    let cookies = headers.get("cookie").unwrap_or_default();
+    cookies
+        .split(';')
+        .find_map(|cookie| cookie.trim().strip_prefix("k="))
+        .and_then(|value| u64::from_str_radix(value.trim(), 16).ok())
+        .unwrap_or(0)
+}
+
+/// Returns the number of this name in the field `X-Extras`, a list of `name=number`.
+fn extra(headers: &Headers, name: &str) -> Option<f64> {
+    let extras = headers.get("x-extras").unwrap_or_default();
+    let (_, value) = extras
+        .split(',')
+        .filter_map(|extra| extra.split_once('='))
+        .find(|(extra_name, _)| extra_name.trim() == name)?;
+    value.trim().parse().ok().and_then(sound)
+}
+
+/// Whether an id can be a segment of a path: workers are sent `DELETE /jobs/ID`.
+fn is_valid_request_id(id: &str) -> bool {
+    let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
+    !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES && id.bytes().all(is_unreserved)
+}
+
+/// Whether the text has only visible ASCII characters, and no `#`, which is not part of a request target.
+fn is_visible_ascii(text: &str) -> bool {
+    text.bytes()
+        .all(|byte| byte.is_ascii_graphic() && byte != b'#')
+}
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -5,10 +5,12 @@
 use crate::net::cluster::coordination::AdminRequest;
 use crate::net::cluster::peer_connections;
 use crate::net::cluster::service::{self, ClusterService};
+use crate::net::downstream::callback;
 use crate::net::downstream::clients::{self, Clients};
+use crate::net::downstream::migration::{ReleasedIdleConnection, ReleasedWaitingConnection};
 use crate::net::handover::{self, Handover};
 use crate::net::lifecycle::{Lifecycle, Stage};
-use crate::net::management::{self, Call, ManagementServer};
+use crate::net::management::{self, ManagementRequest, ManagementServer, ReceivedRequest};
 use crate::net::messages::{self, ClientId, Command, Input, Reply};
 use crate::net::requests::durability::DurabilityPolicy;
 use crate::net::requests::manager::RequestManager;
@@ -152,7 +154,7 @@
     /// The longest turn of the loop so far, in seconds.
     longest: f64,
     /// Operators' calls that came before an older process had told all.
-    early: Vec<(usize, Call)>,
+    early: Vec<ReceivedRequest>,
     /// An audit is kept; and the attempts started since the list's version changed.
     audits: bool,
     acts: u64,
@@ -201,12 +203,12 @@
             .transpose()?;
         let address = listener.local_addr()?;
         // Three quarters of the memory hold what each client's connection can come to at most.
-        let memory = (config.memory_mb << 20) / 4 * 3 / clients::MOST_HELD;
+        let memory = (config.memory_mb << 20) / 4 * 3 / clients::MAX_CONNECTION_MEMORY_BYTES;
         let streams = config
             .fleet
             .as_ref()
             .map_or(0, |_| peer_connections::SOCKETS);
-        let spare = SPARE + door.as_ref().map_or(0, |_| management::MOST) + streams;
+        let spare = SPARE + door.as_ref().map_or(0, |_| management::MAX_SESSIONS) + streams;
         let room = DescriptorBudget {
             sockets: config.sockets,
             kept: spare,
@@ -539,35 +541,45 @@
     }
 
     /// Carries out operators' calls.
-    fn called(&mut self, calls: Vec<(usize, Call)>) {
-        for (key, call) in calls {
+    fn called(&mut self, calls: Vec<ReceivedRequest>) {
+        for ReceivedRequest {
+            caller: key,
+            request: call,
+        } in calls
+        {
             let changes = matches!(
                 call,
-                Call::Drain | Call::Activate | Call::Suspend(_) | Call::Resume(_)
+                ManagementRequest::Drain
+                    | ManagementRequest::Activate
+                    | ManagementRequest::SuspendWorker { .. }
+                    | ManagementRequest::ResumeWorker { .. }
             );
             if changes && self.joins() {
                 // Danger: what the older process has still to tell would count in place of this newer word.
-                self.early.push((key, call));
+                self.early.push(ReceivedRequest {
+                    caller: key,
+                    request: call,
+                });
                 continue;
             }
             let reply = match call {
-                Call::Ready if self.life.is_serving() => Reply::Yes,
-                Call::Ready => Reply::NotNow,
-                Call::Drain => {
+                ManagementRequest::CheckReadiness if self.life.is_serving() => Reply::Yes,
+                ManagementRequest::CheckReadiness => Reply::NotNow,
+                ManagementRequest::Drain => {
                     self.drain(None, 0.0);
                     Reply::Yes
                 }
-                Call::Activate => self.activate(),
-                Call::Suspend(id) => {
+                ManagementRequest::Activate => self.activate(),
+                ManagementRequest::SuspendWorker { worker: id } => {
                     self.employ(key, id, false);
                     continue;
                 }
-                Call::Resume(id) => {
+                ManagementRequest::ResumeWorker { worker: id } => {
                     self.employ(key, id, true);
                     continue;
                 }
-                Call::Forget(name) => self.forget(&name),
-                Call::Owners => {
+                ManagementRequest::ForgetMember { node: name } => self.forget(&name),
+                ManagementRequest::ShowCoordination => {
                     let text = self
                         .fleet
                         .as_ref()
@@ -575,27 +587,30 @@
                     self.show(key, text, Reply::NoDuties);
                     continue;
                 }
-                Call::Versions | Call::Audit => {
+                ManagementRequest::ListVersions | ManagementRequest::ShowAuditLog => {
                     let text = self.fleet.as_ref().and_then(|fleet| match call {
-                        Call::Audit => fleet.audit_log_json(self.acts),
+                        ManagementRequest::ShowAuditLog => fleet.audit_log_json(self.acts),
                         _ => fleet.versions_json(self.reactor.now),
                     });
                     self.show(key, text, Reply::NoAudit);
                     continue;
                 }
-                Call::Release(duty) => {
+                ManagementRequest::ReleaseLease { lease: duty } => {
                     self.affair(key, AdminRequest::Release(duty));
                     continue;
                 }
-                Call::Hand(duty, to) => {
+                ManagementRequest::TransferLease { lease: duty, to } => {
                     self.affair(key, AdminRequest::Hand(duty, to));
                     continue;
                 }
-                Call::Voter(name, add) => {
+                ManagementRequest::SetVoter {
+                    node: name,
+                    votes: add,
+                } => {
                     self.affair(key, AdminRequest::Voter(name, add));
                     continue;
                 }
-                Call::Members => {
+                ManagementRequest::ListMembers => {
                     let picture = self.fleet.as_ref().and_then(ClusterService::status);
                     let text = picture.and_then(|picture| serde_json::to_string(&picture).ok());
                     self.show(key, text.map(|text| text + "\n"), Reply::NoFleet);
@@ -855,8 +870,11 @@
             return;
         };
         while handover.has_write_capacity(to) {
-            let Some((stream, input, useful)) =
-                self.clients.release_quiet_connection(&self.reactor)
+            let Some(ReleasedIdleConnection {
+                stream,
+                input,
+                useful,
+            }) = self.clients.release_idle_connection(&self.reactor)
             else {
                 break;
             };
@@ -878,7 +896,11 @@
             let Some(job) = self.hub.release_request(self.reactor.now, client) else {
                 continue;
             };
-            if let Some((stream, input, closes)) = self
+            if let Some(ReleasedWaitingConnection {
+                stream,
+                input,
+                close_after_response: closes,
+            }) = self
                 .clients
                 .release_waiting_connection(&self.reactor, client)
             {
@@ -932,11 +954,13 @@
                     LinkEvent::Client(input, useful),
                     Some(descriptor),
                 ) => {
-                    self.clients.adopt_connection(
+                    self.clients.adopt_idle_connection(
                         &mut self.reactor,
-                        descriptor.into(),
-                        input,
-                        useful,
+                        ReleasedIdleConnection {
+                            stream: descriptor.into(),
+                            input,
+                            useful,
+                        },
                     );
                 }
                 handover::Event::LinkEvent(
@@ -948,9 +972,11 @@
                     let adopted = descriptor.and_then(|descriptor| {
                         self.clients.adopt_waiting_connection(
                             &mut self.reactor,
-                            descriptor.into(),
-                            input,
-                            closes,
+                            ReleasedWaitingConnection {
+                                stream: descriptor.into(),
+                                input,
+                                close_after_response: closes,
+                            },
                         )
                     });
                     let client = adopted.filter(|client| self.clients.awaits_answer(*client));
@@ -1037,7 +1063,7 @@
                 self.links.holds.insert(link, most as usize);
                 self.share();
             }
-            LinkEvent::Call(number, body) => match clients::call(&body) {
+            LinkEvent::Call(number, body) => match callback::parse(&body) {
                 Some(call) => {
                     self.links.next += 1;
                     let client = LINKED | self.links.next;
@@ -1132,7 +1158,7 @@
     /// Asks the other processes of this node whether they know what a call-back is on.
     fn forward(&mut self, client: ClientId, call: messages::JobCall) {
         let except = self.links.origins.get(&client).map(|(link, _)| *link);
-        let body = clients::wording(&call);
+        let body = callback::encode(&call);
         let asked = self.handover.as_mut().map_or(0, |h| {
             h.forward_callback(&self.reactor, except, client, &body)
         });
--- a/src/net/transport/connection.rs
+++ b/src/net/transport/connection.rs
@@ -2,15 +2,15 @@
 
 use std::io::{self, ErrorKind, Read, Write};
 
-/// What a connection runs over.
+/// The byte stream below a connection.
 pub trait Stream: Read + Write {
-    /// Says that nothing more will be written.
+    /// Closes the sending side: nothing more is written.
     fn finish(&mut self);
-    /// Whether connecting has ended well; asked when a dialled stream can first be written.
+    /// Returns whether connecting has succeeded; called when a dialled stream first becomes writable.
     ///
     /// # Errors
     ///
-    /// If it has failed.
+    /// If connecting has failed.
     fn connected(&mut self) -> io::Result<()>;
 }
 
@@ -28,141 +28,151 @@
 /// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It is being made.
+    /// The connection is being established.
     Dialing,
     /// Both sides may send.
     Open,
-    /// The peer sends no more; what is owed to it can still be written.
-    HalfOpen,
-    /// What is left is written, then the peer's end is waited for; nothing of it is read any more.
+    /// The peer has closed its sending side; queued output can still be written.
+    HalfClosed,
+    /// Lingering close: queued output is written, then the peer's end is awaited. Input is discarded.
     Closing,
-    /// It is over.
+    /// The connection is over.
     Ended,
 }
 
-/// Whom a connection calls back. Each call may use the connection again.
+/// The owner's callbacks. Each of them may use the connection again.
 pub trait Callbacks<S> {
-    /// It has been made.
+    /// The connection has been established.
     fn opened(&mut self, _connection: &mut Connection<S>) {}
-    /// Bytes have arrived, or the peer's last word is said.
+    /// Bytes have arrived, or the peer has closed its sending side.
     fn received(&mut self, connection: &mut Connection<S>);
-    /// It is over; called once, and not where the owner ended it.
+    /// The connection is over; called once, and not if the owner aborted it.
     fn ended(&mut self, connection: &mut Connection<S>);
 }
 
-/// A connection and what is buffered on it.
+/// Bytes read by one system call. Of a connection that closes, no more is read in a turn after a full chunk, so that
+/// other connections have their turn too.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes that are discarded at most: of a connection that closes, in all, after which a peer that goes on sending is
+/// cut off; of one whose excess input is discarded, in one turn.
+pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+
+/// A connection and its buffers.
 pub struct Connection<S> {
     stream: S,
     state: State,
-    /// What has arrived and has not been taken.
+    /// Bytes that have been received and not consumed.
     pub input: Vec<u8>,
+    /// Bytes to be written; the first `written` of them have been.
     output: Vec<u8>,
-    /// How much of the output has been written.
     written: usize,
-    /// How much was written and dropped from the output before.
+    /// Bytes written and removed from `output` before.
     written_before: u64,
-    /// The input is read up to this size.
-    most: usize,
-    /// What has been read and dropped since it closes.
-    dropped: usize,
-    /// What there is no room for is read and dropped, so that the peer's end is seen behind it; whether any was.
-    spills: bool,
-    spilled: bool,
+    /// Reading stops when `input` has reached this size, in bytes.
+    max_input_bytes: usize,
+    /// Bytes that have been read and discarded since the connection began to close.
+    discarded_while_closing: usize,
+    /// Whether input beyond `max_input_bytes` is read and discarded.
+    discards_excess_input: bool,
+    /// Whether any input has been discarded for that reason.
+    has_discarded_input: bool,
 }
 
-/// So much is read at a time, and of a connection that closes in one call: others have their turn too.
-const CHUNK: usize = 16 * 1024;
-/// A peer that goes on sending beyond this, to a connection that closes, is cut off; and no more is dropped in one call of a connection
-/// whose end is watched for.
-pub const MOST_DROPPED: usize = 256 * 1024;
-
 impl<S: Stream> Connection<S> {
-    /// A connection over a stream, dialled or made already, that holds up to about `most` unread bytes.
-    pub fn new(stream: S, dialing: bool, most: usize) -> Self {
-        let state = if dialing { State::Dialing } else { State::Open };
-        let (input, output, written, dropped) = (Vec::new(), Vec::new(), 0, 0);
+    /// A connection over an established stream; it buffers about `max_input_bytes` of unread input.
+    pub fn established(stream: S, max_input_bytes: usize) -> Self {
+        Self::new(stream, State::Open, max_input_bytes)
+    }
+
+    /// A connection over a stream that is being dialled; it buffers about `max_input_bytes` of unread input.
+    pub fn dialing(stream: S, max_input_bytes: usize) -> Self {
+        Self::new(stream, State::Dialing, max_input_bytes)
+    }
+
+    fn new(stream: S, state: State, max_input_bytes: usize) -> Self {
         Self {
             stream,
             state,
-            input,
-            output,
-            written,
+            input: Vec::new(),
+            output: Vec::new(),
+            written: 0,
             written_before: 0,
-            most,
-            dropped,
-            spills: false,
-            spilled: false,
+            max_input_bytes,
+            discarded_while_closing: 0,
+            discards_excess_input: false,
+            has_discarded_input: false,
         }
     }
 
-    /// Its state.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The stream below.
+    /// The underlying stream.
     pub fn stream(&self) -> &S {
         &self.stream
     }
 
-    /// The stream, for another owner; what was read from it and not taken is left.
+    /// Gives up the stream and the input that has not been consumed; nothing is closed.
     pub fn into_parts(self) -> (S, Vec<u8>) {
         (self.stream, self.input)
     }
 
-    /// Whether all that was to be written has been.
+    /// Whether all queued output has been written.
     pub fn flushed(&self) -> bool {
         self.written == self.output.len()
     }
 
-    /// How many bytes have been written since it was made. This stays true when it has ended.
+    /// Bytes that the kernel has accepted since the connection was made; still valid when it has ended.
     pub fn written(&self) -> u64 {
         self.written_before + self.written as u64
     }
 
-    /// How many bytes have been written or are to be.
+    /// Bytes that have been queued since the connection was made, written or not.
     pub fn queued(&self) -> u64 {
         self.written_before + self.output.len() as u64
     }
 
-    /// Bytes that are still to be written.
+    /// Bytes that are queued and not written.
     pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// There is no room for more input: a message that has not come whole by now never will.
+    /// Whether the input buffer is full: a message that is incomplete now never becomes complete.
     pub fn is_full(&self) -> bool {
-        self.input.len() >= self.most
+        self.input.len() >= self.max_input_bytes
     }
 
-    /// The peer has said its last word.
+    /// Whether nothing more can be received.
     pub fn read_side_closed(&self) -> bool {
-        matches!(self.state, State::HalfOpen | State::Ended)
+        matches!(self.state, State::HalfClosed | State::Ended)
     }
 
-    /// What it waits for: to read, to write.
+    /// The events that the connection waits for: readable, writable.
     pub fn interest(&self) -> (bool, bool) {
         let reads = match self.state {
-            State::Open => self.spills || !self.is_full(),
+            State::Open => self.discards_excess_input || !self.is_full(),
             State::Closing => self.flushed(),
             _ => false,
         };
-        let writes = self.state == State::Dialing || self.state != State::Ended && !self.flushed();
+        let writes =
+            self.state == State::Dialing || (self.state != State::Ended && !self.flushed());
         (reads, writes)
     }
 
-    /// Whether the peer's end is waited for while nothing is taken off the input: what there is no room for is dropped then.
-    /// Danger: with reading off, a peer that has sent much and is gone would be waited for.
-    pub fn set_discard_input(&mut self, on: bool) {
-        self.spills = on;
+    /// Sets whether input beyond the buffer's limit is read and discarded, so that the peer's end is noticed while
+    /// nothing is consumed. If reading just stopped, a peer that has sent much and disconnected would go unnoticed.
+    pub fn set_discard_excess_input(&mut self, discard: bool) {
+        self.discards_excess_input = discard;
     }
 
-    /// Something was dropped for want of room: what the peer has sent is not whole.
-    pub fn dropped_input(&self) -> bool {
-        self.spilled
+    /// Whether input was discarded for want of buffer space: the buffered input is incomplete.
+    pub fn has_discarded_input(&self) -> bool {
+        self.has_discarded_input
     }
 
-    /// Takes bytes off the front of the input; an empty buffer is given back.
+    /// Removes bytes from the front of the input; the memory of an emptied buffer is released.
     pub fn consume(&mut self, bytes: usize) {
         self.input.drain(..bytes);
         if self.input.is_empty() {
@@ -170,7 +180,7 @@
         }
     }
 
-    /// Adds bytes to be written and writes what goes at once.
+    /// Queues bytes and writes as many as possible. They are ignored if the connection is closing or has ended.
     pub fn send(&mut self, bytes: &[u8], owner: &mut impl Callbacks<S>) {
         if matches!(self.state, State::Ended | State::Closing) {
             return;
@@ -181,29 +191,30 @@
         }
     }
 
-    /// Ends it in good order once what is owed has been written.
+    /// Closes the connection in good order: queued output is written, then the sending side is closed and the peer's end
+    /// awaited. Closing with unread input would reset the connection and could destroy output on its way.
     pub fn close(&mut self, owner: &mut impl Callbacks<S>) {
-        let before = self.state;
-        match before {
-            State::Open | State::HalfOpen => self.state = State::Closing,
+        let state_before = self.state;
+        match state_before {
+            State::Open | State::HalfClosed => self.state = State::Closing,
             State::Dialing => self.state = State::Ended,
             State::Closing | State::Ended => return,
         }
         self.input = Vec::new();
         if self.state == State::Closing && self.flushed() {
             self.stream.finish();
-            if before == State::HalfOpen {
+            if state_before == State::HalfClosed {
                 self.end(owner);
             }
         }
     }
 
-    /// Ends it now, without a call back.
+    /// Ends the connection at once, without a callback.
     pub fn abort(&mut self) {
         self.state = State::Ended;
     }
 
-    /// Reads and writes what can be, and calls back.
+    /// Reads and writes as much as possible and calls the owner back.
     pub fn handle_ready(&mut self, readable: bool, writable: bool, owner: &mut impl Callbacks<S>) {
         if self.state == State::Dialing && (readable || writable) {
             if self.stream.connected().is_err() {
@@ -221,53 +232,54 @@
     }
 
     fn read(&mut self, owner: &mut impl Callbacks<S>) {
-        let mut chunk = [0; CHUNK];
-        let before = self.input.len();
-        let mut spilled = 0;
-        while matches!(self.state, State::Open | State::Closing) && (self.spills || !self.is_full())
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let unread_before = self.input.len();
+        let mut discarded = 0;
+        while matches!(self.state, State::Open | State::Closing)
+            && (self.discards_excess_input || !self.is_full())
         {
             match self.stream.read(&mut chunk) {
                 Ok(0) if self.state == State::Closing => return self.end(owner),
                 Ok(0) => {
-                    self.state = State::HalfOpen;
+                    self.state = State::HalfClosed;
                     return owner.received(self);
                 }
                 Ok(size) if self.state == State::Closing => {
-                    self.dropped += size;
-                    if self.dropped > MOST_DROPPED {
+                    self.discarded_while_closing += size;
+                    if self.discarded_while_closing > MAX_DISCARDED_BYTES {
                         return self.end(owner);
                     }
-                    if size == CHUNK {
+                    if size == READ_CHUNK_BYTES {
                         return;
                     }
                 }
                 Ok(size) if !self.is_full() => self.input.extend_from_slice(&chunk[..size]),
                 Ok(size) => {
-                    self.spilled = true;
-                    spilled += size;
-                    if spilled > MOST_DROPPED {
+                    self.has_discarded_input = true;
+                    discarded += size;
+                    if discarded > MAX_DISCARDED_BYTES {
                         break;
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
-                    // What came before the break counts.
-                    if self.input.len() > before {
+                    // What arrived before the error counts.
+                    if self.input.len() > unread_before {
                         owner.received(self);
                     }
                     return self.end(owner);
                 }
             }
         }
-        if self.input.len() > before {
+        if self.input.len() > unread_before {
             owner.received(self);
         }
     }
 
     fn flush(&mut self, owner: &mut impl Callbacks<S>) {
         while !self.flushed()
-            && matches!(self.state, State::Open | State::HalfOpen | State::Closing)
+            && matches!(self.state, State::Open | State::HalfClosed | State::Closing)
         {
             match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return self.end(owner),
@@ -279,7 +291,8 @@
         }
         if self.flushed() && self.written > 0 {
             self.written_before += self.written as u64;
-            (self.output, self.written) = (Vec::new(), 0);
+            self.output = Vec::new();
+            self.written = 0;
             if self.state == State::Closing {
                 self.stream.finish();
             }
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -237,11 +237,8 @@
         let key = reactor
             .register(&stream, Owner::Attempt)
             .map_err(|_| AttemptEnd::NoRoom)?;
-        let connection = Connection::new(
-            stream,
-            true,
-            http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES,
-        );
+        let connection =
+            Connection::dialing(stream, http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES);
         let exchange = Exchange::new(worker);
         let (attempt, since, rested, round) = (None, reactor.now, None, 0);
         self.sessions.insert(
@@ -320,7 +317,7 @@
         {
             self.pool.broke_after(rested, reactor.now);
         }
-        if matches!(session.connection.state(), State::Ended | State::HalfOpen) {
+        if matches!(session.connection.state(), State::Ended | State::HalfClosed) {
             return self.drop(reactor, key);
         }
         reactor.rearm(
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -4,7 +4,7 @@
 
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Callbacks, Connection, State, Stream};
-use crate::net::transport::http::{self, Read, Response};
+use crate::net::transport::http::{self, ParseStatus, Response};
 use crate::net::transport::reactor::Reactor;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -325,11 +325,19 @@
         }
         let heard_all = connection.read_side_closed();
         match http::read_response(&connection.input, heard_all, http::MAX_BODY_BYTES) {
-            Ok(Read::Whole(response, size)) => {
+            Ok(ParseStatus::Complete {
+                message: response,
+                size,
+            }) => {
                 connection.consume(size);
                 let whole = self.exchange.is_whole(connection);
                 let again = self.answered(connection, &response);
-                if again && whole && response.keeps && !heard_all && connection.input.is_empty() {
+                if again
+                    && whole
+                    && response.keep_alive
+                    && !heard_all
+                    && connection.input.is_empty()
+                {
                     self.exchange.carries = Carries::Nothing;
                 } else {
                     connection.abort();
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -5,7 +5,7 @@
 use crate::decision::interface::{Entry, Health, ListKind, NO_CELL, NO_ZONE, Settings};
 use crate::net::messages::{Input, Member};
 use crate::net::transport::connection::{Callbacks, Connection, State};
-use crate::net::transport::http::{self, Read};
+use crate::net::transport::http::{self, ParseStatus};
 use crate::net::transport::reactor::{self, Owner, Reactor, Timer};
 use postproxy_version_tracking::Digest;
 use serde::{Deserialize, Serialize};
@@ -212,12 +212,15 @@
 
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
         match http::read_response(&connection.input, connection.read_side_closed(), MOST_LIST) {
-            Ok(Read::Whole(response, size)) => {
+            Ok(ParseStatus::Complete {
+                message: response,
+                size,
+            }) => {
                 connection.consume(size);
                 let list = (response.status == 200)
                     .then(|| List::from_json(&response.body).ok())
                     .flatten();
-                let keeps = response.keeps && !connection.read_side_closed();
+                let keeps = response.keep_alive && !connection.read_side_closed();
                 self.answer = Some(list.map(|list| (list, keeps)).ok_or(()));
             }
             Ok(_) if !connection.read_side_closed() && !connection.is_full() => {}
@@ -382,7 +385,7 @@
             None => {
                 let dialed = reactor::dial(self.discovery).and_then(|stream| {
                     let key = reactor.register(&stream, Owner::Discovery)?;
-                    let connection = Connection::new(stream, true, MOST_LIST);
+                    let connection = Connection::dialing(stream, MOST_LIST);
                     Ok(Session {
                         connection,
                         key,
--- a/src/stand_ins.rs
+++ b/src/stand_ins.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for what a node works with, for trials and tests: discovery and workers, in threads of this
 //! process, on loopback. They speak the platform's protocol as far as a node sees it.
 
-use crate::net::transport::http::{self, Read, Request};
+use crate::net::transport::http::{self, ConnectionOption, ParseStatus, Request};
 use std::collections::HashMap;
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -42,11 +42,20 @@
     stream.set_nodelay(true)?;
     loop {
         match http::read_request(&input).map_err(|flaw| io::Error::other(format!("{flaw:?}")))? {
-            Read::Whole(request, size) => {
+            ParseStatus::Complete {
+                message: request,
+                size,
+            } => {
                 input.drain(..size);
                 let (status, body) = answer(&request);
                 let mut out = Vec::new();
-                http::write_response(&mut out, status, &[], body.as_bytes(), false);
+                http::write_response(
+                    &mut out,
+                    status,
+                    &[],
+                    body.as_bytes(),
+                    ConnectionOption::KeepAlive,
+                );
                 stream.write_all(&out)?;
             }
             _ => match stream.read(&mut bytes)? {
@@ -81,7 +90,9 @@
         input.extend(&bytes[..size]);
         let read = http::read_response(&input, size == 0, http::MAX_BODY_BYTES);
         match read.map_err(|flaw| io::Error::other(format!("{flaw:?}")))? {
-            Read::Whole(response, _) => return Ok(response),
+            ParseStatus::Complete {
+                message: response, ..
+            } => return Ok(response),
             _ if size == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             _ => {}
         }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,9 +1,11 @@
 //! The connections that clients and workers open, on loopback, with a time that is told.
 
 use postproxy::decision::interface::Settings;
-use postproxy::net::downstream::clients::{BAD, Clients, Wanted, call, wanted, wording};
+use postproxy::net::downstream::callback;
+use postproxy::net::downstream::clients::Clients;
+use postproxy::net::downstream::routing::{BAD_REQUEST, FixedResponse, Readiness, Route, route};
 use postproxy::net::messages::{Answer, Input, JobCall, JobState, Payload, Submission};
-use postproxy::net::transport::http::{self, Read, Request};
+use postproxy::net::transport::http::{self, ParseStatus, Request};
 use postproxy::net::transport::reactor::{Reactor, Timer};
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
@@ -248,17 +250,25 @@
     for (target, fields) in cases {
         let text = format!("POST {target} HTTP/1.1\r\n{fields}\r\n");
         let wanted = match http::read_request(text.as_bytes()) {
-            Ok(Read::Whole(request, _)) => wanted(request, &settings, true),
+            Ok(ParseStatus::Complete {
+                message: request, ..
+            }) => route(request, &settings, Readiness::Ready),
             Ok(_) => panic!("{text:?} is whole"),
-            Err(flaw) => Wanted::Now(flaw.status(), &[], "bad request\n"),
+            Err(flaw) => Route::Respond(FixedResponse {
+                status: flaw.status(),
+                fields: &[],
+                body: "bad request\n",
+            }),
         };
-        assert_eq!(wanted, BAD, "{text:?}");
+        assert_eq!(wanted, Route::Respond(BAD_REQUEST), "{text:?}");
     }
 }
 
 fn read(text: &str) -> Request {
     match http::read_request(text.as_bytes()) {
-        Ok(Read::Whole(request, _)) => request,
+        Ok(ParseStatus::Complete {
+            message: request, ..
+        }) => request,
         other => panic!("no request: {other:?}"),
     }
 }
@@ -292,11 +302,11 @@
         repeat: true,
     };
     assert_eq!(
-        wanted(request, &settings, true),
-        Wanted::Request(Box::new(submission))
+        route(request, &settings, Readiness::Ready),
+        Route::Submission(Box::new(submission))
     );
     let bare = read("POST /reroute HTTP/1.1\r\nX-Request-Id: a\r\nX-Cost-Hint: much\r\n\r\n");
-    let Wanted::Request(bare) = wanted(bare, &settings, true) else {
+    let Route::Submission(bare) = route(bare, &settings, Readiness::Ready) else {
         panic!("no transaction")
     };
     assert_eq!(
@@ -309,7 +319,7 @@
 #[test]
 fn a_call_back_holds_what_the_worker_says() {
     let load = r#"{"id":"9b1f","from":"s-1","state":"running","share":0.4,"load":{"queue":2,"x0":1.5,"odd":"x"}}"#;
-    let read = call(load.as_bytes()).expect("a call-back");
+    let read = callback::parse(load.as_bytes()).expect("a call-back");
     assert_eq!(
         (read.id.as_str(), read.from.as_str(), read.state),
         ("9b1f", "s-1", JobState::Running(0.4))
@@ -318,7 +328,7 @@
         read.load,
         [("queue".to_owned(), 2.0), ("x0".to_owned(), 1.5)]
     );
-    let state = |text: &str| call(text.as_bytes()).map(|call| call.state);
+    let state = |text: &str| callback::parse(text.as_bytes()).map(|call| call.state);
     assert_eq!(
         state(r#"{"id":"a","from":"b","state":"done","result":"r"}"#),
         Some(JobState::Done(b"r".into()))
@@ -346,6 +356,6 @@
             state,
             load,
         };
-        assert_eq!(call(&wording(&told)), Some(told));
+        assert_eq!(callback::parse(&callback::encode(&told)), Some(told));
     }
 }
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -1,6 +1,8 @@
 //! A model of a connection's states, against which random steps are checked.
 
-use postproxy::net::transport::connection::{Callbacks, Connection, MOST_DROPPED, State, Stream};
+use postproxy::net::transport::connection::{
+    Callbacks, Connection, MAX_DISCARDED_BYTES, State, Stream,
+};
 use quickcheck::{Gen, QuickCheck};
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, Read, Write};
@@ -117,7 +119,7 @@
 
     /// Plays what the wire lets happen.
     fn settle(&mut self, wire: &mut Wire) {
-        let alive = matches!(self.state, State::Open | State::HalfOpen | State::Closing);
+        let alive = matches!(self.state, State::Open | State::HalfClosed | State::Closing);
         if alive && self.owed > 0 {
             if wire.broken {
                 return self.end();
@@ -136,7 +138,7 @@
             (wire.came, self.input) = (wire.came - size, self.input + size);
         }
         match self.state {
-            State::Open if self.input < MOST && wire.over => self.state = State::HalfOpen,
+            State::Open if self.input < MOST && wire.over => self.state = State::HalfClosed,
             State::Closing if waits => {
                 wire.came = 0;
                 if wire.over {
@@ -149,8 +151,8 @@
 
     fn close(&mut self) {
         match self.state {
-            State::HalfOpen if self.owed == 0 => self.end(),
-            State::Open | State::HalfOpen => self.state = State::Closing,
+            State::HalfClosed if self.owed == 0 => self.end(),
+            State::Open | State::HalfClosed => self.state = State::Closing,
             State::Dialing => self.state = State::Ended,
             State::Closing | State::Ended => return,
         }
@@ -176,7 +178,12 @@
 
 fn play(dialing: bool, steps: &[(u8, u8)]) -> bool {
     let wire = Shared::default();
-    let mut connection = Connection::new(End(wire.clone()), dialing, MOST);
+    let stream = End(wire.clone());
+    let mut connection = if dialing {
+        Connection::dialing(stream, MOST)
+    } else {
+        Connection::established(stream, MOST)
+    };
     let state = if dialing { State::Dialing } else { State::Open };
     let mut owner = Owner::default();
     let mut model = Model {
@@ -264,14 +271,14 @@
 #[test]
 fn a_peer_that_sends_on_and_on_is_cut_off() {
     let (wire, mut owner) = (Shared::default(), Owner::default());
-    let mut connection = Connection::new(End(wire.clone()), false, MOST);
+    let mut connection = Connection::established(End(wire.clone()), MOST);
     connection.close(&mut owner);
-    let total = MOST_DROPPED + 10 * PIECE;
+    let total = MAX_DISCARDED_BYTES + 10 * PIECE;
     wire.borrow_mut().came = total;
     connection.handle_ready(true, false, &mut owner);
     assert_eq!((connection.state(), owner.ended), (State::Ended, 1));
     assert!(
-        total - wire.borrow().came <= MOST_DROPPED + PIECE,
+        total - wire.borrow().came <= MAX_DISCARDED_BYTES + PIECE,
         "no more is read than it takes"
     );
 }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -120,13 +120,12 @@
     };
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
     let mut exchange = Exchange::new(listener.local_addr().expect("an address"));
-    let mut connection = Connection::new(
+    let mut connection = Connection::dialing(
         Interrupted {
             stream,
             full: true,
             after_write,
         },
-        true,
         1 << 16,
     );
     exchange.begin(
@@ -158,7 +157,7 @@
         let mut exchange = Exchange::new(at);
         let stream = TcpStream::connect(at).expect("a connection");
         stream.set_nonblocking(true).expect("a setting");
-        let mut connection = Connection::new(stream, true, 1 << 16);
+        let mut connection = Connection::dialing(stream, 1 << 16);
         let outgoing = Outgoing::Attempt(payload(10), 1000.9);
         exchange.begin(
             Carries::Attempt(ATTEMPT),
@@ -274,7 +273,7 @@
         ..Wire::default()
     }));
     let mut exchange = Exchange::new(at);
-    let mut connection = Connection::new(Scripted(wire.clone()), true, 1 << 16);
+    let mut connection = Connection::dialing(Scripted(wire.clone()), 1 << 16);
     let used = rng.uniform() < 0.5;
     if used {
         let cancel = Outgoing::Attempt(payload(0), 1009.0);
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,7 +1,7 @@
 //! Messages in buffers: whole and in parts, in both framings, and what is no message.
 
 use postproxy::net::transport::http::{
-    self, ParseError, Read, RequestReader, read_request, read_response,
+    self, ParseError, ParseStatus, RequestProgress, RequestReader, read_request, read_response,
 };
 use quickcheck::{Gen, QuickCheck};
 
@@ -36,25 +36,36 @@
         }
         chunked.extend(b"0\r\nTrailer: x\r\n\r\n");
         [plain, chunked].into_iter().all(|message| {
-            let early = (0..message.len())
-                .any(|end| matches!(read_request(&message[..end]), Ok(Read::Whole(..)) | Err(_)));
+            let early = (0..message.len()).any(|end| {
+                matches!(
+                    read_request(&message[..end]),
+                    Ok(ParseStatus::Complete { .. }) | Err(_)
+                )
+            });
             let bytes = [&message[..], &extra[..]].concat();
             // Byte by byte: what a body has taken is not shown again.
             let (mut reader, mut input, mut slow) = (RequestReader::default(), Vec::new(), None);
             for byte in &message {
                 input.push(*byte);
-                let Ok((read, taken)) = reader.read(&input) else {
+                let Ok(RequestProgress { status, consumed }) = reader.read(&input) else {
                     return false;
                 };
-                input.drain(..taken);
-                if let Read::Whole(request, _) = read {
+                input.drain(..consumed);
+                if let ParseStatus::Complete {
+                    message: request, ..
+                } = status
+                {
                     slow = Some(request);
                 }
             }
-            let Ok(Read::Whole(request, size)) = read_request(&bytes) else {
+            let Ok(ParseStatus::Complete {
+                message: request,
+                size,
+            }) = read_request(&bytes)
+            else {
                 return false;
             };
-            if slow.as_ref() != Some(&request) || !input.is_empty() || reader.begun() {
+            if slow.as_ref() != Some(&request) || !input.is_empty() || reader.in_progress() {
                 return false;
             }
             let names = [
@@ -64,7 +75,7 @@
             !early
                 && size == message.len()
                 && request.body == body
-                && request.keeps
+                && request.keep_alive
                 && (request.method.as_str(), request.target.as_str(), names)
                     == ("POST", "/a/b?c=d", [Some("x"), Some("k=1")])
         })
@@ -86,10 +97,9 @@
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
         ];
         let input = [starts[usize::from(start) % starts.len()], &bytes].concat();
-        let request =
-            !matches!(read_request(&input), Ok(Read::Whole(_, size)) if size > input.len());
+        let request = !matches!(read_request(&input), Ok(ParseStatus::Complete { size, .. }) if size > input.len());
         request
-            && !matches!(read_response(&input, true, 100), Ok(Read::Whole(_, size)) if size > input.len())
+            && !matches!(read_response(&input, true, 100), Ok(ParseStatus::Complete { size, .. }) if size > input.len())
     }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 5))
@@ -123,22 +133,25 @@
         Err(ParseError::Malformed),
         "HTTP/1.0 knows no chunks"
     );
-    assert_eq!(flaw("Content-Length: 65537", ""), ParseError::Body);
+    assert_eq!(flaw("Content-Length: 65537", ""), ParseError::BodyTooLarge);
     assert_eq!(
         flaw("Content-Length: 99999999999999999999999", ""),
-        ParseError::Body
+        ParseError::BodyTooLarge
     );
     assert_eq!(
         flaw("Transfer-Encoding: chunked", "10001\r\n"),
-        ParseError::Body
+        ParseError::BodyTooLarge
     );
     assert_eq!(
         flaw("Transfer-Encoding: chunked", "1\r\nabc"),
         ParseError::Malformed
     );
-    assert_eq!(flaw(&"X: y\r\n".repeat(70), ""), ParseError::Head);
+    assert_eq!(flaw(&"X: y\r\n".repeat(70), ""), ParseError::HeadTooLarge);
     let same = b"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\nx";
-    assert!(matches!(read_request(same), Ok(Read::Whole(..))));
+    assert!(matches!(
+        read_request(same),
+        Ok(ParseStatus::Complete { .. })
+    ));
 }
 
 /// Guards against reading what has come again with each piece: a body is taken as it comes, and a line
@@ -149,23 +162,36 @@
     let head = b"POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n";
     assert_eq!(
         reader.read(head),
-        Ok((Read::Head { expects: false }, head.len()))
+        Ok(RequestProgress {
+            status: ParseStatus::BodyIncomplete {
+                expects_continue: false
+            },
+            consumed: head.len()
+        })
     );
     for _ in 0..63 {
         assert_eq!(
             reader.read(&[b'x'; 1024]),
-            Ok((Read::Head { expects: false }, 1024))
+            Ok(RequestProgress {
+                status: ParseStatus::BodyIncomplete {
+                    expects_continue: false
+                },
+                consumed: 1024
+            })
         );
     }
     assert!(
-        matches!(reader.read(&[b'x'; 1024]), Ok((Read::Whole(r, _), 1024)) if r.body.len() == 65536)
+        matches!(reader.read(&[b'x'; 1024]), Ok(RequestProgress { status: ParseStatus::Complete { message, .. }, consumed: 1024 }) if message.body.len() == 65536)
     );
     // A head without an end is found too long however it comes.
     let long = [b"POST /".as_slice(), &[b'x'; http::MAX_HEAD_BYTES]].concat();
     let mut reader = RequestReader::default();
     let found =
         (1..=long.len()).find_map(|end| reader.read(&long[..end]).err().map(|flaw| (end, flaw)));
-    assert_eq!(found, Some((http::MAX_HEAD_BYTES + 1, ParseError::Head)));
+    assert_eq!(
+        found,
+        Some((http::MAX_HEAD_BYTES + 1, ParseError::HeadTooLarge))
+    );
     assert_eq!(
         RequestReader::default().read(b"\0\x01 what").unwrap_err(),
         ParseError::Malformed,
@@ -178,7 +204,9 @@
 #[test]
 fn responses_end_where_they_say() {
     let whole = |text: &str, ended| match read_response(text.as_bytes(), ended, 100) {
-        Ok(Read::Whole(response, _)) => Some((response.status, response.body, response.keeps)),
+        Ok(ParseStatus::Complete {
+            message: response, ..
+        }) => Some((response.status, response.body, response.keep_alive)),
         _ => None,
     };
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -7,6 +7,7 @@
 use node_harness::{ACCEPTED, LIMIT, NodeHarness, Peer, list, member, port};
 use postproxy::decision::interface::Settings;
 use postproxy::net::downstream::clients::Clients;
+use postproxy::net::downstream::migration::ReleasedWaitingConnection;
 use postproxy::net::messages::{AttemptEnd, Input, Payload};
 use postproxy::net::transport::reactor::{Owner, Reactor, Timer, owner};
 use postproxy::net::upstream::attempts::Attempts;
@@ -360,8 +361,13 @@
             way.sends_behind(&mut client);
             way.goes(client);
         }
+        let released = ReleasedWaitingConnection {
+            stream,
+            input: Vec::new(),
+            close_after_response: false,
+        };
         let client = clients
-            .adopt_waiting_connection(&mut reactor, stream, Vec::new(), false)
+            .adopt_waiting_connection(&mut reactor, released)
             .expect("it is taken in");
         let (start, mut events) = (Instant::now(), Vec::new());
         reactor.set_timer(1000.0, Timer::Accept);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,7 +1,7 @@
 //! The real program as operators run it, under load from stand-in clients and workers: workers taken out of use, the
 //! node drained, its process replaced while it serves, on a listener that all processes inherit.
 
-use postproxy::net::transport::http::{self, Read as Parsed};
+use postproxy::net::transport::http::{self, ParseStatus};
 use postproxy::stand_ins::{Discovery, Worker, ask};
 use postproxy_fault_injection::addresses;
 use socket2::{Domain, Socket, Type};
@@ -242,8 +242,9 @@
     loop {
         let size = stream.read(&mut bytes).ok().filter(|size| *size > 0)?;
         input.extend(&bytes[..size]);
-        if let Parsed::Whole(response, _) =
-            http::read_response(&input, false, http::MAX_BODY_BYTES).ok()?
+        if let ParseStatus::Complete {
+            message: response, ..
+        } = http::read_response(&input, false, http::MAX_BODY_BYTES).ok()?
         {
             return Some(response);
         }
@@ -290,7 +291,7 @@
                         "an answer that no worker made"
                     );
                     counts.served.fetch_add(1, Ordering::SeqCst);
-                    kept = answer.keeps.then_some(stream);
+                    kept = answer.keep_alive.then_some(stream);
                     sleep(ms(number % 4 * 3));
                     break;
                 }
@@ -519,7 +520,7 @@
             .and_then(|()| write!(stream, "Content-Length: 1\r\n\r\nk"))
             .expect("it is written");
             assert_eq!(
-                answered(&mut stream).map(|a| (a.status, a.keeps)),
+                answered(&mut stream).map(|a| (a.status, a.keep_alive)),
                 Some((200, true))
             );
             stream
@@ -532,7 +533,7 @@
     // New clients are served, and sent away.
     let job = [("X-Request-Id", "new"), ("Idempotency-Key", "new")];
     let answer = ask(bed.address, "POST", "/reroute/x", &job, b"n").expect("an answer");
-    assert_eq!((answer.status, answer.keeps), (200, false));
+    assert_eq!((answer.status, answer.keep_alive), (200, false));
     let (mut next, _) = bed.start_with(|_| {});
     process.it.end();
     assert_eq!(bed.ready(), 500, "the drain holds over the replacement");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -19,7 +19,7 @@
     assert_eq!(harness.call(id, 0, r#""state":"done","result":"r""#), 200);
     let answer = client.response();
     assert_eq!(
-        (answer.status, answer.body.as_slice(), answer.keeps),
+        (answer.status, answer.body.as_slice(), answer.keep_alive),
         (200, &b"r"[..], false),
         "{id}"
     );
@@ -129,7 +129,7 @@
     for client in [&mut accepted, &mut sent] {
         let answer = client.response();
         assert!(
-            [502, 503].contains(&answer.status) && !answer.keeps,
+            [502, 503].contains(&answer.status) && !answer.keep_alive,
             "{}",
             answer.status
         );
@@ -179,7 +179,7 @@
     for client in &mut clients {
         for keeps in [true, false] {
             let answer = client.response();
-            assert_eq!((answer.status, answer.keeps), (200, keeps));
+            assert_eq!((answer.status, answer.keep_alive), (200, keeps));
         }
         assert!(client.ended());
     }
--- a/tests/support/node_harness.rs
+++ b/tests/support/node_harness.rs
@@ -1,7 +1,7 @@
 //! A whole node on loopback: the test plays client, worker and discovery in turn, on blocking sockets.
 #![allow(dead_code)]
 
-use postproxy::net::transport::http::{self, Request};
+use postproxy::net::transport::http::{self, ParseStatus, Request};
 use postproxy::net::{Config, Node};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -54,8 +54,10 @@
 
     pub fn request(&mut self) -> Request {
         loop {
-            if let http::Read::Whole(request, size) =
-                http::read_request(&self.input).expect("a request")
+            if let ParseStatus::Complete {
+                message: request,
+                size,
+            } = http::read_request(&self.input).expect("a request")
             {
                 self.input.drain(..size);
                 return request;
@@ -68,7 +70,11 @@
         loop {
             let read =
                 http::read_response(&self.input, false, http::MAX_BODY_BYTES).expect("a response");
-            if let http::Read::Whole(response, size) = read {
+            if let ParseStatus::Complete {
+                message: response,
+                size,
+            } = read
+            {
                 self.input.drain(..size);
                 return response;
             }
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -9,7 +9,8 @@
 
 use node_harness::{ACCEPTED, NodeHarness, Peer, list};
 use postproxy::decision::interface::{Entry, Health, Settings};
-use postproxy::net::downstream::clients::{Wanted, call, wanted, wording};
+use postproxy::net::downstream::callback;
+use postproxy::net::downstream::routing::{Readiness, Route, route};
 use postproxy::net::messages::{JobCall, JobState, Member, Payload, Submission};
 use postproxy::net::transport::http;
 use postproxy::net::upstream::worker_list::List;
@@ -411,7 +412,10 @@
     let text = "POST /commit/a?b=c HTTP/1.1\r\nX-Request-Id: one\r\nIdempotency-Key: k-1\r\nX-Deadline: 5\r\nX-Tenant: t\r\n\
                 X-Cost-Hint: 1500000\r\nX-Extras: slots=2, memory=3\r\nX-Retry: 1\r\nCookie: a=b; k=ff\r\n\
                 Content-Length: 4\r\n\r\nbody";
-    let Ok(http::Read::Whole(request, _)) = http::read_request(text.as_bytes()) else {
+    let Ok(http::ParseStatus::Complete {
+        message: request, ..
+    }) = http::read_request(text.as_bytes())
+    else {
         panic!("a request")
     };
     let payload = Payload {
@@ -433,8 +437,8 @@
         repeat: true,
     };
     assert_eq!(
-        wanted(request, &settings(), true),
-        Wanted::Request(Box::new(submission))
+        route(request, &settings(), Readiness::Ready),
+        Route::Submission(Box::new(submission))
     );
 }
 
@@ -449,8 +453,11 @@
     };
     let pinned = |state: JobState, text: &str| {
         let call_back = of(state);
-        assert_eq!(String::from_utf8(wording(&call_back)).expect("text"), text);
-        assert_eq!(call(text.as_bytes()), Some(call_back));
+        assert_eq!(
+            String::from_utf8(callback::encode(&call_back)).expect("text"),
+            text
+        );
+        assert_eq!(callback::parse(text.as_bytes()), Some(call_back));
     };
     pinned(
         JobState::Started,
@@ -485,7 +492,7 @@
         ..of(JobState::Running(0.0))
     };
     assert_eq!(
-        call(br#"{"id":"one","from":"s-0","state":"running"}"#),
+        callback::parse(br#"{"id":"one","from":"s-0","state":"running"}"#),
         Some(bare)
     );
 }
