--- a/src/net/downstream/accept.rs
+++ b/src/net/downstream/accept.rs
@@ -107,7 +107,7 @@
 
     /// Closes the connection that comes first in the order of eviction; returns whether there is room now.
     fn make_room(&mut self, reactor: &mut Reactor) -> bool {
-        // A request may have arrived unseen on the chosen connection: then a response is owed, and another one is chosen.
+        // A request may have arrived unseen on the chosen connection: then a response is due, and another one is chosen.
         for _ in 0..=self.sessions.len() {
             let now = reactor.now;
             let Some(candidate) = self.first_eviction_candidate(now) else {
--- a/src/net/downstream/migration.rs
+++ b/src/net/downstream/migration.rs
@@ -36,7 +36,7 @@
 }
 
 impl Clients {
-    /// Gives away a connection on which nothing is owed and no request is in progress, if there is one.
+    /// Gives away a connection on which no response is due and no request is in progress, if there is one.
     pub fn release_idle_connection(&mut self, reactor: &Reactor) -> Option<ReleasedIdleConnection> {
         let (&key, _) = self
             .sessions
--- a/src/net/downstream/session.rs
+++ b/src/net/downstream/session.rs
@@ -14,7 +14,7 @@
 /// How long a connection may be idle between requests.
 pub(super) const IDLE_TIMEOUT_SECONDS: f64 = 120.0;
 /// How long a request may take to arrive; the first one from the start of its connection. A client that sends nothing,
-/// or half a request, is owed an end or an error within 3 s of connecting.
+/// or half a request, must get an end or an error within 3 s of connecting.
 pub(super) const REQUEST_TIMEOUT_SECONDS: f64 = 2.0;
 /// How long a client may take to read a response.
 const DELIVERY_TIMEOUT_SECONDS: f64 = 30.0;
@@ -116,7 +116,7 @@
         self.state.phase == Phase::AwaitingAnswer && self.connection.state() == State::Open
     }
 
-    /// Whether the connection is open, nothing is owed on it and no head of a request has been parsed.
+    /// Whether the connection is open, no response is due and no head of a request has been parsed.
     pub(super) fn is_quiet(&self) -> bool {
         self.state.phase == Phase::Reading
             && self.connection.state() == State::Open
@@ -125,7 +125,7 @@
     }
 
     /// How early this connection is closed to make room; `None` for a new connection and for one on which a response
-    /// is owed. Without an order, a crowd of silent connections would displace clients with requests, or a call-back,
+    /// is due. Without an order, a crowd of silent connections would displace clients with requests, or a call-back,
     /// which comes on a connection of its own.
     pub(super) fn eviction_rank(&self, now: f64) -> Option<EvictionRank> {
         if self.state.phase != Phase::Reading || !self.connection.flushed() {
@@ -182,7 +182,7 @@
         self.start_wait(LINGER_TIMEOUT_SECONDS);
     }
 
-    /// Closes the connection if nothing has arrived on it and nothing is owed; whether it did.
+    /// Closes the connection if nothing has arrived on it and no response is due; returns whether it did.
     pub(super) fn close_if_idle(&mut self, connection: &mut Connection<TcpStream>) -> bool {
         let idle = connection.state() == State::Open
             && connection.flushed()
@@ -259,7 +259,7 @@
         self.received(connection);
     }
 
-    /// Continues with the input that was buffered while a response was owed. If more of it was discarded, the
+    /// Continues with the input that was buffered while a response was due. If more of it was discarded, the
     /// connection is closed once the buffer has no further complete request.
     fn read_buffered_requests(&mut self, connection: &mut Connection<TcpStream>) {
         self.read_requests(connection);
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Handles the requests in the input until a response is owed. The timeout of an incomplete request runs from its
+    /// Handles the requests in the input until a response is due. The timeout of an incomplete request runs from its
     /// first byte: a client that sends byte after byte gets no more time.
     pub(super) fn read_requests(&mut self, connection: &mut Connection<TcpStream>) {
         self.parse_requests(connection);
--- a/src/net/management/tests.rs
+++ b/src/net/management/tests.rs
@@ -64,7 +64,7 @@
 }
 
 /// Guards against a path, a method or a name that is mistaken for another, and against success for what is not a
-/// request of the API.
+/// request of the API. The function is long because it is one table of cases.
 #[test]
 fn parses_only_requests_of_the_api() {
     use ManagementRequest::*;
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -16,7 +16,7 @@
 const CALLBACK: &str = "POST /v1/job-events HTTP/1.1\r\nContent-Length: 40\r\n\r\n\
                         {\"id\":\"a\",\"from\":\"s-1\",\"state\":\"asleep\"}";
 
-/// Guards against a client that holds a connection by silence, or by a request that never ends: it is owed a
+/// Guards against a client that holds a connection by silence, or by a request that never ends: it must get a
 /// close or an error within 3 s of connecting, and no byte in between gives it more time. A client that has made a
 /// request keeps the connection, and has as much time for its next request.
 #[test]
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -147,7 +147,7 @@
 }
 
 /// Guards against input that stops the node, blocks it, or is mistaken for something else; only the dispatcher decides on
-/// a 503.
+/// a 503. The function is long because it is one list of cases.
 #[test]
 fn answers_bad_input_with_its_status() {
     let harness = NodeHarness::new(1, 256);
@@ -323,7 +323,8 @@
 
 /// Guards against a reload that loses the requests or the workers, that goes on at the old address, or that asks the new one
 /// for changes to versions which it never gave: also while a poll runs, while the connection is being established, several
-/// times over, while stopping, and without a new configuration.
+/// times over, while stopping, and without a new configuration. The function is long because it is one sequence, in which each
+/// reload starts from what the one before has left.
 #[test]
 fn a_reload_changes_the_address_of_discovery_and_nothing_else() {
     let mut harness = NodeHarness::new(1, 256);
