--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -218,7 +218,7 @@
                 .set_nonblocking(true)
                 .and_then(|()| reactor.register(&stream, SocketOwner::Peers));
             let Ok(key) = registered else { continue };
-            let connection = Connection::new(stream, false, MAX_READ_AHEAD_BYTES);
+            let connection = Connection::established(stream, MAX_READ_AHEAD_BYTES);
             self.connections.insert(key, connection);
             let mut out = Vec::new();
             self.streams.handle_accepted(reactor.now, key, &mut out);
@@ -262,7 +262,7 @@
     ) -> io::Result<usize> {
         let stream = reactor::dial_from(self.local_ip, address)?;
         let key = reactor.register(&stream, SocketOwner::Peers)?;
-        let connection = Connection::new(stream, true, MAX_READ_AHEAD_BYTES);
+        let connection = Connection::dialing(stream, MAX_READ_AHEAD_BYTES);
         reactor.rearm(connection.stream(), key, connection.interest());
         self.connections.insert(key, connection);
         Ok(key)
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -1,7 +1,8 @@
 //! Works with sibling processes of this node: takes over from an older one, and hands over to a newer one.
 
 use super::Node;
-use crate::net::downstream::clients;
+use crate::net::downstream::callback;
+use crate::net::downstream::migration::{ReleasedIdleConnection, ReleasedWaitingConnection};
 use crate::net::handover::callbacks::CallbackResolution;
 use crate::net::handover::descriptors::DescriptorUsage;
 use crate::net::handover::{Event, Handover};
@@ -81,12 +82,13 @@
             LinkEvent::QuietConnection { input, used_before } => {
                 // Without its descriptor there is nothing to take over.
                 if let Some(descriptor) = descriptor {
-                    self.clients.adopt_connection(
-                        &mut self.reactor,
-                        descriptor.into(),
+                    let connection = ReleasedIdleConnection {
+                        stream: descriptor.into(),
                         input,
-                        used_before,
-                    );
+                        useful: used_before,
+                    };
+                    self.clients
+                        .adopt_idle_connection(&mut self.reactor, connection);
                 }
             }
             LinkEvent::Request {
@@ -111,12 +113,13 @@
         descriptor: Option<OwnedFd>,
     ) {
         let adopted = descriptor.and_then(|descriptor| {
-            self.clients.adopt_waiting_connection(
-                &mut self.reactor,
-                descriptor.into(),
+            let connection = ReleasedWaitingConnection {
+                stream: descriptor.into(),
                 input,
-                close_after_answer,
-            )
+                close_after_response: close_after_answer,
+            };
+            self.clients
+                .adopt_waiting_connection(&mut self.reactor, connection)
         });
         let client = adopted.filter(|client| self.clients.awaits_answer(*client));
         self.reactor.queue.push_back(Input::RequestMigrated {
@@ -274,12 +277,15 @@
             return;
         };
         while handover.has_write_capacity(successor) {
-            let released = self.clients.release_quiet_connection(&self.reactor);
-            let Some((stream, input, used_before)) = released else {
+            let Some(released) = self.clients.release_idle_connection(&self.reactor) else {
                 break;
             };
-            let message = Message::QuietConnection { input, used_before };
-            handover.send_with_descriptor(&self.reactor, successor, &message, Some(stream.into()));
+            let message = Message::QuietConnection {
+                input: released.input,
+                used_before: released.useful,
+            };
+            let descriptor = Some(released.stream.into());
+            handover.send_with_descriptor(&self.reactor, successor, &message, descriptor);
         }
     }
 
@@ -301,13 +307,13 @@
             let released = self
                 .clients
                 .release_waiting_connection(&self.reactor, client);
-            if let Some((stream, input, close_after_answer)) = released {
+            if let Some(released) = released {
                 let message = Message::Request {
                     request,
-                    input,
-                    close_after_answer,
+                    input: released.input,
+                    close_after_answer: released.close_after_response,
                 };
-                let descriptor = Some(stream.into());
+                let descriptor = Some(released.stream.into());
                 handover.send_with_descriptor(&self.reactor, successor, &message, descriptor);
             }
         }
@@ -341,7 +347,7 @@
 
     /// Handles a call-back that a sibling has forwarded, or replies at once if it can't be parsed.
     fn receive_callback(&mut self, link: usize, number: u64, body: &[u8]) {
-        match clients::call(body) {
+        match callback::parse(body) {
             Some(callback) => {
                 let client = self.forwarded_callbacks.add_origin(link, number);
                 self.reactor
@@ -358,7 +364,7 @@
     /// Forwards a call-back on an unknown request to the siblings; without any it is acknowledged at once.
     pub(super) fn forward_callback(&mut self, client: ClientId, callback: WorkerCallback) {
         let except = self.forwarded_callbacks.origin_link(client);
-        let body = clients::wording(&callback);
+        let body = callback::encode(&callback);
         let siblings = self.handover.as_mut().map_or(0, |handover| {
             handover.forward_callback(&self.reactor, except, client, &body)
         });
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -3,16 +3,10 @@
 use super::Node;
 use crate::net::cluster::coordination::AdminRequest;
 use crate::net::cluster::service::ClusterService;
-use crate::net::management::Call;
+use crate::net::management::{ManagementRequest, ReceivedRequest};
 use crate::net::messages::{Input, ManagementReply};
 use postproxy_membership::ForgetError;
 
-/// A request of the management API that waits until an older process has sent its whole snapshot.
-pub(super) struct DeferredRequest {
-    caller: usize,
-    call: Call,
-}
-
 /// A requested change of a worker's suspension.
 #[derive(Clone)]
 pub(super) struct SuspensionChange {
@@ -42,33 +36,25 @@
 
     /// Carries out requests of the management API, each with its caller's connection. Requests that change the
     /// node are deferred while an older process still sends its snapshot: the snapshot would override them.
-    pub(super) fn handle_management_requests(&mut self, requests: Vec<(usize, Call)>) {
-        for (caller, call) in requests {
-            let changes_node = matches!(
-                call,
-                Call::Drain | Call::Activate | Call::Suspend(_) | Call::Resume(_)
-            );
-            if changes_node && self.is_waiting_for_snapshot() {
-                self.deferred_requests
-                    .push(DeferredRequest { caller, call });
+    pub(super) fn handle_management_requests(&mut self, requests: Vec<ReceivedRequest>) {
+        for received in requests {
+            if changes_node(&received.request) && self.is_waiting_for_snapshot() {
+                self.deferred_requests.push(received);
                 continue;
             }
-            self.handle_management_request(caller, call);
+            self.handle_management_request(received.caller, received.request);
         }
     }
 
     /// Carries out the deferred requests.
     pub(super) fn handle_deferred_requests(&mut self) {
         let requests = std::mem::take(&mut self.deferred_requests);
-        let requests = requests
-            .into_iter()
-            .map(|request| (request.caller, request.call));
-        self.handle_management_requests(requests.collect());
+        self.handle_management_requests(requests);
     }
 
-    fn handle_management_request(&mut self, caller: usize, call: Call) {
-        match call {
-            Call::Ready => {
+    fn handle_management_request(&mut self, caller: usize, request: ManagementRequest) {
+        match request {
+            ManagementRequest::CheckReadiness => {
                 let ready = self.lifecycle.is_serving();
                 self.reply(
                     caller,
@@ -79,39 +65,39 @@
                     },
                 );
             }
-            Call::Drain => {
+            ManagementRequest::Drain => {
                 self.drain(None, 0.0);
                 self.reply(caller, ManagementReply::Done);
             }
-            Call::Activate => {
+            ManagementRequest::Activate => {
                 let reply = self.activate();
                 self.reply(caller, reply);
             }
-            Call::Suspend(worker) => {
+            ManagementRequest::SuspendWorker { worker } => {
                 let resume = false;
                 self.request_suspension(caller, SuspensionChange { worker, resume });
             }
-            Call::Resume(worker) => {
+            ManagementRequest::ResumeWorker { worker } => {
                 let resume = true;
                 self.request_suspension(caller, SuspensionChange { worker, resume });
             }
-            Call::Forget(name) => {
-                let reply = self.forget_member(&name);
+            ManagementRequest::ForgetMember { node } => {
+                let reply = self.forget_member(&node);
                 self.reply(caller, reply);
             }
-            Call::Owners => self.show_lease_status(caller),
-            Call::Versions => self.show_versions(caller),
-            Call::Audit => self.show_audit_log(caller),
-            Call::Release(duty) => {
-                self.submit_admin_request(caller, AdminRequest::Release { lease: duty })
+            ManagementRequest::ShowCoordination => self.show_lease_status(caller),
+            ManagementRequest::ListVersions => self.show_versions(caller),
+            ManagementRequest::ShowAuditLog => self.show_audit_log(caller),
+            ManagementRequest::ReleaseLease { lease } => {
+                self.submit_admin_request(caller, AdminRequest::Release { lease })
             }
-            Call::Hand(duty, to) => {
-                self.submit_admin_request(caller, AdminRequest::Transfer { lease: duty, to })
+            ManagementRequest::TransferLease { lease, to } => {
+                self.submit_admin_request(caller, AdminRequest::Transfer { lease, to })
             }
-            Call::Voter(name, add) => {
-                self.submit_admin_request(caller, AdminRequest::ChangeVoter { node: name, add });
+            ManagementRequest::SetVoter { node, votes } => {
+                self.submit_admin_request(caller, AdminRequest::ChangeVoter { node, add: votes });
             }
-            Call::Members => self.show_members(caller),
+            ManagementRequest::ListMembers => self.show_members(caller),
         }
     }
 
@@ -230,3 +216,14 @@
         self.reply(caller, reply);
     }
 }
+
+/// Returns whether a request changes what this node does.
+fn changes_node(request: &ManagementRequest) -> bool {
+    matches!(
+        request,
+        ManagementRequest::Drain
+            | ManagementRequest::Activate
+            | ManagementRequest::SuspendWorker { .. }
+            | ManagementRequest::ResumeWorker { .. }
+    )
+}
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -24,14 +24,14 @@
 use crate::net::handover::callbacks::ForwardedCallbacks;
 use crate::net::handover::descriptors::DescriptorShares;
 use crate::net::lifecycle::{Lifecycle, Stage};
-use crate::net::management::ManagementServer;
+use crate::net::management::{ManagementServer, ReceivedRequest};
 use crate::net::requests::manager::RequestManager;
 use crate::net::store_adapter::{CoordinationWriteOutcome, StoreAdapter};
 use crate::net::transport::reactor::{self, Clock, Reactor, SocketOwner};
 use crate::net::upstream::attempts::Attempts;
 use crate::net::upstream::worker_list::WorkerList;
 use descriptor_budget::DescriptorBudget;
-use management::{DeferredRequest, SuspensionChange};
+use management::SuspensionChange;
 use polling::Event;
 use postproxy_version_tracking::Source;
 use signals::{ReloadSource, Signal};
@@ -71,7 +71,7 @@
     /// The longest turn of the loop so far, in seconds.
     longest_turn: f64,
     /// Management requests that came before an older process had sent its whole snapshot.
-    deferred_requests: Vec<DeferredRequest>,
+    deferred_requests: Vec<ReceivedRequest>,
     /// Whether the cluster tracks configuration versions.
     tracks_versions: bool,
     /// Attempts started since the version of the worker list last changed.
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -227,8 +227,12 @@
 /// Works out how many descriptors the node may use for what.
 fn descriptor_budget(config: &Config, has_management: bool) -> DescriptorBudget {
     // Three quarters of the memory are for what each client's connection can hold at most.
-    let clients_by_memory = (config.memory_mb << 20) / 4 * 3 / clients::MOST_HELD;
-    let management = if has_management { management::MOST } else { 0 };
+    let clients_by_memory = (config.memory_mb << 20) / 4 * 3 / clients::MAX_CONNECTION_MEMORY_BYTES;
+    let management = if has_management {
+        management::MAX_SESSIONS
+    } else {
+        0
+    };
     let peers = if config.fleet.is_some() {
         peer_connections::MAX_DESCRIPTORS
     } else {
--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -273,7 +273,7 @@
             .register(&stream, SocketOwner::Attempt)
             .map_err(|_| AttemptEnd::LocalCapacityExhausted)?;
         let session = Session {
-            connection: Connection::new(stream, true, MAX_RESPONSE_BYTES),
+            connection: Connection::dialing(stream, MAX_RESPONSE_BYTES),
             exchange: Exchange::new(worker),
             attempt: None,
             since: reactor.now,
@@ -349,7 +349,7 @@
             self.pool
                 .record_broken_after_idle(idle_seconds, reactor.now);
         }
-        if matches!(session.connection.state(), State::Ended | State::HalfOpen) {
+        if matches!(session.connection.state(), State::Ended | State::HalfClosed) {
             return self.close(reactor, key);
         }
         reactor.rearm(
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -5,7 +5,7 @@
 
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Callbacks, Connection, State, Stream};
-use crate::net::transport::http::{self, Read, Response};
+use crate::net::transport::http::{self, ParseStatus, Response};
 use crate::net::transport::reactor::Reactor;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -331,11 +331,19 @@
         }
         let closed = connection.read_side_closed();
         match http::read_response(&connection.input, closed, http::MAX_BODY_BYTES) {
-            Ok(Read::Whole(response, size)) => {
+            Ok(ParseStatus::Complete {
+                message: response,
+                size,
+            }) => {
                 connection.consume(size);
                 let written = self.exchange.is_request_written(connection);
                 let reusable = self.finish_with_response(connection, &response);
-                if reusable && written && response.keeps && !closed && connection.input.is_empty() {
+                if reusable
+                    && written
+                    && response.keep_alive
+                    && !closed
+                    && connection.input.is_empty()
+                {
                     self.exchange.kind = ExchangeKind::Idle;
                 } else {
                     connection.abort();
--- a/src/net/upstream/worker_list/calls.rs
+++ b/src/net/upstream/worker_list/calls.rs
@@ -3,7 +3,7 @@
 use super::list::DiscoveryList;
 use super::{InitialSync, LOG_TARGET, WorkerList};
 use crate::net::transport::connection::{Callbacks, Connection, State};
-use crate::net::transport::http::{self, Read, Response};
+use crate::net::transport::http::{self, ParseStatus, Response};
 use crate::net::transport::reactor::{self, Reactor, SocketOwner, Timer};
 use crate::net::upstream::watch::{Call, CallId};
 use std::io;
@@ -42,7 +42,7 @@
         match DiscoveryList::from_json(&response.body) {
             Ok(list) => Self::Answered {
                 list,
-                reusable: response.keeps && more_expected,
+                reusable: response.keep_alive && more_expected,
             },
             Err(_) => Self::Failed,
         }
@@ -64,7 +64,10 @@
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
         let more_expected = !connection.read_side_closed();
         match http::read_response(&connection.input, !more_expected, MAX_RESPONSE_BYTES) {
-            Ok(Read::Whole(response, size)) => {
+            Ok(ParseStatus::Complete {
+                message: response,
+                size: size,
+            }) => {
                 connection.consume(size);
                 self.result = Some(CallResult::from_response(&response, more_expected));
             }
@@ -147,7 +150,7 @@
         let stream = reactor::dial(self.discovery)?;
         let key = reactor.register(&stream, SocketOwner::Discovery)?;
         Ok(Session {
-            connection: Connection::new(stream, true, MAX_RESPONSE_BYTES),
+            connection: Connection::dialing(stream, MAX_RESPONSE_BYTES),
             key,
             call: None,
             established: false,
--- a/src/stand_ins/http_client.rs
+++ b/src/stand_ins/http_client.rs
@@ -1,6 +1,6 @@
 //! An HTTP client that sends one request on a connection of its own.
 
-use crate::net::transport::http::{self, Read};
+use crate::net::transport::http::{self, ParseStatus};
 use std::io::{self, Read as _, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -35,7 +35,7 @@
         let is_closed = size == 0;
         let read = http::read_response(&input, is_closed, http::MAX_BODY_BYTES);
         match read.map_err(|error| io::Error::other(format!("{error:?}")))? {
-            Read::Whole(response, _) => return Ok(response),
+            ParseStatus::Complete { message, .. } => return Ok(message),
             _ if is_closed => return Err(io::ErrorKind::UnexpectedEof.into()),
             _ => {}
         }
--- a/src/stand_ins/http_server.rs
+++ b/src/stand_ins/http_server.rs
@@ -1,6 +1,6 @@
 //! An HTTP server with a thread for each connection.
 
-use crate::net::transport::http::{self, Read, Request};
+use crate::net::transport::http::{self, ConnectionOption, ParseStatus, Request};
 use std::io::{self, Read as _, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread;
@@ -39,11 +39,20 @@
         let read =
             http::read_request(&input).map_err(|error| io::Error::other(format!("{error:?}")))?;
         match read {
-            Read::Whole(request, size) => {
+            ParseStatus::Complete {
+                message: request,
+                size,
+            } => {
                 input.drain(..size);
                 let ServerResponse { status, body } = handle_request(&request);
                 let mut response = Vec::new();
-                http::write_response(&mut response, status, &[], body.as_bytes(), false);
+                http::write_response(
+                    &mut response,
+                    status,
+                    &[],
+                    body.as_bytes(),
+                    ConnectionOption::KeepAlive,
+                );
                 stream.write_all(&response)?;
             }
             _ => match stream.read(&mut bytes)? {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -3,7 +3,7 @@
 #[path = "support/node_harness.rs"]
 mod node_harness;
 
-use node_harness::{ACCEPTED, LIMIT, Peer, port};
+use node_harness::{ACCEPTED, TEST_TIMEOUT, TestSocket, bind_listener};
 use postproxy::net::messages::{AttemptEnd, AttemptId, Input, Payload};
 use postproxy::net::transport::reactor::{Reactor, Timer};
 use postproxy::net::upstream::attempts::Attempts;
@@ -32,20 +32,20 @@
         Self {
             reactor,
             attempts: Attempts::new(max_connections, 0.25, idle_timeout),
-            worker: port(),
+            worker: bind_listener(),
         }
     }
 
     /// Starts attempts at one time, and has the worker accept each on a connection of its own; these are idle then.
-    fn accepted_attempts(&mut self, attempts: &[AttemptId]) -> Vec<Peer> {
+    fn accepted_attempts(&mut self, attempts: &[AttemptId]) -> Vec<TestSocket> {
         attempts.iter().for_each(|attempt| self.start(*attempt));
-        let mut peers: Vec<Peer> = attempts
+        let mut peers: Vec<TestSocket> = attempts
             .iter()
-            .map(|_| Peer::accept(&self.worker))
+            .map(|_| TestSocket::accept(&self.worker))
             .collect();
         for peer in &mut peers {
             self.run_until_received(peer);
-            peer.request();
+            peer.read_request();
             peer.write(ACCEPTED);
             assert_eq!(self.end().1, AttemptEnd::Accepted);
         }
@@ -83,7 +83,7 @@
             if let Some(found) = found(self) {
                 return found;
             }
-            assert!(start.elapsed() < LIMIT, "nothing was found in time");
+            assert!(start.elapsed() < TEST_TIMEOUT, "nothing was found in time");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
                 self.attempts.handle_ready(
@@ -98,7 +98,7 @@
 
     /// Serves ready connections until the peer has received something: a request is written once its connection is known to
     /// be established.
-    fn run_until_received(&mut self, peer: &Peer) {
+    fn run_until_received(&mut self, peer: &TestSocket) {
         peer.stream.set_nonblocking(true).expect("a setting");
         self.until(|_| {
             peer.stream
@@ -135,21 +135,27 @@
 fn second_response_is_not_taken_for_the_next_attempt() {
     let mut harness = AttemptsHarness::new();
     harness.start(1);
-    let mut first = Peer::accept(&harness.worker);
+    let mut first = TestSocket::accept(&harness.worker);
     harness.run_until_received(&first);
-    assert_eq!(first.request().headers.get("x-request-id"), Some("job-1"));
+    assert_eq!(
+        first.read_request().headers.get("x-request-id"),
+        Some("job-1")
+    );
     first.write(NOT_RUN);
     assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
     harness.reactor.now = 1000.01;
     harness.start(2);
     // It arrives after the next attempt has been written, on whichever connection; perhaps nobody reads it.
-    let mut second = Peer::accept(&harness.worker);
+    let mut second = TestSocket::accept(&harness.worker);
     harness.run_until_received(&second);
     let _ = first.stream.write_all(NOT_RUN.as_bytes());
     second.write(ACCEPTED);
     assert_eq!(harness.end(), (2, AttemptEnd::Accepted));
     assert_eq!(harness.attempts.connection_count(), 1);
-    assert!(first.ended(), "that connection carried one request only");
+    assert!(
+        first.is_closed(),
+        "that connection carried one request only"
+    );
 }
 
 /// Guards against the same after a cancel: its second response would end the next attempt, which runs, in an error.
@@ -162,11 +168,11 @@
         .attempts
         .cancel_attempt(&mut harness.reactor, 1, at, "job-1", true);
     harness.run_until_received(&peer);
-    assert_eq!(peer.request().method, "DELETE");
+    assert_eq!(peer.read_request().method, "DELETE");
     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
     assert!(
-        peer.ended(),
+        peer.is_closed(),
         "the connection of the cancel carries nothing more, however late"
     );
     assert!(harness.opens_connection(1060.0, 2));
@@ -184,13 +190,13 @@
     for answer in rejections {
         let mut harness = AttemptsHarness::new();
         harness.start(1);
-        let mut peer = Peer::accept(&harness.worker);
+        let mut peer = TestSocket::accept(&harness.worker);
         harness.run_until_received(&peer);
-        peer.request();
+        peer.read_request();
         peer.write(answer);
         harness.end();
         harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
-        assert!(peer.ended(), "{answer}");
+        assert!(peer.is_closed(), "{answer}");
         assert!(harness.opens_connection(1060.0, 2), "{answer}");
     }
     let mut harness = AttemptsHarness::new();
@@ -198,7 +204,7 @@
     for attempt in [2, 3] {
         harness.start(attempt);
         harness.run_until_received(&peer);
-        peer.request();
+        peer.read_request();
         peer.write(ACCEPTED);
         assert_eq!(harness.end(), (attempt, AttemptEnd::Accepted));
     }
@@ -217,14 +223,14 @@
     peer.write(NOT_RUN);
     assert_eq!(harness.end(), (2, AttemptEnd::RejectedAmbiguous));
     assert!(
-        peer.request().headers.get("x-request-id") == Some("job-2"),
+        peer.read_request().headers.get("x-request-id") == Some("job-2"),
         "the worker has read it, and may run it"
     );
     let mut harness = AttemptsHarness::new();
     harness.start(1);
-    let mut peer = Peer::accept(&harness.worker);
+    let mut peer = TestSocket::accept(&harness.worker);
     harness.run_until_received(&peer);
-    peer.request();
+    peer.read_request();
     peer.write(NOT_RUN);
     assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
 }
@@ -235,7 +241,7 @@
 fn response_received_before_the_request_was_written_proves_nothing() {
     let mut harness = AttemptsHarness::new();
     harness.start(1);
-    let mut peer = Peer::accept(&harness.worker);
+    let mut peer = TestSocket::accept(&harness.worker);
     peer.write(NOT_RUN);
     // Readable and writable in one event: the request is written and the response read in one turn.
     let key = harness.key();
@@ -243,7 +249,10 @@
         .attempts
         .handle_ready(&mut harness.reactor, key, true, true);
     assert_eq!(harness.end(), (1, AttemptEnd::RejectedAmbiguous));
-    assert_eq!(peer.request().headers.get("x-request-id"), Some("job-1"));
+    assert_eq!(
+        peer.read_request().headers.get("x-request-id"),
+        Some("job-1")
+    );
 }
 
 /// A response that can't be parsed, or that never ends.
@@ -329,9 +338,9 @@
     {
         let mut harness = AttemptsHarness::new();
         harness.start(1);
-        let mut peer = Peer::accept(&harness.worker);
+        let mut peer = TestSocket::accept(&harness.worker);
         let worker = std::thread::spawn(move || {
-            peer.request();
+            peer.read_request();
             // More than any response may hold; the connection ends when the node reads no more.
             let more = if continuation.is_empty() {
                 "x".repeat(1 << 20)
@@ -342,7 +351,7 @@
                 .stream
                 .write_all(beginning.as_bytes())
                 .and_then(|()| peer.stream.write_all(more.as_bytes()));
-            sent.is_err() || peer.ended()
+            sent.is_err() || peer.is_closed()
         });
         let (attempt, end) = harness.end();
         assert_eq!(attempt, 1, "{name}");
@@ -420,7 +429,7 @@
 fn load_report_is_parsed_by_name() {
     let mut harness = AttemptsHarness::new();
     harness.start(1);
-    let mut peer = Peer::accept(&harness.worker);
+    let mut peer = TestSocket::accept(&harness.worker);
     peer.write("HTTP/1.1 202 Accepted\r\nX-Load: TEXT inflight=7, queue=2, util=0.61, x0=what\r\nContent-Length: 0\r\n\r\n");
     let load = harness.until(|harness| {
         std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
@@ -530,14 +539,14 @@
 fn probe_result(
     harness: &mut AttemptsHarness,
     answer: Option<&str>,
-) -> (AttemptEnd, Vec<(String, f64)>, Option<Peer>) {
+) -> (AttemptEnd, Vec<(String, f64)>, Option<TestSocket>) {
     let at = harness.worker.local_addr().expect("an address");
     harness
         .attempts
         .start_probe(&mut harness.reactor, 1, at, 0.4);
-    let mut peer = Peer::accept(&harness.worker);
+    let mut peer = TestSocket::accept(&harness.worker);
     harness.run_until_received(&peer);
-    let request = peer.request();
+    let request = peer.read_request();
     assert_eq!(
         (request.method.as_str(), request.target.as_str()),
         ("GET", "/-/load")
@@ -607,7 +616,7 @@
     harness
         .attempts
         .start_probe(&mut harness.reactor, 1, at, 0.4);
-    let mut peer = Peer::accept(&harness.worker);
+    let mut peer = TestSocket::accept(&harness.worker);
     harness.run_until_received(&peer);
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
         harness.reactor.now = now;
@@ -629,7 +638,7 @@
     let _ = peer
         .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nTEXT x0=3");
-    drop(std::mem::replace(&mut harness.worker, port()));
+    drop(std::mem::replace(&mut harness.worker, bind_listener()));
     harness
         .attempts
         .start_probe(&mut harness.reactor, 2, at, 0.4);
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -4,7 +4,7 @@
 #[path = "support/node_harness.rs"]
 mod node_harness;
 
-use node_harness::{Peer, port};
+use node_harness::{TestSocket, bind_listener};
 use postproxy::decision::random::Random;
 use postproxy::net::messages::{AttemptEnd, Input, Payload};
 use postproxy::net::transport::connection::{Connection, State, Stream};
@@ -101,7 +101,7 @@
 /// read in one turn.
 #[test]
 fn reset_in_the_turn_of_the_last_byte_counts_as_written() {
-    let listener = port();
+    let listener = bind_listener();
     let stream =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     stream.set_nonblocking(true).expect("a setting");
@@ -111,14 +111,14 @@
     poller
         .add(&watched, polling::Event::readable(1))
         .expect("it is watched");
-    let mut worker = Some(Peer::accept(&listener));
+    let mut worker = Some(TestSocket::accept(&listener));
     let after_write = move || {
         let _ = &watched;
         // The worker has read the complete request, perhaps run it, and its process dies.
         let Some(mut peer) = worker.take() else {
             return;
         };
-        assert_eq!(peer.request().headers.get("x-request-id"), Some("one"));
+        assert_eq!(peer.read_request().headers.get("x-request-id"), Some("one"));
         socket2::SockRef::from(&peer.stream)
             .set_linger(Some(Duration::ZERO))
             .expect("a setting");
@@ -127,19 +127,18 @@
         let mut event_count = 0;
         while event_count == 0 {
             event_count = poller
-                .wait(&mut events, Some(node_harness::LIMIT))
+                .wait(&mut events, Some(node_harness::TEST_TIMEOUT))
                 .expect("it is waited");
         }
     };
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
     let mut exchange = Exchange::new(listener.local_addr().expect("an address"));
-    let mut connection = Connection::new(
+    let mut connection = Connection::dialing(
         InterruptedStream {
             stream,
             full: true,
             after_write,
         },
-        true,
         1 << 16,
     );
     exchange.start(
@@ -174,13 +173,13 @@
         (0.85, Some(0.05)),
         (0.95, None),
     ] {
-        let listener = port();
+        let listener = bind_listener();
         let at = listener.local_addr().expect("an address");
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
         let mut exchange = Exchange::new(at);
         let stream = TcpStream::connect(at).expect("a connection");
         stream.set_nonblocking(true).expect("a setting");
-        let mut connection = Connection::new(stream, true, 1 << 16);
+        let mut connection = Connection::dialing(stream, 1 << 16);
         let outgoing = OutgoingRequest::Attempt {
             payload: payload(10),
             deadline: 1000.9,
@@ -193,11 +192,11 @@
         );
         reactor.now = 1000.0 + dial_seconds;
         exchange.handle_ready(false, true, &mut connection, &mut reactor);
-        let mut worker = Peer::accept(&listener);
+        let mut worker = TestSocket::accept(&listener);
         let Some(left) = left else {
             drop(connection);
             assert!(
-                worker.ended(),
+                worker.is_closed(),
                 "nothing was written for a client whose deadline has passed"
             );
             assert_eq!(
@@ -209,7 +208,7 @@
             );
             continue;
         };
-        let request = worker.request();
+        let request = worker.read_request();
         let deadline: f64 = request
             .headers
             .get("x-deadline")
@@ -360,7 +359,7 @@
         ..WireState::default()
     }));
     let mut exchange = Exchange::new(at);
-    let mut connection = Connection::new(ScriptedStream(wire.clone()), true, 1 << 16);
+    let mut connection = Connection::dialing(ScriptedStream(wire.clone()), 1 << 16);
     let reused = rng.uniform() < 0.5;
     if reused {
         carry_first_request(&mut exchange, &mut connection, &wire, &mut reactor);
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -6,7 +6,7 @@
 mod node_harness;
 
 use dispatcher_harness::*;
-use node_harness::Peer;
+use node_harness::TestSocket;
 use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId, WorkerId};
 use std::net::TcpListener;
 use std::time::Duration;
@@ -127,7 +127,7 @@
 }
 
 /// Closes a worker's connection with a reset.
-fn reset_connection(worker: Peer) {
+fn reset_connection(worker: TestSocket) {
     socket2::SockRef::from(&worker.stream)
         .set_linger(Some(Duration::ZERO))
         .expect("a socket option");
@@ -135,11 +135,11 @@
 }
 
 /// Waits until the node connects to one of the workers, and returns that connection.
-fn accept_any(workers: &[TcpListener]) -> Peer {
+fn accept_any(workers: &[TcpListener]) -> TestSocket {
     loop {
         if let Some((stream, _)) = workers.iter().find_map(|worker| worker.accept().ok()) {
             stream.set_nonblocking(false).expect("a socket option");
-            return Peer::new(stream);
+            return TestSocket::new(stream);
         }
         std::thread::yield_now();
     }
@@ -150,20 +150,23 @@
 #[test]
 fn does_not_retry_at_a_worker_that_reset_the_connection() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
-        let harness = node_harness::NodeHarness::with(1, 256, &[], |settings| {
+        let harness = node_harness::NodeHarness::with_settings(1, 256, &[], |settings| {
             settings["services"][0]["effect"] = effect.into();
             settings["services"][0]["dedup-scope"] = "cell".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
-        let mut client = Peer::to(harness.node);
+        let mut client = TestSocket::connect(harness.node);
         client.write(
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 1.0\r\nIdempotency-Key: k\r\n\
              Content-Length: 0\r\n\r\n",
         );
-        let mut worker = Peer::accept(&harness.workers[0]);
-        assert_eq!(worker.request().headers.get("x-request-id"), Some("one"));
+        let mut worker = TestSocket::accept(&harness.workers[0]);
+        assert_eq!(
+            worker.read_request().headers.get("x-request-id"),
+            Some("one")
+        );
         reset_connection(worker);
-        assert_eq!(client.response().status, status, "{effect}");
+        assert_eq!(client.read_response().status, status, "{effect}");
         harness.workers[0]
             .set_nonblocking(true)
             .expect("a socket option");
@@ -181,12 +184,12 @@
 #[test]
 fn does_not_retry_a_keyed_request_without_a_key() {
     for has_key in [true, false] {
-        let harness = node_harness::NodeHarness::with(2, 256, &[], |settings| {
+        let harness = node_harness::NodeHarness::with_settings(2, 256, &[], |settings| {
             settings["services"][0]["effect"] = "token".into();
             settings["services"][0]["dedup-scope"] = "all".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
-        let mut client = Peer::to(harness.node);
+        let mut client = TestSocket::connect(harness.node);
         let header = if has_key {
             "Idempotency-Key: k\r\n"
         } else {
@@ -201,18 +204,21 @@
             .iter()
             .for_each(|worker| worker.set_nonblocking(true).expect("a socket option"));
         let mut worker = accept_any(&harness.workers);
-        worker.request();
+        worker.read_request();
         reset_connection(worker);
         if has_key {
             let mut second = accept_any(&harness.workers);
-            assert_eq!(second.request().headers.get("x-request-id"), Some("one"));
+            assert_eq!(
+                second.read_request().headers.get("x-request-id"),
+                Some("one")
+            );
             second.write(node_harness::ACCEPTED);
-            let call_back = |n| harness.call("one", n, r#""state":"done","result":"r""#);
+            let call_back = |n| harness.post_callback("one", n, r#""state":"done","result":"r""#);
             assert_eq!((call_back(0), call_back(1)), (200, 200));
-            assert_eq!(client.response().status, 200);
+            assert_eq!(client.read_response().status, 200);
         } else {
             assert_eq!(
-                client.response().status,
+                client.read_response().status,
                 502,
                 "failed: it may have run, and must not run twice"
             );
