--- a/tests/node.rs
+++ b/tests/node.rs
@@ -59,6 +59,8 @@
     client.submit_request("one");
     let mut worker = harness.accept_worker(0);
     worker.read_request();
+    // A response that arrives while the node still writes the request would count as that of an earlier one.
+    harness.wait_for_two_turns();
     worker.write(
         "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nX-Load: TEXT queue=3\r\nContent-Length: 0\r\n\r\n",
     );
