--- a/tests/cluster/suspensions.rs
+++ b/tests/cluster/suspensions.rs
@@ -161,7 +161,7 @@
         std::fs::write(&fault_file, fault).expect("it is written");
         fleet.history.note(format!("n1's disk: {fault}"));
         assert_eq!(fleet.suspend(1, worker), "yes, at 3 of 3 nodes\n");
-        let fails = || fleet.count_log_lines(1, "the store takes no writes") == n + 1;
+        let fails = || fleet.count_log_lines(1, "store not writable") == n + 1;
         assert!(wait_until(MAX_WAIT, fails), "{}", fleet.describe());
         fleet.wait_until_complete();
         let client_address = fleet.nodes[1].client_address;
@@ -174,7 +174,7 @@
             "idempotent requests are served"
         );
         std::fs::remove_file(&fault_file).expect("it was there");
-        let works = || fleet.count_log_lines(1, "the store takes writes again") == n + 1;
+        let works = || fleet.count_log_lines(1, "store writable again") == n + 1;
         assert!(wait_until(MAX_WAIT, works), "{}", fleet.describe());
     }
     // What the disk rejected is written within the same interval.
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -450,8 +450,8 @@
     for end in [
         "Reset, complete: true",
         "NeverSent, complete: false",
-        "NoRoom, complete: false",
-        "NotRun, complete: true",
+        "LocalCapacityExhausted, complete: false",
+        "RejectedUnstarted, complete: true",
     ] {
         assert!(
             seen.get(end).is_some_and(|count| *count > 50),
@@ -459,7 +459,7 @@
         );
     }
     assert!(
-        seen.contains_key("TurnedAway, complete: true")
+        seen.contains_key("RejectedAmbiguous, complete: true")
             && seen.contains_key("Accepted, complete: true"),
         "{seen:?}"
     );
