--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -14,7 +14,7 @@
 impl Dispatcher {
     /// Admits a request and places it. A request of an unknown class fails.
     pub(super) fn admit_request(&mut self, new: &NewRequest) {
-        let id = new.request;
+        let id = new.id;
         if self.requests.contains_key(&id) || id >= MAX_REQUEST_ID {
             return;
         }
@@ -22,17 +22,17 @@
         let Some(class) = self.settings.classes.get(class_index) else {
             return self.actions.push(Action::Fail { request: id });
         };
-        let budget = positive(new.budget).unwrap_or(0.0).min(class.deadline);
+        let budget = positive(new.time_limit).unwrap_or(0.0).min(class.deadline);
         let first_submitted = self.first_submission(new, budget);
-        let hint = new.hint.and_then(positive);
+        let hint = new.expected_work.and_then(positive);
         let expected_work = self.estimates.run_time_by_class[class_index];
         let lead = (ANSWER_LEAD_TICKS * self.settings.tick).min(budget / 2.0);
         let deadline = self.now + budget - lead;
-        let has_subject = new.key != 0 && self.settings.fetch_price > 0.0;
+        let has_subject = new.subject != 0 && self.settings.fetch_price > 0.0;
         let request = Request {
             class: class_index,
-            subject: has_subject.then_some(new.key),
-            without_key: new.keyless,
+            subject: has_subject.then_some(new.subject),
+            without_key: new.without_key,
             slots: positive(new.slots).unwrap_or(1.0),
             memory: sound(new.memory).unwrap_or(0.0),
             work: hint.unwrap_or(expected_work),
@@ -62,7 +62,7 @@
         *longest = longest.max(budget);
         let spent = *longest - budget;
         let short_share = &mut self.estimates.short_budget_share_by_class[class];
-        let is_marked_first = self.settings.marks_retry && !new.repeat;
+        let is_marked_first = self.settings.clients_mark_retries && !new.is_marked_retry;
         if is_marked_first {
             let is_short = spent > SHORT_BUDGET_SHARE * budget;
             smooth(short_share, f64::from(u8::from(is_short)));
@@ -97,8 +97,8 @@
     /// work adds to the objective is kept for slow workers and inaccurate hints.
     pub(super) fn time_to_objective(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
-        let extra = 0.5 * (class.stretch - 1.0).max(0.0) * request.work;
-        request.first_submitted + class.aim + extra - self.now
+        let extra = 0.5 * (class.objective_stretch - 1.0).max(0.0) * request.work;
+        request.first_submitted + class.latency_objective + extra - self.now
     }
 
     /// Returns until when an attempt is permitted and can still help. A request without any attempt
@@ -106,8 +106,10 @@
     /// client from retrying.
     pub(super) fn last_useful_send(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
-        let objective = request.first_submitted + class.aim + class.stretch * request.work;
-        let answer_due = if class.late_worth > 0.0 {
+        let objective = request.first_submitted
+            + class.latency_objective
+            + class.objective_stretch * request.work;
+        let answer_due = if class.late_weight > 0.0 {
             request.deadline
         } else {
             objective.min(request.deadline)
@@ -117,10 +119,10 @@
             return f64::NEG_INFINITY;
         }
         match class.effect_of(request.without_key) {
-            Effect::Safe => end,
-            Effect::Unsafe if request.may_have_run() => f64::NEG_INFINITY,
-            Effect::Unsafe => end,
-            Effect::Keyed => request
+            Effect::Idempotent => end,
+            Effect::NotIdempotent if request.may_have_run() => f64::NEG_INFINITY,
+            Effect::NotIdempotent => end,
+            Effect::IdempotentByKey => request
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.may_have_run())
@@ -137,12 +139,12 @@
     /// Where a full queue would be the end of a request, it joins none once it is late.
     pub(super) fn queue_limit(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
-        let is_last_try = self.settings.full_proves_nothing
-            && class.effect_of(request.without_key) == Effect::Unsafe;
+        let is_last_try = self.settings.full_may_have_run
+            && class.effect_of(request.without_key) == Effect::NotIdempotent;
         let late_limit = if is_last_try {
             0.0
         } else {
-            class.late_worth.powi(2) * (request.deadline - self.now)
+            class.late_weight.powi(2) * (request.deadline - self.now)
         };
         self.time_to_objective(request).max(late_limit) * self.relative_worth(request)
     }
@@ -151,13 +153,13 @@
     /// highest.
     fn relative_worth(&self, request: &Request) -> f64 {
         let work = |class: usize| {
-            if self.settings.worth_by_work {
+            if self.settings.weight_by_work {
                 1.0
             } else {
                 self.estimates.run_time_by_class[class]
             }
         };
-        let worth = |class: usize| self.settings.classes[class].worth / work(class);
+        let worth = |class: usize| self.settings.classes[class].priority_weight / work(class);
         let highest = (0..self.settings.classes.len())
             .map(worth)
             .fold(0.0, f64::max);
@@ -175,7 +177,7 @@
         };
         request.probe_rounds = 0;
         let request = &self.requests[&id];
-        let interval = HOLD_INTERVAL * self.settings.classes[request.class].aim;
+        let interval = HOLD_INTERVAL * self.settings.classes[request.class].latency_objective;
         let is_in_time = self.time_to_objective(request) > 0.0;
         let is_hedge = request.in_flight() > 0;
         let delay = if is_in_time && !is_hedge {
@@ -217,8 +219,8 @@
         let class = &self.settings.classes[request.class];
         let is_harmless = !request.may_have_run() || class.repeats_anywhere(request.without_key);
         let answer = if is_harmless {
-            let retry_after = self.settings.max_retry_after.min(class.aim);
-            Action::Refuse {
+            let retry_after = self.settings.max_retry_after.min(class.latency_objective);
+            Action::Reject {
                 request: id,
                 retry_after,
             }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -35,12 +35,12 @@
         worker.request_due_at = None;
         worker.own.push(OwnAttempt {
             key: (id, number),
-            need: request.slots,
+            slots: request.slots,
             work: request.work,
             sent: self.now,
             until: None,
         });
-        worker.record_sent_work(self.now, request.work, self.settings.tip_after);
+        worker.record_sent_work(self.now, request.work, self.settings.overload_window);
         if number > 0 {
             self.budgets.retries.push(self.now);
         }
@@ -140,10 +140,10 @@
     fn may_hedge(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_permitted = class.effect_of(request.without_key) != Effect::Unsafe
+        let is_permitted = class.effect_of(request.without_key) != Effect::NotIdempotent
             && request.in_flight() < MAX_IN_FLIGHT;
         let only_hedges_find_capacity = self.can_cancel_waiting_jobs()
-            && !self.settings.may_probe
+            && !self.settings.probes_allowed
             && self.settings.reports != Reports::None;
         let is_unbound = self.settings.retry_budget.is_some() || only_hedges_find_capacity;
         is_permitted && (is_unbound || self.budgets.hedges >= 1.0)
@@ -152,7 +152,7 @@
     /// Returns whether a job that waits at a worker is recognised and can be cancelled, because
     /// workers report starts.
     fn can_cancel_waiting_jobs(&self) -> bool {
-        self.settings.tells_start && self.settings.may_cancel
+        self.settings.reports_start && self.settings.cancel_allowed
     }
 
     /// Returns how long a job may be silent before it is hedged or, while it runs, its worker is in
@@ -162,11 +162,11 @@
             let objective = self.time_to_objective(request) + self.now - request.first_submitted;
             return HEDGE_DELAY * objective;
         }
-        if self.settings.progress > 0.0 {
-            return SILENCE_INTERVALS * self.settings.progress;
+        if self.settings.progress_interval > 0.0 {
+            return SILENCE_INTERVALS * self.settings.progress_interval;
         }
         let class = &self.settings.classes[request.class];
-        2.0 * (class.aim + (class.stretch + 1.0) * request.work)
+        2.0 * (class.latency_objective + (class.objective_stretch + 1.0) * request.work)
     }
 
     /// Handles a progress report of an attempt in flight. Its worker is no longer ejected; when the
@@ -180,7 +180,7 @@
         attempt.last_progress = self.now;
         let worker = &mut self.workers.all[attempt.worker];
         worker.ejected_until = worker.ejected_until.min(self.now);
-        if attempt.started.is_none() && note != Note::Other {
+        if attempt.started.is_none() && note != Note::Unknown {
             attempt.started = Some(self.now);
             self.cancel_attempts(id, |attempt| attempt.started.is_none());
         }
@@ -218,20 +218,22 @@
         if !attempt.is_in_flight() {
             return;
         }
-        let never_ran = outcome.proves_never_ran(self.settings.full_proves_nothing);
+        let never_ran = outcome.proves_never_ran(self.settings.full_may_have_run);
         attempt.state = if never_ran {
             AttemptState::NeverRan
         } else {
             AttemptState::MayHaveRun
         };
         let attempt = attempt.clone();
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Succeeded {
             self.record_run_time(id, &attempt);
         }
-        if outcome == Outcome::Ok || attempt.capacity_promised && outcome == Outcome::Full {
+        if outcome == Outcome::Succeeded
+            || attempt.capacity_promised && outcome == Outcome::Rejected
+        {
             self.record_acceptance(id, &attempt, outcome);
         }
-        if attempt.capacity_promised && outcome == Outcome::Ok {
+        if attempt.capacity_promised && outcome == Outcome::Succeeded {
             self.record_kept_promise(id, &attempt);
         }
     }
@@ -240,7 +242,7 @@
     /// wait would make the next reviews later.
     fn record_run_time(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
-        let began = if self.settings.tells_start {
+        let began = if self.settings.reports_start {
             attempt.started.unwrap_or(attempt.sent)
         } else {
             attempt.sent
@@ -256,7 +258,7 @@
     /// Records whether a worker has accepted a request of this class.
     fn record_acceptance(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
         let class = self.requests[&id].class;
-        let share = if outcome == Outcome::Ok {
+        let share = if outcome == Outcome::Succeeded {
             1.0
         } else {
             REJECTED_ACCEPTANCE
@@ -275,13 +277,14 @@
     fn record_kept_promise(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_kept = self.now - attempt.sent <= class.aim + class.stretch * request.work;
+        let is_kept = self.now - attempt.sent
+            <= class.latency_objective + class.objective_stretch * request.work;
         smooth(&mut self.estimates.trust, f64::from(u8::from(is_kept)));
     }
 
     /// Cancels the attempts in flight that pass the test, where the settings permit cancelling.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, which: impl Fn(&Attempt) -> bool) {
-        if !self.settings.may_cancel {
+        if !self.settings.cancel_allowed {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else {
--- a/src/decision/configuration.rs
+++ b/src/decision/configuration.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat anywhere.
-    Safe,
+    Idempotent,
     /// Carries a key: one group of workers drops its repeats, for a while.
-    Keyed,
+    IdempotentByKey,
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The workers that drop repeats of one keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every worker.
     All,
     /// The workers of one zone.
@@ -34,27 +34,27 @@
     /// What may be done with a request that may have run.
     pub effect: Effect,
     /// For keyed requests, who drops the repeats.
-    pub group: Group,
+    pub dedup_scope: DedupScope,
     /// For keyed requests, how long repeats are dropped, counted from the first send that may have
     /// run.
-    pub window: f64,
+    pub dedup_window: f64,
     /// An answer within this time, plus `stretch` times the job's own work, earns the full worth.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// See `aim`.
-    pub stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits.
     pub deadline: f64,
     /// Worth of a request answered in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// The one kind of worker that can run it, if not any.
-    pub kind: Option<u16>,
+    pub required_kind: Option<u16>,
     /// The only machine kinds it may be sent to; `None` for any. A kind that no worker has admits
     /// none.
-    pub allowed_on: Option<Vec<u32>>,
+    pub allowed_kinds: Option<Vec<u32>>,
     /// The only zones it may be sent to; `None` for any. A zone that no worker is in admits none.
-    pub confined_to: Option<Vec<u32>>,
+    pub allowed_zones: Option<Vec<u32>>,
     /// Priority in the workers' queues, where those go by priority.
     pub priority: i32,
     /// The answer is a stream.
@@ -66,9 +66,9 @@
     pub fn admits(&self, entry: &Entry) -> bool {
         let among =
             |only: &Option<Vec<u32>>, x: u32| only.as_ref().is_none_or(|only| only.contains(&x));
-        let kind =
-            among(&self.allowed_on, entry.kind.into()) && self.kind.is_none_or(|k| k == entry.kind);
-        kind && among(&self.confined_to, entry.zone.into())
+        let kind = among(&self.allowed_kinds, entry.kind.into())
+            && self.required_kind.is_none_or(|k| k == entry.kind);
+        kind && among(&self.allowed_zones, entry.zone.into())
     }
 
     /// Whether a worker in the second zone and cell drops repeats of what a worker in the first has
@@ -76,18 +76,18 @@
     pub fn drops_repeats(&self, first: (u8, u16), second: (u8, u16)) -> bool {
         let zone = first.0 == second.0 && first.0 != NO_ZONE;
         let cell = first.1 == second.1 && first.1 != NO_CELL;
-        match self.group {
-            Group::All => true,
-            Group::Zone => zone,
-            Group::Cell => cell && first.0 == second.0,
+        match self.dedup_scope {
+            DedupScope::All => true,
+            DedupScope::Zone => zone,
+            DedupScope::Cell => cell && first.0 == second.0,
         }
     }
 
     /// What may be done with a request of this class that may have run. Without a key no worker can
     /// know its repeats.
     pub fn effect_of(&self, keyless: bool) -> Effect {
-        if keyless && self.effect == Effect::Keyed {
-            Effect::Unsafe
+        if keyless && self.effect == Effect::IdempotentByKey {
+            Effect::NotIdempotent
         } else {
             self.effect
         }
@@ -96,13 +96,14 @@
     /// Whether a request that may have run can be repeated at any worker without harm.
     pub fn repeats_anywhere(&self, keyless: bool) -> bool {
         let effect = self.effect_of(keyless);
-        effect == Effect::Safe || effect == Effect::Keyed && self.group == Group::All
+        effect == Effect::Idempotent
+            || effect == Effect::IdempotentByKey && self.dedup_scope == DedupScope::All
     }
 }
 
 /// A figure of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum ReportField {
     /// Requests waiting.
     Queue,
     /// Requests held, waiting or running.
@@ -134,39 +135,39 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Further attempts however light the traffic is.
-    pub spare: f64,
+    pub min_retries: f64,
     /// Further attempts for each request taken.
     pub ratio: f64,
     /// The time over which both are counted.
-    pub look_back: f64,
+    pub window: f64,
 }
 
 /// What a dispatcher is configured with at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many dispatchers there are.
-    pub balancers: u32,
+    pub dispatcher_count: u32,
     /// Zone of this dispatcher.
     pub zone: u8,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// The list of workers answers only when asked.
-    pub list_on_request: bool,
+    pub discovery_on_request: bool,
     /// Where the list must be asked, the longest time without a call before the list counts as
     /// told.
-    pub must_ask_in: f64,
+    pub max_poll_interval: f64,
     /// Shortest time between two calls of [`crate::Dispatcher::handle`] with different clocks.
     pub tick: f64,
     /// How load reports come.
     pub reports: Reports,
     /// The figures of a load report, in their order.
-    pub fields: Vec<Field>,
+    pub fields: Vec<ReportField>,
     /// Probes are permitted.
-    pub may_probe: bool,
+    pub probes_allowed: bool,
     /// Cancels are permitted.
-    pub may_cancel: bool,
+    pub cancel_allowed: bool,
     /// Two attempts of one request may be out at a time.
-    pub second_copies: bool,
+    pub hedging_allowed: bool,
     /// Clients are told how long to stay away after a refusal, at most this long; 0 where they
     /// aren't.
     pub max_retry_after: f64,
@@ -175,7 +176,7 @@
     /// A connection not made within this time has failed.
     pub dial_timeout: f64,
     /// A request's worth counts for each unit of its work, not once.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Points, as a share of all, due for each probe a request.
     pub probe_price: f64,
     /// Points, as a share of all, due for each attempt that crosses zones.
@@ -186,28 +187,28 @@
     /// Points, as a share of all, due where as much work is wasted as was asked for.
     pub waste_price: f64,
     /// Workers serve their queues by the classes' priorities.
-    pub by_priority: bool,
+    pub priority_queues: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Time between progress notes of a running job; 0 where there are none.
-    pub progress: f64,
+    pub progress_interval: f64,
     /// Clients mark their later tries.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// The list's size figure compares workers with one another.
-    pub sized: bool,
+    pub sizes_compare: bool,
     /// A worker starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub initial_capacity_share: f64,
     /// It is warm after this time at the latest.
-    pub cold: f64,
+    pub warm_up_time: f64,
     /// Sent more than this multiple of its present capacity for `tip_after`, a cold worker falls
     /// over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// See `fall_multiple`.
-    pub tip_after: f64,
+    pub overload_window: f64,
     /// Budget of further attempts; `None` where there is none.
     pub retry_budget: Option<RetryBudget>,
     /// Workers may answer 'full' for work that they had begun, so that it proves nothing.
-    pub full_proves_nothing: bool,
+    pub full_may_have_run: bool,
     /// Names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// Names of the machine kinds, in the order of their numbers.
@@ -217,22 +218,24 @@
     /// Names of a load report's figures, in their order.
     pub field_names: Vec<String>,
     /// A worker closes a connection that was idle for so long; 0 where that is not told.
-    pub conn_idle: f64,
+    pub idle_timeout: f64,
     /// Most requests held at a time; 0 where that is not told.
-    pub max_open: usize,
+    pub max_waiting_requests: usize,
 }
 
 impl Settings {
     /// Whether workers may kill a running job of this class for one of a higher priority, which is
     /// no fault of theirs.
-    pub fn pushes_out(&self, class: usize) -> bool {
+    pub fn may_preempt(&self, class: usize) -> bool {
         let class = &self.classes[class];
         let higher = |other: &Class| other.priority > class.priority;
-        self.by_priority && class.effect == Effect::Safe && self.classes.iter().any(higher)
+        self.priority_queues
+            && class.effect == Effect::Idempotent
+            && self.classes.iter().any(higher)
     }
 
     /// A figure of a load report, if it is there and sound.
-    pub fn figure(&self, report: &[f32], field: Field) -> Option<f64> {
+    pub fn figure(&self, report: &[f32], field: ReportField) -> Option<f64> {
         let at = self.fields.iter().position(|&f| f == field)?;
         report.get(at).and_then(|&v| sound(v.into()))
     }
--- a/src/decision/discovery.rs
+++ b/src/decision/discovery.rs
@@ -18,10 +18,10 @@
             ListKind::Cached => {
                 let spread = self.random.uniform();
                 self.schedule_discovery_call(
-                    spread * CACHED_LIST_CHECK * self.settings.must_ask_in,
+                    spread * CACHED_LIST_CHECK * self.settings.max_poll_interval,
                 );
             }
-            ListKind::Passed => {}
+            ListKind::FromPeer => {}
             ListKind::Delta | ListKind::Full => {
                 self.discovery.failed_calls = 0;
                 self.discovery.watching = true;
@@ -35,7 +35,7 @@
         self.discovery.failed_calls = (self.discovery.failed_calls + 1).min(MAX_FAILED_CALLS);
         self.discovery.watching = false;
         let backoff = 2f64.powi(self.discovery.failed_calls);
-        self.schedule_discovery_call(self.settings.must_ask_in * FAILED_CALL_RETRY * backoff);
+        self.schedule_discovery_call(self.settings.max_poll_interval * FAILED_CALL_RETRY * backoff);
     }
 
     /// Schedules the next call. Only the latest schedule counts; otherwise each failed call would
@@ -50,10 +50,10 @@
     /// Calls discovery unless changes of the list are received or the timer is outdated.
     pub(super) fn call_discovery_if_due(&mut self) {
         let is_due = self.now + self.settings.tick >= self.discovery.next_call_at;
-        if is_due && !self.discovery.watching && self.settings.list_on_request {
-            self.actions.push(Action::Watch);
+        if is_due && !self.discovery.watching && self.settings.discovery_on_request {
+            self.actions.push(Action::WatchDiscovery);
             // In case nothing at all comes back.
-            self.schedule_discovery_call(SILENT_CALL_RETRY * self.settings.must_ask_in);
+            self.schedule_discovery_call(SILENT_CALL_RETRY * self.settings.max_poll_interval);
         }
     }
 
@@ -69,7 +69,7 @@
     /// sends that request.
     pub(super) fn resume_worker(&mut self, id: WorkerId) {
         if let Some(start_at_suspension) = self.workers.suspended.remove(&id) {
-            let dispatchers = f64::from(self.settings.balancers.max(1));
+            let dispatchers = f64::from(self.settings.dispatcher_count.max(1));
             let sends_request = self.random.uniform() * dispatchers < RESUMED_WORKER_REQUESTS;
             let due_at = self.now + self.random.uniform() * RESUMED_WORKER_SPREAD_SECONDS;
             let request_due_at = sends_request.then_some(due_at);
--- a/src/decision/dispatcher.rs
+++ b/src/decision/dispatcher.rs
@@ -75,7 +75,7 @@
         let expected_run_times: Vec<f64> = settings
             .classes
             .iter()
-            .map(|class| class.aim.max(settings.tick))
+            .map(|class| class.latency_objective.max(settings.tick))
             .collect();
         Ok(Self {
             workers: WorkerTable::new(settings.classes.len()),
@@ -102,19 +102,19 @@
 
     fn handle_event(&mut self, event: &Event) {
         match event {
-            Event::List { kind, entries } => self.handle_worker_list(*kind, entries),
-            Event::Request(new) => self.admit_request(new),
-            Event::Streaming { request, attempt } => {
+            Event::WorkerListReceived { kind, entries } => self.handle_worker_list(*kind, entries),
+            Event::RequestReceived(new) => self.admit_request(new),
+            Event::AttemptStreaming { request, attempt } => {
                 if let Some(request) = self.requests.get_mut(request) {
                     request.record_streaming(*attempt);
                 }
             }
-            Event::Note {
+            Event::AttemptProgress {
                 request,
                 attempt,
                 note,
             } => self.handle_progress(*request, *attempt, *note),
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 worker,
@@ -126,26 +126,26 @@
                 self.record_attempt_end((*request, *attempt), *worker, *outcome, report);
                 self.handle_outcome(*request, *attempt, *outcome, *closed);
             }
-            Event::ClientGone { request } => self.forget_request(*request),
-            Event::Timer { token } => self.handle_timer(*token),
-            Event::Probed {
+            Event::ClientDisconnected { request } => self.forget_request(*request),
+            Event::TimerExpired { token } => self.handle_timer(*token),
+            Event::ProbeEnded {
                 worker,
                 outcome,
                 report,
                 elapsed,
             } => self.handle_probe_result(*worker, *outcome, report, *elapsed),
-            Event::Use {
+            Event::SuspensionChanged {
                 worker,
-                again: true,
+                resume: true,
             } => self.resume_worker(*worker),
-            Event::Use {
+            Event::SuspensionChanged {
                 worker,
-                again: false,
+                resume: false,
             } => self.suspend_worker(*worker),
-            Event::Balancers(count) => self.settings.balancers = *count,
+            Event::DispatcherCountChanged(count) => self.settings.dispatcher_count = *count,
             Event::SiblingEvent(event) => self.handle_sibling_event(event),
-            Event::MigratedRequest { request, carried } => {
-                self.continue_migrated_request(*request, carried);
+            Event::RequestMigrated { request, record } => {
+                self.continue_migrated_request(*request, record);
             }
             Event::Peer => {}
         }
--- a/src/decision/ejection.rs
+++ b/src/decision/ejection.rs
@@ -33,13 +33,13 @@
         let Some(own) = self.workers.all[index].remove_own_attempt(key, self.now) else {
             return;
         };
-        let ended_slots = if outcome == Outcome::Ok {
-            own.need
+        let ended_slots = if outcome == Outcome::Succeeded {
+            own.slots
         } else {
             0.0
         };
         match outcome {
-            Outcome::Ok => {
+            Outcome::Succeeded => {
                 let worker = &mut self.workers.all[index];
                 worker.failures = 0;
                 worker.ejected_until = 0.0;
@@ -47,8 +47,8 @@
             Outcome::Error => self.handle_worker_error(index, own),
             Outcome::Reset if self.may_be_preempted(key) => {}
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => self.eject(index),
-            Outcome::Full => self.record_full(index),
-            Outcome::Cancelled | Outcome::Moot | Outcome::Unknown(_) => {}
+            Outcome::Rejected => self.record_full(index),
+            Outcome::Cancelled | Outcome::CancelledLocally | Outcome::Unknown(_) => {}
         }
         self.record_figures(index, figures, ended_slots);
     }
@@ -67,7 +67,7 @@
     /// not their fault.
     fn may_be_preempted(&self, key: AttemptKey) -> bool {
         let request = self.requests.get(&key.0);
-        request.is_some_and(|request| self.settings.pushes_out(request.class))
+        request.is_some_and(|request| self.settings.may_preempt(request.class))
     }
 
     /// Records that a worker has rejected an attempt as full: its load is twice its slots or more.
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -4,7 +4,9 @@
 //! Times are seconds. Absent figures are zero unless a type says otherwise; figures that are not
 //! finite or below zero are treated as absent by the module.
 
-pub use super::configuration::{Class, Effect, Field, Group, Reports, RetryBudget, Settings};
+pub use super::configuration::{
+    Class, DedupScope, Effect, ReportField, Reports, RetryBudget, Settings,
+};
 pub use super::figures::sound;
 pub use super::request::{MigratedRequest, RequestId};
 pub use super::settings_error::{REMEDIES, SettingsError};
@@ -20,7 +22,7 @@
     /// The complete list as it was last held, perhaps stale.
     Cached,
     /// Changed entries, passed on by another node: they tell nothing of the calls to the list.
-    Passed,
+    FromPeer,
     /// A call to the list failed or the watch on it broke; no entries.
     Failed,
 }
@@ -29,36 +31,36 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NewRequest {
     /// Its id.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Index of its class.
     pub class: u8,
     /// Index of its tenant.
     pub tenant: u16,
     /// Subject; 0 for none.
-    pub key: u64,
+    pub subject: u64,
     /// Time until the client gives up.
-    pub budget: f64,
+    pub time_limit: f64,
     /// Expected work in seconds on a standard core, where told.
-    pub hint: Option<f64>,
+    pub expected_work: Option<f64>,
     /// Slots that it takes.
     pub slots: f64,
     /// Memory units that it takes.
     pub memory: f64,
     /// The client marked it as a repeat.
-    pub repeat: bool,
+    pub is_marked_retry: bool,
     /// It carries no key by which workers would know its repeats.
-    pub keyless: bool,
+    pub without_key: bool,
 }
 
 /// How an attempt, or a probe, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
-    Ok,
+    Succeeded,
     /// The worker answered with an error.
     Error,
-    /// Turned away, queue full or draining: unseen, unless [`Settings::full_proves_nothing`].
-    Full,
+    /// Turned away, queue full or draining: unseen, unless [`Settings::full_may_have_run`].
+    Rejected,
     /// No answer within the time.
     Timeout,
     /// No connection.
@@ -68,7 +70,7 @@
     /// Cancelled.
     Cancelled,
     /// Never sent.
-    Moot,
+    CancelledLocally,
     /// An outcome that this version does not know; it proves nothing.
     Unknown(u16),
 }
@@ -76,12 +78,12 @@
 impl Outcome {
     /// Whether an attempt that ended so has certainly not run, by the protocol's table of outcomes.
     /// Whatever decides on a further attempt, or on what the client may do, asks here;
-    /// `full_proves_nothing` is what the settings say.
-    pub fn proves_never_ran(self, full_proves_nothing: bool) -> bool {
+    /// `full_may_have_run` is what the settings say.
+    pub fn proves_never_ran(self, full_may_have_run: bool) -> bool {
         match self {
-            Self::ConnectFailed | Self::Moot => true,
-            Self::Full => !full_proves_nothing,
-            Self::Ok
+            Self::ConnectFailed | Self::CancelledLocally => true,
+            Self::Rejected => !full_may_have_run,
+            Self::Succeeded
             | Self::Error
             | Self::Timeout
             | Self::Reset
@@ -99,21 +101,21 @@
     /// This share of it is done.
     Progress(f64),
     /// A note that this version does not know.
-    Other,
+    Unknown,
 }
 
 /// What another process of this node does with the same workers: limits and budgets are one node's.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiblingEvent {
     /// It took requests, and made further attempts, at these times.
-    Past {
+    BudgetHistory {
         /// Requests.
-        taken: Vec<f64>,
+        admitted: Vec<f64>,
         /// Further attempts.
-        further: Vec<f64>,
+        retries: Vec<f64>,
     },
     /// It sent an attempt.
-    Sent {
+    AttemptSent {
         /// The request's number here, which no request of this dispatcher has.
         request: RequestId,
         /// The attempt's number.
@@ -121,14 +123,14 @@
         /// The worker.
         worker: WorkerId,
         /// Slots.
-        need: f64,
+        slots: f64,
         /// Expected work in seconds, where told.
         work: Option<f64>,
         /// When.
         sent: f64,
     },
     /// An attempt of its ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -142,23 +144,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A list of workers.
-    List {
+    WorkerListReceived {
         /// How to read it.
         kind: ListKind,
         /// Its entries.
         entries: Vec<Entry>,
     },
     /// A request arrived.
-    Request(NewRequest),
+    RequestReceived(NewRequest),
     /// The stream of an attempt has started; it belongs to the client now.
-    Streaming {
+    AttemptStreaming {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
     },
     /// News of an attempt that is still out.
-    Note {
+    AttemptProgress {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -167,7 +169,7 @@
         note: Note,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -184,35 +186,35 @@
         report: Vec<f32>,
     },
     /// The client left; nothing is owed any more.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// An operator takes a worker out of use, or back into it; it holds whatever the list says.
-    Use {
+    SuspensionChanged {
         /// The worker.
         worker: WorkerId,
         /// It is to be used again.
-        again: bool,
+        resume: bool,
     },
     /// So many dispatchers may send to the workers, in place of what the settings say.
-    Balancers(u32),
+    DispatcherCountChanged(u32),
     /// News of another process of this node, which takes over or is taken over.
     SiblingEvent(SiblingEvent),
     /// A request of another process of this node goes on here.
-    MigratedRequest {
+    RequestMigrated {
         /// Its number here.
         request: RequestId,
         /// What was noted of it there.
-        carried: Box<MigratedRequest>,
+        record: Box<MigratedRequest>,
     },
     /// A timer came due.
-    Timer {
+    TimerExpired {
         /// As set by [`Action::Timer`].
         token: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The worker.
         worker: WorkerId,
         /// How it ended.
@@ -230,7 +232,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Ask for the changes of the list from now on.
-    Watch,
+    WatchDiscovery,
     /// Send an attempt.
     Send {
         /// The request.
@@ -248,7 +250,7 @@
         attempt: u16,
     },
     /// Final answer: refused, trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 for no advice.
@@ -263,7 +265,7 @@
     Timer {
         /// When it comes due.
         at: f64,
-        /// Comes back with [`Event::Timer`].
+        /// Comes back with [`Event::TimerExpired`].
         token: u64,
     },
     /// Ask a worker for its load.
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -2,7 +2,7 @@
 
 use super::dispatcher::Dispatcher;
 use super::estimates::smooth;
-use super::interface::{Field, Reports};
+use super::interface::{ReportField, Reports};
 use super::parameters::{
     CANDIDATE_POOL_SIZE, MAX_EJECTION_TIME, MEAN_LOAD_DECAY, OTHERS_LOAD_DECAY, OTHERS_LOAD_WEIGHT,
     REPORT_DELAY, REPORT_LIFETIME,
@@ -17,7 +17,7 @@
         let Some(load) = self.reported_load(index, figures) else {
             return;
         };
-        let memory = self.settings.figure(figures, Field::FreeMemory);
+        let memory = self.settings.figure(figures, ReportField::FreeMemory);
         let report = LoadReport {
             load: (load - ended_slots).max(0.0),
             memory: memory.unwrap_or(f64::INFINITY),
@@ -29,9 +29,9 @@
     /// Returns the load in a report, in slots; `None` if it has none. The most free slots ever seen
     /// on a machine kind count as its slots.
     fn reported_load(&mut self, index: WorkerIndex, figures: &[f32]) -> Option<f64> {
-        let queue = self.settings.figure(figures, Field::Queue);
-        let in_flight = self.settings.figure(figures, Field::InFlight);
-        let free = self.settings.figure(figures, Field::FreeSlots);
+        let queue = self.settings.figure(figures, ReportField::Queue);
+        let in_flight = self.settings.figure(figures, ReportField::InFlight);
+        let free = self.settings.figure(figures, ReportField::FreeSlots);
         let kind = self.workers.all[index].entry.kind;
         let slots = self.estimates.slots_by_kind.entry(kind).or_insert(0.0);
         *slots = slots.max(free.unwrap_or(0.0).round());
@@ -83,7 +83,7 @@
         // Without reports the own attempts alone show no queue: other dispatchers are assumed to
         // hold as much.
         let dispatchers = match self.settings.reports {
-            Reports::None => self.settings.balancers.max(1).into(),
+            Reports::None => self.settings.dispatcher_count.max(1).into(),
             Reports::Answers | Reports::Probes => 1.0,
         };
         (mean + deviation).max(0.0) + worker.own_load_before(f64::INFINITY) * dispatchers
--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -69,7 +69,7 @@
             if attempt.is_in_flight() {
                 self.workers.all[attempt.worker].own.push(OwnAttempt {
                     key: (id, number),
-                    need: request.slots,
+                    slots: request.slots,
                     work: request.work,
                     sent: attempt.sent,
                     until: None,
@@ -85,7 +85,7 @@
         let window = self
             .settings
             .retry_budget
-            .map_or(0.0, |budget| budget.look_back + self.settings.tick);
+            .map_or(0.0, |budget| budget.window + self.settings.tick);
         let since = self.now - window;
         BudgetHistory {
             admitted: self.budgets.admitted.latest(max, since),
@@ -97,15 +97,15 @@
     /// the budgets are common.
     pub(super) fn handle_sibling_event(&mut self, event: &SiblingEvent) {
         match event {
-            SiblingEvent::Past { taken, further } => {
-                self.budgets.admitted.merge(taken);
-                self.budgets.retries.merge(further);
+            SiblingEvent::BudgetHistory { admitted, retries } => {
+                self.budgets.admitted.merge(admitted);
+                self.budgets.retries.merge(retries);
             }
-            SiblingEvent::Sent {
+            SiblingEvent::AttemptSent {
                 request,
                 attempt,
                 worker,
-                need,
+                slots,
                 work,
                 sent,
             } => {
@@ -116,14 +116,14 @@
                 let worker = &mut self.workers.all[index];
                 worker.own.push(OwnAttempt {
                     key: (*request, *attempt),
-                    need: *need,
+                    slots: *slots,
                     work,
                     sent: *sent,
                     until: None,
                 });
                 worker.record_sent_work(*sent, work, MAX_SIBLING_WINDOW_SECONDS);
             }
-            SiblingEvent::Ended {
+            SiblingEvent::AttemptEnded {
                 request,
                 attempt,
                 worker,
--- a/src/decision/probes.rs
+++ b/src/decision/probes.rs
@@ -28,7 +28,7 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let wait = PROBE_WAIT * self.settings.classes[request.class].aim;
+        let wait = PROBE_WAIT * self.settings.classes[request.class].latency_objective;
         request.probed = probed;
         request.probes_until = self.now + wait;
         request.probe_rounds += 1;
@@ -55,8 +55,8 @@
         worker.probe_sent = None;
         worker.answered_probe_sent = sent;
         match outcome {
-            Outcome::Ok => self.record_figures(index, figures, 0.0),
-            Outcome::Full | Outcome::Moot => {}
+            Outcome::Succeeded => self.record_figures(index, figures, 0.0),
+            Outcome::Rejected | Outcome::CancelledLocally => {}
             _ => self.eject(index),
         }
         self.place_requests_that_waited_for(index);
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -29,7 +29,7 @@
 
     /// What may have run goes again only as its class allows, and never to the same worker.
     fn may_run_again_at(&self, request: &Request, index: WorkerIndex) -> bool {
-        if request.in_flight() > 0 && !self.settings.second_copies {
+        if request.in_flight() > 0 && !self.settings.hedging_allowed {
             return false;
         }
         if request.may_have_run_at(index) {
@@ -37,9 +37,9 @@
         }
         let class = &self.settings.classes[request.class];
         match class.effect_of(request.without_key) {
-            Effect::Safe => true,
-            Effect::Unsafe => !request.may_have_run(),
-            Effect::Keyed => request
+            Effect::Idempotent => true,
+            Effect::NotIdempotent => !request.may_have_run(),
+            Effect::IdempotentByKey => request
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.may_have_run())
@@ -56,17 +56,17 @@
     /// Returns until when a request with a key may be sent again. What counts is its arrival at the
     /// worker, which may be the time of a new connection later.
     pub(super) fn window_end(&self, class: &Class, attempt: &Attempt) -> f64 {
-        attempt.sent + USABLE_WINDOW * class.window - self.settings.dial_timeout
+        attempt.sent + USABLE_WINDOW * class.dedup_window - self.settings.dial_timeout
     }
 
     /// Retries within the window, this one included, against the requests admitted in it.
     fn is_within_retry_budget(&self, request: &Request) -> bool {
         let within = |budget: RetryBudget| {
-            let since = self.now - budget.look_back;
+            let since = self.now - budget.window;
             let tick = self.settings.tick;
             let admitted = self.budgets.admitted.count_since(since + tick);
             let retries = self.budgets.retries.count_since(since - tick) + 1;
-            retries as f64 <= budget.spare + budget.ratio * admitted as f64
+            retries as f64 <= budget.min_retries + budget.ratio * admitted as f64
         };
         request.attempts.is_empty() || self.settings.retry_budget.is_none_or(within)
     }
@@ -78,7 +78,7 @@
         if self.warm_share(worker) >= 1.0 {
             return true;
         }
-        let sent = worker.work_sent_after(self.now - self.settings.tip_after) + request.work;
+        let sent = worker.work_sent_after(self.now - self.settings.overload_window) + request.work;
         request.cold_pass == Some(index) && sent <= self.own_cold_budget(worker)
     }
 }
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -1,7 +1,7 @@
 //! Worker selection: the candidates of an attempt, and the lottery among them.
 
 use super::dispatcher::Dispatcher;
-use super::interface::{Class, Effect, Group, RequestId};
+use super::interface::{Class, DedupScope, Effect, RequestId};
 use super::parameters::{
     ACCEPTANCE_POWER, CANDIDATE_POOL_SIZE, EXPLORATION_RATE, FRESH_REPORT_AGE,
     LESS_PREFERRED_FACTOR, MAX_PREFERRED_BEFORE_COLD, MAX_PROBE_ROUNDS, MIN_SHARE_NOT_EJECTED,
@@ -49,7 +49,7 @@
             return self.send_attempt(id, worker);
         }
         let is_hedge = self.requests[&id].in_flight() > 0;
-        if is_hedge && self.settings.may_probe {
+        if is_hedge && self.settings.probes_allowed {
             // A hedged request does not wait behind another queue.
             return;
         }
@@ -66,7 +66,7 @@
         let limit = self.queue_limit(&self.requests[&id]);
         eligible.retain(|&index| self.expected_wait(&self.workers.all[index]) <= limit);
         let fresh_since = self.run_times_ago(FRESH_REPORT_AGE);
-        let uses_any_report = !self.trusts_reports() || !self.settings.may_probe;
+        let uses_any_report = !self.trusts_reports() || !self.settings.probes_allowed;
         retain_if_any(&mut eligible, |&index| {
             uses_any_report || self.workers.all[index].reported_since(fresh_since)
         });
@@ -110,7 +110,7 @@
 
     fn tickets(&self, worker: &Worker, class: usize) -> f64 {
         let acceptance = self.acceptance(worker, class).powi(ACCEPTANCE_POWER);
-        acceptance * worker.size(self.settings.sized) / (self.load(worker) + 1.0)
+        acceptance * worker.size(self.settings.sizes_compare) / (self.load(worker) + 1.0)
     }
 
     /// Returns for each candidate how many of the others the request's subject prefers to it, the
@@ -182,8 +182,8 @@
         let is_bound = matches!(
             class,
             Class {
-                effect: Effect::Keyed,
-                group: Group::Cell,
+                effect: Effect::IdempotentByKey,
+                dedup_scope: DedupScope::Cell,
                 ..
             }
         );
@@ -305,7 +305,7 @@
         } else {
             usize::from(self.trusts_reports() && request.probe_rounds < MAX_PROBE_ROUNDS)
         };
-        self.settings.may_probe && self.budgets.probes >= 1.0 && with_capacity < wanted
+        self.settings.probes_allowed && self.budgets.probes >= 1.0 && with_capacity < wanted
     }
 
     /// Returns the eligible workers without a recent report that have no queue as far as is known.
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -2,7 +2,7 @@
 //! missing ones get the defaults written here.
 
 use crate::decision::interface::{
-    Class, Effect, Field, Group, Reports, RetryBudget, Settings, SettingsError,
+    Class, DedupScope, Effect, ReportField, Reports, RetryBudget, Settings, SettingsError,
 };
 use serde::Deserialize;
 
@@ -189,18 +189,14 @@
             return Ok(None);
         }
         let want = "a time above 0 where further attempts are rationed";
-        let look_back = self.look_back.ok_or(SettingsError::Range {
+        let window = self.look_back.ok_or(SettingsError::Range {
             key: "rules.look-back",
             want,
         })?;
-        let (spare, ratio) = (
-            self.spare_attempts.unwrap_or(0.0),
-            self.repeat_ratio.unwrap_or(0.0),
-        );
         Ok(Some(RetryBudget {
-            spare,
-            ratio,
-            look_back,
+            min_retries: self.spare_attempts.unwrap_or(0.0),
+            ratio: self.repeat_ratio.unwrap_or(0.0),
+            window,
         }))
     }
 }
@@ -230,29 +226,29 @@
 type Words<T, const N: usize> = [(&'static str, T); N];
 
 const EFFECTS: Words<Effect, 3> = [
-    ("pure", Effect::Safe),
-    ("token", Effect::Keyed),
-    ("side_effect", Effect::Unsafe),
+    ("pure", Effect::Idempotent),
+    ("token", Effect::IdempotentByKey),
+    ("side_effect", Effect::NotIdempotent),
 ];
-const GROUPS: Words<Group, 3> = [
-    ("all", Group::All),
-    ("zone", Group::Zone),
-    ("cell", Group::Cell),
+const GROUPS: Words<DedupScope, 3> = [
+    ("all", DedupScope::All),
+    ("zone", DedupScope::Zone),
+    ("cell", DedupScope::Cell),
 ];
 const WAYS_OF_REPORTS: Words<Reports, 3> = [
     ("answers", Reports::Answers),
     ("probe", Reports::Probes),
     ("none", Reports::None),
 ];
-const FIELDS: Words<Field, 8> = [
-    ("backlog", Field::Queue),
-    ("outstanding", Field::InFlight),
-    ("recent_ms", Field::ServiceMs),
-    ("x0", Field::Other),
-    ("x1", Field::Other),
-    ("utilization", Field::Other),
-    ("throughput", Field::Other),
-    ("errors_per_s", Field::Other),
+const FIELDS: Words<ReportField, 8> = [
+    ("backlog", ReportField::Queue),
+    ("outstanding", ReportField::InFlight),
+    ("recent_ms", ReportField::ServiceMs),
+    ("x0", ReportField::Other),
+    ("x1", ReportField::Other),
+    ("utilization", ReportField::Other),
+    ("throughput", ReportField::Other),
+    ("errors_per_s", ReportField::Other),
 ];
 
 /// What the word at this path stands for; `want` lists the words for the error.
@@ -275,10 +271,10 @@
 
 /// The figures of a load report. What `x0` and `x1` stand for is told in words; of other words
 /// nothing is made.
-fn fields(report: &RawReport, extra: &Extra) -> Result<Vec<Field>, SettingsError> {
-    let meaning = |text: &str, field: Field| match text {
-        text if text.contains("free slots") => Field::FreeSlots,
-        text if text.contains("free memory") => Field::FreeMemory,
+fn fields(report: &RawReport, extra: &Extra) -> Result<Vec<ReportField>, SettingsError> {
+    let meaning = |text: &str, field: ReportField| match text {
+        text if text.contains("free slots") => ReportField::FreeSlots,
+        text if text.contains("free memory") => ReportField::FreeMemory,
         _ => field,
     };
     let field = |(i, name): (usize, &String)| {
@@ -307,26 +303,26 @@
             || path("effect"),
             "pure, token, side_effect",
         )?,
-        group: word(
+        dedup_scope: word(
             GROUPS,
             &service.dedup_scope,
             || path("dedup-scope"),
             "all, zone, cell",
         )?,
-        window: service.memory_span,
-        aim: service.aim,
-        stretch: stretch.unwrap_or(0.0),
+        dedup_window: service.memory_span,
+        latency_objective: service.aim,
+        objective_stretch: stretch.unwrap_or(0.0),
         deadline: service.deadline,
-        worth: service.importance,
-        late_worth: service.late_value,
-        kind: extra
+        priority_weight: service.importance,
+        late_weight: service.late_value,
+        required_kind: extra
             .class_kind
             .get(number)
             .and_then(|&kind| u16::try_from(kind).ok()),
         priority: extra.class_priority.get(number).copied().unwrap_or(0),
         stream: service.stream,
-        allowed_on: service.allowed_on.clone(),
-        confined_to: service.confined_to.clone(),
+        allowed_kinds: service.allowed_on.clone(),
+        allowed_zones: service.confined_to.clone(),
     })
 }
 
@@ -392,17 +388,17 @@
             )?,
         };
         let settings = Self {
-            balancers: raw.balancers,
+            dispatcher_count: raw.balancers,
             zone: raw.zone,
             classes,
-            list_on_request: raw.discovery == "on_request",
-            must_ask_in: raw.rules.must_ask_in,
+            discovery_on_request: raw.discovery == "on_request",
+            max_poll_interval: raw.rules.must_ask_in,
             tick: raw.tick,
             reports,
             fields,
-            may_probe: raw.limits.may_probe,
-            may_cancel: raw.limits.cancel,
-            second_copies: raw.limits.second_copies,
+            probes_allowed: raw.limits.may_probe,
+            cancel_allowed: raw.limits.cancel,
+            hedging_allowed: raw.limits.second_copies,
             max_retry_after: if raw.limits.retry_after {
                 raw.limits.max_retry_after
             } else {
@@ -410,28 +406,28 @@
             },
             max_attempts: raw.limits.max_attempts,
             dial_timeout: raw.limits.dial_timeout,
-            worth_by_work: raw.counted_by == "work",
+            weight_by_work: raw.counted_by == "work",
             probe_price: raw.prices.probe,
             cross_zone_price: raw.prices.cross_zone,
             fetch_price: raw.prices.origin,
             waste_price: raw.prices.waste,
-            by_priority: extra.queue_order == "priority",
-            tells_start: extra.tells_start,
-            progress: extra.progress,
-            marks_retry: raw.client_habits.marks_retry,
-            sized: raw.weight_source != "none",
-            cold_from: raw.rules.cold_from,
-            cold: raw.rules.cold,
-            fall_multiple: raw.rules.fall_multiple,
-            tip_after: raw.rules.tip_after,
+            priority_queues: extra.queue_order == "priority",
+            reports_start: extra.tells_start,
+            progress_interval: extra.progress,
+            clients_mark_retries: raw.client_habits.marks_retry,
+            sizes_compare: raw.weight_source != "none",
+            initial_capacity_share: raw.rules.cold_from,
+            warm_up_time: raw.rules.cold,
+            overload_multiple: raw.rules.fall_multiple,
+            overload_window: raw.rules.tip_after,
             retry_budget: raw.rules.retry_budget()?,
-            full_proves_nothing: raw.rules.may_shed_begun.unwrap_or(false),
+            full_may_have_run: raw.rules.may_shed_begun.unwrap_or(false),
             zone_names: raw.dcs,
             kind_names: raw.machine_types,
             tenant_names: raw.orgs.into_iter().map(|org| org.name).collect(),
             field_names: raw.report.fields.clone(),
-            conn_idle: raw.limits.conn_idle,
-            max_open: raw.limits.max_open,
+            idle_timeout: raw.limits.conn_idle,
+            max_waiting_requests: raw.limits.max_open,
         };
         settings.validate()?;
         Ok(settings)
@@ -444,23 +440,27 @@
     /// Names the first key that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let span = |x: f64| x.is_finite() && x >= 0.0;
-        check(self.balancers > 0, "balancers", "at least 1")?;
+        check(self.dispatcher_count > 0, "balancers", "at least 1")?;
         check(self.max_attempts > 0, "limits.max-attempts", "at least 1")?;
         check(span(self.tick), "tick", "a time of 0 or more")?;
         check(
-            span(self.must_ask_in),
+            span(self.max_poll_interval),
             "rules.must-ask-in",
             "a time of 0 or more",
         )?;
-        check(span(self.cold), "rules.cold", "a time of 0 or more")?;
+        check(span(self.warm_up_time), "rules.cold", "a time of 0 or more")?;
         check(
-            span(self.tip_after),
+            span(self.overload_window),
             "rules.tip-after",
             "a time of 0 or more",
         )?;
-        check(span(self.fall_multiple), "rules.fall-multiple", "0 or more")?;
         check(
-            span(self.cold_from) && self.cold_from <= 1.0,
+            span(self.overload_multiple),
+            "rules.fall-multiple",
+            "0 or more",
+        )?;
+        check(
+            span(self.initial_capacity_share) && self.initial_capacity_share <= 1.0,
             "rules.cold-from",
             "between 0 and 1",
         )?;
@@ -475,11 +475,15 @@
             "a time of 0 or more",
         )?;
         check(
-            span(self.conn_idle),
+            span(self.idle_timeout),
             "limits.conn-idle",
             "a time of 0 or more",
         )?;
-        check(span(self.progress), "extra.progress", "a time of 0 or more")?;
+        check(
+            span(self.progress_interval),
+            "extra.progress",
+            "a time of 0 or more",
+        )?;
         check(span(self.probe_price), "prices.probe", "0 or more")?;
         check(
             span(self.cross_zone_price),
@@ -489,10 +493,14 @@
         check(span(self.fetch_price), "prices.origin", "0 or more")?;
         check(span(self.waste_price), "prices.waste", "0 or more")?;
         if let Some(budget) = &self.retry_budget {
-            check(span(budget.spare), "rules.spare-attempts", "0 or more")?;
+            check(
+                span(budget.min_retries),
+                "rules.spare-attempts",
+                "0 or more",
+            )?;
             check(span(budget.ratio), "rules.repeat-ratio", "0 or more")?;
             check(
-                span(budget.look_back) && budget.look_back > 0.0,
+                span(budget.window) && budget.window > 0.0,
                 "rules.look-back",
                 "a time above 0",
             )?;
@@ -509,15 +517,23 @@
                 "services[].deadline",
                 "a time above 0",
             )?;
-            check(span(class.aim), "services[].aim", "a time of 0 or more")?;
-            check(span(class.stretch), "services[].aim-stretch", "0 or more")?;
             check(
-                span(class.window),
+                span(class.latency_objective),
+                "services[].aim",
+                "a time of 0 or more",
+            )?;
+            check(
+                span(class.objective_stretch),
+                "services[].aim-stretch",
+                "0 or more",
+            )?;
+            check(
+                span(class.dedup_window),
                 "services[].memory-span",
                 "a time of 0 or more",
             )?;
             check(
-                span(class.worth) && span(class.late_worth),
+                span(class.priority_weight) && span(class.late_weight),
                 "services[].importance",
                 "0 or more",
             )?;
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -14,11 +14,12 @@
     /// Returns the share of its capacity that a worker has at least: it rises linearly from its
     /// start.
     pub(super) fn warm_share(&self, worker: &Worker) -> f64 {
-        let progress =
-            (self.now - worker.started()).max(0.0) / self.settings.cold.max(self.settings.tick);
+        let progress = (self.now - worker.started()).max(0.0)
+            / self.settings.warm_up_time.max(self.settings.tick);
         let is_cold = worker.started() > 0.0 && progress < 1.0;
         if is_cold {
-            self.settings.cold_from + (1.0 - self.settings.cold_from) * progress
+            self.settings.initial_capacity_share
+                + (1.0 - self.settings.initial_capacity_share) * progress
         } else {
             1.0
         }
@@ -27,16 +28,16 @@
     /// Returns the work that all dispatchers together may send to a cold worker in one window, in
     /// seconds.
     fn cold_budget(&self, worker: &Worker) -> f64 {
-        self.settings.fall_multiple
+        self.settings.overload_multiple
             * self.warm_share(worker)
             * self.slots(worker).max(1.0)
-            * self.settings.tip_after
+            * self.settings.overload_window
     }
 
     /// Returns this dispatcher's part of the cold budget, with what chance adds to a part of few
     /// requests.
     pub(super) fn own_cold_budget(&self, worker: &Worker) -> f64 {
-        let dispatchers = f64::from(self.settings.balancers.max(1));
+        let dispatchers = f64::from(self.settings.dispatcher_count.max(1));
         let run_time = self.estimates.mean_run_time;
         let part = COLD_BUDGET_SHARE * self.cold_budget(worker) * UNEVEN_TRAFFIC / dispatchers;
         let with_chance = part + 2.0 * (part * run_time).sqrt() + run_time;
@@ -49,7 +50,7 @@
         if let Some(worker) = self.workers.resumed_without_request(self.now) {
             return Some(worker);
         }
-        let window = self.settings.tip_after;
+        let window = self.settings.overload_window;
         self.budgets.pass_draws.push(self.now);
         let draws = self.budgets.pass_draws.count_since(self.now - window) as f64;
         let usual = self
@@ -58,13 +59,13 @@
             .mean_per_window(self.now, window, USUAL_TRAFFIC_WINDOWS);
         let likely_most = usual + 2.0 * usual.sqrt() + 1.0;
         let burst = (draws / (MAX_BURST * likely_most)).max(1.0);
-        let range = COLD_TRAFFIC_SHARE * self.settings.fall_multiple;
+        let range = COLD_TRAFFIC_SHARE * self.settings.overload_multiple;
         let mut drawn = self.random.uniform() * burst * self.workers.total_size / range;
         self.workers.started.iter().copied().find(|&index| {
             let worker = &self.workers.all[index];
             let warm_share = self.warm_share(worker);
             if warm_share < 1.0 {
-                drawn -= warm_share * worker.size(self.settings.sized);
+                drawn -= warm_share * worker.size(self.settings.sizes_compare);
             }
             drawn < 0.0
         })
--- a/src/decision/worker_entry.rs
+++ b/src/decision/worker_entry.rs
@@ -22,7 +22,7 @@
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// The zone of a worker of which none is told: it is in no zone with any other.
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -28,7 +28,7 @@
     /// The attempt.
     pub key: AttemptKey,
     /// Slots that the job takes.
-    pub need: f64,
+    pub slots: f64,
     /// Expected work, in seconds.
     pub work: f64,
     /// When it was sent.
@@ -122,7 +122,7 @@
         self.own
             .iter()
             .filter(|own| own.sent < at)
-            .map(|own| own.need)
+            .map(|own| own.slots)
             .sum()
     }
 
@@ -182,9 +182,9 @@
     /// Applies a worker list. What was known of a worker that has started since does not hold any
     /// more.
     pub fn apply_list(&mut self, kind: ListKind, entries: &[Entry]) {
-        if !matches!(kind, ListKind::Delta | ListKind::Passed) {
+        if !matches!(kind, ListKind::Delta | ListKind::FromPeer) {
             for worker in &mut self.all {
-                worker.entry.health = Health::Gone;
+                worker.entry.health = Health::Removed;
             }
         }
         for entry in entries {
@@ -233,7 +233,7 @@
         self.started = ready.iter().copied().filter(has_start).collect();
         self.total_size = ready
             .iter()
-            .map(|&index| self.all[index].size(settings.sized))
+            .map(|&index| self.all[index].size(settings.sizes_compare))
             .sum();
         self.by_cell = by_cell;
         self.ready_by_class = ready_by_class;
@@ -319,7 +319,7 @@
         if index == new {
             let entry = Entry {
                 worker: id,
-                health: Health::Gone,
+                health: Health::Removed,
                 ..Entry::default()
             };
             self.all.push(Worker {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
-//! The decisions of a dispatcher that sits beside each submitter and pushes jobs to workers.
+//! A routing node for jobs: it receives requests from clients and sends each to a suitable worker.
 //!
-//! A [`Dispatcher`] is a deterministic state machine: the caller feeds it [`Event`]s with the current
-//! time and carries out the [`Action`]s that it writes. It owns no clock, socket or thread.
+//! [`decision`] chooses the workers. Its [`Dispatcher`] is a deterministic state machine: the caller
+//! passes [`Event`]s with the current time to it and carries out the [`Action`]s that it returns. It
+//! owns no clock, socket or thread. [`net`] runs a dispatcher on sockets, [`simulator_protocol`]
+//! connects it to a simulator.
 //!
 //! ```
 //! use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Settings, WorkerId};
@@ -12,10 +14,12 @@
 //!
 //! let worker = WorkerId { address: [10, 0, 0, 1], port: 8080 };
 //! let entries = vec![Entry { worker, health: Health::Ready, ..Entry::default() }];
-//! dispatcher.handle(100.0, &Event::List { kind: ListKind::Full, entries }, &mut actions);
-//! let request = NewRequest { request: 7, class: 0, budget: 5.0, ..NewRequest::default() };
-//! dispatcher.handle(100.0, &Event::Request(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 7, .. })));
+//! let list = Event::WorkerListReceived { kind: ListKind::Full, entries };
+//! dispatcher.handle(100.0, &list, &mut actions);
+//!
+//! let request = NewRequest { id: 7, class: 0, time_limit: 5.0, ..NewRequest::default() };
+//! dispatcher.handle(100.0, &Event::RequestReceived(request), &mut actions);
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: 7, .. })));
 //! # Ok::<(), postproxy::SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -211,12 +211,12 @@
             sockets: config.sockets,
             kept: spare,
             memory,
-            open: settings.max_open,
+            open: settings.max_waiting_requests,
         };
         let (most, attempts, open) = room.of(config.sockets.saturating_sub(spare));
-        settings.max_open = open;
+        settings.max_waiting_requests = open;
         let clients = Clients::new(&mut reactor, listener, settings.clone(), most)?;
-        let attempts = Attempts::new(attempts, settings.dial_timeout, settings.conn_idle);
+        let attempts = Attempts::new(attempts, settings.dial_timeout, settings.idle_timeout);
         // A list without a worker is none: as one that is held it would keep the node waiting for its turn.
         let revision = known.as_ref().map(|list| list.revision);
         let members = known
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -47,7 +47,7 @@
                 return false;
             }
             JobState::Unknown => {
-                self.note(key, Note::Other);
+                self.note(key, Note::Unknown);
                 return false;
             }
             JobState::Done(result) => {
@@ -59,10 +59,10 @@
                 if let Some(client) = t.client {
                     self.answer(client, Answer::Served(result), out);
                 }
-                (Outcome::Ok, writes)
+                (Outcome::Succeeded, writes)
             }
             JobState::Failed => (Outcome::Error, Vec::new()),
-            JobState::Returned => (Outcome::Full, Vec::new()),
+            JobState::Returned => (Outcome::Rejected, Vec::new()),
             JobState::Lost => (Outcome::Reset, Vec::new()),
         };
         if let Some(t) = self.requests.get_mut(&request) {
@@ -134,7 +134,7 @@
     }
 
     pub(super) fn note(&mut self, (request, attempt): (RequestId, u16), note: Note) {
-        self.events.push_back(Event::Note {
+        self.events.push_back(Event::AttemptProgress {
             request,
             attempt,
             note,
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -212,7 +212,7 @@
             Answer::Unavailable(after)
         };
         self.finish(request, answer, out);
-        self.events.push_back(Event::ClientGone { request });
-        self.ended(now, key, Outcome::Moot, &Load::new());
+        self.events.push_back(Event::ClientDisconnected { request });
+        self.ended(now, key, Outcome::CancelledLocally, &Load::new());
     }
 }
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -48,9 +48,9 @@
             Durability::Relaxed
         };
         let care = |effect: Effect| match effect {
-            Effect::Safe => Durability::None,
-            Effect::Keyed => keyed,
-            Effect::Unsafe => Durability::Durable,
+            Effect::Idempotent => Durability::None,
+            Effect::IdempotentByKey => keyed,
+            Effect::NotIdempotent => Durability::Durable,
         };
         let care = settings
             .classes
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -104,11 +104,11 @@
                     if let Some(t) = self.requests.get_mut(&request) {
                         t.client = None;
                         // With leave to cancel the dispatcher does so; what was never sent needs no leave.
-                        if !self.settings.may_cancel {
+                        if !self.settings.cancel_allowed {
                             unwritten.extend(t.unwritten(request));
                         }
                     }
-                    self.events.push_back(Event::ClientGone { request });
+                    self.events.push_back(Event::ClientDisconnected { request });
                     self.touched.push(request);
                     self.withdraw(now, unwritten, out);
                 }
@@ -144,9 +144,9 @@
                     return;
                 };
                 let outcome = match end {
-                    AttemptEnd::NotRun => Outcome::Full,
+                    AttemptEnd::NotRun => Outcome::Rejected,
                     AttemptEnd::TurnedAway => Outcome::Unknown(TURNED_AWAY),
-                    AttemptEnd::NoRoom => Outcome::Moot,
+                    AttemptEnd::NoRoom => Outcome::CancelledLocally,
                     AttemptEnd::NeverSent if !a.written => Outcome::ConnectFailed,
                     AttemptEnd::NeverSent | AttemptEnd::Reset => Outcome::Reset,
                     AttemptEnd::Accepted | AttemptEnd::Error => Outcome::Error,
@@ -200,7 +200,8 @@
                     .map(|member| self.member(member))
                     .collect();
                 let unwritten = self.unwritten_to(&self.leaving(kind, &entries));
-                self.events.push_back(Event::List { kind, entries });
+                self.events
+                    .push_back(Event::WorkerListReceived { kind, entries });
                 self.withdraw(now, unwritten, out);
             }
             Input::SuspensionRequested {
@@ -221,8 +222,9 @@
             }
             Input::NodeCountChanged { count } => {
                 let known = u32::try_from(count).ok().filter(|count| *count > 0);
-                self.events
-                    .push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
+                self.events.push_back(Event::DispatcherCountChanged(
+                    known.unwrap_or(self.settings.dispatcher_count),
+                ));
             }
             Input::SiblingUpdate { link, update: tale } => self.heard(now, link, tale, out),
             Input::RequestMigrated {
@@ -256,7 +258,7 @@
             }
             Input::TimerExpired {
                 timer: RequestTimer::Dispatcher(token),
-            } => self.events.push_back(Event::Timer { token }),
+            } => self.events.push_back(Event::TimerExpired { token }),
             Input::TimerExpired {
                 timer: RequestTimer::Attempt(request, attempt),
             } => {
@@ -293,7 +295,7 @@
 
     /// How many clients may wait at a time.
     pub fn set_waiting_limit(&mut self, most: usize) {
-        self.settings.max_open = most;
+        self.settings.max_waiting_requests = most;
     }
 
     /// How many clients wait for their final answer.
@@ -315,8 +317,8 @@
                 answer: Answer::Held,
             });
         }
-        if self.settings.max_open > 0
-            && self.by_client.len() + self.joiners.len() >= self.settings.max_open
+        if self.settings.max_waiting_requests > 0
+            && self.by_client.len() + self.joiners.len() >= self.settings.max_waiting_requests
         {
             return out.push(Command::AnswerClient {
                 client,
@@ -350,16 +352,16 @@
             .position(|name| Some(name) == submission.tenant.as_ref())
             .unwrap_or(0);
         let new = NewRequest {
-            request,
+            id: request,
             class: submission.class,
             tenant: tenant as u16,
-            key: submission.key,
-            budget,
-            hint: submission.hint,
+            subject: submission.key,
+            time_limit: budget,
+            expected_work: submission.hint,
             slots: submission.slots.unwrap_or(1.0),
             memory: submission.memory.unwrap_or(0.0),
-            repeat: submission.repeat,
-            keyless: submission.payload.idempotency_key.is_none(),
+            is_marked_retry: submission.repeat,
+            without_key: submission.payload.idempotency_key.is_none(),
         };
         if let (Some(_), Some(key)) = (&asker, &submission.payload.idempotency_key) {
             self.by_key.insert((submission.class, key.clone()), request);
@@ -388,11 +390,11 @@
             joined: Vec::new(),
             may_have_run: false,
             need: new.slots,
-            hint: new.hint,
+            hint: new.expected_work,
             span,
         };
         self.requests.insert(request, held);
-        self.events.push_back(Event::Request(new));
+        self.events.push_back(Event::RequestReceived(new));
     }
 
     /// The attempt of an attempt that has not ended.
@@ -421,10 +423,10 @@
             return;
         };
         a.ended = true;
-        let never = !a.cleared || outcome.proves_never_ran(self.settings.full_proves_nothing);
+        let never = !a.cleared || outcome.proves_never_ran(self.settings.full_may_have_run);
         t.may_have_run |= !never;
         if let (Some(keeping), Some(_)) = (&mut self.keeping, &t.asker)
-            && outcome != Outcome::Ok
+            && outcome != Outcome::Succeeded
         {
             let writes = keeping
                 .ledger
@@ -443,7 +445,7 @@
         }
         self.by_attempt.remove(&a.attempt_id);
         let report = self.report(load);
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request,
             attempt,
             worker,
@@ -502,7 +504,7 @@
     /// Does what the dispatcher asks for.
     pub(super) fn act(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Watch => {} // on sockets calls for the list have a schedule of their own
+            Action::WatchDiscovery => {} // on sockets calls for the list have a schedule of their own
             Action::Send {
                 request,
                 worker,
@@ -512,7 +514,7 @@
                 self.abandon(request, attempt, out);
                 self.ended(now, (request, attempt), Outcome::Cancelled, &Load::new());
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -582,7 +584,7 @@
         let moot = t.client.is_none() || left <= 0.0 || attempt >= self.settings.max_attempts;
         if moot || timeout < 0.0 {
             let outcome = if moot {
-                Outcome::Moot
+                Outcome::CancelledLocally
             } else {
                 Outcome::Timeout
             };
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -244,14 +244,14 @@
             .collect();
         self.requests.insert(request, t);
         if client.is_some() {
-            self.events.push_back(Event::MigratedRequest {
+            self.events.push_back(Event::RequestMigrated {
                 request,
-                carried: Box::new(moved.carried),
+                record: Box::new(moved.carried),
             });
             return Some(());
         }
         self.touched.push(request);
-        if self.settings.may_cancel {
+        if self.settings.cancel_allowed {
             for attempt in out_there {
                 self.abandon(request, attempt, out);
                 self.ended(now, (request, attempt), Outcome::Cancelled, &Load::new());
@@ -300,16 +300,16 @@
             }
             StateUpdate::Past { taken, further } => {
                 let times = |agos: &[f32]| agos.iter().map(|ago| then(*ago)).collect();
-                tell(SiblingEvent::Past {
-                    taken: times(taken),
-                    further: times(further),
+                tell(SiblingEvent::BudgetHistory {
+                    admitted: times(taken),
+                    retries: times(further),
                 });
             }
             StateUpdate::Taken { id, counts } => {
                 if *counts {
-                    tell(SiblingEvent::Past {
-                        taken: vec![now],
-                        further: Vec::new(),
+                    tell(SiblingEvent::BudgetHistory {
+                        admitted: vec![now],
+                        retries: Vec::new(),
                     });
                 }
                 let distant = SiblingRequest {
@@ -338,18 +338,18 @@
                     (d.request, *attempt, worker_id(number), then(*ago));
                 let (need, work) = (f64::from(*need), sound((*work).into()).filter(|w| *w > 0.0));
                 let mut tell = |event| self.events.push_back(Event::SiblingEvent(event));
-                tell(SiblingEvent::Sent {
+                tell(SiblingEvent::AttemptSent {
                     request,
                     attempt,
                     worker,
-                    need,
+                    slots: need,
                     work,
                     sent,
                 });
                 if *counts && attempt > 0 {
-                    tell(SiblingEvent::Past {
-                        taken: Vec::new(),
-                        further: vec![now],
+                    tell(SiblingEvent::BudgetHistory {
+                        admitted: Vec::new(),
+                        retries: vec![now],
                     });
                 }
             }
@@ -361,7 +361,7 @@
                     return;
                 };
                 let (attempt, worker) = d.out.swap_remove(at);
-                tell(SiblingEvent::Ended {
+                tell(SiblingEvent::AttemptEnded {
                     request: d.request,
                     attempt,
                     worker: worker_id(worker),
@@ -372,7 +372,7 @@
                     return;
                 };
                 for (attempt, worker) in d.out {
-                    tell(SiblingEvent::Ended {
+                    tell(SiblingEvent::AttemptEnded {
                         request: d.request,
                         attempt,
                         worker: worker_id(worker),
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -63,9 +63,9 @@
             self.banned.insert(worker);
         }
         // First of all: what comes back now must not go there again.
-        self.events.push_back(Event::Use {
+        self.events.push_back(Event::SuspensionChanged {
             worker: worker_id(worker),
-            again,
+            resume: again,
         });
         out.push(Command::CloseIdleConnections {
             worker: self.workers[worker],
@@ -125,7 +125,12 @@
                     attempt: attempt_id,
                 });
             } else {
-                self.ended(now, (request, attempt), Outcome::Moot, &Load::new());
+                self.ended(
+                    now,
+                    (request, attempt),
+                    Outcome::CancelledLocally,
+                    &Load::new(),
+                );
             }
         }
     }
@@ -145,14 +150,14 @@
     /// What became of it. A shortage here says nothing of the worker.
     pub(super) fn probed(&mut self, worker: usize, end: AttemptEnd, elapsed: f64, load: &Load) {
         let outcome = match end {
-            AttemptEnd::Accepted => Outcome::Ok,
-            AttemptEnd::NoRoom => Outcome::Moot,
+            AttemptEnd::Accepted => Outcome::Succeeded,
+            AttemptEnd::NoRoom => Outcome::CancelledLocally,
             AttemptEnd::NeverSent => Outcome::ConnectFailed,
             AttemptEnd::Reset => Outcome::Timeout,
             AttemptEnd::NotRun | AttemptEnd::TurnedAway | AttemptEnd::Error => Outcome::Error,
         };
         let (worker, report) = (worker_id(worker), self.report(load));
-        self.events.push_back(Event::Probed {
+        self.events.push_back(Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
--- a/src/net/upstream/worker_list.rs
+++ b/src/net/upstream/worker_list.rs
@@ -102,7 +102,7 @@
                 cell: m.cell,
                 health: match m.phase.as_str() {
                     "in_service" => Health::Ready,
-                    "terminated" => Health::Gone,
+                    "terminated" => Health::Removed,
                     _ => Health::Draining, // an unknown phase gets nothing new
                 },
                 size: m.size,
@@ -234,7 +234,7 @@
     /// No watch yet; `known` is the version of the list that the node starts with, if that names a worker.
     pub fn new(discovery: SocketAddr, settings: Settings, known: Option<u64>, seed: u64) -> Self {
         let dial_timeout = settings.dial_timeout.max(0.25);
-        let schedule = Schedule::new(settings.balancers, seed);
+        let schedule = Schedule::new(settings.dispatcher_count, seed);
         Self {
             discovery,
             settings,
@@ -312,7 +312,7 @@
             reactor.set_timer(until, Timer::Discovery);
         }
         // What is pushed counts from the first moment, and without a list there is nothing to lose.
-        let spread = self.revision.is_some() && self.settings.list_on_request;
+        let spread = self.revision.is_some() && self.settings.discovery_on_request;
         self.schedule.start(reactor.now, spread);
         self.look(reactor);
     }
@@ -531,7 +531,7 @@
             members,
         };
         reactor.queue.push_back(Input::WorkerListReceived {
-            kind: ListKind::Passed,
+            kind: ListKind::FromPeer,
             workers: list.members(&self.settings),
         });
         self.passed = Some((number, digest, passed));
--- a/src/simulator_protocol.rs
+++ b/src/simulator_protocol.rs
@@ -188,36 +188,36 @@
                 });
             }
             let entries = (0..count).map(|_| c.entry()).collect::<Result<_, _>>()?;
-            Event::List { kind, entries }
+            Event::WorkerListReceived { kind, entries }
         }
         18 => {
             let (request, class, tenant, key) = (c.u64()?, c.u8()?, c.u16()?, c.u64()?);
             let (budget, hint, slots, memory) = (c.f64()?, c.f64()?, c.f32()?, c.f32()?);
             let marks = c.u8()?;
-            Event::Request(NewRequest {
-                request,
+            Event::RequestReceived(NewRequest {
+                id: request,
                 class,
                 tenant,
-                key,
-                budget,
-                hint: (marks & 1 != 0).then_some(hint),
+                subject: key,
+                time_limit: budget,
+                expected_work: (marks & 1 != 0).then_some(hint),
                 slots: slots.into(),
                 memory: memory.into(),
-                repeat: marks & 2 != 0,
-                keyless: false,
+                is_marked_retry: marks & 2 != 0,
+                without_key: false,
             })
         }
         19 => {
             let (request, attempt) = (c.u64()?, c.u16()?);
             c.worker()?;
             c.f64()?;
-            Event::Streaming { request, attempt }
+            Event::AttemptStreaming { request, attempt }
         }
         20 => {
             let (request, attempt, worker, code) = (c.u64()?, c.u16()?, c.worker()?, c.u16()?);
             let (elapsed, closed) = (c.f64()?, c.u8()? != 0);
             c.u8()?;
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 worker,
@@ -227,11 +227,11 @@
                 report: c.report()?,
             }
         }
-        21 => Event::ClientGone { request: c.u64()? },
-        22 => Event::Timer { token: c.u64()? },
+        21 => Event::ClientDisconnected { request: c.u64()? },
+        22 => Event::TimerExpired { token: c.u64()? },
         23 => {
             let (worker, code, elapsed) = (c.worker()?, c.u16()?, c.f64()?);
-            Event::Probed {
+            Event::ProbeEnded {
                 worker,
                 outcome: outcome(code),
                 elapsed,
@@ -251,9 +251,9 @@
             let note = match topic {
                 1 => Note::Started,
                 2 => Note::Progress(value.into()),
-                _ => Note::Other,
+                _ => Note::Unknown,
             };
-            Event::Note {
+            Event::AttemptProgress {
                 request,
                 attempt,
                 note,
@@ -265,14 +265,14 @@
 
 fn outcome(code: u16) -> Outcome {
     match code {
-        200 => Outcome::Ok,
+        200 => Outcome::Succeeded,
         502 => Outcome::Error,
-        429 => Outcome::Full,
+        429 => Outcome::Rejected,
         408 => Outcome::Timeout,
         521 => Outcome::ConnectFailed,
         520 => Outcome::Reset,
         444 => Outcome::Cancelled,
-        409 => Outcome::Moot,
+        409 => Outcome::CancelledLocally,
         other => Outcome::Unknown(other),
     }
 }
@@ -340,7 +340,7 @@
     fn entry(&mut self) -> Result<Entry, WireError> {
         let (worker, zone, kind, cell) = (self.worker()?, self.u8()?, self.u16()?, self.u16()?);
         let health = match self.u8()? {
-            0 => Health::Gone,
+            0 => Health::Removed,
             1 => Health::Ready,
             2 => Health::Draining,
             other => {
@@ -385,7 +385,7 @@
         self.bytes.extend([0; 5]);
         self.bytes.extend(instance.to_le_bytes());
         let code = match *action {
-            Action::Watch => {
+            Action::WatchDiscovery => {
                 self.bytes.push(1);
                 16
             }
@@ -402,7 +402,7 @@
                 self.bytes.extend(token.to_le_bytes());
                 21
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -42,15 +42,15 @@
 /// A job of this subject; what is done about it.
 fn ask(harness: &mut DispatcherHarness, request: RequestId, key: u64, slots: f64) -> Vec<Action> {
     let new = NewRequest {
-        request,
+        id: request,
         class: 0,
-        key,
-        budget: 5.0,
-        hint: Some(0.25),
+        subject: key,
+        time_limit: 5.0,
+        expected_work: Some(0.25),
         slots,
         ..NewRequest::default()
     };
-    harness.event(Event::Request(new))
+    harness.event(Event::RequestReceived(new))
 }
 
 /// Plays so many jobs of a subject, each ended before the next one; how many each worker had.
@@ -67,7 +67,7 @@
         *all.entry(to[0]).or_insert(0) += 1;
         harness.now += 0.05;
         // Every worker has room, as its report tells.
-        harness.answer(request, 0, to[0], Outcome::Ok, vec![0.0, 5.0]);
+        harness.answer(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
     }
     all
 }
@@ -120,7 +120,7 @@
     let gone = before[0];
     let entry = Entry {
         worker: gone,
-        health: Health::Gone,
+        health: Health::Removed,
         ..Entry::default()
     };
     harness.list(ListKind::Delta, vec![entry]);
@@ -149,9 +149,9 @@
                 } else {
                     vec![0.0, 5.0]
                 };
-                harness.event(Event::Probed {
+                harness.event(Event::ProbeEnded {
                     worker: to,
-                    outcome: Outcome::Ok,
+                    outcome: Outcome::Succeeded,
                     elapsed: 0.01,
                     report: figures,
                 });
@@ -160,7 +160,7 @@
             let to = sends(&ask(&mut harness, request, 77, 1.0));
             *all.entry(to[0]).or_insert(0) += 1;
             harness.now += 0.05;
-            harness.answer(request, 0, to[0], Outcome::Ok, vec![0.0, 5.0]);
+            harness.answer(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
         }
         let (next, jobs) = most(&all);
         assert!(next != home && jobs >= 34, "{all:?}");
@@ -178,7 +178,13 @@
             let play = |request| {
                 let actions = ask(&mut harness, request, subject, 1.0);
                 harness.now += 0.05;
-                harness.answer(request, 0, sends(&actions)[0], Outcome::Ok, vec![1.0, 3.0]);
+                harness.answer(
+                    request,
+                    0,
+                    sends(&actions)[0],
+                    Outcome::Succeeded,
+                    vec![1.0, 3.0],
+                );
                 actions
             };
             (0..200).map(play).collect::<Vec<_>>()
@@ -244,12 +250,12 @@
             let mut due = timers(&actions);
             for _ in 0..20 {
                 count += probes(&actions).len();
-                let answer = |to| harness.probed(to, Outcome::Ok, vec![9.0, 0.0]);
+                let answer = |to| harness.probed(to, Outcome::Succeeded, vec![9.0, 0.0]);
                 actions = probes(&actions).into_iter().flat_map(answer).collect();
                 due.extend(timers(&actions));
             }
             count += probes(&harness.run(harness.now + 0.1, &mut due)).len();
-            harness.event(Event::ClientGone { request });
+            harness.event(Event::ClientDisconnected { request });
         }
         count
     };
@@ -282,13 +288,13 @@
             let mut actions = ask(&mut harness, request, 0, 1.0);
             let mut due = timers(&actions);
             for to in probes(&actions) {
-                actions.extend(harness.probed(to, Outcome::Ok, vec![0.0, 4.0]));
+                actions.extend(harness.probed(to, Outcome::Succeeded, vec![0.0, 4.0]));
             }
             due.extend(timers(&actions));
             let first = sends(&actions);
             let copy = sends(&harness.run(harness.now + 0.4, &mut due));
             count += copy.len() + first.len().saturating_sub(1);
-            harness.event(Event::ClientGone { request });
+            harness.event(Event::ClientDisconnected { request });
             for (to, attempt) in first.into_iter().chain(copy).zip(0..) {
                 harness.outcome(request, attempt, to, Outcome::Cancelled);
             }
@@ -324,7 +330,7 @@
         );
         let drawn = (10..200).any(|request| {
             let to = sends(&ask(&mut harness, request, 0, 1.0));
-            harness.event(Event::ClientGone { request });
+            harness.event(Event::ClientDisconnected { request });
             to.iter()
                 .for_each(|to| drop(harness.outcome(request, 0, *to, Outcome::Cancelled)));
             to.contains(&first)
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -10,9 +10,9 @@
 use std::collections::BTreeSet;
 
 fn employ(harness: &mut DispatcherHarness, n: u16, again: bool) -> Vec<Action> {
-    harness.event(Event::Use {
+    harness.event(Event::SuspensionChanged {
         worker: worker(n),
-        again,
+        resume: again,
     })
 }
 
@@ -51,7 +51,8 @@
                     )
                 }
                 3 => {
-                    let health = [Health::Ready, Health::Draining, Health::Gone][pick(3) as usize];
+                    let health =
+                        [Health::Ready, Health::Draining, Health::Removed][pick(3) as usize];
                     let started = if flip { harness.now } else { 0.0 };
                     harness.list(
                         ListKind::Delta,
@@ -63,8 +64,12 @@
                 }
                 4 | 5 if !out.is_empty() => {
                     let (request, attempt, to) = out.swap_remove(pick(out.len() as u32) as usize);
-                    let outcome = [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Moot]
-                        [pick(4) as usize];
+                    let outcome = [
+                        Outcome::Succeeded,
+                        Outcome::Rejected,
+                        Outcome::Reset,
+                        Outcome::CancelledLocally,
+                    ][pick(4) as usize];
                     harness.answer(
                         request,
                         attempt,
@@ -99,7 +104,7 @@
                         let attempt = out.iter().filter(|(r, ..)| r == request).count() as u16;
                         out.push((*request, attempt, *worker));
                     }
-                    Action::Refuse { request, .. } | Action::Fail { request } => {
+                    Action::Reject { request, .. } | Action::Fail { request } => {
                         assert!(
                             open.remove(request),
                             "seed {seed}: a second answer to {request}"
@@ -127,9 +132,9 @@
     harness.list(ListKind::Delta, vec![with_health(1, Health::Draining)]);
     let actions = harness.request(1, 0);
     assert_eq!(sends(&actions), [worker(0)]);
-    assert!(sends(&harness.outcome(1, 0, worker(0), Outcome::Full)).len() <= 1);
+    assert!(sends(&harness.outcome(1, 0, worker(0), Outcome::Rejected)).len() <= 1);
     let actions = employ(&mut harness, 0, false);
-    let later = harness.outcome(1, 1, worker(0), Outcome::Moot);
+    let later = harness.outcome(1, 1, worker(0), Outcome::CancelledLocally);
     assert!(
         refused(&actions) || refused(&later),
         "{actions:?} {later:?}"
@@ -168,7 +173,7 @@
             harness.now += 1.0;
             let to = sends(&harness.request(request, 2))[0];
             given += usize::from(to == worker(3));
-            harness.outcome(request, 0, to, Outcome::Ok);
+            harness.outcome(request, 0, to, Outcome::Succeeded);
         }
     }
     given
@@ -205,7 +210,7 @@
             first = first.or(sends(&actions)
                 .contains(&worker(3))
                 .then_some(harness.now - 100.0));
-            harness.outcome(request, 0, sends(&actions)[0], Outcome::Ok);
+            harness.outcome(request, 0, sends(&actions)[0], Outcome::Succeeded);
         }
         assert!(
             first.is_some(),
@@ -225,7 +230,7 @@
             harness.dispatcher = Dispatcher::new(settings(|_| {}), seed).expect("sound settings");
             harness.list(ListKind::Full, (0..6).map(entry).collect());
             if let Some(count) = count {
-                harness.event(Event::Balancers(count));
+                harness.event(Event::DispatcherCountChanged(count));
             }
             employ(&mut harness, 0, false);
             employ(&mut harness, 0, true);
@@ -234,7 +239,7 @@
                 let actions = harness.request(u64::from(n) + 1, 0);
                 let to = sends(&actions);
                 for to in &to {
-                    harness.outcome(u64::from(n) + 1, 0, *to, Outcome::Ok);
+                    harness.outcome(u64::from(n) + 1, 0, *to, Outcome::Succeeded);
                 }
                 to.contains(&worker(0))
             })
--- a/tests/decisions/decider.rs
+++ b/tests/decisions/decider.rs
@@ -36,13 +36,13 @@
     }
 
     fn release(&mut self, request: RequestId, shift: f64) -> Option<Event> {
-        let carried: Option<MigratedRequest> = self.dispatcher.release(request);
-        carried.map(|mut carried| {
-            carried.shift(shift);
-            carried.set_without_key(request.is_multiple_of(7));
-            Event::MigratedRequest {
+        let record: Option<MigratedRequest> = self.dispatcher.release(request);
+        record.map(|mut record| {
+            record.shift(shift);
+            record.set_without_key(request.is_multiple_of(7));
+            Event::RequestMigrated {
                 request,
-                carried: Box::new(carried),
+                record: Box::new(record),
             }
         })
     }
@@ -59,16 +59,18 @@
 
     fn hand_over(&mut self, now: f64, requests: &[RequestId]) -> Vec<Event> {
         let history = self.dispatcher.budget_history(64);
-        let (taken, further) = (history.admitted, history.retries);
-        let past = Event::SiblingEvent(SiblingEvent::Past { taken, further });
+        let history = Event::SiblingEvent(SiblingEvent::BudgetHistory {
+            admitted: history.admitted,
+            retries: history.retries,
+        });
         let shift = if now > 1010.0 { 0.0625 } else { 0.0 };
-        let carried: Vec<Event> = requests
+        let migrated: Vec<Event> = requests
             .iter()
             .filter_map(|id| self.release(*id, shift))
             .collect();
         self.seed += 1;
         self.dispatcher = Dispatcher::new(self.settings.clone(), self.seed).expect("a dispatcher");
-        std::iter::once(past).chain(carried).collect()
+        std::iter::once(history).chain(migrated).collect()
     }
 }
 
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -171,7 +171,7 @@
     }
 
     fn start(&mut self) {
-        self.tell(&Event::List {
+        self.tell(&Event::WorkerListReceived {
             kind: ListKind::Failed,
             entries: Vec::new(),
         });
@@ -212,12 +212,12 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Watch => self.plan(0.03, Pending::Watched),
+            Action::WatchDiscovery => self.plan(0.03, Pending::Watched),
             Action::Send {
                 request, worker, ..
             } => self.send(request, worker),
             Action::Cancel { request, attempt } => self.cancel((request, attempt)),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => self.refused(request, retry_after),
@@ -269,8 +269,8 @@
             1 => (0.05, Outcome::Reset),
             2 => (0.5, Outcome::Timeout),
             3 => (0.03, Outcome::Error),
-            4 => (0.02, Outcome::Full),
-            5 => (0.01, Outcome::Moot),
+            4 => (0.02, Outcome::Rejected),
+            5 => (0.01, Outcome::CancelledLocally),
             _ => (0.04, Outcome::Unknown(599)),
         }
     }
@@ -291,7 +291,7 @@
         let left = ends - seconds(self.now) - retry_after;
         if left > 0.25 && self.random.chance(0.3) {
             let retry = NewRequest {
-                repeat: true,
+                is_marked_retry: true,
                 ..self.new_request(class, left)
             };
             self.plan(retry_after + 0.05, Pending::Retry(Box::new(retry)));
@@ -308,10 +308,10 @@
         let worker = self.worker_number(worker);
         let (after, outcome) = match self.random.below(40) {
             0 => (0.25, Outcome::Timeout),
-            1 => (0.01, Outcome::Full),
-            2 => (0.01, Outcome::Moot),
-            3..=6 => (0.3, Outcome::Ok),
-            _ => (0.008, Outcome::Ok),
+            1 => (0.01, Outcome::Rejected),
+            2 => (0.01, Outcome::CancelledLocally),
+            3..=6 => (0.3, Outcome::Succeeded),
+            _ => (0.008, Outcome::Succeeded),
         };
         self.plan(after, Pending::ProbeEnds(worker, self.now, outcome));
     }
@@ -322,10 +322,10 @@
         match pending {
             Pending::Arrival => self.arrive(),
             Pending::Retry(mut request) => {
-                request.request = self.next_id();
+                request.id = self.next_id();
                 self.submit(*request);
             }
-            Pending::Timer(token) => self.tell(&Event::Timer { token }),
+            Pending::Timer(token) => self.tell(&Event::TimerExpired { token }),
             Pending::AttemptReaches(key) => self.reach(key),
             Pending::AttemptEnds(key, outcome) => self.end(key, outcome),
             Pending::Progress(key, count) => self.progress(key, count),
@@ -353,7 +353,7 @@
         let class = self.random.below(3) as u8;
         let budget = self.budget(class);
         let request = NewRequest {
-            request: self.next_id(),
+            id: self.next_id(),
             ..self.new_request(class, budget)
         };
         self.submit(request);
@@ -379,27 +379,27 @@
             .chance(0.3)
             .then(|| self.scenario.works[class as usize] * 1.25);
         NewRequest {
-            request: 0,
+            id: 0,
             class,
             tenant: self.random.below(3) as u16,
-            key: if subjects > 0 {
+            subject: if subjects > 0 {
                 1 + self.random.below(subjects) as u64
             } else {
                 0
             },
-            budget,
-            hint,
+            time_limit: budget,
+            expected_work: hint,
             slots: if self.random.chance(0.1) { 2.0 } else { 1.0 },
             memory: self.random.below(4) as f64,
-            repeat: false,
-            keyless: self.operator && self.random.chance(self.scenario.keyless),
+            is_marked_retry: false,
+            without_key: self.operator && self.random.chance(self.scenario.keyless),
         }
     }
 
     fn submit(&mut self, new: NewRequest) {
-        let (request, class) = (new.request, new.class);
+        let (request, class) = (new.id, new.class);
         let work = self.scenario.works[class as usize] * (0.5 + self.random.uniform());
-        let ends = seconds(self.now) + new.budget;
+        let ends = seconds(self.now) + new.time_limit;
         let model = ClientRequest {
             class,
             work,
@@ -409,7 +409,7 @@
             answered: false,
         };
         self.requests.insert(request, model);
-        let event = Event::Request(new);
+        let event = Event::RequestReceived(new);
         self.tell(&event);
         if self.random.chance(0.02) {
             self.tell(&event); // the same id once more is ignored
@@ -423,7 +423,7 @@
     fn client_leaves(&mut self, request: u64) {
         if !self.requests[&request].answered {
             self.answered(request);
-            self.tell(&Event::ClientGone { request });
+            self.tell(&Event::ClientDisconnected { request });
         }
     }
 
@@ -434,14 +434,14 @@
             return;
         };
         let model = &mut self.workers[attempt.worker];
-        if model.entry.health == Health::Gone {
+        if model.entry.health == Health::Removed {
             return self.plan(0.1, Pending::AttemptEnds(key, Outcome::ConnectFailed));
         }
         if model.failing {
             return self.plan(0.01, Pending::AttemptEnds(key, Outcome::Error));
         }
         if model.entry.health == Health::Draining || model.waiting.len() >= self.scenario.queue {
-            return self.plan(0.002, Pending::AttemptEnds(key, Outcome::Full));
+            return self.plan(0.002, Pending::AttemptEnds(key, Outcome::Rejected));
         }
         let worker = attempt.worker;
         model.waiting.push_back(key);
@@ -465,7 +465,7 @@
         let outcome = if self.random.chance(0.02) {
             Outcome::Error
         } else {
-            Outcome::Ok
+            Outcome::Succeeded
         };
         self.plan(takes, Pending::AttemptEnds(key, outcome));
         if self.scenario.pushed_out == Some(class) && self.random.chance(0.1) {
@@ -484,11 +484,11 @@
         }
         let note = match count {
             0 => Note::Started,
-            count if count % 3 == 0 => Note::Other,
+            count if count % 3 == 0 => Note::Unknown,
             count => Note::Progress(f64::from(count.min(8)) / 8.0),
         };
         let (request, attempt) = key;
-        self.tell(&Event::Note {
+        self.tell(&Event::AttemptProgress {
             request,
             attempt,
             note,
@@ -510,7 +510,7 @@
             .expect("a request that arrived");
         if model.streaming.is_none() && !model.answered {
             model.streaming = Some(attempt);
-            self.tell(&Event::Streaming { request, attempt });
+            self.tell(&Event::AttemptStreaming { request, attempt });
         }
     }
 
@@ -523,7 +523,7 @@
         worker.running.retain(|other| *other != key);
         worker.waiting.retain(|other| *other != key);
         let reached =
-            worker.running.len() + worker.waiting.len() < held || outcome == Outcome::Full;
+            worker.running.len() + worker.waiting.len() < held || outcome == Outcome::Rejected;
         let report = if reached && self.scenario.answers_report {
             self.report(attempt.worker)
         } else {
@@ -531,10 +531,10 @@
         };
         let final_error = outcome == Outcome::Error && self.random.chance(0.3);
         let streamed = self.requests[&key.0].streaming == Some(key.1);
-        if outcome == Outcome::Ok || final_error || streamed {
+        if outcome == Outcome::Succeeded || final_error || streamed {
             self.answered(key.0);
         }
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: key.0,
             attempt: key.1,
             worker: self.workers[attempt.worker].entry.worker,
@@ -564,19 +564,19 @@
     }
 
     fn probed(&mut self, worker: usize, sent: u64, outcome: Outcome) {
-        let report = if outcome == Outcome::Ok {
+        let report = if outcome == Outcome::Succeeded {
             self.report(worker)
         } else {
             Vec::new()
         };
         let elapsed = seconds(self.now - sent);
-        let outcome = if self.workers[worker].entry.health == Health::Gone {
+        let outcome = if self.workers[worker].entry.health == Health::Removed {
             Outcome::ConnectFailed
         } else {
             outcome
         };
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::Probed {
+        self.tell(&Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
@@ -590,18 +590,18 @@
         let listed = self
             .workers
             .iter()
-            .filter(|model| model.entry.health != Health::Gone);
+            .filter(|model| model.entry.health != Health::Removed);
         let entries = listed.map(|model| model.entry.clone()).collect();
-        self.tell(&Event::List { kind, entries });
+        self.tell(&Event::WorkerListReceived { kind, entries });
     }
 
     fn entry_changed(&mut self, worker: usize) {
         let kind = if self.operator && self.random.chance(0.3) {
-            ListKind::Passed
+            ListKind::FromPeer
         } else {
             ListKind::Delta
         };
-        self.tell(&Event::List {
+        self.tell(&Event::WorkerListReceived {
             kind,
             entries: vec![self.workers[worker].entry.clone()],
         });
@@ -617,7 +617,7 @@
         match self.random.below(8) {
             0 => self.list(ListKind::Full),
             1 => self.list(ListKind::Cached),
-            2 => self.tell(&Event::List {
+            2 => self.tell(&Event::WorkerListReceived {
                 kind: ListKind::Failed,
                 entries: Vec::new(),
             }),
@@ -649,7 +649,7 @@
     /// The worker dies with all that it has, and comes back after a while.
     fn restart(&mut self, worker: usize) {
         let model = &mut self.workers[worker];
-        model.entry.health = Health::Gone;
+        model.entry.health = Health::Removed;
         model.waiting.clear();
         let lost: Vec<AttemptKey> = std::mem::take(&mut model.running);
         let held = |(key, attempt): (&AttemptKey, &AttemptModel)| {
@@ -670,7 +670,7 @@
         let now = seconds(self.now);
         let model = &mut self.workers[worker];
         model.failing = false;
-        if model.entry.health == Health::Gone {
+        if model.entry.health == Health::Removed {
             model.entry.started = now;
         }
         model.entry.health = Health::Ready;
@@ -679,7 +679,7 @@
 
     fn watched(&mut self) {
         if self.random.chance(0.4) {
-            self.tell(&Event::List {
+            self.tell(&Event::WorkerListReceived {
                 kind: ListKind::Failed,
                 entries: Vec::new(),
             });
@@ -698,7 +698,7 @@
             0 => self.hand_over(),
             1 => {
                 let count = 1 + self.random.below(5) as u32;
-                self.tell(&Event::Balancers(count));
+                self.tell(&Event::DispatcherCountChanged(count));
             }
             2 => (0..self.workers.len()).for_each(|worker| self.suspend(worker)),
             3..=5 => self.suspend(worker),
@@ -712,9 +712,9 @@
         self.plan(after, Pending::Use(worker));
     }
 
-    fn use_worker(&mut self, worker: usize, again: bool) {
+    fn use_worker(&mut self, worker: usize, resume: bool) {
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::Use { worker, again });
+        self.tell(&Event::SuspensionChanged { worker, resume });
     }
 
     fn sibling_sends(&mut self, worker: usize) {
@@ -723,11 +723,11 @@
         let work = self.random.chance(0.5).then_some(0.125);
         let sent = seconds(self.now) - 0.0625;
         let address = self.workers[worker].entry.worker;
-        let news = SiblingEvent::Sent {
+        let news = SiblingEvent::AttemptSent {
             request,
             attempt: 0,
             worker: address,
-            need: 1.0,
+            slots: 1.0,
             work,
             sent,
         };
@@ -737,7 +737,7 @@
 
     fn sibling_ends(&mut self, request: u64, worker: usize) {
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::SiblingEvent(SiblingEvent::Ended {
+        self.tell(&Event::SiblingEvent(SiblingEvent::AttemptEnded {
             request,
             attempt: 0,
             worker,
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -15,7 +15,7 @@
         ListKind::Delta => "delta",
         ListKind::Full => "full",
         ListKind::Cached => "cached",
-        ListKind::Passed => "passed",
+        ListKind::FromPeer => "passed",
         ListKind::Failed => "failed",
     }
 }
@@ -24,7 +24,7 @@
     let health = match entry.health {
         Health::Ready => "ready",
         Health::Draining => "draining",
-        Health::Gone => "gone",
+        Health::Removed => "gone",
     };
     let Entry {
         zone,
@@ -42,29 +42,30 @@
 fn request_text(new: &NewRequest) -> String {
     format!(
         "request {} class {} tenant {} key {} budget {:?} hint {} slots {:?} memory {:?} repeat {} keyless {}",
-        new.request,
+        new.id,
         new.class,
         new.tenant,
-        new.key,
-        new.budget,
-        new.hint.map_or("none".into(), |hint| format!("{hint:?}")),
+        new.subject,
+        new.time_limit,
+        new.expected_work
+            .map_or("none".into(), |hint| format!("{hint:?}")),
         new.slots,
         new.memory,
-        new.repeat,
-        new.keyless,
+        new.is_marked_retry,
+        new.without_key,
     )
 }
 
 fn outcome_text(outcome: Outcome) -> String {
     match outcome {
-        Outcome::Ok => "ok".into(),
+        Outcome::Succeeded => "ok".into(),
         Outcome::Error => "error".into(),
-        Outcome::Full => "full".into(),
+        Outcome::Rejected => "full".into(),
         Outcome::Timeout => "timeout".into(),
         Outcome::ConnectFailed => "connect-failed".into(),
         Outcome::Reset => "reset".into(),
         Outcome::Cancelled => "cancelled".into(),
-        Outcome::Moot => "never-sent".into(),
+        Outcome::CancelledLocally => "never-sent".into(),
         Outcome::Unknown(code) => format!("code-{code}"),
     }
 }
@@ -73,7 +74,7 @@
     match note {
         Note::Started => "started".into(),
         Note::Progress(share) => format!("progress {share:?}"),
-        Note::Other => "other".into(),
+        Note::Unknown => "other".into(),
     }
 }
 
@@ -95,28 +96,28 @@
 
 fn sibling_text(news: &SiblingEvent) -> String {
     match news {
-        SiblingEvent::Past { taken, further } => {
+        SiblingEvent::BudgetHistory { admitted, retries } => {
             format!(
                 "taken [{}] further [{}]",
-                times_text(taken),
-                times_text(further)
+                times_text(admitted),
+                times_text(retries)
             )
         }
-        SiblingEvent::Sent {
+        SiblingEvent::AttemptSent {
             request,
             attempt,
             worker,
-            need,
+            slots,
             work,
             sent,
         } => {
             let work = work.map_or("none".into(), |work| format!("{work:?}"));
             format!(
-                "sent {request}.{attempt} to {} slots {need:?} work {work} at {sent:?}",
+                "sent {request}.{attempt} to {} slots {slots:?} work {work} at {sent:?}",
                 worker_text(*worker)
             )
         }
-        SiblingEvent::Ended {
+        SiblingEvent::AttemptEnded {
             request,
             attempt,
             worker,
@@ -127,8 +128,8 @@
 }
 
 /// The bytes in which a request goes to another process.
-fn carried_text(carried: &MigratedRequest) -> String {
-    let bytes = postcard::to_allocvec(carried).expect("a carried request is written to memory");
+fn record_text(record: &MigratedRequest) -> String {
+    let bytes = postcard::to_allocvec(record).expect("a migrated request is written to memory");
     hex(&bytes)
 }
 
@@ -140,18 +141,18 @@
 /// The line of an event at a time.
 pub fn event_line(now: f64, event: &Event) -> String {
     let text = match event {
-        Event::List { kind, entries } => {
+        Event::WorkerListReceived { kind, entries } => {
             let entries: Vec<String> = entries.iter().map(entry_text).collect();
             format!("list {} {}", list_kind_text(*kind), entries.join(" "))
         }
-        Event::Request(new) => request_text(new),
-        Event::Streaming { request, attempt } => format!("streaming {request}.{attempt}"),
-        Event::Note {
+        Event::RequestReceived(new) => request_text(new),
+        Event::AttemptStreaming { request, attempt } => format!("streaming {request}.{attempt}"),
+        Event::AttemptProgress {
             request,
             attempt,
             note,
         } => format!("note {request}.{attempt} {}", note_text(*note)),
-        Event::Outcome {
+        Event::AttemptEnded {
             request,
             attempt,
             worker,
@@ -165,15 +166,17 @@
             outcome_text(*outcome),
             report_text(report)
         ),
-        Event::ClientGone { request } => format!("client-gone {request}"),
-        Event::Use { worker, again } => format!("use {} {again}", worker_text(*worker)),
-        Event::Balancers(count) => format!("balancers {count}"),
+        Event::ClientDisconnected { request } => format!("client-gone {request}"),
+        Event::SuspensionChanged { worker, resume } => {
+            format!("use {} {resume}", worker_text(*worker))
+        }
+        Event::DispatcherCountChanged(count) => format!("balancers {count}"),
         Event::SiblingEvent(news) => format!("sibling {}", sibling_text(news)),
-        Event::MigratedRequest { request, carried } => {
-            format!("carried {request} {}", carried_text(carried))
+        Event::RequestMigrated { request, record } => {
+            format!("carried {request} {}", record_text(record))
         }
-        Event::Timer { token } => format!("timer {token:x}"),
-        Event::Probed {
+        Event::TimerExpired { token } => format!("timer {token:x}"),
+        Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
@@ -192,7 +195,7 @@
 /// The line of an action.
 pub fn action_line(action: &Action) -> String {
     let text = match action {
-        Action::Watch => "watch".into(),
+        Action::WatchDiscovery => "watch".into(),
         Action::Send {
             request,
             worker,
@@ -204,7 +207,7 @@
             )
         }
         Action::Cancel { request, attempt } => format!("cancel {request}.{attempt}"),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => format!("refuse {request} retry-after {retry_after:?}"),
--- a/tests/decisions/wire.rs
+++ b/tests/decisions/wire.rs
@@ -59,21 +59,21 @@
 
 fn outcome_code(outcome: Outcome) -> u16 {
     match outcome {
-        Outcome::Ok => 200,
+        Outcome::Succeeded => 200,
         Outcome::Error => 502,
-        Outcome::Full => 429,
+        Outcome::Rejected => 429,
         Outcome::Timeout => 408,
         Outcome::ConnectFailed => 521,
         Outcome::Reset => 520,
         Outcome::Cancelled => 444,
-        Outcome::Moot => 409,
+        Outcome::CancelledLocally => 409,
         Outcome::Unknown(code) => code,
     }
 }
 
 fn entry_bytes(entry: &Entry) -> Vec<u8> {
     let health = match entry.health {
-        Health::Gone => 0,
+        Health::Removed => 0,
         Health::Ready => 1,
         Health::Draining => 2,
     };
@@ -93,7 +93,7 @@
         ListKind::Full => 1,
         ListKind::Cached => 2,
         ListKind::Failed => 3,
-        ListKind::Passed => unreachable!("the wire has no form for it"),
+        ListKind::FromPeer => unreachable!("the wire has no form for it"),
     };
     let count = entries.len() as u32;
     let mut bytes = [&[0, 0, 0, 0, code][..], &count.to_le_bytes()].concat();
@@ -102,13 +102,13 @@
 }
 
 fn request_record(new: &NewRequest) -> Vec<u8> {
-    let marks = u8::from(new.hint.is_some()) | u8::from(new.repeat) << 1;
-    let mut bytes = new.request.to_le_bytes().to_vec();
+    let marks = u8::from(new.expected_work.is_some()) | u8::from(new.is_marked_retry) << 1;
+    let mut bytes = new.id.to_le_bytes().to_vec();
     bytes.push(new.class);
     bytes.extend(new.tenant.to_le_bytes());
-    bytes.extend(new.key.to_le_bytes());
-    bytes.extend(new.budget.to_le_bytes());
-    bytes.extend(new.hint.unwrap_or(0.0).to_le_bytes());
+    bytes.extend(new.subject.to_le_bytes());
+    bytes.extend(new.time_limit.to_le_bytes());
+    bytes.extend(new.expected_work.unwrap_or(0.0).to_le_bytes());
     bytes.extend((new.slots as f32).to_le_bytes());
     bytes.extend((new.memory as f32).to_le_bytes());
     bytes.push(marks);
@@ -119,7 +119,7 @@
     let (topic, value) = match note {
         Note::Started => (1, 0.0),
         Note::Progress(share) => (2, share as f32),
-        Note::Other => (9, 0.0),
+        Note::Unknown => (9, 0.0),
     };
     let mut bytes = attempt_bytes(request, attempt);
     bytes.extend(worker_bytes(WorkerId::default()));
@@ -131,18 +131,18 @@
 /// The record of an event.
 pub fn event_record(event: &Event) -> Vec<u8> {
     match event {
-        Event::List { kind, entries } => list_record(*kind, entries),
-        Event::Request(new) => request_record(new),
-        Event::Streaming { request, attempt } => {
+        Event::WorkerListReceived { kind, entries } => list_record(*kind, entries),
+        Event::RequestReceived(new) => request_record(new),
+        Event::AttemptStreaming { request, attempt } => {
             let rest = [worker_bytes(WorkerId::default()), vec![0; 8]].concat();
             record(19, &[attempt_bytes(*request, *attempt), rest].concat())
         }
-        Event::Note {
+        Event::AttemptProgress {
             request,
             attempt,
             note,
         } => note_record(*request, *attempt, *note),
-        Event::Outcome {
+        Event::AttemptEnded {
             request,
             attempt,
             worker,
@@ -159,9 +159,9 @@
             bytes.extend(report_bytes(report));
             record(20, &bytes)
         }
-        Event::ClientGone { request } => record(21, &request.to_le_bytes()),
-        Event::Timer { token } => record(22, &token.to_le_bytes()),
-        Event::Probed {
+        Event::ClientDisconnected { request } => record(21, &request.to_le_bytes()),
+        Event::TimerExpired { token } => record(22, &token.to_le_bytes()),
+        Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
@@ -174,10 +174,10 @@
             record(23, &bytes)
         }
         Event::Peer => record(24, &[0, 0, 2, 0, 7, 7]),
-        Event::Use { .. }
-        | Event::Balancers(_)
+        Event::SuspensionChanged { .. }
+        | Event::DispatcherCountChanged(_)
         | Event::SiblingEvent(_)
-        | Event::MigratedRequest { .. } => {
+        | Event::RequestMigrated { .. } => {
             unreachable!("the wire has no form for it")
         }
     }
@@ -200,7 +200,7 @@
     match code {
         16 => {
             take::<1>(bytes);
-            Action::Watch
+            Action::WatchDiscovery
         }
         19 => Action::Probe {
             worker: take_worker(bytes),
@@ -212,7 +212,7 @@
             at: f64::from_le_bytes(take(bytes)),
             token: u64::from_le_bytes(take(bytes)),
         },
-        22 => Action::Refuse {
+        22 => Action::Reject {
             request: u64::from_le_bytes(take(bytes)),
             retry_after: f64::from_le_bytes(take(bytes)),
         },
--- a/tests/policy.rs
+++ b/tests/dispatcher.rs
@@ -16,7 +16,7 @@
         let to = sends(&harness.request(id, 0));
         assert_eq!(to.len(), 1, "one attempt for request {id}");
         *chosen.entry(u16::from(to[0].address[3])).or_insert(0) += 1;
-        harness.event(Event::ClientGone { request: id });
+        harness.event(Event::ClientDisconnected { request: id });
         harness.outcome(id, 0, to[0], Outcome::Cancelled);
     }
     chosen
@@ -32,7 +32,7 @@
     harness.list(ListKind::Delta, others);
     let to = sends(&harness.request(id, 0));
     assert_eq!(to, [worker(n)]);
-    harness.answer(id, 0, to[0], Outcome::Ok, figures);
+    harness.answer(id, 0, to[0], Outcome::Succeeded, figures);
     harness.list(ListKind::Delta, (0..8).map(entry).collect());
 }
 
@@ -57,7 +57,7 @@
     for (id, n, queue) in [(1, 0, 2.0), (2, 1, 8.0)] {
         harness.list(ListKind::Delta, vec![with_health(1 - n, Health::Draining)]);
         let to = sends(&harness.request(id, 0));
-        harness.answer(id, 0, to[0], Outcome::Ok, vec![queue, 0.0]);
+        harness.answer(id, 0, to[0], Outcome::Succeeded, vec![queue, 0.0]);
         harness.list(ListKind::Delta, vec![entry(0), entry(1)]);
     }
     // Loads are 1 and 7 (the job that ended is taken off), so tickets stand 1/2 to 1/8. The long stretch
@@ -79,7 +79,7 @@
     };
     // A first answer shows four free slots: room for the one that ended and four more.
     let (first, to) = send(&mut harness);
-    harness.answer(first, 0, to[0], Outcome::Ok, vec![0.0, 4.0]);
+    harness.answer(first, 0, to[0], Outcome::Succeeded, vec![0.0, 4.0]);
     let placed: Vec<_> = (0..40)
         .map(|_| send(&mut harness))
         .filter(|(_, to)| !to.is_empty())
@@ -92,7 +92,13 @@
     );
     // A report of old that shows it empty does not clear the correction.
     harness.now += 0.2;
-    harness.answer(placed[0].0, 0, worker(0), Outcome::Ok, vec![0.0, 4.0]);
+    harness.answer(
+        placed[0].0,
+        0,
+        worker(0),
+        Outcome::Succeeded,
+        vec![0.0, 4.0],
+    );
     let held: Vec<_> = (0..3).flat_map(|_| send(&mut harness).1).collect();
     assert!(
         held.len() <= 1,
@@ -100,7 +106,7 @@
     );
     // The ends of all of them do, in a report or without one.
     for (id, _) in &placed[1..] {
-        harness.answer(*id, 0, worker(0), Outcome::Ok, vec![]);
+        harness.answer(*id, 0, worker(0), Outcome::Succeeded, vec![]);
     }
     assert_eq!(send(&mut harness).1, [worker(0)]);
 }
@@ -111,12 +117,12 @@
     report(&mut harness, 1, 3, vec![0.0, 4.0]);
     // Worker 3 is known to have four free slots: a job of four goes there, and then there is no room.
     let wide = |request| {
-        Event::Request(NewRequest {
-            request,
+        Event::RequestReceived(NewRequest {
+            id: request,
             class: 2,
-            budget: 10.0,
+            time_limit: 10.0,
             slots: 4.0,
-            hint: Some(0.5),
+            expected_work: Some(0.5),
             ..Default::default()
         })
     };
@@ -154,15 +160,15 @@
     let ask = |harness: &mut DispatcherHarness, request, budget, repeat| {
         let (class, hint, slots) = (2, Some(0.2), 1.0);
         let new = NewRequest {
-            request,
+            id: request,
             class,
-            budget,
-            repeat,
-            hint,
+            time_limit: budget,
+            is_marked_retry: repeat,
+            expected_work: hint,
             slots,
             ..NewRequest::default()
         };
-        sends(&harness.event(Event::Request(new))).len()
+        sends(&harness.event(Event::RequestReceived(new))).len()
     };
     assert_eq!(ask(&mut harness, 1, 10.0, false), 1);
     assert_eq!(
@@ -199,7 +205,7 @@
         let to = sends(&harness.request(2 * id + 2, 2));
         // Room was promised, the job takes far beyond its aim.
         harness.now += 5.0;
-        harness.answer(2 * id + 2, 0, to[0], Outcome::Ok, vec![0.0, 3.0]);
+        harness.answer(2 * id + 2, 0, to[0], Outcome::Succeeded, vec![0.0, 3.0]);
     }
     let mut all = BTreeMap::new();
     for id in 1000..1040 {
@@ -220,9 +226,15 @@
     let asked = harness.request(1, 2);
     let sample = probes(&asked);
     assert_eq!((sample.len(), sends(&asked).len()), (3, 0));
-    assert_eq!(harness.probed(sample[0], Outcome::Ok, vec![4.0, 0.0]), []);
-    assert_eq!(harness.probed(sample[1], Outcome::Ok, vec![0.0, 4.0]), []);
-    let placed = harness.probed(sample[2], Outcome::Ok, vec![9.0, 0.0]);
+    assert_eq!(
+        harness.probed(sample[0], Outcome::Succeeded, vec![4.0, 0.0]),
+        []
+    );
+    assert_eq!(
+        harness.probed(sample[1], Outcome::Succeeded, vec![0.0, 4.0]),
+        []
+    );
+    let placed = harness.probed(sample[2], Outcome::Succeeded, vec![9.0, 0.0]);
     assert!(
         sends(&placed) == [sample[1]] || probes(&placed).len() == 3,
         "{placed:?}"
@@ -246,7 +258,7 @@
             due.extend(timers(&actions));
             actions = probes(&actions)
                 .into_iter()
-                .flat_map(|w| harness.probed(w, Outcome::Ok, vec![30.0, 0.0]))
+                .flat_map(|w| harness.probed(w, Outcome::Succeeded, vec![30.0, 0.0]))
                 .collect();
             let _ = worker;
         }
@@ -291,7 +303,7 @@
             "{outcome:?}"
         );
     }
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
         let to = sends(&harness.request(1, 2));
         let again = sends(&harness.outcome(1, 0, to[0], outcome));
@@ -398,7 +410,7 @@
         if sent == 2 {
             assert_ne!(to[0], to[1]);
             // It is held, and not for ever: it goes where one ends.
-            harness.outcome(1, 0, to[0], Outcome::Ok);
+            harness.outcome(1, 0, to[0], Outcome::Succeeded);
             assert_eq!(sends(&harness.run(100.4, &mut due)), [to[0]]);
         }
     }
@@ -420,7 +432,7 @@
         let (to, mut due) = (sends(&actions), timers(&actions));
         let copy = sends(&harness.run(harness.now + 0.3, &mut due));
         copies += copy.len();
-        harness.event(Event::ClientGone { request: id });
+        harness.event(Event::ClientDisconnected { request: id });
         for (to, attempt) in to.into_iter().chain(copy).zip(0..) {
             harness.outcome(id, attempt, to, Outcome::Cancelled);
         }
@@ -441,7 +453,7 @@
     );
     harness.list(
         ListKind::Cached,
-        vec![with_health(2, Health::Gone), entry(1)],
+        vec![with_health(2, Health::Removed), entry(1)],
     );
     assert_eq!(
         choices(&mut harness, 50).into_keys().collect::<Vec<_>>(),
@@ -471,17 +483,16 @@
                 ..entry(0)
             }],
         );
-        let (request, class, budget, hint) = (id, 2, 10.0, Some(0.1));
-        let to = sends(&harness.event(Event::Request(NewRequest {
-            request,
-            class,
-            budget,
-            hint,
+        let to = sends(&harness.event(Event::RequestReceived(NewRequest {
+            id,
+            class: 2,
+            time_limit: 10.0,
+            expected_work: Some(0.1),
             ..Default::default()
         })));
         assert_eq!(to.len(), 1, "request {id}");
         cold += to.iter().filter(|w| **w == worker(0)).count();
-        harness.outcome(id, 0, to[0], Outcome::Ok);
+        harness.outcome(id, 0, to[0], Outcome::Succeeded);
     }
     // A tenth of the fleet at a fifth of its capacity carries 2% of the work; three times that tips it over.
     // Passes give 0.7 of that, 840 on average.
@@ -522,7 +533,7 @@
         while let [to] = sends(&actions)[..] {
             (sent, number) = (sent + 1, number + 1);
             due.extend(timers(&actions));
-            actions = harness.answer(id, number - 1, to, Outcome::Full, vec![20.0, 0.0]);
+            actions = harness.answer(id, number - 1, to, Outcome::Rejected, vec![20.0, 0.0]);
         }
         due.extend(timers(&actions));
         harness.now += 0.01;
@@ -536,7 +547,7 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..40 {
         for to in sends(&harness.request(id, 0)) {
-            harness.answer(id, 0, to, Outcome::Ok, vec![30.0, 0.0]);
+            harness.answer(id, 0, to, Outcome::Succeeded, vec![30.0, 0.0]);
         }
     }
     harness.now += 60.0;
@@ -570,17 +581,23 @@
         );
         harness.dispatcher = fresh.expect("sound settings");
         let mut due = timers(&harness.list(ListKind::Cached, vec![entry(0)]));
-        let watched = harness.run(110.0, &mut due).contains(&Action::Watch);
+        let watched = harness
+            .run(110.0, &mut due)
+            .contains(&Action::WatchDiscovery);
         assert_eq!(watched, asks);
         if asks {
             due = timers(&harness.list(ListKind::Failed, Vec::new()));
             assert!(
-                harness.run(118.0, &mut due).contains(&Action::Watch),
+                harness
+                    .run(118.0, &mut due)
+                    .contains(&Action::WatchDiscovery),
                 "asked again after a failure"
             );
             harness.list(ListKind::Delta, Vec::new());
             assert!(
-                !harness.run(300.0, &mut due).contains(&Action::Watch),
+                !harness
+                    .run(300.0, &mut due)
+                    .contains(&Action::WatchDiscovery),
                 "not while subscribed"
             );
         }
@@ -590,18 +607,21 @@
 #[test]
 fn unknown_and_unsound_input_is_ignored() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 4);
-    assert_eq!(harness.outcome(77, 0, worker(1), Outcome::Ok), []);
+    assert_eq!(harness.outcome(77, 0, worker(1), Outcome::Succeeded), []);
     assert_eq!(harness.outcome(77, 9, worker(999), Outcome::Error), []);
     assert_eq!(harness.note(77, 3, Note::Started), []);
-    assert_eq!(harness.probed(worker(999), Outcome::Ok, vec![f32::NAN]), []);
-    assert_eq!(harness.event(Event::Timer { token: u64::MAX }), []);
-    assert_eq!(harness.event(Event::ClientGone { request: 5 }), []);
+    assert_eq!(
+        harness.probed(worker(999), Outcome::Succeeded, vec![f32::NAN]),
+        []
+    );
+    assert_eq!(harness.event(Event::TimerExpired { token: u64::MAX }), []);
+    assert_eq!(harness.event(Event::ClientDisconnected { request: 5 }), []);
     let to = sends(&harness.request(1, 0));
     harness.answer(
         1,
         0,
         to[0],
-        Outcome::Ok,
+        Outcome::Succeeded,
         vec![f32::NAN, f32::NEG_INFINITY, 3.0],
     );
     harness.list(
@@ -613,14 +633,14 @@
         }],
     );
     let odd = NewRequest {
-        request: 2,
+        id: 2,
         class: 0,
-        budget: f64::NAN,
+        time_limit: f64::NAN,
         slots: f64::INFINITY,
-        hint: Some(-1.0),
+        expected_work: Some(-1.0),
         ..Default::default()
     };
-    let actions = harness.event(Event::Request(odd));
+    let actions = harness.event(Event::RequestReceived(odd));
     let mut due = timers(&actions);
     let actions = [actions, harness.run(101.0, &mut due)].concat();
     assert!(
@@ -642,7 +662,7 @@
         let actions = harness.request(id, 0);
         due.extend(timers(&actions));
         for to in sends(&actions) {
-            harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
+            harness.answer(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
         }
         let until = harness.now + 0.01;
         harness.run(until, &mut due);
@@ -664,11 +684,11 @@
     report(&mut harness, 1, 5, vec![0.0, 3.0, 2.0]);
     let job = |request, memory| {
         let (class, budget, hint) = (2, 10.0, Some(0.5));
-        Event::Request(NewRequest {
-            request,
+        Event::RequestReceived(NewRequest {
+            id: request,
             class,
-            budget,
-            hint,
+            time_limit: budget,
+            expected_work: hint,
             slots: 1.0,
             memory,
             ..Default::default()
@@ -722,7 +742,7 @@
                 1 => assert_eq!(n % 2, 0, "a zone that is not named is free"),
                 _ => {}
             }
-            actions = harness.outcome(id, attempt, to, Outcome::Full);
+            actions = harness.outcome(id, attempt, to, Outcome::Rejected);
         }
     }
     // Those permitted are down, others are idle: held, then refused, never sent elsewhere.
@@ -731,7 +751,7 @@
         ListKind::Delta,
         [1, 3]
             .map(|n| Entry {
-                health: Health::Gone,
+                health: Health::Removed,
                 ..placed(n)
             })
             .to_vec(),
@@ -810,7 +830,7 @@
     // Each request would go again three times; ten are taken, so five further attempts are allowed.
     assert_eq!(further_attempts(&mut harness, 0..10, &mut due), 5);
     // The end of a request doesn't give back what it has spent.
-    (0..10).for_each(|request| drop(harness.event(Event::ClientGone { request })));
+    (0..10).for_each(|request| drop(harness.event(Event::ClientDisconnected { request })));
     harness.now += 4.9;
     assert_eq!(further_attempts(&mut harness, 10..19, &mut due), 0);
     // Once those are out of the window, only what was taken within it counts.
@@ -827,26 +847,26 @@
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
     let to = sends(&harness.request(1, 2));
-    let actions = harness.outcome(1, 0, to[0], Outcome::Full);
+    let actions = harness.outcome(1, 0, to[0], Outcome::Rejected);
     assert!(
         failed(&actions) && !refused(&actions) && sends(&actions).is_empty(),
         "{actions:?}"
     );
     for id in 2..30 {
         let first = sends(&harness.request(id, 1));
-        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Full));
+        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Rejected));
         assert!(
             again
                 .iter()
                 .all(|w| w.address[3] / 4 == first[0].address[3] / 4),
             "inside its cell"
         );
-        harness.event(Event::ClientGone { request: id });
+        harness.event(Event::ClientDisconnected { request: id });
         harness.now += 5.0;
     }
     let first = sends(&harness.request(50, 1));
     harness.now += 3.9;
-    let late = harness.outcome(50, 0, first[0], Outcome::Full);
+    let late = harness.outcome(50, 0, first[0], Outcome::Rejected);
     assert!(
         failed(&late) && !refused(&late),
         "its window is over: {late:?}"
@@ -867,7 +887,7 @@
     let mut due = timers(&harness.request(1, 0));
     let actions = harness.run(100.0 + 0.4 + 1.5 * 0.5, &mut due);
     let after = |a: &Action| {
-        if let Action::Refuse { retry_after, .. } = a {
+        if let Action::Reject { retry_after, .. } = a {
             Some(*retry_after)
         } else {
             None
@@ -885,7 +905,7 @@
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
     let to = sends(&harness.request(1, 0));
-    assert!(refused(&harness.outcome(1, 0, to[0], Outcome::Full)));
+    assert!(refused(&harness.outcome(1, 0, to[0], Outcome::Rejected)));
     // The group's window over while the group is away.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
@@ -895,7 +915,7 @@
     harness.list(
         ListKind::Delta,
         (4 * cell..4 * cell + 4)
-            .map(|n| with_health(n, Health::Gone))
+            .map(|n| with_health(n, Health::Removed))
             .collect(),
     );
     due.extend(timers(&harness.outcome(1, 0, to[0], Outcome::Reset)));
@@ -948,21 +968,24 @@
     assert_eq!(
         sound.retry_budget,
         Some(RetryBudget {
-            spare: 0.0,
+            min_retries: 0.0,
             ratio: 0.5,
-            look_back: 2.0
+            window: 2.0
         })
     );
     assert_eq!(
-        (&sound.classes[0].allowed_on, &sound.classes[0].confined_to),
+        (
+            &sound.classes[0].allowed_kinds,
+            &sound.classes[0].allowed_zones
+        ),
         (&None, &None)
     );
-    assert!(!sound.full_proves_nothing);
+    assert!(!sound.full_may_have_run);
     let mut unsound = sound;
     unsound.retry_budget = Some(RetryBudget {
-        spare: f64::NAN,
+        min_retries: f64::NAN,
         ratio: 0.5,
-        look_back: 2.0,
+        window: 2.0,
     });
     assert!(unsound.validate().is_err());
 }
@@ -976,7 +999,7 @@
         report(harness, id, 3, vec![0.0, 3.0]);
         let to = sends(&harness.request(id + 1, 2));
         assert_eq!(to, [worker(3)], "the report promises room");
-        harness.answer(id + 1, 0, to[0], Outcome::Full, vec![0.0, 4.0]);
+        harness.answer(id + 1, 0, to[0], Outcome::Rejected, vec![0.0, 4.0]);
     };
     turn_away(&mut harness, 1);
     let to_it = |harness: &mut DispatcherHarness, class, ids: std::ops::Range<u64>| {
@@ -985,7 +1008,7 @@
         for id in ids {
             let to = sends(&harness.request(id, class));
             hits += to.iter().filter(|w| **w == worker(3)).count() as u64;
-            harness.event(Event::ClientGone { request: id });
+            harness.event(Event::ClientDisconnected { request: id });
             for to in to {
                 harness.outcome(id, 0, to, Outcome::Cancelled);
             }
@@ -1043,7 +1066,7 @@
         let answer = |harness: &mut DispatcherHarness, actions: &[Action]| -> Vec<Action> {
             probes(actions)
                 .into_iter()
-                .flat_map(|w| harness.probed(w, Outcome::Ok, vec![0.0, 4.0]))
+                .flat_map(|w| harness.probed(w, Outcome::Succeeded, vec![0.0, 4.0]))
                 .collect()
         };
         let asked = harness.request(1, 0);
@@ -1098,8 +1121,8 @@
         timers.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (at, token) = timers.remove(0);
         harness.now = at;
-        let mut actions = harness.event(Event::Timer { token });
-        if actions.iter().any(|a| matches!(a, Action::Watch)) {
+        let mut actions = harness.event(Event::TimerExpired { token });
+        if actions.iter().any(|a| matches!(a, Action::WatchDiscovery)) {
             asked.push(harness.now);
             actions.extend(harness.list(ListKind::Failed, Vec::new()));
         }
@@ -1130,7 +1153,7 @@
                     .unwrap_or(0);
                 let (at, id, to) = running.swap_remove(next);
                 harness.now = at;
-                harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 4.0]);
+                harness.answer(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
             }
             let [to] = sends(&harness.request(request, 0))[..] else {
                 panic!("seed {seed}: held")
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -25,7 +25,7 @@
         for id in 1..=20 * jobs_a_second {
             harness.now += 1.0 / jobs_a_second as f64;
             while let Some((_, id, to)) = running.pop_front_if(|&mut (at, ..)| at <= harness.now) {
-                harness.answer(id, 0, to, Outcome::Ok, vec![0.0, 8.0]);
+                harness.answer(id, 0, to, Outcome::Succeeded, vec![0.0, 8.0]);
             }
             for to in sends(&harness.request(id, 2)) {
                 *zones.entry(to.address[3] % 3).or_insert(0) += 1;
@@ -76,7 +76,7 @@
         with_health(
             n,
             if n % 2 == 0 {
-                Health::Gone
+                Health::Removed
             } else {
                 Health::Draining
             },
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -94,13 +94,13 @@
         (Outcome::Cancelled, false),
         (Outcome::Unknown(7), false),
         (Outcome::ConnectFailed, true),
-        (Outcome::Moot, true),
-        (Outcome::Full, true),
+        (Outcome::CancelledLocally, true),
+        (Outcome::Rejected, true),
     ];
     for (end, never_ran) in ends {
         assert_eq!(end.proves_never_ran(false), never_ran, "{end:?}");
         assert!(
-            !end.proves_never_ran(true) || end != Outcome::Full,
+            !end.proves_never_ran(true) || end != Outcome::Rejected,
             "unless the settings say so"
         );
         for class in 0..3 {
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -28,8 +28,8 @@
     free: f32,
     waiting: f32,
 ) -> Vec<Action> {
-    let (outcome, elapsed) = (Outcome::Ok, harness.now - sent);
-    harness.event(Event::Probed {
+    let (outcome, elapsed) = (Outcome::Succeeded, harness.now - sent);
+    harness.event(Event::ProbeEnded {
         worker: to,
         outcome,
         elapsed,
@@ -101,7 +101,7 @@
     harness.list(ListKind::Delta, entries);
     for n in 0..WORKERS {
         answered(&mut harness, worker(n), before, 0.0, 40.0);
-        let failed = Event::Probed {
+        let failed = Event::ProbeEnded {
             worker: worker(n),
             outcome: Outcome::Timeout,
             elapsed: harness.now - before,
@@ -179,7 +179,7 @@
         for probe in probes(&actions) {
             again.extend(sends(&answered(&mut harness, probe, now, SLOTS, 0.0)));
         }
-        harness.event(Event::ClientGone { request });
+        harness.event(Event::ClientDisconnected { request });
         harness.now += 0.01;
     }
     assert!(again.len() >= 5 && !again.contains(&worker(0)), "{again:?}");
@@ -196,7 +196,7 @@
     harness.now += 3.0;
     for to in asked {
         let elapsed = harness.now - sent;
-        harness.event(Event::Probed {
+        harness.event(Event::ProbeEnded {
             worker: to,
             outcome: Outcome::Timeout,
             elapsed,
@@ -257,7 +257,7 @@
     let gone = (0..8).filter(|n| n / 4 == cell && worker(*n) != first);
     harness.list(
         ListKind::Delta,
-        gone.map(|n| with_health(n, Health::Gone)).collect(),
+        gone.map(|n| with_health(n, Health::Removed)).collect(),
     );
     let mut actions = harness.outcome(1, 0, first, Outcome::Reset);
     due.extend(timers(&actions));
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -41,7 +41,7 @@
         ("riga".into(), "std-4".into())
     );
     assert_eq!(
-        (settings.tenant_names.join(","), settings.conn_idle),
+        (settings.tenant_names.join(","), settings.idle_timeout),
         ("baltvedums".into(), 5.0)
     );
     assert_eq!(settings.field_names, ["backlog", "errors_per_s", "x0"]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -26,7 +26,7 @@
 struct Further {
     placement: bool,
     budget: bool,
-    full_proves_nothing: bool,
+    full_may_have_run: bool,
 }
 
 impl Further {
@@ -35,7 +35,7 @@
         Self {
             placement,
             budget,
-            full_proves_nothing: (seed / 4).is_multiple_of(2),
+            full_may_have_run: (seed / 4).is_multiple_of(2),
         }
     }
 }
@@ -87,7 +87,7 @@
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.0.handle(now, event, &mut actions);
-        if let Event::List { entries, .. } = event {
+        if let Event::WorkerListReceived { entries, .. } = event {
             self.2 = entries
                 .iter()
                 .find(|e| e.health == Health::Draining)
@@ -96,9 +96,9 @@
         }
         for mut action in actions {
             match (&mut action, self.1) {
-                (Action::Fail { .. } | Action::Refuse { .. }, Break::NoAnswer) => continue,
+                (Action::Fail { .. } | Action::Reject { .. }, Break::NoAnswer) => continue,
                 (
-                    Action::Fail { request } | Action::Refuse { request, .. },
+                    Action::Fail { request } | Action::Reject { request, .. },
                     Break::SecondAnswer,
                 ) => {
                     out.push(Action::Fail { request: *request });
@@ -120,14 +120,14 @@
                 (Action::Fail { request }, Break::TrustsFull) => {
                     let full = matches!(
                         event,
-                        Event::Outcome {
-                            outcome: Outcome::Full,
+                        Event::AttemptEnded {
+                            outcome: Outcome::Rejected,
                             ..
                         }
                     );
                     let request = *request;
                     action = if full {
-                        Action::Refuse {
+                        Action::Reject {
                             request,
                             retry_after: 0.0,
                         }
@@ -234,11 +234,14 @@
                         return Err("rule 6: over the budget of further attempts".into());
                     }
                 }
-                let full_proves = !self.further.full_proves_nothing;
+                let full_proves = !self.further.full_may_have_run;
                 let proved = |s: &Sent| proves(s.outcome, full_proves);
                 let mut may_have_run = job.sent.iter().filter(|s| !proved(s));
                 if job.class == 2 && may_have_run.next().is_some() {
-                    let full = job.sent.iter().any(|s| s.outcome == Some(Outcome::Full));
+                    let full = job
+                        .sent
+                        .iter()
+                        .any(|s| s.outcome == Some(Outcome::Rejected));
                     return Err(format!(
                         "rule 2: unsafe again{}",
                         if full { ", rule 7" } else { "" }
@@ -269,8 +272,8 @@
                     }
                 }
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
-                let refuse = matches!(action, Action::Refuse { .. });
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                let refuse = matches!(action, Action::Reject { .. });
                 let job = self
                     .jobs
                     .get_mut(&request)
@@ -285,7 +288,7 @@
                 if refuse && ran(true) && job.class != 0 {
                     return Err("rule 2: refused although it may have run".into());
                 }
-                if refuse && ran(!self.further.full_proves_nothing) && job.class != 0 {
+                if refuse && ran(!self.further.full_may_have_run) && job.class != 0 {
                     return Err("rule 7: refused on the word of a 'full'".into());
                 }
                 job.done = true;
@@ -299,7 +302,7 @@
                     return Err("a cancel of an attempt never made".into());
                 }
             }
-            Action::Watch | Action::Timer { .. } | Action::Probe { .. } => {}
+            Action::WatchDiscovery | Action::Timer { .. } | Action::Probe { .. } => {}
         }
         Ok(())
     }
@@ -317,8 +320,8 @@
 /// What the wire's page says: these outcomes prove that an attempt never ran.
 fn proves(outcome: Option<Outcome>, full_proves: bool) -> bool {
     match outcome {
-        Some(Outcome::ConnectFailed | Outcome::Moot) => true,
-        Some(Outcome::Full) => full_proves,
+        Some(Outcome::ConnectFailed | Outcome::CancelledLocally) => true,
+        Some(Outcome::Rejected) => full_proves,
         _ => false,
     }
 }
@@ -336,7 +339,7 @@
     } else {
         ListKind::Full
     };
-    let mut queue = vec![Event::List {
+    let mut queue = vec![Event::WorkerListReceived {
         kind,
         entries: (0..ALL).map(entry).collect(),
     }];
@@ -351,7 +354,7 @@
                 .min(now + pick(100) as f64 / 1000.0);
             while let Some(&(_, token)) = due.last().filter(|d| d.0 <= now) {
                 due.pop();
-                queue.push(Event::Timer { token });
+                queue.push(Event::TimerExpired { token });
             }
             drained |= step > 2000;
             let open: Vec<(u64, u16, WorkerId)> = check
@@ -382,21 +385,21 @@
                             done: false,
                         },
                     );
-                    queue.push(Event::Request(NewRequest {
-                        request,
+                    queue.push(Event::RequestReceived(NewRequest {
+                        id: request,
                         class,
-                        budget,
-                        hint,
+                        time_limit: budget,
+                        expected_work: hint,
                         slots: 1.0,
                         ..Default::default()
                     }));
                 }
                 (4..=7, Some((request, attempt, worker))) => {
                     let outcomes = [
-                        Outcome::Ok,
-                        Outcome::Ok,
+                        Outcome::Succeeded,
+                        Outcome::Succeeded,
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::Timeout,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
@@ -407,7 +410,7 @@
                     let job = check.jobs.get_mut(&request).ok_or("no job")?;
                     job.sent[attempt as usize].outcome = Some(outcome);
                     let (closed, report) = (false, vec![pick(6) as f32, pick(5) as f32]);
-                    queue.push(Event::Outcome {
+                    queue.push(Event::AttemptEnded {
                         request,
                         attempt,
                         worker,
@@ -423,7 +426,7 @@
                     } else {
                         Note::Progress(0.5)
                     };
-                    queue.push(Event::Note {
+                    queue.push(Event::AttemptProgress {
                         request,
                         attempt,
                         note,
@@ -431,8 +434,12 @@
                 }
                 (9, _) => {
                     let n = pick(u64::from(ALL)) as u16;
-                    let health = [Health::Ready, Health::Ready, Health::Draining, Health::Gone]
-                        [pick(4) as usize];
+                    let health = [
+                        Health::Ready,
+                        Health::Ready,
+                        Health::Draining,
+                        Health::Removed,
+                    ][pick(4) as usize];
                     let started = if pick(2) == 0 { now - 0.5 } else { 0.0 };
                     let mut entries = vec![place(Entry {
                         started,
@@ -446,7 +453,7 @@
                     if kind == ListKind::Full {
                         entries.extend((0..ALL).filter(|&o| o != n && pick(6) > 0).map(entry));
                     }
-                    queue.push(Event::List { kind, entries });
+                    queue.push(Event::WorkerListReceived { kind, entries });
                 }
                 _ => {}
             }
@@ -455,13 +462,13 @@
         let Some(mut event) = (!queue.is_empty()).then(|| queue.remove(0)) else {
             continue;
         };
-        if let Event::Request(_) = &event {
+        if let Event::RequestReceived(_) = &event {
             check.taken.push(now);
         }
-        if let Event::List { kind, entries } = &event {
+        if let Event::WorkerListReceived { kind, entries } = &event {
             check.list(now, *kind, entries, ALL);
         }
-        if let Event::Outcome {
+        if let Event::AttemptEnded {
             request,
             outcome,
             closed,
@@ -469,7 +476,7 @@
         } = &mut event
         {
             let job = check.jobs.get_mut(request).ok_or("no job")?;
-            job.done |= *outcome == Outcome::Ok;
+            job.done |= *outcome == Outcome::Succeeded;
             *closed = job.done;
         }
         let mut actions = Vec::new();
@@ -501,7 +508,7 @@
             s["rules"]["repeat-ratio"] = RATIO.into();
             s["rules"]["look-back"] = LOOK_BACK.into();
         }
-        s["rules"]["may-shed-begun"] = further.full_proves_nothing.into();
+        s["rules"]["may-shed-begun"] = further.full_may_have_run.into();
         s["discovery"] = if seed.is_multiple_of(5) {
             "on_request"
         } else {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -127,7 +127,7 @@
     let (mut now, mut actions) = (100.0, Vec::new());
     dispatcher.handle(
         now,
-        &Event::List {
+        &Event::WorkerListReceived {
             kind: ListKind::Full,
             entries: (0..8).map(entry).collect(),
         },
@@ -138,26 +138,29 @@
     for request in 1..=60u64 {
         let class = (rng.uniform() * set.classes.len() as f64) as u8;
         let new = NewRequest {
-            request,
+            id: request,
             class,
             // Some have no subject, most one of a few.
-            key: (rng.uniform() * 5.0) as u64,
-            budget: 0.1 + 5.0 * rng.uniform(),
+            subject: (rng.uniform() * 5.0) as u64,
+            time_limit: 0.1 + 5.0 * rng.uniform(),
             slots: 1.0,
             ..NewRequest::default()
         };
-        due.push((100.0 + 3.0 * rng.uniform(), Event::Request(new)));
+        due.push((100.0 + 3.0 * rng.uniform(), Event::RequestReceived(new)));
         if rng.uniform() < 0.1 {
-            due.push((101.0 + 5.0 * rng.uniform(), Event::ClientGone { request }));
+            due.push((
+                101.0 + 5.0 * rng.uniform(),
+                Event::ClientDisconnected { request },
+            ));
         }
     }
     // One worker drains on the way, and another is gone.
     let (drains, leaves) = ((8.0 * rng.uniform()) as u16, (8.0 * rng.uniform()) as u16);
-    for (n, health) in [(drains, Health::Draining), (leaves, Health::Gone)] {
+    for (n, health) in [(drains, Health::Draining), (leaves, Health::Removed)] {
         let entries = vec![Entry { health, ..entry(n) }];
         due.push((
             100.5 + rng.uniform(),
-            Event::List {
+            Event::WorkerListReceived {
                 kind: ListKind::Delta,
                 entries,
             },
@@ -172,12 +175,12 @@
         let (at, event) = due.swap_remove(next);
         now = at.max(now);
         match &event {
-            Event::Request(new) => {
+            Event::RequestReceived(new) => {
                 let class = new.class as usize;
                 let deadline = set.classes.get(class).map_or(0.0, |c| c.deadline);
-                let until = now + new.budget.min(deadline);
+                let until = now + new.time_limit.min(deadline);
                 asked.insert(
-                    new.request,
+                    new.id,
                     Asked {
                         class,
                         until,
@@ -186,28 +189,30 @@
                     },
                 );
             }
-            Event::ClientGone { request } if asked.get(request).is_none_or(|a| a.answers > 0) => {
+            Event::ClientDisconnected { request }
+                if asked.get(request).is_none_or(|a| a.answers > 0) =>
+            {
                 continue;
             }
             // It wants no answer any more, and no attempt.
-            Event::ClientGone { request } => asked
+            Event::ClientDisconnected { request } => asked
                 .get_mut(request)
                 .into_iter()
                 .for_each(|a| a.answers += 1),
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 outcome,
                 ..
             } => {
                 if let Some(a) = asked.get_mut(request) {
-                    let unseen = *outcome == Outcome::Full && !set.full_proves_nothing;
+                    let unseen = *outcome == Outcome::Rejected && !set.full_may_have_run;
                     let ran = !(unseen || *outcome == Outcome::ConnectFailed);
                     a.attempts[*attempt as usize].2 = ran;
-                    a.answers += u32::from(*outcome == Outcome::Ok && a.answers == 0);
+                    a.answers += u32::from(*outcome == Outcome::Succeeded && a.answers == 0);
                 }
             }
-            Event::List { entries, .. } => {
+            Event::WorkerListReceived { entries, .. } => {
                 out_of_use.extend(entries.iter().map(|entry| entry.worker))
             }
             _ => {}
@@ -215,7 +220,9 @@
         dispatcher.handle(now, &event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Timer { at, token } => due.push((at.max(now), Event::Timer { token })),
+                Action::Timer { at, token } => {
+                    due.push((at.max(now), Event::TimerExpired { token }))
+                }
                 Action::Send {
                     request, worker, ..
                 } => {
@@ -232,17 +239,17 @@
                     }
                     let ran: Vec<_> = a.attempts.iter().filter(|(.., ran)| *ran).collect();
                     let inside = |at: f64, to: (u8, u16)| {
-                        let group = match class.group {
-                            postproxy::decision::interface::Group::All => true,
-                            postproxy::decision::interface::Group::Zone => to.0 == home(n).0,
-                            postproxy::decision::interface::Group::Cell => to == home(n),
+                        let group = match class.dedup_scope {
+                            postproxy::decision::interface::DedupScope::All => true,
+                            postproxy::decision::interface::DedupScope::Zone => to.0 == home(n).0,
+                            postproxy::decision::interface::DedupScope::Cell => to == home(n),
                         };
-                        group && now + set.dial_timeout < at + class.window
+                        group && now + set.dial_timeout < at + class.dedup_window
                     };
                     let may = match class.effect {
-                        Effect::Safe => true,
-                        Effect::Unsafe => ran.is_empty(),
-                        Effect::Keyed => ran.iter().all(|(at, to, _)| inside(*at, *to)),
+                        Effect::Idempotent => true,
+                        Effect::NotIdempotent => ran.is_empty(),
+                        Effect::IdempotentByKey => ran.iter().all(|(at, to, _)| inside(*at, *to)),
                     };
                     if !may || a.attempts.len() >= set.max_attempts as usize || now >= a.until {
                         return Err(format!(
@@ -254,15 +261,15 @@
                     let attempt = a.attempts.len() as u16;
                     a.attempts.push((now, home(n), true));
                     let outcome = match (rng.uniform() * 6.0) as u32 {
-                        0 => Outcome::Full,
+                        0 => Outcome::Rejected,
                         1 => Outcome::Reset,
                         2 => Outcome::ConnectFailed,
                         3 => continue, // silent
-                        _ => Outcome::Ok,
+                        _ => Outcome::Succeeded,
                     };
-                    let (elapsed, closed) = (0.1, outcome == Outcome::Ok);
+                    let (elapsed, closed) = (0.1, outcome == Outcome::Succeeded);
                     let report = vec![3.0 * rng.uniform() as f32, 2.0];
-                    let end = Event::Outcome {
+                    let end = Event::AttemptEnded {
                         request,
                         attempt,
                         worker,
@@ -273,7 +280,7 @@
                     };
                     due.push((now + rng.uniform(), end));
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     let a = asked.get_mut(&request).ok_or("an answer to nobody")?;
                     a.answers += 1;
                     if a.answers > 1 || now > a.until + 0.05 {
@@ -284,10 +291,10 @@
                         ));
                     }
                 }
-                Action::Cancel { .. } if !set.may_cancel => {
+                Action::Cancel { .. } if !set.cancel_allowed => {
                     return Err("a cancel without leave".into());
                 }
-                Action::Probe { .. } if !set.may_probe => {
+                Action::Probe { .. } if !set.probes_allowed => {
                     return Err("a probe without leave".into());
                 }
                 // One in four is lost; the others come late and in any order, one as a failure.
@@ -296,7 +303,7 @@
                     let outcome = if rng.uniform() < 0.1 {
                         Outcome::Timeout
                     } else {
-                        Outcome::Ok
+                        Outcome::Succeeded
                     };
                     let report = vec![
                         6.0 * rng.uniform() as f32,
@@ -304,7 +311,7 @@
                     ];
                     due.push((
                         now + elapsed,
-                        Event::Probed {
+                        Event::ProbeEnded {
                             worker,
                             outcome,
                             elapsed,
--- a/tests/elsewhere.rs
+++ b/tests/sibling_events.rs
@@ -70,9 +70,9 @@
                         owner.insert(id, 1);
                         moved += 1;
                         let carried = Box::new(carried);
-                        done[1] = beds[1].event(Event::MigratedRequest {
+                        done[1] = beds[1].event(Event::RequestMigrated {
                             request: id,
-                            carried,
+                            record: carried,
                         });
                     }
                 }
@@ -85,14 +85,18 @@
                     if let Some(&id) = open.get(pick(open.len().max(1))) {
                         let s = seen.get_mut(&id).expect("it is there");
                         let (attempt, to) = s.out.swap_remove(pick(s.out.len()));
-                        let outcomes =
-                            [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Timeout];
+                        let outcomes = [
+                            Outcome::Succeeded,
+                            Outcome::Rejected,
+                            Outcome::Reset,
+                            Outcome::Timeout,
+                        ];
                         let outcome = outcomes[pick(4)];
-                        let closed = s.answers > 0 || outcome == Outcome::Ok;
-                        s.answers += u32::from(outcome == Outcome::Ok && s.answers == 0);
-                        s.may_have_run |= outcome != Outcome::Full;
+                        let closed = s.answers > 0 || outcome == Outcome::Succeeded;
+                        s.answers += u32::from(outcome == Outcome::Succeeded && s.answers == 0);
+                        s.may_have_run |= outcome != Outcome::Rejected;
                         let (at, report) = (owner[&id], Vec::new());
-                        let event = Event::Outcome {
+                        let event = Event::AttemptEnded {
                             request: id,
                             attempt,
                             worker: to,
@@ -144,7 +148,7 @@
                             s.may_have_run = true;
                             let outcome = Outcome::Cancelled;
                             let (request, attempt) = (*request, *attempt);
-                            let event = Event::Outcome {
+                            let event = Event::AttemptEnded {
                                 request,
                                 attempt,
                                 worker,
@@ -156,7 +160,7 @@
                             let more = beds[at].event(event);
                             due[at].extend(timers(&more));
                         }
-                        Action::Refuse { request, .. } | Action::Fail { request } => {
+                        Action::Reject { request, .. } | Action::Fail { request } => {
                             let s = seen.get_mut(request).expect("a request of this test");
                             s.answers += 1;
                             assert_eq!(
@@ -173,7 +177,7 @@
         // All have had their time.
         for at in 0..2 {
             for action in beds[at].run(now + 30.0, &mut due[at]) {
-                if let Action::Refuse { request, .. } | Action::Fail { request } = action {
+                if let Action::Reject { request, .. } | Action::Fail { request } = action {
                     seen.get_mut(&request)
                         .expect("a request of this test")
                         .answers += 1;
@@ -201,11 +205,11 @@
     let elsewhere =
         |harness: &mut DispatcherHarness, news| harness.event(Event::SiblingEvent(news));
     let mut one = harness(2, |_| {});
-    let sent = |request| SiblingEvent::Sent {
+    let sent = |request| SiblingEvent::AttemptSent {
         request,
         attempt: 0,
         worker: worker(0),
-        need: 1.0,
+        slots: 1.0,
         work: Some(0.5),
         sent: 100.0,
     };
@@ -216,7 +220,7 @@
     for request in 1..=40 {
         let all = sends(&one.request(request, 2));
         to[usize::from(all[0] == worker(1))] += 1;
-        one.outcome(request, 0, all[0], Outcome::Ok);
+        one.outcome(request, 0, all[0], Outcome::Succeeded);
     }
     assert!(
         to[1] > 30,
@@ -225,7 +229,7 @@
     for request in 1000..1040 {
         elsewhere(
             &mut one,
-            SiblingEvent::Ended {
+            SiblingEvent::AttemptEnded {
                 request,
                 attempt: 0,
                 worker: worker(0),
@@ -236,7 +240,7 @@
     for request in 101..=140 {
         let all = sends(&one.request(request, 2));
         to[usize::from(all[0] == worker(1))] += 1;
-        one.outcome(request, 0, all[0], Outcome::Ok);
+        one.outcome(request, 0, all[0], Outcome::Succeeded);
     }
     assert!(to[0] > 8, "they have ended: {to:?}");
     // A cold worker: all that fits its budget is there already.
@@ -258,7 +262,7 @@
             "a cold worker has had its budget"
         );
         if let Some(&w) = all.first() {
-            two.outcome(request, 0, w, Outcome::Ok);
+            two.outcome(request, 0, w, Outcome::Succeeded);
         }
     }
     // A budget of one further attempt in 10 s, which the other process has used; a second later it is free again.
@@ -270,14 +274,14 @@
         let (taken, last) = (Vec::new(), vec![100.0 - ago]);
         elsewhere(
             &mut three,
-            SiblingEvent::Past {
-                taken,
-                further: last,
+            SiblingEvent::BudgetHistory {
+                admitted: taken,
+                retries: last,
             },
         );
         let to = sends(&three.request(1, 2))[0];
         assert_eq!(
-            sends(&three.outcome(1, 0, to, Outcome::Full)).len(),
+            sends(&three.outcome(1, 0, to, Outcome::Rejected)).len(),
             further,
             "{ago} s after"
         );
--- a/tests/wire.rs
+++ b/tests/simulator_protocol.rs
@@ -55,7 +55,7 @@
         15 0c000000 05000000 192b6f0e84030a00");
     let batch = read(&bytes).expect("sound").expect("there");
     let [
-        (3, Record::Event(Event::Request(new))),
+        (3, Record::Event(Event::RequestReceived(new))),
         (3, timer),
         (5, gone),
     ] = &batch.records[..]
@@ -64,22 +64,23 @@
     };
     assert_eq!(
         (
-            new.request,
+            new.id,
             new.class,
             new.tenant,
             new.slots,
             new.memory,
-            new.repeat
+            new.is_marked_retry
         ),
         (REQUEST, 0, 0, 2.0, 0.0, false)
     );
     assert!(
-        (new.budget - 0.24).abs() < 1e-12 && new.hint.is_some_and(|h| (h - 0.012).abs() < 1e-12)
+        (new.time_limit - 0.24).abs() < 1e-12
+            && new.expected_work.is_some_and(|h| (h - 0.012).abs() < 1e-12)
     );
-    assert_eq!(*timer, Record::Event(Event::Timer { token: 77 }));
+    assert_eq!(*timer, Record::Event(Event::TimerExpired { token: 77 }));
     assert_eq!(
         *gone,
-        Record::Event(Event::ClientGone {
+        Record::Event(Event::ClientDisconnected {
             request: 0x000a_0384_0e6f_2b19
         })
     );
@@ -99,10 +100,10 @@
         },
     );
     reply.push(3, &Action::Timer { at, token: 77 });
-    reply.push(3, &Action::Watch);
+    reply.push(3, &Action::WatchDiscovery);
     reply.push(
         3,
-        &Action::Refuse {
+        &Action::Reject {
             request: 0x000a_0384_0e6f_2b19,
             retry_after: 0.25,
         },
@@ -155,7 +156,7 @@
     let (_, list) = one("11 3d000000 03000000 29000000 02 02000000
         0a124a07 931f 00 0000 0000 01 0000803f 0000000000000000
         0a9011f2 bc1f 00 0000 0000 01 0000c03f 6666666666661840");
-    let Record::Event(Event::List {
+    let Record::Event(Event::WorkerListReceived {
         kind: ListKind::Cached,
         entries,
     }) = list
@@ -171,7 +172,7 @@
         one("13 1c000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 8b6ce7fba9f1823f");
     assert_eq!(
         streaming,
-        Record::Event(Event::Streaming {
+        Record::Event(Event::AttemptStreaming {
             request: REQUEST,
             attempt: 0
         })
@@ -179,7 +180,7 @@
     let (_, note) = one("1a 19000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 01 0000003f");
     assert_eq!(
         note,
-        Record::Event(Event::Note {
+        Record::Event(Event::AttemptProgress {
             request: REQUEST,
             attempt: 0,
             note: Note::Started
@@ -188,9 +189,9 @@
     let (_, result) = one(
         "14 2d000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f c800 8b6ce7fba9f1923f 01 00 03 0000404000006841cdcccc3e",
     );
-    let Record::Event(Event::Outcome {
+    let Record::Event(Event::AttemptEnded {
         worker: A,
-        outcome: Outcome::Ok,
+        outcome: Outcome::Succeeded,
         closed: true,
         report,
         ..
@@ -204,8 +205,8 @@
     assert!(
         matches!(
             probed,
-            Record::Event(Event::Probed {
-                outcome: Outcome::Ok,
+            Record::Event(Event::ProbeEnded {
+                outcome: Outcome::Succeeded,
                 ..
             })
         ),
@@ -229,21 +230,21 @@
 #[test]
 fn outcomes_are_told_apart() {
     for (code, want) in [
-        (200, Outcome::Ok),
+        (200, Outcome::Succeeded),
         (502, Outcome::Error),
-        (429, Outcome::Full),
+        (429, Outcome::Rejected),
         (408, Outcome::Timeout),
         (521, Outcome::ConnectFailed),
         (520, Outcome::Reset),
         (444, Outcome::Cancelled),
-        (409, Outcome::Moot),
+        (409, Outcome::CancelledLocally),
         (999, Outcome::Unknown(999)),
     ] {
         let [low, high] = u16::to_le_bytes(code);
         let (_, r) = one(&format!(
             "14 21000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f {low:02x}{high:02x} 8b6ce7fba9f1923f 00 00 00"
         ));
-        let Record::Event(Event::Outcome { outcome, .. }) = r else {
+        let Record::Event(Event::AttemptEnded { outcome, .. }) = r else {
             panic!("{r:?}")
         };
         assert_eq!(outcome, want, "{code}");
@@ -316,14 +317,14 @@
         Settings::from_json(r#"{"new-key": {"x": [1]}, "services": [{}]}"#).expect("defaults");
     assert_eq!(
         (
-            set.balancers,
+            set.dispatcher_count,
             set.max_attempts,
-            set.may_probe,
-            set.may_cancel
+            set.probes_allowed,
+            set.cancel_allowed
         ),
         (1, 3, false, false)
     );
-    assert_eq!(set.classes[0].effect, postproxy::Effect::Unsafe);
+    assert_eq!(set.classes[0].effect, postproxy::Effect::NotIdempotent);
     for (bad, key) in [
         (r#"{"services": [{"deadline": -1}]}"#, "deadline"),
         (r#"{"rules": {"cold-from": 7}}"#, "cold-from"),
--- a/tests/ramp.rs
+++ b/tests/slow_start.rs
@@ -157,14 +157,14 @@
             ..Entry::default()
         };
         let entries = (0..).zip(&self.workers).map(entry).collect();
-        self.tell(d, &Event::List { kind, entries });
+        self.tell(d, &Event::WorkerListReceived { kind, entries });
     }
 
     fn warmth(&self, w: usize) -> f64 {
-        let share = ((self.now - self.workers[w].started) / self.set.cold).clamp(0.0, 1.0);
+        let share = ((self.now - self.workers[w].started) / self.set.warm_up_time).clamp(0.0, 1.0);
         let cold = self.workers[w].started > 0.0;
         if cold {
-            self.set.cold_from + (1.0 - self.set.cold_from) * share
+            self.set.initial_capacity_share + (1.0 - self.set.initial_capacity_share) * share
         } else {
             1.0
         }
@@ -242,17 +242,17 @@
                 };
                 let key = if of > 0 { 1 + one } else { 0 };
                 let new = NewRequest {
-                    request,
-                    key,
-                    budget: 5.0,
-                    hint,
+                    id: request,
+                    subject: key,
+                    time_limit: 5.0,
+                    expected_work: hint,
                     slots: 1.0,
                     ..NewRequest::default()
                 };
-                self.tell(d, &Event::Request(new));
+                self.tell(d, &Event::RequestReceived(new));
             }
             What::Timer(d, life, token) if life == self.dispatchers[d].1 => {
-                self.tell(d, &Event::Timer { token });
+                self.tell(d, &Event::TimerExpired { token });
             }
             What::Done(d, life, request, attempt, failed) => {
                 let (request, w) = (request / 1024, (request % 1024) as usize);
@@ -264,12 +264,12 @@
                 ];
                 if life == self.dispatchers[d].1 {
                     let outcome = match failed {
-                        true if self.rng.uniform() < 0.5 => Outcome::Full,
+                        true if self.rng.uniform() < 0.5 => Outcome::Rejected,
                         true => Outcome::Error,
-                        false => Outcome::Ok,
+                        false => Outcome::Succeeded,
                     };
-                    let (worker, closed) = (worker(w as u16), outcome == Outcome::Ok);
-                    let event = Event::Outcome {
+                    let (worker, closed) = (worker(w as u16), outcome == Outcome::Succeeded);
+                    let event = Event::AttemptEnded {
                         request,
                         attempt,
                         worker,
@@ -324,10 +324,11 @@
                 if self.case.at_once && self.warmth(w) >= 1.0 {
                     continue;
                 }
-                let budget = self.set.fall_multiple * self.warmth(w) * self.slots() as f64 / WORK
-                    * self.set.tip_after;
+                let budget = self.set.overload_multiple * self.warmth(w) * self.slots() as f64
+                    / WORK
+                    * self.set.overload_window;
                 let most = budget + slack(budget);
-                let from = at - self.set.tip_after;
+                let from = at - self.set.overload_window;
                 let sent = self.workers[w].sends[..=i]
                     .iter()
                     .filter(|s| **s > from)
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -68,17 +68,17 @@
     }
 
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+        self.event(Event::WorkerListReceived { kind, entries })
     }
 
     pub fn request(&mut self, request: RequestId, class: u8) -> Vec<Action> {
         let budget = if class == 0 { 5.0 } else { 10.0 };
         let hint = Some(0.5);
-        self.event(Event::Request(NewRequest {
-            request,
+        self.event(Event::RequestReceived(NewRequest {
+            id: request,
             class,
-            budget,
-            hint,
+            time_limit: budget,
+            expected_work: hint,
             slots: 1.0,
             ..NewRequest::default()
         }))
@@ -102,8 +102,8 @@
         outcome: Outcome,
         report: Vec<f32>,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
-        self.event(Event::Outcome {
+        let closed = outcome == Outcome::Succeeded;
+        self.event(Event::AttemptEnded {
             request,
             attempt,
             worker: to,
@@ -115,7 +115,7 @@
     }
 
     pub fn probed(&mut self, to: WorkerId, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
-        self.event(Event::Probed {
+        self.event(Event::ProbeEnded {
             worker: to,
             outcome,
             elapsed: 0.01,
@@ -124,7 +124,7 @@
     }
 
     pub fn note(&mut self, request: RequestId, attempt: u16, note: Note) -> Vec<Action> {
-        self.event(Event::Note {
+        self.event(Event::AttemptProgress {
             request,
             attempt,
             note,
@@ -142,7 +142,7 @@
             }
             let (at, token) = due.remove(0);
             self.now = at.max(self.now);
-            let actions = self.event(Event::Timer { token });
+            let actions = self.event(Event::TimerExpired { token });
             due.extend(timers(&actions));
             all.extend(actions);
         }
@@ -183,7 +183,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -500,7 +500,7 @@
     };
     for (phase, health) in [
         ("in_service", Health::Ready),
-        ("terminated", Health::Gone),
+        ("terminated", Health::Removed),
         ("leaving", Health::Draining),
     ] {
         let list = List::from_json(text(phase).as_bytes()).expect("a list");
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -3,7 +3,7 @@
 //! renaming in the code can change a key, a word or a message.
 
 use postproxy::decision::interface::{
-    Class, Effect, Entry, Field, Group, Health, Reports, RetryBudget, Settings, WorkerId,
+    Class, DedupScope, Effect, Entry, Health, ReportField, Reports, RetryBudget, Settings, WorkerId,
 };
 use postproxy::net::Config;
 use postproxy::operator_config::Operator;
@@ -1433,50 +1433,50 @@
         "tells-start": true},
     "client-habits": {"marks-retry": true}}"#;
 
-fn class(name: &str, effect: Effect, group: Group) -> Class {
+fn class(name: &str, effect: Effect, group: DedupScope) -> Class {
     Class {
         name: name.into(),
         effect,
-        group,
-        window: 0.0,
-        aim: 1.0,
-        stretch: 0.0,
+        dedup_scope: group,
+        dedup_window: 0.0,
+        latency_objective: 1.0,
+        objective_stretch: 0.0,
         deadline: 10.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        kind: None,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        required_kind: None,
         priority: 0,
         stream: false,
-        allowed_on: None,
-        confined_to: None,
+        allowed_kinds: None,
+        allowed_zones: None,
     }
 }
 
 fn full_settings() -> Settings {
     let first = Class {
-        window: 1.5,
-        aim: 0.25,
-        stretch: 2.5,
+        dedup_window: 1.5,
+        latency_objective: 0.25,
+        objective_stretch: 2.5,
         deadline: 6.0,
-        worth: 3.0,
-        late_worth: 0.5,
-        kind: Some(0),
+        priority_weight: 3.0,
+        late_weight: 0.5,
+        required_kind: Some(0),
         priority: 5,
         stream: true,
-        allowed_on: Some(vec![0]),
-        confined_to: Some(vec![1]),
-        ..class("a", Effect::Safe, Group::All)
+        allowed_kinds: Some(vec![0]),
+        allowed_zones: Some(vec![1]),
+        ..class("a", Effect::Idempotent, DedupScope::All)
     };
     let second = Class {
-        stretch: 1.5,
+        objective_stretch: 1.5,
         priority: 6,
-        ..class("b", Effect::Keyed, Group::Zone)
+        ..class("b", Effect::IdempotentByKey, DedupScope::Zone)
     };
     let third = Class {
-        stretch: 1.25,
+        objective_stretch: 1.25,
         priority: 7,
-        kind: Some(1),
-        ..class("c", Effect::Unsafe, Group::Cell)
+        required_kind: Some(1),
+        ..class("c", Effect::NotIdempotent, DedupScope::Cell)
     };
     let names = [
         "backlog",
@@ -1489,55 +1489,55 @@
         "errors_per_s",
     ];
     Settings {
-        balancers: 2,
+        dispatcher_count: 2,
         zone: 1,
         classes: vec![first, second, third],
-        list_on_request: true,
-        must_ask_in: 11.0,
+        discovery_on_request: true,
+        max_poll_interval: 11.0,
         tick: 0.002,
         reports: Reports::Answers,
         fields: vec![
-            Field::Queue,
-            Field::InFlight,
-            Field::ServiceMs,
-            Field::FreeSlots,
-            Field::FreeMemory,
-            Field::Other,
-            Field::Other,
-            Field::Other,
+            ReportField::Queue,
+            ReportField::InFlight,
+            ReportField::ServiceMs,
+            ReportField::FreeSlots,
+            ReportField::FreeMemory,
+            ReportField::Other,
+            ReportField::Other,
+            ReportField::Other,
         ],
-        may_probe: true,
-        may_cancel: true,
-        second_copies: true,
+        probes_allowed: true,
+        cancel_allowed: true,
+        hedging_allowed: true,
         max_retry_after: 2.25,
         max_attempts: 4,
         dial_timeout: 0.125,
-        worth_by_work: true,
+        weight_by_work: true,
         probe_price: 0.01,
         cross_zone_price: 0.02,
         fetch_price: 0.03,
         waste_price: 0.04,
-        by_priority: true,
-        tells_start: true,
-        progress: 2.75,
-        marks_retry: true,
-        sized: true,
-        cold_from: 0.12,
-        cold: 23.0,
-        fall_multiple: 3.5,
-        tip_after: 2.5,
+        priority_queues: true,
+        reports_start: true,
+        progress_interval: 2.75,
+        clients_mark_retries: true,
+        sizes_compare: true,
+        initial_capacity_share: 0.12,
+        warm_up_time: 23.0,
+        overload_multiple: 3.5,
+        overload_window: 2.5,
         retry_budget: Some(RetryBudget {
-            spare: 7.0,
+            min_retries: 7.0,
             ratio: 0.5,
-            look_back: 10.5,
+            window: 10.5,
         }),
-        full_proves_nothing: true,
+        full_may_have_run: true,
         zone_names: vec!["riga".into(), "cesis".into()],
         kind_names: vec!["std-4".into()],
         tenant_names: vec!["baltvedums".into()],
         field_names: names.map(str::to_owned).to_vec(),
-        conn_idle: 5.0,
-        max_open: 77,
+        idle_timeout: 5.0,
+        max_waiting_requests: 77,
     }
 }
 
@@ -1552,42 +1552,42 @@
 #[test]
 fn absent_keys_of_settings_have_their_defaults() {
     let expected = Settings {
-        balancers: 1,
+        dispatcher_count: 1,
         zone: 0,
-        classes: vec![class("", Effect::Unsafe, Group::Cell)],
-        list_on_request: false,
-        must_ask_in: 10.0,
+        classes: vec![class("", Effect::NotIdempotent, DedupScope::Cell)],
+        discovery_on_request: false,
+        max_poll_interval: 10.0,
         tick: 0.001,
         reports: Reports::None,
         fields: vec![],
-        may_probe: false,
-        may_cancel: false,
-        second_copies: false,
+        probes_allowed: false,
+        cancel_allowed: false,
+        hedging_allowed: false,
         max_retry_after: 0.0,
         max_attempts: 3,
         dial_timeout: 0.25,
-        worth_by_work: false,
+        weight_by_work: false,
         probe_price: 0.0,
         cross_zone_price: 0.0,
         fetch_price: 0.0,
         waste_price: 0.0,
-        by_priority: false,
-        tells_start: false,
-        progress: 0.0,
-        marks_retry: false,
-        sized: false,
-        cold_from: 1.0,
-        cold: 0.0,
-        fall_multiple: 3.0,
-        tip_after: 2.0,
+        priority_queues: false,
+        reports_start: false,
+        progress_interval: 0.0,
+        clients_mark_retries: false,
+        sizes_compare: false,
+        initial_capacity_share: 1.0,
+        warm_up_time: 0.0,
+        overload_multiple: 3.0,
+        overload_window: 2.0,
         retry_budget: None,
-        full_proves_nothing: false,
+        full_may_have_run: false,
         zone_names: vec![],
         kind_names: vec![],
         tenant_names: vec![],
         field_names: vec![],
-        conn_idle: 0.0,
-        max_open: 0,
+        idle_timeout: 0.0,
+        max_waiting_requests: 0,
     };
     assert_eq!(
         Settings::from_json(r#"{"services": [{}]}"#).expect("they are sound"),
@@ -1631,7 +1631,7 @@
     let names: Vec<&str> = members.iter().map(|member| &*member.id).collect();
     assert_eq!(names, ["s-1", "s-2", "s-3"]);
     let health: Vec<Health> = members.iter().map(|member| member.entry.health).collect();
-    assert_eq!(health, [Health::Ready, Health::Gone, Health::Draining]);
+    assert_eq!(health, [Health::Ready, Health::Removed, Health::Draining]);
     assert_eq!(members[0].address, SocketAddr::from(([127, 0, 0, 4], 9001)));
     let entry = Entry {
         worker: WorkerId::default(),
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -121,7 +121,7 @@
     let entries = list(0, &discovery.leaves);
     dispatcher.handle(
         0.0,
-        &Event::List {
+        &Event::WorkerListReceived {
             kind: ListKind::Cached,
             entries,
         },
@@ -150,7 +150,7 @@
                     let entries = list(left, &discovery.leaves);
                     dispatcher.handle(
                         now,
-                        &Event::List {
+                        &Event::WorkerListReceived {
                             kind: ListKind::Full,
                             entries,
                         },
@@ -176,12 +176,12 @@
         actions.clear();
         if tick.is_multiple_of(10) {
             let new = NewRequest {
-                request: tick + 1,
-                budget: 5.0,
+                id: tick + 1,
+                time_limit: 5.0,
                 slots: 1.0,
                 ..NewRequest::default()
             };
-            dispatcher.handle(now, &Event::Request(new), &mut actions);
+            dispatcher.handle(now, &Event::RequestReceived(new), &mut actions);
             for to in sends(&actions) {
                 let leaving = discovery.leaves.iter().find(|(_, n)| worker(*n) == to);
                 if let Some((at, n)) =
@@ -194,10 +194,14 @@
                 checked += u64::from(leaving.is_some());
             }
             let sent = sends(&actions);
-            dispatcher.handle(now, &Event::ClientGone { request: tick + 1 }, &mut actions);
+            dispatcher.handle(
+                now,
+                &Event::ClientDisconnected { request: tick + 1 },
+                &mut actions,
+            );
             for (worker, attempt) in sent.into_iter().zip(0..) {
                 let (request, outcome, report) = (tick + 1, Outcome::Cancelled, Vec::new());
-                let ended = Event::Outcome {
+                let ended = Event::AttemptEnded {
                     request,
                     attempt,
                     worker,
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -514,7 +514,7 @@
             Health::Ready,
             Health::Draining,
             Health::Draining,
-            Health::Gone
+            Health::Removed
         ]
     );
 }
