--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -217,7 +217,7 @@
     fn give_final_answer(&mut self, id: RequestId) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_harmless = !request.may_have_run() || class.repeats_anywhere(request.without_key);
+        let is_harmless = !request.may_have_run() || class.can_repeat_anywhere(request.without_key);
         let answer = if is_harmless {
             let retry_after = self.settings.max_retry_after.min(class.latency_objective);
             Action::Reject {
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::dispatcher::{Dispatcher, TimerKind};
 use super::estimates::smooth;
-use super::interface::{Action, Effect, Note, Outcome, Reports, RequestId};
+use super::interface::{Action, Effect, Outcome, ProgressNote, ReportSource, RequestId};
 use super::parameters::{
     HEDGE_DELAY, MAX_RUN_TIME, REJECTED_ACCEPTANCE, SILENCE_INTERVALS, SMOOTHING,
 };
@@ -144,7 +144,7 @@
             && request.in_flight() < MAX_IN_FLIGHT;
         let only_hedges_find_capacity = self.can_cancel_waiting_jobs()
             && !self.settings.probes_allowed
-            && self.settings.reports != Reports::None;
+            && self.settings.report_source != ReportSource::None;
         let is_unbound = self.settings.retry_budget.is_some() || only_hedges_find_capacity;
         is_permitted && (is_unbound || self.budgets.hedges >= 1.0)
     }
@@ -171,7 +171,7 @@
 
     /// Handles a progress report of an attempt in flight. Its worker is no longer ejected; when the
     /// job has started, the other attempts of the request that still wait are cancelled.
-    pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u16, note: Note) {
+    pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u16, note: ProgressNote) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(|request| request.attempts.get_mut(attempt as usize));
         let Some(attempt) = attempt else {
@@ -180,7 +180,7 @@
         attempt.last_progress = self.now;
         let worker = &mut self.workers.all[attempt.worker];
         worker.ejected_until = worker.ejected_until.min(self.now);
-        if attempt.started.is_none() && note != Note::Unknown {
+        if attempt.started.is_none() && note != ProgressNote::Unknown {
             attempt.started = Some(self.now);
             self.cancel_attempts(id, |attempt| attempt.started.is_none());
         }
--- a/src/decision/configuration.rs
+++ b/src/decision/configuration.rs
@@ -1,21 +1,22 @@
-//! What a dispatcher is configured with: classes of requests, limits, prices and the figures of
-//! load reports.
+//! The configuration of a dispatcher: classes of requests, limits, prices and the figures of load
+//! reports. Times are seconds.
 
 use super::figures::sound;
 use super::worker_entry::{Entry, NO_CELL, NO_ZONE};
 
-/// What may be done with a request that may already have run.
+/// Whether a request that may already have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat anywhere.
+    /// It can be sent again to any worker.
     Idempotent,
-    /// Carries a key: one group of workers drops its repeats, for a while.
+    /// It carries an idempotency key: for some time, the workers of one [`DedupScope`] drop its
+    /// duplicates.
     IdempotentByKey,
-    /// Must never run twice.
+    /// It must never run twice.
     NotIdempotent,
 }
 
-/// The workers that drop repeats of one keyed request.
+/// The workers that share the idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every worker.
@@ -31,49 +32,52 @@
 pub struct Class {
     /// Its name, as requests give it.
     pub name: String,
-    /// What may be done with a request that may have run.
+    /// Whether a request that may have run can be sent again.
     pub effect: Effect,
-    /// For keyed requests, who drops the repeats.
+    /// For requests with an idempotency key, the workers that drop duplicates of one another's.
     pub dedup_scope: DedupScope,
-    /// For keyed requests, how long repeats are dropped, counted from the first send that may have
-    /// run.
+    /// For requests with an idempotency key, how long duplicates are dropped, counted from the
+    /// first attempt that may have run.
     pub dedup_window: f64,
-    /// An answer within this time, plus `stretch` times the job's own work, earns the full worth.
+    /// Latency objective: an answer within this time, plus `objective_stretch` times the job's own
+    /// work, earns the full weight.
     pub latency_objective: f64,
-    /// See `aim`.
+    /// Multiple of the job's own work that is added to the latency objective.
     pub objective_stretch: f64,
-    /// How long a client waits.
+    /// How long a client waits at most.
     pub deadline: f64,
-    /// Worth of a request answered in time.
+    /// Weight of a request that is answered within its objective.
     pub priority_weight: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// Share of the weight that an answer after the objective still earns.
     pub late_weight: f64,
-    /// The one kind of worker that can run it, if not any.
+    /// The only machine kind that can run it; `None` for any.
     pub required_kind: Option<u16>,
-    /// The only machine kinds it may be sent to; `None` for any. A kind that no worker has admits
-    /// none.
+    /// The machine kinds that it may be sent to; `None` for any.
     pub allowed_kinds: Option<Vec<u32>>,
-    /// The only zones it may be sent to; `None` for any. A zone that no worker is in admits none.
+    /// The zones that it may be sent to; `None` for any.
     pub allowed_zones: Option<Vec<u32>>,
-    /// Priority in the workers' queues, where those go by priority.
+    /// Priority in the workers' queues, if [`Settings::priority_queues`] is set.
     pub priority: i32,
     /// The answer is a stream.
     pub stream: bool,
 }
 
 impl Class {
-    /// Whether it is bound neither to other kinds nor to other zones than this worker's.
+    /// Returns whether requests of this class may be sent to a worker of this kind and zone.
     pub fn admits(&self, entry: &Entry) -> bool {
-        let among =
-            |only: &Option<Vec<u32>>, x: u32| only.as_ref().is_none_or(|only| only.contains(&x));
-        let kind = among(&self.allowed_kinds, entry.kind.into())
+        let allows = |allowed: &Option<Vec<u32>>, number: u32| {
+            allowed
+                .as_ref()
+                .is_none_or(|allowed| allowed.contains(&number))
+        };
+        let kind = allows(&self.allowed_kinds, entry.kind.into())
             && self.required_kind.is_none_or(|k| k == entry.kind);
-        kind && among(&self.allowed_zones, entry.zone.into())
+        kind && allows(&self.allowed_zones, entry.zone.into())
     }
 
-    /// Whether a worker in the second zone and cell drops repeats of what a worker in the first has
-    /// had. Where either may be any, it does not.
-    pub fn drops_repeats(&self, first: (u8, u16), second: (u8, u16)) -> bool {
+    /// Returns whether a worker in the second zone and cell drops duplicates of requests that a
+    /// worker in the first has received. It does not where a zone or cell that matters is unknown.
+    pub fn deduplicates_between(&self, first: (u8, u16), second: (u8, u16)) -> bool {
         let zone = first.0 == second.0 && first.0 != NO_ZONE;
         let cell = first.1 == second.1 && first.1 != NO_CELL;
         match self.dedup_scope {
@@ -83,19 +87,19 @@
         }
     }
 
-    /// What may be done with a request of this class that may have run. Without a key no worker can
-    /// know its repeats.
-    pub fn effect_of(&self, keyless: bool) -> Effect {
-        if keyless && self.effect == Effect::IdempotentByKey {
+    /// Returns the effect of a request of this class. Without an idempotency key no worker can
+    /// recognise its duplicates.
+    pub fn effect_of(&self, without_key: bool) -> Effect {
+        if without_key && self.effect == Effect::IdempotentByKey {
             Effect::NotIdempotent
         } else {
             self.effect
         }
     }
 
-    /// Whether a request that may have run can be repeated at any worker without harm.
-    pub fn repeats_anywhere(&self, keyless: bool) -> bool {
-        let effect = self.effect_of(keyless);
+    /// Returns whether a request that may have run can be sent again to any worker.
+    pub fn can_repeat_anywhere(&self, without_key: bool) -> bool {
+        let effect = self.effect_of(without_key);
         effect == Effect::Idempotent
             || effect == Effect::IdempotentByKey && self.dedup_scope == DedupScope::All
     }
@@ -106,7 +110,7 @@
 pub enum ReportField {
     /// Requests waiting.
     Queue,
-    /// Requests held, waiting or running.
+    /// Requests at the worker, waiting or running.
     InFlight,
     /// Free slots.
     FreeSlots,
@@ -114,100 +118,97 @@
     FreeMemory,
     /// Recent service time without waiting, in milliseconds.
     ServiceMs,
-    /// A figure that the module makes no use of.
+    /// A figure that the module does not use.
     Other,
 }
 
-/// How load reports reach a dispatcher.
+/// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
-    /// In answers and in probe results.
+pub enum ReportSource {
+    /// Answers to attempts and to probes.
     Answers,
-    /// In probe results alone.
+    /// Answers to probes only.
     Probes,
-    /// Not at all.
+    /// There are none.
     None,
 }
 
-/// How many attempts beyond each request's first one dispatcher may make. At each of them, those
-/// made in the last `look_back`, this one counted, stay within `spare + ratio * requests taken in
-/// that time`.
+/// How many attempts beyond each request's first one a dispatcher may send. Within any `window`,
+/// they stay at or below `min_retries + ratio * requests admitted in the window`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts however light the traffic is.
+    /// Retries that are always allowed, however light the traffic is.
     pub min_retries: f64,
-    /// Further attempts for each request taken.
+    /// Retries for each admitted request.
     pub ratio: f64,
-    /// The time over which both are counted.
+    /// The time over which retries and admitted requests are counted, in seconds.
     pub window: f64,
 }
 
-/// What a dispatcher is configured with at its start.
+/// The configuration that a dispatcher is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many dispatchers there are.
+    /// Number of dispatchers that send to the workers.
     pub dispatcher_count: u32,
     /// Zone of this dispatcher.
     pub zone: u8,
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The list of workers answers only when asked.
+    /// Discovery answers polls only; it can't be watched.
     pub discovery_on_request: bool,
-    /// Where the list must be asked, the longest time without a call before the list counts as
-    /// told.
+    /// Where discovery is polled, the longest time between two polls.
     pub max_poll_interval: f64,
     /// Shortest time between two calls of [`crate::Dispatcher::handle`] with different clocks.
     pub tick: f64,
-    /// How load reports come.
-    pub reports: Reports,
+    /// Where load reports come from.
+    pub report_source: ReportSource,
     /// The figures of a load report, in their order.
-    pub fields: Vec<ReportField>,
-    /// Probes are permitted.
+    pub report_fields: Vec<ReportField>,
+    /// Probes are allowed.
     pub probes_allowed: bool,
-    /// Cancels are permitted.
+    /// Attempts in flight may be cancelled.
     pub cancel_allowed: bool,
-    /// Two attempts of one request may be out at a time.
+    /// Hedged requests are allowed: two attempts of one request may be in flight at a time.
     pub hedging_allowed: bool,
-    /// Clients are told how long to stay away after a refusal, at most this long; 0 where they
-    /// aren't.
+    /// Longest Retry-After that a rejected client is given; 0 if it is given none.
     pub max_retry_after: f64,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u16,
-    /// A connection not made within this time has failed.
+    /// Time after which connecting to a worker has failed.
     pub dial_timeout: f64,
-    /// A request's worth counts for each unit of its work, not once.
+    /// The weight of a request counts for each unit of its work, not once.
     pub weight_by_work: bool,
-    /// Points, as a share of all, due for each probe a request.
+    /// Price of one probe for each request, as a share of all weight.
     pub probe_price: f64,
-    /// Points, as a share of all, due for each attempt that crosses zones.
+    /// Price of an attempt that crosses zones, as a share of all weight.
     pub cross_zone_price: f64,
-    /// Points, as a share of all, due where each request makes its worker fetch what its subject
-    /// needs; 0 where nothing is fetched.
+    /// Price, as a share of all weight, if every request makes its worker fetch the data of its
+    /// subject; 0 if nothing is fetched.
     pub fetch_price: f64,
-    /// Points, as a share of all, due where as much work is wasted as was asked for.
+    /// Price, as a share of all weight, if as much work is wasted as was requested.
     pub waste_price: f64,
-    /// Workers serve their queues by the classes' priorities.
+    /// Workers serve their queues in the order of the classes' priorities.
     pub priority_queues: bool,
-    /// Workers tell when a job starts.
+    /// Workers report the start of a job.
     pub reports_start: bool,
-    /// Time between progress notes of a running job; 0 where there are none.
+    /// Time between two progress reports of a running job; 0 if there are none.
     pub progress_interval: f64,
-    /// Clients mark their later tries.
+    /// Clients mark the requests that are retries of earlier ones.
     pub clients_mark_retries: bool,
-    /// The list's size figure compares workers with one another.
+    /// The sizes in the worker list can be compared between workers.
     pub sizes_compare: bool,
-    /// A worker starts at this share of its capacity or more.
+    /// Share of its capacity, from 0 to 1, that a worker has at its start at least.
     pub initial_capacity_share: f64,
-    /// It is warm after this time at the latest.
+    /// Time after its start in which a worker has warmed up at the latest.
     pub warm_up_time: f64,
-    /// Sent more than this multiple of its present capacity for `tip_after`, a cold worker falls
-    /// over.
+    /// A worker that is warming up fails if it is sent more than this multiple of its present
+    /// capacity for `overload_window`.
     pub overload_multiple: f64,
-    /// See `fall_multiple`.
+    /// How long a worker that is warming up withstands an overload.
     pub overload_window: f64,
-    /// Budget of further attempts; `None` where there is none.
+    /// Budget of retries; `None` if they are not limited.
     pub retry_budget: Option<RetryBudget>,
-    /// Workers may answer 'full' for work that they had begun, so that it proves nothing.
+    /// Workers may reject a job that they had begun, so that a rejected attempt may have run.
     pub full_may_have_run: bool,
     /// Names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
@@ -215,17 +216,17 @@
     pub kind_names: Vec<String>,
     /// Names of the tenants, in the order of their numbers.
     pub tenant_names: Vec<String>,
-    /// Names of a load report's figures, in their order.
+    /// Names of the figures of a load report, in their order.
     pub field_names: Vec<String>,
-    /// A worker closes a connection that was idle for so long; 0 where that is not told.
+    /// Time after which a worker closes an idle connection; 0 if it is unknown.
     pub idle_timeout: f64,
-    /// Most requests held at a time; 0 where that is not told.
+    /// Maximum number of requests that wait for an answer at a time; 0 for no limit.
     pub max_waiting_requests: usize,
 }
 
 impl Settings {
-    /// Whether workers may kill a running job of this class for one of a higher priority, which is
-    /// no fault of theirs.
+    /// Returns whether workers may stop a running job of this class for one of a higher priority.
+    /// Such an end is no fault of the worker.
     pub fn may_preempt(&self, class: usize) -> bool {
         let class = &self.classes[class];
         let higher = |other: &Class| other.priority > class.priority;
@@ -234,9 +235,9 @@
             && self.classes.iter().any(higher)
     }
 
-    /// A figure of a load report, if it is there and sound.
+    /// Returns a figure of a load report, if it is present and sound.
     pub fn figure(&self, report: &[f32], field: ReportField) -> Option<f64> {
-        let at = self.fields.iter().position(|&f| f == field)?;
+        let at = self.report_fields.iter().position(|&f| f == field)?;
         report.get(at).and_then(|&v| sound(v.into()))
     }
 }
--- a/src/decision/dispatcher.rs
+++ b/src/decision/dispatcher.rs
@@ -119,12 +119,12 @@
                 attempt,
                 worker,
                 outcome,
-                closed,
+                answered,
                 report,
                 ..
             } => {
                 self.record_attempt_end((*request, *attempt), *worker, *outcome, report);
-                self.handle_outcome(*request, *attempt, *outcome, *closed);
+                self.handle_outcome(*request, *attempt, *outcome, *answered);
             }
             Event::ClientDisconnected { request } => self.forget_request(*request),
             Event::TimerExpired { token } => self.handle_timer(*token),
@@ -147,7 +147,7 @@
             Event::RequestMigrated { request, record } => {
                 self.continue_migrated_request(*request, record);
             }
-            Event::Peer => {}
+            Event::PeerMessage => {}
         }
     }
 
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -5,80 +5,80 @@
 //! finite or below zero are treated as absent by the module.
 
 pub use super::configuration::{
-    Class, DedupScope, Effect, ReportField, Reports, RetryBudget, Settings,
+    Class, DedupScope, Effect, ReportField, ReportSource, RetryBudget, Settings,
 };
 pub use super::figures::sound;
 pub use super::request::{MigratedRequest, RequestId};
 pub use super::settings_error::{REMEDIES, SettingsError};
 pub use super::worker_entry::{Entry, Health, NO_CELL, NO_ZONE, WorkerId};
 
-/// How a list is to be read.
+/// How the entries of a worker list are to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Delta,
-    /// The complete list; who is absent is gone.
+    /// The complete list; a worker that is absent has been removed.
     Full,
-    /// The complete list as it was last held, perhaps stale.
+    /// The complete list from a cache; it may be stale.
     Cached,
-    /// Changed entries, passed on by another node: they tell nothing of the calls to the list.
+    /// Changed entries that a peer passed on. They don't show that discovery can be reached.
     FromPeer,
-    /// A call to the list failed or the watch on it broke; no entries.
+    /// A call to discovery failed or the watch on it broke; there are no entries.
     Failed,
 }
 
-/// A request that has just arrived.
+/// A request that a client has submitted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NewRequest {
-    /// Its id.
+    /// Its number at this dispatcher.
     pub id: RequestId,
     /// Index of its class.
     pub class: u8,
     /// Index of its tenant.
     pub tenant: u16,
-    /// Subject; 0 for none.
+    /// Number of the subject that it is about, by which workers cache data; 0 for none.
     pub subject: u64,
-    /// Time until the client gives up.
+    /// Time until the client gives up, in seconds.
     pub time_limit: f64,
-    /// Expected work in seconds on a standard core, where told.
+    /// Expected work in seconds on a standard core, if it is stated.
     pub expected_work: Option<f64>,
     /// Slots that it takes.
     pub slots: f64,
     /// Memory units that it takes.
     pub memory: f64,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry of an earlier request.
     pub is_marked_retry: bool,
-    /// It carries no key by which workers would know its repeats.
+    /// It carries no idempotency key.
     pub without_key: bool,
 }
 
 /// How an attempt, or a probe, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The worker served it.
     Succeeded,
     /// The worker answered with an error.
     Error,
-    /// Turned away, queue full or draining: unseen, unless [`Settings::full_may_have_run`].
+    /// The worker rejected it, because its queue is full or it is draining. It has not run, unless
+    /// [`Settings::full_may_have_run`] is set.
     Rejected,
-    /// No answer within the time.
+    /// The worker did not answer before the timeout.
     Timeout,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Cancelled.
+    /// It was cancelled after it had been sent.
     Cancelled,
-    /// Never sent.
+    /// It was cancelled locally, before it was sent.
     CancelledLocally,
-    /// An outcome that this version does not know; it proves nothing.
+    /// An outcome that this version does not know. The job may have run.
     Unknown(u16),
 }
 
 impl Outcome {
-    /// Whether an attempt that ended so has certainly not run, by the protocol's table of outcomes.
-    /// Whatever decides on a further attempt, or on what the client may do, asks here;
-    /// `full_may_have_run` is what the settings say.
+    /// Returns whether the job of an attempt that ended so has certainly not run, by the protocol's
+    /// table of outcomes. `full_may_have_run` is [`Settings::full_may_have_run`].
     pub fn proves_never_ran(self, full_may_have_run: bool) -> bool {
         match self {
             Self::ConnectFailed | Self::CancelledLocally => true,
@@ -93,43 +93,44 @@
     }
 }
 
-/// What a note on a running attempt says.
+/// What a worker reports of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressNote {
     /// The job has started.
     Started,
-    /// This share of it is done.
+    /// This share of the job is done, from 0 to 1.
     Progress(f64),
-    /// A note that this version does not know.
+    /// A report that this version does not know.
     Unknown,
 }
 
-/// What another process of this node does with the same workers: limits and budgets are one node's.
+/// An event of the sibling process, which sends to the same workers. Limits and budgets are those
+/// of the node, so both processes count it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiblingEvent {
-    /// It took requests, and made further attempts, at these times.
+    /// It admitted requests and sent retries at these times.
     BudgetHistory {
-        /// Requests.
+        /// When requests were admitted.
         admitted: Vec<f64>,
-        /// Further attempts.
+        /// When retries were sent.
         retries: Vec<f64>,
     },
     /// It sent an attempt.
     AttemptSent {
-        /// The request's number here, which no request of this dispatcher has.
+        /// The request's number, which no request of this dispatcher has.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
         /// The worker.
         worker: WorkerId,
-        /// Slots.
+        /// Slots that it takes.
         slots: f64,
-        /// Expected work in seconds, where told.
+        /// Expected work in seconds, if it is stated.
         work: Option<f64>,
-        /// When.
+        /// When it was sent.
         sent: f64,
     },
-    /// An attempt of its ended.
+    /// One of its attempts ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -140,33 +141,34 @@
     },
 }
 
-/// What a dispatcher is told.
+/// An event that a dispatcher handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A list of workers.
+    /// A worker list arrived, or a call to discovery failed.
     WorkerListReceived {
-        /// How to read it.
+        /// How its entries are to be read.
         kind: ListKind,
         /// Its entries.
         entries: Vec<Entry>,
     },
-    /// A request arrived.
+    /// A client submitted a request.
     RequestReceived(NewRequest),
-    /// The stream of an attempt has started; it belongs to the client now.
+    /// An attempt has begun to stream its answer to the client. From now on the request can't be
+    /// retried.
     AttemptStreaming {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
     },
-    /// News of an attempt that is still out.
+    /// A worker reported on an attempt in flight.
     AttemptProgress {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
-        /// The news.
-        note: Note,
+        /// The report.
+        note: ProgressNote,
     },
     /// An attempt ended.
     AttemptEnded {
@@ -180,37 +182,39 @@
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: f64,
-        /// The request has its final answer.
-        closed: bool,
+        /// The client has the final answer of the request.
+        answered: bool,
         /// Load report, in the order of [`Settings::fields`]; empty for none.
         report: Vec<f32>,
     },
-    /// The client left; nothing is owed any more.
+    /// The client disconnected; the request needs no answer any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// An operator takes a worker out of use, or back into it; it holds whatever the list says.
+    /// An operator suspended or resumed a worker. A suspension applies whatever the worker list
+    /// says.
     SuspensionChanged {
         /// The worker.
         worker: WorkerId,
-        /// It is to be used again.
+        /// The worker is resumed; otherwise it is suspended.
         resume: bool,
     },
-    /// So many dispatchers may send to the workers, in place of what the settings say.
+    /// The number of dispatchers that send to the workers changed. It replaces
+    /// [`Settings::dispatcher_count`].
     DispatcherCountChanged(u32),
-    /// News of another process of this node, which takes over or is taken over.
+    /// The sibling process, to or from which requests migrate, sent or ended attempts.
     SiblingEvent(SiblingEvent),
-    /// A request of another process of this node goes on here.
+    /// A request of the sibling process continues here.
     RequestMigrated {
-        /// Its number here.
+        /// Its number at this dispatcher.
         request: RequestId,
-        /// What was noted of it there.
+        /// Its record in the sibling process.
         record: Box<MigratedRequest>,
     },
-    /// A timer came due.
+    /// A timer expired.
     TimerExpired {
-        /// As set by [`Action::Timer`].
+        /// The token of the [`Action::Timer`] that set it.
         token: u64,
     },
     /// A probe ended.
@@ -225,13 +229,13 @@
         report: Vec<f32>,
     },
     /// A message from another dispatcher. The module sends none and ignores them.
-    Peer,
+    PeerMessage,
 }
 
-/// What a dispatcher asks for.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask for the changes of the list from now on.
+    /// Watch discovery for changes of the worker list.
     WatchDiscovery,
     /// Send an attempt.
     Send {
@@ -239,36 +243,36 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Time-out; 0 until the client gives up.
+        /// Timeout in seconds; 0 for none before the client gives up.
         timeout: f64,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Final answer: rejected. The request has not run, or may safely be submitted again.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// Seconds after which the client should retry; 0 for no advice.
         retry_after: f64,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed. The request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Set a timer; it can't be withdrawn.
+    /// Set a timer. Timers are never cancelled.
     Timer {
-        /// When it comes due.
+        /// When it expires.
         at: f64,
-        /// Comes back with [`Event::TimerExpired`].
+        /// Returned with [`Event::TimerExpired`].
         token: u64,
     },
-    /// Ask a worker for its load.
+    /// Ask a worker for its load report.
     Probe {
         /// The worker.
         worker: WorkerId,
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -2,7 +2,7 @@
 
 use super::dispatcher::Dispatcher;
 use super::estimates::smooth;
-use super::interface::{ReportField, Reports};
+use super::interface::{ReportField, ReportSource};
 use super::parameters::{
     CANDIDATE_POOL_SIZE, MAX_EJECTION_TIME, MEAN_LOAD_DECAY, OTHERS_LOAD_DECAY, OTHERS_LOAD_WEIGHT,
     REPORT_DELAY, REPORT_LIFETIME,
@@ -82,9 +82,9 @@
         });
         // Without reports the own attempts alone show no queue: other dispatchers are assumed to
         // hold as much.
-        let dispatchers = match self.settings.reports {
-            Reports::None => self.settings.dispatcher_count.max(1).into(),
-            Reports::Answers | Reports::Probes => 1.0,
+        let dispatchers = match self.settings.report_source {
+            ReportSource::None => self.settings.dispatcher_count.max(1).into(),
+            ReportSource::Answers | ReportSource::Probes => 1.0,
         };
         (mean + deviation).max(0.0) + worker.own_load_before(f64::INFINITY) * dispatchers
     }
@@ -104,7 +104,7 @@
 
     /// Returns the expected wait for a slot of a worker, in seconds.
     pub(super) fn expected_wait(&self, worker: &Worker) -> f64 {
-        let is_known = self.settings.reports == Reports::None
+        let is_known = self.settings.report_source == ReportSource::None
             || self
                 .estimates
                 .others_load_by_kind
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -4,17 +4,16 @@
 //! current time to [`dispatcher::Dispatcher::handle`] and carries out the [`interface::Action`]s
 //! that it returns. The same seed and the same events give the same actions.
 //!
-//! - [`dispatcher`] takes events and timers to the module that handles them;
-//! - `admission` admits, holds and answers requests, `attempts` sends and reviews their attempts;
-//! - `selection` draws a worker, under the rules of `rules`, with the loads of `load`, the passes
-//!   of `slow_start`
-//!   and the answers to `probes`;
-//! - `ejection` takes outliers out of the draws; `discovery` applies worker lists and suspensions;
+//! - [`dispatcher`] passes events and timers to the module that handles them;
+//! - `admission` admits, queues and answers requests; `attempts` sends and reviews their attempts;
+//! - `selection` draws a worker, under the constraints of `rules`, with the loads of `load`, the
+//!   passes of `slow_start` and the answers to `probes`;
+//! - `ejection` ejects outliers from selection; `discovery` applies worker lists and suspensions;
 //! - `migration` moves requests between two processes of the node;
-//! - `configuration` has the settings, `settings` reads them from JSON;
+//! - `configuration` has the settings; `settings` reads them from JSON, with the sections of
+//!   `settings_file` and the checks of `settings_validation`;
 //! - `workers`, `request`, `estimates`, `budgets`, `event_times` and `discovery_calls` are the
-//!   state, `parameters` the
-//!   constants.
+//!   state; `parameters` has the constants.
 
 mod admission;
 pub mod affinity;
@@ -39,6 +38,8 @@
 mod selection;
 pub mod settings;
 mod settings_error;
+mod settings_file;
+mod settings_validation;
 mod slow_start;
 mod worker_entry;
 mod workers;
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -50,7 +50,7 @@
     /// Returns whether this worker would recognise a repeat of the attempt by its key.
     fn is_repeat_dropped(&self, class: &Class, attempt: &Attempt, worker: &Worker) -> bool {
         let cell = (worker.entry.zone, worker.entry.cell);
-        class.drops_repeats(attempt.cell, cell) && self.now < self.window_end(class, attempt)
+        class.deduplicates_between(attempt.cell, cell) && self.now < self.window_end(class, attempt)
     }
 
     /// Returns until when a request with a key may be sent again. What counts is its arrival at the
--- a/src/decision/worker_entry.rs
+++ b/src/decision/worker_entry.rs
@@ -13,21 +13,21 @@
     pub port: u16,
 }
 
-/// What the list says of a worker.
+/// State of a worker in the worker list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// Takes work.
+    /// It accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// It finishes the requests that it has; no new ones may be sent.
     Draining,
-    /// Removed.
+    /// It was removed from the list.
     Removed,
 }
 
-/// The zone of a worker of which none is told: it is in no zone with any other.
+/// The zone of a worker whose zone is unknown: it shares no zone with any other worker.
 pub const NO_ZONE: u8 = u8::MAX;
-/// The cell of a worker of which none is told: it is in no cell with any other.
+/// The cell of a worker whose cell is unknown: it shares no cell with any other worker.
 pub const NO_CELL: u16 = u16::MAX;
 
 /// A worker's entry in the list.
@@ -41,12 +41,12 @@
     pub kind: u16,
     /// Its cell.
     pub cell: u16,
-    /// What the list says of it.
+    /// Its state.
     pub health: Health,
-    /// What it is called at every dispatcher alike, as a number.
+    /// Number that identifies it, the same at every dispatcher.
     pub identity: u64,
-    /// A figure of its size, for comparison with other workers.
+    /// Its size, for comparison with other workers.
     pub size: f64,
-    /// Time of its latest start; 0 for long ago.
+    /// When it last started, in seconds; 0 for long ago.
     pub started: f64,
 }
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -2,7 +2,7 @@
 
 use super::durability::Durability;
 use super::in_flight::{Attempt, CoalescedWaiter, RequestManager};
-use crate::decision::interface::{Event, Note, Outcome, RequestId};
+use crate::decision::interface::{Event, Outcome, ProgressNote, RequestId};
 use crate::net::messages::{Answer, ClientId, Command, JobCall, JobState, Wait};
 use postproxy_idempotency::{Completion, Resolution};
 
@@ -39,15 +39,15 @@
         let key = (request, attempt as u16);
         let (outcome, mut writes) = match call.state {
             JobState::Started => {
-                self.note(key, Note::Started);
+                self.note(key, ProgressNote::Started);
                 return false;
             }
             JobState::Running(share) => {
-                self.note(key, Note::Progress(share));
+                self.note(key, ProgressNote::Progress(share));
                 return false;
             }
             JobState::Unknown => {
-                self.note(key, Note::Unknown);
+                self.note(key, ProgressNote::Unknown);
                 return false;
             }
             JobState::Done(result) => {
@@ -133,7 +133,7 @@
         waits
     }
 
-    pub(super) fn note(&mut self, (request, attempt): (RequestId, u16), note: Note) {
+    pub(super) fn note(&mut self, (request, attempt): (RequestId, u16), note: ProgressNote) {
         self.events.push_back(Event::AttemptProgress {
             request,
             attempt,
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -451,7 +451,7 @@
             worker,
             outcome,
             elapsed,
-            closed,
+            answered: closed,
             report,
         };
         self.events.push_back(event);
--- a/src/simulator_protocol.rs
+++ b/src/simulator_protocol.rs
@@ -5,7 +5,7 @@
 
 use crate::decision::affinity;
 use crate::decision::interface::{
-    Action, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId, WorkerId,
+    Action, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, RequestId, WorkerId,
 };
 use std::fmt;
 use std::io::{self, Read};
@@ -223,7 +223,7 @@
                 worker,
                 outcome: outcome(code),
                 elapsed,
-                closed,
+                answered: closed,
                 report: c.report()?,
             }
         }
@@ -242,16 +242,16 @@
             c.u16()?;
             let length = c.u16()? as usize;
             c.take(length)?;
-            Event::Peer
+            Event::PeerMessage
         }
         _ => {
             let (request, attempt) = (c.u64()?, c.u16()?);
             c.worker()?;
             let (topic, value) = (c.u8()?, c.f32()?);
             let note = match topic {
-                1 => Note::Started,
-                2 => Note::Progress(value.into()),
-                _ => Note::Unknown,
+                1 => ProgressNote::Started,
+                2 => ProgressNote::Progress(value.into()),
+                _ => ProgressNote::Unknown,
             };
             Event::AttemptProgress {
                 request,
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -5,7 +5,8 @@
 use super::random::Generator;
 use super::scenario::{Figure, Scenario};
 use postproxy::{
-    Action, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, SiblingEvent, WorkerId,
+    Action, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, SiblingEvent,
+    WorkerId,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -176,7 +177,7 @@
             entries: Vec::new(),
         });
         self.list(ListKind::Cached);
-        self.tell(&Event::Peer);
+        self.tell(&Event::PeerMessage);
         self.plan(0.25, Pending::Arrival);
         self.plan(1.0, Pending::ListChange);
         if self.operator {
@@ -483,9 +484,9 @@
             return;
         }
         let note = match count {
-            0 => Note::Started,
-            count if count % 3 == 0 => Note::Unknown,
-            count => Note::Progress(f64::from(count.min(8)) / 8.0),
+            0 => ProgressNote::Started,
+            count if count % 3 == 0 => ProgressNote::Unknown,
+            count => ProgressNote::Progress(f64::from(count.min(8)) / 8.0),
         };
         let (request, attempt) = key;
         self.tell(&Event::AttemptProgress {
@@ -540,7 +541,7 @@
             worker: self.workers[attempt.worker].entry.worker,
             outcome,
             elapsed: seconds(self.now - attempt.sent),
-            closed: self.requests[&key.0].answered,
+            answered: self.requests[&key.0].answered,
             report,
         };
         self.tell(&event);
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -1,7 +1,7 @@
 //! Events and actions as lines of text that don't depend on the names of Rust types; numbers are written exactly.
 
 use postproxy::{
-    Action, Entry, Event, Health, ListKind, MigratedRequest, NewRequest, Note, Outcome,
+    Action, Entry, Event, Health, ListKind, MigratedRequest, NewRequest, Outcome, ProgressNote,
     SiblingEvent, WorkerId,
 };
 
@@ -70,11 +70,11 @@
     }
 }
 
-fn note_text(note: Note) -> String {
+fn note_text(note: ProgressNote) -> String {
     match note {
-        Note::Started => "started".into(),
-        Note::Progress(share) => format!("progress {share:?}"),
-        Note::Unknown => "other".into(),
+        ProgressNote::Started => "started".into(),
+        ProgressNote::Progress(share) => format!("progress {share:?}"),
+        ProgressNote::Unknown => "other".into(),
     }
 }
 
@@ -158,10 +158,10 @@
             worker,
             outcome,
             elapsed,
-            closed,
+            answered,
             report,
         } => format!(
-            "outcome {request}.{attempt} {} {} after {elapsed:?} closed {closed} report [{}]",
+            "outcome {request}.{attempt} {} {} after {elapsed:?} closed {answered} report [{}]",
             worker_text(*worker),
             outcome_text(*outcome),
             report_text(report)
@@ -187,7 +187,7 @@
             outcome_text(*outcome),
             report_text(report)
         ),
-        Event::Peer => "peer".into(),
+        Event::PeerMessage => "peer".into(),
     };
     format!("{now:?} {text}")
 }
--- a/tests/decisions/wire.rs
+++ b/tests/decisions/wire.rs
@@ -1,7 +1,9 @@
 //! The byte form of the program `postproxy-drill`: events into records, replies into actions. Written apart from the
 //! program's own code, so that a change of the form there shows.
 
-use postproxy::{Action, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId};
+use postproxy::{
+    Action, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, WorkerId,
+};
 
 /// Number of the dispatcher in the program.
 const INSTANCE: u32 = 1;
@@ -115,11 +117,11 @@
     record(18, &bytes)
 }
 
-fn note_record(request: u64, attempt: u16, note: Note) -> Vec<u8> {
+fn note_record(request: u64, attempt: u16, note: ProgressNote) -> Vec<u8> {
     let (topic, value) = match note {
-        Note::Started => (1, 0.0),
-        Note::Progress(share) => (2, share as f32),
-        Note::Unknown => (9, 0.0),
+        ProgressNote::Started => (1, 0.0),
+        ProgressNote::Progress(share) => (2, share as f32),
+        ProgressNote::Unknown => (9, 0.0),
     };
     let mut bytes = attempt_bytes(request, attempt);
     bytes.extend(worker_bytes(WorkerId::default()));
@@ -148,14 +150,14 @@
             worker,
             outcome,
             elapsed,
-            closed,
+            answered,
             report,
         } => {
             let mut bytes = attempt_bytes(*request, *attempt);
             bytes.extend(worker_bytes(*worker));
             bytes.extend(outcome_code(*outcome).to_le_bytes());
             bytes.extend(elapsed.to_le_bytes());
-            bytes.extend([u8::from(*closed), 0]);
+            bytes.extend([u8::from(*answered), 0]);
             bytes.extend(report_bytes(report));
             record(20, &bytes)
         }
@@ -173,7 +175,7 @@
             bytes.extend(report_bytes(report));
             record(23, &bytes)
         }
-        Event::Peer => record(24, &[0, 0, 2, 0, 7, 7]),
+        Event::PeerMessage => record(24, &[0, 0, 2, 0, 7, 7]),
         Event::SuspensionChanged { .. }
         | Event::DispatcherCountChanged(_)
         | Event::SiblingEvent(_)
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -5,7 +5,8 @@
 
 use dispatcher_harness::*;
 use postproxy::{
-    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId,
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote,
+    RequestId,
 };
 use std::collections::BTreeMap;
 
@@ -383,7 +384,7 @@
     let copy = sends(&harness.run(100.3, &mut due));
     assert!(copy.len() == 1 && copy != to);
     assert_eq!(
-        harness.note(1, 1, Note::Started),
+        harness.note(1, 1, ProgressNote::Started),
         [Action::Cancel {
             request: 1,
             attempt: 0
@@ -609,7 +610,7 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 4);
     assert_eq!(harness.outcome(77, 0, worker(1), Outcome::Succeeded), []);
     assert_eq!(harness.outcome(77, 9, worker(999), Outcome::Error), []);
-    assert_eq!(harness.note(77, 3, Note::Started), []);
+    assert_eq!(harness.note(77, 3, ProgressNote::Started), []);
     assert_eq!(
         harness.probed(worker(999), Outcome::Succeeded, vec![f32::NAN]),
         []
@@ -1083,7 +1084,7 @@
         assert!(!sends(&again).contains(&first[0]));
         if cancel {
             assert_eq!(
-                harness.note(1, 1, Note::Started),
+                harness.note(1, 1, ProgressNote::Started),
                 [Action::Cancel {
                     request: 1,
                     attempt: 0
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -7,7 +7,7 @@
 
 use dispatcher_harness::*;
 use node_harness::Peer;
-use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId};
+use postproxy::{Action, Health, ListKind, Outcome, ProgressNote, RequestId};
 use std::time::Duration;
 
 /// Takes all workers but one out of the list, and lets the request be looked at for so long.
@@ -63,7 +63,7 @@
     let (first, mut due) = (sends(&actions), timers(&actions));
     let copy = sends(&harness.run(100.3, &mut due));
     assert_eq!(
-        harness.note(1, 1, Note::Started),
+        harness.note(1, 1, ProgressNote::Started),
         [Action::Cancel {
             request: 1,
             attempt: 0
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -164,7 +164,7 @@
         to.extend(sends(&answered(&mut harness, probe, now, free, waiting)));
     }
     assert_eq!(to, [worker(0)]);
-    harness.note(1, 0, postproxy::Note::Started);
+    harness.note(1, 0, postproxy::ProgressNote::Started);
     // It says nothing more, while its probes go on: by them it is the emptiest of all.
     let until = harness.now + 2.5;
     harness.run(until, &mut due);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 
 use dispatcher_harness::*;
 use postproxy::{
-    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId,
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, WorkerId,
 };
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
@@ -416,15 +416,15 @@
                         worker,
                         outcome,
                         elapsed: 0.1,
-                        closed,
+                        answered: closed,
                         report,
                     });
                 }
                 (8, Some((request, attempt, _))) => {
                     let note = if pick(2) == 0 {
-                        Note::Started
+                        ProgressNote::Started
                     } else {
-                        Note::Progress(0.5)
+                        ProgressNote::Progress(0.5)
                     };
                     queue.push(Event::AttemptProgress {
                         request,
@@ -471,13 +471,13 @@
         if let Event::AttemptEnded {
             request,
             outcome,
-            closed,
+            answered,
             ..
         } = &mut event
         {
             let job = check.jobs.get_mut(request).ok_or("no job")?;
             job.done |= *outcome == Outcome::Succeeded;
-            *closed = job.done;
+            *answered = job.done;
         }
         let mut actions = Vec::new();
         decides.handle(now, &event, &mut actions);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -275,7 +275,7 @@
                         worker,
                         outcome,
                         elapsed,
-                        closed,
+                        answered: closed,
                         report,
                     };
                     due.push((now + rng.uniform(), end));
--- a/tests/sibling_events.rs
+++ b/tests/sibling_events.rs
@@ -102,7 +102,7 @@
                             worker: to,
                             outcome,
                             elapsed: 0.1,
-                            closed,
+                            answered: closed,
                             report,
                         };
                         done[at] = beds[at].event(event);
@@ -154,7 +154,7 @@
                                 worker,
                                 outcome,
                                 elapsed,
-                                closed,
+                                answered: closed,
                                 report,
                             };
                             let more = beds[at].event(event);
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -1,7 +1,7 @@
 //! Frames: the worked examples of the wire's description, round trips and hostile input.
 
 use postproxy::simulator_protocol::{Batch, Record, Reply, WireError, read_batch};
-use postproxy::{Action, Event, Health, ListKind, Note, Outcome, Settings, WorkerId};
+use postproxy::{Action, Event, Health, ListKind, Outcome, ProgressNote, Settings, WorkerId};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
@@ -183,7 +183,7 @@
         Record::Event(Event::AttemptProgress {
             request: REQUEST,
             attempt: 0,
-            note: Note::Started
+            note: ProgressNote::Started
         })
     );
     let (_, result) = one(
@@ -192,7 +192,7 @@
     let Record::Event(Event::AttemptEnded {
         worker: A,
         outcome: Outcome::Succeeded,
-        closed: true,
+        answered: true,
         report,
         ..
     }) = result
@@ -214,7 +214,7 @@
     );
     assert_eq!(
         one("18 0c000000 03000000 0200 0400 68692037"),
-        (3, Record::Event(Event::Peer))
+        (3, Record::Event(Event::PeerMessage))
     );
     assert_eq!(one("19 04000000 03000000"), (3, Record::Stop));
     let (_, start) = one("10 12000000 03000000 0100000000000000 02000000 7b7d");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -275,7 +275,7 @@
                         worker,
                         outcome,
                         elapsed: 0.1,
-                        closed,
+                        answered: closed,
                         report,
                     };
                     self.tell(d, &event);
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use postproxy::{
-    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId,
-    Settings, WorkerId,
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote,
+    RequestId, Settings, WorkerId,
 };
 
 /// Settings with three classes (0 safe, 1 keyed by cell, 2 unsafe) and what `change` does to the JSON.
@@ -109,7 +109,7 @@
             worker: to,
             outcome,
             elapsed: 0.1,
-            closed,
+            answered: closed,
             report,
         })
     }
@@ -123,7 +123,7 @@
         })
     }
 
-    pub fn note(&mut self, request: RequestId, attempt: u16, note: Note) -> Vec<Action> {
+    pub fn note(&mut self, request: RequestId, attempt: u16, note: ProgressNote) -> Vec<Action> {
         self.event(Event::AttemptProgress {
             request,
             attempt,
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -3,7 +3,8 @@
 //! renaming in the code can change a key, a word or a message.
 
 use postproxy::decision::interface::{
-    Class, DedupScope, Effect, Entry, Health, ReportField, Reports, RetryBudget, Settings, WorkerId,
+    Class, DedupScope, Effect, Entry, Health, ReportField, ReportSource, RetryBudget, Settings,
+    WorkerId,
 };
 use postproxy::net::Config;
 use postproxy::operator_config::Operator;
@@ -1495,8 +1496,8 @@
         discovery_on_request: true,
         max_poll_interval: 11.0,
         tick: 0.002,
-        reports: Reports::Answers,
-        fields: vec![
+        report_source: ReportSource::Answers,
+        report_fields: vec![
             ReportField::Queue,
             ReportField::InFlight,
             ReportField::ServiceMs,
@@ -1558,8 +1559,8 @@
         discovery_on_request: false,
         max_poll_interval: 10.0,
         tick: 0.001,
-        reports: Reports::None,
-        fields: vec![],
+        report_source: ReportSource::None,
+        report_fields: vec![],
         probes_allowed: false,
         cancel_allowed: false,
         hedging_allowed: false,
@@ -1599,12 +1600,14 @@
 fn the_words_for_ways_of_reports_are_known() {
     let reports = |via: &str| {
         let text = format!(r#"{{"report": {{"via": "{via}"}}}}"#);
-        Settings::from_json(&text).expect("they are sound").reports
+        Settings::from_json(&text)
+            .expect("they are sound")
+            .report_source
     };
-    assert_eq!(reports("answers"), Reports::Answers);
-    assert_eq!(reports("probe"), Reports::Probes);
-    assert_eq!(reports("none"), Reports::None);
-    assert_eq!(reports(""), Reports::None);
+    assert_eq!(reports("answers"), ReportSource::Answers);
+    assert_eq!(reports("probe"), ReportSource::Probes);
+    assert_eq!(reports("none"), ReportSource::None);
+    assert_eq!(reports(""), ReportSource::None);
 }
 
 const FULL_CONFIGURATION: &str = r#"{
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -207,7 +207,7 @@
                     worker,
                     outcome,
                     elapsed: 0.0,
-                    closed: false,
+                    answered: false,
                     report,
                 };
                 dispatcher.handle(now, &ended, &mut actions);
