--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -1,6 +1,6 @@
-//! Frames: the worked examples of the wire's description, round trips and hostile input.
+//! The simulator's protocol: the worked examples of its description, and malformed input.
 
-use postproxy::simulator_protocol::{Batch, Record, Reply, WireError, read_batch};
+use postproxy::simulator_protocol::{Batch, DecodeError, Record, Reply, read_batch};
 use postproxy::{Action, Event, Health, ListKind, Outcome, ProgressNote, Settings, WorkerId};
 
 fn hex(text: &str) -> Vec<u8> {
@@ -11,8 +11,8 @@
 }
 
 /// A batch of these records, with the header computed.
-fn batch(records: &[&str]) -> Vec<u8> {
-    let body: Vec<u8> = records.iter().flat_map(|r| hex(r)).collect();
+fn batch_of(records: &[&str]) -> Vec<u8> {
+    let body: Vec<u8> = records.iter().flat_map(|record| hex(record)).collect();
     let mut frame = hex("0c000000 508d976e12d32040");
     frame.extend((body.len() as u32 + 4).to_le_bytes());
     frame.extend((records.len() as u32).to_le_bytes());
@@ -20,45 +20,53 @@
     frame
 }
 
-fn read(bytes: &[u8]) -> Result<Option<Batch>, WireError> {
+fn decode(bytes: &[u8]) -> Result<Option<Batch>, DecodeError> {
     read_batch(&mut &bytes[..])
 }
 
-fn one(record: &str) -> (u32, Record) {
-    let batch = read(&batch(&[record]))
+fn decode_instance(record: &str) -> (u32, Record) {
+    let batch = decode(&batch_of(&[record]))
         .expect("a sound frame")
         .expect("a batch");
-    batch.records.into_iter().next().expect("a record")
+    let first = batch.records.into_iter().next().expect("a record");
+    (first.instance, first.record)
 }
 
-const A: WorkerId = WorkerId {
+fn decode_one(record: &str) -> Record {
+    decode_instance(record).1
+}
+
+const WORKER: WorkerId = WorkerId {
     address: [10, 18, 74, 7],
     port: 8083,
 };
 const REQUEST: u64 = 0x0009_9a9f_5d3a_91c4;
 
 #[test]
-fn the_empty_batch_of_the_page() {
+fn empty_batch_has_the_documented_bytes() {
     let bytes = hex("01000000 508d976e12d32040 04000000 00000000");
-    let batch = read(&bytes).expect("sound").expect("there");
+    let batch = decode(&bytes).expect("sound").expect("there");
     assert_eq!((batch.number, batch.records.len()), (1, 0));
     assert!((batch.now - 8.412_25).abs() < 1e-3, "{}", batch.now);
     assert_eq!(Reply::new(1).into_bytes(), hex("01000000 00000000"));
-    assert!(read(&[]).expect("sound").is_none());
+    assert!(decode(&[]).expect("sound").is_none());
 }
 
 #[test]
-fn the_batch_of_the_page() {
+fn batch_decodes_from_the_documented_bytes() {
     let bytes = hex("0c000000 508d976e12d32040 5b000000 03000000
         12 30000000 03000000 c4913a5d9f9a0900 00 0000 640ad2557c3bf091 b81e85eb51b8ce3f fa7e6abc7493883f 00000040 00000000 01
         16 0c000000 03000000 4d00000000000000
         15 0c000000 05000000 192b6f0e84030a00");
-    let batch = read(&bytes).expect("sound").expect("there");
+    let batch = decode(&bytes).expect("sound").expect("there");
+    let instances: Vec<u32> = batch.records.iter().map(|record| record.instance).collect();
+    assert_eq!(instances, [3, 3, 5]);
+    let records: Vec<&Record> = batch.records.iter().map(|record| &record.record).collect();
     let [
-        (3, Record::Event(Event::RequestReceived(new))),
-        (3, timer),
-        (5, gone),
-    ] = &batch.records[..]
+        Record::Event(Event::RequestReceived(new)),
+        timer,
+        disconnected,
+    ] = records[..]
     else {
         panic!("{batch:?}")
     };
@@ -75,11 +83,13 @@
     );
     assert!(
         (new.time_limit - 0.24).abs() < 1e-12
-            && new.expected_work.is_some_and(|h| (h - 0.012).abs() < 1e-12)
+            && new
+                .expected_work
+                .is_some_and(|work| (work - 0.012).abs() < 1e-12)
     );
     assert_eq!(*timer, Record::Event(Event::TimerExpired { token: 77 }));
     assert_eq!(
-        *gone,
+        *disconnected,
         Record::Event(Event::ClientDisconnected {
             request: 0x000a_0384_0e6f_2b19
         })
@@ -87,7 +97,7 @@
 }
 
 #[test]
-fn the_actions_of_the_page() {
+fn actions_have_the_documented_bytes() {
     let mut reply = Reply::new(12);
     let timeout = f64::from_le_bytes(hex("7b14ae47e17ab43f").try_into().expect("eight bytes"));
     let at = f64::from_le_bytes(hex("508d976e12d32140").try_into().expect("eight bytes"));
@@ -95,7 +105,7 @@
         3,
         &Action::Send {
             request: REQUEST,
-            worker: A,
+            worker: WORKER,
             timeout,
         },
     );
@@ -152,10 +162,12 @@
 }
 
 #[test]
-fn the_other_events_of_the_page() {
-    let (_, list) = one("11 3d000000 03000000 29000000 02 02000000
+fn each_event_decodes_from_the_documented_bytes() {
+    let list = decode_one(
+        "11 3d000000 03000000 29000000 02 02000000
         0a124a07 931f 00 0000 0000 01 0000803f 0000000000000000
-        0a9011f2 bc1f 00 0000 0000 01 0000c03f 6666666666661840");
+        0a9011f2 bc1f 00 0000 0000 01 0000c03f 6666666666661840",
+    );
     let Record::Event(Event::WorkerListReceived {
         kind: ListKind::Cached,
         entries,
@@ -165,11 +177,11 @@
     };
     assert_eq!(
         (entries[0].worker, entries[0].started, entries[0].health),
-        (A, 0.0, Health::Ready)
+        (WORKER, 0.0, Health::Ready)
     );
     assert_eq!((entries[1].size, entries[1].started), (1.5, 6.1));
-    let (_, streaming) =
-        one("13 1c000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 8b6ce7fba9f1823f");
+    let streaming =
+        decode_one("13 1c000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 8b6ce7fba9f1823f");
     assert_eq!(
         streaming,
         Record::Event(Event::AttemptStreaming {
@@ -177,7 +189,7 @@
             attempt: 0
         })
     );
-    let (_, note) = one("1a 19000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 01 0000003f");
+    let note = decode_one("1a 19000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f 01 0000003f");
     assert_eq!(
         note,
         Record::Event(Event::AttemptProgress {
@@ -186,11 +198,11 @@
             note: ProgressNote::Started
         })
     );
-    let (_, result) = one(
+    let result = decode_one(
         "14 2d000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f c800 8b6ce7fba9f1923f 01 00 03 0000404000006841cdcccc3e",
     );
     let Record::Event(Event::AttemptEnded {
-        worker: A,
+        worker: WORKER,
         outcome: Outcome::Succeeded,
         answered: true,
         report,
@@ -200,8 +212,9 @@
         panic!("{result:?}")
     };
     assert_eq!(report, [3.0, 14.5, 0.4]);
-    let (_, probed) =
-        one("17 21000000 03000000 0a9011f2 bc1f c800 c7bab88d06f0563f 03 0000404000006841cdcccc3e");
+    let probed = decode_one(
+        "17 21000000 03000000 0a9011f2 bc1f c800 c7bab88d06f0563f 03 0000404000006841cdcccc3e",
+    );
     assert!(
         matches!(
             probed,
@@ -213,11 +226,11 @@
         "{probed:?}"
     );
     assert_eq!(
-        one("18 0c000000 03000000 0200 0400 68692037"),
+        decode_instance("18 0c000000 03000000 0200 0400 68692037"),
         (3, Record::Event(Event::PeerMessage))
     );
-    assert_eq!(one("19 04000000 03000000"), (3, Record::Stop));
-    let (_, start) = one("10 12000000 03000000 0100000000000000 02000000 7b7d");
+    assert_eq!(decode_instance("19 04000000 03000000"), (3, Record::Stop));
+    let start = decode_one("10 12000000 03000000 0100000000000000 02000000 7b7d");
     assert_eq!(
         start,
         Record::Start {
@@ -228,7 +241,7 @@
 }
 
 #[test]
-fn outcomes_are_told_apart() {
+fn each_outcome_code_decodes_to_its_outcome() {
     for (code, want) in [
         (200, Outcome::Succeeded),
         (502, Outcome::Error),
@@ -241,90 +254,90 @@
         (999, Outcome::Unknown(999)),
     ] {
         let [low, high] = u16::to_le_bytes(code);
-        let (_, r) = one(&format!(
+        let record = decode_one(&format!(
             "14 21000000 03000000 c4913a5d9f9a0900 0000 0a124a07 931f {low:02x}{high:02x} 8b6ce7fba9f1923f 00 00 00"
         ));
-        let Record::Event(Event::AttemptEnded { outcome, .. }) = r else {
-            panic!("{r:?}")
+        let Record::Event(Event::AttemptEnded { outcome, .. }) = record else {
+            panic!("{record:?}")
         };
         assert_eq!(outcome, want, "{code}");
     }
 }
 
 #[test]
-fn hostile_frames_are_errors() {
-    let sound = batch(&["16 0c000000 03000000 4d00000000000000"]);
+fn malformed_batches_are_rejected() {
+    let sound = batch_of(&["16 0c000000 03000000 4d00000000000000"]);
     for cut in 1..sound.len() {
         assert!(
-            matches!(read(&sound[..cut]), Err(WireError::Truncated)),
+            matches!(decode(&sound[..cut]), Err(DecodeError::Truncated)),
             "cut at {cut}"
         );
     }
     assert!(matches!(
-        read(&batch(&["63 04000000 03000000"])),
-        Err(WireError::UnknownCode(0x63))
+        decode(&batch_of(&["63 04000000 03000000"])),
+        Err(DecodeError::UnknownCode(0x63))
     ));
     assert!(matches!(
-        read(&batch(&["16 08000000 03000000 4d000000"])),
-        Err(WireError::Short(22))
+        decode(&batch_of(&["16 08000000 03000000 4d000000"])),
+        Err(DecodeError::RecordTooShort(22))
     ));
     assert!(matches!(
-        read(&batch(&["16 0d000000 03000000 4d00000000000000 00"])),
-        Err(WireError::Long(22))
+        decode(&batch_of(&["16 0d000000 03000000 4d00000000000000 00"])),
+        Err(DecodeError::RecordTooLong(22))
     ));
     assert!(matches!(
-        read(&batch(&["16 ffffffff 03000000"])),
-        Err(WireError::Short(22))
+        decode(&batch_of(&["16 ffffffff 03000000"])),
+        Err(DecodeError::RecordTooShort(22))
     ));
     assert!(matches!(
-        read(&batch(&["11 0e000000 03000000 01000000 01 ffffffff 00"])),
-        Err(WireError::Short(17))
+        decode(&batch_of(&["11 0e000000 03000000 01000000 01 ffffffff 00"])),
+        Err(DecodeError::RecordTooShort(17))
     ));
     assert!(matches!(
-        read(&batch(&["11 0d000000 03000000 01000000 09 00000000"])),
-        Err(WireError::Value { .. })
+        decode(&batch_of(&["11 0d000000 03000000 01000000 09 00000000"])),
+        Err(DecodeError::InvalidValue { .. })
     ));
     assert!(matches!(
-        read(&batch(&[
+        decode(&batch_of(&[
             "10 14000000 03000000 0100000000000000 ffffffff 00000000"
         ])),
-        Err(WireError::Short(16))
+        Err(DecodeError::RecordTooShort(16))
     ));
     // A size of four gigabytes with nothing behind it, a size without room for the count, a wrong count.
     assert!(matches!(
-        read(&hex("01000000 508d976e12d32040 ffffffff 00000000")),
-        Err(WireError::Truncated)
+        decode(&hex("01000000 508d976e12d32040 ffffffff 00000000")),
+        Err(DecodeError::Truncated)
     ));
     assert!(matches!(
-        read(&hex("01000000 508d976e12d32040 03000000 00000000")),
-        Err(WireError::Count)
+        decode(&hex("01000000 508d976e12d32040 03000000 00000000")),
+        Err(DecodeError::CountMismatch)
     ));
     assert!(matches!(
-        read(&hex("01000000 508d976e12d32040 04000000 05000000")),
-        Err(WireError::Count)
+        decode(&hex("01000000 508d976e12d32040 04000000 05000000")),
+        Err(DecodeError::CountMismatch)
     ));
     assert!(matches!(
-        read(&hex("01000000 000000000000f87f 04000000 00000000")),
-        Err(WireError::Clock)
+        decode(&hex("01000000 000000000000f87f 04000000 00000000")),
+        Err(DecodeError::InvalidClock)
     ));
-    let text = WireError::UnknownCode(99).to_string();
+    let text = DecodeError::UnknownCode(99).to_string();
     assert!(text.contains("99"), "{text}");
 }
 
 #[test]
-fn settings_have_defaults_and_typed_errors() {
-    let set =
+fn settings_have_defaults_and_name_the_bad_key() {
+    let settings =
         Settings::from_json(r#"{"new-key": {"x": [1]}, "services": [{}]}"#).expect("defaults");
     assert_eq!(
         (
-            set.dispatcher_count,
-            set.max_attempts,
-            set.probes_allowed,
-            set.cancel_allowed
+            settings.dispatcher_count,
+            settings.max_attempts,
+            settings.probes_allowed,
+            settings.cancel_allowed
         ),
         (1, 3, false, false)
     );
-    assert_eq!(set.classes[0].effect, postproxy::Effect::NotIdempotent);
+    assert_eq!(settings.classes[0].effect, postproxy::Effect::NotIdempotent);
     for (bad, key) in [
         (r#"{"services": [{"deadline": -1}]}"#, "deadline"),
         (r#"{"rules": {"cold-from": 7}}"#, "cold-from"),
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -6,7 +6,7 @@
 use postproxy::net::cluster::coordination::refusal;
 use postproxy::net::messages::Answer;
 use postproxy::operator_config::OperatorConfigError;
-use postproxy::simulator_protocol::WireError;
+use postproxy::simulator_protocol::DecodeError;
 use postproxy_coordination::{Error, Rejection};
 use postproxy_diagnostics::{Diagnostic, ErrorBody};
 use std::io::Write;
@@ -264,31 +264,34 @@
 fn errors_of_the_batch_protocol_have_their_messages() {
     let cases = [
         (
-            WireError::Io(std::io::Error::other("gone")),
+            DecodeError::Io(std::io::Error::other("gone")),
             "reading a batch: gone",
         ),
-        (WireError::Truncated, "input ended within a batch"),
+        (DecodeError::Truncated, "input ended within a batch"),
         (
-            WireError::Short(3),
+            DecodeError::RecordTooShort(3),
             "record of code 3 is shorter than its fields",
         ),
         (
-            WireError::Long(4),
+            DecodeError::RecordTooLong(4),
             "record of code 4 is longer than its fields",
         ),
-        (WireError::UnknownCode(99), "unknown event code 99"),
+        (DecodeError::UnknownCode(99), "unknown event code 99"),
         (
-            WireError::Value {
+            DecodeError::InvalidValue {
                 field: "outcome",
                 value: 77,
             },
             "field outcome can't be 77",
         ),
         (
-            WireError::Count,
+            DecodeError::CountMismatch,
             "a batch's count or size does not fit its records",
         ),
-        (WireError::Clock, "a batch's clock is not a finite number"),
+        (
+            DecodeError::InvalidClock,
+            "a batch's clock is not a finite number",
+        ),
     ];
     for (error, expected) in cases {
         assert_eq!(error.to_string(), expected);
