--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -26,7 +26,7 @@
     };
     let shift = (seed % u64::from(workers)) as u16;
     let order = (0..workers).map(|n| (n + shift) % workers);
-    harness.list(ListKind::Full, order.map(identified).collect());
+    harness.receive_list(ListKind::Full, order.map(identified).collect());
     harness
 }
 
@@ -50,7 +50,7 @@
         slots,
         ..NewRequest::default()
     };
-    harness.event(Event::RequestReceived(new))
+    harness.handle(Event::RequestReceived(new))
 }
 
 /// Plays so many jobs of a subject, each ended before the next one; how many each worker had.
@@ -62,12 +62,12 @@
 ) -> BTreeMap<WorkerId, u64> {
     let mut all = BTreeMap::new();
     for request in from..from + jobs {
-        let to = sends(&ask(harness, request, key, 1.0));
+        let to = workers_sent_to(&ask(harness, request, key, 1.0));
         assert_eq!(to.len(), 1, "each is sent at once");
         *all.entry(to[0]).or_insert(0) += 1;
         harness.now += 0.05;
         // Every worker has room, as its report tells.
-        harness.answer(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
+        harness.end_attempt_with_report(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
     }
     all
 }
@@ -81,7 +81,7 @@
 /// Guards against subjects that are fetched by all workers, in a fleet that is drawn from whole and in one that is sampled: dispatchers
 /// that share nothing, and know the workers in another order and other zones near, hold each subject at the same one.
 #[test]
-fn dispatchers_that_share_nothing_hold_a_subject_at_the_same_worker() {
+fn independent_dispatchers_prefer_the_same_worker_for_a_subject() {
     for workers in [8, 200] {
         let mut homes = BTreeSet::new();
         for key in 1..=24u64 {
@@ -105,7 +105,7 @@
 
 /// Guards against subjects that all move when one worker goes: only its own do, and none moves back and forth.
 #[test]
-fn a_worker_that_goes_moves_its_own_subjects_alone() {
+fn removed_worker_moves_only_its_own_subjects() {
     let mut harness = dispatcher(with_price(0.2, |_| ()), 5, 8);
     let mut next = 0;
     let mut homes = |harness: &mut DispatcherHarness| -> Vec<WorkerId> {
@@ -123,7 +123,7 @@
         health: Health::Removed,
         ..Entry::default()
     };
-    harness.list(ListKind::Delta, vec![entry]);
+    harness.receive_list(ListKind::Delta, vec![entry]);
     let after = homes(&mut harness);
     for (before, after) in before.iter().zip(&after) {
         assert!(
@@ -135,7 +135,7 @@
 
 /// Guards against a subject that waits for its worker while others idle, or is scattered then: the next one is the same everywhere.
 #[test]
-fn a_subject_whose_worker_is_full_goes_to_the_next_one() {
+fn subject_of_a_full_worker_goes_to_the_next_preferred_one() {
     let next_of = |seed: u64| {
         let mut harness = dispatcher(with_price(0.2, |_| ()), seed, 8);
         let home = most(&played(&mut harness, 0, 40, 77)).0;
@@ -143,13 +143,13 @@
         for request in 100..140 {
             // Its worker tells that no slot is free, through another job's answer; the others have room.
             for (n, request) in (0..8).zip(1000 * request..) {
-                let to = worker(n);
+                let to = worker_id(n);
                 let figures = if to == home {
                     vec![9.0, 0.0]
                 } else {
                     vec![0.0, 5.0]
                 };
-                harness.event(Event::ProbeEnded {
+                harness.handle(Event::ProbeEnded {
                     worker: to,
                     outcome: Outcome::Succeeded,
                     elapsed: 0.01,
@@ -157,10 +157,10 @@
                 });
                 let _ = request;
             }
-            let to = sends(&ask(&mut harness, request, 77, 1.0));
+            let to = workers_sent_to(&ask(&mut harness, request, 77, 1.0));
             *all.entry(to[0]).or_insert(0) += 1;
             harness.now += 0.05;
-            harness.answer(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
+            harness.end_attempt_with_report(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
         }
         let (next, jobs) = most(&all);
         assert!(next != home && jobs >= 34, "{all:?}");
@@ -171,17 +171,17 @@
 
 /// Guards against a rule that holds where no fetch is counted: the same draws, whatever the subjects are.
 #[test]
-fn where_a_fetch_has_no_price_subjects_change_nothing() {
+fn subjects_change_no_decision_where_a_fetch_has_no_price() {
     for price in [0.0, -0.0] {
         let actions = |subject: u64| {
             let mut harness = dispatcher(with_price(price, |_| ()), 11, 8);
             let play = |request| {
                 let actions = ask(&mut harness, request, subject, 1.0);
                 harness.now += 0.05;
-                harness.answer(
+                harness.end_attempt_with_report(
                     request,
                     0,
-                    sends(&actions)[0],
+                    workers_sent_to(&actions)[0],
                     Outcome::Succeeded,
                     vec![1.0, 3.0],
                 );
@@ -195,7 +195,7 @@
 
 /// Guards against a cold worker that is made to fetch what others hold: it gets jobs of subjects that prefer it, or prefer but two to it.
 #[test]
-fn a_cold_worker_gets_subjects_that_prefer_it() {
+fn worker_in_slow_start_receives_subjects_that_prefer_it() {
     const WORKERS: u16 = 12;
     const COLD: u16 = 4;
     const SUBJECTS: u64 = 120;
@@ -209,7 +209,7 @@
         let home = most(&played(&mut warm, key * 100, 20, key)).0;
         // It has just started, each time anew: its part of its budget is whole.
         let started = harness.now;
-        harness.list(
+        harness.receive_list(
             ListKind::Delta,
             vec![Entry {
                 started,
@@ -217,8 +217,8 @@
             }],
         );
         let all = played(&mut harness, key * 100, 20, key);
-        if all.contains_key(&worker(COLD)) {
-            *(if home == worker(COLD) {
+        if all.contains_key(&worker_id(COLD)) {
+            *(if home == worker_id(COLD) {
                 &mut own
             } else {
                 &mut others
@@ -236,7 +236,7 @@
 
 /// Guards against probes and copies that cost more than they bring: the dearer they are, the fewer are made.
 #[test]
-fn probes_cost_no_more_points_at_a_higher_price() {
+fn fewer_probes_are_sent_at_a_higher_price() {
     let asked = |price: f64| {
         let set = with_price(0.0, |s| {
             s["prices"]["probe"] = price.into();
@@ -247,15 +247,18 @@
         for request in 0..400 {
             let mut actions = ask(&mut harness, request, 0, 1.0);
             // All are full: a job that is held asks again.
-            let mut due = timers(&actions);
+            let mut due = timers_set(&actions);
             for _ in 0..20 {
-                count += probes(&actions).len();
-                let answer = |to| harness.probed(to, Outcome::Succeeded, vec![9.0, 0.0]);
-                actions = probes(&actions).into_iter().flat_map(answer).collect();
-                due.extend(timers(&actions));
+                count += workers_probed(&actions).len();
+                let answer = |to| harness.end_probe(to, Outcome::Succeeded, vec![9.0, 0.0]);
+                actions = workers_probed(&actions)
+                    .into_iter()
+                    .flat_map(answer)
+                    .collect();
+                due.extend(timers_set(&actions));
             }
-            count += probes(&harness.run(harness.now + 0.1, &mut due)).len();
-            harness.event(Event::ClientDisconnected { request });
+            count += workers_probed(&harness.run_until(harness.now + 0.1, &mut due)).len();
+            harness.handle(Event::ClientDisconnected { request });
         }
         count
     };
@@ -274,7 +277,7 @@
 
 /// Guards against copies whose waste costs more than they save: the dearer waste is, the fewer are made.
 #[test]
-fn copies_cost_no_more_points_where_waste_is_dearer() {
+fn fewer_hedges_are_sent_where_waste_costs_more() {
     let copies = |price: f64| {
         let set = with_price(0.0, |s| {
             s["prices"]["waste"] = price.into();
@@ -286,17 +289,17 @@
         let mut count = 0;
         for request in 0..2000 {
             let mut actions = ask(&mut harness, request, 0, 1.0);
-            let mut due = timers(&actions);
-            for to in probes(&actions) {
-                actions.extend(harness.probed(to, Outcome::Succeeded, vec![0.0, 4.0]));
+            let mut due = timers_set(&actions);
+            for to in workers_probed(&actions) {
+                actions.extend(harness.end_probe(to, Outcome::Succeeded, vec![0.0, 4.0]));
             }
-            due.extend(timers(&actions));
-            let first = sends(&actions);
-            let copy = sends(&harness.run(harness.now + 0.4, &mut due));
+            due.extend(timers_set(&actions));
+            let first = workers_sent_to(&actions);
+            let copy = workers_sent_to(&harness.run_until(harness.now + 0.4, &mut due));
             count += copy.len() + first.len().saturating_sub(1);
-            harness.event(Event::ClientDisconnected { request });
+            harness.handle(Event::ClientDisconnected { request });
             for (to, attempt) in first.into_iter().chain(copy).zip(0..) {
-                harness.outcome(request, attempt, to, Outcome::Cancelled);
+                harness.end_attempt(request, attempt, to, Outcome::Cancelled);
             }
         }
         count
@@ -311,7 +314,7 @@
 /// Guards against a worker that is shut out since it killed a job for a more urgent one, as its settings say: that is no fault of it. A reset
 /// of a job that nothing may push out is one.
 #[test]
-fn a_job_that_was_pushed_out_is_no_fault_of_its_worker() {
+fn preempted_attempt_does_not_eject_its_worker() {
     for (order, priorities, shut_out) in [
         ("priority", [0, 1, 1], false),
         ("priority", [1, 1, 0], true),
@@ -322,17 +325,17 @@
             s["extra"]["class-priority"] = serde_json::json!(priorities);
         });
         let mut harness = dispatcher(set, 5, 8);
-        let first = sends(&ask(&mut harness, 1, 0, 1.0))[0];
-        let again = sends(&harness.outcome(1, 0, first, Outcome::Reset));
+        let first = workers_sent_to(&ask(&mut harness, 1, 0, 1.0))[0];
+        let again = workers_sent_to(&harness.end_attempt(1, 0, first, Outcome::Reset));
         assert!(
             again.len() == 1 && again[0] != first,
             "it starts over elsewhere: {again:?}"
         );
         let drawn = (10..200).any(|request| {
-            let to = sends(&ask(&mut harness, request, 0, 1.0));
-            harness.event(Event::ClientDisconnected { request });
+            let to = workers_sent_to(&ask(&mut harness, request, 0, 1.0));
+            harness.handle(Event::ClientDisconnected { request });
             to.iter()
-                .for_each(|to| drop(harness.outcome(request, 0, *to, Outcome::Cancelled)));
+                .for_each(|to| drop(harness.end_attempt(request, 0, *to, Outcome::Cancelled)));
             to.contains(&first)
         });
         assert_eq!(!drawn, shut_out, "{order} {priorities:?}");
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 
 fn employ(harness: &mut DispatcherHarness, n: u16, again: bool) -> Vec<Action> {
-    harness.event(Event::SuspensionChanged {
-        worker: worker(n),
+    harness.handle(Event::SuspensionChanged {
+        worker: worker_id(n),
         resume: again,
     })
 }
@@ -33,9 +33,9 @@
                 0 | 1 => {
                     let again = flip || what == 1 && banned.len() > 3;
                     if again {
-                        banned.remove(&worker(n))
+                        banned.remove(&worker_id(n))
                     } else {
-                        banned.insert(worker(n))
+                        banned.insert(worker_id(n))
                     };
                     employ(&mut harness, n, again)
                 }
@@ -45,7 +45,7 @@
                     } else {
                         ListKind::Cached
                     };
-                    harness.list(
+                    harness.receive_list(
                         kind,
                         (0..6).filter(|m| flip || *m != n).map(entry).collect(),
                     )
@@ -54,11 +54,11 @@
                     let health =
                         [Health::Ready, Health::Draining, Health::Removed][pick(3) as usize];
                     let started = if flip { harness.now } else { 0.0 };
-                    harness.list(
+                    harness.receive_list(
                         ListKind::Delta,
                         vec![postproxy::Entry {
                             started,
-                            ..with_health(n, health)
+                            ..entry_with_health(n, health)
                         }],
                     )
                 }
@@ -70,7 +70,7 @@
                         Outcome::Reset,
                         Outcome::CancelledLocally,
                     ][pick(4) as usize];
-                    harness.answer(
+                    harness.end_attempt_with_report(
                         request,
                         attempt,
                         to,
@@ -80,16 +80,16 @@
                 }
                 6 => {
                     let until = harness.now + f64::from(pick(100)) / 100.0;
-                    harness.run(until, &mut due)
+                    harness.run_until(until, &mut due)
                 }
                 _ => {
                     open.insert(next);
                     next += 1;
-                    harness.request(next - 1, pick(3) as u8)
+                    harness.submit(next - 1, pick(3) as u8)
                 }
             };
-            due.extend(timers(&actions));
-            for to in sends(&actions) {
+            due.extend(timers_set(&actions));
+            for to in workers_sent_to(&actions) {
                 assert!(
                     !banned.contains(&to),
                     "seed {seed}: sent to {to:?}, which is out of use"
@@ -124,19 +124,24 @@
     let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
     employ(&mut harness, 0, false);
     employ(&mut harness, 1, false);
-    assert!(refused(&harness.request(1, 0)) && refused(&harness.request(2, 2)));
+    assert!(is_rejected(&harness.submit(1, 0)) && is_rejected(&harness.submit(2, 2)));
     employ(&mut harness, 0, true);
-    assert_eq!(sends(&harness.request(3, 0)), [worker(0)]);
+    assert_eq!(workers_sent_to(&harness.submit(3, 0)), [worker_id(0)]);
     // One that was held when the last goes out: told at once, too.
     let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
-    harness.list(ListKind::Delta, vec![with_health(1, Health::Draining)]);
-    let actions = harness.request(1, 0);
-    assert_eq!(sends(&actions), [worker(0)]);
-    assert!(sends(&harness.outcome(1, 0, worker(0), Outcome::Rejected)).len() <= 1);
+    harness.receive_list(
+        ListKind::Delta,
+        vec![entry_with_health(1, Health::Draining)],
+    );
+    let actions = harness.submit(1, 0);
+    assert_eq!(workers_sent_to(&actions), [worker_id(0)]);
+    assert!(
+        workers_sent_to(&harness.end_attempt(1, 0, worker_id(0), Outcome::Rejected)).len() <= 1
+    );
     let actions = employ(&mut harness, 0, false);
-    let later = harness.outcome(1, 1, worker(0), Outcome::CancelledLocally);
+    let later = harness.end_attempt(1, 1, worker_id(0), Outcome::CancelledLocally);
     assert!(
-        refused(&actions) || refused(&later),
+        is_rejected(&actions) || is_rejected(&later),
         "{actions:?} {later:?}"
     );
 }
@@ -153,15 +158,15 @@
             dispatcher,
             now: 100.0,
         };
-        harness.list(ListKind::Full, (0..8).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..8).map(entry).collect());
         if banned {
             employ(&mut harness, 3, false);
             harness.now += 5.0;
             employ(&mut harness, 3, true);
-            harness.list(ListKind::Delta, vec![entry(3)]);
+            harness.receive_list(ListKind::Delta, vec![entry(3)]);
         } else {
             harness.now += 5.0;
-            harness.list(
+            harness.receive_list(
                 ListKind::Delta,
                 vec![postproxy::Entry {
                     started: harness.now,
@@ -171,9 +176,9 @@
         }
         for request in 1..=5 {
             harness.now += 1.0;
-            let to = sends(&harness.request(request, 2))[0];
-            given += usize::from(to == worker(3));
-            harness.outcome(request, 0, to, Outcome::Succeeded);
+            let to = workers_sent_to(&harness.submit(request, 2))[0];
+            given += usize::from(to == worker_id(3));
+            harness.end_attempt(request, 0, to, Outcome::Succeeded);
         }
     }
     given
@@ -200,17 +205,17 @@
             dispatcher,
             now: 100.0,
         };
-        harness.list(ListKind::Full, (0..8).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..8).map(entry).collect());
         employ(&mut harness, 3, false);
         employ(&mut harness, 3, true);
         let mut first = None;
         for request in 1..60 {
             harness.now += 0.05;
-            let actions = harness.request(request, 2);
-            first = first.or(sends(&actions)
-                .contains(&worker(3))
+            let actions = harness.submit(request, 2);
+            first = first.or(workers_sent_to(&actions)
+                .contains(&worker_id(3))
                 .then_some(harness.now - 100.0));
-            harness.outcome(request, 0, sends(&actions)[0], Outcome::Succeeded);
+            harness.end_attempt(request, 0, workers_sent_to(&actions)[0], Outcome::Succeeded);
         }
         assert!(
             first.is_some(),
@@ -228,20 +233,20 @@
         let owes = |seed: u64| {
             let mut harness = DispatcherHarness::new(settings(|_| {}), 6);
             harness.dispatcher = Dispatcher::new(settings(|_| {}), seed).expect("sound settings");
-            harness.list(ListKind::Full, (0..6).map(entry).collect());
+            harness.receive_list(ListKind::Full, (0..6).map(entry).collect());
             if let Some(count) = count {
-                harness.event(Event::DispatcherCountChanged(count));
+                harness.handle(Event::DispatcherCountChanged(count));
             }
             employ(&mut harness, 0, false);
             employ(&mut harness, 0, true);
             (0..12u16).any(|n| {
                 harness.now += 0.3;
-                let actions = harness.request(u64::from(n) + 1, 0);
-                let to = sends(&actions);
+                let actions = harness.submit(u64::from(n) + 1, 0);
+                let to = workers_sent_to(&actions);
                 for to in &to {
-                    harness.outcome(u64::from(n) + 1, 0, *to, Outcome::Succeeded);
+                    harness.end_attempt(u64::from(n) + 1, 0, *to, Outcome::Succeeded);
                 }
-                to.contains(&worker(0))
+                to.contains(&worker_id(0))
             })
         };
         (0..40).filter(|seed| owes(*seed)).count()
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -14,11 +14,11 @@
 fn choices(harness: &mut DispatcherHarness, count: u64) -> BTreeMap<u16, u64> {
     let mut chosen = BTreeMap::new();
     for id in 1000..1000 + count {
-        let to = sends(&harness.request(id, 0));
+        let to = workers_sent_to(&harness.submit(id, 0));
         assert_eq!(to.len(), 1, "one attempt for request {id}");
         *chosen.entry(u16::from(to[0].address[3])).or_insert(0) += 1;
-        harness.event(Event::ClientDisconnected { request: id });
-        harness.outcome(id, 0, to[0], Outcome::Cancelled);
+        harness.handle(Event::ClientDisconnected { request: id });
+        harness.end_attempt(id, 0, to[0], Outcome::Cancelled);
     }
     chosen
 }
@@ -28,17 +28,17 @@
     // Drains all others, so that the job has to go to `n`.
     let others = (0..8)
         .filter(|&o| o != n)
-        .map(|o| with_health(o, Health::Draining))
+        .map(|o| entry_with_health(o, Health::Draining))
         .collect();
-    harness.list(ListKind::Delta, others);
-    let to = sends(&harness.request(id, 0));
-    assert_eq!(to, [worker(n)]);
-    harness.answer(id, 0, to[0], Outcome::Succeeded, figures);
-    harness.list(ListKind::Delta, (0..8).map(entry).collect());
+    harness.receive_list(ListKind::Delta, others);
+    let to = workers_sent_to(&harness.submit(id, 0));
+    assert_eq!(to, [worker_id(n)]);
+    harness.end_attempt_with_report(id, 0, to[0], Outcome::Succeeded, figures);
+    harness.receive_list(ListKind::Delta, (0..8).map(entry).collect());
 }
 
 #[test]
-fn without_reports_all_workers_are_drawn_alike() {
+fn without_reports_all_workers_are_selected_alike() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let chosen = choices(&mut harness, 8000);
     assert_eq!(chosen.len(), 8);
@@ -49,17 +49,20 @@
 }
 
 #[test]
-fn tickets_are_inverse_to_load_and_correction() {
+fn selection_weight_is_inverse_to_reported_load_and_own_attempts() {
     let mut harness = DispatcherHarness::new(
         settings(|s| s["extra"]["class-stretch"] = serde_json::json!([12.0, 2.0, 2.0])),
         2,
     );
     // Both full (no free slot); worker 0 has 1 waiting, worker 1 has 7.
     for (id, n, queue) in [(1, 0, 2.0), (2, 1, 8.0)] {
-        harness.list(ListKind::Delta, vec![with_health(1 - n, Health::Draining)]);
-        let to = sends(&harness.request(id, 0));
-        harness.answer(id, 0, to[0], Outcome::Succeeded, vec![queue, 0.0]);
-        harness.list(ListKind::Delta, vec![entry(0), entry(1)]);
+        harness.receive_list(
+            ListKind::Delta,
+            vec![entry_with_health(1 - n, Health::Draining)],
+        );
+        let to = workers_sent_to(&harness.submit(id, 0));
+        harness.end_attempt_with_report(id, 0, to[0], Outcome::Succeeded, vec![queue, 0.0]);
+        harness.receive_list(ListKind::Delta, vec![entry(0), entry(1)]);
     }
     // Loads are 1 and 7 (the job that ended is taken off), so tickets stand 1/2 to 1/8. The long stretch
     // of the aim lets jobs join either queue.
@@ -71,16 +74,16 @@
 /// Guards against own jobs that are forgotten while they run: a report, however late it was taken, can't tell
 /// that they are gone; their ends do.
 #[test]
-fn the_correction_counts_own_jobs_until_they_end() {
+fn own_attempts_add_to_a_report_until_they_end() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
     let mut ids = 1..;
     let mut send = |harness: &mut DispatcherHarness| {
         let id = ids.next().unwrap_or(0);
-        (id, sends(&harness.request(id, 2)))
+        (id, workers_sent_to(&harness.submit(id, 2)))
     };
     // A first answer shows four free slots: room for the one that ended and four more.
     let (first, to) = send(&mut harness);
-    harness.answer(first, 0, to[0], Outcome::Succeeded, vec![0.0, 4.0]);
+    harness.end_attempt_with_report(first, 0, to[0], Outcome::Succeeded, vec![0.0, 4.0]);
     let placed: Vec<_> = (0..40)
         .map(|_| send(&mut harness))
         .filter(|(_, to)| !to.is_empty())
@@ -93,10 +96,10 @@
     );
     // A report of old that shows it empty does not clear the correction.
     harness.now += 0.2;
-    harness.answer(
+    harness.end_attempt_with_report(
         placed[0].0,
         0,
-        worker(0),
+        worker_id(0),
         Outcome::Succeeded,
         vec![0.0, 4.0],
     );
@@ -107,13 +110,13 @@
     );
     // The ends of all of them do, in a report or without one.
     for (id, _) in &placed[1..] {
-        harness.answer(*id, 0, worker(0), Outcome::Succeeded, vec![]);
+        harness.end_attempt_with_report(*id, 0, worker_id(0), Outcome::Succeeded, vec![]);
     }
-    assert_eq!(send(&mut harness).1, [worker(0)]);
+    assert_eq!(send(&mut harness).1, [worker_id(0)]);
 }
 
 #[test]
-fn a_job_counts_the_slots_it_needs() {
+fn request_adds_the_slots_it_needs_to_the_load() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut harness, 1, 3, vec![0.0, 4.0]);
     // Worker 3 is known to have four free slots: a job of four goes there, and then there is no room.
@@ -127,12 +130,12 @@
             ..Default::default()
         })
     };
-    assert_eq!(sends(&harness.event(wide(2))), [worker(3)]);
+    assert_eq!(workers_sent_to(&harness.handle(wide(2))), [worker_id(3)]);
     let next: Vec<_> = (3..33)
-        .flat_map(|id| sends(&harness.request(id, 2)))
+        .flat_map(|id| workers_sent_to(&harness.submit(id, 2)))
         .collect();
     assert!(
-        next.iter().filter(|w| **w == worker(3)).count() < 10,
+        next.iter().filter(|w| **w == worker_id(3)).count() < 10,
         "{next:?}"
     );
 }
@@ -140,7 +143,7 @@
 /// Guards against all jobs going to the worker that has just answered, where others are no fuller: whoever
 /// answers most would be sent most.
 #[test]
-fn a_worker_just_heard_of_does_not_take_all_jobs() {
+fn newly_reported_worker_does_not_receive_all_requests() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for n in 0..8 {
         report(&mut harness, 1 + u64::from(n), n, vec![0.0, 4.0]);
@@ -154,7 +157,7 @@
 /// Guards against a first try of a client with little patience being given up as a late one: where clients
 /// mark their later tries, one without a mark has just been asked for, and a marked one may have been.
 #[test]
-fn a_client_of_little_patience_is_served() {
+fn request_with_a_short_time_limit_is_served() {
     let marks =
         |s: &mut serde_json::Value| s["client-habits"] = serde_json::json!({"marks-retry": true});
     let mut harness = DispatcherHarness::new(settings(marks), 8);
@@ -169,7 +172,7 @@
             slots,
             ..NewRequest::default()
         };
-        sends(&harness.event(Event::RequestReceived(new))).len()
+        workers_sent_to(&harness.handle(Event::RequestReceived(new))).len()
     };
     assert_eq!(ask(&mut harness, 1, 10.0, false), 1);
     assert_eq!(
@@ -188,10 +191,10 @@
 }
 
 #[test]
-fn known_room_limits_the_draw() {
+fn selection_prefers_workers_with_free_capacity() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut harness, 1, 5, vec![0.0, 3.0]);
-    assert_eq!(sends(&harness.request(2, 0)), [worker(5)]);
+    assert_eq!(workers_sent_to(&harness.submit(2, 0)), [worker_id(5)]);
     // An old report promises nothing.
     harness.now += 60.0;
     let chosen = choices(&mut harness, 400);
@@ -199,18 +202,18 @@
 }
 
 #[test]
-fn late_reports_lose_belief_after_broken_promises() {
+fn reports_of_free_capacity_lose_trust_when_they_prove_wrong() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..30 {
         report(&mut harness, 2 * id + 1, 5, vec![0.0, 3.0]);
-        let to = sends(&harness.request(2 * id + 2, 2));
+        let to = workers_sent_to(&harness.submit(2 * id + 2, 2));
         // Room was promised, the job takes far beyond its aim.
         harness.now += 5.0;
-        harness.answer(2 * id + 2, 0, to[0], Outcome::Succeeded, vec![0.0, 3.0]);
+        harness.end_attempt_with_report(2 * id + 2, 0, to[0], Outcome::Succeeded, vec![0.0, 3.0]);
     }
     let mut all = BTreeMap::new();
     for id in 1000..1040 {
-        for to in sends(&harness.request(id, 0)) {
+        for to in workers_sent_to(&harness.submit(id, 0)) {
             *all.entry(to).or_insert(0) += 1;
         }
     }
@@ -221,74 +224,77 @@
 }
 
 #[test]
-fn probes_come_before_the_draw_where_allowed() {
+fn workers_are_probed_before_selection_where_allowed() {
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
-    let asked = harness.request(1, 2);
-    let sample = probes(&asked);
-    assert_eq!((sample.len(), sends(&asked).len()), (3, 0));
+    let asked = harness.submit(1, 2);
+    let sample = workers_probed(&asked);
+    assert_eq!((sample.len(), workers_sent_to(&asked).len()), (3, 0));
     assert_eq!(
-        harness.probed(sample[0], Outcome::Succeeded, vec![4.0, 0.0]),
+        harness.end_probe(sample[0], Outcome::Succeeded, vec![4.0, 0.0]),
         []
     );
     assert_eq!(
-        harness.probed(sample[1], Outcome::Succeeded, vec![0.0, 4.0]),
+        harness.end_probe(sample[1], Outcome::Succeeded, vec![0.0, 4.0]),
         []
     );
-    let placed = harness.probed(sample[2], Outcome::Succeeded, vec![9.0, 0.0]);
+    let placed = harness.end_probe(sample[2], Outcome::Succeeded, vec![9.0, 0.0]);
     assert!(
-        sends(&placed) == [sample[1]] || probes(&placed).len() == 3,
+        workers_sent_to(&placed) == [sample[1]] || workers_probed(&placed).len() == 3,
         "{placed:?}"
     );
 }
 
 #[test]
-fn probes_are_bounded_under_overload() {
+fn number_of_probes_is_bounded_under_overload() {
     // Found on an overloaded day: held jobs asked again and again, 50 probes a request.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
     let (mut due, mut asked) = (Vec::new(), 0);
     for id in 0..50 {
-        let mut actions = harness.request(id, 2);
+        let mut actions = harness.submit(id, 2);
         while let Some(Action::Probe { worker }) = actions
             .iter()
             .find(|a| matches!(a, Action::Probe { .. }))
             .cloned()
         {
-            asked += probes(&actions).len();
-            due.extend(timers(&actions));
-            actions = probes(&actions)
+            asked += workers_probed(&actions).len();
+            due.extend(timers_set(&actions));
+            actions = workers_probed(&actions)
                 .into_iter()
-                .flat_map(|w| harness.probed(w, Outcome::Succeeded, vec![30.0, 0.0]))
+                .flat_map(|w| harness.end_probe(w, Outcome::Succeeded, vec![30.0, 0.0]))
                 .collect();
             let _ = worker;
         }
-        due.extend(timers(&actions));
+        due.extend(timers_set(&actions));
         let until = harness.now + 0.2;
-        asked += probes(&harness.run(until, &mut due)).len();
+        asked += workers_probed(&harness.run_until(until, &mut due)).len();
     }
     assert!(asked <= 50 * 5 + 50 + 3, "{asked}");
 }
 
 #[test]
-fn a_held_job_is_placed_when_workers_come() {
+fn queued_request_is_sent_when_workers_are_listed() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
-    let mut due = timers(&harness.request(1, 2));
-    harness.list(ListKind::Delta, vec![entry(1)]);
+    let mut due = timers_set(&harness.submit(1, 2));
+    harness.receive_list(ListKind::Delta, vec![entry(1)]);
     let until = harness.now + 1.0;
-    assert_eq!(sends(&harness.run(until, &mut due)), [worker(1)]);
+    assert_eq!(
+        workers_sent_to(&harness.run_until(until, &mut due)),
+        [worker_id(1)]
+    );
 }
 
 #[test]
-fn an_empty_list_ends_in_a_refusal_in_time() {
+fn request_is_rejected_in_time_when_no_worker_is_listed() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
-    let mut due = timers(&harness.request(1, 2));
-    let actions = harness.run(110.0, &mut due);
-    assert!(refused(&actions) && !failed(&actions) && sends(&actions).is_empty());
+    let mut due = timers_set(&harness.submit(1, 2));
+    let actions = harness.run_until(110.0, &mut due);
+    assert!(is_rejected(&actions) && !is_failed(&actions) && workers_sent_to(&actions).is_empty());
 }
 
 #[test]
-fn an_unsafe_job_that_may_have_run_fails_and_is_not_sent_again() {
+fn non_idempotent_request_that_may_have_run_fails_without_retry() {
     for outcome in [
         Outcome::Error,
         Outcome::Timeout,
@@ -297,35 +303,35 @@
         Outcome::Unknown(999),
     ] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
-        let to = sends(&harness.request(1, 2));
-        let actions = harness.outcome(1, 0, to[0], outcome);
+        let to = workers_sent_to(&harness.submit(1, 2));
+        let actions = harness.end_attempt(1, 0, to[0], outcome);
         assert!(
-            failed(&actions) && !refused(&actions) && sends(&actions).is_empty(),
+            is_failed(&actions) && !is_rejected(&actions) && workers_sent_to(&actions).is_empty(),
             "{outcome:?}"
         );
     }
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
-        let to = sends(&harness.request(1, 2));
-        let again = sends(&harness.outcome(1, 0, to[0], outcome));
+        let to = workers_sent_to(&harness.submit(1, 2));
+        let again = workers_sent_to(&harness.end_attempt(1, 0, to[0], outcome));
         assert!(again.len() == 1 && again != to, "{outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_job_goes_again_only_in_its_cell_and_window() {
+fn request_with_a_key_is_retried_only_within_its_dedup_scope_and_window() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 16);
     for id in 1..40 {
-        let first = sends(&harness.request(id, 1));
-        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Error));
+        let first = workers_sent_to(&harness.submit(id, 1));
+        let again = workers_sent_to(&harness.end_attempt(id, 0, first[0], Outcome::Error));
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].address[3] / 4, first[0].address[3] / 4);
         assert_ne!(again, first);
     }
-    let first = sends(&harness.request(99, 1));
+    let first = workers_sent_to(&harness.submit(99, 1));
     harness.now += 3.9;
     assert!(
-        sends(&harness.outcome(99, 0, first[0], Outcome::Error)).is_empty(),
+        workers_sent_to(&harness.end_attempt(99, 0, first[0], Outcome::Error)).is_empty(),
         "the window is nearly over"
     );
 }
@@ -333,15 +339,15 @@
 /// Guards against a repeat that is decided inside its window and arrives outside: a connection may take `dial-timeout` to
 /// come up. A window shorter than that counts as none.
 #[test]
-fn a_keyed_job_goes_again_only_where_it_arrives_in_its_window() {
+fn request_with_a_key_is_retried_only_if_it_arrives_within_the_dedup_window() {
     let after = |window: f64, pause: f64, seed: u64| {
         let mut harness = DispatcherHarness::new(
             settings(|json| json["services"][1]["memory-span"] = window.into()),
             16,
         );
-        let first = sends(&harness.request(seed, 1));
+        let first = workers_sent_to(&harness.submit(seed, 1));
         harness.now += pause;
-        sends(&harness.outcome(seed, 0, first[0], Outcome::Reset)).len()
+        workers_sent_to(&harness.end_attempt(seed, 0, first[0], Outcome::Reset)).len()
     };
     for seed in 1..20 {
         assert_eq!(
@@ -360,31 +366,31 @@
 }
 
 #[test]
-fn a_silent_safe_job_is_copied_and_an_unsafe_one_is_not() {
+fn only_idempotent_requests_are_hedged() {
     for (class, copies) in [(0, 1), (2, 0)] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
-        let actions = harness.request(1, class);
-        let (to, mut due) = (sends(&actions), timers(&actions));
-        harness.run(103.0, &mut due);
+        let actions = harness.submit(1, class);
+        let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
+        harness.run_until(103.0, &mut due);
         // Budget for copies comes with requests.
-        (10..30).for_each(|id| drop(harness.request(id, 2)));
-        let copy = sends(&harness.run(104.9, &mut due));
+        (10..30).for_each(|id| drop(harness.submit(id, 2)));
+        let copy = workers_sent_to(&harness.run_until(104.9, &mut due));
         assert_eq!(copy.len(), copies, "class {class}");
         assert!(!copy.contains(&to[0]));
     }
 }
 
 #[test]
-fn a_job_that_tells_no_start_is_moved_and_the_waiting_copy_called_back() {
+fn request_that_does_not_start_is_hedged_and_the_waiting_attempt_cancelled() {
     // Found where probes are forbidden: figures are too old, but a start is told at once.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
-    let actions = harness.request(1, 0);
-    let (to, mut due) = (sends(&actions), timers(&actions));
-    let copy = sends(&harness.run(100.3, &mut due));
+    let actions = harness.submit(1, 0);
+    let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
+    let copy = workers_sent_to(&harness.run_until(100.3, &mut due));
     assert!(copy.len() == 1 && copy != to);
     assert_eq!(
-        harness.note(1, 1, ProgressNote::Started),
+        harness.report_progress(1, 1, ProgressNote::Started),
         [Action::Cancel {
             request: 1,
             attempt: 0
@@ -395,7 +401,7 @@
 /// Guards against queues that nobody sees where workers report nothing, in which all jobs come too late: what other dispatchers
 /// hold at a worker is taken to be as much as this one does.
 #[test]
-fn where_nothing_is_reported_no_job_joins_a_queue_in_which_it_would_be_late() {
+fn without_reports_no_request_joins_a_queue_that_makes_it_late() {
     for (dispatchers, sent) in [(4, 2), (1, 3)] {
         let mut harness = DispatcherHarness::new(
             settings(|s| {
@@ -404,22 +410,31 @@
             }),
             2,
         );
-        let first: Vec<_> = (1..=3).map(|id| harness.request(id, 0)).collect();
-        let mut due = first.iter().flat_map(|actions| timers(actions)).collect();
-        let to: Vec<_> = first.iter().flat_map(|actions| sends(actions)).collect();
+        let first: Vec<_> = (1..=3).map(|id| harness.submit(id, 0)).collect();
+        let mut due = first
+            .iter()
+            .flat_map(|actions| timers_set(actions))
+            .collect();
+        let to: Vec<_> = first
+            .iter()
+            .flat_map(|actions| workers_sent_to(actions))
+            .collect();
         assert_eq!(to.len(), sent, "{dispatchers} dispatchers");
         if sent == 2 {
             assert_ne!(to[0], to[1]);
             // It is held, and not for ever: it goes where one ends.
-            harness.outcome(1, 0, to[0], Outcome::Succeeded);
-            assert_eq!(sends(&harness.run(100.4, &mut due)), [to[0]]);
+            harness.end_attempt(1, 0, to[0], Outcome::Succeeded);
+            assert_eq!(
+                workers_sent_to(&harness.run_until(100.4, &mut due)),
+                [to[0]]
+            );
         }
     }
 }
 
 /// Guards against copies that double the load of a fleet that is full already, where nothing tells that it is.
 #[test]
-fn where_nothing_is_reported_copies_keep_to_a_budget() {
+fn without_reports_hedges_stay_within_their_budget() {
     let mut harness = DispatcherHarness::new(
         settings(|s| {
             s["extra"]["tells-start"] = true.into();
@@ -429,13 +444,13 @@
     );
     let mut copies = 0;
     for id in 0..400 {
-        let actions = harness.request(id, 0);
-        let (to, mut due) = (sends(&actions), timers(&actions));
-        let copy = sends(&harness.run(harness.now + 0.3, &mut due));
+        let actions = harness.submit(id, 0);
+        let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
+        let copy = workers_sent_to(&harness.run_until(harness.now + 0.3, &mut due));
         copies += copy.len();
-        harness.event(Event::ClientDisconnected { request: id });
+        harness.handle(Event::ClientDisconnected { request: id });
         for (to, attempt) in to.into_iter().chain(copy).zip(0..) {
-            harness.outcome(id, attempt, to, Outcome::Cancelled);
+            harness.end_attempt(id, attempt, to, Outcome::Cancelled);
         }
     }
     // One in twenty, and those that may be saved for a bad moment.
@@ -443,18 +458,21 @@
 }
 
 #[test]
-fn nothing_goes_to_a_worker_told_draining_or_gone() {
+fn no_attempt_is_sent_to_a_draining_or_removed_worker() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 3);
-    harness.list(ListKind::Delta, vec![with_health(0, Health::Draining)]);
+    harness.receive_list(
+        ListKind::Delta,
+        vec![entry_with_health(0, Health::Draining)],
+    );
     assert!(!choices(&mut harness, 200).contains_key(&0));
-    harness.list(ListKind::Full, vec![entry(2)]);
+    harness.receive_list(ListKind::Full, vec![entry(2)]);
     assert_eq!(
         choices(&mut harness, 50).into_keys().collect::<Vec<_>>(),
         [2]
     );
-    harness.list(
+    harness.receive_list(
         ListKind::Cached,
-        vec![with_health(2, Health::Removed), entry(1)],
+        vec![entry_with_health(2, Health::Removed), entry(1)],
     );
     assert_eq!(
         choices(&mut harness, 50).into_keys().collect::<Vec<_>>(),
@@ -463,10 +481,10 @@
 }
 
 #[test]
-fn a_cold_worker_gets_its_share_of_capacity_and_no_more() {
+fn worker_in_slow_start_receives_no_more_than_its_share() {
     // Found on a deploy day: a cold worker that must also win the draw stays idle.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 10);
-    harness.list(
+    harness.receive_list(
         ListKind::Delta,
         vec![Entry {
             started: 100.0,
@@ -477,14 +495,14 @@
     for id in 0..20_000 {
         // Time passes, so that the budget for one window does not bind; the clock of its start goes along.
         harness.now += 3.0;
-        harness.list(
+        harness.receive_list(
             ListKind::Delta,
             vec![Entry {
                 started: harness.now,
                 ..entry(0)
             }],
         );
-        let to = sends(&harness.event(Event::RequestReceived(NewRequest {
+        let to = workers_sent_to(&harness.handle(Event::RequestReceived(NewRequest {
             id,
             class: 2,
             time_limit: 10.0,
@@ -492,8 +510,8 @@
             ..Default::default()
         })));
         assert_eq!(to.len(), 1, "request {id}");
-        cold += to.iter().filter(|w| **w == worker(0)).count();
-        harness.outcome(id, 0, to[0], Outcome::Succeeded);
+        cold += to.iter().filter(|w| **w == worker_id(0)).count();
+        harness.end_attempt(id, 0, to[0], Outcome::Succeeded);
     }
     // A tenth of the fleet at a fifth of its capacity carries 2% of the work; three times that tips it over.
     // Passes give 0.7 of that, 840 on average.
@@ -501,9 +519,9 @@
 }
 
 #[test]
-fn one_dispatcher_does_not_spend_a_cold_workers_budget() {
+fn one_dispatcher_leaves_slow_start_budget_for_others() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 2);
-    harness.list(
+    harness.receive_list(
         ListKind::Full,
         vec![
             Entry {
@@ -517,62 +535,68 @@
         ],
     );
     let sent: usize = (0..3000)
-        .map(|id| sends(&harness.request(id, 2)).len())
+        .map(|id| workers_sent_to(&harness.submit(id, 2)).len())
         .sum();
     // Both cold: 3 x 0.2 x 1 slot x 2 s = 1.2 s of work tips one over; a second job of 0.5 s comes too near.
     assert_eq!(sent, 2);
 }
 
 #[test]
-fn a_full_fleet_is_not_stormed() {
+fn full_fleet_receives_fewer_attempts_than_requests() {
     // Found in an incident: every job tried worker after worker, all full, and its client came back at once.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let (mut sent, mut due) = (0, Vec::new());
     for id in 0..200 {
-        let mut actions = harness.request(id, 2);
+        let mut actions = harness.submit(id, 2);
         let mut number = 0;
-        while let [to] = sends(&actions)[..] {
+        while let [to] = workers_sent_to(&actions)[..] {
             (sent, number) = (sent + 1, number + 1);
-            due.extend(timers(&actions));
-            actions = harness.answer(id, number - 1, to, Outcome::Rejected, vec![20.0, 0.0]);
+            due.extend(timers_set(&actions));
+            actions = harness.end_attempt_with_report(
+                id,
+                number - 1,
+                to,
+                Outcome::Rejected,
+                vec![20.0, 0.0],
+            );
         }
-        due.extend(timers(&actions));
+        due.extend(timers_set(&actions));
         harness.now += 0.01;
     }
     assert!(sent < 200, "{sent} attempts for 200 requests");
 }
 
 #[test]
-fn a_dispatcher_that_hears_nothing_tries_again() {
+fn dispatcher_without_new_reports_sends_again() {
     // Found on crash days: a holding dispatcher gets no reports, so its idea of the load never fell.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..40 {
-        for to in sends(&harness.request(id, 0)) {
-            harness.answer(id, 0, to, Outcome::Succeeded, vec![30.0, 0.0]);
+        for to in workers_sent_to(&harness.submit(id, 0)) {
+            harness.end_attempt_with_report(id, 0, to, Outcome::Succeeded, vec![30.0, 0.0]);
         }
     }
     harness.now += 60.0;
-    assert_eq!(sends(&harness.request(99, 0)).len(), 1);
+    assert_eq!(workers_sent_to(&harness.submit(99, 0)).len(), 1);
 }
 
 #[test]
-fn failing_workers_leave_the_draw_but_never_all() {
+fn failing_workers_are_ejected_but_never_all() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
-    let to = sends(&harness.request(1, 2));
-    harness.outcome(1, 0, to[0], Outcome::Error);
+    let to = workers_sent_to(&harness.submit(1, 2));
+    harness.end_attempt(1, 0, to[0], Outcome::Error);
     let chosen: Vec<_> = (2..60)
-        .flat_map(|id| sends(&harness.request(id, 2)))
+        .flat_map(|id| workers_sent_to(&harness.submit(id, 2)))
         .collect();
     assert!(chosen.len() == 58 && !chosen.contains(&to[0]));
     // When most fail, the cause is elsewhere, and jobs still go out.
     for (id, to) in (2..60).zip(chosen) {
-        harness.outcome(id, 0, to, Outcome::Error);
+        harness.end_attempt(id, 0, to, Outcome::Error);
     }
-    assert_eq!(sends(&harness.request(100, 2)).len(), 1);
+    assert_eq!(workers_sent_to(&harness.submit(100, 2)).len(), 1);
 }
 
 #[test]
-fn the_list_is_asked_for_and_asked_again_after_failures() {
+fn discovery_is_polled_again_after_failures() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
     let mut bed2 = DispatcherHarness::new(settings(|_| ()), 0);
     for (harness, asks) in [(&mut harness, true), (&mut bed2, false)] {
@@ -581,23 +605,23 @@
             3,
         );
         harness.dispatcher = fresh.expect("sound settings");
-        let mut due = timers(&harness.list(ListKind::Cached, vec![entry(0)]));
+        let mut due = timers_set(&harness.receive_list(ListKind::Cached, vec![entry(0)]));
         let watched = harness
-            .run(110.0, &mut due)
+            .run_until(110.0, &mut due)
             .contains(&Action::WatchDiscovery);
         assert_eq!(watched, asks);
         if asks {
-            due = timers(&harness.list(ListKind::Failed, Vec::new()));
+            due = timers_set(&harness.receive_list(ListKind::Failed, Vec::new()));
             assert!(
                 harness
-                    .run(118.0, &mut due)
+                    .run_until(118.0, &mut due)
                     .contains(&Action::WatchDiscovery),
                 "asked again after a failure"
             );
-            harness.list(ListKind::Delta, Vec::new());
+            harness.receive_list(ListKind::Delta, Vec::new());
             assert!(
                 !harness
-                    .run(300.0, &mut due)
+                    .run_until(300.0, &mut due)
                     .contains(&Action::WatchDiscovery),
                 "not while subscribed"
             );
@@ -606,26 +630,32 @@
 }
 
 #[test]
-fn unknown_and_unsound_input_is_ignored() {
+fn unknown_and_invalid_events_are_ignored() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 4);
-    assert_eq!(harness.outcome(77, 0, worker(1), Outcome::Succeeded), []);
-    assert_eq!(harness.outcome(77, 9, worker(999), Outcome::Error), []);
-    assert_eq!(harness.note(77, 3, ProgressNote::Started), []);
     assert_eq!(
-        harness.probed(worker(999), Outcome::Succeeded, vec![f32::NAN]),
+        harness.end_attempt(77, 0, worker_id(1), Outcome::Succeeded),
+        []
+    );
+    assert_eq!(
+        harness.end_attempt(77, 9, worker_id(999), Outcome::Error),
         []
     );
-    assert_eq!(harness.event(Event::TimerExpired { token: u64::MAX }), []);
-    assert_eq!(harness.event(Event::ClientDisconnected { request: 5 }), []);
-    let to = sends(&harness.request(1, 0));
-    harness.answer(
+    assert_eq!(harness.report_progress(77, 3, ProgressNote::Started), []);
+    assert_eq!(
+        harness.end_probe(worker_id(999), Outcome::Succeeded, vec![f32::NAN]),
+        []
+    );
+    assert_eq!(harness.handle(Event::TimerExpired { token: u64::MAX }), []);
+    assert_eq!(harness.handle(Event::ClientDisconnected { request: 5 }), []);
+    let to = workers_sent_to(&harness.submit(1, 0));
+    harness.end_attempt_with_report(
         1,
         0,
         to[0],
         Outcome::Succeeded,
         vec![f32::NAN, f32::NEG_INFINITY, 3.0],
     );
-    harness.list(
+    harness.receive_list(
         ListKind::Delta,
         vec![Entry {
             size: f64::NAN,
@@ -641,18 +671,18 @@
         expected_work: Some(-1.0),
         ..Default::default()
     };
-    let actions = harness.event(Event::RequestReceived(odd));
-    let mut due = timers(&actions);
-    let actions = [actions, harness.run(101.0, &mut due)].concat();
+    let actions = harness.handle(Event::RequestReceived(odd));
+    let mut due = timers_set(&actions);
+    let actions = [actions, harness.run_until(101.0, &mut due)].concat();
     assert!(
-        refused(&actions),
+        is_rejected(&actions),
         "a request without a budget is answered at once: {actions:?}"
     );
     assert!(
-        failed(&harness.request(3, 200)),
+        is_failed(&harness.submit(3, 200)),
         "a class that is not in the settings"
     );
-    assert_eq!(sends(&harness.request(4, 0)).len(), 1);
+    assert_eq!(workers_sent_to(&harness.submit(4, 0)).len(), 1);
 }
 
 #[test]
@@ -660,21 +690,25 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let mut due = Vec::new();
     for id in 0..20_000 {
-        let actions = harness.request(id, 0);
-        due.extend(timers(&actions));
-        for to in sends(&actions) {
-            harness.answer(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
+        let actions = harness.submit(id, 0);
+        due.extend(timers_set(&actions));
+        for to in workers_sent_to(&actions) {
+            harness.end_attempt_with_report(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
         }
         let until = harness.now + 0.01;
-        harness.run(until, &mut due);
+        harness.run_until(until, &mut due);
     }
     // Two timers a request, those of the last five seconds.
     assert!(due.len() <= 2 * 501 + 10, "{}", due.len());
-    assert_eq!(harness.run(1000.0, &mut due), [], "stale timers do nothing");
+    assert_eq!(
+        harness.run_until(1000.0, &mut due),
+        [],
+        "stale timers do nothing"
+    );
 }
 
 #[test]
-fn memory_counts_as_room_where_it_is_told() {
+fn reported_free_memory_limits_selection() {
     let mut harness = DispatcherHarness::new(
         settings(|s| {
             s["report"]["fields"] = serde_json::json!(["backlog", "x0", "x1"]);
@@ -696,17 +730,17 @@
         })
     };
     let large: Vec<_> = (100..120)
-        .flat_map(|id| sends(&harness.event(job(id, 3.0))))
+        .flat_map(|id| workers_sent_to(&harness.handle(job(id, 3.0))))
         .collect();
     assert!(
-        large.iter().any(|w| *w != worker(5)),
+        large.iter().any(|w| *w != worker_id(5)),
         "no room for it there: drawn among all"
     );
     let mut bed2 = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut bed2, 1, 5, vec![0.0, 3.0]);
     assert_eq!(
-        sends(&bed2.event(job(2, 3.0))),
-        [worker(5)],
+        workers_sent_to(&bed2.handle(job(2, 3.0))),
+        [worker_id(5)],
         "memory that is not told is no limit"
     );
 }
@@ -721,7 +755,7 @@
 }
 
 #[test]
-fn a_class_goes_only_to_the_kinds_and_zones_it_is_bound_to() {
+fn class_is_sent_only_to_its_allowed_kinds_and_zones() {
     // Found on the first day of a deployment that states placement: most jobs went to other kinds.
     let bound = |s: &mut serde_json::Value| {
         s["services"][0]["allowed-on"] = serde_json::json!([1]);
@@ -729,26 +763,28 @@
         s["services"][1]["allowed-on"] = serde_json::json!([0]);
     };
     let mut harness = DispatcherHarness::new(settings(bound), 0);
-    harness.list(ListKind::Full, (0..8).map(placed).collect());
+    harness.receive_list(ListKind::Full, (0..8).map(placed).collect());
     let mut due = Vec::new();
     for id in 0..60 {
         let class = (id % 3) as u8;
-        let mut actions = harness.request(id, class);
+        let mut actions = harness.submit(id, class);
         for attempt in 0..3 {
-            due.extend(timers(&actions));
-            let [to] = sends(&actions)[..] else { break };
+            due.extend(timers_set(&actions));
+            let [to] = workers_sent_to(&actions)[..] else {
+                break;
+            };
             let n = u16::from(to.address[3]);
             match class {
                 0 => assert!(n % 2 == 1 && n / 4 == 0, "both bind: {n}"),
                 1 => assert_eq!(n % 2, 0, "a zone that is not named is free"),
                 _ => {}
             }
-            actions = harness.outcome(id, attempt, to, Outcome::Rejected);
+            actions = harness.end_attempt(id, attempt, to, Outcome::Rejected);
         }
     }
     // Those permitted are down, others are idle: held, then refused, never sent elsewhere.
     harness.now += 60.0;
-    harness.list(
+    harness.receive_list(
         ListKind::Delta,
         [1, 3]
             .map(|n| Entry {
@@ -757,11 +793,11 @@
             })
             .to_vec(),
     );
-    let mut due = timers(&harness.request(100, 0));
-    let actions = harness.run(harness.now + 6.0, &mut due);
-    assert!(sends(&actions).is_empty() && refused(&actions));
+    let mut due = timers_set(&harness.submit(100, 0));
+    let actions = harness.run_until(harness.now + 6.0, &mut due);
+    assert!(workers_sent_to(&actions).is_empty() && is_rejected(&actions));
     // Copies of silent jobs and sends to cold workers pass the same guard.
-    harness.list(
+    harness.receive_list(
         ListKind::Delta,
         vec![
             Entry {
@@ -773,11 +809,11 @@
         ],
     );
     for id in 200..240 {
-        let mut actions = harness.request(id, 0);
-        let mut due = timers(&actions);
-        actions.extend(harness.run(harness.now + 0.8, &mut due));
+        let mut actions = harness.submit(id, 0);
+        let mut due = timers_set(&actions);
+        actions.extend(harness.run_until(harness.now + 0.8, &mut due));
         assert!(
-            sends(&actions)
+            workers_sent_to(&actions)
                 .iter()
                 .all(|w| [1, 3].contains(&w.address[3])),
             "{actions:?}"
@@ -786,15 +822,18 @@
 }
 
 #[test]
-fn a_place_that_no_worker_is_in_admits_none() {
+fn class_confined_to_an_empty_zone_is_sent_nowhere() {
     for (key, value) in [("allowed-on", 70_000), ("confined-to", 9)] {
         let mut harness = DispatcherHarness::new(
             settings(|s| s["services"][0][key] = serde_json::json!([value])),
             8,
         );
-        let mut due = timers(&harness.request(1, 0));
-        let actions = harness.run(106.0, &mut due);
-        assert!(sends(&actions).is_empty() && refused(&actions), "{key}");
+        let mut due = timers_set(&harness.submit(1, 0));
+        let actions = harness.run_until(106.0, &mut due);
+        assert!(
+            workers_sent_to(&actions).is_empty() && is_rejected(&actions),
+            "{key}"
+        );
     }
 }
 
@@ -806,21 +845,21 @@
 ) -> usize {
     let mut further = 0;
     for id in ids {
-        let mut actions = harness.request(id, 0);
+        let mut actions = harness.submit(id, 0);
         let mut attempt = 0;
-        while let [to] = sends(&actions)[..] {
+        while let [to] = workers_sent_to(&actions)[..] {
             further += usize::from(attempt > 0);
-            due.extend(timers(&actions));
-            actions = harness.outcome(id, attempt, to, Outcome::ConnectFailed);
+            due.extend(timers_set(&actions));
+            actions = harness.end_attempt(id, attempt, to, Outcome::ConnectFailed);
             attempt += 1;
         }
-        due.extend(timers(&actions));
+        due.extend(timers_set(&actions));
     }
     further
 }
 
 #[test]
-fn further_attempts_stay_within_their_budget() {
+fn retries_stay_within_their_budget() {
     let budget = |s: &mut serde_json::Value| {
         s["rules"]["spare-attempts"] = 4.into();
         s["rules"]["repeat-ratio"] = 0.1.into();
@@ -831,7 +870,7 @@
     // Each request would go again three times; ten are taken, so five further attempts are allowed.
     assert_eq!(further_attempts(&mut harness, 0..10, &mut due), 5);
     // The end of a request doesn't give back what it has spent.
-    (0..10).for_each(|request| drop(harness.event(Event::ClientDisconnected { request })));
+    (0..10).for_each(|request| drop(harness.handle(Event::ClientDisconnected { request })));
     harness.now += 4.9;
     assert_eq!(further_attempts(&mut harness, 10..19, &mut due), 0);
     // Once those are out of the window, only what was taken within it counts.
@@ -843,50 +882,50 @@
 }
 
 #[test]
-fn full_is_no_proof_where_that_is_stated() {
+fn rejection_does_not_prove_that_an_attempt_never_ran_where_settings_say_so() {
     // Found on the first days of a deployment whose workers shed work that they had begun.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
-    let to = sends(&harness.request(1, 2));
-    let actions = harness.outcome(1, 0, to[0], Outcome::Rejected);
+    let to = workers_sent_to(&harness.submit(1, 2));
+    let actions = harness.end_attempt(1, 0, to[0], Outcome::Rejected);
     assert!(
-        failed(&actions) && !refused(&actions) && sends(&actions).is_empty(),
+        is_failed(&actions) && !is_rejected(&actions) && workers_sent_to(&actions).is_empty(),
         "{actions:?}"
     );
     for id in 2..30 {
-        let first = sends(&harness.request(id, 1));
-        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Rejected));
+        let first = workers_sent_to(&harness.submit(id, 1));
+        let again = workers_sent_to(&harness.end_attempt(id, 0, first[0], Outcome::Rejected));
         assert!(
             again
                 .iter()
                 .all(|w| w.address[3] / 4 == first[0].address[3] / 4),
             "inside its cell"
         );
-        harness.event(Event::ClientDisconnected { request: id });
+        harness.handle(Event::ClientDisconnected { request: id });
         harness.now += 5.0;
     }
-    let first = sends(&harness.request(50, 1));
+    let first = workers_sent_to(&harness.submit(50, 1));
     harness.now += 3.9;
-    let late = harness.outcome(50, 0, first[0], Outcome::Rejected);
+    let late = harness.end_attempt(50, 0, first[0], Outcome::Rejected);
     assert!(
-        failed(&late) && !refused(&late),
+        is_failed(&late) && !is_rejected(&late),
         "its window is over: {late:?}"
     );
     // A connection that failed still proves it.
-    let to = sends(&harness.request(60, 2));
+    let to = workers_sent_to(&harness.submit(60, 2));
     assert_eq!(
-        sends(&harness.outcome(60, 0, to[0], Outcome::ConnectFailed)).len(),
+        workers_sent_to(&harness.end_attempt(60, 0, to[0], Outcome::ConnectFailed)).len(),
         1
     );
 }
 
 #[test]
-fn a_job_that_no_send_can_help_is_answered_at_once() {
+fn request_that_no_attempt_can_serve_is_answered_at_once() {
     // Nothing left to earn: held while the list is empty, and late answers are worth nothing.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
-    let mut due = timers(&harness.request(1, 0));
-    let actions = harness.run(100.0 + 0.4 + 1.5 * 0.5, &mut due);
+    let mut due = timers_set(&harness.submit(1, 0));
+    let actions = harness.run_until(100.0 + 0.4 + 1.5 * 0.5, &mut due);
     let after = |a: &Action| {
         if let Action::Reject { retry_after, .. } = a {
             Some(*retry_after)
@@ -900,31 +939,47 @@
     );
     // Too little time left for the job to run anywhere, though late answers earn something.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
-    let mut due = timers(&harness.request(1, 0));
-    assert!(!refused(&harness.run(104.8, &mut due)) && refused(&harness.run(104.9, &mut due)));
+    let mut due = timers_set(&harness.submit(1, 0));
+    assert!(
+        !is_rejected(&harness.run_until(104.8, &mut due))
+            && is_rejected(&harness.run_until(104.9, &mut due))
+    );
     // Attempts used up.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
-    let to = sends(&harness.request(1, 0));
-    assert!(refused(&harness.outcome(1, 0, to[0], Outcome::Rejected)));
+    let to = workers_sent_to(&harness.submit(1, 0));
+    assert!(is_rejected(&harness.end_attempt(
+        1,
+        0,
+        to[0],
+        Outcome::Rejected
+    )));
     // The group's window over while the group is away.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
-    let first = harness.request(1, 1);
-    let (to, mut due) = (sends(&first), timers(&first));
+    let first = harness.submit(1, 1);
+    let (to, mut due) = (workers_sent_to(&first), timers_set(&first));
     let cell = u16::from(to[0].address[3]) / 4;
-    harness.list(
+    harness.receive_list(
         ListKind::Delta,
         (4 * cell..4 * cell + 4)
-            .map(|n| with_health(n, Health::Removed))
+            .map(|n| entry_with_health(n, Health::Removed))
             .collect(),
     );
-    due.extend(timers(&harness.outcome(1, 0, to[0], Outcome::Reset)));
-    assert!(!failed(&harness.run(103.25, &mut due)) && failed(&harness.run(103.45, &mut due)));
+    due.extend(timers_set(&harness.end_attempt(
+        1,
+        0,
+        to[0],
+        Outcome::Reset,
+    )));
+    assert!(
+        !is_failed(&harness.run_until(103.25, &mut due))
+            && is_failed(&harness.run_until(103.45, &mut due))
+    );
 }
 
 #[test]
-fn unsound_settings_of_the_further_rules_are_typed_errors() {
+fn invalid_settings_of_retry_budget_and_placement_are_errors() {
     use postproxy::{RetryBudget, Settings, SettingsError};
     for (text, word) in [
         (r#"{"rules": {"spare-attempts": 3}}"#, "look-back"),
@@ -992,26 +1047,26 @@
 }
 
 #[test]
-fn a_worker_that_turns_a_class_away_loses_tickets_for_it() {
+fn worker_that_rejects_a_class_is_selected_less_for_it() {
     // Found where workers turned one class away though they had room: idle, they won every draw.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
     let turn_away = |harness: &mut DispatcherHarness, id: u64| {
         report(harness, id, 3, vec![0.0, 3.0]);
-        let to = sends(&harness.request(id + 1, 2));
-        assert_eq!(to, [worker(3)], "the report promises room");
-        harness.answer(id + 1, 0, to[0], Outcome::Rejected, vec![0.0, 4.0]);
+        let to = workers_sent_to(&harness.submit(id + 1, 2));
+        assert_eq!(to, [worker_id(3)], "the report promises room");
+        harness.end_attempt_with_report(id + 1, 0, to[0], Outcome::Rejected, vec![0.0, 4.0]);
     };
     turn_away(&mut harness, 1);
     let to_it = |harness: &mut DispatcherHarness, class, ids: std::ops::Range<u64>| {
         let count = ids.end - ids.start;
         let mut hits = 0;
         for id in ids {
-            let to = sends(&harness.request(id, class));
-            hits += to.iter().filter(|w| **w == worker(3)).count() as u64;
-            harness.event(Event::ClientDisconnected { request: id });
+            let to = workers_sent_to(&harness.submit(id, class));
+            hits += to.iter().filter(|w| **w == worker_id(3)).count() as u64;
+            harness.handle(Event::ClientDisconnected { request: id });
             for to in to {
-                harness.outcome(id, 0, to, Outcome::Cancelled);
+                harness.end_attempt(id, 0, to, Outcome::Cancelled);
             }
         }
         (hits, count)
@@ -1033,7 +1088,7 @@
 }
 
 #[test]
-fn on_a_large_fleet_all_workers_stay_in_the_draw() {
+fn all_workers_of_a_large_fleet_can_be_selected() {
     // A draw is over a part of the fleet, a fresh one each time; repeats look at all of their few workers.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 250);
     let chosen = choices(&mut harness, 10_000);
@@ -1043,15 +1098,15 @@
         "{chosen:?}"
     );
     for id in 20_000..20_040 {
-        let first = sends(&harness.request(id, 1));
-        let again = sends(&harness.outcome(id, 0, first[0], Outcome::Error));
+        let first = workers_sent_to(&harness.submit(id, 1));
+        let again = workers_sent_to(&harness.end_attempt(id, 0, first[0], Outcome::Error));
         assert!(again.len() == 1 && again[0].address[3] / 4 == first[0].address[3] / 4);
         harness.now += 5.0;
     }
 }
 
 #[test]
-fn a_job_that_has_not_started_gets_a_copy_where_there_is_room() {
+fn request_that_has_not_started_is_hedged_where_there_is_free_capacity() {
     // Found at full size: reports are old when they come, and jobs wait behind others while workers idle.
     for (cancel, copies) in [(true, 1), (false, 0)] {
         let mut harness = DispatcherHarness::new(
@@ -1065,26 +1120,29 @@
             8,
         );
         let answer = |harness: &mut DispatcherHarness, actions: &[Action]| -> Vec<Action> {
-            probes(actions)
+            workers_probed(actions)
                 .into_iter()
-                .flat_map(|w| harness.probed(w, Outcome::Succeeded, vec![0.0, 4.0]))
+                .flat_map(|w| harness.end_probe(w, Outcome::Succeeded, vec![0.0, 4.0]))
                 .collect()
         };
-        let asked = harness.request(1, 0);
+        let asked = harness.submit(1, 0);
         let sent = answer(&mut harness, &asked);
-        let (first, mut due) = (sends(&sent), [timers(&asked), timers(&sent)].concat());
+        let (first, mut due) = (
+            workers_sent_to(&sent),
+            [timers_set(&asked), timers_set(&sent)].concat(),
+        );
         assert_eq!(first.len(), 1);
-        let looked = harness.run(100.3, &mut due);
+        let looked = harness.run_until(100.3, &mut due);
         let again = [answer(&mut harness, &looked), looked].concat();
         assert_eq!(
-            sends(&again).len(),
+            workers_sent_to(&again).len(),
             copies,
             "a waiting copy must be called back: {cancel}"
         );
-        assert!(!sends(&again).contains(&first[0]));
+        assert!(!workers_sent_to(&again).contains(&first[0]));
         if cancel {
             assert_eq!(
-                harness.note(1, 1, ProgressNote::Started),
+                harness.report_progress(1, 1, ProgressNote::Started),
                 [Action::Cancel {
                     request: 1,
                     attempt: 0
@@ -1095,7 +1153,7 @@
 }
 
 #[test]
-fn an_unsafe_job_stakes_its_only_try_on_no_long_queue() {
+fn non_idempotent_request_is_not_sent_to_a_long_queue() {
     // Found under overload where full proves nothing: a fifth of the jobs ended for good on full queues.
     for (shed_begun, sent) in [(false, 1), (true, 0)] {
         let mut harness = DispatcherHarness::new(
@@ -1107,27 +1165,31 @@
             8,
         );
         (0..8).for_each(|n| report(&mut harness, u64::from(n) + 1, n, vec![6.0, 0.0]));
-        assert_eq!(sends(&harness.request(99, 2)).len(), sent, "{shed_begun}");
+        assert_eq!(
+            workers_sent_to(&harness.submit(99, 2)).len(),
+            sent,
+            "{shed_begun}"
+        );
     }
 }
 
 /// Guards against timers that double with each call to a dead discovery until the node does nothing else, and
 /// against a node that stops asking: ten minutes without an answer.
 #[test]
-fn a_dead_discovery_is_asked_at_a_steady_pace() {
+fn failed_discovery_is_polled_at_a_steady_rate() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 3);
-    let mut timers = timers(&harness.list(ListKind::Failed, Vec::new()));
+    let mut timers = timers_set(&harness.receive_list(ListKind::Failed, Vec::new()));
     let mut asked = vec![harness.now];
     while harness.now < 700.0 {
         timers.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (at, token) = timers.remove(0);
         harness.now = at;
-        let mut actions = harness.event(Event::TimerExpired { token });
+        let mut actions = harness.handle(Event::TimerExpired { token });
         if actions.iter().any(|a| matches!(a, Action::WatchDiscovery)) {
             asked.push(harness.now);
-            actions.extend(harness.list(ListKind::Failed, Vec::new()));
+            actions.extend(harness.receive_list(ListKind::Failed, Vec::new()));
         }
-        timers.extend(dispatcher_harness::timers(&actions));
+        timers.extend(dispatcher_harness::timers_set(&actions));
         assert!(timers.len() <= 6, "{} timers at once", timers.len());
     }
     assert!((60..=200).contains(&asked.len()), "{} calls", asked.len());
@@ -1140,11 +1202,11 @@
 /// Guards against a worker that is never drawn for want of a report, which only a job could bring, while the others are known
 /// to have room. Six clients, each with one job after another; seen in 121 of 400 seeds: nothing in 20 s.
 #[test]
-fn a_worker_not_heard_of_is_drawn_beside_others_with_room() {
+fn worker_without_a_report_is_selected_beside_others_with_free_capacity() {
     for seed in 0..40 {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
         harness.dispatcher = Dispatcher::new(settings(|_| ()), seed).expect("sound settings");
-        harness.list(ListKind::Full, (0..4).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..4).map(entry).collect());
         let (mut first, mut running) = ([None; 4], Vec::<(f64, RequestId, _)>::new());
         for request in 0..400 {
             // The job that ends first makes place for the next one.
@@ -1154,9 +1216,9 @@
                     .unwrap_or(0);
                 let (at, id, to) = running.swap_remove(next);
                 harness.now = at;
-                harness.answer(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
+                harness.end_attempt_with_report(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
             }
-            let [to] = sends(&harness.request(request, 0))[..] else {
+            let [to] = workers_sent_to(&harness.submit(request, 0))[..] else {
                 panic!("seed {seed}: held")
             };
             let n = usize::from(to.address[3]);
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn one_instance_acts_the_same_alone_and_among_others() {
+fn instance_acts_the_same_alone_and_among_others() {
     let together = drill(&day(&[1, 2, 3]));
     assert!(together.status.success());
     let together = actions(&together.stdout);
@@ -144,14 +144,14 @@
 }
 
 #[test]
-fn the_end_of_input_ends_it_well() {
+fn end_of_input_ends_the_program_successfully() {
     let output = drill(&batch(7, 1.0, &[]));
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [7, 0, 0, 0, 0, 0, 0, 0]);
 }
 
 #[test]
-fn unknown_instances_are_ignored_and_stopped_ones_forgotten() {
+fn events_of_unknown_and_stopped_instances_are_ignored() {
     let stop = record(25, &[&1u32.to_le_bytes()]);
     let records = [
         start(1, SETTINGS),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn bad_input_is_one_line_and_a_failure() {
+fn malformed_input_fails_with_a_one_line_error() {
     for (input, word) in [
         (batch(1, 1.0, &[record(99, &[&[0; 4]])]), "99"),
         (batch(1, 1.0, &[])[..15].to_vec(), "ended"),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -19,15 +19,15 @@
             zone: (n % 3) as u8,
             ..entry(n)
         };
-        harness.list(ListKind::Full, (0..30).map(zoned).collect());
+        harness.receive_list(ListKind::Full, (0..30).map(zoned).collect());
         let mut zones = BTreeMap::new();
         let mut running = VecDeque::<(f64, u64, WorkerId)>::new();
         for id in 1..=20 * jobs_a_second {
             harness.now += 1.0 / jobs_a_second as f64;
             while let Some((_, id, to)) = running.pop_front_if(|&mut (at, ..)| at <= harness.now) {
-                harness.answer(id, 0, to, Outcome::Succeeded, vec![0.0, 8.0]);
+                harness.end_attempt_with_report(id, 0, to, Outcome::Succeeded, vec![0.0, 8.0]);
             }
-            for to in sends(&harness.request(id, 2)) {
+            for to in workers_sent_to(&harness.submit(id, 2)) {
                 *zones.entry(to.address[3] % 3).or_insert(0) += 1;
                 running.push_back((harness.now + 0.5, id, to));
             }
@@ -50,7 +50,7 @@
             None => drop(s.as_object_mut().and_then(|s| s.remove("balancers"))),
         };
         let mut harness = DispatcherHarness::new(settings(change), 4);
-        harness.list(
+        harness.receive_list(
             ListKind::Delta,
             vec![Entry {
                 started: harness.now - 1.0,
@@ -58,7 +58,11 @@
             }],
         );
         for id in 1..=4 {
-            assert_eq!(sends(&harness.request(id, 2)).len(), 1, "{balancers:?}");
+            assert_eq!(
+                workers_sent_to(&harness.submit(id, 2)).len(),
+                1,
+                "{balancers:?}"
+            );
         }
     }
     let error = Settings::from_json(r#"{"balancers": 0}"#)
@@ -73,7 +77,7 @@
 fn a_list_of_workers_that_are_gone_serves_until_a_better_one_comes() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
     let gone = (0..60).map(|n| {
-        with_health(
+        entry_with_health(
             n,
             if n % 2 == 0 {
                 Health::Removed
@@ -82,14 +86,16 @@
             },
         )
     });
-    let mut due = timers(&harness.list(ListKind::Cached, gone.collect()));
-    let asked = harness.request(1, 2);
-    assert!(sends(&asked).is_empty());
-    due.extend(timers(&asked));
-    due.extend(timers(&harness.list(ListKind::Failed, Vec::new())));
-    harness.list(ListKind::Full, (60..120).map(entry).collect());
+    let mut due = timers_set(&harness.receive_list(ListKind::Cached, gone.collect()));
+    let asked = harness.submit(1, 2);
+    assert!(workers_sent_to(&asked).is_empty());
+    due.extend(timers_set(&asked));
+    due.extend(timers_set(
+        &harness.receive_list(ListKind::Failed, Vec::new()),
+    ));
+    harness.receive_list(ListKind::Full, (60..120).map(entry).collect());
     let until = harness.now + 1.0;
-    let to = sends(&harness.run(until, &mut due));
+    let to = workers_sent_to(&harness.run_until(until, &mut due));
     assert!(to.len() == 1 && to[0].address[3] >= 60, "{to:?}");
 }
 
@@ -99,7 +105,7 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 5000);
     let mut drawn = BTreeSet::new();
     for id in 1..=2000 {
-        let to = sends(&harness.request(id, 2));
+        let to = workers_sent_to(&harness.submit(id, 2));
         assert_eq!(to.len(), 1);
         drawn.extend(to);
     }
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -19,12 +19,12 @@
 ) -> Vec<Action> {
     let others = (0..8)
         .filter(|n| *n != stays)
-        .map(|n| with_health(n, Health::Draining))
+        .map(|n| entry_with_health(n, Health::Draining))
         .collect();
-    harness.list(ListKind::Delta, others);
+    harness.receive_list(ListKind::Delta, others);
     // Requests bring the budget for copies.
-    (1000..1040).for_each(|id| drop(harness.request(id, 2)));
-    harness.run(until, due)
+    (1000..1040).for_each(|id| drop(harness.submit(id, 2)));
+    harness.run_until(until, due)
 }
 
 /// Those of these actions that send an attempt of this request.
@@ -40,8 +40,8 @@
         for tells_start in [true, false] {
             let settings = settings(|json| json["extra"]["tells-start"] = tells_start.into());
             let mut harness = DispatcherHarness::new(settings, 8);
-            let actions = harness.request(1, class);
-            let (to, mut due) = (sends(&actions), timers(&actions));
+            let actions = harness.submit(1, class);
+            let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
             let stays = u16::from(to[0].address[3]);
             let all = alone(&mut harness, stays, &mut due, 103.9);
             assert_eq!(
@@ -59,27 +59,27 @@
 fn a_worker_whose_attempt_was_cancelled_gets_no_other_one() {
     let mut harness =
         DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
-    let actions = harness.request(1, 0);
-    let (first, mut due) = (sends(&actions), timers(&actions));
-    let copy = sends(&harness.run(100.3, &mut due));
+    let actions = harness.submit(1, 0);
+    let (first, mut due) = (workers_sent_to(&actions), timers_set(&actions));
+    let copy = workers_sent_to(&harness.run_until(100.3, &mut due));
     assert_eq!(
-        harness.note(1, 1, ProgressNote::Started),
+        harness.report_progress(1, 1, ProgressNote::Started),
         [Action::Cancel {
             request: 1,
             attempt: 0
         }]
     );
-    harness.outcome(1, 0, first[0], Outcome::Cancelled);
+    harness.end_attempt(1, 0, first[0], Outcome::Cancelled);
     // Only the worker of the cancelled attempt is left when the other one fails.
     let stays = u16::from(first[0].address[3]);
     let others = (0..8)
         .filter(|n| *n != stays)
-        .map(|n| with_health(n, Health::Draining))
+        .map(|n| entry_with_health(n, Health::Draining))
         .collect();
-    harness.list(ListKind::Delta, others);
-    let mut all = harness.outcome(1, 1, copy[0], Outcome::Reset);
-    due.extend(timers(&all));
-    all.extend(harness.run(102.0, &mut due));
+    harness.receive_list(ListKind::Delta, others);
+    let mut all = harness.end_attempt(1, 1, copy[0], Outcome::Reset);
+    due.extend(timers_set(&all));
+    all.extend(harness.run_until(102.0, &mut due));
     assert_eq!(sends_of(&all, 1), 0);
 }
 
@@ -105,11 +105,11 @@
         );
         for class in 0..3 {
             let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
-            let actions = harness.request(1, class);
-            let (to, mut due) = (sends(&actions), timers(&actions));
-            let mut all = harness.outcome(1, 0, to[0], end);
-            due.extend(timers(&all));
-            all.extend(harness.run(103.0, &mut due));
+            let actions = harness.submit(1, class);
+            let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
+            let mut all = harness.end_attempt(1, 0, to[0], end);
+            due.extend(timers_set(&all));
+            all.extend(harness.run_until(103.0, &mut due));
             assert_eq!(sends_of(&all, 1) > 0, never_ran, "class {class}, {end:?}");
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -104,7 +104,7 @@
                     out.push(Action::Fail { request: *request });
                 }
                 (Action::Fail { request }, Break::RepeatsUnsafe) => {
-                    let worker = worker(1);
+                    let worker = worker_id(1);
                     out.push(Action::Send {
                         request: *request,
                         worker,
@@ -115,7 +115,7 @@
                 (Action::Send { worker, .. }, Break::SendsToDraining) => {
                     *worker = self.2.unwrap_or(*worker)
                 }
-                (Action::Send { worker: to, .. }, Break::LeavesPlacement) => *to = worker(2),
+                (Action::Send { worker: to, .. }, Break::LeavesPlacement) => *to = worker_id(2),
                 (Action::Send { .. }, Break::SendsTwice) => out.push(action.clone()),
                 (Action::Fail { request }, Break::TrustsFull) => {
                     let full = matches!(
@@ -184,8 +184,8 @@
 
     fn list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
         if kind == ListKind::Full {
-            for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker(n))) {
-                self.told_off.entry(worker(n)).or_insert(now);
+            for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker_id(n))) {
+                self.told_off.entry(worker_id(n)).or_insert(now);
             }
         }
         for e in entries {
@@ -443,7 +443,7 @@
                     let started = if pick(2) == 0 { now - 0.5 } else { 0.0 };
                     let mut entries = vec![place(Entry {
                         started,
-                        ..with_health(n, health)
+                        ..entry_with_health(n, health)
                     })];
                     let kind = if pick(5) == 0 {
                         ListKind::Full
@@ -485,7 +485,7 @@
             check.action(now, action)?;
             sends += usize::from(matches!(action, Action::Send { .. }));
         }
-        due.extend(timers(&actions));
+        due.extend(timers_set(&actions));
         // Timers of this very moment are still to come.
         if queue.is_empty() && due.iter().all(|d| d.0 > now) {
             check.overdue(now)?;
@@ -520,7 +520,7 @@
 }
 
 #[test]
-fn the_rules_hold_over_generated_sequences() {
+fn rules_hold_over_generated_sequences() {
     let config = Config {
         cases: 60,
         failure_persistence: None,
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn the_checker_sees_each_broken_rule() {
+fn checker_detects_each_broken_rule() {
     for (broken, word) in [
         (Break::NoAnswer, "no answer in time"),
         (Break::SecondAnswer, "second answer"),
@@ -563,7 +563,7 @@
 }
 
 #[test]
-fn the_checker_sees_a_cold_worker_pushed_over() {
+fn checker_detects_an_overloaded_worker_in_slow_start() {
     let mut check = Checker::new(Further::of(7));
     check.jobs.insert(
         1,
@@ -574,10 +574,10 @@
             done: false,
         },
     );
-    check.started.insert(worker(1), 100.0);
+    check.started.insert(worker_id(1), 100.0);
     let send = Action::Send {
         request: 1,
-        worker: worker(1),
+        worker: worker_id(1),
         timeout: 0.0,
     };
     let found = (0..40).find_map(|_| check.action(100.5, &send).err());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -332,7 +332,7 @@
 /// Guards against settings that a name, a limit or a window was taken for granted in, and against a panic, an error that names no
 /// key, or one that says nothing of what to do.
 #[test]
-fn generated_settings_are_served_or_named() {
+fn generated_settings_are_served_or_rejected_with_their_key() {
     let (mut served, mut named, mut sends) = (0, 0, 0);
     for seed in 0..400 {
         let mut rng = Random::new(seed);
@@ -368,7 +368,7 @@
 
 /// Guards against a message without its place: the key's path, what was expected, the code and what to do.
 #[test]
-fn an_error_names_the_path_and_what_to_do() {
+fn error_names_the_path_and_the_remedy() {
     let error = |settings: Value| {
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7", "settings": settings});
         Config::from_json(&config.to_string(), |_| None)
--- a/tests/sibling_events.rs
+++ b/tests/sibling_events.rs
@@ -25,7 +25,7 @@
 /// Guards against a request that loses its answer or gets two, runs again against its class, or exceeds its attempts
 /// because it moved; at any moment of its life.
 #[test]
-fn a_request_that_moves_goes_on_where_it_was() {
+fn migrated_request_continues_where_it_was() {
     let (mut moved, mut after) = (0, 0);
     for seed in 0..120 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
@@ -53,7 +53,7 @@
                         },
                     );
                     owner.insert(next, 0);
-                    done[0] = beds[0].request(next, class);
+                    done[0] = beds[0].submit(next, class);
                     next += 1;
                 }
                 // One moves to the newer one.
@@ -70,7 +70,7 @@
                         owner.insert(id, 1);
                         moved += 1;
                         let carried = Box::new(carried);
-                        done[1] = beds[1].event(Event::RequestMigrated {
+                        done[1] = beds[1].handle(Event::RequestMigrated {
                             request: id,
                             record: carried,
                         });
@@ -105,18 +105,18 @@
                             answered: closed,
                             report,
                         };
-                        done[at] = beds[at].event(event);
+                        done[at] = beds[at].handle(event);
                     }
                 }
                 _ => {
                     now += wait;
                     for at in 0..2 {
-                        done[at] = beds[at].run(now, &mut due[at]);
+                        done[at] = beds[at].run_until(now, &mut due[at]);
                     }
                 }
             }
             for at in 0..2 {
-                due[at].extend(timers(&done[at]).into_iter().filter(|_| what != 7));
+                due[at].extend(timers_set(&done[at]).into_iter().filter(|_| what != 7));
                 for action in &done[at] {
                     match action {
                         Action::Send {
@@ -157,8 +157,8 @@
                                 answered: closed,
                                 report,
                             };
-                            let more = beds[at].event(event);
-                            due[at].extend(timers(&more));
+                            let more = beds[at].handle(event);
+                            due[at].extend(timers_set(&more));
                         }
                         Action::Reject { request, .. } | Action::Fail { request } => {
                             let s = seen.get_mut(request).expect("a request of this test");
@@ -176,7 +176,7 @@
         }
         // All have had their time.
         for at in 0..2 {
-            for action in beds[at].run(now + 30.0, &mut due[at]) {
+            for action in beds[at].run_until(now + 30.0, &mut due[at]) {
                 if let Action::Reject { request, .. } | Action::Fail { request } = action {
                     seen.get_mut(&request)
                         .expect("a request of this test")
@@ -201,14 +201,14 @@
 /// Guards against two processes that each take a whole budget of further attempts, or a whole cold worker: what the
 /// other one does weighs like own work until it ends.
 #[test]
-fn what_the_other_process_does_counts() {
+fn attempts_and_retries_of_the_sibling_process_count() {
     let elsewhere =
-        |harness: &mut DispatcherHarness, news| harness.event(Event::SiblingEvent(news));
+        |harness: &mut DispatcherHarness, news| harness.handle(Event::SiblingEvent(news));
     let mut one = harness(2, |_| {});
     let sent = |request| SiblingEvent::AttemptSent {
         request,
         attempt: 0,
-        worker: worker(0),
+        worker: worker_id(0),
         slots: 1.0,
         work: Some(0.5),
         sent: 100.0,
@@ -218,9 +218,9 @@
     }
     let mut to = [0, 0];
     for request in 1..=40 {
-        let all = sends(&one.request(request, 2));
-        to[usize::from(all[0] == worker(1))] += 1;
-        one.outcome(request, 0, all[0], Outcome::Succeeded);
+        let all = workers_sent_to(&one.submit(request, 2));
+        to[usize::from(all[0] == worker_id(1))] += 1;
+        one.end_attempt(request, 0, all[0], Outcome::Succeeded);
     }
     assert!(
         to[1] > 30,
@@ -232,20 +232,20 @@
             SiblingEvent::AttemptEnded {
                 request,
                 attempt: 0,
-                worker: worker(0),
+                worker: worker_id(0),
             },
         );
     }
     let mut to = [0, 0];
     for request in 101..=140 {
-        let all = sends(&one.request(request, 2));
-        to[usize::from(all[0] == worker(1))] += 1;
-        one.outcome(request, 0, all[0], Outcome::Succeeded);
+        let all = workers_sent_to(&one.submit(request, 2));
+        to[usize::from(all[0] == worker_id(1))] += 1;
+        one.end_attempt(request, 0, all[0], Outcome::Succeeded);
     }
     assert!(to[0] > 8, "they have ended: {to:?}");
     // A cold worker: all that fits its budget is there already.
     let mut two = harness(2, |_| {});
-    two.list(
+    two.receive_list(
         ListKind::Delta,
         vec![postproxy::Entry {
             started: 99.9,
@@ -256,13 +256,13 @@
         elsewhere(&mut two, sent(request));
     }
     for request in 1..=60 {
-        let all = sends(&two.request(request, 2));
+        let all = workers_sent_to(&two.submit(request, 2));
         assert!(
-            all.iter().all(|w| *w == worker(1)),
+            all.iter().all(|w| *w == worker_id(1)),
             "a cold worker has had its budget"
         );
         if let Some(&w) = all.first() {
-            two.outcome(request, 0, w, Outcome::Succeeded);
+            two.end_attempt(request, 0, w, Outcome::Succeeded);
         }
     }
     // A budget of one further attempt in 10 s, which the other process has used; a second later it is free again.
@@ -279,9 +279,9 @@
                 retries: last,
             },
         );
-        let to = sends(&three.request(1, 2))[0];
+        let to = workers_sent_to(&three.submit(1, 2))[0];
         assert_eq!(
-            sends(&three.outcome(1, 0, to, Outcome::Rejected)).len(),
+            workers_sent_to(&three.end_attempt(1, 0, to, Outcome::Rejected)).len(),
             further,
             "{ago} s after"
         );
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -4,7 +4,7 @@
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
 
-use dispatcher_harness::{settings, worker};
+use dispatcher_harness::{settings, worker_id};
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
     Action, Entry, Event, ListKind, NewRequest, Outcome, Settings,
@@ -149,7 +149,7 @@
 
     fn list(&mut self, d: usize, kind: ListKind) {
         let entry = |(n, w): (u16, &Worker)| Entry {
-            worker: worker(n),
+            worker: worker_id(n),
             identity: 1000 + u64::from(n),
             cell: n / 4,
             size: 1.0,
@@ -268,7 +268,7 @@
                         true => Outcome::Error,
                         false => Outcome::Succeeded,
                     };
-                    let (worker, closed) = (worker(w as u16), outcome == Outcome::Succeeded);
+                    let (worker, closed) = (worker_id(w as u16), outcome == Outcome::Succeeded);
                     let event = Event::AttemptEnded {
                         request,
                         attempt,
@@ -345,7 +345,7 @@
 /// Guards against what is harmless in one process and pushes a cold worker over in thirty: passes of each that add up, 'at
 /// least one' for each, budgets that begin anew with a restart, and further attempts that nobody counts.
 #[test]
-fn the_ramp_of_cold_workers_holds_for_the_sum_of_all_dispatchers() {
+fn slow_start_budget_holds_for_the_sum_of_all_dispatchers() {
     let mut worst = 0.0f64;
     for dispatchers in [2, 20, 30, 300] {
         for (workers, cold, small) in [(12, 6, false), (40, 24, false), (24, 8, true)] {
@@ -379,7 +379,7 @@
 /// Guards against a budget that holds for a full fleet alone: few dispatchers or many, a burst in the moment in which workers start, and
 /// workers that turn jobs away or break at once, so that hardly a job is out there at any moment.
 #[test]
-fn the_budget_holds_for_few_dispatchers_and_for_many() {
+fn slow_start_budget_holds_for_few_dispatchers_and_for_many() {
     let mut cases = Vec::new();
     for dispatchers in [2, 5, 20, 40] {
         for (load, burst, failing) in [(1.0, 1.0, 0.9), (0.9, 3.0, 0.1), (0.6, 1.5, 0.5)] {
@@ -414,7 +414,7 @@
 
 /// Guards against a cold worker that is the one which half of all jobs prefer: all dispatchers prefer the same one.
 #[test]
-fn the_budget_holds_at_a_worker_that_all_subjects_prefer() {
+fn slow_start_budget_holds_at_a_worker_that_all_subjects_prefer() {
     let mut worst = 0.0f64;
     for dispatchers in [2, 5, 20, 40] {
         for subjects in [1, 2, 12] {
@@ -446,7 +446,7 @@
 
 /// Guards against a check that sees nothing: one job of each of thirty is thirty.
 #[test]
-fn the_check_sees_a_cold_worker_that_gets_too_much() {
+fn check_detects_a_worker_in_slow_start_that_receives_too_much() {
     let (dispatchers, workers, cold, load, small) = (30, 24, 2, 0.9, true);
     let case = Case {
         dispatchers,
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -26,7 +26,7 @@
 }
 
 /// The id of worker `n`.
-pub fn worker(n: u16) -> WorkerId {
+pub fn worker_id(n: u16) -> WorkerId {
     WorkerId {
         address: [10, 0, (n >> 8) as u8, n as u8],
         port: 80,
@@ -36,7 +36,7 @@
 /// Worker `n`, ready, in a cell of four.
 pub fn entry(n: u16) -> Entry {
     Entry {
-        worker: worker(n),
+        worker: worker_id(n),
         cell: n / 4,
         size: 1.0,
         ..Entry::default()
@@ -57,24 +57,24 @@
             dispatcher,
             now: 100.0,
         };
-        harness.list(ListKind::Full, (0..workers).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..workers).map(entry).collect());
         harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, &event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::WorkerListReceived { kind, entries })
+    pub fn receive_list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
+        self.handle(Event::WorkerListReceived { kind, entries })
     }
 
-    pub fn request(&mut self, request: RequestId, class: u8) -> Vec<Action> {
+    pub fn submit(&mut self, request: RequestId, class: u8) -> Vec<Action> {
         let budget = if class == 0 { 5.0 } else { 10.0 };
         let hint = Some(0.5);
-        self.event(Event::RequestReceived(NewRequest {
+        self.handle(Event::RequestReceived(NewRequest {
             id: request,
             class,
             time_limit: budget,
@@ -84,17 +84,17 @@
         }))
     }
 
-    pub fn outcome(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u16,
         to: WorkerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.answer(request, attempt, to, outcome, Vec::new())
+        self.end_attempt_with_report(request, attempt, to, outcome, Vec::new())
     }
 
-    pub fn answer(
+    pub fn end_attempt_with_report(
         &mut self,
         request: RequestId,
         attempt: u16,
@@ -103,7 +103,7 @@
         report: Vec<f32>,
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Succeeded;
-        self.event(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             worker: to,
@@ -114,8 +114,8 @@
         })
     }
 
-    pub fn probed(&mut self, to: WorkerId, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
-        self.event(Event::ProbeEnded {
+    pub fn end_probe(&mut self, to: WorkerId, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
+        self.handle(Event::ProbeEnded {
             worker: to,
             outcome,
             elapsed: 0.01,
@@ -123,8 +123,13 @@
         })
     }
 
-    pub fn note(&mut self, request: RequestId, attempt: u16, note: ProgressNote) -> Vec<Action> {
-        self.event(Event::AttemptProgress {
+    pub fn report_progress(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        note: ProgressNote,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptProgress {
             request,
             attempt,
             note,
@@ -132,7 +137,7 @@
     }
 
     /// Lets time pass until `until`, firing the timers in `due`, and collects what is done.
-    pub fn run(&mut self, until: f64, due: &mut Vec<(f64, u64)>) -> Vec<Action> {
+    pub fn run_until(&mut self, until: f64, due: &mut Vec<(f64, u64)>) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
             due.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -142,14 +147,14 @@
             }
             let (at, token) = due.remove(0);
             self.now = at.max(self.now);
-            let actions = self.event(Event::TimerExpired { token });
-            due.extend(timers(&actions));
+            let actions = self.handle(Event::TimerExpired { token });
+            due.extend(timers_set(&actions));
             all.extend(actions);
         }
     }
 }
 
-pub fn timers(actions: &[Action]) -> Vec<(f64, u64)> {
+pub fn timers_set(actions: &[Action]) -> Vec<(f64, u64)> {
     let timer = |a: &Action| {
         if let Action::Timer { at, token } = *a {
             Some((at, token))
@@ -160,7 +165,7 @@
     actions.iter().filter_map(timer).collect()
 }
 
-pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
+pub fn workers_sent_to(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| {
         if let Action::Send { worker, .. } = *a {
             Some(worker)
@@ -171,7 +176,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn probes(actions: &[Action]) -> Vec<WorkerId> {
+pub fn workers_probed(actions: &[Action]) -> Vec<WorkerId> {
     let probe = |a: &Action| {
         if let Action::Probe { worker } = *a {
             Some(worker)
@@ -182,15 +187,15 @@
     actions.iter().filter_map(probe).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
 /// Entries `n` with this health.
-pub fn with_health(n: u16, health: Health) -> Entry {
+pub fn entry_with_health(n: u16, health: Health) -> Entry {
     Entry { health, ..entry(n) }
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -4,7 +4,7 @@
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
 
-use dispatcher_harness::{sends, worker};
+use dispatcher_harness::{worker_id, workers_sent_to};
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
     Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
@@ -99,7 +99,7 @@
     let mut dispatcher =
         Dispatcher::new(Settings::from_json(settings).expect("settings"), seed).expect("sound");
     let entry = |n: u16, health| Entry {
-        worker: worker(n),
+        worker: worker_id(n),
         health,
         size: 1.0,
         ..Entry::default()
@@ -182,8 +182,8 @@
                 ..NewRequest::default()
             };
             dispatcher.handle(now, &Event::RequestReceived(new), &mut actions);
-            for to in sends(&actions) {
-                let leaving = discovery.leaves.iter().find(|(_, n)| worker(*n) == to);
+            for to in workers_sent_to(&actions) {
+                let leaving = discovery.leaves.iter().find(|(_, n)| worker_id(*n) == to);
                 if let Some((at, n)) =
                     leaving.filter(|(at, _)| now > at.max(sound_from) + due_after + SLACK)
                 {
@@ -193,7 +193,7 @@
                 }
                 checked += u64::from(leaving.is_some());
             }
-            let sent = sends(&actions);
+            let sent = workers_sent_to(&actions);
             dispatcher.handle(
                 now,
                 &Event::ClientDisconnected { request: tick + 1 },
