--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -1,4 +1,5 @@
-//! Where fetching what a job's subject needs has a price: jobs of one subject go where it is held already, from every dispatcher alike.
+//! Affinity of subjects: where fetching the data of a subject has a price, requests of one subject
+//! go to the same worker from every dispatcher.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -9,7 +10,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Settings in which a fetch has this price, and what `change` does to them.
+/// Returns settings in which a fetch has this price, after `change`.
 fn with_price(price: f64, change: impl FnOnce(&mut serde_json::Value)) -> Settings {
     settings(|s| {
         s["prices"] = serde_json::json!({"origin": price, "cross-zone": 0.025});
@@ -17,7 +18,8 @@
     })
 }
 
-/// A dispatcher that counts its workers in an order of its own; their identities are the same everywhere.
+/// Returns a dispatcher that lists its workers in an order of its own; their identities are the
+/// same at every dispatcher.
 fn dispatcher(settings: Settings, seed: u64, workers: u16) -> DispatcherHarness {
     let dispatcher = postproxy::Dispatcher::new(settings, seed).expect("sound settings");
     let mut harness = DispatcherHarness {
@@ -39,8 +41,13 @@
     }
 }
 
-/// A job of this subject; what is done about it.
-fn ask(harness: &mut DispatcherHarness, request: RequestId, key: u64, slots: f64) -> Vec<Action> {
+/// Submits a request of this subject.
+fn submit_subject(
+    harness: &mut DispatcherHarness,
+    request: RequestId,
+    key: u64,
+    slots: f64,
+) -> Vec<Action> {
     let new = NewRequest {
         id: request,
         class: 0,
@@ -53,8 +60,8 @@
     harness.handle(Event::RequestReceived(new))
 }
 
-/// Plays so many jobs of a subject, each ended before the next one; how many each worker had.
-fn played(
+/// Submits requests of a subject one after another and returns how many each worker received.
+fn count_by_worker(
     harness: &mut DispatcherHarness,
     from: RequestId,
     jobs: u64,
@@ -62,24 +69,24 @@
 ) -> BTreeMap<WorkerId, u64> {
     let mut all = BTreeMap::new();
     for request in from..from + jobs {
-        let to = workers_sent_to(&ask(harness, request, key, 1.0));
+        let to = workers_sent_to(&submit_subject(harness, request, key, 1.0));
         assert_eq!(to.len(), 1, "each is sent at once");
         *all.entry(to[0]).or_insert(0) += 1;
         harness.now += 0.05;
-        // Every worker has room, as its report tells.
+        // Every worker reports free capacity.
         harness.end_attempt_with_report(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
     }
     all
 }
 
-/// The worker that had most of them, and how many.
-fn most(all: &BTreeMap<WorkerId, u64>) -> (WorkerId, u64) {
+/// Returns the worker that received most requests, and how many.
+fn busiest(all: &BTreeMap<WorkerId, u64>) -> (WorkerId, u64) {
     let (worker, jobs) = all.iter().max_by_key(|(_, jobs)| **jobs).expect("some");
     (*worker, *jobs)
 }
 
-/// Guards against subjects that are fetched by all workers, in a fleet that is drawn from whole and in one that is sampled: dispatchers
-/// that share nothing, and know the workers in another order and other zones near, hold each subject at the same one.
+/// Dispatchers that share no state, list the workers in another order and are in other zones send
+/// each subject to the same worker, in a fleet that is searched whole and in one that is sampled.
 #[test]
 fn independent_dispatchers_prefer_the_same_worker_for_a_subject() {
     for workers in [8, 200] {
@@ -87,8 +94,8 @@
         for key in 1..=24u64 {
             let home_of = |seed: u64| {
                 let set = with_price(0.2, |s| s["zone"] = (seed % 2).into());
-                let all = played(&mut dispatcher(set, seed, workers), 0, 40, key);
-                let (home, jobs) = most(&all);
+                let all = count_by_worker(&mut dispatcher(set, seed, workers), 0, 40, key);
+                let (home, jobs) = busiest(&all);
                 assert!(jobs >= 36, "subject {key} of {workers} workers: {all:?}");
                 home
             };
@@ -103,7 +110,7 @@
     }
 }
 
-/// Guards against subjects that all move when one worker goes: only its own do, and none moves back and forth.
+/// When a worker is removed, only its own subjects move, and none moves back and forth.
 #[test]
 fn removed_worker_moves_only_its_own_subjects() {
     let mut harness = dispatcher(with_price(0.2, |_| ()), 5, 8);
@@ -112,7 +119,7 @@
         (1..=40)
             .map(|key| {
                 next += 20;
-                most(&played(harness, next, 20, key)).0
+                busiest(&count_by_worker(harness, next, 20, key)).0
             })
             .collect()
     };
@@ -133,15 +140,16 @@
     }
 }
 
-/// Guards against a subject that waits for its worker while others idle, or is scattered then: the next one is the same everywhere.
+/// A request does not wait for its subject's worker while others are idle, and every dispatcher
+/// prefers the same next worker.
 #[test]
 fn subject_of_a_full_worker_goes_to_the_next_preferred_one() {
     let next_of = |seed: u64| {
         let mut harness = dispatcher(with_price(0.2, |_| ()), seed, 8);
-        let home = most(&played(&mut harness, 0, 40, 77)).0;
+        let home = busiest(&count_by_worker(&mut harness, 0, 40, 77)).0;
         let mut all = BTreeMap::new();
         for request in 100..140 {
-            // Its worker tells that no slot is free, through another job's answer; the others have room.
+            // The subject's worker reports that no slot is free; the others have free capacity.
             for (n, request) in (0..8).zip(1000 * request..) {
                 let to = worker_id(n);
                 let figures = if to == home {
@@ -157,26 +165,26 @@
                 });
                 let _ = request;
             }
-            let to = workers_sent_to(&ask(&mut harness, request, 77, 1.0));
+            let to = workers_sent_to(&submit_subject(&mut harness, request, 77, 1.0));
             *all.entry(to[0]).or_insert(0) += 1;
             harness.now += 0.05;
             harness.end_attempt_with_report(request, 0, to[0], Outcome::Succeeded, vec![0.0, 5.0]);
         }
-        let (next, jobs) = most(&all);
+        let (next, jobs) = busiest(&all);
         assert!(next != home && jobs >= 34, "{all:?}");
         next
     };
     assert_eq!(next_of(3), next_of(8));
 }
 
-/// Guards against a rule that holds where no fetch is counted: the same draws, whatever the subjects are.
+/// Where a fetch has no price, the selections are the same whatever the subjects are.
 #[test]
 fn subjects_change_no_decision_where_a_fetch_has_no_price() {
     for price in [0.0, -0.0] {
         let actions = |subject: u64| {
             let mut harness = dispatcher(with_price(price, |_| ()), 11, 8);
             let play = |request| {
-                let actions = ask(&mut harness, request, subject, 1.0);
+                let actions = submit_subject(&mut harness, request, subject, 1.0);
                 harness.now += 0.05;
                 harness.end_attempt_with_report(
                     request,
@@ -193,7 +201,8 @@
     }
 }
 
-/// Guards against a cold worker that is made to fetch what others hold: it gets jobs of subjects that prefer it, or prefer but two to it.
+/// A worker in slow start receives requests of subjects that prefer it, or prefer at most two other
+/// workers to it. It does not have to fetch what others have cached.
 #[test]
 fn worker_in_slow_start_receives_subjects_that_prefer_it() {
     const WORKERS: u16 = 12;
@@ -206,8 +215,8 @@
     );
     let (mut own, mut others) = (0, 0);
     for key in 1..=SUBJECTS {
-        let home = most(&played(&mut warm, key * 100, 20, key)).0;
-        // It has just started, each time anew: its part of its budget is whole.
+        let home = busiest(&count_by_worker(&mut warm, key * 100, 20, key)).0;
+        // It has just restarted, so that its budget is unused.
         let started = harness.now;
         harness.receive_list(
             ListKind::Delta,
@@ -216,7 +225,7 @@
                 ..identified(COLD)
             }],
         );
-        let all = played(&mut harness, key * 100, 20, key);
+        let all = count_by_worker(&mut harness, key * 100, 20, key);
         if all.contains_key(&worker_id(COLD)) {
             *(if home == worker_id(COLD) {
                 &mut own
@@ -234,7 +243,7 @@
     );
 }
 
-/// Guards against probes and copies that cost more than they bring: the dearer they are, the fewer are made.
+/// The more expensive probes are, the fewer are sent.
 #[test]
 fn fewer_probes_are_sent_at_a_higher_price() {
     let asked = |price: f64| {
@@ -245,8 +254,8 @@
         let mut harness = dispatcher(set, 5, 8);
         let mut count = 0;
         for request in 0..400 {
-            let mut actions = ask(&mut harness, request, 0, 1.0);
-            // All are full: a job that is held asks again.
+            let mut actions = submit_subject(&mut harness, request, 0, 1.0);
+            // All are full: a waiting request probes again.
             let mut due = timers_set(&actions);
             for _ in 0..20 {
                 count += workers_probed(&actions).len();
@@ -263,7 +272,8 @@
         count
     };
     let (cheap, dear, dearer) = (asked(0.001), asked(0.01), asked(0.1));
-    // 0.0075 of all points in each: 7.5 a request, more than are asked for; 0.75 and 0.075, ten saved at the start, and one sample begun with the last.
+    // Probes may cost 0.0075 of all weight: 7.5 for each request, more than are needed, then 0.75
+    // and 0.075; ten may be saved up, and the last sample may exceed the budget.
     assert!(cheap > 400, "{cheap} probes of 400 jobs at a thousandth");
     assert!(
         (200..=313).contains(&dear),
@@ -275,7 +285,7 @@
     );
 }
 
-/// Guards against copies whose waste costs more than they save: the dearer waste is, the fewer are made.
+/// The more expensive wasted work is, the fewer hedges are sent.
 #[test]
 fn fewer_hedges_are_sent_where_waste_costs_more() {
     let copies = |price: f64| {
@@ -288,7 +298,7 @@
         let mut harness = dispatcher(set, 5, 64);
         let mut count = 0;
         for request in 0..2000 {
-            let mut actions = ask(&mut harness, request, 0, 1.0);
+            let mut actions = submit_subject(&mut harness, request, 0, 1.0);
             let mut due = timers_set(&actions);
             for to in workers_probed(&actions) {
                 actions.extend(harness.end_probe(to, Outcome::Succeeded, vec![0.0, 4.0]));
@@ -311,8 +321,8 @@
     );
 }
 
-/// Guards against a worker that is shut out since it killed a job for a more urgent one, as its settings say: that is no fault of it. A reset
-/// of a job that nothing may push out is one.
+/// A worker that stops a job for one of a higher priority, as the settings allow, is not ejected. A
+/// reset of a job that can't be preempted is a fault.
 #[test]
 fn preempted_attempt_does_not_eject_its_worker() {
     for (order, priorities, shut_out) in [
@@ -325,14 +335,14 @@
             s["extra"]["class-priority"] = serde_json::json!(priorities);
         });
         let mut harness = dispatcher(set, 5, 8);
-        let first = workers_sent_to(&ask(&mut harness, 1, 0, 1.0))[0];
+        let first = workers_sent_to(&submit_subject(&mut harness, 1, 0, 1.0))[0];
         let again = workers_sent_to(&harness.end_attempt(1, 0, first, Outcome::Reset));
         assert!(
             again.len() == 1 && again[0] != first,
             "it starts over elsewhere: {again:?}"
         );
         let drawn = (10..200).any(|request| {
-            let to = workers_sent_to(&ask(&mut harness, request, 0, 1.0));
+            let to = workers_sent_to(&submit_subject(&mut harness, request, 0, 1.0));
             harness.handle(Event::ClientDisconnected { request });
             to.iter()
                 .for_each(|to| drop(harness.end_attempt(request, 0, *to, Outcome::Cancelled)));
--- a/tests/decisions/decider.rs
+++ b/tests/decisions/decider.rs
@@ -1,4 +1,5 @@
-//! What makes the decisions in a simulation: a dispatcher in this process, or one in the program `postproxy-drill`.
+//! What makes the decisions in a simulation: a dispatcher in this process, or one in the program
+//! `postproxy-drill`.
 
 use super::text::{action_line, event_line, hex};
 use super::wire;
--- a/tests/decisions/mod.rs
+++ b/tests/decisions/mod.rs
@@ -1,4 +1,5 @@
-//! A closed-loop simulation of clients and workers around one dispatcher, and the recordings of its runs.
+//! A closed-loop simulation of clients and workers around one dispatcher, and the recordings of its
+//! runs.
 
 pub mod decider;
 pub mod random;
--- a/tests/decisions/recording.rs
+++ b/tests/decisions/recording.rs
@@ -1,4 +1,5 @@
-//! Recordings of runs: the first lines in full and a digest of each block of lines, kept in `tests/fixtures/decisions/`.
+//! Recordings of runs: the first lines in full and a digest of each block of lines, kept in
+//! `tests/fixtures/decisions/`.
 
 use sha2::{Digest, Sha256};
 use std::path::{Path, PathBuf};
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -1,4 +1,5 @@
-//! Events and actions as lines of text that don't depend on the names of Rust types; numbers are written exactly.
+//! Events and actions as lines of text that don't depend on the names of Rust types; numbers are
+//! written exactly.
 
 use postproxy::{
     Action, Entry, Event, Health, ListKind, MigratedRequest, NewRequest, Outcome, ProgressNote,
--- a/tests/decisions/wire.rs
+++ b/tests/decisions/wire.rs
@@ -1,5 +1,5 @@
-//! The byte form of the program `postproxy-drill`: events into records, replies into actions. Written apart from the
-//! program's own code, so that a change of the form there shows.
+//! The byte form of the program `postproxy-drill`: events into records, replies into actions.
+//! Written apart from the program's own code, so that a change of the form there shows.
 
 use postproxy::{
     Action, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, WorkerId,
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The decision module alone: the mechanism, and one small test for each failure found.
+//! The dispatcher on its own: its mechanisms, and a small test for each failure that was found.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -10,7 +10,8 @@
 };
 use std::collections::BTreeMap;
 
-/// Sends `count` safe requests, one by one, each ended at once without a report; counts the choices.
+/// Submits `count` idempotent requests, each of which ends at once without a report, and returns
+/// how many each worker received.
 fn choices(harness: &mut DispatcherHarness, count: u64) -> BTreeMap<u16, u64> {
     let mut chosen = BTreeMap::new();
     for id in 1000..1000 + count {
@@ -23,9 +24,9 @@
     chosen
 }
 
-/// Gives worker `n` a report in the answer of a job that it has just served.
+/// Lets worker `n` serve a request and report its load with the answer.
 fn report(harness: &mut DispatcherHarness, id: RequestId, n: u16, figures: Vec<f32>) {
-    // Drains all others, so that the job has to go to `n`.
+    // All others are draining, so that the request goes to `n`.
     let others = (0..8)
         .filter(|&o| o != n)
         .map(|o| entry_with_health(o, Health::Draining))
@@ -64,15 +65,15 @@
         harness.end_attempt_with_report(id, 0, to[0], Outcome::Succeeded, vec![queue, 0.0]);
         harness.receive_list(ListKind::Delta, vec![entry(0), entry(1)]);
     }
-    // Loads are 1 and 7 (the job that ended is taken off), so tickets stand 1/2 to 1/8. The long stretch
-    // of the aim lets jobs join either queue.
+    // The loads are 1 and 7 without the attempt that ended, so the weights are 1/2 and 1/8. The
+    // long objective lets requests join either queue.
     let chosen = choices(&mut harness, 5000);
     let ratio = chosen[&0] as f64 / chosen[&1] as f64;
     assert!((3.2..4.8).contains(&ratio), "{ratio}");
 }
 
-/// Guards against own jobs that are forgotten while they run: a report, however late it was taken, can't tell
-/// that they are gone; their ends do.
+/// An own attempt counts from its sending to its end. A report can't show that it has ended,
+/// however late the report was made.
 #[test]
 fn own_attempts_add_to_a_report_until_they_end() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
@@ -81,20 +82,20 @@
         let id = ids.next().unwrap_or(0);
         (id, workers_sent_to(&harness.submit(id, 2)))
     };
-    // A first answer shows four free slots: room for the one that ended and four more.
+    // The first answer reports four free slots, beside the one of the attempt that ended.
     let (first, to) = send(&mut harness);
     harness.end_attempt_with_report(first, 0, to[0], Outcome::Succeeded, vec![0.0, 4.0]);
     let placed: Vec<_> = (0..40)
         .map(|_| send(&mut harness))
         .filter(|(_, to)| !to.is_empty())
         .collect();
-    // Own sends use the room up although no report has shown them: the rest is held, not queued late.
+    // Own attempts use the capacity up although no report shows them: the rest waits here.
     assert!((4..20).contains(&placed.len()), "{}", placed.len());
     assert!(
         send(&mut harness).1.is_empty(),
         "held while the correction fills the worker"
     );
-    // A report of old that shows it empty does not clear the correction.
+    // An old report that shows the worker empty does not remove the own attempts.
     harness.now += 0.2;
     harness.end_attempt_with_report(
         placed[0].0,
@@ -108,7 +109,7 @@
         held.len() <= 1,
         "at most the place of the one that ended: {held:?}"
     );
-    // The ends of all of them do, in a report or without one.
+    // Their ends do, with a report or without one.
     for (id, _) in &placed[1..] {
         harness.end_attempt_with_report(*id, 0, worker_id(0), Outcome::Succeeded, vec![]);
     }
@@ -119,7 +120,7 @@
 fn request_adds_the_slots_it_needs_to_the_load() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut harness, 1, 3, vec![0.0, 4.0]);
-    // Worker 3 is known to have four free slots: a job of four goes there, and then there is no room.
+    // Worker 3 has four free slots: a request of four slots goes there and takes all of them.
     let wide = |request| {
         Event::RequestReceived(NewRequest {
             id: request,
@@ -140,8 +141,8 @@
     );
 }
 
-/// Guards against all jobs going to the worker that has just answered, where others are no fuller: whoever
-/// answers most would be sent most.
+/// A worker that has just answered does not receive all requests while others are no more loaded.
+/// Otherwise the worker that answers most would be sent most.
 #[test]
 fn newly_reported_worker_does_not_receive_all_requests() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
@@ -154,8 +155,9 @@
     assert!(chosen.len() == 8 && chosen[&5] <= 25, "{chosen:?}");
 }
 
-/// Guards against a first try of a client with little patience being given up as a late one: where clients
-/// mark their later tries, one without a mark has just been asked for, and a marked one may have been.
+/// The first request of a client with a short time limit is not taken for a late retry. Where
+/// clients mark their retries, an unmarked request is new, and a marked one may have been submitted
+/// before.
 #[test]
 fn request_with_a_short_time_limit_is_served() {
     let marks =
@@ -195,7 +197,7 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut harness, 1, 5, vec![0.0, 3.0]);
     assert_eq!(workers_sent_to(&harness.submit(2, 0)), [worker_id(5)]);
-    // An old report promises nothing.
+    // An old report does not count as free capacity.
     harness.now += 60.0;
     let chosen = choices(&mut harness, 400);
     assert!(chosen.len() == 8, "{chosen:?}");
@@ -207,7 +209,7 @@
     for id in 0..30 {
         report(&mut harness, 2 * id + 1, 5, vec![0.0, 3.0]);
         let to = workers_sent_to(&harness.submit(2 * id + 2, 2));
-        // Room was promised, the job takes far beyond its aim.
+        // Free capacity was reported, and the request takes far longer than its objective.
         harness.now += 5.0;
         harness.end_attempt_with_report(2 * id + 2, 0, to[0], Outcome::Succeeded, vec![0.0, 3.0]);
     }
@@ -247,7 +249,7 @@
 
 #[test]
 fn number_of_probes_is_bounded_under_overload() {
-    // Found on an overloaded day: held jobs asked again and again, 50 probes a request.
+    // Found under overload: waiting requests sent 50 probes each.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
     let (mut due, mut asked) = (Vec::new(), 0);
@@ -336,8 +338,8 @@
     );
 }
 
-/// Guards against a repeat that is decided inside its window and arrives outside: a connection may take `dial-timeout` to
-/// come up. A window shorter than that counts as none.
+/// A retry must arrive within the dedup window, and connecting may take `dial-timeout`. A window
+/// shorter than that counts as none.
 #[test]
 fn request_with_a_key_is_retried_only_if_it_arrives_within_the_dedup_window() {
     let after = |window: f64, pause: f64, seed: u64| {
@@ -372,7 +374,7 @@
         let actions = harness.submit(1, class);
         let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
         harness.run_until(103.0, &mut due);
-        // Budget for copies comes with requests.
+        // The budget for hedges grows with requests.
         (10..30).for_each(|id| drop(harness.submit(id, 2)));
         let copy = workers_sent_to(&harness.run_until(104.9, &mut due));
         assert_eq!(copy.len(), copies, "class {class}");
@@ -382,7 +384,7 @@
 
 #[test]
 fn request_that_does_not_start_is_hedged_and_the_waiting_attempt_cancelled() {
-    // Found where probes are forbidden: figures are too old, but a start is told at once.
+    // Found where probes are not allowed: reports are old, but a start is reported at once.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
     let actions = harness.submit(1, 0);
@@ -398,8 +400,8 @@
     );
 }
 
-/// Guards against queues that nobody sees where workers report nothing, in which all jobs come too late: what other dispatchers
-/// hold at a worker is taken to be as much as this one does.
+/// Where workers report nothing, their queues can't be seen. The load of other dispatchers at a
+/// worker is assumed to equal the own load.
 #[test]
 fn without_reports_no_request_joins_a_queue_that_makes_it_late() {
     for (dispatchers, sent) in [(4, 2), (1, 3)] {
@@ -422,7 +424,7 @@
         assert_eq!(to.len(), sent, "{dispatchers} dispatchers");
         if sent == 2 {
             assert_ne!(to[0], to[1]);
-            // It is held, and not for ever: it goes where one ends.
+            // It waits until another request ends.
             harness.end_attempt(1, 0, to[0], Outcome::Succeeded);
             assert_eq!(
                 workers_sent_to(&harness.run_until(100.4, &mut due)),
@@ -432,7 +434,7 @@
     }
 }
 
-/// Guards against copies that double the load of a fleet that is full already, where nothing tells that it is.
+/// Hedges do not double the load of a full fleet where no report shows that it is full.
 #[test]
 fn without_reports_hedges_stay_within_their_budget() {
     let mut harness = DispatcherHarness::new(
@@ -453,7 +455,7 @@
             harness.end_attempt(id, attempt, to, Outcome::Cancelled);
         }
     }
-    // One in twenty, and those that may be saved for a bad moment.
+    // One in twenty, and those that the budget may save up.
     assert!((20..=30).contains(&copies), "{copies} copies of 400 jobs");
 }
 
@@ -482,7 +484,8 @@
 
 #[test]
 fn worker_in_slow_start_receives_no_more_than_its_share() {
-    // Found on a deploy day: a cold worker that must also win the draw stays idle.
+    // Found during a rolling restart: a worker in slow start that also had to win the draw stayed
+    // idle.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 10);
     harness.receive_list(
         ListKind::Delta,
@@ -493,7 +496,8 @@
     );
     let mut cold = 0;
     for id in 0..20_000 {
-        // Time passes, so that the budget for one window does not bind; the clock of its start goes along.
+        // Time passes, so that the budget for one window is not the limit; the start time moves
+        // along.
         harness.now += 3.0;
         harness.receive_list(
             ListKind::Delta,
@@ -513,8 +517,8 @@
         cold += to.iter().filter(|w| **w == worker_id(0)).count();
         harness.end_attempt(id, 0, to[0], Outcome::Succeeded);
     }
-    // A tenth of the fleet at a fifth of its capacity carries 2% of the work; three times that tips it over.
-    // Passes give 0.7 of that, 840 on average.
+    // A tenth of the fleet at a fifth of its capacity carries 2% of the work; three times that
+    // overloads it. Passes give 0.7 of that, 840 on average.
     assert!((200..1000).contains(&cold), "{cold} of 20000");
 }
 
@@ -537,13 +541,15 @@
     let sent: usize = (0..3000)
         .map(|id| workers_sent_to(&harness.submit(id, 2)).len())
         .sum();
-    // Both cold: 3 x 0.2 x 1 slot x 2 s = 1.2 s of work tips one over; a second job of 0.5 s comes too near.
+    // Both are in slow start: 3 x 0.2 x 1 slot x 2 s = 1.2 s of work overloads one, and a second
+    // request of 0.5 s comes too close to that.
     assert_eq!(sent, 2);
 }
 
 #[test]
 fn full_fleet_receives_fewer_attempts_than_requests() {
-    // Found in an incident: every job tried worker after worker, all full, and its client came back at once.
+    // Found in an incident: every request was sent to one full worker after another, and its client
+    // retried at once.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let (mut sent, mut due) = (0, Vec::new());
     for id in 0..200 {
@@ -568,7 +574,8 @@
 
 #[test]
 fn dispatcher_without_new_reports_sends_again() {
-    // Found on crash days: a holding dispatcher gets no reports, so its idea of the load never fell.
+    // Found after crashes: a dispatcher that sends nothing gets no reports, so the load that it
+    // assumed never fell.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..40 {
         for to in workers_sent_to(&harness.submit(id, 0)) {
@@ -588,7 +595,7 @@
         .flat_map(|id| workers_sent_to(&harness.submit(id, 2)))
         .collect();
     assert!(chosen.len() == 58 && !chosen.contains(&to[0]));
-    // When most fail, the cause is elsewhere, and jobs still go out.
+    // When most workers fail, they are not the cause, and requests are still sent.
     for (id, to) in (2..60).zip(chosen) {
         harness.end_attempt(id, 0, to, Outcome::Error);
     }
@@ -698,7 +705,7 @@
         let until = harness.now + 0.01;
         harness.run_until(until, &mut due);
     }
-    // Two timers a request, those of the last five seconds.
+    // Two timers for each request of the last five seconds.
     assert!(due.len() <= 2 * 501 + 10, "{}", due.len());
     assert_eq!(
         harness.run_until(1000.0, &mut due),
@@ -756,7 +763,7 @@
 
 #[test]
 fn class_is_sent_only_to_its_allowed_kinds_and_zones() {
-    // Found on the first day of a deployment that states placement: most jobs went to other kinds.
+    // Found at the first deployment with placement rules: most requests went to other kinds.
     let bound = |s: &mut serde_json::Value| {
         s["services"][0]["allowed-on"] = serde_json::json!([1]);
         s["services"][0]["confined-to"] = serde_json::json!([0]);
@@ -782,7 +789,7 @@
             actions = harness.end_attempt(id, attempt, to, Outcome::Rejected);
         }
     }
-    // Those permitted are down, others are idle: held, then refused, never sent elsewhere.
+    // The allowed workers are down and others are idle: the request waits, then is rejected.
     harness.now += 60.0;
     harness.receive_list(
         ListKind::Delta,
@@ -796,7 +803,7 @@
     let mut due = timers_set(&harness.submit(100, 0));
     let actions = harness.run_until(harness.now + 6.0, &mut due);
     assert!(workers_sent_to(&actions).is_empty() && is_rejected(&actions));
-    // Copies of silent jobs and sends to cold workers pass the same guard.
+    // Hedges and attempts at workers in slow start follow the same rule.
     harness.receive_list(
         ListKind::Delta,
         vec![
@@ -837,7 +844,7 @@
     }
 }
 
-/// Sends further attempts as long as the module makes them: each send fails to connect.
+/// Returns the number of attempts that are sent while each fails to connect.
 fn further_attempts(
     harness: &mut DispatcherHarness,
     ids: std::ops::Range<u64>,
@@ -867,23 +874,23 @@
     };
     let mut harness = DispatcherHarness::new(settings(budget), 8);
     let mut due = Vec::new();
-    // Each request would go again three times; ten are taken, so five further attempts are allowed.
+    // Each request would be retried three times; ten are admitted, so five retries are allowed.
     assert_eq!(further_attempts(&mut harness, 0..10, &mut due), 5);
-    // The end of a request doesn't give back what it has spent.
+    // The end of a request does not return the retries that it has used.
     (0..10).for_each(|request| drop(harness.handle(Event::ClientDisconnected { request })));
     harness.now += 4.9;
     assert_eq!(further_attempts(&mut harness, 10..19, &mut due), 0);
-    // Once those are out of the window, only what was taken within it counts.
+    // After the window, only requests that were admitted within it count.
     harness.now += 0.2;
     assert_eq!(further_attempts(&mut harness, 19..30, &mut due), 4 + 2);
-    // Where no budget is stated there is none.
+    // Without a budget, retries are not limited.
     let mut free = DispatcherHarness::new(settings(|_| ()), 8);
     assert_eq!(further_attempts(&mut free, 0..10, &mut due), 30);
 }
 
 #[test]
 fn rejection_does_not_prove_that_an_attempt_never_ran_where_settings_say_so() {
-    // Found on the first days of a deployment whose workers shed work that they had begun.
+    // Found at a deployment whose workers reject jobs that they have begun.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
     let to = workers_sent_to(&harness.submit(1, 2));
@@ -911,7 +918,7 @@
         is_failed(&late) && !is_rejected(&late),
         "its window is over: {late:?}"
     );
-    // A connection that failed still proves it.
+    // A failed connection still proves that the attempt has not run.
     let to = workers_sent_to(&harness.submit(60, 2));
     assert_eq!(
         workers_sent_to(&harness.end_attempt(60, 0, to[0], Outcome::ConnectFailed)).len(),
@@ -921,7 +928,7 @@
 
 #[test]
 fn request_that_no_attempt_can_serve_is_answered_at_once() {
-    // Nothing left to earn: held while the list is empty, and late answers are worth nothing.
+    // Late answers earn nothing: the request waits while no worker is listed, then is rejected.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
     let mut due = timers_set(&harness.submit(1, 0));
@@ -937,14 +944,14 @@
         actions.iter().find_map(after).is_some_and(|s| s > 0.0),
         "with advice when to come back"
     );
-    // Too little time left for the job to run anywhere, though late answers earn something.
+    // Late answers earn something, but the time that is left is too short for the request to run.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
     let mut due = timers_set(&harness.submit(1, 0));
     assert!(
         !is_rejected(&harness.run_until(104.8, &mut due))
             && is_rejected(&harness.run_until(104.9, &mut due))
     );
-    // Attempts used up.
+    // The attempts are used up.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
     let to = workers_sent_to(&harness.submit(1, 0));
@@ -954,7 +961,7 @@
         to[0],
         Outcome::Rejected
     )));
-    // The group's window over while the group is away.
+    // The dedup window ends while the workers of the dedup scope are removed.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
     let first = harness.submit(1, 1);
@@ -1048,7 +1055,7 @@
 
 #[test]
 fn worker_that_rejects_a_class_is_selected_less_for_it() {
-    // Found where workers turned one class away though they had room: idle, they won every draw.
+    // Found where workers rejected one class: as they were idle, they won every draw.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
     let turn_away = |harness: &mut DispatcherHarness, id: u64| {
@@ -1081,7 +1088,7 @@
         hits > count / 2,
         "other classes still go there: {hits} of {count}"
     );
-    // It is forgiven in time.
+    // The rejections lose their effect with time.
     harness.now += 120.0;
     let (hits, count) = to_it(&mut harness, 2, 400..1200);
     assert!((count / 16..count / 5).contains(&hits), "{hits} of {count}");
@@ -1089,7 +1096,8 @@
 
 #[test]
 fn all_workers_of_a_large_fleet_can_be_selected() {
-    // A draw is over a part of the fleet, a fresh one each time; repeats look at all of their few workers.
+    // Each selection samples a part of the fleet; retries within a dedup scope consider all its
+    // workers.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 250);
     let chosen = choices(&mut harness, 10_000);
     assert_eq!(chosen.len(), 250);
@@ -1107,7 +1115,8 @@
 
 #[test]
 fn request_that_has_not_started_is_hedged_where_there_is_free_capacity() {
-    // Found at full size: reports are old when they come, and jobs wait behind others while workers idle.
+    // Found at full size: reports are old when they arrive, and requests wait while workers are
+    // idle.
     for (cancel, copies) in [(true, 1), (false, 0)] {
         let mut harness = DispatcherHarness::new(
             settings(|s| {
@@ -1154,7 +1163,8 @@
 
 #[test]
 fn non_idempotent_request_is_not_sent_to_a_long_queue() {
-    // Found under overload where full proves nothing: a fifth of the jobs ended for good on full queues.
+    // Found under overload where a rejected attempt may have run: a fifth of the requests failed on
+    // full queues.
     for (shed_begun, sent) in [(false, 1), (true, 0)] {
         let mut harness = DispatcherHarness::new(
             settings(|s| {
@@ -1173,8 +1183,8 @@
     }
 }
 
-/// Guards against timers that double with each call to a dead discovery until the node does nothing else, and
-/// against a node that stops asking: ten minutes without an answer.
+/// While discovery gives no answer for ten minutes, the timers don't multiply and the polls don't
+/// stop.
 #[test]
 fn failed_discovery_is_polled_at_a_steady_rate() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 3);
@@ -1199,8 +1209,9 @@
     );
 }
 
-/// Guards against a worker that is never drawn for want of a report, which only a job could bring, while the others are known
-/// to have room. Six clients, each with one job after another; seen in 121 of 400 seeds: nothing in 20 s.
+/// A worker without a report, which only a request could bring, is selected although others are
+/// known to have free capacity. Six clients submit one request after another; without exploration,
+/// 121 of 400 seeds sent the worker nothing in 20 s.
 #[test]
 fn worker_without_a_report_is_selected_beside_others_with_free_capacity() {
     for seed in 0..40 {
@@ -1209,7 +1220,7 @@
         harness.receive_list(ListKind::Full, (0..4).map(entry).collect());
         let (mut first, mut running) = ([None; 4], Vec::<(f64, RequestId, _)>::new());
         for request in 0..400 {
-            // The job that ends first makes place for the next one.
+            // The request that ends first makes room for the next one.
             if running.len() == 6 {
                 let next = (0..6)
                     .min_by(|a, b| running[*a].0.total_cmp(&running[*b].0))
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,4 +1,4 @@
-//! The adapter's binary, driven over pipes.
+//! The program `postproxy-drill`, driven through pipes.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -16,7 +16,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    // The drill may end before it has read everything.
+    // The program may end before it has read everything.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     child.wait_with_output().expect("the binary ends")
 }
@@ -87,7 +87,7 @@
     )
 }
 
-/// The actions in a reply stream, as (instance, bytes), over all replies.
+/// Returns the actions of all replies, as instance and bytes.
 fn actions(mut bytes: &[u8]) -> Vec<(u32, Vec<u8>)> {
     let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
     let mut all = Vec::new();
@@ -192,7 +192,8 @@
     }
 }
 
-/// The deployment page asks for the files with decisions under `policy`. They stay small enough to be read.
+/// The deployment file lists all files with decisions under `policy`, and they stay short enough to
+/// be read.
 #[test]
 fn every_file_of_the_decision_module_is_listed_and_short() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -1,4 +1,5 @@
-//! Answers to probes that come late, never, out of order, from before a worker's start, and all at once after a pause.
+//! Answers to probes that are late, lost, out of order, from before a worker's restart, or that
+//! expire all at once after a pause.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -10,7 +11,7 @@
 const WORKERS: u16 = 3;
 const SLOTS: f32 = 4.0;
 
-/// Load comes by probes alone; jobs tell of starts and progress each second.
+/// Returns a dispatcher that learns the load from probes only; workers report starts and progress.
 fn harness() -> DispatcherHarness {
     let set = settings(|s| {
         s["limits"]["may-probe"] = true.into();
@@ -20,8 +21,8 @@
     DispatcherHarness::new(set, WORKERS)
 }
 
-/// The answer to a probe that was sent at that time, with so many free slots and so many jobs waiting.
-fn answered(
+/// Handles the answer to a probe that was sent at that time.
+fn answer_probe(
     harness: &mut DispatcherHarness,
     to: WorkerId,
     sent: f64,
@@ -37,34 +38,35 @@
     })
 }
 
-/// Tells that all workers but this one are full, and this one empty, by probes that are sent now.
-fn only_room_at(harness: &mut DispatcherHarness, to: WorkerId) {
+/// Reports, through probes, that this worker is idle and all others are full.
+fn report_free_capacity_only_at(harness: &mut DispatcherHarness, to: WorkerId) {
     let sent = harness.now;
     for n in 0..WORKERS {
-        // First that it has slots at all.
-        answered(harness, worker_id(n), sent, SLOTS, 0.0);
+        // The first report shows how many slots it has.
+        answer_probe(harness, worker_id(n), sent, SLOTS, 0.0);
         let (free, waiting) = if worker_id(n) == to {
             (SLOTS, 0.0)
         } else {
             (0.0, 40.0)
         };
-        answered(harness, worker_id(n), sent, free, waiting);
+        answer_probe(harness, worker_id(n), sent, free, waiting);
     }
 }
 
-/// Guards against an old answer in the place of a newer one: it says that a worker is empty which has been full since.
+/// An old answer, which shows as idle a worker that has become full since, does not replace a newer
+/// one.
 #[test]
 fn probe_answer_out_of_order_changes_nothing() {
     for late in [false, true] {
         let mut harness = harness();
         harness.now += 1.0;
-        only_room_at(&mut harness, worker_id(1));
-        // Sent before the others, and heard after them.
+        report_free_capacity_only_at(&mut harness, worker_id(1));
+        // Sent before the others and answered after them.
         let sent = harness.now - 0.3;
         if late {
             for _ in 0..20 {
-                answered(&mut harness, worker_id(0), sent, SLOTS, 0.0);
-                answered(&mut harness, worker_id(1), sent, 0.0, 40.0);
+                answer_probe(&mut harness, worker_id(0), sent, SLOTS, 0.0);
+                answer_probe(&mut harness, worker_id(1), sent, 0.0, 40.0);
             }
         }
         let actions = harness.submit(1, 0);
@@ -76,7 +78,7 @@
                 (0.0, 40.0)
             };
             let now = harness.now;
-            to.extend(workers_sent_to(&answered(
+            to.extend(workers_sent_to(&answer_probe(
                 &mut harness,
                 probe,
                 now,
@@ -88,14 +90,15 @@
     }
 }
 
-/// Guards against figures of a process that is gone, and against a worker that is shut out since a probe of that process failed.
+/// An answer of a worker's earlier process is not used, and the failure of a probe of that process
+/// does not eject the worker.
 #[test]
 fn probe_answer_from_before_a_restart_changes_nothing() {
     let mut harness = harness();
     harness.now += 1.0;
-    only_room_at(&mut harness, worker_id(1));
+    report_free_capacity_only_at(&mut harness, worker_id(1));
     let before = harness.now;
-    // All have started anew, long enough ago to be warm, and are told so now.
+    // All have restarted, long enough ago to have warmed up, and the list shows it only now.
     harness.now += 60.0;
     let started = before + 1.0;
     let entries = (0..WORKERS)
@@ -106,7 +109,7 @@
         .collect();
     harness.receive_list(ListKind::Delta, entries);
     for n in 0..WORKERS {
-        answered(&mut harness, worker_id(n), before, 0.0, 40.0);
+        answer_probe(&mut harness, worker_id(n), before, 0.0, 40.0);
         let failed = Event::ProbeEnded {
             worker: worker_id(n),
             outcome: Outcome::Timeout,
@@ -123,7 +126,7 @@
     let now = harness.now;
     let mut to = Vec::new();
     for probe in asked {
-        to.extend(workers_sent_to(&answered(
+        to.extend(workers_sent_to(&answer_probe(
             &mut harness,
             probe,
             now,
@@ -138,7 +141,8 @@
     );
 }
 
-/// Guards against a request that waits for answers that never come, and against one placed a second time by answers that come after all.
+/// A request does not wait for answers that never come, and is not sent a second time when late
+/// answers arrive.
 #[test]
 fn lost_and_late_probe_answers_delay_a_request_only_briefly() {
     let mut harness = harness();
@@ -151,18 +155,18 @@
     let placed = workers_sent_to(&actions);
     assert_eq!(placed.len(), 1, "sent by what is known");
     for to in asked {
-        actions = answered(&mut harness, to, sent, SLOTS, 0.0);
+        actions = answer_probe(&mut harness, to, sent, SLOTS, 0.0);
         assert_eq!(workers_sent_to(&actions), [], "one attempt is out");
     }
 }
 
-/// Guards against a worker that takes jobs and answers none, and is drawn again as soon as a probe is answered: that it lives is no sign
+/// A worker that answers probes, but no requests, stays ejected: an answered probe does not show
 /// that it works.
 #[test]
 fn worker_that_answers_only_probes_stays_ejected() {
     let mut harness = harness();
     harness.now += 1.0;
-    only_room_at(&mut harness, worker_id(0));
+    report_free_capacity_only_at(&mut harness, worker_id(0));
     let actions = harness.submit(1, 2);
     let mut due = timers_set(&actions);
     let mut to = workers_sent_to(&actions);
@@ -173,7 +177,7 @@
             (0.0, 40.0)
         };
         let now = harness.now;
-        to.extend(workers_sent_to(&answered(
+        to.extend(workers_sent_to(&answer_probe(
             &mut harness,
             probe,
             now,
@@ -183,19 +187,20 @@
     }
     assert_eq!(to, [worker_id(0)]);
     harness.report_progress(1, 0, postproxy::ProgressNote::Started);
-    // It says nothing more, while its probes go on: by them it is the emptiest of all.
+    // It does not answer the request any more, while its probes show it as the least loaded worker.
     let until = harness.now + 2.5;
     harness.run_until(until, &mut due);
     let mut again = Vec::new();
     for request in 10..30 {
         let now = harness.now;
         for _ in 0..10 {
-            (0..WORKERS).for_each(|n| drop(answered(&mut harness, worker_id(n), now, SLOTS, 0.0)));
+            (0..WORKERS)
+                .for_each(|n| drop(answer_probe(&mut harness, worker_id(n), now, SLOTS, 0.0)));
         }
         let actions = harness.submit(request, 0);
         again.extend(workers_sent_to(&actions));
         for probe in workers_probed(&actions) {
-            again.extend(workers_sent_to(&answered(
+            again.extend(workers_sent_to(&answer_probe(
                 &mut harness,
                 probe,
                 now,
@@ -212,8 +217,8 @@
     );
 }
 
-/// Guards against a process that was stopped for a while and takes all its workers for dead: each probe's time is up at once. With so many
-/// shut out the cause is not the workers.
+/// After a pause of the process all its probes expire at once. When that many workers would be
+/// ejected, the workers are not the cause.
 #[test]
 fn probes_that_expire_at_once_eject_no_worker() {
     let mut harness = harness();
@@ -240,8 +245,8 @@
     assert!(!to.is_empty(), "the next request is sent all the same");
 }
 
-/// Guards against a repeat at a worker whose rack is not told: 'no rack' is not a rack that two workers share; and against one where the
-/// rack is gone.
+/// Two workers whose cells are unknown don't share a cell, and no retry leaves a cell that was
+/// removed.
 #[test]
 fn no_retry_goes_to_an_unknown_or_removed_cell() {
     use postproxy::decision::interface::{NO_CELL, NO_ZONE};
@@ -278,7 +283,7 @@
         let at_once = harness.dispatcher.budget_history(10).retries.len() == 1;
         assert_eq!(again || at_once, known, "{scope}, told: {known}");
     }
-    // Its rack is gone between two attempts, and others are there.
+    // Its cell is removed between two attempts, and others remain.
     let mut harness = DispatcherHarness::new(
         settings(|s| s["services"][1]["memory-span"] = 9.0.into()),
         8,
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,5 +1,6 @@
-//! The decisions of the dispatcher, compared with recorded runs: the same seed and the same events give the same
-//! actions. `UPDATE_RECORDED_DECISIONS=1` writes the recordings anew and lets the tests fail.
+//! The decisions of the dispatcher, compared with recorded runs: the same seed and the same events
+//! give the same actions. `UPDATE_RECORDED_DECISIONS=1` writes the recordings anew and lets the
+//! tests fail.
 
 mod decisions;
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,6 +1,7 @@
-//! The four rules and the further three over generated event sequences, watched by a checker that shares no code with the module.
+//! The rules of the dispatcher over generated event sequences, verified by a checker that shares no
+//! code with the module.
 //!
-//! Nothing here models queues: the generator only draws legal events with a fixed seed.
+//! Queues are not modelled: the generator only draws legal events with a fixed seed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -13,23 +14,23 @@
 use rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-const GRACE: f64 = 0.5;
-const SLACK: f64 = 0.016;
-const WINDOW: f64 = 4.0;
-// The budget of further attempts: so many, and this share of the requests taken, in so many seconds.
-const SPARE: usize = 3;
-const RATIO: f64 = 0.25;
-const LOOK_BACK: f64 = 2.0;
+const DRAIN_GRACE_SECONDS: f64 = 0.5;
+const ANSWER_SLACK_SECONDS: f64 = 0.016;
+const DEDUP_WINDOW_SECONDS: f64 = 4.0;
+// The retry budget: minimum, share of the admitted requests, and window in seconds.
+const MIN_RETRIES: usize = 3;
+const RETRY_RATIO: f64 = 0.25;
+const RETRY_WINDOW_SECONDS: f64 = 2.0;
 
-/// The further rules that hold in a sequence.
+/// The optional rules that apply in a sequence.
 #[derive(Clone, Copy)]
-struct Further {
+struct OptionalRules {
     placement: bool,
     budget: bool,
     full_may_have_run: bool,
 }
 
-impl Further {
+impl OptionalRules {
     fn of(seed: u64) -> Self {
         let (placement, budget) = (seed.is_multiple_of(2), (seed / 2).is_multiple_of(2));
         Self {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Workers are of two kinds and in three zones, by their number.
+/// Workers have one of two kinds and are in one of three zones, by their number.
 fn kind(n: u16) -> u16 {
     n % 2
 }
@@ -58,12 +59,12 @@
     }
 }
 
-/// What can be watched: the module, or a stand-in that breaks a rule on purpose.
-trait Decides {
+/// What the checker observes: a dispatcher, or a wrapper that breaks a rule on purpose.
+trait Decider {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>);
 }
 
-impl Decides for Dispatcher {
+impl Decider for Dispatcher {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         Dispatcher::handle(self, now, event, out);
     }
@@ -80,10 +81,10 @@
     TrustsFull,
 }
 
-/// The module with one rule broken.
+/// A dispatcher with one rule broken.
 struct Broken(Dispatcher, Break, Option<WorkerId>);
 
-impl Decides for Broken {
+impl Decider for Broken {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.0.handle(now, event, &mut actions);
@@ -149,34 +150,34 @@
     outcome: Option<Outcome>,
 }
 
-struct Job {
+struct ObservedRequest {
     class: u8,
     deadline: f64,
     sent: Vec<Sent>,
     done: bool,
 }
 
-/// Keeps its own books and names the first broken rule.
+/// Records events and actions, and names the first broken rule.
 struct Checker {
-    further: Further,
-    taken: Vec<f64>,
-    repeats: Vec<f64>,
+    optional: OptionalRules,
+    admitted: Vec<f64>,
+    retries: Vec<f64>,
     sent_for: BTreeSet<u64>,
-    jobs: BTreeMap<u64, Job>,
-    told_off: BTreeMap<WorkerId, f64>,
+    requests: BTreeMap<u64, ObservedRequest>,
+    unavailable_since: BTreeMap<WorkerId, f64>,
     started: BTreeMap<WorkerId, f64>,
     cold_work: BTreeMap<WorkerId, Vec<(f64, f64)>>,
 }
 
 impl Checker {
-    fn new(further: Further) -> Self {
+    fn new(optional: OptionalRules) -> Self {
         Self {
-            further,
-            taken: Vec::new(),
-            repeats: Vec::new(),
+            optional,
+            admitted: Vec::new(),
+            retries: Vec::new(),
             sent_for: BTreeSet::new(),
-            jobs: BTreeMap::new(),
-            told_off: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
             started: BTreeMap::new(),
             cold_work: BTreeMap::new(),
         }
@@ -185,15 +186,15 @@
     fn list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
         if kind == ListKind::Full {
             for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker_id(n))) {
-                self.told_off.entry(worker_id(n)).or_insert(now);
+                self.unavailable_since.entry(worker_id(n)).or_insert(now);
             }
         }
         for e in entries {
             self.started.insert(e.worker, e.started);
             if e.health == Health::Ready {
-                self.told_off.remove(&e.worker);
+                self.unavailable_since.remove(&e.worker);
             } else {
-                self.told_off.entry(e.worker).or_insert(now);
+                self.unavailable_since.entry(e.worker).or_insert(now);
             }
         }
     }
@@ -204,37 +205,41 @@
                 request, worker, ..
             } => {
                 let job = self
-                    .jobs
+                    .requests
                     .get_mut(&request)
                     .ok_or("a send for an unknown request")?;
                 if job.done {
                     return Err("rule 1: a send after the end".into());
                 }
                 if self
-                    .told_off
+                    .unavailable_since
                     .get(&worker)
-                    .is_some_and(|at| now > at + GRACE)
+                    .is_some_and(|at| now > at + DRAIN_GRACE_SECONDS)
                 {
                     return Err("rule 3: a send to a worker told off".into());
                 }
                 let n = u16::from(worker.address[3]);
                 let cell = n / 4;
-                if self.further.placement
+                if self.optional.placement
                     && (job.class == 0 && kind(n) != 1 || job.class == 1 && zone(n) == 0)
                 {
                     return Err("rule 5: a class sent out of its place".into());
                 }
-                if !self.sent_for.insert(request) && self.further.budget {
-                    self.repeats.push(now);
-                    let within =
-                        |times: &[f64]| times.iter().filter(|at| now - **at < LOOK_BACK).count();
-                    if within(&self.repeats) as f64
-                        > SPARE as f64 + RATIO * within(&self.taken) as f64
+                if !self.sent_for.insert(request) && self.optional.budget {
+                    self.retries.push(now);
+                    let within = |times: &[f64]| {
+                        times
+                            .iter()
+                            .filter(|at| now - **at < RETRY_WINDOW_SECONDS)
+                            .count()
+                    };
+                    if within(&self.retries) as f64
+                        > MIN_RETRIES as f64 + RETRY_RATIO * within(&self.admitted) as f64
                     {
-                        return Err("rule 6: over the budget of further attempts".into());
+                        return Err("rule 6: over the retry budget".into());
                     }
                 }
-                let full_proves = !self.further.full_may_have_run;
+                let full_proves = !self.optional.full_may_have_run;
                 let proved = |s: &Sent| proves(s.outcome, full_proves);
                 let mut may_have_run = job.sent.iter().filter(|s| !proved(s));
                 if job.class == 2 && may_have_run.next().is_some() {
@@ -247,7 +252,9 @@
                         if full { ", rule 7" } else { "" }
                     ));
                 }
-                if job.class == 1 && may_have_run.any(|s| s.cell != cell || now > s.at + WINDOW) {
+                if job.class == 1
+                    && may_have_run.any(|s| s.cell != cell || now > s.at + DEDUP_WINDOW_SECONDS)
+                {
                     return Err("rule 2: keyed again outside its cell or window".into());
                 }
                 job.sent.push(Sent {
@@ -258,7 +265,7 @@
                 });
                 let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
                 if age < 10.0 {
-                    // One dispatcher alone must stay under the whole budget of every window.
+                    // One dispatcher must stay below the budget of all in every window.
                     let sent = self.cold_work.entry(worker).or_default();
                     sent.push((now, 0.25));
                     let window: f64 = sent
@@ -275,27 +282,27 @@
             Action::Reject { request, .. } | Action::Fail { request } => {
                 let refuse = matches!(action, Action::Reject { .. });
                 let job = self
-                    .jobs
+                    .requests
                     .get_mut(&request)
                     .ok_or("an answer for an unknown request")?;
                 if job.done {
                     return Err("rule 1: a second answer".into());
                 }
-                if now > job.deadline + SLACK {
+                if now > job.deadline + ANSWER_SLACK_SECONDS {
                     return Err("rule 1: a late answer".into());
                 }
                 let ran = |full| job.sent.iter().any(|s| !proves(s.outcome, full));
                 if refuse && ran(true) && job.class != 0 {
                     return Err("rule 2: refused although it may have run".into());
                 }
-                if refuse && ran(!self.further.full_may_have_run) && job.class != 0 {
+                if refuse && ran(!self.optional.full_may_have_run) && job.class != 0 {
                     return Err("rule 7: refused on the word of a 'full'".into());
                 }
                 job.done = true;
             }
             Action::Cancel { request, attempt } => {
                 let job = self
-                    .jobs
+                    .requests
                     .get(&request)
                     .ok_or("a cancel for an unknown request")?;
                 if attempt as usize >= job.sent.len() {
@@ -308,8 +315,8 @@
     }
 
     fn overdue(&self, now: f64) -> Result<(), String> {
-        let late = |j: &&Job| !j.done && now > j.deadline + SLACK;
-        if self.jobs.values().any(|j| late(&j)) {
+        let late = |j: &&ObservedRequest| !j.done && now > j.deadline + ANSWER_SLACK_SECONDS;
+        if self.requests.values().any(|j| late(&j)) {
             Err("rule 1: no answer in time".into())
         } else {
             Ok(())
@@ -317,7 +324,7 @@
     }
 }
 
-/// What the wire's page says: these outcomes prove that an attempt never ran.
+/// Returns whether the outcome proves that an attempt never ran, by the protocol's description.
 fn proves(outcome: Option<Outcome>, full_proves: bool) -> bool {
     match outcome {
         Some(Outcome::ConnectFailed | Outcome::CancelledLocally) => true,
@@ -326,12 +333,12 @@
     }
 }
 
-/// Plays one generated sequence and returns the first broken rule.
-fn play(seed: u64, decides: &mut dyn Decides) -> Result<usize, String> {
+/// Runs one generated sequence. Returns the number of attempts sent, or the first broken rule.
+fn run_sequence(seed: u64, decider: &mut dyn Decider) -> Result<usize, String> {
     const ALL: u16 = 12;
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
     let mut pick = |n: u64| rng.next_u64() % n;
-    let mut check = Checker::new(Further::of(seed));
+    let mut check = Checker::new(OptionalRules::of(seed));
     let (mut now, mut due, mut next, mut sends) = (100.0, Vec::<(f64, u64)>::new(), 0u64, 0);
     let entry = |n| place(entry(n));
     let kind = if pick(2) == 0 {
@@ -347,7 +354,7 @@
     for step in 0..3000 {
         if queue.is_empty() {
             due.sort_by(|a, b| b.0.total_cmp(&a.0));
-            // A timer comes at its time: the clock does not step over it.
+            // The clock stops at each timer.
             now = due
                 .last()
                 .map_or(f64::INFINITY, |d| d.0.max(now))
@@ -358,7 +365,7 @@
             }
             drained |= step > 2000;
             let open: Vec<(u64, u16, WorkerId)> = check
-                .jobs
+                .requests
                 .iter()
                 .flat_map(|(&id, j)| {
                     j.sent
@@ -376,9 +383,9 @@
                         [5.0, 10.0, 10.0][class as usize] * if pick(4) == 0 { 0.3 } else { 1.0 };
                     let (request, hint) = (next, Some(0.25));
                     next += 1;
-                    check.jobs.insert(
+                    check.requests.insert(
                         request,
-                        Job {
+                        ObservedRequest {
                             class,
                             deadline: now + budget,
                             sent: Vec::new(),
@@ -407,7 +414,7 @@
                         Outcome::Unknown(77),
                     ];
                     let outcome = outcomes[pick(9) as usize];
-                    let job = check.jobs.get_mut(&request).ok_or("no job")?;
+                    let job = check.requests.get_mut(&request).ok_or("no job")?;
                     job.sent[attempt as usize].outcome = Some(outcome);
                     let (closed, report) = (false, vec![pick(6) as f32, pick(5) as f32]);
                     queue.push(Event::AttemptEnded {
@@ -458,12 +465,12 @@
                 _ => {}
             }
         }
-        // Nothing left to wait for: the clock goes on to the last deadline.
+        // No event is left: the clock advances to the last deadline.
         let Some(mut event) = (!queue.is_empty()).then(|| queue.remove(0)) else {
             continue;
         };
         if let Event::RequestReceived(_) = &event {
-            check.taken.push(now);
+            check.admitted.push(now);
         }
         if let Event::WorkerListReceived { kind, entries } = &event {
             check.list(now, *kind, entries, ALL);
@@ -475,18 +482,18 @@
             ..
         } = &mut event
         {
-            let job = check.jobs.get_mut(request).ok_or("no job")?;
+            let job = check.requests.get_mut(request).ok_or("no job")?;
             job.done |= *outcome == Outcome::Succeeded;
             *answered = job.done;
         }
         let mut actions = Vec::new();
-        decides.handle(now, &event, &mut actions);
+        decider.handle(now, &event, &mut actions);
         for action in &actions {
             check.action(now, action)?;
             sends += usize::from(matches!(action, Action::Send { .. }));
         }
         due.extend(timers_set(&actions));
-        // Timers of this very moment are still to come.
+        // Timers of the same time are handled first.
         if queue.is_empty() && due.iter().all(|d| d.0 > now) {
             check.overdue(now)?;
         }
@@ -498,17 +505,17 @@
     let set = settings(|s| {
         s["limits"]["may-probe"] = seed.is_multiple_of(3).into();
         s["extra"]["tells-start"] = seed.is_multiple_of(2).into();
-        let further = Further::of(seed);
-        if further.placement {
+        let optional = OptionalRules::of(seed);
+        if optional.placement {
             s["services"][0]["allowed-on"] = serde_json::json!([1]);
             s["services"][1]["confined-to"] = serde_json::json!([1, 2]);
         }
-        if further.budget {
-            s["rules"]["spare-attempts"] = SPARE.into();
-            s["rules"]["repeat-ratio"] = RATIO.into();
-            s["rules"]["look-back"] = LOOK_BACK.into();
+        if optional.budget {
+            s["rules"]["spare-attempts"] = MIN_RETRIES.into();
+            s["rules"]["repeat-ratio"] = RETRY_RATIO.into();
+            s["rules"]["look-back"] = RETRY_WINDOW_SECONDS.into();
         }
-        s["rules"]["may-shed-begun"] = further.full_may_have_run.into();
+        s["rules"]["may-shed-begun"] = optional.full_may_have_run.into();
         s["discovery"] = if seed.is_multiple_of(5) {
             "on_request"
         } else {
@@ -530,13 +537,13 @@
     let mut total = 0;
     TestRunner::new_with_rng(config, rng)
         .run(&proptest::num::u64::ANY, |seed| {
-            play(seed, &mut dispatcher(seed))
+            run_sequence(seed, &mut dispatcher(seed))
                 .map(drop)
                 .map_err(proptest::test_runner::TestCaseError::fail)
         })
         .expect("a broken rule");
     for seed in 0..20 {
-        total += play(seed, &mut dispatcher(seed)).expect("a broken rule");
+        total += run_sequence(seed, &mut dispatcher(seed)).expect("a broken rule");
     }
     assert!(total > 20 * 100, "the sequences do send: {total}");
 }
@@ -552,8 +559,9 @@
         (Break::SendsTwice, "rule 6"),
         (Break::TrustsFull, "rule 7"),
     ] {
-        let found = (0..20)
-            .filter_map(|seed| play(seed, &mut Broken(dispatcher(seed), broken, None)).err());
+        let found = (0..20).filter_map(|seed| {
+            run_sequence(seed, &mut Broken(dispatcher(seed), broken, None)).err()
+        });
         let found: Vec<_> = found.collect();
         assert!(
             found.iter().any(|f| f.contains(word)),
@@ -564,10 +572,10 @@
 
 #[test]
 fn checker_detects_an_overloaded_worker_in_slow_start() {
-    let mut check = Checker::new(Further::of(7));
-    check.jobs.insert(
+    let mut check = Checker::new(OptionalRules::of(7));
+    check.requests.insert(
         1,
-        Job {
+        ObservedRequest {
             class: 0,
             deadline: 1e9,
             sent: Vec::new(),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of other customers: generated, odd, absent. They end in an error that names the key, or in a dispatcher that keeps
-//! its promises in told time.
+//! Generated settings with unusual, invalid and missing values: they give an error that names the
+//! key, or a dispatcher that follows its rules in simulated time.
 
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Figures that are in range somewhere, out of it, of another type, or not there.
+/// Returns a value that may be in range, out of range, of another type, or null.
 fn odd(rng: &mut Random) -> Value {
     let values = [
         json!(0),
@@ -31,9 +31,9 @@
     values[(rng.uniform() * values.len() as f64) as usize].clone()
 }
 
-/// A sound deployment in which some keys have something else.
+/// Returns valid settings in which some keys are replaced.
 fn generated(rng: &mut Random) -> Value {
-    // The last of the words is one that says nothing, and is rare.
+    // The last of the words is unknown, and rare.
     let pick = |rng: &mut Random, words: &[&str]| {
         let known = words.len() - 1;
         json!(if rng.uniform() < 0.05 {
@@ -63,7 +63,7 @@
             "class-priority": [1, 0, 1], "queue-order": "priority"},
         "orgs": [{"name": "a", "share": 0.0, "quota-per-s": 0.0}, {"name": "b", "share": 1.0}],
     });
-    // Whole sections that are not there, and keys with odd values.
+    // Sections are removed, and keys get unusual values.
     for section in [
         "limits",
         "report",
@@ -100,7 +100,7 @@
     all
 }
 
-struct Asked {
+struct ObservedRequest {
     class: usize,
     until: f64,
     /// Each attempt's time, worker's cell and zone, and whether it may have run.
@@ -108,8 +108,9 @@
     answers: u32,
 }
 
-/// Plays 60 jobs in told time: workers take, fail, turn away or are silent. The first promise broken, if any.
-fn play(set: &Settings, seed: u64) -> Result<u32, String> {
+/// Runs 60 requests in simulated time; workers serve, fail, reject or don't answer. Returns the
+/// number of attempts, or the first rule that is broken.
+fn run_requests(set: &Settings, seed: u64) -> Result<u32, String> {
     let mut rng = Random::new(seed);
     let mut dispatcher = Dispatcher::new(set.clone(), seed).map_err(|error| error.to_string())?;
     let id = |n: u16| WorkerId {
@@ -133,14 +134,14 @@
         },
         &mut actions,
     );
-    // What comes when: (time, what).
+    // Events that will happen, with their times.
     let mut due: Vec<(f64, Event)> = Vec::new();
     for request in 1..=60u64 {
         let class = (rng.uniform() * set.classes.len() as f64) as u8;
         let new = NewRequest {
             id: request,
             class,
-            // Some have no subject, most one of a few.
+            // Some have no subject, most have one of a few.
             subject: (rng.uniform() * 5.0) as u64,
             time_limit: 0.1 + 5.0 * rng.uniform(),
             slots: 1.0,
@@ -154,7 +155,7 @@
             ));
         }
     }
-    // One worker drains on the way, and another is gone.
+    // One worker drains meanwhile, and another is removed.
     let (drains, leaves) = ((8.0 * rng.uniform()) as u16, (8.0 * rng.uniform()) as u16);
     for (n, health) in [(drains, Health::Draining), (leaves, Health::Removed)] {
         let entries = vec![Entry { health, ..entry(n) }];
@@ -166,7 +167,7 @@
             },
         ));
     }
-    let (mut asked, mut sends) = (BTreeMap::<u64, Asked>::new(), 0);
+    let (mut asked, mut sends) = (BTreeMap::<u64, ObservedRequest>::new(), 0);
     let mut out_of_use = Vec::new();
     while !due.is_empty() && now < 160.0 {
         let next = (0..due.len())
@@ -181,7 +182,7 @@
                 let until = now + new.time_limit.min(deadline);
                 asked.insert(
                     new.id,
-                    Asked {
+                    ObservedRequest {
                         class,
                         until,
                         attempts: Vec::new(),
@@ -194,7 +195,7 @@
             {
                 continue;
             }
-            // It wants no answer any more, and no attempt.
+            // The request needs neither an answer nor an attempt any more.
             Event::ClientDisconnected { request } => asked
                 .get_mut(request)
                 .into_iter()
@@ -297,7 +298,8 @@
                 Action::Probe { .. } if !set.probes_allowed => {
                     return Err("a probe without leave".into());
                 }
-                // One in four is lost; the others come late and in any order, one as a failure.
+                // One answer in four is lost; the others arrive late and in any order, some as
+                // failures.
                 Action::Probe { worker } if rng.uniform() < 0.75 => {
                     let elapsed = rng.uniform() * rng.uniform();
                     let outcome = if rng.uniform() < 0.1 {
@@ -329,8 +331,8 @@
     }
 }
 
-/// Guards against settings that a name, a limit or a window was taken for granted in, and against a panic, an error that names no
-/// key, or one that says nothing of what to do.
+/// No generated setting makes the dispatcher panic or break a rule; an error names the key and a
+/// remedy.
 #[test]
 fn generated_settings_are_served_or_rejected_with_their_key() {
     let (mut served, mut named, mut sends) = (0, 0, 0);
@@ -340,8 +342,8 @@
         match Settings::from_json(&text) {
             Ok(set) => {
                 served += 1;
-                sends +=
-                    play(&set, seed).unwrap_or_else(|error| panic!("seed {seed}: {error}: {text}"));
+                sends += run_requests(&set, seed)
+                    .unwrap_or_else(|error| panic!("seed {seed}: {error}: {text}"));
             }
             Err(error) => {
                 named += 1;
@@ -366,7 +368,7 @@
     );
 }
 
-/// Guards against a message without its place: the key's path, what was expected, the code and what to do.
+/// An error has the path of the key, what was expected, its code and its remedy.
 #[test]
 fn error_names_the_path_and_the_remedy() {
     let error = |settings: Value| {
--- a/tests/sibling_events.rs
+++ b/tests/sibling_events.rs
@@ -1,4 +1,5 @@
-//! Two dispatchers of one node while one takes over from the other: what moves, what counts for both. Fixed seeds.
+//! Two dispatchers of one node during a hot restart: requests that migrate, and events that count
+//! for both. Seeds are fixed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -12,9 +13,9 @@
     DispatcherHarness::new(settings(change), workers)
 }
 
-/// What a request has come to, whichever dispatcher has it.
+/// The state of a request, whichever dispatcher has it.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     class: u8,
     sent: u16,
     out: Vec<(u16, WorkerId)>,
@@ -22,17 +23,17 @@
     answers: u32,
 }
 
-/// Guards against a request that loses its answer or gets two, runs again against its class, or exceeds its attempts
-/// because it moved; at any moment of its life.
+/// A request that migrates, at any point, gets exactly one answer, does not run again against its
+/// class, and does not exceed its attempts.
 #[test]
 fn migrated_request_continues_where_it_was() {
     let (mut moved, mut after) = (0, 0);
     for seed in 0..120 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let mut beds = [harness(6, |_| {}), harness(6, |_| {})];
+        let mut harnesses = [harness(6, |_| {}), harness(6, |_| {})];
         let mut due = [Vec::new(), Vec::new()];
         let (mut seen, mut owner) = (
-            BTreeMap::<RequestId, Seen>::new(),
+            BTreeMap::<RequestId, Observed>::new(),
             BTreeMap::<RequestId, usize>::new(),
         );
         let mut next = 1;
@@ -42,21 +43,21 @@
             let (what, wait) = (pick(8), pick(60) as f64 / 100.0);
             let mut done: [Vec<Action>; 2] = Default::default();
             match what {
-                // New ones come to the older one, in the first half.
+                // New requests reach the older process, in the first half.
                 0..=2 if step < 130 => {
                     let class = pick(3) as u8;
                     seen.insert(
                         next,
-                        Seen {
+                        Observed {
                             class,
-                            ..Seen::default()
+                            ..Observed::default()
                         },
                     );
                     owner.insert(next, 0);
-                    done[0] = beds[0].submit(next, class);
+                    done[0] = harnesses[0].submit(next, class);
                     next += 1;
                 }
-                // One moves to the newer one.
+                // A request migrates to the newer process.
                 3 | 4 if step > 40 => {
                     let here: Vec<RequestId> = owner
                         .iter()
@@ -64,13 +65,13 @@
                         .map(|(id, _)| *id)
                         .collect();
                     if let Some(&id) = here.get(pick(here.len().max(1)))
-                        && let Some(carried) = beds[0].dispatcher.release(id)
+                        && let Some(carried) = harnesses[0].dispatcher.release(id)
                     {
                         assert_eq!(carried.workers.len(), seen[&id].sent as usize);
                         owner.insert(id, 1);
                         moved += 1;
                         let carried = Box::new(carried);
-                        done[1] = beds[1].handle(Event::RequestMigrated {
+                        done[1] = harnesses[1].handle(Event::RequestMigrated {
                             request: id,
                             record: carried,
                         });
@@ -105,13 +106,13 @@
                             answered: closed,
                             report,
                         };
-                        done[at] = beds[at].handle(event);
+                        done[at] = harnesses[at].handle(event);
                     }
                 }
                 _ => {
                     now += wait;
                     for at in 0..2 {
-                        done[at] = beds[at].run_until(now, &mut due[at]);
+                        done[at] = harnesses[at].run_until(now, &mut due[at]);
                     }
                 }
             }
@@ -157,7 +158,7 @@
                                 answered: closed,
                                 report,
                             };
-                            let more = beds[at].handle(event);
+                            let more = harnesses[at].handle(event);
                             due[at].extend(timers_set(&more));
                         }
                         Action::Reject { request, .. } | Action::Fail { request } => {
@@ -174,9 +175,9 @@
                 }
             }
         }
-        // All have had their time.
+        // All deadlines pass.
         for at in 0..2 {
-            for action in beds[at].run_until(now + 30.0, &mut due[at]) {
+            for action in harnesses[at].run_until(now + 30.0, &mut due[at]) {
                 if let Action::Reject { request, .. } | Action::Fail { request } = action {
                     seen.get_mut(&request)
                         .expect("a request of this test")
@@ -198,8 +199,8 @@
     );
 }
 
-/// Guards against two processes that each take a whole budget of further attempts, or a whole cold worker: what the
-/// other one does weighs like own work until it ends.
+/// Two processes of a node share one retry budget and one slow-start budget: the attempts of the
+/// sibling process count like own ones until they end.
 #[test]
 fn attempts_and_retries_of_the_sibling_process_count() {
     let elsewhere =
@@ -243,7 +244,7 @@
         one.end_attempt(request, 0, all[0], Outcome::Succeeded);
     }
     assert!(to[0] > 8, "they have ended: {to:?}");
-    // A cold worker: all that fits its budget is there already.
+    // The sibling has used the whole budget of a worker in slow start.
     let mut two = harness(2, |_| {});
     two.receive_list(
         ListKind::Delta,
@@ -265,7 +266,7 @@
             two.end_attempt(request, 0, w, Outcome::Succeeded);
         }
     }
-    // A budget of one further attempt in 10 s, which the other process has used; a second later it is free again.
+    // The sibling has used a budget of one retry in 10 s, until the window has passed.
     for (ago, further) in [(9.5, 0), (10.5, 1)] {
         let mut three = harness(3, |s| {
             s["rules"]["spare-attempts"] = 1.into();
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -303,7 +303,8 @@
         ])),
         Err(DecodeError::RecordTooShort(16))
     ));
-    // A size of four gigabytes with nothing behind it, a size without room for the count, a wrong count.
+    // A size of four gigabytes with nothing behind it, a size without room for the count, a wrong
+    // count.
     assert!(matches!(
         decode(&hex("01000000 508d976e12d32040 ffffffff 00000000")),
         Err(DecodeError::Truncated)
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! What all dispatchers together send to workers that have just started: in told time, with workers that run what they get,
-//! uneven traffic, restarts of dispatchers in the middle, and further attempts counted.
+//! SimulationEvent all dispatchers together send to workers in slow start, in simulated time: with
+//! workers that run their requests, uneven traffic, restarts of dispatchers and retries.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -16,55 +16,57 @@
 /// Slots of a worker, and mean running time of a job, in seconds.
 const SLOTS: usize = 4;
 const WORK: f64 = 0.5;
-/// When workers start, and how long is looked on.
+/// When workers restart, and when the simulation ends, in seconds.
 const START: f64 = 20.0;
 const END: f64 = 36.0;
 /// How long a burst lasts, in seconds.
 const BURST: f64 = 6.0;
-/// How long it takes a worker to turn a job away, in seconds.
-const AT_ONCE: f64 = 0.01;
-/// A budget of fewer calls than this has the wider slack for chance.
-const FEW_CALLS: f64 = 30.0;
+/// How long it takes a worker to reject a request, in seconds.
+const REJECTION_TIME: f64 = 0.01;
+/// A budget of fewer attempts than this has the wider tolerance.
+const FEW_ATTEMPTS: f64 = 30.0;
 
-/// What chance may add to a worker's budget of so many calls.
-fn slack(calls: f64) -> f64 {
-    if calls < FEW_CALLS {
-        3.0 * calls.sqrt() + 3.0
+/// Returns by how much random variation may exceed a budget of so many attempts.
+fn tolerance(attempts: f64) -> f64 {
+    if attempts < FEW_ATTEMPTS {
+        3.0 * attempts.sqrt() + 3.0
     } else {
-        2.0 * calls.sqrt() + 2.0
+        2.0 * attempts.sqrt() + 2.0
     }
 }
 
-/// Who sends, and to whom.
+/// A simulated fleet and its traffic.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     dispatchers: usize,
     workers: u16,
-    /// So many of the workers are replaced by cold ones at one moment.
+    /// Number of workers that restart at `START`.
     cold: u16,
-    /// Traffic against what all workers can do warm.
+    /// Traffic as a share of the capacity of all workers.
     load: f64,
-    /// Traffic rises to so many times as much for some seconds just when the workers start.
+    /// Multiple of the traffic for `BURST` seconds from `START`.
     burst: f64,
-    /// Dispatchers that begin anew while the workers are cold, by shares.
+    /// Share of the dispatchers that restart while the workers warm up.
     restarts: f64,
-    /// Attempts that end in an error or are turned away.
+    /// Share of the attempts that fail or are rejected.
     failing: f64,
-    /// What does not end well ends at once: it is turned away, or breaks.
+    /// Attempts that fail do so at once.
     at_once: bool,
-    /// The budget is small: a slot a worker, a short window, cold at a tenth.
+    /// The budget is small: one slot for each worker, a short window and a low initial share.
     small: bool,
-    /// Jobs are about one of so many subjects, which workers hold at a price; 0 where they are about none.
+    /// Number of subjects, whose data workers fetch at a price; 0 for none.
     subjects: u64,
-    /// Each dispatcher sends its first job to the worker that has just started: the check has to speak.
+    /// Each dispatcher sends a request to the worker that has just restarted, which the check must
+    /// detect.
     greedy: bool,
 }
 
 #[derive(Debug, PartialEq, PartialOrd)]
-enum What {
+enum SimulationEvent {
     Arrival(usize),
     Timer(usize, u32, u64),
-    /// A job has ended, well or not.
+    /// An attempt ended: dispatcher, its incarnation, request and worker, attempt, and whether it
+    /// failed.
     Done(usize, u32, u64, u16, bool),
     Cold,
     Restart(usize),
@@ -78,7 +80,7 @@
     sends: Vec<f64>,
 }
 
-struct World {
+struct Simulation {
     case: Case,
     set: Settings,
     rng: Random,
@@ -87,11 +89,11 @@
     workers: Vec<Worker>,
     attempts: BTreeMap<(usize, u32, u64), u16>,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, What>,
+    what: BTreeMap<u64, SimulationEvent>,
     next: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(case: Case, seed: u64) -> Self {
         let set = settings(|json| {
             json["balancers"] = case.dispatchers.into();
@@ -123,12 +125,12 @@
                 .dispatchers
                 .push((world.dispatcher(seed * 1000 + d as u64), 0));
             world.list(d, ListKind::Full);
-            world.at(0.0, What::Arrival(d));
+            world.schedule(0.0, SimulationEvent::Arrival(d));
         }
-        world.at(START, What::Cold);
+        world.schedule(START, SimulationEvent::Cold);
         for d in 0..(case.restarts * case.dispatchers as f64) as usize {
             let at = START + 6.0 * world.rng.uniform();
-            world.at(at, What::Restart(d));
+            world.schedule(at, SimulationEvent::Restart(d));
         }
         world
     }
@@ -141,7 +143,7 @@
         if self.case.small { 1 } else { SLOTS }
     }
 
-    fn at(&mut self, at: f64, what: What) {
+    fn schedule(&mut self, at: f64, what: SimulationEvent) {
         self.next += 1;
         self.heap.push(Reverse(((at * 1e6) as u64, self.next)));
         self.what.insert(self.next, what);
@@ -157,10 +159,10 @@
             ..Entry::default()
         };
         let entries = (0..).zip(&self.workers).map(entry).collect();
-        self.tell(d, &Event::WorkerListReceived { kind, entries });
+        self.handle(d, &Event::WorkerListReceived { kind, entries });
     }
 
-    fn warmth(&self, w: usize) -> f64 {
+    fn capacity_share(&self, w: usize) -> f64 {
         let share = ((self.now - self.workers[w].started) / self.set.warm_up_time).clamp(0.0, 1.0);
         let cold = self.workers[w].started > 0.0;
         if cold {
@@ -170,57 +172,60 @@
         }
     }
 
-    fn tell(&mut self, d: usize, event: &Event) {
+    fn handle(&mut self, d: usize, event: &Event) {
         let mut actions = Vec::new();
         self.dispatchers[d].0.handle(self.now, event, &mut actions);
-        let life = self.dispatchers[d].1;
+        let incarnation = self.dispatchers[d].1;
         for action in actions {
             match action {
-                Action::Timer { at, token } => {
-                    self.at(at.max(self.now + 0.004), What::Timer(d, life, token))
-                }
+                Action::Timer { at, token } => self.schedule(
+                    at.max(self.now + 0.004),
+                    SimulationEvent::Timer(d, incarnation, token),
+                ),
                 Action::Send {
                     request,
                     worker: to,
                     ..
                 } => {
                     let w = usize::from(to.address[3]) + 256 * usize::from(to.address[2]);
-                    let number = self.attempts.entry((d, life, request)).or_default();
+                    let number = self.attempts.entry((d, incarnation, request)).or_default();
                     let attempt = *number;
                     *number += 1;
                     let now = self.now;
                     self.workers[w].sends.push(now);
-                    self.workers[w].queue.push_back((d, life, request, attempt));
-                    self.run(w);
+                    self.workers[w]
+                        .queue
+                        .push_back((d, incarnation, request, attempt));
+                    self.start_queued(w);
                 }
                 _ => {}
             }
         }
     }
 
-    fn run(&mut self, w: usize) {
-        let speed = self.warmth(w);
+    fn start_queued(&mut self, w: usize) {
+        let speed = self.capacity_share(w);
         while self.workers[w].running < self.slots()
-            && let Some((d, life, request, attempt)) = self.workers[w].queue.pop_front()
+            && let Some((d, incarnation, request, attempt)) = self.workers[w].queue.pop_front()
         {
             self.workers[w].running += 1;
             let failed = self.rng.uniform() < self.case.failing;
             let takes = if failed && self.case.at_once {
-                AT_ONCE
+                REJECTION_TIME
             } else {
                 -(1.0 - self.rng.uniform()).ln() * WORK / speed
             };
-            self.at(
+            self.schedule(
                 self.now + takes,
-                What::Done(d, life, request * 1024 + w as u64, attempt, failed),
+                SimulationEvent::Done(d, incarnation, request * 1024 + w as u64, attempt, failed),
             );
         }
     }
 
-    fn step(&mut self, what: What) {
+    fn step(&mut self, what: SimulationEvent) {
         match what {
-            What::Arrival(d) => {
-                // One in five has as much as the other four.
+            SimulationEvent::Arrival(d) => {
+                // One dispatcher in five has as much traffic as the other four.
                 let all =
                     self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
                 let weight = if d % 5 == 0 { 4.0 } else { 1.0 };
@@ -230,10 +235,10 @@
                 let bursts = (START..START + BURST).contains(&self.now);
                 let times = if bursts { self.case.burst } else { 1.0 };
                 let gap = -(1.0 - self.rng.uniform()).ln() / (all * times * weight / sum);
-                self.at(self.now + gap, What::Arrival(d));
+                self.schedule(self.now + gap, SimulationEvent::Arrival(d));
                 self.next += 1;
                 let (request, hint) = (self.next, Some(WORK));
-                // The first subject has as much as all others.
+                // The first subject has as many requests as all others.
                 let of = self.case.subjects;
                 let one = if of > 0 && self.rng.uniform() < 0.5 {
                     0
@@ -249,12 +254,14 @@
                     slots: 1.0,
                     ..NewRequest::default()
                 };
-                self.tell(d, &Event::RequestReceived(new));
+                self.handle(d, &Event::RequestReceived(new));
             }
-            What::Timer(d, life, token) if life == self.dispatchers[d].1 => {
-                self.tell(d, &Event::TimerExpired { token });
+            SimulationEvent::Timer(d, incarnation, token)
+                if incarnation == self.dispatchers[d].1 =>
+            {
+                self.handle(d, &Event::TimerExpired { token });
             }
-            What::Done(d, life, request, attempt, failed) => {
+            SimulationEvent::Done(d, incarnation, request, attempt, failed) => {
                 let (request, w) = (request / 1024, (request % 1024) as usize);
                 self.workers[w].running -= 1;
                 let held = &self.workers[w];
@@ -262,7 +269,7 @@
                     held.queue.len() as f32,
                     (self.slots() - held.running) as f32,
                 ];
-                if life == self.dispatchers[d].1 {
+                if incarnation == self.dispatchers[d].1 {
                     let outcome = match failed {
                         true if self.rng.uniform() < 0.5 => Outcome::Rejected,
                         true => Outcome::Error,
@@ -278,11 +285,11 @@
                         answered: closed,
                         report,
                     };
-                    self.tell(d, &event);
+                    self.handle(d, &event);
                 }
-                self.run(w);
+                self.start_queued(w);
             }
-            What::Cold => {
+            SimulationEvent::Cold => {
                 for w in 0..usize::from(self.case.cold) {
                     (self.workers[w].started, self.workers[w].queue) = (self.now, VecDeque::new());
                     self.workers[w].sends.clear();
@@ -297,17 +304,20 @@
                     .sends
                     .extend(std::iter::repeat_n(self.now, each));
             }
-            What::Restart(d) => {
-                let life = self.dispatchers[d].1 + 1;
-                self.dispatchers[d] = (self.dispatcher(self.next + u64::from(life) * 77), life);
+            SimulationEvent::Restart(d) => {
+                let incarnation = self.dispatchers[d].1 + 1;
+                self.dispatchers[d] = (
+                    self.dispatcher(self.next + u64::from(incarnation) * 77),
+                    incarnation,
+                );
                 self.list(d, ListKind::Cached);
             }
-            What::Timer(..) => {}
+            SimulationEvent::Timer(..) => {}
         }
     }
 
-    /// The window in which a cold worker got most against what is allowed: how many, and how many may come.
-    fn play(mut self) -> (f64, usize, f64) {
+    /// Runs the simulation and returns the window with the most attempts relative to the limit.
+    fn run_to_end(mut self) -> (f64, usize, f64) {
         while let Some(Reverse((at, number))) = self.heap.pop() {
             self.now = at as f64 / 1e6;
             if self.now > END {
@@ -320,14 +330,16 @@
         for w in 0..usize::from(self.case.cold) {
             for (i, at) in self.workers[w].sends.iter().enumerate() {
                 self.now = *at;
-                // With workers that turn nearly all away at once, what a warm one gets is bound by nothing.
-                if self.case.at_once && self.warmth(w) >= 1.0 {
+                // Nothing limits the attempts at a warm worker that rejects nearly all of them at
+                // once.
+                if self.case.at_once && self.capacity_share(w) >= 1.0 {
                     continue;
                 }
-                let budget = self.set.overload_multiple * self.warmth(w) * self.slots() as f64
-                    / WORK
-                    * self.set.overload_window;
-                let most = budget + slack(budget);
+                let budget =
+                    self.set.overload_multiple * self.capacity_share(w) * self.slots() as f64
+                        / WORK
+                        * self.set.overload_window;
+                let most = budget + tolerance(budget);
                 let from = at - self.set.overload_window;
                 let sent = self.workers[w].sends[..=i]
                     .iter()
@@ -342,8 +354,9 @@
     }
 }
 
-/// Guards against what is harmless in one process and pushes a cold worker over in thirty: passes of each that add up, 'at
-/// least one' for each, budgets that begin anew with a restart, and further attempts that nobody counts.
+/// SimulationEvent is harmless in one dispatcher could overload a worker in thirty: passes that add
+/// up, a minimum for each dispatcher, budgets that restart with the process, and retries that are
+/// not counted.
 #[test]
 fn slow_start_budget_holds_for_the_sum_of_all_dispatchers() {
     let mut worst = 0.0f64;
@@ -364,7 +377,8 @@
                     subjects: 0,
                     greedy: false,
                 };
-                let (share, sent, most) = World::new(case, 7 + dispatchers as u64).play();
+                let (share, sent, most) =
+                    Simulation::new(case, 7 + dispatchers as u64).run_to_end();
                 worst = worst.max(share);
                 assert!(
                     share <= 1.0,
@@ -376,8 +390,8 @@
     assert!(worst > 0.3, "cold workers were sent to: {worst}");
 }
 
-/// Guards against a budget that holds for a full fleet alone: few dispatchers or many, a burst in the moment in which workers start, and
-/// workers that turn jobs away or break at once, so that hardly a job is out there at any moment.
+/// The budget holds for few dispatchers and for many, with a burst just when the workers start, and
+/// with workers that reject or fail at once, so that hardly any attempt is in flight at any moment.
 #[test]
 fn slow_start_budget_holds_for_few_dispatchers_and_for_many() {
     let mut cases = Vec::new();
@@ -403,7 +417,7 @@
     }
     for case in cases {
         for seed in 1..=2 {
-            let (share, sent, most) = World::new(case, seed).play();
+            let (share, sent, most) = Simulation::new(case, seed).run_to_end();
             assert!(
                 share <= 1.0,
                 "{case:?}, seed {seed}: {sent} sends where {most:.1} may come"
@@ -412,7 +426,7 @@
     }
 }
 
-/// Guards against a cold worker that is the one which half of all jobs prefer: all dispatchers prefer the same one.
+/// The budget holds for a worker that half of all requests prefer, at every dispatcher.
 #[test]
 fn slow_start_budget_holds_at_a_worker_that_all_subjects_prefer() {
     let mut worst = 0.0f64;
@@ -432,7 +446,7 @@
                     subjects,
                     greedy: false,
                 };
-                let (share, sent, most) = World::new(case, 3 + subjects).play();
+                let (share, sent, most) = Simulation::new(case, 3 + subjects).run_to_end();
                 worst = worst.max(share);
                 assert!(
                     share <= 1.0,
@@ -444,7 +458,7 @@
     assert!(worst > 0.2, "cold workers were sent to: {worst}");
 }
 
-/// Guards against a check that sees nothing: one job of each of thirty is thirty.
+/// The check fails if each of thirty dispatchers sends one request at once.
 #[test]
 fn check_detects_a_worker_in_slow_start_that_receives_too_much() {
     let (dispatchers, workers, cold, load, small) = (30, 24, 2, 0.9, true);
@@ -461,6 +475,6 @@
         subjects: 0,
         greedy: true,
     };
-    let (share, sent, most) = World::new(case, 7).play();
+    let (share, sent, most) = Simulation::new(case, 7).run_to_end();
     assert!(share > 1.0, "{sent} sends where {most:.1} may come");
 }
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests: settings, entries and a dispatcher whose actions are collected.
+//! A harness around a dispatcher, with settings, worker entries and queries of its actions.
 #![allow(dead_code)]
 
 use postproxy::{
@@ -6,7 +6,8 @@
     RequestId, Settings, WorkerId,
 };
 
-/// Settings with three classes (0 safe, 1 keyed by cell, 2 unsafe) and what `change` does to the JSON.
+/// Returns settings after `change` of their JSON. They have three classes: 0 is idempotent, 1 is
+/// idempotent by key within a cell, 2 is not idempotent.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Settings {
     let mut json = serde_json::json!({
         "balancers": 4, "zone": 0, "discovery": "pushed", "tick": 0.004, "counted-by": "request",
@@ -25,7 +26,7 @@
     Settings::from_json(&json.to_string()).expect("settings of the tests are sound")
 }
 
-/// The id of worker `n`.
+/// Returns the id of worker `n`.
 pub fn worker_id(n: u16) -> WorkerId {
     WorkerId {
         address: [10, 0, (n >> 8) as u8, n as u8],
@@ -33,7 +34,7 @@
     }
 }
 
-/// Worker `n`, ready, in a cell of four.
+/// Returns the entry of worker `n`, which is ready and in a cell of four.
 pub fn entry(n: u16) -> Entry {
     Entry {
         worker: worker_id(n),
@@ -43,14 +44,14 @@
     }
 }
 
-/// A dispatcher under test.
+/// A dispatcher under test and the current time.
 pub struct DispatcherHarness {
     pub dispatcher: Dispatcher,
     pub now: f64,
 }
 
 impl DispatcherHarness {
-    /// A dispatcher with a full list of `workers` workers.
+    /// Returns a dispatcher that has received a list of `workers` workers.
     pub fn new(settings: Settings, workers: u16) -> Self {
         let dispatcher = Dispatcher::new(settings, 7).expect("settings of the tests are sound");
         let mut harness = Self {
@@ -72,13 +73,11 @@
     }
 
     pub fn submit(&mut self, request: RequestId, class: u8) -> Vec<Action> {
-        let budget = if class == 0 { 5.0 } else { 10.0 };
-        let hint = Some(0.5);
         self.handle(Event::RequestReceived(NewRequest {
             id: request,
             class,
-            time_limit: budget,
-            expected_work: hint,
+            time_limit: if class == 0 { 5.0 } else { 10.0 },
+            expected_work: Some(0.5),
             slots: 1.0,
             ..NewRequest::default()
         }))
@@ -102,14 +101,13 @@
         outcome: Outcome,
         report: Vec<f32>,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Succeeded;
         self.handle(Event::AttemptEnded {
             request,
             attempt,
             worker: to,
             outcome,
             elapsed: 0.1,
-            answered: closed,
+            answered: outcome == Outcome::Succeeded,
             report,
         })
     }
@@ -136,7 +134,7 @@
         })
     }
 
-    /// Lets time pass until `until`, firing the timers in `due`, and collects what is done.
+    /// Advances the time to `until`, handles the timers in `due` and returns the resulting actions.
     pub fn run_until(&mut self, until: f64, due: &mut Vec<(f64, u64)>) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
@@ -195,7 +193,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Entries `n` with this health.
+/// Returns the entry of worker `n` with this health.
 pub fn entry_with_health(n: u16, health: Health) -> Entry {
     Entry { health, ..entry(n) }
 }
