--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests, how long they are held, and their final answers.
+//! Admission of requests, how long they wait here, and their final answers.
 
 use super::budgets::affordable;
 use super::dispatcher::{Dispatcher, MAX_REQUEST_ID, TimerKind};
@@ -6,7 +6,7 @@
 use super::figures::{positive, sound};
 use super::interface::{Action, Effect, NewRequest, RequestId};
 use super::parameters::{
-    ANSWER_LEAD_TICKS, HEDGE_SPENDING, HEDGES_PER_REQUEST, HOLD_INTERVAL, LATE_HOLD_FACTOR,
+    ANSWER_LEAD_TICKS, DEFER_INTERVAL, HEDGE_SPENDING, HEDGES_PER_REQUEST, LATE_DEFER_FACTOR,
     MAX_SAVED_BUDGET, MIN_RUN_TIME, PROBE_SPENDING, PROBES_PER_REQUEST, SHORT_BUDGET_SHARE,
 };
 use super::request::Request;
@@ -55,7 +55,7 @@
     ///
     /// A client's retry has less time left than its first request, but so has the first request of
     /// a client with less patience, which must not be given up as late at once. Where clients mark
-    /// their retries the two are told apart.
+    /// their retries, the two can be distinguished.
     fn first_submission(&mut self, new: &NewRequest, budget: f64) -> f64 {
         let class = new.class as usize;
         let longest = &mut self.estimates.longest_budget_by_class[class];
@@ -94,7 +94,7 @@
     }
 
     /// Returns the time until the latency objective is missed, in seconds. Half of what the job's
-    /// work adds to the objective is kept for slow workers and inaccurate hints.
+    /// work adds to the objective is reserved for slow workers and inaccurate hints.
     pub(super) fn time_to_objective(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let extra = 0.5 * (class.objective_stretch - 1.0).max(0.0) * request.work;
@@ -102,7 +102,7 @@
     }
 
     /// Returns until when an attempt is permitted and can still help. A request without any attempt
-    /// in flight then gets its final answer at once: held up to its deadline it would keep its
+    /// in flight then gets its final answer at once: waiting up to its deadline would keep its
     /// client from retrying.
     pub(super) fn last_useful_send(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
@@ -134,24 +134,24 @@
     /// Returns the longest queue that a request joins, as the wait for a slot in seconds.
     ///
     /// No request joins a queue in which it would be late: under overload all would wait, and all
-    /// would be late. The less a request is worth for its work, the shorter its queue. For a late
-    /// one the worth after the objective counts twice, for what it earns and for whom it delays.
+    /// would be late. The less a request is weight for its work, the shorter its queue. For a late
+    /// one the weight after the objective counts twice, for what it earns and for whom it delays.
     /// Where a full queue would be the end of a request, it joins none once it is late.
     pub(super) fn queue_limit(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
-        let is_last_try = self.settings.full_may_have_run
+        let is_last_attempt = self.settings.full_may_have_run
             && class.effect_of(request.without_key) == Effect::NotIdempotent;
-        let late_limit = if is_last_try {
+        let late_limit = if is_last_attempt {
             0.0
         } else {
             class.late_weight.powi(2) * (request.deadline - self.now)
         };
-        self.time_to_objective(request).max(late_limit) * self.relative_worth(request)
+        self.time_to_objective(request).max(late_limit) * self.relative_weight(request)
     }
 
-    /// Returns the worth of a request for each unit of its work, relative to the class with the
+    /// Returns the weight of a request for each unit of its work, relative to the class with the
     /// highest.
-    fn relative_worth(&self, request: &Request) -> f64 {
+    fn relative_weight(&self, request: &Request) -> f64 {
         let work = |class: usize| {
             if self.settings.weight_by_work {
                 1.0
@@ -159,31 +159,31 @@
                 self.estimates.run_time_by_class[class]
             }
         };
-        let worth = |class: usize| self.settings.classes[class].priority_weight / work(class);
+        let weight = |class: usize| self.settings.classes[class].priority_weight / work(class);
         let highest = (0..self.settings.classes.len())
-            .map(worth)
+            .map(weight)
             .fold(0.0, f64::max);
         if highest > 0.0 {
-            worth(request.class) / highest
+            weight(request.class) / highest
         } else {
             1.0
         }
     }
 
-    /// Holds a request, and looks for free capacity again after a while.
-    pub(super) fn hold_request(&mut self, id: RequestId) {
+    /// Lets a request wait here, and looks for free capacity again after an interval.
+    pub(super) fn defer_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.probe_rounds = 0;
         let request = &self.requests[&id];
-        let interval = HOLD_INTERVAL * self.settings.classes[request.class].latency_objective;
+        let interval = DEFER_INTERVAL * self.settings.classes[request.class].latency_objective;
         let is_in_time = self.time_to_objective(request) > 0.0;
         let is_hedge = request.in_flight() > 0;
         let delay = if is_in_time && !is_hedge {
             interval
         } else {
-            LATE_HOLD_FACTOR * interval
+            LATE_DEFER_FACTOR * interval
         };
         self.schedule_review(delay, id);
     }
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -22,7 +22,7 @@
         if !self.may_send(request, index) {
             return;
         }
-        let capacity_promised = self.has_free_capacity(&self.workers.all[index], request);
+        let capacity_reported = self.has_free_capacity(&self.workers.all[index], request);
         let silence_limit = self.silence_limit(request, JobPhase::Waiting);
         if request.in_flight() > 0 {
             self.budgets.hedges -= 1.0;
@@ -44,7 +44,7 @@
         if number > 0 {
             self.budgets.retries.push(self.now);
         }
-        let attempt = Attempt::new(index, &worker.entry, self.now, capacity_promised);
+        let attempt = Attempt::new(index, &worker.entry, self.now, capacity_reported);
         request.attempts.push(attempt);
         request.probe_rounds = 0;
         self.actions.push(Action::Send {
@@ -115,7 +115,7 @@
         }
         if hangs {
             self.eject(index);
-            self.record_broken_promise(id, last);
+            self.record_refuted_report(id, last);
         }
         if self.may_hedge(id) {
             self.place_request(id);
@@ -123,13 +123,13 @@
         self.schedule_review(silence_limit, id);
     }
 
-    /// Records that a promise of free capacity was followed by a job that hangs.
-    fn record_broken_promise(&mut self, id: RequestId, attempt: usize) {
+    /// Records that a report of free capacity was wrong: the job that it led to does not end.
+    fn record_refuted_report(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let was_promised = std::mem::take(&mut request.attempts[attempt].capacity_promised);
-        if was_promised {
+        let was_reported = std::mem::take(&mut request.attempts[attempt].capacity_reported);
+        if was_reported {
             self.estimates.trust -= SMOOTHING * self.estimates.trust;
         }
     }
@@ -186,21 +186,21 @@
         }
     }
 
-    /// Handles the end of an attempt for its request. `closed` says that the request has its final
-    /// answer.
+    /// Handles the end of an attempt for its request. `answered` says that the client has its
+    /// final answer.
     pub(super) fn handle_outcome(
         &mut self,
         id: RequestId,
         attempt: u16,
         outcome: Outcome,
-        closed: bool,
+        answered: bool,
     ) {
         if !self.requests.contains_key(&id) {
             return;
         }
         self.record_outcome(id, attempt as usize, outcome);
         let request = &self.requests[&id];
-        if closed {
+        if answered {
             self.forget_request(id);
         } else if request.in_flight() == 0 && request.probed.is_empty() {
             self.place_request(id);
@@ -228,13 +228,12 @@
         if outcome == Outcome::Succeeded {
             self.record_run_time(id, &attempt);
         }
-        if outcome == Outcome::Succeeded
-            || attempt.capacity_promised && outcome == Outcome::Rejected
-        {
+        let refutes_report = attempt.capacity_reported && outcome == Outcome::Rejected;
+        if outcome == Outcome::Succeeded || refutes_report {
             self.record_acceptance(id, &attempt, outcome);
         }
-        if attempt.capacity_promised && outcome == Outcome::Succeeded {
-            self.record_kept_promise(id, &attempt);
+        if attempt.capacity_reported && outcome == Outcome::Succeeded {
+            self.record_confirmed_report(id, &attempt);
         }
     }
 
@@ -272,9 +271,10 @@
         worker.acceptance.insert(class, acceptance);
     }
 
-    /// Records whether a report of free capacity was kept: it is if the job ended in time. Reports
-    /// that come late promise capacity that is long gone; the fewer are kept, the less they count.
-    fn record_kept_promise(&mut self, id: RequestId, attempt: &Attempt) {
+    /// Records whether a report of free capacity was right: it was if the job ended in time.
+    /// Reports that arrive late show capacity that is in use again; the fewer are right, the less
+    /// they count.
+    fn record_confirmed_report(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
         let is_kept = self.now - attempt.sent
--- a/src/decision/budgets.rs
+++ b/src/decision/budgets.rs
@@ -14,7 +14,7 @@
     pub admitted: EventTimes,
     /// When attempts beyond a request's first were sent.
     pub retries: EventTimes,
-    /// When a pass to a cold worker was drawn for.
+    /// When a pass to a worker in slow start was drawn for.
     pub pass_draws: EventTimes,
 }
 
--- a/src/decision/discovery.rs
+++ b/src/decision/discovery.rs
@@ -64,9 +64,9 @@
         self.handle_changed_suspensions();
     }
 
-    /// Resumes a suspended worker. It was most likely restarted: it counts as cold, nothing known
-    /// of it holds, and yet it is owed a request soon. One of all dispatchers, drawn by chance,
-    /// sends that request.
+    /// Resumes a suspended worker. It was most likely restarted: it counts as in slow start, its
+    /// earlier figures are dropped, and yet it is owed a request soon. One of all dispatchers,
+    /// drawn by chance, sends that request.
     pub(super) fn resume_worker(&mut self, id: WorkerId) {
         if let Some(start_at_suspension) = self.workers.suspended.remove(&id) {
             let dispatchers = f64::from(self.settings.dispatcher_count.max(1));
--- a/src/decision/dispatcher.rs
+++ b/src/decision/dispatcher.rs
@@ -2,7 +2,7 @@
 //!
 //! The ordinary path is the lottery of SNS: a request goes to a worker drawn at random with tickets
 //! of 1 / (load + correction + 1). The correction counts the dispatcher's own attempts, which are
-//! taken off the load that a report tells. The modules beside this one hold the decisions, each for
+//! subtracted from the reported load. The modules beside this one contain the decisions, each for
 //! one concern.
 
 use super::budgets::Budgets;
@@ -36,7 +36,7 @@
             Self::Review => 1,
             Self::Discovery => 2,
         };
-        kind * MAX_REQUEST_ID | request
+        (kind * MAX_REQUEST_ID) | request
     }
 
     /// Returns the kind and the request's number of a token, if it is one of ours.
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// If the settings hold a figure out of range, see [`Settings::validate`].
+    /// If the settings have a figure out of range, see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let expected_run_times: Vec<f64> = settings
--- a/src/decision/estimates.rs
+++ b/src/decision/estimates.rs
@@ -18,15 +18,15 @@
     pub mean_load: f64,
     /// Mean load of a worker by zone, in jobs.
     pub load_by_zone: BTreeMap<u8, f64>,
-    /// Load that others hold on a worker, by machine kind, in jobs.
+    /// Load of other dispatchers on a worker, by machine kind, in jobs.
     pub others_load_by_kind: BTreeMap<u16, f64>,
     /// Most free slots ever reported by a worker of each machine kind.
     pub slots_by_kind: BTreeMap<u16, f64>,
     /// When the last load report came.
     pub last_report_at: f64,
-    /// Share of the reports of free capacity that were kept.
+    /// Share of the reports of free capacity that were right.
     pub trust: f64,
-    /// Share of each class's attempts that were not rejected although the report promised capacity.
+    /// Share of each class's attempts that were not rejected although the report showed capacity.
     pub acceptance_by_class: Vec<f64>,
 }
 
--- a/src/decision/event_times.rs
+++ b/src/decision/event_times.rs
@@ -7,7 +7,7 @@
 pub struct EventTimes(VecDeque<f64>);
 
 impl EventTimes {
-    /// Number of times that are kept. Fewer admitted requests only make a retry budget smaller;
+    /// Number of times that are stored. Fewer admitted requests only make a retry budget smaller;
     /// retries stay far below this number.
     const MAX_TIMES: usize = 65536;
 
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -66,11 +66,12 @@
     /// Returns a worker's load plus the correction, in slots.
     ///
     /// Reports are old when they come, at times by seconds, but the own attempts at the worker are
-    /// known exactly. So of a report only what others hold is used, smoothed and decaying towards
-    /// the mean of its kind; the correction is all own attempts that have not ended. By the last
-    /// report alone, every request would go to the workers that have just answered.
+    /// known exactly. So only the load of other dispatchers is taken from a report, smoothed and
+    /// decaying towards the mean of its kind; the correction is all own attempts that have not
+    /// ended. By the last report alone, every request would go to the workers that have just
+    /// answered.
     pub(super) fn load(&self, worker: &Worker) -> f64 {
-        // A dispatcher that holds its requests gets no reports, and would hold them for ever.
+        // A dispatcher that sends nothing gets no reports, and would never send again.
         let silence = (self.now - self.estimates.last_report_at).max(0.0)
             / (MEAN_LOAD_DECAY * self.estimates.mean_run_time);
         let kind_load = self.estimates.others_load_by_kind.get(&worker.entry.kind);
@@ -81,7 +82,7 @@
             (-age).exp() * (worker.others_load - mean)
         });
         // Without reports the own attempts alone show no queue: other dispatchers are assumed to
-        // hold as much.
+        // have as much load there.
         let dispatchers = match self.settings.report_source {
             ReportSource::None => self.settings.dispatcher_count.max(1).into(),
             ReportSource::Answers | ReportSource::Probes => 1.0,
--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -34,7 +34,7 @@
             candidates: Vec::new(),
             probed: Vec::new(),
             probe_rounds: 0,
-            cold_pass: None,
+            slow_start_pass: None,
             pass_drawn_for: 0,
             review_at: 0.0,
             ..request
@@ -65,7 +65,7 @@
         }
         let attempts = request.attempts.iter_mut().zip(0..);
         for ((attempt, number), worker) in attempts.zip(&migrated.workers) {
-            attempt.worker = self.workers.index_or_add_gone(*worker);
+            attempt.worker = self.workers.index_or_add_removed(*worker);
             if attempt.is_in_flight() {
                 self.workers.all[attempt.worker].own.push(OwnAttempt {
                     key: (id, number),
--- a/src/decision/parameters.rs
+++ b/src/decision/parameters.rs
@@ -16,7 +16,7 @@
 pub(super) const SUBJECT_PROBE_SAMPLE_SIZE: usize = 8;
 /// Rounds of probes before a request is placed by what is known.
 pub(super) const MAX_PROBE_ROUNDS: u32 = 2;
-/// Probes that a request may cost on average, held requests included.
+/// Probes that a request may cost on average, waiting requests included.
 pub(super) const PROBES_PER_REQUEST: f64 = 5.0;
 /// Share of all points that probes may cost; more expensive probes are sent as much less often.
 pub(super) const PROBE_SPENDING: f64 = 0.0075;
@@ -28,9 +28,10 @@
 pub(super) const REPORT_DELAY: f64 = 0.2;
 /// Without any report the mean load decays by a factor of e in this time.
 pub(super) const MEAN_LOAD_DECAY: f64 = 4.0;
-/// Weight of a new report in the load that others hold at a worker: a report is old and noisy.
+/// Weight of a new report in the load of other dispatchers at a worker: a report is old and noisy.
 pub(super) const OTHERS_LOAD_WEIGHT: f64 = 0.3;
-/// What others hold at a worker decays towards the mean of its kind by a factor of e in this time.
+/// The load of other dispatchers at a worker decays towards the mean of its kind by a factor of e
+/// in this time.
 pub(super) const OTHERS_LOAD_DECAY: f64 = 4.0;
 /// A worker without a report for longer than this is not known to have free capacity.
 pub(super) const REPORT_LIFETIME: f64 = 4.0;
@@ -44,7 +45,7 @@
 /// Multiple of its own work up to which a job's run time counts. What goes beyond it was waiting
 /// time.
 pub(super) const MAX_RUN_TIME: f64 = 2.0;
-/// Share of kept promises under which reports of free capacity are not believed.
+/// Share of right reports of free capacity below which these reports are not used.
 pub(super) const MIN_TRUST: f64 = 0.5;
 /// Power of the acceptance rate in a worker's tickets: few answers are known, so each must weigh
 /// much.
@@ -55,17 +56,17 @@
 /// Share of its tickets that a worker keeps for each worker that the request's subject prefers to
 /// it.
 pub(super) const LESS_PREFERRED_FACTOR: f64 = 0.005;
-/// Number of preferred workers up to which a cold worker is near enough to a subject.
-pub(super) const MAX_PREFERRED_BEFORE_COLD: i32 = 2;
+/// Number of preferred workers up to which a worker in slow start is near enough to a subject.
+pub(super) const MAX_PREFERRED_BEFORE_SLOW_START: i32 = 2;
 /// Own zone first, up to this many jobs a worker above the mean load of all zones.
 pub(super) const OWN_ZONE_EXCESS_LOAD: f64 = 1.0;
 
 // ---- Queueing, retries and hedged requests ----
 
-/// Share of the latency objective after which a held request looks for free capacity again.
-pub(super) const HOLD_INTERVAL: f64 = 0.4;
-/// Multiple of the hold interval for a request that is late already: requests in time go first.
-pub(super) const LATE_HOLD_FACTOR: f64 = 3.0;
+/// Share of the latency objective after which a waiting request looks for free capacity again.
+pub(super) const DEFER_INTERVAL: f64 = 0.4;
+/// Multiple of this interval for a request that is late already: requests in time go first.
+pub(super) const LATE_DEFER_FACTOR: f64 = 3.0;
 /// Share of the time that is left to a waiting job after which it is hedged if its start was not
 /// reported.
 pub(super) const HEDGE_DELAY: f64 = 0.1;
@@ -76,7 +77,7 @@
 /// Share of all points that wasted work may cost; where waste is more expensive there are fewer
 /// hedged requests.
 pub(super) const HEDGE_SPENDING: f64 = 0.0025;
-/// Requests' worth of the probe and hedge budgets that may be saved for a bad moment.
+/// Requests' weight of the probe and hedge budgets that may be saved for a bad moment.
 pub(super) const MAX_SAVED_BUDGET: f64 = 10.0;
 /// Share of the idempotency window that may be used: sending again takes time, too.
 pub(super) const USABLE_WINDOW: f64 = 0.9;
@@ -105,14 +106,14 @@
 
 /// Share of the overload multiple that all dispatchers together use: an overload multiplies what
 /// arrives.
-pub(super) const COLD_TRAFFIC_SHARE: f64 = 0.7;
-/// Share of a cold worker's budget for one window that one dispatcher may use.
-pub(super) const COLD_BUDGET_SHARE: f64 = 0.8;
+pub(super) const SLOW_START_TRAFFIC_SHARE: f64 = 0.7;
+/// Share of a slow-start budget for one window that one dispatcher may use.
+pub(super) const SLOW_START_BUDGET_SHARE: f64 = 0.8;
 /// Multiple of its mean part that a dispatcher may take: traffic is uneven among dispatchers.
 pub(super) const UNEVEN_TRAFFIC: f64 = 4.0;
-/// Multiple of the usual traffic up to which passes to cold workers grow with it.
+/// Multiple of the usual traffic up to which passes to workers in slow start grow with it.
 pub(super) const MAX_BURST: f64 = 1.5;
-/// Windows of the cold budget over which the usual traffic is measured.
+/// Windows of the slow-start budget over which the usual traffic is measured.
 pub(super) const USUAL_TRAFFIC_WINDOWS: f64 = 10.0;
 /// Requests that all dispatchers together send to a resumed worker beside those that are drawn.
 pub(super) const RESUMED_WORKER_REQUESTS: f64 = 1.0;
@@ -134,5 +135,5 @@
 
 // ---- Limits of what sibling processes send ----
 
-/// Longest window of a cold worker's budget for which a sibling's attempts are counted, in seconds.
+/// Longest window of a slow-start budget for which a sibling's attempts are counted, in seconds.
 pub(super) const MAX_SIBLING_WINDOW_SECONDS: f64 = 60.0;
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -35,15 +35,15 @@
     pub started: Option<f64>,
     /// When the worker last reported progress.
     pub last_progress: f64,
-    /// The worker's load report promised free capacity.
-    pub capacity_promised: bool,
+    /// The worker's load report showed free capacity.
+    pub capacity_reported: bool,
     /// It has been cancelled.
     pub cancelled: bool,
 }
 
 impl Attempt {
     /// Returns an attempt that is sent now.
-    pub fn new(worker: usize, entry: &Entry, now: f64, capacity_promised: bool) -> Self {
+    pub fn new(worker: usize, entry: &Entry, now: f64, capacity_reported: bool) -> Self {
         Self {
             worker,
             cell: (entry.zone, entry.cell),
@@ -51,7 +51,7 @@
             state: AttemptState::InFlight,
             started: None,
             last_progress: now,
-            capacity_promised,
+            capacity_reported,
             cancelled: false,
         }
     }
@@ -102,9 +102,9 @@
     pub probes_until: f64,
     /// Rounds of probes sent for the next attempt.
     pub probe_rounds: u32,
-    /// The cold worker that the next attempt may go to.
-    pub cold_pass: Option<usize>,
-    /// Number of attempts, counted from 1, for which `cold_pass` was drawn.
+    /// The worker in slow start that the next attempt may go to.
+    pub slow_start_pass: Option<usize>,
+    /// Number of attempts, counted from 1, for which `slow_start_pass` was drawn.
     pub pass_drawn_for: usize,
     /// When it is reviewed next.
     pub review_at: f64,
@@ -160,7 +160,7 @@
 }
 
 impl MigratedRequest {
-    /// Sets whether the request carries no idempotency key, which its payload tells and its record
+    /// Sets whether the request carries no idempotency key, which its payload shows and its record
     /// does not.
     pub fn set_without_key(&mut self, without_key: bool) {
         self.request.without_key = without_key;
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -17,7 +17,7 @@
             && self.may_run_again_at(request, index)
             && class.admits(&worker.entry)
             && self.is_within_retry_budget(request)
-            && self.is_within_cold_budget(request, index)
+            && self.is_within_slow_start_budget(request, index)
     }
 
     /// Never after the final answer is due, and never more attempts than the settings allow.
@@ -71,14 +71,14 @@
         request.attempts.is_empty() || self.settings.retry_budget.is_none_or(within)
     }
 
-    /// To a cold worker only with a pass, and only what fits this dispatcher's part of its budget
-    /// for one window.
-    fn is_within_cold_budget(&self, request: &Request, index: WorkerIndex) -> bool {
+    /// To a worker in slow start only with a pass, and only what fits this dispatcher's part of its
+    /// budget for one window.
+    fn is_within_slow_start_budget(&self, request: &Request, index: WorkerIndex) -> bool {
         let worker = &self.workers.all[index];
         if self.warm_share(worker) >= 1.0 {
             return true;
         }
         let sent = worker.work_sent_after(self.now - self.settings.overload_window) + request.work;
-        request.cold_pass == Some(index) && sent <= self.own_cold_budget(worker)
+        request.slow_start_pass == Some(index) && sent <= self.own_slow_start_budget(worker)
     }
 }
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -4,15 +4,16 @@
 use super::interface::{Class, DedupScope, Effect, RequestId};
 use super::parameters::{
     ACCEPTANCE_POWER, CANDIDATE_POOL_SIZE, EXPLORATION_RATE, FRESH_REPORT_AGE,
-    LESS_PREFERRED_FACTOR, MAX_PREFERRED_BEFORE_COLD, MAX_PROBE_ROUNDS, MIN_SHARE_NOT_EJECTED,
-    MIN_TRUST, OWN_ZONE_EXCESS_LOAD, PROBE_SAMPLE_SIZE, REPORT_LIFETIME, SUBJECT_PROBE_SAMPLE_SIZE,
+    LESS_PREFERRED_FACTOR, MAX_PREFERRED_BEFORE_SLOW_START, MAX_PROBE_ROUNDS,
+    MIN_SHARE_NOT_EJECTED, MIN_TRUST, OWN_ZONE_EXCESS_LOAD, PROBE_SAMPLE_SIZE, REPORT_LIFETIME,
+    SUBJECT_PROBE_SAMPLE_SIZE,
 };
 use super::request::Request;
 use super::workers::{Worker, WorkerIndex};
 
 impl Dispatcher {
     /// Sends the next attempt of a request to a worker drawn by lottery, after probing a few
-    /// workers where that helps, or holds the request. A request that no attempt can help any more
+    /// workers where that helps, or defers the request. A request that no attempt can help any more
     /// gets its final answer.
     pub(super) fn place_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
@@ -25,7 +26,7 @@
         self.update_candidates(id);
         let request = &self.requests[&id];
         let mut eligible = self.eligible_candidates(request);
-        if let Some(worker) = self.cold_worker_with_pass(request, &eligible) {
+        if let Some(worker) = self.worker_with_slow_start_pass(request, &eligible) {
             return self.send_attempt(id, worker);
         }
         self.exclude_ejected(request, &mut eligible);
@@ -53,11 +54,11 @@
             // A hedged request does not wait behind another queue.
             return;
         }
-        self.join_queue_or_hold(id, eligible, &nearby);
+        self.join_queue_or_defer(id, eligible, &nearby);
     }
 
-    /// Sends the request to a worker whose queue it may join, or holds it for a while.
-    fn join_queue_or_hold(
+    /// Sends the request to a worker whose queue it may join, or defers it.
+    fn join_queue_or_defer(
         &mut self,
         id: RequestId,
         mut eligible: Vec<WorkerIndex>,
@@ -74,7 +75,7 @@
         if let [worker] = self.draw(id, &eligible, 1)[..] {
             return self.send_attempt(id, worker);
         }
-        self.hold_request(id);
+        self.defer_request(id);
     }
 
     /// Draws up to `count` of the candidates, with tickets of 1 / (load + correction + 1) for each
@@ -132,15 +133,15 @@
         let draws_candidates = request.probe_rounds == 0 && self.required_cell(request).is_none();
         let pass_is_current = request.pass_drawn_for > request.attempts.len();
         let pass = if pass_is_current {
-            request.cold_pass
+            request.slow_start_pass
         } else {
-            self.draw_cold_pass()
+            self.draw_slow_start_pass()
         };
         let drawn = draws_candidates.then(|| self.draw_candidates(class, subject, pass));
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.cold_pass = pass;
+        request.slow_start_pass = pass;
         request.pass_drawn_for = request.attempts.len() + 1;
         if let Some(drawn) = drawn {
             request.candidates = drawn;
@@ -215,19 +216,19 @@
         eligible
     }
 
-    /// Returns the cold worker for which the request has a pass, if it has no queue and the subject
-    /// prefers few workers to it. The pass replaces the draw: a cold worker that had to be drawn as
-    /// well would stay idle.
-    fn cold_worker_with_pass(
+    /// Returns the worker in slow start for which the request has a pass, if it has no queue and
+    /// the subject prefers few workers to it. The pass replaces the draw: a worker in slow start
+    /// that had to be drawn as well would stay idle.
+    fn worker_with_slow_start_pass(
         &self,
         request: &Request,
         eligible: &[WorkerIndex],
     ) -> Option<WorkerIndex> {
-        let index = request.cold_pass?;
+        let index = request.slow_start_pass?;
         let position = eligible.iter().position(|eligible| *eligible == index)?;
         let preferred_before = self.preferred_before(request, eligible);
         let worker = &self.workers.all[index];
-        let is_preferred = preferred_before[position] <= MAX_PREFERRED_BEFORE_COLD;
+        let is_preferred = preferred_before[position] <= MAX_PREFERRED_BEFORE_SLOW_START;
         let is_idle = worker.request_due_at.is_some() || self.expected_wait(worker) <= 0.0;
         (is_preferred && is_idle).then_some(index)
     }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,12 +1,13 @@
 //! Slow start: how much traffic a worker gets that has started or was resumed a short while ago.
 //!
-//! All dispatchers together can overload a cold worker, whose empty queue wins every draw. So an
-//! attempt may go there only with a pass. Passes are drawn at random; summed over all dispatchers
-//! they stay below the worker's share of the whole capacity.
+//! All dispatchers together can overload a worker in slow start, whose empty queue wins every draw.
+//! So an attempt may go there only with a pass. Passes are drawn at random; summed over all
+//! dispatchers they stay below the worker's share of the whole capacity.
 
 use super::dispatcher::Dispatcher;
 use super::parameters::{
-    COLD_BUDGET_SHARE, COLD_TRAFFIC_SHARE, MAX_BURST, UNEVEN_TRAFFIC, USUAL_TRAFFIC_WINDOWS,
+    MAX_BURST, SLOW_START_BUDGET_SHARE, SLOW_START_TRAFFIC_SHARE, UNEVEN_TRAFFIC,
+    USUAL_TRAFFIC_WINDOWS,
 };
 use super::workers::{Worker, WorkerIndex};
 
@@ -16,8 +17,8 @@
     pub(super) fn warm_share(&self, worker: &Worker) -> f64 {
         let progress = (self.now - worker.started()).max(0.0)
             / self.settings.warm_up_time.max(self.settings.tick);
-        let is_cold = worker.started() > 0.0 && progress < 1.0;
-        if is_cold {
+        let is_warming_up = worker.started() > 0.0 && progress < 1.0;
+        if is_warming_up {
             self.settings.initial_capacity_share
                 + (1.0 - self.settings.initial_capacity_share) * progress
         } else {
@@ -25,28 +26,29 @@
         }
     }
 
-    /// Returns the work that all dispatchers together may send to a cold worker in one window, in
-    /// seconds.
-    fn cold_budget(&self, worker: &Worker) -> f64 {
+    /// Returns the work that all dispatchers together may send to a worker in slow start in one
+    /// window, in seconds.
+    fn slow_start_budget(&self, worker: &Worker) -> f64 {
         self.settings.overload_multiple
             * self.warm_share(worker)
             * self.slots(worker).max(1.0)
             * self.settings.overload_window
     }
 
-    /// Returns this dispatcher's part of the cold budget, with what chance adds to a part of few
-    /// requests.
-    pub(super) fn own_cold_budget(&self, worker: &Worker) -> f64 {
+    /// Returns this dispatcher's part of the slow-start budget, with what chance adds to a part of
+    /// few requests.
+    pub(super) fn own_slow_start_budget(&self, worker: &Worker) -> f64 {
         let dispatchers = f64::from(self.settings.dispatcher_count.max(1));
         let run_time = self.estimates.mean_run_time;
-        let part = COLD_BUDGET_SHARE * self.cold_budget(worker) * UNEVEN_TRAFFIC / dispatchers;
+        let part =
+            SLOW_START_BUDGET_SHARE * self.slow_start_budget(worker) * UNEVEN_TRAFFIC / dispatchers;
         let with_chance = part + 2.0 * (part * run_time).sqrt() + run_time;
-        with_chance.min(COLD_BUDGET_SHARE * self.cold_budget(worker))
+        with_chance.min(SLOW_START_BUDGET_SHARE * self.slow_start_budget(worker))
     }
 
-    /// Draws whether the next attempt may go to a cold worker, and to which. In a burst the passes
-    /// grow by half at most.
-    pub(super) fn draw_cold_pass(&mut self) -> Option<WorkerIndex> {
+    /// Draws whether the next attempt may go to a worker in slow start, and to which. In a burst
+    /// the passes grow by half at most.
+    pub(super) fn draw_slow_start_pass(&mut self) -> Option<WorkerIndex> {
         if let Some(worker) = self.workers.resumed_without_request(self.now) {
             return Some(worker);
         }
@@ -59,7 +61,7 @@
             .mean_per_window(self.now, window, USUAL_TRAFFIC_WINDOWS);
         let likely_most = usual + 2.0 * usual.sqrt() + 1.0;
         let burst = (draws / (MAX_BURST * likely_most)).max(1.0);
-        let range = COLD_TRAFFIC_SHARE * self.settings.overload_multiple;
+        let range = SLOW_START_TRAFFIC_SHARE * self.settings.overload_multiple;
         let mut drawn = self.random.uniform() * burst * self.workers.total_size / range;
         self.workers.started.iter().copied().find(|&index| {
             let worker = &self.workers.all[index];
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -15,7 +15,7 @@
 /// A load report as the dispatcher uses it.
 #[derive(Clone, Copy)]
 pub struct LoadReport {
-    /// Jobs that the worker holds, in slots.
+    /// Jobs at the worker, waiting or running, in slots.
     pub load: f64,
     /// Free memory units; infinite if not reported.
     pub memory: f64,
@@ -46,7 +46,7 @@
     pub at: f64,
 }
 
-/// An attempt that counts towards a cold worker's budget, whether it has ended or not.
+/// An attempt that counts towards a slow-start budget, whether it has ended or not.
 struct SentWork {
     at: f64,
     work: f64,
@@ -59,7 +59,7 @@
     pub entry: Entry,
     /// Its last load report.
     pub report: Option<LoadReport>,
-    /// Load that others hold there, smoothed, in slots.
+    /// Load of other dispatchers there, smoothed, in slots.
     pub others_load: f64,
     /// Own attempts there.
     pub own: Vec<OwnAttempt>,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Applies a worker list. What was known of a worker that has started since does not hold any
+    /// Applies a worker list. What was known of a worker that has started since is not valid any
     /// more.
     pub fn apply_list(&mut self, kind: ListKind, entries: &[Entry]) {
         if !matches!(kind, ListKind::Delta | ListKind::FromPeer) {
@@ -312,8 +312,8 @@
         self.last_reporters.drain(..surplus);
     }
 
-    /// Returns the position of a worker, and adds it as one that is gone if it was never listed.
-    pub fn index_or_add_gone(&mut self, id: WorkerId) -> WorkerIndex {
+    /// Returns the position of a worker, and adds it as removed if it was never listed.
+    pub fn index_or_add_removed(&mut self, id: WorkerId) -> WorkerIndex {
         let new = self.all.len();
         let index = *self.index.entry(id).or_insert(new);
         if index == new {
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -51,7 +51,7 @@
         state,
         started: Some(2.5),
         last_progress: 3.5,
-        capacity_promised: true,
+        capacity_reported: true,
         cancelled: false,
     }
 }
@@ -70,7 +70,7 @@
         probed: vec![5],
         probes_until: 101.0,
         probe_rounds: 301,
-        cold_pass: Some(6),
+        slow_start_pass: Some(6),
         pass_drawn_for: 7,
         review_at: 102.0,
         streaming: true,
@@ -104,7 +104,7 @@
     pin(
         Attempt {
             started: None,
-            capacity_promised: false,
+            capacity_reported: false,
             cancelled: true,
             ..attempt(AttemptState::InFlight)
         },
