--- a/tests/sibling_events.rs
+++ b/tests/sibling_events.rs
@@ -7,246 +7,323 @@
 use dispatcher_harness::*;
 use postproxy::{Action, Dispatcher, Event, ListKind, Outcome, RequestId, SiblingEvent, WorkerId};
 use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
 fn harness(workers: u16, change: impl FnOnce(&mut serde_json::Value)) -> DispatcherHarness {
     DispatcherHarness::new(settings(change), workers)
 }
 
+/// Index of the process that requests migrate from.
+const OLDER: usize = 0;
+
+/// Index of the process that requests migrate to.
+const NEWER: usize = 1;
+
 /// The state of a request, whichever dispatcher has it.
 #[derive(Default)]
 struct Observed {
     class: u8,
     sent: u16,
-    out: Vec<(u16, WorkerId)>,
+    in_flight: Vec<(u16, WorkerId)>,
     may_have_run: bool,
     answers: u32,
 }
 
-/// A request that migrates, at any point, gets exactly one answer, does not run again against its
-/// class, and does not exceed its attempts.
-#[test]
-fn migrated_request_continues_where_it_was() {
-    let (mut moved, mut after) = (0, 0);
-    for seed in 0..120 {
-        let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let mut harnesses = [harness(6, |_| {}), harness(6, |_| {})];
-        let mut due = [Vec::new(), Vec::new()];
-        let (mut seen, mut owner) = (
-            BTreeMap::<RequestId, Observed>::new(),
-            BTreeMap::<RequestId, usize>::new(),
-        );
-        let mut next = 1;
-        let mut now = 100.0;
-        for step in 0..260 {
-            let mut pick = |n: usize| rng.next_u32() as usize % n;
-            let (what, wait) = (pick(8), pick(60) as f64 / 100.0);
-            let mut done: [Vec<Action>; 2] = Default::default();
-            match what {
-                // New requests reach the older process, in the first half.
-                0..=2 if step < 130 => {
-                    let class = pick(3) as u8;
-                    seen.insert(
-                        next,
-                        Observed {
-                            class,
-                            ..Observed::default()
-                        },
-                    );
-                    owner.insert(next, 0);
-                    done[0] = harnesses[0].submit(next, class);
-                    next += 1;
-                }
-                // A request migrates to the newer process.
-                3 | 4 if step > 40 => {
-                    let here: Vec<RequestId> = owner
-                        .iter()
-                        .filter(|(_, at)| **at == 0)
-                        .map(|(id, _)| *id)
-                        .collect();
-                    if let Some(&id) = here.get(pick(here.len().max(1)))
-                        && let Some(carried) = harnesses[0].dispatcher.release(id)
-                    {
-                        assert_eq!(carried.workers.len(), seen[&id].sent as usize);
-                        owner.insert(id, 1);
-                        moved += 1;
-                        let carried = Box::new(carried);
-                        done[1] = harnesses[1].handle(Event::RequestMigrated {
-                            request: id,
-                            record: carried,
-                        });
-                    }
-                }
-                5 | 6 => {
-                    let open: Vec<RequestId> = seen
-                        .iter()
-                        .filter(|(_, s)| !s.out.is_empty())
-                        .map(|(id, _)| *id)
-                        .collect();
-                    if let Some(&id) = open.get(pick(open.len().max(1))) {
-                        let s = seen.get_mut(&id).expect("it is there");
-                        let (attempt, to) = s.out.swap_remove(pick(s.out.len()));
-                        let outcomes = [
-                            Outcome::Succeeded,
-                            Outcome::Rejected,
-                            Outcome::Reset,
-                            Outcome::Timeout,
-                        ];
-                        let outcome = outcomes[pick(4)];
-                        let closed = s.answers > 0 || outcome == Outcome::Succeeded;
-                        s.answers += u32::from(outcome == Outcome::Succeeded && s.answers == 0);
-                        s.may_have_run |= outcome != Outcome::Rejected;
-                        let (at, report) = (owner[&id], Vec::new());
-                        let event = Event::AttemptEnded {
-                            request: id,
-                            attempt,
-                            worker: to,
-                            outcome,
-                            elapsed: 0.1,
-                            answered: closed,
-                            report,
-                        };
-                        done[at] = harnesses[at].handle(event);
-                    }
-                }
-                _ => {
-                    now += wait;
-                    for at in 0..2 {
-                        done[at] = harnesses[at].run_until(now, &mut due[at]);
-                    }
-                }
+/// Two processes of a node, of which the newer takes requests over from the older, and a checker of
+/// their actions.
+struct HotRestart {
+    seed: u64,
+    random: Pcg64Mcg,
+    harnesses: [DispatcherHarness; 2],
+    timers: [Vec<(f64, u64)>; 2],
+    requests: BTreeMap<RequestId, Observed>,
+    owners: BTreeMap<RequestId, usize>,
+    next_id: RequestId,
+    now: f64,
+    migrated: u32,
+    sent_by_newer: u32,
+}
+
+impl HotRestart {
+    fn new(seed: u64) -> Self {
+        Self {
+            seed,
+            random: Pcg64Mcg::seed_from_u64(seed),
+            harnesses: [harness(6, |_| {}), harness(6, |_| {})],
+            timers: [Vec::new(), Vec::new()],
+            requests: BTreeMap::new(),
+            owners: BTreeMap::new(),
+            next_id: 1,
+            now: 100.0,
+            migrated: 0,
+            sent_by_newer: 0,
+        }
+    }
+
+    fn pick(&mut self, count: usize) -> usize {
+        self.random.next_u32() as usize % count
+    }
+
+    /// Makes one random thing happen and checks the resulting actions.
+    fn step(&mut self, step: u32) {
+        let choice = self.pick(8);
+        let wait = self.pick(60) as f64 / 100.0;
+        let actions = match choice {
+            // New requests reach the older process, in the first half.
+            0..=2 if step < 130 => [self.submit_request(), Vec::new()],
+            3 | 4 if step > 40 => [Vec::new(), self.migrate_request()],
+            5 | 6 => self.end_attempt(),
+            _ => self.advance(wait),
+        };
+        for (process, actions) in actions.iter().enumerate() {
+            // The timers of choice 7 are set already.
+            if choice != 7 {
+                self.timers[process].extend(timers_set(actions));
             }
-            for at in 0..2 {
-                due[at].extend(timers_set(&done[at]).into_iter().filter(|_| what != 7));
-                for action in &done[at] {
-                    match action {
-                        Action::Send {
-                            request, worker, ..
-                        } => {
-                            let s = seen.get_mut(request).expect("a request of this test");
-                            assert_eq!(
-                                owner[request], at,
-                                "seed {seed}: sent by who has let it go"
-                            );
-                            assert!(
-                                s.class != 2 || !s.may_have_run && s.out.is_empty(),
-                                "seed {seed}: run twice"
-                            );
-                            assert!(s.sent < 4 && s.answers == 0, "seed {seed}");
-                            s.out.push((s.sent, *worker));
-                            s.sent += 1;
-                            after += usize::from(at == 1);
-                        }
-                        Action::Cancel { request, attempt } => {
-                            let s = seen.get_mut(request).expect("a request of this test");
-                            assert_eq!(
-                                owner[request], at,
-                                "seed {seed}: called back by who has let it go"
-                            );
-                            s.out.retain(|(a, _)| a != attempt);
-                            let worker = WorkerId::default();
-                            let (elapsed, closed, report) = (0.1, s.answers > 0, Vec::new());
-                            s.may_have_run = true;
-                            let outcome = Outcome::Cancelled;
-                            let (request, attempt) = (*request, *attempt);
-                            let event = Event::AttemptEnded {
-                                request,
-                                attempt,
-                                worker,
-                                outcome,
-                                elapsed,
-                                answered: closed,
-                                report,
-                            };
-                            let more = harnesses[at].handle(event);
-                            due[at].extend(timers_set(&more));
-                        }
-                        Action::Reject { request, .. } | Action::Fail { request } => {
-                            let s = seen.get_mut(request).expect("a request of this test");
-                            s.answers += 1;
-                            assert_eq!(
-                                (s.answers, owner[request]),
-                                (1, at),
-                                "seed {seed}: request {request}"
-                            );
-                        }
-                        _ => {}
-                    }
-                }
+            for action in actions {
+                self.check_action(process, action);
             }
         }
-        // All deadlines pass.
-        for at in 0..2 {
-            for action in harnesses[at].run_until(now + 30.0, &mut due[at]) {
+    }
+
+    fn submit_request(&mut self) -> Vec<Action> {
+        let class = self.pick(3) as u8;
+        let id = self.next_id;
+        self.next_id += 1;
+        self.requests.insert(
+            id,
+            Observed {
+                class,
+                ..Observed::default()
+            },
+        );
+        self.owners.insert(id, OLDER);
+        self.harnesses[OLDER].submit(id, class)
+    }
+
+    /// Lets a request of the older process, if there is one, continue in the newer process.
+    fn migrate_request(&mut self) -> Vec<Action> {
+        let of_older: Vec<RequestId> = self
+            .owners
+            .iter()
+            .filter(|(_, owner)| **owner == OLDER)
+            .map(|(id, _)| *id)
+            .collect();
+        let chosen = self.pick(of_older.len().max(1));
+        let Some(&id) = of_older.get(chosen) else {
+            return Vec::new();
+        };
+        let Some(record) = self.harnesses[OLDER].dispatcher.release(id) else {
+            return Vec::new();
+        };
+        assert_eq!(record.workers.len(), self.requests[&id].sent as usize);
+        self.owners.insert(id, NEWER);
+        self.migrated += 1;
+        self.harnesses[NEWER].handle(Event::RequestMigrated {
+            request: id,
+            record: Box::new(record),
+        })
+    }
+
+    /// Ends an attempt in flight, if there is one, with a random outcome.
+    fn end_attempt(&mut self) -> [Vec<Action>; 2] {
+        let mut actions: [Vec<Action>; 2] = Default::default();
+        let with_attempts: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.in_flight.is_empty())
+            .map(|(id, _)| *id)
+            .collect();
+        let chosen = self.pick(with_attempts.len().max(1));
+        let Some(&id) = with_attempts.get(chosen) else {
+            return actions;
+        };
+        let chosen = self.pick(self.requests[&id].in_flight.len());
+        let outcome = [
+            Outcome::Succeeded,
+            Outcome::Rejected,
+            Outcome::Reset,
+            Outcome::Timeout,
+        ][self.pick(4)];
+        let request = self.requests.get_mut(&id).expect("it is there");
+        let (attempt, worker) = request.in_flight.swap_remove(chosen);
+        let answered = request.answers > 0 || outcome == Outcome::Succeeded;
+        request.answers += u32::from(outcome == Outcome::Succeeded && request.answers == 0);
+        request.may_have_run |= outcome != Outcome::Rejected;
+        let owner = self.owners[&id];
+        actions[owner] = self.harnesses[owner].handle(Event::AttemptEnded {
+            request: id,
+            attempt,
+            worker,
+            outcome,
+            elapsed: 0.1,
+            answered,
+            report: Vec::new(),
+        });
+        actions
+    }
+
+    fn advance(&mut self, seconds: f64) -> [Vec<Action>; 2] {
+        self.now += seconds;
+        [OLDER, NEWER]
+            .map(|process| self.harnesses[process].run_until(self.now, &mut self.timers[process]))
+    }
+
+    fn check_action(&mut self, process: usize, action: &Action) {
+        match action {
+            Action::Send {
+                request, worker, ..
+            } => self.check_send(process, *request, *worker),
+            Action::Cancel { request, attempt } => self.check_cancel(process, *request, *attempt),
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                let seed = self.seed;
+                let observed = self.observed(*request);
+                observed.answers += 1;
+                let answers = observed.answers;
+                assert_eq!(
+                    (answers, self.owners[request]),
+                    (1, process),
+                    "seed {seed}: request {request}"
+                );
+            }
+            _ => {}
+        }
+    }
+
+    fn check_send(&mut self, process: usize, id: RequestId, worker: WorkerId) {
+        let seed = self.seed;
+        assert_eq!(
+            self.owners[&id], process,
+            "seed {seed}: sent by the process that released it"
+        );
+        let request = self.observed(id);
+        assert!(
+            request.class != 2 || !request.may_have_run && request.in_flight.is_empty(),
+            "seed {seed}: run twice"
+        );
+        assert!(request.sent < 4 && request.answers == 0, "seed {seed}");
+        request.in_flight.push((request.sent, worker));
+        request.sent += 1;
+        self.sent_by_newer += u32::from(process == NEWER);
+    }
+
+    fn check_cancel(&mut self, process: usize, id: RequestId, attempt: u16) {
+        let seed = self.seed;
+        assert_eq!(
+            self.owners[&id], process,
+            "seed {seed}: cancelled by the process that released it"
+        );
+        let request = self.observed(id);
+        request.in_flight.retain(|(number, _)| *number != attempt);
+        request.may_have_run = true;
+        let answered = request.answers > 0;
+        let actions = self.harnesses[process].handle(Event::AttemptEnded {
+            request: id,
+            attempt,
+            worker: WorkerId::default(),
+            outcome: Outcome::Cancelled,
+            elapsed: 0.1,
+            answered,
+            report: Vec::new(),
+        });
+        self.timers[process].extend(timers_set(&actions));
+    }
+
+    /// Lets all deadlines pass and checks that each request has one answer.
+    fn finish(&mut self) {
+        for process in [OLDER, NEWER] {
+            let end = self.now + 30.0;
+            for action in self.harnesses[process].run_until(end, &mut self.timers[process]) {
                 if let Action::Reject { request, .. } | Action::Fail { request } = action {
-                    seen.get_mut(&request)
-                        .expect("a request of this test")
-                        .answers += 1;
+                    self.observed(request).answers += 1;
                 }
             }
         }
-        for (id, s) in &seen {
+        for (id, request) in &self.requests {
             assert_eq!(
-                s.answers, 1,
-                "seed {seed}: request {id} of class {} at {}",
-                s.class, owner[id]
+                request.answers, 1,
+                "seed {}: request {id} of class {} at {}",
+                self.seed, request.class, self.owners[id]
             );
         }
     }
+
+    fn observed(&mut self, id: RequestId) -> &mut Observed {
+        self.requests.get_mut(&id).expect("a request of this test")
+    }
+}
+
+/// A request that migrates, at any point, gets exactly one answer, does not run again against its
+/// class, and does not exceed its attempts.
+#[test]
+fn migrated_request_continues_where_it_was() {
+    let mut migrated = 0;
+    let mut sent_by_newer = 0;
+    for seed in 0..120 {
+        let mut restart = HotRestart::new(seed);
+        (0..260).for_each(|step| restart.step(step));
+        restart.finish();
+        migrated += restart.migrated;
+        sent_by_newer += restart.sent_by_newer;
+    }
     assert!(
-        moved > 1000 && after > 200,
-        "{moved} moved, {after} sent after that"
+        migrated > 1000 && sent_by_newer > 200,
+        "{migrated} migrated, {sent_by_newer} sent after that"
     );
 }
 
-/// Two processes of a node share one retry budget and one slow-start budget: the attempts of the
-/// sibling process count like own ones until they end.
-#[test]
-fn attempts_and_retries_of_the_sibling_process_count() {
-    let elsewhere =
-        |harness: &mut DispatcherHarness, news| harness.handle(Event::SiblingEvent(news));
-    let mut one = harness(2, |_| {});
-    let sent = |request| SiblingEvent::AttemptSent {
+/// An attempt of the sibling process at worker 0.
+fn sibling_attempt(request: RequestId) -> Event {
+    Event::SiblingEvent(SiblingEvent::AttemptSent {
         request,
         attempt: 0,
         worker: worker_id(0),
         slots: 1.0,
         work: Some(0.5),
         sent: 100.0,
-    };
-    for request in 1000..1040 {
-        elsewhere(&mut one, sent(request));
+    })
+}
+
+/// Submits 40 requests and returns how many went to each of the two workers.
+fn count_by_worker(harness: &mut DispatcherHarness, first: RequestId) -> [u32; 2] {
+    let mut counts = [0, 0];
+    for request in first..first + 40 {
+        let workers = workers_sent_to(&harness.submit(request, 2));
+        counts[usize::from(workers[0] == worker_id(1))] += 1;
+        harness.end_attempt(request, 0, workers[0], Outcome::Succeeded);
     }
-    let mut to = [0, 0];
-    for request in 1..=40 {
-        let all = workers_sent_to(&one.submit(request, 2));
-        to[usize::from(all[0] == worker_id(1))] += 1;
-        one.end_attempt(request, 0, all[0], Outcome::Succeeded);
+    counts
+}
+
+/// The attempts of the sibling process count as load, like own ones, until they end.
+#[test]
+fn attempts_of_the_sibling_process_count_until_they_end() {
+    let mut harness = harness(2, |_| {});
+    for request in 1000..1040 {
+        harness.handle(sibling_attempt(request));
     }
+    let counts = count_by_worker(&mut harness, 1);
     assert!(
-        to[1] > 30,
-        "40 jobs of the other process are on worker 0: {to:?}"
+        counts[1] > 30,
+        "40 attempts of the sibling are at worker 0: {counts:?}"
     );
     for request in 1000..1040 {
-        elsewhere(
-            &mut one,
-            SiblingEvent::AttemptEnded {
-                request,
-                attempt: 0,
-                worker: worker_id(0),
-            },
-        );
+        harness.handle(Event::SiblingEvent(SiblingEvent::AttemptEnded {
+            request,
+            attempt: 0,
+            worker: worker_id(0),
+        }));
     }
-    let mut to = [0, 0];
-    for request in 101..=140 {
-        let all = workers_sent_to(&one.submit(request, 2));
-        to[usize::from(all[0] == worker_id(1))] += 1;
-        one.end_attempt(request, 0, all[0], Outcome::Succeeded);
-    }
-    assert!(to[0] > 8, "they have ended: {to:?}");
-    // The sibling has used the whole budget of a worker in slow start.
-    let mut two = harness(2, |_| {});
-    two.receive_list(
+    let counts = count_by_worker(&mut harness, 101);
+    assert!(counts[0] > 8, "they have ended: {counts:?}");
+}
+
+/// The sibling process can use the whole budget of a worker in slow start.
+#[test]
+fn slow_start_budget_counts_attempts_of_the_sibling_process() {
+    let mut harness = harness(2, |_| {});
+    harness.receive_list(
         ListKind::Delta,
         vec![postproxy::Entry {
             started: 99.9,
@@ -254,41 +331,44 @@
         }],
     );
     for request in 1000..1040 {
-        elsewhere(&mut two, sent(request));
+        harness.handle(sibling_attempt(request));
     }
     for request in 1..=60 {
-        let all = workers_sent_to(&two.submit(request, 2));
+        let workers = workers_sent_to(&harness.submit(request, 2));
         assert!(
-            all.iter().all(|w| *w == worker_id(1)),
-            "a cold worker has had its budget"
+            workers.iter().all(|worker| *worker == worker_id(1)),
+            "the budget of the worker in slow start is used up"
         );
-        if let Some(&w) = all.first() {
-            two.end_attempt(request, 0, w, Outcome::Succeeded);
+        if let Some(&worker) = workers.first() {
+            harness.end_attempt(request, 0, worker, Outcome::Succeeded);
         }
     }
-    // The sibling has used a budget of one retry in 10 s, until the window has passed.
-    for (ago, further) in [(9.5, 0), (10.5, 1)] {
-        let mut three = harness(3, |s| {
-            s["rules"]["spare-attempts"] = 1.into();
-            s["rules"]["look-back"] = 10.into();
+}
+
+/// The sibling process has used a budget of one retry in 10 s, until the window has passed.
+#[test]
+fn retry_budget_counts_retries_of_the_sibling_process() {
+    for (seconds_ago, retries) in [(9.5, 0), (10.5, 1)] {
+        let mut harness = harness(3, |settings| {
+            settings["rules"]["spare-attempts"] = 1.into();
+            settings["rules"]["look-back"] = 10.into();
         });
-        let (taken, last) = (Vec::new(), vec![100.0 - ago]);
-        elsewhere(
-            &mut three,
-            SiblingEvent::BudgetHistory {
-                admitted: taken,
-                retries: last,
-            },
-        );
-        let to = workers_sent_to(&three.submit(1, 2))[0];
+        harness.handle(Event::SiblingEvent(SiblingEvent::BudgetHistory {
+            admitted: Vec::new(),
+            retries: vec![100.0 - seconds_ago],
+        }));
+        let worker = workers_sent_to(&harness.submit(1, 2))[0];
+        let actions = harness.end_attempt(1, 0, worker, Outcome::Rejected);
         assert_eq!(
-            workers_sent_to(&three.end_attempt(1, 0, to, Outcome::Rejected)).len(),
-            further,
-            "{ago} s after"
+            workers_sent_to(&actions).len(),
+            retries,
+            "{seconds_ago} s after"
         );
     }
-    let bad = Dispatcher::new(settings(|_| {}), 1)
-        .expect("a dispatcher")
-        .release(7);
-    assert!(bad.is_none(), "what is not there can't go");
+}
+
+#[test]
+fn unknown_request_cannot_be_released() {
+    let mut dispatcher = Dispatcher::new(settings(|_| {}), 1).expect("a dispatcher");
+    assert!(dispatcher.release(7).is_none());
 }
