--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -74,7 +74,7 @@
 enum Break {
     NoAnswer,
     SecondAnswer,
-    RepeatsUnsafe,
+    RetriesNonIdempotent,
     SendsToDraining,
     LeavesPlacement,
     SendsTwice,
@@ -82,67 +82,95 @@
 }
 
 /// A dispatcher with one rule broken.
-struct Broken(Dispatcher, Break, Option<WorkerId>);
+struct Broken {
+    dispatcher: Dispatcher,
+    rule: Break,
+    /// The latest worker that was listed as draining.
+    draining: Option<WorkerId>,
+}
+
+impl Broken {
+    fn new(dispatcher: Dispatcher, rule: Break) -> Self {
+        Self {
+            dispatcher,
+            rule,
+            draining: None,
+        }
+    }
+
+    /// Returns the actions that replace an action so that the rule is broken.
+    fn replace(&self, event: &Event, action: Action) -> Vec<Action> {
+        match (action.clone(), self.rule) {
+            (Action::Fail { .. } | Action::Reject { .. }, Break::NoAnswer) => Vec::new(),
+            (Action::Fail { request } | Action::Reject { request, .. }, Break::SecondAnswer) => {
+                vec![Action::Fail { request }, action]
+            }
+            (Action::Fail { request }, Break::RetriesNonIdempotent) => vec![Action::Send {
+                request,
+                worker: worker_id(1),
+                timeout: 0.0,
+            }],
+            (
+                Action::Send {
+                    request,
+                    worker,
+                    timeout,
+                },
+                Break::SendsToDraining,
+            ) => vec![Action::Send {
+                request,
+                worker: self.draining.unwrap_or(worker),
+                timeout,
+            }],
+            (
+                Action::Send {
+                    request, timeout, ..
+                },
+                Break::LeavesPlacement,
+            ) => vec![Action::Send {
+                request,
+                worker: worker_id(2),
+                timeout,
+            }],
+            (Action::Send { .. }, Break::SendsTwice) => vec![action.clone(), action],
+            (Action::Fail { request }, Break::TrustsFull) if is_rejected_attempt(event) => {
+                vec![Action::Reject {
+                    request,
+                    retry_after: 0.0,
+                }]
+            }
+            _ => vec![action],
+        }
+    }
+}
 
 impl Decider for Broken {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
-        self.0.handle(now, event, &mut actions);
+        self.dispatcher.handle(now, event, &mut actions);
         if let Event::WorkerListReceived { entries, .. } = event {
-            self.2 = entries
+            self.draining = entries
                 .iter()
-                .find(|e| e.health == Health::Draining)
-                .map(|e| e.worker)
-                .or(self.2);
-        }
-        for mut action in actions {
-            match (&mut action, self.1) {
-                (Action::Fail { .. } | Action::Reject { .. }, Break::NoAnswer) => continue,
-                (
-                    Action::Fail { request } | Action::Reject { request, .. },
-                    Break::SecondAnswer,
-                ) => {
-                    out.push(Action::Fail { request: *request });
-                }
-                (Action::Fail { request }, Break::RepeatsUnsafe) => {
-                    let worker = worker_id(1);
-                    out.push(Action::Send {
-                        request: *request,
-                        worker,
-                        timeout: 0.0,
-                    });
-                    continue;
-                }
-                (Action::Send { worker, .. }, Break::SendsToDraining) => {
-                    *worker = self.2.unwrap_or(*worker)
-                }
-                (Action::Send { worker: to, .. }, Break::LeavesPlacement) => *to = worker_id(2),
-                (Action::Send { .. }, Break::SendsTwice) => out.push(action.clone()),
-                (Action::Fail { request }, Break::TrustsFull) => {
-                    let full = matches!(
-                        event,
-                        Event::AttemptEnded {
-                            outcome: Outcome::Rejected,
-                            ..
-                        }
-                    );
-                    let request = *request;
-                    action = if full {
-                        Action::Reject {
-                            request,
-                            retry_after: 0.0,
-                        }
-                    } else {
-                        action
-                    };
-                }
-                _ => {}
-            }
-            out.push(action);
+                .find(|entry| entry.health == Health::Draining)
+                .map(|entry| entry.worker)
+                .or(self.draining);
+        }
+        for action in actions {
+            out.extend(self.replace(event, action));
         }
     }
 }
 
+fn is_rejected_attempt(event: &Event) -> bool {
+    matches!(
+        event,
+        Event::AttemptEnded {
+            outcome: Outcome::Rejected,
+            ..
+        }
+    )
+}
+
 struct Sent {
     to: WorkerId,
     at: f64,
@@ -166,7 +194,7 @@
     requests: BTreeMap<u64, ObservedRequest>,
     unavailable_since: BTreeMap<WorkerId, f64>,
     started: BTreeMap<WorkerId, f64>,
-    cold_work: BTreeMap<WorkerId, Vec<(f64, f64)>>,
+    slow_start_work: BTreeMap<WorkerId, Vec<(f64, f64)>>,
 }
 
 impl Checker {
@@ -179,11 +207,11 @@
             requests: BTreeMap::new(),
             unavailable_since: BTreeMap::new(),
             started: BTreeMap::new(),
-            cold_work: BTreeMap::new(),
+            slow_start_work: BTreeMap::new(),
         }
     }
 
-    fn list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
+    fn record_list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
         if kind == ListKind::Full {
             for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker_id(n))) {
                 self.unavailable_since.entry(worker_id(n)).or_insert(now);
@@ -199,122 +227,156 @@
         }
     }
 
-    fn action(&mut self, now: f64, action: &Action) -> Result<(), String> {
+    fn check(&mut self, now: f64, action: &Action) -> Result<(), String> {
         match *action {
             Action::Send {
                 request, worker, ..
-            } => {
-                let job = self
-                    .requests
-                    .get_mut(&request)
-                    .ok_or("a send for an unknown request")?;
-                if job.done {
-                    return Err("rule 1: a send after the end".into());
-                }
-                if self
-                    .unavailable_since
-                    .get(&worker)
-                    .is_some_and(|at| now > at + DRAIN_GRACE_SECONDS)
-                {
-                    return Err("rule 3: a send to a worker told off".into());
-                }
-                let n = u16::from(worker.address[3]);
-                let cell = n / 4;
-                if self.optional.placement
-                    && (job.class == 0 && kind(n) != 1 || job.class == 1 && zone(n) == 0)
-                {
-                    return Err("rule 5: a class sent out of its place".into());
-                }
-                if !self.sent_for.insert(request) && self.optional.budget {
-                    self.retries.push(now);
-                    let within = |times: &[f64]| {
-                        times
-                            .iter()
-                            .filter(|at| now - **at < RETRY_WINDOW_SECONDS)
-                            .count()
-                    };
-                    if within(&self.retries) as f64
-                        > MIN_RETRIES as f64 + RETRY_RATIO * within(&self.admitted) as f64
-                    {
-                        return Err("rule 6: over the retry budget".into());
-                    }
-                }
-                let full_proves = !self.optional.full_may_have_run;
-                let proved = |s: &Sent| proves(s.outcome, full_proves);
-                let mut may_have_run = job.sent.iter().filter(|s| !proved(s));
-                if job.class == 2 && may_have_run.next().is_some() {
-                    let full = job
-                        .sent
-                        .iter()
-                        .any(|s| s.outcome == Some(Outcome::Rejected));
-                    return Err(format!(
-                        "rule 2: unsafe again{}",
-                        if full { ", rule 7" } else { "" }
-                    ));
-                }
-                if job.class == 1
-                    && may_have_run.any(|s| s.cell != cell || now > s.at + DEDUP_WINDOW_SECONDS)
-                {
-                    return Err("rule 2: keyed again outside its cell or window".into());
-                }
-                job.sent.push(Sent {
-                    to: worker,
-                    at: now,
-                    cell,
-                    outcome: None,
-                });
-                let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
-                if age < 10.0 {
-                    // One dispatcher must stay below the budget of all in every window.
-                    let sent = self.cold_work.entry(worker).or_default();
-                    sent.push((now, 0.25));
-                    let window: f64 = sent
-                        .iter()
-                        .filter(|(at, _)| now - at < 2.0)
-                        .map(|(_, w)| w)
-                        .sum();
-                    let capacity = 4.0 * (0.2 + 0.8 * age / 10.0);
-                    if window > 3.0 * capacity * 2.0 {
-                        return Err("rule 4: a cold worker pushed over".into());
-                    }
-                }
-            }
-            Action::Reject { request, .. } | Action::Fail { request } => {
-                let refuse = matches!(action, Action::Reject { .. });
-                let job = self
-                    .requests
-                    .get_mut(&request)
-                    .ok_or("an answer for an unknown request")?;
-                if job.done {
-                    return Err("rule 1: a second answer".into());
-                }
-                if now > job.deadline + ANSWER_SLACK_SECONDS {
-                    return Err("rule 1: a late answer".into());
-                }
-                let ran = |full| job.sent.iter().any(|s| !proves(s.outcome, full));
-                if refuse && ran(true) && job.class != 0 {
-                    return Err("rule 2: refused although it may have run".into());
-                }
-                if refuse && ran(!self.optional.full_may_have_run) && job.class != 0 {
-                    return Err("rule 7: refused on the word of a 'full'".into());
-                }
-                job.done = true;
-            }
-            Action::Cancel { request, attempt } => {
-                let job = self
-                    .requests
-                    .get(&request)
-                    .ok_or("a cancel for an unknown request")?;
-                if attempt as usize >= job.sent.len() {
-                    return Err("a cancel of an attempt never made".into());
-                }
-            }
-            Action::WatchDiscovery | Action::Timer { .. } | Action::Probe { .. } => {}
+            } => self.check_send(now, request, worker),
+            Action::Reject { request, .. } => self.check_rejection(now, request),
+            Action::Fail { request } => self.check_answer(now, request),
+            Action::Cancel { request, attempt } => self.check_cancel(request, attempt),
+            Action::WatchDiscovery | Action::Timer { .. } | Action::Probe { .. } => Ok(()),
+        }
+    }
+
+    fn check_send(&mut self, now: f64, id: u64, worker: WorkerId) -> Result<(), String> {
+        let request = self
+            .requests
+            .get(&id)
+            .ok_or("a send for an unknown request")?;
+        if request.done {
+            return Err("rule 1: a send after the end".into());
+        }
+        if self
+            .unavailable_since
+            .get(&worker)
+            .is_some_and(|at| now > at + DRAIN_GRACE_SECONDS)
+        {
+            return Err("rule 3: a send to an unavailable worker".into());
+        }
+        let number = u16::from(worker.address[3]);
+        let leaves_placement =
+            request.class == 0 && kind(number) != 1 || request.class == 1 && zone(number) == 0;
+        if self.optional.placement && leaves_placement {
+            return Err("rule 5: a class sent out of its place".into());
+        }
+        self.check_retry_budget(now, id)?;
+        let cell = number / 4;
+        self.check_effect(now, id, cell)?;
+        let request = self.requests.get_mut(&id).ok_or("an unknown request")?;
+        request.sent.push(Sent {
+            to: worker,
+            at: now,
+            cell,
+            outcome: None,
+        });
+        self.check_slow_start(now, worker)
+    }
+
+    fn check_retry_budget(&mut self, now: f64, id: u64) -> Result<(), String> {
+        if self.sent_for.insert(id) || !self.optional.budget {
+            return Ok(());
+        }
+        self.retries.push(now);
+        let in_window = |times: &[f64]| {
+            let recent = |at: &&f64| now - **at < RETRY_WINDOW_SECONDS;
+            times.iter().filter(recent).count() as f64
+        };
+        let allowed = MIN_RETRIES as f64 + RETRY_RATIO * in_window(&self.admitted);
+        if in_window(&self.retries) > allowed {
+            return Err("rule 6: over the retry budget".into());
+        }
+        Ok(())
+    }
+
+    /// Checks that a request that may have run is sent again only as its class allows.
+    fn check_effect(&self, now: f64, id: u64, cell: u16) -> Result<(), String> {
+        let request = &self.requests[&id];
+        let full_proves = !self.optional.full_may_have_run;
+        let mut may_have_run = request
+            .sent
+            .iter()
+            .filter(|sent| !proves(sent.outcome, full_proves));
+        if request.class == 2 && may_have_run.next().is_some() {
+            let is_rejected = |sent: &Sent| sent.outcome == Some(Outcome::Rejected);
+            let rule_7 = if request.sent.iter().any(is_rejected) {
+                ", rule 7"
+            } else {
+                ""
+            };
+            return Err(format!("rule 2: not idempotent and sent again{rule_7}"));
+        }
+        let outside_scope = |sent: &Sent| sent.cell != cell || now > sent.at + DEDUP_WINDOW_SECONDS;
+        if request.class == 1 && may_have_run.any(outside_scope) {
+            return Err("rule 2: keyed again outside its cell or window".into());
+        }
+        Ok(())
+    }
+
+    /// Checks that one dispatcher stays below the budget of all dispatchers in every window.
+    fn check_slow_start(&mut self, now: f64, worker: WorkerId) -> Result<(), String> {
+        let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
+        if age >= 10.0 {
+            return Ok(());
+        }
+        let sent = self.slow_start_work.entry(worker).or_default();
+        sent.push((now, 0.25));
+        let in_window: f64 = sent
+            .iter()
+            .filter(|(at, _)| now - at < 2.0)
+            .map(|(_, work)| work)
+            .sum();
+        let capacity = 4.0 * (0.2 + 0.8 * age / 10.0);
+        if in_window > 3.0 * capacity * 2.0 {
+            return Err("rule 4: a worker in slow start is overloaded".into());
+        }
+        Ok(())
+    }
+
+    /// Checks a rejection, which is an answer and promises that the request has not run.
+    fn check_rejection(&mut self, now: f64, id: u64) -> Result<(), String> {
+        self.check_answer(now, id)?;
+        let request = &self.requests[&id];
+        let may_have_run = |full_proves| {
+            let ran = |sent: &Sent| !proves(sent.outcome, full_proves);
+            request.class != 0 && request.sent.iter().any(ran)
+        };
+        if may_have_run(true) {
+            return Err("rule 2: rejected although it may have run".into());
+        }
+        if may_have_run(!self.optional.full_may_have_run) {
+            return Err("rule 7: rejected because a worker was full".into());
+        }
+        Ok(())
+    }
+
+    fn check_answer(&mut self, now: f64, id: u64) -> Result<(), String> {
+        let request = self
+            .requests
+            .get_mut(&id)
+            .ok_or("an answer for an unknown request")?;
+        if request.done {
+            return Err("rule 1: a second answer".into());
+        }
+        if now > request.deadline + ANSWER_SLACK_SECONDS {
+            return Err("rule 1: a late answer".into());
+        }
+        request.done = true;
+        Ok(())
+    }
+
+    fn check_cancel(&self, id: u64, attempt: u16) -> Result<(), String> {
+        let request = self
+            .requests
+            .get(&id)
+            .ok_or("a cancel for an unknown request")?;
+        if attempt as usize >= request.sent.len() {
+            return Err("a cancel of an attempt never made".into());
         }
         Ok(())
     }
 
-    fn overdue(&self, now: f64) -> Result<(), String> {
+    fn check_overdue(&self, now: f64) -> Result<(), String> {
         let late = |j: &&ObservedRequest| !j.done && now > j.deadline + ANSWER_SLACK_SECONDS;
         if self.requests.values().any(|j| late(&j)) {
             Err("rule 1: no answer in time".into())
@@ -338,7 +400,7 @@
     const ALL: u16 = 12;
     let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
     let mut pick = |n: u64| rng.next_u64() % n;
-    let mut check = Checker::new(OptionalRules::of(seed));
+    let mut checker = Checker::new(OptionalRules::of(seed));
     let (mut now, mut due, mut next, mut sends) = (100.0, Vec::<(f64, u64)>::new(), 0u64, 0);
     let entry = |n| place(entry(n));
     let kind = if pick(2) == 0 {
@@ -364,7 +426,7 @@
                 queue.push(Event::TimerExpired { token });
             }
             drained |= step > 2000;
-            let open: Vec<(u64, u16, WorkerId)> = check
+            let open: Vec<(u64, u16, WorkerId)> = checker
                 .requests
                 .iter()
                 .flat_map(|(&id, j)| {
@@ -383,7 +445,7 @@
                         [5.0, 10.0, 10.0][class as usize] * if pick(4) == 0 { 0.3 } else { 1.0 };
                     let (request, hint) = (next, Some(0.25));
                     next += 1;
-                    check.requests.insert(
+                    checker.requests.insert(
                         request,
                         ObservedRequest {
                             class,
@@ -414,7 +476,7 @@
                         Outcome::Unknown(77),
                     ];
                     let outcome = outcomes[pick(9) as usize];
-                    let job = check.requests.get_mut(&request).ok_or("no job")?;
+                    let job = checker.requests.get_mut(&request).ok_or("no job")?;
                     job.sent[attempt as usize].outcome = Some(outcome);
                     let (closed, report) = (false, vec![pick(6) as f32, pick(5) as f32]);
                     queue.push(Event::AttemptEnded {
@@ -470,10 +532,10 @@
             continue;
         };
         if let Event::RequestReceived(_) = &event {
-            check.admitted.push(now);
+            checker.admitted.push(now);
         }
         if let Event::WorkerListReceived { kind, entries } = &event {
-            check.list(now, *kind, entries, ALL);
+            checker.record_list(now, *kind, entries, ALL);
         }
         if let Event::AttemptEnded {
             request,
@@ -482,20 +544,20 @@
             ..
         } = &mut event
         {
-            let job = check.requests.get_mut(request).ok_or("no job")?;
+            let job = checker.requests.get_mut(request).ok_or("no job")?;
             job.done |= *outcome == Outcome::Succeeded;
             *answered = job.done;
         }
         let mut actions = Vec::new();
         decider.handle(now, &event, &mut actions);
         for action in &actions {
-            check.action(now, action)?;
+            checker.check(now, action)?;
             sends += usize::from(matches!(action, Action::Send { .. }));
         }
         due.extend(timers_set(&actions));
         // Timers of the same time are handled first.
         if queue.is_empty() && due.iter().all(|d| d.0 > now) {
-            check.overdue(now)?;
+            checker.check_overdue(now)?;
         }
     }
     Ok(sends)
@@ -553,14 +615,14 @@
     for (broken, word) in [
         (Break::NoAnswer, "no answer in time"),
         (Break::SecondAnswer, "second answer"),
-        (Break::RepeatsUnsafe, "rule 2"),
+        (Break::RetriesNonIdempotent, "rule 2"),
         (Break::SendsToDraining, "rule 3"),
         (Break::LeavesPlacement, "rule 5"),
         (Break::SendsTwice, "rule 6"),
         (Break::TrustsFull, "rule 7"),
     ] {
         let found = (0..20).filter_map(|seed| {
-            run_sequence(seed, &mut Broken(dispatcher(seed), broken, None)).err()
+            run_sequence(seed, &mut Broken::new(dispatcher(seed), broken)).err()
         });
         let found: Vec<_> = found.collect();
         assert!(
@@ -572,8 +634,8 @@
 
 #[test]
 fn checker_detects_an_overloaded_worker_in_slow_start() {
-    let mut check = Checker::new(OptionalRules::of(7));
-    check.requests.insert(
+    let mut checker = Checker::new(OptionalRules::of(7));
+    checker.requests.insert(
         1,
         ObservedRequest {
             class: 0,
@@ -582,12 +644,12 @@
             done: false,
         },
     );
-    check.started.insert(worker_id(1), 100.0);
+    checker.started.insert(worker_id(1), 100.0);
     let send = Action::Send {
         request: 1,
         worker: worker_id(1),
         timeout: 0.0,
     };
-    let found = (0..40).find_map(|_| check.action(100.5, &send).err());
+    let found = (0..40).find_map(|_| checker.check(100.5, &send).err());
     assert!(found.is_some_and(|f| f.contains("rule 4")));
 }
