--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -68,7 +68,7 @@
     /// An attempt ended: dispatcher, its incarnation, request and worker, attempt, and whether it
     /// failed.
     Done(usize, u32, u64, u16, bool),
-    Cold,
+    WorkersRestart,
     Restart(usize),
 }
 
@@ -89,7 +89,7 @@
     workers: Vec<Worker>,
     attempts: BTreeMap<(usize, u32, u64), u16>,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, SimulationEvent>,
+    events: BTreeMap<u64, SimulationEvent>,
     next: u64,
 }
 
@@ -116,7 +116,7 @@
             workers: (0..case.workers).map(|_| Worker::default()).collect(),
             attempts: BTreeMap::new(),
             heap: BinaryHeap::new(),
-            what: BTreeMap::new(),
+            events: BTreeMap::new(),
             next: 0,
         };
         let mut world = world;
@@ -127,7 +127,7 @@
             world.list(d, ListKind::Full);
             world.schedule(0.0, SimulationEvent::Arrival(d));
         }
-        world.schedule(START, SimulationEvent::Cold);
+        world.schedule(START, SimulationEvent::WorkersRestart);
         for d in 0..(case.restarts * case.dispatchers as f64) as usize {
             let at = START + 6.0 * world.rng.uniform();
             world.schedule(at, SimulationEvent::Restart(d));
@@ -143,10 +143,10 @@
         if self.case.small { 1 } else { SLOTS }
     }
 
-    fn schedule(&mut self, at: f64, what: SimulationEvent) {
+    fn schedule(&mut self, at: f64, event: SimulationEvent) {
         self.next += 1;
         self.heap.push(Reverse(((at * 1e6) as u64, self.next)));
-        self.what.insert(self.next, what);
+        self.events.insert(self.next, event);
     }
 
     fn list(&mut self, d: usize, kind: ListKind) {
@@ -222,100 +222,117 @@
         }
     }
 
-    fn step(&mut self, what: SimulationEvent) {
-        match what {
-            SimulationEvent::Arrival(d) => {
-                // One dispatcher in five has as much traffic as the other four.
-                let all =
-                    self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
-                let weight = if d % 5 == 0 { 4.0 } else { 1.0 };
-                let sum: f64 = (0..self.case.dispatchers)
-                    .map(|d| if d % 5 == 0 { 4.0 } else { 1.0 })
-                    .sum();
-                let bursts = (START..START + BURST).contains(&self.now);
-                let times = if bursts { self.case.burst } else { 1.0 };
-                let gap = -(1.0 - self.rng.uniform()).ln() / (all * times * weight / sum);
-                self.schedule(self.now + gap, SimulationEvent::Arrival(d));
-                self.next += 1;
-                let (request, hint) = (self.next, Some(WORK));
-                // The first subject has as many requests as all others.
-                let of = self.case.subjects;
-                let one = if of > 0 && self.rng.uniform() < 0.5 {
-                    0
-                } else {
-                    self.next % of.max(1)
-                };
-                let key = if of > 0 { 1 + one } else { 0 };
-                let new = NewRequest {
-                    id: request,
-                    subject: key,
-                    time_limit: 5.0,
-                    expected_work: hint,
-                    slots: 1.0,
-                    ..NewRequest::default()
-                };
-                self.handle(d, &Event::RequestReceived(new));
-            }
-            SimulationEvent::Timer(d, incarnation, token)
-                if incarnation == self.dispatchers[d].1 =>
-            {
-                self.handle(d, &Event::TimerExpired { token });
-            }
-            SimulationEvent::Done(d, incarnation, request, attempt, failed) => {
-                let (request, w) = (request / 1024, (request % 1024) as usize);
-                self.workers[w].running -= 1;
-                let held = &self.workers[w];
-                let report = vec![
-                    held.queue.len() as f32,
-                    (self.slots() - held.running) as f32,
-                ];
-                if incarnation == self.dispatchers[d].1 {
-                    let outcome = match failed {
-                        true if self.rng.uniform() < 0.5 => Outcome::Rejected,
-                        true => Outcome::Error,
-                        false => Outcome::Succeeded,
-                    };
-                    let (worker, closed) = (worker_id(w as u16), outcome == Outcome::Succeeded);
-                    let event = Event::AttemptEnded {
-                        request,
-                        attempt,
-                        worker,
-                        outcome,
-                        elapsed: 0.1,
-                        answered: closed,
-                        report,
-                    };
-                    self.handle(d, &event);
+    fn apply(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival(dispatcher) => self.submit_request(dispatcher),
+            SimulationEvent::Timer(dispatcher, incarnation, token) => {
+                if incarnation == self.dispatchers[dispatcher].1 {
+                    self.handle(dispatcher, &Event::TimerExpired { token });
                 }
-                self.start_queued(w);
             }
-            SimulationEvent::Cold => {
-                for w in 0..usize::from(self.case.cold) {
-                    (self.workers[w].started, self.workers[w].queue) = (self.now, VecDeque::new());
-                    self.workers[w].sends.clear();
-                }
-                (0..self.dispatchers.len()).for_each(|d| self.list(d, ListKind::Full));
-                let each = if self.case.greedy {
-                    self.case.dispatchers
-                } else {
-                    0
-                };
-                self.workers[0]
-                    .sends
-                    .extend(std::iter::repeat_n(self.now, each));
-            }
-            SimulationEvent::Restart(d) => {
-                let incarnation = self.dispatchers[d].1 + 1;
-                self.dispatchers[d] = (
-                    self.dispatcher(self.next + u64::from(incarnation) * 77),
-                    incarnation,
-                );
-                self.list(d, ListKind::Cached);
+            SimulationEvent::Done(dispatcher, incarnation, request, attempt, failed) => {
+                self.end_attempt(dispatcher, incarnation, request, attempt, failed);
             }
-            SimulationEvent::Timer(..) => {}
+            SimulationEvent::WorkersRestart => self.restart_workers(),
+            SimulationEvent::Restart(dispatcher) => self.restart_dispatcher(dispatcher),
+        }
+    }
+
+    fn submit_request(&mut self, dispatcher: usize) {
+        let gap = -(1.0 - self.rng.uniform()).ln() / self.arrival_rate(dispatcher);
+        self.schedule(self.now + gap, SimulationEvent::Arrival(dispatcher));
+        self.next += 1;
+        let id = self.next;
+        let request = NewRequest {
+            id,
+            subject: self.draw_subject(),
+            time_limit: 5.0,
+            expected_work: Some(WORK),
+            slots: 1.0,
+            ..NewRequest::default()
+        };
+        self.handle(dispatcher, &Event::RequestReceived(request));
+    }
+
+    /// Requests a second at a dispatcher. One dispatcher in five has as much traffic as four others.
+    fn arrival_rate(&self, dispatcher: usize) -> f64 {
+        let weight = |number: usize| if number.is_multiple_of(5) { 4.0 } else { 1.0 };
+        let total = self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
+        let weights: f64 = (0..self.case.dispatchers).map(weight).sum();
+        let is_burst = (START..START + BURST).contains(&self.now);
+        let multiple = if is_burst { self.case.burst } else { 1.0 };
+        total * multiple * weight(dispatcher) / weights
+    }
+
+    /// Draws a subject; the first has as many requests as all others.
+    fn draw_subject(&mut self) -> u64 {
+        let subjects = self.case.subjects;
+        if subjects == 0 {
+            return 0;
+        }
+        if self.rng.uniform() < 0.5 {
+            1
+        } else {
+            1 + self.next % subjects
         }
     }
 
+    fn end_attempt(
+        &mut self,
+        dispatcher: usize,
+        incarnation: u32,
+        request_and_worker: u64,
+        attempt: u16,
+        failed: bool,
+    ) {
+        let request = request_and_worker / 1024;
+        let number = (request_and_worker % 1024) as usize;
+        self.workers[number].running -= 1;
+        let worker = &self.workers[number];
+        let report = vec![
+            worker.queue.len() as f32,
+            (self.slots() - worker.running) as f32,
+        ];
+        if incarnation == self.dispatchers[dispatcher].1 {
+            let outcome = match failed {
+                true if self.rng.uniform() < 0.5 => Outcome::Rejected,
+                true => Outcome::Error,
+                false => Outcome::Succeeded,
+            };
+            let event = Event::AttemptEnded {
+                request,
+                attempt,
+                worker: worker_id(number as u16),
+                outcome,
+                elapsed: 0.1,
+                answered: outcome == Outcome::Succeeded,
+                report,
+            };
+            self.handle(dispatcher, &event);
+        }
+        self.start_queued(number);
+    }
+
+    fn restart_workers(&mut self) {
+        for worker in &mut self.workers[..usize::from(self.case.cold)] {
+            worker.started = self.now;
+            worker.queue = VecDeque::new();
+            worker.sends.clear();
+        }
+        (0..self.dispatchers.len()).for_each(|number| self.list(number, ListKind::Full));
+        if self.case.greedy {
+            let sends = std::iter::repeat_n(self.now, self.case.dispatchers);
+            self.workers[0].sends.extend(sends);
+        }
+    }
+
+    fn restart_dispatcher(&mut self, number: usize) {
+        let incarnation = self.dispatchers[number].1 + 1;
+        let seed = self.next + u64::from(incarnation) * 77;
+        self.dispatchers[number] = (self.dispatcher(seed), incarnation);
+        self.list(number, ListKind::Cached);
+    }
+
     /// Runs the simulation and returns the window with the most attempts relative to the limit.
     fn run_to_end(mut self) -> (f64, usize, f64) {
         while let Some(Reverse((at, number))) = self.heap.pop() {
@@ -323,8 +340,8 @@
             if self.now > END {
                 break;
             }
-            let what = self.what.remove(&number).expect("it was set");
-            self.step(what);
+            let event = self.events.remove(&number).expect("it was set");
+            self.apply(event);
         }
         let mut worst = (0.0, 0, 0.0);
         for w in 0..usize::from(self.case.cold) {
