--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,8 +3,8 @@
 
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
-    Action, Effect, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings, SettingsError,
-    WorkerId,
+    Action, DedupScope, Effect, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
+    SettingsError, WorkerId,
 };
 use postproxy::decision::random::Random;
 use postproxy::net::Config;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Returns a value that may be in range, out of range, of another type, or null.
-fn odd(rng: &mut Random) -> Value {
+fn unusual_value(rng: &mut Random) -> Value {
     let values = [
         json!(0),
         json!(0.05),
@@ -32,7 +32,7 @@
 }
 
 /// Returns valid settings in which some keys are replaced.
-fn generated(rng: &mut Random) -> Value {
+fn generated_settings(rng: &mut Random) -> Value {
     // The last of the words is unknown, and rare.
     let pick = |rng: &mut Random, words: &[&str]| {
         let known = words.len() - 1;
@@ -82,7 +82,7 @@
     for _ in 0..(rng.uniform() * 2.5) as usize {
         let sections = ["limits", "rules", "extra", "prices"];
         let section = sections[(rng.uniform() * 4.0) as usize];
-        let value = odd(rng);
+        let value = unusual_value(rng);
         if let Some(map) = all.get_mut(section).and_then(Value::as_object_mut) {
             let keys: Vec<String> = map.keys().cloned().collect();
             map.insert(
@@ -100,234 +100,344 @@
     all
 }
 
+/// An attempt as the checker records it.
+struct ObservedAttempt {
+    sent: f64,
+    place: Place,
+    may_have_run: bool,
+}
+
 struct ObservedRequest {
     class: usize,
-    until: f64,
-    /// Each attempt's time, worker's cell and zone, and whether it may have run.
-    attempts: Vec<(f64, (u8, u16), bool)>,
+    deadline: f64,
+    attempts: Vec<ObservedAttempt>,
     answers: u32,
 }
 
-/// Runs 60 requests in simulated time; workers serve, fail, reject or don't answer. Returns the
-/// number of attempts, or the first rule that is broken.
-fn run_requests(set: &Settings, seed: u64) -> Result<u32, String> {
-    let mut rng = Random::new(seed);
-    let mut dispatcher = Dispatcher::new(set.clone(), seed).map_err(|error| error.to_string())?;
-    let id = |n: u16| WorkerId {
-        address: [10, 0, 0, n as u8],
-        port: 80,
-    };
-    let home = |n: u16| ((n / 4) as u8, n / 2);
-    let entry = |n: u16| Entry {
-        worker: id(n),
-        zone: home(n).0,
-        cell: home(n).1,
+/// Zone and cell of a worker.
+#[derive(Clone, Copy, PartialEq)]
+struct Place {
+    zone: u8,
+    cell: u16,
+}
+
+impl Place {
+    fn of(worker: u16) -> Self {
+        Self {
+            zone: (worker / 4) as u8,
+            cell: worker / 2,
+        }
+    }
+}
+
+const WORKERS: u16 = 8;
+
+fn entry(number: u16) -> Entry {
+    let place = Place::of(number);
+    Entry {
+        worker: WorkerId {
+            address: [10, 0, 0, number as u8],
+            port: 80,
+        },
+        zone: place.zone,
+        cell: place.cell,
         size: 1.0,
         ..Entry::default()
+    }
+}
+
+/// A dispatcher with generated settings, simulated clients and workers, and a checker of its rules.
+struct Simulation<'a> {
+    settings: &'a Settings,
+    random: Random,
+    now: f64,
+    /// Events that will happen, with their times.
+    scheduled: Vec<(f64, Event)>,
+    requests: BTreeMap<u64, ObservedRequest>,
+    unavailable: Vec<WorkerId>,
+    sends: u32,
+}
+
+/// Runs 60 requests in simulated time; workers serve, fail, reject or don't answer. Returns the number
+/// of attempts, or the first rule that is broken.
+fn run_requests(settings: &Settings, seed: u64) -> Result<u32, String> {
+    let mut dispatcher =
+        Dispatcher::new(settings.clone(), seed).map_err(|error| error.to_string())?;
+    let mut simulation = Simulation {
+        settings,
+        random: Random::new(seed),
+        now: 100.0,
+        scheduled: Vec::new(),
+        requests: BTreeMap::new(),
+        unavailable: Vec::new(),
+        sends: 0,
     };
-    let (mut now, mut actions) = (100.0, Vec::new());
-    dispatcher.handle(
-        now,
-        &Event::WorkerListReceived {
-            kind: ListKind::Full,
-            entries: (0..8).map(entry).collect(),
-        },
-        &mut actions,
-    );
-    // Events that will happen, with their times.
-    let mut due: Vec<(f64, Event)> = Vec::new();
-    for request in 1..=60u64 {
-        let class = (rng.uniform() * set.classes.len() as f64) as u8;
-        let new = NewRequest {
-            id: request,
-            class,
-            // Some have no subject, most have one of a few.
-            subject: (rng.uniform() * 5.0) as u64,
-            time_limit: 0.1 + 5.0 * rng.uniform(),
-            slots: 1.0,
-            ..NewRequest::default()
-        };
-        due.push((100.0 + 3.0 * rng.uniform(), Event::RequestReceived(new)));
-        if rng.uniform() < 0.1 {
-            due.push((
-                101.0 + 5.0 * rng.uniform(),
-                Event::ClientDisconnected { request },
-            ));
+    let mut actions = Vec::new();
+    let list = Event::WorkerListReceived {
+        kind: ListKind::Full,
+        entries: (0..WORKERS).map(entry).collect(),
+    };
+    dispatcher.handle(simulation.now, &list, &mut actions);
+    simulation.schedule_requests();
+    simulation.schedule_list_changes();
+    while let Some(event) = simulation.next_event() {
+        if !simulation.observe_event(&event) {
+            continue;
+        }
+        dispatcher.handle(simulation.now, &event, &mut actions);
+        for action in actions.drain(..) {
+            simulation.check_action(action)?;
         }
     }
-    // One worker drains meanwhile, and another is removed.
-    let (drains, leaves) = ((8.0 * rng.uniform()) as u16, (8.0 * rng.uniform()) as u16);
-    for (n, health) in [(drains, Health::Draining), (leaves, Health::Removed)] {
-        let entries = vec![Entry { health, ..entry(n) }];
-        due.push((
-            100.5 + rng.uniform(),
-            Event::WorkerListReceived {
-                kind: ListKind::Delta,
-                entries,
-            },
-        ));
+    let unanswered = simulation
+        .requests
+        .iter()
+        .find(|(_, request)| request.answers != 1);
+    match unanswered {
+        Some((id, request)) => Err(format!("{id} has {} answers", request.answers)),
+        None => Ok(simulation.sends),
     }
-    let (mut asked, mut sends) = (BTreeMap::<u64, ObservedRequest>::new(), 0);
-    let mut out_of_use = Vec::new();
-    while !due.is_empty() && now < 160.0 {
-        let next = (0..due.len())
-            .min_by(|a, b| due[*a].0.total_cmp(&due[*b].0))
-            .expect("some");
-        let (at, event) = due.swap_remove(next);
-        now = at.max(now);
-        match &event {
-            Event::RequestReceived(new) => {
-                let class = new.class as usize;
-                let deadline = set.classes.get(class).map_or(0.0, |c| c.deadline);
-                let until = now + new.time_limit.min(deadline);
-                asked.insert(
-                    new.id,
-                    ObservedRequest {
-                        class,
-                        until,
-                        attempts: Vec::new(),
-                        answers: 0,
-                    },
-                );
+}
+
+impl Simulation<'_> {
+    fn schedule_requests(&mut self) {
+        for request in 1..=60u64 {
+            let class = (self.random.uniform() * self.settings.classes.len() as f64) as u8;
+            let new = NewRequest {
+                id: request,
+                class,
+                // Some have no subject, most have one of a few.
+                subject: (self.random.uniform() * 5.0) as u64,
+                time_limit: 0.1 + 5.0 * self.random.uniform(),
+                slots: 1.0,
+                ..NewRequest::default()
+            };
+            let at = 100.0 + 3.0 * self.random.uniform();
+            self.scheduled.push((at, Event::RequestReceived(new)));
+            if self.random.uniform() < 0.1 {
+                let at = 101.0 + 5.0 * self.random.uniform();
+                self.scheduled
+                    .push((at, Event::ClientDisconnected { request }));
             }
-            Event::ClientDisconnected { request }
-                if asked.get(request).is_none_or(|a| a.answers > 0) =>
-            {
-                continue;
+        }
+    }
+
+    /// One worker drains meanwhile, and another is removed.
+    fn schedule_list_changes(&mut self) {
+        let draining = (8.0 * self.random.uniform()) as u16;
+        let removed = (8.0 * self.random.uniform()) as u16;
+        for (number, health) in [(draining, Health::Draining), (removed, Health::Removed)] {
+            let list = Event::WorkerListReceived {
+                kind: ListKind::Delta,
+                entries: vec![Entry {
+                    health,
+                    ..entry(number)
+                }],
+            };
+            self.scheduled.push((100.5 + self.random.uniform(), list));
+        }
+    }
+
+    /// Advances the time to the next event.
+    fn next_event(&mut self) -> Option<Event> {
+        if self.now >= 160.0 {
+            return None;
+        }
+        let scheduled = &self.scheduled;
+        let next =
+            (0..scheduled.len()).min_by(|a, b| scheduled[*a].0.total_cmp(&scheduled[*b].0))?;
+        let (at, event) = self.scheduled.swap_remove(next);
+        self.now = at.max(self.now);
+        Some(event)
+    }
+
+    /// Records an event. Returns whether the dispatcher has to handle it.
+    fn observe_event(&mut self, event: &Event) -> bool {
+        match event {
+            Event::RequestReceived(new) => self.observe_request(new),
+            Event::ClientDisconnected { request } => {
+                let Some(request) = self.requests.get_mut(request) else {
+                    return false;
+                };
+                if request.answers > 0 {
+                    return false;
+                }
+                // The request needs neither an answer nor an attempt any more.
+                request.answers += 1;
             }
-            // The request needs neither an answer nor an attempt any more.
-            Event::ClientDisconnected { request } => asked
-                .get_mut(request)
-                .into_iter()
-                .for_each(|a| a.answers += 1),
             Event::AttemptEnded {
                 request,
                 attempt,
                 outcome,
                 ..
             } => {
-                if let Some(a) = asked.get_mut(request) {
-                    let unseen = *outcome == Outcome::Rejected && !set.full_may_have_run;
-                    let ran = !(unseen || *outcome == Outcome::ConnectFailed);
-                    a.attempts[*attempt as usize].2 = ran;
-                    a.answers += u32::from(*outcome == Outcome::Succeeded && a.answers == 0);
+                if let Some(request) = self.requests.get_mut(request) {
+                    let never_ran = *outcome == Outcome::ConnectFailed
+                        || *outcome == Outcome::Rejected && !self.settings.full_may_have_run;
+                    request.attempts[*attempt as usize].may_have_run = !never_ran;
+                    let succeeded = *outcome == Outcome::Succeeded;
+                    request.answers += u32::from(succeeded && request.answers == 0);
                 }
             }
             Event::WorkerListReceived { entries, .. } => {
-                out_of_use.extend(entries.iter().map(|entry| entry.worker))
+                let workers = entries.iter().map(|entry| entry.worker);
+                self.unavailable.extend(workers);
             }
             _ => {}
         }
-        dispatcher.handle(now, &event, &mut actions);
-        for action in actions.drain(..) {
-            match action {
-                Action::Timer { at, token } => {
-                    due.push((at.max(now), Event::TimerExpired { token }))
-                }
-                Action::Send {
-                    request, worker, ..
-                } => {
-                    sends += 1;
-                    if out_of_use.contains(&worker) {
-                        return Err(format!("{request} is sent to a worker told off"));
-                    }
-                    let a = asked.get_mut(&request).ok_or("a send for nobody")?;
-                    let (n, class) = (u16::from(worker.address[3]), &set.classes[a.class]);
-                    if a.answers > 0 {
-                        return Err(format!(
-                            "an attempt for {request}, which has its answer or no client"
-                        ));
-                    }
-                    let ran: Vec<_> = a.attempts.iter().filter(|(.., ran)| *ran).collect();
-                    let inside = |at: f64, to: (u8, u16)| {
-                        let group = match class.dedup_scope {
-                            postproxy::decision::interface::DedupScope::All => true,
-                            postproxy::decision::interface::DedupScope::Zone => to.0 == home(n).0,
-                            postproxy::decision::interface::DedupScope::Cell => to == home(n),
-                        };
-                        group && now + set.dial_timeout < at + class.dedup_window
-                    };
-                    let may = match class.effect {
-                        Effect::Idempotent => true,
-                        Effect::NotIdempotent => ran.is_empty(),
-                        Effect::IdempotentByKey => ran.iter().all(|(at, to, _)| inside(*at, *to)),
-                    };
-                    if !may || a.attempts.len() >= set.max_attempts as usize || now >= a.until {
-                        return Err(format!(
-                            "attempt {} of {request}, {:?}",
-                            a.attempts.len(),
-                            class.effect
-                        ));
-                    }
-                    let attempt = a.attempts.len() as u16;
-                    a.attempts.push((now, home(n), true));
-                    let outcome = match (rng.uniform() * 6.0) as u32 {
-                        0 => Outcome::Rejected,
-                        1 => Outcome::Reset,
-                        2 => Outcome::ConnectFailed,
-                        3 => continue, // silent
-                        _ => Outcome::Succeeded,
-                    };
-                    let (elapsed, closed) = (0.1, outcome == Outcome::Succeeded);
-                    let report = vec![3.0 * rng.uniform() as f32, 2.0];
-                    let end = Event::AttemptEnded {
-                        request,
-                        attempt,
-                        worker,
-                        outcome,
-                        elapsed,
-                        answered: closed,
-                        report,
-                    };
-                    due.push((now + rng.uniform(), end));
-                }
-                Action::Reject { request, .. } | Action::Fail { request } => {
-                    let a = asked.get_mut(&request).ok_or("an answer to nobody")?;
-                    a.answers += 1;
-                    if a.answers > 1 || now > a.until + 0.05 {
-                        return Err(format!(
-                            "answer {} to {request}, {:.3} s late",
-                            a.answers,
-                            now - a.until
-                        ));
-                    }
-                }
-                Action::Cancel { .. } if !set.cancel_allowed => {
-                    return Err("a cancel without leave".into());
-                }
-                Action::Probe { .. } if !set.probes_allowed => {
-                    return Err("a probe without leave".into());
-                }
-                // One answer in four is lost; the others arrive late and in any order, some as
-                // failures.
-                Action::Probe { worker } if rng.uniform() < 0.75 => {
-                    let elapsed = rng.uniform() * rng.uniform();
-                    let outcome = if rng.uniform() < 0.1 {
-                        Outcome::Timeout
-                    } else {
-                        Outcome::Succeeded
-                    };
-                    let report = vec![
-                        6.0 * rng.uniform() as f32,
-                        (4.0 * rng.uniform()).floor() as f32,
-                    ];
-                    due.push((
-                        now + elapsed,
-                        Event::ProbeEnded {
-                            worker,
-                            outcome,
-                            elapsed,
-                            report,
-                        },
-                    ));
-                }
-                _ => {}
+        true
+    }
+
+    fn observe_request(&mut self, new: &NewRequest) {
+        let class = new.class as usize;
+        let longest = self
+            .settings
+            .classes
+            .get(class)
+            .map_or(0.0, |class| class.deadline);
+        let request = ObservedRequest {
+            class,
+            deadline: self.now + new.time_limit.min(longest),
+            attempts: Vec::new(),
+            answers: 0,
+        };
+        self.requests.insert(new.id, request);
+    }
+
+    fn check_action(&mut self, action: Action) -> Result<(), String> {
+        match action {
+            Action::Timer { at, token } => {
+                let timer = Event::TimerExpired { token };
+                self.scheduled.push((at.max(self.now), timer));
+            }
+            Action::Send {
+                request, worker, ..
+            } => {
+                self.sends += 1;
+                self.check_send(request, worker)?;
+                self.schedule_outcome(request, worker);
+            }
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                self.check_answer(request)?;
             }
+            Action::Cancel { .. } if !self.settings.cancel_allowed => {
+                return Err("a cancellation although it is not allowed".into());
+            }
+            Action::Probe { .. } if !self.settings.probes_allowed => {
+                return Err("a probe although it is not allowed".into());
+            }
+            // One answer in four is lost; the others arrive late and in any order, some as failures.
+            Action::Probe { worker } if self.random.uniform() < 0.75 => {
+                self.schedule_probe_answer(worker);
+            }
+            _ => {}
         }
+        Ok(())
     }
-    match asked.iter().find(|(_, a)| a.answers != 1) {
-        Some((request, a)) => Err(format!("{request} has {} answers", a.answers)),
-        None => Ok(sends),
+
+    /// Checks an attempt and records it.
+    fn check_send(&mut self, id: u64, worker: WorkerId) -> Result<(), String> {
+        if self.unavailable.contains(&worker) {
+            return Err(format!("{id} is sent to a worker that is not ready"));
+        }
+        let request = self
+            .requests
+            .get_mut(&id)
+            .ok_or("a send for an unknown request")?;
+        if request.answers > 0 {
+            return Err(format!(
+                "an attempt for {id}, which has its answer or no client"
+            ));
+        }
+        let class = &self.settings.classes[request.class];
+        let place = Place::of(u16::from(worker.address[3]));
+        let arrival = self.now + self.settings.dial_timeout;
+        let deduplicates = |attempt: &ObservedAttempt| {
+            let is_in_scope = match class.dedup_scope {
+                DedupScope::All => true,
+                DedupScope::Zone => attempt.place.zone == place.zone,
+                DedupScope::Cell => attempt.place == place,
+            };
+            is_in_scope && arrival < attempt.sent + class.dedup_window
+        };
+        let mut may_have_run = request.attempts.iter().filter(|a| a.may_have_run);
+        let is_allowed = match class.effect {
+            Effect::Idempotent => true,
+            Effect::NotIdempotent => may_have_run.next().is_none(),
+            Effect::IdempotentByKey => may_have_run.all(deduplicates),
+        };
+        let number = request.attempts.len();
+        let has_attempts_left = number < self.settings.max_attempts as usize;
+        if !is_allowed || !has_attempts_left || self.now >= request.deadline {
+            return Err(format!("attempt {number} of {id}, {:?}", class.effect));
+        }
+        request.attempts.push(ObservedAttempt {
+            sent: self.now,
+            place,
+            may_have_run: true,
+        });
+        Ok(())
+    }
+
+    /// Schedules the end of the latest attempt of a request, unless its worker does not answer.
+    fn schedule_outcome(&mut self, request: u64, worker: WorkerId) {
+        let attempt = self.requests[&request].attempts.len() as u16 - 1;
+        let outcome = match (self.random.uniform() * 6.0) as u32 {
+            0 => Outcome::Rejected,
+            1 => Outcome::Reset,
+            2 => Outcome::ConnectFailed,
+            3 => return,
+            _ => Outcome::Succeeded,
+        };
+        let report = vec![3.0 * self.random.uniform() as f32, 2.0];
+        let end = Event::AttemptEnded {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed: 0.1,
+            answered: outcome == Outcome::Succeeded,
+            report,
+        };
+        let at = self.now + self.random.uniform();
+        self.scheduled.push((at, end));
+    }
+
+    fn schedule_probe_answer(&mut self, worker: WorkerId) {
+        let elapsed = self.random.uniform() * self.random.uniform();
+        let outcome = if self.random.uniform() < 0.1 {
+            Outcome::Timeout
+        } else {
+            Outcome::Succeeded
+        };
+        let report = vec![
+            6.0 * self.random.uniform() as f32,
+            (4.0 * self.random.uniform()).floor() as f32,
+        ];
+        let answer = Event::ProbeEnded {
+            worker,
+            outcome,
+            elapsed,
+            report,
+        };
+        self.scheduled.push((self.now + elapsed, answer));
+    }
+
+    fn check_answer(&mut self, id: u64) -> Result<(), String> {
+        let now = self.now;
+        let request = self
+            .requests
+            .get_mut(&id)
+            .ok_or("an answer to an unknown request")?;
+        request.answers += 1;
+        if request.answers > 1 || now > request.deadline + 0.05 {
+            return Err(format!(
+                "answer {} to {id}, {:.3} s late",
+                request.answers,
+                now - request.deadline
+            ));
+        }
+        Ok(())
     }
 }
 
@@ -338,7 +448,7 @@
     let (mut served, mut named, mut sends) = (0, 0, 0);
     for seed in 0..400 {
         let mut rng = Random::new(seed);
-        let text = generated(&mut rng).to_string();
+        let text = generated_settings(&mut rng).to_string();
         match Settings::from_json(&text) {
             Ok(set) => {
                 served += 1;
