--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -211,6 +211,39 @@
         }
     }
 
+    /// Returns the attempts that have no outcome, as request, number and worker.
+    fn attempts_in_flight(&self) -> Vec<(u64, u16, WorkerId)> {
+        let of_request = |(&id, request): (&u64, &ObservedRequest)| {
+            let sent = request.sent.iter().zip(0..);
+            sent.filter(|(sent, _)| sent.outcome.is_none())
+                .map(|(sent, number)| (id, number, sent.to))
+                .collect::<Vec<_>>()
+        };
+        self.requests.iter().flat_map(of_request).collect()
+    }
+
+    /// Records an event, and sets in the end of an attempt whether its request is answered.
+    fn observe_event(&mut self, now: f64, event: &mut Event) -> Result<(), String> {
+        match event {
+            Event::RequestReceived(_) => self.admitted.push(now),
+            Event::WorkerListReceived { kind, entries } => {
+                self.record_list(now, *kind, entries, WORKERS);
+            }
+            Event::AttemptEnded {
+                request,
+                outcome,
+                answered,
+                ..
+            } => {
+                let request = self.requests.get_mut(request).ok_or("an unknown request")?;
+                request.done |= *outcome == Outcome::Succeeded;
+                *answered = request.done;
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
     fn record_list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
         if kind == ListKind::Full {
             for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker_id(n))) {
@@ -395,168 +428,201 @@
     }
 }
 
+/// Number of workers in a sequence.
+const WORKERS: u16 = 12;
+
+/// Draws legal events and tracks the time and the timers.
+struct Generator {
+    random: rand_pcg::Pcg32,
+    now: f64,
+    timers: Vec<(f64, u64)>,
+    next_id: u64,
+    queue: Vec<Event>,
+}
+
+impl Generator {
+    fn new(seed: u64) -> Self {
+        let mut generator = Self {
+            random: rand_pcg::Pcg32::seed_from_u64(seed),
+            now: 100.0,
+            timers: Vec::new(),
+            next_id: 0,
+            queue: Vec::new(),
+        };
+        let kind = if generator.pick(2) == 0 {
+            ListKind::Cached
+        } else {
+            ListKind::Full
+        };
+        generator.queue.push(Event::WorkerListReceived {
+            kind,
+            entries: (0..WORKERS).map(|number| place(entry(number))).collect(),
+        });
+        generator
+    }
+
+    fn pick(&mut self, count: u64) -> u64 {
+        self.random.next_u64() % count
+    }
+
+    /// Advances the time and queues the timers that expire and perhaps one other event.
+    fn generate(&mut self, checker: &mut Checker, is_drained: bool) -> Result<(), String> {
+        self.advance();
+        let in_flight = checker.attempts_in_flight();
+        let attempt = if in_flight.is_empty() {
+            None
+        } else {
+            Some(in_flight[self.pick(in_flight.len() as u64) as usize])
+        };
+        match (self.pick(10), attempt) {
+            (0..=3, _) if !is_drained => self.queue_request(checker),
+            (4..=7, Some(attempt)) => self.queue_outcome(checker, attempt)?,
+            (8, Some((request, attempt, _))) => {
+                let note = if self.pick(2) == 0 {
+                    ProgressNote::Started
+                } else {
+                    ProgressNote::Progress(0.5)
+                };
+                self.queue.push(Event::AttemptProgress {
+                    request,
+                    attempt,
+                    note,
+                });
+            }
+            (9, _) => self.queue_list(),
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Advances the clock, at most to the next timer, and queues the timers that expire.
+    fn advance(&mut self) {
+        self.timers.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let next_timer = self
+            .timers
+            .last()
+            .map_or(f64::INFINITY, |timer| timer.0.max(self.now));
+        self.now = next_timer.min(self.now + self.pick(100) as f64 / 1000.0);
+        while let Some(&(_, token)) = self.timers.last().filter(|timer| timer.0 <= self.now) {
+            self.timers.pop();
+            self.queue.push(Event::TimerExpired { token });
+        }
+    }
+
+    fn queue_request(&mut self, checker: &mut Checker) {
+        let class = self.pick(3) as u8;
+        let share = if self.pick(4) == 0 { 0.3 } else { 1.0 };
+        let time_limit = [5.0, 10.0, 10.0][class as usize] * share;
+        let id = self.next_id;
+        self.next_id += 1;
+        let request = ObservedRequest {
+            class,
+            deadline: self.now + time_limit,
+            sent: Vec::new(),
+            done: false,
+        };
+        checker.requests.insert(id, request);
+        self.queue.push(Event::RequestReceived(NewRequest {
+            id,
+            class,
+            time_limit,
+            expected_work: Some(0.25),
+            slots: 1.0,
+            ..Default::default()
+        }));
+    }
+
+    fn queue_outcome(
+        &mut self,
+        checker: &mut Checker,
+        (request, attempt, worker): (u64, u16, WorkerId),
+    ) -> Result<(), String> {
+        let outcomes = [
+            Outcome::Succeeded,
+            Outcome::Succeeded,
+            Outcome::Error,
+            Outcome::Rejected,
+            Outcome::Timeout,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Cancelled,
+            Outcome::Unknown(77),
+        ];
+        let outcome = outcomes[self.pick(9) as usize];
+        let observed = checker
+            .requests
+            .get_mut(&request)
+            .ok_or("an unknown request")?;
+        observed.sent[attempt as usize].outcome = Some(outcome);
+        let report = vec![self.pick(6) as f32, self.pick(5) as f32];
+        self.queue.push(Event::AttemptEnded {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed: 0.1,
+            answered: false,
+            report,
+        });
+        Ok(())
+    }
+
+    fn queue_list(&mut self) {
+        let number = self.pick(u64::from(WORKERS)) as u16;
+        let health = [
+            Health::Ready,
+            Health::Ready,
+            Health::Draining,
+            Health::Removed,
+        ][self.pick(4) as usize];
+        let started = if self.pick(2) == 0 {
+            self.now - 0.5
+        } else {
+            0.0
+        };
+        let mut entries = vec![place(Entry {
+            started,
+            ..entry_with_health(number, health)
+        })];
+        let kind = if self.pick(5) == 0 {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
+        if kind == ListKind::Full {
+            let others = (0..WORKERS).filter(|&other| other != number && self.pick(6) > 0);
+            entries.extend(others.map(|other| place(entry(other))));
+        }
+        self.queue.push(Event::WorkerListReceived { kind, entries });
+    }
+}
+
 /// Runs one generated sequence. Returns the number of attempts sent, or the first broken rule.
 fn run_sequence(seed: u64, decider: &mut dyn Decider) -> Result<usize, String> {
-    const ALL: u16 = 12;
-    let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-    let mut pick = |n: u64| rng.next_u64() % n;
     let mut checker = Checker::new(OptionalRules::of(seed));
-    let (mut now, mut due, mut next, mut sends) = (100.0, Vec::<(f64, u64)>::new(), 0u64, 0);
-    let entry = |n| place(entry(n));
-    let kind = if pick(2) == 0 {
-        ListKind::Cached
-    } else {
-        ListKind::Full
-    };
-    let mut queue = vec![Event::WorkerListReceived {
-        kind,
-        entries: (0..ALL).map(entry).collect(),
-    }];
-    let mut drained = false;
+    let mut generator = Generator::new(seed);
+    let mut sends = 0;
+    let mut is_drained = false;
     for step in 0..3000 {
-        if queue.is_empty() {
-            due.sort_by(|a, b| b.0.total_cmp(&a.0));
-            // The clock stops at each timer.
-            now = due
-                .last()
-                .map_or(f64::INFINITY, |d| d.0.max(now))
-                .min(now + pick(100) as f64 / 1000.0);
-            while let Some(&(_, token)) = due.last().filter(|d| d.0 <= now) {
-                due.pop();
-                queue.push(Event::TimerExpired { token });
-            }
-            drained |= step > 2000;
-            let open: Vec<(u64, u16, WorkerId)> = checker
-                .requests
-                .iter()
-                .flat_map(|(&id, j)| {
-                    j.sent
-                        .iter()
-                        .zip(0..)
-                        .filter(|(s, _)| s.outcome.is_none())
-                        .map(move |(s, n)| (id, n, s.to))
-                })
-                .collect();
-            let some = (!open.is_empty()).then(|| open[pick(open.len() as u64) as usize]);
-            match (pick(10), some) {
-                (0..=3, _) if !drained => {
-                    let class = pick(3) as u8;
-                    let budget =
-                        [5.0, 10.0, 10.0][class as usize] * if pick(4) == 0 { 0.3 } else { 1.0 };
-                    let (request, hint) = (next, Some(0.25));
-                    next += 1;
-                    checker.requests.insert(
-                        request,
-                        ObservedRequest {
-                            class,
-                            deadline: now + budget,
-                            sent: Vec::new(),
-                            done: false,
-                        },
-                    );
-                    queue.push(Event::RequestReceived(NewRequest {
-                        id: request,
-                        class,
-                        time_limit: budget,
-                        expected_work: hint,
-                        slots: 1.0,
-                        ..Default::default()
-                    }));
-                }
-                (4..=7, Some((request, attempt, worker))) => {
-                    let outcomes = [
-                        Outcome::Succeeded,
-                        Outcome::Succeeded,
-                        Outcome::Error,
-                        Outcome::Rejected,
-                        Outcome::Timeout,
-                        Outcome::ConnectFailed,
-                        Outcome::Reset,
-                        Outcome::Cancelled,
-                        Outcome::Unknown(77),
-                    ];
-                    let outcome = outcomes[pick(9) as usize];
-                    let job = checker.requests.get_mut(&request).ok_or("no job")?;
-                    job.sent[attempt as usize].outcome = Some(outcome);
-                    let (closed, report) = (false, vec![pick(6) as f32, pick(5) as f32]);
-                    queue.push(Event::AttemptEnded {
-                        request,
-                        attempt,
-                        worker,
-                        outcome,
-                        elapsed: 0.1,
-                        answered: closed,
-                        report,
-                    });
-                }
-                (8, Some((request, attempt, _))) => {
-                    let note = if pick(2) == 0 {
-                        ProgressNote::Started
-                    } else {
-                        ProgressNote::Progress(0.5)
-                    };
-                    queue.push(Event::AttemptProgress {
-                        request,
-                        attempt,
-                        note,
-                    });
-                }
-                (9, _) => {
-                    let n = pick(u64::from(ALL)) as u16;
-                    let health = [
-                        Health::Ready,
-                        Health::Ready,
-                        Health::Draining,
-                        Health::Removed,
-                    ][pick(4) as usize];
-                    let started = if pick(2) == 0 { now - 0.5 } else { 0.0 };
-                    let mut entries = vec![place(Entry {
-                        started,
-                        ..entry_with_health(n, health)
-                    })];
-                    let kind = if pick(5) == 0 {
-                        ListKind::Full
-                    } else {
-                        ListKind::Delta
-                    };
-                    if kind == ListKind::Full {
-                        entries.extend((0..ALL).filter(|&o| o != n && pick(6) > 0).map(entry));
-                    }
-                    queue.push(Event::WorkerListReceived { kind, entries });
-                }
-                _ => {}
-            }
+        if generator.queue.is_empty() {
+            is_drained |= step > 2000;
+            generator.generate(&mut checker, is_drained)?;
         }
-        // No event is left: the clock advances to the last deadline.
-        let Some(mut event) = (!queue.is_empty()).then(|| queue.remove(0)) else {
+        if generator.queue.is_empty() {
             continue;
-        };
-        if let Event::RequestReceived(_) = &event {
-            checker.admitted.push(now);
-        }
-        if let Event::WorkerListReceived { kind, entries } = &event {
-            checker.record_list(now, *kind, entries, ALL);
-        }
-        if let Event::AttemptEnded {
-            request,
-            outcome,
-            answered,
-            ..
-        } = &mut event
-        {
-            let job = checker.requests.get_mut(request).ok_or("no job")?;
-            job.done |= *outcome == Outcome::Succeeded;
-            *answered = job.done;
         }
+        let mut event = generator.queue.remove(0);
+        let now = generator.now;
+        checker.observe_event(now, &mut event)?;
         let mut actions = Vec::new();
         decider.handle(now, &event, &mut actions);
         for action in &actions {
             checker.check(now, action)?;
             sends += usize::from(matches!(action, Action::Send { .. }));
         }
-        due.extend(timers_set(&actions));
+        generator.timers.extend(timers_set(&actions));
         // Timers of the same time are handled first.
-        if queue.is_empty() && due.iter().all(|d| d.0 > now) {
+        if generator.queue.is_empty() && generator.timers.iter().all(|timer| timer.0 > now) {
             checker.check_overdue(now)?;
         }
     }
