--- a/tests/decisions/decider.rs
+++ b/tests/decisions/decider.rs
@@ -7,9 +7,9 @@
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// Takes events and gives actions, and writes both into a log.
+/// Handles events, returns the actions and writes both into a log.
 pub trait Decider {
-    /// The actions that follow from an event.
+    /// Returns the actions that follow from an event.
     fn handle(&mut self, now: f64, event: &Event, log: &mut Vec<String>) -> Vec<Action>;
 
     /// A new process takes over: its dispatcher starts, and these requests go on there.
@@ -75,7 +75,7 @@
     }
 }
 
-/// A dispatcher in the program `postproxy-drill`, which is told by bytes.
+/// A dispatcher in the program `postproxy-drill`, which receives events as bytes.
 pub struct Drill {
     child: Child,
     input: Option<ChildStdin>,
--- a/tests/decisions/scenario.rs
+++ b/tests/decisions/scenario.rs
@@ -48,11 +48,12 @@
     pub list_change: f64,
     /// Share of the list changes that are restarts of a worker.
     pub restarts: f64,
-    /// Workers tell when a job starts.
+    /// Workers report the start of a job.
     pub tells_start: bool,
-    /// Seconds between progress notes; 0 for none.
+    /// Seconds between progress reports; 0 for none.
     pub progress: f64,
-    /// An operator, a sibling process and handovers take part, which the wire has no form for.
+    /// An operator, a sibling process and handovers take part, which the simulator's protocol has
+    /// no records for.
     pub operator: bool,
     /// Lines of the run that its recording has in full.
     pub lines_in_full: usize,
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -173,12 +173,12 @@
     }
 
     fn start(&mut self) {
-        self.tell(&Event::WorkerListReceived {
+        self.handle(&Event::WorkerListReceived {
             kind: ListKind::Failed,
             entries: Vec::new(),
         });
         self.list(ListKind::Cached);
-        self.tell(&Event::PeerMessage);
+        self.handle(&Event::PeerMessage);
         self.plan(0.25, Pending::Arrival);
         self.plan(1.0, Pending::ListChange);
         if self.operator {
@@ -205,7 +205,7 @@
         self.schedule.insert((at, self.planned), pending);
     }
 
-    fn tell(&mut self, event: &Event) {
+    fn handle(&mut self, event: &Event) {
         let actions = self.decider.handle(seconds(self.now), event, &mut self.log);
         actions.into_iter().for_each(|action| self.act(action));
     }
@@ -327,7 +327,7 @@
                 request.id = self.next_id();
                 self.submit(*request);
             }
-            Pending::Timer(token) => self.tell(&Event::TimerExpired { token }),
+            Pending::Timer(token) => self.handle(&Event::TimerExpired { token }),
             Pending::AttemptReaches(key) => self.reach(key),
             Pending::AttemptEnds(key, outcome) => self.end(key, outcome),
             Pending::Progress(key, count) => self.progress(key, count),
@@ -338,7 +338,7 @@
             Pending::WorkerBack(worker) => self.bring_back(worker),
             Pending::Watched => self.watched(),
             Pending::Operator => self.operate(),
-            Pending::Use(worker) => self.use_worker(worker, true),
+            Pending::Use(worker) => self.set_suspension(worker, true),
             Pending::SiblingEnds(request, worker) => self.sibling_ends(request, worker),
         }
     }
@@ -412,9 +412,9 @@
         };
         self.requests.insert(request, model);
         let event = Event::RequestReceived(new);
-        self.tell(&event);
+        self.handle(&event);
         if self.random.chance(0.02) {
-            self.tell(&event); // the same id once more is ignored
+            self.handle(&event); // the same id once more is ignored
         }
         if self.random.chance(0.03) {
             let after = self.random.uniform();
@@ -425,7 +425,7 @@
     fn client_leaves(&mut self, request: u64) {
         if !self.requests[&request].answered {
             self.answered(request);
-            self.tell(&Event::ClientDisconnected { request });
+            self.handle(&Event::ClientDisconnected { request });
         }
     }
 
@@ -490,7 +490,7 @@
             count => ProgressNote::Progress(f64::from(count.min(8)) / 8.0),
         };
         let (request, attempt) = key;
-        self.tell(&Event::AttemptProgress {
+        self.handle(&Event::AttemptProgress {
             request,
             attempt,
             note,
@@ -512,7 +512,7 @@
             .expect("a request that arrived");
         if model.streaming.is_none() && !model.answered {
             model.streaming = Some(attempt);
-            self.tell(&Event::AttemptStreaming { request, attempt });
+            self.handle(&Event::AttemptStreaming { request, attempt });
         }
     }
 
@@ -545,7 +545,7 @@
             answered: self.requests[&key.0].answered,
             report,
         };
-        self.tell(&event);
+        self.handle(&event);
         self.start_waiting(attempt.worker);
     }
 
@@ -578,7 +578,7 @@
             outcome
         };
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::ProbeEnded {
+        self.handle(&Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
@@ -594,7 +594,7 @@
             .iter()
             .filter(|model| model.entry.health != Health::Removed);
         let entries = listed.map(|model| model.entry.clone()).collect();
-        self.tell(&Event::WorkerListReceived { kind, entries });
+        self.handle(&Event::WorkerListReceived { kind, entries });
     }
 
     fn entry_changed(&mut self, worker: usize) {
@@ -603,7 +603,7 @@
         } else {
             ListKind::Delta
         };
-        self.tell(&Event::WorkerListReceived {
+        self.handle(&Event::WorkerListReceived {
             kind,
             entries: vec![self.workers[worker].entry.clone()],
         });
@@ -619,7 +619,7 @@
         match self.random.below(8) {
             0 => self.list(ListKind::Full),
             1 => self.list(ListKind::Cached),
-            2 => self.tell(&Event::WorkerListReceived {
+            2 => self.handle(&Event::WorkerListReceived {
                 kind: ListKind::Failed,
                 entries: Vec::new(),
             }),
@@ -681,7 +681,7 @@
 
     fn watched(&mut self) {
         if self.random.chance(0.4) {
-            self.tell(&Event::WorkerListReceived {
+            self.handle(&Event::WorkerListReceived {
                 kind: ListKind::Failed,
                 entries: Vec::new(),
             });
@@ -700,7 +700,7 @@
             0 => self.hand_over(),
             1 => {
                 let count = 1 + self.random.below(5) as u32;
-                self.tell(&Event::DispatcherCountChanged(count));
+                self.handle(&Event::DispatcherCountChanged(count));
             }
             2 => (0..self.workers.len()).for_each(|worker| self.suspend(worker)),
             3..=5 => self.suspend(worker),
@@ -709,14 +709,14 @@
     }
 
     fn suspend(&mut self, worker: usize) {
-        self.use_worker(worker, false);
+        self.set_suspension(worker, false);
         let after = 0.25 + self.random.uniform();
         self.plan(after, Pending::Use(worker));
     }
 
-    fn use_worker(&mut self, worker: usize, resume: bool) {
+    fn set_suspension(&mut self, worker: usize, resume: bool) {
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::SuspensionChanged { worker, resume });
+        self.handle(&Event::SuspensionChanged { worker, resume });
     }
 
     fn sibling_sends(&mut self, worker: usize) {
@@ -725,7 +725,7 @@
         let work = self.random.chance(0.5).then_some(0.125);
         let sent = seconds(self.now) - 0.0625;
         let address = self.workers[worker].entry.worker;
-        let news = SiblingEvent::AttemptSent {
+        let event = SiblingEvent::AttemptSent {
             request,
             attempt: 0,
             worker: address,
@@ -733,13 +733,13 @@
             work,
             sent,
         };
-        self.tell(&Event::SiblingEvent(news));
+        self.handle(&Event::SiblingEvent(event));
         self.plan(0.5, Pending::SiblingEnds(request, worker));
     }
 
     fn sibling_ends(&mut self, request: u64, worker: usize) {
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::SiblingEvent(SiblingEvent::AttemptEnded {
+        self.handle(&Event::SiblingEvent(SiblingEvent::AttemptEnded {
             request,
             attempt: 0,
             worker,
@@ -755,7 +755,7 @@
         if list_first {
             self.list(ListKind::Cached);
         }
-        events.iter().for_each(|event| self.tell(event));
+        events.iter().for_each(|event| self.handle(event));
         if !list_first {
             self.list(ListKind::Cached);
         }
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -95,8 +95,8 @@
         .join(",")
 }
 
-fn sibling_text(news: &SiblingEvent) -> String {
-    match news {
+fn sibling_text(event: &SiblingEvent) -> String {
+    match event {
         SiblingEvent::BudgetHistory { admitted, retries } => {
             format!(
                 "taken [{}] further [{}]",
