--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::dispatcher::{Dispatcher, TimerKind};
 use super::estimates::smooth;
-use super::interface::{Action, Effect, Note, Outcome, Reports, RequestId};
+use super::interface::{Action, Effect, Outcome, ProgressNote, ReportSource, RequestId};
 use super::parameters::{
     HEDGE_DELAY, MAX_RUN_TIME, REJECTED_ACCEPTANCE, SILENCE_INTERVALS, SMOOTHING,
 };
@@ -22,7 +22,7 @@
         if !self.may_send(request, index) {
             return;
         }
-        let capacity_promised = self.has_free_capacity(&self.workers.all[index], request);
+        let capacity_reported = self.has_free_capacity(&self.workers.all[index], request);
         let silence_limit = self.silence_limit(request, JobPhase::Waiting);
         if request.in_flight() > 0 {
             self.budgets.hedges -= 1.0;
@@ -35,16 +35,16 @@
         worker.request_due_at = None;
         worker.own.push(OwnAttempt {
             key: (id, number),
-            need: request.slots,
+            slots: request.slots,
             work: request.work,
             sent: self.now,
             until: None,
         });
-        worker.record_sent_work(self.now, request.work, self.settings.tip_after);
+        worker.record_sent_work(self.now, request.work, self.settings.overload_window);
         if number > 0 {
             self.budgets.retries.push(self.now);
         }
-        let attempt = Attempt::new(index, &worker.entry, self.now, capacity_promised);
+        let attempt = Attempt::new(index, &worker.entry, self.now, capacity_reported);
         request.attempts.push(attempt);
         request.probe_rounds = 0;
         self.actions.push(Action::Send {
@@ -115,7 +115,7 @@
         }
         if hangs {
             self.eject(index);
-            self.record_broken_promise(id, last);
+            self.record_refuted_report(id, last);
         }
         if self.may_hedge(id) {
             self.place_request(id);
@@ -123,13 +123,13 @@
         self.schedule_review(silence_limit, id);
     }
 
-    /// Records that a promise of free capacity was followed by a job that hangs.
-    fn record_broken_promise(&mut self, id: RequestId, attempt: usize) {
+    /// Records that a report of free capacity was wrong: the job that it led to does not end.
+    fn record_refuted_report(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let was_promised = std::mem::take(&mut request.attempts[attempt].capacity_promised);
-        if was_promised {
+        let was_reported = std::mem::take(&mut request.attempts[attempt].capacity_reported);
+        if was_reported {
             self.estimates.trust -= SMOOTHING * self.estimates.trust;
         }
     }
@@ -140,11 +140,11 @@
     fn may_hedge(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_permitted = class.effect_of(request.without_key) != Effect::Unsafe
+        let is_permitted = class.effect_of(request.without_key) != Effect::NotIdempotent
             && request.in_flight() < MAX_IN_FLIGHT;
         let only_hedges_find_capacity = self.can_cancel_waiting_jobs()
-            && !self.settings.may_probe
-            && self.settings.reports != Reports::None;
+            && !self.settings.probes_allowed
+            && self.settings.report_source != ReportSource::None;
         let is_unbound = self.settings.retry_budget.is_some() || only_hedges_find_capacity;
         is_permitted && (is_unbound || self.budgets.hedges >= 1.0)
     }
@@ -152,7 +152,7 @@
     /// Returns whether a job that waits at a worker is recognised and can be cancelled, because
     /// workers report starts.
     fn can_cancel_waiting_jobs(&self) -> bool {
-        self.settings.tells_start && self.settings.may_cancel
+        self.settings.reports_start && self.settings.cancel_allowed
     }
 
     /// Returns how long a job may be silent before it is hedged or, while it runs, its worker is in
@@ -162,16 +162,16 @@
             let objective = self.time_to_objective(request) + self.now - request.first_submitted;
             return HEDGE_DELAY * objective;
         }
-        if self.settings.progress > 0.0 {
-            return SILENCE_INTERVALS * self.settings.progress;
+        if self.settings.progress_interval > 0.0 {
+            return SILENCE_INTERVALS * self.settings.progress_interval;
         }
         let class = &self.settings.classes[request.class];
-        2.0 * (class.aim + (class.stretch + 1.0) * request.work)
+        2.0 * (class.latency_objective + (class.objective_stretch + 1.0) * request.work)
     }
 
     /// Handles a progress report of an attempt in flight. Its worker is no longer ejected; when the
     /// job has started, the other attempts of the request that still wait are cancelled.
-    pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u16, note: Note) {
+    pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u16, note: ProgressNote) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(|request| request.attempts.get_mut(attempt as usize));
         let Some(attempt) = attempt else {
@@ -180,27 +180,27 @@
         attempt.last_progress = self.now;
         let worker = &mut self.workers.all[attempt.worker];
         worker.ejected_until = worker.ejected_until.min(self.now);
-        if attempt.started.is_none() && note != Note::Other {
+        if attempt.started.is_none() && note != ProgressNote::Unknown {
             attempt.started = Some(self.now);
             self.cancel_attempts(id, |attempt| attempt.started.is_none());
         }
     }
 
-    /// Handles the end of an attempt for its request. `closed` says that the request has its final
-    /// answer.
+    /// Handles the end of an attempt for its request. `answered` says that the client has its
+    /// final answer.
     pub(super) fn handle_outcome(
         &mut self,
         id: RequestId,
         attempt: u16,
         outcome: Outcome,
-        closed: bool,
+        answered: bool,
     ) {
         if !self.requests.contains_key(&id) {
             return;
         }
         self.record_outcome(id, attempt as usize, outcome);
         let request = &self.requests[&id];
-        if closed {
+        if answered {
             self.forget_request(id);
         } else if request.in_flight() == 0 && request.probed.is_empty() {
             self.place_request(id);
@@ -218,21 +218,22 @@
         if !attempt.is_in_flight() {
             return;
         }
-        let never_ran = outcome.proves_never_ran(self.settings.full_proves_nothing);
+        let never_ran = outcome.proves_never_ran(self.settings.full_may_have_run);
         attempt.state = if never_ran {
             AttemptState::NeverRan
         } else {
             AttemptState::MayHaveRun
         };
         let attempt = attempt.clone();
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Succeeded {
             self.record_run_time(id, &attempt);
         }
-        if outcome == Outcome::Ok || attempt.capacity_promised && outcome == Outcome::Full {
+        let refutes_report = attempt.capacity_reported && outcome == Outcome::Rejected;
+        if outcome == Outcome::Succeeded || refutes_report {
             self.record_acceptance(id, &attempt, outcome);
         }
-        if attempt.capacity_promised && outcome == Outcome::Ok {
-            self.record_kept_promise(id, &attempt);
+        if attempt.capacity_reported && outcome == Outcome::Succeeded {
+            self.record_confirmed_report(id, &attempt);
         }
     }
 
@@ -240,7 +241,7 @@
     /// wait would make the next reviews later.
     fn record_run_time(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
-        let began = if self.settings.tells_start {
+        let began = if self.settings.reports_start {
             attempt.started.unwrap_or(attempt.sent)
         } else {
             attempt.sent
@@ -256,7 +257,7 @@
     /// Records whether a worker has accepted a request of this class.
     fn record_acceptance(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
         let class = self.requests[&id].class;
-        let share = if outcome == Outcome::Ok {
+        let share = if outcome == Outcome::Succeeded {
             1.0
         } else {
             REJECTED_ACCEPTANCE
@@ -270,18 +271,20 @@
         worker.acceptance.insert(class, acceptance);
     }
 
-    /// Records whether a report of free capacity was kept: it is if the job ended in time. Reports
-    /// that come late promise capacity that is long gone; the fewer are kept, the less they count.
-    fn record_kept_promise(&mut self, id: RequestId, attempt: &Attempt) {
+    /// Records whether a report of free capacity was right: it was if the job ended in time.
+    /// Reports that arrive late show capacity that is in use again; the fewer are right, the less
+    /// they count.
+    fn record_confirmed_report(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_kept = self.now - attempt.sent <= class.aim + class.stretch * request.work;
+        let is_kept = self.now - attempt.sent
+            <= class.latency_objective + class.objective_stretch * request.work;
         smooth(&mut self.estimates.trust, f64::from(u8::from(is_kept)));
     }
 
     /// Cancels the attempts in flight that pass the test, where the settings permit cancelling.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, which: impl Fn(&Attempt) -> bool) {
-        if !self.settings.may_cancel {
+        if !self.settings.cancel_allowed {
             return;
         }
         let Some(request) = self.requests.get_mut(&id) else {
--- a/src/decision/dispatcher.rs
+++ b/src/decision/dispatcher.rs
@@ -2,7 +2,7 @@
 //!
 //! The ordinary path is the lottery of SNS: a request goes to a worker drawn at random with tickets
 //! of 1 / (load + correction + 1). The correction counts the dispatcher's own attempts, which are
-//! taken off the load that a report tells. The modules beside this one hold the decisions, each for
+//! subtracted from the reported load. The modules beside this one contain the decisions, each for
 //! one concern.
 
 use super::budgets::Budgets;
@@ -36,7 +36,7 @@
             Self::Review => 1,
             Self::Discovery => 2,
         };
-        kind * MAX_REQUEST_ID | request
+        (kind * MAX_REQUEST_ID) | request
     }
 
     /// Returns the kind and the request's number of a token, if it is one of ours.
@@ -69,13 +69,13 @@
     ///
     /// # Errors
     ///
-    /// If the settings hold a figure out of range, see [`Settings::validate`].
+    /// If the settings have a figure out of range, see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let expected_run_times: Vec<f64> = settings
             .classes
             .iter()
-            .map(|class| class.aim.max(settings.tick))
+            .map(|class| class.latency_objective.max(settings.tick))
             .collect();
         Ok(Self {
             workers: WorkerTable::new(settings.classes.len()),
@@ -102,52 +102,52 @@
 
     fn handle_event(&mut self, event: &Event) {
         match event {
-            Event::List { kind, entries } => self.handle_worker_list(*kind, entries),
-            Event::Request(new) => self.admit_request(new),
-            Event::Streaming { request, attempt } => {
+            Event::WorkerListReceived { kind, entries } => self.handle_worker_list(*kind, entries),
+            Event::RequestReceived(new) => self.admit_request(new),
+            Event::AttemptStreaming { request, attempt } => {
                 if let Some(request) = self.requests.get_mut(request) {
                     request.record_streaming(*attempt);
                 }
             }
-            Event::Note {
+            Event::AttemptProgress {
                 request,
                 attempt,
                 note,
             } => self.handle_progress(*request, *attempt, *note),
-            Event::Outcome {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 worker,
                 outcome,
-                closed,
+                answered,
                 report,
                 ..
             } => {
                 self.record_attempt_end((*request, *attempt), *worker, *outcome, report);
-                self.handle_outcome(*request, *attempt, *outcome, *closed);
+                self.handle_outcome(*request, *attempt, *outcome, *answered);
             }
-            Event::ClientGone { request } => self.forget_request(*request),
-            Event::Timer { token } => self.handle_timer(*token),
-            Event::Probed {
+            Event::ClientDisconnected { request } => self.forget_request(*request),
+            Event::TimerExpired { token } => self.handle_timer(*token),
+            Event::ProbeEnded {
                 worker,
                 outcome,
                 report,
                 elapsed,
             } => self.handle_probe_result(*worker, *outcome, report, *elapsed),
-            Event::Use {
+            Event::SuspensionChanged {
                 worker,
-                again: true,
+                resume: true,
             } => self.resume_worker(*worker),
-            Event::Use {
+            Event::SuspensionChanged {
                 worker,
-                again: false,
+                resume: false,
             } => self.suspend_worker(*worker),
-            Event::Balancers(count) => self.settings.balancers = *count,
+            Event::DispatcherCountChanged(count) => self.settings.dispatcher_count = *count,
             Event::SiblingEvent(event) => self.handle_sibling_event(event),
-            Event::MigratedRequest { request, carried } => {
-                self.continue_migrated_request(*request, carried);
+            Event::RequestMigrated { request, record } => {
+                self.continue_migrated_request(*request, record);
             }
-            Event::Peer => {}
+            Event::PeerMessage => {}
         }
     }
 
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -2,7 +2,7 @@
 
 use super::dispatcher::Dispatcher;
 use super::estimates::smooth;
-use super::interface::{Field, Reports};
+use super::interface::{ReportField, ReportSource};
 use super::parameters::{
     CANDIDATE_POOL_SIZE, MAX_EJECTION_TIME, MEAN_LOAD_DECAY, OTHERS_LOAD_DECAY, OTHERS_LOAD_WEIGHT,
     REPORT_DELAY, REPORT_LIFETIME,
@@ -17,7 +17,7 @@
         let Some(load) = self.reported_load(index, figures) else {
             return;
         };
-        let memory = self.settings.figure(figures, Field::FreeMemory);
+        let memory = self.settings.figure(figures, ReportField::FreeMemory);
         let report = LoadReport {
             load: (load - ended_slots).max(0.0),
             memory: memory.unwrap_or(f64::INFINITY),
@@ -29,9 +29,9 @@
     /// Returns the load in a report, in slots; `None` if it has none. The most free slots ever seen
     /// on a machine kind count as its slots.
     fn reported_load(&mut self, index: WorkerIndex, figures: &[f32]) -> Option<f64> {
-        let queue = self.settings.figure(figures, Field::Queue);
-        let in_flight = self.settings.figure(figures, Field::InFlight);
-        let free = self.settings.figure(figures, Field::FreeSlots);
+        let queue = self.settings.figure(figures, ReportField::Queue);
+        let in_flight = self.settings.figure(figures, ReportField::InFlight);
+        let free = self.settings.figure(figures, ReportField::FreeSlots);
         let kind = self.workers.all[index].entry.kind;
         let slots = self.estimates.slots_by_kind.entry(kind).or_insert(0.0);
         *slots = slots.max(free.unwrap_or(0.0).round());
@@ -66,11 +66,12 @@
     /// Returns a worker's load plus the correction, in slots.
     ///
     /// Reports are old when they come, at times by seconds, but the own attempts at the worker are
-    /// known exactly. So of a report only what others hold is used, smoothed and decaying towards
-    /// the mean of its kind; the correction is all own attempts that have not ended. By the last
-    /// report alone, every request would go to the workers that have just answered.
+    /// known exactly. So only the load of other dispatchers is taken from a report, smoothed and
+    /// decaying towards the mean of its kind; the correction is all own attempts that have not
+    /// ended. By the last report alone, every request would go to the workers that have just
+    /// answered.
     pub(super) fn load(&self, worker: &Worker) -> f64 {
-        // A dispatcher that holds its requests gets no reports, and would hold them for ever.
+        // A dispatcher that sends nothing gets no reports, and would never send again.
         let silence = (self.now - self.estimates.last_report_at).max(0.0)
             / (MEAN_LOAD_DECAY * self.estimates.mean_run_time);
         let kind_load = self.estimates.others_load_by_kind.get(&worker.entry.kind);
@@ -81,10 +82,10 @@
             (-age).exp() * (worker.others_load - mean)
         });
         // Without reports the own attempts alone show no queue: other dispatchers are assumed to
-        // hold as much.
-        let dispatchers = match self.settings.reports {
-            Reports::None => self.settings.balancers.max(1).into(),
-            Reports::Answers | Reports::Probes => 1.0,
+        // have as much load there.
+        let dispatchers = match self.settings.report_source {
+            ReportSource::None => self.settings.dispatcher_count.max(1).into(),
+            ReportSource::Answers | ReportSource::Probes => 1.0,
         };
         (mean + deviation).max(0.0) + worker.own_load_before(f64::INFINITY) * dispatchers
     }
@@ -104,7 +105,7 @@
 
     /// Returns the expected wait for a slot of a worker, in seconds.
     pub(super) fn expected_wait(&self, worker: &Worker) -> f64 {
-        let is_known = self.settings.reports == Reports::None
+        let is_known = self.settings.report_source == ReportSource::None
             || self
                 .estimates
                 .others_load_by_kind
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -15,7 +15,7 @@
 /// A load report as the dispatcher uses it.
 #[derive(Clone, Copy)]
 pub struct LoadReport {
-    /// Jobs that the worker holds, in slots.
+    /// Jobs at the worker, waiting or running, in slots.
     pub load: f64,
     /// Free memory units; infinite if not reported.
     pub memory: f64,
@@ -28,7 +28,7 @@
     /// The attempt.
     pub key: AttemptKey,
     /// Slots that the job takes.
-    pub need: f64,
+    pub slots: f64,
     /// Expected work, in seconds.
     pub work: f64,
     /// When it was sent.
@@ -46,7 +46,7 @@
     pub at: f64,
 }
 
-/// An attempt that counts towards a cold worker's budget, whether it has ended or not.
+/// An attempt that counts towards a slow-start budget, whether it has ended or not.
 struct SentWork {
     at: f64,
     work: f64,
@@ -59,7 +59,7 @@
     pub entry: Entry,
     /// Its last load report.
     pub report: Option<LoadReport>,
-    /// Load that others hold there, smoothed, in slots.
+    /// Load of other dispatchers there, smoothed, in slots.
     pub others_load: f64,
     /// Own attempts there.
     pub own: Vec<OwnAttempt>,
@@ -122,7 +122,7 @@
         self.own
             .iter()
             .filter(|own| own.sent < at)
-            .map(|own| own.need)
+            .map(|own| own.slots)
             .sum()
     }
 
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Applies a worker list. What was known of a worker that has started since does not hold any
+    /// Applies a worker list. What was known of a worker that has started since is not valid any
     /// more.
     pub fn apply_list(&mut self, kind: ListKind, entries: &[Entry]) {
-        if !matches!(kind, ListKind::Delta | ListKind::Passed) {
+        if !matches!(kind, ListKind::Delta | ListKind::FromPeer) {
             for worker in &mut self.all {
-                worker.entry.health = Health::Gone;
+                worker.entry.health = Health::Removed;
             }
         }
         for entry in entries {
@@ -233,7 +233,7 @@
         self.started = ready.iter().copied().filter(has_start).collect();
         self.total_size = ready
             .iter()
-            .map(|&index| self.all[index].size(settings.sized))
+            .map(|&index| self.all[index].size(settings.sizes_compare))
             .sum();
         self.by_cell = by_cell;
         self.ready_by_class = ready_by_class;
@@ -312,14 +312,14 @@
         self.last_reporters.drain(..surplus);
     }
 
-    /// Returns the position of a worker, and adds it as one that is gone if it was never listed.
-    pub fn index_or_add_gone(&mut self, id: WorkerId) -> WorkerIndex {
+    /// Returns the position of a worker, and adds it as removed if it was never listed.
+    pub fn index_or_add_removed(&mut self, id: WorkerId) -> WorkerIndex {
         let new = self.all.len();
         let index = *self.index.entry(id).or_insert(new);
         if index == new {
             let entry = Entry {
                 worker: id,
-                health: Health::Gone,
+                health: Health::Removed,
                 ..Entry::default()
             };
             self.all.push(Worker {
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -74,14 +74,18 @@
         let unreserved = config.sockets.saturating_sub(descriptor_budget.reserved);
         let limits = descriptor_budget.limits(unreserved);
         let mut settings = config.settings.clone();
-        settings.max_open = limits.waiting;
+        settings.max_waiting_requests = limits.waiting;
         let clients = Clients::new(
             &mut reactor,
             listeners.clients,
             settings.clone(),
             limits.clients,
         )?;
-        let attempts = Attempts::new(limits.attempts, settings.dial_timeout, settings.conn_idle);
+        let attempts = Attempts::new(
+            limits.attempts,
+            settings.dial_timeout,
+            settings.idle_timeout,
+        );
 
         let cached = cached_workers(config.cached_list.as_ref(), &settings);
         let mut worker_list = WorkerList::new(
@@ -242,7 +246,7 @@
         sockets: config.sockets,
         reserved: RESERVED_DESCRIPTORS + management + peers,
         clients_by_memory,
-        max_waiting: config.settings.max_open,
+        max_waiting: config.settings.max_waiting_requests,
     }
 }
 
--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -35,7 +35,7 @@
         if self.requests_by_id.contains_key(id) || self.sibling_requests.contains_key(id) {
             return Err(Answer::DuplicateRequestId);
         }
-        let limit = self.settings.max_open;
+        let limit = self.settings.max_waiting_requests;
         if limit > 0 && self.waiting_client_count() >= limit {
             return Err(Answer::Failed);
         }
@@ -76,12 +76,13 @@
             waiters: Vec::new(),
             may_have_run: false,
             slots: event.slots,
-            expected_work: event.hint,
+            expected_work: event.expected_work,
             span: self.request_span(&submission),
             payload: Rc::new(submission.payload),
         };
         self.requests.insert(request, in_flight);
-        self.dispatcher_events.push_back(Event::Request(event));
+        self.dispatcher_events
+            .push_back(Event::RequestReceived(event));
     }
 
     fn new_request_event(
@@ -96,16 +97,16 @@
             .position(|name| Some(name) == submission.tenant.as_ref())
             .unwrap_or(0);
         NewRequest {
-            request,
+            id: request,
             class: submission.class,
             tenant: tenant as u16,
-            key: submission.affinity_key,
-            budget,
-            hint: submission.expected_work,
+            subject: submission.affinity_key,
+            time_limit: budget,
+            expected_work: submission.expected_work,
             slots: submission.slots.unwrap_or(DEFAULT_SLOTS),
             memory: submission.memory.unwrap_or(0.0),
-            repeat: submission.repeat,
-            keyless: submission.payload.idempotency_key.is_none(),
+            is_marked_retry: submission.repeat,
+            without_key: submission.payload.idempotency_key.is_none(),
         }
     }
 
@@ -139,12 +140,12 @@
             in_flight.client = None;
             // Where settings allow cancels, the dispatcher cancels all attempts. What has not been sent can be
             // withdrawn even where they don't.
-            if !self.settings.may_cancel {
+            if !self.settings.cancel_allowed {
                 unwritten.extend(in_flight.unwritten_attempts(request));
             }
         }
         self.dispatcher_events
-            .push_back(Event::ClientGone { request });
+            .push_back(Event::ClientDisconnected { request });
         self.maybe_complete.push(request);
         self.withdraw_attempts(now, unwritten, out);
     }
--- a/src/net/requests/attempts.rs
+++ b/src/net/requests/attempts.rs
@@ -100,7 +100,7 @@
             || in_flight.deadline - now <= 0.0
             || key.attempt >= self.settings.max_attempts;
         if given_up {
-            Some(Outcome::Moot)
+            Some(Outcome::CancelledLocally)
         } else if timeout < 0.0 {
             Some(Outcome::Timeout)
         } else {
@@ -218,14 +218,14 @@
         };
         ended.ended = true;
         let never_ran =
-            !ended.may_start || outcome.proves_never_ran(self.settings.full_proves_nothing);
+            !ended.may_start || outcome.proves_never_ran(self.settings.full_may_have_run);
         let worker = ended.worker.id();
         let elapsed = now - ended.sent_at;
         self.attempts.remove(&ended.id);
         in_flight.may_have_run |= !never_ran;
         let request_id = &in_flight.payload.id;
         if let (Some(policy), Some(_)) = (&mut self.durability, &in_flight.fingerprint)
-            && outcome != Outcome::Ok
+            && outcome != Outcome::Succeeded
         {
             let failure = if never_ran {
                 AttemptFailure::NeverRan
@@ -245,13 +245,13 @@
                 .push(StateUpdate::AttemptEnded { id, attempt });
         }
         let report = self.load_report(load);
-        self.dispatcher_events.push_back(Event::Outcome {
+        self.dispatcher_events.push_back(Event::AttemptEnded {
             request,
             attempt,
             worker,
             outcome,
             elapsed,
-            closed,
+            answered: closed,
             report,
         });
         self.maybe_complete.push(request);
@@ -291,7 +291,7 @@
                     attempt: attempt.id,
                 });
             } else {
-                self.record_attempt_end(now, attempt.key, Outcome::Moot, &Load::new());
+                self.record_attempt_end(now, attempt.key, Outcome::CancelledLocally, &Load::new());
             }
         }
     }
@@ -300,9 +300,9 @@
 /// Returns the dispatcher's outcome for the end of an attempt's exchange; `written` if its last byte was.
 fn outcome_of_end(end: AttemptEnd, written: bool) -> Outcome {
     match end {
-        AttemptEnd::RejectedUnstarted => Outcome::Full,
+        AttemptEnd::RejectedUnstarted => Outcome::Rejected,
         AttemptEnd::RejectedAmbiguous => Outcome::Unknown(AMBIGUOUS_REJECTION_CODE),
-        AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
+        AttemptEnd::LocalCapacityExhausted => Outcome::CancelledLocally,
         AttemptEnd::NeverSent if !written => Outcome::ConnectFailed,
         AttemptEnd::NeverSent | AttemptEnd::Reset => Outcome::Reset,
         AttemptEnd::Accepted | AttemptEnd::Error => Outcome::Error,
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -3,7 +3,7 @@
 use super::durability::Durability;
 use super::in_flight::{Attempt, AttemptKey, CoalescedWaiter};
 use super::manager::RequestManager;
-use crate::decision::interface::{Event, Note, Outcome, RequestId};
+use crate::decision::interface::{Event, Outcome, ProgressNote, RequestId};
 use crate::net::messages::{Answer, CallbackState, ClientId, Command, WorkerCallback, WriteWaiter};
 use postproxy_idempotency::{Completion, LateCallback, Resolution, Write};
 
@@ -68,16 +68,18 @@
         };
         let returned = callback.state == CallbackState::Returned;
         let (outcome, mut records) = match callback.state {
-            CallbackState::Started => return self.push_note(key, Note::Started),
-            CallbackState::Running(share) => return self.push_note(key, Note::Progress(share)),
-            CallbackState::Unknown => return self.push_note(key, Note::Other),
+            CallbackState::Started => return self.push_note(key, ProgressNote::Started),
+            CallbackState::Running(share) => {
+                return self.push_note(key, ProgressNote::Progress(share));
+            }
+            CallbackState::Unknown => return self.push_note(key, ProgressNote::Unknown),
             CallbackState::Done(result) => {
                 let records = self.record_result(now, request, &result);
                 self.answer_request(request, Answer::Served(result), out);
-                (Outcome::Ok, records)
+                (Outcome::Succeeded, records)
             }
             CallbackState::Failed => (Outcome::Error, Vec::new()),
-            CallbackState::Returned => (Outcome::Full, Vec::new()),
+            CallbackState::Returned => (Outcome::Rejected, Vec::new()),
             CallbackState::Lost => (Outcome::Reset, Vec::new()),
         };
         if let Some(in_flight) = self.requests.get_mut(&request) {
@@ -119,8 +121,8 @@
     }
 
     /// Informs the dispatcher of an attempt's progress.
-    fn push_note(&mut self, key: AttemptKey, note: Note) -> Acknowledgement {
-        self.dispatcher_events.push_back(Event::Note {
+    fn push_note(&mut self, key: AttemptKey, note: ProgressNote) -> Acknowledgement {
+        self.dispatcher_events.push_back(Event::AttemptProgress {
             request: key.request,
             attempt: key.attempt,
             note,
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -49,9 +49,9 @@
         keyed: Durability,
     ) -> Self {
         let durability = |effect: Effect| match effect {
-            Effect::Safe => Durability::None,
-            Effect::Keyed => keyed,
-            Effect::Unsafe => Durability::Durable,
+            Effect::Idempotent => Durability::None,
+            Effect::IdempotentByKey => keyed,
+            Effect::NotIdempotent => Durability::Durable,
         };
         let by_class = settings
             .classes
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -88,7 +88,7 @@
 
     /// Sets how many clients may wait for an answer at a time; 0 for no limit.
     pub fn set_waiting_limit(&mut self, limit: usize) {
-        self.settings.max_open = limit;
+        self.settings.max_waiting_requests = limit;
     }
 
     /// Returns the number of requests that wait for their final answer or for the end of an attempt.
@@ -177,9 +177,9 @@
 
     fn handle_timer_expired(&mut self, now: f64, timer: RequestTimer, out: &mut Vec<Command>) {
         match timer {
-            RequestTimer::Dispatcher { token } => {
-                self.dispatcher_events.push_back(Event::Timer { token })
-            }
+            RequestTimer::Dispatcher { token } => self
+                .dispatcher_events
+                .push_back(Event::TimerExpired { token }),
             RequestTimer::AttemptTimeout { request, attempt } => {
                 self.handle_attempt_timeout(now, AttemptKey { request, attempt }, out)
             }
@@ -196,7 +196,9 @@
     fn handle_node_count_changed(&mut self, count: usize) {
         let known = u32::try_from(count).ok().filter(|count| *count > 0);
         self.dispatcher_events
-            .push_back(Event::Balancers(known.unwrap_or(self.settings.balancers)));
+            .push_back(Event::DispatcherCountChanged(
+                known.unwrap_or(self.settings.dispatcher_count),
+            ));
     }
 
     /// Has the dispatcher handle its events, and carries out the actions that it returns, until none is left.
@@ -213,7 +215,7 @@
     /// Carries out an action of the dispatcher.
     fn apply_action(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Watch => {} // the worker list's watch has a schedule of its own
+            Action::WatchDiscovery => {} // the worker list's watch has a schedule of its own
             Action::Send {
                 request,
                 worker,
@@ -222,7 +224,7 @@
             Action::Cancel { request, attempt } => {
                 self.cancel_attempt(now, AttemptKey { request, attempt }, out)
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => self.answer_request(request, Answer::RejectedWithRetryAfter(retry_after), out),
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -200,14 +200,14 @@
         self.push_migrated_request_updates(now, &in_flight);
         self.requests.insert(request, in_flight);
         if client.is_some() {
-            self.dispatcher_events.push_back(Event::MigratedRequest {
+            self.dispatcher_events.push_back(Event::RequestMigrated {
                 request,
-                carried: Box::new(migrated.dispatcher_state),
+                record: Box::new(migrated.dispatcher_state),
             });
             return;
         }
         self.maybe_complete.push(request);
-        if self.settings.may_cancel {
+        if self.settings.cancel_allowed {
             for attempt in open_attempts {
                 self.cancel_attempt(now, AttemptKey { request, attempt }, out);
             }
--- a/src/net/requests/probes.rs
+++ b/src/net/requests/probes.rs
@@ -38,9 +38,9 @@
         load: &Load,
     ) {
         let outcome = match end {
-            AttemptEnd::Accepted => Outcome::Ok,
+            AttemptEnd::Accepted => Outcome::Succeeded,
             // No fault of the worker.
-            AttemptEnd::LocalCapacityExhausted => Outcome::Moot,
+            AttemptEnd::LocalCapacityExhausted => Outcome::CancelledLocally,
             AttemptEnd::NeverSent => Outcome::ConnectFailed,
             AttemptEnd::Reset => Outcome::Timeout,
             AttemptEnd::RejectedUnstarted | AttemptEnd::RejectedAmbiguous | AttemptEnd::Error => {
@@ -48,7 +48,7 @@
             }
         };
         let report = self.load_report(load);
-        self.dispatcher_events.push_back(Event::Probed {
+        self.dispatcher_events.push_back(Event::ProbeEnded {
             worker: probe.worker.id(),
             outcome,
             elapsed: now - probe.sent_at,
--- a/src/net/requests/record_writes.rs
+++ b/src/net/requests/record_writes.rs
@@ -131,10 +131,10 @@
             Answer::RejectedWithRetryAfter(retry_after)
         };
         self.answer_request(key.request, answer, out);
-        self.dispatcher_events.push_back(Event::ClientGone {
+        self.dispatcher_events.push_back(Event::ClientDisconnected {
             request: key.request,
         });
-        self.record_attempt_end(now, key, Outcome::Moot, &Load::new());
+        self.record_attempt_end(now, key, Outcome::CancelledLocally, &Load::new());
     }
 
     /// Notes whether the store accepts writes. When it does again, all records that were refused are written anew.
--- a/src/net/requests/siblings.rs
+++ b/src/net/requests/siblings.rs
@@ -183,10 +183,7 @@
 
     /// Has the dispatcher's budgets count a sibling's requests and retries of these times.
     fn push_budget_history(&mut self, admitted: Vec<f64>, retries: Vec<f64>) {
-        self.push_sibling_event(SiblingEvent::Past {
-            taken: admitted,
-            further: retries,
-        });
+        self.push_sibling_event(SiblingEvent::BudgetHistory { admitted, retries });
     }
 
     fn add_sibling_request(&mut self, link: usize, id: &str) {
@@ -224,11 +221,11 @@
             worker,
         });
         let request = request.request;
-        self.push_sibling_event(SiblingEvent::Sent {
+        self.push_sibling_event(SiblingEvent::AttemptSent {
             request,
             attempt: *attempt,
             worker: worker.id(),
-            need: f64::from(*slots),
+            slots: f64::from(*slots),
             work: sound((*expected_work).into()).filter(|seconds| *seconds > 0.0),
             sent: time_of(now, *seconds_ago),
         });
@@ -251,7 +248,7 @@
         };
         let ended = request.open_attempts.swap_remove(position);
         let request = request.request;
-        self.push_sibling_event(SiblingEvent::Ended {
+        self.push_sibling_event(SiblingEvent::AttemptEnded {
             request,
             attempt: ended.attempt,
             worker: ended.worker.id(),
@@ -264,7 +261,7 @@
             return Relay::Stop;
         };
         for ended in request.open_attempts {
-            self.push_sibling_event(SiblingEvent::Ended {
+            self.push_sibling_event(SiblingEvent::AttemptEnded {
                 request: request.request,
                 attempt: ended.attempt,
                 worker: ended.worker.id(),
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -28,7 +28,7 @@
         let leaving = self.leaving_workers(kind, &entries);
         let unwritten = self.unwritten_attempts_to(&leaving);
         self.dispatcher_events
-            .push_back(Event::List { kind, entries });
+            .push_back(Event::WorkerListReceived { kind, entries });
         self.withdraw_attempts(now, unwritten, out);
     }
 
@@ -122,9 +122,9 @@
             self.workers.suspend(worker);
         }
         // Before any attempt is withdrawn: what is withdrawn must not go to the same worker again.
-        self.dispatcher_events.push_back(Event::Use {
+        self.dispatcher_events.push_back(Event::SuspensionChanged {
             worker: worker.id(),
-            again: resume,
+            resume,
         });
         out.push(Command::CloseIdleConnections {
             worker: self.workers.address(worker),
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -87,7 +87,7 @@
         let kind = position(&settings.kind_names, &self.flavor);
         let health = match self.phase.as_str() {
             IN_SERVICE => Health::Ready,
-            TERMINATED => Health::Gone,
+            TERMINATED => Health::Removed,
             // A worker in an unknown phase gets no new requests.
             _ => Health::Draining,
         };
--- a/src/net/upstream/worker_list/mod.rs
+++ b/src/net/upstream/worker_list/mod.rs
@@ -90,7 +90,7 @@
     /// worker; `seed` sets the jitter of the calls.
     pub fn new(discovery: SocketAddr, settings: Settings, known: Option<u64>, seed: u64) -> Self {
         let dial_timeout = settings.dial_timeout.max(MIN_DIAL_TIMEOUT_SECONDS);
-        let schedule = Schedule::new(settings.balancers, seed);
+        let schedule = Schedule::new(settings.dispatcher_count, seed);
         Self {
             discovery,
             settings,
@@ -168,7 +168,7 @@
             reactor.set_timer(until, Timer::Discovery);
         }
         // Where lists are pushed, changes count from the first moment; without a list there is no time to lose.
-        let first_call = if self.revision.is_some() && self.settings.list_on_request {
+        let first_call = if self.revision.is_some() && self.settings.discovery_on_request {
             FirstCall::Spread
         } else {
             FirstCall::Immediate
@@ -269,7 +269,7 @@
             records,
         };
         reactor.queue.push_back(Input::WorkerListReceived {
-            kind: ListKind::Passed,
+            kind: ListKind::FromPeer,
             workers: list.into_members(&self.settings),
         });
         let version = (peer_list.revision, peer_list.digest);
--- a/tests/decisions/decider.rs
+++ b/tests/decisions/decider.rs
@@ -1,4 +1,5 @@
-//! What makes the decisions in a simulation: a dispatcher in this process, or one in the program `postproxy-drill`.
+//! What makes the decisions in a simulation: a dispatcher in this process, or one in the program
+//! `postproxy-drill`.
 
 use super::text::{action_line, event_line, hex};
 use super::wire;
@@ -6,9 +7,9 @@
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// Takes events and gives actions, and writes both into a log.
+/// Handles events, returns the actions and writes both into a log.
 pub trait Decider {
-    /// The actions that follow from an event.
+    /// Returns the actions that follow from an event.
     fn handle(&mut self, now: f64, event: &Event, log: &mut Vec<String>) -> Vec<Action>;
 
     /// A new process takes over: its dispatcher starts, and these requests go on there.
@@ -36,13 +37,13 @@
     }
 
     fn release(&mut self, request: RequestId, shift: f64) -> Option<Event> {
-        let carried: Option<MigratedRequest> = self.dispatcher.release(request);
-        carried.map(|mut carried| {
-            carried.shift(shift);
-            carried.set_without_key(request.is_multiple_of(7));
-            Event::MigratedRequest {
+        let record: Option<MigratedRequest> = self.dispatcher.release(request);
+        record.map(|mut record| {
+            record.shift(shift);
+            record.set_without_key(request.is_multiple_of(7));
+            Event::RequestMigrated {
                 request,
-                carried: Box::new(carried),
+                record: Box::new(record),
             }
         })
     }
@@ -59,20 +60,22 @@
 
     fn hand_over(&mut self, now: f64, requests: &[RequestId]) -> Vec<Event> {
         let history = self.dispatcher.budget_history(64);
-        let (taken, further) = (history.admitted, history.retries);
-        let past = Event::SiblingEvent(SiblingEvent::Past { taken, further });
+        let history = Event::SiblingEvent(SiblingEvent::BudgetHistory {
+            admitted: history.admitted,
+            retries: history.retries,
+        });
         let shift = if now > 1010.0 { 0.0625 } else { 0.0 };
-        let carried: Vec<Event> = requests
+        let migrated: Vec<Event> = requests
             .iter()
             .filter_map(|id| self.release(*id, shift))
             .collect();
         self.seed += 1;
         self.dispatcher = Dispatcher::new(self.settings.clone(), self.seed).expect("a dispatcher");
-        std::iter::once(past).chain(carried).collect()
+        std::iter::once(history).chain(migrated).collect()
     }
 }
 
-/// A dispatcher in the program `postproxy-drill`, which is told by bytes.
+/// A dispatcher in the program `postproxy-drill`, which receives events as bytes.
 pub struct Drill {
     child: Child,
     input: Option<ChildStdin>,
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -1,7 +1,8 @@
-//! Events and actions as lines of text that don't depend on the names of Rust types; numbers are written exactly.
+//! Events and actions as lines of text that don't depend on the names of Rust types; numbers are
+//! written exactly.
 
 use postproxy::{
-    Action, Entry, Event, Health, ListKind, MigratedRequest, NewRequest, Note, Outcome,
+    Action, Entry, Event, Health, ListKind, MigratedRequest, NewRequest, Outcome, ProgressNote,
     SiblingEvent, WorkerId,
 };
 
@@ -15,7 +16,7 @@
         ListKind::Delta => "delta",
         ListKind::Full => "full",
         ListKind::Cached => "cached",
-        ListKind::Passed => "passed",
+        ListKind::FromPeer => "passed",
         ListKind::Failed => "failed",
     }
 }
@@ -24,7 +25,7 @@
     let health = match entry.health {
         Health::Ready => "ready",
         Health::Draining => "draining",
-        Health::Gone => "gone",
+        Health::Removed => "gone",
     };
     let Entry {
         zone,
@@ -42,38 +43,39 @@
 fn request_text(new: &NewRequest) -> String {
     format!(
         "request {} class {} tenant {} key {} budget {:?} hint {} slots {:?} memory {:?} repeat {} keyless {}",
-        new.request,
+        new.id,
         new.class,
         new.tenant,
-        new.key,
-        new.budget,
-        new.hint.map_or("none".into(), |hint| format!("{hint:?}")),
+        new.subject,
+        new.time_limit,
+        new.expected_work
+            .map_or("none".into(), |hint| format!("{hint:?}")),
         new.slots,
         new.memory,
-        new.repeat,
-        new.keyless,
+        new.is_marked_retry,
+        new.without_key,
     )
 }
 
 fn outcome_text(outcome: Outcome) -> String {
     match outcome {
-        Outcome::Ok => "ok".into(),
+        Outcome::Succeeded => "ok".into(),
         Outcome::Error => "error".into(),
-        Outcome::Full => "full".into(),
+        Outcome::Rejected => "full".into(),
         Outcome::Timeout => "timeout".into(),
         Outcome::ConnectFailed => "connect-failed".into(),
         Outcome::Reset => "reset".into(),
         Outcome::Cancelled => "cancelled".into(),
-        Outcome::Moot => "never-sent".into(),
+        Outcome::CancelledLocally => "never-sent".into(),
         Outcome::Unknown(code) => format!("code-{code}"),
     }
 }
 
-fn note_text(note: Note) -> String {
+fn note_text(note: ProgressNote) -> String {
     match note {
-        Note::Started => "started".into(),
-        Note::Progress(share) => format!("progress {share:?}"),
-        Note::Other => "other".into(),
+        ProgressNote::Started => "started".into(),
+        ProgressNote::Progress(share) => format!("progress {share:?}"),
+        ProgressNote::Unknown => "other".into(),
     }
 }
 
@@ -93,30 +95,30 @@
         .join(",")
 }
 
-fn sibling_text(news: &SiblingEvent) -> String {
-    match news {
-        SiblingEvent::Past { taken, further } => {
+fn sibling_text(event: &SiblingEvent) -> String {
+    match event {
+        SiblingEvent::BudgetHistory { admitted, retries } => {
             format!(
                 "taken [{}] further [{}]",
-                times_text(taken),
-                times_text(further)
+                times_text(admitted),
+                times_text(retries)
             )
         }
-        SiblingEvent::Sent {
+        SiblingEvent::AttemptSent {
             request,
             attempt,
             worker,
-            need,
+            slots,
             work,
             sent,
         } => {
             let work = work.map_or("none".into(), |work| format!("{work:?}"));
             format!(
-                "sent {request}.{attempt} to {} slots {need:?} work {work} at {sent:?}",
+                "sent {request}.{attempt} to {} slots {slots:?} work {work} at {sent:?}",
                 worker_text(*worker)
             )
         }
-        SiblingEvent::Ended {
+        SiblingEvent::AttemptEnded {
             request,
             attempt,
             worker,
@@ -127,8 +129,8 @@
 }
 
 /// The bytes in which a request goes to another process.
-fn carried_text(carried: &MigratedRequest) -> String {
-    let bytes = postcard::to_allocvec(carried).expect("a carried request is written to memory");
+fn record_text(record: &MigratedRequest) -> String {
+    let bytes = postcard::to_allocvec(record).expect("a migrated request is written to memory");
     hex(&bytes)
 }
 
@@ -140,40 +142,42 @@
 /// The line of an event at a time.
 pub fn event_line(now: f64, event: &Event) -> String {
     let text = match event {
-        Event::List { kind, entries } => {
+        Event::WorkerListReceived { kind, entries } => {
             let entries: Vec<String> = entries.iter().map(entry_text).collect();
             format!("list {} {}", list_kind_text(*kind), entries.join(" "))
         }
-        Event::Request(new) => request_text(new),
-        Event::Streaming { request, attempt } => format!("streaming {request}.{attempt}"),
-        Event::Note {
+        Event::RequestReceived(new) => request_text(new),
+        Event::AttemptStreaming { request, attempt } => format!("streaming {request}.{attempt}"),
+        Event::AttemptProgress {
             request,
             attempt,
             note,
         } => format!("note {request}.{attempt} {}", note_text(*note)),
-        Event::Outcome {
+        Event::AttemptEnded {
             request,
             attempt,
             worker,
             outcome,
             elapsed,
-            closed,
+            answered,
             report,
         } => format!(
-            "outcome {request}.{attempt} {} {} after {elapsed:?} closed {closed} report [{}]",
+            "outcome {request}.{attempt} {} {} after {elapsed:?} closed {answered} report [{}]",
             worker_text(*worker),
             outcome_text(*outcome),
             report_text(report)
         ),
-        Event::ClientGone { request } => format!("client-gone {request}"),
-        Event::Use { worker, again } => format!("use {} {again}", worker_text(*worker)),
-        Event::Balancers(count) => format!("balancers {count}"),
+        Event::ClientDisconnected { request } => format!("client-gone {request}"),
+        Event::SuspensionChanged { worker, resume } => {
+            format!("use {} {resume}", worker_text(*worker))
+        }
+        Event::DispatcherCountChanged(count) => format!("balancers {count}"),
         Event::SiblingEvent(news) => format!("sibling {}", sibling_text(news)),
-        Event::MigratedRequest { request, carried } => {
-            format!("carried {request} {}", carried_text(carried))
+        Event::RequestMigrated { request, record } => {
+            format!("carried {request} {}", record_text(record))
         }
-        Event::Timer { token } => format!("timer {token:x}"),
-        Event::Probed {
+        Event::TimerExpired { token } => format!("timer {token:x}"),
+        Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
@@ -184,7 +188,7 @@
             outcome_text(*outcome),
             report_text(report)
         ),
-        Event::Peer => "peer".into(),
+        Event::PeerMessage => "peer".into(),
     };
     format!("{now:?} {text}")
 }
@@ -192,7 +196,7 @@
 /// The line of an action.
 pub fn action_line(action: &Action) -> String {
     let text = match action {
-        Action::Watch => "watch".into(),
+        Action::WatchDiscovery => "watch".into(),
         Action::Send {
             request,
             worker,
@@ -204,7 +208,7 @@
             )
         }
         Action::Cancel { request, attempt } => format!("cancel {request}.{attempt}"),
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => format!("refuse {request} retry-after {retry_after:?}"),
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,4 +1,4 @@
-//! The adapter's binary, driven over pipes.
+//! The program `postproxy-drill`, driven through pipes.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -16,7 +16,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    // The drill may end before it has read everything.
+    // The program may end before it has read everything.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     child.wait_with_output().expect("the binary ends")
 }
@@ -87,7 +87,7 @@
     )
 }
 
-/// The actions in a reply stream, as (instance, bytes), over all replies.
+/// Returns the actions of all replies, as instance and bytes.
 fn actions(mut bytes: &[u8]) -> Vec<(u32, Vec<u8>)> {
     let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
     let mut all = Vec::new();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn one_instance_acts_the_same_alone_and_among_others() {
+fn instance_acts_the_same_alone_and_among_others() {
     let together = drill(&day(&[1, 2, 3]));
     assert!(together.status.success());
     let together = actions(&together.stdout);
@@ -144,14 +144,14 @@
 }
 
 #[test]
-fn the_end_of_input_ends_it_well() {
+fn end_of_input_ends_the_program_successfully() {
     let output = drill(&batch(7, 1.0, &[]));
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [7, 0, 0, 0, 0, 0, 0, 0]);
 }
 
 #[test]
-fn unknown_instances_are_ignored_and_stopped_ones_forgotten() {
+fn events_of_unknown_and_stopped_instances_are_ignored() {
     let stop = record(25, &[&1u32.to_le_bytes()]);
     let records = [
         start(1, SETTINGS),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn bad_input_is_one_line_and_a_failure() {
+fn malformed_input_fails_with_a_one_line_error() {
     for (input, word) in [
         (batch(1, 1.0, &[record(99, &[&[0; 4]])]), "99"),
         (batch(1, 1.0, &[])[..15].to_vec(), "ended"),
@@ -192,7 +192,8 @@
     }
 }
 
-/// The deployment page asks for the files with decisions under `policy`. They stay small enough to be read.
+/// The deployment file lists all files with decisions under `policy`, and they stay short enough to
+/// be read.
 #[test]
 fn every_file_of_the_decision_module_is_listed_and_short() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,16 +26,22 @@
         zone: (n % 3) as u8,
         ..entry(n)
     };
-    harness.list(ListKind::Full, (0..30).map(entry_in_zone).collect());
+    harness.receive_list(ListKind::Full, (0..30).map(entry_in_zone).collect());
     let mut sent_by_zone = BTreeMap::new();
     let mut running = VecDeque::<RunningRequest>::new();
     for id in 1..=20 * requests_per_second {
         harness.now += 1.0 / requests_per_second as f64;
         let now = harness.now;
         while let Some(ended) = running.pop_front_if(|request| request.ends_at <= now) {
-            harness.answer(ended.id, 0, ended.worker, Outcome::Ok, vec![0.0, 8.0]);
+            harness.end_attempt_with_report(
+                ended.id,
+                0,
+                ended.worker,
+                Outcome::Succeeded,
+                vec![0.0, 8.0],
+            );
         }
-        for worker in sends(&harness.request(id, 2)) {
+        for worker in workers_sent_to(&harness.submit(id, 2)) {
             *sent_by_zone.entry(worker.address[3] % 3).or_insert(0u64) += 1;
             running.push_back(RunningRequest {
                 ends_at: harness.now + RUN_SECONDS,
@@ -73,9 +79,13 @@
             started: harness.now - 1.0,
             ..entry(0)
         };
-        harness.list(ListKind::Delta, vec![cold]);
+        harness.receive_list(ListKind::Delta, vec![cold]);
         for id in 1..=4 {
-            assert_eq!(sends(&harness.request(id, 2)).len(), 1, "{balancers:?}");
+            assert_eq!(
+                workers_sent_to(&harness.submit(id, 2)).len(),
+                1,
+                "{balancers:?}"
+            );
         }
     }
 }
@@ -95,20 +105,22 @@
     let mut harness = DispatcherHarness::new(settings(on_request), 0);
     let gone_or_draining = (0..60).map(|n| {
         let health = if n % 2 == 0 {
-            Health::Gone
+            Health::Removed
         } else {
             Health::Draining
         };
-        with_health(n, health)
+        entry_with_health(n, health)
     });
-    let mut due = timers(&harness.list(ListKind::Cached, gone_or_draining.collect()));
-    let actions = harness.request(1, 2);
-    assert!(sends(&actions).is_empty());
-    due.extend(timers(&actions));
-    due.extend(timers(&harness.list(ListKind::Failed, Vec::new())));
-    harness.list(ListKind::Full, (60..120).map(entry).collect());
+    let mut due = timers_set(&harness.receive_list(ListKind::Cached, gone_or_draining.collect()));
+    let actions = harness.submit(1, 2);
+    assert!(workers_sent_to(&actions).is_empty());
+    due.extend(timers_set(&actions));
+    due.extend(timers_set(
+        &harness.receive_list(ListKind::Failed, Vec::new()),
+    ));
+    harness.receive_list(ListKind::Full, (60..120).map(entry).collect());
     let until = harness.now + 1.0;
-    let sent_to = sends(&harness.run(until, &mut due));
+    let sent_to = workers_sent_to(&harness.run_until(until, &mut due));
     assert!(
         sent_to.len() == 1 && sent_to[0].address[3] >= 60,
         "{sent_to:?}"
@@ -120,7 +132,7 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 5000);
     let mut used = BTreeSet::new();
     for id in 1..=2000 {
-        let sent_to = sends(&harness.request(id, 2));
+        let sent_to = workers_sent_to(&harness.submit(id, 2));
         assert_eq!(sent_to.len(), 1);
         used.extend(sent_to);
     }
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -7,7 +7,7 @@
 
 use dispatcher_harness::*;
 use node_harness::TestSocket;
-use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId, WorkerId};
+use postproxy::{Action, Health, ListKind, Outcome, ProgressNote, RequestId, WorkerId};
 use std::net::TcpListener;
 use std::time::Duration;
 
@@ -30,9 +30,9 @@
 fn drain_others(harness: &mut DispatcherHarness, remaining: u16) {
     let others = (0..WORKERS)
         .filter(|n| *n != remaining)
-        .map(|n| with_health(n, Health::Draining))
+        .map(|n| entry_with_health(n, Health::Draining))
         .collect();
-    harness.list(ListKind::Delta, others);
+    harness.receive_list(ListKind::Delta, others);
 }
 
 /// Returns how many of these actions send an attempt of the request.
@@ -49,12 +49,12 @@
         for reports_start in [true, false] {
             let settings = settings(|json| json["extra"]["tells-start"] = reports_start.into());
             let mut harness = DispatcherHarness::new(settings, WORKERS);
-            let actions = harness.request(REQUEST, class);
-            let mut timers = timers(&actions);
-            drain_others(&mut harness, worker_number(sends(&actions)[0]));
+            let actions = harness.submit(REQUEST, class);
+            let mut timers = timers_set(&actions);
+            drain_others(&mut harness, worker_number(workers_sent_to(&actions)[0]));
             // Requests fill the budget for hedged requests.
-            (1000..1040).for_each(|id| drop(harness.request(id, UNSAFE)));
-            let actions = harness.run(103.9, &mut timers);
+            (1000..1040).for_each(|id| drop(harness.submit(id, UNSAFE)));
+            let actions = harness.run_until(103.9, &mut timers);
             assert_eq!(
                 count_sends(&actions),
                 0,
@@ -70,23 +70,23 @@
 fn does_not_retry_at_the_worker_of_a_cancelled_attempt() {
     let settings = settings(|json| json["extra"]["tells-start"] = true.into());
     let mut harness = DispatcherHarness::new(settings, WORKERS);
-    let actions = harness.request(REQUEST, SAFE);
-    let first = sends(&actions)[0];
-    let mut timers = timers(&actions);
-    let hedge = sends(&harness.run(100.3, &mut timers))[0];
+    let actions = harness.submit(REQUEST, SAFE);
+    let first = workers_sent_to(&actions)[0];
+    let mut timers = timers_set(&actions);
+    let hedge = workers_sent_to(&harness.run_until(100.3, &mut timers))[0];
     assert_eq!(
-        harness.note(REQUEST, 1, Note::Started),
+        harness.report_progress(REQUEST, 1, ProgressNote::Started),
         [Action::Cancel {
             request: REQUEST,
             attempt: 0
         }]
     );
-    harness.outcome(REQUEST, 0, first, Outcome::Cancelled);
+    harness.end_attempt(REQUEST, 0, first, Outcome::Cancelled);
     // Only the worker of the cancelled attempt is left when the other attempt fails.
     drain_others(&mut harness, worker_number(first));
-    let mut actions = harness.outcome(REQUEST, 1, hedge, Outcome::Reset);
-    timers.extend(dispatcher_harness::timers(&actions));
-    actions.extend(harness.run(102.0, &mut timers));
+    let mut actions = harness.end_attempt(REQUEST, 1, hedge, Outcome::Reset);
+    timers.extend(dispatcher_harness::timers_set(&actions));
+    actions.extend(harness.run_until(102.0, &mut timers));
     assert_eq!(count_sends(&actions), 0);
 }
 
@@ -101,22 +101,23 @@
         (Outcome::Cancelled, false),
         (Outcome::Unknown(7), false),
         (Outcome::ConnectFailed, true),
-        (Outcome::Moot, true),
-        (Outcome::Full, true),
+        (Outcome::CancelledLocally, true),
+        (Outcome::Rejected, true),
     ];
     for (outcome, never_ran) in outcomes {
         assert_eq!(outcome.proves_never_ran(false), never_ran, "{outcome:?}");
         assert!(
-            !outcome.proves_never_ran(true) || outcome != Outcome::Full,
+            !outcome.proves_never_ran(true) || outcome != Outcome::Rejected,
             "unless the settings say so"
         );
         for class in [SAFE, KEYED, UNSAFE] {
             let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
-            let actions = harness.request(REQUEST, class);
-            let mut timers = timers(&actions);
-            let mut actions = harness.outcome(REQUEST, 0, sends(&actions)[0], outcome);
-            timers.extend(dispatcher_harness::timers(&actions));
-            actions.extend(harness.run(103.0, &mut timers));
+            let actions = harness.submit(REQUEST, class);
+            let mut timers = timers_set(&actions);
+            let mut actions =
+                harness.end_attempt(REQUEST, 0, workers_sent_to(&actions)[0], outcome);
+            timers.extend(dispatcher_harness::timers_set(&actions));
+            actions.extend(harness.run_until(103.0, &mut timers));
             assert_eq!(
                 count_sends(&actions) > 0,
                 never_ran,
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -1,12 +1,13 @@
-//! Helpers of the tests: settings, entries and a dispatcher whose actions are collected.
+//! A harness around a dispatcher, with settings, worker entries and queries of its actions.
 #![allow(dead_code)]
 
 use postproxy::{
-    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, RequestId,
-    Settings, WorkerId,
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote,
+    RequestId, Settings, WorkerId,
 };
 
-/// Settings with three classes (0 safe, 1 keyed by cell, 2 unsafe) and what `change` does to the JSON.
+/// Returns settings after `change` of their JSON. They have three classes: 0 is idempotent, 1 is
+/// idempotent by key within a cell, 2 is not idempotent.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Settings {
     let mut json = serde_json::json!({
         "balancers": 4, "zone": 0, "discovery": "pushed", "tick": 0.004, "counted-by": "request",
@@ -25,76 +26,74 @@
     Settings::from_json(&json.to_string()).expect("settings of the tests are sound")
 }
 
-/// The id of worker `n`.
-pub fn worker(n: u16) -> WorkerId {
+/// Returns the id of worker `n`.
+pub fn worker_id(n: u16) -> WorkerId {
     WorkerId {
         address: [10, 0, (n >> 8) as u8, n as u8],
         port: 80,
     }
 }
 
-/// Worker `n`, ready, in a cell of four.
+/// Returns the entry of worker `n`, which is ready and in a cell of four.
 pub fn entry(n: u16) -> Entry {
     Entry {
-        worker: worker(n),
+        worker: worker_id(n),
         cell: n / 4,
         size: 1.0,
         ..Entry::default()
     }
 }
 
-/// A dispatcher under test.
+/// A dispatcher under test and the current time.
 pub struct DispatcherHarness {
     pub dispatcher: Dispatcher,
     pub now: f64,
 }
 
 impl DispatcherHarness {
-    /// A dispatcher with a full list of `workers` workers.
+    /// Returns a dispatcher that has received a list of `workers` workers.
     pub fn new(settings: Settings, workers: u16) -> Self {
         let dispatcher = Dispatcher::new(settings, 7).expect("settings of the tests are sound");
         let mut harness = Self {
             dispatcher,
             now: 100.0,
         };
-        harness.list(ListKind::Full, (0..workers).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..workers).map(entry).collect());
         harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, &event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+    pub fn receive_list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
+        self.handle(Event::WorkerListReceived { kind, entries })
     }
 
-    pub fn request(&mut self, request: RequestId, class: u8) -> Vec<Action> {
-        let budget = if class == 0 { 5.0 } else { 10.0 };
-        let hint = Some(0.5);
-        self.event(Event::Request(NewRequest {
-            request,
+    pub fn submit(&mut self, request: RequestId, class: u8) -> Vec<Action> {
+        self.handle(Event::RequestReceived(NewRequest {
+            id: request,
             class,
-            budget,
-            hint,
+            time_limit: if class == 0 { 5.0 } else { 10.0 },
+            expected_work: Some(0.5),
             slots: 1.0,
             ..NewRequest::default()
         }))
     }
 
-    pub fn outcome(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u16,
         to: WorkerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.answer(request, attempt, to, outcome, Vec::new())
+        self.end_attempt_with_report(request, attempt, to, outcome, Vec::new())
     }
 
-    pub fn answer(
+    pub fn end_attempt_with_report(
         &mut self,
         request: RequestId,
         attempt: u16,
@@ -102,20 +101,19 @@
         outcome: Outcome,
         report: Vec<f32>,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
-        self.event(Event::Outcome {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             worker: to,
             outcome,
             elapsed: 0.1,
-            closed,
+            answered: outcome == Outcome::Succeeded,
             report,
         })
     }
 
-    pub fn probed(&mut self, to: WorkerId, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
-        self.event(Event::Probed {
+    pub fn end_probe(&mut self, to: WorkerId, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
+        self.handle(Event::ProbeEnded {
             worker: to,
             outcome,
             elapsed: 0.01,
@@ -123,16 +121,21 @@
         })
     }
 
-    pub fn note(&mut self, request: RequestId, attempt: u16, note: Note) -> Vec<Action> {
-        self.event(Event::Note {
+    pub fn report_progress(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        note: ProgressNote,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptProgress {
             request,
             attempt,
             note,
         })
     }
 
-    /// Lets time pass until `until`, firing the timers in `due`, and collects what is done.
-    pub fn run(&mut self, until: f64, due: &mut Vec<(f64, u64)>) -> Vec<Action> {
+    /// Advances the time to `until`, handles the timers in `due` and returns the resulting actions.
+    pub fn run_until(&mut self, until: f64, due: &mut Vec<(f64, u64)>) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
             due.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -142,14 +145,14 @@
             }
             let (at, token) = due.remove(0);
             self.now = at.max(self.now);
-            let actions = self.event(Event::Timer { token });
-            due.extend(timers(&actions));
+            let actions = self.handle(Event::TimerExpired { token });
+            due.extend(timers_set(&actions));
             all.extend(actions);
         }
     }
 }
 
-pub fn timers(actions: &[Action]) -> Vec<(f64, u64)> {
+pub fn timers_set(actions: &[Action]) -> Vec<(f64, u64)> {
     let timer = |a: &Action| {
         if let Action::Timer { at, token } = *a {
             Some((at, token))
@@ -160,7 +163,7 @@
     actions.iter().filter_map(timer).collect()
 }
 
-pub fn sends(actions: &[Action]) -> Vec<WorkerId> {
+pub fn workers_sent_to(actions: &[Action]) -> Vec<WorkerId> {
     let send = |a: &Action| {
         if let Action::Send { worker, .. } = *a {
             Some(worker)
@@ -171,7 +174,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn probes(actions: &[Action]) -> Vec<WorkerId> {
+pub fn workers_probed(actions: &[Action]) -> Vec<WorkerId> {
     let probe = |a: &Action| {
         if let Action::Probe { worker } = *a {
             Some(worker)
@@ -182,15 +185,15 @@
     actions.iter().filter_map(probe).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Entries `n` with this health.
-pub fn with_health(n: u16, health: Health) -> Entry {
+/// Returns the entry of worker `n` with this health.
+pub fn entry_with_health(n: u16, health: Health) -> Entry {
     Entry { health, ..entry(n) }
 }
--- a/tests/suspended_workers.rs
+++ b/tests/suspended_workers.rs
@@ -19,9 +19,9 @@
 }
 
 fn set_in_use(harness: &mut DispatcherHarness, n: u16, in_use: bool) -> Vec<Action> {
-    harness.event(Event::Use {
-        worker: worker(n),
-        again: in_use,
+    harness.handle(Event::SuspensionChanged {
+        worker: worker_id(n),
+        resume: in_use,
     })
 }
 
@@ -79,14 +79,14 @@
             4 | 5 if !self.attempts.is_empty() => self.end_attempt(),
             6 => {
                 let until = self.harness.now + f64::from(self.random_below(100)) / 100.0;
-                self.harness.run(until, &mut self.timers)
+                self.harness.run_until(until, &mut self.timers)
             }
             _ => {
                 let request = self.next_request;
                 self.next_request += 1;
                 self.unanswered.insert(request);
                 let class = self.random_below(3) as u8;
-                self.harness.request(request, class)
+                self.harness.submit(request, class)
             }
         };
         self.check(&actions);
@@ -94,10 +94,10 @@
 
     fn change_worker(&mut self, n: u16, resumes: bool) -> Vec<Action> {
         if resumes {
-            self.suspended.remove(&worker(n));
+            self.suspended.remove(&worker_id(n));
             resume(&mut self.harness, n)
         } else {
-            self.suspended.insert(worker(n));
+            self.suspended.insert(worker_id(n));
             suspend(&mut self.harness, n)
         }
     }
@@ -109,27 +109,32 @@
             ListKind::Cached
         };
         let entries = (0..6).filter(|m| full || *m != n).map(entry).collect();
-        self.harness.list(kind, entries)
+        self.harness.receive_list(kind, entries)
     }
 
     fn update_entry(&mut self, n: u16, restarted: bool) -> Vec<Action> {
-        let states = [Health::Ready, Health::Draining, Health::Gone];
+        let states = [Health::Ready, Health::Draining, Health::Removed];
         let health = states[self.random_below(3) as usize];
         let started = if restarted { self.harness.now } else { 0.0 };
         let entry = Entry {
             started,
-            ..with_health(n, health)
+            ..entry_with_health(n, health)
         };
-        self.harness.list(ListKind::Delta, vec![entry])
+        self.harness.receive_list(ListKind::Delta, vec![entry])
     }
 
     fn end_attempt(&mut self) -> Vec<Action> {
         let index = self.random_below(self.attempts.len() as u32) as usize;
         let attempt = self.attempts.swap_remove(index);
-        let outcomes = [Outcome::Ok, Outcome::Full, Outcome::Reset, Outcome::Moot];
+        let outcomes = [
+            Outcome::Succeeded,
+            Outcome::Rejected,
+            Outcome::Reset,
+            Outcome::CancelledLocally,
+        ];
         let outcome = outcomes[self.random_below(4) as usize];
         let report = vec![self.random_below(9) as f32, self.random_below(5) as f32];
-        self.harness.answer(
+        self.harness.end_attempt_with_report(
             attempt.request,
             attempt.number,
             attempt.worker,
@@ -141,8 +146,8 @@
     /// Checks that nothing was sent to a suspended worker, and that each request is answered at most once.
     fn check(&mut self, actions: &[Action]) {
         let seed = self.seed;
-        self.timers.extend(timers(actions));
-        for worker in sends(actions) {
+        self.timers.extend(timers_set(actions));
+        for worker in workers_sent_to(actions) {
             assert!(
                 !self.suspended.contains(&worker),
                 "seed {seed}: sent to {worker:?}, which is suspended"
@@ -162,7 +167,7 @@
                         worker: *worker,
                     });
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(
                         self.unanswered.remove(request),
                         "seed {seed}: a second answer to {request}"
@@ -193,22 +198,27 @@
     let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
     suspend(&mut harness, 0);
     suspend(&mut harness, 1);
-    assert!(refused(&harness.request(1, 0)) && refused(&harness.request(2, 2)));
+    assert!(is_rejected(&harness.submit(1, 0)) && is_rejected(&harness.submit(2, 2)));
     resume(&mut harness, 0);
-    assert_eq!(sends(&harness.request(3, 0)), [worker(0)]);
+    assert_eq!(workers_sent_to(&harness.submit(3, 0)), [worker_id(0)]);
 }
 
 #[test]
 fn held_request_is_rejected_at_once_when_the_last_worker_is_suspended() {
     let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
-    harness.list(ListKind::Delta, vec![with_health(1, Health::Draining)]);
-    let actions = harness.request(1, 0);
-    assert_eq!(sends(&actions), [worker(0)]);
-    assert!(sends(&harness.outcome(1, 0, worker(0), Outcome::Full)).len() <= 1);
+    harness.receive_list(
+        ListKind::Delta,
+        vec![entry_with_health(1, Health::Draining)],
+    );
+    let actions = harness.submit(1, 0);
+    assert_eq!(workers_sent_to(&actions), [worker_id(0)]);
+    assert!(
+        workers_sent_to(&harness.end_attempt(1, 0, worker_id(0), Outcome::Rejected)).len() <= 1
+    );
     let actions = suspend(&mut harness, 0);
-    let later = harness.outcome(1, 1, worker(0), Outcome::Moot);
+    let later = harness.end_attempt(1, 1, worker_id(0), Outcome::CancelledLocally);
     assert!(
-        refused(&actions) || refused(&later),
+        is_rejected(&actions) || is_rejected(&later),
         "{actions:?} {later:?}"
     );
 }
@@ -234,13 +244,13 @@
             dispatcher,
             now: 100.0,
         };
-        harness.list(ListKind::Full, (0..8).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..8).map(entry).collect());
         match arrival {
             Arrival::Resumed => {
                 suspend(&mut harness, 3);
                 harness.now += 5.0;
                 resume(&mut harness, 3);
-                harness.list(ListKind::Delta, vec![entry(3)]);
+                harness.receive_list(ListKind::Delta, vec![entry(3)]);
             }
             Arrival::Started => {
                 harness.now += 5.0;
@@ -248,14 +258,14 @@
                     started: harness.now,
                     ..entry(3)
                 };
-                harness.list(ListKind::Delta, vec![started]);
+                harness.receive_list(ListKind::Delta, vec![started]);
             }
         }
         for request in 1..=5 {
             harness.now += 1.0;
-            let to = sends(&harness.request(request, 2))[0];
-            given += usize::from(to == worker(3));
-            harness.outcome(request, 0, to, Outcome::Ok);
+            let to = workers_sent_to(&harness.submit(request, 2))[0];
+            given += usize::from(to == worker_id(3));
+            harness.end_attempt(request, 0, to, Outcome::Succeeded);
         }
     }
     given
@@ -289,17 +299,17 @@
             dispatcher,
             now: 100.0,
         };
-        harness.list(ListKind::Full, (0..8).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..8).map(entry).collect());
         suspend(&mut harness, 3);
         resume(&mut harness, 3);
         let mut first_sent = None;
         for request in 1..60 {
             harness.now += 0.05;
-            let to = sends(&harness.request(request, 2));
-            if to.contains(&worker(3)) {
+            let to = workers_sent_to(&harness.submit(request, 2));
+            if to.contains(&worker_id(3)) {
                 first_sent = first_sent.or(Some(harness.now - 100.0));
             }
-            harness.outcome(request, 0, to[0], Outcome::Ok);
+            harness.end_attempt(request, 0, to[0], Outcome::Succeeded);
         }
         assert!(first_sent.is_some(), "seed {seed}");
     }
@@ -311,20 +321,20 @@
     let sends_to_resumed = |seed: u64| {
         let mut harness = DispatcherHarness::new(settings(|_| {}), 6);
         harness.dispatcher = Dispatcher::new(settings(|_| {}), seed).expect("valid settings");
-        harness.list(ListKind::Full, (0..6).map(entry).collect());
+        harness.receive_list(ListKind::Full, (0..6).map(entry).collect());
         if let Some(count) = count {
-            harness.event(Event::Balancers(count));
+            harness.handle(Event::DispatcherCountChanged(count));
         }
         suspend(&mut harness, 0);
         resume(&mut harness, 0);
         (0..12u16).any(|n| {
             harness.now += 0.3;
             let request = u64::from(n) + 1;
-            let to = sends(&harness.request(request, 0));
+            let to = workers_sent_to(&harness.submit(request, 0));
             for to in &to {
-                harness.outcome(request, 0, *to, Outcome::Ok);
+                harness.end_attempt(request, 0, *to, Outcome::Succeeded);
             }
-            to.contains(&worker(0))
+            to.contains(&worker_id(0))
         })
     };
     (0..40).filter(|seed| sends_to_resumed(*seed)).count()
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -4,7 +4,7 @@
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
 
-use dispatcher_harness::{sends, worker};
+use dispatcher_harness::{worker_id, workers_sent_to};
 use postproxy::decision::dispatcher::Dispatcher;
 use postproxy::decision::interface::{
     Action, Entry, Event, Health, ListKind, NewRequest, Outcome, Settings,
@@ -152,7 +152,7 @@
         let departed = self.discovery.departures.iter().take(revision as usize);
         let departed: Vec<u16> = departed.map(|departure| departure.worker).collect();
         let entry = |n: u16| Entry {
-            worker: worker(n),
+            worker: worker_id(n),
             health: if departed.contains(&n) {
                 Health::Draining
             } else {
@@ -162,7 +162,7 @@
             ..Entry::default()
         };
         let entries = (0..WORKERS).map(entry).collect();
-        let list = Event::List { kind, entries };
+        let list = Event::WorkerListReceived { kind, entries };
         self.dispatcher.handle(now, &list, &mut self.actions);
     }
 
@@ -233,18 +233,18 @@
     /// error if one of these has left longer ago than `max_delay` seconds.
     fn place_request(&mut self, now: f64, request: u64, max_delay: f64) -> Result<u64, String> {
         let new = NewRequest {
-            request,
-            budget: 5.0,
+            id: request,
+            time_limit: 5.0,
             slots: 1.0,
             ..NewRequest::default()
         };
         self.dispatcher
-            .handle(now, &Event::Request(new), &mut self.actions);
+            .handle(now, &Event::RequestReceived(new), &mut self.actions);
         let reachable_from = self.discovery.reachable_from;
         let mut checked = 0;
-        for to in sends(&self.actions) {
+        for to in workers_sent_to(&self.actions) {
             let departures = &self.discovery.departures;
-            let leaving = departures.iter().find(|d| worker(d.worker) == to);
+            let leaving = departures.iter().find(|d| worker_id(d.worker) == to);
             if let Some(Departure { at, worker }) =
                 leaving.filter(|d| now > d.at.max(reachable_from) + max_delay + TOLERANCE_SECONDS)
             {
@@ -260,17 +260,20 @@
     }
 
     fn cancel_request(&mut self, now: f64, request: u64) {
-        let sent = sends(&self.actions);
-        self.dispatcher
-            .handle(now, &Event::ClientGone { request }, &mut self.actions);
+        let sent = workers_sent_to(&self.actions);
+        self.dispatcher.handle(
+            now,
+            &Event::ClientDisconnected { request },
+            &mut self.actions,
+        );
         for (worker, attempt) in sent.into_iter().zip(0..) {
-            let ended = Event::Outcome {
+            let ended = Event::AttemptEnded {
                 request,
                 attempt,
                 worker,
                 outcome: Outcome::Cancelled,
                 elapsed: 0.0,
-                closed: false,
+                answered: false,
                 report: Vec::new(),
             };
             self.dispatcher.handle(now, &ended, &mut self.actions);
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -526,7 +526,7 @@
             Health::Ready,
             Health::Draining,
             Health::Draining,
-            Health::Gone
+            Health::Removed
         ]
     );
 }
