--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -1,160 +1,237 @@
-//! A worker is sent a further attempt of a request only once the earlier one there has ended, and was not given up.
+//! A worker is sent another attempt of a request only if the earlier one there has ended and was not cancelled.
 
-mod bed;
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
+#[path = "support/node_harness.rs"]
+mod node_harness;
 
-use bed::Peer;
-use common::*;
-use postproxy::{Action, Health, ListKind, Note, Outcome, RequestId};
+use dispatcher_harness::*;
+use node_harness::TestSocket;
+use postproxy::{Action, Health, ListKind, Outcome, ProgressNote, RequestId, WorkerId};
+use std::net::TcpListener;
 use std::time::Duration;
 
-/// Takes all workers but one out of the list, and lets the request be looked at for so long.
-fn alone(bed: &mut Bed, stays: u16, due: &mut Vec<(f64, u64)>, until: f64) -> Vec<Action> {
-    let others = (0..8).filter(|n| *n != stays).map(|n| with_health(n, Health::Draining)).collect();
-    bed.list(ListKind::Delta, others);
-    // Requests bring the budget for copies.
-    (1000..1040).for_each(|id| drop(bed.request(id, 2)));
-    bed.run(until, due)
+/// Number of listed workers in the tests with a choice.
+const WORKERS: u16 = 8;
+/// Classes of [`settings`]: requests that are safe to repeat, those with an idempotency key, and those that must not run
+/// twice.
+const SAFE: u8 = 0;
+const KEYED: u8 = 1;
+const UNSAFE: u8 = 2;
+/// The request whose attempts are counted.
+const REQUEST: RequestId = 1;
+
+/// Returns the number of the worker with this id.
+fn worker_number(worker: WorkerId) -> u16 {
+    u16::from(worker.address[3])
+}
+
+/// Has all workers but one drain.
+fn drain_others(harness: &mut DispatcherHarness, remaining: u16) {
+    let others = (0..WORKERS)
+        .filter(|n| *n != remaining)
+        .map(|n| entry_with_health(n, Health::Draining))
+        .collect();
+    harness.receive_list(ListKind::Delta, others);
 }
 
-/// Those of these actions that send an attempt of this request.
-fn sends_of(actions: &[Action], wanted: RequestId) -> usize {
-    let is_wanted = |a: &&Action| matches!(a, Action::Send { request, .. } if *request == wanted);
-    actions.iter().filter(is_wanted).count()
+/// Returns how many of these actions send an attempt of the request.
+fn count_sends(actions: &[Action]) -> usize {
+    let is_send =
+        |action: &&Action| matches!(action, Action::Send { request, .. } if *request == REQUEST);
+    actions.iter().filter(is_send).count()
 }
 
-/// Guards against a second copy at the worker that has been silent, where no other is left.
+/// Guards against a hedged request at the worker that has been silent, where no other is left.
 #[test]
-fn a_silent_attempt_is_not_copied_to_its_own_worker() {
-    for class in [0, 1] {
-        for tells_start in [true, false] {
-            let settings = settings(|json| json["extra"]["tells-start"] = tells_start.into());
-            let mut bed = Bed::new(settings, 8);
-            let actions = bed.request(1, class);
-            let (to, mut due) = (sends(&actions), timers(&actions));
-            let stays = u16::from(to[0].address[3]);
-            let all = alone(&mut bed, stays, &mut due, 103.9);
-            assert_eq!(sends_of(&all, 1), 0, "class {class}, starts told: {tells_start}");
+fn does_not_hedge_at_the_worker_of_a_silent_attempt() {
+    for class in [SAFE, KEYED] {
+        for reports_start in [true, false] {
+            let settings = settings(|json| json["extra"]["tells-start"] = reports_start.into());
+            let mut harness = DispatcherHarness::new(settings, WORKERS);
+            let actions = harness.submit(REQUEST, class);
+            let mut timers = timers_set(&actions);
+            drain_others(&mut harness, worker_number(workers_sent_to(&actions)[0]));
+            // Requests fill the budget for hedged requests.
+            (1000..1040).for_each(|id| drop(harness.submit(id, UNSAFE)));
+            let actions = harness.run_until(103.9, &mut timers);
+            assert_eq!(
+                count_sends(&actions),
+                0,
+                "class {class}, starts reported: {reports_start}"
+            );
         }
     }
 }
 
-/// Guards against a send to a worker to which a cancel of the same request is on its way: it may arrive behind the new attempt and end
-/// that one, or miss the old one.
+/// Guards against a send to a worker to which a cancel of the same request is on its way: it may arrive after the new
+/// attempt and end that one, or miss the old one.
 #[test]
-fn a_worker_whose_attempt_was_cancelled_gets_no_other_one() {
-    let mut bed = Bed::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
-    let actions = bed.request(1, 0);
-    let (first, mut due) = (sends(&actions), timers(&actions));
-    let copy = sends(&bed.run(100.3, &mut due));
-    assert_eq!(bed.note(1, 1, Note::Started), [Action::Cancel { request: 1, attempt: 0 }]);
-    bed.outcome(1, 0, first[0], Outcome::Cancelled);
-    // Only the worker of the cancelled attempt is left when the other one fails.
-    let stays = u16::from(first[0].address[3]);
-    let others = (0..8).filter(|n| *n != stays).map(|n| with_health(n, Health::Draining)).collect();
-    bed.list(ListKind::Delta, others);
-    let mut all = bed.outcome(1, 1, copy[0], Outcome::Reset);
-    due.extend(timers(&all));
-    all.extend(bed.run(102.0, &mut due));
-    assert_eq!(sends_of(&all, 1), 0);
+fn does_not_retry_at_the_worker_of_a_cancelled_attempt() {
+    let settings = settings(|json| json["extra"]["tells-start"] = true.into());
+    let mut harness = DispatcherHarness::new(settings, WORKERS);
+    let actions = harness.submit(REQUEST, SAFE);
+    let first = workers_sent_to(&actions)[0];
+    let mut timers = timers_set(&actions);
+    let hedge = workers_sent_to(&harness.run_until(100.3, &mut timers))[0];
+    assert_eq!(
+        harness.report_progress(REQUEST, 1, ProgressNote::Started),
+        [Action::Cancel {
+            request: REQUEST,
+            attempt: 0
+        }]
+    );
+    harness.end_attempt(REQUEST, 0, first, Outcome::Cancelled);
+    // Only the worker of the cancelled attempt is left when the other attempt fails.
+    drain_others(&mut harness, worker_number(first));
+    let mut actions = harness.end_attempt(REQUEST, 1, hedge, Outcome::Reset);
+    timers.extend(dispatcher_harness::timers_set(&actions));
+    actions.extend(harness.run_until(102.0, &mut timers));
+    assert_eq!(count_sends(&actions), 0);
 }
 
-/// Guards against an end that is taken for a proof in one place and not in another: of each end, whether the only worker may be sent the
-/// request again, and whether the request counts as having perhaps run.
+/// Guards against an outcome that is taken for a proof in one place and not in another: of each outcome, whether the only
+/// worker may be sent the request again, and whether the request counts as one that may have run.
 #[test]
-fn only_an_end_that_proves_that_nothing_ran_lets_the_worker_have_it_again() {
-    let ends = [
+fn retries_at_the_same_worker_only_if_nothing_ran() {
+    let outcomes = [
         (Outcome::Error, false),
         (Outcome::Timeout, false),
         (Outcome::Reset, false),
         (Outcome::Cancelled, false),
         (Outcome::Unknown(7), false),
         (Outcome::ConnectFailed, true),
-        (Outcome::Moot, true),
-        (Outcome::Full, true),
+        (Outcome::CancelledLocally, true),
+        (Outcome::Rejected, true),
     ];
-    for (end, never_ran) in ends {
-        assert_eq!(end.proves_never_ran(false), never_ran, "{end:?}");
-        assert!(!end.proves_never_ran(true) || end != Outcome::Full, "unless the settings say so");
-        for class in 0..3 {
-            let mut bed = Bed::new(settings(|_| ()), 1);
-            let actions = bed.request(1, class);
-            let (to, mut due) = (sends(&actions), timers(&actions));
-            let mut all = bed.outcome(1, 0, to[0], end);
-            due.extend(timers(&all));
-            all.extend(bed.run(103.0, &mut due));
-            assert_eq!(sends_of(&all, 1) > 0, never_ran, "class {class}, {end:?}");
+    for (outcome, never_ran) in outcomes {
+        assert_eq!(outcome.proves_never_ran(false), never_ran, "{outcome:?}");
+        assert!(
+            !outcome.proves_never_ran(true) || outcome != Outcome::Rejected,
+            "unless the settings say so"
+        );
+        for class in [SAFE, KEYED, UNSAFE] {
+            let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
+            let actions = harness.submit(REQUEST, class);
+            let mut timers = timers_set(&actions);
+            let mut actions =
+                harness.end_attempt(REQUEST, 0, workers_sent_to(&actions)[0], outcome);
+            timers.extend(dispatcher_harness::timers_set(&actions));
+            actions.extend(harness.run_until(103.0, &mut timers));
+            assert_eq!(
+                count_sends(&actions) > 0,
+                never_ran,
+                "class {class}, {outcome:?}"
+            );
         }
     }
 }
 
-/// Guards against the same in a whole node, on real connections: the worker has read the request whole, and its connection is reset
-/// before the 202. It runs there, so that the only worker is sent nothing more of it, whatever its class allows.
+/// Closes a worker's connection with a reset.
+fn reset_connection(worker: TestSocket) {
+    socket2::SockRef::from(&worker.stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("a socket option");
+    drop(worker);
+}
+
+/// Waits until the node connects to one of the workers, and returns that connection.
+fn accept_any(workers: &[TcpListener]) -> TestSocket {
+    loop {
+        if let Some((stream, _)) = workers.iter().find_map(|worker| worker.accept().ok()) {
+            stream.set_nonblocking(false).expect("a socket option");
+            return TestSocket::new(stream);
+        }
+        std::thread::yield_now();
+    }
+}
+
+/// Guards against the same in a whole node, on real connections: the worker has read the complete request, and its connection
+/// is reset before the 202. It runs there, so that the only worker is sent no other attempt, whatever its class allows.
 #[test]
-fn a_request_whose_connection_broke_is_not_sent_to_that_worker_again() {
+fn does_not_retry_at_a_worker_that_reset_the_connection() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
-        let bed = bed::Bed::with(1, 256, &[], |settings| {
+        let harness = node_harness::NodeHarness::with_settings(1, 256, &[], |settings| {
             settings["services"][0]["effect"] = effect.into();
             settings["services"][0]["dedup-scope"] = "cell".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
-        let mut client = Peer::to(bed.node);
+        let mut client = TestSocket::connect(harness.node);
         client.write(
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 1.0\r\nIdempotency-Key: k\r\n\
              Content-Length: 0\r\n\r\n",
         );
-        let mut worker = Peer::accept(&bed.workers[0]);
-        assert_eq!(worker.request().headers.get("x-request-id"), Some("one"));
-        socket2::SockRef::from(&worker.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
-        drop(worker);
-        assert_eq!(client.response().status, status, "{effect}");
-        bed.workers[0].set_nonblocking(true).expect("a setting");
-        assert!(bed.workers[0].accept().is_err(), "{effect}: a second attempt at the worker");
+        let mut worker = TestSocket::accept(&harness.workers[0]);
+        assert_eq!(
+            worker.read_request().headers.get("x-request-id"),
+            Some("one")
+        );
+        reset_connection(worker);
+        assert_eq!(client.read_response().status, status, "{effect}");
+        harness.workers[0]
+            .set_nonblocking(true)
+            .expect("a socket option");
+        assert!(
+            harness.workers[0].accept().is_err(),
+            "{effect}: a second attempt at the worker"
+        );
         drop(client);
-        bed.stop();
+        harness.stop();
     }
 }
 
-/// Guards against a repeat that no worker can know: the class is keyed, every worker drops repeats, and this request came without a key.
-/// On real connections: the first worker breaks off, and a second one is there.
+/// Guards against a repetition that no worker can recognise: the class is keyed, every worker drops repetitions, and this
+/// request came without a key. On real connections: the first worker resets its connection, and a second one is there.
 #[test]
-fn a_request_of_a_keyed_class_without_a_key_is_not_sent_again() {
-    for key in [true, false] {
-        let bed = bed::Bed::with(2, 256, &[], |settings| {
+fn does_not_retry_a_keyed_request_without_a_key() {
+    for has_key in [true, false] {
+        let harness = node_harness::NodeHarness::with_settings(2, 256, &[], |settings| {
             settings["services"][0]["effect"] = "token".into();
             settings["services"][0]["dedup-scope"] = "all".into();
             settings["services"][0]["memory-span"] = 10.0.into();
         });
-        let mut client = Peer::to(bed.node);
-        let header = if key { "Idempotency-Key: k\r\n" } else { "" };
+        let mut client = TestSocket::connect(harness.node);
+        let header = if has_key {
+            "Idempotency-Key: k\r\n"
+        } else {
+            ""
+        };
         client.write(&format!(
             "POST /render/a HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 2.0\r\n{header}Content-Length: 0\r\n\r\n"
         ));
-        // The one that has it first is whichever the lottery drew.
-        bed.workers.iter().for_each(|worker| worker.set_nonblocking(true).expect("a setting"));
-        let accept = || loop {
-            if let Some((stream, _)) = bed.workers.iter().find_map(|worker| worker.accept().ok()) {
-                stream.set_nonblocking(false).expect("a setting");
-                return Peer::new(stream);
-            }
-            std::thread::yield_now();
-        };
-        let mut worker = accept();
-        worker.request();
-        socket2::SockRef::from(&worker.stream).set_linger(Some(Duration::ZERO)).expect("a setting");
-        drop(worker);
-        if key {
-            let mut second = accept();
-            assert_eq!(second.request().headers.get("x-request-id"), Some("one"));
-            second.write(bed::ACCEPTED);
-            let done = |n| bed.call("one", n, r#""state":"done","result":"r""#);
-            assert_eq!((done(0), done(1)), (200, 200));
-            assert_eq!(client.response().status, 200);
+        // Either worker may be selected first.
+        harness
+            .workers
+            .iter()
+            .for_each(|worker| worker.set_nonblocking(true).expect("a socket option"));
+        let mut worker = accept_any(&harness.workers);
+        worker.read_request();
+        reset_connection(worker);
+        if has_key {
+            let mut second = accept_any(&harness.workers);
+            assert_eq!(
+                second.read_request().headers.get("x-request-id"),
+                Some("one")
+            );
+            second.write(node_harness::ACCEPTED);
+            let call_back = |n| harness.post_callback("one", n, r#""state":"done","result":"r""#);
+            assert_eq!((call_back(0), call_back(1)), (200, 200));
+            assert_eq!(client.read_response().status, 200);
         } else {
-            assert_eq!(client.response().status, 502, "failed: it may have run, and must not run twice");
-            assert!(bed.workers.iter().all(|worker| worker.accept().is_err()), "a second attempt");
+            assert_eq!(
+                client.read_response().status,
+                502,
+                "failed: it may have run, and must not run twice"
+            );
+            assert!(
+                harness
+                    .workers
+                    .iter()
+                    .all(|worker| worker.accept().is_err()),
+                "a second attempt"
+            );
         }
         drop(client);
-        bed.stop();
+        harness.stop();
     }
 }
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,5 +1,6 @@
-//! The decisions of the dispatcher, compared with recorded runs: the same seed and the same events give the same
-//! actions. `UPDATE_RECORDED_DECISIONS=1` writes the recordings anew and lets the tests fail.
+//! The decisions of the dispatcher, compared with recorded runs: the same seed and the same events
+//! give the same actions. `UPDATE_RECORDED_DECISIONS=1` writes the recordings anew and lets the
+//! tests fail.
 
 mod decisions;
 
@@ -22,22 +23,29 @@
 }
 
 fn compare_all(runs: Vec<(String, Recording)>) {
-    let failures: Vec<String> =
-        runs.iter().filter_map(|(name, recording)| compare(name, recording).err()).collect();
+    let failures: Vec<String> = runs
+        .iter()
+        .filter_map(|(name, recording)| compare(name, recording).err())
+        .collect();
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
 fn same_seed_and_events_give_the_recorded_actions() {
     let record = |scenario: Scenario| {
-        (scenario.name.to_owned(), Recording::of(&run_directly(&scenario), scenario.lines_in_full))
+        (
+            scenario.name.to_owned(),
+            Recording::of(&run_directly(&scenario), scenario.lines_in_full),
+        )
     };
     compare_all(scenarios().into_iter().map(record).collect());
 }
 
 #[test]
 fn drill_program_writes_the_recorded_bytes() {
-    let chosen = scenarios().into_iter().filter(|scenario| THROUGH_THE_PROGRAM.contains(&scenario.name));
+    let chosen = scenarios()
+        .into_iter()
+        .filter(|scenario| THROUGH_THE_PROGRAM.contains(&scenario.name));
     let record = |scenario: Scenario| {
         let name = format!("program-{}", scenario.name);
         (name, Recording::of(&run_through_the_program(&scenario), 80))
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,39 +1,47 @@
-//! The four rules and the further three over generated event sequences, watched by a checker that shares no code with the module.
+//! The rules of the dispatcher over generated event sequences, verified by a checker that shares no
+//! code with the module.
 //!
-//! Nothing here models queues: the generator only draws legal events with a fixed seed.
+//! Queues are not modelled: the generator only draws legal events with a fixed seed.
 
-mod common;
+#[path = "support/dispatcher_harness.rs"]
+mod dispatcher_harness;
 
-use common::*;
-use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Note, Outcome, WorkerId};
+use dispatcher_harness::*;
+use postproxy::{
+    Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, WorkerId,
+};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-const GRACE: f64 = 0.5;
-const SLACK: f64 = 0.016;
-const WINDOW: f64 = 4.0;
-// The budget of further attempts: so many, and this share of the requests taken, in so many seconds.
-const SPARE: usize = 3;
-const RATIO: f64 = 0.25;
-const LOOK_BACK: f64 = 2.0;
+const DRAIN_GRACE_SECONDS: f64 = 0.5;
+const ANSWER_SLACK_SECONDS: f64 = 0.016;
+const DEDUP_WINDOW_SECONDS: f64 = 4.0;
+// The retry budget: minimum, share of the admitted requests, and window in seconds.
+const MIN_RETRIES: usize = 3;
+const RETRY_RATIO: f64 = 0.25;
+const RETRY_WINDOW_SECONDS: f64 = 2.0;
 
-/// The further rules that hold in a sequence.
+/// The optional rules that apply in a sequence.
 #[derive(Clone, Copy)]
-struct Further {
+struct OptionalRules {
     placement: bool,
     budget: bool,
-    full_proves_nothing: bool,
+    full_may_have_run: bool,
 }
 
-impl Further {
+impl OptionalRules {
     fn of(seed: u64) -> Self {
         let (placement, budget) = (seed.is_multiple_of(2), (seed / 2).is_multiple_of(2));
-        Self { placement, budget, full_proves_nothing: (seed / 4).is_multiple_of(2) }
+        Self {
+            placement,
+            budget,
+            full_may_have_run: (seed / 4).is_multiple_of(2),
+        }
     }
 }
 
-/// Workers are of two kinds and in three zones, by their number.
+/// Workers have one of two kinds and are in one of three zones, by their number.
 fn kind(n: u16) -> u16 {
     n % 2
 }
@@ -44,15 +52,19 @@
 
 fn place(entry: Entry) -> Entry {
     let n = entry.worker.address[3].into();
-    Entry { kind: kind(n), zone: zone(n), ..entry }
+    Entry {
+        kind: kind(n),
+        zone: zone(n),
+        ..entry
+    }
 }
 
-/// What can be watched: the module, or a stand-in that breaks a rule on purpose.
-trait Decides {
+/// What the checker observes: a dispatcher, or a wrapper that breaks a rule on purpose.
+trait Decider {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>);
 }
 
-impl Decides for Dispatcher {
+impl Decider for Dispatcher {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         Dispatcher::handle(self, now, event, out);
     }
@@ -62,49 +74,103 @@
 enum Break {
     NoAnswer,
     SecondAnswer,
-    RepeatsUnsafe,
+    RetriesNonIdempotent,
     SendsToDraining,
     LeavesPlacement,
     SendsTwice,
     TrustsFull,
 }
 
-/// The module with one rule broken.
-struct Broken(Dispatcher, Break, Option<WorkerId>);
+/// A dispatcher with one rule broken.
+struct Broken {
+    dispatcher: Dispatcher,
+    rule: Break,
+    /// The latest worker that was listed as draining.
+    draining: Option<WorkerId>,
+}
+
+impl Broken {
+    fn new(dispatcher: Dispatcher, rule: Break) -> Self {
+        Self {
+            dispatcher,
+            rule,
+            draining: None,
+        }
+    }
+
+    /// Returns the actions that replace an action so that the rule is broken.
+    fn replace(&self, event: &Event, action: Action) -> Vec<Action> {
+        match (action.clone(), self.rule) {
+            (Action::Fail { .. } | Action::Reject { .. }, Break::NoAnswer) => Vec::new(),
+            (Action::Fail { request } | Action::Reject { request, .. }, Break::SecondAnswer) => {
+                vec![Action::Fail { request }, action]
+            }
+            (Action::Fail { request }, Break::RetriesNonIdempotent) => vec![Action::Send {
+                request,
+                worker: worker_id(1),
+                timeout: 0.0,
+            }],
+            (
+                Action::Send {
+                    request,
+                    worker,
+                    timeout,
+                },
+                Break::SendsToDraining,
+            ) => vec![Action::Send {
+                request,
+                worker: self.draining.unwrap_or(worker),
+                timeout,
+            }],
+            (
+                Action::Send {
+                    request, timeout, ..
+                },
+                Break::LeavesPlacement,
+            ) => vec![Action::Send {
+                request,
+                worker: worker_id(2),
+                timeout,
+            }],
+            (Action::Send { .. }, Break::SendsTwice) => vec![action.clone(), action],
+            (Action::Fail { request }, Break::TrustsFull) if is_rejected_attempt(event) => {
+                vec![Action::Reject {
+                    request,
+                    retry_after: 0.0,
+                }]
+            }
+            _ => vec![action],
+        }
+    }
+}
 
-impl Decides for Broken {
+impl Decider for Broken {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
-        self.0.handle(now, event, &mut actions);
-        if let Event::List { entries, .. } = event {
-            self.2 = entries.iter().find(|e| e.health == Health::Draining).map(|e| e.worker).or(self.2);
-        }
-        for mut action in actions {
-            match (&mut action, self.1) {
-                (Action::Fail { .. } | Action::Refuse { .. }, Break::NoAnswer) => continue,
-                (Action::Fail { request } | Action::Refuse { request, .. }, Break::SecondAnswer) => {
-                    out.push(Action::Fail { request: *request });
-                }
-                (Action::Fail { request }, Break::RepeatsUnsafe) => {
-                    let worker = worker(1);
-                    out.push(Action::Send { request: *request, worker, timeout: 0.0 });
-                    continue;
-                }
-                (Action::Send { worker, .. }, Break::SendsToDraining) => *worker = self.2.unwrap_or(*worker),
-                (Action::Send { worker: to, .. }, Break::LeavesPlacement) => *to = worker(2),
-                (Action::Send { .. }, Break::SendsTwice) => out.push(action.clone()),
-                (Action::Fail { request }, Break::TrustsFull) => {
-                    let full = matches!(event, Event::Outcome { outcome: Outcome::Full, .. });
-                    let request = *request;
-                    action = if full { Action::Refuse { request, retry_after: 0.0 } } else { action };
-                }
-                _ => {}
-            }
-            out.push(action);
+        self.dispatcher.handle(now, event, &mut actions);
+        if let Event::WorkerListReceived { entries, .. } = event {
+            self.draining = entries
+                .iter()
+                .find(|entry| entry.health == Health::Draining)
+                .map(|entry| entry.worker)
+                .or(self.draining);
+        }
+        for action in actions {
+            out.extend(self.replace(event, action));
         }
     }
 }
 
+fn is_rejected_attempt(event: &Event) -> bool {
+    matches!(
+        event,
+        Event::AttemptEnded {
+            outcome: Outcome::Rejected,
+            ..
+        }
+    )
+}
+
 struct Sent {
     to: WorkerId,
     at: f64,
@@ -112,266 +178,452 @@
     outcome: Option<Outcome>,
 }
 
-struct Job {
+struct ObservedRequest {
     class: u8,
     deadline: f64,
     sent: Vec<Sent>,
     done: bool,
 }
 
-/// Keeps its own books and names the first broken rule.
+/// Records events and actions, and names the first broken rule.
 struct Checker {
-    further: Further,
-    taken: Vec<f64>,
-    repeats: Vec<f64>,
+    optional: OptionalRules,
+    admitted: Vec<f64>,
+    retries: Vec<f64>,
     sent_for: BTreeSet<u64>,
-    jobs: BTreeMap<u64, Job>,
-    told_off: BTreeMap<WorkerId, f64>,
+    requests: BTreeMap<u64, ObservedRequest>,
+    unavailable_since: BTreeMap<WorkerId, f64>,
     started: BTreeMap<WorkerId, f64>,
-    cold_work: BTreeMap<WorkerId, Vec<(f64, f64)>>,
+    slow_start_work: BTreeMap<WorkerId, Vec<(f64, f64)>>,
 }
 
 impl Checker {
-    fn new(further: Further) -> Self {
+    fn new(optional: OptionalRules) -> Self {
         Self {
-            further,
-            taken: Vec::new(),
-            repeats: Vec::new(),
+            optional,
+            admitted: Vec::new(),
+            retries: Vec::new(),
             sent_for: BTreeSet::new(),
-            jobs: BTreeMap::new(),
-            told_off: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
             started: BTreeMap::new(),
-            cold_work: BTreeMap::new(),
+            slow_start_work: BTreeMap::new(),
         }
     }
 
-    fn list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
+    /// Returns the attempts that have no outcome, as request, number and worker.
+    fn attempts_in_flight(&self) -> Vec<(u64, u16, WorkerId)> {
+        let of_request = |(&id, request): (&u64, &ObservedRequest)| {
+            let sent = request.sent.iter().zip(0..);
+            sent.filter(|(sent, _)| sent.outcome.is_none())
+                .map(|(sent, number)| (id, number, sent.to))
+                .collect::<Vec<_>>()
+        };
+        self.requests.iter().flat_map(of_request).collect()
+    }
+
+    /// Records an event, and sets in the end of an attempt whether its request is answered.
+    fn observe_event(&mut self, now: f64, event: &mut Event) -> Result<(), String> {
+        match event {
+            Event::RequestReceived(_) => self.admitted.push(now),
+            Event::WorkerListReceived { kind, entries } => {
+                self.record_list(now, *kind, entries, WORKERS);
+            }
+            Event::AttemptEnded {
+                request,
+                outcome,
+                answered,
+                ..
+            } => {
+                let request = self.requests.get_mut(request).ok_or("an unknown request")?;
+                request.done |= *outcome == Outcome::Succeeded;
+                *answered = request.done;
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn record_list(&mut self, now: f64, kind: ListKind, entries: &[Entry], all: u16) {
         if kind == ListKind::Full {
-            for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker(n))) {
-                self.told_off.entry(worker(n)).or_insert(now);
+            for n in (0..all).filter(|&n| entries.iter().all(|e| e.worker != worker_id(n))) {
+                self.unavailable_since.entry(worker_id(n)).or_insert(now);
             }
         }
         for e in entries {
             self.started.insert(e.worker, e.started);
             if e.health == Health::Ready {
-                self.told_off.remove(&e.worker);
+                self.unavailable_since.remove(&e.worker);
             } else {
-                self.told_off.entry(e.worker).or_insert(now);
+                self.unavailable_since.entry(e.worker).or_insert(now);
             }
         }
     }
 
-    fn action(&mut self, now: f64, action: &Action) -> Result<(), String> {
+    fn check(&mut self, now: f64, action: &Action) -> Result<(), String> {
         match *action {
-            Action::Send { request, worker, .. } => {
-                let job = self.jobs.get_mut(&request).ok_or("a send for an unknown request")?;
-                if job.done {
-                    return Err("rule 1: a send after the end".into());
-                }
-                if self.told_off.get(&worker).is_some_and(|at| now > at + GRACE) {
-                    return Err("rule 3: a send to a worker told off".into());
-                }
-                let n = u16::from(worker.address[3]);
-                let cell = n / 4;
-                if self.further.placement
-                    && (job.class == 0 && kind(n) != 1 || job.class == 1 && zone(n) == 0)
-                {
-                    return Err("rule 5: a class sent out of its place".into());
-                }
-                if !self.sent_for.insert(request) && self.further.budget {
-                    self.repeats.push(now);
-                    let within = |times: &[f64]| times.iter().filter(|at| now - **at < LOOK_BACK).count();
-                    if within(&self.repeats) as f64 > SPARE as f64 + RATIO * within(&self.taken) as f64 {
-                        return Err("rule 6: over the budget of further attempts".into());
-                    }
-                }
-                let full_proves = !self.further.full_proves_nothing;
-                let proved = |s: &Sent| proves(s.outcome, full_proves);
-                let mut may_have_run = job.sent.iter().filter(|s| !proved(s));
-                if job.class == 2 && may_have_run.next().is_some() {
-                    let full = job.sent.iter().any(|s| s.outcome == Some(Outcome::Full));
-                    return Err(format!("rule 2: unsafe again{}", if full { ", rule 7" } else { "" }));
-                }
-                if job.class == 1 && may_have_run.any(|s| s.cell != cell || now > s.at + WINDOW) {
-                    return Err("rule 2: keyed again outside its cell or window".into());
-                }
-                job.sent.push(Sent { to: worker, at: now, cell, outcome: None });
-                let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
-                if age < 10.0 {
-                    // One dispatcher alone must stay under the whole budget of every window.
-                    let sent = self.cold_work.entry(worker).or_default();
-                    sent.push((now, 0.25));
-                    let window: f64 = sent.iter().filter(|(at, _)| now - at < 2.0).map(|(_, w)| w).sum();
-                    let capacity = 4.0 * (0.2 + 0.8 * age / 10.0);
-                    if window > 3.0 * capacity * 2.0 {
-                        return Err("rule 4: a cold worker pushed over".into());
-                    }
-                }
-            }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
-                let refuse = matches!(action, Action::Refuse { .. });
-                let job = self.jobs.get_mut(&request).ok_or("an answer for an unknown request")?;
-                if job.done {
-                    return Err("rule 1: a second answer".into());
-                }
-                if now > job.deadline + SLACK {
-                    return Err("rule 1: a late answer".into());
-                }
-                let ran = |full| job.sent.iter().any(|s| !proves(s.outcome, full));
-                if refuse && ran(true) && job.class != 0 {
-                    return Err("rule 2: refused although it may have run".into());
-                }
-                if refuse && ran(!self.further.full_proves_nothing) && job.class != 0 {
-                    return Err("rule 7: refused on the word of a 'full'".into());
-                }
-                job.done = true;
-            }
-            Action::Cancel { request, attempt } => {
-                let job = self.jobs.get(&request).ok_or("a cancel for an unknown request")?;
-                if attempt as usize >= job.sent.len() {
-                    return Err("a cancel of an attempt never made".into());
-                }
-            }
-            Action::Watch | Action::Timer { .. } | Action::Probe { .. } => {}
+            Action::Send {
+                request, worker, ..
+            } => self.check_send(now, request, worker),
+            Action::Reject { request, .. } => self.check_rejection(now, request),
+            Action::Fail { request } => self.check_answer(now, request),
+            Action::Cancel { request, attempt } => self.check_cancel(request, attempt),
+            Action::WatchDiscovery | Action::Timer { .. } | Action::Probe { .. } => Ok(()),
+        }
+    }
+
+    fn check_send(&mut self, now: f64, id: u64, worker: WorkerId) -> Result<(), String> {
+        let request = self
+            .requests
+            .get(&id)
+            .ok_or("a send for an unknown request")?;
+        if request.done {
+            return Err("rule 1: a send after the end".into());
+        }
+        if self
+            .unavailable_since
+            .get(&worker)
+            .is_some_and(|at| now > at + DRAIN_GRACE_SECONDS)
+        {
+            return Err("rule 3: a send to an unavailable worker".into());
+        }
+        let number = u16::from(worker.address[3]);
+        let leaves_placement =
+            request.class == 0 && kind(number) != 1 || request.class == 1 && zone(number) == 0;
+        if self.optional.placement && leaves_placement {
+            return Err("rule 5: a class sent out of its place".into());
+        }
+        self.check_retry_budget(now, id)?;
+        let cell = number / 4;
+        self.check_effect(now, id, cell)?;
+        let request = self.requests.get_mut(&id).ok_or("an unknown request")?;
+        request.sent.push(Sent {
+            to: worker,
+            at: now,
+            cell,
+            outcome: None,
+        });
+        self.check_slow_start(now, worker)
+    }
+
+    fn check_retry_budget(&mut self, now: f64, id: u64) -> Result<(), String> {
+        if self.sent_for.insert(id) || !self.optional.budget {
+            return Ok(());
+        }
+        self.retries.push(now);
+        let in_window = |times: &[f64]| {
+            let recent = |at: &&f64| now - **at < RETRY_WINDOW_SECONDS;
+            times.iter().filter(recent).count() as f64
+        };
+        let allowed = MIN_RETRIES as f64 + RETRY_RATIO * in_window(&self.admitted);
+        if in_window(&self.retries) > allowed {
+            return Err("rule 6: over the retry budget".into());
         }
         Ok(())
     }
 
-    fn overdue(&self, now: f64) -> Result<(), String> {
-        let late = |j: &&Job| !j.done && now > j.deadline + SLACK;
-        if self.jobs.values().any(|j| late(&j)) { Err("rule 1: no answer in time".into()) } else { Ok(()) }
+    /// Checks that a request that may have run is sent again only as its class allows.
+    fn check_effect(&self, now: f64, id: u64, cell: u16) -> Result<(), String> {
+        let request = &self.requests[&id];
+        let full_proves = !self.optional.full_may_have_run;
+        let mut may_have_run = request
+            .sent
+            .iter()
+            .filter(|sent| !proves(sent.outcome, full_proves));
+        if request.class == 2 && may_have_run.next().is_some() {
+            let is_rejected = |sent: &Sent| sent.outcome == Some(Outcome::Rejected);
+            let rule_7 = if request.sent.iter().any(is_rejected) {
+                ", rule 7"
+            } else {
+                ""
+            };
+            return Err(format!("rule 2: not idempotent and sent again{rule_7}"));
+        }
+        let outside_scope = |sent: &Sent| sent.cell != cell || now > sent.at + DEDUP_WINDOW_SECONDS;
+        if request.class == 1 && may_have_run.any(outside_scope) {
+            return Err("rule 2: keyed again outside its cell or window".into());
+        }
+        Ok(())
+    }
+
+    /// Checks that one dispatcher stays below the budget of all dispatchers in every window.
+    fn check_slow_start(&mut self, now: f64, worker: WorkerId) -> Result<(), String> {
+        let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
+        if age >= 10.0 {
+            return Ok(());
+        }
+        let sent = self.slow_start_work.entry(worker).or_default();
+        sent.push((now, 0.25));
+        let in_window: f64 = sent
+            .iter()
+            .filter(|(at, _)| now - at < 2.0)
+            .map(|(_, work)| work)
+            .sum();
+        let capacity = 4.0 * (0.2 + 0.8 * age / 10.0);
+        if in_window > 3.0 * capacity * 2.0 {
+            return Err("rule 4: a worker in slow start is overloaded".into());
+        }
+        Ok(())
+    }
+
+    /// Checks a rejection, which is an answer and promises that the request has not run.
+    fn check_rejection(&mut self, now: f64, id: u64) -> Result<(), String> {
+        self.check_answer(now, id)?;
+        let request = &self.requests[&id];
+        let may_have_run = |full_proves| {
+            let ran = |sent: &Sent| !proves(sent.outcome, full_proves);
+            request.class != 0 && request.sent.iter().any(ran)
+        };
+        if may_have_run(true) {
+            return Err("rule 2: rejected although it may have run".into());
+        }
+        if may_have_run(!self.optional.full_may_have_run) {
+            return Err("rule 7: rejected because a worker was full".into());
+        }
+        Ok(())
+    }
+
+    fn check_answer(&mut self, now: f64, id: u64) -> Result<(), String> {
+        let request = self
+            .requests
+            .get_mut(&id)
+            .ok_or("an answer for an unknown request")?;
+        if request.done {
+            return Err("rule 1: a second answer".into());
+        }
+        if now > request.deadline + ANSWER_SLACK_SECONDS {
+            return Err("rule 1: a late answer".into());
+        }
+        request.done = true;
+        Ok(())
+    }
+
+    fn check_cancel(&self, id: u64, attempt: u16) -> Result<(), String> {
+        let request = self
+            .requests
+            .get(&id)
+            .ok_or("a cancel for an unknown request")?;
+        if attempt as usize >= request.sent.len() {
+            return Err("a cancel of an attempt never made".into());
+        }
+        Ok(())
+    }
+
+    fn check_overdue(&self, now: f64) -> Result<(), String> {
+        let late = |j: &&ObservedRequest| !j.done && now > j.deadline + ANSWER_SLACK_SECONDS;
+        if self.requests.values().any(|j| late(&j)) {
+            Err("rule 1: no answer in time".into())
+        } else {
+            Ok(())
+        }
     }
 }
 
-/// What the wire's page says: these outcomes prove that an attempt never ran.
+/// Returns whether the outcome proves that an attempt never ran, by the protocol's description.
 fn proves(outcome: Option<Outcome>, full_proves: bool) -> bool {
     match outcome {
-        Some(Outcome::ConnectFailed | Outcome::Moot) => true,
-        Some(Outcome::Full) => full_proves,
+        Some(Outcome::ConnectFailed | Outcome::CancelledLocally) => true,
+        Some(Outcome::Rejected) => full_proves,
         _ => false,
     }
 }
 
-/// Plays one generated sequence and returns the first broken rule.
-fn play(seed: u64, decides: &mut dyn Decides) -> Result<usize, String> {
-    const ALL: u16 = 12;
-    let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-    let mut pick = |n: u64| rng.next_u64() % n;
-    let mut check = Checker::new(Further::of(seed));
-    let (mut now, mut due, mut next, mut sends) = (100.0, Vec::<(f64, u64)>::new(), 0u64, 0);
-    let entry = |n| place(entry(n));
-    let kind = if pick(2) == 0 { ListKind::Cached } else { ListKind::Full };
-    let mut queue = vec![Event::List { kind, entries: (0..ALL).map(entry).collect() }];
-    let mut drained = false;
-    for step in 0..3000 {
-        if queue.is_empty() {
-            due.sort_by(|a, b| b.0.total_cmp(&a.0));
-            // A timer comes at its time: the clock does not step over it.
-            now = due.last().map_or(f64::INFINITY, |d| d.0.max(now)).min(now + pick(100) as f64 / 1000.0);
-            while let Some(&(_, token)) = due.last().filter(|d| d.0 <= now) {
-                due.pop();
-                queue.push(Event::Timer { token });
-            }
-            drained |= step > 2000;
-            let open: Vec<(u64, u16, WorkerId)> = check
-                .jobs
-                .iter()
-                .flat_map(|(&id, j)| {
-                    j.sent
-                        .iter()
-                        .zip(0..)
-                        .filter(|(s, _)| s.outcome.is_none())
-                        .map(move |(s, n)| (id, n, s.to))
-                })
-                .collect();
-            let some = (!open.is_empty()).then(|| open[pick(open.len() as u64) as usize]);
-            match (pick(10), some) {
-                (0..=3, _) if !drained => {
-                    let class = pick(3) as u8;
-                    let budget = [5.0, 10.0, 10.0][class as usize] * if pick(4) == 0 { 0.3 } else { 1.0 };
-                    let (request, hint) = (next, Some(0.25));
-                    next += 1;
-                    check.jobs.insert(
-                        request,
-                        Job { class, deadline: now + budget, sent: Vec::new(), done: false },
-                    );
-                    queue.push(Event::Request(NewRequest {
-                        request,
-                        class,
-                        budget,
-                        hint,
-                        slots: 1.0,
-                        ..Default::default()
-                    }));
-                }
-                (4..=7, Some((request, attempt, worker))) => {
-                    let outcomes = [
-                        Outcome::Ok,
-                        Outcome::Ok,
-                        Outcome::Error,
-                        Outcome::Full,
-                        Outcome::Timeout,
-                        Outcome::ConnectFailed,
-                        Outcome::Reset,
-                        Outcome::Cancelled,
-                        Outcome::Unknown(77),
-                    ];
-                    let outcome = outcomes[pick(9) as usize];
-                    let job = check.jobs.get_mut(&request).ok_or("no job")?;
-                    job.sent[attempt as usize].outcome = Some(outcome);
-                    let (closed, report) = (false, vec![pick(6) as f32, pick(5) as f32]);
-                    queue.push(Event::Outcome {
-                        request,
-                        attempt,
-                        worker,
-                        outcome,
-                        elapsed: 0.1,
-                        closed,
-                        report,
-                    });
-                }
-                (8, Some((request, attempt, _))) => {
-                    let note = if pick(2) == 0 { Note::Started } else { Note::Progress(0.5) };
-                    queue.push(Event::Note { request, attempt, note });
-                }
-                (9, _) => {
-                    let n = pick(u64::from(ALL)) as u16;
-                    let health =
-                        [Health::Ready, Health::Ready, Health::Draining, Health::Gone][pick(4) as usize];
-                    let started = if pick(2) == 0 { now - 0.5 } else { 0.0 };
-                    let mut entries = vec![place(Entry { started, ..with_health(n, health) })];
-                    let kind = if pick(5) == 0 { ListKind::Full } else { ListKind::Delta };
-                    if kind == ListKind::Full {
-                        entries.extend((0..ALL).filter(|&o| o != n && pick(6) > 0).map(entry));
-                    }
-                    queue.push(Event::List { kind, entries });
-                }
-                _ => {}
+/// Number of workers in a sequence.
+const WORKERS: u16 = 12;
+
+/// Draws legal events and tracks the time and the timers.
+struct Generator {
+    random: rand_pcg::Pcg32,
+    now: f64,
+    timers: Vec<(f64, u64)>,
+    next_id: u64,
+    queue: Vec<Event>,
+}
+
+impl Generator {
+    fn new(seed: u64) -> Self {
+        let mut generator = Self {
+            random: rand_pcg::Pcg32::seed_from_u64(seed),
+            now: 100.0,
+            timers: Vec::new(),
+            next_id: 0,
+            queue: Vec::new(),
+        };
+        let kind = if generator.pick(2) == 0 {
+            ListKind::Cached
+        } else {
+            ListKind::Full
+        };
+        generator.queue.push(Event::WorkerListReceived {
+            kind,
+            entries: (0..WORKERS).map(|number| place(entry(number))).collect(),
+        });
+        generator
+    }
+
+    fn pick(&mut self, count: u64) -> u64 {
+        self.random.next_u64() % count
+    }
+
+    /// Advances the time and queues the timers that expire and perhaps one other event.
+    fn generate(&mut self, checker: &mut Checker, is_drained: bool) -> Result<(), String> {
+        self.advance();
+        let in_flight = checker.attempts_in_flight();
+        let attempt = if in_flight.is_empty() {
+            None
+        } else {
+            Some(in_flight[self.pick(in_flight.len() as u64) as usize])
+        };
+        match (self.pick(10), attempt) {
+            (0..=3, _) if !is_drained => self.queue_request(checker),
+            (4..=7, Some(attempt)) => self.queue_outcome(checker, attempt)?,
+            (8, Some((request, attempt, _))) => {
+                let note = if self.pick(2) == 0 {
+                    ProgressNote::Started
+                } else {
+                    ProgressNote::Progress(0.5)
+                };
+                self.queue.push(Event::AttemptProgress {
+                    request,
+                    attempt,
+                    note,
+                });
             }
+            (9, _) => self.queue_list(),
+            _ => {}
         }
-        // Nothing left to wait for: the clock goes on to the last deadline.
-        let Some(mut event) = (!queue.is_empty()).then(|| queue.remove(0)) else { continue };
-        if let Event::Request(_) = &event {
-            check.taken.push(now);
+        Ok(())
+    }
+
+    /// Advances the clock, at most to the next timer, and queues the timers that expire.
+    fn advance(&mut self) {
+        self.timers.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let next_timer = self
+            .timers
+            .last()
+            .map_or(f64::INFINITY, |timer| timer.0.max(self.now));
+        self.now = next_timer.min(self.now + self.pick(100) as f64 / 1000.0);
+        while let Some(&(_, token)) = self.timers.last().filter(|timer| timer.0 <= self.now) {
+            self.timers.pop();
+            self.queue.push(Event::TimerExpired { token });
         }
-        if let Event::List { kind, entries } = &event {
-            check.list(now, *kind, entries, ALL);
+    }
+
+    fn queue_request(&mut self, checker: &mut Checker) {
+        let class = self.pick(3) as u8;
+        let share = if self.pick(4) == 0 { 0.3 } else { 1.0 };
+        let time_limit = [5.0, 10.0, 10.0][class as usize] * share;
+        let id = self.next_id;
+        self.next_id += 1;
+        let request = ObservedRequest {
+            class,
+            deadline: self.now + time_limit,
+            sent: Vec::new(),
+            done: false,
+        };
+        checker.requests.insert(id, request);
+        self.queue.push(Event::RequestReceived(NewRequest {
+            id,
+            class,
+            time_limit,
+            expected_work: Some(0.25),
+            slots: 1.0,
+            ..Default::default()
+        }));
+    }
+
+    fn queue_outcome(
+        &mut self,
+        checker: &mut Checker,
+        (request, attempt, worker): (u64, u16, WorkerId),
+    ) -> Result<(), String> {
+        let outcomes = [
+            Outcome::Succeeded,
+            Outcome::Succeeded,
+            Outcome::Error,
+            Outcome::Rejected,
+            Outcome::Timeout,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Cancelled,
+            Outcome::Unknown(77),
+        ];
+        let outcome = outcomes[self.pick(9) as usize];
+        let observed = checker
+            .requests
+            .get_mut(&request)
+            .ok_or("an unknown request")?;
+        observed.sent[attempt as usize].outcome = Some(outcome);
+        let report = vec![self.pick(6) as f32, self.pick(5) as f32];
+        self.queue.push(Event::AttemptEnded {
+            request,
+            attempt,
+            worker,
+            outcome,
+            elapsed: 0.1,
+            answered: false,
+            report,
+        });
+        Ok(())
+    }
+
+    fn queue_list(&mut self) {
+        let number = self.pick(u64::from(WORKERS)) as u16;
+        let health = [
+            Health::Ready,
+            Health::Ready,
+            Health::Draining,
+            Health::Removed,
+        ][self.pick(4) as usize];
+        let started = if self.pick(2) == 0 {
+            self.now - 0.5
+        } else {
+            0.0
+        };
+        let mut entries = vec![place(Entry {
+            started,
+            ..entry_with_health(number, health)
+        })];
+        let kind = if self.pick(5) == 0 {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
+        if kind == ListKind::Full {
+            let others = (0..WORKERS).filter(|&other| other != number && self.pick(6) > 0);
+            entries.extend(others.map(|other| place(entry(other))));
         }
-        if let Event::Outcome { request, outcome, closed, .. } = &mut event {
-            let job = check.jobs.get_mut(request).ok_or("no job")?;
-            job.done |= *outcome == Outcome::Ok;
-            *closed = job.done;
+        self.queue.push(Event::WorkerListReceived { kind, entries });
+    }
+}
+
+/// Runs one generated sequence. Returns the number of attempts sent, or the first broken rule.
+fn run_sequence(seed: u64, decider: &mut dyn Decider) -> Result<usize, String> {
+    let mut checker = Checker::new(OptionalRules::of(seed));
+    let mut generator = Generator::new(seed);
+    let mut sends = 0;
+    let mut is_drained = false;
+    for step in 0..3000 {
+        if generator.queue.is_empty() {
+            is_drained |= step > 2000;
+            generator.generate(&mut checker, is_drained)?;
         }
+        if generator.queue.is_empty() {
+            continue;
+        }
+        let mut event = generator.queue.remove(0);
+        let now = generator.now;
+        checker.observe_event(now, &mut event)?;
         let mut actions = Vec::new();
-        decides.handle(now, &event, &mut actions);
+        decider.handle(now, &event, &mut actions);
         for action in &actions {
-            check.action(now, action)?;
+            checker.check(now, action)?;
             sends += usize::from(matches!(action, Action::Send { .. }));
         }
-        due.extend(timers(&actions));
-        // Timers of this very moment are still to come.
-        if queue.is_empty() && due.iter().all(|d| d.0 > now) {
-            check.overdue(now)?;
+        generator.timers.extend(timers_set(&actions));
+        // Timers of the same time are handled first.
+        if generator.queue.is_empty() && generator.timers.iter().all(|timer| timer.0 > now) {
+            checker.check_overdue(now)?;
         }
     }
     Ok(sends)
@@ -381,61 +633,89 @@
     let set = settings(|s| {
         s["limits"]["may-probe"] = seed.is_multiple_of(3).into();
         s["extra"]["tells-start"] = seed.is_multiple_of(2).into();
-        let further = Further::of(seed);
-        if further.placement {
+        let optional = OptionalRules::of(seed);
+        if optional.placement {
             s["services"][0]["allowed-on"] = serde_json::json!([1]);
             s["services"][1]["confined-to"] = serde_json::json!([1, 2]);
         }
-        if further.budget {
-            s["rules"]["spare-attempts"] = SPARE.into();
-            s["rules"]["repeat-ratio"] = RATIO.into();
-            s["rules"]["look-back"] = LOOK_BACK.into();
+        if optional.budget {
+            s["rules"]["spare-attempts"] = MIN_RETRIES.into();
+            s["rules"]["repeat-ratio"] = RETRY_RATIO.into();
+            s["rules"]["look-back"] = RETRY_WINDOW_SECONDS.into();
+        }
+        s["rules"]["may-shed-begun"] = optional.full_may_have_run.into();
+        s["discovery"] = if seed.is_multiple_of(5) {
+            "on_request"
+        } else {
+            "pushed"
         }
-        s["rules"]["may-shed-begun"] = further.full_proves_nothing.into();
-        s["discovery"] = if seed.is_multiple_of(5) { "on_request" } else { "pushed" }.into();
+        .into();
     });
     Dispatcher::new(set, seed).expect("sound settings")
 }
 
 #[test]
-fn the_rules_hold_over_generated_sequences() {
-    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+fn rules_hold_over_generated_sequences() {
+    let config = Config {
+        cases: 60,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut total = 0;
     TestRunner::new_with_rng(config, rng)
         .run(&proptest::num::u64::ANY, |seed| {
-            play(seed, &mut dispatcher(seed)).map(drop).map_err(proptest::test_runner::TestCaseError::fail)
+            run_sequence(seed, &mut dispatcher(seed))
+                .map(drop)
+                .map_err(proptest::test_runner::TestCaseError::fail)
         })
         .expect("a broken rule");
     for seed in 0..20 {
-        total += play(seed, &mut dispatcher(seed)).expect("a broken rule");
+        total += run_sequence(seed, &mut dispatcher(seed)).expect("a broken rule");
     }
     assert!(total > 20 * 100, "the sequences do send: {total}");
 }
 
 #[test]
-fn the_checker_sees_each_broken_rule() {
+fn checker_detects_each_broken_rule() {
     for (broken, word) in [
         (Break::NoAnswer, "no answer in time"),
         (Break::SecondAnswer, "second answer"),
-        (Break::RepeatsUnsafe, "rule 2"),
+        (Break::RetriesNonIdempotent, "rule 2"),
         (Break::SendsToDraining, "rule 3"),
         (Break::LeavesPlacement, "rule 5"),
         (Break::SendsTwice, "rule 6"),
         (Break::TrustsFull, "rule 7"),
     ] {
-        let found = (0..20).filter_map(|seed| play(seed, &mut Broken(dispatcher(seed), broken, None)).err());
+        let found = (0..20).filter_map(|seed| {
+            run_sequence(seed, &mut Broken::new(dispatcher(seed), broken)).err()
+        });
         let found: Vec<_> = found.collect();
-        assert!(found.iter().any(|f| f.contains(word)), "{broken:?}: {found:?}");
+        assert!(
+            found.iter().any(|f| f.contains(word)),
+            "{broken:?}: {found:?}"
+        );
     }
 }
 
 #[test]
-fn the_checker_sees_a_cold_worker_pushed_over() {
-    let mut check = Checker::new(Further::of(7));
-    check.jobs.insert(1, Job { class: 0, deadline: 1e9, sent: Vec::new(), done: false });
-    check.started.insert(worker(1), 100.0);
-    let send = Action::Send { request: 1, worker: worker(1), timeout: 0.0 };
-    let found = (0..40).find_map(|_| check.action(100.5, &send).err());
+fn checker_detects_an_overloaded_worker_in_slow_start() {
+    let mut checker = Checker::new(OptionalRules::of(7));
+    checker.requests.insert(
+        1,
+        ObservedRequest {
+            class: 0,
+            deadline: 1e9,
+            sent: Vec::new(),
+            done: false,
+        },
+    );
+    checker.started.insert(worker_id(1), 100.0);
+    let send = Action::Send {
+        request: 1,
+        worker: worker_id(1),
+        timeout: 0.0,
+    };
+    let found = (0..40).find_map(|_| checker.check(100.5, &send).err());
     assert!(found.is_some_and(|f| f.contains("rule 4")));
 }
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,29 +1,30 @@
-//! The real program where something is short: descriptors, discovery, time at a start.
+//! The real program when something is short: descriptors, discovery, or time at a start.
 
-use postproxy::net::ground::http;
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::addresses;
+use postproxy::net::transport::http;
+use postproxy::stand_ins::{Discovery, Worker, send_request};
+use postproxy_fault_injection::loopback_addresses;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The longest that is waited for what must come.
-const MOST: Duration = Duration::from_secs(30);
-/// From when discovery can be reached again, what it has counts as told; a drain has its grace beside it.
-const TOLD: Duration = Duration::from_millis(6000 + 300);
-/// By when nine in ten restarted processes are ready.
-const READY: Duration = Duration::from_secs(10);
+/// How long the tests wait for a condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long after discovery is reachable again the node may still use its old list: 6 s to poll it, and 300 ms of grace
+/// for a drain.
+const LIST_UPDATE_TIMEOUT: Duration = Duration::from_millis(6000 + 300);
+/// How long nine in ten restarted processes may take to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A program that does not outlive its test.
-struct Running {
+/// A running program, which ends with its test.
+struct RunningNode {
     child: Child,
     at: SocketAddr,
     folder: PathBuf,
 }
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -31,9 +32,9 @@
     }
 }
 
-/// An address at which nobody listens, and which nobody else is given.
-fn free() -> SocketAddr {
-    SocketAddr::new(addresses(1)[0], 8080)
+/// An address on which nobody listens, and which no other test uses.
+fn unused_address() -> SocketAddr {
+    SocketAddr::new(loopback_addresses(1)[0], 8080)
 }
 
 fn member(name: &str, at: SocketAddr) -> serde_json::Value {
@@ -41,12 +42,18 @@
         "phase": "in_service", "size": 1.0, "up_since_ms": 0})
 }
 
-impl Running {
-    /// Starts the program at its limit of descriptors, with this list.
-    fn start(name: &str, discovery: SocketAddr, known: &[serde_json::Value], sockets: usize) -> Self {
-        let folder = std::env::temp_dir().join(format!("postproxy-shortage-{}-{name}", std::process::id()));
+impl RunningNode {
+    /// Starts the program with a limit of descriptors and a cached worker list.
+    fn start(
+        name: &str,
+        discovery: SocketAddr,
+        known: &[serde_json::Value],
+        sockets: usize,
+    ) -> Self {
+        let folder =
+            std::env::temp_dir().join(format!("postproxy-shortage-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let at = free();
+        let at = unused_address();
         let config = serde_json::json!({
             "name": name, "listen": at.to_string(), "discovery": discovery.to_string(), "seed": "7",
             "limits": {"sockets": sockets},
@@ -59,7 +66,11 @@
         let path = folder.join("config.json");
         std::fs::write(&path, config.to_string()).expect("it is written");
         let child = Command::new("sh")
-            .args(["-c", &format!("ulimit -n {sockets}; exec \"$0\""), env!("CARGO_BIN_EXE_postproxy")])
+            .args([
+                "-c",
+                &format!("ulimit -n {sockets}; exec \"$0\""),
+                env!("CARGO_BIN_EXE_postproxy"),
+            ])
             .env("RELAY_CONFIG", &path)
             .stdout(Stdio::null())
             .stderr(std::fs::File::create(folder.join("log")).expect("a log"))
@@ -68,8 +79,8 @@
         Self { child, at, folder }
     }
 
-    fn ready(&self) -> bool {
-        ask(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
+    fn is_ready(&self) -> bool {
+        send_request(self.at, "GET", "/-/ready", &[("Connection", "close")], b"")
             .is_ok_and(|answer| answer.status == 200)
     }
 
@@ -77,110 +88,163 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Processor time used so far, in ticks of the system: a hundred a second.
-    fn used(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
+    /// Returns the processor time used so far, in ticks of the system: a hundred a second.
+    fn processor_ticks(&self) -> u64 {
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
         fields[11].parse::<u64>().expect("a number") + fields[12].parse::<u64>().expect("a number")
     }
 
-    /// The most memory it has held so far, in kB.
-    fn most_memory(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a figure");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+    /// Returns the most memory that the program has held so far, in kB.
+    fn peak_memory_kb(&self) -> u64 {
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("a figure");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
     }
 
-    fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+    fn descriptor_count(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("it runs")
+            .count()
     }
 }
 
-/// Waits for a condition; how long it took.
-fn until(what: &str, mut holds: impl FnMut() -> bool) -> Duration {
+/// Waits for a condition, and returns how long it took.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < MOST, "{what}");
+        assert!(start.elapsed() < CONDITION_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
     start.elapsed()
 }
 
-/// Connections that lie idle, and are opened anew when they are closed, as clients do that wait for better times.
-fn crowd(at: SocketAddr, crowd: &mut Vec<TcpStream>, size: usize) {
-    crowd.retain_mut(|stream| {
+/// Opens idle connections until there are `size`, also in place of those that were closed.
+fn refill_idle_connections(at: SocketAddr, idle: &mut Vec<TcpStream>, size: usize) {
+    idle.retain_mut(|stream| {
         let _ = stream.set_nonblocking(true);
-        !matches!(stream.read(&mut [0; 512]), Ok(0)) && stream.take_error().is_ok_and(|error| error.is_none())
+        !matches!(stream.read(&mut [0; 512]), Ok(0))
+            && stream.take_error().is_ok_and(|error| error.is_none())
     });
-    while crowd.len() < size {
-        let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else { return };
-        // Every other one has asked for something and rests, and the rest says nothing.
-        if crowd.len().is_multiple_of(2) {
+    while idle.len() < size {
+        let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else {
+            return;
+        };
+        // Every other connection has sent one request; the others send nothing.
+        if idle.len().is_multiple_of(2) {
             let _ = stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
-        crowd.push(stream);
+        idle.push(stream);
     }
 }
 
-fn job(at: SocketAddr, id: &str) -> Option<http::Response> {
-    let fields = [("X-Request-Id", id), ("X-Deadline", "5"), ("Connection", "close")];
-    ask(at, "POST", "/reroute/x", &fields, b"work").ok()
+fn submit(at: SocketAddr, id: &str) -> Option<http::Response> {
+    let fields = [
+        ("X-Request-Id", id),
+        ("X-Deadline", "5"),
+        ("Connection", "close"),
+    ];
+    send_request(at, "POST", "/reroute/x", &fields, b"work").ok()
 }
 
-/// Guards against a node that can't dial discovery or a worker because idle clients hold all its descriptors, that does not
-/// answer whether it is ready, or that spins on a listener from which it can accept nothing. While discovery is down clients
-/// come and stay; then it is back, and what it has is told in time.
+/// Guards against a node that can't connect to discovery or to a worker because idle clients hold all its descriptors,
+/// that does not answer readiness checks, or that spins on a listener from which it can accept nothing. While discovery
+/// is down, clients connect and stay idle; once it is back, its list must take effect in time.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
-    let discovery = free();
+    let discovery = unused_address();
     let time = Duration::from_millis(5);
-    let workers: Vec<Worker> =
-        ["old", "new"].iter().map(|name| Worker::start(name, time).expect("a worker")).collect();
-    let known = [member("old", workers[0].address), member("new", workers[1].address)];
-    let running = Running::start("idle", discovery, &known, 64);
-    until("it is ready", || running.ready());
-    workers.iter().for_each(|worker| worker.reports_to(running.at));
+    let workers: Vec<Worker> = ["old", "new"]
+        .iter()
+        .map(|name| Worker::start(name, time).expect("a worker"))
+        .collect();
+    let known = [
+        member("old", workers[0].address),
+        member("new", workers[1].address),
+    ];
+    let running = RunningNode::start("idle", discovery, &known, 64);
+    wait_until("it is ready", || running.is_ready());
+    workers
+        .iter()
+        .for_each(|worker| worker.report_to(running.at));
     let mut idle = Vec::new();
     for n in 0..5 {
-        crowd(running.at, &mut idle, 200);
-        assert!(until("ready", || running.ready()) < Duration::from_secs(3));
-        let answer = job(running.at, &format!("before-{n}")).expect("an answer");
+        refill_idle_connections(running.at, &mut idle, 200);
+        assert!(wait_until("ready", || running.is_ready()) < Duration::from_secs(3));
+        let answer = submit(running.at, &format!("before-{n}")).expect("an answer");
         assert_eq!(answer.status, 200, "a worker is dialled: {}", running.log());
     }
-    assert!(running.descriptors() <= 64);
-    crowd(running.at, &mut idle, 200);
-    let (before, start) = (running.used(), Instant::now());
+    assert!(running.descriptor_count() <= 64);
+    refill_idle_connections(running.at, &mut idle, 200);
+    let ticks_before = running.processor_ticks();
+    let start = Instant::now();
     std::thread::sleep(Duration::from_secs(1));
-    let used = (running.used() - before) as f64 / 100.0 / start.elapsed().as_secs_f64();
+    let used =
+        (running.processor_ticks() - ticks_before) as f64 / 100.0 / start.elapsed().as_secs_f64();
     assert!(used < 0.3, "{used:.2} of a core while nothing is asked for");
-    let held = running.descriptors();
-    assert!(held >= 36, "the clients fill what there is for them: {held}");
-    // It is back, and one worker leaves. What is told by then is told, however the clients come and go meanwhile.
+    let descriptors = running.descriptor_count();
+    assert!(
+        descriptors >= 36,
+        "the clients fill what there is for them: {descriptors}"
+    );
+    // Discovery is back, and one worker drains. The node must learn it in time, however clients come and go meanwhile.
     let back = Discovery::start_at(discovery, &workers).expect("discovery");
     back.drain("old");
-    let (start, mut n) = (Instant::now(), 0);
-    while start.elapsed() < TOLD {
+    let start = Instant::now();
+    let mut n = 0;
+    while start.elapsed() < LIST_UPDATE_TIMEOUT {
         n += 1;
-        crowd(running.at, &mut idle, 200);
-        job(running.at, &format!("after-{n}"));
+        refill_idle_connections(running.at, &mut idle, 200);
+        submit(running.at, &format!("after-{n}"));
     }
     let old = workers[0].runs().len();
-    assert!(old > 0 && n > 20, "it was sent to before, and the node went on: {old}, {n}");
+    assert!(
+        old > 0 && n > 20,
+        "it was sent to before, and the node went on: {old}, {n}"
+    );
     for n in 0..10 {
-        assert_eq!(job(running.at, &format!("last-{n}")).map(|answer| answer.status), Some(200));
+        assert_eq!(
+            submit(running.at, &format!("last-{n}")).map(|answer| answer.status),
+            Some(200)
+        );
     }
-    assert_eq!(workers[0].runs().len(), old, "nothing goes to the one that leaves: {}", running.log());
+    assert_eq!(
+        workers[0].runs().len(),
+        old,
+        "nothing goes to the one that leaves: {}",
+        running.log()
+    );
 }
 
-/// Guards against a flood that takes the others' places, memory or descriptors: clients that send much at once and go, with an end or a
-/// reset, come back at once, and say nothing, half a request, or what can't be read. Beside them others work as before.
+/// Guards against a flood that takes the other clients' connections, memory or descriptors: clients that send much at once
+/// and disconnect, with an end or a reset, reconnect at once, and send nothing, half a request, or invalid bytes. The
+/// others are served meanwhile. The function is long because flood and other clients share its scope of threads.
 #[test]
-fn who_sends_much_and_goes_leaves_the_others_served() {
+fn a_flood_of_connections_leaves_the_other_clients_served() {
     let worker = Worker::start("s-0", Duration::from_millis(5)).expect("a worker");
-    let running = Running::start("flood", free(), &[member("s-0", worker.address)], 128);
-    until("it is ready", || running.ready());
-    worker.reports_to(running.at);
-    let (at, over) = (running.at, std::sync::atomic::AtomicBool::new(false));
+    let running = RunningNode::start(
+        "flood",
+        unused_address(),
+        &[member("s-0", worker.address)],
+        128,
+    );
+    wait_until("it is ready", || running.is_ready());
+    worker.report_to(running.at);
+    let at = running.at;
+    let over = std::sync::atomic::AtomicBool::new(false);
     let going = || !over.load(std::sync::atomic::Ordering::SeqCst);
     let much = vec![b'x'; 300 << 10];
     let texts: [&[u8]; 5] = [
@@ -199,7 +263,9 @@
                         return;
                     }
                     let burst: Vec<TcpStream> = (0..8)
-                        .filter_map(|_| TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok())
+                        .filter_map(|_| {
+                            TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()
+                        })
                         .collect();
                     for (mut stream, k) in burst.into_iter().zip(0..) {
                         let _ = stream.set_write_timeout(Some(Duration::from_millis(50)));
@@ -207,7 +273,8 @@
                             .write_all(texts[(n + k) % texts.len()])
                             .and_then(|()| stream.write_all(much));
                         if k % 2 == 0 {
-                            let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
+                            let _ =
+                                socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                         }
                     }
                 }
@@ -216,53 +283,71 @@
         let others: Vec<_> = (0..4)
             .map(|client| {
                 scope.spawn(move || {
-                    let answers =
-                        (0..50).map(|n| job(at, &format!("other-{client}-{n}")).map(|answer| answer.status));
+                    let answers = (0..50).map(|n| {
+                        submit(at, &format!("other-{client}-{n}")).map(|answer| answer.status)
+                    });
                     answers.filter(|status| *status == Some(200)).count()
                 })
             })
             .collect();
-        let served: Vec<usize> = others.into_iter().map(|other| other.join().expect("a client")).collect();
-        let (descriptors, most) = (running.descriptors(), running.most_memory());
+        let served: Vec<usize> = others
+            .into_iter()
+            .map(|other| other.join().expect("a client"))
+            .collect();
+        let descriptors = running.descriptor_count();
+        let peak_memory_kb = running.peak_memory_kb();
         over.store(true, std::sync::atomic::Ordering::SeqCst);
-        assert!(served.iter().all(|served| *served == 50), "{served:?} of 50 each");
-        assert!(descriptors <= 128 && most < 64 << 10, "{descriptors} descriptors, {most} kB");
+        assert!(
+            served.iter().all(|served| *served == 50),
+            "{served:?} of 50 each"
+        );
+        assert!(
+            descriptors <= 128 && peak_memory_kb < 64 << 10,
+            "{descriptors} descriptors, {peak_memory_kb} kB"
+        );
+    });
+    // The descriptors of the flood are closed again.
+    wait_until("the flood's connections end", || {
+        running.descriptor_count() < 40
     });
-    // What was opened for it is closed again.
-    until("the flood's connections end", || running.descriptors() < 40);
 }
 
-/// What discovery is like when processes start.
+/// The behaviour of discovery while processes start.
 #[derive(Clone, Copy, Debug)]
-enum Is {
+enum DiscoveryBehaviour {
     Down,
-    /// It accepts nothing: what is sent there stays unread.
+    /// It accepts no connection: what is sent there stays unread.
     Silent,
     /// It answers after 1.9 s.
     Slow,
-    /// It has too many callers.
-    Crowded,
+    /// It rejects all calls, as with too many callers.
+    Overloaded,
 }
 
-fn discovery(is: Is) -> (SocketAddr, Option<TcpListener>) {
+fn start_discovery(behaviour: DiscoveryBehaviour) -> (SocketAddr, Option<TcpListener>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
-    match is {
-        // Where nobody else can come to listen.
-        Is::Down => (free(), None),
-        Is::Silent => (at, Some(listener)),
-        Is::Slow | Is::Crowded => {
-            let kept = listener.try_clone().expect("a listener");
+    match behaviour {
+        // An address on which no other program can listen.
+        DiscoveryBehaviour::Down => (unused_address(), None),
+        DiscoveryBehaviour::Silent => (at, Some(listener)),
+        DiscoveryBehaviour::Slow | DiscoveryBehaviour::Overloaded => {
+            let second = listener.try_clone().expect("a listener");
             std::thread::spawn(move || {
                 for mut stream in listener.incoming().flatten() {
                     std::thread::spawn(move || {
                         while matches!(stream.read(&mut [0; 4096]), Ok(1..)) {
-                            let text = match is {
-                                Is::Crowded => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
+                            let text = match behaviour {
+                                DiscoveryBehaviour::Overloaded => {
+                                    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned()
+                                }
                                 _ => {
                                     std::thread::sleep(Duration::from_millis(1900));
                                     let body = r#"{"revision":2,"complete":false,"members":[]}"#;
-                                    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+                                    format!(
+                                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                                        body.len()
+                                    )
                                 }
                             };
                             if stream.write_all(text.as_bytes()).is_err() {
@@ -272,39 +357,56 @@
                     });
                 }
             });
-            (at, Some(kept))
+            (at, Some(second))
         }
     }
 }
 
-/// Guards against a start that waits for a discovery which is down, silent, slow or crowded, with a list that is old or none at
-/// all, while clients fill the descriptors; against one that is ready and can't serve.
+/// Guards against a start that waits for a discovery which is down, silent, slow or overloaded, with an old list or none,
+/// while clients fill the descriptors; and against a node that is ready and can't serve.
 #[test]
-fn restarted_processes_are_ready_whatever_discovery_is_like() {
+fn restarted_processes_become_ready_whatever_discovery_does() {
     let worker = Worker::start("old", Duration::from_millis(5)).expect("a worker");
-    let gone = free();
+    let gone = unused_address();
     let mut times = Vec::new();
-    for is in [Is::Down, Is::Silent, Is::Slow, Is::Crowded] {
-        let (at, _kept) = discovery(is);
-        // One that is gone long since and one that is there; and nobody.
-        for known in [vec![member("gone", gone), member("old", worker.address)], Vec::new()] {
-            let name = format!("{is:?}-{}", known.len());
+    for behaviour in [
+        DiscoveryBehaviour::Down,
+        DiscoveryBehaviour::Silent,
+        DiscoveryBehaviour::Slow,
+        DiscoveryBehaviour::Overloaded,
+    ] {
+        let (at, _listener) = start_discovery(behaviour);
+        // A worker that is gone and one that runs; and an empty list.
+        for known in [
+            vec![member("gone", gone), member("old", worker.address)],
+            Vec::new(),
+        ] {
+            let name = format!("{behaviour:?}-{}", known.len());
             let start = Instant::now();
-            let running = Running::start(&name, at, &known, 64);
+            let running = RunningNode::start(&name, at, &known, 64);
             let mut idle = Vec::new();
-            until(&name, || {
-                crowd(running.at, &mut idle, 100);
-                running.ready()
+            wait_until(&name, || {
+                refill_idle_connections(running.at, &mut idle, 100);
+                running.is_ready()
             });
             times.push((start.elapsed(), name));
-            worker.reports_to(running.at);
+            worker.report_to(running.at);
             if known.len() == 2 {
-                let served =
-                    |n: u32| job(running.at, &format!("{is:?}-{n}")).is_some_and(|a| a.status == 200);
-                assert!((0..3).all(served), "{is:?}: {}", running.log());
+                let served = |n: u32| {
+                    submit(running.at, &format!("{behaviour:?}-{n}"))
+                        .is_some_and(|a| a.status == 200)
+                };
+                assert!((0..3).all(served), "{behaviour:?}: {}", running.log());
             }
         }
     }
-    let late: Vec<_> = times.iter().filter(|(time, _)| *time > READY).collect();
-    assert!(late.len() * 10 <= times.len(), "{late:?} of {}", times.len());
+    let late: Vec<_> = times
+        .iter()
+        .filter(|(time, _)| *time > READY_TIMEOUT)
+        .collect();
+    assert!(
+        late.len() * 10 <= times.len(),
+        "{late:?} of {}",
+        times.len()
+    );
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -2,15 +2,16 @@
 //! `WRITE_DATA_DIRECTORY=1` makes the fixtures anew, see `tests/fixtures/data-directory/README.md`.
 
 mod data_directory;
-mod rig;
+#[path = "support/fleet_harness.rs"]
+mod fleet_harness;
 
 use data_directory::jobs::Job;
-use data_directory::node::{LIMIT, NO_DISCOVERY, Node, worker_address};
+use data_directory::node::{NO_DISCOVERY, Node, TEST_TIMEOUT, worker_address};
 use data_directory::worker::{Workers, report_done};
 use data_directory::{TemporaryFolder, copy_store, fixtures, jobs, store_command};
-use postproxy::standin::{Discovery, Worker, ask};
-use postproxy_faults::wait;
-use rig::Fleet;
+use fleet_harness::FleetHarness;
+use postproxy::stand_ins::{Discovery, Worker, send_request};
+use postproxy_fault_injection::wait_until;
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -61,7 +62,9 @@
 /// A node on a copy of the store, without discovery, and the workers of its kept list.
 fn node_on_a_copy() -> (Node, Workers) {
     let workers = Workers::start();
-    let node = Node::start(NO_DISCOVERY, |store| copy_store(&store_fixture("single"), store));
+    let node = Node::start(NO_DISCOVERY, |store| {
+        copy_store(&store_fixture("single"), store)
+    });
     workers.report_to(node.clients);
     (node, workers)
 }
@@ -78,15 +81,30 @@
 fn answers_kept_by_an_earlier_version_are_given_again() {
     let (node, workers) = node_on_a_copy();
     let again = |job: &Job| {
-        [node.ask(job.id, None, job, "5"), node.ask(&format!("new-{}", job.id), job.key, job, "5")]
+        [
+            node.ask(job.id, None, job, "5"),
+            node.ask(&format!("new-{}", job.id), job.key, job, "5"),
+        ]
     };
-    assert_eq!(again(&jobs::SERVED), [served("SERVED PLAN"), served("SERVED PLAN")]);
-    assert_eq!(again(&jobs::TOKEN_SERVED), [served("NEW ROUTE"), served("NEW ROUTE")]);
+    assert_eq!(
+        again(&jobs::SERVED),
+        [served("SERVED PLAN"), served("SERVED PLAN")]
+    );
+    assert_eq!(
+        again(&jobs::TOKEN_SERVED),
+        [served("NEW ROUTE"), served("NEW ROUTE")]
+    );
     assert_eq!(again(&jobs::SERVED_TOO_LONG), [failed(), failed()]);
     assert_eq!(again(&jobs::FAILED), [failed(), failed()]);
     let without_key = &jobs::WITHOUT_KEY;
-    assert_eq!(node.ask(without_key.id, None, without_key, "5"), served("KEYLESS PLAN"));
-    let other_body = Job { body: "another plan", ..jobs::SERVED };
+    assert_eq!(
+        node.ask(without_key.id, None, without_key, "5"),
+        served("KEYLESS PLAN")
+    );
+    let other_body = Job {
+        body: "another plan",
+        ..jobs::SERVED
+    };
     assert_eq!(node.ask("another", other_body.key, &other_body, "5").0, 409);
     assert_eq!(workers.received(), []);
 }
@@ -94,16 +112,33 @@
 #[test]
 fn jobs_in_doubt_since_an_earlier_version_are_not_sent_again() {
     let (node, workers) = node_on_a_copy();
-    for job in [jobs::IN_DOUBT, jobs::IN_DOUBT_AT_SECOND, jobs::ATTEMPT_ENDED] {
-        assert_eq!(node.ask(job.id, None, &job, "0.5"), failed(), "{} by its id", job.id);
-        assert_eq!(node.ask("other-id", job.key, &job, "0.5"), failed(), "{} by its key", job.id);
+    for job in [
+        jobs::IN_DOUBT,
+        jobs::IN_DOUBT_AT_SECOND,
+        jobs::ATTEMPT_ENDED,
+    ] {
+        assert_eq!(
+            node.ask(job.id, None, &job, "0.5"),
+            failed(),
+            "{} by its id",
+            job.id
+        );
+        assert_eq!(
+            node.ask("other-id", job.key, &job, "0.5"),
+            failed(),
+            "{} by its key",
+            job.id
+        );
     }
     assert_eq!(workers.received(), []);
     // The worker's report settles it; a report of a worker that did not have it does not.
     let (job, id) = (&jobs::IN_DOUBT_AT_SECOND, jobs::IN_DOUBT_AT_SECOND.id);
     report_done(node.clients, id, 1, "FROM THE WRONG WORKER").expect("an answer");
     assert_eq!(node.ask("other-id", job.key, job, "0.5"), failed());
-    assert_eq!(report_done(node.clients, id, 0, "LATE PLAN").expect("an answer"), 200);
+    assert_eq!(
+        report_done(node.clients, id, 0, "LATE PLAN").expect("an answer"),
+        200
+    );
     assert_eq!(node.ask("other-id", job.key, job, "5"), served("LATE PLAN"));
     assert_eq!(workers.received(), []);
 }
@@ -112,7 +147,10 @@
 fn a_job_that_never_ran_in_an_earlier_version_runs() {
     let (node, workers) = node_on_a_copy();
     let job = &jobs::NEVER_RAN;
-    assert_eq!(node.ask("other-id", job.key, job, "5"), served("UNSTARTED PLAN"));
+    assert_eq!(
+        node.ask("other-id", job.key, job, "5"),
+        served("UNSTARTED PLAN")
+    );
     let received: Vec<String> = workers.received().into_iter().map(|(_, id)| id).collect();
     assert_eq!(received, ["other-id"]);
 }
@@ -120,11 +158,22 @@
 /// The workers that received at least one of forty jobs.
 fn receivers(node: &Node, workers: &Workers, prefix: &str) -> Vec<u8> {
     let before = workers.received().len();
-    let job = Job { id: "", key: None, class: "reroute", body: "route" };
+    let job = Job {
+        id: "",
+        key: None,
+        class: "reroute",
+        body: "route",
+    };
     for number in 0..40 {
-        assert_eq!(node.ask(&format!("{prefix}-{number}"), None, &job, "5"), served("ROUTE"));
+        assert_eq!(
+            node.ask(&format!("{prefix}-{number}"), None, &job, "5"),
+            served("ROUTE")
+        );
     }
-    let mut receivers: Vec<u8> = workers.received()[before..].iter().map(|(worker, _)| *worker).collect();
+    let mut receivers: Vec<u8> = workers.received()[before..]
+        .iter()
+        .map(|(worker, _)| *worker)
+        .collect();
     receivers.sort_unstable();
     receivers.dedup();
     receivers
@@ -136,11 +185,16 @@
     assert_eq!(node.suspended(), ["s-2"]);
     assert_eq!(receivers(&node, &workers, "first"), [0, 1]);
     let path = "/v1/route-workers/s-2/resume";
-    assert_eq!(ask(node.management, "POST", path, &[], b"").expect("an answer").status, 200);
-    assert!(wait(LIMIT, || node.suspended().is_empty()));
+    assert_eq!(
+        send_request(node.management, "POST", path, &[], b"")
+            .expect("an answer")
+            .status,
+        200
+    );
+    assert!(wait_until(TEST_TIMEOUT, || node.suspended().is_empty()));
     // The worker is warming up: it gets its first job within a few seconds.
     let mut round = 0;
-    let resumed = wait(LIMIT, || {
+    let resumed = wait_until(TEST_TIMEOUT, || {
         round += 1;
         receivers(&node, &workers, &format!("round-{round}")).contains(&2)
     });
@@ -155,17 +209,30 @@
         copy_store(&store_fixture(&format!("voter-n{n}")), &store(&fleet, n));
     }
     (0..3).for_each(|n| fleet.start(n));
-    fleet.bans("suspended", &["w-0", "w-2"]);
+    fleet.wait_until_suspended("suspended", &["w-0", "w-2"]);
     // A new fleet's first token is the stored one again; the next owner on these stores gets a higher one.
-    let higher = wait(rig::MOST, || lease_token(&fleet).is_some_and(|token| token > STORED_TOKEN));
-    assert!(higher, "{:?}: {}", lease_token(&fleet), fleet.told());
+    let higher = wait_until(fleet_harness::MAX_WAIT, || {
+        lease_token(&fleet).is_some_and(|token| token > STORED_TOKEN)
+    });
+    assert!(higher, "{:?}: {}", lease_token(&fleet), fleet.describe());
 }
 
 /// The fencing token of the lease on `bans`, as the first node tells it.
-fn lease_token(fleet: &Fleet) -> Option<u64> {
-    let answer = ask(fleet.nodes[0].door, "GET", "/v1/fleet/owners", &[], b"").ok()?;
+fn lease_token(fleet: &FleetHarness) -> Option<u64> {
+    let answer = send_request(
+        fleet.nodes[0].management_address,
+        "GET",
+        "/v1/fleet/owners",
+        &[],
+        b"",
+    )
+    .ok()?;
     let view: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
-    view["duties"].as_array()?.iter().find(|duty| duty["duty"] == "bans")?["token"].as_u64()
+    view["duties"]
+        .as_array()?
+        .iter()
+        .find(|duty| duty["duty"] == "bans")?["token"]
+        .as_u64()
 }
 
 // ---- Making the fixtures ----
@@ -175,7 +242,10 @@
     if std::env::var("WRITE_DATA_DIRECTORY").is_ok_and(|value| value == "1") {
         make_single();
         make_voters();
-        for (name, action) in STORES.iter().flat_map(|name| ["verify", "dump", "stat"].map(|a| (name, a))) {
+        for (name, action) in STORES
+            .iter()
+            .flat_map(|name| ["verify", "dump", "stat"].map(|a| (name, a)))
+        {
             let folder = TemporaryFolder::new();
             copy_store(&store_fixture(name), &folder.path("store"));
             let text = store_command(action, &folder.path("store"));
@@ -183,7 +253,10 @@
         }
         panic!("the data directories are made anew; run again without WRITE_DATA_DIRECTORY");
     }
-    assert!(STORES.iter().all(|name| store_fixture(name).is_dir()), "a fixture is missing");
+    assert!(
+        STORES.iter().all(|name| store_fixture(name).is_dir()),
+        "a fixture is missing"
+    );
 }
 
 /// A node takes in the list of workers and suspends one; the jobs are added to its store when it has ended.
@@ -197,7 +270,12 @@
     let discovery = Discovery::start(&workers).expect("discovery");
     let mut node = Node::start(discovery.address, |_| {});
     let path = "/v1/route-workers/s-2/suspend";
-    assert_eq!(ask(node.management, "POST", path, &[], b"").expect("an answer").status, 200);
+    assert_eq!(
+        send_request(node.management, "POST", path, &[], b"")
+            .expect("an answer")
+            .status,
+        200
+    );
     std::thread::sleep(UNTIL_KEPT);
     node.kill();
     jobs::add_to_store(&node.store);
@@ -208,9 +286,9 @@
 fn make_voters() {
     let mut fleet = voters();
     std::thread::sleep(UNTIL_KEPT);
-    fleet.suspend(0, "w-0", false);
-    fleet.suspend(1, "w-2", false);
-    fleet.bans("suspended", &["w-0", "w-2"]);
+    fleet.suspend(0, "w-0");
+    fleet.suspend(1, "w-2");
+    fleet.wait_until_suspended("suspended", &["w-0", "w-2"]);
     std::thread::sleep(UNTIL_KEPT);
     for n in 0..3 {
         fleet.kill(n);
@@ -218,11 +296,11 @@
     }
 }
 
-fn voters() -> Fleet {
+fn voters() -> FleetHarness {
     let names = ["w-0".to_owned(), "w-1".to_owned(), "w-2".to_owned()];
-    Fleet::with_sections(3, 31, true, &names, &serde_json::json!({"duties": {}}))
+    FleetHarness::with_sections(3, 31, true, &names, &serde_json::json!({"duties": {}}))
 }
 
-fn store(fleet: &Fleet, n: usize) -> PathBuf {
+fn store(fleet: &FleetHarness, n: usize) -> PathBuf {
     fleet.nodes[n].folder.join("store")
 }
--- a/tests/surface_bytes.rs
+++ b/tests/surface_bytes.rs
@@ -4,12 +4,12 @@
 //! the renames.
 
 use postproxy::Settings;
-use postproxy::net::back::keeper::{Keeper, open};
-use postproxy::net::back::worker_list::{Kept, List, WorkerList};
-use postproxy::net::ground::reactor::Reactor;
-use postproxy::net::peers::audit;
-use postproxy::operator::StoreSection;
-use postproxy_council::Change;
+use postproxy::net::cluster::versions;
+use postproxy::net::store_adapter::{StartedStore, StoreAdapter, open};
+use postproxy::net::transport::reactor::Reactor;
+use postproxy::net::upstream::worker_list::{DiscoveryList, WorkerList, WorkerListSnapshot};
+use postproxy::operator_config::StoreSection;
+use postproxy_coordination::StorageChange;
 use postproxy_store::Change as Stored;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +23,8 @@
 /// Returns the bytes that the hexadecimal digits stand for.
 fn unhex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
-    let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    let byte =
+        |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
     pairs.map(byte).collect()
 }
 
@@ -32,7 +33,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("postproxy-surface-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("postproxy-surface-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         Self(folder)
     }
@@ -75,50 +77,64 @@
 }
 
 fn settings() -> Settings {
-    Settings::from_json(r#"{"services": [{"name": "render", "effect": "pure"}]}"#).expect("sound settings")
+    Settings::from_json(r#"{"services": [{"name": "render", "effect": "pure"}]}"#)
+        .expect("sound settings")
 }
 
 /// A node's list of workers that begins with the list above.
 fn worker_list(text: &str, revision: u64) -> WorkerList {
-    let list = List::from_json(text.as_bytes()).expect("a list");
+    let list = DiscoveryList::from_json(text.as_bytes()).expect("a list");
     let mut workers = WorkerList::new(discovery(), settings(), Some(revision), 1);
-    workers.hold(Some(&list));
+    workers.retain_list(Some(&list));
     workers
 }
 
 #[test]
 fn stored_list_of_workers_keeps_its_text() {
-    let kept = worker_list(DISCOVERED, 7).kept().expect("a list");
+    let kept = worker_list(DISCOVERED, 7).snapshot().expect("a list");
     assert_eq!(String::from_utf8(kept).expect("text"), LIST);
-    let read = Kept::from_json(LIST.as_bytes()).expect("a stored list");
-    let list = read.or(None, discovery()).expect("a list with workers");
+    let read = WorkerListSnapshot::from_json(LIST.as_bytes()).expect("a stored list");
+    let list = read
+        .select_initial_list(None, discovery())
+        .expect("a list with workers");
     assert_eq!((list.revision, list.complete), (7, true));
     let mut again = WorkerList::new(discovery(), settings(), Some(7), 1);
-    again.hold(Some(&list));
-    assert_eq!(again.kept().expect("a list"), LIST.as_bytes());
+    again.retain_list(Some(&list));
+    assert_eq!(again.snapshot().expect("a list"), LIST.as_bytes());
 }
 
 #[test]
 fn passed_on_list_of_workers_keeps_its_bytes() {
     let workers = worker_list(DISCOVERED, 7);
     let (number, digest) = workers.version().expect("a version");
-    assert_eq!((number, format!("{digest:016x}")), (7, "e0a52921b9311eaa".to_owned()));
-    assert_eq!(hex(&workers.body().expect("a list")), PASSED);
+    assert_eq!(
+        (number, format!("{digest:016x}")),
+        (7, "e0a52921b9311eaa".to_owned())
+    );
+    assert_eq!(hex(&workers.encode_for_peer().expect("a list")), PASSED);
 }
 
 #[test]
 fn passed_on_list_of_workers_is_read() {
     let mut reactor = Reactor::new(0.0).expect("a poller");
     let mut workers = worker_list(DISCOVERED, 6);
-    let (number, digest) = workers.take(&mut reactor, &unhex(PASSED)).expect("a newer list");
-    assert_eq!((number, format!("{digest:016x}")), (7, "e0a52921b9311eaa".to_owned()));
+    let (number, digest) = workers
+        .apply_peer_list(&mut reactor, &unhex(PASSED))
+        .expect("a newer list");
+    assert_eq!(
+        (number, format!("{digest:016x}")),
+        (7, "e0a52921b9311eaa".to_owned())
+    );
     assert_eq!(reactor.queue.len(), 1, "the list is told to the core");
 }
 
 #[test]
 fn prefix_and_generation_of_passed_on_lists_are_unchanged() {
-    assert_eq!(audit::PREFIX, [0x50, 0x41, 0x01]);
-    assert_eq!(format!("{:016x}", audit::generation("127.0.0.1:8500")), "a797c7cee270e152");
+    assert_eq!(versions::WORKER_LIST_PREFIX, [0x50, 0x41, 0x01]);
+    assert_eq!(
+        format!("{:016x}", versions::generation("127.0.0.1:8500")),
+        "a797c7cee270e152"
+    );
 }
 
 /// All keys and values of a store.
@@ -136,24 +152,33 @@
 fn node_writes_its_keys() {
     let folder = Folder::new("writes");
     let mut reactor = Reactor::new(0.0).expect("a poller");
-    let (mut keeper, _, _) = Keeper::start(&mut reactor, &folder.store(), "n-1").expect("a store");
-    keeper.keep_list(&[1, 2]);
-    keeper.keep_bans(&[3, 4]);
-    let change = |key: &[u8], value: Option<Vec<u8>>| Change { key: key.to_vec(), value };
+    let StartedStore { mut adapter, .. } =
+        StoreAdapter::start(&mut reactor, &folder.store(), "n-1").expect("a store");
+    adapter.save_worker_list(&[1, 2]);
+    adapter.save_suspensions(&[3, 4]);
+    let change = |key: &[u8], value: Option<Vec<u8>>| StorageChange {
+        key: key.to_vec(),
+        value,
+    };
     let changes = [
         change(b"a/hard", Some(vec![5])),
         change(b"c/seat", Some(vec![6])),
         change(b"s/start", Some(vec![7])),
     ];
-    assert!(keeper.keep_council(&changes));
-    assert!(keeper.keep_council(&[change(b"s/start", None)]));
-    drop(keeper); // waits for its writes
-    let expected = [("a/hard", "05"), ("c/seat", "06"), ("f/bans", "0304"), ("f/list", "0102")];
+    assert!(adapter.write_coordination_records(&changes));
+    assert!(adapter.write_coordination_records(&[change(b"s/start", None)]));
+    drop(adapter); // waits for its writes
+    let expected = [
+        ("a/hard", "05"),
+        ("c/seat", "06"),
+        ("f/bans", "0304"),
+        ("f/list", "0102"),
+    ];
     let expected = expected.map(|(key, value)| (key.to_owned(), value.to_owned()));
     assert_eq!(content(&folder.store()), BTreeMap::from(expected));
 }
 
-/// A record of a served job, as `crates/ledger` pins it.
+/// A record of a served job, as `crates/idempotency` pins it.
 const RECORD: &str = "01016301016b070707070707070707070707070707070707070707070707070707070707070701010203772d310203772d320080eb06d881e201";
 
 #[test]
@@ -161,7 +186,11 @@
     let folder = Folder::new("reads");
     let (mut engine, _) = open(&folder.store(), "a test").expect("a store");
     let record = unhex(RECORD);
-    let put = |key, value| Stored::Put { key, value, until: 0 };
+    let put = |key, value| Stored::Put {
+        key,
+        value,
+        expires_at_ms: 0,
+    };
     let puts = [
         put(b"f/list", LIST.as_bytes()),
         put(b"f/bans", &[3, 4]),
@@ -175,11 +204,18 @@
     engine.commit().expect("a sound disk");
     drop(engine);
     let mut reactor = Reactor::new(0.0).expect("a poller");
-    let (_keeper, ledger, mut found) = Keeper::start(&mut reactor, &folder.store(), "n-1").expect("a store");
-    assert_eq!(ledger.len(), 1);
-    assert!(found.list.is_some());
-    assert_eq!(found.bans, [3, 4]);
-    found.council.sort();
-    let council = [(&b"a/hard"[..], 5), (b"c/seat", 6), (b"s/start", 7)];
-    assert_eq!(found.council, council.map(|(key, value)| (key.to_vec(), vec![value])));
+    let StartedStore {
+        adapter: _adapter,
+        request_log,
+        mut recovered,
+    } = StoreAdapter::start(&mut reactor, &folder.store(), "n-1").expect("a store");
+    assert_eq!(request_log.len(), 1);
+    assert!(recovered.worker_list.is_some());
+    assert_eq!(recovered.suspensions, [3, 4]);
+    recovered.coordination_records.sort();
+    let coordination_records = [(&b"a/hard"[..], 5), (b"c/seat", 6), (b"s/start", 7)];
+    assert_eq!(
+        recovered.coordination_records,
+        coordination_records.map(|(key, value)| (key.to_vec(), vec![value]))
+    );
 }
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -2,7 +2,9 @@
 //! the output of `check`, `store` and `fleet`. Every expected text is written out, so that no renaming in the code can
 //! change what the program prints.
 
-use postproxy_ledger::{Attempt, Fate, Record, Stage, job_key, result_key};
+use postproxy_idempotency::{
+    Attempt, AttemptOutcome, RequestRecord, Stage, request_key, result_key,
+};
 use postproxy_store::{Change, Engine, Options, OsDisk};
 use std::fs;
 use std::io::{Read, Write};
@@ -25,8 +27,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let folder =
-            Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("surface-cli-{name}-{}", std::process::id()));
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("surface-cli-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("the folder is made");
         Self(folder)
     }
@@ -57,7 +59,11 @@
     fn assert_serve_fails(&self, args: &[&str], config: &str, stderr: &str) {
         self.write("config.json", config);
         let mut command = self.command(&[&["serve"], args].concat());
-        assert_eq!(outcome(command.env("RELAY_CONFIG", "config.json")), failed(stderr), "{args:?}");
+        assert_eq!(
+            outcome(command.env("RELAY_CONFIG", "config.json")),
+            failed(stderr),
+            "{args:?}"
+        );
     }
 }
 
@@ -72,7 +78,10 @@
 static STARTING: RwLock<()> = RwLock::new(());
 
 fn outcome(command: &mut Command) -> Run {
-    command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     let starting = STARTING.read().unwrap_or_else(PoisonError::into_inner);
     let child = command.spawn().expect("the program starts");
     drop(starting);
@@ -85,11 +94,19 @@
 }
 
 fn done(stdout: &str) -> Run {
-    Run { status: Some(0), stdout: stdout.into(), stderr: String::new() }
+    Run {
+        status: Some(0),
+        stdout: stdout.into(),
+        stderr: String::new(),
+    }
 }
 
 fn failed(stderr: &str) -> Run {
-    Run { status: Some(1), stdout: String::new(), stderr: stderr.into() }
+    Run {
+        status: Some(1),
+        stdout: String::new(),
+        stderr: stderr.into(),
+    }
 }
 
 fn assert_prints(args: &[&str], stdout: &str) {
@@ -99,7 +116,15 @@
 /// Asserts that these arguments are wrong usage: exit status 2 and this message.
 fn assert_wrong_usage(args: &[&str], stderr: &str) {
     let run = Folder::new(&format!("usage-{}", args.join("-"))).run(args);
-    assert_eq!(run, Run { status: Some(2), stdout: String::new(), stderr: stderr.into() }, "{args:?}");
+    assert_eq!(
+        run,
+        Run {
+            status: Some(2),
+            stdout: String::new(),
+            stderr: stderr.into()
+        },
+        "{args:?}"
+    );
 }
 
 // The store.
@@ -107,33 +132,64 @@
 /// 1 January 2100, in milliseconds of Unix time: no record expires before.
 const EXPIRES: u64 = 4_102_444_800_000;
 
-fn job(key: Option<&str>, stage: Stage, attempts: &[(&str, Fate)]) -> Vec<u8> {
-    let attempt = |(worker, fate): &(&str, Fate)| Attempt { worker: (*worker).into(), fate: *fate };
-    let record = Record {
+fn job(key: Option<&str>, stage: Stage, attempts: &[(&str, AttemptOutcome)]) -> Vec<u8> {
+    let attempt = |(worker, outcome): &(&str, AttemptOutcome)| Attempt {
+        worker: (*worker).into(),
+        outcome: *outcome,
+    };
+    let record = RequestRecord {
         class: "day-plan".into(),
-        key: key.map(str::to_owned),
+        idempotency_key: key.map(str::to_owned),
         digest: [0xab; 32],
         stage,
         attempts: attempts.iter().map(attempt).collect(),
-        deadline: 1_700_000_000_123,
-        until: EXPIRES,
+        deadline_ms: 1_700_000_000_123,
+        expires_at_ms: EXPIRES,
     };
     record.encode()
 }
 
 /// One record of each kind that a node keeps, in the order in which they are written.
 fn records() -> Vec<(Vec<u8>, Vec<u8>)> {
-    let all_fates = [("s-1", Fate::Out), ("s-2", Fate::NeverRan), ("s-3", Fate::MayHaveRun)];
+    let all_outcomes = [
+        ("s-1", AttemptOutcome::InFlight),
+        ("s-2", AttemptOutcome::NeverRan),
+        ("s-3", AttemptOutcome::MayHaveRun),
+    ];
     let list = br#"{"discovery":"127.0.0.1:8500","revision":3,"members":[]}"#;
     vec![
-        (job_key("job-open"), job(Some("key-1"), Stage::Open, &all_fates)),
-        (job_key("job-kept"), job(None, Stage::Served(true), &all_fates[2..])),
-        (job_key("job-too-long"), job(None, Stage::Served(false), &all_fates[2..])),
-        (job_key("job-failed"), job(None, Stage::Failed, &[])),
+        (
+            request_key("job-open"),
+            job(Some("key-1"), Stage::Pending, &all_outcomes),
+        ),
+        (
+            request_key("job-kept"),
+            job(
+                None,
+                Stage::Served {
+                    result_stored: true,
+                },
+                &all_outcomes[2..],
+            ),
+        ),
+        (
+            request_key("job-too-long"),
+            job(
+                None,
+                Stage::Served {
+                    result_stored: false,
+                },
+                &all_outcomes[2..],
+            ),
+        ),
+        (request_key("job-failed"), job(None, Stage::Failed, &[])),
         (result_key("job-kept"), b"via cesis".to_vec()),
         (b"j/unreadable".to_vec(), vec![9, b'x']),
         (b"f/list".to_vec(), list.to_vec()),
-        (b"f/bans".to_vec(), vec![1, 3, b's', b'-', b'1', 1, 7, 1, 0, 0xff]),
+        (
+            b"f/bans".to_vec(),
+            vec![1, 3, b's', b'-', b'1', 1, 7, 1, 0, 0xff],
+        ),
         (b"a/hard".to_vec(), vec![1, 2, 3]),
         (b"c/seat".to_vec(), vec![b'v', 0]),
         (b"s/start".to_vec(), vec![2]),
@@ -143,11 +199,19 @@
 fn open_store(folder: &Folder, names: &[&str]) -> Engine<OsDisk> {
     let disk = |name: &&str| OsDisk::new(&folder.0.join(name)).expect("a folder");
     let disks = names.iter().map(disk).collect();
-    Engine::open(disks, Options::default(), "process 1 (a test)", 7, 0).expect("a store").0
+    Engine::open(disks, Options::default(), "process 1 (a test)", 7, 0)
+        .expect("a store")
+        .0
 }
 
 fn put(engine: &mut Engine<OsDisk>, key: &[u8], value: &[u8]) {
-    engine.append(&[Change::Put { key, value, until: EXPIRES }]).expect("room");
+    engine
+        .append(&[Change::Put {
+            key,
+            value,
+            expires_at_ms: EXPIRES,
+        }])
+        .expect("room");
     engine.commit().expect("durable");
 }
 
@@ -155,7 +219,9 @@
 fn write_store(folder: &Folder, names: &[&str], records: &[(Vec<u8>, Vec<u8>)]) {
     let _no_child_starts = STARTING.write().unwrap_or_else(PoisonError::into_inner);
     let mut engine = open_store(folder, names);
-    records.iter().for_each(|(key, value)| put(&mut engine, key, value));
+    records
+        .iter()
+        .for_each(|(key, value)| put(&mut engine, key, value));
 }
 
 fn fill_store(folder: &Folder, names: &[&str]) {
@@ -164,8 +230,14 @@
 
 /// The only segment file of a store.
 fn segment_file(folder: &Folder, name: &str) -> PathBuf {
-    let files = fs::read_dir(folder.0.join(name)).expect("a folder").flatten().map(|file| file.path());
-    files.into_iter().find(|path| path.extension().is_some_and(|end| end == "seg")).expect("a segment")
+    let files = fs::read_dir(folder.0.join(name))
+        .expect("a folder")
+        .flatten()
+        .map(|file| file.path());
+    files
+        .into_iter()
+        .find(|path| path.extension().is_some_and(|end| end == "seg"))
+        .expect("a segment")
 }
 
 /// Changes one byte of a file, so that the frame around it is damaged.
@@ -192,7 +264,10 @@
 {"bytes":2,"key":"c/seat","value":"v\u0000"}
 {"bytes":1,"key":"s/start","value":"\u0002"}
 "#;
-    folder.assert_prints(&["store", "dump", "data"], &expected.replace("DIGEST", digest));
+    folder.assert_prints(
+        &["store", "dump", "data"],
+        &expected.replace("DIGEST", digest),
+    );
 }
 
 #[test]
@@ -216,7 +291,10 @@
 fn store_verify_counts_records() {
     let folder = Folder::new("verify");
     fill_store(&folder, &["data"]);
-    folder.assert_prints(&["store", "verify", "data"], "11 records in 1 segments, 936 bytes\n");
+    folder.assert_prints(
+        &["store", "verify", "data"],
+        "11 records in 1 segments, 936 bytes\n",
+    );
 }
 
 #[test]
@@ -273,7 +351,10 @@
     let folder = Folder::new("compact");
     let list = (b"f/list".to_vec(), vec![b'x'; 1000]);
     write_store(&folder, &["data"], &vec![list; 20]);
-    folder.assert_prints(&["store", "compact", "data"], "20964 bytes before, 1142 after\n");
+    folder.assert_prints(
+        &["store", "compact", "data"],
+        "20964 bytes before, 1142 after\n",
+    );
 }
 
 #[test]
@@ -298,7 +379,10 @@
 fn store_that_is_a_file_is_rejected() {
     let folder = Folder::new("file");
     folder.write("data", "");
-    folder.assert_fails(&["store", "stat", "data"], "postproxy: data: is no folder\n");
+    folder.assert_fails(
+        &["store", "stat", "data"],
+        "postproxy: data: is no folder\n",
+    );
 }
 
 // The operator's file.
@@ -306,10 +390,16 @@
 #[test]
 fn check_says_that_a_good_file_is_sound() {
     let folder = Folder::new("check-good");
-    folder.write("operator.json", r#"{"log": {"format": "json", "levels": "info"}}"#);
+    folder.write(
+        "operator.json",
+        r#"{"log": {"format": "json", "levels": "info"}}"#,
+    );
     folder.write("config.json", include_str!("../examples/config.json"));
     folder.assert_prints(&["check", "operator.json"], "operator.json: sound\n");
-    folder.assert_prints(&["check", "operator.json", "--config", "config.json"], "operator.json: sound\n");
+    folder.assert_prints(
+        &["check", "operator.json", "--config", "config.json"],
+        "operator.json: sound\n",
+    );
 }
 
 #[test]
@@ -324,11 +414,14 @@
 fn check_names_the_place_in_a_bad_configuration() {
     let folder = Folder::new("check-config");
     folder.write("operator.json", "{}");
-    let config =
-        include_str!("../examples/config.json").replace("\"max-attempts\": 3", "\"max-attempts\": 0");
+    let config = include_str!("../examples/config.json")
+        .replace("\"max-attempts\": 3", "\"max-attempts\": 0");
     folder.write("config.json", &config);
     let stderr = "postproxy: config.json: settings.limits.max-attempts must be at least 1 (settings.range: give the key that is named a value as it must be, and start the node or signal it to reload again)\n";
-    folder.assert_fails(&["check", "operator.json", "--config", "config.json"], stderr);
+    folder.assert_fails(
+        &["check", "operator.json", "--config", "config.json"],
+        stderr,
+    );
 }
 
 #[test]
@@ -360,8 +453,11 @@
             request.extend(byte);
         }
         let length = body.len();
-        write!(stream, "HTTP/1.1 {status}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}")
-            .expect("the response is written");
+        write!(
+            stream,
+            "HTTP/1.1 {status}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        )
+        .expect("the response is written");
         String::from_utf8(request).expect("text")
     };
     (address, thread::spawn(answer))
@@ -402,7 +498,12 @@
 
 #[test]
 fn fleet_members_prints_json_as_the_node_gave_it() {
-    let (run, request) = fleet("members-json", &["members", "--json"], "200 OK", FULL_PICTURE);
+    let (run, request) = fleet(
+        "members-json",
+        &["members", "--json"],
+        "200 OK",
+        FULL_PICTURE,
+    );
     assert_eq!(run, done(FULL_PICTURE));
     assert_eq!(request, "GET /v1/fleet/members HTTP/1.1");
 }
@@ -415,7 +516,10 @@
   no member yet
 node                 state    votes  address                incarnation
 ";
-    assert_eq!(fleet("no-member", &["members"], "200 OK", body).0, done(expected));
+    assert_eq!(
+        fleet("no-member", &["members"], "200 OK", body).0,
+        done(expected)
+    );
 }
 
 #[test]
@@ -426,7 +530,10 @@
   no member: the process at 10.0.0.9:7946 has this name, too
 node                 state    votes  address                incarnation
 ";
-    assert_eq!(fleet("namesake", &["members"], "200 OK", body).0, done(expected));
+    assert_eq!(
+        fleet("namesake", &["members"], "200 OK", body).0,
+        done(expected)
+    );
 }
 
 #[test]
@@ -437,8 +544,16 @@
 
 #[test]
 fn fleet_members_rejects_a_picture_that_lacks_a_key() {
-    let (run, _) = fleet("members-short", &["members"], "200 OK", r#"{"cluster":"yard"}"#);
-    assert_eq!(run, failed("postproxy: missing field `node` at line 1 column 18\n"));
+    let (run, _) = fleet(
+        "members-short",
+        &["members"],
+        "200 OK",
+        r#"{"cluster":"yard"}"#,
+    );
+    assert_eq!(
+        run,
+        failed("postproxy: missing field `node` at line 1 column 18\n")
+    );
 }
 
 #[test]
@@ -447,7 +562,8 @@
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
     let expected = format!("postproxy: {address}: Connection refused (os error 111)\n");
-    Folder::new("members-nobody").assert_fails(&["fleet", "members", "--mgmt", &address], &expected);
+    Folder::new("members-nobody")
+        .assert_fails(&["fleet", "members", "--mgmt", &address], &expected);
 }
 
 #[test]
@@ -457,7 +573,10 @@
     assert_eq!(run, done("n 2 is forgotten\n"));
     assert_eq!(request, "POST /v1/fleet/members/n%202/forget HTTP/1.1");
     let (run, _) = fleet("forget-409", &forget, "409 Conflict", "");
-    assert_eq!(run, failed("postproxy: n 2: it has not failed; end it, then ask again\n"));
+    assert_eq!(
+        run,
+        failed("postproxy: n 2: it has not failed; end it, then ask again\n")
+    );
     let (run, _) = fleet("forget-404", &forget, "404 Not Found", "no such node\n");
     assert_eq!(run, failed("postproxy: n 2: no such node\n"));
 }
@@ -486,7 +605,9 @@
     folder.assert_serve_fails(&["--operator", "absent.json"], &config(""), stderr);
     folder.write("config.json", &config(""));
     let mut command = folder.command(&["serve"]);
-    command.env("RELAY_CONFIG", "config.json").env("POSTPROXY_OPERATOR", "absent.json");
+    command
+        .env("RELAY_CONFIG", "config.json")
+        .env("POSTPROXY_OPERATOR", "absent.json");
     assert_eq!(outcome(&mut command), failed(stderr));
 }
 
@@ -494,7 +615,11 @@
 fn serve_rejects_log_levels_that_name_none() {
     let stderr = "postproxy: 'info,postproxy=lound' names no levels: error parsing level filter: expected one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\", or a number 0-5\n";
     let folder = Folder::new("serve-levels");
-    folder.assert_serve_fails(&["--log-levels", "info,postproxy=lound"], &config(""), stderr);
+    folder.assert_serve_fails(
+        &["--log-levels", "info,postproxy=lound"],
+        &config(""),
+        stderr,
+    );
 }
 
 #[test]
@@ -502,7 +627,8 @@
     let folder = Folder::new("serve-taken");
     let taken = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = taken.local_addr().expect("an address");
-    let stderr = format!("postproxy: listening on {address}: Address already in use (os error 98)\n");
+    let stderr =
+        format!("postproxy: listening on {address}: Address already in use (os error 98)\n");
     let listen = config("").replace("127.0.0.1:0", &address.to_string());
     folder.assert_serve_fails(&[], &listen, &stderr);
     folder.assert_serve_fails(&[], &config(&format!(r#""mgmt": "{address}", "#)), &stderr);
@@ -513,10 +639,16 @@
     let folder = Folder::new("serve-fleet-taken");
     let taken = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = taken.local_addr().expect("an address");
-    let operator = format!(r#"{{"fleet": {{"cluster": "c", "listen": "{address}", "voters": ["n0"]}}}}"#);
+    let operator =
+        format!(r#"{{"fleet": {{"cluster": "c", "listen": "{address}", "voters": ["n0"]}}}}"#);
     folder.write("operator.json", &operator);
-    let stderr = format!("postproxy: fleet.listen: {address}: Address already in use (os error 98)\n");
-    folder.assert_serve_fails(&["--operator", "operator.json", "--log-levels", "off"], &config(""), &stderr);
+    let stderr =
+        format!("postproxy: fleet.listen: {address}: Address already in use (os error 98)\n");
+    folder.assert_serve_fails(
+        &["--operator", "operator.json", "--log-levels", "off"],
+        &config(""),
+        &stderr,
+    );
 }
 
 #[test]
@@ -532,11 +664,9 @@
 #[test]
 fn serve_rejects_a_voter_without_a_store() {
     let folder = Folder::new("serve-voter");
-    let operator =
-        r#"{"duties": {}, "fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0", "n1", "n2"]}}"#;
+    let operator = r#"{"duties": {}, "fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0", "n1", "n2"]}}"#;
     folder.write("operator.json", operator);
-    let stderr =
-        "postproxy: duties: this node votes, and its promises must outlive it: it needs the section store\n";
+    let stderr = "postproxy: duties: this node votes, and its promises must outlive it: it needs the section store\n";
     folder.assert_serve_fails(&["--operator", "operator.json"], &config(""), stderr);
 }
 
@@ -654,7 +784,7 @@
           - json: An object a line
 
       --log-levels <LEVELS>
-          Levels by module, such as info,postproxy::net::back::farm=debug; goes before the operator's file
+          Levels by module, such as info,postproxy::net::upstream::worker_list=debug; goes before the operator's file
 
   -h, --help
           Print help (see a summary with '-h')
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -5,14 +5,14 @@
 //! `#[serde(rename)]`), not the literal. Ports, times and drawn numbers are replaced by a word before the comparison. The number
 //! and digest of the kind `program` follow the package's version, and change with a release.
 
-use postproxy::net::peers::affairs::refusal;
-use postproxy::net::peers::audit::Audit;
-use postproxy::net::peers::fleet::{Picture, Shown};
+use postproxy::net::cluster::coordination::error_response;
+use postproxy::net::cluster::service::{ClusterStatus, MemberStatus};
+use postproxy::net::cluster::versions::VersionService;
 use postproxy::net::{Config, Node};
-use postproxy::operator::{AuditSection, DutiesSection, FleetSection, StoreSection};
-use postproxy_audit::{Kind, Settings, Source, Stand, Word};
-use postproxy_council::{Error, Refusal};
-use postproxy_faults::addresses;
+use postproxy::operator_config::{AuditSection, DutiesSection, FleetSection, StoreSection};
+use postproxy_coordination::{Error, Rejection};
+use postproxy_fault_injection::loopback_addresses;
+use postproxy_version_tracking::{Message, Settings, Source, VersionKind, VersionRecord};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
@@ -49,11 +49,17 @@
         let (tell, told) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
             let mut node = Node::new(config, signal).expect("a node");
-            tell.send(node.door().expect("a management address")).expect("the test waits");
+            tell.send(node.management_address().expect("a management address"))
+                .expect("the test waits");
             node.run().expect("it runs");
         });
         let management = told.recv_timeout(LIMIT).expect("the node starts");
-        Self { management, stop, thread, _discovery: discovery }
+        Self {
+            management,
+            stop,
+            thread,
+            _discovery: discovery,
+        }
     }
 
     /// The complete answer to these bytes.
@@ -62,7 +68,9 @@
         stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
         stream.write_all(request.as_bytes()).expect("it is written");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer and the connection's end");
+        stream
+            .read_to_string(&mut answer)
+            .expect("an answer and the connection's end");
         answer
     }
 
@@ -99,14 +107,16 @@
 
 /// The section `fleet` of a node that knows no other.
 fn fleet_section(voters: &[&str]) -> FleetSection {
-    serde_json::from_value(serde_json::json!({"cluster": "riga", "listen": "127.0.0.1:0", "voters": voters}))
-        .expect("a section")
+    serde_json::from_value(
+        serde_json::json!({"cluster": "riga", "listen": "127.0.0.1:0", "voters": voters}),
+    )
+    .expect("a section")
 }
 
 /// An empty folder for a node's store.
 fn store_section(name: &str) -> StoreSection {
-    let folder =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("surface-{name}-{}", std::process::id()));
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("surface-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     serde_json::from_value(serde_json::json!({"folder": folder})).expect("a section")
 }
@@ -133,7 +143,11 @@
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
     let size = format!("Content-Length: {}\r\n", body.len());
     assert!(head.contains(&size), "{head}");
-    format!("{}\r\n\r\n{}", head.replace(&size, "Content-Length: VARIES\r\n"), varying(body, keys))
+    format!(
+        "{}\r\n\r\n{}",
+        head.replace(&size, "Content-Length: VARIES\r\n"),
+        varying(body, keys)
+    )
 }
 
 /// Replaces the hashes of a trail, which hold its times.
@@ -152,12 +166,10 @@
 const YES: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nyes\n";
 const NOT_NOW: &str =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 8\r\nConnection: close\r\n\r\nnot now\n";
-const NOBODY: &str =
-    "HTTP/1.1 404 Not Found\r\nContent-Length: 21\r\nConnection: close\r\n\r\nnobody has that name\n";
+const NOBODY: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 21\r\nConnection: close\r\n\r\nnobody has that name\n";
 const LIVES: &str =
     "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\nConnection: close\r\n\r\nit has not failed\n";
-const NO_FLEET: &str =
-    "HTTP/1.1 404 Not Found\r\nContent-Length: 26\r\nConnection: close\r\n\r\nthis node knows no others\n";
+const NO_FLEET: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 26\r\nConnection: close\r\n\r\nthis node knows no others\n";
 const NO_AUDIT: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 33\r\nConnection: close\r\n\r\nthe section audit is not on here\n";
 const NO_DUTIES: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 34\r\nConnection: close\r\n\r\nthe section duties is not on here\n";
 const UNKNOWN_PATH: &str =
@@ -174,7 +186,10 @@
 fn the_readiness_check_answers_with_these_bytes_before_and_after_the_start() {
     let node = TestNode::start(|_| {});
     assert_eq!(node.get("/v1/readyz"), NOT_NOW);
-    assert_eq!(node.until("GET", "/v1/readyz", |answer| answer != NOT_NOW), YES);
+    assert_eq!(
+        node.until("GET", "/v1/readyz", |answer| answer != NOT_NOW),
+        YES
+    );
     assert_eq!(
         node.ask("HEAD", "/v1/readyz"),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -203,7 +218,8 @@
 #[test]
 fn suspend_in_a_fleet_of_one_answers_with_these_bytes() {
     let node = TestNode::start(|config| config.fleet = Some(fleet_section(&[])));
-    let held = "HTTP/1.1 200 OK\r\nContent-Length: 21\r\nConnection: close\r\n\r\nyes, at 1 of 1 nodes\n";
+    let held =
+        "HTTP/1.1 200 OK\r\nContent-Length: 21\r\nConnection: close\r\n\r\nyes, at 1 of 1 nodes\n";
     assert_eq!(node.post("/v1/route-workers/s-0/suspend"), held);
     assert_eq!(node.post("/v1/route-workers/s-0/resume"), held);
     node.stop();
@@ -249,7 +265,9 @@
 #[test]
 fn the_members_of_a_fleet_of_one_are_shown_with_these_bytes() {
     let node = TestNode::start(|config| config.fleet = Some(fleet_section(&["n0"])));
-    let answer = node.until("GET", "/v1/fleet/members", |answer| answer.contains("\"member\":true"));
+    let answer = node.until("GET", "/v1/fleet/members", |answer| {
+        answer.contains("\"member\":true")
+    });
     assert_eq!(
         varying_answer(&answer, &["address", "incarnation", "ill", "missed_s"]),
         "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
@@ -265,7 +283,10 @@
 fn the_versions_and_the_trail_of_a_node_are_shown_with_these_bytes() {
     let node = TestNode::start(|config| {
         config.fleet = Some(fleet_section(&[]));
-        config.audit = Some(AuditSection { discovery: Some("riga".into()), ..AuditSection::default() });
+        config.audit = Some(AuditSection {
+            discovery: Some("riga".into()),
+            ..AuditSection::default()
+        });
     });
     assert_eq!(
         node.get("/v1/fleet/versions"),
@@ -289,14 +310,31 @@
 /// Two nodes' versions with every field away from its default, in a time that is told.
 #[test]
 fn versions_and_trail_of_a_node_that_is_behind_have_this_json() {
-    let mut audit = Audit::new(Settings { beat_ms: 400 }, "n0", 1000.0, 7);
-    audit.peers(["n1".to_owned()].into());
-    let stand = |number| Stand { generation: 0xab, number, digest: 0xcd };
-    audit.adopt(1001.0, Kind::List, stand(41), Source::Peer("n1".into()), 3);
-    let heads = Word::Heads(vec![(Kind::List, stand(44))]);
-    audit.heard(1002.0, "n1", &postcard::to_stdvec(&heads).expect("bytes"));
+    let mut audit = VersionService::new(
+        Settings {
+            gossip_interval_ms: 400,
+        },
+        "n0",
+        1000.0,
+        7,
+    );
+    audit.set_peers(["n1".to_owned()].into());
+    let stand = |number| VersionRecord {
+        generation: 0xab,
+        number,
+        digest: 0xcd,
+    };
+    audit.adopt(
+        1001.0,
+        VersionKind::WorkerList,
+        stand(41),
+        Source::Peer("n1".into()),
+        3,
+    );
+    let heads = Message::Versions(vec![(VersionKind::WorkerList, stand(44))]);
+    audit.handle_datagram(1002.0, "n1", &postcard::to_stdvec(&heads).expect("bytes"));
     assert_eq!(
-        audit.versions(1002.5),
+        audit.versions_json(1002.5),
         "[{\"node\":\"n0\",\"state\":\"behind\",\"heard_ms\":0,\"behind_ms\":500,\"versions\":[\
          {\"kind\":\"list\",\"generation\":\"00000000000000ab\",\"number\":41,\"digest\":\"00000000000000cd\",\"behind_by\":3},\
          {\"kind\":\"program\",\"generation\":\"0000000000000000\",\"number\":1000,\"digest\":\"ec9a9a2b720a9b06\",\"behind_by\":0}]},\
@@ -304,7 +342,7 @@
          {\"kind\":\"list\",\"generation\":\"00000000000000ab\",\"number\":44,\"digest\":\"00000000000000cd\",\"behind_by\":0}]}]\n"
     );
     assert_eq!(
-        audit.trail(2),
+        audit.audit_log_json(2),
         "{\"node\":\"n0\",\"view\":3,\"head\":\"b2b72c4e5bef79f9ff2c309b4ad7deec09c7199934b81524882ee69f096c819d\",\"acts\":2,\"records\":[\
          {\"view\":1,\"at_ms\":1000000,\"what\":\"began\",\"acts\":0,\"hash\":[57,111,95,104,27,27,234,3,192,81,76,54,35,161,136,18,15,132,82,68,96,158,14,192,90,11,131,207,57,228,16,169]},\
          {\"view\":2,\"at_ms\":1000000,\"what\":{\"adopted\":[\"program\",{\"generation\":0,\"number\":1000,\"digest\":17049108850752002822},\"own\"]},\"acts\":0,\"hash\":[75,166,32,209,125,56,74,157,191,208,26,177,244,184,193,58,7,171,221,204,75,200,11,179,7,138,129,26,112,194,100,136]},\
@@ -314,14 +352,19 @@
 
 /// So many whole nodes that hear each other, of which the first two vote.
 fn nodes<const COUNT: usize>(test: &str) -> [TestNode; COUNT] {
-    let at: Vec<SocketAddr> =
-        addresses(COUNT as u8).into_iter().map(|ip| SocketAddr::new(ip, 8090)).collect();
+    let at: Vec<SocketAddr> = loopback_addresses(COUNT as u8)
+        .into_iter()
+        .map(|ip| SocketAddr::new(ip, 8090))
+        .collect();
     std::array::from_fn(|n| {
         TestNode::start(|config| {
             config.name = format!("n{n}");
             config.store = Some(store_section(&format!("{test}-{n}")));
-            config.fleet =
-                Some(FleetSection { listen: at[n], seeds: at.clone(), ..fleet_section(&["n0", "n1"]) });
+            config.fleet = Some(FleetSection {
+                listen: at[n],
+                seeds: at.clone(),
+                ..fleet_section(&["n0", "n1"])
+            });
             config.duties = Some(DutiesSection::default());
         })
     })
@@ -330,7 +373,9 @@
 #[test]
 fn a_voter_that_is_added_and_removed_is_shown_with_these_bytes() {
     let [first, second, third] = nodes("voters");
-    third.until("GET", "/v1/fleet/owners", |answer| answer.contains("\"owner\":\"n"));
+    third.until("GET", "/v1/fleet/owners", |answer| {
+        answer.contains("\"owner\":\"n")
+    });
     let answer = third.get("/v1/fleet/owners");
     assert_eq!(
         varying_answer(&answer, &["leader", "place", "owner", "token", "left_ms"]),
@@ -341,15 +386,22 @@
          \"token\":VARIES}\n"
     );
     assert_eq!(
-        first.until("POST", "/v1/fleet/voters/n2/add", |answer| !answer.contains("voters.nobody")),
+        first.until("POST", "/v1/fleet/voters/n2/add", |answer| !answer
+            .contains("voters.nobody")),
         YES
     );
     // It has the log, not the seat alone: one that is removed before that is a matter of its own, and no surface.
-    let follows = |answer: &str| answer.contains("\"votes\":true") && !answer.contains("\"place\":0,");
+    let follows =
+        |answer: &str| answer.contains("\"votes\":true") && !answer.contains("\"place\":0,");
     third.until("GET", "/v1/fleet/owners", follows);
     assert_eq!(first.post("/v1/fleet/voters/n2/remove"), YES);
-    let answer = third.until("GET", "/v1/fleet/owners", |answer| answer.contains("\"votes\":false"));
-    assert!(answer.contains("\"votes\":false,\"why\":\"Removed\","), "{answer}");
+    let answer = third.until("GET", "/v1/fleet/owners", |answer| {
+        answer.contains("\"votes\":false")
+    });
+    assert!(
+        answer.contains("\"votes\":false,\"why\":\"Removed\","),
+        "{answer}"
+    );
     third.stop();
     first.stop();
     second.stop();
@@ -358,10 +410,13 @@
 #[test]
 fn a_call_without_a_majority_is_answered_with_these_bytes() {
     let [node, other] = nodes("majority");
-    node.until("GET", "/v1/fleet/owners", |answer| answer.contains("\"owner\":\"n"));
+    node.until("GET", "/v1/fleet/owners", |answer| {
+        answer.contains("\"owner\":\"n")
+    });
     other.stop();
     assert_eq!(
-        node.until("POST", "/v1/fleet/owners/bans/hand/n0", |answer| !answer.ends_with("yes\n")),
+        node.until("POST", "/v1/fleet/owners/bans/hand/n0", |answer| !answer
+            .ends_with("yes\n")),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 271\r\nConnection: close\r\n\r\n\
          {\"error\":\"duties\",\"code\":\"duties.no_majority\",\"what\":\"not decided in time; voters not heard: n1\",\"remedy\":\"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back\"}\n"
     );
@@ -376,7 +431,8 @@
     other.until("GET", path, owned);
     node.until("GET", path, owned);
     assert_eq!(node.post("/v1/fleet/owners/bans/hand/n0"), YES);
-    let acts = |answer: &str| answer.contains("\"next\":null") && !answer.contains("\"left_ms\":null");
+    let acts =
+        |answer: &str| answer.contains("\"next\":null") && !answer.contains("\"left_ms\":null");
     let answer = node.until("GET", path, acts);
     assert_eq!(
         varying_answer(&answer, &["leader", "place", "token", "left_ms"]),
@@ -403,7 +459,9 @@
     );
     assert_eq!(node.post("/v1/fleet/members/n1/forget"), LIVES);
     assert_eq!(node.post("/v1/fleet/owners/bans/release"), YES);
-    let answer = node.until("GET", "/v1/fleet/members", |answer| answer.contains("\"leads\":true"));
+    let answer = node.until("GET", "/v1/fleet/members", |answer| {
+        answer.contains("\"leads\":true")
+    });
     let keys = ["address", "incarnation", "leads", "ill", "missed_s"];
     assert_eq!(
         varying_answer(&answer, &keys),
@@ -419,28 +477,40 @@
 /// Pins a rejected call's status beside its body, whose other forms the crate `council` pins.
 #[test]
 fn each_rejected_call_has_this_status() {
-    let status = |error: &Error| refusal(error).0;
-    let stop = Error::WouldStop { living: 1, of: 3 };
-    for error in [Error::NoMajority(Vec::new()), Error::Busy, Error::NoVoters, Error::Elsewhere("n1".into())]
-    {
+    let status = |error: &Error| error_response(error).status;
+    let stop = Error::WouldLoseMajority { living: 1, of: 3 };
+    for error in [
+        Error::NoMajority(Vec::new()),
+        Error::Busy,
+        Error::NoVoters,
+        Error::NotLeader("n1".into()),
+    ] {
         assert_eq!(status(&error), 503, "{error}");
     }
-    for error in [Error::Nobody, Error::Refused(Refusal::Unknown)] {
+    for error in [Error::UnknownNode, Error::Rejected(Rejection::UnknownLease)] {
         assert_eq!(status(&error), 404, "{error}");
     }
-    assert_eq!(status(&Error::Name), 400);
+    assert_eq!(status(&Error::InvalidName), 400);
     let refused = [
-        Refusal::Owned("n1".into(), 7),
-        Refusal::Stale(None),
-        Refusal::Malformed,
-        Refusal::Full,
-        Refusal::Old,
+        Rejection::OwnedByOther {
+            owner: "n1".into(),
+            token: 7,
+        },
+        Rejection::StaleToken(None),
+        Rejection::Malformed,
+        Rejection::TooManyLeases,
+        Rejection::SupersededCommand,
     ];
-    for error in refused.map(Error::Refused).into_iter().chain([stop, Error::Count]) {
+    for error in refused
+        .map(Error::Rejected)
+        .into_iter()
+        .chain([stop, Error::VoterCount])
+    {
         assert_eq!(status(&error), 409, "{error}");
     }
+    let response = error_response(&Error::InvalidName);
     assert_eq!(
-        refusal(&Error::Name),
+        (response.status, response.body),
         (
             400,
             "{\"error\":\"voters\",\"code\":\"voters.name\",\"what\":\"a name must have 1 to 64 bytes\",\
@@ -450,32 +520,42 @@
     );
 }
 
-fn member(state: &str, voter: bool, leads: bool) -> Shown {
+fn member(state: &str, voter: bool, leads: bool) -> MemberStatus {
     let address = "10.0.0.4:8080".parse().expect("an address");
-    Shown { name: "n0".into(), address, incarnation: 12, state: state.into(), voter, leads }
+    MemberStatus {
+        name: "n0".into(),
+        address,
+        incarnation: 12,
+        state: state.into(),
+        is_voter: voter,
+        is_leader: leads,
+    }
 }
 
-fn picture() -> Picture {
-    Picture {
+fn picture() -> ClusterStatus {
+    ClusterStatus {
         cluster: "riga".into(),
         node: "n0".into(),
-        member: false,
-        namesake: Some("10.0.0.9:8080".parse().expect("an address")),
-        standing: "some failed".into(),
+        is_member: false,
+        name_conflict: Some("10.0.0.9:8080".parse().expect("an address")),
+        health: "some failed".into(),
         reasons: vec!["n1 has failed".into()],
         members: vec![member("here", true, true), member("left", false, false)],
-        unheard: vec!["n2".into()],
-        ill: 0.5,
-        missed_s: 1.25,
-        bans: vec!["s-1".into()],
+        unreachable_peers: vec!["n2".into()],
+        clock_slowdown: 0.5,
+        skipped_seconds: 1.25,
+        suspended_workers: vec!["s-1".into()],
         dropped: [("foreign".to_owned(), 3)].into(),
     }
 }
 
 /// The value is written as this text, and this text is read as the value.
-fn pinned(value: &Picture, text: &str) {
+fn pinned(value: &ClusterStatus, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("JSON"), text);
-    assert_eq!(&serde_json::from_str::<Picture>(text).expect("a value"), value);
+    assert_eq!(
+        &serde_json::from_str::<ClusterStatus>(text).expect("a value"),
+        value
+    );
 }
 
 #[test]
@@ -495,7 +575,15 @@
     let (reasons, members, unheard, bans) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let (namesake, dropped) = (None, Default::default());
     pinned(
-        &Picture { namesake, reasons, members, unheard, bans, dropped, ..picture() },
+        &ClusterStatus {
+            name_conflict: namesake,
+            reasons,
+            members,
+            unreachable_peers: unheard,
+            suspended_workers: bans,
+            dropped,
+            ..picture()
+        },
         "{\"cluster\":\"riga\",\"node\":\"n0\",\"member\":false,\"namesake\":null,\"standing\":\"some failed\",\
          \"reasons\":[],\"members\":[],\"unheard\":[],\"ill\":0.5,\"missed_s\":1.25,\"bans\":[],\"dropped\":{}}",
     );
@@ -503,6 +591,10 @@
 
 #[test]
 fn a_member_from_a_version_without_the_leader_is_read() {
-    let text = r#"{"name":"n0","address":"10.0.0.4:8080","incarnation":12,"state":"here","voter":true}"#;
-    assert_eq!(serde_json::from_str::<Shown>(text).expect("a member"), member("here", true, false));
+    let text =
+        r#"{"name":"n0","address":"10.0.0.4:8080","incarnation":12,"state":"here","voter":true}"#;
+    assert_eq!(
+        serde_json::from_str::<MemberStatus>(text).expect("a member"),
+        member("here", true, false)
+    );
 }
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -2,11 +2,12 @@
 //! environment. Every key is shown to be known, and every message on a wrong one is written out with its code, so that no
 //! renaming in the code can change a key, a word or a message.
 
-use postproxy::interface::{
-    Class, Effect, Entry, Field, Group, Health, Reports, RetryBudget, Settings, WorkerId,
+use postproxy::decision::interface::{
+    Class, DedupScope, Effect, Entry, Health, ReportField, ReportSource, RetryBudget, Settings,
+    WorkerId,
 };
 use postproxy::net::Config;
-use postproxy::operator::Operator;
+use postproxy::operator_config::OperatorConfig;
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -33,10 +34,18 @@
     /// Runs the program; returns its exit status and what it wrote to standard output and error.
     fn run(&self, args: &[&str], environment: &[(&str, &str)]) -> (Option<i32>, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
-        command.args(args).env_clear().envs(environment.iter().copied()).current_dir(&self.0);
+        command
+            .args(args)
+            .env_clear()
+            .envs(environment.iter().copied())
+            .current_dir(&self.0);
         let output = command.output().expect("the program starts");
         let text = |bytes| String::from_utf8(bytes).expect("text");
-        (output.status.code(), text(output.stdout), text(output.stderr))
+        (
+            output.status.code(),
+            text(output.stdout),
+            text(output.stderr),
+        )
     }
 }
 
@@ -52,7 +61,10 @@
 
 /// The name of the test that runs, which is the name of its thread.
 fn test_name() -> String {
-    std::thread::current().name().expect("a test's thread has its name").replace("::", "-")
+    std::thread::current()
+        .name()
+        .expect("a test's thread has its name")
+        .replace("::", "-")
 }
 
 /// Asserts that `check` ends with status 1 and this message for each of these operator's files.
@@ -61,7 +73,11 @@
     for (text, expected) in cases {
         folder.write("operator.json", text);
         let run = folder.run(&["check", "operator.json"], &[]);
-        assert_eq!(run, message(&format!("operator.json: {expected}")), "{text}");
+        assert_eq!(
+            run,
+            message(&format!("operator.json: {expected}")),
+            "{text}"
+        );
     }
 }
 
@@ -86,10 +102,16 @@
 /// Asserts that each of these settings is rejected with this message, followed by the code and the remedy.
 fn assert_settings_errors(cases: &[(&str, &str)], code_and_remedy: &str) {
     let full = |(settings, expected): &(&str, &str)| {
-        (configuration(settings), format!("{expected} ({code_and_remedy})"))
+        (
+            configuration(settings),
+            format!("{expected} ({code_and_remedy})"),
+        )
     };
     let full: Vec<(String, String)> = cases.iter().map(full).collect();
-    let full: Vec<(&str, &str)> = full.iter().map(|(text, expected)| (&**text, &**expected)).collect();
+    let full: Vec<(&str, &str)> = full
+        .iter()
+        .map(|(text, expected)| (&**text, &**expected))
+        .collect();
     assert_configuration_errors(&full);
 }
 
@@ -132,43 +154,94 @@
 
 #[test]
 fn every_key_of_the_operator_file_reaches_its_field() {
-    let operator = Operator::from_json(FULL_OPERATOR_FILE).expect("it is sound");
+    let operator = OperatorConfig::from_json(FULL_OPERATOR_FILE).expect("it is sound");
     assert_eq!(operator.log.levels, "warn,postproxy=debug");
-    assert_eq!(operator.log.format, postproxy::logs::Format::Json);
+    assert_eq!(operator.log.format, postproxy::logging::Format::Json);
     let store = operator.store.expect("a store");
-    assert_eq!((&*store.folder, store.mirror.as_deref()), ("data", Some("copy")));
-    assert_eq!((store.segment_mb, store.most_mb, store.keyed_durable), (2, 9, true));
+    assert_eq!(
+        (&*store.folder, store.mirror.as_deref()),
+        ("data", Some("copy"))
+    );
+    assert_eq!(
+        (store.segment_mb, store.most_mb, store.keyed_durable),
+        (2, 9, true)
+    );
     assert_eq!((store.patience_ms, store.retention_s), (501, 3601.5));
-    assert_eq!(store.retention_of_s.into_iter().collect::<Vec<_>>(), [("day-plan".to_owned(), 7200.0)]);
-    assert_eq!((store.result_kb, store.most_jobs, store.sync_delay_ms), (65, 1001, 3));
+    assert_eq!(
+        store.retention_of_s.into_iter().collect::<Vec<_>>(),
+        [("day-plan".to_owned(), 7200.0)]
+    );
+    assert_eq!(
+        (store.result_kb, store.most_jobs, store.sync_delay_ms),
+        (65, 1001, 3)
+    );
     assert_eq!(store.trouble_file.as_deref(), Some("trouble"));
     let fleet = operator.fleet.expect("a fleet");
-    assert_eq!((&*fleet.cluster, fleet.listen.to_string()), ("yard", "127.0.0.1:7946".to_owned()));
-    assert_eq!(fleet.advertise, Some(SocketAddr::from(([127, 0, 0, 2], 7947))));
+    assert_eq!(
+        (&*fleet.cluster, fleet.listen.to_string()),
+        ("yard", "127.0.0.1:7946".to_owned())
+    );
+    assert_eq!(
+        fleet.advertise,
+        Some(SocketAddr::from(([127, 0, 0, 2], 7947)))
+    );
     assert_eq!(fleet.seeds, [SocketAddr::from(([127, 0, 0, 3], 7948))]);
     assert_eq!(fleet.voters, ["n0", "n1", "n2"]);
-    assert_eq!((fleet.probe_ms, fleet.answer_ms, fleet.suspicion_ms), (251, 101, 1101));
-    assert_eq!((fleet.gossip_ms, fleet.hello_ms, fleet.look_back_ms), (102, 502, 1002));
+    assert_eq!(
+        (fleet.probe_ms, fleet.answer_ms, fleet.suspicion_ms),
+        (251, 101, 1101)
+    );
+    assert_eq!(
+        (fleet.gossip_ms, fleet.hello_ms, fleet.look_back_ms),
+        (102, 502, 1002)
+    );
     assert_eq!(operator.duties.expect("duties").lease_ms, 3001);
     let audit = operator.audit.expect("an audit");
-    assert_eq!((audit.beat_ms, audit.discovery.as_deref()), (401, Some("dc")));
+    assert_eq!(
+        (audit.beat_ms, audit.discovery.as_deref()),
+        (401, Some("dc"))
+    );
 }
 
 #[test]
 fn absent_keys_of_the_operator_file_have_their_defaults() {
     let text = r#"{"store": {"folder": "data"}, "fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a", "b", "c"]}, "duties": {}, "audit": {}}"#;
-    let operator = Operator::from_json(text).expect("it is sound");
+    let operator = OperatorConfig::from_json(text).expect("it is sound");
     assert_eq!(operator.log.levels, "info");
-    assert_eq!(operator.log.format, postproxy::logs::Format::Text);
+    assert_eq!(operator.log.format, postproxy::logging::Format::Text);
     let store = operator.store.expect("a store");
-    assert_eq!((store.mirror, store.segment_mb, store.most_mb, store.keyed_durable), (None, 16, 0, false));
-    assert_eq!((store.patience_ms, store.retention_s, store.retention_of_s.len()), (500, 3600.0, 0));
-    assert_eq!((store.result_kb, store.most_jobs, store.sync_delay_ms), (64, 1_000_000, 0));
+    assert_eq!(
+        (
+            store.mirror,
+            store.segment_mb,
+            store.most_mb,
+            store.keyed_durable
+        ),
+        (None, 16, 0, false)
+    );
+    assert_eq!(
+        (
+            store.patience_ms,
+            store.retention_s,
+            store.retention_of_s.len()
+        ),
+        (500, 3600.0, 0)
+    );
+    assert_eq!(
+        (store.result_kb, store.most_jobs, store.sync_delay_ms),
+        (64, 1_000_000, 0)
+    );
     assert_eq!(store.trouble_file, None);
     let fleet = operator.fleet.expect("a fleet");
     assert_eq!((fleet.advertise, fleet.seeds.len()), (None, 0));
-    assert_eq!((fleet.probe_ms, fleet.answer_ms, fleet.suspicion_ms), (250, 100, 1100));
-    assert_eq!((fleet.gossip_ms, fleet.hello_ms, fleet.look_back_ms), (100, 500, 1000));
+    assert_eq!(
+        (fleet.probe_ms, fleet.answer_ms, fleet.suspicion_ms),
+        (250, 100, 1100)
+    );
+    assert_eq!(
+        (fleet.gossip_ms, fleet.hello_ms, fleet.look_back_ms),
+        (100, 500, 1000)
+    );
     assert_eq!(operator.duties.expect("duties").lease_ms, 3000);
     let audit = operator.audit.expect("an audit");
     assert_eq!((audit.beat_ms, audit.discovery), (400, None));
@@ -178,11 +251,20 @@
 fn the_operator_file_must_be_one_json_object() {
     let cases = [
         ("", ".: EOF while parsing a value at line 1 column 0"),
-        (r#"{"log": {}"#, ".: EOF while parsing an object at line 1 column 10"),
+        (
+            r#"{"log": {}"#,
+            ".: EOF while parsing an object at line 1 column 10",
+        ),
         ("{} {}", ".: trailing characters at line 1 column 4"),
         ("[]x", ".: trailing characters at line 1 column 3"),
-        ("3", ".: invalid type: integer `3`, expected struct Operator at line 1 column 1"),
-        (r#"{"log": {}, "log": {}}"#, ".: duplicate field `log` at line 1 column 17"),
+        (
+            "3",
+            ".: invalid type: integer `3`, expected struct Operator at line 1 column 1",
+        ),
+        (
+            r#"{"log": {}, "log": {}}"#,
+            ".: duplicate field `log` at line 1 column 17",
+        ),
     ];
     assert_operator_file_errors(&cases);
 }
@@ -190,8 +272,14 @@
 #[test]
 fn an_unknown_section_is_rejected_with_the_nearest_name() {
     let cases = [
-        (r#"{"lgo": {}}"#, "lgo: 'lgo' is not known here; the nearest name is 'log' at line 1 column 6"),
-        (r#"{"stor": {}}"#, "stor: 'stor' is not known here; the nearest name is 'store' at line 1 column 7"),
+        (
+            r#"{"lgo": {}}"#,
+            "lgo: 'lgo' is not known here; the nearest name is 'log' at line 1 column 6",
+        ),
+        (
+            r#"{"stor": {}}"#,
+            "stor: 'stor' is not known here; the nearest name is 'store' at line 1 column 7",
+        ),
         (
             r#"{"fleets": {}}"#,
             "fleets: 'fleets' is not known here; the nearest name is 'fleet' at line 1 column 9",
@@ -230,7 +318,10 @@
             r#"{"log": {"format": "jsn"}}"#,
             "log.format: 'jsn' is not known here; the nearest name is 'json' at line 1 column 24",
         ),
-        (r#"{"log": {"format": 3}}"#, "log.format: expected value at line 1 column 20"),
+        (
+            r#"{"log": {"format": 3}}"#,
+            "log.format: expected value at line 1 column 20",
+        ),
         (
             r#"{"log": {"levels": 3}}"#,
             "log.levels: invalid type: integer `3`, expected a string at line 1 column 20",
@@ -239,7 +330,10 @@
             r#"{"log": {"levels": "a=b"}}"#,
             r#"log.levels: 'a=b' names no levels: error parsing level filter: expected one of "off", "error", "warn", "info", "debug", "trace", or a number 0-5"#,
         ),
-        (r#"{"log": 3}"#, "log: invalid type: integer `3`, expected struct Log at line 1 column 9"),
+        (
+            r#"{"log": 3}"#,
+            "log: invalid type: integer `3`, expected struct Log at line 1 column 9",
+        ),
     ];
     assert_operator_file_errors(&cases);
 }
@@ -302,7 +396,10 @@
 #[test]
 fn wrong_types_in_store_are_rejected() {
     let cases = [
-        (r#"{"store": {}}"#, "store: missing field `folder` at line 1 column 12"),
+        (
+            r#"{"store": {}}"#,
+            "store: missing field `folder` at line 1 column 12",
+        ),
         (
             r#"{"store": 3}"#,
             "store: invalid type: integer `3`, expected struct StoreSection at line 1 column 11",
@@ -374,10 +471,22 @@
 #[test]
 fn values_of_store_out_of_range_are_rejected() {
     let cases = [
-        (r#"{"store": {"folder": ""}}"#, "store.folder: names no folder"),
-        (r#"{"store": {"folder": "a", "mirror": "a"}}"#, "store.mirror: is the same folder as store.folder"),
-        (r#"{"store": {"folder": "a", "segment_mb": 0}}"#, "store.segment_mb: must be between 1 and 1024"),
-        (r#"{"store": {"folder": "a", "segment_mb": 1025}}"#, "store.segment_mb: must be between 1 and 1024"),
+        (
+            r#"{"store": {"folder": ""}}"#,
+            "store.folder: names no folder",
+        ),
+        (
+            r#"{"store": {"folder": "a", "mirror": "a"}}"#,
+            "store.mirror: is the same folder as store.folder",
+        ),
+        (
+            r#"{"store": {"folder": "a", "segment_mb": 0}}"#,
+            "store.segment_mb: must be between 1 and 1024",
+        ),
+        (
+            r#"{"store": {"folder": "a", "segment_mb": 1025}}"#,
+            "store.segment_mb: must be between 1 and 1024",
+        ),
         (
             r#"{"store": {"folder": "a", "most_mb": 63}}"#,
             "store.most_mb: must be 0, or at least four times store.segment_mb",
@@ -386,9 +495,18 @@
             r#"{"store": {"folder": "a", "patience_ms": 0}}"#,
             "store: patience_ms and most_jobs must be above 0",
         ),
-        (r#"{"store": {"folder": "a", "most_jobs": 0}}"#, "store: patience_ms and most_jobs must be above 0"),
-        (r#"{"store": {"folder": "a", "retention_s": 0.5}}"#, "store.retention_s: must be between 1 and 1e8"),
-        (r#"{"store": {"folder": "a", "retention_s": 1e9}}"#, "store.retention_s: must be between 1 and 1e8"),
+        (
+            r#"{"store": {"folder": "a", "most_jobs": 0}}"#,
+            "store: patience_ms and most_jobs must be above 0",
+        ),
+        (
+            r#"{"store": {"folder": "a", "retention_s": 0.5}}"#,
+            "store.retention_s: must be between 1 and 1e8",
+        ),
+        (
+            r#"{"store": {"folder": "a", "retention_s": 1e9}}"#,
+            "store.retention_s: must be between 1 and 1e8",
+        ),
         (
             r#"{"store": {"folder": "a", "retention_of_s": {"x": 0}}}"#,
             "store.retention_of_s.x: must be between 1 and 1e8",
@@ -451,12 +569,18 @@
 #[test]
 fn wrong_types_in_fleet_are_rejected() {
     let cases = [
-        (r#"{"fleet": {}}"#, "fleet: missing field `cluster` at line 1 column 12"),
+        (
+            r#"{"fleet": {}}"#,
+            "fleet: missing field `cluster` at line 1 column 12",
+        ),
         (
             r#"{"fleet": 3}"#,
             "fleet: invalid type: integer `3`, expected struct FleetSection at line 1 column 11",
         ),
-        (r#"{"fleet": {"cluster": "c"}}"#, "fleet: missing field `listen` at line 1 column 26"),
+        (
+            r#"{"fleet": {"cluster": "c"}}"#,
+            "fleet: missing field `listen` at line 1 column 26",
+        ),
         (
             r#"{"fleet": {"cluster": 3}}"#,
             "fleet.cluster: invalid type: integer `3`, expected a string at line 1 column 23",
@@ -660,9 +784,18 @@
             r#"{"duties": {"lease_ms": "x"}}"#,
             r#"duties.lease_ms: invalid type: string "x", expected u64 at line 1 column 27"#,
         ),
-        (r#"{"duties": {"lease_ms": 999}}"#, "duties.lease_ms: must be between 1000 and 60000"),
-        (r#"{"duties": {"lease_ms": 60001}}"#, "duties.lease_ms: must be between 1000 and 60000"),
-        (r#"{"duties": {}}"#, "duties: needs the section fleet, which names the voters"),
+        (
+            r#"{"duties": {"lease_ms": 999}}"#,
+            "duties.lease_ms: must be between 1000 and 60000",
+        ),
+        (
+            r#"{"duties": {"lease_ms": 60001}}"#,
+            "duties.lease_ms: must be between 1000 and 60000",
+        ),
+        (
+            r#"{"duties": {}}"#,
+            "duties: needs the section fleet, which names the voters",
+        ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"]}, "duties": {}}"#,
             "fleet.voters: must name 3, 5 or 7 nodes where duties is on",
@@ -676,7 +809,10 @@
     let cases = [
         ("", "EOF while parsing a value at line 1 column 0"),
         ("{", "EOF while parsing an object at line 1 column 1"),
-        ("[]", "invalid length 6, expected struct Raw with 8 elements at line 1 column 2"),
+        (
+            "[]",
+            "invalid length 6, expected struct Raw with 8 elements at line 1 column 2",
+        ),
         ("{} {}", "missing field `settings` at line 1 column 2"),
         ("{}", "missing field `settings` at line 1 column 2"),
         (r#"{"settings": 3}"#, "seed: '' is no hexadecimal number"),
@@ -844,28 +980,70 @@
 #[test]
 fn wrong_types_at_the_top_of_settings_are_named() {
     let cases = [
-        (r#"{"balancers": "x"}"#, r#"settings.balancers: invalid type: string "x", expected u32"#),
-        (r#"{"zone": "x"}"#, r#"settings.zone: invalid type: string "x", expected u8"#),
-        (r#"{"services": "x"}"#, r#"settings.services: invalid type: string "x", expected a sequence"#),
-        (r#"{"tick": "x"}"#, r#"settings.tick: invalid type: string "x", expected f64"#),
-        (r#"{"report": "x"}"#, r#"settings.report: invalid type: string "x", expected struct RawReport"#),
-        (r#"{"limits": "x"}"#, r#"settings.limits: invalid type: string "x", expected struct Limits"#),
-        (r#"{"prices": "x"}"#, r#"settings.prices: invalid type: string "x", expected struct Prices"#),
-        (r#"{"rules": "x"}"#, r#"settings.rules: invalid type: string "x", expected struct Rules"#),
-        (r#"{"extra": "x"}"#, r#"settings.extra: invalid type: string "x", expected struct Extra"#),
+        (
+            r#"{"balancers": "x"}"#,
+            r#"settings.balancers: invalid type: string "x", expected u32"#,
+        ),
+        (
+            r#"{"zone": "x"}"#,
+            r#"settings.zone: invalid type: string "x", expected u8"#,
+        ),
+        (
+            r#"{"services": "x"}"#,
+            r#"settings.services: invalid type: string "x", expected a sequence"#,
+        ),
+        (
+            r#"{"tick": "x"}"#,
+            r#"settings.tick: invalid type: string "x", expected f64"#,
+        ),
+        (
+            r#"{"report": "x"}"#,
+            r#"settings.report: invalid type: string "x", expected struct RawReport"#,
+        ),
+        (
+            r#"{"limits": "x"}"#,
+            r#"settings.limits: invalid type: string "x", expected struct Limits"#,
+        ),
+        (
+            r#"{"prices": "x"}"#,
+            r#"settings.prices: invalid type: string "x", expected struct Prices"#,
+        ),
+        (
+            r#"{"rules": "x"}"#,
+            r#"settings.rules: invalid type: string "x", expected struct Rules"#,
+        ),
+        (
+            r#"{"extra": "x"}"#,
+            r#"settings.extra: invalid type: string "x", expected struct Extra"#,
+        ),
         (
             r#"{"client-habits": "x"}"#,
             r#"settings.client-habits: invalid type: string "x", expected struct Habits"#,
         ),
-        (r#"{"dcs": "x"}"#, r#"settings.dcs: invalid type: string "x", expected a sequence"#),
+        (
+            r#"{"dcs": "x"}"#,
+            r#"settings.dcs: invalid type: string "x", expected a sequence"#,
+        ),
         (
             r#"{"machine-types": "x"}"#,
             r#"settings.machine-types: invalid type: string "x", expected a sequence"#,
         ),
-        (r#"{"orgs": "x"}"#, r#"settings.orgs: invalid type: string "x", expected a sequence"#),
-        (r#"{"discovery": 3}"#, "settings.discovery: invalid type: integer `3`, expected a string"),
-        (r#"{"weight-source": 3}"#, "settings.weight-source: invalid type: integer `3`, expected a string"),
-        (r#"{"counted-by": 3}"#, "settings.counted-by: invalid type: integer `3`, expected a string"),
+        (
+            r#"{"orgs": "x"}"#,
+            r#"settings.orgs: invalid type: string "x", expected a sequence"#,
+        ),
+        (
+            r#"{"discovery": 3}"#,
+            "settings.discovery: invalid type: integer `3`, expected a string",
+        ),
+        (
+            r#"{"weight-source": 3}"#,
+            "settings.weight-source: invalid type: integer `3`, expected a string",
+        ),
+        (
+            r#"{"counted-by": 3}"#,
+            "settings.counted-by: invalid type: integer `3`, expected a string",
+        ),
     ];
     assert_malformed_settings(&cases);
 }
@@ -932,7 +1110,10 @@
             r#"{"report": {"fields": 3}}"#,
             "settings.report.fields: invalid type: integer `3`, expected a sequence",
         ),
-        (r#"{"report": {"via": 3}}"#, "settings.report.via: invalid type: integer `3`, expected a string"),
+        (
+            r#"{"report": {"via": 3}}"#,
+            "settings.report.via: invalid type: integer `3`, expected a string",
+        ),
         (
             r#"{"limits": {"cancel": "x"}}"#,
             r#"settings.limits.cancel: invalid type: string "x", expected a boolean"#,
@@ -969,7 +1150,10 @@
             r#"{"limits": {"second-copies": "x"}}"#,
             r#"settings.limits.second-copies: invalid type: string "x", expected a boolean"#,
         ),
-        (r#"{"prices": {"probe": "x"}}"#, r#"settings.prices.probe: invalid type: string "x", expected f64"#),
+        (
+            r#"{"prices": {"probe": "x"}}"#,
+            r#"settings.prices.probe: invalid type: string "x", expected f64"#,
+        ),
         (
             r#"{"prices": {"cross-zone": "x"}}"#,
             r#"settings.prices.cross-zone: invalid type: string "x", expected f64"#,
@@ -978,8 +1162,14 @@
             r#"{"prices": {"origin": "x"}}"#,
             r#"settings.prices.origin: invalid type: string "x", expected f64"#,
         ),
-        (r#"{"prices": {"waste": "x"}}"#, r#"settings.prices.waste: invalid type: string "x", expected f64"#),
-        (r#"{"rules": {"cold": "x"}}"#, r#"settings.rules.cold: invalid type: string "x", expected f64"#),
+        (
+            r#"{"prices": {"waste": "x"}}"#,
+            r#"settings.prices.waste: invalid type: string "x", expected f64"#,
+        ),
+        (
+            r#"{"rules": {"cold": "x"}}"#,
+            r#"settings.rules.cold: invalid type: string "x", expected f64"#,
+        ),
         (
             r#"{"rules": {"cold-from": "x"}}"#,
             r#"settings.rules.cold-from: invalid type: string "x", expected f64"#,
@@ -1048,7 +1238,10 @@
             r#"{"client-habits": {"marks-retry": 3}}"#,
             "settings.client-habits.marks-retry: invalid type: integer `3`, expected a boolean",
         ),
-        (r#"{"orgs": [{"name": 3}]}"#, "settings.orgs[0].name: invalid type: integer `3`, expected a string"),
+        (
+            r#"{"orgs": [{"name": 3}]}"#,
+            "settings.orgs[0].name: invalid type: integer `3`, expected a string",
+        ),
     ];
     assert_malformed_settings(&cases);
 }
@@ -1081,35 +1274,92 @@
     let cases = [
         ("[]", "settings.(all) must be an object"),
         ("3", "settings.(all) must be an object"),
-        (r#"{"client-habits": []}"#, "settings.client-habits must be an object"),
+        (
+            r#"{"client-habits": []}"#,
+            "settings.client-habits must be an object",
+        ),
         (r#"{"extra": []}"#, "settings.extra must be an object"),
         (r#"{"limits": []}"#, "settings.limits must be an object"),
         (r#"{"prices": []}"#, "settings.prices must be an object"),
         (r#"{"report": []}"#, "settings.report must be an object"),
         (r#"{"rules": []}"#, "settings.rules must be an object"),
         (r#"{"orgs": [[]]}"#, "settings.orgs[] must be an object"),
-        (r#"{"services": [[]]}"#, "settings.services[] must be an object"),
-        (r#"{"balancers": 0}"#, "settings.balancers must be at least 1"),
-        (r#"{"limits": {"max-attempts": 0}}"#, "settings.limits.max-attempts must be at least 1"),
-        (r#"{"tick": -1}"#, "settings.tick must be a time of 0 or more"),
-        (r#"{"rules": {"must-ask-in": -1}}"#, "settings.rules.must-ask-in must be a time of 0 or more"),
-        (r#"{"rules": {"cold": -1}}"#, "settings.rules.cold must be a time of 0 or more"),
-        (r#"{"rules": {"tip-after": -1}}"#, "settings.rules.tip-after must be a time of 0 or more"),
-        (r#"{"rules": {"fall-multiple": -1}}"#, "settings.rules.fall-multiple must be 0 or more"),
-        (r#"{"rules": {"cold-from": -1}}"#, "settings.rules.cold-from must be between 0 and 1"),
-        (r#"{"rules": {"cold-from": 1.5}}"#, "settings.rules.cold-from must be between 0 and 1"),
-        (r#"{"limits": {"dial-timeout": -1}}"#, "settings.limits.dial-timeout must be a time of 0 or more"),
-        (r#"{"limits": {"conn-idle": -1}}"#, "settings.limits.conn-idle must be a time of 0 or more"),
+        (
+            r#"{"services": [[]]}"#,
+            "settings.services[] must be an object",
+        ),
+        (
+            r#"{"balancers": 0}"#,
+            "settings.balancers must be at least 1",
+        ),
+        (
+            r#"{"limits": {"max-attempts": 0}}"#,
+            "settings.limits.max-attempts must be at least 1",
+        ),
+        (
+            r#"{"tick": -1}"#,
+            "settings.tick must be a time of 0 or more",
+        ),
+        (
+            r#"{"rules": {"must-ask-in": -1}}"#,
+            "settings.rules.must-ask-in must be a time of 0 or more",
+        ),
+        (
+            r#"{"rules": {"cold": -1}}"#,
+            "settings.rules.cold must be a time of 0 or more",
+        ),
+        (
+            r#"{"rules": {"tip-after": -1}}"#,
+            "settings.rules.tip-after must be a time of 0 or more",
+        ),
+        (
+            r#"{"rules": {"fall-multiple": -1}}"#,
+            "settings.rules.fall-multiple must be 0 or more",
+        ),
+        (
+            r#"{"rules": {"cold-from": -1}}"#,
+            "settings.rules.cold-from must be between 0 and 1",
+        ),
+        (
+            r#"{"rules": {"cold-from": 1.5}}"#,
+            "settings.rules.cold-from must be between 0 and 1",
+        ),
+        (
+            r#"{"limits": {"dial-timeout": -1}}"#,
+            "settings.limits.dial-timeout must be a time of 0 or more",
+        ),
+        (
+            r#"{"limits": {"conn-idle": -1}}"#,
+            "settings.limits.conn-idle must be a time of 0 or more",
+        ),
         (
             r#"{"limits": {"retry-after": true, "max-retry-after": -1}}"#,
             "settings.limits.max-retry-after must be a time of 0 or more",
         ),
-        (r#"{"extra": {"progress": -1}}"#, "settings.extra.progress must be a time of 0 or more"),
-        (r#"{"prices": {"probe": -1}}"#, "settings.prices.probe must be 0 or more"),
-        (r#"{"prices": {"cross-zone": -1}}"#, "settings.prices.cross-zone must be 0 or more"),
-        (r#"{"prices": {"origin": -1}}"#, "settings.prices.origin must be 0 or more"),
-        (r#"{"prices": {"waste": -1}}"#, "settings.prices.waste must be 0 or more"),
-        (r#"{"rules": {"look-back": 0}}"#, "settings.rules.look-back must be a time above 0"),
+        (
+            r#"{"extra": {"progress": -1}}"#,
+            "settings.extra.progress must be a time of 0 or more",
+        ),
+        (
+            r#"{"prices": {"probe": -1}}"#,
+            "settings.prices.probe must be 0 or more",
+        ),
+        (
+            r#"{"prices": {"cross-zone": -1}}"#,
+            "settings.prices.cross-zone must be 0 or more",
+        ),
+        (
+            r#"{"prices": {"origin": -1}}"#,
+            "settings.prices.origin must be 0 or more",
+        ),
+        (
+            r#"{"prices": {"waste": -1}}"#,
+            "settings.prices.waste must be 0 or more",
+        ),
+        (
+            r#"{"rules": {"look-back": 0}}"#,
+            "settings.rules.look-back must be a time above 0",
+        ),
         (
             r#"{"rules": {"spare-attempts": 1}}"#,
             "settings.rules.look-back must be a time above 0 where further attempts are rationed",
@@ -1130,15 +1380,30 @@
             r#"{"services": [{"name": "a"}, {"name": "a"}]}"#,
             "settings.services[].name must be of one class alone",
         ),
-        (r#"{"services": [{"deadline": -1}]}"#, "settings.services[].deadline must be a time above 0"),
-        (r#"{"services": [{"aim": -1}]}"#, "settings.services[].aim must be a time of 0 or more"),
-        (r#"{"services": [{"aim-stretch": -1}]}"#, "settings.services[].aim-stretch must be 0 or more"),
+        (
+            r#"{"services": [{"deadline": -1}]}"#,
+            "settings.services[].deadline must be a time above 0",
+        ),
+        (
+            r#"{"services": [{"aim": -1}]}"#,
+            "settings.services[].aim must be a time of 0 or more",
+        ),
+        (
+            r#"{"services": [{"aim-stretch": -1}]}"#,
+            "settings.services[].aim-stretch must be 0 or more",
+        ),
         (
             r#"{"services": [{"memory-span": -1}]}"#,
             "settings.services[].memory-span must be a time of 0 or more",
         ),
-        (r#"{"services": [{"importance": -1}]}"#, "settings.services[].importance must be 0 or more"),
-        (r#"{"services": [{"late-value": -1}]}"#, "settings.services[].importance must be 0 or more"),
+        (
+            r#"{"services": [{"importance": -1}]}"#,
+            "settings.services[].importance must be 0 or more",
+        ),
+        (
+            r#"{"services": [{"late-value": -1}]}"#,
+            "settings.services[].importance must be 0 or more",
+        ),
     ];
     assert_values_out_of_range(&cases);
 }
@@ -1169,152 +1434,180 @@
         "tells-start": true},
     "client-habits": {"marks-retry": true}}"#;
 
-fn class(name: &str, effect: Effect, group: Group) -> Class {
+fn class(name: &str, effect: Effect, group: DedupScope) -> Class {
     Class {
         name: name.into(),
         effect,
-        group,
-        window: 0.0,
-        aim: 1.0,
-        stretch: 0.0,
+        dedup_scope: group,
+        dedup_window: 0.0,
+        latency_objective: 1.0,
+        objective_stretch: 0.0,
         deadline: 10.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        kind: None,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        required_kind: None,
         priority: 0,
         stream: false,
-        allowed_on: None,
-        confined_to: None,
+        allowed_kinds: None,
+        allowed_zones: None,
     }
 }
 
 fn full_settings() -> Settings {
     let first = Class {
-        window: 1.5,
-        aim: 0.25,
-        stretch: 2.5,
+        dedup_window: 1.5,
+        latency_objective: 0.25,
+        objective_stretch: 2.5,
         deadline: 6.0,
-        worth: 3.0,
-        late_worth: 0.5,
-        kind: Some(0),
+        priority_weight: 3.0,
+        late_weight: 0.5,
+        required_kind: Some(0),
         priority: 5,
         stream: true,
-        allowed_on: Some(vec![0]),
-        confined_to: Some(vec![1]),
-        ..class("a", Effect::Safe, Group::All)
+        allowed_kinds: Some(vec![0]),
+        allowed_zones: Some(vec![1]),
+        ..class("a", Effect::Idempotent, DedupScope::All)
+    };
+    let second = Class {
+        objective_stretch: 1.5,
+        priority: 6,
+        ..class("b", Effect::IdempotentByKey, DedupScope::Zone)
     };
-    let second = Class { stretch: 1.5, priority: 6, ..class("b", Effect::Keyed, Group::Zone) };
-    let third =
-        Class { stretch: 1.25, priority: 7, kind: Some(1), ..class("c", Effect::Unsafe, Group::Cell) };
-    let names =
-        ["backlog", "outstanding", "recent_ms", "x0", "x1", "utilization", "throughput", "errors_per_s"];
+    let third = Class {
+        objective_stretch: 1.25,
+        priority: 7,
+        required_kind: Some(1),
+        ..class("c", Effect::NotIdempotent, DedupScope::Cell)
+    };
+    let names = [
+        "backlog",
+        "outstanding",
+        "recent_ms",
+        "x0",
+        "x1",
+        "utilization",
+        "throughput",
+        "errors_per_s",
+    ];
     Settings {
-        balancers: 2,
+        dispatcher_count: 2,
         zone: 1,
         classes: vec![first, second, third],
-        list_on_request: true,
-        must_ask_in: 11.0,
+        discovery_on_request: true,
+        max_poll_interval: 11.0,
         tick: 0.002,
-        reports: Reports::Answers,
-        fields: vec![
-            Field::Queue,
-            Field::InFlight,
-            Field::ServiceMs,
-            Field::FreeSlots,
-            Field::FreeMemory,
-            Field::Other,
-            Field::Other,
-            Field::Other,
+        report_source: ReportSource::Answers,
+        report_fields: vec![
+            ReportField::Queue,
+            ReportField::InFlight,
+            ReportField::ServiceMs,
+            ReportField::FreeSlots,
+            ReportField::FreeMemory,
+            ReportField::Other,
+            ReportField::Other,
+            ReportField::Other,
         ],
-        may_probe: true,
-        may_cancel: true,
-        second_copies: true,
+        probes_allowed: true,
+        cancel_allowed: true,
+        hedging_allowed: true,
         max_retry_after: 2.25,
         max_attempts: 4,
         dial_timeout: 0.125,
-        worth_by_work: true,
+        weight_by_work: true,
         probe_price: 0.01,
         cross_zone_price: 0.02,
         fetch_price: 0.03,
         waste_price: 0.04,
-        by_priority: true,
-        tells_start: true,
-        progress: 2.75,
-        marks_retry: true,
-        sized: true,
-        cold_from: 0.12,
-        cold: 23.0,
-        fall_multiple: 3.5,
-        tip_after: 2.5,
-        retry_budget: Some(RetryBudget { spare: 7.0, ratio: 0.5, look_back: 10.5 }),
-        full_proves_nothing: true,
+        priority_queues: true,
+        reports_start: true,
+        progress_interval: 2.75,
+        clients_mark_retries: true,
+        sizes_compare: true,
+        initial_capacity_share: 0.12,
+        warm_up_time: 23.0,
+        overload_multiple: 3.5,
+        overload_window: 2.5,
+        retry_budget: Some(RetryBudget {
+            min_retries: 7.0,
+            ratio: 0.5,
+            window: 10.5,
+        }),
+        full_may_have_run: true,
         zone_names: vec!["riga".into(), "cesis".into()],
         kind_names: vec!["std-4".into()],
         tenant_names: vec!["baltvedums".into()],
         field_names: names.map(str::to_owned).to_vec(),
-        conn_idle: 5.0,
-        max_open: 77,
+        idle_timeout: 5.0,
+        max_waiting_requests: 77,
     }
 }
 
 #[test]
 fn every_key_of_settings_reaches_its_field() {
-    assert_eq!(Settings::from_json(FULL_SETTINGS).expect("they are sound"), full_settings());
+    assert_eq!(
+        Settings::from_json(FULL_SETTINGS).expect("they are sound"),
+        full_settings()
+    );
 }
 
 #[test]
 fn absent_keys_of_settings_have_their_defaults() {
     let expected = Settings {
-        balancers: 1,
+        dispatcher_count: 1,
         zone: 0,
-        classes: vec![class("", Effect::Unsafe, Group::Cell)],
-        list_on_request: false,
-        must_ask_in: 10.0,
+        classes: vec![class("", Effect::NotIdempotent, DedupScope::Cell)],
+        discovery_on_request: false,
+        max_poll_interval: 10.0,
         tick: 0.001,
-        reports: Reports::None,
-        fields: vec![],
-        may_probe: false,
-        may_cancel: false,
-        second_copies: false,
+        report_source: ReportSource::None,
+        report_fields: vec![],
+        probes_allowed: false,
+        cancel_allowed: false,
+        hedging_allowed: false,
         max_retry_after: 0.0,
         max_attempts: 3,
         dial_timeout: 0.25,
-        worth_by_work: false,
+        weight_by_work: false,
         probe_price: 0.0,
         cross_zone_price: 0.0,
         fetch_price: 0.0,
         waste_price: 0.0,
-        by_priority: false,
-        tells_start: false,
-        progress: 0.0,
-        marks_retry: false,
-        sized: false,
-        cold_from: 1.0,
-        cold: 0.0,
-        fall_multiple: 3.0,
-        tip_after: 2.0,
+        priority_queues: false,
+        reports_start: false,
+        progress_interval: 0.0,
+        clients_mark_retries: false,
+        sizes_compare: false,
+        initial_capacity_share: 1.0,
+        warm_up_time: 0.0,
+        overload_multiple: 3.0,
+        overload_window: 2.0,
         retry_budget: None,
-        full_proves_nothing: false,
+        full_may_have_run: false,
         zone_names: vec![],
         kind_names: vec![],
         tenant_names: vec![],
         field_names: vec![],
-        conn_idle: 0.0,
-        max_open: 0,
+        idle_timeout: 0.0,
+        max_waiting_requests: 0,
     };
-    assert_eq!(Settings::from_json(r#"{"services": [{}]}"#).expect("they are sound"), expected);
+    assert_eq!(
+        Settings::from_json(r#"{"services": [{}]}"#).expect("they are sound"),
+        expected
+    );
 }
 
 #[test]
 fn the_words_for_ways_of_reports_are_known() {
     let reports = |via: &str| {
         let text = format!(r#"{{"report": {{"via": "{via}"}}}}"#);
-        Settings::from_json(&text).expect("they are sound").reports
+        Settings::from_json(&text)
+            .expect("they are sound")
+            .report_source
     };
-    assert_eq!(reports("answers"), Reports::Answers);
-    assert_eq!(reports("probe"), Reports::Probes);
-    assert_eq!(reports("none"), Reports::None);
-    assert_eq!(reports(""), Reports::None);
+    assert_eq!(reports("answers"), ReportSource::Answers);
+    assert_eq!(reports("probe"), ReportSource::Probes);
+    assert_eq!(reports("none"), ReportSource::None);
+    assert_eq!(reports(""), ReportSource::None);
 }
 
 const FULL_CONFIGURATION: &str = r#"{
@@ -1333,18 +1626,32 @@
     assert_eq!((&*config.name, config.seed), ("n7", 0x8c1f_30d2_7a5b_e964));
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 1], 8080)));
     assert_eq!(config.discovery, SocketAddr::from(([127, 0, 0, 2], 8500)));
-    assert_eq!(config.mgmt, Some(SocketAddr::from(([127, 0, 0, 3], 8081))));
+    assert_eq!(
+        config.management,
+        Some(SocketAddr::from(([127, 0, 0, 3], 8081)))
+    );
     assert_eq!((config.sockets, config.memory_mb), (99, 33));
-    let known = config.known.expect("a list");
+    let known = config.cached_list.expect("a list");
     assert_eq!((known.revision, known.complete), (12, true));
-    let members = known.members(&config.settings);
+    let members = known.into_members(&config.settings);
     let names: Vec<&str> = members.iter().map(|member| &*member.id).collect();
     assert_eq!(names, ["s-1", "s-2", "s-3"]);
     let health: Vec<Health> = members.iter().map(|member| member.entry.health).collect();
-    assert_eq!(health, [Health::Ready, Health::Gone, Health::Draining]);
+    assert_eq!(health, [Health::Ready, Health::Removed, Health::Draining]);
     assert_eq!(members[0].address, SocketAddr::from(([127, 0, 0, 4], 9001)));
-    let entry = Entry { worker: WorkerId::default(), identity: 0, ..members[0].entry.clone() };
-    let expected = Entry { zone: 1, kind: 1, cell: 5, size: 1.5, started: 2.5, ..Entry::default() };
+    let entry = Entry {
+        worker: WorkerId::default(),
+        identity: 0,
+        ..members[0].entry.clone()
+    };
+    let expected = Entry {
+        zone: 1,
+        kind: 1,
+        cell: 5,
+        size: 1.5,
+        started: 2.5,
+        ..Entry::default()
+    };
     assert_eq!(entry, expected);
 }
 
@@ -1352,7 +1659,11 @@
 fn absent_keys_of_the_configuration_have_their_defaults() {
     let config = Config::from_json(&configuration("{}"), unset).expect("it is sound");
     assert_eq!((config.sockets, config.memory_mb), (1024, 192));
-    assert!(config.mgmt.is_none() && config.known.is_none() && config.folder.is_none());
+    assert!(
+        config.management.is_none()
+            && config.cached_list.is_none()
+            && config.temporary_folder.is_none()
+    );
 }
 
 // The environment.
@@ -1375,19 +1686,40 @@
     assert_eq!(config.name, "n9");
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 9], 1)));
     assert_eq!(config.discovery, SocketAddr::from(([127, 0, 0, 9], 2)));
-    assert_eq!(config.mgmt, Some(SocketAddr::from(([127, 0, 0, 9], 3))));
-    assert_eq!(config.inherited.as_deref(), Some("11"));
-    assert_eq!(config.folder.as_deref(), Some(Path::new("/run/node")));
+    assert_eq!(
+        config.management,
+        Some(SocketAddr::from(([127, 0, 0, 9], 3)))
+    );
+    assert_eq!(config.inherited_descriptor.as_deref(), Some("11"));
+    assert_eq!(
+        config.temporary_folder.as_deref(),
+        Some(Path::new("/run/node"))
+    );
 }
 
 #[test]
 fn wrong_variables_are_named() {
     let folder = Folder::new(&test_name());
-    folder.write("config.json", &configuration("{}").replace("127.0.0.1:0", "127.0.0.1:80"));
+    folder.write(
+        "config.json",
+        &configuration("{}").replace("127.0.0.1:0", "127.0.0.1:80"),
+    );
     let cases = [
-        ("RELAY_LISTEN", "here", "config.json: RELAY_LISTEN: 'here' is no address of the form 10.0.0.4:8080"),
-        ("RELAY_DISCOVERY", "x", "config.json: RELAY_DISCOVERY: 'x' is no address of the form 10.0.0.4:8080"),
-        ("RELAY_MGMT", "y", "config.json: RELAY_MGMT: 'y' is no address of the form 10.0.0.4:8080"),
+        (
+            "RELAY_LISTEN",
+            "here",
+            "config.json: RELAY_LISTEN: 'here' is no address of the form 10.0.0.4:8080",
+        ),
+        (
+            "RELAY_DISCOVERY",
+            "x",
+            "config.json: RELAY_DISCOVERY: 'x' is no address of the form 10.0.0.4:8080",
+        ),
+        (
+            "RELAY_MGMT",
+            "y",
+            "config.json: RELAY_MGMT: 'y' is no address of the form 10.0.0.4:8080",
+        ),
         (
             "RELAY_MGMT",
             "127.0.0.1:80",
@@ -1405,7 +1737,10 @@
         ),
     ];
     for (name, value, expected) in cases {
-        let run = folder.run(&["serve"], &[("RELAY_CONFIG", "config.json"), (name, value)]);
+        let run = folder.run(
+            &["serve"],
+            &[("RELAY_CONFIG", "config.json"), (name, value)],
+        );
         assert_eq!(run, message(expected), "{name}={value}");
     }
 }
@@ -1414,9 +1749,15 @@
 fn a_configuration_file_that_can_not_be_read_is_named() {
     let folder = Folder::new(&test_name());
     let absent = folder.run(&["serve"], &[("RELAY_CONFIG", "absent.json")]);
-    assert_eq!(absent, message("reading absent.json: No such file or directory (os error 2)"));
+    assert_eq!(
+        absent,
+        message("reading absent.json: No such file or directory (os error 2)")
+    );
     let directory = folder.run(&["serve"], &[("RELAY_CONFIG", ".")]);
-    assert_eq!(directory, message("reading .: Is a directory (os error 21)"));
+    assert_eq!(
+        directory,
+        message("reading .: Is a directory (os error 21)")
+    );
     let empty = folder.run(&["serve"], &[("RELAY_CONFIG", "")]);
     assert_eq!(empty, message("RELAY_CONFIG names no configuration file"));
 }
@@ -1425,11 +1766,16 @@
 fn the_name_of_the_environment_is_the_name_of_the_node() {
     let folder = Folder::new(&test_name());
     folder.write("config.json", &configuration("{}"));
-    folder
-        .write("operator.json", r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0"]}}"#);
+    folder.write(
+        "operator.json",
+        r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0"]}}"#,
+    );
     let name = "n".repeat(65);
-    let environment =
-        [("RELAY_CONFIG", "config.json"), ("RELAY_NAME", &*name), ("POSTPROXY_OPERATOR", "operator.json")];
+    let environment = [
+        ("RELAY_CONFIG", "config.json"),
+        ("RELAY_NAME", &*name),
+        ("POSTPROXY_OPERATOR", "operator.json"),
+    ];
     let expected = format!("fleet: the node's name '{name}' must have 1 to 64 bytes");
     assert_eq!(folder.run(&["serve"], &environment), message(&expected));
 }
@@ -1466,7 +1812,11 @@
 /// The first line of the response to a request of this method for this path.
 fn status_line(address: SocketAddr, method: &str, path: &str) -> String {
     let mut stream = connect(address);
-    write!(stream, "{method} {path} HTTP/1.1\r\nConnection: close\r\n\r\n").expect("the request is written");
+    write!(
+        stream,
+        "{method} {path} HTTP/1.1\r\nConnection: close\r\n\r\n"
+    )
+    .expect("the request is written");
     let mut response = String::new();
     stream.read_to_string(&mut response).expect("a response");
     response.lines().next().unwrap_or_default().to_owned()
@@ -1480,12 +1830,21 @@
     let discovery_address = discovery.local_addr().expect("an address");
     let (clients, management) = (free_address(), free_address());
     let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
-    command.env_clear().current_dir(&folder.0).env("RELAY_CONFIG", "config.json").stderr(Stdio::null());
-    command.env("RELAY_LISTEN", clients.to_string()).env("RELAY_MGMT", management.to_string());
+    command
+        .env_clear()
+        .current_dir(&folder.0)
+        .env("RELAY_CONFIG", "config.json")
+        .stderr(Stdio::null());
+    command
+        .env("RELAY_LISTEN", clients.to_string())
+        .env("RELAY_MGMT", management.to_string());
     command.env("RELAY_DISCOVERY", discovery_address.to_string());
     let _node = Node(command.spawn().expect("the program starts"));
     assert_eq!(status_line(clients, "GET", "/-/ready"), "HTTP/1.1 200 OK");
-    assert_eq!(status_line(management, "POST", "/v1/readyz"), "HTTP/1.1 405 Method Not Allowed");
+    assert_eq!(
+        status_line(management, "POST", "/v1/readyz"),
+        "HTTP/1.1 405 Method Not Allowed"
+    );
     // The node asks discovery for its list.
     discovery.accept().expect("a connection");
 }
@@ -1495,12 +1854,25 @@
     let folder = Folder::new(&test_name());
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
-    folder.write("config.json", &configuration("{}").replace("127.0.0.1:0", &address.to_string()));
+    folder.write(
+        "config.json",
+        &configuration("{}").replace("127.0.0.1:0", &address.to_string()),
+    );
     // The shell passes its standard input on as descriptor 3.
     let mut command = Command::new("/bin/sh");
-    command.args(["-c", "exec \"$0\" serve 3<&0 </dev/null", env!("CARGO_BIN_EXE_postproxy")]);
-    command.env_clear().current_dir(&folder.0).stderr(Stdio::null()).stdin(OwnedFd::from(listener));
-    command.env("RELAY_CONFIG", "config.json").env("RELAY_SOCKET_FD", "3");
+    command.args([
+        "-c",
+        "exec \"$0\" serve 3<&0 </dev/null",
+        env!("CARGO_BIN_EXE_postproxy"),
+    ]);
+    command
+        .env_clear()
+        .current_dir(&folder.0)
+        .stderr(Stdio::null())
+        .stdin(OwnedFd::from(listener));
+    command
+        .env("RELAY_CONFIG", "config.json")
+        .env("RELAY_SOCKET_FD", "3");
     let _node = Node(command.spawn().expect("the program starts"));
     drop(command);
     assert_eq!(status_line(address, "GET", "/-/ready"), "HTTP/1.1 200 OK");
