--- a/benches/node.rs
+++ b/benches/node.rs
@@ -1,17 +1,17 @@
-//! A whole node with and without a store: requests a second, their latency, and the longest turn of the loop, also on
-//! a disk whose syncs take half a second.
+//! A whole node with and without a store: requests a second, their latency, and the longest turn of
+//! the loop, also on a disk whose syncs take half a second.
 //!
 //!     cargo bench --bench node
 //!     cargo bench --bench node -- fleet
 //!
 //!     cargo bench --bench node -- mass 30
 //!
-//! With `fleet`, without a store: the node alone, and as one of three in a cluster, in turn, and the ratio of each
-//! pair. With `mass`: so many processes of the program started at once, with the section `fleet` and without, and
-//! their calls to a discovery that gives no list for 5 s.
+//! With `fleet`, without a store: the node alone, and as one of three in a cluster, in turn, and
+//! the ratio of each pair. With `mass`: so many processes of the program started at once, with the
+//! section `fleet` and without, and their calls to a discovery that gives no list for 5 s.
 //!
-//! Clients in closed loop, stand-in workers that answer at once; all of it in this process, so that the figures
-//! compare only with each other.
+//! Clients in closed loop, stand-in workers that answer at once; all of it in this process, so that
+//! the figures compare only with each other.
 
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
@@ -160,7 +160,8 @@
     results
 }
 
-/// Measures one node, alone or in a cluster, prints its line of the table, and returns its requests a second.
+/// Measures one node, alone or in a cluster, prints its line of the table, and returns its requests
+/// a second.
 fn measure(name: &str, store: Option<StoreSection>, cluster: Vec<FleetSection>) -> f64 {
     let workers: Vec<Worker> = (0..4)
         .map(|number| Worker::start(&format!("s-{number}"), Duration::ZERO).expect("a worker"))
@@ -209,7 +210,8 @@
     rate
 }
 
-/// A discovery that gives no list at first, and reports the time of each call, in seconds since its start.
+/// A discovery that gives no list at first, and reports the time of each call, in seconds since its
+/// start.
 struct SilentDiscovery {
     address: SocketAddr,
     calls: mpsc::Receiver<f64>,
@@ -290,8 +292,8 @@
     within.iter().map(|at| calls_from(*at)).max().unwrap_or(0)
 }
 
-/// Starts so many processes at once and prints their calls to discovery: all in 5 s without a list, the most in a tenth
-/// of a second in the first second, from then on, and after there is a list.
+/// Starts so many processes at once and prints their calls to discovery: all in 5 s without a list,
+/// the most in a tenth of a second in the first second, from then on, and after there is a list.
 fn measure_mass_start(count: usize, cluster: bool) {
     let addresses = postproxy_fault_injection::loopback_addresses(count as u8);
     let discovery = SilentDiscovery::start();
--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the log: those of this node with their retries, and those of other nodes that this voter proposes for them.
+//! Calls to the log: those of this node with their retries, and those of other nodes that this
+//! voter proposes for them.
 
 use crate::coordinator::{Coordinator, Event, Output};
 use crate::error::Error;
@@ -10,7 +11,8 @@
 /// Maximum number of calls of this node that wait behind the pending one.
 pub const MAX_QUEUED_CALLS: usize = 64;
 
-/// Maximum number of calls of other nodes that are proposed and not committed, which bounds the memory for them.
+/// Maximum number of calls of other nodes that are proposed and not committed, which bounds the
+/// memory for them.
 pub const MAX_FORWARDED_CALLS: usize = 4096;
 
 /// A call that waits to be made.
@@ -44,7 +46,8 @@
 }
 
 impl Coordinator {
-    /// Puts an operation to the log. [`Event::CallCompleted`] reports its result with the ticket, which must be above 0.
+    /// Puts an operation to the log. [`Event::CallCompleted`] reports its result with the ticket,
+    /// which must be above 0.
     pub fn call(&mut self, now: u64, ticket: u64, operation: Operation, out: &mut Vec<Output>) {
         if self.queued_calls.len() >= MAX_QUEUED_CALLS {
             return out.push(Output::Event(Event::CallCompleted {
@@ -63,7 +66,8 @@
         self.advance_calls(now, out);
     }
 
-    /// Gives up calls whose time is over, makes the next one if none is pending, and sends the pending one again if it is due.
+    /// Gives up calls whose time is over, makes the next one if none is pending, and sends the
+    /// pending one again if it is due.
     pub(crate) fn advance_calls(&mut self, now: u64, out: &mut Vec<Output>) {
         self.give_up_overdue_calls(now, out);
         if self.pending_call.is_none() {
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -34,14 +34,16 @@
 /// What the caller is to do, or what has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message to a node. It must arrive, or the loss be reported by [`Coordinator::peer_reconnected`].
+    /// Send a message to a node. It must arrive, or the loss be reported by
+    /// [`Coordinator::peer_reconnected`].
     Send {
         /// The name of the node.
         to: String,
         /// The encoded message.
         message: Vec<u8>,
     },
-    /// Write these changes, all or none, in the order of the numbers; report them by [`Coordinator::record_durable`].
+    /// Write these changes, all or none, in the order of the numbers; report them by
+    /// [`Coordinator::record_durable`].
     Write {
         /// The number of the write.
         number: u64,
@@ -104,7 +106,8 @@
     },
     /// The committed state has changed.
     StateChanged,
-    /// The process was paused: every lease of this node has to be renewed before the node may act for it.
+    /// The process was paused: every lease of this node has to be renewed before the node may act
+    /// for it.
     PauseDetected,
 }
 
@@ -126,7 +129,8 @@
     pub(crate) queued_calls: VecDeque<QueuedCall>,
     /// Calls of other nodes that this voter has proposed and that are not committed yet.
     pub(crate) forwarded_calls: BTreeSet<CallId>,
-    /// The latest committed state that a voter has sent to this node, for the time that it does not vote.
+    /// The latest committed state that a voter has sent to this node, for the time that it does not
+    /// vote.
     pub(crate) follower_snapshot: FollowerSnapshot,
     /// When each voter has sent something last, in milliseconds.
     pub(crate) last_heard: BTreeMap<u64, u64>,
@@ -150,8 +154,9 @@
 }
 
 impl Coordinator {
-    /// Creates the coordinator of a new process from its stored keys (those that begin with `a/`, `c/` or `s/`) and values. No two
-    /// processes of a node may have the same incarnation. Times are in milliseconds.
+    /// Creates the coordinator of a new process from its stored keys (those that begin with `a/`,
+    /// `c/` or `s/`) and values. No two processes of a node may have the same incarnation. Times
+    /// are in milliseconds.
     pub fn new(
         settings: Settings,
         now: u64,
@@ -213,7 +218,8 @@
             .map_or(self.follower_snapshot.applied_index, Voter::applied_index)
     }
 
-    /// Returns a permit if this node may act as the owner of a lease now; to be asked before each effect.
+    /// Returns a permit if this node may act as the owner of a lease now; to be asked before each
+    /// effect.
     pub fn permit(&self, now: u64, lease: &str) -> Option<LeasePermit> {
         self.holder.permit(now, lease)
     }
@@ -246,7 +252,8 @@
         self.next_tick_at
     }
 
-    /// Does what is due. To be called in each turn of the event loop, at least every 250 ms while this node owns a lease.
+    /// Does what is due. To be called in each turn of the event loop, at least every 250 ms while
+    /// this node owns a lease.
     pub fn run_turn(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.holder.detect_pause(now) {
             out.push(Output::Event(Event::PauseDetected));
@@ -254,7 +261,8 @@
         if now < self.next_tick_at {
             return;
         }
-        // After a pause there is one tick, not all that were missed; otherwise all other voters would seem silent at once.
+        // After a pause there is one tick, not all that were missed; otherwise all other voters
+        // would seem silent at once.
         self.next_tick_at = now + TICK_INTERVAL_MS;
         let mut replica_outputs = Vec::new();
         self.replica.tick(&mut replica_outputs);
@@ -295,7 +303,8 @@
         true
     }
 
-    /// Handles a message of a node, which is the voter of this number if it is one. Long only by its patterns: a call for each case.
+    /// Handles a message of a node, which is the voter of this number if it is one. Long only by
+    /// its patterns: a call for each case.
     fn handle_message(
         &mut self,
         now: u64,
@@ -314,7 +323,8 @@
                 self.replica
                     .receive_admission(id, to, message, replica_outputs);
             }
-            // The sender does not vote any more, or under another number: the announcement shows it that.
+            // The sender does not vote any more, or under another number: the announcement shows it
+            // that.
             Message::Admission { .. } => self.send_voters(from, out),
             Message::Log {
                 incarnation,
@@ -457,7 +467,8 @@
     }
 }
 
-/// Returns whether a message of the log may come from this voter: it promises something for it, or for nobody.
+/// Returns whether a message of the log may come from this voter: it promises something for it, or
+/// for nobody.
 fn may_be_from(message: &[u8], voter_id: u64) -> bool {
     let promising_id = message_promise(message).voter;
     promising_id == voter_id || promising_id == 0
--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -10,7 +10,8 @@
     #[default]
     #[serde(rename = "NoSeat")]
     NotAVoter,
-    /// It has started and waits until the other voters have confirmed that it has kept its promises.
+    /// It has started and waits until the other voters have confirmed that it has kept its
+    /// promises.
     #[serde(rename = "Waits")]
     AwaitingAdmission,
     /// It has lost its promises: its store is empty or an older one.
--- a/crates/coordination/src/followers.rs
+++ b/crates/coordination/src/followers.rs
@@ -24,7 +24,8 @@
     }
 
     fn send_reminders(&mut self, now: u64, out: &mut Vec<Output>) {
-        // Forwarded calls that were never committed: their nodes have asked another voter, or given up.
+        // Forwarded calls that were never committed: their nodes have asked another voter, or given
+        // up.
         if self.forwarded_calls.len() >= MAX_FORWARDED_CALLS / 2 {
             self.forwarded_calls.clear();
         }
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Sends the committed state to a node that has the state of this index, unless this node knows less.
+    /// Sends the committed state to a node that has the state of this index, unless this node knows
+    /// less.
     pub(crate) fn send_follower_snapshot(&self, to: &str, known_index: u64, out: &mut Vec<Output>) {
         let Some(voter) = self.replica.voter() else {
             return;
--- a/crates/coordination/src/lease_acquisition.rs
+++ b/crates/coordination/src/lease_acquisition.rs
@@ -1,5 +1,5 @@
-//! The leases of this node: acquiring those that it wants, giving up those that it has lost, and, as the leader, expiring those of
-//! nodes that are silent.
+//! The leases of this node: acquiring those that it wants, giving up those that it has lost, and,
+//! as the leader, expiring those of nodes that are silent.
 
 use crate::calls::MAX_QUEUED_CALLS;
 use crate::coordinator::{Coordinator, Event, Output};
@@ -7,8 +7,8 @@
 use postproxy_leases::{Command, FencingToken, LeaseClaim, Operation};
 use std::collections::BTreeSet;
 
-/// Begins the client name under which a voter proposes expiries; the number of the voter follows. No node has such a name. It is part
-/// of the stored log.
+/// Begins the client name under which a voter proposes expiries; the number of the voter follows.
+/// No node has such a name. It is part of the stored log.
 const EXPIRY_CLIENT_PREFIX: &str = "\u{1}seat ";
 
 /// Returns whether an operation acquires or releases this lease.
@@ -20,8 +20,8 @@
 }
 
 impl Coordinator {
-    /// Gives up a lease that this node holds under this token or an earlier one. The node leaves it to the others for the duration of
-    /// a lease.
+    /// Gives up a lease that this node holds under this token or an earlier one. The node leaves it
+    /// to the others for the duration of a lease.
     pub(crate) fn give_up_lease(
         &mut self,
         now: u64,
@@ -46,8 +46,9 @@
         }));
     }
 
-    /// Gives up the leases that the committed state shows to be another node's, or nobody's. A token above the latest one of the
-    /// state was granted by an entry that this copy of the log does not have yet, so that such a lease is kept.
+    /// Gives up the leases that the committed state shows to be another node's, or nobody's. A
+    /// token above the latest one of the state was granted by an entry that this copy of the log
+    /// does not have yet, so that such a lease is kept.
     pub(crate) fn drop_leases_of_others(&mut self, now: u64, out: &mut Vec<Output>) {
         let latest_token = self.lease_table().latest_token();
         for LeaseClaim { lease, token } in self.holder.claims() {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Asks for the leases that this node wants and nobody owns, and for those that have been transferred to it.
+    /// Asks for the leases that this node wants and nobody owns, and for those that have been
+    /// transferred to it.
     pub(crate) fn acquire_wanted_leases(&mut self, now: u64, out: &mut Vec<Output>) {
         let is_busy =
             self.pending_call.is_some() && self.queued_calls.len() >= MAX_QUEUED_CALLS / 2;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,12 +1,10 @@
-//! A node's part in the coordination service of its cluster: its replica of the replicated log, if it is a voter; the leases that it
-//! acquires and holds; its calls to the log, and those of other nodes that it forwards.
+//! A node's part in the coordination service of its cluster: its replica of the replicated log, if
+//! it is a voter; the leases that it acquires and holds; its calls to the log, and those of other
+//! nodes that it forwards.
 //!
-//! [`Coordinator`] has no socket, disk or clock. It receives messages, the time and the numbers of durable writes, and returns what to
-//! send, what to write and what has changed. The same code runs in the node and in simulation. The design note is
-//! `docs/design/duties.md`.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! [`Coordinator`] has no socket, disk or clock. It receives messages, the time and the numbers of
+//! durable writes, and returns what to send, what to write and what has changed. The same code runs
+//! in the node and in simulation. The design note is `docs/design/duties.md`.
 
 mod calls;
 mod coordinator;
--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -1,6 +1,8 @@
-//! Changes of the voters: requests of this node, and the changes that this node makes as the leader.
+//! Changes of the voters: requests of this node, and the changes that this node makes as the
+//! leader.
 //!
-//! Each turn compares the voters with what is wanted and takes the next step, so that a new leader or a lost message does no harm.
+//! Each turn compares the voters with what is wanted and takes the next step, so that a new leader
+//! or a lost message does no harm.
 
 use crate::coordinator::{Coordinator, Event, Output};
 use crate::error::Error;
@@ -50,7 +52,8 @@
 }
 
 impl Coordinator {
-    /// Makes a node a voter, or removes it. [`Event::MembershipChangeCompleted`] reports the result with the ticket.
+    /// Makes a node a voter, or removes it. [`Event::MembershipChangeCompleted`] reports the result
+    /// with the ticket.
     pub fn change_membership(
         &mut self,
         now: u64,
@@ -97,8 +100,8 @@
         self.begin_change(now, requester, action, node, out);
     }
 
-    /// Begins a change if this node leads; otherwise names the leader to the requester. Where no leader is known, the requester
-    /// repeats its request.
+    /// Begins a change if this node leads; otherwise names the leader to the requester. Where no
+    /// leader is known, the requester repeats its request.
     fn begin_change(
         &mut self,
         now: u64,
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Asks the leader for a change, or any voter if this node does not vote. A voter that knows of no other leader begins the change
-    /// itself.
+    /// Asks the leader for a change, or any voter if this node does not vote. A voter that knows of
+    /// no other leader begins the change itself.
     fn send_change_request(
         &mut self,
         now: u64,
@@ -247,12 +250,14 @@
                 .get(&leader)
                 .cloned()
                 .map_or(Error::NoVoters, Error::NotLeader))),
-            // The change is complete once the voters show it. A proposal that can't be made now is repeated.
+            // The change is complete once the voters show it. A proposal that can't be made now is
+            // repeated.
             Ok(()) | Err(_) => None,
         }
     }
 
-    /// Returns what is to be proposed next for a change; `None` if the voters show the change already.
+    /// Returns what is to be proposed next for a change; `None` if the voters show the change
+    /// already.
     fn next_proposal(
         &self,
         now: u64,
@@ -263,7 +268,8 @@
         let (proposal, count) = match (change.action, id) {
             (VoterAction::Add, Some(id)) if !self.promises_lost.contains(&id) => return Ok(None),
             (VoterAction::Remove, None) => return Ok(None),
-            // A node that has lost its promises is removed first, and then added under another number.
+            // A node that has lost its promises is removed first, and then added under another
+            // number.
             (VoterAction::Add | VoterAction::Remove, Some(id)) => {
                 (MembershipChange::Remove(id), voters.len() - 1)
             }
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -6,7 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first bytes of every message. The last of them is the version; messages of other parts over the same stream begin otherwise.
+/// The first bytes of every message. The last of them is the version; messages of other parts over
+/// the same stream begin otherwise.
 pub const MESSAGE_PREFIX: [u8; 3] = *b"PC\x01";
 
 /// A message from one node to another.
@@ -89,8 +90,8 @@
     pub leases: LeaseTable,
 }
 
-/// Returns a number that differs between clusters with different names or initial voters (FNV-1a). Messages between such clusters must
-/// be ignored, because their logs have nothing in common.
+/// Returns a number that differs between clusters with different names or initial voters (FNV-1a).
+/// Messages between such clusters must be ignored, because their logs have nothing in common.
 pub fn cluster_id(cluster: &str, initial_voters: &BTreeSet<String>) -> u64 {
     let names = std::iter::once(cluster).chain(initial_voters.iter().map(String::as_str));
     let bytes = names.flat_map(|name| name.bytes().chain([0]));
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -78,8 +78,8 @@
 }
 
 impl Replica {
-    /// Restores the replica from its stored keys (those that begin with `a/`, `c/` or `s/`) and values. An initial voter with nothing
-    /// stored takes the number that the settings give it.
+    /// Restores the replica from its stored keys (those that begin with `a/`, `c/` or `s/`) and
+    /// values. An initial voter with nothing stored takes the number that the settings give it.
     pub fn new(
         node: &str,
         incarnation: u64,
@@ -282,7 +282,8 @@
         }
     }
 
-    /// Runs an action of the voter and carries out its outputs. Returns `None` if the replica does not vote.
+    /// Runs an action of the voter and carries out its outputs. Returns `None` if the replica does
+    /// not vote.
     fn with_voter<T>(
         &mut self,
         action: impl FnOnce(&mut Voter<LeaseStateMachine>, &mut Vec<VoterOutput>) -> T,
@@ -376,8 +377,9 @@
         }
     }
 
-    /// Handles a message of the log from another voter. It is dropped while the start of the sender's incarnation is not known: the
-    /// sender may have lost promises, and has to announce its start first.
+    /// Handles a message of the log from another voter. It is dropped while the start of the
+    /// sender's incarnation is not known: the sender may have lost promises, and has to announce
+    /// its start first.
     pub fn receive_log(
         &mut self,
         from: u64,
@@ -457,7 +459,8 @@
                     admission.set_voters(&ids);
                 }
             }
-            // It has become another voter. Numbers only grow, so that a late message brings no earlier one back.
+            // It has become another voter. Numbers only grow, so that a late message brings no
+            // earlier one back.
             Some(id) if id > self.id => self.reset(id, out),
             Some(_) => {}
             None if self.id > 0 => self.reset(0, out),
@@ -465,7 +468,8 @@
         }
     }
 
-    /// Removes all that belongs to the present voter. `next_id` is its new number; 0 if it is no voter any more.
+    /// Removes all that belongs to the present voter. `next_id` is its new number; 0 if it is no
+    /// voter any more.
     fn reset(&mut self, next_id: u64, out: &mut Vec<ReplicaOutput>) {
         self.voter = None;
         self.admission = None;
--- a/crates/coordination/src/status.rs
+++ b/crates/coordination/src/status.rs
@@ -20,7 +20,8 @@
     pub next_owner: Option<String>,
     /// The size of its value, in bytes.
     pub value_bytes: usize,
-    /// For how long the node that shows this may still act as its owner, in milliseconds; `None` if it may not.
+    /// For how long the node that shows this may still act as its owner, in milliseconds; `None` if
+    /// it may not.
     #[serde(rename = "left_ms")]
     pub remaining_ms: Option<u64>,
 }
@@ -33,7 +34,8 @@
     pub voter_id: u64,
     /// The name of its node.
     pub node: String,
-    /// Whether it has sent something lately; `None` if the node that shows this does not vote and so does not know.
+    /// Whether it has sent something lately; `None` if the node that shows this does not vote and
+    /// so does not know.
     #[serde(rename = "heard")]
     pub recently_heard: Option<bool>,
     /// Whether it has said that it has lost its promises.
--- a/crates/coordination/src/tests.rs
+++ b/crates/coordination/src/tests.rs
@@ -1,6 +1,8 @@
-//! Pins the messages of the coordination service between nodes: the prefix `PC` with its version, the number of the
-//! cluster, and every kind of message; and the stored number of the replica. Nodes of a fleet may run different versions, and a node reads
-//! what an older version stored, so these bytes must not change with a rename. The literals were written by the version before the renames.
+//! Pins the messages of the coordination service between nodes: the prefix `PC` with its version,
+//! the number of the cluster, and every kind of message; and the stored number of the replica.
+//! Nodes of a fleet may run different versions, and a node reads what an older version stored, so
+//! these bytes must not change with a rename. The literals were written by the version before the
+//! renames.
 
 use crate::message::{FollowerSnapshot, MESSAGE_PREFIX, Message, cluster_id, decode, encode};
 use crate::replica::{Replica, ReplicaOutput};
@@ -394,7 +396,8 @@
     assert!(out.is_empty(), "what is stored is not written again");
 }
 
-/// Entries of the log are commands, and the state in its snapshots is the lease table without anything around it.
+/// Entries of the log are commands, and the state in its snapshots is the lease table without
+/// anything around it.
 #[test]
 fn state_machine_is_encoded_as_the_lease_table() {
     let mut state = LeaseTable::default();
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -30,9 +30,9 @@
     all_admitted.any(|admitted| !admitted.windows(2).all(|two| two[0].token <= two[1].token))
 }
 
-/// No effect of an owner is admitted after one of a later owner, tokens have one owner each, and no two nodes may act at once. After the
-/// last fault every lease has an owner, voters that have lost their stores vote again after they were added anew, and a stored value
-/// reaches all nodes.
+/// No effect of an owner is admitted after one of a later owner, tokens have one owner each, and no
+/// two nodes may act at once. After the last fault every lease has an owner, voters that have lost
+/// their stores vote again after they were added anew, and a stored value reaches all nodes.
 #[test]
 fn one_owner_at_a_time_whatever_fails() {
     let mut exercised = Exercised::default();
@@ -85,7 +85,8 @@
     }
 }
 
-/// Adds the initial voters that have lost their stores, then those that were removed, until all vote.
+/// Adds the initial voters that have lost their stores, then those that were removed, until all
+/// vote.
 fn add_lost_voters(sim: &mut Simulation) {
     let count = sim.initial_voters.len();
     for _ in 0..20 {
@@ -214,8 +215,8 @@
     );
 }
 
-/// Without a majority the owners stop and calls fail with a reason; with one again, everything resumes without help. Leases can be
-/// transferred and released at any node.
+/// Without a majority the owners stop and calls fail with a reason; with one again, everything
+/// resumes without help. Leases can be transferred and released at any node.
 #[test]
 fn leases_stop_without_a_majority_and_resume_with_one() {
     let mut sim = run_until_owned(3, 2, 4);
@@ -274,8 +275,9 @@
     });
 }
 
-/// An operator's release at another node reaches the owner through the log alone. The owner must stop acting as soon as its own
-/// copy of the log shows the release, not with its next renewal, and must leave the lease to the other nodes for a lease's duration.
+/// An operator's release at another node reaches the owner through the log alone. The owner must
+/// stop acting as soon as its own copy of the log shows the release, not with its next renewal, and
+/// must leave the lease to the other nodes for a lease's duration.
 #[test]
 fn an_owner_stops_acting_once_its_log_shows_a_release_made_elsewhere() {
     for seed in seeds("0..40") {
--- a/crates/coordination/tests/simulation/faults.rs
+++ b/crates/coordination/tests/simulation/faults.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Restarts a node with an empty or an older store, while all other voters are there to find that out.
+    /// Restarts a node with an empty or an older store, while all other voters are there to find
+    /// that out.
     fn lose_store(&mut self, n: usize) {
         self.repair();
         (0..800).for_each(|_| self.step());
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Returns whether all nodes are running and connected, and all voters vote, so that no store is lost but the next one.
+    /// Returns whether all nodes are running and connected, and all voters vote, so that no store
+    /// is lost but the next one.
     fn all_vote(&self) -> bool {
         let all_running = self
             .nodes
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Simulation of the coordinators of a cluster, from seeds and with virtual time: voters and nodes that do not vote, links that are cut
-//! in one or both directions and lose messages, slow disks, crashes that lose what was not durable, stores that are lost or set back,
-//! pauses between a permit and its effect, clocks up to 2 % apart, and membership changes.
+//! Simulation of the coordinators of a cluster, from seeds and with virtual time: voters and nodes
+//! that do not vote, links that are cut in one or both directions and lose messages, slow disks,
+//! crashes that lose what was not durable, stores that are lost or set back, pauses between a
+//! permit and its effect, clocks up to 2 % apart, and membership changes.
 
 // Each test target uses a part of it.
 #![allow(dead_code)]
--- a/crates/coordination/tests/surface_errors.rs
+++ b/crates/coordination/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the messages, codes and remedies of this crate's errors, and the form in which one is shown. They are read by
-//! operators and scripts and must not change with a name in the code.
+//! Pins the messages, codes and remedies of this crate's errors, and the form in which one is
+//! shown. They are read by operators and scripts and must not change with a name in the code.
 
 use postproxy_coordination::{Error, Rejection};
 use postproxy_diagnostics::{Diagnostic, ErrorBody};
--- a/crates/coordination/tests/timelines.rs
+++ b/crates/coordination/tests/timelines.rs
@@ -1,5 +1,6 @@
-//! Approved timelines of difficult cases: who may act as the owner of the lease `audit`, in virtual time, with a column for each node. A
-//! changed line is a changed behaviour. The timelines are in `timelines/`; `POSTPROXY_DRAW=1` writes them anew, to be reviewed.
+//! Approved timelines of difficult cases: who may act as the owner of the lease `audit`, in virtual
+//! time, with a column for each node. A changed line is a changed behaviour. The timelines are in
+//! `timelines/`; `POSTPROXY_DRAW=1` writes them anew, to be reviewed.
 
 mod simulation;
 
@@ -33,7 +34,8 @@
     );
 }
 
-/// After the owner's crash another node has the lease within the duration of a lease, and the old owner restarts without it.
+/// After the owner's crash another node has the lease within the duration of a lease, and the old
+/// owner restarts without it.
 #[test]
 fn another_node_owns_the_lease_after_the_owners_crash() {
     let (mut sim, owner) = run_until_owned(1);
--- a/crates/diagnostics/src/lib.rs
+++ b/crates/diagnostics/src/lib.rs
@@ -1,10 +1,8 @@
 //! Diagnostics: errors that tell an operator what to do.
 //!
-//! Each has a stable code, such as `duties.no_majority`, and a remedy in plain words. The management API, the log and the
-//! command `check` show both; `docs/operate/errors.md` lists them all.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! Each has a stable code, such as `duties.no_majority`, and a remedy in plain words. The
+//! management API, the log and the command `check` show both; `docs/operate/errors.md` lists them
+//! all.
 
 use serde::{Deserialize, Serialize};
 
@@ -42,8 +40,8 @@
     pub remedy: String,
 }
 
-/// Implements [`Diagnostic`] for an error type, from a list of patterns with the code and the remedy of each, and defines a
-/// constant that lists all codes with their remedies.
+/// Implements [`Diagnostic`] for an error type, from a list of patterns with the code and the
+/// remedy of each, and defines a constant that lists all codes with their remedies.
 ///
 /// ```
 /// # #[derive(Debug)]
--- a/crates/diagnostics/tests/surface.rs
+++ b/crates/diagnostics/tests/surface.rs
@@ -1,7 +1,8 @@
 //! Pins the JSON body of an error at the management API.
 //!
-//! Programs read these keys. They are the field names of a Rust struct, so that renaming a field would change them unseen: the
-//! text below is literal and does not follow a rename. Keep the key with `#[serde(rename)]` instead of changing the literal.
+//! Programs read these keys. They are the field names of a Rust struct, so that renaming a field
+//! would change them unseen: the text below is literal and does not follow a rename. Keep the key
+//! with `#[serde(rename)]` instead of changing the literal.
 
 use postproxy_diagnostics::{Diagnostic, ErrorBody};
 
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How long before a request a fault of its node still explains that the connection ended, in seconds: the node may have
-/// been back for less than that.
+/// How long before a request a fault of its node still explains that the connection ended, in
+/// seconds: the node may have been back for less than that.
 const FAULT_MARGIN_SECONDS: f64 = 1.0;
 
 /// A line of a log.
--- a/crates/fault-injection/src/failure_reports.rs
+++ b/crates/fault-injection/src/failure_reports.rs
@@ -4,8 +4,8 @@
 use crate::{Event, History, HistoryEntry, Step};
 use std::collections::BTreeMap;
 
-/// How long after the end of a fault nodes may still report a failure for it, in seconds: detection takes some time, and
-/// datagrams may be on their way.
+/// How long after the end of a fault nodes may still report a failure for it, in seconds: detection
+/// takes some time, and datagrams may be on their way.
 const DETECTION_MARGIN_SECONDS: f64 = 10.0;
 /// What stands in a log line before the number of the node that is reported as failed.
 const REPORT: &str = "peer failed name=\"n";
@@ -29,8 +29,8 @@
     position: LogPosition,
 }
 
-/// Checks that every failure report has a cause: the reporting or the reported node was killed or paused, or a link was
-/// partitioned or lost datagrams.
+/// Checks that every failure report has a cause: the reporting or the reported node was killed or
+/// paused, or a link was partitioned or lost datagrams.
 ///
 /// # Errors
 ///
@@ -119,7 +119,8 @@
         || at_seconds - link_faults_ended < DETECTION_MARGIN_SECONDS
 }
 
-/// Returns the Unix time of a log line, such as `2026-12-01T22:45:50.576671Z`, in seconds; `None` if it isn't one.
+/// Returns the Unix time of a log line, such as `2026-12-01T22:45:50.576671Z`, in seconds; `None`
+/// if it isn't one.
 pub fn parse_log_time(text: &str) -> Option<f64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let date: Vec<i64> = date
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,14 +1,13 @@
 //! Fault injection for tests and trials; no part of the node.
 //!
-//! - [`FaultyNetwork`]: proxies between nodes that lose, delay, cut and partition their traffic in each direction.
+//! - [`FaultyNetwork`]: proxies between nodes that lose, delay, cut and partition their traffic in
+//!   each direction.
 //! - [`Process`]: a process of the program, to be paused, resumed and killed.
 //! - [`Schedule`]: a random sequence of faults that can be written down and run again.
-//! - [`History`]: what was done and seen, for the message of a test that fails; [`check`] finds violations in it.
+//! - [`History`]: what was done and seen, for the message of a test that fails; [`check`] finds
+//!   violations in it.
 //! - [`Timeline`]: a drawing of what happened at several nodes.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 pub mod check;
 mod failure_reports;
 mod history;
--- a/crates/fault-injection/src/network/connections.rs
+++ b/crates/fault-injection/src/network/connections.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Forwards these bytes with the faults of the link. An error means that the connection has ended.
+    /// Forwards these bytes with the faults of the link. An error means that the connection has
+    /// ended.
     fn forward_piece(
         &mut self,
         bytes: &[u8],
--- a/crates/fault-injection/src/network/mod.rs
+++ b/crates/fault-injection/src/network/mod.rs
@@ -1,6 +1,8 @@
-//! The network between nodes: a proxy stands before each node, and applies the faults of the link to what it forwards.
+//! The network between nodes: a proxy stands before each node, and applies the faults of the link
+//! to what it forwards.
 //!
-//! A proxy knows by the sender's address on which link a datagram or a connection is. Random faults come from a seed.
+//! A proxy knows by the sender's address on which link a datagram or a connection is. Random faults
+//! come from a seed.
 
 mod connections;
 mod datagrams;
@@ -23,7 +25,8 @@
 /// The faults of a link: of the datagrams and connections in one direction between two nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// All datagrams are lost. The bytes of a connection, and its end, wait until the partition is over.
+    /// All datagrams are lost. The bytes of a connection, and its end, wait until the partition is
+    /// over.
     pub partitioned: bool,
     /// Share of datagrams that are lost, from 0 to 1.
     pub loss_rate: f64,
@@ -37,7 +40,8 @@
     pub max_bytes_per_second: u32,
 }
 
-/// Returns this many addresses of the loopback network that no other test process uses, and that no other call returns.
+/// Returns this many addresses of the loopback network that no other test process uses, and that no
+/// other call returns.
 pub fn loopback_addresses(count: u8) -> Vec<IpAddr> {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -65,7 +69,8 @@
 struct LinkTable(Arc<Mutex<HashMap<LinkId, LinkFaults>>>);
 
 impl LinkTable {
-    /// Returns the faults of a link. Senders that are no nodes of the network have no link, and no faults.
+    /// Returns the faults of a link. Senders that are no nodes of the network have no link, and no
+    /// faults.
     fn faults(&self, link: Option<LinkId>) -> LinkFaults {
         let links = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         link.and_then(|link| links.get(&link).copied())
@@ -115,8 +120,8 @@
 }
 
 impl FaultyNetwork {
-    /// Starts proxies for the nodes that listen at these addresses. Each node must send from the address at which it
-    /// listens, and advertise its proxy's address to the others.
+    /// Starts proxies for the nodes that listen at these addresses. Each node must send from the
+    /// address at which it listens, and advertise its proxy's address to the others.
     ///
     /// # Errors
     ///
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -93,7 +93,8 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The process is our child and hasn't been waited for, so that its id can't be another process's.
+        // The process is our child and hasn't been waited for, so that its id can't be another
+        // process's.
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules: the steps that are taken against a cluster, drawn from a seed, written down a line a step, and run again from
-//! that text.
+//! Schedules: the steps that are taken against a cluster, drawn from a seed, written down a line a
+//! step, and run again from that text.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -66,8 +66,8 @@
     pub steps: Vec<Step>,
 }
 
-/// Draws random steps that fit each other: only a running node is killed or paused, only a paused one resumed, and at least
-/// one runs at any time.
+/// Draws random steps that fit each other: only a running node is killed or paused, only a paused
+/// one resumed, and at least one runs at any time.
 struct Generator {
     rng: Pcg64Mcg,
     node_count: usize,
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -1,5 +1,5 @@
-//! Timelines: a history drawn as text. Time runs down, each node or worker has a column, and messages cross from one column
-//! to another.
+//! Timelines: a history drawn as text. Time runs down, each node or worker has a column, and
+//! messages cross from one column to another.
 
 use std::fmt::Write;
 
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Sets the state of a column from this time on, in milliseconds. The state that it has already is drawn once.
+    /// Sets the state of a column from this time on, in milliseconds. The state that it has already
+    /// is drawn once.
     pub fn set_state(&mut self, at_ms: u64, column: usize, state: impl Into<String>) {
         let state = state.into();
         if last_state(&self.marks, column) != state {
@@ -86,7 +87,8 @@
         self.marks.push(TimedMark { at_ms, mark });
     }
 
-    /// Returns the part of the timeline from this time on; it begins with the states that the columns had then.
+    /// Returns the part of the timeline from this time on; it begins with the states that the
+    /// columns had then.
     pub fn since(&self, at_ms: u64) -> Self {
         let (before, after): (Vec<TimedMark>, Vec<TimedMark>) = self
             .marks
@@ -101,8 +103,8 @@
         part
     }
 
-    /// Returns the drawing. Times are in milliseconds from the first mark, rounded down to a multiple of `round_ms`; a long
-    /// stretch without marks is drawn as one line without a time.
+    /// Returns the drawing. Times are in milliseconds from the first mark, rounded down to a
+    /// multiple of `round_ms`; a long stretch without marks is drawn as one line without a time.
     pub fn draw(&self, round_ms: u64) -> String {
         let round_ms = round_ms.max(1);
         let mut marks = self.marks.clone();
--- a/crates/fault-injection/tests/check.rs
+++ b/crates/fault-injection/tests/check.rs
@@ -110,7 +110,8 @@
     );
 }
 
-/// A failure report without a cause is a violation that names its log line; one with a cause is none.
+/// A failure report without a cause is a violation that names its log line; one with a cause is
+/// none.
 #[test]
 fn a_failure_report_without_a_cause_is_named_with_its_log_line() {
     let start = parse_log_time("2026-12-01T22:45:50.5Z").expect("a time");
--- a/crates/fault-injection/tests/schedule.rs
+++ b/crates/fault-injection/tests/schedule.rs
@@ -3,7 +3,8 @@
 use postproxy_fault_injection::{Schedule, Step};
 use std::collections::BTreeSet;
 
-/// A schedule is the same from its seed and from its text, its steps fit each other, and a line that is no step is rejected.
+/// A schedule is the same from its seed and from its text, its steps fit each other, and a line
+/// that is no step is rejected.
 #[test]
 fn a_schedule_is_the_same_from_its_seed_and_its_text() {
     for seed in 0..200 {
--- a/crates/fault-injection/tests/surface_errors.rs
+++ b/crates/fault-injection/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the text of schedules, which are kept in files and run again, and of violations. They must not change
-//! with a name in the code.
+//! Pins the text of schedules, which are kept in files and run again, and of violations. They must
+//! not change with a name in the code.
 
 use postproxy_fault_injection::{LogPosition, Schedule, Step, Violation};
 
--- a/crates/fault-injection/tests/timeline.rs
+++ b/crates/fault-injection/tests/timeline.rs
@@ -15,7 +15,8 @@
     timeline
 }
 
-/// A drawing shows a known fault: the effect of the old lease holder comes after that of the new one.
+/// A drawing shows a known fault: the effect of the old lease holder comes after that of the new
+/// one.
 #[test]
 fn a_known_fault_is_visible_in_the_drawing() {
     let drawn = timeline_with_a_known_fault().draw(10);
@@ -40,7 +41,8 @@
     );
 }
 
-/// A drawing is no wider than a page, a cut one keeps the states from before the cut, and a state is drawn once.
+/// A drawing is no wider than a page, a cut one keeps the states from before the cut, and a state
+/// is drawn once.
 #[test]
 fn a_drawing_is_bounded_keeps_states_over_a_cut_and_draws_a_state_once() {
     let cut = timeline_with_a_known_fault().since(4350).draw(10);
--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -62,7 +62,8 @@
 
 /// Encodes a message as a frame.
 pub fn frame(message: &Message) -> Vec<u8> {
-    // Messages hold only strings, numbers and bytes, whose encoding can't fail; an empty frame would be malformed.
+    // Messages hold only strings, numbers and bytes, whose encoding can't fail; an empty frame
+    // would be malformed.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend(body);
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,8 +1,9 @@
-//! Hot restart: the messages that two processes of one node exchange while the newer takes over from the older,
-//! their codec, and the state of one link. The crate does no I/O: bytes go in and out, and callers pass the time.
+//! Hot restart: the messages that two processes of one node exchange while the newer takes over
+//! from the older, their codec, and the state of one link. The crate does no I/O: bytes go in and
+//! out, and callers pass the time.
 //!
-//! The encoding is postcard, which writes variants by position and fields by order: neither may change within a
-//! protocol [`VERSION`].
+//! The encoding is postcard, which writes variants by position and fields by order: neither may
+//! change within a protocol [`VERSION`].
 
 mod codec;
 mod link;
@@ -90,7 +91,8 @@
     StateUpdate(StateUpdate),
     /// The older side has sent all the state that it had when it was greeted.
     SnapshotComplete,
-    /// The number of descriptors that the sender and older processes hold at most, until it sends another.
+    /// The number of descriptors that the sender and older processes hold at most, until it sends
+    /// another.
     DescriptorsHeld(u32),
     /// A worker's call-back on a request that the sender does not know.
     Callback {
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -4,8 +4,8 @@
 use crate::{Message, StateUpdate};
 use std::collections::BTreeMap;
 
-/// How long the older side may take to greet and to send its snapshot, in seconds. Operators expect the newer
-/// process to serve within seconds, so it then serves alone.
+/// How long the older side may take to greet and to send its snapshot, in seconds. Operators expect
+/// the newer process to serve within seconds, so it then serves alone.
 const SNAPSHOT_TIMEOUT_SECONDS: f64 = 1.0;
 /// How long the other side may take to send the result of a forwarded call-back, in seconds.
 const CALLBACK_TIMEOUT_SECONDS: f64 = 2.0;
@@ -141,7 +141,8 @@
         self.peer_shutting_down
     }
 
-    /// Returns the message that forwards a call-back to the other side; `caller` waits for its result.
+    /// Returns the message that forwards a call-back to the other side; `caller` waits for its
+    /// result.
     pub fn forward_callback(&mut self, now: f64, caller: u64, body: Vec<u8>) -> Message {
         let number = self.next_callback;
         self.next_callback += 1;
@@ -188,7 +189,8 @@
     ///
     /// # Errors
     ///
-    /// If the bytes or a message are invalid: the link is to be closed. The events before the fault are appended.
+    /// If the bytes or a message are invalid: the link is to be closed. The events before the fault
+    /// are appended.
     pub fn receive(
         &mut self,
         bytes: &[u8],
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -1,4 +1,5 @@
-//! Two links against each other, with bytes cut anywhere, and one link against arbitrary bytes. Fixed seeds.
+//! Two links against each other, with bytes cut anywhere, and one link against arbitrary bytes.
+//! Fixed seeds.
 
 use postproxy_handover::{
     DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
@@ -151,7 +152,8 @@
     );
 }
 
-/// Guards against accepting another version, another node, an unexpected message, or a frame of any length.
+/// Guards against accepting another version, another node, an unexpected message, or a frame of any
+/// length.
 #[test]
 fn each_protocol_violation_has_its_error() {
     let mut other = GREETING_MAGIC.to_vec();
@@ -243,7 +245,8 @@
     );
 }
 
-/// Guards against a result that reaches another call-back, and a call-back or a greeting that is awaited for ever.
+/// Guards against a result that reaches another call-back, and a call-back or a greeting that is
+/// awaited for ever.
 #[test]
 fn each_callback_gets_its_result_or_times_out() {
     let (mut older, mut newer) = joined_links();
@@ -389,7 +392,8 @@
         self.messages.push(message);
     }
 
-    /// Predicts the events of the frames that are complete; `Err` with those before a message that is not allowed.
+    /// Predicts the events of the frames that are complete; `Err` with those before a message that
+    /// is not allowed.
     fn predict_events(&mut self) -> Result<Vec<LinkEvent>, Vec<LinkEvent>> {
         let mut events = Vec::new();
         while let Some(size) = self.frame_sizes.first()
@@ -404,7 +408,8 @@
         Ok(events)
     }
 
-    /// Delivers up to `size` bytes and compares the link with the model; returns whether the link stays open.
+    /// Delivers up to `size` bytes and compares the link with the model; returns whether the link
+    /// stays open.
     fn deliver(&mut self, size: usize) -> Result<bool, TestCaseError> {
         let piece: Vec<u8> = self.stream.drain(..size.min(self.stream.len())).collect();
         self.delivered += piece.len();
@@ -448,8 +453,9 @@
     }
 }
 
-/// Guards against a link whose state differs from the messages on it: two sides, random steps, bytes delivered in
-/// random pieces, and messages that are not allowed. The model predicts the events, or an error.
+/// Guards against a link whose state differs from the messages on it: two sides, random steps,
+/// bytes delivered in random pieces, and messages that are not allowed. The model predicts the
+/// events, or an error.
 #[test]
 fn link_state_follows_its_messages() {
     let step = (0usize..9, any::<bool>(), 1usize..60);
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -1,6 +1,7 @@
-//! Pins the bytes that two processes of one node exchange during a handover: the greeting, the frames, and every message.
-//! During an upgrade the older process may run an older version of the program, so these bytes must not change with a
-//! rename. The literals were written by the version before the renames.
+//! Pins the bytes that two processes of one node exchange during a handover: the greeting, the
+//! frames, and every message. During an upgrade the older process may run an older version of the
+//! program, so these bytes must not change with a rename. The literals were written by the version
+//! before the renames.
 
 use postproxy_handover::{
     DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
@@ -20,7 +21,8 @@
     pairs.map(byte).collect()
 }
 
-/// Asserts that the message is encoded as this literal, in a frame with its length, and decoded from it.
+/// Asserts that the message is encoded as this literal, in a frame with its length, and decoded
+/// from it.
 #[track_caller]
 fn pin(message: Message, literal: &str) {
     let bytes = postcard::to_stdvec(&message).expect("an encoded message");
--- a/crates/handover/tests/surface_errors.rs
+++ b/crates/handover/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the messages with which the log names a fault of the other process. They must not change with a name in the
-//! code.
+//! Pins the messages with which the log names a fault of the other process. They must not change
+//! with a name in the code.
 
 use postproxy_handover::DecodeError;
 
--- a/crates/idempotency/src/callback.rs
+++ b/crates/idempotency/src/callback.rs
@@ -1,4 +1,5 @@
-//! Late call-backs: what a worker reports of a request that an earlier process of the node sent to it.
+//! Late call-backs: what a worker reports of a request that an earlier process of the node sent to
+//! it.
 
 use crate::request_log::Write;
 
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,14 +1,16 @@
-//! The request log of a node: what it remembers of requests beyond the life of its process, so that a request that may
-//! have run isn't run twice.
+//! The request log of a node: what it remembers of requests beyond the life of its process, so that
+//! a request that may have run isn't run twice.
 //!
-//! A [`RequestLog`] is a state machine without I/O and without a clock. The node reports what becomes of each request
-//! whose class is logged; the log answers with [`Write`]s, and those of one answer are to be written together. After a
-//! restart the log is loaded from the stored records. It then answers two questions: what a client that repeats a
-//! request gets ([`Lookup`]), and what a worker's call-back on a request of an earlier process settles ([`Resolution`]).
+//! A [`RequestLog`] is a state machine without I/O and without a clock. The node reports what
+//! becomes of each request whose class is logged; the log answers with [`Write`]s, and those of one
+//! answer are to be written together. After a restart the log is loaded from the stored records. It
+//! then answers two questions: what a client that repeats a request gets ([`Lookup`]), and what a
+//! worker's call-back on a request of an earlier process settles ([`Resolution`]).
 //!
 //! Guarantees, whenever any process dies:
 //!
-//! - A request of which an attempt may have run isn't started again under its id or its idempotency key until its
+//! - A request of which an attempt may have run isn't started again under its id or its idempotency
+//!   key until its
 //!   record expires.
 //! - A request that was served stays served once the record that says so is durable.
 //! - A request of which no attempt was ever sent has no record.
@@ -21,7 +23,6 @@
 //! | `lookup` | identity of a submitted request, and what its client gets |
 //! | `callback` | late call-backs and what they settle |
 //! | `request_log` | the log itself |
-#![forbid(unsafe_code)]
 
 mod callback;
 mod keys;
--- a/crates/idempotency/src/limits.rs
+++ b/crates/idempotency/src/limits.rs
@@ -14,11 +14,13 @@
 /// Limits of what a request log keeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// How long a record is kept after its last change, in seconds, for classes that have no time of their own.
+    /// How long a record is kept after its last change, in seconds, for classes that have no time
+    /// of their own.
     pub retention_seconds: f64,
     /// The retention times of classes that have their own, in seconds, by the class's name.
     pub retention_seconds_by_class: HashMap<String, f64>,
-    /// The longest result that is stored, in bytes; a longer one is dropped and its request counts as served without it.
+    /// The longest result that is stored, in bytes; a longer one is dropped and its request counts
+    /// as served without it.
     pub max_result_bytes: usize,
     /// How many requests are kept at most.
     pub max_requests: usize,
@@ -36,7 +38,8 @@
 }
 
 impl Limits {
-    /// Returns when a record that changes at `now` (seconds of Unix time) expires, in milliseconds of Unix time.
+    /// Returns when a record that changes at `now` (seconds of Unix time) expires, in milliseconds
+    /// of Unix time.
     ///
     /// A record outlives its client's deadline in any case.
     pub(crate) fn expires_at_ms(&self, class: &str, now: f64, deadline_ms: u64) -> u64 {
--- a/crates/idempotency/src/lookup.rs
+++ b/crates/idempotency/src/lookup.rs
@@ -9,7 +9,8 @@
     pub idempotency_key: Option<&'a str>,
     /// The name of the request's class.
     pub class: &'a str,
-    /// Digest of the request's content, by which another request under the same id or key is detected.
+    /// Digest of the request's content, by which another request under the same id or key is
+    /// detected.
     pub digest: [u8; 32],
 }
 
@@ -20,7 +21,8 @@
     New,
     /// It is in flight in this process under this id: the client waits for it.
     InFlight(String),
-    /// It may have run in an earlier process under this id: the client waits for the worker's call-back.
+    /// It may have run in an earlier process under this id: the client waits for the worker's
+    /// call-back.
     InDoubt(String),
     /// It was served; its result is stored under this id.
     Served(String),
--- a/crates/idempotency/src/request_log.rs
+++ b/crates/idempotency/src/request_log.rs
@@ -7,7 +7,8 @@
 use crate::record::{Attempt, AttemptOutcome, RequestRecord, Stage};
 use std::collections::{BTreeSet, HashMap};
 
-/// By how much the record of a request that is still in flight is prolonged when it expires, in milliseconds.
+/// By how much the record of a request that is still in flight is prolonged when it expires, in
+/// milliseconds.
 const IN_FLIGHT_EXTENSION_MS: u64 = 60_000;
 
 /// One change of the store's content.
@@ -66,8 +67,8 @@
 #[derive(Debug, Default)]
 pub struct RequestLog {
     limits: Limits,
-    /// The entries by request id. Boxed, because a table that grows moves all its entries at once, in the middle of
-    /// a client's request.
+    /// The entries by request id. Boxed, because a table that grows moves all its entries at once,
+    /// in the middle of a client's request.
     entries: HashMap<String, Box<Entry>>,
     /// The request ids by class and idempotency key.
     ids_by_key: HashMap<(String, String), String>,
@@ -102,7 +103,8 @@
         true
     }
 
-    /// Ends the loading: removes the requests that never ran, and returns the writes that delete them.
+    /// Ends the loading: removes the requests that never ran, and returns the writes that delete
+    /// them.
     pub fn finish_loading(&mut self) -> Vec<Write> {
         let never_ran =
             |entry: &Entry| entry.record.stage == Stage::Pending && !entry.record.may_have_run();
@@ -125,7 +127,8 @@
         self.entries.is_empty()
     }
 
-    /// Returns the number of requests that may have run in an earlier process and whose end isn't known.
+    /// Returns the number of requests that may have run in an earlier process and whose end isn't
+    /// known.
     pub fn in_doubt_count(&self) -> usize {
         self.in_doubt_count
     }
@@ -166,9 +169,11 @@
         Some((id, self.entries.get(id)?))
     }
 
-    /// Makes room for another request: while the log is full, the oldest request that has its final answer is removed.
+    /// Makes room for another request: while the log is full, the oldest request that has its final
+    /// answer is removed.
     ///
-    /// Returns the writes that delete the removed ones, or `None` if there is no room because every request may still run.
+    /// Returns the writes that delete the removed ones, or `None` if there is no room because every
+    /// request may still run.
     pub fn make_room(&mut self) -> Option<Vec<Write>> {
         let mut writes = Vec::new();
         while self.entries.len() >= self.limits.max_requests.max(1) {
@@ -190,8 +195,9 @@
 
     /// Records that an attempt is about to be sent to `worker`.
     ///
-    /// The returned writes have to be durable before it is sent, or only under way, by the durability level of the class.
-    /// `now` and `deadline`, when the client stops waiting, are in seconds of Unix time.
+    /// The returned writes have to be durable before it is sent, or only under way, by the
+    /// durability level of the class. `now` and `deadline`, when the client stops waiting, are in
+    /// seconds of Unix time.
     pub fn record_attempt_intent(
         &mut self,
         now: f64,
@@ -304,7 +310,8 @@
         let Some(entry) = self.entries.get_mut(id).filter(|entry| entry.is_in_doubt()) else {
             return LateCallback::ignored();
         };
-        // A worker has one attempt of a request at a time, so that its call-back is on the last one.
+        // A worker has one attempt of a request at a time, so that its call-back is on the last
+        // one.
         let attempt = entry.record.attempts.iter_mut().rev().find(|attempt| {
             attempt.worker == worker && attempt.outcome == AttemptOutcome::InFlight
         });
@@ -336,8 +343,8 @@
         }
     }
 
-    /// Settles a request in doubt after a call-back that didn't serve it: it has failed, unless the end of another
-    /// attempt is unknown.
+    /// Settles a request in doubt after a call-back that didn't serve it: it has failed, unless the
+    /// end of another attempt is unknown.
     fn resolve_without_result(&mut self, now: f64, id: &str) -> LateCallback {
         let Some(mut entry) = self.remove(id) else {
             return LateCallback::ignored();
@@ -364,7 +371,8 @@
 
     /// Returns the writes that have to be repeated now that the store accepts writes again.
     ///
-    /// Results whose write was refused are lost: their requests count as served without a stored result.
+    /// Results whose write was refused are lost: their requests count as served without a stored
+    /// result.
     pub fn rewrite_unwritten(&mut self) -> Vec<Write> {
         let unwritten = self.entries.iter_mut().filter(|(_, entry)| entry.unwritten);
         let mut writes = Vec::new();
@@ -382,8 +390,8 @@
 
     /// Removes the requests whose records have expired at `now`, in seconds of Unix time.
     ///
-    /// Nothing has to be written, because the store leaves out expired values by itself. A request that is in flight in
-    /// this process isn't removed before its end.
+    /// Nothing has to be written, because the store leaves out expired values by itself. A request
+    /// that is in flight in this process isn't removed before its end.
     pub fn remove_expired(&mut self, now: f64) {
         let now_ms = seconds_to_ms(now);
         while let Some((expires_at_ms, id)) = self.expiry.first() {
@@ -433,7 +441,8 @@
         self.entries.insert(id.to_owned(), Box::new(entry));
     }
 
-    /// Removes the entry from all indexes; an idempotency key that meanwhile belongs to another request stays with that.
+    /// Removes the entry from all indexes; an idempotency key that meanwhile belongs to another
+    /// request stays with that.
     fn remove(&mut self, id: &str) -> Option<Entry> {
         let entry = self.entries.remove(id)?;
         self.in_doubt_count -= usize::from(entry.is_in_doubt());
--- a/crates/idempotency/tests/request_log.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -1,5 +1,5 @@
-//! The request log, by scenarios and against a model: random steps, and after any of them a restart of the node that loses
-//! any part of the last writes.
+//! The request log, by scenarios and against a model: random steps, and after any of them a restart
+//! of the node that loses any part of the last writes.
 
 use postproxy_idempotency::{
     AttemptFailure, Completion, Limits, Lookup, RequestIdentity, RequestLog, Resolution, Write,
@@ -87,7 +87,8 @@
     );
 }
 
-/// A call-back of an earlier attempt doesn't prove that the last one never ran; once that is proved, the request is new.
+/// A call-back of an earlier attempt doesn't prove that the last one never ran; once that is
+/// proved, the request is new.
 #[test]
 fn only_a_request_that_never_ran_is_new_again() {
     let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
@@ -122,7 +123,8 @@
     );
 }
 
-/// Results beyond the limit aren't stored; a full log removes only requests with a final answer; expired ones are removed.
+/// Results beyond the limit aren't stored; a full log removes only requests with a final answer;
+/// expired ones are removed.
 #[test]
 fn a_full_log_removes_only_requests_with_a_final_answer() {
     let limits = Limits {
@@ -194,14 +196,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A request that may have run never runs again, in whatever order attempts end, call-backs arrive and the node
-    /// restarts. A worker runs each attempt that is sent; an attempt is sent only after its intent is durable. All other
-    /// writes may be lost at a restart.
+    /// A request that may have run never runs again, in whatever order attempts end, call-backs
+    /// arrive and the node restarts. A worker runs each attempt that is sent; an attempt is sent
+    /// only after its intent is durable. All other writes may be lost at a restart.
     #[test]
     fn a_request_that_may_have_run_never_runs_again(steps in steps()) {
         let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
         let mut unsynced: Vec<Vec<Write>> = Vec::new();
-        // Of each request: how often it may have run; the number of its attempt in flight; how many were sent.
+        // Of each request: how often it may have run; the number of its attempt in flight; how many
+        // were sent.
         let (mut runs, mut in_flight, mut attempts_sent) = ([0u32; 4], [None::<usize>; 4], [0usize; 4]);
         let mut served = [false; 4];
         let mut now = 100.0;
--- a/crates/idempotency/tests/surface_bytes.rs
+++ b/crates/idempotency/tests/surface_bytes.rs
@@ -1,5 +1,6 @@
-//! Pins the keys and values that the request log stores. A data directory of an older version of the program must be readable,
-//! so these bytes must not change with a rename. The literals were written by the version before the renames.
+//! Pins the keys and values that the request log stores. A data directory of an older version of
+//! the program must be readable, so these bytes must not change with a rename. The literals were
+//! written by the version before the renames.
 
 use postproxy_idempotency::{
     Attempt, AttemptFailure, AttemptOutcome, Limits, RequestIdentity, RequestLog, RequestRecord,
@@ -158,7 +159,8 @@
     writes.iter().map(shown).collect()
 }
 
-/// The writes of a request that fails at one worker and is served by another, and of one that never runs.
+/// The writes of a request that fails at one worker and is served by another, and of one that never
+/// runs.
 #[test]
 fn writes_of_a_request_keep_their_bytes() {
     let mut log = RequestLog::new(Limits::default());
--- a/crates/inherited-listener/src/lib.rs
+++ b/crates/inherited-listener/src/lib.rs
@@ -1,5 +1,5 @@
-//! Adopts a listening socket that this process inherited at its start, by the number of its descriptor. The one
-//! block of unsafe code of the project is here.
+//! Adopts a listening socket that this process inherited at its start, by the number of its
+//! descriptor. The one block of unsafe code of the project is here.
 
 use socket2::{Socket, Type};
 use std::fmt;
@@ -69,22 +69,23 @@
         return Err(InheritError::NotASocket);
     }
     adopted.push(number);
-    // SAFETY: the descriptor is open, as its link in /proc has just shown, and so was it when this process began:
-    // the caller opens nothing before, so no other part of the program owns it. Each number is adopted once, which
-    // the list above ensures, so there is never a second owner, and what is returned closes it once.
+    // SAFETY: the descriptor is open, as its link in /proc has just shown, and so was it when this
+    // process began: the caller opens nothing before, so no other part of the program owns it. Each
+    // number is adopted once, which the list above ensures, so there is never a second owner, and
+    // what is returned closes it once.
     #[allow(unsafe_code)]
     let owned = unsafe { OwnedFd::from_raw_fd(number) };
     Ok(owned.into())
 }
 
-/// Adopts the listener whose descriptor number is in `text`; it must listen at `address`. Call it before the program
-/// opens descriptors of its own. The listener may be shared with other processes. It is made non-blocking, and
-/// programs started from this process do not inherit it.
+/// Adopts the listener whose descriptor number is in `text`; it must listen at `address`. Call it
+/// before the program opens descriptors of its own. The listener may be shared with other
+/// processes. It is made non-blocking, and programs started from this process do not inherit it.
 ///
 /// # Errors
 ///
-/// If the descriptor is not open, is not a socket that listens for streams, listens at another address, or was
-/// adopted before.
+/// If the descriptor is not open, is not a socket that listens for streams, listens at another
+/// address, or was adopted before.
 pub fn adopt_listener(text: &str, address: SocketAddr) -> Result<TcpListener, InheritError> {
     let socket = adopt_socket(text)?;
     let system = |error: std::io::Error| InheritError::System(error.kind());
--- a/crates/inherited-listener/tests/adopt_listener.rs
+++ b/crates/inherited-listener/tests/adopt_listener.rs
@@ -1,5 +1,5 @@
-//! Descriptors of every kind, passed by their number. The one test is alone in its process: it relies on which
-//! numbers are free.
+//! Descriptors of every kind, passed by their number. The one test is alone in its process: it
+//! relies on which numbers are free.
 
 use postproxy_inherited_listener::{InheritError, adopt_listener};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -10,8 +10,8 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Guards against serving on whatever a wrong number names: nothing open, a file, a socket that does not
-/// listen, one of another address; and against two owners of one descriptor.
+/// Guards against serving on whatever a wrong number names: nothing open, a file, a socket that
+/// does not listen, one of another address; and against two owners of one descriptor.
 #[test]
 fn adopts_only_a_listener_at_the_address_and_only_once() {
     let into_number = |owned: OwnedFd| owned.into_raw_fd().to_string();
--- a/crates/inherited-listener/tests/surface_errors.rs
+++ b/crates/inherited-listener/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the messages with which a node's start says why an inherited descriptor is not taken over. They must not change
-//! with a name in the code.
+//! Pins the messages with which a node's start says why an inherited descriptor is not taken over.
+//! They must not change with a name in the code.
 
 use postproxy_inherited_listener::InheritError;
 use std::io::ErrorKind;
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,4 +1,5 @@
-//! Fencing: effects carry the token of their owner, and whoever carries them out rejects stale tokens.
+//! Fencing: effects carry the token of their owner, and whoever carries them out rejects stale
+//! tokens.
 
 use crate::holder::LeasePermit;
 use crate::operation::FencingToken;
@@ -6,8 +7,9 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An action of a lease's owner, with the token under which it is made. The payload can only be reached through
-/// [`Fence::admit`], so that whoever carries the action out has to check the token first.
+/// An action of a lease's owner, with the token under which it is made. The payload can only be
+/// reached through [`Fence::admit`], so that whoever carries the action out has to check the token
+/// first.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Effect<T> {
     lease: String,
@@ -71,8 +73,8 @@
 }
 
 impl Fence {
-    /// Admits an effect and returns its payload. Where the fence must outlive its process, [`Fence::highest_seen`] is to be durable
-    /// before the effect is carried out.
+    /// Admits an effect and returns its payload. Where the fence must outlive its process,
+    /// [`Fence::highest_seen`] is to be durable before the effect is carried out.
     ///
     /// # Errors
     ///
--- a/crates/leases/src/granter.rs
+++ b/crates/leases/src/granter.rs
@@ -4,7 +4,8 @@
 use crate::{LeaseTable, LeaseTiming};
 use std::collections::BTreeMap;
 
-/// An expiry that was proposed and has not been applied is proposed again after this many milliseconds: the proposal may be lost.
+/// An expiry that was proposed and has not been applied is proposed again after this many
+/// milliseconds: the proposal may be lost.
 const PROPOSAL_RETRY_MS: u64 = 1000;
 
 /// An owned lease as this voter has seen it.
@@ -23,8 +24,9 @@
     proposed_at: u64,
 }
 
-/// Finds expired leases. Each voter counts a lease from the moment when it has itself applied the grant or the renewal, which is
-/// after the owner asked for it. So a new leader need not wait for a whole lease.
+/// Finds expired leases. Each voter counts a lease from the moment when it has itself applied the
+/// grant or the renewal, which is after the owner asked for it. So a new leader need not wait for a
+/// whole lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseGranter {
     timing: LeaseTiming,
@@ -84,7 +86,8 @@
         (lease.observed_at + self.timing.granter_duration_ms()).max(retry_at)
     }
 
-    /// Returns when [`LeaseGranter::expire_due_leases`] is to be called next, in milliseconds, if this node leads.
+    /// Returns when [`LeaseGranter::expire_due_leases`] is to be called next, in milliseconds, if
+    /// this node leads.
     pub fn next_expiry(&self) -> Option<u64> {
         let leases = self.observed.iter().filter(|_| self.leading);
         leases
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -4,7 +4,8 @@
 use crate::operation::{FencingToken, LeaseClaim};
 use std::collections::BTreeMap;
 
-/// Permission of a node to act for a lease now. It covers the effect that is made at once, not one that is made later.
+/// Permission of a node to act for a lease now. It covers the effect that is made at once, not one
+/// that is made later.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeasePermit {
     lease: String,
@@ -32,7 +33,8 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct HeldLease {
     token: FencingToken,
-    /// When the lease ends by this node's clock, in milliseconds; `None` if it must be renewed before the node may act.
+    /// When the lease ends by this node's clock, in milliseconds; `None` if it must be renewed
+    /// before the node may act.
     valid_until: Option<u64>,
 }
 
@@ -43,7 +45,8 @@
     held: BTreeMap<String, HeldLease>,
     /// When [`LeaseHolder::detect_pause`] was called last, in milliseconds.
     last_turn: Option<u64>,
-    /// When the latest pause ended, in milliseconds; answers to calls made before it do not extend a lease.
+    /// When the latest pause ended, in milliseconds; answers to calls made before it do not extend
+    /// a lease.
     resumed_at: u64,
 }
 
@@ -58,8 +61,9 @@
         }
     }
 
-    /// Records a turn of the event loop, which must come at least every half of [`LeaseTiming::pause_threshold_ms`]. Returns whether
-    /// the process was paused since the previous one; if so, every lease has to be renewed before the node may act for it.
+    /// Records a turn of the event loop, which must come at least every half of
+    /// [`LeaseTiming::pause_threshold_ms`]. Returns whether the process was paused since the
+    /// previous one; if so, every lease has to be renewed before the node may act for it.
     pub fn detect_pause(&mut self, now: u64) -> bool {
         let paused = self
             .last_turn
@@ -74,8 +78,9 @@
         paused
     }
 
-    /// Records a grant or a renewal that was asked for at `asked_at`. The lease counts from that time, which is before the log
-    /// granted it. An answer to a call made before a pause does not extend the lease.
+    /// Records a grant or a renewal that was asked for at `asked_at`. The lease counts from that
+    /// time, which is before the log granted it. An answer to a call made before a pause does not
+    /// extend the lease.
     pub fn record_grant(&mut self, asked_at: u64, lease: &str, token: FencingToken) {
         let valid_until =
             (asked_at >= self.resumed_at).then(|| asked_at + self.timing.holder_duration_ms());
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Removes a lease that this node has lost, released or transferred, unless it holds it under a higher token than this one.
+    /// Removes a lease that this node has lost, released or transferred, unless it holds it under a
+    /// higher token than this one.
     pub fn remove(&mut self, lease: &str, token: FencingToken) {
         if self.held.get(lease).is_some_and(|held| held.token <= token) {
             self.held.remove(lease);
@@ -116,7 +122,8 @@
         })
     }
 
-    /// Returns all leases that this node believes to own, also those that must be renewed after a pause.
+    /// Returns all leases that this node believes to own, also those that must be renewed after a
+    /// pause.
     pub fn claims(&self) -> Vec<LeaseClaim> {
         self.held
             .iter()
@@ -127,8 +134,9 @@
             .collect()
     }
 
-    /// Returns when to renew, in milliseconds: with two thirds of the shortest lease left, so that two renewals may be lost. Returns
-    /// 0 if a lease must be renewed before the node may act for it.
+    /// Returns when to renew, in milliseconds: with two thirds of the shortest lease left, so that
+    /// two renewals may be lost. Returns 0 if a lease must be renewed before the node may act for
+    /// it.
     pub fn renew_at(&self) -> Option<u64> {
         let remaining_at_renewal = self.timing.holder_duration_ms() * 2 / 3;
         self.held
--- a/crates/leases/src/lease_table.rs
+++ b/crates/leases/src/lease_table.rs
@@ -1,4 +1,5 @@
-//! The replicated state of all leases. It has no clock: that a lease has expired comes as a command.
+//! The replicated state of all leases. It has no clock: that a lease has expired comes as a
+//! command.
 
 use crate::operation::{
     Command, ExpiredLease, FencingToken, LeaseClaim, LeaseOwner, MAX_NAME_BYTES, MAX_VALUE_BYTES,
@@ -10,7 +11,8 @@
 /// Maximum number of leases in the table, which bounds its memory and the size of a snapshot.
 pub const MAX_LEASES: usize = 4096;
 
-/// Maximum number of clients whose latest response is remembered; the one that called longest ago is forgotten first.
+/// Maximum number of clients whose latest response is remembered; the one that called longest ago
+/// is forgotten first.
 const MAX_CLIENTS: usize = 1024;
 
 /// A lease.
@@ -28,7 +30,8 @@
     pub value_token: FencingToken,
 }
 
-/// A client of the table: a node in one incarnation of its process. The response to its latest command makes retries idempotent.
+/// A client of the table: a node in one incarnation of its process. The response to its latest
+/// command makes retries idempotent.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 struct ClientRecord {
     sequence: u64,
@@ -52,8 +55,8 @@
 }
 
 impl LeaseTable {
-    /// Applies the next command of the log and returns its result, which is the same at every voter. A command that a client repeats
-    /// is not applied again and has the same result.
+    /// Applies the next command of the log and returns its result, which is the same at every
+    /// voter. A command that a client repeats is not applied again and has the same result.
     pub fn apply(&mut self, command: &Command) -> Response {
         self.applied_commands += 1;
         let client_id = (command.node.clone(), command.incarnation);
@@ -145,7 +148,8 @@
         }
     }
 
-    /// Ends the ownership of a lease, and grants it to the node that is to own it next, if there is one.
+    /// Ends the ownership of a lease, and grants it to the node that is to own it next, if there is
+    /// one.
     fn end_ownership(&mut self, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else {
             return;
@@ -191,8 +195,8 @@
             });
         }
         let value = lease.map(|lease| lease.value.clone()).unwrap_or_default();
-        // A node that owns the lease already, from an earlier incarnation, gets a new token, so that effects of that incarnation
-        // are rejected.
+        // A node that owns the lease already, from an earlier incarnation, gets a new token, so
+        // that effects of that incarnation are rejected.
         let token = self.grant(name, node);
         Ok(Response::Granted { token, value })
     }
--- a/crates/leases/src/operation.rs
+++ b/crates/leases/src/operation.rs
@@ -3,13 +3,16 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A number that grows with each change of an owner, over all leases and for ever. The later owner has the higher token.
+/// A number that grows with each change of an owner, over all leases and for ever. The later owner
+/// has the higher token.
 pub type FencingToken = u64;
 
-/// Maximum length of the name of a lease or a node, in bytes. Names are part of every command of the log.
+/// Maximum length of the name of a lease or a node, in bytes. Names are part of every command of
+/// the log.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Maximum size of the value stored with a lease, in bytes, so that a command fits into one entry of the log.
+/// Maximum size of the value stored with a lease, in bytes, so that a command fits into one entry
+/// of the log.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
 
 /// The owner of a lease.
@@ -37,7 +40,8 @@
     pub lease: String,
     /// The token of its owner.
     pub token: FencingToken,
-    /// The number of renewals that the leader had seen; the lease does not expire if it has been renewed since.
+    /// The number of renewals that the leader had seen; the lease does not expire if it has been
+    /// renewed since.
     pub renewals: u64,
 }
 
@@ -46,7 +50,8 @@
 pub struct RenewedLease {
     /// The name of the lease.
     pub lease: String,
-    /// The node that is to own the lease next, if a transfer is wanted; the present owner is to transfer it.
+    /// The node that is to own the lease next, if a transfer is wanted; the present owner is to
+    /// transfer it.
     pub next_owner: Option<String>,
 }
 
@@ -70,8 +75,8 @@
         /// The token of its owner.
         token: FencingToken,
     },
-    /// Transfer the lease to another node: at once if the owner's token is given or nobody owns the lease, otherwise as soon as the
-    /// owner gives it up or loses it.
+    /// Transfer the lease to another node: at once if the owner's token is given or nobody owns the
+    /// lease, otherwise as soon as the owner gives it up or loses it.
     Transfer {
         /// The name of the lease.
         lease: String,
@@ -96,8 +101,8 @@
     },
 }
 
-/// An operation with its caller. A client numbers its operations from 1 and makes one at a time; a retry has the number of its first
-/// attempt.
+/// An operation with its caller. A client numbers its operations from 1 and makes one at a time; a
+/// retry has the number of its first attempt.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Command {
     /// The name of the node that makes the call.
--- a/crates/leases/src/timing.rs
+++ b/crates/leases/src/timing.rs
@@ -7,7 +7,8 @@
     pub lease_ms: u64,
     /// By how much a machine's clock may run faster or slower than true time, in thousandths.
     pub drift_per_mille: u64,
-    /// Two turns of the event loop that are further apart than this, in milliseconds, mean that the process was paused.
+    /// Two turns of the event loop that are further apart than this, in milliseconds, mean that the
+    /// process was paused.
     pub pause_threshold_ms: u64,
 }
 
@@ -27,8 +28,8 @@
         self.lease_ms * (1000 - self.drift_per_mille.min(999)) / 1000
     }
 
-    /// Returns how many milliseconds, by its own clock, the granter waits before it expires a lease. By then even the slowest
-    /// permitted clock of a holder has measured the whole lease.
+    /// Returns how many milliseconds, by its own clock, the granter waits before it expires a
+    /// lease. By then even the slowest permitted clock of a holder has measured the whole lease.
     pub fn granter_duration_ms(&self) -> u64 {
         (self.lease_ms * (1000 + self.drift_per_mille)).div_ceil(1000)
     }
--- a/crates/leases/tests/harness/assertions.rs
+++ b/crates/leases/tests/harness/assertions.rs
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Asserts that no fence admitted an effect after one of a later owner, and that each token has one owner. Returns how many
-    /// tokens there were.
+    /// Asserts that no fence admitted an effect after one of a later owner, and that each token has
+    /// one owner. Returns how many tokens there were.
     pub fn assert_effects_are_ordered(&self, seed: u64) -> usize {
         let mut owners: BTreeMap<u64, usize> = BTreeMap::new();
         for ((fence, lease), admitted) in &self.admitted {
@@ -41,7 +41,8 @@
         owners.len()
     }
 
-    /// Asserts that stored values never go back to an earlier token, and that the voters agree with the log.
+    /// Asserts that stored values never go back to an earlier token, and that the voters agree with
+    /// the log.
     pub fn assert_log_is_consistent(&self, seed: u64) {
         let mut value_tokens: BTreeMap<&str, u64> = BTreeMap::new();
         let mut table = LeaseTable::default();
--- a/crates/leases/tests/harness/mod.rs
+++ b/crates/leases/tests/harness/mod.rs
@@ -1,5 +1,6 @@
-//! Simulation of nodes that compete for leases, from seeds and with virtual time: real lease tables, granters, holders and fences. The
-//! log is simplified: it commits in one order, with delays and changes of the leader. Clocks run up to 2 % apart.
+//! Simulation of nodes that compete for leases, from seeds and with virtual time: real lease
+//! tables, granters, holders and fences. The log is simplified: it commits in one order, with
+//! delays and changes of the leader. Clocks run up to 2 % apart.
 
 mod assertions;
 
--- a/crates/leases/tests/holder_granter_fence.rs
+++ b/crates/leases/tests/holder_granter_fence.rs
@@ -21,7 +21,8 @@
     });
 }
 
-/// A lease ends by its owner's clock, and a response to a call from before a pause does not bring it back.
+/// A lease ends by its owner's clock, and a response to a call from before a pause does not bring
+/// it back.
 #[test]
 fn a_lease_ends_by_the_owners_own_clock_and_a_pause_voids_it() {
     let mut holder = LeaseHolder::new(LeaseTiming::default());
@@ -71,7 +72,8 @@
     assert!(holder.claims().is_empty());
 }
 
-/// A granter expires a lease only after its owner has, and proposes the expiry again only if it was lost.
+/// A granter expires a lease only after its owner has, and proposes the expiry again only if it was
+/// lost.
 #[test]
 fn a_granter_expires_a_lease_after_the_lease_duration_plus_drift() {
     let mut table = LeaseTable::default();
@@ -120,7 +122,8 @@
     );
 }
 
-/// A fence rejects the effects of an earlier owner, admits those of the present one, and can be stored.
+/// A fence rejects the effects of an earlier owner, admits those of the present one, and can be
+/// stored.
 #[test]
 fn a_fence_rejects_tokens_below_the_highest() {
     let mut holder = LeaseHolder::new(LeaseTiming::default());
--- a/crates/leases/tests/lease_table.rs
+++ b/crates/leases/tests/lease_table.rs
@@ -102,7 +102,8 @@
     }
 }
 
-/// A lease has one owner, and each grant has a new token; only the owner stores a value, which stays with the lease.
+/// A lease has one owner, and each grant has a new token; only the owner stores a value, which
+/// stays with the lease.
 #[test]
 fn only_the_owner_under_its_token_may_change_a_lease() {
     let mut log = Log::new();
@@ -157,8 +158,8 @@
     );
 }
 
-/// A transfer that an operator asks for is announced to the owner at its renewal, and completed by a release; one by the owner itself
-/// is made at once.
+/// A transfer that an operator asks for is announced to the owner at its renewal, and completed by
+/// a release; one by the owner itself is made at once.
 #[test]
 fn a_transfer_is_completed_by_the_owner() {
     let mut log = Log::new();
@@ -187,7 +188,8 @@
     );
 }
 
-/// An expiry that has not seen a renewal, or names an earlier owner, changes nothing. The value stays with the lease.
+/// An expiry that has not seen a renewal, or names an earlier owner, changes nothing. The value
+/// stays with the lease.
 #[test]
 fn an_expiry_ends_only_the_lease_that_it_has_seen() {
     let mut log = Log::new();
@@ -272,7 +274,8 @@
     assert_eq!(log.table.leases().count(), MAX_LEASES);
 }
 
-/// A command is applied once, also when it is retried because its response was lost; a superseded one is rejected.
+/// A command is applied once, also when it is retried because its response was lost; a superseded
+/// one is rejected.
 #[test]
 fn a_retried_command_has_the_response_of_the_first_attempt() {
     let mut table = LeaseTable::default();
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,6 +1,7 @@
-//! The real lease table, granter, holder and fence under a model checker: two nodes compete for one lease, either of two voters may
-//! lead the log, and one fence admits effects. Commands, responses and effects are lost, delayed and reordered, and nodes are
-//! paused at any moment, also between the check and the effect. Time is a few ticks. Each safeguard is removed in turn, and the
+//! The real lease table, granter, holder and fence under a model checker: two nodes compete for one
+//! lease, either of two voters may lead the log, and one fence admits effects. Commands, responses
+//! and effects are lost, delayed and reordered, and nodes are paused at any moment, also between
+//! the check and the effect. Time is a few ticks. Each safeguard is removed in turn, and the
 //! checker must find the violation.
 
 use postproxy_leases::{
@@ -232,7 +233,8 @@
                         .all(|two| two[0].token < two[1].token || two[0] == two[1])
                 },
             ),
-            // Leases add, as long as clocks keep their bound, that two nodes never have a permit at once.
+            // Leases add, as long as clocks keep their bound, that two nodes never have a permit at
+            // once.
             Property::always("one owner at a time", |_, world: &World| {
                 let has_permit = |n: &usize| {
                     !world.paused[*n] && world.holders[*n].permit(world.now, LEASE).is_some()
@@ -448,8 +450,9 @@
     );
 }
 
-/// The model has no state in which the detection of pauses matters: the clock goes on while a node is paused, so its lease expires
-/// by itself. Pinned here so that nobody takes this safeguard for more than it is.
+/// The model has no state in which the detection of pauses matters: the clock goes on while a node
+/// is paused, so its lease expires by itself. Pinned here so that nobody takes this safeguard for
+/// more than it is.
 #[test]
 fn pause_detection_is_redundant_in_this_model() {
     let (_, _, found) = check(
--- a/crates/leases/tests/simulation.rs
+++ b/crates/leases/tests/simulation.rs
@@ -4,8 +4,9 @@
 
 use harness::Simulation;
 
-/// Whatever fails, no fence admits an effect of an earlier owner after one of a later owner, no token has two owners, stored values do
-/// not go back, no two nodes have a permit at once, and after the last fault every lease has an owner again.
+/// Whatever fails, no fence admits an effect of an earlier owner after one of a later owner, no
+/// token has two owners, stored values do not go back, no two nodes have a permit at once, and
+/// after the last fault every lease has an owner again.
 #[test]
 fn one_owner_at_a_time_whatever_fails() {
     let range = std::env::var("POSTPROXY_RUNS").unwrap_or_else(|_| "0..150".into());
--- a/crates/leases/tests/surface_bytes.rs
+++ b/crates/leases/tests/surface_bytes.rs
@@ -1,6 +1,7 @@
-//! Pins the encodings of commands, responses and the lease table. Commands are entries of the replicated log and the
-//! state is part of its snapshots; both are stored and sent to other nodes, which may run another version. So these bytes
-//! must not change with a rename. The literals were written by the version before the renames.
+//! Pins the encodings of commands, responses and the lease table. Commands are entries of the
+//! replicated log and the state is part of its snapshots; both are stored and sent to other nodes,
+//! which may run another version. So these bytes must not change with a rename. The literals were
+//! written by the version before the renames.
 
 use postproxy_leases::{
     Command, Effect, ExpiredLease, Fence, Lease, LeaseClaim, LeaseOwner, LeaseTable, MAX_LEASES,
--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -1,8 +1,8 @@
-//! Measures simulated clusters: `cargo run --release -p postproxy-membership --example measure -- 3 10 30`.
-//! Prints the tables of `docs/measure/members.md`; seeds are fixed.
+//! Measures simulated clusters: `cargo run --release -p postproxy-membership --example measure -- 3
+//! 10 30`. Prints the tables of `docs/measure/members.md`; seeds are fixed.
 //!
-//! Arguments: sizes of clusters, each as `NODES`, `NODES:LOSS_PERCENT` or `NODES:LOSS_PERCENT:KILLS`; or `heal` with
-//! sizes; or `hours`.
+//! Arguments: sizes of clusters, each as `NODES`, `NODES:LOSS_PERCENT` or
+//! `NODES:LOSS_PERCENT:KILLS`; or `heal` with sizes; or `hours`.
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
@@ -16,7 +16,8 @@
 const LOSSES: [f64; 4] = [0.0, 0.01, 0.05, 0.3];
 /// Shares of datagrams lost under which the healing of a partition is measured.
 const HEALING_LOSSES: [f64; 3] = [0.0, 0.01, 0.05];
-/// Bytes of an all-to-all heartbeat: the headers of UDP and IP, the envelope, a sender and a number.
+/// Bytes of an all-to-all heartbeat: the headers of UDP and IP, the envelope, a sender and a
+/// number.
 const HEARTBEAT_BYTES: f64 = 28.0 + 11.0 + 30.0 + 9.0;
 /// Failures that are simulated with all-to-all heartbeats.
 const HEARTBEAT_KILLS: usize = 200;
@@ -57,7 +58,8 @@
     bytes: f64,
 }
 
-/// Waits until all nodes know each other. It checks each second only: with many nodes a check at each event takes hours.
+/// Waits until all nodes know each other. It checks each second only: with many nodes a check at
+/// each event takes hours.
 fn wait_until_all_agree(simulation: &mut Simulation) {
     for _ in 0..60 {
         simulation.run(1.0);
@@ -68,8 +70,8 @@
     println!("not all know each other after 60 s");
 }
 
-/// Measures an idle cluster for `quiet_seconds`, then kills one node after another, each of which restarts after all
-/// nodes know.
+/// Measures an idle cluster for `quiet_seconds`, then kills one node after another, each of which
+/// restarts after all nodes know.
 fn measure_swim(
     nodes: usize,
     loss: f64,
@@ -153,7 +155,8 @@
     wrongly_failed: f64,
 }
 
-/// Measures all-to-all heartbeats: one every `period` to every node, which is declared failed after `timeout` without.
+/// Measures all-to-all heartbeats: one every `period` to every node, which is declared failed after
+/// `timeout` without.
 fn measure_heartbeats(nodes: usize, loss: f64, period: f64, timeout: f64) -> HeartbeatMeasurement {
     let mut rng = Pcg64Mcg::seed_from_u64(9);
     let mut uniform = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
@@ -180,7 +183,8 @@
     }
 }
 
-/// Simulates ten hours of ten nodes at 5 % loss, one of which is stopped for less than a second every 5 to 10 s.
+/// Simulates ten hours of ten nodes at 5 % loss, one of which is stopped for less than a second
+/// every 5 to 10 s.
 fn measure_pauses() {
     let mut simulation = Simulation::new(10, 77, Settings::default());
     simulation.run_until(60.0, Simulation::all_agree);
@@ -208,7 +212,8 @@
     );
 }
 
-/// Measures the time after a partition into halves until all nodes agree, and until all see a complete cluster.
+/// Measures the time after a partition into halves until all nodes agree, and until all see a
+/// complete cluster.
 fn measure_healing(nodes: usize, loss: f64, times: usize, seed: u64) {
     let mut simulation = Simulation::new(nodes, seed, Settings::default());
     simulation.run_until(60.0, Simulation::all_agree);
--- a/crates/membership/src/cluster_health.rs
+++ b/crates/membership/src/cluster_health.rs
@@ -1,5 +1,5 @@
-//! The health of the cluster as one node sees it, derived from the list of members and from the reports on who reaches
-//! whom. It is an opinion: other nodes may see another one at the same time.
+//! The health of the cluster as one node sees it, derived from the list of members and from the
+//! reports on who reaches whom. It is an opinion: other nodes may see another one at the same time.
 
 use crate::reachability;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,8 @@
     MajorityPartition(Vec<String>),
     /// This node reaches at most half of the voters; the voters that it doesn't reach.
     MinorityPartition(Vec<String>),
-    /// As far as this node knows, no side has a majority of the voters; the voters that it doesn't reach.
+    /// As far as this node knows, no side has a majority of the voters; the voters that it doesn't
+    /// reach.
     NoMajority(Vec<String>),
 }
 
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Returns the reasons as text, for logs and the management API; none for a complete cluster or a single node.
+    /// Returns the reasons as text, for logs and the management API; none for a complete cluster or
+    /// a single node.
     pub fn reasons(&self) -> Vec<String> {
         match self {
             Self::Alone | Self::Complete => Vec::new(),
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Returns on which side of a partition this node is, judged by the voters; `None` if it reaches all nodes.
+    /// Returns on which side of a partition this node is, judged by the voters; `None` if it
+    /// reaches all nodes.
     fn partition(&self) -> Option<ClusterHealth> {
         let reached = self.reachable_from(&self.local_node);
         let not_reached = |names: &BTreeSet<String>| -> Vec<String> {
@@ -191,8 +194,8 @@
         pairs
     }
 
-    /// Returns the members that a member reaches, itself included, directly or over others, by links on which both
-    /// ends hear each other.
+    /// Returns the members that a member reaches, itself included, directly or over others, by
+    /// links on which both ends hear each other.
     fn reachable_from(&self, start: &str) -> BTreeSet<&str> {
         let is_unreachable = |observer: &str, peer: &str| {
             self.unreachable
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -14,7 +14,8 @@
         /// The whole datagram.
         datagram: Vec<u8>,
     },
-    /// Send a message over a stream, as it is too long for a datagram. If it gets lost, another one is sent later.
+    /// Send a message over a stream, as it is too long for a datagram. If it gets lost, another one
+    /// is sent later.
     SendOverStream {
         /// Receiver.
         to: Identity,
--- a/crates/membership/src/fnv.rs
+++ b/crates/membership/src/fnv.rs
@@ -1,5 +1,6 @@
-//! FNV-1a hashing in 64 bits. Unlike the standard library's hasher it gives the same value at every node, whatever
-//! version of the program the node was built from, so that nodes can compare digests.
+//! FNV-1a hashing in 64 bits. Unlike the standard library's hasher it gives the same value at every
+//! node, whatever version of the program the node was built from, so that nodes can compare
+//! digests.
 
 /// Offset basis of FNV-1a in 64 bits.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -19,7 +19,8 @@
     pub address: SocketAddr,
     /// Grows with each start of the node's process and each return after it was declared failed.
     pub incarnation: u64,
-    /// Random number drawn at the start of the process. Two processes that claim the same name differ in it.
+    /// Random number drawn at the start of the process. Two processes that claim the same name
+    /// differ in it.
     pub process_nonce: u64,
 }
 
@@ -43,7 +44,8 @@
 impl foca::Identity for Identity {
     type Addr = Arc<str>;
 
-    /// Returns no identity: [`crate::Membership`] decides on a return, as another process may have the name by then.
+    /// Returns no identity: [`crate::Membership`] decides on a return, as another process may have
+    /// the name by then.
     fn renew(&self) -> Option<Self> {
         None
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,11 @@
-//! Cluster membership by gossip (SWIM): which nodes are members, which have failed or left, which workers are suspended
-//! for the whole cluster, and the health of the cluster as this node sees it.
+//! Cluster membership by gossip (SWIM): which nodes are members, which have failed or left, which
+//! workers are suspended for the whole cluster, and the health of the cluster as this node sees it.
 //!
-//! [`Membership`] is a state machine without I/O: it receives datagrams and the time, and returns what to send, what has
-//! changed and when to call it next. It has no socket and no clock, so the same code runs in a node, in simulation and
-//! under a model checker. What it reports is an opinion: two nodes may disagree, so nothing that must be safe may depend
-//! on it. The design is described in `docs/design/members.md`.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! [`Membership`] is a state machine without I/O: it receives datagrams and the time, and returns
+//! what to send, what has changed and when to call it next. It has no socket and no clock, so the
+//! same code runs in a node, in simulation and under a model checker. What it reports is an
+//! opinion: two nodes may disagree, so nothing that must be safe may depend on it. The design is
+//! described in `docs/design/members.md`.
 
 pub mod cluster_health;
 mod events;
--- a/crates/membership/src/local_clock.rs
+++ b/crates/membership/src/local_clock.rs
@@ -1,6 +1,6 @@
-//! A clock that counts only the time in which this process ran. A pause of the process doesn't advance it, and after a
-//! pause it runs slower for a while, so that a paused or starved node doesn't declare others failed (Lifeguard's local
-//! health).
+//! A clock that counts only the time in which this process ran. A pause of the process doesn't
+//! advance it, and after a pause it runs slower for a while, so that a paused or starved node
+//! doesn't declare others failed (Lifeguard's local health).
 
 /// A call that is late by no more than this, in seconds, counts as on time.
 const LATENESS_TOLERANCE_SECONDS: f64 = 0.05;
@@ -35,15 +35,16 @@
         }
     }
 
-    /// Advances the clock to the wall clock's reading `now`. `deadline` is the local time at which this call was due:
-    /// what the call is late by is left out. Returns the local time in seconds.
+    /// Advances the clock to the wall clock's reading `now`. `deadline` is the local time at which
+    /// this call was due: what the call is late by is left out. Returns the local time in seconds.
     pub fn advance(&mut self, now: f64, deadline: Option<f64>) -> f64 {
         let elapsed = (now - self.last_reading).max(0.0);
         let expected = deadline.map_or(f64::INFINITY, |deadline| {
             (deadline - self.local_time).max(0.0) * (1.0 + self.slowdown)
         });
         let lateness = (elapsed - expected - LATENESS_TOLERANCE_SECONDS).max(0.0);
-        // Of a pause only the tolerance counts: a process can't measure a pause that it slept through.
+        // Of a pause only the tolerance counts: a process can't measure a pause that it slept
+        // through.
         let counted = elapsed - lateness;
         self.local_time += counted / (1.0 + self.slowdown);
         self.skipped_seconds += lateness;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! The state machine of a member. This module owns its state, its timers and the dispatch of what it receives; each
-//! concern has a submodule.
+//! The state machine of a member. This module owns its state, its timers and the dispatch of what
+//! it receives; each concern has a submodule.
 
 mod departures;
 mod dissemination;
@@ -35,10 +35,11 @@
 use std::rc::Rc;
 use suspensions::Ticket;
 
-/// Time after a change until the cluster's health is derived anew, in seconds: many changes may come at once.
+/// Time after a change until the cluster's health is derived anew, in seconds: many changes may
+/// come at once.
 const HEALTH_UPDATE_DELAY_SECONDS: f64 = 0.05;
-/// Timers that are due within this time of the local clock are handled as well, in microseconds. It covers the rounding
-/// of times to microseconds.
+/// Timers that are due within this time of the local clock are handled as well, in microseconds. It
+/// covers the rounding of times to microseconds.
 const TIMER_TOLERANCE_MICROS: u64 = 2;
 /// Number of nodes that the SWIM library is configured for at the start, before any other is known.
 const INITIAL_CLUSTER_SIZE: usize = 3;
@@ -84,7 +85,8 @@
 
 /// The membership of one node in a cluster.
 ///
-/// Each call that takes `now`, the wall clock's reading in seconds, appends to `out` what the caller has to carry out.
+/// Each call that takes `now`, the wall clock's reading in seconds, appends to `out` what the
+/// caller has to carry out.
 pub struct Membership {
     settings: Settings,
     cluster_number: u32,
@@ -125,8 +127,9 @@
 impl Membership {
     /// Starts to join the cluster: asks the seeds which identity holds the node's name.
     ///
-    /// `started_ms` is the time of the start in Unix milliseconds, from which incarnations are counted. `seed` is the
-    /// seed of all random numbers, the process's nonce among them. `now` is the wall clock's reading in seconds.
+    /// `started_ms` is the time of the start in Unix milliseconds, from which incarnations are
+    /// counted. `seed` is the seed of all random numbers, the process's nonce among them. `now` is
+    /// the wall clock's reading in seconds.
     pub fn new(
         settings: Settings,
         name: &str,
@@ -216,12 +219,13 @@
         self.complete_call(out);
     }
 
-    /// Handles a message that came over a stream, see [`Output::SendOverStream`]. One that can't be decoded is dropped
-    /// and counted.
+    /// Handles a message that came over a stream, see [`Output::SendOverStream`]. One that can't be
+    /// decoded is dropped and counted.
     pub fn handle_stream_message(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Output>) {
         let local_time = self.advance_clock(now);
         match packet::decode_stream_message(self.cluster_number, bytes) {
-            // Only these are sent over streams. That another kind came by datagram is part of its meaning.
+            // Only these are sent over streams. That another kind came by datagram is part of its
+            // meaning.
             Ok((from, message @ (Message::Suspensions { .. } | Message::Forgotten(_)))) => {
                 self.handle_message(local_time, from, message, out);
             }
@@ -231,8 +235,9 @@
         self.complete_call(out);
     }
 
-    /// Sends a message of another part of the program to a member by datagram; it may get lost. Returns whether it was
-    /// sent: it isn't if it is too long, no such member is known or this node isn't a member.
+    /// Sends a message of another part of the program to a member by datagram; it may get lost.
+    /// Returns whether it was sent: it isn't if it is too long, no such member is known or this
+    /// node isn't a member.
     pub fn send_application_message(
         &mut self,
         name: &str,
@@ -254,7 +259,8 @@
     fn handle_timer(&mut self, local_time: f64, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Swim(timer) => {
-                // The library rejects timers of an earlier incarnation; nothing is to be done for them.
+                // The library rejects timers of an earlier incarnation; nothing is to be done for
+                // them.
                 let _ = self.swim.handle_timer(timer, &mut self.swim_runtime);
             }
             Timer::Heartbeat => self.send_heartbeats(local_time, out),
@@ -299,7 +305,8 @@
             }
             return;
         }
-        // A process that a later one has replaced isn't listened to; it is sent the identity that replaced it.
+        // A process that a later one has replaced isn't listened to; it is sent the identity that
+        // replaced it.
         let known = self
             .nodes
             .get(&*from.name)
@@ -441,7 +448,8 @@
         self.gossip.borrow_mut().health_may_have_changed = true;
     }
 
-    /// Ends a call: carries out what the SWIM library and the gossip that it received have left to do.
+    /// Ends a call: carries out what the SWIM library and the gossip that it received have left to
+    /// do.
     fn complete_call(&mut self, out: &mut Vec<Output>) {
         self.process_swim_output(out);
         let mut gossip = self.gossip.borrow_mut();
--- a/crates/membership/src/membership/departures.rs
+++ b/crates/membership/src/membership/departures.rs
@@ -1,4 +1,5 @@
-//! Nodes that go for good: leaving the cluster, and forgetting failed nodes on an operator's request.
+//! Nodes that go for good: leaving the cluster, and forgetting failed nodes on an operator's
+//! request.
 
 use super::dissemination::GossipMessage;
 use super::{JoinState, Membership};
@@ -31,7 +32,8 @@
         self.process_swim_output(out);
     }
 
-    /// Handles that a node leaves: passes it on to the nodes that the leaving one hasn't notified itself.
+    /// Handles that a node leaves: passes it on to the nodes that the leaving one hasn't notified
+    /// itself.
     pub(super) fn handle_leaving(&mut self, from: &Identity) {
         self.disseminate(&GossipMessage::Left {
             name: from.name.to_string(),
@@ -39,12 +41,13 @@
         });
     }
 
-    /// Declares a failed node permanently gone, on an operator's request: it no longer counts as a node of the cluster.
-    /// If it comes back it is a member like any other.
+    /// Declares a failed node permanently gone, on an operator's request: it no longer counts as a
+    /// node of the cluster. If it comes back it is a member like any other.
     ///
     /// # Errors
     ///
-    /// Returns an error if the node isn't known, hasn't failed, or too many nodes are forgotten already.
+    /// Returns an error if the node isn't known, hasn't failed, or too many nodes are forgotten
+    /// already.
     pub fn forget(
         &mut self,
         now: f64,
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! What the SWIM library's gossip carries beside its own updates: reachability reports and notices of nodes that left.
-//! The state that gossip and synchronisation fill is here as well.
+//! What the SWIM library's gossip carries beside its own updates: reachability reports and notices
+//! of nodes that left. The state that gossip and synchronisation fill is here as well.
 
 use super::Membership;
 use crate::identity::Identity;
@@ -60,8 +60,8 @@
     pub(super) reports: BTreeMap<String, ReachabilityReport>,
     /// By node, the nonce of the process that has left.
     pub(super) left: BTreeMap<String, u64>,
-    /// By node that operators declared permanently gone, the highest such incarnation. Entries are never removed, so
-    /// that all nodes come to agree.
+    /// By node that operators declared permanently gone, the highest such incarnation. Entries are
+    /// never removed, so that all nodes come to agree.
     pub(super) forgotten: BTreeMap<String, u64>,
     pub(super) suspended_workers: SuspendedWorkers,
     /// Workers that were suspended or resumed since the last call ended.
@@ -137,7 +137,8 @@
         data: &[u8],
         _: Option<&Identity>,
     ) -> Result<Option<GossipKey>, Infallible> {
-        // A malformed message is ignored without an error, as an error would drop the rest of the packet.
+        // A malformed message is ignored without an error, as an error would drop the rest of the
+        // packet.
         let message = postcard::from_bytes(data).ok();
         Ok(message.and_then(|message| self.0.borrow_mut().record(message)))
     }
--- a/crates/membership/src/membership/failure_detection.rs
+++ b/crates/membership/src/membership/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Suspects and nodes that are down: notifying suspects so that live ones can refute in time, and telling apart nodes
-//! that failed from nodes that left.
+//! Suspects and nodes that are down: notifying suspects so that live ones can refute in time, and
+//! telling apart nodes that failed from nodes that left.
 
 use super::{Membership, Timer};
 use crate::events::{MemberState, MembershipEvent, Output};
@@ -7,10 +7,11 @@
 use crate::packet::Message;
 use foca::State;
 
-/// Time after the SWIM library reports a node as down in which a notice that it left may arrive, in seconds.
+/// Time after the SWIM library reports a node as down in which a notice that it left may arrive, in
+/// seconds.
 const LEFT_NOTICE_GRACE_SECONDS: f64 = 0.1;
-/// Suspects that are notified at a time. The notice is repeated, since one that reaches a stopped process is lost, and
-/// the gossip of a suspicion ends before the suspicion does.
+/// Suspects that are notified at a time. The notice is repeated, since one that reaches a stopped
+/// process is lost, and the gossip of a suspicion ends before the suspicion does.
 const MAX_SUSPECTS_NOTIFIED: usize = 8;
 
 impl Membership {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Reports that a node has failed or left, unless it is a member again or another process has replaced it.
+    /// Reports that a node has failed or left, unless it is a member again or another process has
+    /// replaced it.
     pub(super) fn decide_failed_or_left(
         &mut self,
         name: &str,
--- a/crates/membership/src/membership/join.rs
+++ b/crates/membership/src/membership/join.rs
@@ -1,5 +1,5 @@
-//! Joining the cluster: asking which identity holds the node's name, resolving name conflicts, becoming a member and
-//! learning of the other members.
+//! Joining the cluster: asking which identity holds the node's name, resolving name conflicts,
+//! becoming a member and learning of the other members.
 
 use super::{Membership, Timer};
 use crate::events::{MembershipEvent, Output};
@@ -25,7 +25,8 @@
 const MAX_LIST_REQUESTS: u32 = 20;
 /// Number of requests that are always made: the first answers may still be on their way.
 const MIN_LIST_REQUESTS: u32 = 3;
-/// Members that are asked for their lists at a time. One answer has no more members than fit a datagram.
+/// Members that are asked for their lists at a time. One answer has no more members than fit a
+/// datagram.
 const LIST_REQUEST_FANOUT: usize = 4;
 
 /// How far this node is in joining the cluster.
@@ -187,8 +188,8 @@
         );
     }
 
-    /// Handles a message of another process with this node's name: an earlier process of this node whose message is
-    /// late, or one that claims the name at the same time.
+    /// Handles a message of another process with this node's name: an earlier process of this node
+    /// whose message is late, or one that claims the name at the same time.
     pub(super) fn handle_message_of_same_name(
         &mut self,
         local_time: f64,
@@ -254,11 +255,12 @@
         }
     }
 
-    /// Handles that another identity is said to hold this node's name: that of an earlier process of this node, or of
-    /// another process that is alive.
+    /// Handles that another identity is said to hold this node's name: that of an earlier process
+    /// of this node, or of another process that is alive.
     fn handle_other_holder(&mut self, local_time: f64, holder: Identity, out: &mut Vec<Output>) {
         if holder.address == self.local_identity.address {
-            // Two processes can't have the same address, so this was an earlier process of this node.
+            // Two processes can't have the same address, so this was an earlier process of this
+            // node.
             return self.become_member(local_time, Some(holder.incarnation), out);
         }
         let is_resolving = matches!(
--- a/crates/membership/src/membership/status.rs
+++ b/crates/membership/src/membership/status.rs
@@ -68,7 +68,8 @@
         })
     }
 
-    /// Returns the number of nodes that may be alive, this one included: members and nodes that failed without leaving.
+    /// Returns the number of nodes that may be alive, this one included: members and nodes that
+    /// failed without leaving.
     pub fn cluster_size(&self) -> usize {
         let has_left = |state: MemberState| state == MemberState::Left;
         let others = self.nodes.values().filter(|node| !has_left(node.state));
@@ -138,7 +139,8 @@
         nodes.map(|node| node.identity.name.to_string()).collect()
     }
 
-    /// Returns whether a report of this process still counts: those of a node end when another process replaces it.
+    /// Returns whether a report of this process still counts: those of a node end when another
+    /// process replaces it.
     fn is_current_process(&self, name: &str, process_nonce: u64) -> bool {
         *name == *self.local_identity.name
             || self
@@ -147,7 +149,8 @@
                 .is_some_and(|node| node.identity.process_nonce == process_nonce)
     }
 
-    /// Derives the cluster's health, and reports it if it has changed. Adapts the SWIM library to the cluster's size.
+    /// Derives the cluster's health, and reports it if it has changed. Adapts the SWIM library to
+    /// the cluster's size.
     pub(super) fn update_health(&mut self, out: &mut Vec<Output>) {
         self.health_update_pending = false;
         let config = swim::config(&self.settings, self.nodes.len() + 1);
--- a/crates/membership/src/membership/suspensions.rs
+++ b/crates/membership/src/membership/suspensions.rs
@@ -1,4 +1,5 @@
-//! Suspending and resuming workers for the whole cluster, and the acknowledgements of the other nodes.
+//! Suspending and resuming workers for the whole cluster, and the acknowledgements of the other
+//! nodes.
 
 use super::synchronisation::{self, MAX_SUSPENSION_BYTES_PER_DATAGRAM};
 use super::{Membership, Timer};
@@ -29,8 +30,9 @@
 }
 
 impl Membership {
-    /// Suspends or resumes a worker for the whole cluster. Returns a ticket: [`MembershipEvent::SuspensionRecorded`]
-    /// says within half a second how many nodes have recorded it. Returns `None` if there are too many records.
+    /// Suspends or resumes a worker for the whole cluster. Returns a ticket:
+    /// [`MembershipEvent::SuspensionRecorded`] says within half a second how many nodes have
+    /// recorded it. Returns `None` if there are too many records.
     pub fn change_suspension(
         &mut self,
         now: f64,
@@ -75,7 +77,8 @@
         Some(ticket)
     }
 
-    /// Records a change here. Returns the suspensions to send to the other nodes, or `None` if there are too many.
+    /// Records a change here. Returns the suspensions to send to the other nodes, or `None` if
+    /// there are too many.
     fn record_change(
         &mut self,
         worker: &str,
--- a/crates/membership/src/membership/swim.rs
+++ b/crates/membership/src/membership/swim.rs
@@ -30,7 +30,8 @@
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
-/// Returns how often an update is passed on: enough to reach all nodes with high probability, and some more.
+/// Returns how often an update is passed on: enough to reach all nodes with high probability, and
+/// some more.
 fn max_transmissions(cluster_size: usize) -> NonZeroU8 {
     let rounds = (cluster_size.max(1) as f64).log2().ceil() as u8;
     NonZeroU8::new(4 + 2 * rounds).unwrap_or(NonZeroU8::MIN)
@@ -68,7 +69,8 @@
         if !self.is_member() {
             return;
         }
-        // The library rejects what was meant for an earlier incarnation of this node, and what is malformed.
+        // The library rejects what was meant for an earlier incarnation of this node, and what is
+        // malformed.
         if self
             .swim
             .handle_data(packet, &mut self.swim_runtime)
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Carries out what the library wants done: packets to send, timers to set, notifications to handle.
+    /// Carries out what the library wants done: packets to send, timers to set, notifications to
+    /// handle.
     pub(super) fn process_swim_output(&mut self, out: &mut Vec<Output>) {
         let local_time = self.clock.local_time();
         loop {
@@ -115,7 +118,8 @@
                 self.handle_member_down(local_time, identity, out);
             }
             OwnedNotification::Defunct if self.join_state == JoinState::Member => {
-                // Other nodes have declared this incarnation failed: this node joins again with the next one.
+                // Other nodes have declared this incarnation failed: this node joins again with the
+                // next one.
                 let failed_incarnation = self.local_identity.incarnation;
                 self.become_member(local_time, Some(failed_incarnation), out);
                 out.push(Output::Event(MembershipEvent::Rejoined {
--- a/crates/membership/src/membership/synchronisation.rs
+++ b/crates/membership/src/membership/synchronisation.rs
@@ -1,5 +1,5 @@
-//! Synchronisation of suspensions and forgotten nodes between members (anti-entropy): members compare digests, and those
-//! that differ send each other all that they know.
+//! Synchronisation of suspensions and forgotten nodes between members (anti-entropy): members
+//! compare digests, and those that differ send each other all that they know.
 
 use super::Membership;
 use crate::events::Output;
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Sends a node all suspensions and forgotten nodes: in datagrams if they fit one each, otherwise over a stream.
+    /// Sends a node all suspensions and forgotten nodes: in datagrams if they fit one each,
+    /// otherwise over a stream.
     pub(super) fn send_all_records(
         &mut self,
         local_time: f64,
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Returns whether records may be sent to a node over a stream now; they may not if the latest ones are likely to
-    /// be on their way still.
+    /// Returns whether records may be sent to a node over a stream now; they may not if the latest
+    /// ones are likely to be on their way still.
     fn begin_stream_sync(&mut self, local_time: f64, to: &Identity) -> bool {
         let last = self.last_stream_sync.get(&*to.name).copied();
         if last.is_some_and(|last| local_time - last < STREAM_SYNC_INTERVAL_SECONDS) {
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -1,5 +1,6 @@
-//! Pins the bytes of what the gossip carries beside the SWIM library's own updates. Nodes of a cluster may run different
-//! versions, so these bytes must not change with a rename. The literals were written by the version before the renames.
+//! Pins the bytes of what the gossip carries beside the SWIM library's own updates. Nodes of a
+//! cluster may run different versions, so these bytes must not change with a rename. The literals
+//! were written by the version before the renames.
 
 use super::dissemination::GossipMessage;
 
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,13 +1,15 @@
 //! The datagrams between members: an envelope that is checked before its content is decoded.
 //!
-//! Layout: `P M`, version (1 byte), number of the cluster (4 bytes, little-endian), CRC-32 of what follows (4 bytes,
-//! little-endian), then the sender's [`Identity`] and the [`Message`] in postcard encoding.
+//! Layout: `P M`, version (1 byte), number of the cluster (4 bytes, little-endian), CRC-32 of what
+//! follows (4 bytes, little-endian), then the sender's [`Identity`] and the [`Message`] in postcard
+//! encoding.
 
 use crate::identity::{Identity, MAX_NAME_BYTES};
 use crate::suspended_workers::WorkerSuspension;
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram in bytes. It fits the smallest MTU of usual networks, so that datagrams aren't fragmented.
+/// Longest datagram in bytes. It fits the smallest MTU of usual networks, so that datagrams aren't
+/// fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Version of the protocol.
 pub const VERSION: u8 = 1;
@@ -57,7 +59,8 @@
     },
     /// Asks which identity holds the sender's name, and which name the receiver has.
     NameQuery,
-    /// The identity that holds the receiver's name, as far as the sender knows; `None` if it knows none.
+    /// The identity that holds the receiver's name, as far as the sender knows; `None` if it knows
+    /// none.
     NameHolder(Option<Identity>),
     /// Asks a process whether it is alive; it answers with the same number.
     LivenessChallenge(u64),
@@ -110,7 +113,8 @@
 }
 
 impl DecodeError {
-    /// Returns the text by which logs and the management API name the error. Programs compare it: it must not change.
+    /// Returns the text by which logs and the management API name the error. Programs compare it:
+    /// it must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Foreign => "foreign",
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,17 +1,21 @@
-//! Direct reachability: which peers this node monitors with heartbeats, and which of them it doesn't hear.
+//! Direct reachability: which peers this node monitors with heartbeats, and which of them it
+//! doesn't hear.
 
 use crate::fnv::Fnv;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to this number of nodes each node monitors every other. Beyond it the number of heartbeats would grow with the
-/// square of the nodes.
+/// Up to this number of nodes each node monitors every other. Beyond it the number of heartbeats
+/// would grow with the square of the nodes.
 pub const MAX_FULL_MESH_NODES: usize = 16;
-/// Neighbours that a node of a larger cluster monitors on either side, in the order of [`sort_by_hash`].
+/// Neighbours that a node of a larger cluster monitors on either side, in the order of
+/// [`sort_by_hash`].
 const NEIGHBOURS_PER_SIDE: usize = 2;
-/// Largest number of unreachable peers in one reachability report. It keeps the report within a datagram.
+/// Largest number of unreachable peers in one reachability report. It keeps the report within a
+/// datagram.
 pub const MAX_REPORTED_PEERS: usize = 32;
 
-/// Returns the names in the order of their hashes, each once. All nodes that know the same names get the same order.
+/// Returns the names in the order of their hashes, each once. All nodes that know the same names
+/// get the same order.
 pub fn sort_by_hash(names: impl Iterator<Item = String>) -> Vec<String> {
     let mut sorted: Vec<String> = names.collect();
     sorted.sort_by_cached_key(|name| (Fnv::hash_name(name), name.clone()));
@@ -19,8 +23,9 @@
     sorted
 }
 
-/// Returns the peers that `node` monitors, and that monitor it. `sorted` are all members in the order of
-/// [`sort_by_hash`]; a node that isn't among them monitors nobody. Voters monitor each other in a cluster of any size.
+/// Returns the peers that `node` monitors, and that monitor it. `sorted` are all members in the
+/// order of [`sort_by_hash`]; a node that isn't among them monitors nobody. Voters monitor each
+/// other in a cluster of any size.
 pub fn monitored_peers<'a>(
     sorted: &'a [String],
     voters: &BTreeSet<String>,
@@ -52,7 +57,8 @@
     process_nonce: u64,
     /// Highest sequence number received from this process.
     sequence: u64,
-    /// Local time of the heartbeat, or of the start of monitoring if none has been received, in seconds.
+    /// Local time of the heartbeat, or of the start of monitoring if none has been received, in
+    /// seconds.
     received_at: f64,
 }
 
@@ -79,7 +85,8 @@
         }
     }
 
-    /// Records a heartbeat of a monitored peer. One that was overtaken or repeated by the network is ignored.
+    /// Records a heartbeat of a monitored peer. One that was overtaken or repeated by the network
+    /// is ignored.
     pub fn record_heartbeat(&mut self, now: f64, name: &str, process_nonce: u64, sequence: u64) {
         if let Some(last) = self.heartbeats.get_mut(name)
             && (last.process_nonce != process_nonce || sequence > last.sequence)
@@ -92,7 +99,8 @@
         }
     }
 
-    /// Marks those monitored peers as unreachable whose latest heartbeat is older than `timeout` seconds.
+    /// Marks those monitored peers as unreachable whose latest heartbeat is older than `timeout`
+    /// seconds.
     pub fn update_unreachable(&mut self, now: f64, timeout: f64) {
         self.unreachable = self
             .heartbeats
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -20,7 +20,8 @@
     pub suspicion_timeout: f64,
     /// Time between two rounds of gossip, while there are updates to disseminate.
     pub gossip_interval: f64,
-    /// Time between two heartbeats to monitored peers. A peer is unreachable after three and a half of these.
+    /// Time between two heartbeats to monitored peers. A peer is unreachable after three and a half
+    /// of these.
     pub heartbeat_interval: f64,
     /// Time between two attempts to contact failed nodes, which may be back.
     pub failed_node_probe_interval: f64,
--- a/crates/membership/src/suspended_workers.rs
+++ b/crates/membership/src/suspended_workers.rs
@@ -1,7 +1,9 @@
-//! The workers that operators have suspended for the whole cluster, as a conflict-free replicated data type.
+//! The workers that operators have suspended for the whole cluster, as a conflict-free replicated
+//! data type.
 //!
-//! Merging is commutative, associative and idempotent, so nodes that have received the same suspensions agree, whatever
-//! the order. A resume undoes the suspends that its node had received, and no others.
+//! Merging is commutative, associative and idempotent, so nodes that have received the same
+//! suspensions agree, whatever the order. A resume undoes the suspends that its node had received,
+//! and no others.
 
 use crate::fnv::Fnv;
 use serde::{Deserialize, Serialize};
@@ -9,7 +11,8 @@
 
 /// Longest name of a worker that is accepted, in bytes.
 pub const MAX_WORKER_NAME_BYTES: usize = 256;
-/// Largest number of workers with a record. A suspend beyond it is rejected, so that no existing one gets lost.
+/// Largest number of workers with a record. A suspend beyond it is rejected, so that no existing
+/// one gets lost.
 pub const MAX_WORKERS: usize = 4096;
 /// Largest number of processes with a record for one worker. More can only come from a faulty node.
 const MAX_PROCESSES_PER_WORKER: usize = 1024;
@@ -94,8 +97,8 @@
             .filter(|worker| self.is_suspended(worker))
     }
 
-    /// Suspends a worker on behalf of a process. Returns the suspension to send to the other nodes, or `None` if there
-    /// are too many records.
+    /// Suspends a worker on behalf of a process. Returns the suspension to send to the other nodes,
+    /// or `None` if there are too many records.
     pub fn suspend(&mut self, process_nonce: u64, worker: &str) -> Option<Suspension> {
         if !self.has_room(worker, process_nonce) {
             return None;
@@ -112,7 +115,8 @@
         Some(counters.to_suspension(process_nonce))
     }
 
-    /// Undoes all active suspends of a worker. Returns the changed suspensions, to send to the other nodes.
+    /// Undoes all active suspends of a worker. Returns the changed suspensions, to send to the
+    /// other nodes.
     pub fn resume(&mut self, worker: &str) -> Vec<Suspension> {
         let Some(processes) = self.records.get_mut(worker) else {
             return Vec::new();
@@ -127,8 +131,8 @@
         changed
     }
 
-    /// Merges a suspension received from another node or read from the store. An invalid one, or one too many, is
-    /// ignored. Returns whether the worker became suspended or resumed by it.
+    /// Merges a suspension received from another node or read from the store. An invalid one, or
+    /// one too many, is ignored. Returns whether the worker became suspended or resumed by it.
     pub fn merge(&mut self, worker: &str, received: Suspension) -> bool {
         if worker.is_empty()
             || worker.len() > MAX_WORKER_NAME_BYTES
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Simulated clusters: starts, failures, pauses, restarts and name conflicts. The promises are those of
-//! `docs/design/members.md`.
+//! Simulated clusters: starts, failures, pauses, restarts and name conflicts. The promises are
+//! those of `docs/design/members.md`.
 
 mod simulation;
 
@@ -110,7 +110,8 @@
     }
 }
 
-/// The gossip of the suspicion arrives while the node is stopped and the buffer of its socket is full.
+/// The gossip of the suspicion arrives while the node is stopped and the buffer of its socket is
+/// full.
 #[test]
 fn pause_below_a_second_is_no_failure_despite_lost_datagrams() {
     let mut simulation = Simulation::new(10, 77, Settings::default());
@@ -148,8 +149,8 @@
     }
 }
 
-/// Promise 2: a node that wakes doesn't declare others failed for the time that it missed. Promise 3: it learns that it
-/// was declared failed, and rejoins at once.
+/// Promise 2: a node that wakes doesn't declare others failed for the time that it missed. Promise
+/// 3: it learns that it was declared failed, and rejoins at once.
 #[test]
 fn paused_node_declares_nobody_failed_and_rejoins() {
     for (seed, pause) in [(1, 1.0), (2, 4.0), (3, 20.0), (4, 300.0)] {
@@ -204,8 +205,8 @@
     assert_eq!(simulation.count_events(at, is_failure), 0);
 }
 
-/// The node has no disk, its clock may be set back, and it may come back at another address. It must neither wait nor be
-/// taken for its earlier process.
+/// The node has no disk, its clock may be set back, and it may come back at another address. It
+/// must neither wait nor be taken for its earlier process.
 #[test]
 fn restarted_node_rejoins_whatever_its_clock_shows() {
     for (seed, clock) in [(1, None), (2, Some(0)), (3, Some(7))] {
@@ -250,7 +251,8 @@
     }
 }
 
-/// One answer has no room for all members. With one answer alone it took 7 to 10 s with 30 processes.
+/// One answer has no room for all members. With one answer alone it took 7 to 10 s with 30
+/// processes.
 #[test]
 fn restarted_node_knows_all_members_within_a_second_in_a_large_cluster() {
     for seed in 0..3 {
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams that a member receives and sends: what isn't a valid datagram of its cluster changes a counter only.
+//! Datagrams that a member receives and sends: what isn't a valid datagram of its cluster changes a
+//! counter only.
 
 use postproxy_membership::packet::{self, DecodeError, Message};
 use postproxy_membership::{Identity, Membership, Output, Settings};
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -115,8 +115,8 @@
     }
 }
 
-/// A node that was cut off when a report was withdrawn must not believe it for ever. Found by a schedule of processes
-/// (seed 30).
+/// A node that was cut off when a report was withdrawn must not believe it for ever. Found by a
+/// schedule of processes (seed 30).
 #[test]
 fn reachability_report_expires_if_its_withdrawal_was_lost() {
     for seed in 0..10 {
--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation of a cluster: many members and the network between them, with simulated time and a seed. It runs the same
-//! state machine as a node.
+//! Simulation of a cluster: many members and the network between them, with simulated time and a
+//! seed. It runs the same state machine as a node.
 
 #![allow(dead_code)]
 
@@ -245,7 +245,8 @@
                     let now = self.now;
                     self.nodes[n].events.push((now, event));
                 }
-                // Streams lose nothing here: a real one continues after a cut, or ends with its node.
+                // Streams lose nothing here: a real one continues after a cut, or ends with its
+                // node.
                 Output::SendOverStream { to, message } => {
                     self.stream_messages += 1;
                     let Some(&to) = self.by_address.get(&to.address) else {
@@ -310,7 +311,8 @@
         self.now = until;
     }
 
-    /// Runs the simulation until a condition holds, for this number of seconds at most. Returns whether it holds.
+    /// Runs the simulation until a condition holds, for this number of seconds at most. Returns
+    /// whether it holds.
     pub fn run_until(&mut self, seconds: f64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let until = self.now + seconds;
         holds(self) || self.run_until_time(until, holds)
@@ -337,7 +339,8 @@
         holds(self)
     }
 
-    /// Handles an event. Returns the node that has handled it, and what it wants done; `None` if none has.
+    /// Handles an event. Returns the node that has handled it, and what it wants done; `None` if
+    /// none has.
     fn handle_event(&mut self, event: SimulationEvent) -> Option<(usize, Vec<Output>)> {
         let mut out = Vec::new();
         match event {
--- a/crates/membership/tests/surface_bytes.rs
+++ b/crates/membership/tests/surface_bytes.rs
@@ -1,6 +1,6 @@
-//! Pins the datagrams between members: the envelope, every kind of message, suspensions of workers, and the stored
-//! suspensions. Nodes of a fleet may run different versions, so these bytes must not change with a rename. The
-//! literals were written by the version before the renames.
+//! Pins the datagrams between members: the envelope, every kind of message, suspensions of workers,
+//! and the stored suspensions. Nodes of a fleet may run different versions, so these bytes must not
+//! change with a rename. The literals were written by the version before the renames.
 
 use postproxy_membership::packet::{
     DecodeError, ForgottenNode, MAX_DATAGRAM_BYTES, Message, VERSION, cluster_number, decode,
@@ -38,7 +38,8 @@
 /// The sender, encoded.
 const SENDER: &str = "036e2d31007f0000019e37ac02ffffffffffffffffff01";
 
-/// Asserts that the message is encoded as this literal, and that a datagram of it is the envelope, the sender and it.
+/// Asserts that the message is encoded as this literal, and that a datagram of it is the envelope,
+/// the sender and it.
 #[track_caller]
 fn pin(message: Message, literal: &str) {
     let bytes = postcard::to_stdvec(&message).expect("an encoded message");
--- a/crates/membership/tests/surface_errors.rs
+++ b/crates/membership/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the words with which the log and the management API name dropped datagrams, the state of the cluster and its
-//! nodes. They must not change with a name in the code.
+//! Pins the words with which the log and the management API name dropped datagrams, the state of
+//! the cluster and its nodes. They must not change with a name in the code.
 
 use postproxy_membership::packet::DecodeError;
 use postproxy_membership::{ClusterHealth, Identity, UnreachablePair};
--- a/crates/membership/tests/surface_json.rs
+++ b/crates/membership/tests/surface_json.rs
@@ -1,7 +1,8 @@
 //! Pins the words of this crate that stand in the JSON body of `GET /v1/fleet/members`.
 //!
-//! `standing` and `reasons` are worded by [`ClusterHealth`], the keys of `dropped` by [`DecodeError`]. Programs compare them as text: they
-//! are literal here, so that renaming the types and variants can't change them unseen.
+//! `standing` and `reasons` are worded by [`ClusterHealth`], the keys of `dropped` by
+//! [`DecodeError`]. Programs compare them as text: they are literal here, so that renaming the
+//! types and variants can't change them unseen.
 
 use postproxy_membership::packet::DecodeError;
 use postproxy_membership::{ClusterHealth, UnreachablePair};
--- a/crates/membership/tests/suspended_workers.rs
+++ b/crates/membership/tests/suspended_workers.rs
@@ -41,7 +41,8 @@
     }
 }
 
-/// A suspend wins over a resume whose node hadn't received it; a resume undoes all suspends that its node had received.
+/// A suspend wins over a resume whose node hadn't received it; a resume undoes all suspends that
+/// its node had received.
 #[test]
 fn resume_undoes_received_suspends_only() {
     let mut one = SuspendedWorkers::default();
--- a/crates/membership/tests/synchronisation.rs
+++ b/crates/membership/tests/synchronisation.rs
@@ -1,5 +1,5 @@
-//! Simulated clusters: suspended workers and forgotten nodes become known to all. The promises are those of
-//! `docs/design/members.md`.
+//! Simulated clusters: suspended workers and forgotten nodes become known to all. The promises are
+//! those of `docs/design/members.md`.
 
 mod simulation;
 
@@ -7,8 +7,8 @@
 use simulation::{Simulation, address};
 use std::collections::BTreeSet;
 
-/// Promise 5: the sides come to agree, a resume undoes no suspend that it hadn't received, and a node that joins later
-/// learns of all.
+/// Promise 5: the sides come to agree, a resume undoes no suspend that it hadn't received, and a
+/// node that joins later learns of all.
 #[test]
 fn suspensions_on_both_sides_of_a_partition_converge() {
     for seed in 0..10 {
@@ -31,7 +31,8 @@
             "seed {seed}"
         );
         simulation.partition(&[0, 1], &[2, 3]);
-        // One side resumes w-1. The other suspends w-2 and resumes it, unaware of the suspend on the first side.
+        // One side resumes w-1. The other suspends w-2 and resumes it, unaware of the suspend on
+        // the first side.
         simulation.change_suspension(0, "w-1", SuspensionChange::Resume);
         simulation.change_suspension(2, "w-2", SuspensionChange::Suspend);
         simulation.change_suspension(1, "w-2", SuspensionChange::Suspend);
@@ -125,7 +126,8 @@
     result
 }
 
-/// A live node can't be forgotten. A forgotten one isn't counted, also by nodes that were cut off at the time.
+/// A live node can't be forgotten. A forgotten one isn't counted, also by nodes that were cut off
+/// at the time.
 #[test]
 fn forgotten_node_is_forgotten_by_all_and_may_come_back() {
     for seed in 0..10 {
--- a/crates/replicated-log/src/admission.rs
+++ b/crates/replicated-log/src/admission.rs
@@ -1,18 +1,21 @@
-//! Admission of a process as a voter. A voter that comes back with an empty or an older store has lost promises that it made, and
-//! must not vote under its number any more.
+//! Admission of a process as a voter. A voter that comes back with an empty or an older store has
+//! lost promises that it made, and must not vote under its number any more.
 //!
-//! Each start of a voter has a number, which is stored before it is announced. The other voters store the highest start that they
-//! know of each voter before they confirm it. A voter that announces a start that is known already, of another process, has an older
-//! store. A voter with nothing stored asks all others for its latest start: if anybody knows of one, it has lost its store; if nobody
-//! does, it has never voted.
+//! Each start of a voter has a number, which is stored before it is announced. The other voters
+//! store the highest start that they know of each voter before they confirm it. A voter that
+//! announces a start that is known already, of another process, has an older store. A voter with
+//! nothing stored asks all others for its latest start: if anybody knows of one, it has lost its
+//! store; if nobody does, it has never voted.
 //!
-//! A process is admitted once all others have confirmed its start, or once a majority with itself has and the rest stay silent for
-//! [`GRACE_TICKS`]. Waiting for all without a limit would leave three voters without a majority after one has died for good and
-//! another has been restarted.
+//! A process is admitted once all others have confirmed its start, or once a majority with itself
+//! has and the rest stay silent for [`GRACE_TICKS`]. Waiting for all without a limit would leave
+//! three voters without a majority after one has died for good and another has been restarted.
 //!
-//! An older store of the same start is detected by a voter that, since its own start, has received a message of a later term or a
-//! confirmation of more entries; that is not stored. So an older store goes unnoticed only if all voters that have confirmed its
-//! latest start are away, or have lost their stores, for the whole grace period; or, with the same start, if they have been restarted.
+//! An older store of the same start is detected by a voter that, since its own start, has received
+//! a message of a later term or a confirmation of more entries; that is not stored. So an older
+//! store goes unnoticed only if all voters that have confirmed its latest start are away, or have
+//! lost their stores, for the whole grace period; or, with the same start, if they have been
+//! restarted.
 
 use crate::durability_gate::DurabilityGate;
 use crate::storage::{LogEnd, StorageChange};
@@ -25,7 +28,8 @@
 /// Key of the number of this voter's latest start.
 const START_KEY: &[u8] = b"s/start";
 
-/// Prefix of the keys of other voters' latest starts; the number of the voter follows, with the most significant byte first.
+/// Prefix of the keys of other voters' latest starts; the number of the voter follows, with the
+/// most significant byte first.
 const KNOWN_START_KEY_PREFIX: &[u8] = b"s/known/";
 
 /// A message between voters on their admission.
@@ -46,8 +50,8 @@
     },
     /// The receiver's start of this number has been stored.
     StartConfirmed(u64),
-    /// The receiver's start of this number, or a later one, was known before, or the receiver has made promises that its log does not
-    /// contain.
+    /// The receiver's start of this number, or a later one, was known before, or the receiver has
+    /// made promises that its log does not contain.
     StartOutdated(u64),
     /// The receiver's start is not known to the sender: it is to be announced again.
     AnnounceAgain,
@@ -60,7 +64,8 @@
     Pending,
     /// It may vote.
     Admitted,
-    /// It has lost its promises: it must not vote under this number, and can only be added as a new voter.
+    /// It has lost its promises: it must not vote under this number, and can only be added as a new
+    /// voter.
     PromisesLost,
 }
 
@@ -91,8 +96,8 @@
 }
 
 impl KnownStart {
-    /// Stands for a stored value that can't be read. It is later than every start, so that the voter counts as having lost its
-    /// promises, which is the safe side.
+    /// Stands for a stored value that can't be read. It is later than every start, so that the
+    /// voter counts as having lost its promises, which is the safe side.
     const UNREADABLE: Self = Self {
         start: u64::MAX,
         incarnation: 0,
@@ -134,7 +139,8 @@
     voters: Vec<u64>,
     /// How far its log had got when it started.
     log_end: LogEnd,
-    /// The latest term and the highest index that each voter has promised, in its known incarnation.
+    /// The latest term and the highest index that each voter has promised, in its known
+    /// incarnation.
     promised: BTreeMap<u64, LogEnd>,
     /// The number of its start, once it is durable.
     start: Option<u64>,
@@ -152,8 +158,8 @@
 }
 
 impl Admission {
-    /// Creates the admission of the voter `id` of these voters, from its stored keys (those that begin with `s/`) and values.
-    /// `log_end` is what [`crate::stored_log_end`] returns.
+    /// Creates the admission of the voter `id` of these voters, from its stored keys (those that
+    /// begin with `s/`) and values. `log_end` is what [`crate::stored_log_end`] returns.
     pub fn new(
         id: u64,
         incarnation: u64,
@@ -206,7 +212,8 @@
         self.confirmed.retain(|voter| voters.contains(voter));
     }
 
-    /// Returns whether the start of this incarnation of a voter is known. Only then its messages of the log may be handled.
+    /// Returns whether the start of this incarnation of a voter is known. Only then its messages of
+    /// the log may be handled.
     pub fn knows(&self, voter: u64, incarnation: u64) -> bool {
         self.known_starts
             .get(&voter)
@@ -249,7 +256,8 @@
         number
     }
 
-    /// Admits the process if all others have confirmed its start, or enough have and the others stay silent.
+    /// Admits the process if all others have confirmed its start, or enough have and the others
+    /// stay silent.
     fn update_verdict(&mut self) {
         let confirmed_with_self = self.confirmed.len() + 1;
         let by_all = confirmed_with_self == self.voters.len();
@@ -260,7 +268,8 @@
         }
     }
 
-    /// Counts a tick: queries or announces again until all others have confirmed the start, or the promises are known to be lost.
+    /// Counts a tick: queries or announces again until all others have confirmed the start, or the
+    /// promises are known to be lost.
     pub fn tick(&mut self, out: &mut Vec<AdmissionEffect>) {
         if self.verdict == AdmissionVerdict::PromisesLost {
             return;
@@ -375,7 +384,8 @@
             self.hold_confirmation(from, start);
             self.send_answers(out);
         } else {
-            // The store is an older one: of an earlier start, or of the same start with less than the voter has promised.
+            // The store is an older one: of an earlier start, or of the same start with less than
+            // the voter has promised.
             out.push(AdmissionEffect::Send {
                 to: from,
                 message: AdmissionMessage::StartOutdated(start),
--- a/crates/replicated-log/src/message.rs
+++ b/crates/replicated-log/src/message.rs
@@ -14,8 +14,8 @@
     pub index: u64,
 }
 
-/// Returns what an encoded message promises for its sender. A message that can't be read promises nothing, and neither does a
-/// proposal, which other voters forward.
+/// Returns what an encoded message promises for its sender. A message that can't be read promises
+/// nothing, and neither does a proposal, which other voters forward.
 pub fn message_promise(bytes: &[u8]) -> MessagePromise {
     let Ok(message) = Message::parse_from_bytes(bytes) else {
         return MessagePromise::default();
@@ -35,7 +35,8 @@
     promise
 }
 
-/// Returns whether a voter could have sent this message. The library ends the process at some messages that no voter sends.
+/// Returns whether a voter could have sent this message. The library ends the process at some
+/// messages that no voter sends.
 pub fn is_valid(message: &Message) -> bool {
     let entries = message.get_entries();
     match message.get_msg_type() {
--- a/crates/replicated-log/src/proposal.rs
+++ b/crates/replicated-log/src/proposal.rs
@@ -4,7 +4,8 @@
 use crate::voter::{MAX_PENDING_READIES, MAX_VOTERS, MIN_VOTERS, Output, Voter};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
-/// Maximum size of an entry, in bytes. It keeps one entry well below the limit of a message between nodes.
+/// Maximum size of an entry, in bytes. It keeps one entry well below the limit of a message between
+/// nodes.
 pub const MAX_ENTRY_BYTES: usize = 256 << 10;
 
 /// Why a proposal is rejected without an attempt.
@@ -43,8 +44,9 @@
 }
 
 impl<S: StateMachine> Voter<S> {
-    /// Proposes an entry. Success does not mean that the entry will be committed: it may be lost, and it may be committed twice if it
-    /// is proposed again. [`Output::Committed`] reports the commit.
+    /// Proposes an entry. Success does not mean that the entry will be committed: it may be lost,
+    /// and it may be committed twice if it is proposed again. [`Output::Committed`] reports the
+    /// commit.
     ///
     /// # Errors
     ///
@@ -68,8 +70,8 @@
         }
     }
 
-    /// Proposes a change of the voters, which holds once [`Voter::voters`] shows it. Only the leader makes changes, one at a time. A
-    /// change that holds already succeeds.
+    /// Proposes a change of the voters, which holds once [`Voter::voters`] shows it. Only the
+    /// leader makes changes, one at a time. A change that holds already succeeds.
     ///
     /// # Errors
     ///
--- a/crates/replicated-log/src/ready.rs
+++ b/crates/replicated-log/src/ready.rs
@@ -1,4 +1,5 @@
-//! Carries out what the library has ready after an input: messages, writes, committed entries and membership changes.
+//! Carries out what the library has ready after an input: messages, writes, committed entries and
+//! membership changes.
 
 use crate::StateMachine;
 use crate::voter::{MAX_VOTERS, MIN_VOTERS, Output, Voter};
@@ -30,8 +31,9 @@
 }
 
 impl<S: StateMachine> Voter<S> {
-    /// Carries out all that an input has led to. Messages that make a promise wait until the writes before them are durable. A
-    /// leader's own messages are sent at once: that others store an entry makes no promise of the leader's.
+    /// Carries out all that an input has led to. Messages that make a promise wait until the writes
+    /// before them are durable. A leader's own messages are sent at once: that others store an
+    /// entry makes no promise of the leader's.
     pub(crate) fn process_ready(&mut self, out: &mut Vec<Output>) {
         loop {
             self.release_durable(out);
@@ -70,7 +72,8 @@
         self.write_changes(out);
     }
 
-    /// Sends the messages whose writes are durable, and reports to the library how far the log has been stored and applied.
+    /// Sends the messages whose writes are durable, and reports to the library how far the log has
+    /// been stored and applied.
     fn release_durable(&mut self, out: &mut Vec<Output>) {
         while let Some(ready) = self.gate.pop_released() {
             self.run_guarded(|raft| raft.on_persist_ready(ready.number));
@@ -85,7 +88,8 @@
         });
     }
 
-    /// Takes the next ready state from the library and stores its log entries, hard state and snapshot.
+    /// Takes the next ready state from the library and stores its log entries, hard state and
+    /// snapshot.
     fn take_ready(&mut self) -> ReadyParts {
         let mut parts = ReadyParts::default();
         self.run_guarded(|raft| {
@@ -125,8 +129,8 @@
                 message: message.write_to_bytes().unwrap_or_default(),
             });
             if message.get_msg_type() == MessageType::MsgSnapshot {
-                // The transport does not report the arrival. The next response shows it; without this report the leader would
-                // wait for ever.
+                // The transport does not report the arrival. The next response shows it; without
+                // this report the leader would wait for ever.
                 self.run_guarded(|raft| raft.report_snapshot(message.to, SnapshotStatus::Finish));
             }
         }
@@ -183,13 +187,15 @@
             }
             out.push(Output::VotersChanged);
         }
-        // The library's leader goes on after its own removal, and would end the process at its next write.
+        // The library's leader goes on after its own removal, and would end the process at its next
+        // write.
         if self.is_leader() && !self.voters().contains_key(&self.id()) {
             self.run_guarded(|raft| raft.raft.become_follower(raft.raft.term, 0));
         }
     }
 
-    /// Returns whether a proposed membership change may still be made when it is committed: others may have been made before it.
+    /// Returns whether a proposed membership change may still be made when it is committed: others
+    /// may have been made before it.
     fn is_still_valid(&self, change: &ConfChange, name: &str) -> bool {
         let snapshot = &self.raft.store().snapshot;
         match change.get_change_type() {
--- a/crates/replicated-log/src/storage.rs
+++ b/crates/replicated-log/src/storage.rs
@@ -21,8 +21,8 @@
 #[error("the log of the voters: {0}")]
 pub struct CorruptLog(pub String);
 
-/// Index and term at which the log of the initial voters begins, with a snapshot. So a voter that is added later gets a snapshot with
-/// the voters, never the log from its first entry without them.
+/// Index and term at which the log of the initial voters begins, with a snapshot. So a voter that
+/// is added later gets a snapshot with the voters, never the log from its first entry without them.
 const INITIAL_INDEX: u64 = 1;
 
 /// Prefix of the keys of entries; the index follows, with the most significant byte first.
@@ -31,10 +31,12 @@
 /// Key of the library's hard state: the term, the vote, and the committed index.
 const HARD_STATE_KEY: &[u8] = b"a/hard";
 
-/// Key of the snapshot and of the index where the log begins. They share a value, so that neither is stored without the other.
+/// Key of the snapshot and of the index where the log begins. They share a value, so that neither
+/// is stored without the other.
 const SNAPSHOT_KEY: &[u8] = b"a/folded";
 
-/// Number of applied entries that a compaction leaves in the log, so that a voter that is little behind needs no snapshot.
+/// Number of applied entries that a compaction leaves in the log, so that a voter that is little
+/// behind needs no snapshot.
 const RETAINED_ENTRIES: u64 = 64;
 
 fn entry_key(index: u64) -> Vec<u8> {
@@ -128,8 +130,8 @@
 }
 
 impl<S: StateMachine> LogStorage<S> {
-    /// Restores the log from its stored keys and values. With nothing stored it is the log that the initial voters begin with; if
-    /// there are none, an empty log that waits for the leader.
+    /// Restores the log from its stored keys and values. With nothing stored it is the log that the
+    /// initial voters begin with; if there are none, an empty log that waits for the leader.
     ///
     /// # Errors
     ///
@@ -290,7 +292,8 @@
         }
     }
 
-    /// Replaces the log and the state by a snapshot of the leader's. Returns `false` and changes nothing if it can't be read.
+    /// Replaces the log and the state by a snapshot of the leader's. Returns `false` and changes
+    /// nothing if it can't be read.
     pub fn install_snapshot(&mut self, snapshot: &Snapshot) -> bool {
         let Ok((state, [])) = postcard::take_from_bytes::<StateSnapshot<S>>(snapshot.get_data())
         else {
--- a/crates/replicated-log/src/voter.rs
+++ b/crates/replicated-log/src/voter.rs
@@ -17,14 +17,15 @@
 /// Minimum number of voters that a removal may leave.
 pub const MIN_VOTERS: usize = 2;
 
-/// Maximum number of ready states that wait for the disk. Beyond it the voter drops its inputs, which bounds its memory.
+/// Maximum number of ready states that wait for the disk. Beyond it the voter drops its inputs,
+/// which bounds its memory.
 pub const MAX_PENDING_READIES: usize = 4096;
 
 /// Minimum number of ticks without a message of the leader before a voter stands for election.
 const ELECTION_TICKS: usize = 10;
 
-/// Each voter waits this many more ticks for each unit of its number, so that two seldom stand at once. There is no randomness in
-/// it, so that a seed replays a run of the simulation.
+/// Each voter waits this many more ticks for each unit of its number, so that two seldom stand at
+/// once. There is no randomness in it, so that a seed replays a run of the simulation.
 const ELECTION_STAGGER_TICKS: usize = 3;
 
 /// Number of ticks between two heartbeats of the leader.
@@ -39,7 +40,8 @@
 /// What the caller is to do, or what has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Write these changes, all or none, in the order of the numbers; report them by [`Voter::record_durable`].
+    /// Write these changes, all or none, in the order of the numbers; report them by
+    /// [`Voter::record_durable`].
     Write {
         /// The number of the write.
         number: u64,
@@ -60,8 +62,8 @@
         /// The entry.
         entry: Vec<u8>,
     },
-    /// A snapshot of the leader's has replaced the state, and these entries are part of [`Voter::state`] without a
-    /// [`Output::Committed`] each.
+    /// A snapshot of the leader's has replaced the state, and these entries are part of
+    /// [`Voter::state`] without a [`Output::Committed`] each.
     SnapshotInstalled {
         /// The number of entries applied so far.
         applied_entries: u64,
@@ -79,11 +81,12 @@
 }
 
 impl<S: StateMachine> Voter<S> {
-    /// Restores the voter of this number from its stored keys and values. With nothing stored it is one of `initial_voters`; if these
-    /// are empty, it has been added to a running log and waits for the leader. Also returns what the caller is to do.
+    /// Restores the voter of this number from its stored keys and values. With nothing stored it is
+    /// one of `initial_voters`; if these are empty, it has been added to a running log and waits
+    /// for the leader. Also returns what the caller is to do.
     ///
-    /// **A voter that has voted and comes back with less than it had stored must not be restored under its number**, because it may
-    /// break its promises; [`crate::admission`] finds that out.
+    /// **A voter that has voted and comes back with less than it had stored must not be restored
+    /// under its number**, because it may break its promises; [`crate::admission`] finds that out.
     ///
     /// # Errors
     ///
@@ -152,7 +155,8 @@
         &self.raft.store().snapshot.voters
     }
 
-    /// Returns the index of the log that has been applied. It also counts the library's own entries and membership changes.
+    /// Returns the index of the log that has been applied. It also counts the library's own entries
+    /// and membership changes.
     pub fn applied_index(&self) -> u64 {
         self.raft.store().applied_index
     }
@@ -183,7 +187,8 @@
 
     /// Counts a tick; they come evenly, about twenty a second.
     pub fn tick(&mut self, out: &mut Vec<Output>) {
-        // A voter whose disk does not finish its writes starts nothing new; the others elect another leader.
+        // A voter whose disk does not finish its writes starts nothing new; the others elect
+        // another leader.
         if self.gate.pending_count() < MAX_PENDING_READIES {
             self.run_guarded(|raft| {
                 raft.tick();
@@ -192,12 +197,14 @@
         self.process_ready(out);
     }
 
-    /// Handles a message of another voter. Returns `false` if the message can't be read or no voter could have sent it.
+    /// Handles a message of another voter. Returns `false` if the message can't be read or no voter
+    /// could have sent it.
     pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Output>) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return false;
         };
-        // A forwarded proposal keeps the number of its first sender, and may come back to it after a change of the leader.
+        // A forwarded proposal keeps the number of its first sender, and may come back to it after
+        // a change of the leader.
         let claims_own_id =
             message.from == self.id && message.get_msg_type() != MessageType::MsgPropose;
         if message.to != self.id
@@ -217,7 +224,8 @@
         true
     }
 
-    /// Records that the connection to another voter was made anew: messages in both directions may have been lost.
+    /// Records that the connection to another voter was made anew: messages in both directions may
+    /// have been lost.
     pub fn peer_reconnected(&mut self, voter: u64, out: &mut Vec<Output>) {
         self.run_guarded(|raft| {
             raft.report_unreachable(voter);
@@ -232,8 +240,8 @@
         self.process_ready(out);
     }
 
-    /// Runs an action of the library. The library panics if it finds its log inconsistent; here that only ends the voting of this
-    /// process.
+    /// Runs an action of the library. The library panics if it finds its log inconsistent; here
+    /// that only ends the voting of this process.
     pub(crate) fn run_guarded(&mut self, action: impl FnOnce(&mut RawNode<LogStorage<S>>)) {
         if self.failure.is_some() {
             return;
--- a/crates/replicated-log/tests/admission.rs
+++ b/crates/replicated-log/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Voters that restart with all, a part or nothing of what they had stored: those that have everything may vote, and no others.
+//! Voters that restart with all, a part or nothing of what they had stored: those that have
+//! everything may vote, and no others.
 
 use postproxy_replicated_log::admission::{
     Admission, AdmissionEffect, AdmissionMessage, AdmissionVerdict,
@@ -176,8 +177,9 @@
     }
 }
 
-/// A voter with an empty or an older store is not admitted, one that has everything is, and so are all at their first start. One
-/// store is lost in each run, while the other voters are there; any may be killed and restarted before.
+/// A voter with an empty or an older store is not admitted, one that has everything is, and so are
+/// all at their first start. One store is lost in each run, while the other voters are there; any
+/// may be killed and restarted before.
 #[test]
 fn only_voters_with_everything_they_stored_are_admitted() {
     let mut lost = 0;
@@ -275,7 +277,8 @@
     Admission::new(1, 77, &[1, 2, 3], LogEnd::default(), stored)
 }
 
-/// A start is announced, and another's confirmed, only after it is durable; messages of strangers are ignored.
+/// A start is announced, and another's confirmed, only after it is durable; messages of strangers
+/// are ignored.
 #[test]
 fn nothing_is_announced_or_confirmed_before_it_is_durable() {
     let mut admission = restarted_voter();
@@ -329,7 +332,8 @@
     );
 }
 
-/// A majority of confirmations does not admit a voter before the grace period, all do, and a late contradiction ends the admission.
+/// A majority of confirmations does not admit a voter before the grace period, all do, and a late
+/// contradiction ends the admission.
 #[test]
 fn a_voter_is_admitted_once_all_have_confirmed_its_start() {
     let mut admission = restarted_voter();
@@ -360,7 +364,8 @@
     );
 }
 
-/// After the grace period a majority is enough: three voters keep a majority after one has died for good and another restarted.
+/// After the grace period a majority is enough: three voters keep a majority after one has died for
+/// good and another restarted.
 #[test]
 fn silent_voters_are_waited_for_only_during_the_grace_period() {
     for seed in 0..200 {
@@ -396,7 +401,8 @@
     }
 }
 
-/// A voter with an empty store must not take itself for a new one because those that knew of its start are away.
+/// A voter with an empty store must not take itself for a new one because those that knew of its
+/// start are away.
 #[test]
 fn a_voter_with_an_empty_store_needs_the_answers_of_all() {
     for seed in 0..200 {
--- a/crates/replicated-log/tests/simulation/mod.rs
+++ b/crates/replicated-log/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! Simulation of voters, from seeds and with virtual time: links that are cut in one or both directions and lose messages, slow disks,
-//! crashes that lose what was not durable yet, and pauses.
+//! Simulation of voters, from seeds and with virtual time: links that are cut in one or both
+//! directions and lose messages, slow disks, crashes that lose what was not durable yet, and
+//! pauses.
 
 use postproxy_replicated_log::{Output, StateMachine, StorageChange, Voter};
 use rand_core::{RngCore, SeedableRng};
@@ -367,7 +368,8 @@
         }
     }
 
-    /// Returns whether an entry that is proposed now is applied by all voters in time; a lost proposal is repeated.
+    /// Returns whether an entry that is proposed now is applied by all voters in time; a lost
+    /// proposal is repeated.
     pub fn makes_progress(&mut self, timeout_ms: u64) -> bool {
         let until = self.now + timeout_ms;
         let n = self.draw(self.nodes.len() as u64) as usize;
--- a/crates/replicated-log/tests/surface_bytes.rs
+++ b/crates/replicated-log/tests/surface_bytes.rs
@@ -1,7 +1,7 @@
-//! Pins what voters store and send: keys and values of the log (`a/`), of the admission (`s/`), and the messages between
-//! voters, as a run of two voters writes them. Another voter may run another version of the program, and a node reads what
-//! an older version stored, so these bytes must not change with a rename. The literals were written by the version before
-//! the renames.
+//! Pins what voters store and send: keys and values of the log (`a/`), of the admission (`s/`), and
+//! the messages between voters, as a run of two voters writes them. Another voter may run another
+//! version of the program, and a node reads what an older version stored, so these bytes must not
+//! change with a rename. The literals were written by the version before the renames.
 
 use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage};
 use postproxy_replicated_log::{
@@ -66,7 +66,8 @@
     }
 }
 
-/// The changes as text: the key (its text part, then the number in hexadecimal digits) and the value.
+/// The changes as text: the key (its text part, then the number in hexadecimal digits) and the
+/// value.
 fn shown(changes: &[StorageChange]) -> Vec<String> {
     let shown = |StorageChange { key, value }: &StorageChange| {
         let text = key
@@ -82,7 +83,8 @@
 
 #[test]
 fn stored_start_and_known_starts_keep_their_keys_and_bytes() {
-    // A voter with nothing stored learns that the other knows of no start of it, and stores its first start.
+    // A voter with nothing stored learns that the other knows of no start of it, and stores its
+    // first start.
     let mut effects = Vec::new();
     let mut admission = Admission::new(1, 7, &[1, 2], LogEnd::default(), []);
     admission.receive(2, AdmissionMessage::LatestStart(0), &mut effects);
@@ -366,7 +368,8 @@
 fn promises_are_read_from_recorded_messages() {
     let promise = |digits: &str| message_promise(&unhex(digits));
     let expected = |voter, term, index| MessagePromise { voter, term, index };
-    // No message, a request for a vote in advance, a request for a vote, an append, and a response to it.
+    // No message, a request for a vote in advance, a request for a vote, an append, and a response
+    // to it.
     assert_eq!(promise("ff"), expected(0, 0, 0));
     assert_eq!(
         promise("08111002180120022801300140017801"),
@@ -383,7 +386,8 @@
     assert_eq!(promise("080410011802200230034002"), expected(2, 2, 3));
 }
 
-/// A voter that is added when the log begins later gets a snapshot; a snapshot is stored once in 512 entries.
+/// A voter that is added when the log begins later gets a snapshot; a snapshot is stored once in
+/// 512 entries.
 #[test]
 fn compacted_log_and_snapshot_message_keep_their_bytes() {
     let mut pair = Pair::new();
--- a/crates/replicated-log/tests/surface_errors.rs
+++ b/crates/replicated-log/tests/surface_errors.rs
@@ -1,4 +1,5 @@
-//! Pins the messages of this crate's errors, which the log shows. They must not change with a name in the code.
+//! Pins the messages of this crate's errors, which the log shows. They must not change with a name
+//! in the code.
 
 use postproxy_replicated_log::{CorruptLog, ProposalRejected};
 
--- a/crates/replicated-log/tests/voters.rs
+++ b/crates/replicated-log/tests/voters.rs
@@ -1,4 +1,5 @@
-//! Safety and progress of the voters in simulation: each number of the log has one entry for ever, whatever fails.
+//! Safety and progress of the voters in simulation: each number of the log has one entry for ever,
+//! whatever fails.
 
 mod simulation;
 
@@ -11,8 +12,8 @@
     from.parse().expect("a seed")..to.parse().expect("a seed")
 }
 
-/// All voters commit the same entries and reach the same state, committed entries survive crashes, the log is compacted, and the voters
-/// make progress again after the last fault.
+/// All voters commit the same entries and reach the same state, committed entries survive crashes,
+/// the log is compacted, and the voters make progress again after the last fault.
 #[test]
 fn each_number_has_one_entry_whatever_fails() {
     let mut entries = 0;
@@ -66,7 +67,8 @@
     assert!(entries > 100 * count, "{entries}");
 }
 
-/// A voter that sends messages before its writes are durable, or that goes on with an empty store, violates a property in some run.
+/// A voter that sends messages before its writes are durable, or that goes on with an empty store,
+/// violates a property in some run.
 #[test]
 fn removing_any_safeguard_is_detected() {
     let found = |without: Without| {
@@ -131,7 +133,8 @@
     assert_eq!(sim.violation, None);
 }
 
-/// Voters that are connected in part, or in one direction only, make progress as long as a majority can.
+/// Voters that are connected in part, or in one direction only, make progress as long as a majority
+/// can.
 #[test]
 fn partially_connected_voters_make_progress() {
     let cases: [(&str, &[(usize, usize)]); 4] = [
@@ -185,7 +188,8 @@
     }
 }
 
-/// A corrupt log is not restored, a proposal that is too long is rejected, and arbitrary bytes are no message.
+/// A corrupt log is not restored, a proposal that is too long is rejected, and arbitrary bytes are
+/// no message.
 #[test]
 fn corrupt_logs_long_entries_and_invalid_messages_are_rejected() {
     let mut sim = Simulation::new(3, 9, Without::default());
--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -3,8 +3,9 @@
 //!     cargo bench -p postproxy-store            # everything, some minutes
 //!     cargo bench -p postproxy-store -- quick   # a tenth of it
 //!
-//! Each store has a number of records outstanding: as one is acknowledged the next is appended. redb and fjall are used in the way that
-//! suits them best: all outstanding records in one transaction, made durable at its end.
+//! Each store has a number of records outstanding: as one is acknowledged the next is appended.
+//! redb and fjall are used in the way that suits them best: all outstanding records in one
+//! transaction, made durable at its end.
 
 use fjall::{Database, KeyspaceCreateOptions, PersistMode};
 use hdrhistogram::Histogram;
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,7 +1,7 @@
 //! Access to files: a folder of flat names, and files that are read and written at offsets.
 //!
-//! The engine reaches the disk only through [`Disk`] and [`File`], so that tests can replace it by a simulated one
-//! ([`crate::sim::SimDisk`]) which crashes, fills up and fails on demand.
+//! The engine reaches the disk only through [`Disk`] and [`File`], so that tests can replace it by
+//! a simulated one ([`crate::sim::SimDisk`]) which crashes, fills up and fails on demand.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A folder with flat names. A file that was created, renamed or removed is so after a crash only once
-/// [`Disk::sync_folder`] has succeeded.
+/// A folder with flat names. A file that was created, renamed or removed is so after a crash only
+/// once [`Disk::sync_folder`] has succeeded.
 pub trait Disk {
     /// An open file.
     type File: File;
@@ -105,8 +105,8 @@
     ///
     /// # Errors
     ///
-    /// An error of the system: then any page written since the last sync may never become durable, even if a later
-    /// sync succeeds.
+    /// An error of the system: then any page written since the last sync may never become durable,
+    /// even if a later sync succeeds.
     fn sync(&self) -> io::Result<()>;
 }
 
@@ -180,7 +180,8 @@
         self
     }
 
-    /// Makes the disk full while this file holds the word `full`, and fail every sync while it holds `sync`, for tests.
+    /// Makes the disk full while this file holds the word `full`, and fail every sync while it
+    /// holds `sync`, for tests.
     #[must_use]
     pub fn with_fault_file(mut self, file: &Path) -> Self {
         self.faults.fault_file = Some(file.into());
--- a/crates/store/src/engine/compaction.rs
+++ b/crates/store/src/engine/compaction.rs
@@ -1,4 +1,5 @@
-//! Compaction: live records of the oldest segment are copied to the active one, step by step, and then it is removed.
+//! Compaction: live records of the oldest segment are copied to the active one, step by step, and
+//! then it is removed.
 
 use super::Engine;
 use super::segment::{ChangePosition, find_frame};
@@ -9,7 +10,8 @@
 
 /// Bytes of a segment that one step of cleaning reads, at most: appends wait for a step.
 const MAX_STEP_BYTES: usize = 256 << 10;
-/// Segments that are left alone beside those that the size of the store accounts for, however small they are.
+/// Segments that are left alone beside those that the size of the store accounts for, however small
+/// they are.
 const SPARE_SEGMENTS: u64 = 16;
 
 /// When a segment is cleaned.
@@ -40,8 +42,9 @@
                 .is_some()
     }
 
-    /// Does a bounded step of cleaning: copies what is live in the oldest segment to the active one or, once that is
-    /// durable, removes the segment. Copies become durable with the next [`Engine::commit`].
+    /// Does a bounded step of cleaning: copies what is live in the oldest segment to the active one
+    /// or, once that is durable, removes the segment. Copies become durable with the next
+    /// [`Engine::commit`].
     ///
     /// # Errors
     ///
@@ -142,9 +145,9 @@
         Ok(())
     }
 
-    /// Returns the sequence number that has to be durable before the segment may go. For the oldest one it is that of a
-    /// frame which says that the segment no longer counts: a start must be able to tell a file that was removed from
-    /// one that is missing.
+    /// Returns the sequence number that has to be durable before the segment may go. For the oldest
+    /// one it is that of a frame which says that the segment no longer counts: a start must be able
+    /// to tell a file that was removed from one that is missing.
     fn mark_copied(&mut self, number: u64, is_oldest: bool) -> u64 {
         if is_oldest {
             self.buffer_frame(&[Change::OldestSegment {
@@ -197,8 +200,8 @@
             return Ok(());
         };
         if !is_oldest {
-            // It keeps its place, or the segments around it would seem to miss it. All that was live in it is elsewhere,
-            // so that it goes without more work once it is the oldest.
+            // It keeps its place, or the segments around it would seem to miss it. All that was
+            // live in it is elsewhere, so that it goes without more work once it is the oldest.
             segment.distrusted = false;
             return Ok(());
         }
--- a/crates/store/src/engine/mod.rs
+++ b/crates/store/src/engine/mod.rs
@@ -1,13 +1,14 @@
-//! The engine: the store of one thread. It appends, commits, reads, cleans and recovers, and reaches files only through
-//! [`Disk`]. Nothing here waits for anything but the disk.
+//! The engine: the store of one thread. It appends, commits, reads, cleans and recovers, and
+//! reaches files only through [`Disk`]. Nothing here waits for anything but the disk.
 //!
 //! # Crash model
 //!
-//! A frame is acknowledged when [`Engine::commit`] has returned without error after it was appended. Segments are
-//! written in order and synced before the next one begins; an acknowledged frame thus has only acknowledged frames
-//! before it. After a crash any part of what was not synced may be there, in any order. Recovery tells the torn end of
-//! the last segment, of which nothing was acknowledged, from damage inside what was: an intact frame behind the hole that
-//! was made when the missing ones were durable already.
+//! A frame is acknowledged when [`Engine::commit`] has returned without error after it was
+//! appended. Segments are written in order and synced before the next one begins; an acknowledged
+//! frame thus has only acknowledged frames before it. After a crash any part of what was not synced
+//! may be there, in any order. Recovery tells the torn end of the last segment, of which nothing
+//! was acknowledged, from damage inside what was: an intact frame behind the hole that was made
+//! when the missing ones were durable already.
 
 mod compaction;
 mod read;
@@ -58,14 +59,15 @@
 }
 
 impl<D: Disk> Engine<D> {
-    /// Opens the store in these folders, which hold the same files, and creates it if it isn't there. `holder` names this
-    /// process to others that find the folder locked, `new_store_id` is the number of a store that is created, and
-    /// `now_ms` is the time in milliseconds of Unix time.
+    /// Opens the store in these folders, which hold the same files, and creates it if it isn't
+    /// there. `holder` names this process to others that find the folder locked, `new_store_id` is
+    /// the number of a store that is created, and `now_ms` is the time in milliseconds of Unix
+    /// time.
     ///
     /// # Errors
     ///
-    /// If a folder is locked or can't be read or written, or holds files of another format or store. Nothing is written
-    /// in that case.
+    /// If a folder is locked or can't be read or written, or holds files of another format or
+    /// store. Nothing is written in that case.
     pub fn open(
         disks: Vec<D>,
         options: Options,
@@ -141,8 +143,8 @@
         }
     }
 
-    /// What a change at this position makes of its key. `overhead_bytes` are accounted to it beside its own bytes. A put
-    /// that has expired counts as a delete.
+    /// What a change at this position makes of its key. `overhead_bytes` are accounted to it beside
+    /// its own bytes. A put that has expired counts as a delete.
     fn index_update(
         &self,
         position: ChangePosition,
--- a/crates/store/src/engine/read.rs
+++ b/crates/store/src/engine/read.rs
@@ -39,7 +39,8 @@
             return Err(read.error);
         };
         for copy in read.bad_copies {
-            // The value has been read from another copy; a repair that fails is tried again with the next read.
+            // The value has been read from another copy; a repair that fails is tried again with
+            // the next read.
             let _ = self.rewrite_frame(number, copy, offset, &frame);
         }
         let content = &frame[FRAME_HEADER_BYTES + location.change as usize..];
--- a/crates/store/src/engine/recovery.rs
+++ b/crates/store/src/engine/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery: reads all segments at the start, rebuilds the index, repairs copies, and reports what is lost.
+//! Recovery: reads all segments at the start, rebuilds the index, repairs copies, and reports what
+//! is lost.
 
 use super::segment::{
     Segment, file_name, frames, is_temporary_name, read_file, replace_file, segment_number,
@@ -38,7 +39,8 @@
         self.images.iter().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// Bytes behind `intact_end` up to the last that is not zero, of the copy that has most of them.
+    /// Bytes behind `intact_end` up to the last that is not zero, of the copy that has most of
+    /// them.
     fn torn_bytes(&self, intact_end: usize) -> u64 {
         let tails = self
             .images
@@ -50,7 +52,8 @@
 }
 
 impl<D: Disk> Engine<D> {
-    /// Reads what the folders hold. Nothing is written before all headers are known to be of this format and store.
+    /// Reads what the folders hold. Nothing is written before all headers are known to be of this
+    /// format and store.
     pub(super) fn recover(&mut self) -> Result<Recovery, OpenError> {
         let mut report = Recovery::default();
         let listing = self.list_files()?;
@@ -128,8 +131,8 @@
         Ok(headers)
     }
 
-    /// Recovers one segment: its frames in their order, from whichever copy holds them intact. `next_header` is the header
-    /// of the segment behind it.
+    /// Recovers one segment: its frames in their order, from whichever copy holds them intact.
+    /// `next_header` is the header of the segment behind it.
     fn recover_segment(
         &mut self,
         number: u64,
@@ -138,7 +141,8 @@
     ) -> Result<(), OpenError> {
         let copies = self.read_copies(number)?;
         if let Some(header) = copies.header {
-            // Frames that the segments before should have held; the very first ones may have been cleaned away.
+            // Frames that the segments before should have held; the very first ones may have been
+            // cleaned away.
             if header.first_seq > self.last_seq + 1 && !self.segments.is_empty() {
                 report.lost.push(LostFrames {
                     segment: number - 1,
@@ -225,9 +229,10 @@
         Ok(())
     }
 
-    /// Returns the bytes of a segment up to the end of its last frame that counts, each frame from a copy that has it
-    /// intact. Where a frame is damaged in all copies, those behind it still count if they are known to have been
-    /// durable: if the next segment says so, or a frame behind them does.
+    /// Returns the bytes of a segment up to the end of its last frame that counts, each frame from
+    /// a copy that has it intact. Where a frame is damaged in all copies, those behind it still
+    /// count if they are known to have been durable: if the next segment says so, or a frame behind
+    /// them does.
     fn assemble_segment(
         &self,
         number: u64,
--- a/crates/store/src/engine/segment.rs
+++ b/crates/store/src/engine/segment.rs
@@ -4,7 +4,8 @@
 use crate::frame::{self, Change, Frame, HEADER_BYTES};
 use std::io;
 
-/// The block in which a file is read where reading it whole fails, in bytes: the usual size of a page.
+/// The block in which a file is read where reading it whole fails, in bytes: the usual size of a
+/// page.
 const RETRY_BLOCK_BYTES: usize = 4096;
 
 /// A segment as the engine knows it.
--- a/crates/store/src/engine/types.rs
+++ b/crates/store/src/engine/types.rs
@@ -11,7 +11,8 @@
     pub segment_bytes: u64,
     /// Limit on the bytes of all files, one copy; 0 for none. Puts beyond it are rejected.
     pub max_bytes: u64,
-    /// Space amplification from which on the oldest segments are cleaned: bytes of files over live bytes.
+    /// Space amplification from which on the oldest segments are cleaned: bytes of files over live
+    /// bytes.
     pub max_space_ratio: f64,
 }
 
--- a/crates/store/src/engine/write.rs
+++ b/crates/store/src/engine/write.rs
@@ -1,4 +1,5 @@
-//! The write path: batches are buffered as frames, and a commit writes and syncs them in the active segment.
+//! The write path: batches are buffered as frames, and a commit writes and syncs them in the active
+//! segment.
 
 use super::segment::{ChangePosition, Segment, file_name, remove_if_exists};
 use super::{Engine, FRAME_OVERHEAD_BYTES, Rejected};
@@ -6,8 +7,8 @@
 use crate::frame::{self, Change, FRAME_HEADER_BYTES, HEADER_BYTES, Header};
 use std::io;
 
-/// Zeros are written ahead of the frames, so that not every sync has to make a new file size durable too: this many
-/// times the bytes of a commit, within the bounds below.
+/// Zeros are written ahead of the frames, so that not every sync has to make a new file size
+/// durable too: this many times the bytes of a commit, within the bounds below.
 const WRITE_AHEAD_FACTOR: u64 = 2;
 /// Fewest zeros that are written ahead, in bytes.
 const MIN_WRITE_AHEAD_BYTES: u64 = 32 << 10;
@@ -21,8 +22,8 @@
 }
 
 impl<D: Disk> Engine<D> {
-    /// Buffers a batch, which counts as a whole or not at all, and returns the sequence number of its frame. It is
-    /// acknowledged with the next [`Engine::commit`] that succeeds.
+    /// Buffers a batch, which counts as a whole or not at all, and returns the sequence number of
+    /// its frame. It is acknowledged with the next [`Engine::commit`] that succeeds.
     ///
     /// # Errors
     ///
@@ -47,7 +48,8 @@
         Ok(self.buffer_frame(batch))
     }
 
-    /// The bytes of files up to which puts are accepted: room is left to clean a segment. 0 for no limit.
+    /// The bytes of files up to which puts are accepted: room is left to clean a segment. 0 for no
+    /// limit.
     fn append_limit(&self) -> u64 {
         self.options
             .max_bytes
@@ -55,8 +57,9 @@
             .max(self.options.max_bytes / 2)
     }
 
-    /// Adds a frame to the buffer and returns its sequence number. Segment and offset are known only when the buffer is
-    /// written: until then the updates of the index stand for a segment that begins with the buffer.
+    /// Adds a frame to the buffer and returns its sequence number. Segment and offset are known
+    /// only when the buffer is written: until then the updates of the index stand for a segment
+    /// that begins with the buffer.
     pub(super) fn buffer_frame(&mut self, batch: &[Change<'_>]) -> u64 {
         self.last_seq += 1;
         let mut position = ChangePosition {
@@ -84,8 +87,8 @@
         self.last_seq
     }
 
-    /// Makes all that was appended durable, and returns the last durable sequence number. If the active segment can't be
-    /// written, all is written to a new one.
+    /// Makes all that was appended durable, and returns the last durable sequence number. If the
+    /// active segment can't be written, all is written to a new one.
     ///
     /// # Errors
     ///
@@ -113,8 +116,8 @@
         }
     }
 
-    /// Writes the buffer to the active segment. `None` if there is none, if it is full, or if it can't be written; it is
-    /// not active any more then.
+    /// Writes the buffer to the active segment. `None` if there is none, if it is full, or if it
+    /// can't be written; it is not active any more then.
     fn write_to_active(&mut self) -> Option<CommitPosition> {
         let active = self.active?;
         let is_full = self
@@ -234,7 +237,8 @@
         let mut files = Vec::new();
         self.folder_changed = true;
         for disk in &self.disks {
-            // A failed start of a segment may have left a file of this name; nothing in it was ever acknowledged.
+            // A failed start of a segment may have left a file of this name; nothing in it was ever
+            // acknowledged.
             remove_if_exists(disk, &name)?;
             let file = disk.create(&name)?;
             file.write_at(0, &header.encode())?;
@@ -247,8 +251,9 @@
         Ok(number)
     }
 
-    /// Gives up the active segment after a write or sync of it failed. Nothing that was acknowledged is lost with it,
-    /// but its pages are not trusted: what is live in it is written anew once the disk takes writes again.
+    /// Gives up the active segment after a write or sync of it failed. Nothing that was
+    /// acknowledged is lost with it, but its pages are not trusted: what is live in it is written
+    /// anew once the disk takes writes again.
     fn abandon(&mut self, number: u64) {
         self.active = None;
         let Some(segment) = self.segments.get_mut(&number) else {
@@ -265,7 +270,8 @@
         }
         segment.distrusted = true;
         for file in segment.open_files() {
-            // If the disk still does that, what was not acknowledged is not found again after a crash either.
+            // If the disk still does that, what was not acknowledged is not found again after a
+            // crash either.
             let _ = file.truncate(segment.size);
         }
     }
@@ -298,7 +304,8 @@
         Ok(())
     }
 
-    /// Removes the files of a segment durably: an older delete may be dropped only when what it deletes is gone for sure.
+    /// Removes the files of a segment durably: an older delete may be dropped only when what it
+    /// deletes is gone for sure.
     pub(super) fn remove_files(&self, number: u64) -> io::Result<()> {
         for disk in &self.disks {
             remove_if_exists(disk, &file_name(number))?;
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -14,7 +14,8 @@
 //! | 48 | 8 | the first sequence number that this segment may hold |
 //! | 56 | 8 | 0 |
 //!
-//! A frame is a batch of changes that take effect together or not at all, behind [`FRAME_HEADER_BYTES`] bytes:
+//! A frame is a batch of changes that take effect together or not at all, behind
+//! [`FRAME_HEADER_BYTES`] bytes:
 //!
 //! | at | size | what |
 //! | --- | --- | --- |
@@ -26,9 +27,9 @@
 //! | 21 | 1 | version of the kind: 1 |
 //! | 22 | 2 | 0 |
 //!
-//! A change is a put: `1`, length of the key (2), length of the value (4), expiry (8, milliseconds of Unix time, 0 for
-//! never), key, value; or a delete: `2`, length of the key (2), key; or a mark of the oldest segment: `3`, the oldest
-//! segment that counts from here on (8).
+//! A change is a put: `1`, length of the key (2), length of the value (4), expiry (8, milliseconds
+//! of Unix time, 0 for never), key, value; or a delete: `2`, length of the key (2), key; or a mark
+//! of the oldest segment: `3`, the oldest segment that counts from here on (8).
 
 /// Size of a file's header, in bytes.
 pub const HEADER_BYTES: usize = 64;
@@ -211,7 +212,8 @@
         }
     }
 
-    /// Decodes the change at the start of the bytes, and returns it with its size. `None` if there is none.
+    /// Decodes the change at the start of the bytes, and returns it with its size. `None` if there
+    /// is none.
     pub fn decode(bytes: &'a [u8]) -> Option<(Self, usize)> {
         let change = match *bytes.first()? {
             PUT_TAG => Self::decode_put(bytes)?,
@@ -329,7 +331,8 @@
     frame[4..8].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Gives the frames of a buffer, which were encoded for another segment, the checksums for this one.
+/// Gives the frames of a buffer, which were encoded for another segment, the checksums for this
+/// one.
 pub fn readdress(segment: u64, frames: &mut [u8]) {
     let mut offset = 0;
     while offset + FRAME_HEADER_BYTES <= frames.len() {
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -75,8 +75,8 @@
         self.locations.iter().map(|(key, at)| (&**key, *at))
     }
 
-    /// Memory that the index takes beside the keys themselves, in bytes: its table at its present size, and what an
-    /// allocator adds to each key.
+    /// Memory that the index takes beside the keys themselves, in bytes: its table at its present
+    /// size, and what an allocator adds to each key.
     pub fn overhead_bytes(&self) -> usize {
         self.locations.allocation_size() + self.locations.len() * ALLOCATION_OVERHEAD_BYTES
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,10 @@
 //! A small embedded store of records with keys.
 //!
-//! An append-only log in segments, each frame of it with a checksum; an index in memory; cleaning that copies live
-//! records to the end of the log and then removes the oldest segment; an optional mirror of every file. [`Engine`] does
-//! all of it in one thread, through the [`Disk`] trait; [`Store`] puts it on a thread of its own behind queues, for
-//! an event loop that must not wait for the disk.
-#![forbid(unsafe_code)]
+//! An append-only log in segments, each frame of it with a checksum; an index in memory; cleaning
+//! that copies live records to the end of the log and then removes the oldest segment; an optional
+//! mirror of every file. [`Engine`] does all of it in one thread, through the [`Disk`] trait;
+//! [`Store`] puts it on a thread of its own behind queues, for an event loop that must not wait for
+//! the disk.
 
 pub mod batch;
 pub mod disk;
