--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,5 +1,5 @@
-//! A simulated disk in memory that crashes, fills up and fails on demand. What is not synced is lost, kept or
-//! reordered at a crash, at random by a seed.
+//! A simulated disk in memory that crashes, fills up and fails on demand. What is not synced is
+//! lost, kept or reordered at a crash, at random by a seed.
 
 use crate::disk::{Disk, File};
 use std::collections::BTreeMap;
@@ -9,11 +9,12 @@
 /// Bytes that a disk writes as one: after a crash each sector is there or not.
 const SECTOR_BYTES: usize = 512;
 
-/// The faults of a disk. Operations are those that change something: writes, syncs, truncations, and changes of
-/// names; they are counted from 0.
+/// The faults of a disk. Operations are those that change something: writes, syncs, truncations,
+/// and changes of names; they are counted from 0.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// The operation at which the machine crashes: from then on everything fails. Of a write, a part is done first.
+    /// The operation at which the machine crashes: from then on everything fails. Of a write, a
+    /// part is done first.
     pub crash_at: Option<u64>,
     /// Bytes that fit on the disk; `None` for no limit.
     pub capacity: Option<u64>,
@@ -94,7 +95,8 @@
         if self.crashed { Err(crashed()) } else { Ok(()) }
     }
 
-    /// Counts an operation, and fails after a crash. Returns whether the machine crashes at this operation.
+    /// Counts an operation, and fails after a crash. Returns whether the machine crashes at this
+    /// operation.
     fn count_operation(&mut self) -> io::Result<bool> {
         self.check_not_crashed()?;
         let crashes_now = self.faults.crash_at.is_some_and(|at| self.operations >= at);
@@ -111,7 +113,8 @@
         Ok(())
     }
 
-    /// The content of a file after a crash: what is durable, and a random part of the pending changes.
+    /// The content of a file after a crash: what is durable, and a random part of the pending
+    /// changes.
     fn content_after_crash(&mut self, node: &Node) -> Vec<u8> {
         let mut content = node.durable.clone();
         for change in &node.pending {
@@ -211,7 +214,8 @@
         self.state().syncs
     }
 
-    /// Returns the disk after a crash and a restart: without faults, with what was durable and some of the rest.
+    /// Returns the disk after a crash and a restart: without faults, with what was durable and some
+    /// of the rest.
     #[must_use]
     pub fn after_crash(&self) -> Self {
         let mut state = self.state();
@@ -449,7 +453,8 @@
         let node = &mut state.nodes[self.node];
         node.pending.clear();
         if fails {
-            // As on Linux: the pages count as clean now though they were never written, and a reader still sees them.
+            // As on Linux: the pages count as clean now though they were never written, and a
+            // reader still sees them.
             return Err(io::Error::other("EIO"));
         }
         node.durable = node.live.clone();
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,5 +1,5 @@
-//! The engine behind queues: one thread waits for the disk, so that nobody else does. All requests that have queued up
-//! while one sync ran are made durable by the next: group commit.
+//! The engine behind queues: one thread waits for the disk, so that nobody else does. All requests
+//! that have queued up while one sync ran are made durable by the next: group commit.
 
 use crate::batch::Batch;
 use crate::disk::Disk;
@@ -282,8 +282,9 @@
         group
     }
 
-    /// The next request of a group of `size` appends so far. Whoever was notified of the last group's commit is about to
-    /// append again: a sync for the first of them alone would make all others wait for the one after it.
+    /// The next request of a group of `size` appends so far. Whoever was notified of the last
+    /// group's commit is about to append again: a sync for the first of them alone would make all
+    /// others wait for the one after it.
     fn next_of_group(&self, size: usize, began: Instant) -> Option<Request> {
         if let Ok(request) = self.requests.try_recv() {
             return Some(request);
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -1,5 +1,5 @@
-//! The engine on a simulated disk: cuts at every byte, crashes after every operation, compared with a model of what was
-//! acknowledged.
+//! The engine on a simulated disk: cuts at every byte, crashes after every operation, compared with
+//! a model of what was acknowledged.
 
 use postproxy_store::sim::{Faults, SimDisk};
 use postproxy_store::{Change, Disk, Engine, OpenError, Options, Recovery, Rejected};
@@ -70,7 +70,8 @@
     acknowledged: usize,
 }
 
-/// Runs puts, overwrites and deletes with cleaning in between, until all batches are done or the disk fails.
+/// Runs puts, overwrites and deletes with cleaning in between, until all batches are done or the
+/// disk fails.
 fn run(engine: &mut Engine<SimDisk>, start: Records, seed: u64, batches: usize) -> Run {
     let mut random = Random(seed);
     let mut run = Run {
@@ -163,7 +164,8 @@
     }
 }
 
-/// Fills a store with jobs that are started and completed: one value first, another in its place later.
+/// Fills a store with jobs that are started and completed: one value first, another in its place
+/// later.
 fn jobs(disks: &[SimDisk], count: usize) -> Records {
     let (mut engine, _) = open_store(disks);
     for step in 0..2 * count {
@@ -181,8 +183,9 @@
     read_all(&mut engine)
 }
 
-/// Guards against a start that fails, or invents records, after any file was cut at any byte (also inside a length field), emptied,
-/// removed or overwritten; and against a loss of more than the records behind the cut, or one that is not reported.
+/// Guards against a start that fails, or invents records, after any file was cut at any byte (also
+/// inside a length field), emptied, removed or overwritten; and against a loss of more than the
+/// records behind the cut, or one that is not reported.
 #[test]
 fn file_cut_at_any_byte_loses_only_records_behind_the_cut() {
     let disk = SimDisk::new(Faults::default(), 3);
@@ -217,8 +220,8 @@
     assert!(cuts > 4000, "{cuts} cuts");
 }
 
-/// Guards against any loss where every file has a copy, whichever single file is cut, emptied, removed or overwritten; and against a
-/// copy that is not repaired.
+/// Guards against any loss where every file has a copy, whichever single file is cut, emptied,
+/// removed or overwritten; and against a copy that is not repaired.
 #[test]
 fn mirror_survives_damage_of_any_single_file() {
     let left = SimDisk::new(Faults::default(), 3);
@@ -264,7 +267,8 @@
     }
 }
 
-/// Guards against a record lost by a flipped bit outside its frame, and against one that is read though it was changed.
+/// Guards against a record lost by a flipped bit outside its frame, and against one that is read
+/// though it was changed.
 #[test]
 fn flipped_bit_costs_at_most_one_frame() {
     let disk = SimDisk::new(Faults::default(), 3);
@@ -290,8 +294,8 @@
     }
 }
 
-/// Guards against a torn write whose later part alone reached the disk: the sound records behind the hole were never acknowledged and
-/// do not come back, not even at the start after the next.
+/// Guards against a torn write whose later part alone reached the disk: the sound records behind
+/// the hole were never acknowledged and do not come back, not even at the start after the next.
 #[test]
 fn records_behind_a_torn_write_do_not_come_back() {
     let disk = SimDisk::new(Faults::default(), 3);
@@ -321,7 +325,8 @@
     }
 }
 
-/// Crashes after each operation of a run in turn, then during the recovery, and goes on from there with another run.
+/// Crashes after each operation of a run in turn, then during the recovery, and goes on from there
+/// with another run.
 fn crash_everywhere(copies: usize, seed: u64) {
     let fresh = |faults: &Faults| -> Vec<SimDisk> {
         (0..copies as u64)
@@ -370,8 +375,9 @@
     }
 }
 
-/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of cleaning) that loses what was
-/// acknowledged, brings back what was deleted, or counts half a batch.
+/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of
+/// cleaning) that loses what was acknowledged, brings back what was deleted, or counts half a
+/// batch.
 #[test]
 fn acknowledged_records_survive_a_crash_at_any_operation() {
     for seed in [11, 12] {
@@ -385,8 +391,8 @@
     crash_everywhere(2, 13);
 }
 
-/// Guards against a failed sync of a file or of the folder that counts as successful later: all that is acknowledged after it, and all
-/// that was before it, is there after a crash.
+/// Guards against a failed sync of a file or of the folder that counts as successful later: all
+/// that is acknowledged after it, and all that was before it, is there after a crash.
 #[test]
 fn failed_sync_is_never_trusted() {
     for failing in 0..40u64 {
@@ -429,7 +435,8 @@
     }
 }
 
-/// Guards against a full disk that costs more than the records which did not fit, of which a part was written.
+/// Guards against a full disk that costs more than the records which did not fit, of which a part
+/// was written.
 #[test]
 fn full_disk_rejects_commits_until_it_has_room() {
     let disk = SimDisk::new(
@@ -469,7 +476,8 @@
     assert_eq!(recovery.lost, []);
 }
 
-/// Guards against files that grow without end under steady overwriting, and against a limit that is exceeded.
+/// Guards against files that grow without end under steady overwriting, and against a limit that is
+/// exceeded.
 #[test]
 fn overwriting_uses_bounded_space() {
     let disk = SimDisk::new(Faults::default(), 1);
@@ -533,8 +541,8 @@
     matches!(open(std::slice::from_ref(disk)), Err(OpenError::Io(..)))
 }
 
-/// Guards against an expired record that stays for ever, comes back, or is removed early because the clock was set back between two
-/// starts.
+/// Guards against an expired record that stays for ever, comes back, or is removed early because
+/// the clock was set back between two starts.
 #[test]
 fn expired_records_are_removed() {
     let disk = SimDisk::new(Faults::default(), 1);
--- a/crates/store/tests/frame.rs
+++ b/crates/store/tests/frame.rs
@@ -14,7 +14,8 @@
     out
 }
 
-/// Guards against a header that is accepted though a bit of it is wrong, or a version that is passed over.
+/// Guards against a header that is accepted though a bit of it is wrong, or a version that is
+/// passed over.
 #[test]
 fn header_with_a_flipped_bit_or_a_cut_is_rejected() {
     let header = Header {
@@ -45,7 +46,8 @@
     assert_eq!(Header::decode(&newer), Err(HeaderError::Version(2)));
 }
 
-/// Guards against a frame that is accepted though it is cut, changed in any bit, or of another segment.
+/// Guards against a frame that is accepted though it is cut, changed in any bit, or of another
+/// segment.
 #[test]
 fn frame_with_a_flipped_bit_or_a_cut_is_rejected() {
     let batch = [
--- a/crates/store/tests/surface_bytes.rs
+++ b/crates/store/tests/surface_bytes.rs
@@ -1,6 +1,7 @@
-//! Pins the files of the store: their names, the segment header, frames and changes, as bytes written by the engine to a
-//! simulated disk and read back from literal bytes. A data directory of an older version of the program must be readable.
-//! The literals were written by the version before the renames.
+//! Pins the files of the store: their names, the segment header, frames and changes, as bytes
+//! written by the engine to a simulated disk and read back from literal bytes. A data directory of
+//! an older version of the program must be readable. The literals were written by the version
+//! before the renames.
 
 use postproxy_store::frame::{self, Frame, Header, HeaderError};
 use postproxy_store::sim::{Faults, SimDisk};
--- a/crates/store/tests/surface_errors.rs
+++ b/crates/store/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the messages with which the program says that a store can't be opened. They must not change with a name in the
-//! code.
+//! Pins the messages with which the program says that a store can't be opened. They must not change
+//! with a name in the code.
 
 use postproxy_store::OpenError;
 use std::io;
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,5 @@
-//! The store behind its queues: order of acknowledgements, failures and recovery, a disk that hangs.
+//! The store behind its queues: order of acknowledgements, failures and recovery, a disk that
+//! hangs.
 
 use postproxy_store::sim::{Faults, SimDisk, SimFile, SimLock};
 use postproxy_store::{Batch, Disk, Engine, Event, File, Options, QueueFull, Store, WriterOptions};
@@ -126,8 +127,8 @@
     Batch::new().put(&n.to_be_bytes(), &[1; 100], 0)
 }
 
-/// Guards against an acknowledgement that comes before its sync, out of order, or never; against an append that waits for a disk which
-/// hangs, and a queue without a bound.
+/// Guards against an acknowledgement that comes before its sync, out of order, or never; against an
+/// append that waits for a disk which hangs, and a queue without a bound.
 #[test]
 fn hanging_disk_does_not_block_appends() {
     let disk = disk(Faults::default());
@@ -167,8 +168,8 @@
     assert_eq!(store.queued_bytes(), 0);
 }
 
-/// Guards against a full disk that is reported as anything but rejections, against no report when it has room again, and against a stop
-/// that loses what was accepted.
+/// Guards against a full disk that is reported as anything but rejections, against no report when
+/// it has room again, and against a stop that loses what was accepted.
 #[test]
 fn failing_disk_rejects_appends_until_it_recovers() {
     let disk = disk(Faults {
--- a/crates/streams/src/codec.rs
+++ b/crates/streams/src/codec.rs
@@ -1,4 +1,5 @@
-//! The bytes on a connection: a preamble with the version, then frames of a length, a checksum and a packet.
+//! The bytes on a connection: a preamble with the version, then frames of a length, a checksum and
+//! a packet.
 
 use crate::error::ConnectionError;
 use serde::{Deserialize, Serialize};
@@ -82,8 +83,8 @@
     [&PREAMBLE[..], &encode_frame(packet)].concat()
 }
 
-/// Decodes packets from bytes that come in pieces of any size. It allocates for bytes that have come, never for those
-/// that a length claims.
+/// Decodes packets from bytes that come in pieces of any size. It allocates for bytes that have
+/// come, never for those that a length claims.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     preamble_read: bool,
@@ -144,7 +145,8 @@
         Ok(Some(packet))
     }
 
-    /// Reads the preamble. Returns whether it is complete. A wrong one is rejected at its first wrong byte.
+    /// Reads the preamble. Returns whether it is complete. A wrong one is rejected at its first
+    /// wrong byte.
     fn read_preamble(&mut self) -> Result<bool, ConnectionError> {
         let rest = &self.bytes[self.consumed..];
         let available = rest.len().min(PREAMBLE.len());
--- a/crates/streams/src/error.rs
+++ b/crates/streams/src/error.rs
@@ -22,7 +22,8 @@
 }
 
 impl ConnectionError {
-    /// Returns the text by which logs and the management API name the error. Programs compare it: it must not change.
+    /// Returns the text by which logs and the management API name the error. Programs compare it:
+    /// it must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Foreign => "stream: foreign",
--- a/crates/streams/src/incoming.rs
+++ b/crates/streams/src/incoming.rs
@@ -1,4 +1,5 @@
-//! Connections that other nodes have made: messages are received in order, each once, and acknowledged.
+//! Connections that other nodes have made: messages are received in order, each once, and
+//! acknowledged.
 
 use crate::codec::{FrameReader, Packet, encode_frame, encode_opening};
 use crate::error::ConnectionError;
@@ -12,14 +13,16 @@
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
 /// Time until a connection is made and the greeting exchanged, in seconds.
 pub(crate) const GREETING_TIMEOUT_SECONDS: f64 = 1.0;
-/// Time without an acknowledgement, or without the rest of a packet, after which a connection is stalled, in seconds.
+/// Time without an acknowledgement, or without the rest of a packet, after which a connection is
+/// stalled, in seconds.
 const STALL_TIMEOUT_SECONDS: f64 = 2.0;
 /// Slowest link that isn't taken for a stalled one, in bytes per second.
 const MIN_BYTES_PER_SECOND: f64 = (64 << 10) as f64;
-/// Time without a message after which the connecting side closes a connection, in seconds. The other side waits twice
-/// as long, so that it doesn't close a connection that is about to be used.
+/// Time without a message after which the connecting side closes a connection, in seconds. The
+/// other side waits twice as long, so that it doesn't close a connection that is about to be used.
 pub(crate) const IDLE_TIMEOUT_SECONDS: f64 = 30.0;
-/// Sessions of which it is remembered what has been received, at most. The least recently used one is forgotten first.
+/// Sessions of which it is remembered what has been received, at most. The least recently used one
+/// is forgotten first.
 const MAX_REMEMBERED_SESSIONS: usize = 4096;
 
 /// Returns the time in which these bytes must make progress, in seconds.
@@ -56,7 +59,8 @@
 }
 
 impl ReceivedSessions {
-    /// Opens or continues a session. Returns the sequence number of the last message received in it.
+    /// Opens or continues a session. Returns the sequence number of the last message received in
+    /// it.
     fn open(&mut self, sender: &Sender) -> Result<u64, ConnectionError> {
         self.greetings += 1;
         let received = self
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Updates since when a packet is incomplete, after received bytes gave `packets` packets. A sender that adds a
-    /// byte to a packet now and then makes no progress.
+    /// Updates since when a packet is incomplete, after received bytes gave `packets` packets. A
+    /// sender that adds a byte to a packet now and then makes no progress.
     fn update_incomplete_since(&mut self, now: f64, packets: usize) {
         if self.sender.is_none() {
             return;
@@ -148,7 +152,8 @@
 }
 
 impl Streams {
-    /// Handles that another node has connected. If there are too many connections another one is closed.
+    /// Handles that another node has connected. If there are too many connections another one is
+    /// closed.
     pub fn handle_accepted(&mut self, now: f64, connection: usize, out: &mut Vec<Effect>) {
         if self.incoming.len() >= MAX_INCOMING_CONNECTIONS
             && let Some(least_useful) = self.least_useful_incoming()
@@ -159,7 +164,8 @@
             .insert(connection, IncomingConnection::new(now));
     }
 
-    /// Returns a connection that hasn't greeted, or else the one that has been silent for the longest.
+    /// Returns a connection that hasn't greeted, or else the one that has been silent for the
+    /// longest.
     fn least_useful_incoming(&self) -> Option<usize> {
         let rank = |connection: &IncomingConnection| {
             let has_greeted = connection.sender.is_some();
@@ -263,7 +269,8 @@
         Ok(from)
     }
 
-    /// Delivers a message unless it was received before. Returns the sequence number to acknowledge.
+    /// Delivers a message unless it was received before. Returns the sequence number to
+    /// acknowledge.
     fn handle_data(
         &mut self,
         sender: Sender,
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -1,15 +1,15 @@
-//! Reliable ordered messages between nodes. A node connects to each node that it has messages for; the other one
-//! acknowledges on the same connection, and sends its own messages on a connection that it makes itself.
+//! Reliable ordered messages between nodes. A node connects to each node that it has messages for;
+//! the other one acknowledges on the same connection, and sends its own messages on a connection
+//! that it makes itself.
 //!
-//! Guaranteed between two processes and within one session: each message is delivered at most once and in order, and it
-//! is delivered if connections can be made again and again until it is. A session ends, and with it what is queued, when
-//! either process ends or the owner gives the other node up; the owner is notified and sends again what still matters.
-//! Not guaranteed: who the other side is. Nothing here signs or encrypts.
+//! Guaranteed between two processes and within one session: each message is delivered at most once
+//! and in order, and it is delivered if connections can be made again and again until it is. A
+//! session ends, and with it what is queued, when either process ends or the owner gives the other
+//! node up; the owner is notified and sends again what still matters. Not guaranteed: who the other
+//! side is. Nothing here signs or encrypts.
 //!
-//! [`Streams`] has no socket and no clock: it is notified of what happens on connections, and returns what to do.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! [`Streams`] has no socket and no clock: it is notified of what happens on connections, and
+//! returns what to do.
 
 mod codec;
 mod error;
--- a/crates/streams/src/outgoing.rs
+++ b/crates/streams/src/outgoing.rs
@@ -1,4 +1,5 @@
-//! Sessions with other nodes: messages are queued, sent on a connection to the node, and removed when acknowledged.
+//! Sessions with other nodes: messages are queued, sent on a connection to the node, and removed
+//! when acknowledged.
 
 use crate::codec::{FrameReader, MAX_MESSAGE_BYTES, Packet, encode_frame, encode_opening};
 use crate::error::ConnectionError;
@@ -13,7 +14,8 @@
 pub const MAX_QUEUED_BYTES: usize = 4 << 20;
 /// Messages queued for one node, at most.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
-/// Bytes that may be sent without an acknowledgement. The buffer of a connection holds no more than these and a message.
+/// Bytes that may be sent without an acknowledgement. The buffer of a connection holds no more than
+/// these and a message.
 const SEND_WINDOW_BYTES: usize = 256 << 10;
 /// First pause between two attempts to connect, in seconds. The pause doubles with each attempt.
 const MIN_RECONNECT_SECONDS: f64 = 0.05;
@@ -67,7 +69,8 @@
     sent: usize,
     /// Bytes of these.
     sent_bytes: usize,
-    /// Time since which there was no progress: the latest acknowledgement, or the first message sent after it.
+    /// Time since which there was no progress: the latest acknowledgement, or the first message
+    /// sent after it.
     last_progress: f64,
     /// Pause before the next attempt to connect, in seconds.
     reconnect_pause: f64,
@@ -138,7 +141,8 @@
         self.reader = FrameReader::default();
     }
 
-    /// Begins a new session, as the other node's process was restarted. What was queued for the earlier one is dropped.
+    /// Begins a new session, as the other node's process was restarted. What was queued for the
+    /// earlier one is dropped.
     fn restart(&mut self, now: f64, session: u64) {
         self.queue.clear();
         self.queued_bytes = 0;
@@ -294,7 +298,8 @@
         }
     }
 
-    /// Handles that a connection to a node is being made under this key, or that it couldn't be started.
+    /// Handles that a connection to a node is being made under this key, or that it couldn't be
+    /// started.
     pub fn handle_connecting(
         &mut self,
         now: f64,
@@ -405,7 +410,8 @@
         }
     }
 
-    /// Does what is due for a node: begins to connect, sends messages, or drops a connection that is stalled or idle.
+    /// Does what is due for a node: begins to connect, sends messages, or drops a connection that
+    /// is stalled or idle.
     fn advance_session(&mut self, now: f64, to: &str, out: &mut Vec<Effect>) {
         let connected = self
             .outgoing
--- a/crates/streams/src/streams.rs
+++ b/crates/streams/src/streams.rs
@@ -1,4 +1,5 @@
-//! All streams of a node: the interface for the owner of the sockets, and the dispatch to outgoing and incoming ones.
+//! All streams of a node: the interface for the owner of the sockets, and the dispatch to outgoing
+//! and incoming ones.
 
 use crate::error::ConnectionError;
 use crate::incoming::{IncomingConnection, ReceivedSessions};
@@ -9,7 +10,8 @@
 /// What the owner of the sockets has to do, or is notified of.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Connect to a node. [`Streams::handle_connecting`] and [`Streams::handle_connected`] are to be called for it.
+    /// Connect to a node. [`Streams::handle_connecting`] and [`Streams::handle_connected`] are to
+    /// be called for it.
     Connect {
         /// Name of the node.
         node: String,
--- a/crates/streams/tests/invalid_bytes.rs
+++ b/crates/streams/tests/invalid_bytes.rs
@@ -45,7 +45,8 @@
     frame
 }
 
-/// Returns names, bytes and the errors that they end their connections with. It is long as it is one table.
+/// Returns names, bytes and the errors that they end their connections with. It is long as it is
+/// one table.
 fn invalid_bytes() -> Vec<(&'static str, Vec<u8>, ConnectionError)> {
     let valid = greeting_of_n1(1);
     let after_greeting = |bytes: &[u8]| [&valid[..], bytes].concat();
--- a/crates/streams/tests/sessions.rs
+++ b/crates/streams/tests/sessions.rs
@@ -23,7 +23,8 @@
         std::mem::take(&mut out)
     };
     receive(1, &[greeting_of_n1(4), data(1, b"a")].concat());
-    // A newer session of the same process: its sequence numbers start again, and the older connection is closed.
+    // A newer session of the same process: its sequence numbers start again, and the older
+    // connection is closed.
     let out = receive(2, &[greeting_of_n1(5), data(1, b"b")].concat());
     assert!(out.contains(&Effect::Close { connection: 1 }));
     let out = receive(3, &[greeting_of_n1(4), data(2, b"c")].concat());
--- a/crates/streams/tests/simulation.rs
+++ b/crates/streams/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Streams between simulated nodes, over connections that break at any byte and with processes that are restarted. Time
-//! and all random numbers are simulated.
+//! Streams between simulated nodes, over connections that break at any byte and with processes that
+//! are restarted. Time and all random numbers are simulated.
 
 mod support;
 
@@ -13,7 +13,8 @@
 #[derive(Clone, Copy, PartialEq)]
 struct End {
     node: usize,
-    /// Key of the connection at this node; the accepting node has none until the connection is made.
+    /// Key of the connection at this node; the accepting node has none until the connection is
+    /// made.
     key: Option<usize>,
 }
 
@@ -257,8 +258,8 @@
 /// Messages sent, by sender, its process and receiver.
 type Sent = BTreeMap<(usize, u64, usize), Vec<u64>>;
 
-/// Checks what was delivered. `restarted` are the nodes of which a process was restarted: what was on its way to or from
-/// these may be lost, but not the last message.
+/// Checks what was delivered. `restarted` are the nodes of which a process was restarted: what was
+/// on its way to or from these may be lost, but not the last message.
 fn check_delivery(simulation: &Simulation, sent: &Sent, restarted: &[usize], seed: u64) {
     for (direction, numbers) in &simulation.delivered {
         assert!(
@@ -312,8 +313,8 @@
             }
             simulation.advance_time(0.01);
         }
-        // After the last fault each node sends each other one two last messages. The second must be delivered: the first
-        // may be dropped when the restart of a process is noticed.
+        // After the last fault each node sends each other one two last messages. The second must be
+        // delivered: the first may be dropped when the restart of a process is noticed.
         for round in 0..2 {
             for (from, to) in (0..9).map(|p| (p / 3, p % 3)).filter(|(a, b)| a != b) {
                 let number = 10_000 + round;
--- a/crates/streams/tests/surface_bytes.rs
+++ b/crates/streams/tests/surface_bytes.rs
@@ -1,5 +1,6 @@
-//! Pins the streams between nodes: the preamble, the frames, and every packet. Nodes of a fleet may run different versions,
-//! so these bytes must not change with a rename. The literals were written by the version before the renames.
+//! Pins the streams between nodes: the preamble, the frames, and every packet. Nodes of a fleet may
+//! run different versions, so these bytes must not change with a rename. The literals were written
+//! by the version before the renames.
 
 use postproxy_streams::{
     ConnectionError, Effect, FrameReader, MAX_MESSAGE_BYTES, PREAMBLE, Packet, QueueLength,
@@ -19,7 +20,8 @@
     pairs.map(byte).collect()
 }
 
-/// Asserts that the frame of the packet (length, checksum, body) is this literal, and that the packet is read from it.
+/// Asserts that the frame of the packet (length, checksum, body) is this literal, and that the
+/// packet is read from it.
 #[track_caller]
 fn pin(packet: Packet, literal: &str) {
     let bytes = encode_frame(&packet);
--- a/crates/streams/tests/surface_errors.rs
+++ b/crates/streams/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the words with which the log and the management API name streams that were closed for their bytes. They must not
-//! change with a name in the code.
+//! Pins the words with which the log and the management API name streams that were closed for their
+//! bytes. They must not change with a name in the code.
 
 use postproxy_streams::ConnectionError;
 
--- a/crates/streams/tests/surface_json.rs
+++ b/crates/streams/tests/surface_json.rs
@@ -1,6 +1,8 @@
-//! Pins the words of this crate that stand in the JSON body of `GET /v1/fleet/members`: the keys of `dropped`.
+//! Pins the words of this crate that stand in the JSON body of `GET /v1/fleet/members`: the keys of
+//! `dropped`.
 //!
-//! Programs compare them as text: they are literal here, so that renaming the type and its variants can't change them unseen.
+//! Programs compare them as text: they are literal here, so that renaming the type and its variants
+//! can't change them unseen.
 
 use postproxy_streams::ConnectionError;
 
--- a/crates/version-tracking/src/audit_log.rs
+++ b/crates/version-tracking/src/audit_log.rs
@@ -1,4 +1,5 @@
-//! The audit log of a node: the versions that it has acted on, each entry chained to those before it by its hash.
+//! The audit log of a node: the versions that it has acted on, each entry chained to those before
+//! it by its hash.
 
 use crate::version::{VersionKind, VersionRecord};
 use serde::{Deserialize, Serialize};
@@ -27,7 +28,8 @@
     /// The process started: the log has nothing from before.
     #[serde(rename = "began")]
     Started,
-    /// The node acts on this version from now on. The fields have no names because this is a list in JSON.
+    /// The node acts on this version from now on. The fields have no names because this is a list
+    /// in JSON.
     Adopted(VersionKind, VersionRecord, Source),
     /// This many entries were merged into this one; only their hash is left.
     #[serde(rename = "folded")]
@@ -37,7 +39,8 @@
 /// An entry of the audit log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AuditEntry {
-    /// The number of the entry, from 1 on. It is also the number of the view under which the node acts from here on.
+    /// The number of the entry, from 1 on. It is also the number of the view under which the node
+    /// acts from here on.
     pub view: u64,
     /// Unix time in milliseconds by this node's clock; for readers, not for ordering.
     pub at_ms: u64,
@@ -66,7 +69,8 @@
     /// Whether this entry can come directly after `previous`, or be the first one.
     fn follows(&self, previous: Option<&Self>) -> bool {
         match (previous, &self.event) {
-            // The hash of a compacted entry covers entries that are gone, so that it can't be checked itself.
+            // The hash of a compacted entry covers entries that are gone, so that it can't be
+            // checked itself.
             (None, AuditEvent::Compacted(_)) => true,
             (None, _) => self.hash == self.expected_hash(&INITIAL_HASH),
             (Some(_), AuditEvent::Compacted(_)) => false,
@@ -180,7 +184,8 @@
         }
     }
 
-    /// Merges the two oldest entries into one that keeps the later one's hash, so that the next entry still follows.
+    /// Merges the two oldest entries into one that keeps the later one's hash, so that the next
+    /// entry still follows.
     fn compact(&mut self) {
         let Some(oldest) = self.entries.pop_front() else {
             return;
--- a/crates/version-tracking/src/auditor.rs
+++ b/crates/version-tracking/src/auditor.rs
@@ -1,4 +1,5 @@
-//! The auditor: it decides which nodes are behind, excluded and readmitted. It runs on the holder of the lease `audit`.
+//! The auditor: it decides which nodes are behind, excluded and readmitted. It runs on the holder
+//! of the lease `audit`.
 
 use crate::decisions::{AuditorEvent, NodeState, VersionDecisions};
 use crate::version::{VersionKind, VersionLine, VersionRecord};
@@ -14,7 +15,8 @@
     pub lag_ms: u64,
     /// How long a node may be behind before it is excluded.
     pub grace_ms: u64,
-    /// How long a node has to stay caught up before it is readmitted; twice as long for each earlier exclusion.
+    /// How long a node has to stay caught up before it is readmitted; twice as long for each
+    /// earlier exclusion.
     pub readmission_ms: u64,
 }
 
@@ -96,8 +98,8 @@
 }
 
 impl Auditor {
-    /// Returns an auditor that continues from the decisions of the one before. It doesn't know yet which versions the
-    /// nodes have, and gives each node the whole grace period again.
+    /// Returns an auditor that continues from the decisions of the one before. It doesn't know yet
+    /// which versions the nodes have, and gives each node the whole grace period again.
     pub fn new(timing: AuditorTiming, decisions: VersionDecisions) -> Self {
         Self {
             timing,
@@ -159,7 +161,8 @@
         known.version = version;
     }
 
-    /// Clears the fault of a line's version by an operator's request; returns whether there was one.
+    /// Clears the fault of a line's version by an operator's request; returns whether there was
+    /// one.
     pub fn clear_fault(&mut self, line: VersionLine) -> bool {
         self.decisions.faulty.remove(&line).is_some()
     }
@@ -267,8 +270,8 @@
         overdue
     }
 
-    /// Excludes nodes that were behind for too long. If that would leave no majority of members, the version counts as
-    /// faulty instead.
+    /// Excludes nodes that were behind for too long. If that would leave no majority of members,
+    /// the version counts as faulty instead.
     fn exclude(
         &mut self,
         now_ms: u64,
@@ -304,7 +307,8 @@
         }
     }
 
-    /// Returns how many members would be excluded with these. Nodes that are no members don't serve, and don't count.
+    /// Returns how many members would be excluded with these. Nodes that are no members don't
+    /// serve, and don't count.
     fn excluded_members_with(&self, nodes: &[String]) -> usize {
         let mut excluded: BTreeSet<&String> = self
             .decisions
@@ -388,7 +392,8 @@
     }
 }
 
-/// Returns how long a node has to stay caught up before it is readmitted: twice as long for each exclusion but the first.
+/// Returns how long a node has to stay caught up before it is readmitted: twice as long for each
+/// exclusion but the first.
 fn readmission_ms(timing: &AuditorTiming, decisions: &VersionDecisions, name: &str) -> u64 {
     let exclusion_count = decisions.exclusion_counts.get(name).copied().unwrap_or(0);
     let doublings = exclusion_count
--- a/crates/version-tracking/src/decisions.rs
+++ b/crates/version-tracking/src/decisions.rs
@@ -19,7 +19,8 @@
     CatchingUp,
 }
 
-/// The decisions of the auditors: the value of the lease `audit`, which only the holder of its newest token can change.
+/// The decisions of the auditors: the value of the lease `audit`, which only the holder of its
+/// newest token can change.
 ///
 /// Postcard writes the fields by their order.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -30,7 +31,8 @@
     pub excluded: BTreeMap<String, BTreeSet<VersionLine>>,
     /// How often a node was excluded, by its name.
     pub exclusion_counts: BTreeMap<String, u32>,
-    /// The versions that count as faulty: no node is excluded for them until an operator clears the fault.
+    /// The versions that count as faulty: no node is excluded for them until an operator clears the
+    /// fault.
     pub faulty: BTreeMap<VersionLine, u64>,
 }
 
@@ -62,8 +64,8 @@
         /// Why, for the log.
         reason: String,
     },
-    /// A version counts as faulty: excluding the nodes that are behind it would leave no majority, or most nodes can't
-    /// adopt it.
+    /// A version counts as faulty: excluding the nodes that are behind it would leave no majority,
+    /// or most nodes can't adopt it.
     VersionFaulty {
         /// The line of the version.
         line: VersionLine,
@@ -72,6 +74,7 @@
         /// Why, for the log.
         reason: String,
     },
-    /// The decisions have changed: they have to be saved under the lease's token before any node is told.
+    /// The decisions have changed: they have to be saved under the lease's token before any node is
+    /// told.
     DecisionsChanged,
 }
--- a/crates/version-tracking/src/lib.rs
+++ b/crates/version-tracking/src/lib.rs
@@ -1,14 +1,15 @@
-//! Configuration version tracking: which node acts on which version of what, and how a node that is behind catches up.
+//! Configuration version tracking: which node acts on which version of what, and how a node that is
+//! behind catches up.
 //!
-//! - [`VersionTracker`] runs on each node. It knows the versions that the node acts on, keeps its [`AuditLog`], gossips
+//! - [`VersionTracker`] runs on each node. It knows the versions that the node acts on, keeps its
+//!   [`AuditLog`], gossips
 //!   the versions to other nodes, and requests newer ones.
-//! - [`Auditor`] runs on the node that holds the lease `audit`. It decides which nodes are behind, excluded and
+//! - [`Auditor`] runs on the node that holds the lease `audit`. It decides which nodes are behind,
+//!   excluded and
 //!   readmitted.
 //!
-//! Both are state machines without sockets and without a clock. The design is described in `docs/design/audit.md`.
-
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! Both are state machines without sockets and without a clock. The design is described in
+//! `docs/design/audit.md`.
 
 /// Error codes that the log names, each with what an operator can do.
 pub const REMEDIES: &[(&str, &str)] = &[(
--- a/crates/version-tracking/src/message.rs
+++ b/crates/version-tracking/src/message.rs
@@ -7,7 +7,8 @@
 /// The most versions that a message may carry; one with more is dropped.
 pub const MAX_VERSIONS_PER_MESSAGE: usize = 16;
 
-/// A message from one node to another; small enough for a datagram. Postcard writes the fields by their order.
+/// A message from one node to another; small enough for a datagram. Postcard writes the fields by
+/// their order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// The versions that the sender acts on.
--- a/crates/version-tracking/src/tracker.rs
+++ b/crates/version-tracking/src/tracker.rs
@@ -1,4 +1,5 @@
-//! The version tracker of a node: its own versions, those of its peers, and the requests for newer ones.
+//! The version tracker of a node: its own versions, those of its peers, and the requests for newer
+//! ones.
 
 use crate::audit_log::{AuditLog, Source};
 use crate::message::{Event, MAX_VERSIONS_PER_MESSAGE, Message, Output};
@@ -11,13 +12,15 @@
 const REQUEST_RETRY_INTERVAL_MS: u64 = 500;
 /// The most entries of the audit log in memory.
 const MAX_AUDIT_ENTRIES: usize = 1024;
-/// To how many peers a new version is sent at once: a node that is behind hears of it before the next gossip.
+/// To how many peers a new version is sent at once: a node that is behind hears of it before the
+/// next gossip.
 const PEERS_TOLD_OF_NEW_VERSION: usize = 2;
 
 /// Settings of a version tracker.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Mean time between two messages with this node's versions, each to a random peer, in milliseconds.
+    /// Mean time between two messages with this node's versions, each to a random peer, in
+    /// milliseconds.
     pub gossip_interval_ms: u64,
 }
 
@@ -133,7 +136,8 @@
 
     /// Makes this node act on a version.
     ///
-    /// **An older version never replaces a newer one of its generation**: returns `false` and changes nothing if it would.
+    /// **An older version never replaces a newer one of its generation**: returns `false` and
+    /// changes nothing if it would.
     pub fn adopt(
         &mut self,
         now_ms: u64,
@@ -171,7 +175,8 @@
         true
     }
 
-    /// Sends gossip and repeats requests, if the time of [`VersionTracker::next_timer_ms`] has come.
+    /// Sends gossip and repeats requests, if the time of [`VersionTracker::next_timer_ms`] has
+    /// come.
     pub fn handle_timer(&mut self, now_ms: u64, outputs: &mut Vec<Output>) {
         if now_ms < self.next_gossip_ms {
             return;
@@ -248,7 +253,8 @@
         }
     }
 
-    /// Compares a peer's version with this node's: reports a fork, or requests the peer's version if it is newer.
+    /// Compares a peer's version with this node's: reports a fork, or requests the peer's version
+    /// if it is newer.
     fn compare(
         &mut self,
         now_ms: u64,
@@ -300,7 +306,8 @@
         }
     }
 
-    /// Requests a peer's newer version, unless this one or a newer one was requested a short while ago.
+    /// Requests a peer's newer version, unless this one or a newer one was requested a short while
+    /// ago.
     fn handle_newer_version(
         &mut self,
         now_ms: u64,
--- a/crates/version-tracking/src/version.rs
+++ b/crates/version-tracking/src/version.rs
@@ -24,12 +24,14 @@
     }
 }
 
-/// Digest of what a version means: equal digests mean that nodes act alike, however the version was written down.
+/// Digest of what a version means: equal digests mean that nodes act alike, however the version was
+/// written down.
 pub type Digest = u64;
 
 /// A version that a node acts on.
 ///
-/// Numbers are compared within one generation only: another discovery service numbers its lists independently.
+/// Numbers are compared within one generation only: another discovery service numbers its lists
+/// independently.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct VersionRecord {
     /// The source of the numbers.
@@ -49,8 +51,8 @@
     pub generation: u64,
 }
 
-/// Returns the digest of these parts. Each part is hashed with its length, so that moving a byte from one part to the
-/// next changes the digest.
+/// Returns the digest of these parts. Each part is hashed with its length, so that moving a byte
+/// from one part to the next changes the digest.
 pub fn digest<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Digest {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/version-tracking/tests/audit_log.rs
+++ b/crates/version-tracking/tests/audit_log.rs
@@ -36,7 +36,8 @@
         "{:?}",
         entries[0]
     );
-    // The content of the first entry is gone; its hash and all later entries can't be changed undetected.
+    // The content of the first entry is gone; its hash and all later entries can't be changed
+    // undetected.
     for at in 1..entries.len() {
         for change in 0..5 {
             let mut bad = entries.clone();
--- a/crates/version-tracking/tests/auditor.rs
+++ b/crates/version-tracking/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! The auditor over simulated clusters in virtual time: nodes that lag, flap, stop and come back, versions that no node can adopt,
-//! lease holders that change.
+//! The auditor over simulated clusters in virtual time: nodes that lag, flap, stop and come back,
+//! versions that no node can adopt, lease holders that change.
 
 use postproxy_version_tracking::{
     Auditor, AuditorEvent, AuditorTiming, NodeState, VersionDecisions, VersionKind, VersionLine,
@@ -76,7 +76,8 @@
     (0..count).map(|n| format!("n{n}")).collect()
 }
 
-/// A node that is behind is excluded after the grace period and readmitted once it has caught up; the wait doubles the second time.
+/// A node that is behind is excluded after the grace period and readmitted once it has caught up;
+/// the wait doubles the second time.
 #[test]
 fn a_node_behind_is_excluded_after_the_grace_period_and_readmitted() {
     let mut cluster = Cluster::new(5);
@@ -131,8 +132,8 @@
     );
 }
 
-/// If an exclusion would leave no majority, or most nodes can't adopt a version, the version counts as faulty: no node is excluded until
-/// an operator clears the fault.
+/// If an exclusion would leave no majority, or most nodes can't adopt a version, the version counts
+/// as faulty: no node is excluded until an operator clears the fault.
 #[test]
 fn version_that_half_the_nodes_lack_is_faulty() {
     for (numbers, newest) in [(vec![2, 2, 2, 1, 1, 1], 2), (vec![2, 1, 1, 1, 1, 1], 2)] {
@@ -173,8 +174,9 @@
     assert!(cluster.auditor.clear_fault(LINE) || cluster.auditor.decisions().faulty.is_empty());
 }
 
-/// Over random lags, new lease holders and new versions: fewer than half of the members are excluded, floors never fall, no node is excluded
-/// that wasn't behind for the grace period, and all are readmitted after the last lag.
+/// Over random lags, new lease holders and new versions: fewer than half of the members are
+/// excluded, floors never fall, no node is excluded that wasn't behind for the grace period, and
+/// all are readmitted after the last lag.
 #[test]
 fn fewer_than_half_the_nodes_are_excluded_and_all_are_readmitted() {
     let mut exclusions = 0;
--- a/crates/version-tracking/tests/support/simulation.rs
+++ b/crates/version-tracking/tests/support/simulation.rs
@@ -1,5 +1,6 @@
-//! A simulated cluster in virtual time, for tests of version trackers: lists that change, nodes whose discovery is stuck or another one,
-//! messages that are lost and late, nodes that stop and restart, partitions.
+//! A simulated cluster in virtual time, for tests of version trackers: lists that change, nodes
+//! whose discovery is stuck or another one, messages that are lost and late, nodes that stop and
+//! restart, partitions.
 
 use postproxy_version_tracking::{
     Event, Message, Output, Settings, Source, VersionKind, VersionRecord, VersionTracker, digest,
--- a/crates/version-tracking/tests/surface_bytes.rs
+++ b/crates/version-tracking/tests/surface_bytes.rs
@@ -1,6 +1,6 @@
-//! Pins the messages between nodes on versions, and the entries of the audit log: their bytes, their JSON and the hashes
-//! that chain them. Nodes of a fleet may run different versions, so none of it must change with a rename. The literals were
-//! written by the version before the renames.
+//! Pins the messages between nodes on versions, and the entries of the audit log: their bytes,
+//! their JSON and the hashes that chain them. Nodes of a fleet may run different versions, so none
+//! of it must change with a rename. The literals were written by the version before the renames.
 
 use postproxy_version_tracking::{
     AuditEntry, AuditEvent, AuditLog, MAX_VERSIONS_PER_MESSAGE, Message, NodeState, Source,
--- a/crates/version-tracking/tests/surface_errors.rs
+++ b/crates/version-tracking/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the code, the messages and the words of this crate that operators and scripts read. They must not change with a
-//! name in the code.
+//! Pins the code, the messages and the words of this crate that operators and scripts read. They
+//! must not change with a name in the code.
 
 use postproxy_version_tracking::{BrokenChain, REMEDIES, VersionKind};
 
--- a/crates/version-tracking/tests/surface_json.rs
+++ b/crates/version-tracking/tests/surface_json.rs
@@ -1,7 +1,9 @@
-//! Pins what `GET /v1/fleet/audit` and `GET /v1/fleet/versions` have of this crate in their JSON bodies.
+//! Pins what `GET /v1/fleet/audit` and `GET /v1/fleet/versions` have of this crate in their JSON
+//! bodies.
 //!
-//! The keys and variant names are those of Rust types, so that renaming a field or a variant would change them unseen: the text
-//! below is literal and does not follow a rename. Keep the name on the wire with `#[serde(rename)]` instead of changing it here.
+//! The keys and variant names are those of Rust types, so that renaming a field or a variant would
+//! change them unseen: the text below is literal and does not follow a rename. Keep the name on the
+//! wire with `#[serde(rename)]` instead of changing it here.
 
 use postproxy_version_tracking::{
     AuditEntry, AuditEvent, NodeState, REMEDIES, Source, VersionKind, VersionRecord,
--- a/crates/version-tracking/tests/tracker.rs
+++ b/crates/version-tracking/tests/tracker.rs
@@ -9,8 +9,8 @@
 use simulation::{Simulation, version};
 use std::collections::BTreeSet;
 
-/// An older version never replaces a newer one, none of another generation is adopted, a node that is behind catches up from any node that
-/// has a newer version, and the audit logs chain.
+/// An older version never replaces a newer one, none of another generation is adopted, a node that
+/// is behind catches up from any node that has a newer version, and the audit logs chain.
 #[test]
 fn a_node_behind_catches_up_whatever_fails() {
     let mut caught_up = 0;
@@ -78,8 +78,8 @@
     assert!(caught_up > 30, "{caught_up}");
 }
 
-/// How long a node with a stuck discovery acts on an old list after the others have the new one, and how many messages a node sends; prints
-/// a table with `--nocapture`.
+/// How long a node with a stuck discovery acts on an old list after the others have the new one,
+/// and how many messages a node sends; prints a table with `--nocapture`.
 #[test]
 fn a_node_behind_catches_up_within_two_seconds_at_any_cluster_size_with_few_messages() {
     let mut steady = Vec::new();
@@ -155,7 +155,8 @@
     }
 }
 
-/// An older version never replaces a newer one of its generation; another generation has numbers of its own.
+/// An older version never replaces a newer one of its generation; another generation has numbers of
+/// its own.
 #[test]
 fn numbers_are_compared_within_a_generation_only() {
     let mut harness = TrackerHarness::with_version(version(1, 5));
@@ -185,7 +186,8 @@
     assert_eq!(harness.outputs.iter().filter(is_fork).count(), 1);
 }
 
-/// Nothing is done for a message with too many versions, for versions of another generation, and for a request for them.
+/// Nothing is done for a message with too many versions, for versions of another generation, and
+/// for a request for them.
 #[test]
 fn oversized_messages_and_other_generations_are_ignored() {
     let mut harness = TrackerHarness::with_version(version(1, 5));
--- a/src/cli/fleet_trial/mod.rs
+++ b/src/cli/fleet_trial/mod.rs
@@ -1,7 +1,7 @@
 //! `postproxy try --fleet N`: runs discovery, workers and a cluster of N nodes, each a process.
 //!
-//! While clients send requests, a worker is suspended, a node is killed and started again, and another is paused. In the
-//! end all nodes leave.
+//! While clients send requests, a worker is suspended, a node is killed and started again, and
+//! another is paused. In the end all nodes leave.
 
 mod clients;
 mod node;
@@ -40,7 +40,8 @@
     }
 }
 
-/// Waits until `condition` holds in the status of each of these nodes, and prints how long that took.
+/// Waits until `condition` holds in the status of each of these nodes, and prints how long that
+/// took.
 fn wait_until(
     description: &str,
     nodes: &[&Node],
--- a/src/cli/fleet_trial/node.rs
+++ b/src/cli/fleet_trial/node.rs
@@ -27,7 +27,8 @@
 }
 
 impl Node {
-    /// Writes the configuration of the node `number` (from 1 on) of a cluster into a folder of its own.
+    /// Writes the configuration of the node `number` (from 1 on) of a cluster into a folder of its
+    /// own.
     fn configure(number: u8, trial: &TrialSetup<'_>) -> Result<Self, Failure> {
         let name = node_name(number);
         let ip = own_ip(number);
@@ -69,7 +70,8 @@
     }
 
     pub(super) fn signal(&self, signal: Signal) {
-        // The process is our child and hasn't been waited for, so that its id can't be another process's.
+        // The process is our child and hasn't been waited for, so that its id can't be another
+        // process's.
         let pid = self
             .process
             .as_ref()
@@ -121,8 +123,9 @@
     voters: Vec<String>,
 }
 
-/// Returns the loopback address of the node with this number. It differs from those of other trials and from the usual
-/// one, so that all ports at it are free, and datagrams and streams can have the same one.
+/// Returns the loopback address of the node with this number. It differs from those of other trials
+/// and from the usual one, so that all ports at it are free, and datagrams and streams can have the
+/// same one.
 fn own_ip(number: u8) -> IpAddr {
     let process = std::process::id();
     IpAddr::from([127, 128 + (process >> 8) as u8 % 64, process as u8, number])
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -62,7 +62,8 @@
     /// How lines of the log look; goes before the operator's file
     #[arg(long, value_name = "FORMAT")]
     log_format: Option<LogFormat>,
-    /// Levels by module, such as info,postproxy::net::upstream::worker_list=debug; goes before the operator's file
+    /// Levels by module, such as info,postproxy::net::upstream::worker_list=debug; goes before the
+    /// operator's file
     #[arg(long, value_name = "LEVELS")]
     log_levels: Option<String>,
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -43,7 +43,8 @@
     Ok(receiver)
 }
 
-/// Returns the operator's configuration, in which the command line's arguments take precedence over the file.
+/// Returns the operator's configuration, in which the command line's arguments take precedence over
+/// the file.
 fn operator_config(args: ServeArgs) -> Result<OperatorConfig, Failure> {
     let mut config = match &args.operator {
         Some(path) => OperatorConfig::from_file(path)?,
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -32,7 +32,8 @@
 }
 
 impl StoreFolders {
-    /// Opens the store, which recovers it as the start of a node does; a missing folder is an error and isn't created.
+    /// Opens the store, which recovers it as the start of a node does; a missing folder is an error
+    /// and isn't created.
     fn open(&self) -> Result<(Engine<OsDisk>, Recovery), Failure> {
         if !std::fs::metadata(&self.dir)
             .map_err(|error| format!("{}: {error}", self.dir))?
@@ -116,8 +117,8 @@
     Err(format!("{}: acknowledged records are lost", store.dir).into())
 }
 
-/// Returns the word for an attempt's outcome in the output of `dump`. Scripts read it, so that it stays when the type is
-/// renamed.
+/// Returns the word for an attempt's outcome in the output of `dump`. Scripts read it, so that it
+/// stays when the type is renamed.
 fn outcome_word(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::InFlight => "Out",
@@ -126,8 +127,8 @@
     }
 }
 
-/// Returns the word for a request's stage in the output of `dump`. Scripts read it, so that it stays when the type is
-/// renamed.
+/// Returns the word for a request's stage in the output of `dump`. Scripts read it, so that it
+/// stays when the type is renamed.
 fn stage_word(stage: Stage) -> &'static str {
     match stage {
         Stage::Pending => "Open",
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -1,5 +1,5 @@
-//! `postproxy try`: runs discovery, workers and a node in one process on free ports of loopback, and sends requests of two
-//! classes through them.
+//! `postproxy try`: runs discovery, workers and a node in one process on free ports of loopback,
+//! and sends requests of two classes through them.
 
 use super::{Failure, fleet_trial};
 use clap::Args;
@@ -83,7 +83,8 @@
 ///
 /// # Errors
 ///
-/// If there are no free ports or the node can't be started; if a request was neither served nor rejected, or was run twice.
+/// If there are no free ports or the node can't be started; if a request was neither served nor
+/// rejected, or was run twice.
 pub fn run(args: &TrialArgs) -> Result<(), Failure> {
     if let Some(node_count) = args.fleet {
         return fleet_trial::run(usize::from(node_count));
@@ -213,7 +214,8 @@
     }
 }
 
-/// Prints the table of classes; fails if a request was neither served nor rejected, or was run twice.
+/// Prints the table of classes; fails if a request was neither served nor rejected, or was run
+/// twice.
 fn report(outcomes: &[Outcome], workers: &[Worker], duration: Duration) -> Result<(), Failure> {
     let mut runs: HashMap<String, u32> = HashMap::new();
     for (id, count) in workers.iter().flat_map(Worker::runs) {
@@ -236,7 +238,8 @@
     Ok(())
 }
 
-/// Prints a class's line of the table; returns how many of its requests were neither served nor rejected.
+/// Prints a class's line of the table; returns how many of its requests were neither served nor
+/// rejected.
 fn report_class(
     class: usize,
     outcomes: &[Outcome],
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -184,7 +184,7 @@
         elapsed: f64,
         /// The client has the final answer of the request.
         answered: bool,
-        /// Load report, in the order of [`Settings::fields`]; empty for none.
+        /// Load report, in the order of [`Settings::report_fields`]; empty for none.
         report: Vec<f32>,
     },
     /// The client disconnected; the request needs no answer any more.
@@ -225,7 +225,7 @@
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: f64,
-        /// Load report, in the order of [`Settings::fields`]; empty for none.
+        /// Load report, in the order of [`Settings::report_fields`]; empty for none.
         report: Vec<f32>,
     },
     /// A message from another dispatcher. The module sends none and ignores them.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! A routing node for jobs: it receives requests from clients and sends each to a suitable worker.
 //!
-//! [`decision`] chooses the workers. Its [`Dispatcher`] is a deterministic state machine: the caller
-//! passes [`Event`]s with the current time to it and carries out the [`Action`]s that it returns. It
-//! owns no clock, socket or thread. [`net`] runs a dispatcher on sockets, [`simulator_protocol`]
-//! connects it to a simulator.
+//! [`decision`] chooses the workers. Its [`Dispatcher`] is a deterministic state machine: the
+//! caller passes [`Event`]s with the current time to it and carries out the [`Action`]s that it
+//! returns. It owns no clock, socket or thread. [`net`] runs a dispatcher on sockets,
+//! [`simulator_protocol`] connects it to a simulator.
 //!
 //! ```
 //! use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Settings, WorkerId};
@@ -22,8 +22,6 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: 7, .. })));
 //! # Ok::<(), postproxy::SettingsError>(())
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod decision;
 pub mod logging;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured logs on standard error.
 //!
-//! A thread of its own writes the lines, so that an event loop that logs never waits for the reader. Lines that find the
-//! queue full are dropped.
+//! A thread of its own writes the lines, so that an event loop that logs never waits for the
+//! reader. Lines that find the queue full are dropped.
 
 use serde::Deserialize;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
@@ -24,12 +24,14 @@
 
 /// The section `log` of the operator's configuration file.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
-// The type's name is part of error texts that operators read: it stays as it was when the type is renamed.
+// The type's name is part of error texts that operators read: it stays as it was when the type is
+// renamed.
 #[serde(default, deny_unknown_fields, expecting = "struct Log")]
 pub struct LogSection {
     /// `text` or `json`.
     pub format: Format,
-    /// Levels by module, such as `info,postproxy::net::upstream::worker_list=debug`. Requests have spans at `debug`.
+    /// Levels by module, such as `info,postproxy::net::upstream::worker_list=debug`. Requests have
+    /// spans at `debug`.
     pub levels: String,
 }
 
@@ -59,7 +61,8 @@
         .map_err(|error| format!("'{levels}' names no levels: {error}"))
 }
 
-/// Sends all logs of this process to standard error until the guard is dropped, which writes the lines in the queue.
+/// Sends all logs of this process to standard error until the guard is dropped, which writes the
+/// lines in the queue.
 ///
 /// # Errors
 ///
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The program `postproxy`.
 //!
-//! Without arguments it runs one node, configured by `RELAY_CONFIG`. SIGTERM and SIGINT shut it down gracefully; SIGHUP
-//! reloads its configuration.
+//! Without arguments it runs one node, configured by `RELAY_CONFIG`. SIGTERM and SIGINT shut it
+//! down gracefully; SIGHUP reloads its configuration.
 #![forbid(unsafe_code)]
 
 mod cli;
--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -1,5 +1,6 @@
-//! The coordination service in the node: it carries messages, writes and the time to and from the coordinator of
-//! `postproxy-coordination`, answers requests of the management API, and logs events.
+//! The coordination service in the node: it carries messages, writes and the time to and from the
+//! coordinator of `postproxy-coordination`, answers requests of the management API, and logs
+//! events.
 
 mod write_queue;
 
@@ -94,7 +95,8 @@
 }
 
 impl CoordinationService {
-    /// Creates the service of a new process from what is stored. Also returns what the caller is to do.
+    /// Creates the service of a new process from what is stored. Also returns what the caller is to
+    /// do.
     pub fn new(
         settings: Settings,
         now: f64,
@@ -129,7 +131,8 @@
         self.carry_out(now, out)
     }
 
-    /// Handles a message of another node. Returns `None` if it is not a message of the coordination service.
+    /// Handles a message of another node. Returns `None` if it is not a message of the coordination
+    /// service.
     pub fn receive(
         &mut self,
         now: f64,
@@ -146,7 +149,8 @@
         Some(self.carry_out(now, out))
     }
 
-    /// Records that messages to and from a node may have been lost. The coordinator repeats them in the next turn.
+    /// Records that messages to and from a node may have been lost. The coordinator repeats them in
+    /// the next turn.
     pub fn peer_reconnected(&mut self, name: &str) {
         self.reconnected_peers.insert(name.to_owned());
     }
@@ -162,7 +166,8 @@
         self.carry_out(now, out)
     }
 
-    /// Handles a request of a caller of the management API, who is answered by [`CoordinationEffect::Respond`].
+    /// Handles a request of a caller of the management API, who is answered by
+    /// [`CoordinationEffect::Respond`].
     pub fn handle_admin_request(
         &mut self,
         now: f64,
--- a/src/net/cluster/coordination/write_queue.rs
+++ b/src/net/cluster/coordination/write_queue.rs
@@ -5,7 +5,8 @@
 #[cfg(test)]
 mod tests;
 
-/// A batch that the store has rejected is written again after this time, in seconds. Most failures, like a full disk, last longer.
+/// A batch that the store has rejected is written again after this time, in seconds. Most failures,
+/// like a full disk, last longer.
 const RETRY_INTERVAL_SECONDS: f64 = 0.2;
 
 /// Changes that are written together.
@@ -16,8 +17,8 @@
     changes: Vec<StorageChange>,
 }
 
-/// The queue of the coordinator's writes. A batch that has failed is written again before anything later, so that the store never
-/// holds a later change without an earlier one.
+/// The queue of the coordinator's writes. A batch that has failed is written again before anything
+/// later, so that the store never holds a later change without an earlier one.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     /// What is written next.
@@ -35,7 +36,8 @@
         self.queued.changes.extend(changes);
     }
 
-    /// Returns the changes to write now; `None` while a batch is in progress or there is nothing to write.
+    /// Returns the changes to write now; `None` while a batch is in progress or there is nothing to
+    /// write.
     pub(super) fn next_batch(&mut self, now: f64) -> Option<Vec<StorageChange>> {
         if self.retry_at.is_some_and(|at| at > now) {
             return None;
@@ -52,7 +54,8 @@
         Some(changes)
     }
 
-    /// Records that the batch in progress is durable. Returns the number up to which all writes are durable.
+    /// Records that the batch in progress is durable. Returns the number up to which all writes are
+    /// durable.
     pub(super) fn record_success(&mut self) -> Option<u64> {
         self.in_progress.take().map(|batch| batch.last_number)
     }
--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -1,4 +1,5 @@
-//! The TCP connections to other nodes. This module moves bytes between the sockets and [`Streams`], which decides.
+//! The TCP connections to other nodes. This module moves bytes between the sockets and [`Streams`],
+//! which decides.
 
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::reactor::{self, Reactor, SocketOwner};
@@ -14,7 +15,8 @@
 
 /// Bytes that a connection reads ahead, at most. Further ones wait in the buffer of the system.
 const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
-/// Bytes read from all connections in one turn of the event loop, about: other nodes must never delay a request.
+/// Bytes read from all connections in one turn of the event loop, about: other nodes must never
+/// delay a request.
 const MAX_READ_BYTES_PER_TURN: usize = 256 << 10;
 /// Connections accepted in one turn of the event loop, at most.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
@@ -209,7 +211,8 @@
     fn accept(&mut self, reactor: &mut Reactor) -> Vec<PeerEvent> {
         let mut peer_events = Vec::new();
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            // An error concerns one connection, which is gone, or a missing descriptor, which the next turn may have.
+            // An error concerns one connection, which is gone, or a missing descriptor, which the
+            // next turn may have.
             let Ok((stream, _)) = self.listener.accept() else {
                 break;
             };
--- a/src/net/cluster/peer_connections/tests.rs
+++ b/src/net/cluster/peer_connections/tests.rs
@@ -36,7 +36,8 @@
             .send(&mut self.reactor, to, address, message.to_vec())
     }
 
-    /// Runs one turn of the event loop, 10 ms later. Returns the events, and the time that handling them took.
+    /// Runs one turn of the event loop, 10 ms later. Returns the events, and the time that handling
+    /// them took.
     fn run_turn(&mut self) -> (Vec<PeerEvent>, Duration) {
         let reactor = &mut self.reactor;
         reactor.now += 0.01;
@@ -160,7 +161,8 @@
     }
 }
 
-/// Connections that stall, flood, or claim a frame of 4 GiB delay neither the event loop nor a valid connection.
+/// Connections that stall, flood, or claim a frame of 4 GiB delay neither the event loop nor a
+/// valid connection.
 #[test]
 fn invalid_connections_delay_nothing() {
     let (mut a, mut b) = (Node::new("a", 1), Node::new("b", 2));
@@ -213,7 +215,8 @@
         ended.is_err() || rest.len() < 64,
         "the answer to its greeting, and the end"
     );
-    // The bytes read in a turn are bounded; this is far more than they take, and far less than a request waits.
+    // The bytes read in a turn are bounded; this is far more than they take, and far less than a
+    // request waits.
     assert!(
         longest_turn < Duration::from_millis(250),
         "a turn of {longest_turn:?}"
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -1,6 +1,6 @@
-//! The node's part in the cluster. This module owns the sockets at the cluster's address, moves datagrams and messages
-//! between them and the state machines of membership, coordination and version tracking, and notifies the node of what
-//! comes of it. Each concern has a submodule.
+//! The node's part in the cluster. This module owns the sockets at the cluster's address, moves
+//! datagrams and messages between them and the state machines of membership, coordination and
+//! version tracking, and notifies the node of what comes of it. Each concern has a submodule.
 
 mod coordinated;
 mod events;
@@ -30,7 +30,8 @@
 use std::net::SocketAddr;
 use suspended_workers::PendingCaller;
 
-/// Time between two attempts to open the sockets while an earlier process of this node has them, in seconds.
+/// Time between two attempts to open the sockets while an earlier process of this node has them, in
+/// seconds.
 const ADDRESS_RETRY_SECONDS: f64 = 0.05;
 
 /// Sections of the operator's file that concern the cluster.
@@ -72,7 +73,8 @@
     duties_section: Option<DutiesSection>,
     audit_section: Option<AuditSection>,
     name: String,
-    /// `None` while an earlier process of this node participates, and after a later one has taken over.
+    /// `None` while an earlier process of this node participates, and after a later one has taken
+    /// over.
     participant: Option<Participant>,
     /// Whether this process has stopped to participate for good.
     has_stopped: bool,
@@ -90,11 +92,13 @@
 }
 
 impl ClusterService {
-    /// Begins to participate in the cluster, or waits until an earlier process of this node has stopped.
+    /// Begins to participate in the cluster, or waits until an earlier process of this node has
+    /// stopped.
     ///
     /// # Errors
     ///
-    /// Returns a text for the operator if the node has no valid name, or the address can't be opened.
+    /// Returns a text for the operator if the node has no valid name, or the address can't be
+    /// opened.
     pub fn start(
         reactor: &mut Reactor,
         sections: ClusterSections,
@@ -147,9 +151,11 @@
         Ok((service, events))
     }
 
-    /// Opens the sockets and begins to join the cluster. Returns what the coordination service wants done.
+    /// Opens the sockets and begins to join the cluster. Returns what the coordination service
+    /// wants done.
     fn participate(&mut self, reactor: &mut Reactor) -> io::Result<Vec<CoordinationEffect>> {
-        // The process's nonce must differ from every other's, so it comes from the system, not from the node's seed.
+        // The process's nonce must differ from every other's, so it comes from the system, not from
+        // the node's seed.
         let seed = RandomState::new().build_hasher().finish();
         let settings = &self.settings;
         let sockets = ClusterSockets::open(
@@ -319,7 +325,8 @@
     ///
     /// # Errors
     ///
-    /// Returns why the node can't be forgotten, or `None` if this process doesn't participate in the cluster.
+    /// Returns why the node can't be forgotten, or `None` if this process doesn't participate in
+    /// the cluster.
     pub fn forget_member(
         &mut self,
         reactor: &mut Reactor,
@@ -431,7 +438,8 @@
         log_membership_event(event);
     }
 
-    /// Gives the version tracking the names of the members. Returns an event if the size of the cluster has changed.
+    /// Gives the version tracking the names of the members. Returns an event if the size of the
+    /// cluster has changed.
     fn update_members(&mut self) -> Option<Event> {
         let participant = self.participant.as_mut()?;
         let membership = &participant.membership;
--- a/src/net/cluster/service/coordinated.rs
+++ b/src/net/cluster/service/coordinated.rs
@@ -5,7 +5,8 @@
 use crate::net::transport::reactor::Reactor;
 
 impl ClusterService {
-    /// Carries out what the coordination service wants done. Returns what the node has to do for it.
+    /// Carries out what the coordination service wants done. Returns what the node has to do for
+    /// it.
     pub(super) fn carry_out_coordination(
         &mut self,
         reactor: &mut Reactor,
@@ -56,8 +57,8 @@
         events
     }
 
-    /// Handles a request of an operator to the coordination service. Returns `None` if that isn't configured, or this
-    /// process doesn't participate in the cluster.
+    /// Handles a request of an operator to the coordination service. Returns `None` if that isn't
+    /// configured, or this process doesn't participate in the cluster.
     pub fn handle_admin_request(
         &mut self,
         reactor: &mut Reactor,
--- a/src/net/cluster/service/events.rs
+++ b/src/net/cluster/service/events.rs
@@ -30,10 +30,11 @@
         /// Number of nodes in the cluster.
         nodes: usize,
     },
-    /// This node has learned what the cluster knows of workers. What it alone knows is to be announced, see
-    /// [`super::ClusterService::adopt_suspended_workers`].
+    /// This node has learned what the cluster knows of workers. What it alone knows is to be
+    /// announced, see [`super::ClusterService::adopt_suspended_workers`].
     Synchronised,
-    /// Write these changes; [`super::ClusterService::handle_write_completed`] is to be called for it.
+    /// Write these changes; [`super::ClusterService::handle_write_completed`] is to be called for
+    /// it.
     Write(Vec<StorageChange>),
     /// Answer a caller of the management API.
     Reply {
--- a/src/net/cluster/service/participant.rs
+++ b/src/net/cluster/service/participant.rs
@@ -1,4 +1,5 @@
-//! The state of a process that participates in the cluster: its sockets, its membership, and what builds on it.
+//! The state of a process that participates in the cluster: its sockets, its membership, and what
+//! builds on it.
 
 use crate::net::cluster::coordination::{CoordinationEffect, CoordinationService};
 use crate::net::cluster::peer_connections::{PeerConnections, PeerEvent};
@@ -14,11 +15,12 @@
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// Size of the buffer for one datagram, in bytes; the longest valid one has 1,400.
 const DATAGRAM_BUFFER_BYTES: usize = 2048;
-/// Attempts to find a port that is free for datagrams and for connections, if the system chooses the port.
+/// Attempts to find a port that is free for datagrams and for connections, if the system chooses
+/// the port.
 const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// Time after a process begins to participate in which it learns what the cluster knows of workers, in seconds. After it
-/// the process announces what it alone knows.
+/// Time after a process begins to participate in which it learns what the cluster knows of workers,
+/// in seconds. After it the process announces what it alone knows.
 pub(super) const SYNCHRONISATION_SECONDS: f64 = 3.0;
 
 /// A worker list that another node sent.
@@ -44,7 +46,8 @@
         process_nonce: u64,
     ) -> io::Result<Self> {
         let cluster_number = packet::cluster_number(cluster);
-        // A port that the system chose for datagrams may be in use for connections; it then chooses another one.
+        // A port that the system chose for datagrams may be in use for connections; it then chooses
+        // another one.
         let mut attempts_left = if listen.port() == 0 {
             MAX_PORT_ATTEMPTS
         } else {
@@ -80,7 +83,8 @@
     pub(super) coordination: Option<CoordinationService>,
     /// The tracking of versions, if it is configured.
     pub(super) versions: Option<VersionService>,
-    /// Time at which the node knows what the cluster knows; infinite once it has been notified of it.
+    /// Time at which the node knows what the cluster knows; infinite once it has been notified of
+    /// it.
     pub(super) synchronised_at: f64,
 }
 
@@ -184,7 +188,8 @@
         }
     }
 
-    /// Returns whether the node has just learned what the cluster knows. While it isn't a member it can't.
+    /// Returns whether the node has just learned what the cluster knows. While it isn't a member it
+    /// can't.
     pub(super) fn check_synchronised(&mut self, now: f64) -> bool {
         if self.synchronised_at > now {
             return false;
--- a/src/net/cluster/service/status.rs
+++ b/src/net/cluster/service/status.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node in the answer of the management API. The JSON keys, and the name in errors of deserialisation, are those of
-/// earlier versions.
+/// A node in the answer of the management API. The JSON keys, and the name in errors of
+/// deserialisation, are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(expecting = "struct Shown")]
 pub struct MemberStatus {
@@ -28,8 +28,8 @@
     pub is_leader: bool,
 }
 
-/// The cluster in the answer of the management API. The JSON keys, and the name in errors of deserialisation, are those
-/// of earlier versions.
+/// The cluster in the answer of the management API. The JSON keys, and the name in errors of
+/// deserialisation, are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(expecting = "struct Picture")]
 pub struct ClusterStatus {
--- a/src/net/cluster/service/suspended_workers.rs
+++ b/src/net/cluster/service/suspended_workers.rs
@@ -1,14 +1,16 @@
-//! Workers that are suspended for the cluster: announcing what operators do here, and the state to store.
+//! Workers that are suspended for the cluster: announcing what operators do here, and the state to
+//! store.
 
 use super::{ClusterService, Event};
 use crate::net::transport::reactor::Reactor;
 use postproxy_membership::SuspensionChange;
 
-/// Time until a caller of the management API is answered, in seconds. The membership's own timeout may be later, as its
-/// clock runs slower after a pause; the caller waits for one second.
+/// Time until a caller of the management API is answered, in seconds. The membership's own timeout
+/// may be later, as its clock runs slower after a pause; the caller waits for one second.
 const REPLY_TIMEOUT_SECONDS: f64 = 0.8;
 
-/// A caller of the management API that waits until its suspend or resume is recorded at the other nodes.
+/// A caller of the management API that waits until its suspend or resume is recorded at the other
+/// nodes.
 pub(super) struct PendingCaller {
     /// Key of the caller's connection.
     pub(super) caller: usize,
@@ -17,9 +19,10 @@
 }
 
 impl ClusterService {
-    /// Announces that a worker was suspended or resumed at this node. `caller` is the key of the management connection
-    /// that is to be told the outcome, by [`Event::SuspensionRecorded`]. Returns `None` if this process doesn't
-    /// participate in the cluster, or too many workers are suspended.
+    /// Announces that a worker was suspended or resumed at this node. `caller` is the key of the
+    /// management connection that is to be told the outcome, by [`Event::SuspensionRecorded`].
+    /// Returns `None` if this process doesn't participate in the cluster, or too many workers are
+    /// suspended.
     pub fn set_suspended(
         &mut self,
         reactor: &mut Reactor,
@@ -65,8 +68,9 @@
         })
     }
 
-    /// Announces those of the workers suspended here that were never suspended or resumed for the cluster: they were
-    /// suspended before this process participated, or by an earlier process that didn't announce it.
+    /// Announces those of the workers suspended here that were never suspended or resumed for the
+    /// cluster: they were suspended before this process participated, or by an earlier process that
+    /// didn't announce it.
     pub fn adopt_suspended_workers(
         &mut self,
         reactor: &mut Reactor,
@@ -88,7 +92,8 @@
         self.carry_out(reactor, out)
     }
 
-    /// Returns the suspensions to store, if they have changed since the last call or `force` is set.
+    /// Returns the suspensions to store, if they have changed since the last call or `force` is
+    /// set.
     pub fn take_changed_suspensions(&mut self, force: bool) -> Option<Vec<u8>> {
         let membership = &self.participant.as_ref()?.membership;
         let digest = membership.suspensions_digest();
--- a/src/net/cluster/service/version_tracking.rs
+++ b/src/net/cluster/service/version_tracking.rs
@@ -1,4 +1,5 @@
-//! The tracking of which node acts on which version, and the worker lists that nodes send each other.
+//! The tracking of which node acts on which version, and the worker lists that nodes send each
+//! other.
 
 use super::{ClusterService, Event};
 use crate::net::cluster::versions::{self, VersionAction, VersionService};
@@ -13,7 +14,8 @@
         self.audit_section.is_some()
     }
 
-    /// Records that the node acts on this worker list from now on, after `acts` actions on the one before.
+    /// Records that the node acts on this worker list from now on, after `acts` actions on the one
+    /// before.
     pub fn record_version(
         &mut self,
         reactor: &mut Reactor,
--- a/src/net/cluster/versions.rs
+++ b/src/net/cluster/versions.rs
@@ -9,7 +9,8 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a message with a worker list begins with on a stream between nodes; the last byte is the version of the format.
+/// What a message with a worker list begins with on a stream between nodes; the last byte is the
+/// version of the format.
 pub const WORKER_LIST_PREFIX: [u8; 3] = *b"PA\x01";
 
 /// What the node has to do for its version tracking.
@@ -50,7 +51,8 @@
     state: &'static str,
     /// How long ago the node reported its versions, in milliseconds; 0 for the node that answers.
     heard_ms: u64,
-    /// How long the node that answers has known that it is behind, in milliseconds; 0 for the other nodes.
+    /// How long the node that answers has known that it is behind, in milliseconds; 0 for the other
+    /// nodes.
     behind_ms: u64,
     versions: Vec<VersionStatus>,
 }
@@ -120,7 +122,8 @@
         actions(outputs)
     }
 
-    /// Records that the node acts on this version from now on, after `action_count` actions on the one before.
+    /// Records that the node acts on this version from now on, after `action_count` actions on the
+    /// one before.
     pub fn adopt(
         &mut self,
         now: f64,
@@ -165,8 +168,8 @@
         to_json_line(&nodes)
     }
 
-    /// Returns this node's audit log as JSON, with a line feed. `action_count` is the number of actions that the tracker
-    /// hasn't been given yet.
+    /// Returns this node's audit log as JSON, with a line feed. `action_count` is the number of
+    /// actions that the tracker hasn't been given yet.
     pub fn audit_log_json(&self, action_count: u64) -> String {
         let log = self.tracker.audit_log();
         to_json_line(&AuditLogStatus {
@@ -198,7 +201,8 @@
     postproxy_version_tracking::digest([name.as_bytes()])
 }
 
-/// Returns the version of this program: the package's version as one number, three digits for each part.
+/// Returns the version of this program: the package's version as one number, three digits for each
+/// part.
 fn program_version() -> VersionRecord {
     let package = env!("CARGO_PKG_VERSION");
     let protocol = postproxy_membership::packet::VERSION;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -26,7 +26,8 @@
     pub inherited_descriptor: Option<String>,
     /// The listener of that descriptor, once it is adopted.
     pub listener: Option<TcpListener>,
-    /// The folder for temporary files, in which the processes of the node find each other for a handover.
+    /// The folder for temporary files, in which the processes of the node find each other for a
+    /// handover.
     pub temporary_folder: Option<PathBuf>,
     /// Descriptors that the node may hold.
     pub sockets: usize,
@@ -36,8 +37,8 @@
     pub cached_list: Option<DiscoveryList>,
     /// The settings of the dispatcher and of the connections.
     pub settings: Settings,
-    /// The store of requests and results, which outlives the process. This and the next three sections come from
-    /// the operator's file.
+    /// The store of requests and results, which outlives the process. This and the next three
+    /// sections come from the operator's file.
     pub store: Option<StoreSection>,
     /// Membership in a cluster of nodes.
     pub fleet: Option<FleetSection>,
@@ -47,8 +48,8 @@
     pub audit: Option<AuditSection>,
 }
 
-/// The configuration file as it is written. Error texts contain the names of this struct and of [`Limits`], so
-/// that they must stay.
+/// The configuration file as it is written. Error texts contain the names of this struct and of
+/// [`Limits`], so that they must stay.
 #[derive(Deserialize)]
 struct Raw {
     #[serde(default)]
@@ -104,8 +105,8 @@
         Self::from_file(environment_variable)
     }
 
-    /// Reads that file again for a running node. The file's address of discovery counts even if `RELAY_DISCOVERY`
-    /// was set at the start.
+    /// Reads that file again for a running node. The file's address of discovery counts even if
+    /// `RELAY_DISCOVERY` was set at the start.
     ///
     /// # Errors
     ///
@@ -120,8 +121,8 @@
         Self::from_json(&text, variable).map_err(|e| format!("{path}: {e}"))
     }
 
-    /// Adopts the inherited listener, if one is named. To be called at the program's start only: it must not have
-    /// opened a descriptor that could have the number.
+    /// Adopts the inherited listener, if one is named. To be called at the program's start only: it
+    /// must not have opened a descriptor that could have the number.
     ///
     /// # Errors
     ///
--- a/src/net/downstream/accept.rs
+++ b/src/net/downstream/accept.rs
@@ -7,7 +7,8 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Pause of accepting after the system gave no connection, or no connection could be closed to make room.
+/// Pause of accepting after the system gave no connection, or no connection could be closed to make
+/// room.
 const ACCEPT_RETRY_SECONDS: f64 = 0.05;
 /// Connections accepted in one turn of the event loop, so that existing ones have their turn too.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
@@ -29,8 +30,8 @@
         })
     }
 
-    /// Orders by rank, then by the time of waiting, then by key: of several that came in one turn of the event loop, the
-    /// first.
+    /// Orders by rank, then by the time of waiting, then by key: of several that came in one turn
+    /// of the event loop, the first.
     fn compare(&self, other: &Self) -> Ordering {
         self.rank
             .cmp(&other.rank)
@@ -55,7 +56,8 @@
                 Err(error) => match error.kind() {
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
                     io::ErrorKind::WouldBlock => break,
-                    // Perhaps no descriptors: the listener stays readable, and trying on at once would be a busy loop.
+                    // Perhaps no descriptors: the listener stays readable, and trying on at once
+                    // would be a busy loop.
                     _ => return self.pause_accepting(reactor),
                 },
             }
@@ -70,8 +72,8 @@
         self.accept(reactor);
     }
 
-    /// Resumes accepting in the next turn if it is paused and this connection, which has just changed, is gone or can
-    /// be closed to make room.
+    /// Resumes accepting in the next turn if it is paused and this connection, which has just
+    /// changed, is gone or can be closed to make room.
     pub(super) fn resume_accepting_if_room(&mut self, reactor: &mut Reactor, key: usize) {
         let makes_room = |session: &Session| session.eviction_rank(reactor.now).is_some();
         if self.accept_paused && self.sessions.get(&key).is_none_or(makes_room) {
@@ -105,9 +107,11 @@
         });
     }
 
-    /// Closes the connection that comes first in the order of eviction; returns whether there is room now.
+    /// Closes the connection that comes first in the order of eviction; returns whether there is
+    /// room now.
     fn make_room(&mut self, reactor: &mut Reactor) -> bool {
-        // A request may have arrived unseen on the chosen connection: then a response is due, and another one is chosen.
+        // A request may have arrived unseen on the chosen connection: then a response is due, and
+        // another one is chosen.
         for _ in 0..=self.sessions.len() {
             let now = reactor.now;
             let Some(candidate) = self.first_eviction_candidate(now) else {
--- a/src/net/downstream/callback.rs
+++ b/src/net/downstream/callback.rs
@@ -1,4 +1,5 @@
-//! The JSON of a worker's call-back: what a worker posts, and what sibling processes forward to each other.
+//! The JSON of a worker's call-back: what a worker posts, and what sibling processes forward to
+//! each other.
 
 use crate::net::messages::{CallbackState, Load, WorkerCallback};
 use serde::Deserialize;
@@ -17,8 +18,9 @@
     load: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Parses a call-back. A state that this version does not know becomes [`CallbackState::Unknown`], and figures of the load
-/// report that are not numbers are skipped; `None` if the body is not a call-back.
+/// Parses a call-back. A state that this version does not know becomes [`CallbackState::Unknown`],
+/// and figures of the load report that are not numbers are skipped; `None` if the body is not a
+/// call-back.
 pub fn parse(body: &[u8]) -> Option<WorkerCallback> {
     let body: CallbackBody = serde_json::from_slice(body).ok()?;
     let state = match body.state.as_str() {
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -11,10 +11,11 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Input that is buffered on a connection, in bytes. The bytes of a body are taken off the buffer at once.
+/// Input that is buffered on a connection, in bytes. The bytes of a body are taken off the buffer
+/// at once.
 pub(super) const MAX_INPUT_BYTES: usize = 2 * http::MAX_HEAD_BYTES;
-/// The most memory that the data of one connection takes, in bytes: its input, and a body, which may be in two places
-/// while it arrives, waits or is forwarded.
+/// The most memory that the data of one connection takes, in bytes: its input, and a body, which
+/// may be in two places while it arrives, waits or is forwarded.
 pub const MAX_CONNECTION_MEMORY_BYTES: usize = MAX_INPUT_BYTES + 2 * http::MAX_BODY_BYTES;
 
 /// All connections that clients and workers have opened.
@@ -36,7 +37,8 @@
 }
 
 impl Clients {
-    /// Accepts connections from a listener that does not block, at most `max_connections` at a time.
+    /// Accepts connections from a listener that does not block, at most `max_connections` at a
+    /// time.
     ///
     /// # Errors
     ///
@@ -113,7 +115,8 @@
         });
     }
 
-    /// Sets whether new connections are accepted. If not, they wait at the listener for the process that shares it.
+    /// Sets whether new connections are accepted. If not, they wait at the listener for the process
+    /// that shares it.
     pub fn set_accepting(&mut self, reactor: &Reactor, accepting: bool) {
         self.accepting = accepting;
         reactor.rearm(&self.listener, self.listener_key, (accepting, false));
@@ -124,8 +127,8 @@
         self.max_connections = max_connections;
     }
 
-    /// Sets whether new clients are wanted, which the readiness check reports, and whether connections are closed
-    /// after their next response.
+    /// Sets whether new clients are wanted, which the readiness check reports, and whether
+    /// connections are closed after their next response.
     pub fn set_readiness(&mut self, wants_clients: bool, closes_connections: bool) {
         self.readiness = if wants_clients {
             Readiness::Ready
@@ -196,7 +199,8 @@
         }
     }
 
-    /// Accepts the connections that have come and closes those that are idle; returns whether none is left.
+    /// Accepts the connections that have come and closes those that are idle; returns whether none
+    /// is left.
     pub fn close_for_shutdown(&mut self, reactor: &mut Reactor) -> bool {
         self.accept(reactor);
         self.close_idle_connections(reactor, 0.0);
@@ -220,7 +224,8 @@
         Some(key)
     }
 
-    /// Lets `act` work on a connection, then updates its registration, or removes it if it has ended.
+    /// Lets `act` work on a connection, then updates its registration, or removes it if it has
+    /// ended.
     pub(super) fn with_session(
         &mut self,
         reactor: &mut Reactor,
--- a/src/net/downstream/migration.rs
+++ b/src/net/downstream/migration.rs
@@ -1,4 +1,5 @@
-//! Passes connections on to, and takes them over from, sibling processes of this node during a hot restart.
+//! Passes connections on to, and takes them over from, sibling processes of this node during a hot
+//! restart.
 
 use super::clients::Clients;
 use super::session::{IDLE_TIMEOUT_SECONDS, Phase, Session, SessionState};
@@ -36,7 +37,8 @@
 }
 
 impl Clients {
-    /// Gives away a connection on which no response is due and no request is in progress, if there is one.
+    /// Gives away a connection on which no response is due and no request is in progress, if there
+    /// is one.
     pub fn release_idle_connection(&mut self, reactor: &Reactor) -> Option<ReleasedIdleConnection> {
         let (&key, _) = self
             .sessions
@@ -67,7 +69,8 @@
         })
     }
 
-    /// Takes over a connection between two requests; the input that came with it is handled at once.
+    /// Takes over a connection between two requests; the input that came with it is handled at
+    /// once.
     pub fn adopt_idle_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -84,7 +87,8 @@
         });
     }
 
-    /// Takes over the connection of a client that waits for its final answer; returns the client's id here.
+    /// Takes over the connection of a client that waits for its final answer; returns the client's
+    /// id here.
     pub fn adopt_waiting_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -96,7 +100,8 @@
             handler.state.useful = true;
             handler.state.close_after_response = released.close_after_response;
         });
-        // The client may have disconnected on the way: its end must be read before a further attempt begins.
+        // The client may have disconnected on the way: its end must be read before a further
+        // attempt begins.
         self.handle_ready(reactor, key, true, false);
         Some(key as ClientId)
     }
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,5 +1,5 @@
-//! The downstream side: the listener for clients and for the workers' call-backs. Nothing here decides on a request,
-//! and nothing here opens a connection.
+//! The downstream side: the listener for clients and for the workers' call-backs. Nothing here
+//! decides on a request, and nothing here opens a connection.
 //!
 //! - [`clients`] owns all connections and is called by the event loop.
 //! - `accept` accepts connections and closes some if there are too many.
--- a/src/net/downstream/session.rs
+++ b/src/net/downstream/session.rs
@@ -13,17 +13,18 @@
 
 /// How long a connection may be idle between requests.
 pub(super) const IDLE_TIMEOUT_SECONDS: f64 = 120.0;
-/// How long a request may take to arrive; the first one from the start of its connection. A client that sends nothing,
-/// or half a request, must get an end or an error within 3 s of connecting.
+/// How long a request may take to arrive; the first one from the start of its connection. A client
+/// that sends nothing, or half a request, must get an end or an error within 3 s of connecting.
 pub(super) const REQUEST_TIMEOUT_SECONDS: f64 = 2.0;
 /// How long a client may take to read a response.
 const DELIVERY_TIMEOUT_SECONDS: f64 = 30.0;
 /// How long the client's end is awaited after the last response on a connection.
 const LINGER_TIMEOUT_SECONDS: f64 = 1.0;
-/// For this long a connection is never closed to make room: the request of a new one is on its way, and so is the last
-/// response of one that is closing.
+/// For this long a connection is never closed to make room: the request of a new one is on its way,
+/// and so is the last response of one that is closing.
 const EVICTION_GRACE_SECONDS: f64 = 0.05;
-/// A connection without a request after this long is closed to make room before those that have brought one.
+/// A connection without a request after this long is closed to make room before those that have
+/// brought one.
 const SILENT_AFTER_SECONDS: f64 = 0.3;
 
 /// The interim response that asks a client for the body of its request.
@@ -45,7 +46,8 @@
 pub(super) enum EvictionRank {
     /// Its last response has been written.
     Closing,
-    /// Silent for long, with half a request, or idle without ever having brought a request or a call-back.
+    /// Silent for long, with half a request, or idle without ever having brought a request or a
+    /// call-back.
     Unused,
     /// Idle, after a request or a call-back.
     IdleAfterUse,
@@ -63,7 +65,8 @@
     continue_sent: bool,
     /// Whether the connection has brought a request for the workers or a call-back.
     pub(super) useful: bool,
-    /// Whether the timeout of an incomplete request runs; for the first request it runs from the start.
+    /// Whether the timeout of an incomplete request runs; for the first request it runs from the
+    /// start.
     pub(super) request_timeout_runs: bool,
     reader: RequestReader,
     /// When the current wait began.
@@ -124,16 +127,17 @@
             && !self.state.reader.in_progress()
     }
 
-    /// How early this connection is closed to make room; `None` for a new connection and for one on which a response
-    /// is due. Without an order, a crowd of silent connections would displace clients with requests, or a call-back,
-    /// which comes on a connection of its own.
+    /// How early this connection is closed to make room; `None` for a new connection and for one on
+    /// which a response is due. Without an order, a crowd of silent connections would displace
+    /// clients with requests, or a call-back, which comes on a connection of its own.
     pub(super) fn eviction_rank(&self, now: f64) -> Option<EvictionRank> {
         if self.state.phase != Phase::Reading || !self.connection.flushed() {
             return None;
         }
         let waited = now - self.state.waiting_since;
         match self.connection.state() {
-            // The client may still be sending: closing now would reset the connection, and the response could be lost.
+            // The client may still be sending: closing now would reset the connection, and the
+            // response could be lost.
             State::Closing => (waited > EVICTION_GRACE_SECONDS).then_some(EvictionRank::Closing),
             State::Open if self.state.request_timeout_runs => {
                 if waited <= EVICTION_GRACE_SECONDS {
@@ -185,7 +189,8 @@
         self.start_wait(LINGER_TIMEOUT_SECONDS);
     }
 
-    /// Closes the connection if nothing has arrived on it and no response is due; returns whether it did.
+    /// Closes the connection if nothing has arrived on it and no response is due; returns whether
+    /// it did.
     pub(super) fn close_if_idle(&mut self, connection: &mut Connection<TcpStream>) -> bool {
         let idle = connection.state() == State::Open
             && connection.flushed()
@@ -219,7 +224,8 @@
         fields: &[(&str, &str)],
         body: &[u8],
     ) {
-        // A request that has been read in part would be lost with its connection: that one's response closes it.
+        // A request that has been read in part would be lost with its connection: that one's
+        // response closes it.
         let closes = self.state.close_after_response
             || (self.closes_connections && !self.state.request_has_begun(connection));
         let option = if closes {
@@ -262,8 +268,8 @@
         self.received(connection);
     }
 
-    /// Continues with the input that was buffered while a response was due. If more of it was discarded, the
-    /// connection is closed once the buffer has no further complete request.
+    /// Continues with the input that was buffered while a response was due. If more of it was
+    /// discarded, the connection is closed once the buffer has no further complete request.
     fn read_buffered_requests(&mut self, connection: &mut Connection<TcpStream>) {
         self.read_requests(connection);
         let open = self.state.phase == Phase::Reading && connection.state() == State::Open;
@@ -272,8 +278,8 @@
         }
     }
 
-    /// Handles the requests in the input until a response is due. The timeout of an incomplete request runs from its
-    /// first byte: a client that sends byte after byte gets no more time.
+    /// Handles the requests in the input until a response is due. The timeout of an incomplete
+    /// request runs from its first byte: a client that sends byte after byte gets no more time.
     pub(super) fn read_requests(&mut self, connection: &mut Connection<TcpStream>) {
         self.parse_requests(connection);
         let incomplete = self.state.phase == Phase::Reading
@@ -339,8 +345,8 @@
         );
     }
 
-    /// Passes a call-back on. It is acknowledged once the request manager has handled it: what the worker may forget
-    /// then must be stored here before.
+    /// Passes a call-back on. It is acknowledged once the request manager has handled it: what the
+    /// worker may forget then must be stored here before.
     fn begin_callback(&mut self, callback: WorkerCallback) {
         self.state.useful = true;
         self.state.phase = Phase::AwaitingAcknowledgement;
@@ -365,7 +371,8 @@
 
 impl Callbacks<TcpStream> for SessionHandler<'_> {
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
-        // Reading stopped at a full buffer: more input, and the client's end behind it, may be there already.
+        // Reading stopped at a full buffer: more input, and the client's end behind it, may be
+        // there already.
         let may_have_more = connection.is_full();
         self.read_requests(connection);
         let awaits_answer = self.state.phase == Phase::AwaitingAnswer;
@@ -395,8 +402,8 @@
         let client = self.state.client_id();
         let queue = &mut self.reactor.queue;
         let is_own_request = |input: &Input| matches!(input, Input::RequestReceived { client: from, .. } if *from == client);
-        // A request that is still in the queue is withdrawn: with both events in a row, the first attempt would begin for a
-        // client that has disconnected already.
+        // A request that is still in the queue is withdrawn: with both events in a row, the first
+        // attempt would begin for a client that has disconnected already.
         match queue.iter().rposition(is_own_request) {
             Some(index) => drop(queue.remove(index)),
             None => queue.push_back(Input::ClientDisconnected { client }),
--- a/src/net/downstream/submission.rs
+++ b/src/net/downstream/submission.rs
@@ -13,8 +13,8 @@
 ///
 /// # Errors
 ///
-/// [`ParseError::Malformed`] if the request can't be forwarded: a worker closes its connection on what it can't read,
-/// whatever other requests wait there.
+/// [`ParseError::Malformed`] if the request can't be forwarded: a worker closes its connection on
+/// what it can't read, whatever other requests wait there.
 pub(super) fn parse(request: Request, class: u8) -> Result<Submission, ParseError> {
     let headers = &request.headers;
     let id = headers
@@ -25,7 +25,8 @@
     if !is_visible_ascii(&request.target) || !idempotency_key.is_none_or(is_visible_ascii) {
         return Err(ParseError::Malformed);
     }
-    // Unlike the deadline, a hint that can't be read is left out: the request can be served without it.
+    // Unlike the deadline, a hint that can't be read is left out: the request can be served without
+    // it.
     let cost_hint = number(headers, "x-cost-hint").ok().flatten();
     Ok(Submission {
         class,
@@ -81,7 +82,8 @@
     !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES && id.bytes().all(is_unreserved)
 }
 
-/// Whether the text has only visible ASCII characters, and no `#`, which is not part of a request target.
+/// Whether the text has only visible ASCII characters, and no `#`, which is not part of a request
+/// target.
 fn is_visible_ascii(text: &str) -> bool {
     text.bytes()
         .all(|byte| byte.is_ascii_graphic() && byte != b'#')
--- a/src/net/handover/callbacks.rs
+++ b/src/net/handover/callbacks.rs
@@ -1,10 +1,11 @@
-//! Call-backs that cross between sibling processes: those forwarded to siblings, which wait for their results,
-//! and those that siblings have forwarded here, which wait for this process's own.
+//! Call-backs that cross between sibling processes: those forwarded to siblings, which wait for
+//! their results, and those that siblings have forwarded here, which wait for this process's own.
 
 use crate::net::messages::{ClientId, WorkerCallback};
 use std::collections::HashMap;
 
-/// Marks the client numbers of call-backs that siblings have forwarded here, apart from those of connections.
+/// Marks the client numbers of call-backs that siblings have forwarded here, apart from those of
+/// connections.
 const FORWARDED_MARK: ClientId = 1 << 63;
 
 /// Where a call-back came from that a sibling has forwarded.
@@ -43,7 +44,8 @@
 }
 
 impl ForwardedCallbacks {
-    /// Adds a call-back that a sibling has forwarded, and returns the client number that stands for it here.
+    /// Adds a call-back that a sibling has forwarded, and returns the client number that stands for
+    /// it here.
     pub fn add_origin(&mut self, link: usize, number: u64) -> ClientId {
         self.last_origin += 1;
         let client = FORWARDED_MARK | self.last_origin;
@@ -75,8 +77,8 @@
         self.pending.insert(client, pending);
     }
 
-    /// Records whether a sibling knows the request of a call-back. The first `known`, or the last result,
-    /// resolves it.
+    /// Records whether a sibling knows the request of a call-back. The first `known`, or the last
+    /// result, resolves it.
     pub fn record_result(&mut self, client: ClientId, known: bool) -> CallbackResolution {
         let Some(pending) = self.pending.get_mut(&client) else {
             return CallbackResolution::Pending;
--- a/src/net/handover/descriptors.rs
+++ b/src/net/handover/descriptors.rs
@@ -54,8 +54,8 @@
         self.announced = None;
     }
 
-    /// Divides the descriptors: the older process keeps what it has, and at least half until it shuts down; the
-    /// newer one has the rest.
+    /// Divides the descriptors: the older process keeps what it has, and at least half until it
+    /// shuts down; the newer one has the rest.
     pub fn divide(&mut self, usage: DescriptorUsage) -> DescriptorShare {
         let siblings: usize = self.siblings.values().sum();
         let available = usage.total.saturating_sub(usage.reserved + siblings);
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -1,7 +1,7 @@
-//! Links between the processes of one node while one takes over from another: a Unix stream in the node's folder
-//! for passing files, on which the newer process connects to the older one. The messages and the state of a link
-//! are `postproxy_handover`'s; this module owns the sockets. `callbacks` and `descriptors` track what crosses
-//! between the processes besides requests.
+//! Links between the processes of one node while one takes over from another: a Unix stream in the
+//! node's folder for passing files, on which the newer process connects to the older one. The
+//! messages and the state of a link are `postproxy_handover`'s; this module owns the sockets.
+//! `callbacks` and `descriptors` track what crosses between the processes besides requests.
 
 pub mod callbacks;
 pub mod descriptors;
@@ -26,7 +26,8 @@
 const MAX_QUEUED_BYTES: usize = 16 << 20;
 /// With this many bytes waiting on a link, no further connections are passed.
 const PASSING_QUEUED_BYTES: usize = 256 << 10;
-/// Links at a time: more than one while replacements follow each other faster than the replaced processes end.
+/// Links at a time: more than one while replacements follow each other faster than the replaced
+/// processes end.
 const MAX_LINKS: usize = 4;
 
 /// An event on a link.
@@ -337,7 +338,8 @@
         }
     }
 
-    /// Sends a call-back over all links but one, and returns over how many: `caller` waits for as many results.
+    /// Sends a call-back over all links but one, and returns over how many: `caller` waits for as
+    /// many results.
     pub fn forward_callback(
         &mut self,
         reactor: &Reactor,
--- a/src/net/handover/session.rs
+++ b/src/net/handover/session.rs
@@ -1,4 +1,5 @@
-//! One link's stream: writes frames, each with at most one descriptor, and reads events with their descriptors.
+//! One link's stream: writes frames, each with at most one descriptor, and reads events with their
+//! descriptors.
 
 use postproxy_handover::{Link, LinkEvent};
 use rustix::net::{
@@ -108,7 +109,8 @@
     ///
     /// # Errors
     ///
-    /// If the stream has ended or its bytes are invalid: the link is to be closed. Events before that count.
+    /// If the stream has ended or its bytes are invalid: the link is to be closed. Events before
+    /// that count.
     pub(super) fn read(&mut self, events: &mut Vec<LinkEvent>) -> io::Result<()> {
         let mut bytes = vec![0; READ_CHUNK_BYTES];
         loop {
@@ -129,9 +131,9 @@
                 }
             }
             if truncated {
-                // A lost descriptor needs a place in the order: otherwise the next message's descriptor would be
-                // used for this one, and a request be answered to another client. The sibling sends one
-                // descriptor at a time, and a read ends behind it.
+                // A lost descriptor needs a place in the order: otherwise the next message's
+                // descriptor would be used for this one, and a request be answered to another
+                // client. The sibling sends one descriptor at a time, and a read ends behind it.
                 self.received.push_back(None);
             }
             if size == 0 {
--- a/src/net/handover/socket.rs
+++ b/src/net/handover/socket.rs
@@ -5,13 +5,14 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// The longest path that surely fits into the address of a Unix socket, in bytes; the limit of Linux is 108.
+/// The longest path that surely fits into the address of a Unix socket, in bytes; the limit of
+/// Linux is 108.
 const MAX_PATH_BYTES: usize = 100;
 /// Characters of the node's name that the file name holds.
 const MAX_NAME_CHARS: usize = 40;
 
-/// Returns the path of the socket of the node with this name. Only the letters, digits, `-` and `_` of the name
-/// are used.
+/// Returns the path of the socket of the node with this name. Only the letters, digits, `-` and `_`
+/// of the name are used.
 pub(super) fn socket_path(folder: &Path, name: &str) -> PathBuf {
     let is_plain = |c: &char| c.is_ascii_alphanumeric() || "-_".contains(*c);
     let plain: String = name.chars().filter(is_plain).take(MAX_NAME_CHARS).collect();
@@ -21,7 +22,8 @@
 /// A path short enough for the address of a Unix socket.
 struct SocketAddress {
     path: PathBuf,
-    /// The folder of a long path, which the address names by its descriptor: it must stay open meanwhile.
+    /// The folder of a long path, which the address names by its descriptor: it must stay open
+    /// meanwhile.
     _folder: Option<std::fs::File>,
 }
 
@@ -51,8 +53,8 @@
     UnixStream::connect(&address.path)
 }
 
-/// Listens, non-blocking, at a path of any length. The socket is bound at `temporary` and then renamed to `path`,
-/// so that it replaces an earlier process's in one step.
+/// Listens, non-blocking, at a path of any length. The socket is bound at `temporary` and then
+/// renamed to `path`, so that it replaces an earlier process's in one step.
 pub(super) fn listen(temporary: &Path, path: &Path) -> io::Result<UnixListener> {
     let address = SocketAddress::new(temporary)?;
     let _ = std::fs::remove_file(temporary);
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,14 +1,14 @@
-//! The node's lifecycle: whether it serves, wants new connections, and keeps those it has. A state machine without
-//! I/O; callers pass the time, in seconds.
+//! The node's lifecycle: whether it serves, wants new connections, and keeps those it has. A state
+//! machine without I/O; callers pass the time, in seconds.
 
-/// For this long after a drain begins, in seconds, idle connections are left alone: the front may still send new
-/// connections and requests.
+/// For this long after a drain begins, in seconds, idle connections are left alone: the front may
+/// still send new connections and requests.
 const DRAIN_GRACE_SECONDS: f64 = 0.5;
-/// All idle connections are closed by this long after a drain begins, in seconds: a request that came on one
-/// later would still be in flight when the operators check the node.
+/// All idle connections are closed by this long after a drain begins, in seconds: a request that
+/// came on one later would still be in flight when the operators check the node.
 const DRAIN_END_SECONDS: f64 = 1.8;
-/// When closing begins, connections that have been idle for longer than this go first, in seconds: they are the
-/// least likely to be used at that moment.
+/// When closing begins, connections that have been idle for longer than this go first, in seconds:
+/// they are the least likely to be used at that moment.
 const INITIAL_MAX_IDLE_SECONDS: f64 = 2.0;
 
 /// A stage of the lifecycle.
@@ -20,8 +20,8 @@
     Serving,
     /// The node serves, and wants no new connections.
     Draining,
-    /// Another process of this node serves: this one answers its requests in flight, passes its connections on,
-    /// and ends.
+    /// Another process of this node serves: this one answers its requests in flight, passes its
+    /// connections on, and ends.
     HandingOver,
     /// The node answers its requests in flight, and ends.
     Stopping,
@@ -65,20 +65,20 @@
         !std::mem::replace(&mut self.stopped, true)
     }
 
-    /// Sets whether another process of this node takes over from this stopped one. If that process ends, this one
-    /// serves its connections again until it ends.
+    /// Sets whether another process of this node takes over from this stopped one. If that process
+    /// ends, this one serves its connections again until it ends.
     pub fn set_handing_over(&mut self, handing_over: bool) {
         self.handing_over = handing_over;
     }
 
-    /// Drains the node. Possible in every stage: a node that starts begins drained, one that stops is being emptied
-    /// already. A drain of a draining node changes nothing.
+    /// Drains the node. Possible in every stage: a node that starts begins drained, one that stops
+    /// is being emptied already. A drain of a draining node changes nothing.
     pub fn drain(&mut self, now: f64) {
         self.draining_since.get_or_insert(now);
     }
 
-    /// Ends the drain, if there is one, and returns whether that was possible: not on a node that stops without
-    /// a handover.
+    /// Ends the drain, if there is one, and returns whether that was possible: not on a node that
+    /// stops without a handover.
     pub fn activate(&mut self) -> bool {
         let possible = !self.stopped || self.handing_over;
         if possible {
@@ -116,8 +116,8 @@
         matches!(self.stage(), Stage::Draining | Stage::Stopping)
     }
 
-    /// Returns how long clients' connections may be idle now, in seconds, during a drain; `None` if the usual limit
-    /// applies. The time falls to 0 over the drain.
+    /// Returns how long clients' connections may be idle now, in seconds, during a drain; `None` if
+    /// the usual limit applies. The time falls to 0 over the drain.
     pub fn max_idle_time(&self, now: f64) -> Option<f64> {
         let since = self.draining_since.filter(|_| !self.stopped)?;
         if now - since < DRAIN_GRACE_SECONDS {
--- a/src/net/management/request.rs
+++ b/src/net/management/request.rs
@@ -104,7 +104,8 @@
     }
 }
 
-/// Whether each `%` is followed by two hexadecimal digits; the decoder would pass others through unchanged.
+/// Whether each `%` is followed by two hexadecimal digits; the decoder would pass others through
+/// unchanged.
 fn has_valid_escapes(segment: &str) -> bool {
     let mut escapes = segment.split('%').skip(1);
     escapes.all(|escape| {
--- a/src/net/management/server.rs
+++ b/src/net/management/server.rs
@@ -18,7 +18,8 @@
 const LINGER_TIMEOUT_SECONDS: f64 = 1.0;
 /// For this long a new connection is never closed to make room: its request is on its way.
 pub(super) const EVICTION_GRACE_SECONDS: f64 = 0.05;
-/// Pause of accepting after the system gave no connection, or no connection could be closed to make room.
+/// Pause of accepting after the system gave no connection, or no connection could be closed to make
+/// room.
 const ACCEPT_RETRY_SECONDS: f64 = EVICTION_GRACE_SECONDS;
 /// Connections accepted in one turn of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
@@ -153,8 +154,8 @@
         self.listener.local_addr()
     }
 
-    /// Handles a socket that can be read or written, the listener or a connection; returns the requests that have
-    /// arrived.
+    /// Handles a socket that can be read or written, the listener or a connection; returns the
+    /// requests that have arrived.
     pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -199,7 +200,8 @@
         self.remove_session(reactor, key);
     }
 
-    /// Accepts the connections that have come, up to a number per turn; returns the requests that have arrived on them.
+    /// Accepts the connections that have come, up to a number per turn; returns the requests that
+    /// have arrived on them.
     pub fn accept(&mut self, reactor: &mut Reactor) -> Vec<ReceivedRequest> {
         let mut requests = Vec::new();
         for _ in 0..MAX_ACCEPTS_PER_TURN {
@@ -247,8 +249,8 @@
         self.handle_ready(reactor, key, true, false)
     }
 
-    /// Closes the oldest connection whose request has not arrived, or has been answered; returns whether there was one.
-    /// Otherwise silent callers would keep out those with a request.
+    /// Closes the oldest connection whose request has not arrived, or has been answered; returns
+    /// whether there was one. Otherwise silent callers would keep out those with a request.
     fn make_room(&mut self, reactor: &mut Reactor) -> bool {
         let can_be_closed = |state: &SessionState| {
             !state.awaits_response && reactor.now - state.connected_at >= EVICTION_GRACE_SECONDS
@@ -273,8 +275,8 @@
         }
     }
 
-    /// Lets `act` work on a connection, then updates its registration, or removes it if it has ended; returns the
-    /// request that has arrived meanwhile.
+    /// Lets `act` work on a connection, then updates its registration, or removes it if it has
+    /// ended; returns the request that has arrived meanwhile.
     fn with_session(
         &mut self,
         reactor: &mut Reactor,
@@ -296,7 +298,8 @@
     }
 }
 
-/// Accepts again after a pause: the listener stays readable, and trying on at once would be a busy loop.
+/// Accepts again after a pause: the listener stays readable, and trying on at once would be a busy
+/// loop.
 fn retry_accepting(reactor: &mut Reactor) {
     reactor.set_timer(reactor.now + ACCEPT_RETRY_SECONDS, Timer::ManagementAccept);
 }
--- a/src/net/management/tests.rs
+++ b/src/net/management/tests.rs
@@ -63,8 +63,8 @@
     text
 }
 
-/// Guards against a path, a method or a name that is mistaken for another, and against success for what is not a
-/// request of the API. The function is long because it is one table of cases.
+/// Guards against a path, a method or a name that is mistaken for another, and against success for
+/// what is not a request of the API. The function is long because it is one table of cases.
 #[test]
 fn parses_only_requests_of_the_api() {
     use ManagementRequest::*;
@@ -172,7 +172,8 @@
     }
 }
 
-/// Guards against a server that silent callers keep busy, and against a request that has to wait for them.
+/// Guards against a server that silent callers keep busy, and against a request that has to wait
+/// for them.
 #[test]
 fn silent_callers_do_not_keep_out_a_request() {
     let mut harness = ServerHarness::new();
@@ -192,8 +193,8 @@
     drop(silent);
 }
 
-/// Guards against a request that is lost because its bytes come one by one, with a body, or with a second request
-/// behind it, which is ignored; and against an endless head.
+/// Guards against a request that is lost because its bytes come one by one, with a body, or with a
+/// second request behind it, which is ignored; and against an endless head.
 #[test]
 fn handles_one_request_a_connection_however_it_is_split() {
     let mut harness = ServerHarness::new();
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the parts of the node: events for the request manager, and the commands that it answers
-//! with. The module depends on none of these parts, and has no logic and no I/O.
+//! The messages between the parts of the node: events for the request manager, and the commands
+//! that it answers with. The module depends on none of these parts, and has no logic and no I/O.
 //!
 //! Times are in seconds of the node's clock, durations in seconds.
 
@@ -10,7 +10,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Identifies a client's connection while it waits for an answer; assigned by the module that owns the connections.
+/// Identifies a client's connection while it waits for an answer; assigned by the module that owns
+/// the connections.
 pub type ClientId = u64;
 /// Identifies an attempt or a probe; assigned by the request manager, never reused.
 pub type AttemptId = u64;
@@ -67,7 +68,8 @@
     Error,
     /// The worker has rejected the attempt, and its answer proves that nothing has run.
     RejectedUnstarted,
-    /// The worker's answer rejects the attempt, but may belong to another request: it proves nothing.
+    /// The worker's answer rejects the attempt, but may belong to another request: it proves
+    /// nothing.
     RejectedAmbiguous,
     /// The attempt has not reached the worker completely.
     NeverSent,
@@ -284,7 +286,8 @@
     },
     /// Nothing waits.
     NoWaiter {
-        /// Id of the request whose record is written; empty if the write belongs to no single request.
+        /// Id of the request whose record is written; empty if the write belongs to no single
+        /// request.
         request_id: String,
     },
 }
@@ -298,7 +301,8 @@
     RejectedWithRetryAfter(f64),
     /// Failed; the request may have run.
     Failed,
-    /// Another request with this id is in flight, or the idempotency key belongs to a different request.
+    /// Another request with this id is in flight, or the idempotency key belongs to a different
+    /// request.
     DuplicateRequestId,
 }
 
@@ -339,7 +343,8 @@
         /// Whether the worker has accepted the request.
         accepted: bool,
     },
-    /// Ask a worker for its load; the answer is an [`Input::ExchangeEnded`] with this attempt's number.
+    /// Ask a worker for its load; the answer is an [`Input::ExchangeEnded`] with this attempt's
+    /// number.
     ProbeWorker {
         /// Number of the probe.
         attempt: AttemptId,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,8 @@
 //! The real node: sockets, timers and HTTP round the decision module.
 //!
-//! [`Node`] runs one loop. Clients' requests are held by the request manager ([`requests::manager`]), which
-//! asks the [`crate::Dispatcher`] and has attempts started; news of the list come from a watch.
+//! [`Node`] runs one loop. Clients' requests are held by the request manager
+//! ([`requests::manager`]), which asks the [`crate::Dispatcher`] and has attempts started; news of
+//! the list come from a watch.
 //!
 //! A node runs in the thread that calls it, until a byte comes on the stream that it was given:
 //!
--- a/src/net/node/cluster.rs
+++ b/src/net/node/cluster.rs
@@ -24,7 +24,8 @@
         self.handle_cluster_events(events.unwrap_or_default());
     }
 
-    /// Notifies the cluster service that a write of its coordination has become durable, or has failed.
+    /// Notifies the cluster service that a write of its coordination has become durable, or has
+    /// failed.
     pub(super) fn complete_coordination_write(&mut self, durable: bool) {
         let events = self
             .cluster
@@ -104,7 +105,7 @@
                     caller,
                     ManagementReply::PartiallyApplied {
                         applied: recorded,
-                        nodes: nodes,
+                        nodes,
                     },
                 ),
             }
--- a/src/net/node/descriptor_budget.rs
+++ b/src/net/node/descriptor_budget.rs
@@ -9,7 +9,8 @@
 pub(super) struct DescriptorBudget {
     /// Descriptors that the node may hold.
     pub(super) sockets: usize,
-    /// Descriptors that each process reserves for what is neither a client's nor a worker's connection.
+    /// Descriptors that each process reserves for what is neither a client's nor a worker's
+    /// connection.
     pub(super) reserved: usize,
     /// Clients' connections that fit into memory.
     pub(super) clients_by_memory: usize,
@@ -28,8 +29,8 @@
 }
 
 impl DescriptorBudget {
-    /// Returns the limits of a process with this share of the node's descriptors: five eighths are for clients,
-    /// three eighths for workers.
+    /// Returns the limits of a process with this share of the node's descriptors: five eighths are
+    /// for clients, three eighths for workers.
     pub(super) fn limits(&self, share: usize) -> ConnectionLimits {
         let share = share.max(MIN_SHARE);
         let unreserved = self.sockets.saturating_sub(self.reserved).max(share);
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -1,4 +1,5 @@
-//! Works with sibling processes of this node: takes over from an older one, and hands over to a newer one.
+//! Works with sibling processes of this node: takes over from an older one, and hands over to a
+//! newer one.
 
 use super::Node;
 use crate::net::downstream::callback;
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Continues a request of a sibling. Without its connection, for which there may have been no descriptor
-    /// left, its client counts as disconnected.
+    /// Continues a request of a sibling. Without its connection, for which there may have been no
+    /// descriptor left, its client counts as disconnected.
     fn adopt_request(
         &mut self,
         link: usize,
@@ -183,9 +184,9 @@
         }
     }
 
-    /// Passes a sibling's suspension on to the other nodes: of two processes, only one is a member of the
-    /// cluster. Suspensions of an older process's snapshot are not new; they are passed on once it is known
-    /// what the cluster has decided.
+    /// Passes a sibling's suspension on to the other nodes: of two processes, only one is a member
+    /// of the cluster. Suspensions of an older process's snapshot are not new; they are passed on
+    /// once it is known what the cluster has decided.
     fn pass_suspension_to_cluster(&mut self, link: usize, worker: &str, resume: bool) {
         let from_older = self
             .handover
@@ -245,8 +246,9 @@
         }
     }
 
-    /// Whether an older process of this node is still linked. This process must not end before it: what the older
-    /// one passes to an ended process is lost, and nobody would forward call-backs to it.
+    /// Whether an older process of this node is still linked. This process must not end before it:
+    /// what the older one passes to an ended process is lost, and nobody would forward call-backs
+    /// to it.
     pub(super) fn has_predecessor(&self) -> bool {
         self.handover
             .as_ref()
@@ -262,7 +264,8 @@
         answered && flushed && !self.has_predecessor()
     }
 
-    /// Passes connections to the process that takes over: those that wait for nothing, then requests with theirs.
+    /// Passes connections to the process that takes over: those that wait for nothing, then
+    /// requests with theirs.
     pub(super) fn migrate_connections(&mut self) {
         let Some(successor) = self.handover.as_ref().and_then(Handover::successor) else {
             return;
@@ -336,7 +339,8 @@
             handover.send_to_successors(&self.reactor, &Message::DescriptorsHeld(held));
         }
         if shutting_down {
-            // A request may still come on one of this process's connections; lower limits would make it fail.
+            // A request may still come on one of this process's connections; lower limits would
+            // make it fail.
             return;
         }
         let limits = self.descriptor_budget.limits(share.own);
@@ -361,7 +365,8 @@
         }
     }
 
-    /// Forwards a call-back on an unknown request to the siblings; without any it is acknowledged at once.
+    /// Forwards a call-back on an unknown request to the siblings; without any it is acknowledged
+    /// at once.
     pub(super) fn forward_callback(&mut self, client: ClientId, callback: WorkerCallback) {
         let except = self.forwarded_callbacks.origin_link(client);
         let body = callback::encode(&callback);
--- a/src/net/node/lifecycle.rs
+++ b/src/net/node/lifecycle.rs
@@ -7,21 +7,21 @@
 use crate::net::transport::reactor::Timer;
 use postproxy_handover::{Message, StateUpdate};
 
-/// How long new connections are still accepted after the stop signal, in seconds: the front may not yet know
-/// that this node ends.
+/// How long new connections are still accepted after the stop signal, in seconds: the front may not
+/// yet know that this node ends.
 const ACCEPT_WINDOW_SECONDS: f64 = 0.6;
 /// How often the node checks during its shutdown whether all has been answered, in seconds.
 const SHUTDOWN_CHECK_SECONDS: f64 = 0.02;
-/// Consecutive checks without work before the node ends: a client whose request crossed the end of its
-/// connection sends it again on a new one.
+/// Consecutive checks without work before the node ends: a client whose request crossed the end of
+/// its connection sends it again on a new one.
 const QUIET_CHECKS_BEFORE_END: u32 = 10;
 /// How often idle connections are checked during a drain, in seconds.
 const DRAIN_CHECK_SECONDS: f64 = 0.05;
 
 impl Node {
-    /// Begins to serve once an older process has sent its snapshot and discovery has answered: with a list from
-    /// before its start the node would send to workers that have left since. Deferred management requests
-    /// are carried out as soon as the snapshot is complete.
+    /// Begins to serve once an older process has sent its snapshot and discovery has answered: with
+    /// a list from before its start the node would send to workers that have left since. Deferred
+    /// management requests are carried out as soon as the snapshot is complete.
     pub(super) fn start_serving_when_ready(&mut self) {
         let ready = self.lifecycle.stage() == Stage::Starting
             && !self.is_waiting_for_snapshot()
@@ -47,7 +47,8 @@
             .is_some_and(Handover::is_waiting_for_snapshot)
     }
 
-    /// Tells the clients' side whether the node wants new connections and ends them after an answer.
+    /// Tells the clients' side whether the node wants new connections and ends them after an
+    /// answer.
     pub(super) fn apply_readiness(&mut self) {
         self.clients.set_readiness(
             self.lifecycle.wants_connections(),
@@ -106,7 +107,8 @@
     /// Begins the shutdown: by a handover, if another process of this node can take over.
     pub(super) fn stop(&mut self) {
         self.stop_signal.consume(&self.reactor);
-        // A node that has not begun to serve holds no request, and what waits at the listener is another process's.
+        // A node that has not begun to serve holds no request, and what waits at the listener is
+        // another process's.
         self.finished |= self.lifecycle.stage() == Stage::Starting;
         if self.lifecycle.stop() {
             self.apply_readiness();
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -34,8 +34,9 @@
         self.handle_management_requests(calls.unwrap_or_default());
     }
 
-    /// Carries out requests of the management API, each with its caller's connection. Requests that change the
-    /// node are deferred while an older process still sends its snapshot: the snapshot would override them.
+    /// Carries out requests of the management API, each with its caller's connection. Requests that
+    /// change the node are deferred while an older process still sends its snapshot: the snapshot
+    /// would override them.
     pub(super) fn handle_management_requests(&mut self, requests: Vec<ReceivedRequest>) {
         for received in requests {
             if changes_node(&received.request) && self.is_waiting_for_snapshot() {
@@ -155,7 +156,8 @@
         );
     }
 
-    /// Submits a request to the cluster's coordination; the caller gets its reply once the request is decided.
+    /// Submits a request to the cluster's coordination; the caller gets its reply once the request
+    /// is decided.
     fn submit_admin_request(&mut self, caller: usize, request: AdminRequest) {
         let events = self
             .cluster
@@ -183,7 +185,8 @@
         }
     }
 
-    /// Asks the request manager to suspend or to resume a worker; [`Self::complete_suspension`] follows.
+    /// Asks the request manager to suspend or to resume a worker; [`Self::complete_suspension`]
+    /// follows.
     fn request_suspension(&mut self, caller: usize, change: SuspensionChange) {
         if self.cluster.is_some() {
             self.pending_suspensions.insert(caller, change.clone());
@@ -195,8 +198,8 @@
         });
     }
 
-    /// Passes an accepted suspension on to the other nodes, which then confirm it to the caller; without other
-    /// nodes the caller gets the request manager's reply at once.
+    /// Passes an accepted suspension on to the other nodes, which then confirm it to the caller;
+    /// without other nodes the caller gets the request manager's reply at once.
     pub(super) fn complete_suspension(&mut self, caller: usize, reply: ManagementReply) {
         let change = self
             .pending_suspensions
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -1,11 +1,13 @@
-//! The node's event loop: waits for sockets, timers and signals, and hands each event to the part that owns it.
+//! The node's event loop: waits for sockets, timers and signals, and hands each event to the part
+//! that owns it.
 //!
-//! This file owns the loop and the order of work within one turn: first the queued events of the request
-//! manager, then connections for a process that takes over, then the poller's events in the order of their
-//! owners, then the expired timers. The glue between the loop and each part is in the submodules: `startup`
-//! builds the node, `commands` carries out what the request manager asks for, `management`, `cluster` and
-//! `handover` serve the management API, the other nodes and the sibling processes, `lifecycle` starts, drains
-//! and ends the node, and `timers` dispatches expired timers.
+//! This file owns the loop and the order of work within one turn: first the queued events of the
+//! request manager, then connections for a process that takes over, then the poller's events in the
+//! order of their owners, then the expired timers. The glue between the loop and each part is in
+//! the submodules: `startup` builds the node, `commands` carries out what the request manager asks
+//! for, `management`, `cluster` and `handover` serve the management API, the other nodes and the
+//! sibling processes, `lifecycle` starts, drains and ends the node, and `timers` dispatches expired
+//! timers.
 
 mod cluster;
 mod commands;
@@ -52,8 +54,8 @@
     management: Option<ManagementServer>,
     handover: Option<Handover>,
     cluster: Option<ClusterService>,
-    /// Suspensions requested through the management API, by the caller's connection. The cluster is notified
-    /// once the request manager has accepted the change.
+    /// Suspensions requested through the management API, by the caller's connection. The cluster is
+    /// notified once the request manager has accepted the change.
     pending_suspensions: HashMap<usize, SuspensionChange>,
     forwarded_callbacks: ForwardedCallbacks,
     descriptor_shares: DescriptorShares,
@@ -79,8 +81,9 @@
 }
 
 impl Node {
-    /// Has a byte on `signal` ask `source` for a new configuration; `None` from it keeps the current one. Of a
-    /// new configuration only the address of discovery takes effect at once; all else holds from the next start.
+    /// Has a byte on `signal` ask `source` for a new configuration; `None` from it keeps the
+    /// current one. Of a new configuration only the address of discovery takes effect at once; all
+    /// else holds from the next start.
     ///
     /// # Errors
     ///
@@ -172,7 +175,8 @@
         }
     }
 
-    /// Handles writes that the store has completed, and hands on those of the cluster's coordination.
+    /// Handles writes that the store has completed, and hands on those of the cluster's
+    /// coordination.
     fn handle_store_ready(&mut self) {
         let written = self
             .store
--- a/src/net/node/signals.rs
+++ b/src/net/node/signals.rs
@@ -1,4 +1,5 @@
-//! Signals to the event loop: streams on which a byte asks the node to stop or to reload its configuration.
+//! Signals to the event loop: streams on which a byte asks the node to stop or to reload its
+//! configuration.
 
 use crate::net::config::Config;
 use crate::net::transport::reactor::{Reactor, SocketOwner};
@@ -29,8 +30,8 @@
         self.key
     }
 
-    /// Reads all pending bytes and returns whether there were any. A stream whose other end is closed is not
-    /// waited for any more.
+    /// Reads all pending bytes and returns whether there were any. A stream whose other end is
+    /// closed is not waited for any more.
     pub(super) fn consume(&mut self, reactor: &Reactor) -> bool {
         let mut bytes = [0; 64];
         let mut any = false;
@@ -60,8 +61,8 @@
         Self { signal, source }
     }
 
-    /// Returns a new configuration if one was signalled. The signal is consumed before the source is read, so
-    /// that a change during the read is signalled again.
+    /// Returns a new configuration if one was signalled. The signal is consumed before the source
+    /// is read, so that a change during the read is signalled again.
     pub(super) fn poll(&mut self, reactor: &Reactor) -> Option<Config> {
         if self.signal.consume(reactor) {
             (self.source)()
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -52,20 +52,25 @@
 }
 
 impl Node {
-    /// Listens, and adopts the worker list that the configuration holds. A byte on `stop` shuts the node down.
+    /// Listens, and adopts the worker list that the configuration holds. A byte on `stop` shuts the
+    /// node down.
     ///
-    /// The function is long because it lists every field of the node once; the steps are the functions below.
+    /// The function is long because it lists every field of the node once; the steps are the
+    /// functions below.
     ///
     /// # Errors
     ///
-    /// If the configuration is unusable, the store can't be opened, or an address can't be listened on.
+    /// If the configuration is unusable, the store can't be opened, or an address can't be listened
+    /// on.
     pub fn new(mut config: Config, stop: UnixStream) -> Result<Self, Box<dyn Error>> {
         let clock = Clock::new();
         let mut reactor = Reactor::new(clock.now())?;
-        // The store is read before anybody can connect: an earlier call-back would meet a node without requests.
+        // The store is read before anybody can connect: an earlier call-back would meet a node
+        // without requests.
         let mut recovered = RecoveredState::default();
         let store = open_store(&mut reactor, &mut config, &mut recovered)?;
-        // An inherited listener is shared with other processes; a process with a listener of its own has no successor.
+        // An inherited listener is shared with other processes; a process with a listener of its
+        // own has no successor.
         let shared_listener = config.listener.is_some();
         let listeners = open_listeners(&mut reactor, &mut config)?;
         let address = listeners.clients.local_addr()?;
@@ -150,8 +155,8 @@
     }
 }
 
-/// Opens the store, if one is configured. A worker list that it holds takes the place of the configured one if
-/// it is newer.
+/// Opens the store, if one is configured. A worker list that it holds takes the place of the
+/// configured one if it is newer.
 fn open_store(
     reactor: &mut Reactor,
     config: &mut Config,
@@ -188,7 +193,8 @@
     }))
 }
 
-/// Gives the request manager its durability, and starts the writes and the expiry of the recovered requests.
+/// Gives the request manager its durability, and starts the writes and the expiry of the recovered
+/// requests.
 fn attach_store(
     reactor: &mut Reactor,
     requests: &mut RequestManager,
@@ -250,8 +256,8 @@
     }
 }
 
-/// Reads the workers of a cached list. A list without workers counts as none: with its revision the node would
-/// wait for a newer one.
+/// Reads the workers of a cached list. A list without workers counts as none: with its revision the
+/// node would wait for a newer one.
 fn cached_workers(list: Option<&DiscoveryList>, settings: &Settings) -> CachedWorkers {
     let revision = list.map(|list| list.revision);
     let workers = list
@@ -264,7 +270,8 @@
     }
 }
 
-/// Connects to an older process of this node, if the listener is shared and a folder for the socket is known.
+/// Connects to an older process of this node, if the listener is shared and a folder for the socket
+/// is known.
 fn start_handover(
     reactor: &mut Reactor,
     config: &Config,
--- a/src/net/node/timers.rs
+++ b/src/net/node/timers.rs
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Saves the worker list and the suspensions if they have changed, or if an earlier save has failed.
+    /// Saves the worker list and the suspensions if they have changed, or if an earlier save has
+    /// failed.
     fn save_snapshots(&mut self) {
         let Some(store) = &mut self.store else {
             return;
--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: whether a submitted request is admitted, and what happens when its client disconnects.
+//! Admission: whether a submitted request is admitted, and what happens when its client
+//! disconnects.
 
 use super::coalescing::NewSubmission;
 use super::in_flight::InFlightRequest;
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Returns how long the client waits, in seconds, or the answer with which the request is rejected.
+    /// Returns how long the client waits, in seconds, or the answer with which the request is
+    /// rejected.
     fn check_admissible(&self, submission: &Submission) -> Result<f64, Answer> {
         let id = &submission.payload.id;
         if self.requests_by_id.contains_key(id) || self.sibling_requests.contains_key(id) {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Opens the request's span in the logs. Its fields are evaluated only if the level `debug` is on.
+    /// Opens the request's span in the logs. Its fields are evaluated only if the level `debug` is
+    /// on.
     fn request_span(&self, submission: &Submission) -> tracing::Span {
         tracing::debug_span!(
             target: "postproxy::request",
@@ -122,7 +125,8 @@
         )
     }
 
-    /// Gives up the request of a client that has disconnected, unless others wait for the same answer.
+    /// Gives up the request of a client that has disconnected, unless others wait for the same
+    /// answer.
     pub(super) fn handle_client_disconnected(
         &mut self,
         now: f64,
@@ -138,8 +142,8 @@
         let mut unwritten = Vec::new();
         if let Some(in_flight) = self.requests.get_mut(&request) {
             in_flight.client = None;
-            // Where settings allow cancels, the dispatcher cancels all attempts. What has not been sent can be
-            // withdrawn even where they don't.
+            // Where settings allow cancels, the dispatcher cancels all attempts. What has not been
+            // sent can be withdrawn even where they don't.
             if !self.settings.cancel_allowed {
                 unwritten.extend(in_flight.unwritten_attempts(request));
             }
--- a/src/net/requests/attempts.rs
+++ b/src/net/requests/attempts.rs
@@ -11,15 +11,16 @@
 use postproxy_idempotency::AttemptFailure;
 use std::collections::BTreeSet;
 
-/// The outcome code that the dispatcher is given for an ambiguous rejection. It knows no outcome of this number, and
-/// so counts the attempt as one that may have run.
+/// The outcome code that the dispatcher is given for an ambiguous rejection. It knows no outcome of
+/// this number, and so counts the attempt as one that may have run.
 const AMBIGUOUS_REJECTION_CODE: u16 = 503;
 
 impl RequestManager {
-    /// Starts an attempt that the dispatcher has decided on; at once, or when its record is durable.
+    /// Starts an attempt that the dispatcher has decided on; at once, or when its record is
+    /// durable.
     ///
-    /// A `timeout` of 0 stands for the client's deadline. A negative one, a client that has disconnected, or an
-    /// exhausted number of attempts ends the attempt before anything is sent.
+    /// A `timeout` of 0 stands for the client's deadline. A negative one, a client that has
+    /// disconnected, or an exhausted number of attempts ends the attempt before anything is sent.
     pub(super) fn start_attempt(
         &mut self,
         now: f64,
@@ -160,7 +161,8 @@
             attempt.accepted = true;
             return;
         }
-        // Once a worker has accepted an attempt, a broken connection proves nothing: its call-back decides.
+        // Once a worker has accepted an attempt, a broken connection proves nothing: its call-back
+        // decides.
         if !attempt.accepted {
             let outcome = outcome_of_end(end, attempt.written);
             self.record_attempt_end(now, key, outcome, load);
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Records the end of an attempt in the request, the request log, at the siblings and at the dispatcher; once.
+    /// Records the end of an attempt in the request, the request log, at the siblings and at the
+    /// dispatcher; once.
     pub(super) fn record_attempt_end(
         &mut self,
         now: f64,
@@ -259,8 +262,8 @@
 
     /// Returns the attempts to these workers whose last byte has not been written.
     ///
-    /// They include attempts whose connection is being made. A worker's drain counts from the first byte, and a
-    /// connection may take longer to come up than the drain allows.
+    /// They include attempts whose connection is being made. A worker's drain counts from the first
+    /// byte, and a connection may take longer to come up than the drain allows.
     pub(super) fn unwritten_attempts_to(
         &self,
         workers: &BTreeSet<WorkerIndex>,
@@ -277,8 +280,8 @@
         self.requests.iter().flat_map(unwritten).collect()
     }
 
-    /// Withdraws attempts whose last byte has not been written. Nothing of them runs, so that this is allowed where
-    /// settings forbid cancels, too.
+    /// Withdraws attempts whose last byte has not been written. Nothing of them runs, so that this
+    /// is allowed where settings forbid cancels, too.
     pub(super) fn withdraw_attempts(
         &mut self,
         now: f64,
@@ -297,7 +300,8 @@
     }
 }
 
-/// Returns the dispatcher's outcome for the end of an attempt's exchange; `written` if its last byte was.
+/// Returns the dispatcher's outcome for the end of an attempt's exchange; `written` if its last
+/// byte was.
 fn outcome_of_end(end: AttemptEnd, written: bool) -> Outcome {
     match end {
         AttemptEnd::RejectedUnstarted => Outcome::Rejected,
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Handles a call-back whose request is in flight here or at no sibling. If it has migrated once more since the
-    /// siblings were asked, the acknowledgement is negative, and the sibling that asked looks the request up again.
+    /// Handles a call-back whose request is in flight here or at no sibling. If it has migrated
+    /// once more since the siblings were asked, the acknowledgement is negative, and the sibling
+    /// that asked looks the request up again.
     pub(super) fn handle_callback(
         &mut self,
         now: f64,
@@ -85,7 +86,8 @@
         if let Some(in_flight) = self.requests.get_mut(&request) {
             in_flight.attempts[key.attempt as usize].returned = returned;
         }
-        // The records of the attempt's end join the same batch, so that the acknowledgement waits for them as well.
+        // The records of the attempt's end join the same batch, so that the acknowledgement waits
+        // for them as well.
         let queued_before = self.pending_writes.len();
         self.record_attempt_end(now, key, outcome, &callback.load);
         let records_of_end = self.pending_writes.drain(queued_before..);
@@ -93,10 +95,11 @@
         self.acknowledge_after(records, client, callback.id)
     }
 
-    /// Returns the attempt that a call-back is about; `None` if it is about none that is still open.
+    /// Returns the attempt that a call-back is about; `None` if it is about none that is still
+    /// open.
     ///
-    /// A worker has at most one open attempt of a request. A call-back from before that attempt was written is about
-    /// an earlier one.
+    /// A worker has at most one open attempt of a request. A call-back from before that attempt was
+    /// written is about an earlier one.
     fn attempt_of_callback(
         &self,
         request: RequestId,
@@ -107,8 +110,8 @@
         let is_open =
             |attempt: &Attempt| attempt.worker == worker && attempt.written && !attempt.ended;
         let number = attempts.iter().position(is_open)?;
-        // A worker repeats its call-back until it is acknowledged. A second `returned` may thus be about an earlier
-        // attempt, while this one runs.
+        // A worker repeats its call-back until it is acknowledged. A second `returned` may thus be
+        // about an earlier attempt, while this one runs.
         let was_returned = |attempt: &Attempt| attempt.worker == worker && attempt.returned;
         if callback.state == CallbackState::Returned && attempts[..number].iter().any(was_returned)
         {
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Queues the records that a call-back has changed; the acknowledgement waits for them, if there are any.
+    /// Queues the records that a call-back has changed; the acknowledgement waits for them, if
+    /// there are any.
     fn acknowledge_after(
         &mut self,
         records: Vec<Write>,
@@ -201,8 +205,8 @@
             .collect()
     }
 
-    /// Answers a client whose request repeats a recorded one of which the outcome is known now; or has it run, if the
-    /// recorded one never has.
+    /// Answers a client whose request repeats a recorded one of which the outcome is known now; or
+    /// has it run, if the recorded one never has.
     fn resolve_in_doubt(
         &mut self,
         now: f64,
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -1,5 +1,6 @@
-//! Repetitions of recorded requests: they cause no attempts of their own, but wait for the request that is in flight,
-//! for the outcome of one that was sent before a restart, or for a stored result.
+//! Repetitions of recorded requests: they cause no attempts of their own, but wait for the request
+//! that is in flight, for the outcome of one that was sent before a restart, or for a stored
+//! result.
 
 use super::durability::{Durability, RequestFingerprint};
 use super::in_flight::{CoalescedWaiter, InDoubtRequest, InFlightRequest};
@@ -16,8 +17,9 @@
 }
 
 impl RequestManager {
-    /// Looks a submitted request up among the recorded ones. Returns it if it is to run; otherwise its client waits
-    /// until `deadline` for the answer of the request that it repeats, or has been answered.
+    /// Looks a submitted request up among the recorded ones. Returns it if it is to run; otherwise
+    /// its client waits until `deadline` for the answer of the request that it repeats, or has been
+    /// answered.
     pub(super) fn deduplicate(
         &mut self,
         client: ClientId,
@@ -68,8 +70,8 @@
         None
     }
 
-    /// Looks a request up, first among the requests in flight by its idempotency key, then in the request log. The
-    /// log knows a request only from its first attempt on.
+    /// Looks a request up, first among the requests in flight by its idempotency key, then in the
+    /// request log. The log knows a request only from its first attempt on.
     fn look_up(&self, submission: &Submission, fingerprint: &RequestFingerprint) -> Lookup {
         let in_flight = submission
             .payload
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Makes sure that the request log can take another request of this class, or returns the answer with which the
-    /// request is rejected.
+    /// Makes sure that the request log can take another request of this class, or returns the
+    /// answer with which the request is rejected.
     fn reserve_record(&mut self, class: u8) -> Result<(), Answer> {
         let Some(policy) = &mut self.durability else {
             return Ok(());
@@ -127,7 +129,8 @@
         }
     }
 
-    /// Puts the first waiter of a client's request in the client's place. Returns whether there was one.
+    /// Puts the first waiter of a client's request in the client's place. Returns whether there was
+    /// one.
     pub(super) fn promote_waiter(&mut self, client: ClientId) -> bool {
         let Some(&request) = self.requests_by_client.get(&client) else {
             return false;
@@ -147,7 +150,8 @@
         true
     }
 
-    /// Ends a client's waiting for the answer of a request that it repeats. Returns whether it was waiting for one.
+    /// Ends a client's waiting for the answer of a request that it repeats. Returns whether it was
+    /// waiting for one.
     pub(super) fn remove_waiter(&mut self, client: ClientId) -> bool {
         let Some(waiter) = self.coalesced.remove(&client) else {
             return false;
@@ -173,8 +177,8 @@
         }
     }
 
-    /// Answers a client that has waited in vain for the answer of a request that it repeats. It fails: that request
-    /// may have run or may yet run, so that a rejection would promise too much.
+    /// Answers a client that has waited in vain for the answer of a request that it repeats. It
+    /// fails: that request may have run or may yet run, so that a rejection would promise too much.
     pub(super) fn handle_coalesced_request_timeout(
         &mut self,
         client: ClientId,
--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -1,5 +1,5 @@
-//! What is recorded of requests beyond the life of this process: the durability of each class, the request log, and
-//! what identifies a request in it. No I/O.
+//! What is recorded of requests beyond the life of this process: the durability of each class, the
+//! request log, and what identifies a request in it. No I/O.
 
 use crate::decision::interface::{Effect, Settings};
 use crate::net::messages::Submission;
@@ -24,22 +24,24 @@
     pub request_log: RequestLog,
     /// Durability by the index of the class.
     by_class: Vec<Durability>,
-    /// How long the record of an attempt may take to become durable, in seconds, before its request is rejected.
+    /// How long the record of an attempt may take to become durable, in seconds, before its request
+    /// is rejected.
     pub write_timeout: f64,
-    /// Retry-After of a request that is rejected for want of a working store, in seconds; 0 where settings allow no
-    /// advice.
+    /// Retry-After of a request that is rejected for want of a working store, in seconds; 0 where
+    /// settings allow no advice.
     pub retry_after: f64,
     /// Whether the store accepts no writes.
     pub store_failed: bool,
 }
 
-/// Retry-After of a request that is rejected for want of a working store, in seconds, unless settings allow only
-/// less. Short, since a store that fails does so mostly for a moment.
+/// Retry-After of a request that is rejected for want of a working store, in seconds, unless
+/// settings allow only less. Short, since a store that fails does so mostly for a moment.
 const STORE_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 impl DurabilityPolicy {
-    /// Returns the policy that follows from the effect of each class: safe requests are not recorded, those that must
-    /// not run twice durably, and those with an idempotency key with the durability `keyed`.
+    /// Returns the policy that follows from the effect of each class: safe requests are not
+    /// recorded, those that must not run twice durably, and those with an idempotency key with the
+    /// durability `keyed`.
     ///
     /// `write_timeout` is in seconds.
     pub fn new(
--- a/src/net/requests/in_flight.rs
+++ b/src/net/requests/in_flight.rs
@@ -1,5 +1,5 @@
-//! The records of the request core: requests in flight, their attempts, the clients that wait for them, and the
-//! requests of sibling processes. Plain data.
+//! The records of the request core: requests in flight, their attempts, the clients that wait for
+//! them, and the requests of sibling processes. Plain data.
 
 use super::durability::{Durability, RequestFingerprint};
 use super::worker_table::WorkerIndex;
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -1,7 +1,8 @@
-//! The request manager: the state of all requests, and the dispatch of events and of the dispatcher's actions.
+//! The request manager: the state of all requests, and the dispatch of events and of the
+//! dispatcher's actions.
 //!
-//! It alone calls the [`Dispatcher`]. It knows neither sockets nor HTTP, so that requests can come in by another
-//! protocol as well.
+//! It alone calls the [`Dispatcher`]. It knows neither sockets nor HTTP, so that requests can come
+//! in by another protocol as well.
 
 use super::durability::{Durability, DurabilityPolicy};
 use super::in_flight::{
@@ -18,8 +19,8 @@
 pub struct RequestManager {
     pub(super) settings: Settings,
     pub(super) dispatcher: Dispatcher,
-    /// Events that the dispatcher has yet to handle. They are queued, since it must not be called while its own
-    /// actions are carried out.
+    /// Events that the dispatcher has yet to handle. They are queued, since it must not be called
+    /// while its own actions are carried out.
     pub(super) dispatcher_events: VecDeque<Event>,
     pub(super) workers: WorkerTable,
     pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
@@ -52,7 +53,8 @@
 }
 
 impl RequestManager {
-    /// Returns a request manager without requests and workers. The seed is that of the dispatcher's random draws.
+    /// Returns a request manager without requests and workers. The seed is that of the dispatcher's
+    /// random draws.
     ///
     /// # Errors
     ///
@@ -91,7 +93,8 @@
         self.settings.max_waiting_requests = limit;
     }
 
-    /// Returns the number of requests that wait for their final answer or for the end of an attempt.
+    /// Returns the number of requests that wait for their final answer or for the end of an
+    /// attempt.
     pub fn pending_count(&self) -> usize {
         self.requests.len() + self.coalesced.len()
     }
@@ -101,7 +104,8 @@
         self.requests_by_client.len() + self.coalesced.len()
     }
 
-    /// Handles an event that occurs at `now`, and appends the commands that follow from it to `out`.
+    /// Handles an event that occurs at `now`, and appends the commands that follow from it to
+    /// `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         self.handle_input(now, input, out);
         self.run_dispatcher(now, out);
@@ -201,7 +205,8 @@
             ));
     }
 
-    /// Has the dispatcher handle its events, and carries out the actions that it returns, until none is left.
+    /// Has the dispatcher handle its events, and carries out the actions that it returns, until
+    /// none is left.
     fn run_dispatcher(&mut self, now: f64, out: &mut Vec<Command>) {
         let mut actions = Vec::new();
         while let Some(event) = self.dispatcher_events.pop_front() {
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -13,12 +13,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Difference in seconds up to which the clocks of two processes count as equal. Each sets its clock at its start by
-/// the system's; a larger difference counts as a step of the system's clock between the starts, and made up for.
+/// Difference in seconds up to which the clocks of two processes count as equal. Each sets its
+/// clock at its start by the system's; a larger difference counts as a step of the system's clock
+/// between the starts, and made up for.
 const CLOCK_TOLERANCE_SECONDS: f64 = 0.05;
 
-/// A request as it is encoded for a sibling, which may run another version: order and types of the fields must not
-/// change. Times are those of the sender's clock.
+/// A request as it is encoded for a sibling, which may run another version: order and types of the
+/// fields must not change. Times are those of the sender's clock.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct EncodedRequest {
     /// The time at which it was encoded.
@@ -74,8 +75,9 @@
 }
 
 impl RequestManager {
-    /// Returns the clients whose requests can migrate now. A request whose attempt is on its way to a worker can't, as
-    /// nobody would know whether the worker has accepted it; nor can one that is recorded or that others wait for.
+    /// Returns the clients whose requests can migrate now. A request whose attempt is on its way to
+    /// a worker can't, as nobody would know whether the worker has accepted it; nor can one that is
+    /// recorded or that others wait for.
     pub fn migratable_clients(&self) -> Vec<ClientId> {
         let can_migrate = |in_flight: &InFlightRequest| {
             in_flight.fingerprint.is_none()
@@ -122,7 +124,8 @@
         postcard::to_stdvec(&encoded).ok()
     }
 
-    /// Takes over a sibling's request. If it can't be taken over, its client is answered that it has failed.
+    /// Takes over a sibling's request. If it can't be taken over, its client is answered that it
+    /// has failed.
     pub(super) fn handle_request_migrated(
         &mut self,
         now: f64,
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Decodes a sibling's request, which is the sibling's no more; `None` if it can't be taken over.
+    /// Decodes a sibling's request, which is the sibling's no more; `None` if it can't be taken
+    /// over.
     fn decode_migrated_request(
         &mut self,
         now: f64,
@@ -163,8 +167,8 @@
         Some(migrated)
     }
 
-    /// Goes on with a sibling's request. Without its client, no attempt is started, and those that are out are
-    /// cancelled.
+    /// Goes on with a sibling's request. Without its client, no attempt is started, and those that
+    /// are out are cancelled.
     fn resume_migrated_request(
         &mut self,
         now: f64,
@@ -214,8 +218,8 @@
         }
     }
 
-    /// Returns the attempts of a sibling's request under ids of this process, and sets the timers of those that are
-    /// out. The dispatcher's state is given this process's ids of their workers.
+    /// Returns the attempts of a sibling's request under ids of this process, and sets the timers
+    /// of those that are out. The dispatcher's state is given this process's ids of their workers.
     fn add_migrated_attempts(
         &mut self,
         request: RequestId,
@@ -236,7 +240,8 @@
                 deadline: encoded.deadline,
                 may_start: true,
                 written: encoded.written,
-                // Only decided attempts migrate: one that was written and has not ended was accepted.
+                // Only decided attempts migrate: one that was written and has not ended was
+                // accepted.
                 accepted: encoded.written,
                 ended: encoded.ended,
                 // Whether it was returned is not encoded; its call-back may be repeated.
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -1,6 +1,7 @@
-//! Pins the bytes of a request that migrates to a sibling process of the node: the field `job` of the handover's message `Job`.
-//! The other process may run another version of the program, so these bytes must not change with a rename. The literals
-//! were written by the version before the renames.
+//! Pins the bytes of a request that migrates to a sibling process of the node: the field `job` of
+//! the handover's message `Job`. The other process may run another version of the program, so these
+//! bytes must not change with a rename. The literals were written by the version before the
+//! renames.
 
 use super::{EncodedAttempt, EncodedRequest};
 use crate::decision::interface::{MigratedRequest, WorkerId};
--- a/src/net/requests/mod.rs
+++ b/src/net/requests/mod.rs
@@ -1,7 +1,8 @@
 //! The request core: requests in flight, their attempts, and the decisions on them.
 //!
-//! It has no socket, disk or clock: events come in with the current time, and commands go out. [`manager`] holds
-//! the state and dispatches the events; each other module handles the events of one concern.
+//! It has no socket, disk or clock: events come in with the current time, and commands go out.
+//! [`manager`] holds the state and dispatches the events; each other module handles the events of
+//! one concern.
 
 mod admission;
 mod answers;
--- a/src/net/requests/probes.rs
+++ b/src/net/requests/probes.rs
@@ -6,8 +6,8 @@
 use crate::decision::interface::{Event, Outcome};
 use crate::net::messages::{AttemptEnd, Command, Load};
 
-/// Time-out of a probe, in multiples of the settings' connect time-out: one for the connection, and some for the
-/// answer of a busy worker.
+/// Time-out of a probe, in multiples of the settings' connect time-out: one for the connection, and
+/// some for the answer of a busy worker.
 const PROBE_TIMEOUT_DIAL_TIMEOUTS: f64 = 4.0;
 
 impl RequestManager {
@@ -56,8 +56,8 @@
         });
     }
 
-    /// Returns a load report with its figures in the order of the settings' fields. Absent figures are NaN, never 0;
-    /// without any known figure, the report is empty.
+    /// Returns a load report with its figures in the order of the settings' fields. Absent figures
+    /// are NaN, never 0; without any known figure, the report is empty.
     pub fn load_report(&self, load: &Load) -> Vec<f32> {
         let figure = |field: &String| {
             let found = load
--- a/src/net/requests/record_writes.rs
+++ b/src/net/requests/record_writes.rs
@@ -6,8 +6,8 @@
 use crate::net::messages::{Answer, AttemptId, Command, Load, RequestTimer, WriteWaiter};
 use postproxy_idempotency::Write;
 
-/// Interval at which expired records are removed from the request log, in seconds. Lookups don't depend on it; it
-/// only bounds how long expired records take memory.
+/// Interval at which expired records are removed from the request log, in seconds. Lookups don't
+/// depend on it; it only bounds how long expired records take memory.
 const EXPIRY_INTERVAL_SECONDS: f64 = 10.0;
 
 impl RequestManager {
@@ -18,8 +18,9 @@
         }
     }
 
-    /// Records in the request log that an attempt is about to be sent, if its request is recorded at all. If the
-    /// record has to be durable first, the attempt waits for the write, but no longer than a time-out.
+    /// Records in the request log that an attempt is about to be sent, if its request is recorded
+    /// at all. If the record has to be durable first, the attempt waits for the write, but no
+    /// longer than a time-out.
     pub(super) fn write_attempt_record(
         &mut self,
         now: f64,
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Ends an attempt whose record has not become durable, and answers its request at once: running it would break
-    /// the promise that it is recorded.
+    /// Ends an attempt whose record has not become durable, and answers its request at once:
+    /// running it would break the promise that it is recorded.
     pub(super) fn reject_unrecorded_attempt(
         &mut self,
         now: f64,
@@ -137,7 +138,8 @@
         self.record_attempt_end(now, key, Outcome::CancelledLocally, &Load::new());
     }
 
-    /// Notes whether the store accepts writes. When it does again, all records that were refused are written anew.
+    /// Notes whether the store accepts writes. When it does again, all records that were refused
+    /// are written anew.
     pub(super) fn handle_store_health_changed(&mut self, writable: bool) {
         let Some(policy) = &mut self.durability else {
             return;
--- a/src/net/requests/siblings.rs
+++ b/src/net/requests/siblings.rs
@@ -1,5 +1,6 @@
-//! State updates between the processes of one node, while one of them hands its work over to another: which requests
-//! and attempts a sibling has, so that each process counts them in its decisions.
+//! State updates between the processes of one node, while one of them hands its work over to
+//! another: which requests and attempts a sibling has, so that each process counts them in its
+//! decisions.
 
 use super::in_flight::{InFlightRequest, SiblingAttempt, SiblingRequest};
 use super::manager::RequestManager;
@@ -7,8 +8,8 @@
 use crate::net::messages::Command;
 use postproxy_handover::StateUpdate;
 
-/// Number of the latest requests and of the latest retries that a sibling is sent for its budgets. More would make
-/// the first message long, and budgets only count the last seconds.
+/// Number of the latest requests and of the latest retries that a sibling is sent for its budgets.
+/// More would make the first message long, and budgets only count the last seconds.
 const MAX_BUDGET_HISTORY: usize = 8192;
 
 /// Slots of an attempt of a third process: this process does not store their number.
@@ -28,7 +29,8 @@
 enum Relay {
     /// It is relayed to them.
     ToOthers,
-    /// It is not relayed: it is about an unknown request, or they are sent an update of this process instead.
+    /// It is not relayed: it is about an unknown request, or they are sent an update of this
+    /// process instead.
     Stop,
 }
 
@@ -40,12 +42,14 @@
         }
     }
 
-    /// Sets whether sibling processes of this node are linked, which are sent each change from now on.
+    /// Sets whether sibling processes of this node are linked, which are sent each change from now
+    /// on.
     pub fn set_siblings_linked(&mut self, linked: bool) {
         self.siblings_linked = linked;
     }
 
-    /// Returns the updates from which a sibling learns the present state. Its budgets don't count them as new.
+    /// Returns the updates from which a sibling learns the present state. Its budgets don't count
+    /// them as new.
     pub fn snapshot_updates(&self, now: f64) -> Vec<StateUpdate> {
         let mut updates: Vec<StateUpdate> = self
             .workers
--- a/src/net/requests/worker_table.rs
+++ b/src/net/requests/worker_table.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Address of a worker that no worker list has named yet. Nothing is sent there: the dispatcher selects listed
-/// workers only.
+/// Address of a worker that no worker list has named yet. Nothing is sent there: the dispatcher
+/// selects listed workers only.
 const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
 /// Index of a worker in the [`WorkerTable`]. It is never reused.
@@ -18,7 +18,8 @@
         Self(u32::from_be_bytes(worker.address) as usize)
     }
 
-    /// Returns the id under which the dispatcher knows the worker. Only the index is in it, not the address.
+    /// Returns the id under which the dispatcher knows the worker. Only the index is in it, not the
+    /// address.
     pub(super) fn id(self) -> WorkerId {
         WorkerId {
             address: (self.0 as u32).to_be_bytes(),
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns the workers that are to get no more requests after a list: in a full list, all that it does not name
-    /// as ready; in any other, those that it names as not ready.
+    /// Returns the workers that are to get no more requests after a list: in a full list, all that
+    /// it does not name as ready; in any other, those that it names as not ready.
     fn leaving_workers(&self, kind: ListKind, entries: &[Entry]) -> BTreeSet<WorkerIndex> {
         let (ready, not_ready): (Vec<&Entry>, Vec<&Entry>) = entries
             .iter()
@@ -85,8 +85,8 @@
         out.push(Command::ReplyToManagement { caller, reply });
     }
 
-    /// Suspends or resumes a worker as the cluster or a sibling has done, who may know it before this process has it
-    /// from a worker list.
+    /// Suspends or resumes a worker as the cluster or a sibling has done, who may know it before
+    /// this process has it from a worker list.
     pub(super) fn handle_suspension_learned(
         &mut self,
         now: f64,
@@ -98,8 +98,8 @@
         self.change_suspension(now, worker, resume, out);
     }
 
-    /// Suspends or resumes a worker, unless that is so already. Requests that run at a suspended worker end there;
-    /// those that have not been sent completely go to another one.
+    /// Suspends or resumes a worker, unless that is so already. Requests that run at a suspended
+    /// worker end there; those that have not been sent completely go to another one.
     fn change_suspension(
         &mut self,
         now: f64,
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -1,5 +1,5 @@
-//! The adapter between the node's event loop and its store: it hands writes and reads to the store's thread, which waits
-//! for the disk, and reports what became of them to the request core.
+//! The adapter between the node's event loop and its store: it hands writes and reads to the
+//! store's thread, which waits for the disk, and reports what became of them to the request core.
 
 use super::upstream::worker_list::WorkerListSnapshot;
 use crate::net::messages::{ClientId, Input, WriteWaiter};
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Whether a write of the worker list or the suspended workers was rejected since the last call: both are to be saved
-    /// again.
+    /// Whether a write of the worker list or the suspended workers was rejected since the last
+    /// call: both are to be saved again.
     pub fn has_failed_snapshots(&mut self) -> bool {
         std::mem::take(&mut self.snapshot_write_failed)
     }
@@ -287,8 +287,8 @@
         }
     }
 
-    /// Writes the coordination service's changes together; only one such write may be on its way. Returns `false` if it is
-    /// rejected at once.
+    /// Writes the coordination service's changes together; only one such write may be on its way.
+    /// Returns `false` if it is rejected at once.
     pub fn write_coordination_records(&mut self, changes: &[StorageChange]) -> bool {
         let batch = changes
             .iter()
@@ -316,8 +316,8 @@
         self.store.read(self.last_read, result_key(id));
     }
 
-    /// Handles the events of the store's thread. Returns the outcome of the coordination service's write if it is among
-    /// them.
+    /// Handles the events of the store's thread. Returns the outcome of the coordination service's
+    /// write if it is among them.
     pub fn handle_ready(&mut self, reactor: &mut Reactor) -> Option<CoordinationWriteOutcome> {
         let mut bytes = [0; 64];
         while self
--- a/src/net/transport/connection.rs
+++ b/src/net/transport/connection.rs
@@ -6,7 +6,8 @@
 pub trait Stream: Read + Write {
     /// Closes the sending side: nothing more is written.
     fn finish(&mut self);
-    /// Returns whether connecting has succeeded; called when a dialled stream first becomes writable.
+    /// Returns whether connecting has succeeded; called when a dialled stream first becomes
+    /// writable.
     ///
     /// # Errors
     ///
@@ -34,7 +35,8 @@
     Open,
     /// The peer has closed its sending side; queued output can still be written.
     HalfClosed,
-    /// Lingering close: queued output is written, then the peer's end is awaited. Input is discarded.
+    /// Lingering close: queued output is written, then the peer's end is awaited. Input is
+    /// discarded.
     Closing,
     /// The connection is over.
     Ended,
@@ -50,11 +52,11 @@
     fn ended(&mut self, connection: &mut Connection<S>);
 }
 
-/// Bytes read by one system call. Of a connection that closes, no more is read in a turn after a full chunk, so that
-/// other connections have their turn too.
+/// Bytes read by one system call. Of a connection that closes, no more is read in a turn after a
+/// full chunk, so that other connections have their turn too.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are discarded at most: of a connection that closes, in all, after which a peer that goes on sending is
-/// cut off; of one whose excess input is discarded, in one turn.
+/// Bytes that are discarded at most: of a connection that closes, in all, after which a peer that
+/// goes on sending is cut off; of one whose excess input is discarded, in one turn.
 pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 /// A connection and its buffers.
@@ -84,7 +86,8 @@
         Self::new(stream, State::Open, max_input_bytes)
     }
 
-    /// A connection over a stream that is being dialled; it buffers about `max_input_bytes` of unread input.
+    /// A connection over a stream that is being dialled; it buffers about `max_input_bytes` of
+    /// unread input.
     pub fn dialing(stream: S, max_input_bytes: usize) -> Self {
         Self::new(stream, State::Dialing, max_input_bytes)
     }
@@ -124,7 +127,8 @@
         self.written == self.output.len()
     }
 
-    /// Bytes that the kernel has accepted since the connection was made; still valid when it has ended.
+    /// Bytes that the kernel has accepted since the connection was made; still valid when it has
+    /// ended.
     pub fn written(&self) -> u64 {
         self.written_before + self.written as u64
     }
@@ -161,8 +165,9 @@
         (reads, writes)
     }
 
-    /// Sets whether input beyond the buffer's limit is read and discarded, so that the peer's end is noticed while
-    /// nothing is consumed. If reading just stopped, a peer that has sent much and disconnected would go unnoticed.
+    /// Sets whether input beyond the buffer's limit is read and discarded, so that the peer's end
+    /// is noticed while nothing is consumed. If reading just stopped, a peer that has sent much and
+    /// disconnected would go unnoticed.
     pub fn set_discard_excess_input(&mut self, discard: bool) {
         self.discards_excess_input = discard;
     }
@@ -180,7 +185,8 @@
         }
     }
 
-    /// Queues bytes and writes as many as possible. They are ignored if the connection is closing or has ended.
+    /// Queues bytes and writes as many as possible. They are ignored if the connection is closing
+    /// or has ended.
     pub fn send(&mut self, bytes: &[u8], owner: &mut impl Callbacks<S>) {
         if matches!(self.state, State::Ended | State::Closing) {
             return;
@@ -191,8 +197,9 @@
         }
     }
 
-    /// Closes the connection in good order: queued output is written, then the sending side is closed and the peer's end
-    /// awaited. Closing with unread input would reset the connection and could destroy output on its way.
+    /// Closes the connection in good order: queued output is written, then the sending side is
+    /// closed and the peer's end awaited. Closing with unread input would reset the connection and
+    /// could destroy output on its way.
     pub fn close(&mut self, owner: &mut impl Callbacks<S>) {
         let state_before = self.state;
         match state_before {
--- a/src/net/transport/http/body.rs
+++ b/src/net/transport/http/body.rs
@@ -2,7 +2,8 @@
 
 use super::message::{MAX_HEAD_BYTES, MAX_HEADERS, ParseError};
 
-/// Bytes of chunk framing that a body may have beyond its number of data bytes, against endless tiny chunks.
+/// Bytes of chunk framing that a body may have beyond its number of data bytes, against endless
+/// tiny chunks.
 const MAX_FRAMING_BYTES: usize = 64 * 1024;
 /// Longest line with a chunk's size and extensions, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
--- a/src/net/transport/http/message.rs
+++ b/src/net/transport/http/message.rs
@@ -34,7 +34,8 @@
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// Copies parsed header fields; bytes that are not UTF-8 are replaced, white space around values is removed.
+    /// Copies parsed header fields; bytes that are not UTF-8 are replaced, white space around
+    /// values is removed.
     pub(super) fn from_parsed(fields: &[httparse::Header<'_>]) -> Self {
         let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_owned();
         let fields = fields
@@ -43,7 +44,8 @@
         Self(fields.collect())
     }
 
-    /// Returns the value of the first field with this name; names are compared without regard to case.
+    /// Returns the value of the first field with this name; names are compared without regard to
+    /// case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -51,11 +53,13 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Returns the value of the only field with this name; names are compared without regard to case.
+    /// Returns the value of the only field with this name; names are compared without regard to
+    /// case.
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] if there are several fields: each reader could go by a different one.
+    /// [`ParseError::Malformed`] if there are several fields: each reader could go by a different
+    /// one.
     pub fn get_unique(&self, name: &str) -> Result<Option<&str>, ParseError> {
         if self.get_all(name).count() > 1 {
             Err(ParseError::Malformed)
@@ -115,7 +119,8 @@
     HeadIncomplete,
     /// The head is complete, the body is not.
     BodyIncomplete {
-        /// The peer sent `Expect: 100-continue` and may wait for an interim response before it sends the body.
+        /// The peer sent `Expect: 100-continue` and may wait for an interim response before it
+        /// sends the body.
         expects_continue: bool,
     },
     /// The message is complete.
--- a/src/net/transport/http/mod.rs
+++ b/src/net/transport/http/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 messages as bytes: requests and responses are parsed from and written to buffers, without any socket.
+//! HTTP/1.1 messages as bytes: requests and responses are parsed from and written to buffers,
+//! without any socket.
 
 mod body;
 mod message;
--- a/src/net/transport/http/parse.rs
+++ b/src/net/transport/http/parse.rs
@@ -29,7 +29,8 @@
 ///
 /// # Errors
 ///
-/// If two readers could see two different ends: several lengths, a length with a coding, an unknown coding.
+/// If two readers could see two different ends: several lengths, a length with a coding, an unknown
+/// coding.
 fn body_framing(headers: &Headers, default: BodyFraming) -> Result<BodyFraming, ParseError> {
     let mut lengths = headers
         .get_all("content-length")
@@ -115,8 +116,8 @@
     pub consumed: usize,
 }
 
-/// Parses the requests of one connection and looks at each piece of input once, so that a peer that sends byte
-/// by byte costs no more than one that sends all at once.
+/// Parses the requests of one connection and looks at each piece of input once, so that a peer that
+/// sends byte by byte costs no more than one that sends all at once.
 #[derive(Default)]
 pub struct RequestReader {
     /// Bytes of the input in which the end of a head was searched without success.
@@ -135,7 +136,8 @@
     ///
     /// # Errors
     ///
-    /// If the input can't become a request that this node accepts; the connection can't be read any further then.
+    /// If the input can't become a request that this node accepts; the connection can't be read any
+    /// further then.
     pub fn read(&mut self, input: &[u8]) -> Result<RequestProgress, ParseError> {
         let mut consumed = 0;
         let pending = match self.pending.take() {
@@ -158,8 +160,8 @@
 
     /// Parses a head if the input may contain a whole one.
     fn read_head(&mut self, input: &[u8]) -> Result<Option<RequestHead>, ParseError> {
-        // Only a line end can complete a head. Input that has doubled is parsed without one as well: bytes that can't be a
-        // head would go undetected otherwise.
+        // Only a line end can complete a head. Input that has doubled is parsed without one as
+        // well: bytes that can't be a head would go undetected otherwise.
         let unsearched = &input[self.searched.min(input.len())..];
         let has_doubled = input.len() >= 2 * self.searched;
         if !unsearched.contains(&b'\n') && !has_doubled && input.len() <= MAX_HEAD_BYTES {
@@ -211,8 +213,8 @@
         .map(|progress| progress.status)
 }
 
-/// Parses the final response at the start of the input, behind any interim ones; `end_of_stream` says that no more can
-/// follow. Bodies of up to `max_body_bytes` are accepted.
+/// Parses the final response at the start of the input, behind any interim ones; `end_of_stream`
+/// says that no more can follow. Bodies of up to `max_body_bytes` are accepted.
 ///
 /// # Errors
 ///
--- a/src/net/transport/http/write.rs
+++ b/src/net/transport/http/write.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Appends a response with these header fields to `out`; `Content-Length` and `Connection` are added.
+/// Appends a response with these header fields to `out`; `Content-Length` and `Connection` are
+/// added.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
@@ -42,7 +43,8 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a request with these header fields to `out`; `Content-Length` is added for a body, and for `POST`.
+/// Appends a request with these header fields to `out`; `Content-Length` is added for a body, and
+/// for `POST`.
 pub fn write_request(
     out: &mut Vec<u8>,
     method: &str,
--- a/src/net/transport/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -1,5 +1,5 @@
-//! The reactor: the poller, the timers, the clock of the current turn, and the queue of events for the request
-//! manager. It is shared by all owners of sockets.
+//! The reactor: the poller, the timers, the clock of the current turn, and the queue of events for
+//! the request manager. It is shared by all owners of sockets.
 
 use super::timer_wheel::TimerWheel;
 use crate::net::messages::{self, Input};
@@ -186,7 +186,8 @@
 
     /// Sets whether a socket waits to be readable and writable, until its next event.
     pub fn rearm(&self, source: impl Source, key: usize, (readable, writable): (bool, bool)) {
-        // This can't fail for a registered socket; if it does, the owner's timeout closes the socket.
+        // This can't fail for a registered socket; if it does, the owner's timeout closes the
+        // socket.
         let _ = self.poller.modify(
             source,
             Event {
@@ -202,9 +203,9 @@
         let _ = self.poller.delete(source);
     }
 
-    /// Waits for events, or until the next timer is due, and sorts the events by the rank of their owners.
-    /// Discovery comes first, so that nothing is sent by an outdated worker list; then the management API, which
-    /// must answer however busy the node is.
+    /// Waits for events, or until the next timer is due, and sorts the events by the rank of their
+    /// owners. Discovery comes first, so that nothing is sent by an outdated worker list; then the
+    /// management API, which must answer however busy the node is.
     ///
     /// # Errors
     ///
--- a/src/net/transport/timer_wheel.rs
+++ b/src/net/transport/timer_wheel.rs
@@ -1,6 +1,7 @@
 //! A timer wheel of coarse ticks. It owns no clock: callers pass the time, in seconds.
 
-/// Slots of the wheel, one a tick; a timer further off than that stays in its slot for further turns of the wheel.
+/// Slots of the wheel, one a tick; a timer further off than that stays in its slot for further
+/// turns of the wheel.
 const SLOTS: usize = 4096;
 /// Slots whose occupancy one word of the bitmap holds.
 const SLOTS_PER_WORD: usize = 64;
@@ -36,8 +37,9 @@
         }
     }
 
-    /// Sets a timer that expires at `at`, in seconds. One that is due already expires with the next tick, as does
-    /// one whose time is not a number; a time out of range counts as the furthest tick.
+    /// Sets a timer that expires at `at`, in seconds. One that is due already expires with the next
+    /// tick, as does one whose time is not a number; a time out of range counts as the furthest
+    /// tick.
     pub fn insert(&mut self, at: f64, timer: T) {
         let due = ((at / self.tick).ceil() as u64).max(self.last_tick + 1);
         let slot = due as usize % SLOTS;
@@ -45,8 +47,8 @@
         self.occupied[slot / SLOTS_PER_WORD] |= 1 << (slot % SLOTS_PER_WORD);
     }
 
-    /// Removes and returns the timers that are due by `now`, in the order of their ticks; those of one tick in the
-    /// order in which they were set.
+    /// Removes and returns the timers that are due by `now`, in the order of their ticks; those of
+    /// one tick in the order in which they were set.
     pub fn advance(&mut self, now: f64) -> Vec<T> {
         let last = (now / self.tick) as u64;
         let mut expired = Vec::new();
@@ -73,8 +75,9 @@
         expired.into_iter().map(|entry| entry.timer).collect()
     }
 
-    /// Returns when to call [`Self::advance`] next: no later than the next timer expires, and earlier if the next
-    /// occupied slot holds only timers of a further turn. `None` without timers.
+    /// Returns when to call [`Self::advance`] next: no later than the next timer expires, and
+    /// earlier if the next occupied slot holds only timers of a further turn. `None` without
+    /// timers.
     pub fn next(&self) -> Option<f64> {
         let start = (self.last_tick + 1) as usize % SLOTS;
         let start_word = start / SLOTS_PER_WORD;
