--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at workers: the connections that carry them, dialed or taken from the pool, and their timers.
+//! Attempts at workers: the connections that carry them, dialed or taken from the pool, and their
+//! timers.
 
 use super::exchange::{Exchange, ExchangeKind, OutgoingRequest};
 use super::pool::Pool;
@@ -14,7 +15,8 @@
 /// How long the response to a cancel, or to an attempt past its deadline, is awaited, in seconds.
 const RESPONSE_GRACE_SECONDS: f64 = 2.0;
 
-/// Most bytes of a response that a connection buffers: a head, and a body with the overhead of its chunks.
+/// Most bytes of a response that a connection buffers: a head, and a body with the overhead of its
+/// chunks.
 const MAX_RESPONSE_BYTES: usize = http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES;
 
 /// A connection to a worker.
@@ -52,8 +54,8 @@
 }
 
 impl Attempts {
-    /// Creates an empty set of at most `max_connections` connections. `dial_timeout` and the workers' `idle_timeout` are
-    /// in seconds; an `idle_timeout` of 0 is unknown.
+    /// Creates an empty set of at most `max_connections` connections. `dial_timeout` and the
+    /// workers' `idle_timeout` are in seconds; an `idle_timeout` of 0 is unknown.
     pub fn new(max_connections: usize, dial_timeout: f64, idle_timeout: f64) -> Self {
         Self {
             sessions: HashMap::new(),
@@ -96,8 +98,8 @@
         );
     }
 
-    /// Requests a worker's load report and waits `timeout` seconds for it. A worker that accepts connections and answers
-    /// nothing is found this way.
+    /// Requests a worker's load report and waits `timeout` seconds for it. A worker that accepts
+    /// connections and answers nothing is found this way.
     pub fn start_probe(
         &mut self,
         reactor: &mut Reactor,
@@ -115,7 +117,8 @@
         );
     }
 
-    /// Cancels an attempt: sends a cancel to a worker that has `accepted` it, or else closes its connection.
+    /// Cancels an attempt: sends a cancel to a worker that has `accepted` it, or else closes its
+    /// connection.
     pub fn cancel_attempt(
         &mut self,
         reactor: &mut Reactor,
@@ -155,7 +158,8 @@
         self.settle(reactor, key);
     }
 
-    /// Starts a request on an idle connection or a new one. It times out at `timeout_at`, in the reactor's time.
+    /// Starts a request on an idle connection or a new one. It times out at `timeout_at`, in the
+    /// reactor's time.
     fn start_exchange(
         &mut self,
         reactor: &mut Reactor,
@@ -200,7 +204,8 @@
         self.settle(reactor, key);
     }
 
-    /// Whether the worker has left a request unanswered for longer than a connection may take to be established.
+    /// Whether the worker has left a request unanswered for longer than a connection may take to be
+    /// established.
     fn is_unresponsive(&self, now: f64, worker: SocketAddr) -> bool {
         self.sessions.values().any(|session| {
             session.exchange.worker() == worker
@@ -210,16 +215,18 @@
         })
     }
 
-    /// Closes the idle connections to a worker. One that has vanished leaves them open, and a request written to them has
-    /// perhaps run; a connection that can't be established proves that it has not.
+    /// Closes the idle connections to a worker. One that has vanished leaves them open, and a
+    /// request written to them has perhaps run; a connection that can't be established proves that
+    /// it has not.
     pub fn close_idle_connections(&mut self, reactor: &mut Reactor, worker: SocketAddr) {
         for key in self.pool.take_all(worker) {
             self.close(reactor, key);
         }
     }
 
-    /// Withdraws an attempt whose last byte has not been written: nothing ran, and its worker is not to blame. Only the
-    /// connection knows that; an attempt that has been written completely goes on.
+    /// Withdraws an attempt whose last byte has not been written: nothing ran, and its worker is
+    /// not to blame. Only the connection knows that; an attempt that has been written completely
+    /// goes on.
     pub fn withdraw_attempt(&mut self, reactor: &mut Reactor, attempt: AttemptId) {
         let Some(key) = self.by_attempt.get(&attempt).copied() else {
             return;
@@ -234,7 +241,8 @@
         }
     }
 
-    /// Takes an idle connection to the worker that is still open and has not been idle for too long.
+    /// Takes an idle connection to the worker that is still open and has not been idle for too
+    /// long.
     fn take_idle_connection(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Option<usize> {
         if self.pool.has_idle(worker) && self.is_unresponsive(reactor.now, worker) {
             self.close_idle_connections(reactor, worker);
@@ -258,8 +266,9 @@
         None
     }
 
-    /// Opens a connection; at the limit an idle one is closed for it. Only what proves that the worker refused or can't be
-    /// reached ends in [`AttemptEnd::NeverSent`]: a shortage on this side must not count against the worker.
+    /// Opens a connection; at the limit an idle one is closed for it. Only what proves that the
+    /// worker refused or can't be reached ends in [`AttemptEnd::NeverSent`]: a shortage on this
+    /// side must not count against the worker.
     fn dial(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Result<usize, AttemptEnd> {
         if self.sessions.len() >= self.max_connections {
             let oldest = self
@@ -315,8 +324,8 @@
         }
     }
 
-    /// Ends a request that has timed out, or closes a connection that has been idle for long enough. A worker that left a
-    /// request unanswered loses its idle connections too.
+    /// Ends a request that has timed out, or closes a connection that has been idle for long
+    /// enough. A worker that left a request unanswered loses its idle connections too.
     pub fn handle_attempt_timer(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
         let Some(session) = self.sessions.get_mut(&key).filter(|s| s.round == round) else {
             return;
@@ -332,7 +341,8 @@
         }
     }
 
-    /// Settles a connection after something has happened on it: closes it, returns it to the pool, or waits for more.
+    /// Settles a connection after something has happened on it: closes it, returns it to the pool,
+    /// or waits for more.
     fn settle(&mut self, reactor: &mut Reactor, key: usize) {
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
@@ -342,7 +352,8 @@
         {
             self.by_attempt.remove(&attempt);
         }
-        // Only a break soon after the request says that the idle connection had been dropped before it.
+        // Only a break soon after the request says that the idle connection had been dropped before
+        // it.
         let soon = reactor.now - session.since <= self.dial_timeout;
         let broke = session.exchange.broke_unanswered() && soon;
         if let Some(idle_seconds) = session.idle_before_seconds.filter(|_| broke) {
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,7 +1,8 @@
-//! One HTTP exchange at a time on a connection to a worker: the request that is sent, how much of it has been written,
-//! and how it ends.
+//! One HTTP exchange at a time on a connection to a worker: the request that is sent, how much of
+//! it has been written, and how it ends.
 //!
-//! Whether a worker may have run an attempt is decided here, at each end, from the connection's own count of bytes.
+//! Whether a worker may have run an attempt is decided here, at each end, from the connection's own
+//! count of bytes.
 
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Callbacks, Connection, State, Stream};
@@ -10,8 +11,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Shortest time left that is written into `X-Deadline`, in seconds: the field has three decimals, and a worker reads 0
-/// as a request that is over.
+/// Shortest time left that is written into `X-Deadline`, in seconds: the field has three decimals,
+/// and a worker reads 0 as a request that is over.
 const MIN_DEADLINE_SECONDS: f64 = 0.001;
 
 /// The exchange that a connection carries.
@@ -23,7 +24,8 @@
     Attempt(AttemptId),
     /// A probe: a request for the worker's load report.
     Probe(AttemptId),
-    /// One whose response is discarded: a cancel, or an attempt that has been given up or has ended.
+    /// One whose response is discarded: a cancel, or an attempt that has been given up or has
+    /// ended.
     Discarded,
 }
 
@@ -41,7 +43,8 @@
 pub enum OutgoingRequest {
     /// An encoded request.
     Encoded(Vec<u8>),
-    /// An attempt. It is encoded when it is written, since its head says how much time is left then.
+    /// An attempt. It is encoded when it is written, since its head says how much time is left
+    /// then.
     Attempt {
         /// The request of the client.
         payload: Rc<Payload>,
@@ -97,7 +100,8 @@
     request_end: Option<u64>,
     /// [`Input::AttemptWritten`] has been queued.
     written_reported: bool,
-    /// The request had been written completely before the last read, so that a response may be its own.
+    /// The request had been written completely before the last read, so that a response may be its
+    /// own.
     written_before_read: bool,
     /// The number of requests that the connection has carried.
     request_count: u64,
@@ -196,8 +200,9 @@
         self.callbacks(reactor).ended(connection);
     }
 
-    /// Closes the connection of a request that has not been written completely, and reports an end that does not blame the
-    /// worker. Returns whether it did; a request that has been written goes on.
+    /// Closes the connection of a request that has not been written completely, and reports an end
+    /// that does not blame the worker. Returns whether it did; a request that has been written goes
+    /// on.
     pub fn withdraw<S: Stream>(
         &mut self,
         connection: &mut Connection<S>,
@@ -241,8 +246,8 @@
         self.report_written(connection);
     }
 
-    /// Reads what has arrived by the time at which the last byte was written: it was sent before the worker can have
-    /// read the request.
+    /// Reads what has arrived by the time at which the last byte was written: it was sent before
+    /// the worker can have read the request.
     fn read_early_bytes<S: Stream>(&mut self, connection: &mut Connection<S>) {
         connection.handle_ready(true, false, self);
     }
@@ -260,7 +265,8 @@
         }
     }
 
-    /// Ends the request. Every end goes through here, so that the report of the written request comes before it.
+    /// Ends the request. Every end goes through here, so that the report of the written request
+    /// comes before it.
     fn finish<S: Stream>(&mut self, connection: &Connection<S>, end: AttemptEnd, load: Load) {
         self.report_written(connection);
         let finished = std::mem::replace(&mut self.exchange.kind, ExchangeKind::Discarded);
@@ -271,7 +277,8 @@
         }
     }
 
-    /// Ends the request with the worker's response; returns whether the connection may carry the next request.
+    /// Ends the request with the worker's response; returns whether the connection may carry the
+    /// next request.
     fn finish_with_response<S: Stream>(
         &mut self,
         connection: &Connection<S>,
@@ -287,8 +294,8 @@
             }
         };
         self.finish(connection, end, load);
-        // A worker that answers anything else may answer twice, and the second response would be taken for that of the
-        // next request.
+        // A worker that answers anything else may answer twice, and the second response would be
+        // taken for that of the next request.
         end == AttemptEnd::Accepted
     }
 
@@ -311,8 +318,9 @@
         }
     }
 
-    /// Whether the response is certainly that of this request. One that arrived before the worker can have read the
-    /// request is not; on a connection that has carried others it may be a second response to one of them, however late.
+    /// Whether the response is certainly that of this request. One that arrived before the worker
+    /// can have read the request is not; on a connection that has carried others it may be a second
+    /// response to one of them, however late.
     fn is_own_response(&self) -> bool {
         self.exchange.written_before_read && self.exchange.request_count == 1
     }
@@ -349,7 +357,8 @@
                     connection.abort();
                 }
             }
-            // More is to come. With a full buffer no end would ever be seen, and the attempt would wait for its timeout.
+            // More is to come. With a full buffer no end would ever be seen, and the attempt would
+            // wait for its timeout.
             Ok(_) if !closed && !connection.is_full() => {}
             Ok(_) | Err(_) => {
                 connection.abort();
@@ -369,7 +378,8 @@
     }
 }
 
-/// The end of a probe and the load report in its body; a status other than 200 says that the worker is not well.
+/// The end of a probe and the load report in its body; a status other than 200 says that the worker
+/// is not well.
 fn probe_result(response: &Response) -> (AttemptEnd, Load) {
     let load = std::str::from_utf8(&response.body)
         .map(parse_load_report)
@@ -382,7 +392,8 @@
     (end, load)
 }
 
-/// Parses a load report of the form `TEXT name=value, name=value`; entries that can't be read are left out.
+/// Parses a load report of the form `TEXT name=value, name=value`; entries that can't be read are
+/// left out.
 fn parse_load_report(text: &str) -> Load {
     let text = text.trim();
     let entries = text.strip_prefix("TEXT").unwrap_or(text).split(',');
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,16 +1,21 @@
-//! The pool of idle connections to workers, and for how long a connection may have been idle to be reused. It owns no
-//! sockets and no clock: connections are named by their key, and the time is passed in.
+//! The pool of idle connections to workers, and for how long a connection may have been idle to be
+//! reused. It owns no sockets and no clock: connections are named by their key, and the time is
+//! passed in.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// The share of a worker's idle timeout for which a connection is kept here: it must be closed on this side first.
+/// The share of a worker's idle timeout for which a connection is kept here: it must be closed on
+/// this side first.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// How long an idle connection is kept where the workers' idle timeout isn't configured, in seconds.
+/// How long an idle connection is kept where the workers' idle timeout isn't configured, in
+/// seconds.
 const DEFAULT_IDLE_SECONDS: f64 = 1.0;
-/// After a connection broke that had been idle for some time, others are reused only up to this share of that time.
+/// After a connection broke that had been idle for some time, others are reused only up to this
+/// share of that time.
 const LEARNED_SHARE: f64 = 0.5;
-/// The time in which a learned limit doubles again, in seconds: what has been learned is forgotten at this pace.
+/// The time in which a learned limit doubles again, in seconds: what has been learned is forgotten
+/// at this pace.
 const LEARNED_DOUBLING_SECONDS: f64 = 5.0;
 /// Shortest limit that is learned, in seconds: reuse at once stays possible.
 const MIN_LEARNED_SECONDS: f64 = 0.02;
@@ -30,8 +35,8 @@
 }
 
 impl Pool {
-    /// Creates an empty pool for workers that close a connection which has been idle for `idle_timeout` seconds; 0 where
-    /// that is unknown.
+    /// Creates an empty pool for workers that close a connection which has been idle for
+    /// `idle_timeout` seconds; 0 where that is unknown.
     pub fn new(idle_timeout: f64) -> Self {
         let keep_seconds = if idle_timeout > 0.0 {
             idle_timeout * IDLE_TIMEOUT_SHARE
@@ -55,15 +60,17 @@
 
     /// How long a connection may have been idle to be reused, in seconds.
     ///
-    /// Workers, or what stands before them, may drop idle connections far earlier than configured and without a sign
-    /// until the next request, which may then have run. One connection that broke so limits the reuse of the others,
-    /// and the limit doubles with time until it is without effect.
+    /// Workers, or what stands before them, may drop idle connections far earlier than configured
+    /// and without a sign until the next request, which may then have run. One connection that
+    /// broke so limits the reuse of the others, and the limit doubles with time until it is without
+    /// effect.
     pub fn reusable_seconds(&self, now: f64) -> f64 {
         let doublings = (now - self.learned.learned_at) / LEARNED_DOUBLING_SECONDS;
         (self.learned.idle_seconds * doublings.exp2()).min(self.keep_seconds)
     }
 
-    /// Records that a connection which had been idle for `idle_seconds` broke under its next request.
+    /// Records that a connection which had been idle for `idle_seconds` broke under its next
+    /// request.
     pub fn record_broken_after_idle(&mut self, idle_seconds: f64, now: f64) {
         self.learned = LearnedLimit {
             idle_seconds: (idle_seconds * LEARNED_SHARE).max(MIN_LEARNED_SECONDS),
@@ -98,7 +105,8 @@
         self.idle.remove(&worker).unwrap_or_default()
     }
 
-    /// Returns the connection to close for room: of the longest idle connection of each worker, the one opened first.
+    /// Returns the connection to close for room: of the longest idle connection of each worker, the
+    /// one opened first.
     pub fn oldest(&self) -> Option<usize> {
         self.idle
             .values()
--- a/src/net/upstream/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -1,51 +1,58 @@
-//! The schedule of calls to discovery: when one is made, and how long its answer is awaited. A state machine without I/O
-//! or clock: it is given the time and the outcome of calls, and returns the calls to make. It serves lists that are
-//! pushed and lists that are polled: on the sockets both arrive as answers to calls.
+//! The schedule of calls to discovery: when one is made, and how long its answer is awaited. A
+//! state machine without I/O or clock: it is given the time and the outcome of calls, and returns
+//! the calls to make. It serves lists that are pushed and lists that are polled: on the sockets
+//! both arrive as answers to calls.
 //!
-//! The bound it keeps: this node must act on a change within 6 s after discovery had it and could be reached, whatever
-//! happened to calls. A call made before the change is therefore trusted for [`MAX_WATCH_SECONDS`] and
-//! [`WATCH_GRACE_SECONDS`] at most; then a second call is made beside it, and a third replaces it. A failed call is
-//! repeated within [`MAX_RETRY_WAIT_SECONDS`] and [`MAX_RETRY_SPREAD_SECONDS`].
+//! The bound it keeps: this node must act on a change within 6 s after discovery had it and could
+//! be reached, whatever happened to calls. A call made before the change is therefore trusted for
+//! [`MAX_WATCH_SECONDS`] and [`WATCH_GRACE_SECONDS`] at most; then a second call is made beside it,
+//! and a third replaces it. A failed call is repeated within `MAX_RETRY_WAIT_SECONDS` and
+//! `MAX_RETRY_SPREAD_SECONDS`.
 
 use super::backoff::{Backoff, ClusterPosition};
 use crate::decision::random::Random;
 
-/// Longest time that a watch waits for changes, in seconds. Each watch that ends costs discovery a call, and a longer one
-/// would be trusted for too long.
+/// Longest time that a watch waits for changes, in seconds. Each watch that ends costs discovery a
+/// call, and a longer one would be trusted for too long.
 pub const MAX_WATCH_SECONDS: f64 = 3.4;
-/// Shortest time that a watch waits for changes, in seconds. The waits differ, so that nodes that learned of a change at
-/// one moment don't call again at one moment.
+/// Shortest time that a watch waits for changes, in seconds. The waits differ, so that nodes that
+/// learned of a change at one moment don't call again at one moment.
 const MIN_WATCH_SECONDS: f64 = 2.6;
 /// How much later than its wait the answer of a watch may come, in seconds.
 pub const WATCH_GRACE_SECONDS: f64 = 0.5;
-/// How long a call that does not wait for changes may take before a second one is made beside it, in seconds.
+/// How long a call that does not wait for changes may take before a second one is made beside it,
+/// in seconds.
 pub const SECOND_CALL_DELAY_SECONDS: f64 = 1.1;
-/// How long a call for the full list may take, in seconds: discovery ends or fails a call within 2 s. The full list is
-/// too expensive to be requested twice at a time.
+/// How long a call for the full list may take, in seconds: discovery ends or fails a call within 2
+/// s. The full list is too expensive to be requested twice at a time.
 pub const FULL_LIST_TIMEOUT_SECONDS: f64 = 2.2;
-/// How long a node that holds a list waits for its first call before it serves by that list, in seconds.
+/// How long a node that holds a list waits for its first call before it serves by that list, in
+/// seconds.
 pub const INITIAL_SYNC_TIMEOUT_SECONDS: f64 = 2.2;
 
 /// First wait before a failed call is repeated, in seconds.
 const FIRST_RETRY_WAIT_SECONDS: f64 = 0.1;
 /// Longest wait before a failed call is repeated, in seconds, without the spread.
 const MAX_RETRY_WAIT_SECONDS: f64 = 1.4;
-/// Spread of repeated calls for each node of the cluster, in seconds: all may have lost discovery at one moment.
+/// Spread of repeated calls for each node of the cluster, in seconds: all may have lost discovery
+/// at one moment.
 const RETRY_SPREAD_PER_NODE_SECONDS: f64 = 0.004;
 /// Longest spread of repeated calls, in seconds.
 const MAX_RETRY_SPREAD_SECONDS: f64 = 1.2;
 /// Spread of first calls for each node of the cluster, in seconds: all may start at one moment.
 const START_SPREAD_PER_NODE_SECONDS: f64 = 0.001;
-/// Longest spread of first calls, in seconds. It is short, because a node does not serve before its first call.
+/// Longest spread of first calls, in seconds. It is short, because a node does not serve before its
+/// first call.
 const MAX_START_SPREAD_SECONDS: f64 = 0.25;
-/// An answer without changes that comes sooner than this after its call, in seconds, comes from a discovery that did
-/// not wait.
+/// An answer without changes that comes sooner than this after its call, in seconds, comes from a
+/// discovery that did not wait.
 const IMMEDIATE_ANSWER_SECONDS: f64 = 0.05;
-/// Pause after such an answer, in seconds, against a loop of calls. It stays below the 0.2 s after which discovery would
-/// no longer count the next call as the same watch.
+/// Pause after such an answer, in seconds, against a loop of calls. It stays below the 0.2 s after
+/// which discovery would no longer count the next call as the same watch.
 const IMMEDIATE_ANSWER_PAUSE_SECONDS: f64 = 0.1;
 
-/// Sets the random numbers of the schedule apart from those of its backoff, which has the same seed.
+/// Sets the random numbers of the schedule apart from those of its backoff, which has the same
+/// seed.
 const SEED_OFFSET: u64 = 0x5eed;
 
 /// The number of a call, counted from 1.
@@ -105,7 +112,8 @@
 }
 
 impl Schedule {
-    /// Creates a schedule without calls. `nodes` is the number of nodes that call the same discovery.
+    /// Creates a schedule without calls. `nodes` is the number of nodes that call the same
+    /// discovery.
     pub fn new(nodes: u32, seed: u64) -> Self {
         Self {
             rng: Random::new(seed ^ SEED_OFFSET),
@@ -130,8 +138,8 @@
         (seconds_per_node * f64::from(self.nodes)).min(max_seconds) * self.rng.uniform()
     }
 
-    /// Starts the calls. A process that starts with an old list is expected to know what changed before its start, so
-    /// the first call comes before all else and does not wait for changes.
+    /// Starts the calls. A process that starts with an old list is expected to know what changed
+    /// before its start, so the first call comes before all else and does not wait for changes.
     pub fn start(&mut self, now: f64, first_call: FirstCall) {
         self.starting = true;
         let delay = match first_call {
@@ -163,8 +171,8 @@
         self.open_calls.len()
     }
 
-    /// Returns the call that is due now, if one is. `has_list` is whether the node holds a list, so that changes to it
-    /// can be requested.
+    /// Returns the call that is due now, if one is. `has_list` is whether the node holds a list, so
+    /// that changes to it can be requested.
     pub fn take_due_call(&mut self, now: f64, has_list: bool) -> Option<Call> {
         self.next_call_at.filter(|at| *at <= now)?;
         // A call that is still open when the next one is due has not been answered in time.
@@ -172,7 +180,8 @@
         let max_open_before = if has_list { 1 } else { 0 };
         let supersedes =
             (self.open_calls.len() > max_open_before).then(|| self.open_calls.remove(0).id);
-        // A call that replaces an unanswered watch does not wait: unanswered too, it would be trusted as long again.
+        // A call that replaces an unanswered watch does not wait: unanswered too, it would be
+        // trusted as long again.
         let watches = has_list && self.unanswered == 0 && !self.starting;
         let wait_seconds = watches.then(|| {
             MIN_WATCH_SECONDS + (MAX_WATCH_SECONDS - MIN_WATCH_SECONDS) * self.rng.uniform()
@@ -215,7 +224,8 @@
         });
     }
 
-    /// Records that a call was refused or reset, or that its answer was no list. Another open call may still be answered.
+    /// Records that a call was refused or reset, or that its answer was no list. Another open call
+    /// may still be answered.
     pub fn record_failure(&mut self, now: f64, id: CallId) {
         let open_before = self.open_calls.len();
         self.open_calls.retain(|open| open.id != id);
@@ -228,7 +238,8 @@
         }
     }
 
-    /// Begins anew with a call at this time; the open calls are given up. Also for a discovery whose address has changed.
+    /// Begins anew with a call at this time; the open calls are given up. Also for a discovery
+    /// whose address has changed.
     pub fn restart(&mut self, at: f64) {
         self.open_calls.clear();
         self.starting = false;
--- a/src/net/upstream/worker_list/calls.rs
+++ b/src/net/upstream/worker_list/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to discovery: the connections that carry them, what discovery answers, and how a call fails.
+//! Calls to discovery: the connections that carry them, what discovery answers, and how a call
+//! fails.
 
 use super::list::DiscoveryList;
 use super::{InitialSync, LOG_TARGET, WorkerList};
@@ -9,8 +10,8 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Longest response to a call, in bytes: a list of tens of thousands of workers is shorter, and a response without end
-/// must not fill the memory.
+/// Longest response to a call, in bytes: a list of tens of thousands of workers is shorter, and a
+/// response without end must not fill the memory.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// A connection to discovery, and the call that waits for its answer on it.
@@ -66,7 +67,7 @@
         match http::read_response(&connection.input, !more_expected, MAX_RESPONSE_BYTES) {
             Ok(ParseStatus::Complete {
                 message: response,
-                size: size,
+                size,
             }) => {
                 connection.consume(size);
                 self.result = Some(CallResult::from_response(&response, more_expected));
@@ -131,7 +132,8 @@
         self.apply_call_events(reactor, key, events);
     }
 
-    /// The request of a call: the full list, or the changes since the revision that this node holds.
+    /// The request of a call: the full list, or the changes since the revision that this node
+    /// holds.
     fn request_bytes(&self, call: &Call) -> Vec<u8> {
         let target = match self.revision {
             Some(revision) => {
@@ -195,7 +197,8 @@
         match (events.result, call) {
             (Some(CallResult::Answered { list, reusable }), Some(call)) => {
                 self.initial_sync = InitialSync::Done;
-                // The other connections are closed, so that an older answer on one of them can't follow this one.
+                // The other connections are closed, so that an older answer on one of them can't
+                // follow this one.
                 self.close_sessions(reactor, |s| s.key != key || !reusable);
                 self.sessions.iter_mut().for_each(|s| s.call = None);
                 let content = self.apply_discovery_list(reactor, list);
@@ -221,7 +224,8 @@
         }
     }
 
-    /// Records that no connection came up. What discovery holds can't be known, so the node serves by the list it has.
+    /// Records that no connection came up. What discovery holds can't be known, so the node serves
+    /// by the list it has.
     fn record_unreachable(&mut self, reactor: &mut Reactor, call: CallId) {
         self.initial_sync = InitialSync::Done;
         self.record_failure(reactor, call);
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -1,4 +1,5 @@
-//! The data of a worker list: the JSON that discovery answers, its conversion to members, and the digest of a version.
+//! The data of a worker list: the JSON that discovery answers, its conversion to members, and the
+//! digest of a version.
 
 use crate::decision::affinity;
 use crate::decision::interface::{Entry, Health, NO_CELL, NO_ZONE, Settings};
@@ -18,8 +19,8 @@
 
 /// One worker as discovery describes it, and as nodes pass it on to each other.
 ///
-/// The field names are keys of discovery's JSON and of the stored snapshot; their order and types are those of the
-/// binary list between nodes.
+/// The field names are keys of discovery's JSON and of the stored snapshot; their order and types
+/// are those of the binary list between nodes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(expecting = "struct RawMember")]
 pub(super) struct WorkerRecord {
@@ -48,8 +49,8 @@
         self.phase == TERMINATED
     }
 
-    /// This worker as `newer` describes it, at the address that this node knows. A worker that `newer` does not name has
-    /// been terminated.
+    /// This worker as `newer` describes it, at the address that this node knows. A worker that
+    /// `newer` does not name has been terminated.
     pub(super) fn updated_from(&self, newer: &WorkerRecords) -> Self {
         match newer.get(&self.id) {
             Some(record) => Self {
@@ -63,8 +64,8 @@
         }
     }
 
-    /// The line that stands for this worker in the digest of a version. The address is left out: nodes may reach the
-    /// same worker at different addresses.
+    /// The line that stands for this worker in the digest of a version. The address is left out:
+    /// nodes may reach the same worker at different addresses.
     fn digest_line(&self) -> String {
         let Self {
             id,
@@ -117,7 +118,8 @@
         .collect()
 }
 
-/// Returns the digest of a list's meaning: the same for every order of the records and every address of the workers.
+/// Returns the digest of a list's meaning: the same for every order of the records and every
+/// address of the workers.
 pub(super) fn digest_of<'a>(records: impl IntoIterator<Item = &'a WorkerRecord>) -> Digest {
     let mut lines: Vec<String> = records
         .into_iter()
@@ -150,7 +152,8 @@
         serde_json::from_slice(text)
     }
 
-    /// The members for the dispatcher. Workers without a usable address are left out. Times are Unix time in seconds.
+    /// The members for the dispatcher. Workers without a usable address are left out. Times are
+    /// Unix time in seconds.
     pub fn into_members(self, settings: &Settings) -> Vec<ListedWorker> {
         self.records
             .into_iter()
--- a/src/net/upstream/worker_list/mod.rs
+++ b/src/net/upstream/worker_list/mod.rs
@@ -1,8 +1,8 @@
 //! The list of workers that this node holds, and the watch on discovery that keeps it current.
 //!
-//! [`WorkerList`] owns the list, its revision and the calls to discovery (`calls`); `list` holds the data that
-//! discovery answers, `snapshot` the forms in which a list leaves this process. When a call is made is decided by
-//! [`super::watch`].
+//! [`WorkerList`] owns the list, its revision and the calls to discovery (`calls`); `list` holds
+//! the data that discovery answers, `snapshot` the forms in which a list leaves this process. When
+//! a call is made is decided by [`super::watch`].
 
 mod calls;
 mod list;
@@ -22,11 +22,12 @@
 use snapshot::{PeerList, encode_for_peer};
 use std::net::SocketAddr;
 
-/// The log target of this module and of the modules below it. Operators filter by it, so it must not move with the code.
+/// The log target of this module and of the modules below it. Operators filter by it, so it must
+/// not move with the code.
 const LOG_TARGET: &str = "postproxy::net::upstream::worker_list";
 
-/// Shortest time within which a connection to discovery has to be made, in seconds: below it a busy machine would
-/// take a reachable discovery for an unreachable one.
+/// Shortest time within which a connection to discovery has to be made, in seconds: below it a busy
+/// machine would take a reachable discovery for an unreachable one.
 const MIN_DIAL_TIMEOUT_SECONDS: f64 = 0.25;
 
 /// How far the first call since the start has come.
@@ -86,8 +87,8 @@
 }
 
 impl WorkerList {
-    /// Creates a list without a watch. `known` is the revision of the list that the node starts with, if that names a
-    /// worker; `seed` sets the jitter of the calls.
+    /// Creates a list without a watch. `known` is the revision of the list that the node starts
+    /// with, if that names a worker; `seed` sets the jitter of the calls.
     pub fn new(discovery: SocketAddr, settings: Settings, known: Option<u64>, seed: u64) -> Self {
         let dial_timeout = settings.dial_timeout.max(MIN_DIAL_TIMEOUT_SECONDS);
         let schedule = Schedule::new(settings.dispatcher_count, seed);
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Retains the full list from now on, beginning with `known`, so that snapshots of it can be taken.
+    /// Retains the full list from now on, beginning with `known`, so that snapshots of it can be
+    /// taken.
     pub fn retain_list(&mut self, known: Option<&DiscoveryList>) {
         let records = known.map(|list| list.records.clone()).unwrap_or_default();
         self.retained = Some(RetainedList {
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Returns a snapshot of the retained list in JSON; `None` without a retained list or a revision.
+    /// Returns a snapshot of the retained list in JSON; `None` without a retained list or a
+    /// revision.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let revision = self.revision?;
         let retained = self.retained.as_ref()?;
@@ -138,8 +141,8 @@
         .ok()
     }
 
-    /// Adopts the snapshot of the sibling process if it is at least as new, and watches from its revision on: after
-    /// the takeover this process is the one that has to follow discovery.
+    /// Adopts the snapshot of the sibling process if it is at least as new, and watches from its
+    /// revision on: after the takeover this process is the one that has to follow discovery.
     pub fn adopt_snapshot(&mut self, reactor: &mut Reactor, snapshot: &[u8]) {
         let Some(snapshot) = WorkerListSnapshot::from_json(snapshot)
             .filter(|snapshot| snapshot.discovery == self.discovery)
@@ -167,7 +170,8 @@
         if let InitialSync::Pending { until } = self.initial_sync {
             reactor.set_timer(until, Timer::Discovery);
         }
-        // Where lists are pushed, changes count from the first moment; without a list there is no time to lose.
+        // Where lists are pushed, changes count from the first moment; without a list there is no
+        // time to lose.
         let first_call = if self.revision.is_some() && self.settings.discovery_on_request {
             FirstCall::Spread
         } else {
@@ -177,14 +181,15 @@
         self.make_due_calls(reactor);
     }
 
-    /// Whether requests may be sent by the list that is held: discovery has been called since the start, as far as it
-    /// could be reached.
+    /// Whether requests may be sent by the list that is held: discovery has been called since the
+    /// start, as far as it could be reached.
     pub fn is_initialized(&self) -> bool {
         self.initial_sync == InitialSync::Done
     }
 
-    /// Sets the address of discovery. The revisions of another discovery can't be compared with those of the old one,
-    /// so the full list is requested at once; the workers stay known meanwhile.
+    /// Sets the address of discovery. The revisions of another discovery can't be compared with
+    /// those of the old one, so the full list is requested at once; the workers stay known
+    /// meanwhile.
     pub fn set_discovery_address(&mut self, reactor: &mut Reactor, discovery: SocketAddr) {
         if discovery != self.discovery {
             self.close_all_sessions(reactor);
@@ -198,7 +203,8 @@
 
     /// The timer for calls to discovery has expired.
     pub fn handle_timer(&mut self, reactor: &mut Reactor) {
-        // A timer that was set for a time before the schedule's present one finds no call due and sets the next timer.
+        // A timer that was set for a time before the schedule's present one finds no call due and
+        // sets the next timer.
         self.timer_set_for = None;
         if matches!(self.initial_sync, InitialSync::Pending { until } if until <= reactor.now) {
             self.initial_sync = InitialSync::Done;
@@ -216,7 +222,8 @@
         self.schedule.open_call_count()
     }
 
-    /// The version that this node acts on: its revision and the digest of its meaning. `None` without a list.
+    /// The version that this node acts on: its revision and the digest of its meaning. `None`
+    /// without a list.
     pub fn version(&self) -> Option<(u64, Digest)> {
         match &self.peer_list {
             Some(peer_list) => Some((peer_list.revision, peer_list.digest)),
@@ -248,9 +255,10 @@
         encode_for_peer(revision, digest, records)
     }
 
-    /// Applies a list that another node has passed on, if it is newer than the one this node acts on; returns the new
-    /// version if it is. An older list must never replace a newer one. Addresses of workers come from this node's
-    /// own discovery alone, so a worker that discovery has not named here is left out.
+    /// Applies a list that another node has passed on, if it is newer than the one this node acts
+    /// on; returns the new version if it is. An older list must never replace a newer one.
+    /// Addresses of workers come from this node's own discovery alone, so a worker that discovery
+    /// has not named here is left out.
     pub fn apply_peer_list(&mut self, reactor: &mut Reactor, body: &[u8]) -> Option<(u64, Digest)> {
         let peer_list = PeerList::decode(body)?;
         let (current, _) = self.version()?;
@@ -283,9 +291,9 @@
         reactor: &mut Reactor,
         mut list: DiscoveryList,
     ) -> AnswerContent {
-        // Changes to another list than the one held can't be applied, and an older list must not replace a newer one:
-        // the full list is requested at once. Its answer is applied whatever its revision, for revisions may have
-        // started again.
+        // Changes to another list than the one held can't be applied, and an older list must not
+        // replace a newer one: the full list is requested at once. Its answer is applied whatever
+        // its revision, for revisions may have started again.
         let stale = match self.revision {
             Some(held) => list.revision < held,
             None => !list.complete,
@@ -318,7 +326,8 @@
         }
     }
 
-    /// Drops the peer's list once discovery has caught up with it; until then the peer's records replace discovery's.
+    /// Drops the peer's list once discovery has caught up with it; until then the peer's records
+    /// replace discovery's.
     fn merge_peer_list(&mut self, list: &mut DiscoveryList) {
         let Some(peer_list) = &self.peer_list else {
             return;
--- a/src/net/upstream/worker_list/snapshot.rs
+++ b/src/net/upstream/worker_list/snapshot.rs
@@ -1,5 +1,5 @@
-//! Worker lists that leave this process: the snapshot in JSON for the store and for the sibling process, and the
-//! binary list that nodes pass on to each other.
+//! Worker lists that leave this process: the snapshot in JSON for the store and for the sibling
+//! process, and the binary list that nodes pass on to each other.
 
 use super::list::{DiscoveryList, WorkerRecord, WorkerRecords, digest_of, index_by_id};
 use postproxy_version_tracking::Digest;
@@ -22,8 +22,9 @@
         serde_json::from_slice(text).ok()
     }
 
-    /// Returns the list to start with: this snapshot or the configured list, whichever is newer. Revisions of another
-    /// discovery can't be compared; a snapshot of such a one counts only if the configuration names no worker.
+    /// Returns the list to start with: this snapshot or the configured list, whichever is newer.
+    /// Revisions of another discovery can't be compared; a snapshot of such a one counts only if
+    /// the configuration names no worker.
     pub fn select_initial_list(
         self,
         configured: Option<DiscoveryList>,
@@ -60,7 +61,8 @@
 }
 
 impl PeerList {
-    /// Reads a list that was written by [`encode_for_peer`]; `None` if the bytes aren't one, or don't match their digest.
+    /// Reads a list that was written by [`encode_for_peer`]; `None` if the bytes aren't one, or
+    /// don't match their digest.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         let (revision, digest, records): (u64, Digest, Vec<WorkerRecord>) =
             postcard::from_bytes(bytes).ok()?;
--- a/src/operator_config/audit.rs
+++ b/src/operator_config/audit.rs
@@ -17,8 +17,8 @@
 pub struct AuditSection {
     /// Mean time between two messages with this node's versions, in milliseconds.
     pub beat_ms: u64,
-    /// Name of the discovery service: nodes that give the same name pass worker lists on to each other. By default the
-    /// discovery address in the node's configuration.
+    /// Name of the discovery service: nodes that give the same name pass worker lists on to each
+    /// other. By default the discovery address in the node's configuration.
     pub discovery: Option<String>,
 }
 
--- a/src/operator_config/fleet.rs
+++ b/src/operator_config/fleet.rs
@@ -43,7 +43,8 @@
     /// Time between two probes of other nodes, in milliseconds.
     #[serde(default = "default_probe_ms")]
     pub probe_ms: u64,
-    /// How long a probed node may take to answer before others are asked to probe it too, in milliseconds.
+    /// How long a probed node may take to answer before others are asked to probe it too, in
+    /// milliseconds.
     #[serde(default = "default_answer_ms")]
     pub answer_ms: u64,
     /// How long a suspected node has to refute the suspicion, in milliseconds.
@@ -52,7 +53,8 @@
     /// Time between two gossip messages while there is something to gossip, in milliseconds.
     #[serde(default = "default_gossip_ms")]
     pub gossip_ms: u64,
-    /// Time between two heartbeats, in milliseconds; a node that is silent for 3.5 of these is unreachable.
+    /// Time between two heartbeats, in milliseconds; a node that is silent for 3.5 of these is
+    /// unreachable.
     #[serde(default = "default_hello_ms")]
     pub hello_ms: u64,
     /// Time between two probes of failed nodes, in milliseconds.
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -1,6 +1,8 @@
-//! The operator's configuration file: JSON with a section for each part of the program that can be switched on.
+//! The operator's configuration file: JSON with a section for each part of the program that can be
+//! switched on.
 //!
-//! A part whose section is absent is off. An unknown name is an error that gives the nearest known one.
+//! A part whose section is absent is off. An unknown name is an error that gives the nearest known
+//! one.
 
 mod audit;
 mod duties;
@@ -20,7 +22,8 @@
 
 /// All sections.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-// The type's name is part of error texts that operators read: it stays as it was when the type is renamed.
+// The type's name is part of error texts that operators read: it stays as it was when the type is
+// renamed.
 #[serde(default, deny_unknown_fields, expecting = "struct Operator")]
 pub struct OperatorConfig {
     /// Logging.
@@ -89,7 +92,8 @@
     }
 }
 
-/// Replaces the list of all known names in a message of serde's on an unknown one by the nearest name.
+/// Replaces the list of all known names in a message of serde's on an unknown one by the nearest
+/// name.
 fn with_nearest_name(message: &str) -> Option<String> {
     let rest = message
         .strip_prefix("unknown field `")
--- a/src/operator_config/store.rs
+++ b/src/operator_config/store.rs
@@ -20,7 +20,8 @@
 const SEGMENT_MB_RANGE: RangeInclusive<u64> = 1..=1024;
 /// Allowed retention times, in seconds.
 const RETENTION_S_RANGE: RangeInclusive<f64> = 1.0..=1e8;
-/// The fewest segments that [`StoreSection::most_mb`] must have room for, so that compaction can copy what is live.
+/// The fewest segments that [`StoreSection::most_mb`] must have room for, so that compaction can
+/// copy what is live.
 const MIN_SEGMENTS: u64 = 4;
 
 /// The section `store`: what the node stores of requests beyond the life of its process.
@@ -38,10 +39,12 @@
     /// Maximum size of all files, in MiB; 0 for no limit.
     #[serde(default)]
     pub most_mb: u64,
-    /// Whether the attempts of classes with idempotency keys, too, are only sent after their intents are durable.
+    /// Whether the attempts of classes with idempotency keys, too, are only sent after their
+    /// intents are durable.
     #[serde(default)]
     pub keyed_durable: bool,
-    /// How long an intent may take to become durable before its request is rejected, in milliseconds.
+    /// How long an intent may take to become durable before its request is rejected, in
+    /// milliseconds.
     #[serde(default = "default_patience_ms")]
     pub patience_ms: u64,
     /// How long the record of a request is kept after its last change, in seconds.
@@ -59,7 +62,8 @@
     /// For trials: how much longer every sync takes, in milliseconds, as on a slow disk.
     #[serde(default)]
     pub sync_delay_ms: u64,
-    /// For trials: while this file contains `full`, writes fail as on a full disk; while it contains `sync`, syncs fail.
+    /// For trials: while this file contains `full`, writes fail as on a full disk; while it
+    /// contains `sync`, syncs fail.
     #[serde(default)]
     pub trouble_file: Option<String>,
 }
--- a/src/simulator_protocol/mod.rs
+++ b/src/simulator_protocol/mod.rs
@@ -2,8 +2,8 @@
 //! each is answered by a reply with the actions of the dispatchers.
 //!
 //! Integers and floats are little-endian and not padded. A batch is a 20-byte header and records; a
-//! record is a code, the size of its fields and the fields. A reply has the same form with an 8-byte
-//! header. A stated length is trusted only after that many bytes have arrived.
+//! record is a code, the size of its fields and the fields. A reply has the same form with an
+//! 8-byte header. A stated length is trusted only after that many bytes have arrived.
 //!
 //! - `batch` reads the frames of batches, `records` decodes their records with `cursor`;
 //! - `reply` encodes replies; `error` has the errors of decoding.
--- a/src/stand_ins/discovery.rs
+++ b/src/stand_ins/discovery.rs
@@ -1,4 +1,5 @@
-//! A simplified discovery service: a worker list whose workers are in service until they are drained.
+//! A simplified discovery service: a worker list whose workers are in service until they are
+//! drained.
 
 use super::http_server::{ServerResponse, serve};
 use super::{lock, worker::Worker};
@@ -87,8 +88,8 @@
 }
 
 impl WorkerList {
-    /// Returns the body of the response to a request for this target: the list, or for a watch the changes after a
-    /// revision, as soon as there are any or the watch's time is over.
+    /// Returns the body of the response to a request for this target: the list, or for a watch the
+    /// changes after a revision, as soon as there are any or the watch's time is over.
     fn respond(&self, target: &str) -> String {
         let since = query_number(target, "since=");
         let timeout_ms = query_number(target, "timeout_ms=");
--- a/src/stand_ins/http_client.rs
+++ b/src/stand_ins/http_client.rs
@@ -12,8 +12,8 @@
 ///
 /// # Errors
 ///
-/// If the connection can't be made, ends before the response does, or is silent for 20 seconds; if the response can't be
-/// parsed.
+/// If the connection can't be made, ends before the response does, or is silent for 20 seconds; if
+/// the response can't be parsed.
 pub fn send_request(
     address: SocketAddr,
     method: &str,
--- a/src/stand_ins/mod.rs
+++ b/src/stand_ins/mod.rs
@@ -1,6 +1,7 @@
 //! Simplified peers of a node for trials and tests: discovery, workers, and an HTTP client.
 //!
-//! They run in threads of this process on loopback, and speak the platform's protocol as far as a node sees it.
+//! They run in threads of this process on loopback, and speak the platform's protocol as far as a
+//! node sees it.
 
 mod discovery;
 mod http_client;
--- a/src/stand_ins/worker.rs
+++ b/src/stand_ins/worker.rs
@@ -134,7 +134,8 @@
         empty(202)
     }
 
-    /// Reports the end of a request to all nodes, and waits until the first of them has acknowledged it.
+    /// Reports the end of a request to all nodes, and waits until the first of them has
+    /// acknowledged it.
     fn report(&self, id: &str, key: String, result: String) {
         let queue = self.in_flight_count().saturating_sub(1);
         let callback = serde_json::json!({"id": id, "from": self.name, "state": "done", "result": result,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts at workers over real connections, with simulated time: every unfavourable order of events on a connection.
+//! Attempts at workers over real connections, with simulated time: every unfavourable order of
+//! events on a connection.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -26,7 +27,8 @@
         Self::with(8, 60.0)
     }
 
-    /// With this limit on connections, and workers that close a connection after being idle for `idle_timeout` seconds.
+    /// With this limit on connections, and workers that close a connection after being idle for
+    /// `idle_timeout` seconds.
     fn with(max_connections: usize, idle_timeout: f64) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
         Self {
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Starts attempts at one time, and has the worker accept each on a connection of its own; these are idle then.
+    /// Starts attempts at one time, and has the worker accept each on a connection of its own;
+    /// these are idle then.
     fn accepted_attempts(&mut self, attempts: &[AttemptId]) -> Vec<TestSocket> {
         attempts.iter().for_each(|attempt| self.start(*attempt));
         let mut peers: Vec<TestSocket> = attempts
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Serves ready connections until the peer has received something: a request is written once its connection is known to
-    /// be established.
+    /// Serves ready connections until the peer has received something: a request is written once
+    /// its connection is known to be established.
     fn run_until_received(&mut self, peer: &TestSocket) {
         peer.stream.set_nonblocking(true).expect("a setting");
         self.until(|_| {
@@ -129,8 +132,9 @@
     }
 }
 
-/// Guards against a worker's second response, some milliseconds after its first, that is taken for that of the next attempt: a
-/// second 'not run' would have a request that runs retried on another worker.
+/// Guards against a worker's second response, some milliseconds after its first, that is taken for
+/// that of the next attempt: a second 'not run' would have a request that runs retried on another
+/// worker.
 #[test]
 fn second_response_is_not_taken_for_the_next_attempt() {
     let mut harness = AttemptsHarness::new();
@@ -145,7 +149,8 @@
     assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
     harness.reactor.now = 1000.01;
     harness.start(2);
-    // It arrives after the next attempt has been written, on whichever connection; perhaps nobody reads it.
+    // It arrives after the next attempt has been written, on whichever connection; perhaps nobody
+    // reads it.
     let mut second = TestSocket::accept(&harness.worker);
     harness.run_until_received(&second);
     let _ = first.stream.write_all(NOT_RUN.as_bytes());
@@ -158,7 +163,8 @@
     );
 }
 
-/// Guards against the same after a cancel: its second response would end the next attempt, which runs, in an error.
+/// Guards against the same after a cancel: its second response would end the next attempt, which
+/// runs, in an error.
 #[test]
 fn second_response_to_a_cancel_is_not_taken_for_the_next_attempt() {
     let mut harness = AttemptsHarness::new();
@@ -178,8 +184,9 @@
     assert!(harness.opens_connection(1060.0, 2));
 }
 
-/// Guards against a second response that comes later than any idle time: a connection on which a worker has answered anything but
-/// 202 carries nothing more. One on which the attempt was accepted is reused at once.
+/// Guards against a second response that comes later than any idle time: a connection on which a
+/// worker has answered anything but 202 carries nothing more. One on which the attempt was accepted
+/// is reused at once.
 #[test]
 fn connection_is_reused_only_after_an_accepted_attempt() {
     let rejections = [
@@ -211,8 +218,9 @@
     assert_eq!(harness.attempts.connection_count(), 1);
 }
 
-/// Guards against a worker's second response after a 202, however late: 'not run' on a connection that has carried another request
-/// may be the response to that one, and so proves nothing. On a new connection it does.
+/// Guards against a worker's second response after a 202, however late: 'not run' on a connection
+/// that has carried another request may be the response to that one, and so proves nothing. On a
+/// new connection it does.
 #[test]
 fn not_run_on_a_reused_connection_proves_nothing() {
     let mut harness = AttemptsHarness::new();
@@ -235,8 +243,8 @@
     assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
 }
 
-/// Guards against a response that arrived before the worker can have read the request and is taken for its own: it proves
-/// nothing, on a new connection either.
+/// Guards against a response that arrived before the worker can have read the request and is taken
+/// for its own: it proves nothing, on a new connection either.
 #[test]
 fn response_received_before_the_request_was_written_proves_nothing() {
     let mut harness = AttemptsHarness::new();
@@ -326,8 +334,8 @@
     },
 ];
 
-/// Guards against a malformed response that is accepted or read for ever: the attempt ends once, as one that may have run, and its
-/// connection is closed whatever is still to come.
+/// Guards against a malformed response that is accepted or read for ever: the attempt ends once, as
+/// one that may have run, and its connection is closed whatever is still to come.
 #[test]
 fn malformed_response_ends_the_attempt_and_closes_the_connection() {
     for MalformedResponse {
@@ -373,13 +381,15 @@
     }
 }
 
-/// Guards against a retry of a request that a worker may have run, and against none of one that it can't have run: a pooled
-/// connection breaks under a request that is written completely or in part, whether the worker resets or closes it.
+/// Guards against a retry of a request that a worker may have run, and against none of one that it
+/// can't have run: a pooled connection breaks under a request that is written completely or in
+/// part, whether the worker resets or closes it.
 #[test]
 fn partly_written_request_is_reported_as_never_sent() {
     for (resets, fully_written) in [(true, true), (false, true), (true, false), (false, false)] {
         let mut harness = AttemptsHarness::new();
-        // The worker receives little at a time, and the body is larger than all buffers in between, so that it is not written completely.
+        // The worker receives little at a time, and the body is larger than all buffers in between,
+        // so that it is not written completely.
         socket2::SockRef::from(&harness.worker)
             .set_recv_buffer_size(1 << 10)
             .expect("a setting");
@@ -448,8 +458,8 @@
     assert_eq!(names, [("inflight", 7.0), ("queue", 2.0), ("util", 0.61)]);
 }
 
-/// Guards against writing one request after the other to idle connections that break at once: the first one that breaks limits, for
-/// a while, how long others may have been idle.
+/// Guards against writing one request after the other to idle connections that break at once: the
+/// first one that breaks limits, for a while, how long others may have been idle.
 #[test]
 fn broken_reused_connection_limits_the_idle_time_of_others() {
     let mut harness = AttemptsHarness::new();
@@ -503,8 +513,8 @@
     ));
 }
 
-/// Guards against writing to the idle connections of a worker that has left a request unanswered: if it has vanished, a new
-/// connection can't be established, which proves that nothing ran.
+/// Guards against writing to the idle connections of a worker that has left a request unanswered:
+/// if it has vanished, a new connection can't be established, which proves that nothing ran.
 #[test]
 fn idle_connections_to_an_unresponsive_worker_are_not_reused() {
     let mut harness = AttemptsHarness::new();
@@ -535,7 +545,8 @@
     }
 }
 
-/// Starts probe 1, has the worker answer this (or close the connection), and returns the end, the report, and the worker's side.
+/// Starts probe 1, has the worker answer this (or close the connection), and returns the end, the
+/// report, and the worker's side.
 fn probe_result(
     harness: &mut AttemptsHarness,
     answer: Option<&str>,
@@ -569,8 +580,8 @@
     (end, load, peer)
 }
 
-/// Guards against a probe whose report is lost or misread, against one that fails, is malformed or rejected and counts as a report,
-/// and against a new connection for each.
+/// Guards against a probe whose report is lost or misread, against one that fails, is malformed or
+/// rejected and counts as a report, and against a new connection for each.
 #[test]
 fn probe_reports_the_load_or_the_failure() {
     let text = |status: &str, body: &str| {
@@ -607,8 +618,8 @@
     }
 }
 
-/// Guards against a worker that receives requests and answers nothing: the probe times out, its late response changes nothing, and
-/// a worker that can't be reached is reported as such.
+/// Guards against a worker that receives requests and answers nothing: the probe times out, its
+/// late response changes nothing, and a worker that can't be reached is reported as such.
 #[test]
 fn probe_without_a_response_times_out() {
     let mut harness = AttemptsHarness::new();
@@ -621,11 +632,7 @@
     for (now, ended) in [(1000.39, false), (1000.42, true)] {
         harness.reactor.now = now;
         for due in harness.reactor.expired_timers() {
-            if let Timer::Attempt {
-                key: key,
-                round: round,
-            } = due
-            {
+            if let Timer::Attempt { key, round } = due {
                 harness
                     .attempts
                     .handle_attempt_timer(&mut harness.reactor, key, round);
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Guards against a long first wait, steps that do not grow or grow without end, and nodes that retry together.
+/// Guards against a long first wait, steps that do not grow or grow without end, and nodes that
+/// retry together.
 #[test]
 fn waits_grow_to_their_limit_and_differ_by_seed() {
     let waits = |seed| {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Responses to bad input can be read by the client also when it goes on sending; none of the input reaches a worker.
+//! Responses to bad input can be read by the client also when it goes on sending; none of the input
+//! reaches a worker.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -12,8 +13,9 @@
 /// Bytes that a client sends behind its request at a time.
 const PIECE_BYTES: usize = 8192;
 
-/// Guards against a close with unread bytes, which resets the connection and destroys the response; against a client that
-/// holds a connection by sending on; and against any of the input at a worker.
+/// Guards against a close with unread bytes, which resets the connection and destroys the response;
+/// against a client that holds a connection by sending on; and against any of the input at a
+/// worker.
 #[test]
 fn responses_to_bad_input_are_readable_though_the_client_goes_on_sending() {
     let harness = NodeHarness::new(1, 256);
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The connections that clients and workers open: timeouts, the limit of connections, and what requests are parsed to.
+//! The connections that clients and workers open: timeouts, the limit of connections, and what
+//! requests are parsed to.
 
 #[path = "support/clients_harness.rs"]
 mod clients_harness;
@@ -16,9 +17,10 @@
 const CALLBACK: &str = "POST /v1/job-events HTTP/1.1\r\nContent-Length: 40\r\n\r\n\
                         {\"id\":\"a\",\"from\":\"s-1\",\"state\":\"asleep\"}";
 
-/// Guards against a client that holds a connection by silence, or by a request that never ends: it must get a
-/// close or an error within 3 s of connecting, and no byte in between gives it more time. A client that has made a
-/// request keeps the connection, and has as much time for its next request.
+/// Guards against a client that holds a connection by silence, or by a request that never ends: it
+/// must get a close or an error within 3 s of connecting, and no byte in between gives it more
+/// time. A client that has made a request keeps the connection, and has as much time for its next
+/// request.
 #[test]
 fn closes_connections_whose_request_does_not_arrive_in_time() {
     let mut harness = ClientsHarness::new(8);
@@ -48,8 +50,9 @@
     assert!(harness.clients.connection_count() == 0);
 }
 
-/// Guards against a response that its client can't read because the connection was reset over what the client was still
-/// sending: a new one had come, for which there was no room. A connection with its last response keeps its place for a moment.
+/// Guards against a response that its client can't read because the connection was reset over what
+/// the client was still sending: a new one had come, for which there was no room. A connection with
+/// its last response keeps its place for a moment.
 #[test]
 fn a_connection_is_not_evicted_right_after_its_last_response() {
     let mut harness = ClientsHarness::new(1);
@@ -108,8 +111,9 @@
     }
 }
 
-/// Guards against a worker that gets the acknowledgement of its call-back before the request manager gives it, and
-/// against one that gets none because it closed its sending side after the call-back.
+/// Guards against a worker that gets the acknowledgement of its call-back before the request
+/// manager gives it, and against one that gets none because it closed its sending side after the
+/// call-back.
 #[test]
 fn a_callback_is_acknowledged_only_by_the_request_manager() {
     let mut harness = ClientsHarness::new(4);
@@ -141,8 +145,8 @@
     assert!(worker.read_to_end().starts_with("HTTP/1.1 200 "));
 }
 
-/// Guards against a crowd that takes all places: silent connections are closed before those that have brought a request or
-/// a call-back, and no new one is, since its request is on its way.
+/// Guards against a crowd that takes all places: silent connections are closed before those that
+/// have brought a request or a call-back, and no new one is, since its request is on its way.
 #[test]
 fn silent_and_idle_connections_are_evicted_before_useful_ones() {
     let mut harness = ClientsHarness::new(4);
@@ -175,7 +179,8 @@
     assert!(!harness.is_open(&young) && harness.is_open(&first));
     harness.send(&mut late, CALLBACK);
     assert!(harness.clients.is_useful(late.key));
-    // A connection that has its last response and does not end comes first of all, after a moment to read it.
+    // A connection that has its last response and does not end comes first of all, after a moment
+    // to read it.
     harness.send(&mut first, "no request\r\n\r\n");
     assert!(harness.has_connection(&first) && !harness.is_open(&first));
     harness.advance_to(1000.66);
@@ -183,8 +188,8 @@
     assert!(!harness.has_connection(&first) && harness.is_open(&second) && harness.is_open(&late));
 }
 
-/// Guards against forwarding what a worker can't read, or what each reader could read in its own way: a worker closes its
-/// connection on that, whatever other requests wait there.
+/// Guards against forwarding what a worker can't read, or what each reader could read in its own
+/// way: a worker closes its connection on that, whatever other requests wait there.
 #[test]
 fn a_request_that_can_not_be_forwarded_is_rejected() {
     let id = "X-Request-Id: a\r\n";
@@ -274,7 +279,8 @@
     );
 }
 
-/// Guards against a call-back that is misread, and against one that changes on its way through a sibling process.
+/// Guards against a call-back that is misread, and against one that changes on its way through a
+/// sibling process.
 #[test]
 fn a_callback_has_all_that_the_worker_sent_and_survives_encoding() {
     let text = r#"{"id":"9b1f","from":"s-1","state":"running","share":0.4,"load":{"queue":2,"x0":1.5,"odd":"x"}}"#;
--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -75,7 +75,8 @@
     (0..3).for_each(|n| fleet.assert_no_failure_logged(n));
 }
 
-/// Two nodes hear of each other through the third only. A stop of one is no failure, however long; a kill is one.
+/// Two nodes hear of each other through the third only. A stop of one is no failure, however long;
+/// a kill is one.
 #[test]
 fn node_reached_through_another_is_stopped_and_killed() {
     let mut fleet = FleetHarness::new(3, 17);
--- a/tests/cluster/identity.rs
+++ b/tests/cluster/identity.rs
@@ -76,8 +76,8 @@
     })
 }
 
-/// While one process takes over from another, one of them is a member at any time. A suspend at the one that isn't a
-/// member is announced by the other.
+/// While one process takes over from another, one of them is a member at any time. A suspend at the
+/// one that isn't a member is announced by the other.
 #[test]
 fn replacement_of_a_process_does_not_change_the_members() {
     let mut fleet = FleetHarness::new(3, 9);
@@ -89,7 +89,8 @@
     let first_incarnation = fleet.status(1).expect("a status").members[0].incarnation;
     let first_management = fleet.nodes[1].management_address;
     let mut first = fleet.nodes[1].process.take().expect("it was started");
-    // The second process has a management API of its own; the cluster's address is still the first one's.
+    // The second process has a management API of its own; the cluster's address is still the first
+    // one's.
     fleet.nodes[1].management_address = SocketAddr::new(first_management.ip(), 8082);
     fleet.start(1);
     assert!(fleet.status(1).is_none(), "one member, not two");
--- a/tests/cluster/schedules.rs
+++ b/tests/cluster/schedules.rs
@@ -15,8 +15,8 @@
 const MAX_ATTEMPTS: u32 = 3;
 
 impl FleetHarness {
-    /// Suspends or resumes a worker at a node. A node that has just started may not know the worker yet; an action that
-    /// it accepts is recorded.
+    /// Suspends or resumes a worker at a node. A node that has just started may not know the worker
+    /// yet; an action that it accepts is recorded.
     fn try_worker_action(&mut self, n: usize, worker: usize, action: WorkerAction) {
         let path = format!("/v1/route-workers/w-{worker}/{}", action.name());
         let answer = send_request(self.nodes[n].management_address, "POST", &path, &[], b"")
@@ -57,14 +57,12 @@
                 loss_rate: f64::from(share) / 100.0,
                 ..LinkFaults::default()
             }),
-            Step::Suspend {
-                node: n,
-                worker: worker,
-            } => self.try_worker_action(n, worker, WorkerAction::Suspend),
-            Step::Resume {
-                node: n,
-                worker: worker,
-            } => self.try_worker_action(n, worker, WorkerAction::Resume),
+            Step::Suspend { node: n, worker } => {
+                self.try_worker_action(n, worker, WorkerAction::Suspend)
+            }
+            Step::Resume { node: n, worker } => {
+                self.try_worker_action(n, worker, WorkerAction::Resume)
+            }
             Step::Rest(ms) => std::thread::sleep(Duration::from_millis(ms)),
         }
     }
@@ -137,7 +135,8 @@
                 .map(|accepted| accepted.action)
                 .peekable();
             let any = actions.peek().is_some();
-            // A worker that was never resumed is suspended if and only if it was suspended anywhere.
+            // A worker that was never resumed is suspended if and only if it was suspended
+            // anywhere.
             if actions.all(|action| action == WorkerAction::Suspend) {
                 assert_eq!(
                     suspended.contains(&format!("w-{worker}")),
--- a/tests/cluster/suspensions.rs
+++ b/tests/cluster/suspensions.rs
@@ -38,7 +38,8 @@
     fleet.wait_until_suspended("w-1 is resumed", &["w-2"]);
 }
 
-/// The suspensions don't fit a datagram. The streams break, stall or are slow, and one node starts without a store.
+/// The suspensions don't fit a datagram. The streams break, stall or are slow, and one node starts
+/// without a store.
 #[test]
 fn many_suspensions_are_synchronised_over_faulty_streams() {
     let names: Vec<String> = (0..40)
@@ -72,8 +73,8 @@
     fleet.net.heal();
 }
 
-/// A worker that was suspended at a node before the node had the section `fleet` is suspended for the cluster, unless the
-/// cluster has resumed it.
+/// A worker that was suspended at a node before the node had the section `fleet` is suspended for
+/// the cluster, unless the cluster has resumed it.
 #[test]
 fn earlier_local_suspension_is_adopted_by_the_cluster() {
     let mut fleet = FleetHarness::new(3, 14);
@@ -103,7 +104,8 @@
     fleet.wait_until_suspended("still", &["w-1"]);
 }
 
-/// A node that comes back with an older store, on a disk on which each sync takes 2 s, undoes nothing, and is a member.
+/// A node that comes back with an older store, on a disk on which each sync takes 2 s, undoes
+/// nothing, and is a member.
 #[test]
 fn older_store_and_slow_disk_change_no_suspension() {
     let mut fleet = FleetHarness::with_stores(3, 15);
@@ -145,8 +147,8 @@
     }
 }
 
-/// A disk that is full, or whose syncs fail, takes no node out of the cluster and keeps no suspension from it. When it
-/// works again, the suspensions are stored.
+/// A disk that is full, or whose syncs fail, takes no node out of the cluster and keeps no
+/// suspension from it. When it works again, the suspensions are stored.
 #[test]
 fn disk_faults_change_no_member_and_lose_no_suspension() {
     let mut fleet = FleetHarness::with_stores(3, 16);
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -348,8 +348,9 @@
     }
 }
 
-/// Guards against bytes that are lost, duplicated or sent after the end, states that don't follow from what happened,
-/// an end that is reported twice or not at all, and waiting for what can't come.
+/// Guards against bytes that are lost, duplicated or sent after the end, states that don't follow
+/// from what happened, an end that is reported twice or not at all, and waiting for what can't
+/// come.
 #[test]
 fn a_connection_behaves_like_its_model() {
     let mut check = QuickCheck::new()
@@ -366,8 +367,8 @@
     }
 }
 
-/// Guards against reading forever from a peer that goes on sending after its last response, and against one that takes a
-/// whole turn of the event loop for itself.
+/// Guards against reading forever from a peer that goes on sending after its last response, and
+/// against one that takes a whole turn of the event loop for itself.
 #[test]
 fn a_peer_that_goes_on_sending_to_a_closing_connection_is_cut_off() {
     let (wire, mut owner) = (SharedWire::default(), CallbackCounter::default());
--- a/tests/data_directory/node.rs
+++ b/tests/data_directory/node.rs
@@ -1,4 +1,5 @@
-//! A node of the real program on a store, alone in its fleet, with a list of three workers at fixed addresses.
+//! A node of the real program on a store, alone in its fleet, with a list of three workers at fixed
+//! addresses.
 
 use super::TemporaryFolder;
 use super::jobs::Job;
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -1,5 +1,6 @@
-//! The closed loop: clients, workers, the worker list, an operator and a sibling process around one dispatcher. All
-//! times are whole ticks of 1/1024 s, so that they are exact as numbers and as text.
+//! The closed loop: clients, workers, the worker list, an operator and a sibling process around one
+//! dispatcher. All times are whole ticks of 1/1024 s, so that they are exact as numbers and as
+//! text.
 
 use super::decider::Decider;
 use super::random::Generator;
@@ -755,7 +756,8 @@
         }));
     }
 
-    /// Another process takes over: it is told the past and each open request, before the list or after it.
+    /// Another process takes over: it is told the past and each open request, before the list or
+    /// after it.
     fn hand_over(&mut self) {
         let open = self.open_requests();
         let list_first = self.random.chance(0.5);
--- a/tests/durable_requests.rs
+++ b/tests/durable_requests.rs
@@ -1,5 +1,5 @@
-//! The request manager with a request log, without disk or sockets: what waits for a write, what a restart leaves in
-//! doubt, and which answer each client gets.
+//! The request manager with a request log, without disk or sockets: what waits for a write, what a
+//! restart leaves in doubt, and which answer each client gets.
 
 #[path = "support/request_manager_harness.rs"]
 mod request_manager_harness;
@@ -123,7 +123,8 @@
         others
     }
 
-    /// Handles an event, and returns the commands that follow. Timers and writes are kept in the harness.
+    /// Handles an event, and returns the commands that follow. Timers and writes are kept in the
+    /// harness.
     fn handle(&mut self, input: Input) -> Vec<Command> {
         let commands = self.base.handle(input);
         self.collect_writes(commands)
@@ -170,7 +171,8 @@
         self.handle(Input::RequestReceived { client, submission })
     }
 
-    /// Submits a request that must not run twice, and has its attempt started, written and accepted.
+    /// Submits a request that must not run twice, and has its attempt started, written and
+    /// accepted.
     fn submit_and_accept(
         &mut self,
         client: ClientId,
@@ -220,7 +222,8 @@
     CallbackState::Done(text.into())
 }
 
-/// Guards against a first byte that leaves before its record is durable, and against safe requests that wait as well.
+/// Guards against a first byte that leaves before its record is durable, and against safe requests
+/// that wait as well.
 #[test]
 fn attempt_starts_when_its_record_is_durable() {
     let mut harness = DurableHarness::new();
@@ -249,7 +252,8 @@
     );
 }
 
-/// Guards against a worker that forgets a result before it is durable, and against a client that waits for that.
+/// Guards against a worker that forgets a result before it is durable, and against a client that
+/// waits for that.
 #[test]
 fn acknowledges_a_result_when_it_is_durable() {
     let mut harness = DurableHarness::new();
@@ -292,8 +296,8 @@
     assert_eq!(harness.base.manager.pending_count(), 0);
 }
 
-/// Guards against a second attempt of what was sent before a restart, and against its rejection: that would promise that
-/// nothing ran.
+/// Guards against a second attempt of what was sent before a restart, and against its rejection:
+/// that would promise that nothing ran.
 #[test]
 fn repetition_of_a_request_in_doubt_waits_for_its_callback() {
     let mut harness = DurableHarness::new();
@@ -341,7 +345,8 @@
     );
 }
 
-/// Guards against no run at all where the worker has proved that none took place, and against two runs for two that wait.
+/// Guards against no run at all where the worker has proved that none took place, and against two
+/// runs for two that wait.
 #[test]
 fn returned_request_runs_again_once() {
     let mut harness = DurableHarness::new();
@@ -362,7 +367,8 @@
     assert_eq!(answers(&commands), [(3, served("x")), (2, served("x"))]);
 }
 
-/// Guards against two runs for one key on two connections, and against a run that ends with the connection that came first.
+/// Guards against two runs for one key on two connections, and against a run that ends with the
+/// connection that came first.
 #[test]
 fn same_key_on_two_connections_runs_once() {
     let mut harness = DurableHarness::new();
@@ -394,7 +400,8 @@
     );
 }
 
-/// Guards against holding, failing or sending a request that the disk can't record; against rejecting any other.
+/// Guards against holding, failing or sending a request that the disk can't record; against
+/// rejecting any other.
 #[test]
 fn failed_store_rejects_only_unsafe_requests_at_once() {
     let mut harness = DurableHarness::new();
@@ -429,8 +436,8 @@
     );
 }
 
-/// Guards against a disk that hangs and takes a request's whole time with it; against an attempt that starts when the disk
-/// works again, after the rejection.
+/// Guards against a disk that hangs and takes a request's whole time with it; against an attempt
+/// that starts when the disk works again, after the rejection.
 #[test]
 fn rejects_in_time_when_a_record_write_hangs() {
     let mut harness = DurableHarness::new();
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,5 +1,5 @@
-//! One request on a connection to a worker: whether it may have run follows from the bytes that were written, in every order in which
-//! the events of one turn can come.
+//! One request on a connection to a worker: whether it may have run follows from the bytes that
+//! were written, in every order in which the events of one turn can come.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -97,8 +97,8 @@
     }
 }
 
-/// Guards against a request that its worker has read completely and that is reported as never sent: its last byte is written and the reset
-/// read in one turn.
+/// Guards against a request that its worker has read completely and that is reported as never sent:
+/// its last byte is written and the reset read in one turn.
 #[test]
 fn reset_in_the_turn_of_the_last_byte_counts_as_written() {
     let listener = bind_listener();
@@ -163,8 +163,8 @@
     );
 }
 
-/// Guards against a deadline field that holds more than the client has left: the connection took long to establish, or came up after
-/// the client's deadline.
+/// Guards against a deadline field that holds more than the client has left: the connection took
+/// long to establish, or came up after the client's deadline.
 #[test]
 fn deadline_field_holds_the_time_left_when_the_request_is_written() {
     for (dial_seconds, left) in [
@@ -222,7 +222,8 @@
     }
 }
 
-/// The connection of the property test: what the worker has sent, how much it receives, and how it fails.
+/// The connection of the property test: what the worker has sent, how much it receives, and how it
+/// fails.
 #[derive(Default)]
 struct WireState {
     /// Bytes that the worker has sent and the node has not read.
@@ -262,7 +263,8 @@
         let mut wire = self.0.borrow_mut();
         let size = wire.room.min(bytes.len());
         match size {
-            // A reset is seen by whichever call comes first; a write for which there is room may still succeed.
+            // A reset is seen by whichever call comes first; a write for which there is room may
+            // still succeed.
             0 if wire.broken => Err(ErrorKind::BrokenPipe.into()),
             0 => Err(ErrorKind::WouldBlock.into()),
             _ => {
@@ -304,7 +306,8 @@
     answered_before_written: bool,
 }
 
-/// Does what the worker does between two turns, sometimes several things at once; returns whether it answered.
+/// Does what the worker does between two turns, sometimes several things at once; returns whether
+/// it answered.
 fn act_as_worker(wire: &RefCell<WireState>, rng: &mut Random) -> bool {
     let mut answered = false;
     for _ in 0..=(2.0 * rng.uniform()) as usize {
@@ -415,8 +418,9 @@
     }
 }
 
-/// Guards the table of all ends, over all orders of events: one end for each request; an end that proves that nothing ran only if the
-/// worker doesn't have the complete request or the response is certainly its own; the report that it was written comes before the end.
+/// Guards the table of all ends, over all orders of events: one end for each request; an end that
+/// proves that nothing ran only if the worker doesn't have the complete request or the response is
+/// certainly its own; the report that it was written comes before the end.
 #[test]
 fn end_proves_not_run_only_if_the_written_bytes_do() {
     let mut seen = std::collections::BTreeMap::<String, u32>::new();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many dispatchers over many workers: what is harmless at one dispatcher and harmful at all of them.
+//! Many dispatchers over many workers: what is harmless at one dispatcher and harmful at all of
+//! them.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -17,7 +18,8 @@
     worker: WorkerId,
 }
 
-/// Returns the share of requests that a dispatcher of zone 0 with this rate sends to other zones in 20 s.
+/// Returns the share of requests that a dispatcher of zone 0 with this rate sends to other zones in
+/// 20 s.
 fn share_sent_to_other_zones(requests_per_second: u64) -> f64 {
     let set_price =
         |s: &mut serde_json::Value| s["prices"] = serde_json::json!({"cross-zone": 0.01});
@@ -56,8 +58,9 @@
     (all - own_zone) as f64 / all as f64
 }
 
-/// A dispatcher with few requests learns little of other zones. If all such kept to their zone they would fill it while
-/// the others idle. One with many requests learns of all zones, and stays in its own while that one is no fuller.
+/// A dispatcher with few requests learns little of other zones. If all such kept to their zone they
+/// would fill it while the others idle. One with many requests learns of all zones, and stays in
+/// its own while that one is no fuller.
 #[test]
 fn dispatchers_with_few_requests_do_not_keep_to_their_zone() {
     let with_few = share_sent_to_other_zones(2);
@@ -66,7 +69,8 @@
     assert!(with_many < 0.15, "{with_many}");
 }
 
-/// The number of dispatchers may be missing from the settings. Requests are sent, also to a cold worker.
+/// The number of dispatchers may be missing from the settings. Requests are sent, also to a cold
+/// worker.
 #[test]
 fn dispatcher_works_with_any_number_of_dispatchers_in_the_settings() {
     for balancers in [None, Some(1), Some(100)] {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! What reaches a process that takes over between the older one's greeting and the end of its snapshot. The test plays
-//! the older process, so that each order of events is forced.
+//! What reaches a process that takes over between the older one's greeting and the end of its
+//! snapshot. The test plays the older process, so that each order of events is forced.
 
 use postproxy::net::transport::http::Response;
 use postproxy::stand_ins::{Discovery, Worker, send_request};
@@ -17,7 +17,8 @@
 
 /// How long the test waits for an event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Starts that are tried: the newer process serves alone if the older one's snapshot is not complete within 1 s.
+/// Starts that are tried: the newer process serves alone if the older one's snapshot is not
+/// complete within 1 s.
 const MAX_STARTS: usize = 20;
 
 /// The older process, as far as the newer one can tell.
@@ -81,7 +82,8 @@
 }
 
 impl HandoverHarness {
-    /// Starts the real program, which has connected to the older process and greeted it, and has received nothing yet.
+    /// Starts the real program, which has connected to the older process and greeted it, and has
+    /// received nothing yet.
     fn new(name: &str) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener
@@ -152,7 +154,8 @@
             .expect("the link holds");
     }
 
-    /// Sends a management request, and returns once the process has read it; the answer comes later.
+    /// Sends a management request, and returns once the process has read it; the answer comes
+    /// later.
     fn begin_management_request(&self, path: &str) -> TcpStream {
         let mut call = TcpStream::connect(self.management).expect("the management API listens");
         call.set_read_timeout(Some(EVENT_TIMEOUT))
@@ -168,7 +171,8 @@
         call
     }
 
-    /// Waits until the process has sent the older one this update; `None` if it has closed the link before.
+    /// Waits until the process has sent the older one this update; `None` if it has closed the link
+    /// before.
     fn wait_for_update(&mut self, update: &StateUpdate) -> Option<()> {
         self.older.wait_for(|event| {
             matches!(event, LinkEvent::StateUpdate(sent) if sent == update).then_some(())
@@ -200,8 +204,8 @@
     }
 }
 
-/// Guards against a management request that is confirmed and lost: it came to the process that takes over before the
-/// older one had greeted, or before its snapshot was complete.
+/// Guards against a management request that is confirmed and lost: it came to the process that
+/// takes over before the older one had greeted, or before its snapshot was complete.
 #[test]
 fn management_requests_before_the_end_of_the_snapshot_override_it() {
     let drain_changed = |draining, seconds_ago| StateUpdate::DrainChanged {
@@ -210,7 +214,8 @@
     };
     for greeted in [false, true] {
         for (name, path, snapshot, expected) in [
-            // The older process has suspended the worker, and does not know yet that it is to be resumed.
+            // The older process has suspended the worker, and does not know yet that it is to be
+            // resumed.
             (
                 "resume",
                 "/v1/route-workers/s-0/resume",
@@ -252,7 +257,8 @@
     }
 }
 
-/// Guards against a request that is admitted by a process that does not know the older one's requests yet.
+/// Guards against a request that is admitted by a process that does not know the older one's
+/// requests yet.
 #[test]
 fn requests_wait_until_the_snapshot_is_complete() {
     run_until_joined("request", |harness| {
@@ -272,7 +278,8 @@
                 503
             );
         }
-        // The listener is shared: it stays non-blocking, for the process would block at its next accept otherwise.
+        // The listener is shared: it stays non-blocking, for the process would block at its next
+        // accept otherwise.
         harness.listener.set_nonblocking(true).expect("a setting");
         // The newer process may have given up waiting already, and have accepted it.
         let accepted = harness.listener.accept().ok().map(|(stream, _)| stream);
@@ -294,8 +301,8 @@
 }
 
 impl HandoverHarness {
-    /// Waits until the newer process has handled all messages: it answers a call-back after them. `None` if it has
-    /// closed the link before.
+    /// Waits until the newer process has handled all messages: it answers a call-back after them.
+    /// `None` if it has closed the link before.
     fn wait_for_callback_result(&mut self) -> Option<()> {
         let body = br#"{"id": "nobody's", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = self.older.link.forward_callback(0.0, 77, body.to_vec());
@@ -305,8 +312,8 @@
     }
 }
 
-/// Guards against a call-back that is acknowledged although no process has handled it: it came to the newer process, as
-/// soon as that serves, on a request of the older one.
+/// Guards against a call-back that is acknowledged although no process has handled it: it came to
+/// the newer process, as soon as that serves, on a request of the older one.
 #[test]
 fn callbacks_on_the_older_processs_requests_are_acknowledged_only_on_its_result() {
     run_until_joined("call", |harness| {
--- a/tests/handover_bookkeeping.rs
+++ b/tests/handover_bookkeeping.rs
@@ -1,4 +1,5 @@
-//! What a process tracks of its siblings during a handover: forwarded call-backs and the division of descriptors.
+//! What a process tracks of its siblings during a handover: forwarded call-backs and the division
+//! of descriptors.
 
 use postproxy::net::handover::callbacks::{CallbackResolution, ForwardedCallbacks};
 use postproxy::net::handover::descriptors::{DescriptorShare, DescriptorShares, DescriptorUsage};
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -1,5 +1,5 @@
-//! A handover to a process that has no descriptor left. The test is alone in its process, because the limit on
-//! descriptors applies to the whole process.
+//! A handover to a process that has no descriptor left. The test is alone in its process, because
+//! the limit on descriptors applies to the whole process.
 
 use postproxy::net::handover::{Event, Handover};
 use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
@@ -17,7 +17,8 @@
 /// How long the test waits for an event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs one turn of the loop, and returns the handover's events by the readiness event that led to them.
+/// Runs one turn of the loop, and returns the handover's events by the readiness event that led to
+/// them.
 fn run_turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
     let mut ready = Vec::new();
     // A timer that is due keeps the reactor from waiting.
@@ -93,9 +94,10 @@
     .concat()
 }
 
-/// Guards against a request that is answered to another's client: there was no room for the descriptor that came with
-/// one message, the rest of the message came only later, and it was matched with the next message's descriptor. The
-/// function is long because it is one scenario, step after step.
+/// Guards against a request that is answered to another's client: there was no room for the
+/// descriptor that came with one message, the rest of the message came only later, and it was
+/// matched with the next message's descriptor. The function is long because it is one scenario,
+/// step after step.
 #[test]
 fn a_lost_descriptor_leaves_the_others_with_their_requests() {
     let folder =
@@ -138,7 +140,8 @@
     )
     .expect("a lower limit");
     send_with_connection(&link, &first_frame[..5], first.node);
-    // The node's end was closed with the lost descriptor, which shows that its first bytes have been read.
+    // The node's end was closed with the lost descriptor, which shows that its first bytes have
+    // been read.
     wait_for("the first connection's end", || {
         assert!(
             run_turn(&mut reactor, &mut handover)
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -26,8 +26,8 @@
     request
 }
 
-/// Parses a request byte by byte: what has been consumed is not passed in again. `None` if there is an error, no complete
-/// request, or anything left.
+/// Parses a request byte by byte: what has been consumed is not passed in again. `None` if there is
+/// an error, no complete request, or anything left.
 fn parse_byte_by_byte(bytes: &[u8]) -> Option<Request> {
     let mut reader = RequestReader::default();
     let mut input = Vec::new();
@@ -105,7 +105,8 @@
     check.quickcheck(holds as fn(u8, Vec<u8>) -> bool);
 }
 
-/// Guards against framing in which two readers could see two different messages, and against bodies without bound.
+/// Guards against framing in which two readers could see two different messages, and against bodies
+/// without bound.
 #[test]
 fn conflicting_or_excessive_framing_is_rejected() {
     let error_of = |fields: &str, rest: &str| {
@@ -158,8 +159,8 @@
     ));
 }
 
-/// Guards against parsing the input again with each piece: a body is consumed as it arrives, and a line without its end is
-/// not parsed again before it has doubled.
+/// Guards against parsing the input again with each piece: a body is consumed as it arrives, and a
+/// line without its end is not parsed again before it has doubled.
 #[test]
 fn input_is_not_parsed_again_with_each_piece() {
     let mut reader = RequestReader::default();
@@ -203,8 +204,9 @@
     );
 }
 
-/// Guards against an interim response that is mistaken for the final one, a body cut short by the end of the connection
-/// that is mistaken for a complete one, and a connection that is reused though its peer closes it.
+/// Guards against an interim response that is mistaken for the final one, a body cut short by the
+/// end of the connection that is mistaken for a complete one, and a connection that is reused
+/// though its peer closes it.
 #[test]
 fn responses_end_where_their_framing_says() {
     let parse = |text: &str, end_of_stream| match read_response(text.as_bytes(), end_of_stream, 100)
--- a/tests/kill.rs
+++ b/tests/kill.rs
@@ -1,4 +1,5 @@
-//! The program with a store, killed again and again while it serves requests that must not run twice.
+//! The program with a store, killed again and again while it serves requests that must not run
+//! twice.
 
 use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::{Process, loopback_addresses, wait_until};
@@ -10,7 +11,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often the node is killed; the environment variable `POSTPROXY_KILLS` may send_request for more.
+/// How often the node is killed; the environment variable `POSTPROXY_KILLS` may send_request for
+/// more.
 const DEFAULT_KILLS: u32 = 20;
 /// Number of clients that submit requests at the same time.
 const CLIENTS: u64 = 8;
@@ -95,7 +97,8 @@
     ]
 }
 
-/// Runs one client: one request after another, each retried under its key until it has a final answer.
+/// Runs one client: one request after another, each retried under its key until it has a final
+/// answer.
 fn run_client(number: u64, node: SocketAddr, stop: &AtomicBool, counts: &Counts) {
     for job in 0.. {
         let key = format!("key-{number}-{job}");
@@ -157,8 +160,8 @@
     runs
 }
 
-/// Submits each request again of which a worker's result was acknowledged, and asserts that it is answered with that
-/// result. Returns their number.
+/// Submits each request again of which a worker's result was acknowledged, and asserts that it is
+/// answered with that result. Returns their number.
 fn check_acknowledged_results(workers: &[Worker], node: SocketAddr) -> u64 {
     let mut checked = 0;
     for (key, result) in workers.iter().flat_map(Worker::acknowledged) {
@@ -177,8 +180,8 @@
     checked
 }
 
-/// Guards against a second run of a request that must not run twice, a result that was acknowledged to its worker and is
-/// gone, and an answer that no worker made, whenever the node dies.
+/// Guards against a second run of a request that must not run twice, a result that was acknowledged
+/// to its worker and is gone, and an answer that no worker made, whenever the node dies.
 #[test]
 fn killed_node_runs_nothing_twice_and_loses_no_acknowledged_result() {
     let kills = std::env::var("POSTPROXY_KILLS")
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Returns the path that a line imports, from the root of the crate; `None` for other lines and for other crates.
+/// Returns the path that a line imports, from the root of the crate; `None` for other lines and for
+/// other crates.
 fn imported_path(line: &str, parent: &str) -> Option<String> {
     let import = line.trim_start_matches("pub ").strip_prefix("use ")?;
     let path = import.split(['{', ';', ' ']).next()?.trim_end_matches(':');
@@ -77,8 +78,8 @@
     sources.iter().map(imports_of).collect()
 }
 
-/// Removes modules that import none of the others until none can be removed; those that are left are in a cycle or import
-/// one that is.
+/// Removes modules that import none of the others until none can be removed; those that are left
+/// are in a cycle or import one that is.
 fn modules_above_cycles(mut imports: Imports) -> Vec<String> {
     while let Some(lowest) = imports
         .iter()
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,4 +1,5 @@
-//! Leases in clusters of processes of the real program, with faults of processes and of the network.
+//! Leases in clusters of processes of the real program, with faults of processes and of the
+//! network.
 
 #[path = "support/fleet_harness.rs"]
 mod fleet_harness;
@@ -45,9 +46,10 @@
         .collect()
 }
 
-/// Waits until exactly one of these nodes may act as the owner of the lease and shows itself as its owner, under a token above this one,
-/// and returns the node and the token. Whether a node may act and under which token is read from one answer of it. With two answers, a
-/// node that stops acting in between could be taken for the holder of the next owner's token.
+/// Waits until exactly one of these nodes may act as the owner of the lease and shows itself as its
+/// owner, under a token above this one, and returns the node and the token. Whether a node may act
+/// and under which token is read from one answer of it. With two answers, a node that stops acting
+/// in between could be taken for the holder of the next owner's token.
 fn wait_for_owner(fleet: &FleetHarness, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
     let is_owned = wait_until(MAX_WAIT, || {
@@ -82,7 +84,8 @@
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
-/// Returns each token that any of the logs names, with the nodes that have acquired the lease under it.
+/// Returns each token that any of the logs names, with the nodes that have acquired the lease under
+/// it.
 fn logged_tokens(fleet: &FleetHarness) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
     for NodeLog {
@@ -103,9 +106,10 @@
     tokens
 }
 
-/// Tokens only grow, and each has one owner: over a kill, a pause of the owner, a cut, and the death of all nodes at once with a start in
-/// another order. Without a majority nobody owns anything, and everything resumes without help. One long scenario, because each fault
-/// needs the owner that the one before has led to.
+/// Tokens only grow, and each has one owner: over a kill, a pause of the owner, a cut, and the
+/// death of all nodes at once with a start in another order. Without a majority nobody owns
+/// anything, and everything resumes without help. One long scenario, because each fault needs the
+/// owner that the one before has led to.
 #[test]
 fn a_lease_has_one_owner_over_kills_pauses_cuts_and_the_death_of_all() {
     let mut fleet = start_fleet(4, 3, 31);
@@ -181,9 +185,10 @@
     );
 }
 
-/// A voter that restarts with an empty store does not vote under its old number: it shows that, is added anew by a call, and votes. A
-/// membership change that would leave no majority is rejected with a remedy. One long scenario, because the last changes need the voters
-/// that the first have made.
+/// A voter that restarts with an empty store does not vote under its old number: it shows that, is
+/// added anew by a call, and votes. A membership change that would leave no majority is rejected
+/// with a remedy. One long scenario, because the last changes need the voters that the first have
+/// made.
 #[test]
 fn a_voter_without_its_store_is_added_anew_and_no_change_loses_the_majority() {
     let mut fleet = start_fleet(4, 3, 32);
@@ -286,7 +291,8 @@
     );
 }
 
-/// A lease can be transferred and released at any node, and does not return to the node that was made to release it.
+/// A lease can be transferred and released at any node, and does not return to the node that was
+/// made to release it.
 #[test]
 fn a_lease_is_transferred_and_released_at_any_node() {
     let fleet = start_fleet(3, 3, 33);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,6 @@
-//! No attempt, first or further, begins for a client that has closed its connection. Real connections, and the
-//! unfavourable order made each time: the test goes on when the node has shown that it has handled what came before.
+//! No attempt, first or further, begins for a client that has closed its connection. Real
+//! connections, and the unfavourable order made each time: the test goes on when the node has shown
+//! that it has handled what came before.
 
 #[path = "support/clients_harness.rs"]
 mod clients_harness;
@@ -124,8 +125,8 @@
     }
 }
 
-/// Guards against a retry for nobody: the client disconnects while its request runs, and then the worker loses it. The cancel
-/// shows that the node has seen the client's end.
+/// Guards against a retry for nobody: the client disconnects while its request runs, and then the
+/// worker loses it. The cancel shows that the node has seen the client's end.
 #[test]
 fn no_retry_begins_for_a_client_that_has_disconnected() {
     for disconnect in ALL_DISCONNECTS {
@@ -172,8 +173,8 @@
     }
 }
 
-/// Guards against a client's end that is noticed late: an attempt for nobody counts 0.1 s after it. Nine in ten must be in
-/// time, since the machine may be busy.
+/// Guards against a client's end that is noticed late: an attempt for nobody counts 0.1 s after it.
+/// Nine in ten must be in time, since the machine may be busy.
 #[test]
 fn a_clients_end_is_noticed_within_a_tenth_of_a_second() {
     let harness = NodeHarness::new(1, 256);
@@ -210,8 +211,8 @@
     harness.stop();
 }
 
-/// Guards against a first attempt for nobody: requests wait_until, since no worker is in service, most of their clients disconnect,
-/// and then a worker is added. In a burst, among others who stay.
+/// Guards against a first attempt for nobody: requests wait_until, since no worker is in service,
+/// most of their clients disconnect, and then a worker is added. In a burst, among others who stay.
 #[test]
 fn no_first_attempt_begins_for_clients_that_have_disconnected() {
     let harness = NodeHarness::new(0, 1024);
@@ -233,7 +234,8 @@
     for (n, client) in leaving {
         ALL_DISCONNECTS[n % ALL_DISCONNECTS.len()].disconnect(client);
     }
-    // Each of these is read after what the others had sent before; and a large rest takes some turns.
+    // Each of these is read after what the others had sent before; and a large rest takes some
+    // turns.
     for _ in 0..100 {
         harness.wait_for_two_turns();
     }
@@ -263,8 +265,9 @@
     harness.stop();
 }
 
-/// Guards against an attempt that begins because its connection was being established when the client disconnected: the
-/// connection comes up after that, and carries nothing. It is not looked at before the test polls.
+/// Guards against an attempt that begins because its connection was being established when the
+/// client disconnected: the connection comes up after that, and carries nothing. It is not looked
+/// at before the test polls.
 #[test]
 fn a_connection_dialled_for_a_disconnected_client_carries_nothing() {
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
@@ -296,7 +299,8 @@
     assert!(reactor.queue.is_empty());
 }
 
-/// A node's side that has accepted the connection of a client which had sent a request and disconnected before.
+/// A node's side that has accepted the connection of a client which had sent a request and
+/// disconnected before.
 fn accepted_after_disconnect(disconnect: Disconnect) -> ClientsHarness {
     let mut harness = ClientsHarness::new(8);
     let mut client = TestSocket::connect(harness.address());
@@ -306,8 +310,8 @@
     harness
 }
 
-/// Guards against a request that is begun and cancelled in one turn, since its client's end was read with it: the client had
-/// gone before the node read a byte.
+/// Guards against a request that is begun and cancelled in one turn, since its client's end was
+/// read with it: the client had gone before the node read a byte.
 #[test]
 fn a_request_read_with_its_clients_end_is_never_passed_on() {
     for disconnect in [
@@ -317,7 +321,8 @@
         Disconnect::ResetBehind(64 << 10),
     ] {
         let mut harness = accepted_after_disconnect(disconnect);
-        // What did not fit into one read comes with the next ones; nothing of the queue has been taken meanwhile.
+        // What did not fit into one read comes with the next ones; nothing of the queue has been
+        // taken meanwhile.
         let start = Instant::now();
         while harness.clients.connection_count() > 0 {
             assert!(
@@ -331,8 +336,8 @@
     }
 }
 
-/// Guards against an attempt that begins one turn before the client's end is seen: the client closed before the node read a
-/// byte, and all that it sent, more than the node buffers, is there.
+/// Guards against an attempt that begins one turn before the client's end is seen: the client
+/// closed before the node read a byte, and all that it sent, more than the node buffers, is there.
 #[test]
 fn a_clients_end_behind_a_full_buffer_is_seen_in_the_same_turn() {
     for disconnect in [
@@ -349,7 +354,8 @@
     }
 }
 
-/// Guards against a hot restart that takes a client for one that waits, though its end was on the way with its connection.
+/// Guards against a hot restart that takes a client for one that waits, though its end was on the
+/// way with its connection.
 #[test]
 fn an_adopted_connection_whose_client_has_disconnected_awaits_nothing() {
     for (disconnect, awaits_answer) in [
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -3,8 +3,9 @@
 use postproxy::net::lifecycle::Lifecycle;
 use quickcheck::{Gen, QuickCheck};
 
-/// Guards against idle connections that are closed at once, when the front still sends and requests still cross, or
-/// that are still open when the operators check, 4 s after the call, with a request from the last 2 s on them.
+/// Guards against idle connections that are closed at once, when the front still sends and requests
+/// still cross, or that are still open when the operators check, 4 s after the call, with a request
+/// from the last 2 s on them.
 #[test]
 fn a_drain_closes_idle_connections_over_time() {
     let mut lifecycle = Lifecycle::default();
@@ -47,8 +48,9 @@
     }
 }
 
-/// Guards against a stage that contradicts the calls, whatever their order: a model of four facts against random
-/// calls. Repeated calls, a drain during a stop and an activation without a drain are among them.
+/// Guards against a stage that contradicts the calls, whatever their order: a model of four facts
+/// against random calls. Repeated calls, a drain during a stop and an activation without a drain
+/// are among them.
 #[test]
 fn every_order_of_calls_agrees_with_the_model() {
     let agrees = |calls: Vec<u8>| {
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -11,8 +11,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Guards against a request that reaches its worker changed, a result that is not the worker's, and a
-/// connection for each request.
+/// Guards against a request that reaches its worker changed, a result that is not the worker's, and
+/// a connection for each request.
 #[test]
 fn forwards_a_request_unchanged_and_reuses_the_connection() {
     let harness = NodeHarness::new(1, 256);
@@ -50,8 +50,8 @@
     harness.stop();
 }
 
-/// Guards against a request written to a connection whose end has arrived, which would be reset; and against giving up
-/// on a worker that proves that nothing ran.
+/// Guards against a request written to a connection whose end has arrived, which would be reset;
+/// and against giving up on a worker that proves that nothing ran.
 #[test]
 fn a_pooled_connection_that_has_ended_is_not_reused() {
     let harness = NodeHarness::new(1, 256);
@@ -59,12 +59,14 @@
     client.submit_request("one");
     let mut worker = harness.accept_worker(0);
     worker.read_request();
-    // A response that arrives while the node still writes the request would count as that of an earlier one.
+    // A response that arrives while the node still writes the request would count as that of an
+    // earlier one.
     harness.wait_for_two_turns();
     worker.write(
         "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nX-Load: TEXT queue=3\r\nContent-Length: 0\r\n\r\n",
     );
-    // The connection on which it was rejected is closed: a second response there would be mistaken for this attempt's.
+    // The connection on which it was rejected is closed: a second response there would be mistaken
+    // for this attempt's.
     let mut again = harness.accept_worker(0);
     assert!(worker.is_closed());
     assert_eq!(
@@ -98,7 +100,8 @@
     harness.stop();
 }
 
-/// Guards against a request that crosses its worker's end of an idle connection: the node closes it first.
+/// Guards against a request that crosses its worker's end of an idle connection: the node closes it
+/// first.
 #[test]
 fn closes_idle_pooled_connections_before_the_worker_does() {
     let harness = NodeHarness::with_unreachable_workers(1, 256, &[], 1.0);
@@ -117,8 +120,8 @@
     harness.stop();
 }
 
-/// Guards against work that goes on for a client that has disconnected: before the 202 the worker's connection is closed,
-/// after it the worker gets a DELETE.
+/// Guards against work that goes on for a client that has disconnected: before the 202 the worker's
+/// connection is closed, after it the worker gets a DELETE.
 #[test]
 fn cancels_a_request_whose_client_has_disconnected() {
     let harness = NodeHarness::new(1, 256);
@@ -148,8 +151,8 @@
     harness.stop();
 }
 
-/// Guards against input that stops the node, blocks it, or is mistaken for something else; only the dispatcher decides on
-/// a 503. The function is long because it is one list of cases.
+/// Guards against input that stops the node, blocks it, or is mistaken for something else; only the
+/// dispatcher decides on a 503. The function is long because it is one list of cases.
 #[test]
 fn answers_bad_input_with_its_status() {
     let harness = NodeHarness::new(1, 256);
@@ -216,8 +219,8 @@
     harness.stop();
 }
 
-/// Guards against losing requests when the node is signalled to stop: it still accepts and serves, announces the end with
-/// `Connection: close`, and ends by itself once nothing is pending.
+/// Guards against losing requests when the node is signalled to stop: it still accepts and serves,
+/// announces the end with `Connection: close`, and ends by itself once nothing is pending.
 #[test]
 fn serves_pending_and_arriving_requests_while_shutting_down() {
     let mut harness = NodeHarness::new(1, 256);
@@ -245,8 +248,8 @@
     harness.wait_for_end();
 }
 
-/// Guards against a watch that is not renewed at once, a change applied to another list than the node has, requests to a
-/// draining worker, and a failed poll that is not retried.
+/// Guards against a watch that is not renewed at once, a change applied to another list than the
+/// node has, requests to a draining worker, and a failed poll that is not retried.
 #[test]
 fn watches_the_worker_list() {
     let harness = NodeHarness::new(2, 256);
@@ -299,7 +302,8 @@
             .starts_with("/api/targets?since=8&")
     );
     drop(again);
-    // This one stays silent: another poll is made beside it, and then one in its place, neither of which waits.
+    // This one stays silent: another poll is made beside it, and then one in its place, neither of
+    // which waits.
     let mut silent = TestSocket::accept(&harness.discovery);
     assert!(is_watch_request(&silent.read_request().target, 8));
     let mut beside = TestSocket::accept(&harness.discovery);
@@ -323,10 +327,11 @@
     harness.stop();
 }
 
-/// Guards against a reload that loses the requests or the workers, that goes on at the old address, or that asks the new one
-/// for changes to versions which it never gave: also while a poll runs, while the connection is being established, several
-/// times over, while stopping, and without a new configuration. The function is long because it is one sequence, in which each
-/// reload starts from what the one before has left.
+/// Guards against a reload that loses the requests or the workers, that goes on at the old address,
+/// or that asks the new one for changes to versions which it never gave: also while a poll runs,
+/// while the connection is being established, several times over, while stopping, and without a new
+/// configuration. The function is long because it is one sequence, in which each reload starts from
+/// what the one before has left.
 #[test]
 fn a_reload_changes_the_address_of_discovery_and_nothing_else() {
     let mut harness = NodeHarness::new(1, 256);
@@ -413,7 +418,8 @@
     harness.stop();
 }
 
-/// Guards against a worker that can't be reached and delays a request: what never ran is retried elsewhere.
+/// Guards against a worker that can't be reached and delays a request: what never ran is retried
+/// elsewhere.
 #[test]
 fn retries_elsewhere_after_a_refused_connection() {
     // Nothing listens at port 1.
@@ -434,7 +440,8 @@
     harness.stop();
 }
 
-/// Guards against waiting for a machine that is cut off: `dial-timeout` ends the attempt, and nothing has run.
+/// Guards against waiting for a machine that is cut off: `dial-timeout` ends the attempt, and
+/// nothing has run.
 #[test]
 fn retries_elsewhere_after_a_dial_timeout() {
     // A listener whose queue is full drops what else arrives, as a machine that has vanished does.
@@ -465,7 +472,8 @@
     harness.stop();
 }
 
-/// Guards against a process that sends by the list of before its start, which is outdated: discovery is asked first.
+/// Guards against a process that sends by the list of before its start, which is outdated:
+/// discovery is asked first.
 #[test]
 fn sends_nothing_before_discovery_has_answered_at_the_start() {
     const REQUESTS: usize = 12;
@@ -496,8 +504,9 @@
     harness.stop();
 }
 
-/// Guards against requests that have been read and are dropped with their connection, since more was sent behind them than the
-/// node buffers. What was buffered completely is answered, and then the connection is closed in good order.
+/// Guards against requests that have been read and are dropped with their connection, since more
+/// was sent behind them than the node buffers. What was buffered completely is answered, and then
+/// the connection is closed in good order.
 #[test]
 fn answers_buffered_requests_though_later_input_was_discarded() {
     const REQUESTS_BEHIND: usize = 4000;
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -1,4 +1,5 @@
-//! A worker is sent another attempt of a request only if the earlier one there has ended and was not cancelled.
+//! A worker is sent another attempt of a request only if the earlier one there has ended and was
+//! not cancelled.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -13,8 +14,8 @@
 
 /// Number of listed workers in the tests with a choice.
 const WORKERS: u16 = 8;
-/// Classes of [`settings`]: requests that are safe to repeat, those with an idempotency key, and those that must not run
-/// twice.
+/// Classes of [`settings`]: requests that are safe to repeat, those with an idempotency key, and
+/// those that must not run twice.
 const SAFE: u8 = 0;
 const KEYED: u8 = 1;
 const UNSAFE: u8 = 2;
@@ -64,8 +65,8 @@
     }
 }
 
-/// Guards against a send to a worker to which a cancel of the same request is on its way: it may arrive after the new
-/// attempt and end that one, or miss the old one.
+/// Guards against a send to a worker to which a cancel of the same request is on its way: it may
+/// arrive after the new attempt and end that one, or miss the old one.
 #[test]
 fn does_not_retry_at_the_worker_of_a_cancelled_attempt() {
     let settings = settings(|json| json["extra"]["tells-start"] = true.into());
@@ -90,8 +91,9 @@
     assert_eq!(count_sends(&actions), 0);
 }
 
-/// Guards against an outcome that is taken for a proof in one place and not in another: of each outcome, whether the only
-/// worker may be sent the request again, and whether the request counts as one that may have run.
+/// Guards against an outcome that is taken for a proof in one place and not in another: of each
+/// outcome, whether the only worker may be sent the request again, and whether the request counts
+/// as one that may have run.
 #[test]
 fn retries_at_the_same_worker_only_if_nothing_ran() {
     let outcomes = [
@@ -146,8 +148,9 @@
     }
 }
 
-/// Guards against the same in a whole node, on real connections: the worker has read the complete request, and its connection
-/// is reset before the 202. It runs there, so that the only worker is sent no other attempt, whatever its class allows.
+/// Guards against the same in a whole node, on real connections: the worker has read the complete
+/// request, and its connection is reset before the 202. It runs there, so that the only worker is
+/// sent no other attempt, whatever its class allows.
 #[test]
 fn does_not_retry_at_a_worker_that_reset_the_connection() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
@@ -180,8 +183,9 @@
     }
 }
 
-/// Guards against a repetition that no worker can recognise: the class is keyed, every worker drops repetitions, and this
-/// request came without a key. On real connections: the first worker resets its connection, and a second one is there.
+/// Guards against a repetition that no worker can recognise: the class is keyed, every worker drops
+/// repetitions, and this request came without a key. On real connections: the first worker resets
+/// its connection, and a second one is there.
 #[test]
 fn does_not_retry_a_keyed_request_without_a_key() {
     for has_key in [true, false] {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,6 @@
-//! The real program as operators run it, under load from stand-in clients and workers: workers suspended, the node drained,
-//! its process replaced while it serves, on a listener that all processes inherit.
+//! The real program as operators run it, under load from stand-in clients and workers: workers
+//! suspended, the node drained, its process replaced while it serves, on a listener that all
+//! processes inherit.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -23,8 +24,9 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Guards against a request that is lost, rejected or run twice when the process is replaced, against a call-back that
-/// reaches the wrong process, and against a replacement that takes long. Ten in a row, under load.
+/// Guards against a request that is lost, rejected or run twice when the process is replaced,
+/// against a call-back that reaches the wrong process, and against a replacement that takes long.
+/// Ten in a row, under load.
 #[test]
 fn ten_replacements_under_load_lose_nothing() {
     let harness = ProgramHarness::new("replace");
@@ -67,7 +69,8 @@
     drop(third);
 }
 
-/// Submits a long job on a thread of its own; returns the status code of the response, `None` if there was none.
+/// Submits a long job on a thread of its own; returns the status code of the response, `None` if
+/// there was none.
 fn submit_long_job(address: SocketAddr, number: usize) -> JoinHandle<Option<u16>> {
     thread::spawn(move || {
         let id = format!("long-{number}");
@@ -105,8 +108,9 @@
     );
 }
 
-/// Guards against a job that is lost with the process that accepted it: requests in flight migrate with their clients, also
-/// through two replacements, and their workers' call-backs find them. So the old process ends long before its jobs do.
+/// Guards against a job that is lost with the process that accepted it: requests in flight migrate
+/// with their clients, also through two replacements, and their workers' call-backs find them. So
+/// the old process ends long before its jobs do.
 #[test]
 fn requests_in_flight_survive_replacements_of_the_process() {
     const JOBS: usize = 12;
@@ -161,16 +165,16 @@
     assert!(third.wait_for_end().successful);
 }
 
-/// Guards against requests to a suspended worker, also through another process and over a replacement, and against a resumed
-/// worker that stays idle.
+/// Guards against requests to a suspended worker, also through another process and over a
+/// replacement, and against a resumed worker that stays idle.
 #[test]
 fn a_suspended_worker_stays_suspended_over_a_replacement() {
     let harness = ProgramHarness::new("suspend");
     let mut process = harness.start();
     let load = ClientLoad::start(harness.address, 6);
     load.wait_for_served(60);
-    // The first six may all go to others, which are then known to have capacity: one request in twenty explores a worker
-    // without a report.
+    // The first six may all go to others, which are then known to have capacity: one request in
+    // twenty explores a worker without a report.
     assert!(
         wait_until(TEST_TIMEOUT, || harness.runs_of_worker(0) > 0),
         "it is never selected"
@@ -213,8 +217,8 @@
     assert!(next.wait_for_end().successful);
 }
 
-/// Guards against a drained node that still reports readiness or keeps a client's connection open, against one that can't be
-/// activated, and against a drain that ends with a replacement.
+/// Guards against a drained node that still reports readiness or keeps a client's connection open,
+/// against one that can't be activated, and against a drain that ends with a replacement.
 #[test]
 fn a_drained_node_closes_its_connections_until_it_is_activated() {
     let harness = ProgramHarness::new("drain");
@@ -286,8 +290,9 @@
     drop(process);
 }
 
-/// Guards against a start that fails or takes long because of what is at the place of the handover socket: nothing, a file,
-/// the socket of a process that is gone, no folder, or a peer that is silent, speaks another protocol, or stalls.
+/// Guards against a start that fails or takes long because of what is at the place of the handover
+/// socket: nothing, a file, the socket of a process that is gone, no folder, or a peer that is
+/// silent, speaks another protocol, or stalls.
 #[test]
 fn a_process_serves_whatever_is_at_the_handover_socket() {
     let harness = ProgramHarness::new("meet");
@@ -359,7 +364,8 @@
         .expect("the program starts")
 }
 
-/// Guards against serving on what is not the node's listener, and against an error message that does not name it.
+/// Guards against serving on what is not the node's listener, and against an error message that
+/// does not name it.
 #[test]
 fn a_start_without_the_nodes_listener_fails() {
     let harness = ProgramHarness::new("fd");
@@ -409,7 +415,8 @@
     harness.submit(id, &[("Connection", "close")]).status
 }
 
-/// A process is signalled to reload and to stop before it is ready: it ends, and the older one, which was paused, goes on.
+/// A process is signalled to reload and to stop before it is ready: it ends, and the older one,
+/// which was paused, goes on.
 fn assert_ends_before_it_is_ready(harness: &ProgramHarness, older: &mut NodeProcess) {
     older.pause();
     let mut command = harness.command();
@@ -461,8 +468,8 @@
     );
 }
 
-/// Processes are killed while they hand over, under load: requests in flight may fail, none is run more often than it was
-/// submitted, and the new process serves.
+/// Processes are killed while they hand over, under load: requests in flight may fail, none is run
+/// more often than it was submitted, and the new process serves.
 fn assert_kills_run_nothing_twice(harness: &ProgramHarness) {
     let mut process = harness.start();
     let load = ClientLoad::start(harness.address, 8);
@@ -493,8 +500,8 @@
     );
 }
 
-/// Guards against a signal that comes at the wrong moment: to stop before the process is ready, in a drain, to reload in
-/// each; and against an old process that is killed while it hands over.
+/// Guards against a signal that comes at the wrong moment: to stop before the process is ready, in
+/// a drain, to reload in each; and against an old process that is killed while it hands over.
 #[test]
 fn signals_work_at_any_moment() {
     let harness = ProgramHarness::new("signals");
--- a/tests/operator_config.rs
+++ b/tests/operator_config.rs
@@ -1,8 +1,10 @@
-//! The operator's configuration file: errors name the place and the nearest known name, and absent sections are off.
+//! The operator's configuration file: errors name the place and the nearest known name, and absent
+//! sections are off.
 
 use postproxy::operator_config::OperatorConfig;
 
-/// A misspelt name or a wrong value is an error that names its place and, for a name, the nearest known one.
+/// A misspelt name or a wrong value is an error that names its place and, for a name, the nearest
+/// known one.
 #[test]
 fn wrong_values_and_unknown_names_are_reported_with_their_place() {
     let cases = [
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program `postproxy`: its start, its end, its commands, and its messages on a wrong configuration.
+//! The program `postproxy`: its start, its end, its commands, and its messages on a wrong
+//! configuration.
 
 use postproxy::net::Config;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -122,8 +123,8 @@
     );
 }
 
-/// SIGHUP reloads the configuration, also a discovery that the environment named at the start; a file that can't be read
-/// leaves the old configuration; SIGTERM ends the program with success.
+/// SIGHUP reloads the configuration, also a discovery that the environment named at the start; a
+/// file that can't be read leaves the old configuration; SIGTERM ends the program with success.
 #[test]
 fn the_program_serves_reloads_and_ends_at_sigterm() {
     let path = std::env::temp_dir().join(format!("postproxy-{}.json", std::process::id()));
@@ -190,7 +191,8 @@
     assert!(child.wait().expect("it ends").success());
 }
 
-/// Wrong usage has an exit status of its own, the version is shown, and `check` names what is wrong in an operator's file.
+/// Wrong usage has an exit status of its own, the version is shown, and `check` names what is wrong
+/// in an operator's file.
 #[test]
 fn the_command_line_reports_wrong_usage_and_wrong_files() {
     assert_eq!(
@@ -324,8 +326,8 @@
         .expect("a file")
 }
 
-/// `store` reads what the node has written, names the holder of a store in use, doesn't create a missing folder, and reports
-/// damage.
+/// `store` reads what the node has written, names the holder of a store in use, doesn't create a
+/// missing folder, and reports damage.
 #[test]
 fn store_commands_read_verify_and_compact_a_store() {
     let folder = StoreFolder(
--- a/tests/request_manager.rs
+++ b/tests/request_manager.rs
@@ -1,4 +1,5 @@
-//! The request manager without sockets: one final answer a request, one outcome an attempt, call-backs in any order.
+//! The request manager without sockets: one final answer a request, one outcome an attempt,
+//! call-backs in any order.
 
 #[path = "support/request_fixtures.rs"]
 mod request_fixtures;
@@ -36,7 +37,8 @@
     );
 }
 
-/// Guards against losing a call-back that comes before the 202, and against the 202 reviving its attempt.
+/// Guards against losing a call-back that comes before the 202, and against the 202 reviving its
+/// attempt.
 #[test]
 fn applies_a_callback_that_precedes_the_202() {
     let mut harness = harness(1);
@@ -124,8 +126,8 @@
     assert_eq!(answers(&commands).len(), 1);
 }
 
-/// Guards against work that goes on for nobody: the attempt is cancelled, by a message to the worker only if the worker
-/// has accepted it.
+/// Guards against work that goes on for nobody: the attempt is cancelled, by a message to the
+/// worker only if the worker has accepted it.
 #[test]
 fn cancels_the_attempt_of_a_disconnected_client() {
     for accepted_before in [false, true] {
@@ -148,7 +150,8 @@
     }
 }
 
-/// Guards against silence: without any worker the request is rejected before its deadline, with a Retry-After.
+/// Guards against silence: without any worker the request is rejected before its deadline, with a
+/// Retry-After.
 #[test]
 fn rejects_in_time_without_workers() {
     let mut harness = harness(0);
@@ -161,8 +164,8 @@
     assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against an attempt without end: a time-out of 0 is the client's deadline, and is followed by the final answer;
-/// the worker is sent a cancel.
+/// Guards against an attempt without end: a time-out of 0 is the client's deadline, and is followed
+/// by the final answer; the worker is sent a cancel.
 #[test]
 fn silent_attempt_ends_at_the_deadline() {
     let mut harness = harness(1);
@@ -227,8 +230,9 @@
     assert_eq!((answers(&commands).len(), manager.pending_count()), (1, 1));
 }
 
-/// Guards against an attempt whose connection is being made and that begins after its client has disconnected, where
-/// settings forbid cancels: nothing was sent, so there is nothing to cancel. One that was written completely goes on.
+/// Guards against an attempt whose connection is being made and that begins after its client has
+/// disconnected, where settings forbid cancels: nothing was sent, so there is nothing to cancel.
+/// One that was written completely goes on.
 #[test]
 fn withdraws_unwritten_attempts_of_a_disconnected_client() {
     for may_cancel in [true, false] {
@@ -276,9 +280,9 @@
     }
 }
 
-/// Guards against an attempt for nobody in a handover: the client disconnects between the one process's last look at the
-/// connection and the other's first. No further attempt begins there, and those that are out are cancelled; with its
-/// client, the request goes on.
+/// Guards against an attempt for nobody in a handover: the client disconnects between the one
+/// process's last look at the connection and the other's first. No further attempt begins there,
+/// and those that are out are cancelled; with its client, the request goes on.
 #[test]
 fn cancels_a_migrated_request_without_its_client() {
     for (client, goes_on) in [(Some(9), true), (None, false)] {
@@ -311,8 +315,8 @@
     }
 }
 
-/// Guards against late call-backs of a lost attempt after the retry has started: they are about what has ended, and end
-/// nothing of what runs.
+/// Guards against late call-backs of a lost attempt after the retry has started: they are about
+/// what has ended, and end nothing of what runs.
 #[test]
 fn callbacks_of_a_lost_attempt_do_not_change_the_next_one() {
     let mut harness = harness(2);
@@ -338,7 +342,8 @@
     assert_eq!(answers(&commands), [Answer::Served(b"result".into())]);
 }
 
-/// Guards against an attempt that migrates while its last byte is on its way: there it would count as never sent.
+/// Guards against an attempt that migrates while its last byte is on its way: there it would count
+/// as never sent.
 #[test]
 fn request_migrates_only_when_its_attempts_are_decided() {
     let mut harness = harness(2);
--- a/tests/request_manager_workers.rs
+++ b/tests/request_manager_workers.rs
@@ -1,4 +1,5 @@
-//! The request manager and its workers: load reports, probes, suspension, and workers that leave the worker list.
+//! The request manager and its workers: load reports, probes, suspension, and workers that leave
+//! the worker list.
 
 #[path = "support/request_fixtures.rs"]
 mod request_fixtures;
@@ -19,7 +20,8 @@
 /// The management connection of suspensions.
 const MANAGEMENT_CALLER: usize = 9;
 
-/// Guards against load figures that are taken for others, and against an absent one that reads as 0.
+/// Guards against load figures that are taken for others, and against an absent one that reads as
+/// 0.
 #[test]
 fn load_report_figures_are_matched_by_name() {
     let harness = harness(1);
@@ -72,7 +74,8 @@
     })
 }
 
-/// Submits requests until one is sent to this worker, and has each written; returns the last one's attempt.
+/// Submits requests until one is sent to this worker, and has each written; returns the last one's
+/// attempt.
 fn write_attempt_at(harness: &mut RequestManagerHarness, worker: &str) -> StartedAttempt {
     loop {
         let submission = submission(&format!("b{}", harness.now), COMMIT);
@@ -98,8 +101,8 @@
     });
 }
 
-/// Guards against a suspension that is forgotten with the next worker list, that leaves unsent attempts on their way to the
-/// worker, or that withdraws what has been sent completely.
+/// Guards against a suspension that is forgotten with the next worker list, that leaves unsent
+/// attempts on their way to the worker, or that withdraws what has been sent completely.
 #[test]
 fn suspended_worker_gets_no_requests_and_keeps_running_ones() {
     let mut harness = harness(2);
@@ -129,7 +132,8 @@
         done,
         "suspending twice is as once"
     );
-    // What never ran goes to the other worker; also after a full list that names the suspended one as ready.
+    // What never ran goes to the other worker; also after a full list that names the suspended one
+    // as ready.
     let commands = harness.end_attempt(unsent.attempt, AttemptEnd::LocalCapacityExhausted);
     let other = started_attempt(&commands).expect("another attempt").worker;
     assert_ne!(other, suspended);
@@ -182,9 +186,9 @@
     }
 }
 
-/// Guards against an attempt that is sent to a worker which has been announced as leaving: the attempt was decided on
-/// before, and its connection comes up after; what counts is the first byte. It goes to another worker, since nothing ran;
-/// one that is written completely goes on.
+/// Guards against an attempt that is sent to a worker which has been announced as leaving: the
+/// attempt was decided on before, and its connection comes up after; what counts is the first byte.
+/// It goes to another worker, since nothing ran; one that is written completely goes on.
 #[test]
 fn withdraws_unwritten_attempts_to_a_leaving_worker() {
     let other_worker = |name: &str| if name == "s-0" { "s-1" } else { "s-0" };
@@ -224,8 +228,9 @@
     }
 }
 
-/// Guards against probes that the dispatcher asks for and nobody makes, or whose answers it never gets: where load comes by
-/// probes alone, a request goes to the worker that has reported free slots. And against probes where the settings allow none.
+/// Guards against probes that the dispatcher asks for and nobody makes, or whose answers it never
+/// gets: where load comes by probes alone, a request goes to the worker that has reported free
+/// slots. And against probes where the settings allow none.
 #[test]
 fn probes_workers_only_where_settings_allow() {
     assert!(started_probes(&submit(&mut harness(3), "a", RENDER)).is_empty());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -158,8 +158,8 @@
     sends: u32,
 }
 
-/// Runs 60 requests in simulated time; workers serve, fail, reject or don't answer. Returns the number
-/// of attempts, or the first rule that is broken.
+/// Runs 60 requests in simulated time; workers serve, fail, reject or don't answer. Returns the
+/// number of attempts, or the first rule that is broken.
 fn run_requests(settings: &Settings, seed: u64) -> Result<u32, String> {
     let mut dispatcher =
         Dispatcher::new(settings.clone(), seed).map_err(|error| error.to_string())?;
@@ -326,7 +326,8 @@
             Action::Probe { .. } if !self.settings.probes_allowed => {
                 return Err("a probe although it is not allowed".into());
             }
-            // One answer in four is lost; the others arrive late and in any order, some as failures.
+            // One answer in four is lost; the others arrive late and in any order, some as
+            // failures.
             Action::Probe { worker } if self.random.uniform() < 0.75 => {
                 self.schedule_probe_answer(worker);
             }
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -11,8 +11,8 @@
 
 /// How long the tests wait for a condition.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long after discovery is reachable again the node may still use its old list: 6 s to poll it, and 300 ms of grace
-/// for a drain.
+/// How long after discovery is reachable again the node may still use its old list: 6 s to poll it,
+/// and 300 ms of grace for a drain.
 const LIST_UPDATE_TIMEOUT: Duration = Duration::from_millis(6000 + 300);
 /// How long nine in ten restarted processes may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -160,9 +160,10 @@
     send_request(at, "POST", "/reroute/x", &fields, b"work").ok()
 }
 
-/// Guards against a node that can't connect to discovery or to a worker because idle clients hold all its descriptors,
-/// that does not answer readiness checks, or that spins on a listener from which it can accept nothing. While discovery
-/// is down, clients connect and stay idle; once it is back, its list must take effect in time.
+/// Guards against a node that can't connect to discovery or to a worker because idle clients hold
+/// all its descriptors, that does not answer readiness checks, or that spins on a listener from
+/// which it can accept nothing. While discovery is down, clients connect and stay idle; once it is
+/// back, its list must take effect in time.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
     let discovery = unused_address();
@@ -200,7 +201,8 @@
         descriptors >= 36,
         "the clients fill what there is for them: {descriptors}"
     );
-    // Discovery is back, and one worker drains. The node must learn it in time, however clients come and go meanwhile.
+    // Discovery is back, and one worker drains. The node must learn it in time, however clients
+    // come and go meanwhile.
     let back = Discovery::start_at(discovery, &workers).expect("discovery");
     back.drain("old");
     let start = Instant::now();
@@ -229,9 +231,10 @@
     );
 }
 
-/// Guards against a flood that takes the other clients' connections, memory or descriptors: clients that send much at once
-/// and disconnect, with an end or a reset, reconnect at once, and send nothing, half a request, or invalid bytes. The
-/// others are served meanwhile. The function is long because flood and other clients share its scope of threads.
+/// Guards against a flood that takes the other clients' connections, memory or descriptors: clients
+/// that send much at once and disconnect, with an end or a reset, reconnect at once, and send
+/// nothing, half a request, or invalid bytes. The others are served meanwhile. The function is long
+/// because flood and other clients share its scope of threads.
 #[test]
 fn a_flood_of_connections_leaves_the_other_clients_served() {
     let worker = Worker::start("s-0", Duration::from_millis(5)).expect("a worker");
@@ -362,8 +365,9 @@
     }
 }
 
-/// Guards against a start that waits for a discovery which is down, silent, slow or overloaded, with an old list or none,
-/// while clients fill the descriptors; and against a node that is ready and can't serve.
+/// Guards against a start that waits for a discovery which is down, silent, slow or overloaded,
+/// with an old list or none, while clients fill the descriptors; and against a node that is ready
+/// and can't serve.
 #[test]
 fn restarted_processes_become_ready_whatever_discovery_does() {
     let worker = Worker::start("old", Duration::from_millis(5)).expect("a worker");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! A node that is stopped while requests are in each of their states. Real connections; each test waits until the node
-//! has handled the signal, so that the order of events is forced.
+//! A node that is stopped while requests are in each of their states. Real connections; each test
+//! waits until the node has handled the signal, so that the order of events is forced.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -15,7 +15,8 @@
     }
 }
 
-/// Has the worker call back with a result, and checks that the client gets it on a connection that ends then.
+/// Has the worker call back with a result, and checks that the client gets it on a connection that
+/// ends then.
 fn complete_and_check(harness: &NodeHarness, id: &str, client: &mut TestSocket) {
     assert_eq!(
         harness.post_callback(id, 0, r#""state":"done","result":"r""#),
@@ -30,13 +31,14 @@
     assert!(client.is_closed(), "{id}: nothing more is sent");
 }
 
-/// Guards against a request that is dropped, answered without a worker's result, or sent twice, because the signal came
-/// while it was half read, waited for a worker, was sent and not accepted, or was accepted. The function is long because
-/// it is one scenario, step after step.
+/// Guards against a request that is dropped, answered without a worker's result, or sent twice,
+/// because the signal came while it was half read, waited for a worker, was sent and not accepted,
+/// or was accepted. The function is long because it is one scenario, step after step.
 #[test]
 fn a_request_in_any_state_gets_exactly_one_answer() {
     let mut harness = NodeHarness::new(1, 256);
-    // The first call to discovery is answered: otherwise it would time out after 2.2 s, and the first request be sent only then.
+    // The first call to discovery is answered: otherwise it would time out after 2.2 s, and the
+    // first request be sent only then.
     let mut discovery = TestSocket::accept(&harness.discovery);
     discovery.read_request();
     send_worker_list(
@@ -109,8 +111,8 @@
     );
 }
 
-/// Guards against a node that does not end, or leaves its client without an answer, because a worker hangs: it has read or
-/// accepted the request, and does not call back.
+/// Guards against a node that does not end, or leaves its client without an answer, because a
+/// worker hangs: it has read or accepted the request, and does not call back.
 #[test]
 fn a_hanging_worker_delays_the_end_no_longer_than_the_deadline() {
     let mut harness = NodeHarness::new(1, 256);
@@ -147,8 +149,9 @@
     );
 }
 
-/// Guards against a request that reaches a worker although its connection was closed before it was read: clients that
-/// keep sending on every open connection get one answer for each request that the node has read, and an orderly end.
+/// Guards against a request that reaches a worker although its connection was closed before it was
+/// read: clients that keep sending on every open connection get one answer for each request that
+/// the node has read, and an orderly end.
 #[test]
 fn clients_that_keep_sending_get_an_answer_or_an_end() {
     let mut harness = NodeHarness::new(1, 256);
@@ -157,7 +160,8 @@
         assert_eq!(client.request_status("GET /-/ready HTTP/1.1\r\n\r\n"), 200);
     }
     stop_node(&mut harness);
-    // Two requests at once on idle connections: both are read, so that both get an answer; the last one ends the connection.
+    // Two requests at once on idle connections: both are read, so that both get an answer; the last
+    // one ends the connection.
     for (number, client) in clients.iter_mut().enumerate() {
         client.stream.set_nodelay(true).expect("a setting");
         client.submit_request(&format!("first-{number}"));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -254,7 +254,8 @@
         self.handle(dispatcher, &Event::RequestReceived(request));
     }
 
-    /// Requests a second at a dispatcher. One dispatcher in five has as much traffic as four others.
+    /// Requests a second at a dispatcher. One dispatcher in five has as much traffic as four
+    /// others.
     fn arrival_rate(&self, dispatcher: usize) -> f64 {
         let weight = |number: usize| if number.is_multiple_of(5) { 4.0 } else { 1.0 };
         let total = self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,6 @@
-//! Data that an earlier version has written: each version reads it, shows it alike, and serves from it.
-//! `WRITE_DATA_DIRECTORY=1` makes the fixtures anew, see `tests/fixtures/data-directory/README.md`.
+//! Data that an earlier version has written: each version reads it, shows it alike, and serves from
+//! it. `WRITE_DATA_DIRECTORY=1` makes the fixtures anew, see
+//! `tests/fixtures/data-directory/README.md`.
 
 mod data_directory;
 #[path = "support/fleet_harness.rs"]
@@ -210,7 +211,8 @@
     }
     (0..3).for_each(|n| fleet.start(n));
     fleet.wait_until_suspended("suspended", &["w-0", "w-2"]);
-    // A new fleet's first token is the stored one again; the next owner on these stores gets a higher one.
+    // A new fleet's first token is the stored one again; the next owner on these stores gets a
+    // higher one.
     let higher = wait_until(fleet_harness::MAX_WAIT, || {
         lease_token(&fleet).is_some_and(|token| token > STORED_TOKEN)
     });
@@ -259,7 +261,8 @@
     );
 }
 
-/// A node takes in the list of workers and suspends one; the jobs are added to its store when it has ended.
+/// A node takes in the list of workers and suspends one; the jobs are added to its store when it
+/// has ended.
 fn make_single() {
     let worker = |number: u8| {
         let mut worker = Worker::start(&format!("s-{number}"), Duration::ZERO).expect("a worker");
--- a/tests/support/clients_harness.rs
+++ b/tests/support/clients_harness.rs
@@ -1,4 +1,5 @@
-//! The clients' side of a node on loopback, without the request manager and with a clock that the test sets.
+//! The clients' side of a node on loopback, without the request manager and with a clock that the
+//! test sets.
 #![allow(dead_code)]
 
 use postproxy::decision::interface::Settings;
@@ -98,17 +99,17 @@
         self.reactor.now = now;
         for timer in self.reactor.expired_timers() {
             match timer {
-                Timer::Client {
-                    key: key,
-                    round: round,
-                } => self.clients.handle_timer(&mut self.reactor, key, round),
+                Timer::Client { key, round } => {
+                    self.clients.handle_timer(&mut self.reactor, key, round)
+                }
                 Timer::ClientAccept => self.clients.resume_accepting(&mut self.reactor),
                 _ => {}
             }
         }
     }
 
-    /// Asks the poller once and handles the clients' events. A timer in the past has the poller return at once.
+    /// Asks the poller once and handles the clients' events. A timer in the past has the poller
+    /// return at once.
     pub fn poll(&mut self) {
         if !self.polls {
             self.polls = true;
--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -167,8 +167,9 @@
         Self::with_sections(count, seed, true, names, &no_sections())
     }
 
-    /// Starts a cluster with these sections of the operator's file. Two keys aren't sections: `voters` is the number of
-    /// nodes that vote, instead of all; `discovery_of` has the addresses of discovery services of single nodes.
+    /// Starts a cluster with these sections of the operator's file. Two keys aren't sections:
+    /// `voters` is the number of nodes that vote, instead of all; `discovery_of` has the addresses
+    /// of discovery services of single nodes.
     pub fn with_sections(
         count: usize,
         seed: u64,
@@ -272,8 +273,8 @@
         );
     }
 
-    /// Starts a client that sends one request after another to the nodes in turn, and records the answers, until
-    /// `stop` is set.
+    /// Starts a client that sends one request after another to the nodes in turn, and records the
+    /// answers, until `stop` is set.
     pub fn spawn_client(
         &self,
         number: usize,
@@ -455,8 +456,8 @@
         log.lines().filter(|line| line.contains(text)).count()
     }
 
-    /// Describes what has happened and what each running node sees and has logged, for the message of a failed
-    /// assertion.
+    /// Describes what has happened and what each running node sees and has logged, for the message
+    /// of a failed assertion.
     pub fn describe(&self) -> String {
         let describe_node = |n: &usize| {
             let log = std::fs::read_to_string(self.nodes[*n].folder.join("log"));
--- a/tests/support/node_harness.rs
+++ b/tests/support/node_harness.rs
@@ -1,4 +1,5 @@
-//! A whole node on loopback: the test acts as client, worker and discovery in turn, on blocking sockets.
+//! A whole node on loopback: the test acts as client, worker and discovery in turn, on blocking
+//! sockets.
 #![allow(dead_code)]
 
 use postproxy::net::transport::http::{self, ParseStatus, Request, Response};
@@ -50,7 +51,8 @@
             .expect("it is written");
     }
 
-    /// Reads more bytes; returns whether there is any input, which there is not at the end of the connection.
+    /// Reads more bytes; returns whether there is any input, which there is not at the end of the
+    /// connection.
     pub fn read_more(&mut self) -> bool {
         let mut bytes = [0; 4096];
         match self.stream.read(&mut bytes) {
@@ -137,7 +139,8 @@
     pub thread: JoinHandle<()>,
 }
 
-/// A listener on loopback. Its time limit holds for accepting too, so that a missing connection fails the test.
+/// A listener on loopback. Its time limit holds for accepting too, so that a missing connection
+/// fails the test.
 pub fn bind_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener)
@@ -177,8 +180,8 @@
         Self::with_unreachable_workers(workers, sockets, &[], 60.0)
     }
 
-    /// A node whose list has further workers for which the test does not listen, and that closes idle connections to workers
-    /// after this number of seconds.
+    /// A node whose list has further workers for which the test does not listen, and that closes
+    /// idle connections to workers after this number of seconds.
     pub fn with_unreachable_workers(
         workers: usize,
         sockets: usize,
@@ -258,15 +261,16 @@
         local_address(&self.workers[worker])
     }
 
-    /// Whether the node has connected to a worker and the test has not accepted that. The worker's listener doesn't block any
-    /// more after this.
+    /// Whether the node has connected to a worker and the test has not accepted that. The worker's
+    /// listener doesn't block any more after this.
     pub fn has_pending_connection(&self, worker: usize) -> bool {
         let listener = &self.workers[worker];
         listener.set_nonblocking(true).expect("a setting");
         listener.accept().is_ok()
     }
 
-    /// Posts a worker's call-back with these further members of its JSON; returns the status code of the response.
+    /// Posts a worker's call-back with these further members of its JSON; returns the status code
+    /// of the response.
     pub fn post_callback(&self, id: &str, from: usize, state: &str) -> u16 {
         let body = format!(r#"{{"id":"{id}","from":"s-{from}",{state}}}"#);
         let size = body.len();
@@ -275,12 +279,14 @@
         ))
     }
 
-    /// Posts the call-back of a worker that has done its job, with the result `r`; returns the status code of the response.
+    /// Posts the call-back of a worker that has done its job, with the result `r`; returns the
+    /// status code of the response.
     pub fn report_done(&self, id: &str, from: usize) -> u16 {
         self.post_callback(id, from, r#""state":"done","result":"r""#)
     }
 
-    /// Waits until the node has handled all that had arrived before: two whole turns of its event loop.
+    /// Waits until the node has handled all that had arrived before: two whole turns of its event
+    /// loop.
     pub fn wait_for_two_turns(&self) {
         for _ in 0..2 {
             assert!(self.connect().request_status(READINESS_CHECK) > 0);
@@ -293,7 +299,8 @@
         self.reload.write_all(b"x").expect("a signal");
     }
 
-    /// Signals the node to stop, and waits until the readiness check shows that it has seen the signal.
+    /// Signals the node to stop, and waits until the readiness check shows that it has seen the
+    /// signal.
     pub fn begin_shutdown(&mut self) {
         self.stop.write_all(b"x").expect("a signal");
         while self.connect().request_status(READINESS_CHECK) == 200 {}
@@ -311,8 +318,8 @@
     }
 }
 
-/// Whether a request to discovery waits for changes since this revision, for about 3 s: no longer than a missed change may stay
-/// unknown.
+/// Whether a request to discovery waits for changes since this revision, for about 3 s: no longer
+/// than a missed change may stay unknown.
 pub fn is_watch_request(target: &str, revision: u64) -> bool {
     let timeout = target.strip_prefix(&format!("/api/targets?since={revision}&timeout_ms="));
     timeout
--- a/tests/support/program_harness.rs
+++ b/tests/support/program_harness.rs
@@ -1,5 +1,5 @@
-//! The real program as operators run it: processes of one node on a listener that all of them inherit, with stand-in
-//! workers and discovery, and clients that load it.
+//! The real program as operators run it: processes of one node on a listener that all of them
+//! inherit, with stand-in workers and discovery, and clients that load it.
 #![allow(dead_code)]
 
 use crate::node_harness::{TEST_TIMEOUT, TestSocket};
@@ -224,7 +224,8 @@
             .status
     }
 
-    /// Submits a request of this id, which is its idempotency key as well, with these further header fields.
+    /// Submits a request of this id, which is its idempotency key as well, with these further
+    /// header fields.
     pub fn submit(&self, id: &str, fields: &[(&str, &str)]) -> Response {
         let mut all_fields = vec![("X-Request-Id", id), ("Idempotency-Key", id)];
         all_fields.extend(fields);
@@ -392,8 +393,8 @@
         unreachable!("the attempts have no end")
     }
 
-    /// Sends a job in two pieces, so that processes change in the midst of requests as well; `None` if the connection ends
-    /// before the response.
+    /// Sends a job in two pieces, so that processes change in the midst of requests as well; `None`
+    /// if the connection ends before the response.
     fn try_job(
         &self,
         socket: &mut TestSocket,
--- a/tests/support/request_manager_harness.rs
+++ b/tests/support/request_manager_harness.rs
@@ -91,7 +91,8 @@
         others
     }
 
-    /// Advances the clock to this time, and returns the commands that follow from the timers that expire.
+    /// Advances the clock to this time, and returns the commands that follow from the timers that
+    /// expire.
     pub fn advance_to(&mut self, until: f64) -> Vec<Command> {
         let mut commands = Vec::new();
         loop {
--- a/tests/surface_bytes.rs
+++ b/tests/surface_bytes.rs
@@ -1,7 +1,7 @@
-//! Pins the keys and values that a node itself stores (the list of workers, the workers out of use, what the coordination
-//! service has it keep), and the list of workers as nodes pass it on. A node reads what an older version stored, and other
-//! nodes may run other versions, so none of it must change with a rename. The literals were written by the version before
-//! the renames.
+//! Pins the keys and values that a node itself stores (the list of workers, the workers out of use,
+//! what the coordination service has it keep), and the list of workers as nodes pass it on. A node
+//! reads what an older version stored, and other nodes may run other versions, so none of it must
+//! change with a rename. The literals were written by the version before the renames.
 
 use postproxy::Settings;
 use postproxy::net::cluster::versions;
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -1,6 +1,6 @@
-//! Pins the command line as scripts and operators see it: help texts, exit statuses, messages on standard error, and
-//! the output of `check`, `store` and `fleet`. Every expected text is written out, so that no renaming in the code can
-//! change what the program prints.
+//! Pins the command line as scripts and operators see it: help texts, exit statuses, messages on
+//! standard error, and the output of `check`, `store` and `fleet`. Every expected text is written
+//! out, so that no renaming in the code can change what the program prints.
 
 use postproxy_idempotency::{
     Attempt, AttemptOutcome, RequestRecord, Stage, request_key, result_key,
@@ -22,7 +22,8 @@
     stderr: String,
 }
 
-/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative paths only.
+/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative
+/// paths only.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -73,8 +74,9 @@
     }
 }
 
-/// A child that another test starts inherits the lock on a store's folder until it executes its program. So no child is
-/// started while a test fills a store: else that store would still be held when the test looks at it.
+/// A child that another test starts inherits the lock on a store's folder until it executes its
+/// program. So no child is started while a test fills a store: else that store would still be held
+/// when the test looks at it.
 static STARTING: RwLock<()> = RwLock::new(());
 
 fn outcome(command: &mut Command) -> Run {
@@ -440,7 +442,8 @@
 
 // The fleet.
 
-/// Answers one request as a node's management API would, and returns the head and body of that request.
+/// Answers one request as a node's management API would, and returns the head and body of that
+/// request.
 fn management_api(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -463,7 +466,8 @@
     (address, thread::spawn(answer))
 }
 
-/// Runs a `fleet` command against a management API that gives this response; returns the run and the request line.
+/// Runs a `fleet` command against a management API that gives this response; returns the run and
+/// the request line.
 fn fleet(name: &str, args: &[&str], status: &'static str, body: &'static str) -> (Run, String) {
     let (address, served) = management_api(status, body);
     let folder = Folder::new(name);
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -1,6 +1,7 @@
-//! Pins what errors look like outside of the program: every code with its remedy, the body and status with which the
-//! management API shows each error, the messages of the error types, and what the drill program prints. All are written
-//! out, so that no renaming in the code can change what operators and scripts read.
+//! Pins what errors look like outside of the program: every code with its remedy, the body and
+//! status with which the management API shows each error, the messages of the error types, and what
+//! the drill program prints. All are written out, so that no renaming in the code can change what
+//! operators and scripts read.
 
 use postproxy::decision::interface::SettingsError;
 use postproxy::net::cluster::coordination::error_response;
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -1,8 +1,10 @@
-//! Pins what the node sends over HTTP to clients, workers and discovery, byte for byte, and the fields that it reads from them.
+//! Pins what the node sends over HTTP to clients, workers and discovery, byte for byte, and the
+//! fields that it reads from them.
 //!
-//! The test plays all three on real loopback sockets and compares complete messages with literal text: request lines, header
-//! fields with their order and case, status lines, bodies. None of it follows the rename of a Rust item: if one of these tests
-//! fails after a rename, mend the code, not the literal. Ports and times vary; they are replaced by a word before the comparison.
+//! The test plays all three on real loopback sockets and compares complete messages with literal
+//! text: request lines, header fields with their order and case, status lines, bodies. None of it
+//! follows the rename of a Rust item: if one of these tests fails after a rename, mend the code,
+//! not the literal. Ports and times vary; they are replaced by a word before the comparison.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -1,8 +1,10 @@
-//! Pins the management API as an operator's program sees it: for each path the complete answer, byte for byte.
+//! Pins the management API as an operator's program sees it: for each path the complete answer,
+//! byte for byte.
 //!
-//! The answers come from whole nodes on loopback sockets. Status lines, header fields, words and JSON keys are literal here, and
-//! none of them follows the rename of a Rust item: if one of these tests fails after a rename, mend the code (for JSON keys with
-//! `#[serde(rename)]`), not the literal. Ports, times and drawn numbers are replaced by a word before the comparison. The number
+//! The answers come from whole nodes on loopback sockets. Status lines, header fields, words and
+//! JSON keys are literal here, and none of them follows the rename of a Rust item: if one of these
+//! tests fails after a rename, mend the code (for JSON keys with `#[serde(rename)]`), not the
+//! literal. Ports, times and drawn numbers are replaced by a word before the comparison. The number
 //! and digest of the kind `program` follow the package's version, and change with a release.
 
 use postproxy::net::cluster::coordination::error_response;
@@ -181,7 +183,8 @@
 const ONLY_GET: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 16\r\nAllow: GET, HEAD\r\nConnection: close\r\n\r\nno call of mine\n";
 const ONLY_POST: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 16\r\nAllow: POST\r\nConnection: close\r\n\r\nno call of mine\n";
 
-/// A node that holds a list from before its start serves once discovery has been asked, or has been silent for 2.2 s.
+/// A node that holds a list from before its start serves once discovery has been asked, or has been
+/// silent for 2.2 s.
 #[test]
 fn the_readiness_check_answers_with_these_bytes_before_and_after_the_start() {
     let node = TestNode::start(|_| {});
@@ -390,7 +393,8 @@
             .contains("voters.nobody")),
         YES
     );
-    // It has the log, not the seat alone: one that is removed before that is a matter of its own, and no surface.
+    // It has the log, not the seat alone: one that is removed before that is a matter of its own,
+    // and no surface.
     let follows =
         |answer: &str| answer.contains("\"votes\":true") && !answer.contains("\"place\":0,");
     third.until("GET", "/v1/fleet/owners", follows);
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -1,6 +1,7 @@
-//! Pins what operators write and read: the operator's file, the node's configuration with its settings, and the
-//! environment. Every key is shown to be known, and every message on a wrong one is written out with its code, so that no
-//! renaming in the code can change a key, a word or a message.
+//! Pins what operators write and read: the operator's file, the node's configuration with its
+//! settings, and the environment. Every key is shown to be known, and every message on a wrong one
+//! is written out with its code, so that no renaming in the code can change a key, a word or a
+//! message.
 
 use postproxy::decision::interface::{
     Class, DedupScope, Effect, Entry, Health, ReportField, ReportSource, RetryBudget, Settings,
@@ -16,7 +17,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative paths only.
+/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative
+/// paths only.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -99,7 +101,8 @@
     )
 }
 
-/// Asserts that each of these settings is rejected with this message, followed by the code and the remedy.
+/// Asserts that each of these settings is rejected with this message, followed by the code and the
+/// remedy.
 fn assert_settings_errors(cases: &[(&str, &str)], code_and_remedy: &str) {
     let full = |(settings, expected): &(&str, &str)| {
         (
@@ -1790,7 +1793,8 @@
     }
 }
 
-/// A free address, on an address of loopback that only this process uses, so that nobody else takes the port.
+/// A free address, on an address of loopback that only this process uses, so that nobody else takes
+/// the port.
 fn free_address() -> SocketAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let listener = TcpListener::bind((Ipv4Addr::new(127, 77, high, low), 0)).expect("a port");
--- a/tests/suspended_workers.rs
+++ b/tests/suspended_workers.rs
@@ -1,5 +1,5 @@
-//! Workers that operators have suspended, in the decision module: random worker lists, reports and calls, and how a
-//! resumed worker gets requests again. Seeds are fixed.
+//! Workers that operators have suspended, in the decision module: random worker lists, reports and
+//! calls, and how a resumed worker gets requests again. Seeds are fixed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -143,7 +143,8 @@
         )
     }
 
-    /// Checks that nothing was sent to a suspended worker, and that each request is answered at most once.
+    /// Checks that nothing was sent to a suspended worker, and that each request is answered at
+    /// most once.
     fn check(&mut self, actions: &[Action]) {
         let seed = self.seed;
         self.timers.extend(timers_set(actions));
@@ -192,7 +193,8 @@
     assert!(sent > 2000, "{sent} attempts are too few to tell");
 }
 
-/// A request isn't held until its deadline if operators have suspended all workers that could run it.
+/// A request isn't held until its deadline if operators have suspended all workers that could run
+/// it.
 #[test]
 fn requests_are_rejected_at_once_if_all_workers_are_suspended() {
     let mut harness = DispatcherHarness::new(settings(|_| {}), 2);
@@ -232,8 +234,8 @@
     Started,
 }
 
-/// Returns the number of requests that dispatchers with one request a second each give worker 3 in the 5 s after it
-/// became available.
+/// Returns the number of requests that dispatchers with one request a second each give worker 3 in
+/// the 5 s after it became available.
 fn requests_in_5_s(dispatchers: u16, seed: u64, arrival: Arrival) -> usize {
     let mut given = 0;
     for n in 0..dispatchers {
@@ -271,8 +273,9 @@
     given
 }
 
-/// Nothing is known of a resumed worker, which must not leave it idle. It is cold, as it may have been restarted, and all
-/// dispatchers together give it about one request beside what a cold worker gets.
+/// Nothing is known of a resumed worker, which must not leave it idle. It is cold, as it may have
+/// been restarted, and all dispatchers together give it about one request beside what a cold worker
+/// gets.
 #[test]
 fn resumed_worker_gets_about_one_extra_request_of_all_dispatchers() {
     let rounds = 40;
@@ -315,8 +318,8 @@
     }
 }
 
-/// Returns how many of 40 dispatchers send to a resumed worker in the time in which the extra request is given. `count`
-/// is the number of dispatchers that they are notified of.
+/// Returns how many of 40 dispatchers send to a resumed worker in the time in which the extra
+/// request is given. `count` is the number of dispatchers that they are notified of.
 fn dispatchers_that_send(count: Option<u32>) -> usize {
     let sends_to_resumed = |seed: u64| {
         let mut harness = DispatcherHarness::new(settings(|_| {}), 6);
@@ -340,8 +343,9 @@
     (0..40).filter(|seed| sends_to_resumed(*seed)).count()
 }
 
-/// Each of four dispatchers gives a resumed worker the extra request with a chance of one in four, a single one always,
-/// one of a thousand hardly ever. The settings' number counts only while no other is known.
+/// Each of four dispatchers gives a resumed worker the extra request with a chance of one in four,
+/// a single one always, one of a thousand hardly ever. The settings' number counts only while no
+/// other is known.
 #[test]
 fn extra_request_depends_on_the_known_number_of_dispatchers() {
     let one = dispatchers_that_send(Some(1));
--- a/tests/timer_wheel.rs
+++ b/tests/timer_wheel.rs
@@ -3,7 +3,8 @@
 use postproxy::net::transport::timer_wheel::TimerWheel;
 use quickcheck::{Gen, QuickCheck};
 
-/// Guards against a timer that expires early, late, twice, never, or out of its order, far ones included.
+/// Guards against a timer that expires early, late, twice, never, or out of its order, far ones
+/// included.
 #[test]
 fn timers_expire_once_in_order_and_on_time() {
     fn holds(steps: Vec<(u16, u8)>) -> bool {
--- a/tests/version_tracking.rs
+++ b/tests/version_tracking.rs
@@ -1,4 +1,5 @@
-//! Version tracking with processes of the real program: a node whose discovery is stuck gets the worker list from its peers.
+//! Version tracking with processes of the real program: a node whose discovery is stuck gets the
+//! worker list from its peers.
 
 #[path = "support/fleet_harness.rs"]
 mod fleet_harness;
@@ -43,7 +44,8 @@
         AuditSection::OtherDiscovery => sections["audit"] = serde_json::json!({}),
     }
     let fleet = FleetHarness::with_sections(NODES, seed, false, &workers, &sections);
-    // It needs the addresses of the workers, which the cluster starts. Its node polls it until it is there.
+    // It needs the addresses of the workers, which the cluster starts. Its node polls it until it
+    // is there.
     let stuck_discovery = Discovery::start_at(stuck_address, &fleet.workers).expect("discovery");
     (fleet, stuck_discovery)
 }
@@ -90,8 +92,9 @@
     })
 }
 
-/// Drains a worker in the cluster's discovery while clients send requests to the stuck node. Returns how long after that the
-/// last attempt went to this worker within `observed`; `None` if there was none.
+/// Drains a worker in the cluster's discovery while clients send requests to the stuck node.
+/// Returns how long after that the last attempt went to this worker within `observed`; `None` if
+/// there was none.
 fn last_attempt_after_drain(fleet: &FleetHarness, observed: Duration) -> Option<Duration> {
     let stopped = Arc::new(AtomicBool::new(false));
     let node = fleet.nodes[STUCK_NODE].client_address;
@@ -126,7 +129,8 @@
     last_attempt
 }
 
-/// A node that is behind gets the newer list from a peer and acts on it: no attempt goes to the drained worker any more.
+/// A node that is behind gets the newer list from a peer and acts on it: no attempt goes to the
+/// drained worker any more.
 #[test]
 fn a_node_whose_discovery_is_stuck_catches_up_from_its_peers() {
     let (fleet, _stuck_discovery) = start_cluster(41, AuditSection::SameDiscovery);
@@ -155,7 +159,8 @@
     check_audit_log(&fleet);
 }
 
-/// The audit log of the stuck node names the peer that the list came from, and counts the actions under each view.
+/// The audit log of the stuck node names the peer that the list came from, and counts the actions
+/// under each view.
 fn check_audit_log(fleet: &FleetHarness) {
     let door = fleet.nodes[STUCK_NODE].management_address;
     let response = send_request(door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
@@ -180,8 +185,8 @@
     );
 }
 
-/// A node ignores lists of a discovery that its own configuration doesn't name, and goes on sending to the drained worker; so
-/// it does without the section `audit`.
+/// A node ignores lists of a discovery that its own configuration doesn't name, and goes on sending
+/// to the drained worker; so it does without the section `audit`.
 #[test]
 fn lists_of_another_discovery_are_ignored_and_without_the_audit_none_are_passed_on() {
     let (fleet, _stuck_discovery) = start_cluster(42, AuditSection::OtherDiscovery);
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,6 @@
-//! A change must be applied within 6 s after discovery had it and could be reached, whatever happens to calls: in simulated time, over
-//! every way in which a call can fail, with the dispatcher that selects workers by the list.
+//! A change must be applied within 6 s after discovery had it and could be reached, whatever
+//! happens to calls: in simulated time, over every way in which a call can fail, with the
+//! dispatcher that selects workers by the list.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -15,7 +16,8 @@
     SECOND_CALL_DELAY_SECONDS, Schedule, WATCH_GRACE_SECONDS,
 };
 
-/// The time within which a change has to be applied once discovery has it and can be reached, in seconds.
+/// The time within which a change has to be applied once discovery has it and can be reached, in
+/// seconds.
 const MAX_CHANGE_DELAY_SECONDS: f64 = 6.0;
 /// What is added for draining workers, in seconds: what the settings allow, and 50 ms on sockets.
 const TOLERANCE_SECONDS: f64 = 0.3;
@@ -35,7 +37,8 @@
     Answered(f64),
 }
 
-/// Discovery and the network to it: faulty up to some time, then healthy except for some calls that are never answered.
+/// Discovery and the network to it: faulty up to some time, then healthy except for some calls that
+/// are never answered.
 struct Discovery {
     rng: Random,
     reachable_from: f64,
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Has the dispatcher place one request. Returns the number of attempts at workers that leave at some time, or an
-    /// error if one of these has left longer ago than `max_delay` seconds.
+    /// Has the dispatcher place one request. Returns the number of attempts at workers that leave
+    /// at some time, or an error if one of these has left longer ago than `max_delay` seconds.
     fn place_request(&mut self, now: f64, request: u64, max_delay: f64) -> Result<u64, String> {
         let new = NewRequest {
             id: request,
@@ -281,8 +284,9 @@
     }
 }
 
-/// Runs one seed: the schedule, discovery, and a dispatcher that is given a request every 50 ms. Returns the number of attempts at
-/// workers that leave, or the first attempt that comes later than `max_delay` seconds after its worker left.
+/// Runs one seed: the schedule, discovery, and a dispatcher that is given a request every 50 ms.
+/// Returns the number of attempts at workers that leave, or the first attempt that comes later than
+/// `max_delay` seconds after its worker left.
 fn run_scenario(seed: u64, max_delay: f64) -> Result<u64, String> {
     let mut scenario = Scenario::new(seed);
     scenario.apply_list(0.0, ListKind::Cached, 0);
@@ -301,9 +305,10 @@
     Ok(checked)
 }
 
-/// Guards against an unanswered watch that is trusted for too long, against waits that grow beyond the bound, and against one timer
-/// that another's failure resets: calls refused, reset, cut short, unanswered, answered late, a 503, superseded, an outage, a change
-/// of address in between, and unanswered once more after all that.
+/// Guards against an unanswered watch that is trusted for too long, against waits that grow beyond
+/// the bound, and against one timer that another's failure resets: calls refused, reset, cut short,
+/// unanswered, answered late, a 503, superseded, an outage, a change of address in between, and
+/// unanswered once more after all that.
 #[test]
 fn change_is_applied_within_the_bound_whatever_happens_to_calls() {
     let checked: u64 = (0..200)
@@ -326,7 +331,8 @@
     assert!(broken > 20, "{broken} of 40");
 }
 
-/// The sum that the schedule rests on: a watch that is unanswered from its first moment, one more unanswered call, and an answer.
+/// The sum that the schedule rests on: a watch that is unanswered from its first moment, one more
+/// unanswered call, and an answer.
 #[test]
 fn two_unanswered_calls_and_an_answer_fit_into_the_bound() {
     const {
@@ -352,8 +358,9 @@
     }
 }
 
-/// Guards against nodes that call at the same moment at their start, against a long delay, since a node does not serve before its
-/// first call, and against a first call that waits for changes: that nothing has changed would not be known for seconds.
+/// Guards against nodes that call at the same moment at their start, against a long delay, since a
+/// node does not serve before its first call, and against a first call that waits for changes: that
+/// nothing has changed would not be known for seconds.
 #[test]
 fn first_calls_are_spread_and_do_not_wait() {
     let first = |nodes, spread| {
@@ -392,8 +399,8 @@
     );
 }
 
-/// Guards against calls that come together after all nodes have lost discovery at one moment, and against waits that grow beyond the
-/// bound.
+/// Guards against calls that come together after all nodes have lost discovery at one moment, and
+/// against waits that grow beyond the bound.
 #[test]
 fn failed_calls_are_retried_soon_and_spread() {
     let mut firsts = Vec::new();
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -1,4 +1,5 @@
-//! The list of workers and the calls for it: real connections to a stand-in for discovery, with simulated time.
+//! The list of workers and the calls for it: real connections to a stand-in for discovery, with
+//! simulated time.
 
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Returns the next call on a connection of its own and the time at which it was made, if there is one by this time.
+    /// Returns the next call on a connection of its own and the time at which it was made, if there
+    /// is one by this time.
     fn call(&mut self, by: f64) -> Option<(f64, Call)> {
         self.listener.set_nonblocking(true).expect("a setting");
         while self.reactor.now <= by {
@@ -159,8 +161,8 @@
     }
 }
 
-/// Guards against a node without a list that delays its first call, gives up when discovery is not up yet, or goes on requesting the
-/// full list after it has one.
+/// Guards against a node without a list that delays its first call, gives up when discovery is not
+/// up yet, or goes on requesting the full list after it has one.
 #[test]
 fn node_without_a_list_calls_until_it_has_one() {
     let mut harness = WorkerListHarness::new(None, 7);
@@ -216,8 +218,8 @@
     );
 }
 
-/// Guards against a pushed list that is never requested, since the node waits for what can come as an answer only; and against a start
-/// at which what has changed meanwhile stays unknown.
+/// Guards against a pushed list that is never requested, since the node waits for what can come as
+/// an answer only; and against a start at which what has changed meanwhile stays unknown.
 #[test]
 fn pushed_lists_are_watched_at_once() {
     for how in ["pushed", "some other word"] {
@@ -237,9 +239,9 @@
     }
 }
 
-/// Guards against an unanswered watch that is trusted until after what it missed had to be applied, 6 s after discovery had it; against
-/// one unanswered call after the other, each trusted for as long; against calls that add up; and against a report of a list where
-/// there was no answer.
+/// Guards against an unanswered watch that is trusted until after what it missed had to be applied,
+/// 6 s after discovery had it; against one unanswered call after the other, each trusted for as
+/// long; against calls that add up; and against a report of a list where there was no answer.
 #[test]
 fn unanswered_watch_gets_a_second_call_and_is_then_superseded() {
     for seed in [0, 7, 1023] {
@@ -278,8 +280,9 @@
     }
 }
 
-/// Guards against an older list that replaces a newer one, in which a worker that leaves is in service; and against revisions that are
-/// compared with older ones after discovery has started again.
+/// Guards against an older list that replaces a newer one, in which a worker that leaves is in
+/// service; and against revisions that are compared with older ones after discovery has started
+/// again.
 #[test]
 fn older_list_does_not_replace_a_newer_one() {
     let mut harness = WorkerListHarness::new(Some(5), 7);
@@ -309,7 +312,8 @@
     }
 }
 
-/// Guards against a watch that is not renewed after an invalid answer: refused, cut short, malformed, late, or without end.
+/// Guards against a watch that is not renewed after an invalid answer: refused, cut short,
+/// malformed, late, or without end.
 #[test]
 fn invalid_answers_are_retried_soon() {
     let malformed: [&[u8]; 7] = [
@@ -356,8 +360,9 @@
     );
 }
 
-/// Guards against an answer of discovery without end that is read for ever, or keeps its call open until the timeout though it can't
-/// become a list any more: the call is repeated soon, on another connection.
+/// Guards against an answer of discovery without end that is read for ever, or keeps its call open
+/// until the timeout though it can't become a list any more: the call is repeated soon, on another
+/// connection.
 #[test]
 fn endless_answer_ends_its_call() {
     let chunk = format!("100000\r\n{}\r\n", "x".repeat(1 << 20));
@@ -397,8 +402,9 @@
     }
 }
 
-/// Guards against a start with an older list than the one that was stored, or with one whose revisions can't be compared; and against a
-/// snapshot that misses changes, or holds workers that have been terminated.
+/// Guards against a start with an older list than the one that was stored, or with one whose
+/// revisions can't be compared; and against a snapshot that misses changes, or holds workers that
+/// have been terminated.
 #[test]
 fn newer_list_is_used_at_the_start() {
     let member = |id: &str, phase: &str| {
@@ -469,7 +475,8 @@
     );
 }
 
-/// Guards against an affinity that differs from node to node: addresses of workers differ between nodes, their ids do not.
+/// Guards against an affinity that differs from node to node: addresses of workers differ between
+/// nodes, their ids do not.
 #[test]
 fn worker_has_the_same_identity_at_every_node() {
     let identities = |addresses: [&str; 2]| {
@@ -492,8 +499,8 @@
     assert_ne!(here[0], here[1]);
 }
 
-/// Guards against a start time that is lost in the conversion (0 stays 0), names resolved to wrong numbers, and an invalid entry that
-/// makes the others invalid or gets requests.
+/// Guards against a start time that is lost in the conversion (0 stays 0), names resolved to wrong
+/// numbers, and an invalid entry that makes the others invalid or gets requests.
 #[test]
 fn zones_and_kinds_are_resolved_by_name() {
     let settings = r#"{"dcs": ["riga", "liepaja"], "machine-types": ["std-4", "eco-4"]}"#;
