--- a/tests/program.rs
+++ b/tests/program.rs
@@ -5,12 +5,13 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
+use std::process::{Child, Command, Output, Stdio};
+use std::sync::{PoisonError, RwLock};
 
 const EXAMPLE: &str = include_str!("../examples/config.json");
 
 /// A running program, which is killed when this is dropped.
-struct RunningProgram(std::process::Child);
+struct RunningProgram(Child);
 
 impl Drop for RunningProgram {
     fn drop(&mut self) {
@@ -31,16 +32,38 @@
     stderr: String,
 }
 
+/// A child inherits the lock on a store's folder until it executes its program. So no other child
+/// is started while a test holds a store: else that store would still be held when the test looks
+/// at it.
+static STARTING: RwLock<()> = RwLock::new(());
+
+/// Starts a child, unless a test holds a store: then after that.
+fn spawn(command: &mut Command) -> Child {
+    let _starting = STARTING.read().unwrap_or_else(PoisonError::into_inner);
+    command.spawn().expect("the program starts")
+}
+
+/// Starts a child with its output piped, and waits for its end.
+fn output_of(command: &mut Command) -> Output {
+    let child = spawn(command.stdout(Stdio::piped()).stderr(Stdio::piped()));
+    child.wait_with_output().expect("the program ends")
+}
+
 /// Runs the program with these arguments until it ends.
 fn run(args: &[&str]) -> CommandOutcome {
-    let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
-        .args(args)
-        .output();
+    outcome(output_of(program().args(args)))
+}
+
+fn program() -> Command {
+    Command::new(env!("CARGO_BIN_EXE_postproxy"))
+}
+
+fn outcome(output: Output) -> CommandOutcome {
     let Output {
         status,
         stdout,
         stderr,
-    } = output.expect("the program starts");
+    } = output;
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
     CommandOutcome {
         exit_code: status.code(),
@@ -112,10 +135,7 @@
 /// Without a configuration the program ends with a message.
 #[test]
 fn the_program_fails_without_a_configuration() {
-    let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
-        .env_remove("RELAY_CONFIG")
-        .output();
-    let output = output.expect("the program starts");
+    let output = output_of(program().env_remove("RELAY_CONFIG"));
     assert!(!output.status.success());
     assert_eq!(
         String::from_utf8_lossy(&output.stderr).trim(),
@@ -129,13 +149,13 @@
 fn the_program_serves_reloads_and_ends_at_sigterm() {
     let path = std::env::temp_dir().join(format!("postproxy-{}.json", std::process::id()));
     std::fs::write(&path, EXAMPLE).expect("a file");
-    let child = Command::new(env!("CARGO_BIN_EXE_postproxy"))
+    let mut command = program();
+    command
         .env("RELAY_CONFIG", &path)
         .env("RELAY_LISTEN", "127.0.0.1:0")
         .env("RELAY_DISCOVERY", "127.0.0.1:1")
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the program starts");
+        .stderr(Stdio::piped());
+    let child = spawn(&mut command);
     let mut running = RunningProgram(child);
     let child = &mut running.0;
     let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
@@ -151,10 +171,9 @@
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
     drop(stream);
     let signal = |name: &str| {
-        let status = Command::new("sh")
-            .args(["-c", &format!("kill -{name} {}", child.id())])
-            .status();
-        assert!(status.expect("a shell").success());
+        let mut shell = Command::new("sh");
+        shell.args(["-c", &format!("kill -{name} {}", child.id())]);
+        assert!(output_of(&mut shell).status.success());
     };
     let mut next_line = || {
         loop {
@@ -207,7 +226,7 @@
     assert_eq!(run(&["swerve"]).exit_code, Some(2));
     assert!(run(&["completions", "bash"]).stdout.contains("postproxy"));
     let folder = env!("CARGO_TARGET_TMPDIR");
-    let bad = format!("{folder}/bad-operator.json");
+    let bad = format!("{folder}/bad-operator-{}.json", std::process::id());
     std::fs::write(&bad, "{\n  \"log\": {\"fromat\": \"json\"}\n}").expect("a file");
     let CommandOutcome {
         exit_code, stderr, ..
@@ -230,11 +249,7 @@
 /// A trial needs nothing else to run, serves all requests, and runs each of them once.
 #[test]
 fn a_trial_runs_without_any_set_up_and_runs_each_request_once() {
-    let output = Command::new(env!("CARGO_BIN_EXE_postproxy"))
-        .args(["try", "--jobs", "5"])
-        .env_clear()
-        .output();
-    let output = output.expect("the program starts");
+    let output = output_of(program().args(["try", "--jobs", "5"]).env_clear());
     let said = String::from_utf8_lossy(&output.stdout);
     assert!(
         output.status.success(),
@@ -334,10 +349,14 @@
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tools-{}", std::process::id())),
     );
     assert!(folder.run("stat").exit_code == Some(1) && !folder.path().exists());
+    let alone = STARTING.write().unwrap_or_else(PoisonError::into_inner);
     let engine = write_three_requests(folder.path());
-    let stderr = folder.run("stat").stderr;
+    let mut stat = program();
+    let output = stat.arg("store").arg("stat").arg(folder.path()).output();
+    let stderr = outcome(output.expect("the program starts")).stderr;
     assert!(stderr.contains("is held by a test"), "{stderr}");
     drop(engine);
+    drop(alone);
     let dump = folder.run("dump");
     assert_eq!((dump.exit_code, dump.stdout.lines().count()), (Some(0), 3));
     assert!(
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -478,7 +478,7 @@
     other.stop();
 }
 
-/// Pins a rejected call's status beside its body, whose other forms the crate `council` pins.
+/// Pins a rejected call's status beside its body, whose other forms the tests of `crates/coordination` pin.
 #[test]
 fn each_rejected_call_has_this_status() {
     let status = |error: &Error| error_response(error).status;
