--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -9,11 +9,12 @@
 use postproxy_handover::StateUpdate;
 use std::rc::Rc;
 
-/// Slots that a request takes whose client has not given them.
+/// Slots that a request takes if its client does not specify a number.
 const DEFAULT_SLOTS: f64 = 1.0;
 
 impl RequestManager {
-    /// Admits a submitted request, has it wait for an equal one, or answers it at once.
+    /// Admits a submitted request, makes it wait for the request that it repeats, or answers it
+    /// immediately.
     pub(super) fn handle_request_received(
         &mut self,
         now: f64,
@@ -30,8 +31,7 @@
         }
     }
 
-    /// Returns how long the client waits, in seconds, or the answer with which the request is
-    /// rejected.
+    /// Returns the request's time limit in seconds, or the answer if the request can't be admitted.
     fn check_admissible(&self, submission: &Submission) -> Result<f64, Answer> {
         let id = &submission.payload.id;
         if self.requests_by_id.contains_key(id) || self.sibling_requests.contains_key(id) {
@@ -48,7 +48,7 @@
         Ok(budget.min(class.deadline))
     }
 
-    /// Admits a request: from now on it is in flight, and the dispatcher decides on it.
+    /// Adds a request to those in flight and passes it to the dispatcher.
     fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, budget: f64) {
         let NewSubmission {
             submission,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Opens the request's span in the logs. Its fields are evaluated only if the level `debug` is
-    /// on.
+    /// Creates the request's tracing span. Its fields are evaluated only if the log level `debug`
+    /// is enabled.
     fn request_span(&self, submission: &Submission) -> tracing::Span {
         tracing::debug_span!(
             target: "postproxy::request",
@@ -125,8 +125,7 @@
         )
     }
 
-    /// Gives up the request of a client that has disconnected, unless others wait for the same
-    /// answer.
+    /// Abandons the request of a disconnected client unless other clients wait for the same answer.
     pub(super) fn handle_client_disconnected(
         &mut self,
         now: f64,
@@ -142,8 +141,8 @@
         let mut unwritten = Vec::new();
         if let Some(in_flight) = self.requests.get_mut(&request) {
             in_flight.client = None;
-            // Where settings allow cancels, the dispatcher cancels all attempts. What has not been
-            // sent can be withdrawn even where they don't.
+            // If the settings allow cancellation, the dispatcher cancels all attempts. If they
+            // don't, attempts whose last byte has not been written can still be withdrawn.
             if !self.settings.cancel_allowed {
                 unwritten.extend(in_flight.unwritten_attempts(request));
             }
--- a/src/net/requests/answers.rs
+++ b/src/net/requests/answers.rs
@@ -6,7 +6,8 @@
 use postproxy_handover::StateUpdate;
 
 impl RequestManager {
-    /// Answers the client of a request, if it still waits, and all that wait with it.
+    /// Answers the client of a request, if it is still waiting, and all clients that wait for the
+    /// same answer.
     pub(super) fn answer_request(
         &mut self,
         request: RequestId,
@@ -22,7 +23,8 @@
         }
     }
 
-    /// Answers a client that waits for its own request, and all that wait with it.
+    /// Answers the client to which a request belongs, and all clients that wait for the same
+    /// answer.
     fn answer_client(&mut self, client: ClientId, answer: Answer, out: &mut Vec<Command>) {
         let Some(request) = self.requests_by_client.remove(&client) else {
             return;
@@ -42,7 +44,7 @@
         out.push(Command::AnswerClient { client, answer });
     }
 
-    /// Removes a request that has its final answer and no attempt out.
+    /// Removes a request if it has been answered and has no open attempt.
     pub(super) fn remove_if_complete(&mut self, now: f64, request: RequestId) {
         if !self
             .requests
--- a/src/net/requests/attempts.rs
+++ b/src/net/requests/attempts.rs
@@ -11,16 +11,17 @@
 use postproxy_idempotency::AttemptFailure;
 use std::collections::BTreeSet;
 
-/// The outcome code that the dispatcher is given for an ambiguous rejection. It knows no outcome of
-/// this number, and so counts the attempt as one that may have run.
+/// Outcome code passed to the dispatcher for an ambiguous rejection. The dispatcher does not know
+/// this code and therefore treats the attempt as one that may have run.
 const AMBIGUOUS_REJECTION_CODE: u16 = 503;
 
 impl RequestManager {
-    /// Starts an attempt that the dispatcher has decided on; at once, or when its record is
+    /// Starts an attempt requested by the dispatcher, either immediately or once its record is
     /// durable.
     ///
-    /// A `timeout` of 0 stands for the client's deadline. A negative one, a client that has
-    /// disconnected, or an exhausted number of attempts ends the attempt before anything is sent.
+    /// A `timeout` of 0 means that the attempt may last until the client's deadline. The attempt
+    /// ends before anything is sent if `timeout` is negative, if the client has disconnected or its
+    /// deadline has passed, or if the maximum number of attempts has been reached.
     pub(super) fn start_attempt(
         &mut self,
         now: f64,
@@ -94,13 +95,13 @@
         Some(key)
     }
 
-    /// Returns the outcome of an attempt that ends before it starts, if it does.
+    /// Returns the outcome of an attempt that ends before anything is sent; `None` if it can start.
     fn outcome_before_start(&self, now: f64, key: AttemptKey, timeout: f64) -> Option<Outcome> {
         let in_flight = &self.requests[&key.request];
-        let given_up = in_flight.client.is_none()
+        let abandoned = in_flight.client.is_none()
             || in_flight.deadline - now <= 0.0
             || key.attempt >= self.settings.max_attempts;
-        if given_up {
+        if abandoned {
             Some(Outcome::CancelledLocally)
         } else if timeout < 0.0 {
             Some(Outcome::Timeout)
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Has the attempt's exchange with its worker started.
+    /// Emits the command that starts an attempt's exchange with its worker.
     pub(super) fn push_start_command(&self, key: AttemptKey, out: &mut Vec<Command>) {
         let Some(in_flight) = self.requests.get(&key.request) else {
             return;
@@ -123,7 +124,7 @@
         });
     }
 
-    /// Returns an attempt that has not ended.
+    /// Returns an attempt if it has not ended.
     pub(super) fn open_attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         let key = self.attempts.get(&id)?;
         self.requests
@@ -161,8 +162,8 @@
             attempt.accepted = true;
             return;
         }
-        // Once a worker has accepted an attempt, a broken connection proves nothing: its call-back
-        // decides.
+        // Once a worker has accepted an attempt, a broken connection says nothing about the
+        // outcome; the worker's callback determines it.
         if !attempt.accepted {
             let outcome = outcome_of_end(end, attempt.written);
             self.record_attempt_end(now, key, outcome, load);
@@ -179,13 +180,14 @@
         self.record_attempt_end(now, key, Outcome::Timeout, &Load::new());
     }
 
-    /// Cancels an attempt at its worker, and ends it.
+    /// Cancels an attempt at its worker and records its end.
     pub(super) fn cancel_attempt(&mut self, now: f64, key: AttemptKey, out: &mut Vec<Command>) {
         self.push_cancel_command(key, out);
         self.record_attempt_end(now, key, Outcome::Cancelled, &Load::new());
     }
 
-    /// Has an attempt cancelled at its worker, if it was started and has not ended.
+    /// Emits the command that cancels an attempt at its worker, if the attempt may have started and
+    /// has not ended.
     fn push_cancel_command(&self, key: AttemptKey, out: &mut Vec<Command>) {
         let Some(in_flight) = self.requests.get(&key.request) else {
             return;
@@ -201,8 +203,8 @@
         }
     }
 
-    /// Records the end of an attempt in the request, the request log, at the siblings and at the
-    /// dispatcher; once.
+    /// Records the end of an attempt in its request and in the request log, and reports it to the
+    /// siblings and the dispatcher. Does nothing if the attempt has already ended.
     pub(super) fn record_attempt_end(
         &mut self,
         now: f64,
@@ -214,7 +216,7 @@
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
         };
-        let closed = in_flight.client.is_none();
+        let answered = in_flight.client.is_none();
         let ended = in_flight.attempts.get_mut(attempt as usize);
         let Some(ended) = ended.filter(|attempt| !attempt.ended) else {
             return;
@@ -254,7 +256,7 @@
             worker,
             outcome,
             elapsed,
-            answered: closed,
+            answered,
             report,
         });
         self.maybe_complete.push(request);
@@ -262,8 +264,9 @@
 
     /// Returns the attempts to these workers whose last byte has not been written.
     ///
-    /// They include attempts whose connection is being made. A worker's drain counts from the first
-    /// byte, and a connection may take longer to come up than the drain allows.
+    /// This includes attempts whose connection is still being established. What matters to a
+    /// draining worker is when the first byte is sent, and establishing a connection may take
+    /// longer than the drain allows.
     pub(super) fn unwritten_attempts_to(
         &self,
         workers: &BTreeSet<WorkerIndex>,
@@ -280,8 +283,8 @@
         self.requests.iter().flat_map(unwritten).collect()
     }
 
-    /// Withdraws attempts whose last byte has not been written. Nothing of them runs, so that this
-    /// is allowed where settings forbid cancels, too.
+    /// Withdraws attempts whose last byte has not been written. Workers don't run incomplete
+    /// requests, so this is allowed even if the settings forbid cancellation.
     pub(super) fn withdraw_attempts(
         &mut self,
         now: f64,
@@ -300,8 +303,8 @@
     }
 }
 
-/// Returns the dispatcher's outcome for the end of an attempt's exchange; `written` if its last
-/// byte was.
+/// Returns the dispatcher's outcome for the end of an attempt's exchange. `written` says whether
+/// the attempt's last byte was written.
 fn outcome_of_end(end: AttemptEnd, written: bool) -> Outcome {
     match end {
         AttemptEnd::RejectedUnstarted => Outcome::Rejected,
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -1,4 +1,4 @@
-//! Workers' call-backs: the attempt that each belongs to, and what it changes.
+//! Worker callbacks: assigning them to attempts and applying them.
 
 use super::durability::Durability;
 use super::in_flight::{Attempt, AttemptKey, CoalescedWaiter};
@@ -7,17 +7,19 @@
 use crate::net::messages::{Answer, CallbackState, ClientId, Command, WorkerCallback, WriteWaiter};
 use postproxy_idempotency::{Completion, LateCallback, Resolution, Write};
 
-/// When a call-back is acknowledged.
+/// When a callback is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Acknowledgement {
-    /// At once.
+    /// Immediately.
     Immediate,
-    /// When what it has changed is durable: the worker then forgets the request.
+    /// Once the records that it changed are durable, since the worker forgets the request as soon
+    /// as its callback is acknowledged.
     AfterWrite,
 }
 
 impl RequestManager {
-    /// Handles a call-back. If its request is not in flight here, the siblings are asked first.
+    /// Handles a callback. If its request is not in flight in this process, the siblings are asked
+    /// first.
     pub(super) fn handle_callback_received(
         &mut self,
         now: f64,
@@ -32,9 +34,9 @@
         }
     }
 
-    /// Handles a call-back whose request is in flight here or at no sibling. If it has migrated
-    /// once more since the siblings were asked, the acknowledgement is negative, and the sibling
-    /// that asked looks the request up again.
+    /// Handles a callback whose request is in flight in this process or unknown to all siblings. If
+    /// the request has migrated again since the siblings were asked, the acknowledgement says that
+    /// it is not known here, and a sibling that forwarded the callback looks the request up again.
     pub(super) fn handle_callback(
         &mut self,
         now: f64,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Applies a call-back about a request in flight.
+    /// Applies a callback about a request in flight.
     fn apply_callback(
         &mut self,
         now: f64,
@@ -69,11 +71,11 @@
         };
         let returned = callback.state == CallbackState::Returned;
         let (outcome, mut records) = match callback.state {
-            CallbackState::Started => return self.push_note(key, ProgressNote::Started),
+            CallbackState::Started => return self.push_progress(key, ProgressNote::Started),
             CallbackState::Running(share) => {
-                return self.push_note(key, ProgressNote::Progress(share));
+                return self.push_progress(key, ProgressNote::Progress(share));
             }
-            CallbackState::Unknown => return self.push_note(key, ProgressNote::Unknown),
+            CallbackState::Unknown => return self.push_progress(key, ProgressNote::Unknown),
             CallbackState::Done(result) => {
                 let records = self.record_result(now, request, &result);
                 self.answer_request(request, Answer::Served(result), out);
@@ -86,8 +88,8 @@
         if let Some(in_flight) = self.requests.get_mut(&request) {
             in_flight.attempts[key.attempt as usize].returned = returned;
         }
-        // The records of the attempt's end join the same batch, so that the acknowledgement waits
-        // for them as well.
+        // The records of the attempt's end are merged into the same batch so that the
+        // acknowledgement waits for them as well.
         let queued_before = self.pending_writes.len();
         self.record_attempt_end(now, key, outcome, &callback.load);
         let records_of_end = self.pending_writes.drain(queued_before..);
@@ -95,11 +97,10 @@
         self.acknowledge_after(records, client, callback.id)
     }
 
-    /// Returns the attempt that a call-back is about; `None` if it is about none that is still
-    /// open.
+    /// Returns the open attempt that a callback is about, if there is one.
     ///
-    /// A worker has at most one open attempt of a request. A call-back from before that attempt was
-    /// written is about an earlier one.
+    /// A worker has at most one open attempt of a request. A callback that arrives before that
+    /// attempt has been written completely is about an earlier one.
     fn attempt_of_callback(
         &self,
         request: RequestId,
@@ -110,8 +111,8 @@
         let is_open =
             |attempt: &Attempt| attempt.worker == worker && attempt.written && !attempt.ended;
         let number = attempts.iter().position(is_open)?;
-        // A worker repeats its call-back until it is acknowledged. A second `returned` may thus be
-        // about an earlier attempt, while this one runs.
+        // A worker repeats a callback until it is acknowledged, so a second `Returned` may be about
+        // an earlier attempt while this one is running.
         let was_returned = |attempt: &Attempt| attempt.worker == worker && attempt.returned;
         if callback.state == CallbackState::Returned && attempts[..number].iter().any(was_returned)
         {
@@ -123,8 +124,8 @@
         })
     }
 
-    /// Informs the dispatcher of an attempt's progress.
-    fn push_note(&mut self, key: AttemptKey, note: ProgressNote) -> Acknowledgement {
+    /// Reports an attempt's progress to the dispatcher.
+    fn push_progress(&mut self, key: AttemptKey, note: ProgressNote) -> Acknowledgement {
         self.dispatcher_events.push_back(Event::AttemptProgress {
             request: key.request,
             attempt: key.attempt,
@@ -133,7 +134,7 @@
         Acknowledgement::Immediate
     }
 
-    /// Returns the records of a result, if its request is recorded.
+    /// Returns the records to write for a result; none if the request is not recorded.
     fn record_result(&mut self, now: f64, request: RequestId, result: &[u8]) -> Vec<Write> {
         match (&mut self.durability, self.requests.get(&request)) {
             (Some(policy), Some(in_flight)) if in_flight.durability != Durability::None => policy
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Queues the records that a call-back has changed; the acknowledgement waits for them, if
-    /// there are any.
+    /// Queues the records that a callback has changed. If there are any, the acknowledgement waits
+    /// until they are durable.
     fn acknowledge_after(
         &mut self,
         records: Vec<Write>,
@@ -158,7 +159,7 @@
         Acknowledgement::AfterWrite
     }
 
-    /// Applies a call-back about a request that was sent before a restart, or that is complete.
+    /// Applies a callback about a request that was sent before a restart or is already complete.
     fn apply_late_callback(
         &mut self,
         now: f64,
@@ -205,8 +206,8 @@
             .collect()
     }
 
-    /// Answers a client whose request repeats a recorded one of which the outcome is known now; or
-    /// has it run, if the recorded one never has.
+    /// Answers a client whose request repeats a recorded one, now that the outcome of that one is
+    /// known. If the recorded request never ran, the repeated request is run instead.
     fn resolve_in_doubt(
         &mut self,
         now: f64,
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -1,6 +1,6 @@
-//! Repetitions of recorded requests: they cause no attempts of their own, but wait for the request
-//! that is in flight, for the outcome of one that was sent before a restart, or for a stored
-//! result.
+//! Deduplication of recorded requests. A repeated request starts no attempts of its own: its client
+//! waits for the request in flight, for the outcome of a request that was sent before a restart, or
+//! for a stored result.
 
 use super::durability::{Durability, RequestFingerprint};
 use super::in_flight::{CoalescedWaiter, InDoubtRequest, InFlightRequest};
@@ -9,17 +9,17 @@
 use postproxy_idempotency::Lookup;
 use std::rc::Rc;
 
-/// A submitted request that repeats no other, and is to run.
+/// A submitted request that repeats no other and has to run.
 pub(super) struct NewSubmission {
     pub(super) submission: Submission,
-    /// What identifies the request in the request log; `None` if it is not recorded there.
+    /// Identity of the request in the request log; `None` if it is not recorded there.
     pub(super) fingerprint: Option<Rc<RequestFingerprint>>,
 }
 
 impl RequestManager {
-    /// Looks a submitted request up among the recorded ones. Returns it if it is to run; otherwise
-    /// its client waits until `deadline` for the answer of the request that it repeats, or has been
-    /// answered.
+    /// Looks up a submitted request among the recorded ones, and returns it if it has to run.
+    /// Otherwise its client is answered, or waits until `deadline` for the answer of the request
+    /// that it repeats.
     pub(super) fn deduplicate(
         &mut self,
         client: ClientId,
@@ -70,8 +70,8 @@
         None
     }
 
-    /// Looks a request up, first among the requests in flight by its idempotency key, then in the
-    /// request log. The log knows a request only from its first attempt on.
+    /// Looks up a request by its idempotency key among the requests in flight, then in the request
+    /// log, which contains a request only from its first attempt on.
     fn look_up(&self, submission: &Submission, fingerprint: &RequestFingerprint) -> Lookup {
         let in_flight = submission
             .payload
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Makes sure that the request log can take another request of this class, or returns the
-    /// answer with which the request is rejected.
+    /// Makes room in the request log for another request of this class, or returns the answer with
+    /// which the request is rejected.
     fn reserve_record(&mut self, class: u8) -> Result<(), Answer> {
         let Some(policy) = &mut self.durability else {
             return Ok(());
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    /// Has a client wait for the answer of the request in flight with this id.
+    /// Adds a client to those that wait for the answer of the request in flight with this id.
     fn join_request_in_flight(
         &mut self,
         client: ClientId,
@@ -124,13 +124,13 @@
                 in_flight.waiters.push(client);
                 Ok(CoalescedWaiter::InFlight(request))
             }
-            // The client of that request has had its answer; there will be no other.
+            // That request has already been answered and gets no second answer.
             None => Err(Answer::Failed),
         }
     }
 
-    /// Puts the first waiter of a client's request in the client's place. Returns whether there was
-    /// one.
+    /// Makes the first waiter of a client's request the request's client. Returns whether there was
+    /// a waiter.
     pub(super) fn promote_waiter(&mut self, client: ClientId) -> bool {
         let Some(&request) = self.requests_by_client.get(&client) else {
             return false;
@@ -150,8 +150,8 @@
         true
     }
 
-    /// Ends a client's waiting for the answer of a request that it repeats. Returns whether it was
-    /// waiting for one.
+    /// Removes a client that waits for the answer of a request that it repeats. Returns whether it
+    /// was waiting.
     pub(super) fn remove_waiter(&mut self, client: ClientId) -> bool {
         let Some(waiter) = self.coalesced.remove(&client) else {
             return false;
@@ -164,7 +164,7 @@
         true
     }
 
-    /// Answers a client with a stored result; with a failure if it could not be read.
+    /// Answers a client with a stored result, or with a failure if the result could not be read.
     pub(super) fn handle_result_read(
         &mut self,
         client: ClientId,
@@ -177,8 +177,9 @@
         }
     }
 
-    /// Answers a client that has waited in vain for the answer of a request that it repeats. It
-    /// fails: that request may have run or may yet run, so that a rejection would promise too much.
+    /// Answers a client whose wait for the answer of a repeated request has timed out. The answer
+    /// is a failure and not a rejection: a rejection would guarantee that the request did not run,
+    /// but it may have run or may still run.
     pub(super) fn handle_coalesced_request_timeout(
         &mut self,
         client: ClientId,
@@ -193,7 +194,7 @@
     }
 }
 
-/// Whether a request in flight asks for the same as the one with this fingerprint.
+/// Whether a request in flight has the same content as the request with this fingerprint.
 fn is_same_request(in_flight: &InFlightRequest, fingerprint: &RequestFingerprint) -> bool {
     in_flight
         .fingerprint
