--- a/src/net/requests/durability.rs
+++ b/src/net/requests/durability.rs
@@ -1,5 +1,5 @@
-//! What is recorded of requests beyond the life of this process: the durability of each class, the
-//! request log, and what identifies a request in it. No I/O.
+//! Recording of requests beyond the lifetime of this process: the durability of each class, the
+//! request log, and the identity of a request in it. No I/O.
 
 use crate::decision::interface::{Effect, Settings};
 use crate::net::messages::Submission;
@@ -9,15 +9,15 @@
 /// How durably the requests of a class are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// Not at all: they may run again.
+    /// Not recorded; a repeated request may run again.
     None,
-    /// Recorded, without waiting for the write.
+    /// Recorded, but attempts don't wait for the write.
     Relaxed,
     /// No attempt is sent before its record is durable.
     Durable,
 }
 
-/// What is recorded, and how.
+/// Which requests are recorded, and how durably.
 #[derive(Debug)]
 pub struct DurabilityPolicy {
     /// The recorded requests.
@@ -27,21 +27,21 @@
     /// How long the record of an attempt may take to become durable, in seconds, before its request
     /// is rejected.
     pub write_timeout: f64,
-    /// Retry-After of a request that is rejected for want of a working store, in seconds; 0 where
-    /// settings allow no advice.
+    /// Retry-After in seconds for requests that are rejected because they can't be recorded; 0 if
+    /// the settings allow no Retry-After.
     pub retry_after: f64,
-    /// Whether the store accepts no writes.
+    /// Whether the store currently refuses writes.
     pub store_failed: bool,
 }
 
-/// Retry-After of a request that is rejected for want of a working store, in seconds, unless
-/// settings allow only less. Short, since a store that fails does so mostly for a moment.
+/// Retry-After in seconds for requests that are rejected because they can't be recorded, unless the
+/// settings impose a lower maximum. Short, because most store failures are brief.
 const STORE_RETRY_AFTER_SECONDS: f64 = 1.0;
 
 impl DurabilityPolicy {
-    /// Returns the policy that follows from the effect of each class: safe requests are not
-    /// recorded, those that must not run twice durably, and those with an idempotency key with the
-    /// durability `keyed`.
+    /// Derives the policy from the effect of each class: idempotent requests are not recorded,
+    /// requests that must not run twice are recorded durably, and requests that are idempotent by
+    /// key are recorded with the durability `keyed`.
     ///
     /// `write_timeout` is in seconds.
     pub fn new(
@@ -78,12 +78,13 @@
     }
 }
 
-/// What identifies a request in the request log: its names, and a digest of what it asks for.
+/// Identity of a request in the request log: its id, idempotency key and class, and a digest of its
+/// content.
 #[derive(Debug)]
 pub struct RequestFingerprint {
     id: String,
     idempotency_key: Option<String>,
-    /// Name of the class: indices differ between configurations.
+    /// Name of the class, since indices differ between configurations.
     class: String,
     digest: [u8; 32],
 }
@@ -98,7 +99,8 @@
             payload.target.as_bytes(),
             &payload.body,
         ] {
-            // The length of each part, so that no byte can move from one part to the next.
+            // Each part is prefixed with its length, so that moving bytes from one part to the next
+            // changes the digest.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
--- a/src/net/requests/in_flight.rs
+++ b/src/net/requests/in_flight.rs
@@ -1,5 +1,5 @@
-//! The records of the request core: requests in flight, their attempts, the clients that wait for
-//! them, and the requests of sibling processes. Plain data.
+//! Data types of the request core: requests in flight, their attempts, the clients that wait for
+//! them, and the requests of sibling processes.
 
 use super::durability::{Durability, RequestFingerprint};
 use super::worker_table::WorkerIndex;
@@ -8,7 +8,7 @@
 use postproxy_idempotency::Write;
 use std::rc::Rc;
 
-/// An attempt by its request and its number within the request, as the dispatcher names it.
+/// Identifies an attempt by its request and its number within the request, as the dispatcher does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestId,
@@ -16,29 +16,31 @@
     pub(super) attempt: u16,
 }
 
-/// One sending of a request to a worker.
+/// An attempt to run a request at a worker.
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
     pub(super) worker: WorkerIndex,
     /// When the dispatcher decided on the attempt.
     pub(super) sent_at: f64,
-    /// When the attempt ends for want of an answer.
+    /// When the attempt times out.
     pub(super) deadline: f64,
-    /// Whether the attempt may start, or has: what must be durable before its first byte is.
+    /// Whether the attempt may start or has started: everything that must be durable before its
+    /// first byte is sent is durable.
     pub(super) may_start: bool,
     /// Whether its last byte has been written to the worker.
     pub(super) written: bool,
-    /// Whether the worker has accepted it; from then on only its call-backs decide on it.
+    /// Whether the worker has accepted it. From then on, the outcome is determined by the worker's
+    /// callbacks and not by the connection.
     pub(super) accepted: bool,
     pub(super) ended: bool,
-    /// Whether the worker has handed it back in a call-back. It may repeat that call-back.
+    /// Whether the worker has returned it in a callback. The worker may repeat that callback.
     pub(super) returned: bool,
 }
 
-/// A request that waits for its final answer or for the end of an attempt.
+/// A request that has not been answered or still has an open attempt.
 pub(super) struct InFlightRequest {
     pub(super) payload: Rc<Payload>,
-    /// The client, while it waits for its final answer.
+    /// The client; `None` once it has been answered or has disconnected.
     pub(super) client: Option<ClientId>,
     /// When the client stops waiting.
     pub(super) deadline: f64,
@@ -48,17 +50,17 @@
     pub(super) class: u8,
     /// How durably the request is recorded.
     pub(super) durability: Durability,
-    /// What identifies the request in the request log; `None` if it is not recorded there.
+    /// Identity of the request in the request log; `None` if it is not recorded there.
     pub(super) fingerprint: Option<Rc<RequestFingerprint>>,
-    /// Further clients that wait for the same answer, in the order of their arrival.
+    /// Other clients that wait for the same answer, in order of arrival.
     pub(super) waiters: Vec<ClientId>,
-    /// Whether an attempt has ended that may have run.
+    /// Whether any of the ended attempts may have run.
     pub(super) may_have_run: bool,
     /// Slots that the request takes.
     pub(super) slots: f64,
-    /// Expected work in seconds, if the client has given it.
+    /// Expected work in seconds, if the client has specified it.
     pub(super) expected_work: Option<f64>,
-    /// The request's span in the logs; disabled where its level is off.
+    /// The request's tracing span; disabled if its log level is.
     pub(super) span: tracing::Span,
 }
 
@@ -88,7 +90,7 @@
             })
     }
 
-    /// Whether the request has its final answer and no attempt out.
+    /// Whether the request needs no more answer and has no open attempt.
     pub(super) fn is_complete(&self) -> bool {
         self.client.is_none() && self.attempts.iter().all(|attempt| attempt.ended)
     }
@@ -103,37 +105,37 @@
     pub(super) may_start: bool,
 }
 
-/// What a client waits for that does not cause attempts of its own.
+/// What a client waits for whose request starts no attempts of its own.
 pub(super) enum CoalescedWaiter {
     /// The answer of a request in flight.
     InFlight(RequestId),
-    /// The outcome of a request that was recorded before a restart, and may have run.
+    /// The outcome of a request that was recorded before a restart and may have run.
     InDoubt(InDoubtRequest),
     /// A stored result, which is being read.
     StoredResult,
 }
 
-/// A repetition of a request that was recorded before a restart, and may have run.
+/// A repetition of a request that was recorded before a restart and may have run.
 pub(super) struct InDoubtRequest {
     /// Id under which the request is recorded.
     pub(super) recorded_id: String,
-    /// The repetition, which runs if a call-back proves that the recorded request never has.
+    /// The repetition, which runs if a callback proves that the recorded request never ran.
     pub(super) submission: Box<Submission>,
     /// When the client stops waiting.
     pub(super) deadline: f64,
 }
 
-/// A request that a sibling process of this node holds.
+/// A request in flight in a sibling process of this node.
 pub(super) struct SiblingRequest {
     /// The link to the sibling.
     pub(super) link: usize,
-    /// Number under which the dispatcher of this process counts it.
+    /// Id under which the dispatcher of this process accounts for it.
     pub(super) request: RequestId,
     /// Its attempts that have not ended.
     pub(super) open_attempts: Vec<SiblingAttempt>,
 }
 
-/// An attempt that a sibling process of this node has out.
+/// An open attempt of a sibling process of this node.
 #[derive(Clone, Copy)]
 pub(super) struct SiblingAttempt {
     /// Number of the attempt within the request, from 0.
@@ -147,7 +149,7 @@
     pub(super) sent_at: f64,
 }
 
-/// Records on their way to the store.
+/// Records to be written to the store in one batch.
 pub(super) struct PendingWrite {
     pub(super) records: Vec<Write>,
     pub(super) waiter: WriteWaiter,
--- a/src/net/requests/manager.rs
+++ b/src/net/requests/manager.rs
@@ -1,8 +1,8 @@
-//! The request manager: the state of all requests, and the dispatch of events and of the
-//! dispatcher's actions.
+//! The request manager: it keeps the state of all requests, routes events to their handlers, and
+//! carries out the dispatcher's actions.
 //!
-//! It alone calls the [`Dispatcher`]. It knows neither sockets nor HTTP, so that requests can come
-//! in by another protocol as well.
+//! It is the only caller of the [`Dispatcher`]. It does not depend on sockets or HTTP, so that
+//! requests can arrive over other protocols as well.
 
 use super::durability::{Durability, DurabilityPolicy};
 use super::in_flight::{
@@ -19,8 +19,8 @@
 pub struct RequestManager {
     pub(super) settings: Settings,
     pub(super) dispatcher: Dispatcher,
-    /// Events that the dispatcher has yet to handle. They are queued, since it must not be called
-    /// while its own actions are carried out.
+    /// Events that the dispatcher has yet to handle. They are queued because the dispatcher must
+    /// not be called while its own actions are being carried out.
     pub(super) dispatcher_events: VecDeque<Event>,
     pub(super) workers: WorkerTable,
     pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
@@ -30,7 +30,7 @@
     pub(super) requests_by_client: HashMap<ClientId, RequestId>,
     /// Recorded requests in flight by their class and idempotency key.
     pub(super) requests_by_key: HashMap<(u8, String), RequestId>,
-    /// Requests that may be complete; checked once an event has been handled.
+    /// Requests that may be complete; checked after each event.
     pub(super) maybe_complete: Vec<RequestId>,
     /// Attempts that have not ended.
     pub(super) attempts: HashMap<AttemptId, AttemptKey>,
@@ -38,27 +38,27 @@
     pub(super) probes: HashMap<AttemptId, PendingProbe>,
     pub(super) next_request: RequestId,
     pub(super) next_attempt: AttemptId,
-    /// What is recorded beyond the life of this process; `None` without a store.
+    /// Which requests are recorded in the store; `None` without a store.
     pub(super) durability: Option<DurabilityPolicy>,
     /// Clients whose answer depends on another client's request, or on a recorded one.
     pub(super) coalesced: BTreeMap<ClientId, CoalescedWaiter>,
-    /// Records that are written once an event has been handled, in their order.
+    /// Records to be written after the current event, in order.
     pub(super) pending_writes: Vec<PendingWrite>,
-    /// Whether sibling processes of this node are linked, which are sent each change.
+    /// Whether sibling processes of this node are linked, to which every change is sent.
     pub(super) siblings_linked: bool,
-    /// Changes that are sent to the siblings once an event has been handled, in their order.
+    /// Changes to be sent to the siblings after the current event, in order.
     pub(super) sibling_updates: Vec<StateUpdate>,
-    /// The siblings' requests, by their id.
+    /// The siblings' requests by id.
     pub(super) sibling_requests: BTreeMap<String, SiblingRequest>,
 }
 
 impl RequestManager {
-    /// Returns a request manager without requests and workers. The seed is that of the dispatcher's
-    /// random draws.
+    /// Returns a request manager without requests and workers. `seed` seeds the dispatcher's random
+    /// number generator.
     ///
     /// # Errors
     ///
-    /// If a setting is out of range.
+    /// Returns an error if a setting is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Self {
             dispatcher: Dispatcher::new(settings.clone(), seed)?,
@@ -83,29 +83,27 @@
         })
     }
 
-    /// Records requests beyond the life of this process from now on, according to the policy.
+    /// Records requests in the store from now on, according to the policy.
     pub fn enable_durability(&mut self, policy: DurabilityPolicy) {
         self.durability = Some(policy);
     }
 
-    /// Sets how many clients may wait for an answer at a time; 0 for no limit.
+    /// Sets the maximum number of clients that may wait for an answer at a time; 0 for no limit.
     pub fn set_waiting_limit(&mut self, limit: usize) {
         self.settings.max_waiting_requests = limit;
     }
 
-    /// Returns the number of requests that wait for their final answer or for the end of an
-    /// attempt.
+    /// Returns the number of requests that have not been answered or still have an open attempt.
     pub fn pending_count(&self) -> usize {
         self.requests.len() + self.coalesced.len()
     }
 
-    /// Returns the number of clients that wait for their final answer.
+    /// Returns the number of clients that are waiting for their final answer.
     pub fn waiting_client_count(&self) -> usize {
         self.requests_by_client.len() + self.coalesced.len()
     }
 
-    /// Handles an event that occurs at `now`, and appends the commands that follow from it to
-    /// `out`.
+    /// Handles an event that occurs at `now`, and appends the resulting commands to `out`.
     pub fn handle(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         self.handle_input(now, input, out);
         self.run_dispatcher(now, out);
@@ -130,7 +128,7 @@
         );
     }
 
-    /// Passes each event to the function that handles it.
+    /// Routes an event to its handler.
     fn handle_input(&mut self, now: f64, input: Input, out: &mut Vec<Command>) {
         match input {
             Input::RequestReceived { client, submission } => {
@@ -205,8 +203,8 @@
             ));
     }
 
-    /// Has the dispatcher handle its events, and carries out the actions that it returns, until
-    /// none is left.
+    /// Passes the queued events to the dispatcher and carries out the actions that it returns,
+    /// until no event is left.
     fn run_dispatcher(&mut self, now: f64, out: &mut Vec<Command>) {
         let mut actions = Vec::new();
         while let Some(event) = self.dispatcher_events.pop_front() {
@@ -220,7 +218,7 @@
     /// Carries out an action of the dispatcher.
     fn apply_action(&mut self, now: f64, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::WatchDiscovery => {} // the worker list's watch has a schedule of its own
+            Action::WatchDiscovery => {} // the worker list is watched on a schedule of its own
             Action::Send {
                 request,
                 worker,
--- a/src/net/requests/migration.rs
+++ b/src/net/requests/migration.rs
@@ -13,16 +13,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Difference in seconds up to which the clocks of two processes count as equal. Each sets its
-/// clock at its start by the system's; a larger difference counts as a step of the system's clock
-/// between the starts, and made up for.
+/// Difference in seconds up to which the clocks of two processes are considered equal. Each process
+/// sets its clock from the system clock when it starts; a larger difference means that the system
+/// clock was stepped between the two starts, and is corrected.
 const CLOCK_TOLERANCE_SECONDS: f64 = 0.05;
 
-/// A request as it is encoded for a sibling, which may run another version: order and types of the
-/// fields must not change. Times are those of the sender's clock.
+/// A request as it is encoded for a sibling, which may run another version of the program: the
+/// order and types of the fields must not change. Times are those of the sender's clock.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct EncodedRequest {
-    /// The time at which it was encoded.
+    /// When the request was encoded.
     pub(super) sender_now: f64,
     pub(super) payload: Payload,
     /// Index of the class in the settings.
@@ -30,29 +30,29 @@
     /// When the client stops waiting.
     pub(super) deadline: f64,
     pub(super) attempts: Vec<EncodedAttempt>,
-    /// Whether an attempt has ended that may have run.
+    /// Whether any of the ended attempts may have run.
     pub(super) may_have_run: bool,
     pub(super) slots: f64,
-    /// Expected work in seconds, if the client has given it.
+    /// Expected work in seconds, if the client has specified it.
     pub(super) expected_work: Option<f64>,
-    /// What the dispatcher notes of the request.
+    /// The dispatcher's state of the request.
     pub(super) dispatcher_state: MigratedRequest,
 }
 
 /// An attempt of an [`EncodedRequest`].
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct EncodedAttempt {
-    /// Name of the worker: indices differ between processes.
+    /// Name of the worker, since indices differ between processes.
     pub(super) worker: String,
     pub(super) sent_at: f64,
-    /// When the attempt ends for want of an answer.
+    /// When the attempt times out.
     pub(super) deadline: f64,
     pub(super) written: bool,
     pub(super) ended: bool,
 }
 
 impl EncodedRequest {
-    /// Whether the parts of the request agree with each other.
+    /// Whether the parts of the request are consistent with each other.
     fn is_consistent(&self) -> bool {
         self.attempts.len() == self.dispatcher_state.workers.len() && self.deadline.is_finite()
     }
@@ -75,9 +75,9 @@
 }
 
 impl RequestManager {
-    /// Returns the clients whose requests can migrate now. A request whose attempt is on its way to
-    /// a worker can't, as nobody would know whether the worker has accepted it; nor can one that is
-    /// recorded or that others wait for.
+    /// Returns the clients whose requests can migrate now. A request can't migrate while it has an
+    /// open attempt that the worker has not accepted, because neither process would learn whether
+    /// the worker accepts it. Nor can a request that is recorded or that other clients wait for.
     pub fn migratable_clients(&self) -> Vec<ClientId> {
         let can_migrate = |in_flight: &InFlightRequest| {
             in_flight.fingerprint.is_none()
@@ -93,7 +93,7 @@
             .collect()
     }
 
-    /// Removes a client's request, and returns it as a sibling process takes it over.
+    /// Removes a client's request, and returns it encoded for a sibling process to take over.
     pub fn release_request(&mut self, now: f64, client: ClientId) -> Option<Vec<u8>> {
         let request = *self.requests_by_client.get(&client)?;
         let dispatcher_state = self.dispatcher.release(request)?;
@@ -124,8 +124,7 @@
         postcard::to_stdvec(&encoded).ok()
     }
 
-    /// Takes over a sibling's request. If it can't be taken over, its client is answered that it
-    /// has failed.
+    /// Takes over a sibling's request. If that is impossible, its client is sent a failure.
     pub(super) fn handle_request_migrated(
         &mut self,
         now: f64,
@@ -143,8 +142,8 @@
         }
     }
 
-    /// Decodes a sibling's request, which is the sibling's no more; `None` if it can't be taken
-    /// over.
+    /// Decodes a migrated request and removes it from the sibling's requests. Returns `None` if it
+    /// can't be taken over.
     fn decode_migrated_request(
         &mut self,
         now: f64,
@@ -167,8 +166,8 @@
         Some(migrated)
     }
 
-    /// Goes on with a sibling's request. Without its client, no attempt is started, and those that
-    /// are out are cancelled.
+    /// Continues a migrated request. Without its client, no attempt is started, and open attempts
+    /// are cancelled if the settings allow it.
     fn resume_migrated_request(
         &mut self,
         now: f64,
@@ -218,8 +217,8 @@
         }
     }
 
-    /// Returns the attempts of a sibling's request under ids of this process, and sets the timers
-    /// of those that are out. The dispatcher's state is given this process's ids of their workers.
+    /// Returns the attempts of a migrated request under ids of this process, and sets the timers of
+    /// the open ones. Replaces the worker ids in the dispatcher's state with those of this process.
     fn add_migrated_attempts(
         &mut self,
         request: RequestId,
@@ -240,11 +239,12 @@
                 deadline: encoded.deadline,
                 may_start: true,
                 written: encoded.written,
-                // Only decided attempts migrate: one that was written and has not ended was
-                // accepted.
+                // A request migrates only once its open attempts have been accepted, so an attempt
+                // that was written and has not ended was accepted.
                 accepted: encoded.written,
                 ended: encoded.ended,
-                // Whether it was returned is not encoded; its call-back may be repeated.
+                // Not encoded. It is assumed to have been returned, since the worker may repeat
+                // such a callback.
                 returned: encoded.written && encoded.ended,
             });
             if !encoded.ended {
@@ -259,7 +259,7 @@
         attempts
     }
 
-    /// Announces to the siblings that the request is this process's now.
+    /// Announces to the siblings that this process now owns the request.
     fn push_migrated_request_updates(&mut self, now: f64, in_flight: &InFlightRequest) {
         let mut updates = vec![StateUpdate::RequestAdmitted {
             id: in_flight.payload.id.clone(),
--- a/src/net/requests/probes.rs
+++ b/src/net/requests/probes.rs
@@ -1,4 +1,4 @@
-//! Probes that ask workers for their load, and the reading of load reports.
+//! Probes that ask workers for their load, and conversion of load reports.
 
 use super::in_flight::PendingProbe;
 use super::manager::RequestManager;
@@ -6,12 +6,12 @@
 use crate::decision::interface::{Event, Outcome};
 use crate::net::messages::{AttemptEnd, Command, Load};
 
-/// Time-out of a probe, in multiples of the settings' connect time-out: one for the connection, and
-/// some for the answer of a busy worker.
-const PROBE_TIMEOUT_DIAL_TIMEOUTS: f64 = 4.0;
+/// Timeout of a probe as a multiple of the settings' connect timeout: one for the connection, and
+/// the rest for the answer of a busy worker.
+const PROBE_TIMEOUT_FACTOR: f64 = 4.0;
 
 impl RequestManager {
-    /// Sends a worker a probe.
+    /// Sends a probe to a worker.
     pub(super) fn start_probe(&mut self, now: f64, worker: WorkerIndex, out: &mut Vec<Command>) {
         let id = self.next_attempt;
         self.next_attempt += 1;
@@ -25,11 +25,11 @@
         out.push(Command::ProbeWorker {
             attempt: id,
             worker: self.workers.address(worker),
-            timeout: PROBE_TIMEOUT_DIAL_TIMEOUTS * self.settings.dial_timeout,
+            timeout: PROBE_TIMEOUT_FACTOR * self.settings.dial_timeout,
         });
     }
 
-    /// Informs the dispatcher of the end of a probe.
+    /// Reports the end of a probe to the dispatcher.
     pub(super) fn record_probe_end(
         &mut self,
         now: f64,
@@ -39,7 +39,7 @@
     ) {
         let outcome = match end {
             AttemptEnd::Accepted => Outcome::Succeeded,
-            // No fault of the worker.
+            // Not the worker's fault.
             AttemptEnd::LocalCapacityExhausted => Outcome::CancelledLocally,
             AttemptEnd::NeverSent => Outcome::ConnectFailed,
             AttemptEnd::Reset => Outcome::Timeout,
@@ -56,8 +56,8 @@
         });
     }
 
-    /// Returns a load report with its figures in the order of the settings' fields. Absent figures
-    /// are NaN, never 0; without any known figure, the report is empty.
+    /// Returns the figures of a load report in the order of the settings' fields. Absent figures
+    /// are NaN, never 0; if all are absent, the result is empty.
     pub fn load_report(&self, load: &Load) -> Vec<f32> {
         let figure = |field: &String| {
             let found = load
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the name in the settings of a load figure that has this name on the wire.
+/// Returns the settings' name of the load figure that has this name on the wire.
 fn settings_field(wire_name: &str) -> &str {
     match wire_name {
         "queue" => "backlog",
--- a/src/net/requests/record_writes.rs
+++ b/src/net/requests/record_writes.rs
@@ -1,4 +1,4 @@
-//! Writes to the request log's records: what is written, and what waits until a write is durable.
+//! Writes of the request log's records: what is written, and what waits until a write is durable.
 
 use super::in_flight::{AttemptKey, PendingWrite};
 use super::manager::RequestManager;
@@ -7,11 +7,11 @@
 use postproxy_idempotency::Write;
 
 /// Interval at which expired records are removed from the request log, in seconds. Lookups don't
-/// depend on it; it only bounds how long expired records take memory.
+/// depend on it; it only limits how long expired records occupy memory.
 const EXPIRY_INTERVAL_SECONDS: f64 = 10.0;
 
 impl RequestManager {
-    /// Queues records to be written in one batch, if there are any.
+    /// Queues records to be written in one batch; does nothing if there are none.
     pub(super) fn queue_write(&mut self, records: Vec<Write>, waiter: WriteWaiter) {
         if !records.is_empty() {
             self.pending_writes.push(PendingWrite { records, waiter });
@@ -19,8 +19,8 @@
     }
 
     /// Records in the request log that an attempt is about to be sent, if its request is recorded
-    /// at all. If the record has to be durable first, the attempt waits for the write, but no
-    /// longer than a time-out.
+    /// at all. If the record has to be durable first, the attempt waits for the write up to the
+    /// policy's write timeout.
     pub(super) fn write_attempt_record(
         &mut self,
         now: f64,
@@ -56,11 +56,11 @@
                 attempt: attempt.id,
             }
         };
-        // Also without records: the attempt waits for the completion.
+        // Queued even without records, since the attempt waits for the completion.
         self.pending_writes.push(PendingWrite { records, waiter });
     }
 
-    /// Lets go on what waited for a write, which has become durable or never will.
+    /// Continues what waited for a write that has become durable or never will.
     pub(super) fn handle_write_completed(
         &mut self,
         now: f64,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Starts an attempt whose record is durable now.
+    /// Starts an attempt whose record has become durable.
     fn start_recorded_attempt(&mut self, id: AttemptId, out: &mut Vec<Command>) {
         let Some(&key) = self.attempts.get(&id) else {
             return;
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Ends an attempt whose record has not become durable, and answers its request at once:
-    /// running it would break the promise that it is recorded.
+    /// Ends an attempt whose record has not become durable, and answers its request immediately:
+    /// running it would break the guarantee that it is recorded.
     pub(super) fn reject_unrecorded_attempt(
         &mut self,
         now: f64,
@@ -117,7 +117,7 @@
         {
             return;
         }
-        // Nothing of this attempt was sent, but an earlier one may have run.
+        // This attempt was not sent, but an earlier one may have run.
         let may_have_run = self
             .requests
             .get(&key.request)
@@ -138,8 +138,8 @@
         self.record_attempt_end(now, key, Outcome::CancelledLocally, &Load::new());
     }
 
-    /// Notes whether the store accepts writes. When it does again, all records that were refused
-    /// are written anew.
+    /// Updates whether the store accepts writes. When it does again, all records that could not be
+    /// written are written again.
     pub(super) fn handle_store_health_changed(&mut self, writable: bool) {
         let Some(policy) = &mut self.durability else {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Removes expired records from the request log, and sets the timer for the next time.
+    /// Removes expired records from the request log, and sets the timer for the next removal.
     pub(super) fn expire_records(&mut self, now: f64, out: &mut Vec<Command>) {
         if let Some(policy) = &mut self.durability {
             policy.request_log.remove_expired(now);
