--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -1,7 +1,7 @@
-//! Pins the bytes of a request that migrates to a sibling process of the node: the field `job` of
-//! the handover's message `Job`. The other process may run another version of the program, so these
-//! bytes must not change with a rename. The literals were written by the version before the
-//! renames.
+//! Checks the encoding of a request that migrates to a sibling process of the node: the field
+//! `request` of the handover message `Request`. The sibling may run another version of the program,
+//! so renaming a field or type must not change these bytes. The literals were written by the
+//! version before such a rename.
 
 use super::{EncodedAttempt, EncodedRequest};
 use crate::decision::interface::{MigratedRequest, WorkerId};
@@ -23,9 +23,9 @@
     pairs.map(byte).collect()
 }
 
-/// Asserts that the value is encoded as this literal, and decoded from it.
+/// Asserts that the value is encoded as this literal and that the literal is decoded to the value.
 #[track_caller]
-fn pin<T: Debug + DeserializeOwned + PartialEq + Serialize>(value: T, literal: &str) {
+fn assert_encoding<T: Debug + DeserializeOwned + PartialEq + Serialize>(value: T, literal: &str) {
     let bytes = postcard::to_stdvec(&value).expect("an encoded value");
     assert_eq!(hex(&bytes), literal, "{value:?}");
     assert_eq!(
@@ -81,28 +81,28 @@
 
 #[test]
 fn payload_keeps_its_bytes() {
-    pin(
+    assert_encoding(
         payload(),
         "036a2d3104504f5354072f72656e64657201036b2d31030102ff",
     );
-    pin(Payload::default(), "0000000000");
+    assert_encoding(Payload::default(), "0000000000");
 }
 
 #[test]
 fn attempts_keep_their_bytes_in_every_state() {
-    pin(
+    assert_encoding(
         attempt(AttemptState::InFlight),
         "ac02028304000000000000f83f000100000000000004400000000000000c400100",
     );
-    pin(
+    assert_encoding(
         attempt(AttemptState::NeverRan),
         "ac02028304000000000000f83f010100000000000004400000000000000c400100",
     );
-    pin(
+    assert_encoding(
         attempt(AttemptState::MayHaveRun),
         "ac02028304000000000000f83f020100000000000004400000000000000c400100",
     );
-    pin(
+    assert_encoding(
         Attempt {
             started: None,
             capacity_reported: false,
@@ -115,11 +115,11 @@
 
 #[test]
 fn request_record_keeps_its_bytes() {
-    pin(
+    assert_encoding(
         request(),
         "010000000000000040000000000000d03f000000000000e03f000000000000c03f00000000000059400000000000005c4001ac02028304000000000000f83f000100000000000004400000000000000c40010002030401050000000000405940ad02010607000000000080594001",
     );
-    pin(
+    assert_encoding(
         Request::default(),
         "000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
     );
@@ -166,7 +166,7 @@
             workers,
         },
     };
-    pin(
+    assert_encoding(
         migrated,
         "0000000000c05940036a2d3104504f5354072f72656e64657201036b2d31030102ff010000000000005c400103772d31000000000000f83f0000000000002340010001000000000000004001000000000000e03f010000000000000040000000000000d03f000000000000e03f000000000000c03f00000000000059400000000000005c4001ac02028304000000000000f83f000100000000000004400000000000000c40010002030401050000000000405940ad02010607000000000080594001017f000001a846",
     );
@@ -184,7 +184,7 @@
             workers: Vec::new(),
         },
     };
-    pin(
+    assert_encoding(
         migrated,
         "00000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
     );
--- a/src/net/requests/siblings.rs
+++ b/src/net/requests/siblings.rs
@@ -1,6 +1,5 @@
-//! State updates between the processes of one node, while one of them hands its work over to
-//! another: which requests and attempts a sibling has, so that each process counts them in its
-//! decisions.
+//! State updates between the processes of a node during a handover. They tell each process which
+//! requests and attempts its siblings have, so that its decisions account for them.
 
 use super::in_flight::{InFlightRequest, SiblingAttempt, SiblingRequest};
 use super::manager::RequestManager;
@@ -8,48 +7,49 @@
 use crate::net::messages::Command;
 use postproxy_handover::StateUpdate;
 
-/// Number of the latest requests and of the latest retries that a sibling is sent for its budgets.
-/// More would make the first message long, and budgets only count the last seconds.
+/// Maximum number of recent requests, and of recent retries, that are sent to a sibling for its
+/// budgets. More would make the first message long, and budgets only count the last seconds.
 const MAX_BUDGET_HISTORY: usize = 8192;
 
-/// Slots of an attempt of a third process: this process does not store their number.
+/// Slots announced for an attempt of a third process, whose actual number this process does not
+/// store.
 const UNKNOWN_SLOTS: f32 = 1.0;
 
 /// Whether an attempt counts towards the siblings' budgets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum BudgetCounting {
-    /// It is new, and counts.
+    /// It is new and counts.
     New,
-    /// It has been counted before.
+    /// It has already been counted.
     Counted,
 }
 
-/// Whether a sibling's update changes what the other siblings have to know.
+/// Whether a sibling's update is relayed to the other siblings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Relay {
-    /// It is relayed to them.
+    /// It is relayed.
     ToOthers,
-    /// It is not relayed: it is about an unknown request, or they are sent an update of this
-    /// process instead.
+    /// It is not relayed: it is about an unknown request, this process sends an update of its own
+    /// instead, or the node handles it.
     Stop,
 }
 
 impl RequestManager {
-    /// Sends the siblings an update, if there are any.
+    /// Queues an update for the siblings, if any are linked.
     pub(super) fn notify_siblings(&mut self, update: impl FnOnce() -> StateUpdate) {
         if self.siblings_linked {
             self.sibling_updates.push(update());
         }
     }
 
-    /// Sets whether sibling processes of this node are linked, which are sent each change from now
-    /// on.
+    /// Sets whether sibling processes of this node are linked. If so, every change is sent to them
+    /// from now on.
     pub fn set_siblings_linked(&mut self, linked: bool) {
         self.siblings_linked = linked;
     }
 
-    /// Returns the updates from which a sibling learns the present state. Its budgets don't count
-    /// them as new.
+    /// Returns the updates that tell a newly linked sibling the current state. They are marked so
+    /// that its budgets don't count these requests and attempts as new.
     pub fn snapshot_updates(&self, now: f64) -> Vec<StateUpdate> {
         let mut updates: Vec<StateUpdate> = self
             .workers
@@ -75,7 +75,8 @@
         updates
     }
 
-    /// Returns when the latest requests were admitted and the latest retries sent.
+    /// Returns how long ago the most recent requests were admitted and the most recent retries were
+    /// sent.
     fn budget_history(&self, now: f64) -> StateUpdate {
         let history = self.dispatcher.budget_history(MAX_BUDGET_HISTORY);
         let ages = |times: Vec<f64>| times.into_iter().map(|at| (now - at) as f32).collect();
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Returns the updates that announce a third process's request.
+    /// Returns the updates that announce a request of a third process.
     fn sibling_request_updates(&self, id: &str, request: &SiblingRequest) -> Vec<StateUpdate> {
         let admitted = StateUpdate::RequestAdmitted {
             id: id.to_owned(),
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Applies a sibling's update, and relays it to the other siblings.
+    /// Applies a sibling's update, and relays it to the other siblings if necessary.
     pub(super) fn handle_sibling_update(
         &mut self,
         now: f64,
@@ -136,7 +137,7 @@
     ) {
         let relay = match &update {
             StateUpdate::WorkerSuspensionChanged { worker, resume } => {
-                // A change is announced as this process's own.
+                // If this changes anything, this process announces the change as its own.
                 self.handle_suspension_learned(now, worker, *resume, out);
                 Relay::Stop
             }
@@ -144,7 +145,10 @@
                 admissions,
                 retries,
             } => {
-                self.push_budget_history(times(now, admissions), times(now, retries));
+                self.push_budget_history(
+                    times_from_ages(now, admissions),
+                    times_from_ages(now, retries),
+                );
                 Relay::ToOthers
             }
             StateUpdate::RequestAdmitted { id, is_new } => {
@@ -185,7 +189,7 @@
         self.dispatcher_events.push_back(Event::SiblingEvent(event));
     }
 
-    /// Has the dispatcher's budgets count a sibling's requests and retries of these times.
+    /// Adds a sibling's requests and retries, given by their times, to the dispatcher's budgets.
     fn push_budget_history(&mut self, admitted: Vec<f64>, retries: Vec<f64>) {
         self.push_sibling_event(SiblingEvent::BudgetHistory { admitted, retries });
     }
@@ -231,7 +235,7 @@
             worker: worker.id(),
             slots: f64::from(*slots),
             work: sound((*expected_work).into()).filter(|seconds| *seconds > 0.0),
-            sent: time_of(now, *seconds_ago),
+            sent: time_from_age(now, *seconds_ago),
         });
         if *is_new && *attempt > 0 {
             self.push_budget_history(Vec::new(), vec![now]);
@@ -275,11 +279,11 @@
     }
 }
 
-/// Returns the time that lies `age` seconds back; never one in the future.
-fn time_of(now: f64, age: f32) -> f64 {
+/// Returns the time `age` seconds before `now`; never a time in the future.
+fn time_from_age(now: f64, age: f32) -> f64 {
     now - f64::from(age).max(0.0)
 }
 
-fn times(now: f64, ages: &[f32]) -> Vec<f64> {
-    ages.iter().map(|age| time_of(now, *age)).collect()
+fn times_from_ages(now: f64, ages: &[f32]) -> Vec<f64> {
+    ages.iter().map(|age| time_from_age(now, *age)).collect()
 }
--- a/src/net/requests/worker_table.rs
+++ b/src/net/requests/worker_table.rs
@@ -1,11 +1,11 @@
-//! The workers that this process has ever learned of, by name and by index.
+//! All workers that this process has learned of since it started, by name and by index.
 
 use crate::decision::interface::WorkerId;
 use std::collections::{BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Address of a worker that no worker list has named yet. Nothing is sent there: the dispatcher
-/// selects listed workers only.
+/// Address of a worker that no worker list has named yet. Nothing is sent to it, since the
+/// dispatcher selects only listed workers.
 const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
 /// Index of a worker in the [`WorkerTable`]. It is never reused.
@@ -13,13 +13,12 @@
 pub(super) struct WorkerIndex(usize);
 
 impl WorkerIndex {
-    /// Returns the index that the dispatcher's id of a worker stands for.
+    /// Returns the index that the dispatcher's id of a worker encodes.
     pub(super) fn from_id(worker: WorkerId) -> Self {
         Self(u32::from_be_bytes(worker.address) as usize)
     }
 
-    /// Returns the id under which the dispatcher knows the worker. Only the index is in it, not the
-    /// address.
+    /// Returns the dispatcher's id of the worker. It encodes the index and not the address.
     pub(super) fn id(self) -> WorkerId {
         WorkerId {
             address: (self.0 as u32).to_be_bytes(),
@@ -43,12 +42,12 @@
 }
 
 impl WorkerTable {
-    /// Returns the index of the worker of this name, if it is known.
+    /// Returns the index of the worker with this name, if it is known.
     pub(super) fn find(&self, name: &str) -> Option<WorkerIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Returns the index of the worker of this name, which is added if it is new.
+    /// Returns the index of the worker with this name, and adds the worker if it is new.
     pub(super) fn find_or_add(&mut self, name: &str) -> WorkerIndex {
         if let Some(worker) = self.find(name) {
             return worker;
@@ -62,7 +61,7 @@
         worker
     }
 
-    /// Whether the index is one of this table's.
+    /// Whether the index belongs to this table.
     pub(super) fn contains(&self, worker: WorkerIndex) -> bool {
         worker.0 < self.workers.len()
     }
--- a/src/net/requests/workers.rs
+++ b/src/net/requests/workers.rs
@@ -1,4 +1,4 @@
-//! Changes of the worker list, and suspension of workers by operators.
+//! Worker list changes, and suspension of workers by operators.
 
 use super::manager::RequestManager;
 use super::worker_table::WorkerIndex;
@@ -13,7 +13,7 @@
         self.workers.suspended_names().collect()
     }
 
-    /// Applies a worker list, and withdraws what has not been sent to workers that are leaving.
+    /// Applies a worker list, and withdraws unwritten attempts to workers that are leaving.
     pub(super) fn handle_worker_list(
         &mut self,
         now: f64,
@@ -32,7 +32,7 @@
         self.withdraw_attempts(now, unwritten, out);
     }
 
-    /// Sets a worker's address, and returns its entry with the id that the dispatcher knows.
+    /// Updates a worker's address, and returns its entry with the dispatcher's id of the worker.
     fn update_worker(&mut self, listed: ListedWorker) -> Entry {
         let worker = self.workers.find_or_add(&listed.id);
         self.workers.set_address(worker, listed.address);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns the workers that are to get no more requests after a list: in a full list, all that
-    /// it does not name as ready; in any other, those that it names as not ready.
+    /// Returns the workers that get no more requests after a list: for a full list, all workers
+    /// that it does not name as ready; for any other, those that it names as not ready.
     fn leaving_workers(&self, kind: ListKind, entries: &[Entry]) -> BTreeSet<WorkerIndex> {
         let (ready, not_ready): (Vec<&Entry>, Vec<&Entry>) = entries
             .iter()
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Suspends or resumes a worker for a request of the management API, and answers that request.
+    /// Suspends or resumes a worker at the request of the management API, and answers that request.
     pub(super) fn handle_suspension_requested(
         &mut self,
         now: f64,
@@ -85,8 +85,8 @@
         out.push(Command::ReplyToManagement { caller, reply });
     }
 
-    /// Suspends or resumes a worker as the cluster or a sibling has done, who may know it before
-    /// this process has it from a worker list.
+    /// Suspends or resumes a worker because the cluster or a sibling has done so. They may know the
+    /// worker before it is in a worker list of this process.
     pub(super) fn handle_suspension_learned(
         &mut self,
         now: f64,
@@ -98,8 +98,9 @@
         self.change_suspension(now, worker, resume, out);
     }
 
-    /// Suspends or resumes a worker, unless that is so already. Requests that run at a suspended
-    /// worker end there; those that have not been sent completely go to another one.
+    /// Suspends or resumes a worker, unless it is in that state already. Requests that run at a
+    /// suspended worker finish there; attempts that have not been written completely are withdrawn,
+    /// and their requests go to another worker.
     fn change_suspension(
         &mut self,
         now: f64,
@@ -121,7 +122,8 @@
         } else {
             self.workers.suspend(worker);
         }
-        // Before any attempt is withdrawn: what is withdrawn must not go to the same worker again.
+        // Queued before any attempt is withdrawn, so that the dispatcher does not send its request
+        // to the same worker again.
         self.dispatcher_events.push_back(Event::SuspensionChanged {
             worker: worker.id(),
             resume,
