--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,37 +1,37 @@
-//! The node's lifecycle: whether it serves, wants new connections, and keeps those it has. A state
-//! machine without I/O; callers pass the time, in seconds.
+//! The node's lifecycle: whether it serves, wants new connections, and keeps its existing ones. A
+//! state machine without I/O; callers pass the time, in seconds.
 
-/// For this long after a drain begins, in seconds, idle connections are left alone: the front may
-/// still send new connections and requests.
+/// For this long after the start of a drain, in seconds, idle connections are kept open: the load
+/// balancer in front may still send new connections and requests.
 const DRAIN_GRACE_SECONDS: f64 = 0.5;
-/// All idle connections are closed by this long after a drain begins, in seconds: a request that
-/// came on one later would still be in flight when the operators check the node.
+/// Time after the start of a drain, in seconds, by which all idle connections are closed. A request
+/// that arrived on one later would still be in flight when the operators check the node.
 const DRAIN_END_SECONDS: f64 = 1.8;
-/// When closing begins, connections that have been idle for longer than this go first, in seconds:
-/// they are the least likely to be used at that moment.
+/// Idle time in seconds above which connections are closed at the end of the grace period. They are
+/// closed first because they are the least likely to be used at that moment.
 const INITIAL_MAX_IDLE_SECONDS: f64 = 2.0;
 
-/// A stage of the lifecycle.
+/// Stage of the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The node can't serve yet.
+    /// The node can't serve requests yet.
     Starting,
-    /// The node serves.
+    /// The node serves requests.
     Serving,
-    /// The node serves, and wants no new connections.
+    /// The node serves requests, but wants no new connections.
     Draining,
-    /// Another process of this node serves: this one answers its requests in flight, passes its
-    /// connections on, and ends.
+    /// Another process of this node is taking over: this one answers its requests in flight, passes
+    /// its connections on, and exits.
     HandingOver,
-    /// The node answers its requests in flight, and ends.
+    /// The node answers its requests in flight and exits.
     Stopping,
 }
 
-/// The state of one node's lifecycle.
+/// The state of a node's lifecycle.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     started: bool,
-    /// When the drain began, if the node drains.
+    /// When the drain began, if the node is drained.
     draining_since: Option<f64>,
     stopped: bool,
     handing_over: bool,
@@ -55,30 +55,30 @@
         }
     }
 
-    /// Records that the node can serve from now on.
+    /// Records that the node can serve requests from now on.
     pub fn start(&mut self) {
         self.started = true;
     }
 
-    /// Records the stop signal, and returns whether it is the first. A stop can't be undone.
+    /// Records the stop signal, and returns whether it is the first one. A stop can't be undone.
     pub fn stop(&mut self) -> bool {
         !std::mem::replace(&mut self.stopped, true)
     }
 
     /// Sets whether another process of this node takes over from this stopped one. If that process
-    /// ends, this one serves its connections again until it ends.
+    /// exits, this one resumes serving its connections until it exits itself.
     pub fn set_handing_over(&mut self, handing_over: bool) {
         self.handing_over = handing_over;
     }
 
-    /// Drains the node. Possible in every stage: a node that starts begins drained, one that stops
-    /// is being emptied already. A drain of a draining node changes nothing.
+    /// Drains the node. This is possible in every stage: a starting node then starts in the drained
+    /// state, and a stopping node is being emptied already. Draining a node again changes nothing.
     pub fn drain(&mut self, now: f64) {
         self.draining_since.get_or_insert(now);
     }
 
-    /// Ends the drain, if there is one, and returns whether that was possible: not on a node that
-    /// stops without a handover.
+    /// Ends the drain, if there is one, and returns whether that was possible. It is not possible
+    /// while the node stops without a handover.
     pub fn activate(&mut self) -> bool {
         let possible = !self.stopped || self.handing_over;
         if possible {
@@ -87,7 +87,7 @@
         possible
     }
 
-    /// Whether the node is drained, in whatever stage.
+    /// Whether the node is drained, in any stage.
     pub fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
@@ -97,12 +97,12 @@
         self.draining_since
     }
 
-    /// Whether this process can serve.
+    /// Whether this process serves requests.
     pub fn is_serving(&self) -> bool {
         matches!(self.stage(), Stage::Serving | Stage::Draining)
     }
 
-    /// Whether the node wants new connections; during a handover, the other process does.
+    /// Whether the node wants new connections. During a handover, the other process accepts them.
     pub fn wants_connections(&self) -> bool {
         match self.stage() {
             Stage::Serving => true,
@@ -116,8 +116,8 @@
         matches!(self.stage(), Stage::Draining | Stage::Stopping)
     }
 
-    /// Returns how long clients' connections may be idle now, in seconds, during a drain; `None` if
-    /// the usual limit applies. The time falls to 0 over the drain.
+    /// Returns how long client connections may currently be idle during a drain, in seconds, or
+    /// `None` if the usual limit applies. The time falls linearly to 0.
     pub fn max_idle_time(&self, now: f64) -> Option<f64> {
         let since = self.draining_since.filter(|_| !self.stopped)?;
         if now - since < DRAIN_GRACE_SECONDS {
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,5 +1,5 @@
 //! The messages between the parts of the node: events for the request manager, and the commands
-//! that it answers with. The module depends on none of these parts, and has no logic and no I/O.
+//! that it returns. The module depends on none of these parts, and has no logic and no I/O.
 //!
 //! Times are in seconds of the node's clock, durations in seconds.
 
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Identifies a client's connection while it waits for an answer; assigned by the module that owns
+/// Identifies a client connection while it waits for an answer; assigned by the module that owns
 /// the connections.
 pub type ClientId = u64;
 /// Identifies an attempt or a probe; assigned by the request manager, never reused.
@@ -18,14 +18,14 @@
 
 /// The part of a request that is forwarded unchanged to a worker.
 ///
-/// Part of the handover's encoding: order and types of the fields must not change.
+/// Part of the handover's encoding: the order and types of the fields must not change.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Payload {
     /// Request id, unique among the requests of all clients.
     pub id: String,
     /// Method, as the client's protocol spells it.
     pub method: String,
-    /// Target of the method.
+    /// Target of the request, as the client's protocol spells it.
     pub target: String,
     /// Idempotency key, by which a worker recognises a repeated request.
     pub idempotency_key: Option<String>,
@@ -42,63 +42,64 @@
     pub class: u8,
     /// Name of the tenant.
     pub tenant: Option<String>,
-    /// Hash of the request's subject, by which requests are routed to the same worker; 0 for none.
+    /// Hash by which requests on the same subject are routed to the same worker; 0 for none.
     pub affinity_key: u64,
     /// How long the client waits, in seconds; `None` for the deadline of the class.
     pub budget: Option<f64>,
-    /// Expected work in seconds, if the client has given it.
+    /// Expected work in seconds, if the client has specified it.
     pub expected_work: Option<f64>,
-    /// Slots that the request takes, if the client has given them.
+    /// Slots that the request takes, if the client has specified them.
     pub slots: Option<f64>,
-    /// Memory that the request takes, if the client has given it.
+    /// Memory that the request takes, if the client has specified it.
     pub memory: Option<f64>,
-    /// Whether the client has marked the request as a repetition.
+    /// Whether the client has marked the request as a retry.
     pub repeat: bool,
 }
 
-/// A load report: figures by the names that they have on the wire.
+/// A load report: names on the wire and values of its figures.
 pub type Load = Vec<(String, f64)>;
 
-/// How an attempt ended, as far as its connection and the worker's answer show.
+/// How the exchange of an attempt or a probe ended, judging by its connection and the worker's
+/// answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The worker has accepted the request; its call-back brings the outcome.
+    /// The worker has accepted the request; its callback will report the outcome.
     Accepted,
-    /// The worker has answered with an error.
+    /// The worker answered with an error.
     Error,
-    /// The worker has rejected the attempt, and its answer proves that nothing has run.
+    /// The worker rejected the attempt, and its answer proves that nothing has run.
     RejectedUnstarted,
-    /// The worker's answer rejects the attempt, but may belong to another request: it proves
-    /// nothing.
+    /// The worker's answer rejects the attempt, but may belong to another request and therefore
+    /// proves nothing.
     RejectedAmbiguous,
-    /// The attempt has not reached the worker completely.
+    /// The attempt was not sent completely.
     NeverSent,
-    /// This node had no connection to spare; the worker is not at fault.
+    /// This node had no connection available; the worker is not at fault.
     LocalCapacityExhausted,
     /// The attempt was written completely, then its connection broke.
     Reset,
 }
 
-/// What a call-back reports of a request.
+/// The state of a request that a callback reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallbackState {
     /// The worker has started the request.
     Started,
-    /// The request is running; the completed share, from 0 to 1.
+    /// The request is running; the completed fraction, from 0 to 1.
     Running(f64),
     /// The request is done; the result.
     Done(Vec<u8>),
-    /// The request has ended in an error.
+    /// The request ended with an error.
     Failed,
-    /// The worker has handed the request back without starting it.
+    /// The worker has returned the request without starting it.
     Returned,
-    /// The request was killed, or its process has died.
+    /// The request was killed, or its process died.
     Lost,
     /// A state that this version does not know.
     Unknown,
 }
 
-/// A worker's call-back about a request.
+/// A worker's callback about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerCallback {
     /// Id of the request.
@@ -118,7 +119,7 @@
     pub id: String,
     /// Address at which this node reaches the worker.
     pub address: SocketAddr,
-    /// The worker's entry; the request manager fills in [`Entry::worker`].
+    /// The worker's entry; the request manager sets [`Entry::worker`].
     pub entry: Entry,
 }
 
@@ -129,10 +130,10 @@
     RequestReceived {
         /// The client's connection.
         client: ClientId,
-        /// What the client asks for.
+        /// The submitted request.
         submission: Submission,
     },
-    /// A client that waited for an answer has closed its connection.
+    /// A client has closed its connection while waiting for an answer.
     ClientDisconnected {
         /// The client's connection.
         client: ClientId,
@@ -151,16 +152,16 @@
         /// Load report of the worker's answer; empty for none.
         load: Load,
     },
-    /// A worker has called back about a request.
+    /// A worker has sent a callback about a request.
     CallbackReceived {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
-        /// The call-back.
+        /// The callback.
         callback: WorkerCallback,
     },
     /// A write to the store has become durable, or never will.
     WriteCompleted {
-        /// Who waits for the write.
+        /// What waits for the write.
         waiter: WriteWaiter,
         /// Whether the write is durable.
         durable: bool,
@@ -177,9 +178,9 @@
         /// Whether the store accepts writes.
         writable: bool,
     },
-    /// A worker list has come from discovery, a peer or the cache.
+    /// A worker list has arrived from discovery, a peer or the cache.
     WorkerListReceived {
-        /// Whether the list is complete, a change, or from a cache.
+        /// Whether the list is complete, a change, or from the cache.
         kind: ListKind,
         /// The workers in it.
         workers: Vec<ListedWorker>,
@@ -200,9 +201,9 @@
         /// `true` to resume the worker, `false` to suspend it.
         resume: bool,
     },
-    /// The number of nodes that may send to the workers has changed.
+    /// The number of nodes that may send requests to the workers has changed.
     NodeCountChanged {
-        /// Number of nodes; 0 if it is unknown, and the settings apply.
+        /// Number of nodes; 0 if it is unknown, in which case the number in the settings applies.
         count: usize,
     },
     /// A sibling process of this node has sent a state update.
@@ -212,7 +213,7 @@
         /// The update.
         update: StateUpdate,
     },
-    /// The link to a sibling process has closed; its requests are gone.
+    /// The link to a sibling process has closed, and its requests have ended with it.
     SiblingLost {
         /// The link to the sibling.
         link: usize,
@@ -226,11 +227,12 @@
         /// The encoded request.
         request: Vec<u8>,
     },
-    /// No sibling process knows the request of a call-back; it may have migrated here since.
+    /// No sibling process knows the request of a callback. It is handled again, since the request
+    /// may have migrated here in the meantime.
     CallbackRetried {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
-        /// The call-back.
+        /// The callback.
         callback: WorkerCallback,
     },
     /// A timer set by [`Command::SetTimer`] has expired.
@@ -248,7 +250,7 @@
         /// The dispatcher's token for the timer.
         token: u64,
     },
-    /// An attempt has had no answer in time.
+    /// An attempt has timed out.
     AttemptTimeout {
         /// The request.
         request: RequestId,
@@ -260,28 +262,28 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A client that waits for the answer of another's request has reached its deadline.
+    /// A client that waits for the answer of a request that it repeats has reached its deadline.
     CoalescedRequestTimeout {
         /// The waiting client.
         client: ClientId,
     },
-    /// Expired records are due to be removed from the request log.
+    /// It is time to remove expired records from the request log.
     ExpireRecords,
 }
 
-/// What waits until a write to the store is durable.
+/// What waits for a write to the store to complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteWaiter {
-    /// An attempt, which starts then.
+    /// An attempt, which starts once the write is durable.
     Attempt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A worker, whose call-back is acknowledged then.
+    /// A worker, whose callback is acknowledged once the write has completed.
     Callback {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
-        /// Id of the request that the call-back is about.
+        /// Id of the request that the callback is about.
         request_id: String,
     },
     /// Nothing waits.
@@ -297,7 +299,7 @@
 pub enum Answer {
     /// A worker's result.
     Served(Vec<u8>),
-    /// Rejected, and proven not to have run; seconds after which to retry, 0 for no advice.
+    /// Rejected, and proven not to have run. Contains the Retry-After in seconds, 0 for none.
     RejectedWithRetryAfter(f64),
     /// Failed; the request may have run.
     Failed,
@@ -307,7 +309,7 @@
 }
 
 impl Answer {
-    /// Returns the name of the answer in logs.
+    /// Returns the name under which the answer is logged.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
@@ -318,7 +320,7 @@
     }
 }
 
-/// An effect that the request manager asks its caller to carry out.
+/// A command that the request manager's caller carries out.
 #[derive(Debug)]
 pub enum Command {
     /// Start an attempt.
@@ -327,9 +329,9 @@
         attempt: AttemptId,
         /// Address of the worker.
         worker: SocketAddr,
-        /// The request to forward.
+        /// The part of the request that is forwarded.
         payload: Rc<Payload>,
-        /// When the attempt ends for want of an answer.
+        /// When the attempt times out.
         deadline: f64,
     },
     /// Cancel an attempt.
@@ -338,15 +340,14 @@
         attempt: AttemptId,
         /// Address of the worker.
         worker: SocketAddr,
-        /// The forwarded request.
+        /// The part of the request that was forwarded.
         payload: Rc<Payload>,
         /// Whether the worker has accepted the request.
         accepted: bool,
     },
-    /// Ask a worker for its load; the answer is an [`Input::ExchangeEnded`] with this attempt's
-    /// number.
+    /// Ask a worker for its load. The answer is reported by [`Input::ExchangeEnded`] with this id.
     ProbeWorker {
-        /// Number of the probe.
+        /// Id of the probe.
         attempt: AttemptId,
         /// Address of the worker.
         worker: SocketAddr,
@@ -372,16 +373,16 @@
     },
     /// Send a state update to the sibling processes.
     UpdateSiblings {
-        /// The link of a sibling that is left out.
+        /// The link of a sibling to which the update is not sent.
         except: Option<usize>,
         /// The update.
         update: StateUpdate,
     },
-    /// Ask the sibling processes whether they know the request of a call-back.
+    /// Ask the sibling processes whether they know the request of a callback.
     ForwardCallback {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
-        /// The call-back.
+        /// The callback.
         callback: WorkerCallback,
     },
     /// Send a client its final answer.
@@ -391,18 +392,18 @@
         /// The answer.
         answer: Answer,
     },
-    /// Acknowledge a call-back.
+    /// Acknowledge a callback.
     AcknowledgeCallback {
         /// The connection that waits for the acknowledgement.
         client: ClientId,
-        /// Whether the request is in flight here.
+        /// Whether the request is in flight in this process.
         known: bool,
     },
     /// Write records to the store in one batch.
     WriteRecords {
         /// The records.
         writes: Vec<Write>,
-        /// Who waits for the write.
+        /// What waits for the write.
         waiter: WriteWaiter,
     },
     /// Read a stored result.
@@ -424,25 +425,25 @@
 /// The answer to a request of the management API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ManagementReply {
-    /// Done, or already so.
+    /// Done, or the requested state already holds.
     Done,
-    /// Not possible at the moment.
+    /// Currently not possible.
     NotNow,
-    /// No worker or node has the given name.
+    /// There is no worker or node with the given name.
     NotFound,
     /// Done at this node, and confirmed by part of the cluster so far.
     PartiallyApplied {
-        /// Number of nodes, this one included, at which it is done.
+        /// Number of nodes at which it is done, including this one.
         applied: usize,
         /// Number of nodes in the cluster.
         nodes: usize,
     },
-    /// The settings of this node name no other nodes.
+    /// The settings of this node configure no other nodes.
     ClusterDisabled,
     /// Configuration tracking is disabled at this node.
     AuditDisabled,
     /// Coordination between nodes is disabled at this node.
     CoordinationDisabled,
-    /// The node that is to be removed has not failed.
+    /// The node to be removed has not failed.
     StillAlive,
 }
