--- a/tests/durable_requests.rs
+++ b/tests/durable_requests.rs
@@ -1,5 +1,5 @@
-//! The request manager with a request log, without disk or sockets: what waits for a write, what a
-//! restart leaves in doubt, and which answer each client gets.
+//! Tests of the request manager with a request log, without disk or sockets: what waits for a
+//! write, which requests are in doubt after a restart, and which answer each client gets.
 
 #[path = "support/request_manager_harness.rs"]
 mod request_manager_harness;
@@ -36,9 +36,9 @@
 
 /// How long the record of an attempt may take to become durable, in seconds.
 const WRITE_TIMEOUT_SECONDS: f64 = 0.5;
-/// Number of the listed workers.
+/// Number of listed workers.
 const WORKERS: u16 = 3;
-/// The connection of the call-backs.
+/// Connection on which callbacks arrive.
 const CALLBACK_CLIENT: ClientId = 99;
 
 type Disk = BTreeMap<Vec<u8>, Vec<u8>>;
@@ -49,7 +49,7 @@
     waiter: WriteWaiter,
 }
 
-/// Whether the disk writes the records or refuses them.
+/// Whether the disk writes records or refuses them.
 #[derive(Clone, Copy, PartialEq)]
 enum DiskState {
     Working,
@@ -68,7 +68,7 @@
         Self::start(Disk::new(), START, Limits::default())
     }
 
-    /// Starts a node on what the disk holds.
+    /// Starts a node with the contents of the disk.
     fn start(disk: Disk, now: f64, limits: Limits) -> Self {
         let settings = Settings::from_json(SETTINGS).expect("valid settings");
         let mut request_log = RequestLog::new(limits);
@@ -92,7 +92,7 @@
         harness
     }
 
-    /// Kills the node and starts it again; what the disk has not written is gone.
+    /// Kills the node and starts it again; records that the disk has not written are lost.
     fn restart(self) -> Self {
         Self::start(self.disk, self.base.now + 1.0, Limits::default())
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Moves the writes among these commands to the pending ones, and returns the other commands.
+    /// Moves the writes among these commands to the pending writes, and returns the other commands.
     fn collect_writes(&mut self, commands: Vec<Command>) -> Vec<Command> {
         let mut others = Vec::new();
         for command in commands {
@@ -123,14 +123,14 @@
         others
     }
 
-    /// Handles an event, and returns the commands that follow. Timers and writes are kept in the
+    /// Handles an event, and returns the resulting commands. Timers and writes are kept in the
     /// harness.
     fn handle(&mut self, input: Input) -> Vec<Command> {
         let commands = self.base.handle(input);
         self.collect_writes(commands)
     }
 
-    /// Has the disk write all that it was given, or refuse it.
+    /// Completes all pending writes: the disk writes the records, or refuses them.
     fn complete_writes(&mut self, disk: DiskState) -> Vec<Command> {
         let mut commands = Vec::new();
         let durable = disk == DiskState::Working;
@@ -171,8 +171,8 @@
         self.handle(Input::RequestReceived { client, submission })
     }
 
-    /// Submits a request that must not run twice, and has its attempt started, written and
-    /// accepted.
+    /// Submits a request that must not run twice, and reports its record as written and its attempt
+    /// as written and accepted.
     fn submit_and_accept(
         &mut self,
         client: ClientId,
@@ -196,8 +196,10 @@
         self.collect_writes(commands)
     }
 
-    fn call_back(&mut self, id: &str, worker: &str, state: CallbackState) -> Vec<Command> {
-        let commands = self.base.call_back(CALLBACK_CLIENT, id, worker, state);
+    fn deliver_callback(&mut self, id: &str, worker: &str, state: CallbackState) -> Vec<Command> {
+        let commands = self
+            .base
+            .deliver_callback(CALLBACK_CLIENT, id, worker, state);
         self.collect_writes(commands)
     }
 }
@@ -222,14 +224,14 @@
     CallbackState::Done(text.into())
 }
 
-/// Guards against a first byte that leaves before its record is durable, and against safe requests
-/// that wait as well.
+/// Guards against sending the first byte of an attempt before its record is durable, and against
+/// idempotent requests that wait as well.
 #[test]
 fn attempt_starts_when_its_record_is_durable() {
     let mut harness = DurableHarness::new();
     assert!(
         started_attempt(&harness.submit(1, "safe", None, RENDER, "")).is_some(),
-        "nothing of it is recorded"
+        "it is not recorded"
     );
     assert!(harness.pending_writes.is_empty());
     assert!(
@@ -248,17 +250,17 @@
     let remaining = deadline.map(|deadline| deadline - harness.base.now);
     assert!(
         remaining.is_some_and(|remaining| remaining < 4.91),
-        "the attempt's time runs from its decision: {remaining:?}"
+        "the attempt's time limit runs from the decision: {remaining:?}"
     );
 }
 
-/// Guards against a worker that forgets a result before it is durable, and against a client that
-/// waits for that.
+/// Guards against acknowledging a result before it is durable, since the worker then forgets it,
+/// and against a client that waits until it is durable.
 #[test]
 fn acknowledges_a_result_when_it_is_durable() {
     let mut harness = DurableHarness::new();
     let worker = harness.submit_and_accept(1, "job", Some("k")).worker;
-    let commands = harness.call_back("job", &worker, done("result"));
+    let commands = harness.deliver_callback("job", &worker, done("result"));
     assert_eq!(answers(&commands), [(1, served("result"))]);
     assert!(!is_acknowledged(&commands));
     assert!(is_acknowledged(
@@ -269,8 +271,8 @@
         Some(&b"result"[..])
     );
     assert!(
-        is_acknowledged(&harness.call_back("job", &worker, done("result"))),
-        "repeated"
+        is_acknowledged(&harness.deliver_callback("job", &worker, done("result"))),
+        "the repeated callback is acknowledged"
     );
     let mut harness = harness.restart();
     let commands = harness.submit(5, "other", Some("k"), COMMIT, "body");
@@ -291,13 +293,13 @@
     assert_eq!(
         answers(&commands),
         [(6, Answer::DuplicateRequestId)],
-        "409: the key came with another request"
+        "409: the key belongs to a different request"
     );
     assert_eq!(harness.base.manager.pending_count(), 0);
 }
 
-/// Guards against a second attempt of what was sent before a restart, and against its rejection:
-/// that would promise that nothing ran.
+/// Guards against a second attempt of a request that was sent before a restart, and against
+/// rejecting its repetition, which would guarantee that nothing ran.
 #[test]
 fn repetition_of_a_request_in_doubt_waits_for_its_callback() {
     let mut harness = DurableHarness::new();
@@ -310,10 +312,10 @@
     );
     assert!(
         harness.submit(3, "job", None, COMMIT, "body").is_empty(),
-        "by its id as well"
+        "it is recognised by its id as well"
     );
     harness.base.now += 1.0;
-    let commands = harness.call_back("job", &worker, done("late"));
+    let commands = harness.deliver_callback("job", &worker, done("late"));
     assert_eq!(
         answers(&commands),
         [(2, served("late")), (3, served("late"))]
@@ -334,7 +336,7 @@
     assert_eq!(
         answers(&commands),
         [(2, Answer::Failed)],
-        "at its deadline: a failure, no rejection"
+        "a failure and not a rejection at the deadline"
     );
     assert!(
         harness
@@ -345,8 +347,8 @@
     );
 }
 
-/// Guards against no run at all where the worker has proved that none took place, and against two
-/// runs for two that wait.
+/// Guards against not running a request although the worker has proved that it never ran, and
+/// against running it twice if two clients wait for it.
 #[test]
 fn returned_request_runs_again_once() {
     let mut harness = DurableHarness::new();
@@ -354,7 +356,7 @@
     let mut harness = harness.restart();
     harness.submit(2, "again", Some("k"), COMMIT, "body");
     harness.submit(3, "more", Some("k"), COMMIT, "body");
-    harness.call_back("job", &worker, CallbackState::Returned);
+    harness.deliver_callback("job", &worker, CallbackState::Returned);
     let commands = harness.complete_writes(DiskState::Working);
     let starts = commands
         .iter()
@@ -363,12 +365,12 @@
     assert_eq!(starts, 1, "{commands:?}");
     let started = started_attempt(&commands).expect("an attempt");
     harness.end_attempt(started.attempt, AttemptEnd::Accepted);
-    let commands = harness.call_back("again", &started.worker, done("x"));
+    let commands = harness.deliver_callback("again", &started.worker, done("x"));
     assert_eq!(answers(&commands), [(3, served("x")), (2, served("x"))]);
 }
 
-/// Guards against two runs for one key on two connections, and against a run that ends with the
-/// connection that came first.
+/// Guards against running a request twice if its key arrives on two connections, and against
+/// cancelling it when the first of these connections closes.
 #[test]
 fn same_key_on_two_connections_runs_once() {
     let mut harness = DurableHarness::new();
@@ -386,22 +388,22 @@
     let commands = harness.handle(Input::ClientDisconnected { client: 1 });
     assert!(
         commands.is_empty(),
-        "no cancel: others wait for it: {commands:?}"
+        "not cancelled, since others wait for it: {commands:?}"
     );
     harness.handle(Input::ClientDisconnected { client: 3 });
-    let commands = harness.call_back("job", &worker, done("x"));
+    let commands = harness.deliver_callback("job", &worker, done("x"));
     assert_eq!(answers(&commands), [(2, served("x"))]);
     harness.complete_writes(DiskState::Working);
     assert_eq!(harness.base.manager.pending_count(), 0);
     let commands = harness.submit(4, "job", None, RENDER, "body");
     assert!(
         started_attempt(&commands).is_some(),
-        "a class of which nothing is recorded is not looked up"
+        "a request of a class that is not recorded is not looked up"
     );
 }
 
-/// Guards against holding, failing or sending a request that the disk can't record; against
-/// rejecting any other.
+/// Guards against holding, failing or sending a request that the disk can't record, and against
+/// rejecting any other request.
 #[test]
 fn failed_store_rejects_only_unsafe_requests_at_once() {
     let mut harness = DurableHarness::new();
@@ -415,7 +417,7 @@
     assert_eq!(
         harness.base.manager.pending_count(),
         0,
-        "nothing of it is left"
+        "the request is removed"
     );
     harness.handle(Input::StoreHealthChanged { writable: false });
     assert_eq!(
@@ -432,12 +434,12 @@
     );
     assert!(
         started_attempt(&harness.complete_writes(DiskState::Working)).is_some(),
-        "nothing of it was ever sent"
+        "the request was never sent"
     );
 }
 
-/// Guards against a disk that hangs and takes a request's whole time with it; against an attempt
-/// that starts when the disk works again, after the rejection.
+/// Guards against a hanging disk that uses up a request's whole time limit, and against an attempt
+/// that starts after the rejection when the disk works again.
 #[test]
 fn rejects_in_time_when_a_record_write_hangs() {
     let mut harness = DurableHarness::new();
@@ -452,12 +454,13 @@
     let harness = harness.restart();
     assert!(
         harness.disk.is_empty(),
-        "nothing of it was ever sent: {:?}",
+        "the request was never sent: {:?}",
         harness.disk.keys()
     );
 }
 
-/// Guards against a request log full of requests in doubt that drops one of them, or takes more.
+/// Guards against a request log full of requests in doubt that drops one of them or admits another
+/// request.
 #[test]
 fn rejects_when_the_log_is_full_of_requests_in_doubt() {
     let mut harness = DurableHarness::new();
@@ -476,7 +479,7 @@
     );
     assert!(
         harness.submit(2, "job-1", None, COMMIT, "body").is_empty(),
-        "it is in doubt still"
+        "it is still in doubt"
     );
     harness.handle(Input::TimerExpired {
         timer: RequestTimer::ExpireRecords,
@@ -489,16 +492,16 @@
     assert!(started_attempt(&harness.complete_writes(DiskState::Working)).is_some());
 }
 
-/// Guards against a rejection after an attempt that may have run.
+/// Guards against rejecting a request after an attempt that may have run.
 #[test]
 fn fails_after_an_attempt_that_may_have_run() {
     let mut harness = DurableHarness::new();
     let StartedAttempt { attempt, worker } = harness.submit_and_accept(1, "job", Some("k"));
-    let commands = harness.call_back("job", &worker, CallbackState::Lost);
+    let commands = harness.deliver_callback("job", &worker, CallbackState::Lost);
     assert_eq!(answers(&commands), [(1, Answer::Failed)]);
     assert!(
         harness.end_attempt(attempt, AttemptEnd::Reset).is_empty(),
-        "late"
+        "the connection breaks after the callback"
     );
     harness.complete_writes(DiskState::Working);
     assert_eq!(
--- a/tests/request_manager.rs
+++ b/tests/request_manager.rs
@@ -1,5 +1,5 @@
-//! The request manager without sockets: one final answer a request, one outcome an attempt,
-//! call-backs in any order.
+//! Tests of the request manager without sockets: one final answer per request, one outcome per
+//! attempt, and callbacks in any order.
 
 #[path = "support/request_fixtures.rs"]
 mod request_fixtures;
@@ -10,41 +10,42 @@
     Answer, AttemptEnd, CallbackState, Command, Input, Payload, Submission,
 };
 use request_fixtures::{
-    CLIENT, COMMIT, RENDER, SETTINGS, answers, call_back, harness, submit, submit_and_accept,
-    submit_and_start,
+    CLIENT, COMMIT, RENDER, SETTINGS, answers, deliver_callback, harness, submit,
+    submit_and_accept, submit_and_start,
 };
 use request_manager_harness::{
     RequestManagerHarness, StartedAttempt, request_manager, started_attempt,
 };
 
-/// Guards against a second final answer, and against call-backs that change what has ended.
+/// Guards against a second final answer, and against callbacks that change a request which has
+/// ended.
 #[test]
 fn answers_a_client_once() {
     let mut harness = harness(2);
     let worker = submit_and_accept(&mut harness, "a", RENDER).worker;
     let done = |result: &[u8]| CallbackState::Done(result.into());
-    assert!(call_back(&mut harness, "a", "s-unknown", done(b"x")).is_empty());
-    assert!(call_back(&mut harness, "unknown", &worker, done(b"x")).is_empty());
-    assert!(call_back(&mut harness, "a", &worker, CallbackState::Running(0.4)).is_empty());
-    let commands = call_back(&mut harness, "a", &worker, done(b"result"));
+    assert!(deliver_callback(&mut harness, "a", "s-unknown", done(b"x")).is_empty());
+    assert!(deliver_callback(&mut harness, "unknown", &worker, done(b"x")).is_empty());
+    assert!(deliver_callback(&mut harness, "a", &worker, CallbackState::Running(0.4)).is_empty());
+    let commands = deliver_callback(&mut harness, "a", &worker, done(b"result"));
     assert_eq!(answers(&commands), [Answer::Served(b"result".into())]);
-    assert!(call_back(&mut harness, "a", &worker, done(b"result")).is_empty());
-    assert!(call_back(&mut harness, "a", &worker, CallbackState::Lost).is_empty());
+    assert!(deliver_callback(&mut harness, "a", &worker, done(b"result")).is_empty());
+    assert!(deliver_callback(&mut harness, "a", &worker, CallbackState::Lost).is_empty());
     assert_eq!(harness.manager.pending_count(), 0);
     assert!(
         harness.advance_to(1010.0).is_empty(),
-        "no timer of the past may answer again"
+        "no old timer may answer again"
     );
 }
 
-/// Guards against losing a call-back that comes before the 202, and against the 202 reviving its
-/// attempt.
+/// Guards against losing a callback that arrives before the 202 response, and against a 202
+/// response that reopens the ended attempt.
 #[test]
 fn applies_a_callback_that_precedes_the_202() {
     let mut harness = harness(1);
     let StartedAttempt { attempt, worker } = submit_and_start(&mut harness, "a", RENDER);
     harness.write_attempt(attempt);
-    let commands = call_back(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
+    let commands = deliver_callback(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
     assert_eq!(answers(&commands), [Answer::Served(b"r".into())]);
     assert!(
         harness
@@ -54,29 +55,31 @@
     assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against applying a repeated call-back to the next attempt at the same worker.
+/// Guards against applying a repeated callback to the next attempt at the same worker.
 #[test]
 fn repeated_callback_does_not_end_the_next_attempt() {
     let mut harness = harness(1);
     let worker = submit_and_accept(&mut harness, "a", RENDER).worker;
-    let mut commands = call_back(&mut harness, "a", &worker, CallbackState::Returned);
+    let mut commands = deliver_callback(&mut harness, "a", &worker, CallbackState::Returned);
     commands.extend(harness.advance_to(1001.0));
-    let retry = started_attempt(&commands).expect("a retry of what never ran");
-    assert!(call_back(&mut harness, "a", &worker, CallbackState::Returned).is_empty());
+    let retry = started_attempt(&commands).expect("a retry of an attempt that never ran");
+    assert!(deliver_callback(&mut harness, "a", &worker, CallbackState::Returned).is_empty());
     harness.write_attempt(retry.attempt);
-    // Repeated also after the retry's last byte has been written: the retry runs.
+    // The callback is repeated even after the retry's last byte has been written; the retry must
+    // keep running.
     for _ in 0..8 {
-        assert!(call_back(&mut harness, "a", &worker, CallbackState::Returned).is_empty());
+        assert!(deliver_callback(&mut harness, "a", &worker, CallbackState::Returned).is_empty());
     }
     assert!(
         started_attempt(&harness.advance_to(1002.0)).is_none(),
         "no third attempt"
     );
-    let commands = call_back(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
+    let commands = deliver_callback(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
     assert_eq!(answers(&commands).len(), 1);
 }
 
-/// Guards against a retry of what may have run; only the protocol's cases prove that nothing has.
+/// Guards against retrying an attempt that may have run. Only the cases that the protocol defines
+/// prove that it has not.
 #[test]
 fn retries_only_attempts_that_never_ran() {
     let cases = [
@@ -101,7 +104,8 @@
     }
 }
 
-/// Guards against a worker that is no longer selected because this node had no connection to spare.
+/// Guards against a worker that is no longer selected because this node had no connection
+/// available.
 #[test]
 fn local_capacity_shortage_does_not_count_against_the_worker() {
     let mut harness = harness(2);
@@ -116,18 +120,18 @@
     );
 }
 
-/// Guards against a broken connection that decides on a request which its worker has accepted.
+/// Guards against a broken connection that ends an attempt which its worker has accepted.
 #[test]
 fn connection_reset_after_acceptance_is_ignored() {
     let mut harness = harness(2);
     let StartedAttempt { attempt, worker } = submit_and_accept(&mut harness, "a", RENDER);
     assert!(harness.end_attempt(attempt, AttemptEnd::Reset).is_empty());
-    let commands = call_back(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
+    let commands = deliver_callback(&mut harness, "a", &worker, CallbackState::Done(b"r".into()));
     assert_eq!(answers(&commands).len(), 1);
 }
 
-/// Guards against work that goes on for nobody: the attempt is cancelled, by a message to the
-/// worker only if the worker has accepted it.
+/// Guards against work that continues after its client has disconnected. The attempt is cancelled;
+/// the command says whether the worker has accepted it and has to be sent a cancel message.
 #[test]
 fn cancels_the_attempt_of_a_disconnected_client() {
     for accepted_before in [false, true] {
@@ -150,8 +154,8 @@
     }
 }
 
-/// Guards against silence: without any worker the request is rejected before its deadline, with a
-/// Retry-After.
+/// Guards against leaving a client without an answer: without any worker, the request is rejected
+/// before its deadline, with a Retry-After.
 #[test]
 fn rejects_in_time_without_workers() {
     let mut harness = harness(0);
@@ -164,8 +168,8 @@
     assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against an attempt without end: a time-out of 0 is the client's deadline, and is followed
-/// by the final answer; the worker is sent a cancel.
+/// Guards against an attempt that never ends: a timeout of 0 lets it last until the client's
+/// deadline. Then the client gets its final answer, and the worker is sent a cancel.
 #[test]
 fn silent_attempt_ends_at_the_deadline() {
     let mut harness = harness(1);
@@ -181,7 +185,7 @@
     assert_eq!(harness.manager.pending_count(), 0);
 }
 
-/// Guards against two requests of one id, whose call-backs could not be distinguished.
+/// Guards against two requests with the same id, whose callbacks could not be distinguished.
 #[test]
 fn rejects_a_duplicate_request_id() {
     let mut harness = harness(1);
@@ -199,7 +203,8 @@
     assert_eq!(harness.manager.pending_count(), 1);
 }
 
-/// Guards against more requests than the settings allow; the first ones stay untouched.
+/// Guards against admitting more requests than the settings allow. The admitted ones are not
+/// affected.
 #[test]
 fn fails_requests_beyond_max_open_at_once() {
     let settings = SETTINGS.replace("\"max-attempts\"", "\"max-open\": 1, \"max-attempts\"");
@@ -230,9 +235,10 @@
     assert_eq!((answers(&commands).len(), manager.pending_count()), (1, 1));
 }
 
-/// Guards against an attempt whose connection is being made and that begins after its client has
-/// disconnected, where settings forbid cancels: nothing was sent, so there is nothing to cancel.
-/// One that was written completely goes on.
+/// Guards against an attempt that starts after its client has disconnected because its connection
+/// was still being established, where the settings forbid cancellation: nothing was sent, so there
+/// is nothing to cancel, and the attempt is withdrawn. An attempt that was written completely
+/// continues.
 #[test]
 fn withdraws_unwritten_attempts_of_a_disconnected_client() {
     for may_cancel in [true, false] {
@@ -242,13 +248,13 @@
             let mut harness = RequestManagerHarness::with_workers(&settings, 2);
             let unwritten = submit_and_start(&mut harness, "a", class).attempt;
             let commands = harness.handle(Input::ClientDisconnected { client: CLIENT });
-            let takes_back = |command: &Command| match command {
+            let revokes_attempt = |command: &Command| match command {
                 Command::CancelAttempt { attempt, .. } => may_cancel && *attempt == unwritten,
                 Command::WithdrawAttempt { attempt } => !may_cancel && *attempt == unwritten,
                 _ => false,
             };
             assert!(
-                commands.iter().any(takes_back),
+                commands.iter().any(revokes_attempt),
                 "cancel {may_cancel}: {commands:?}"
             );
             assert!(
@@ -269,7 +275,7 @@
                     .any(|command| matches!(command, Command::WithdrawAttempt { .. })),
                 "{attempt} has been written"
             );
-            let commands = call_back(&mut harness, "b", &worker, CallbackState::Lost);
+            let commands = deliver_callback(&mut harness, "b", &worker, CallbackState::Lost);
             assert!(started_attempt(&commands).is_none(), "no retry");
             assert!(
                 started_attempt(&harness.advance_to(1020.0)).is_none()
@@ -280,12 +286,13 @@
     }
 }
 
-/// Guards against an attempt for nobody in a handover: the client disconnects between the one
-/// process's last look at the connection and the other's first. No further attempt begins there,
-/// and those that are out are cancelled; with its client, the request goes on.
+/// Guards against attempts without a client after a handover: the client disconnects between the
+/// last check of its connection by the old process and the first check by the new one. The new
+/// process starts no further attempt and cancels the open ones. With its client, the request
+/// continues.
 #[test]
 fn cancels_a_migrated_request_without_its_client() {
-    for (client, goes_on) in [(Some(9), true), (None, false)] {
+    for (client, continues) in [(Some(9), true), (None, false)] {
         let mut sender = harness(2);
         let mut receiver = harness(2);
         let worker = submit_and_accept(&mut sender, "a", RENDER).worker;
@@ -306,23 +313,23 @@
         });
         assert_eq!(
             (cancelled, started_attempt(&commands)),
-            (!goes_on, None),
+            (!continues, None),
             "{commands:?}"
         );
-        let commands = call_back(&mut receiver, "a", &worker, CallbackState::Lost);
-        assert_eq!(started_attempt(&commands).is_some(), goes_on);
-        assert_eq!(receiver.manager.pending_count(), usize::from(goes_on));
+        let commands = deliver_callback(&mut receiver, "a", &worker, CallbackState::Lost);
+        assert_eq!(started_attempt(&commands).is_some(), continues);
+        assert_eq!(receiver.manager.pending_count(), usize::from(continues));
     }
 }
 
-/// Guards against late call-backs of a lost attempt after the retry has started: they are about
-/// what has ended, and end nothing of what runs.
+/// Guards against late callbacks of a lost attempt that end the retry, which has started in the
+/// meantime.
 #[test]
 fn callbacks_of_a_lost_attempt_do_not_change_the_next_one() {
     let mut harness = harness(2);
     let first_worker = submit_and_accept(&mut harness, "a", RENDER).worker;
-    assert!(call_back(&mut harness, "a", &first_worker, CallbackState::Started).is_empty());
-    let commands = call_back(&mut harness, "a", &first_worker, CallbackState::Lost);
+    assert!(deliver_callback(&mut harness, "a", &first_worker, CallbackState::Started).is_empty());
+    let commands = deliver_callback(&mut harness, "a", &first_worker, CallbackState::Lost);
     let retry = started_attempt(&commands).expect("a retry");
     assert_ne!(retry.worker, first_worker);
     harness.write_attempt(retry.attempt);
@@ -334,28 +341,28 @@
         CallbackState::Started,
         CallbackState::Running(0.9),
     ] {
-        let commands = call_back(&mut harness, "a", &first_worker, late.clone());
+        let commands = deliver_callback(&mut harness, "a", &first_worker, late.clone());
         assert!(commands.is_empty(), "{late:?}: {commands:?}");
     }
     let done = CallbackState::Done(b"result".into());
-    let commands = call_back(&mut harness, "a", &retry.worker, done);
+    let commands = deliver_callback(&mut harness, "a", &retry.worker, done);
     assert_eq!(answers(&commands), [Answer::Served(b"result".into())]);
 }
 
-/// Guards against an attempt that migrates while its last byte is on its way: there it would count
+/// Guards against an attempt that migrates while it is being sent: the new process would treat it
 /// as never sent.
 #[test]
-fn request_migrates_only_when_its_attempts_are_decided() {
+fn request_migrates_only_when_its_attempts_are_accepted() {
     let mut harness = harness(2);
     let attempt = submit_and_start(&mut harness, "a", COMMIT).attempt;
     assert!(
         harness.manager.migratable_clients().is_empty(),
-        "its connection is being made"
+        "its connection is being established"
     );
     harness.write_attempt(attempt);
     assert!(
         harness.manager.migratable_clients().is_empty(),
-        "it is written, and nobody knows whether it was accepted"
+        "it has been written, and it is unknown whether it was accepted"
     );
     harness.end_attempt(attempt, AttemptEnd::Accepted);
     assert_eq!(
--- a/tests/request_manager_workers.rs
+++ b/tests/request_manager_workers.rs
@@ -1,5 +1,5 @@
-//! The request manager and its workers: load reports, probes, suspension, and workers that leave
-//! the worker list.
+//! Tests of how the request manager handles workers: load reports, probes, suspension, and workers
+//! that leave the worker list.
 
 #[path = "support/request_fixtures.rs"]
 mod request_fixtures;
@@ -17,11 +17,11 @@
     RequestManagerHarness, StartedAttempt, listed_worker, started_attempt, started_probes,
 };
 
-/// The management connection of suspensions.
+/// Management connection on which workers are suspended and resumed.
 const MANAGEMENT_CALLER: usize = 9;
 
-/// Guards against load figures that are taken for others, and against an absent one that reads as
-/// 0.
+/// Guards against load figures that are mistaken for others, and against an absent figure that is
+/// read as 0.
 #[test]
 fn load_report_figures_are_matched_by_name() {
     let harness = harness(1);
@@ -47,7 +47,7 @@
     assert!(report(&[("cpu", 1.0)]).is_empty());
 }
 
-/// Suspends or resumes a worker, and returns the commands that follow.
+/// Suspends or resumes a worker, and returns the resulting commands.
 fn set_suspension(harness: &mut RequestManagerHarness, name: &str, resume: bool) -> Vec<Command> {
     harness.handle(Input::SuspensionRequested {
         caller: MANAGEMENT_CALLER,
@@ -74,8 +74,8 @@
     })
 }
 
-/// Submits requests until one is sent to this worker, and has each written; returns the last one's
-/// attempt.
+/// Submits requests until one is sent to this worker, and reports each attempt as written. Returns
+/// the attempt at this worker.
 fn write_attempt_at(harness: &mut RequestManagerHarness, worker: &str) -> StartedAttempt {
     loop {
         let submission = submission(&format!("b{}", harness.now), COMMIT);
@@ -101,8 +101,8 @@
     });
 }
 
-/// Guards against a suspension that is forgotten with the next worker list, that leaves unsent
-/// attempts on their way to the worker, or that withdraws what has been sent completely.
+/// Guards against a suspension that is lost with the next worker list, that does not withdraw
+/// unwritten attempts to the worker, or that withdraws attempts which have been written completely.
 #[test]
 fn suspended_worker_gets_no_requests_and_keeps_running_ones() {
     let mut harness = harness(2);
@@ -130,10 +130,10 @@
     assert_eq!(
         management_reply(&suspend(&mut harness, &suspended)),
         done,
-        "suspending twice is as once"
+        "suspending twice has the same effect as once"
     );
-    // What never ran goes to the other worker; also after a full list that names the suspended one
-    // as ready.
+    // The withdrawn request goes to the other worker, and so do new requests, even after a full
+    // list that names the suspended worker as ready.
     let commands = harness.end_attempt(unsent.attempt, AttemptEnd::LocalCapacityExhausted);
     let other = started_attempt(&commands).expect("another attempt").worker;
     assert_ne!(other, suspended);
@@ -152,20 +152,20 @@
                 answer: Answer::RejectedWithRetryAfter(_)
             }
         )),
-        "all are suspended: {commands:?}"
+        "all workers are suspended: {commands:?}"
     );
     assert_eq!(management_reply(&resume(&mut harness, &suspended)), done);
     let started = submit_and_start(&mut harness, "e", RENDER);
     assert_eq!(
         started.worker, suspended,
-        "one resumption undoes two suspensions"
+        "resuming once undoes two suspensions"
     );
 }
 
-/// The ways in which a worker list announces that a worker leaves.
+/// How a worker list announces that a worker is leaving.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
-    /// A change names the worker as draining.
+    /// A delta names the worker as draining.
     DrainingInDelta,
     /// A full list names the worker as draining.
     DrainingInFullList,
@@ -173,7 +173,7 @@
     AbsentFromFullList,
 }
 
-/// Returns the worker of this name as a worker list names it, with this health.
+/// Returns a listed worker with this name and health.
 fn listed_worker_named(name: &str, health: Health) -> ListedWorker {
     let n: u16 = name.trim_start_matches("s-").parse().expect("a number");
     let listed = listed_worker(n);
@@ -186,9 +186,10 @@
     }
 }
 
-/// Guards against an attempt that is sent to a worker which has been announced as leaving: the
-/// attempt was decided on before, and its connection comes up after; what counts is the first byte.
-/// It goes to another worker, since nothing ran; one that is written completely goes on.
+/// Guards against sending an attempt to a worker that has been announced as leaving. This happens
+/// if the attempt is decided on before the announcement and its connection is established
+/// afterwards; what matters to the worker is when the first byte is sent. The request goes to
+/// another worker, since nothing ran. An attempt that has been written completely continues.
 #[test]
 fn withdraws_unwritten_attempts_to_a_leaving_worker() {
     let other_worker = |name: &str| if name == "s-0" { "s-1" } else { "s-0" };
@@ -228,9 +229,9 @@
     }
 }
 
-/// Guards against probes that the dispatcher asks for and nobody makes, or whose answers it never
-/// gets: where load comes by probes alone, a request goes to the worker that has reported free
-/// slots. And against probes where the settings allow none.
+/// Guards against probes that the dispatcher requests but that are not sent, or whose answers do
+/// not reach it: if probes are the only source of load reports, a request goes to the worker that
+/// has reported free slots. Also guards against probes where the settings forbid them.
 #[test]
 fn probes_workers_only_where_settings_allow() {
     assert!(started_probes(&submit(&mut harness(3), "a", RENDER)).is_empty());
@@ -281,7 +282,7 @@
                 sent.map(|started| started.worker),
                 Some(probes[0].worker.clone())
             ),
-            // No load is known, and the request is sent all the same.
+            // No load is known, but the request is still sent.
             None => {
                 assert!(sent.is_some() || started_attempt(&harness.advance_to(1001.0)).is_some())
             }
--- a/tests/support/request_fixtures.rs
+++ b/tests/support/request_fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixtures for tests of the request manager without a store: settings, requests and call-backs.
+//! Fixtures for tests of the request manager without a store: settings, requests and callbacks.
 #![allow(dead_code)]
 
 use crate::request_manager_harness::{
@@ -22,16 +22,17 @@
 /// Class of requests that must not run twice.
 pub const COMMIT: u8 = 1;
 
-/// The client of the requests, unless a test says otherwise.
+/// Client of the requests, unless a test specifies another one.
 pub const CLIENT: ClientId = 1;
-/// The connection of the call-backs.
+/// Connection on which callbacks arrive.
 pub const CALLBACK_CLIENT: ClientId = 2;
-/// Returns a harness with [`SETTINGS`] and so many listed workers.
+
+/// Returns a harness with [`SETTINGS`] and this number of listed workers.
 pub fn harness(workers: u16) -> RequestManagerHarness {
     RequestManagerHarness::with_workers(SETTINGS, workers)
 }
 
-/// Returns a request of this class as a client submits it.
+/// Returns a request with this id and class, as a client submits it.
 pub fn submission(id: &str, class: u8) -> Submission {
     let payload = Payload {
         id: id.into(),
@@ -59,7 +60,7 @@
     started_attempt(&submit(harness, id, class)).expect("an attempt")
 }
 
-/// Submits a request, and has its attempt written and accepted by the worker.
+/// Submits a request, and reports its attempt as written and as accepted by the worker.
 pub fn submit_and_accept(
     harness: &mut RequestManagerHarness,
     id: &str,
@@ -75,14 +76,14 @@
     started
 }
 
-/// Delivers a call-back, and returns the commands that follow but its acknowledgement.
-pub fn call_back(
+/// Delivers a callback, and returns the resulting commands except its acknowledgement.
+pub fn deliver_callback(
     harness: &mut RequestManagerHarness,
     id: &str,
     worker: &str,
     state: CallbackState,
 ) -> Vec<Command> {
-    let mut commands = harness.call_back(CALLBACK_CLIENT, id, worker, state);
+    let mut commands = harness.deliver_callback(CALLBACK_CLIENT, id, worker, state);
     commands.retain(|command| {
         !matches!(
             command,
--- a/tests/support/request_manager_harness.rs
+++ b/tests/support/request_manager_harness.rs
@@ -1,4 +1,4 @@
-//! Harness for tests of the request manager: a manager without sockets, its clock, and its timers.
+//! Harness for tests of the request manager: a manager without sockets, its clock and its timers.
 #![allow(dead_code)]
 
 use postproxy::net::messages::{
@@ -12,7 +12,7 @@
 pub const START: f64 = 1000.0;
 /// Seed of the dispatcher's random draws.
 const SEED: u64 = 7;
-/// Port of worker 0; worker `n` has the port `n` above it.
+/// Port of worker 0; worker `n` has port `FIRST_PORT + n`.
 const FIRST_PORT: u16 = 9000;
 
 /// Returns a request manager with these settings, in JSON, and without workers.
@@ -26,7 +26,7 @@
     format!("s-{n}")
 }
 
-/// Returns worker `n` as a worker list names it, ready.
+/// Returns worker `n` as a listed worker that is ready.
 pub fn listed_worker(n: u16) -> ListedWorker {
     ListedWorker {
         id: worker_name(n),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns a full worker list with the workers 0 to `count`.
+/// Returns a full worker list with `count` workers, numbered from 0.
 pub fn full_worker_list(count: u16) -> Input {
     Input::WorkerListReceived {
         kind: ListKind::Full,
@@ -61,7 +61,7 @@
 }
 
 impl RequestManagerHarness {
-    /// Returns a harness round a request manager, at this time.
+    /// Returns a harness for a request manager, with its clock set to `now`.
     pub fn new(manager: RequestManager, now: f64) -> Self {
         Self {
             manager,
@@ -70,14 +70,15 @@
         }
     }
 
-    /// Returns a harness with these settings, in JSON, and with so many listed workers.
+    /// Returns a harness with these settings, in JSON, and this number of listed workers.
     pub fn with_workers(settings: &str, workers: u16) -> Self {
         let mut harness = Self::new(request_manager(settings), START);
         harness.handle(full_worker_list(workers));
         harness
     }
 
-    /// Handles an event, and returns the commands that follow. Timers are set in the harness.
+    /// Handles an event, and returns the resulting commands except `SetTimer`, which sets a timer
+    /// of the harness.
     pub fn handle(&mut self, input: Input) -> Vec<Command> {
         let mut commands = Vec::new();
         self.manager.handle(self.now, input, &mut commands);
@@ -91,7 +92,7 @@
         others
     }
 
-    /// Advances the clock to this time, and returns the commands that follow from the timers that
+    /// Advances the clock to `until`, and returns the commands that result from the timers that
     /// expire.
     pub fn advance_to(&mut self, until: f64) -> Vec<Command> {
         let mut commands = Vec::new();
@@ -131,8 +132,8 @@
         })
     }
 
-    /// Delivers a call-back of a worker, without a load report.
-    pub fn call_back(
+    /// Delivers a callback of a worker, without a load report.
+    pub fn deliver_callback(
         &mut self,
         client: ClientId,
         id: &str,
