--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -1,11 +1,12 @@
-//! The lifecycle of a node, with calls and times that the test passes.
+//! Tests of the node's lifecycle with simulated calls and times.
 
 use postproxy::net::lifecycle::Lifecycle;
 use quickcheck::{Gen, QuickCheck};
 
-/// Guards against idle connections that are closed at once, when the front still sends and requests
-/// still cross, or that are still open when the operators check, 4 s after the call, with a request
-/// from the last 2 s on them.
+/// Guards against closing idle connections as soon as a drain begins, while the load balancer in
+/// front still sends requests and some are in transit. Also guards against keeping them open for so
+/// long that a request that arrived on one within the last 2 s is in flight when the operators
+/// check the node, 4 s after the call.
 #[test]
 fn a_drain_closes_idle_connections_over_time() {
     let mut lifecycle = Lifecycle::default();
@@ -25,7 +26,7 @@
     );
 }
 
-/// The calls that a lifecycle has received, as facts.
+/// Model of a lifecycle: the effects of the calls that it has received.
 #[derive(Clone, Copy, Default)]
 struct Model {
     started: bool,
@@ -35,7 +36,7 @@
 }
 
 impl Model {
-    /// Whether the lifecycle answers as these facts demand.
+    /// Whether the lifecycle is in the state that the model predicts.
     fn agrees_with(self, lifecycle: &Lifecycle) -> bool {
         let serves = self.started && !self.stopped;
         let wants_connections = (serves || self.stopped && self.handing_over) && !self.drained;
@@ -48,9 +49,9 @@
     }
 }
 
-/// Guards against a stage that contradicts the calls, whatever their order: a model of four facts
-/// against random calls. Repeated calls, a drain during a stop and an activation without a drain
-/// are among them.
+/// Guards against a stage that contradicts the calls, in whatever order they come. Compares the
+/// lifecycle with a model of four flags under random calls. These include repeated calls, a drain
+/// during a stop and an activation without a drain.
 #[test]
 fn every_order_of_calls_agrees_with_the_model() {
     let agrees = |calls: Vec<u8>| {
--- a/tests/sibling_events.rs
+++ b/tests/sibling_events.rs
@@ -1,5 +1,5 @@
-//! Two dispatchers of one node during a hot restart: requests that migrate, and events that count
-//! for both. Seeds are fixed.
+//! Tests of the two dispatchers of a node during a hot restart: requests that migrate, and events
+//! of the sibling process that a dispatcher takes into account. Seeds are fixed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -20,7 +20,7 @@
 /// Index of the process that requests migrate to.
 const NEWER: usize = 1;
 
-/// The state of a request, whichever dispatcher has it.
+/// The observed state of a request, whichever process owns it.
 #[derive(Default)]
 struct Observed {
     class: u8,
@@ -30,7 +30,7 @@
     answers: u32,
 }
 
-/// Two processes of a node, of which the newer takes requests over from the older, and a checker of
+/// Two processes of a node, of which the newer takes over requests from the older, with checks of
 /// their actions.
 struct HotRestart {
     seed: u64,
@@ -65,19 +65,19 @@
         self.random.next_u32() as usize % count
     }
 
-    /// Makes one random thing happen and checks the resulting actions.
+    /// Simulates a random event and checks the resulting actions.
     fn step(&mut self, step: u32) {
         let choice = self.pick(8);
         let wait = self.pick(60) as f64 / 100.0;
         let actions = match choice {
-            // New requests reach the older process, in the first half.
+            // New requests reach the older process in the first half of the run.
             0..=2 if step < 130 => [self.submit_request(), Vec::new()],
             3 | 4 if step > 40 => [Vec::new(), self.migrate_request()],
             5 | 6 => self.end_attempt(),
             _ => self.advance(wait),
         };
         for (process, actions) in actions.iter().enumerate() {
-            // The timers of choice 7 are set already.
+            // `advance`, which choice 7 runs, has already collected its timers.
             if choice != 7 {
                 self.timers[process].extend(timers_set(actions));
             }
@@ -102,16 +102,16 @@
         self.harnesses[OLDER].submit(id, class)
     }
 
-    /// Lets a request of the older process, if there is one, continue in the newer process.
+    /// Migrates a random request of the older process, if there is one, to the newer process.
     fn migrate_request(&mut self) -> Vec<Action> {
-        let of_older: Vec<RequestId> = self
+        let owned_by_older: Vec<RequestId> = self
             .owners
             .iter()
             .filter(|(_, owner)| **owner == OLDER)
             .map(|(id, _)| *id)
             .collect();
-        let chosen = self.pick(of_older.len().max(1));
-        let Some(&id) = of_older.get(chosen) else {
+        let chosen = self.pick(owned_by_older.len().max(1));
+        let Some(&id) = owned_by_older.get(chosen) else {
             return Vec::new();
         };
         let Some(record) = self.harnesses[OLDER].dispatcher.release(id) else {
@@ -146,7 +146,7 @@
             Outcome::Reset,
             Outcome::Timeout,
         ][self.pick(4)];
-        let request = self.requests.get_mut(&id).expect("it is there");
+        let request = self.requests.get_mut(&id).expect("a request of this test");
         let (attempt, worker) = request.in_flight.swap_remove(chosen);
         let answered = request.answers > 0 || outcome == Outcome::Succeeded;
         request.answers += u32::from(outcome == Outcome::Succeeded && request.answers == 0);
@@ -200,7 +200,7 @@
         let request = self.observed(id);
         assert!(
             request.class != 2 || !request.may_have_run && request.in_flight.is_empty(),
-            "seed {seed}: run twice"
+            "seed {seed}: request {id} may run twice"
         );
         assert!(request.sent < 4 && request.answers == 0, "seed {seed}");
         request.in_flight.push((request.sent, worker));
@@ -230,7 +230,7 @@
         self.timers[process].extend(timers_set(&actions));
     }
 
-    /// Lets all deadlines pass and checks that each request has one answer.
+    /// Advances past all deadlines and checks that each request has exactly one answer.
     fn finish(&mut self) {
         for process in [OLDER, NEWER] {
             let end = self.now + 30.0;
@@ -254,8 +254,8 @@
     }
 }
 
-/// A request that migrates, at any point, gets exactly one answer, does not run again against its
-/// class, and does not exceed its attempts.
+/// A request that migrates at any point gets exactly one answer, does not run twice if its class
+/// forbids that, and does not exceed the maximum number of attempts.
 #[test]
 fn migrated_request_continues_where_it_was() {
     let mut migrated = 0;
@@ -273,7 +273,7 @@
     );
 }
 
-/// An attempt of the sibling process at worker 0.
+/// Returns the event for an attempt of the sibling process at worker 0.
 fn sibling_attempt(request: RequestId) -> Event {
     Event::SiblingEvent(SiblingEvent::AttemptSent {
         request,
@@ -296,7 +296,8 @@
     counts
 }
 
-/// The attempts of the sibling process count as load, like own ones, until they end.
+/// Attempts of the sibling process count as load until they end, as the dispatcher's own attempts
+/// do.
 #[test]
 fn attempts_of_the_sibling_process_count_until_they_end() {
     let mut harness = harness(2, |_| {});
@@ -316,10 +317,13 @@
         }));
     }
     let counts = count_by_worker(&mut harness, 101);
-    assert!(counts[0] > 8, "they have ended: {counts:?}");
+    assert!(
+        counts[0] > 8,
+        "the attempts of the sibling have ended: {counts:?}"
+    );
 }
 
-/// The sibling process can use the whole budget of a worker in slow start.
+/// Attempts of the sibling process can use up the budget of a worker in slow start.
 #[test]
 fn slow_start_budget_counts_attempts_of_the_sibling_process() {
     let mut harness = harness(2, |_| {});
@@ -345,7 +349,8 @@
     }
 }
 
-/// The sibling process has used a budget of one retry in 10 s, until the window has passed.
+/// A retry of the sibling process uses up a budget of one retry in 10 s until that window has
+/// passed.
 #[test]
 fn retry_budget_counts_retries_of_the_sibling_process() {
     for (seconds_ago, retries) in [(9.5, 0), (10.5, 1)] {
--- a/tests/suspended_workers.rs
+++ b/tests/suspended_workers.rs
@@ -1,5 +1,5 @@
-//! Workers that operators have suspended, in the decision module: random worker lists, reports and
-//! calls, and how a resumed worker gets requests again. Seeds are fixed.
+//! Tests of workers that operators have suspended, in the decision module: random worker lists,
+//! load reports and suspensions, and how a resumed worker gets requests again. Seeds are fixed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -11,38 +11,38 @@
 use std::collections::BTreeSet;
 
 fn suspend(harness: &mut DispatcherHarness, n: u16) -> Vec<Action> {
-    set_in_use(harness, n, false)
+    set_suspension(harness, n, false)
 }
 
 fn resume(harness: &mut DispatcherHarness, n: u16) -> Vec<Action> {
-    set_in_use(harness, n, true)
+    set_suspension(harness, n, true)
 }
 
-fn set_in_use(harness: &mut DispatcherHarness, n: u16, in_use: bool) -> Vec<Action> {
+fn set_suspension(harness: &mut DispatcherHarness, n: u16, resume: bool) -> Vec<Action> {
     harness.handle(Event::SuspensionChanged {
         worker: worker_id(n),
-        resume: in_use,
+        resume,
     })
 }
 
-/// An attempt that hasn't ended.
+/// An attempt that has not ended.
 struct OpenAttempt {
     request: u64,
     number: u16,
     worker: WorkerId,
 }
 
-/// A dispatcher of six workers under random events.
+/// A dispatcher with six workers under random events.
 struct RandomRun {
     seed: u64,
     rng: Pcg64Mcg,
     harness: DispatcherHarness,
-    /// Times and numbers of the timers that are set.
+    /// Expiry times and tokens of the timers that are set.
     timers: Vec<(f64, u64)>,
     suspended: BTreeSet<WorkerId>,
     attempts: Vec<OpenAttempt>,
     next_request: u64,
-    /// Requests without an answer of the dispatcher.
+    /// Requests that the dispatcher has neither rejected nor failed.
     unanswered: BTreeSet<u64>,
     /// Attempts sent so far.
     sent: usize,
@@ -67,7 +67,7 @@
         self.rng.next_u32() % limit
     }
 
-    /// Gives the dispatcher a random event.
+    /// Passes a random event to the dispatcher.
     fn step(&mut self) {
         let kind = self.random_below(10);
         let n = self.random_below(6) as u16;
@@ -190,10 +190,10 @@
         }
         sent += run.sent;
     }
-    assert!(sent > 2000, "{sent} attempts are too few to tell");
+    assert!(sent > 2000, "only {sent} attempts were sent");
 }
 
-/// A request isn't held until its deadline if operators have suspended all workers that could run
+/// A request is not held until its deadline if operators have suspended all workers that could run
 /// it.
 #[test]
 fn requests_are_rejected_at_once_if_all_workers_are_suspended() {
@@ -234,10 +234,10 @@
     Started,
 }
 
-/// Returns the number of requests that dispatchers with one request a second each give worker 3 in
-/// the 5 s after it became available.
+/// Returns the number of requests that worker 3 gets in the 5 s after it became available, from
+/// this number of dispatchers, each of which receives one request per second.
 fn requests_in_5_s(dispatchers: u16, seed: u64, arrival: Arrival) -> usize {
-    let mut given = 0;
+    let mut sent = 0;
     for n in 0..dispatchers {
         let settings = settings(|s| s["balancers"] = dispatchers.into());
         let dispatcher =
@@ -266,16 +266,16 @@
         for request in 1..=5 {
             harness.now += 1.0;
             let to = workers_sent_to(&harness.submit(request, 2))[0];
-            given += usize::from(to == worker_id(3));
+            sent += usize::from(to == worker_id(3));
             harness.end_attempt(request, 0, to, Outcome::Succeeded);
         }
     }
-    given
+    sent
 }
 
-/// Nothing is known of a resumed worker, which must not leave it idle. It is cold, as it may have
-/// been restarted, and all dispatchers together give it about one request beside what a cold worker
-/// gets.
+/// A resumed worker must not stay idle because nothing is known of its load. It is treated as cold,
+/// since it may have been restarted, and all dispatchers together send it about one request more
+/// than a cold worker gets.
 #[test]
 fn resumed_worker_gets_about_one_extra_request_of_all_dispatchers() {
     let rounds = 40;
@@ -318,8 +318,9 @@
     }
 }
 
-/// Returns how many of 40 dispatchers send to a resumed worker in the time in which the extra
-/// request is given. `count` is the number of dispatchers that they are notified of.
+/// Returns how many of 40 dispatchers send a request to a resumed worker in the period in which it
+/// gets the extra request. `count` is the number of dispatchers that is reported to each of them;
+/// `None` for no report.
 fn dispatchers_that_send(count: Option<u32>) -> usize {
     let sends_to_resumed = |seed: u64| {
         let mut harness = DispatcherHarness::new(settings(|_| {}), 6);
@@ -343,9 +344,9 @@
     (0..40).filter(|seed| sends_to_resumed(*seed)).count()
 }
 
-/// Each of four dispatchers gives a resumed worker the extra request with a chance of one in four,
-/// a single one always, one of a thousand hardly ever. The settings' number counts only while no
-/// other is known.
+/// Each of four dispatchers sends the extra request to a resumed worker with a probability of one
+/// in four, a single one always, one of a thousand hardly ever. The number in the settings applies
+/// only while no other is known.
 #[test]
 fn extra_request_depends_on_the_known_number_of_dispatchers() {
     let one = dispatchers_that_send(Some(1));
