--- a/src/net/downstream/submission.rs
+++ b/src/net/downstream/submission.rs
@@ -32,11 +32,11 @@
         class,
         tenant: headers.get("x-tenant").map(str::to_owned),
         affinity_key: affinity_key(headers),
-        budget: number(headers, "x-deadline")?,
+        time_limit: number(headers, "x-deadline")?,
         expected_work: cost_hint.map(|microseconds| microseconds / MICROSECONDS_PER_SECOND),
         slots: extra(headers, "slots"),
         memory: extra(headers, "memory"),
-        repeat: headers.get("x-retry") == Some("1"),
+        is_marked_retry: headers.get("x-retry") == Some("1"),
         payload: Payload {
             id: id.to_owned(),
             idempotency_key: idempotency_key.map(str::to_owned),
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -45,7 +45,7 @@
     /// Hash by which requests on the same subject are routed to the same worker; 0 for none.
     pub affinity_key: u64,
     /// How long the client waits, in seconds; `None` for the deadline of the class.
-    pub budget: Option<f64>,
+    pub time_limit: Option<f64>,
     /// Expected work in seconds, if the client has specified it.
     pub expected_work: Option<f64>,
     /// Slots that the request takes, if the client has specified them.
@@ -53,7 +53,7 @@
     /// Memory that the request takes, if the client has specified it.
     pub memory: Option<f64>,
     /// Whether the client has marked the request as a retry.
-    pub repeat: bool,
+    pub is_marked_retry: bool,
 }
 
 /// A load report: names on the wire and values of its figures.
--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -22,12 +22,12 @@
         submission: Submission,
         out: &mut Vec<Command>,
     ) {
-        let budget = match self.check_admissible(&submission) {
-            Ok(budget) => budget,
+        let time_limit = match self.check_admissible(&submission) {
+            Ok(time_limit) => time_limit,
             Err(answer) => return out.push(Command::AnswerClient { client, answer }),
         };
-        if let Some(new) = self.deduplicate(client, submission, now + budget, out) {
-            self.admit_request(now, client, new, budget);
+        if let Some(new) = self.deduplicate(client, submission, now + time_limit, out) {
+            self.admit_request(now, client, new, time_limit);
         }
     }
 
@@ -44,12 +44,12 @@
         let Some(class) = self.settings.classes.get(submission.class as usize) else {
             return Err(Answer::Failed);
         };
-        let budget = submission.budget.unwrap_or(class.deadline);
-        Ok(budget.min(class.deadline))
+        let time_limit = submission.time_limit.unwrap_or(class.deadline);
+        Ok(time_limit.min(class.deadline))
     }
 
     /// Adds a request to those in flight and passes it to the dispatcher.
-    fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, budget: f64) {
+    fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, time_limit: f64) {
         let NewSubmission {
             submission,
             fingerprint,
@@ -67,10 +67,10 @@
             self.requests_by_key
                 .insert((submission.class, key.clone()), request);
         }
-        let event = self.new_request_event(request, &submission, budget);
+        let event = self.new_request_event(request, &submission, time_limit);
         let in_flight = InFlightRequest {
             client: Some(client),
-            deadline: now + budget,
+            deadline: now + time_limit,
             attempts: Vec::new(),
             class: submission.class,
             durability: self.class_durability(submission.class),
@@ -91,7 +91,7 @@
         &self,
         request: RequestId,
         submission: &Submission,
-        budget: f64,
+        time_limit: f64,
     ) -> NewRequest {
         let tenants = &self.settings.tenant_names;
         let tenant = tenants
@@ -103,11 +103,11 @@
             class: submission.class,
             tenant: tenant as u16,
             subject: submission.affinity_key,
-            time_limit: budget,
+            time_limit,
             expected_work: submission.expected_work,
             slots: submission.slots.unwrap_or(DEFAULT_SLOTS),
             memory: submission.memory.unwrap_or(0.0),
-            is_marked_retry: submission.repeat,
+            is_marked_retry: submission.is_marked_retry,
             without_key: submission.payload.idempotency_key.is_none(),
         }
     }
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -222,7 +222,7 @@
         let answer = match (resolution, state) {
             (Resolution::NeverRan, _) => {
                 let mut submission = *waiting.submission;
-                submission.budget = Some((waiting.deadline - now).max(0.0));
+                submission.time_limit = Some((waiting.deadline - now).max(0.0));
                 return self.handle_request_received(now, client, submission, out);
             }
             (Resolution::Served, CallbackState::Done(result)) => Answer::Served(result.clone()),
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -252,11 +252,11 @@
         class: 1,
         tenant: Some("acme".into()),
         affinity_key: 0x7f3a_9c21_e0b4_d655,
-        budget: Some(0.48),
+        time_limit: Some(0.48),
         expected_work: Some(0.25),
         slots: Some(2.0),
         memory: Some(0.5),
-        repeat: true,
+        is_marked_retry: true,
     };
     assert_eq!(
         route(request, &settings, Readiness::Ready),
@@ -270,10 +270,10 @@
     assert_eq!(
         (
             bare.affinity_key,
-            bare.budget,
+            bare.time_limit,
             bare.expected_work,
             bare.slots,
-            bare.repeat
+            bare.is_marked_retry
         ),
         (0, None, None, None, false)
     );
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -432,11 +432,11 @@
         class: 1,
         tenant: Some("t".into()),
         affinity_key: 255,
-        budget: Some(5.0),
+        time_limit: Some(5.0),
         expected_work: Some(1.5),
         slots: Some(2.0),
         memory: Some(3.0),
-        repeat: true,
+        is_marked_retry: true,
     };
     assert_eq!(
         route(request, &settings(), Readiness::Ready),
