--- a/src/net/requests/answers.rs
+++ b/src/net/requests/answers.rs
@@ -44,7 +44,7 @@
         out.push(Command::AnswerClient { client, answer });
     }
 
-    /// Removes a request if it has been answered and has no open attempt.
+    /// Removes a request if no client waits for its answer and it has no open attempt.
     pub(super) fn remove_if_complete(&mut self, now: f64, request: RequestId) {
         if !self
             .requests
--- a/src/net/requests/callbacks.rs
+++ b/src/net/requests/callbacks.rs
@@ -12,8 +12,8 @@
 enum Acknowledgement {
     /// Immediately.
     Immediate,
-    /// Once the records that it changed are durable, since the worker forgets the request as soon
-    /// as its callback is acknowledged.
+    /// After the records that it changed have been written, since the worker forgets the request as
+    /// soon as its callback is acknowledged.
     AfterWrite,
 }
 
@@ -145,7 +145,7 @@
     }
 
     /// Queues the records that a callback has changed. If there are any, the acknowledgement waits
-    /// until they are durable.
+    /// for their write.
     fn acknowledge_after(
         &mut self,
         records: Vec<Write>,
--- a/src/net/requests/in_flight.rs
+++ b/src/net/requests/in_flight.rs
@@ -90,7 +90,7 @@
             })
     }
 
-    /// Whether the request needs no more answer and has no open attempt.
+    /// Whether no client waits for the request's answer and it has no open attempt.
     pub(super) fn is_complete(&self) -> bool {
         self.client.is_none() && self.attempts.iter().all(|attempt| attempt.ended)
     }
@@ -101,7 +101,7 @@
     pub(super) key: AttemptKey,
     pub(super) id: AttemptId,
     pub(super) worker: WorkerIndex,
-    /// Whether the attempt may start, or has.
+    /// Whether the attempt may start or has started.
     pub(super) may_start: bool,
 }
 
