--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -9,11 +9,12 @@
 use postproxy_handover::StateUpdate;
 use std::rc::Rc;
 
-/// Slots that a request takes whose client has not given them.
+/// Slots that a request takes if its client does not specify a number.
 const DEFAULT_SLOTS: f64 = 1.0;
 
 impl RequestManager {
-    /// Admits a submitted request, has it wait for an equal one, or answers it at once.
+    /// Admits a submitted request, makes it wait for the request that it repeats, or answers it
+    /// immediately.
     pub(super) fn handle_request_received(
         &mut self,
         now: f64,
@@ -21,17 +22,16 @@
         submission: Submission,
         out: &mut Vec<Command>,
     ) {
-        let budget = match self.check_admissible(&submission) {
-            Ok(budget) => budget,
+        let time_limit = match self.check_admissible(&submission) {
+            Ok(time_limit) => time_limit,
             Err(answer) => return out.push(Command::AnswerClient { client, answer }),
         };
-        if let Some(new) = self.deduplicate(client, submission, now + budget, out) {
-            self.admit_request(now, client, new, budget);
+        if let Some(new) = self.deduplicate(client, submission, now + time_limit, out) {
+            self.admit_request(now, client, new, time_limit);
         }
     }
 
-    /// Returns how long the client waits, in seconds, or the answer with which the request is
-    /// rejected.
+    /// Returns the request's time limit in seconds, or the answer if the request can't be admitted.
     fn check_admissible(&self, submission: &Submission) -> Result<f64, Answer> {
         let id = &submission.payload.id;
         if self.requests_by_id.contains_key(id) || self.sibling_requests.contains_key(id) {
@@ -44,12 +44,12 @@
         let Some(class) = self.settings.classes.get(submission.class as usize) else {
             return Err(Answer::Failed);
         };
-        let budget = submission.budget.unwrap_or(class.deadline);
-        Ok(budget.min(class.deadline))
+        let time_limit = submission.time_limit.unwrap_or(class.deadline);
+        Ok(time_limit.min(class.deadline))
     }
 
-    /// Admits a request: from now on it is in flight, and the dispatcher decides on it.
-    fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, budget: f64) {
+    /// Adds a request to those in flight and passes it to the dispatcher.
+    fn admit_request(&mut self, now: f64, client: ClientId, new: NewSubmission, time_limit: f64) {
         let NewSubmission {
             submission,
             fingerprint,
@@ -67,10 +67,10 @@
             self.requests_by_key
                 .insert((submission.class, key.clone()), request);
         }
-        let event = self.new_request_event(request, &submission, budget);
+        let event = self.new_request_event(request, &submission, time_limit);
         let in_flight = InFlightRequest {
             client: Some(client),
-            deadline: now + budget,
+            deadline: now + time_limit,
             attempts: Vec::new(),
             class: submission.class,
             durability: self.class_durability(submission.class),
@@ -91,7 +91,7 @@
         &self,
         request: RequestId,
         submission: &Submission,
-        budget: f64,
+        time_limit: f64,
     ) -> NewRequest {
         let tenants = &self.settings.tenant_names;
         let tenant = tenants
@@ -103,17 +103,17 @@
             class: submission.class,
             tenant: tenant as u16,
             subject: submission.affinity_key,
-            time_limit: budget,
+            time_limit,
             expected_work: submission.expected_work,
             slots: submission.slots.unwrap_or(DEFAULT_SLOTS),
             memory: submission.memory.unwrap_or(0.0),
-            is_marked_retry: submission.repeat,
+            is_marked_retry: submission.is_marked_retry,
             without_key: submission.payload.idempotency_key.is_none(),
         }
     }
 
-    /// Opens the request's span in the logs. Its fields are evaluated only if the level `debug` is
-    /// on.
+    /// Creates the request's tracing span. Its fields are evaluated only if the log level `debug`
+    /// is enabled.
     fn request_span(&self, submission: &Submission) -> tracing::Span {
         tracing::debug_span!(
             target: "postproxy::request",
@@ -125,8 +125,7 @@
         )
     }
 
-    /// Gives up the request of a client that has disconnected, unless others wait for the same
-    /// answer.
+    /// Abandons the request of a disconnected client unless other clients wait for the same answer.
     pub(super) fn handle_client_disconnected(
         &mut self,
         now: f64,
@@ -142,8 +141,8 @@
         let mut unwritten = Vec::new();
         if let Some(in_flight) = self.requests.get_mut(&request) {
             in_flight.client = None;
-            // Where settings allow cancels, the dispatcher cancels all attempts. What has not been
-            // sent can be withdrawn even where they don't.
+            // If the settings allow cancellation, the dispatcher cancels all attempts. If they
+            // don't, attempts whose last byte has not been written can still be withdrawn.
             if !self.settings.cancel_allowed {
                 unwritten.extend(in_flight.unwritten_attempts(request));
             }
