--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,18 +1,19 @@
-//! Admission of requests, how long they wait here, and their final answers.
+//! Admission of requests, deferral of requests in the dispatcher, and final answers.
 
 use super::budgets::affordable;
 use super::dispatcher::{Dispatcher, MAX_REQUEST_ID, TimerKind};
 use super::estimates::smooth;
-use super::figures::{positive, sound};
+use super::figures::{finite_positive, sound};
 use super::interface::{Action, Effect, NewRequest, RequestId};
 use super::parameters::{
-    ANSWER_LEAD_TICKS, DEFER_INTERVAL, HEDGE_SPENDING, HEDGES_PER_REQUEST, LATE_DEFER_FACTOR,
-    MAX_SAVED_BUDGET, MIN_RUN_TIME, PROBE_SPENDING, PROBES_PER_REQUEST, SHORT_BUDGET_SHARE,
+    ANSWER_LEAD_TICKS, DEFER_INTERVAL, HEDGE_COST_SHARE, HEDGES_PER_REQUEST, LATE_DEFER_FACTOR,
+    MAX_SAVED_BUDGET, MIN_RUN_TIME_SHARE, PROBE_COST_SHARE, PROBES_PER_REQUEST,
+    SHORT_TIME_LIMIT_SHARE,
 };
 use super::request::Request;
 
 impl Dispatcher {
-    /// Admits a request and places it. A request of an unknown class fails.
+    /// Admits a request and places it. A request of an unknown class is answered as failed.
     pub(super) fn admit_request(&mut self, new: &NewRequest) {
         let id = new.id;
         if self.requests.contains_key(&id) || id >= MAX_REQUEST_ID {
@@ -22,27 +23,29 @@
         let Some(class) = self.settings.classes.get(class_index) else {
             return self.actions.push(Action::Fail { request: id });
         };
-        let budget = positive(new.time_limit).unwrap_or(0.0).min(class.deadline);
-        let first_submitted = self.first_submission(new, budget);
-        let hint = new.expected_work.and_then(positive);
+        let time_limit = finite_positive(new.time_limit)
+            .unwrap_or(0.0)
+            .min(class.deadline);
+        let first_submitted = self.estimate_first_submission(new, time_limit);
+        let hint = new.expected_work.and_then(finite_positive);
         let expected_work = self.estimates.run_time_by_class[class_index];
-        let lead = (ANSWER_LEAD_TICKS * self.settings.tick).min(budget / 2.0);
-        let deadline = self.now + budget - lead;
+        let lead = (ANSWER_LEAD_TICKS * self.settings.tick).min(time_limit / 2.0);
+        let deadline = self.now + time_limit - lead;
         let has_subject = new.subject != 0 && self.settings.fetch_price > 0.0;
         let request = Request {
             class: class_index,
             subject: has_subject.then_some(new.subject),
             without_key: new.without_key,
-            slots: positive(new.slots).unwrap_or(1.0),
+            slots: finite_positive(new.slots).unwrap_or(1.0),
             memory: sound(new.memory).unwrap_or(0.0),
             work: hint.unwrap_or(expected_work),
-            min_run_time: MIN_RUN_TIME * hint.unwrap_or(0.0),
+            min_run_time: MIN_RUN_TIME_SHARE * hint.unwrap_or(0.0),
             first_submitted,
             deadline,
             ..Request::default()
         };
         self.requests.insert(id, request);
-        self.earn_budgets();
+        self.replenish_budgets();
         let token = TimerKind::Deadline.token(id);
         self.actions.push(Action::Timer {
             at: deadline,
@@ -51,39 +54,40 @@
         self.place_request(id);
     }
 
-    /// Returns when the client submitted a request first, judged by the time until it gives up.
+    /// Estimates when the client first submitted a request, from the time until the client gives
+    /// up.
     ///
-    /// A client's retry has less time left than its first request, but so has the first request of
-    /// a client with less patience, which must not be given up as late at once. Where clients mark
-    /// their retries, the two can be distinguished.
-    fn first_submission(&mut self, new: &NewRequest, budget: f64) -> f64 {
+    /// A retry by the client has less time left than its first request. A first request may have a
+    /// short time limit as well and must then not be treated as late from the beginning. Where
+    /// clients mark their retries, the two cases can be told apart.
+    fn estimate_first_submission(&mut self, new: &NewRequest, time_limit: f64) -> f64 {
         let class = new.class as usize;
-        let longest = &mut self.estimates.longest_budget_by_class[class];
-        *longest = longest.max(budget);
-        let spent = *longest - budget;
-        let short_share = &mut self.estimates.short_budget_share_by_class[class];
+        let longest = &mut self.estimates.longest_time_limit_by_class[class];
+        *longest = longest.max(time_limit);
+        let spent = *longest - time_limit;
+        let short_share = &mut self.estimates.short_time_limit_share_by_class[class];
         let is_marked_first = self.settings.clients_mark_retries && !new.is_marked_retry;
         if is_marked_first {
-            let is_short = spent > SHORT_BUDGET_SHARE * budget;
+            let is_short = spent > SHORT_TIME_LIMIT_SHARE * time_limit;
             smooth(short_share, f64::from(u8::from(is_short)));
         }
-        if is_marked_first || *short_share > SHORT_BUDGET_SHARE {
+        if is_marked_first || *short_share > SHORT_TIME_LIMIT_SHARE {
             self.now
         } else {
             self.now - spent
         }
     }
 
-    /// Adds what one admitted request brings to the budgets of probes and hedged requests.
-    fn earn_budgets(&mut self) {
+    /// Adds one admitted request's share to the budgets of probes and hedged requests.
+    fn replenish_budgets(&mut self) {
         let probes = affordable(
             PROBES_PER_REQUEST,
-            PROBE_SPENDING,
+            PROBE_COST_SHARE,
             self.settings.probe_price,
         );
         let hedges = affordable(
             HEDGES_PER_REQUEST,
-            HEDGE_SPENDING,
+            HEDGE_COST_SHARE,
             self.settings.waste_price,
         );
         let budgets = &mut self.budgets;
@@ -93,17 +97,18 @@
         budgets.probes = (budgets.probes + probes).min(max_probes);
     }
 
-    /// Returns the time until the latency objective is missed, in seconds. Half of what the job's
-    /// work adds to the objective is reserved for slow workers and inaccurate hints.
+    /// Returns the time until the latency objective is missed, in seconds. Only half of the
+    /// allowance for the job's work is counted; the other half is reserved for slow workers and
+    /// inaccurate hints.
     pub(super) fn time_to_objective(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let extra = 0.5 * (class.objective_stretch - 1.0).max(0.0) * request.work;
         request.first_submitted + class.latency_objective + extra - self.now
     }
 
-    /// Returns until when an attempt is permitted and can still help. A request without any attempt
-    /// in flight then gets its final answer at once: waiting up to its deadline would keep its
-    /// client from retrying.
+    /// Returns the latest time at which another attempt is permitted and can still be of use. After
+    /// this time a request without an attempt in flight gets its final answer immediately, since
+    /// waiting for the deadline would keep the client from retrying.
     pub(super) fn last_useful_send(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let objective = request.first_submitted
@@ -131,12 +136,14 @@
         }
     }
 
-    /// Returns the longest queue that a request joins, as the wait for a slot in seconds.
+    /// Returns the longest queue that a request may join, as the expected wait for a slot in
+    /// seconds.
     ///
-    /// No request joins a queue in which it would be late: under overload all would wait, and all
-    /// would be late. The less a request is weight for its work, the shorter its queue. For a late
-    /// one the weight after the objective counts twice, for what it earns and for whom it delays.
-    /// Where a full queue would be the end of a request, it joins none once it is late.
+    /// A request does not join a queue in which it would miss its objective; otherwise, under
+    /// overload, all requests would wait and all would be late. The lower the weight of a request
+    /// per unit of work, the shorter the queue. For a late request the late weight is squared: once
+    /// for the value of the late answer, and once for the requests that it delays. If a rejection
+    /// by a full worker would rule out any further attempt, a late request joins no queue.
     pub(super) fn queue_limit(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
         let is_last_attempt = self.settings.full_may_have_run
@@ -149,8 +156,8 @@
         self.time_to_objective(request).max(late_limit) * self.relative_weight(request)
     }
 
-    /// Returns the weight of a request for each unit of its work, relative to the class with the
-    /// highest.
+    /// Returns the weight of a request per unit of work, relative to the class with the highest
+    /// weight per unit of work.
     fn relative_weight(&self, request: &Request) -> f64 {
         let work = |class: usize| {
             if self.settings.weight_by_work {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// Lets a request wait here, and looks for free capacity again after an interval.
+    /// Keeps a request waiting in the dispatcher and schedules the next search for free capacity.
     pub(super) fn defer_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -213,12 +220,13 @@
         self.now + self.settings.tick >= request.deadline
     }
 
-    /// Rejects a request if retrying it is harmless, and fails it otherwise.
+    /// Rejects a request if the client may safely retry it, and fails it otherwise.
     fn give_final_answer(&mut self, id: RequestId) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_harmless = !request.may_have_run() || class.can_repeat_anywhere(request.without_key);
-        let answer = if is_harmless {
+        let is_safe_to_retry =
+            !request.may_have_run() || class.can_resend_anywhere(request.without_key);
+        let answer = if is_safe_to_retry {
             let retry_after = self.settings.max_retry_after.min(class.latency_objective);
             Action::Reject {
                 request: id,
@@ -231,7 +239,7 @@
         self.forget_request(id);
     }
 
-    /// Forgets a request that needs no answer any more, and cancels its attempts in flight.
+    /// Removes a request that no longer needs an answer, and cancels its attempts in flight.
     pub(super) fn forget_request(&mut self, id: RequestId) {
         self.cancel_attempts(id, |_| true);
         self.requests.remove(&id);
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -5,7 +5,7 @@
 use super::estimates::smooth;
 use super::interface::{Action, Effect, Outcome, ProgressNote, ReportSource, RequestId};
 use super::parameters::{
-    HEDGE_DELAY, MAX_RUN_TIME, REJECTED_ACCEPTANCE, SILENCE_INTERVALS, SMOOTHING,
+    HEDGE_DELAY, MAX_RUN_TIME_FACTOR, MAX_SILENT_INTERVALS, REJECTED_ACCEPTANCE, SMOOTHING,
 };
 use super::request::{Attempt, AttemptState, Request};
 use super::workers::{Acceptance, OwnAttempt, WorkerIndex};
@@ -130,7 +130,7 @@
         };
         let was_reported = std::mem::take(&mut request.attempts[attempt].capacity_reported);
         if was_reported {
-            self.estimates.trust -= SMOOTHING * self.estimates.trust;
+            self.estimates.report_accuracy -= SMOOTHING * self.estimates.report_accuracy;
         }
     }
 
@@ -163,7 +163,7 @@
             return HEDGE_DELAY * objective;
         }
         if self.settings.progress_interval > 0.0 {
-            return SILENCE_INTERVALS * self.settings.progress_interval;
+            return MAX_SILENT_INTERVALS * self.settings.progress_interval;
         }
         let class = &self.settings.classes[request.class];
         2.0 * (class.latency_objective + (class.objective_stretch + 1.0) * request.work)
@@ -248,7 +248,7 @@
         };
         let run_time = (self.now - began)
             .max(self.settings.tick)
-            .min(MAX_RUN_TIME * request.work);
+            .min(MAX_RUN_TIME_FACTOR * request.work);
         let estimates = &mut self.estimates;
         smooth(&mut estimates.run_time_by_class[request.class], run_time);
         smooth(&mut estimates.mean_run_time, run_time);
@@ -279,7 +279,10 @@
         let class = &self.settings.classes[request.class];
         let is_kept = self.now - attempt.sent
             <= class.latency_objective + class.objective_stretch * request.work;
-        smooth(&mut self.estimates.trust, f64::from(u8::from(is_kept)));
+        smooth(
+            &mut self.estimates.report_accuracy,
+            f64::from(u8::from(is_kept)),
+        );
     }
 
     /// Cancels the attempts in flight that pass the test, where the settings permit cancelling.
--- a/src/decision/budgets.rs
+++ b/src/decision/budgets.rs
@@ -3,19 +3,19 @@
 use super::event_times::EventTimes;
 use super::parameters::MAX_SAVED_BUDGET;
 
-/// What this dispatcher may still spend, and the events that its budgets count.
+/// The remaining budgets of a dispatcher, and the events that are counted for them.
 #[derive(Default)]
 pub struct Budgets {
-    /// Hedged requests that may be sent.
+    /// Number of hedged requests that may be sent.
     pub hedges: f64,
-    /// Probes that may be sent.
+    /// Number of probes that may be sent.
     pub probes: f64,
     /// When requests were admitted.
     pub admitted: EventTimes,
     /// When attempts beyond a request's first were sent.
     pub retries: EventTimes,
-    /// When a pass to a worker in slow start was drawn for.
-    pub pass_draws: EventTimes,
+    /// When a draw for a slow-start permit was made, whatever its result.
+    pub permit_draws: EventTimes,
 }
 
 impl Budgets {
@@ -28,11 +28,11 @@
     }
 }
 
-/// Returns how many probes or hedged requests one request may cost: `max`, or what `spending` buys
-/// at this price.
-pub fn affordable(max: f64, spending: f64, price: f64) -> f64 {
+/// Returns how many probes or hedged requests are allowed per request: `max`, or fewer if their
+/// cost at this price would exceed `cost_share`.
+pub fn affordable(max: f64, cost_share: f64, price: f64) -> f64 {
     if price > 0.0 {
-        max.min(spending / price)
+        max.min(cost_share / price)
     } else {
         max
     }
--- a/src/decision/configuration.rs
+++ b/src/decision/configuration.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether a request that may have run can be sent again to any worker.
-    pub fn can_repeat_anywhere(&self, without_key: bool) -> bool {
+    pub fn can_resend_anywhere(&self, without_key: bool) -> bool {
         let effect = self.effect_of(without_key);
         effect == Effect::Idempotent
             || effect == Effect::IdempotentByKey && self.dedup_scope == DedupScope::All
@@ -235,8 +235,8 @@
             && self.classes.iter().any(higher)
     }
 
-    /// Returns a figure of a load report, if it is present and sound.
-    pub fn figure(&self, report: &[f32], field: ReportField) -> Option<f64> {
+    /// Returns a value of a load report, if it is present, finite and not negative.
+    pub fn report_value(&self, report: &[f32], field: ReportField) -> Option<f64> {
         let at = self.report_fields.iter().position(|&f| f == field)?;
         report.get(at).and_then(|&v| sound(v.into()))
     }
--- a/src/decision/ejection.rs
+++ b/src/decision/ejection.rs
@@ -1,13 +1,13 @@
-//! Outlier ejection: what the end of an attempt says of its worker.
+//! Outlier ejection: how the outcomes of attempts affect the state of their workers.
 
 use super::dispatcher::Dispatcher;
 use super::interface::{Outcome, WorkerId};
-use super::parameters::{EJECTION_TIME, MAX_EJECTION_TIME, MAX_FAILURES};
+use super::parameters::{EJECTION_TIME, MAX_COUNTED_FAILURES, MAX_EJECTION_TIME};
 use super::workers::{AttemptKey, LoadReport, OwnAttempt, WorkerIndex};
 
 impl Dispatcher {
-    /// Ejects a worker from the draws for a while, or until it reports progress: silence is not
-    /// death.
+    /// Excludes a worker from selection for some time, or until it reports progress, since a worker
+    /// may be silent without having failed.
     pub(super) fn eject(&mut self, index: WorkerIndex) {
         let backoff = 2f64.powi(self.workers.all[index].failures);
         let run_times = (EJECTION_TIME * backoff).min(MAX_EJECTION_TIME);
@@ -15,17 +15,17 @@
         let worker = &mut self.workers.all[index];
         if worker.ejected_until <= self.now {
             worker.ejected_until = until;
-            worker.failures = (worker.failures + 1).min(MAX_FAILURES);
+            worker.failures = (worker.failures + 1).min(MAX_COUNTED_FAILURES);
         }
     }
 
-    /// Records the end of an attempt on its worker, also when the request has ended before.
+    /// Records the end of an attempt for its worker, even if the request has already ended.
     pub(super) fn record_attempt_end(
         &mut self,
         key: AttemptKey,
         id: WorkerId,
         outcome: Outcome,
-        figures: &[f32],
+        report: &[f32],
     ) {
         let Some(&index) = self.workers.index.get(&id) else {
             return;
@@ -50,10 +50,12 @@
             Outcome::Rejected => self.record_full(index),
             Outcome::Cancelled | Outcome::CancelledLocally | Outcome::Unknown(_) => {}
         }
-        self.record_figures(index, figures, ended_slots);
+        self.record_report_values(index, report, ended_slots);
     }
 
-    /// A worker that fails quickly empties its queue, so the failed job weighs on as if it ran.
+    /// Ejects a worker that answered with an error. The failed job counts towards the worker's load
+    /// for as long as it would have run; otherwise a worker that fails quickly would appear idle
+    /// and attract requests.
     fn handle_worker_error(&mut self, index: WorkerIndex, own: OwnAttempt) {
         let until = own.sent + own.work.max(self.estimates.mean_run_time);
         self.workers.all[index].own.push(OwnAttempt {
@@ -63,14 +65,15 @@
         self.eject(index);
     }
 
-    /// Returns whether workers may kill the attempt's job for one of a higher priority, which is
-    /// not their fault.
+    /// Returns whether a worker may stop the attempt's job in favour of one with a higher priority,
+    /// which is not a fault of the worker.
     fn may_be_preempted(&self, key: AttemptKey) -> bool {
         let request = self.requests.get(&key.0);
         request.is_some_and(|request| self.settings.may_preempt(request.class))
     }
 
-    /// Records that a worker has rejected an attempt as full: its load is twice its slots or more.
+    /// Records that a worker rejected an attempt because it is full. Its load is assumed to be at
+    /// least twice its number of slots.
     fn record_full(&mut self, index: WorkerIndex) {
         let worker = &self.workers.all[index];
         let last_load = worker.report.map_or(0.0, |report| report.load);
--- a/src/decision/figures.rs
+++ b/src/decision/figures.rs
@@ -6,6 +6,6 @@
 }
 
 /// Returns the figure if it is finite and above zero.
-pub fn positive(figure: f64) -> Option<f64> {
+pub fn finite_positive(figure: f64) -> Option<f64> {
     sound(figure).filter(|figure| *figure > 0.0)
 }
--- a/src/decision/parameters.rs
+++ b/src/decision/parameters.rs
@@ -1,139 +1,153 @@
-//! Tuning parameters of the decision module. Each one was measured on the simulator and on real
-//! sockets; the design note `docs/design/deployments.md` has the runs.
+//! Tuning parameters of the decision module. `docs/design/deployments.md` documents the simulator
+//! runs and the runs over real sockets that they are based on.
 //!
-//! Where no other unit is named, a time is a multiple of the mean run time: the smoothed time that
-//! a job runs at a worker, as this dispatcher has seen it.
+//! Unless another unit is given, times are multiples of the mean run time: the smoothed run time of
+//! a job at a worker, as observed by this dispatcher.
 
 // ---- Candidates and load reports ----
 
-/// Number of workers in a draw, and of workers whose reports came last. More cost time and gain
-/// little.
+/// Number of workers that are sampled as candidates in a large fleet. Half as many of the latest
+/// reporters are added. Larger samples take more time and hardly improve the choice.
 pub(super) const CANDIDATE_POOL_SIZE: usize = 32;
-/// Workers probed at a time for one request. A fourth adds less than it costs.
+/// Number of workers probed per round for one request. A fourth probe costs more than it gains.
 pub(super) const PROBE_SAMPLE_SIZE: usize = 3;
-/// Workers probed at a time for a request with a subject: free capacity that is overlooked costs a
-/// fetch.
-pub(super) const SUBJECT_PROBE_SAMPLE_SIZE: usize = 8;
-/// Rounds of probes before a request is placed by what is known.
+/// Number of workers probed per round for a request with an affinity key. It is higher than
+/// [`PROBE_SAMPLE_SIZE`] because missing free capacity at a preferred worker costs a fetch.
+pub(super) const AFFINITY_PROBE_SAMPLE_SIZE: usize = 8;
+/// Maximum number of probe rounds before a request is placed with the information at hand.
 pub(super) const MAX_PROBE_ROUNDS: u32 = 2;
-/// Probes that a request may cost on average, waiting requests included.
+/// Maximum average number of probes per request, including probes for deferred requests.
 pub(super) const PROBES_PER_REQUEST: f64 = 5.0;
-/// Share of all points that probes may cost; more expensive probes are sent as much less often.
-pub(super) const PROBE_SPENDING: f64 = 0.0075;
-/// Share of the latency objective for which a request waits for probes. A longer wait costs more
-/// than a better worker gains.
-pub(super) const PROBE_WAIT: f64 = 0.1;
-/// Age of a load report when it arrives. Attempts that this dispatcher has sent since are not in
-/// it.
+/// Maximum cost of all probes, as a share of the total weight of all requests. The higher the price
+/// of a probe, the fewer probes are sent.
+pub(super) const PROBE_COST_SHARE: f64 = 0.0075;
+/// Maximum time that a request waits for probe answers, as a share of its latency objective. A
+/// longer wait costs more than a better choice of worker gains.
+pub(super) const MAX_PROBE_WAIT: f64 = 0.1;
+/// Assumed age of a load report when it arrives. Attempts that this dispatcher sent within this
+/// time before the arrival are not included in the report.
 pub(super) const REPORT_DELAY: f64 = 0.2;
-/// Without any report the mean load decays by a factor of e in this time.
+/// Time constant with which the mean load decays exponentially while no reports arrive.
 pub(super) const MEAN_LOAD_DECAY: f64 = 4.0;
-/// Weight of a new report in the load of other dispatchers at a worker: a report is old and noisy.
+/// Smoothing weight of a new report in a worker's load from other dispatchers. Reports are delayed
+/// and noisy.
 pub(super) const OTHERS_LOAD_WEIGHT: f64 = 0.3;
-/// The load of other dispatchers at a worker decays towards the mean of its kind by a factor of e
-/// in this time.
+/// Time constant with which a worker's load from other dispatchers decays exponentially towards the
+/// mean of its machine kind.
 pub(super) const OTHERS_LOAD_DECAY: f64 = 4.0;
-/// A worker without a report for longer than this is not known to have free capacity.
+/// Age up to which a load report is evidence of free capacity.
 pub(super) const REPORT_LIFETIME: f64 = 4.0;
-/// Share of the requests that go to a worker without a report although others are known to have
+/// Share of requests that go to a worker without a recent report although others are known to have
 /// free capacity.
 pub(super) const EXPLORATION_RATE: f64 = 0.05;
-/// A report up to this age counts as fresh where workers could be probed instead.
+/// Age up to which a report counts as fresh where workers can be probed.
 pub(super) const FRESH_REPORT_AGE: f64 = 0.5;
-/// Weight of a new figure in the smoothed ones: about ten figures make a mean.
+/// Weight of a new value in an exponential moving average, which thus covers about ten values.
 pub(super) const SMOOTHING: f64 = 0.1;
-/// Multiple of its own work up to which a job's run time counts. What goes beyond it was waiting
-/// time.
-pub(super) const MAX_RUN_TIME: f64 = 2.0;
-/// Share of right reports of free capacity below which these reports are not used.
-pub(super) const MIN_TRUST: f64 = 0.5;
-/// Power of the acceptance rate in a worker's tickets: few answers are known, so each must weigh
-/// much.
+/// Maximum run time that is recorded for a job, as a multiple of its expected work. Anything beyond
+/// this is attributed to waiting.
+pub(super) const MAX_RUN_TIME_FACTOR: f64 = 2.0;
+/// Share of accurate reports below which reports of free capacity are ignored. Also the acceptance
+/// rate below which a worker's reports of free capacity are ignored.
+pub(super) const MIN_REPORT_ACCURACY: f64 = 0.5;
+/// Exponent of the acceptance rate in a worker's lottery tickets. It is high because there are few
+/// answers per worker, so that each of them must have a strong effect.
 pub(super) const ACCEPTANCE_POWER: i32 = 3;
-/// Share of its tickets that a worker keeps after it has rejected a request of the class: it may
-/// have been full for once.
+/// Acceptance rate of a worker right after it rejected a request of the class. It is above 0
+/// because the worker may have been full only briefly.
 pub(super) const REJECTED_ACCEPTANCE: f64 = 0.1;
-/// Share of its tickets that a worker keeps for each worker that the request's subject prefers to
-/// it.
+/// Factor on a worker's lottery tickets for each candidate that ranks above it for the request's
+/// affinity key.
 pub(super) const LESS_PREFERRED_FACTOR: f64 = 0.005;
-/// Number of preferred workers up to which a worker in slow start is near enough to a subject.
+/// Maximum number of candidates that may rank above a worker in slow start for the request's
+/// affinity key if the request is to use its slow-start permit.
 pub(super) const MAX_PREFERRED_BEFORE_SLOW_START: i32 = 2;
-/// Own zone first, up to this many jobs a worker above the mean load of all zones.
+/// Requests stay in the own zone until its load exceeds the mean of all zones by more than this
+/// many jobs per worker.
 pub(super) const OWN_ZONE_EXCESS_LOAD: f64 = 1.0;
 
 // ---- Queueing, retries and hedged requests ----
 
-/// Share of the latency objective after which a waiting request looks for free capacity again.
+/// Interval at which a deferred request is reconsidered, as a share of its latency objective.
 pub(super) const DEFER_INTERVAL: f64 = 0.4;
-/// Multiple of this interval for a request that is late already: requests in time go first.
+/// Multiple of [`DEFER_INTERVAL`] for requests that are already late, so that requests that can
+/// still meet their objective go first.
 pub(super) const LATE_DEFER_FACTOR: f64 = 3.0;
-/// Share of the time that is left to a waiting job after which it is hedged if its start was not
-/// reported.
+/// Delay after which a job is hedged if its start has not been reported, as a share of the
+/// request's latency objective including its allowance for the job's work.
 pub(super) const HEDGE_DELAY: f64 = 0.1;
-/// Progress intervals without a report after which a job counts as waiting or hanging.
-pub(super) const SILENCE_INTERVALS: f64 = 1.15;
-/// Hedged requests that a request may cost on average.
+/// Number of progress intervals without a report after which a job is considered waiting or hung.
+pub(super) const MAX_SILENT_INTERVALS: f64 = 1.15;
+/// Maximum average number of hedged requests per request.
 pub(super) const HEDGES_PER_REQUEST: f64 = 0.05;
-/// Share of all points that wasted work may cost; where waste is more expensive there are fewer
-/// hedged requests.
-pub(super) const HEDGE_SPENDING: f64 = 0.0025;
-/// Requests' weight of the probe and hedge budgets that may be saved for a bad moment.
+/// Maximum cost of work wasted by hedged requests, as a share of the total weight of all requests.
+/// The higher the price of waste, the fewer hedged requests are sent.
+pub(super) const HEDGE_COST_SHARE: f64 = 0.0025;
+/// Maximum unused budget that is kept for later. For hedged requests this is a number of hedges;
+/// for probes it is the budget of this many requests, but at least this many probes.
 pub(super) const MAX_SAVED_BUDGET: f64 = 10.0;
-/// Share of the idempotency window that may be used: sending again takes time, too.
-pub(super) const USABLE_WINDOW: f64 = 0.9;
-/// Share of its hinted work that a job takes at least, on a fast worker and with a high hint.
-pub(super) const MIN_RUN_TIME: f64 = 0.25;
-/// Ticks before the client's deadline at which the final answer is given.
+/// Share of the deduplication window within which a request may be sent again. The margin covers
+/// the time that sending takes.
+pub(super) const USABLE_DEDUP_SHARE: f64 = 0.9;
+/// Minimum run time of a job as a share of its hinted work, for a fast worker and a hint that is
+/// too high.
+pub(super) const MIN_RUN_TIME_SHARE: f64 = 0.25;
+/// Number of ticks before the client's deadline at which the final answer is sent.
 pub(super) const ANSWER_LEAD_TICKS: f64 = 2.0;
-/// Share of first requests with less time left from which a shorter time says nothing of a
-/// request's age.
-pub(super) const SHORT_BUDGET_SHARE: f64 = 0.1;
+/// Share of marked first requests with a short time limit above which a short time limit is no
+/// longer taken as evidence of a client's retry. Also the relative shortfall that makes a time
+/// limit short.
+pub(super) const SHORT_TIME_LIMIT_SHARE: f64 = 0.1;
 
 // ---- Ejection ----
 
-/// Length of a worker's first ejection. With little traffic a worker is drawn seldom, so that a
-/// shorter one would have no effect.
+/// Duration of a worker's first ejection. With little traffic a worker is drawn rarely, so a
+/// shorter ejection would have no effect.
 pub(super) const EJECTION_TIME: f64 = 8.0;
-/// Longest ejection. Each failure in a row doubles the time.
+/// Maximum duration of an ejection. Each consecutive failure doubles the duration.
 pub(super) const MAX_EJECTION_TIME: f64 = 32.0;
-/// Failures in a row that are counted.
-pub(super) const MAX_FAILURES: i32 = 16;
-/// Share of workers that must be left; with more of them ejected the cause is not the workers, and
-/// none is left out.
+/// Maximum number of consecutive failures that are counted.
+pub(super) const MAX_COUNTED_FAILURES: i32 = 16;
+/// Minimum share of the eligible workers that must not be ejected. Below it the workers are
+/// unlikely to be the cause, and ejections are ignored.
 pub(super) const MIN_SHARE_NOT_EJECTED: f64 = 0.5;
 
 // ---- Slow start ----
 
-/// Share of the overload multiple that all dispatchers together use: an overload multiplies what
-/// arrives.
+/// Share of the overload multiple up to which all dispatchers together send to a worker in slow
+/// start. The rest is a margin for overload, which multiplies the traffic to every worker.
 pub(super) const SLOW_START_TRAFFIC_SHARE: f64 = 0.7;
-/// Share of a slow-start budget for one window that one dispatcher may use.
+/// Maximum share of a worker's slow-start budget that one dispatcher may use per window.
 pub(super) const SLOW_START_BUDGET_SHARE: f64 = 0.8;
-/// Multiple of its mean part that a dispatcher may take: traffic is uneven among dispatchers.
-pub(super) const UNEVEN_TRAFFIC: f64 = 4.0;
-/// Multiple of the usual traffic up to which passes to workers in slow start grow with it.
+/// Multiple of an equal share of the slow-start budget that one dispatcher may use, since traffic
+/// is not distributed evenly over the dispatchers.
+pub(super) const TRAFFIC_IMBALANCE: f64 = 4.0;
+/// Multiple of the usual traffic up to which slow-start permits grow in proportion to the traffic.
 pub(super) const MAX_BURST: f64 = 1.5;
-/// Windows of the slow-start budget over which the usual traffic is measured.
+/// Number of slow-start budget windows over which the usual traffic is measured.
 pub(super) const USUAL_TRAFFIC_WINDOWS: f64 = 10.0;
-/// Requests that all dispatchers together send to a resumed worker beside those that are drawn.
+/// Expected number of requests that all dispatchers together send to a resumed worker in addition
+/// to those of the lottery.
 pub(super) const RESUMED_WORKER_REQUESTS: f64 = 1.0;
-/// Seconds over which these are spread: an operator looks whether the worker is used again.
+/// Time within which these requests become due, in seconds. It is short because the operator checks
+/// whether the worker is in use again.
 pub(super) const RESUMED_WORKER_SPREAD_SECONDS: f64 = 3.0;
 
 // ---- Discovery ----
 
-/// Share of the longest interval between calls after which a cached list is checked at the latest,
-/// by chance.
+/// Maximum delay before discovery is called after a cached list was loaded, as a share of the
+/// longest interval between calls. The actual delay is random.
 pub(super) const CACHED_LIST_CHECK: f64 = 0.4;
-/// Share of the longest interval between calls after which a failed call is made again; doubled by
-/// each failure.
+/// Delay before a failed call is repeated, as a share of the longest interval between calls. Each
+/// consecutive failure doubles it.
 pub(super) const FAILED_CALL_RETRY: f64 = 0.05;
-/// Failed calls in a row that lengthen the interval.
+/// Maximum number of consecutive failed calls that lengthen the delay.
 pub(super) const MAX_FAILED_CALLS: i32 = 3;
-/// Share of the longest interval between calls after which a call without any answer is made again.
+/// Delay before a call without any response is repeated, as a share of the longest interval between
+/// calls.
 pub(super) const SILENT_CALL_RETRY: f64 = 0.5;
 
-// ---- Limits of what sibling processes send ----
+// ---- Sibling processes ----
 
-/// Longest window of a slow-start budget for which a sibling's attempts are counted, in seconds.
+/// Maximum time for which a sibling's attempts are counted towards slow-start budgets, in seconds.
 pub(super) const MAX_SIBLING_WINDOW_SECONDS: f64 = 60.0;
--- a/src/decision/probes.rs
+++ b/src/decision/probes.rs
@@ -1,20 +1,20 @@
-//! Probes: asking a few workers for their load before the draw.
+//! Probes: requests for the load reports of a few workers before one of them is drawn.
 
 use super::dispatcher::Dispatcher;
 use super::interface::{Action, Outcome, RequestId, WorkerId};
-use super::parameters::PROBE_WAIT;
+use super::parameters::MAX_PROBE_WAIT;
 use super::request::Request;
 use super::workers::WorkerIndex;
 
-/// Multiple of the connection timeout after which a probe without an answer may be sent again.
-const PROBE_TIMEOUT_DIALS: f64 = 4.0;
+/// Multiple of the connection timeout after which an unanswered probe may be sent again.
+const PROBE_TIMEOUT_FACTOR: f64 = 4.0;
 
 impl Dispatcher {
-    /// Probes some workers drawn at random for a request. With little traffic a dispatcher gets so
-    /// few reports that they are older than its jobs.
+    /// Probes some workers, drawn by lottery, for a request. With little traffic, load reports in
+    /// answers are so rare that they are outdated by the time of the next request.
     pub(super) fn probe_candidates(&mut self, id: RequestId, from: &[WorkerIndex], count: usize) {
         let probed = self.draw(id, from, count);
-        let timeout = PROBE_TIMEOUT_DIALS * self.settings.dial_timeout;
+        let timeout = PROBE_TIMEOUT_FACTOR * self.settings.dial_timeout;
         for &index in &probed {
             let worker = &mut self.workers.all[index];
             let is_waiting = worker.probe_sent.is_some_and(|at| self.now - at <= timeout);
@@ -28,20 +28,21 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let wait = PROBE_WAIT * self.settings.classes[request.class].latency_objective;
+        let wait = MAX_PROBE_WAIT * self.settings.classes[request.class].latency_objective;
         request.probed = probed;
         request.probes_until = self.now + wait;
         request.probe_rounds += 1;
         self.schedule_review(wait, id);
     }
 
-    /// Handles the end of a probe that was sent `elapsed` seconds ago. An answer that is older than
-    /// the last one, or than the worker's start, is ignored: its figures are outdated.
+    /// Handles the end of a probe that was sent `elapsed` seconds ago. The answer is ignored if the
+    /// probe was sent before the latest one answered or before the worker started, since its load
+    /// report is outdated.
     pub(super) fn handle_probe_result(
         &mut self,
         id: WorkerId,
         outcome: Outcome,
-        figures: &[f32],
+        report: &[f32],
         elapsed: f64,
     ) {
         let Some(&index) = self.workers.index.get(&id) else {
@@ -55,14 +56,14 @@
         worker.probe_sent = None;
         worker.answered_probe_sent = sent;
         match outcome {
-            Outcome::Succeeded => self.record_figures(index, figures, 0.0),
+            Outcome::Succeeded => self.record_report_values(index, report, 0.0),
             Outcome::Rejected | Outcome::CancelledLocally => {}
             _ => self.eject(index),
         }
         self.place_requests_that_waited_for(index);
     }
 
-    /// Places each request whose last probe has ended with this worker's.
+    /// Places each request that was waiting for this worker's probe only.
     fn place_requests_that_waited_for(&mut self, index: WorkerIndex) {
         let waits =
             |(&id, request): (&RequestId, &Request)| request.probed.contains(&index).then_some(id);
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -2,7 +2,7 @@
 
 use super::dispatcher::Dispatcher;
 use super::interface::{Class, Effect, RetryBudget};
-use super::parameters::USABLE_WINDOW;
+use super::parameters::USABLE_DEDUP_SHARE;
 use super::request::{Attempt, Request};
 use super::workers::{Worker, WorkerIndex};
 
@@ -14,7 +14,7 @@
         let class = &self.settings.classes[request.class];
         self.may_still_be_answered(request)
             && self.workers.is_usable(&worker.entry)
-            && self.may_run_again_at(request, index)
+            && self.may_resend_to(request, index)
             && class.admits(&worker.entry)
             && self.is_within_retry_budget(request)
             && self.is_within_slow_start_budget(request, index)
@@ -28,7 +28,7 @@
     }
 
     /// What may have run goes again only as its class allows, and never to the same worker.
-    fn may_run_again_at(&self, request: &Request, index: WorkerIndex) -> bool {
+    fn may_resend_to(&self, request: &Request, index: WorkerIndex) -> bool {
         if request.in_flight() > 0 && !self.settings.hedging_allowed {
             return false;
         }
@@ -43,12 +43,12 @@
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.may_have_run())
-                .all(|attempt| self.is_repeat_dropped(class, attempt, &self.workers.all[index])),
+                .all(|attempt| self.is_duplicate_dropped(class, attempt, &self.workers.all[index])),
         }
     }
 
     /// Returns whether this worker would recognise a repeat of the attempt by its key.
-    fn is_repeat_dropped(&self, class: &Class, attempt: &Attempt, worker: &Worker) -> bool {
+    fn is_duplicate_dropped(&self, class: &Class, attempt: &Attempt, worker: &Worker) -> bool {
         let cell = (worker.entry.zone, worker.entry.cell);
         class.deduplicates_between(attempt.cell, cell) && self.now < self.window_end(class, attempt)
     }
@@ -56,7 +56,7 @@
     /// Returns until when a request with a key may be sent again. What counts is its arrival at the
     /// worker, which may be the time of a new connection later.
     pub(super) fn window_end(&self, class: &Class, attempt: &Attempt) -> f64 {
-        attempt.sent + USABLE_WINDOW * class.dedup_window - self.settings.dial_timeout
+        attempt.sent + USABLE_DEDUP_SHARE * class.dedup_window - self.settings.dial_timeout
     }
 
     /// Retries within the window, this one included, against the requests admitted in it.
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -6,24 +6,24 @@
 use super::settings_validation::check_objects;
 
 /// The words that a key may have, and the value that each stands for.
-type Words<T, const N: usize> = [(&'static str, T); N];
+type Keywords<T, const N: usize> = [(&'static str, T); N];
 
-const EFFECTS: Words<Effect, 3> = [
+const EFFECTS: Keywords<Effect, 3> = [
     ("pure", Effect::Idempotent),
     ("token", Effect::IdempotentByKey),
     ("side_effect", Effect::NotIdempotent),
 ];
-const DEDUP_SCOPES: Words<DedupScope, 3> = [
+const DEDUP_SCOPES: Keywords<DedupScope, 3> = [
     ("all", DedupScope::All),
     ("zone", DedupScope::Zone),
     ("cell", DedupScope::Cell),
 ];
-const REPORT_SOURCES: Words<ReportSource, 3> = [
+const REPORT_SOURCES: Keywords<ReportSource, 3> = [
     ("answers", ReportSource::Answers),
     ("probe", ReportSource::Probes),
     ("none", ReportSource::None),
 ];
-const REPORT_FIELDS: Words<ReportField, 8> = [
+const REPORT_FIELDS: Keywords<ReportField, 8> = [
     ("backlog", ReportField::Queue),
     ("outstanding", ReportField::InFlight),
     ("recent_ms", ReportField::ServiceMs),
@@ -36,8 +36,8 @@
 
 /// Returns the value that a word stands for. For the error, `path` is the key and `want` lists the
 /// words.
-fn parse_word<T: Copy, const N: usize>(
-    words: Words<T, N>,
+fn parse_keyword<T: Copy, const N: usize>(
+    words: Keywords<T, N>,
     found: &str,
     path: impl FnOnce() -> String,
     want: &'static str,
@@ -68,7 +68,10 @@
         let path = || format!("report.fields[{position}]");
         let want = "backlog, outstanding, utilization, recent_ms, throughput, errors_per_s, x0, x1";
         Ok(
-            match (name.as_str(), parse_word(REPORT_FIELDS, name, path, want)?) {
+            match (
+                name.as_str(),
+                parse_keyword(REPORT_FIELDS, name, path, want)?,
+            ) {
                 ("x0", field) => meaning(&extra.report_x0, field),
                 ("x1", field) => meaning(&extra.report_x1, field),
                 (_, field) => field,
@@ -90,13 +93,13 @@
         .or_else(|| extra.class_stretch.get(number).copied());
     Ok(Class {
         name: section.name.clone(),
-        effect: parse_word(
+        effect: parse_keyword(
             EFFECTS,
             &section.effect,
             || path("effect"),
             "pure, token, side_effect",
         )?,
-        dedup_scope: parse_word(
+        dedup_scope: parse_keyword(
             DEDUP_SCOPES,
             &section.dedup_scope,
             || path("dedup-scope"),
@@ -131,7 +134,7 @@
 fn report_source(report: &ReportSection) -> Result<ReportSource, SettingsError> {
     match report.via.as_str() {
         "" => Ok(ReportSource::None),
-        via => parse_word(
+        via => parse_keyword(
             REPORT_SOURCES,
             via,
             || "report.via".into(),
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,19 +1,20 @@
-//! Slow start: how much traffic a worker gets that has started or was resumed a short while ago.
+//! Slow start: limits the traffic to workers that have started or been resumed recently.
 //!
-//! All dispatchers together can overload a worker in slow start, whose empty queue wins every draw.
-//! So an attempt may go there only with a pass. Passes are drawn at random; summed over all
-//! dispatchers they stay below the worker's share of the whole capacity.
+//! The empty queue of such a worker would win almost every lottery, so all dispatchers together
+//! would overload it. An attempt may therefore go there only with a slow-start permit. Permits are
+//! drawn at random, with a probability in proportion to the worker's current share of the total
+//! capacity.
 
 use super::dispatcher::Dispatcher;
 use super::parameters::{
-    MAX_BURST, SLOW_START_BUDGET_SHARE, SLOW_START_TRAFFIC_SHARE, UNEVEN_TRAFFIC,
+    MAX_BURST, SLOW_START_BUDGET_SHARE, SLOW_START_TRAFFIC_SHARE, TRAFFIC_IMBALANCE,
     USUAL_TRAFFIC_WINDOWS,
 };
 use super::workers::{Worker, WorkerIndex};
 
 impl Dispatcher {
-    /// Returns the share of its capacity that a worker has at least: it rises linearly from its
-    /// start.
+    /// Returns the minimum share of its capacity that a worker has now. The share rises linearly
+    /// during the warm-up time.
     pub(super) fn warm_share(&self, worker: &Worker) -> f64 {
         let progress = (self.now - worker.started()).max(0.0)
             / self.settings.warm_up_time.max(self.settings.tick);
@@ -35,32 +36,32 @@
             * self.settings.overload_window
     }
 
-    /// Returns this dispatcher's part of the slow-start budget, with what chance adds to a part of
-    /// few requests.
+    /// Returns this dispatcher's part of the slow-start budget, with an allowance for random
+    /// variation, which is large for a part of few requests.
     pub(super) fn own_slow_start_budget(&self, worker: &Worker) -> f64 {
         let dispatchers = f64::from(self.settings.dispatcher_count.max(1));
         let run_time = self.estimates.mean_run_time;
-        let part =
-            SLOW_START_BUDGET_SHARE * self.slow_start_budget(worker) * UNEVEN_TRAFFIC / dispatchers;
-        let with_chance = part + 2.0 * (part * run_time).sqrt() + run_time;
-        with_chance.min(SLOW_START_BUDGET_SHARE * self.slow_start_budget(worker))
+        let part = SLOW_START_BUDGET_SHARE * self.slow_start_budget(worker) * TRAFFIC_IMBALANCE
+            / dispatchers;
+        let with_variation = part + 2.0 * (part * run_time).sqrt() + run_time;
+        with_variation.min(SLOW_START_BUDGET_SHARE * self.slow_start_budget(worker))
     }
 
-    /// Draws whether the next attempt may go to a worker in slow start, and to which. In a burst
-    /// the passes grow by half at most.
-    pub(super) fn draw_slow_start_pass(&mut self) -> Option<WorkerIndex> {
-        if let Some(worker) = self.workers.resumed_without_request(self.now) {
+    /// Draws whether the next attempt gets a slow-start permit, and for which worker. In a burst
+    /// the number of permits is limited to [`MAX_BURST`] times that of the usual traffic.
+    pub(super) fn draw_slow_start_permit(&mut self) -> Option<WorkerIndex> {
+        if let Some(worker) = self.workers.resumed_worker_due_request(self.now) {
             return Some(worker);
         }
         let window = self.settings.overload_window;
-        self.budgets.pass_draws.push(self.now);
-        let draws = self.budgets.pass_draws.count_since(self.now - window) as f64;
+        self.budgets.permit_draws.push(self.now);
+        let draws = self.budgets.permit_draws.count_since(self.now - window) as f64;
         let usual = self
             .budgets
             .admitted
             .mean_per_window(self.now, window, USUAL_TRAFFIC_WINDOWS);
-        let likely_most = usual + 2.0 * usual.sqrt() + 1.0;
-        let burst = (draws / (MAX_BURST * likely_most)).max(1.0);
+        let likely_maximum = usual + 2.0 * usual.sqrt() + 1.0;
+        let burst = (draws / (MAX_BURST * likely_maximum)).max(1.0);
         let range = SLOW_START_TRAFFIC_SHARE * self.settings.overload_multiple;
         let mut drawn = self.random.uniform() * burst * self.workers.total_size / range;
         self.workers.started.iter().copied().find(|&index| {
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -272,7 +272,7 @@
     }
 
     /// Returns a resumed worker that is owed a request by `now`.
-    pub fn resumed_without_request(&self, now: f64) -> Option<WorkerIndex> {
+    pub fn resumed_worker_due_request(&self, now: f64) -> Option<WorkerIndex> {
         let is_due =
             |index: &WorkerIndex| self.all[*index].request_due_at.is_some_and(|at| at <= now);
         self.started.iter().copied().find(is_due)
