--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -1,5 +1,4 @@
-//! Attempts: sending them, reviewing silent ones, hedged requests, and what their ends mean for the
-//! request.
+//! Attempts: sending them, reviewing silent ones, hedging requests, and handling the outcomes.
 
 use super::dispatcher::{Dispatcher, TimerKind};
 use super::estimates::smooth;
@@ -10,7 +9,7 @@
 use super::request::{Attempt, AttemptState, Request};
 use super::workers::{Acceptance, OwnAttempt, WorkerIndex};
 
-/// Attempts of one request that may be in flight at a time.
+/// Maximum number of attempts of one request in flight at a time.
 const MAX_IN_FLIGHT: usize = 2;
 
 impl Dispatcher {
@@ -55,8 +54,8 @@
         self.schedule_review(silence_limit, id);
     }
 
-    /// Schedules a review of a request after a delay. An earlier review that is still to come
-    /// stays.
+    /// Schedules a review of a request after a delay, unless an earlier review is already
+    /// scheduled.
     pub(super) fn schedule_review(&mut self, delay: f64, id: RequestId) {
         let mut at = self.jittered(delay);
         let Some(request) = self.requests.get(&id) else {
@@ -77,8 +76,8 @@
         }
     }
 
-    /// Reviews a request that waits for probes, for a worker, or for an attempt that has been
-    /// silent.
+    /// Reviews a request that is waiting for probes, for a worker, or for the outcome of an
+    /// attempt.
     pub(super) fn review_request(&mut self, id: RequestId) {
         let soon = self.now + self.settings.tick / 2.0;
         let now = self.now;
@@ -100,8 +99,8 @@
         }
     }
 
-    /// Reviews the last attempt in flight: a silent one is hedged where that is permitted, and the
-    /// worker of one that hangs is ejected.
+    /// Reviews the last attempt in flight. A request whose attempt is silent is hedged if that is
+    /// permitted, and the worker is ejected if the attempt appears to hang.
     fn review_attempt(&mut self, id: RequestId, last: usize) {
         let request = &self.requests[&id];
         let attempt = &request.attempts[last];
@@ -123,7 +122,7 @@
         self.schedule_review(silence_limit, id);
     }
 
-    /// Records that a report of free capacity was wrong: the job that it led to does not end.
+    /// Records that a report of free capacity was wrong, because the job sent on its account hangs.
     fn record_refuted_report(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -134,9 +133,9 @@
         }
     }
 
-    /// Returns whether a silent request may be hedged: its class permits it, and the budget does.
-    /// The budget does not bind where the settings state one for all retries, or where only hedged
-    /// requests find free capacity.
+    /// Returns whether a silent request may be hedged, according to its class and the hedge budget.
+    /// The hedge budget does not apply if the settings have a retry budget, or if hedged requests
+    /// are the only means to find free capacity.
     fn may_hedge(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
@@ -145,18 +144,18 @@
         let only_hedges_find_capacity = self.can_cancel_waiting_jobs()
             && !self.settings.probes_allowed
             && self.settings.report_source != ReportSource::None;
-        let is_unbound = self.settings.retry_budget.is_some() || only_hedges_find_capacity;
-        is_permitted && (is_unbound || self.budgets.hedges >= 1.0)
+        let is_unlimited = self.settings.retry_budget.is_some() || only_hedges_find_capacity;
+        is_permitted && (is_unlimited || self.budgets.hedges >= 1.0)
     }
 
-    /// Returns whether a job that waits at a worker is recognised and can be cancelled, because
-    /// workers report starts.
+    /// Returns whether jobs that wait at a worker can be recognised, because workers report starts,
+    /// and can be cancelled.
     fn can_cancel_waiting_jobs(&self) -> bool {
         self.settings.reports_start && self.settings.cancel_allowed
     }
 
-    /// Returns how long a job may be silent before it is hedged or, while it runs, its worker is in
-    /// doubt; in seconds.
+    /// Returns how long an attempt may be silent before the request is hedged, in seconds. With
+    /// [`JobPhase::Running`] it is the time after which the attempt is considered hung.
     fn silence_limit(&self, request: &Request, phase: JobPhase) -> f64 {
         if phase == JobPhase::Waiting && self.can_cancel_waiting_jobs() {
             let objective = self.time_to_objective(request) + self.now - request.first_submitted;
@@ -169,8 +168,8 @@
         2.0 * (class.latency_objective + (class.objective_stretch + 1.0) * request.work)
     }
 
-    /// Handles a progress report of an attempt in flight. Its worker is no longer ejected; when the
-    /// job has started, the other attempts of the request that still wait are cancelled.
+    /// Handles a progress report of an attempt in flight and ends the ejection of its worker. When
+    /// the job starts, the other attempts of the request that have not started are cancelled.
     pub(super) fn handle_progress(&mut self, id: RequestId, attempt: u16, note: ProgressNote) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(|request| request.attempts.get_mut(attempt as usize));
@@ -186,8 +185,8 @@
         }
     }
 
-    /// Handles the end of an attempt for its request. `answered` says that the client has its
-    /// final answer.
+    /// Handles the end of an attempt for its request. `answered` indicates that the client has
+    /// received the final answer.
     pub(super) fn handle_outcome(
         &mut self,
         id: RequestId,
@@ -233,20 +232,20 @@
             self.record_acceptance(id, &attempt, outcome);
         }
         if attempt.capacity_reported && outcome == Outcome::Succeeded {
-            self.record_confirmed_report(id, &attempt);
+            self.record_report_accuracy(id, &attempt);
         }
     }
 
-    /// Records how long a job ran. Much more than its work was waiting time: counted as work, each
-    /// wait would make the next reviews later.
+    /// Records the run time of a job. Time far beyond its expected work is attributed to waiting;
+    /// counted as run time, it would lengthen the estimates and delay later reviews.
     fn record_run_time(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
-        let began = if self.settings.reports_start {
+        let started = if self.settings.reports_start {
             attempt.started.unwrap_or(attempt.sent)
         } else {
             attempt.sent
         };
-        let run_time = (self.now - began)
+        let run_time = (self.now - started)
             .max(self.settings.tick)
             .min(MAX_RUN_TIME_FACTOR * request.work);
         let estimates = &mut self.estimates;
@@ -254,7 +253,7 @@
         smooth(&mut estimates.mean_run_time, run_time);
     }
 
-    /// Records whether a worker has accepted a request of this class.
+    /// Records whether a worker accepted an attempt of this class.
     fn record_acceptance(&mut self, id: RequestId, attempt: &Attempt, outcome: Outcome) {
         let class = self.requests[&id].class;
         let share = if outcome == Outcome::Succeeded {
@@ -271,21 +270,21 @@
         worker.acceptance.insert(class, acceptance);
     }
 
-    /// Records whether a report of free capacity was right: it was if the job ended in time.
-    /// Reports that arrive late show capacity that is in use again; the fewer are right, the less
-    /// they count.
-    fn record_confirmed_report(&mut self, id: RequestId, attempt: &Attempt) {
+    /// Records whether a report of free capacity was accurate, which it was if the job met its
+    /// latency objective. Delayed reports show capacity that is already in use again; if too few
+    /// reports are accurate, they are ignored.
+    fn record_report_accuracy(&mut self, id: RequestId, attempt: &Attempt) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_kept = self.now - attempt.sent
+        let is_accurate = self.now - attempt.sent
             <= class.latency_objective + class.objective_stretch * request.work;
         smooth(
             &mut self.estimates.report_accuracy,
-            f64::from(u8::from(is_kept)),
+            f64::from(u8::from(is_accurate)),
         );
     }
 
-    /// Cancels the attempts in flight that pass the test, where the settings permit cancelling.
+    /// Cancels the attempts in flight that satisfy the condition, if the settings allow cancelling.
     pub(super) fn cancel_attempts(&mut self, id: RequestId, which: impl Fn(&Attempt) -> bool) {
         if !self.settings.cancel_allowed {
             return;
@@ -302,12 +301,12 @@
     }
 }
 
-/// What is known of a job at its worker.
+/// State of a job at its worker, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobPhase {
-    /// No start was reported.
+    /// The worker has not reported its start.
     Waiting,
-    /// The start was reported.
+    /// The worker has reported its start.
     Running,
 }
 
--- a/src/decision/configuration.rs
+++ b/src/decision/configuration.rs
@@ -1,22 +1,22 @@
-//! The configuration of a dispatcher: classes of requests, limits, prices and the figures of load
-//! reports. Times are seconds.
+//! The configuration of a dispatcher: request classes, limits, prices and the fields of load
+//! reports. Times are in seconds.
 
 use super::figures::sound;
 use super::worker_entry::{Entry, NO_CELL, NO_ZONE};
 
-/// Whether a request that may already have run can be sent again.
+/// The side effects of a request, which decide whether it can be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// It can be sent again to any worker.
     Idempotent,
-    /// It carries an idempotency key: for some time, the workers of one [`DedupScope`] drop its
+    /// It has an idempotency key: for some time, the workers of one [`DedupScope`] drop its
     /// duplicates.
     IdempotentByKey,
     /// It must never run twice.
     NotIdempotent,
 }
 
-/// The workers that share the idempotency keys they have seen.
+/// The workers that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every worker.
@@ -30,40 +30,42 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, as requests give it.
+    /// Name of the class, as given in requests.
     pub name: String,
     /// Whether a request that may have run can be sent again.
     pub effect: Effect,
-    /// For requests with an idempotency key, the workers that drop duplicates of one another's.
+    /// For requests with an idempotency key, the workers that recognise each other's requests as
+    /// duplicates.
     pub dedup_scope: DedupScope,
     /// For requests with an idempotency key, how long duplicates are dropped, counted from the
     /// first attempt that may have run.
     pub dedup_window: f64,
-    /// Latency objective: an answer within this time, plus `objective_stretch` times the job's own
-    /// work, earns the full weight.
+    /// Latency objective: an answer within this time, plus `objective_stretch` times the job's
+    /// work, counts with the full weight.
     pub latency_objective: f64,
-    /// Multiple of the job's own work that is added to the latency objective.
+    /// Multiple of the job's work that is added to the latency objective.
     pub objective_stretch: f64,
-    /// How long a client waits at most.
+    /// Maximum time that a client waits for an answer.
     pub deadline: f64,
-    /// Weight of a request that is answered within its objective.
+    /// Weight of a request that is answered within its latency objective.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the objective still earns.
+    /// Share of the weight with which an answer after the latency objective still counts.
     pub late_weight: f64,
-    /// The only machine kind that can run it; `None` for any.
+    /// The only machine kind that can run its requests; `None` for any.
     pub required_kind: Option<u16>,
-    /// The machine kinds that it may be sent to; `None` for any.
+    /// The machine kinds that its requests may be sent to; `None` for any.
     pub allowed_kinds: Option<Vec<u32>>,
-    /// The zones that it may be sent to; `None` for any.
+    /// The zones that its requests may be sent to; `None` for any.
     pub allowed_zones: Option<Vec<u32>>,
     /// Priority in the workers' queues, if [`Settings::priority_queues`] is set.
     pub priority: i32,
-    /// The answer is a stream.
+    /// Whether answers are streamed.
     pub stream: bool,
 }
 
 impl Class {
-    /// Returns whether requests of this class may be sent to a worker of this kind and zone.
+    /// Returns whether requests of this class may be sent to a worker of this machine kind and
+    /// zone.
     pub fn admits(&self, entry: &Entry) -> bool {
         let allows = |allowed: &Option<Vec<u32>>, number: u32| {
             allowed
@@ -76,7 +78,8 @@
     }
 
     /// Returns whether a worker in the second zone and cell drops duplicates of requests that a
-    /// worker in the first has received. It does not where a zone or cell that matters is unknown.
+    /// worker in the first has received. If a zone or cell that is relevant is unknown, it does
+    /// not.
     pub fn deduplicates_between(&self, first: (u8, u16), second: (u8, u16)) -> bool {
         let zone = first.0 == second.0 && first.0 != NO_ZONE;
         let cell = first.1 == second.1 && first.1 != NO_CELL;
@@ -87,8 +90,8 @@
         }
     }
 
-    /// Returns the effect of a request of this class. Without an idempotency key no worker can
-    /// recognise its duplicates.
+    /// Returns the effect of a request of this class. Without an idempotency key, workers cannot
+    /// recognise duplicates of the request.
     pub fn effect_of(&self, without_key: bool) -> Effect {
         if without_key && self.effect == Effect::IdempotentByKey {
             Effect::NotIdempotent
@@ -105,20 +108,20 @@
     }
 }
 
-/// A figure of a load report.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests waiting.
+    /// Number of requests waiting.
     Queue,
-    /// Requests at the worker, waiting or running.
+    /// Number of requests at the worker, waiting or running.
     InFlight,
-    /// Free slots.
+    /// Number of free slots.
     FreeSlots,
     /// Free memory units.
     FreeMemory,
     /// Recent service time without waiting, in milliseconds.
     ServiceMs,
-    /// A figure that the module does not use.
+    /// A field that the module does not use.
     Other,
 }
 
@@ -129,86 +132,88 @@
     Answers,
     /// Answers to probes only.
     Probes,
-    /// There are none.
+    /// There are no load reports.
     None,
 }
 
-/// How many attempts beyond each request's first one a dispatcher may send. Within any `window`,
-/// they stay at or below `min_retries + ratio * requests admitted in the window`.
+/// Limit on the number of attempts beyond the first one of each request. Within any `window` a
+/// dispatcher sends at most `min_retries + ratio * requests admitted in the window` of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that are always allowed, however light the traffic is.
+    /// Number of retries that are always allowed, regardless of the traffic.
     pub min_retries: f64,
-    /// Retries for each admitted request.
+    /// Number of retries per admitted request.
     pub ratio: f64,
     /// The time over which retries and admitted requests are counted, in seconds.
     pub window: f64,
 }
 
-/// The configuration that a dispatcher is started with.
+/// The configuration of a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of dispatchers that send to the workers.
     pub dispatcher_count: u32,
     /// Zone of this dispatcher.
     pub zone: u8,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Discovery answers polls only; it can't be watched.
+    /// Discovery must be polled; it can't be watched.
     pub discovery_on_request: bool,
-    /// Where discovery is polled, the longest time between two polls.
+    /// If discovery is polled, the longest time between two polls.
     pub max_poll_interval: f64,
-    /// Shortest time between two calls of [`crate::Dispatcher::handle`] with different clocks.
+    /// Resolution of the clock: the shortest time between two calls of
+    /// [`crate::Dispatcher::handle`] at different times.
     pub tick: f64,
     /// Where load reports come from.
     pub report_source: ReportSource,
-    /// The figures of a load report, in their order.
+    /// The fields of a load report, in their order.
     pub report_fields: Vec<ReportField>,
-    /// Probes are allowed.
+    /// Whether probes may be sent.
     pub probes_allowed: bool,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancel_allowed: bool,
-    /// Hedged requests are allowed: two attempts of one request may be in flight at a time.
+    /// Whether hedged requests are allowed: two attempts of one request may be in flight at a time.
     pub hedging_allowed: bool,
-    /// Longest Retry-After that a rejected client is given; 0 if it is given none.
+    /// Maximum `Retry-After` value for rejected clients; 0 if none is sent.
     pub max_retry_after: f64,
     /// Maximum number of attempts of one request.
     pub max_attempts: u16,
-    /// Time after which connecting to a worker has failed.
+    /// Timeout for connecting to a worker.
     pub dial_timeout: f64,
-    /// The weight of a request counts for each unit of its work, not once.
+    /// Whether the weight of a request counts per unit of its work instead of once per request.
     pub weight_by_work: bool,
-    /// Price of one probe for each request, as a share of all weight.
+    /// Cost of sending one probe per request, as a share of the total weight of all requests.
     pub probe_price: f64,
-    /// Price of an attempt that crosses zones, as a share of all weight.
+    /// Cost of sending an attempt to another zone, as a share of the total weight of all requests.
     pub cross_zone_price: f64,
-    /// Price, as a share of all weight, if every request makes its worker fetch the data of its
-    /// subject; 0 if nothing is fetched.
+    /// Cost if for every request the worker has to fetch the data of its affinity key, as a share
+    /// of the total weight of all requests; 0 if nothing is fetched.
     pub fetch_price: f64,
-    /// Price, as a share of all weight, if as much work is wasted as was requested.
+    /// Cost if as much work is wasted as was requested, as a share of the total weight of all
+    /// requests.
     pub waste_price: f64,
-    /// Workers serve their queues in the order of the classes' priorities.
+    /// Whether workers serve their queues in the order of the classes' priorities.
     pub priority_queues: bool,
-    /// Workers report the start of a job.
+    /// Whether workers report the start of a job.
     pub reports_start: bool,
-    /// Time between two progress reports of a running job; 0 if there are none.
+    /// Interval between progress reports of a running job; 0 if there are none.
     pub progress_interval: f64,
-    /// Clients mark the requests that are retries of earlier ones.
+    /// Whether clients mark requests that are retries of earlier ones.
     pub clients_mark_retries: bool,
-    /// The sizes in the worker list can be compared between workers.
+    /// Whether the sizes in the worker list can be compared between workers.
     pub sizes_compare: bool,
-    /// Share of its capacity, from 0 to 1, that a worker has at its start at least.
+    /// Minimum share of its capacity that a worker has right after its start, from 0 to 1.
     pub initial_capacity_share: f64,
-    /// Time after its start in which a worker has warmed up at the latest.
+    /// Maximum time after its start that a worker takes to reach its full capacity.
     pub warm_up_time: f64,
-    /// A worker that is warming up fails if it is sent more than this multiple of its present
+    /// A worker that is warming up fails if it is sent more than this multiple of its current
     /// capacity for `overload_window`.
     pub overload_multiple: f64,
-    /// How long a worker that is warming up withstands an overload.
+    /// Time for which a worker that is warming up withstands an overload.
     pub overload_window: f64,
-    /// Budget of retries; `None` if they are not limited.
+    /// Retry budget; `None` if retries are not limited.
     pub retry_budget: Option<RetryBudget>,
-    /// Workers may reject a job that they had begun, so that a rejected attempt may have run.
+    /// Whether workers may reject a job after starting it, so that a rejected attempt may have run.
     pub full_may_have_run: bool,
     /// Names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
@@ -216,17 +221,17 @@
     pub kind_names: Vec<String>,
     /// Names of the tenants, in the order of their numbers.
     pub tenant_names: Vec<String>,
-    /// Names of the figures of a load report, in their order.
+    /// Names of the fields of a load report, in their order.
     pub field_names: Vec<String>,
     /// Time after which a worker closes an idle connection; 0 if it is unknown.
     pub idle_timeout: f64,
-    /// Maximum number of requests that wait for an answer at a time; 0 for no limit.
+    /// Maximum number of requests waiting for an answer at a time; 0 for no limit.
     pub max_waiting_requests: usize,
 }
 
 impl Settings {
-    /// Returns whether workers may stop a running job of this class for one of a higher priority.
-    /// Such an end is no fault of the worker.
+    /// Returns whether workers may stop a running job of this class in favour of one with a higher
+    /// priority. This is not a fault of the worker.
     pub fn may_preempt(&self, class: usize) -> bool {
         let class = &self.classes[class];
         let higher = |other: &Class| other.priority > class.priority;
--- a/src/decision/discovery.rs
+++ b/src/decision/discovery.rs
@@ -1,4 +1,4 @@
-//! Worker lists, suspended workers, and when discovery is called.
+//! Worker lists, suspended workers, and the schedule of calls to discovery.
 
 use super::dispatcher::{Dispatcher, TimerKind};
 use super::interface::{Action, Entry, ListKind, RequestId, WorkerId};
@@ -9,12 +9,12 @@
 use super::request::Request;
 
 impl Dispatcher {
-    /// Applies a worker list, or the failure of a call for one.
+    /// Handles a worker list, or the failure of a call to discovery.
     pub(super) fn handle_worker_list(&mut self, kind: ListKind, entries: &[Entry]) {
         match kind {
             ListKind::Failed => return self.handle_failed_call(),
-            // All dispatchers may start at once: their calls are spread over the time that is
-            // allowed.
+            // All dispatchers may start at the same time, so the delay of their first calls is
+            // random.
             ListKind::Cached => {
                 let spread = self.random.uniform();
                 self.schedule_discovery_call(
@@ -38,8 +38,8 @@
         self.schedule_discovery_call(self.settings.max_poll_interval * FAILED_CALL_RETRY * backoff);
     }
 
-    /// Schedules the next call. Only the latest schedule counts; otherwise each failed call would
-    /// double the timers.
+    /// Schedules the next call to discovery. It replaces the one scheduled before; otherwise each
+    /// failed call would double the number of timers.
     fn schedule_discovery_call(&mut self, delay: f64) {
         let at = self.jittered(delay);
         self.discovery.next_call_at = at;
@@ -47,12 +47,13 @@
         self.actions.push(Action::Timer { at, token });
     }
 
-    /// Calls discovery unless changes of the list are received or the timer is outdated.
+    /// Calls discovery unless changes of the list are already being received or the timer is
+    /// outdated.
     pub(super) fn call_discovery_if_due(&mut self) {
         let is_due = self.now + self.settings.tick >= self.discovery.next_call_at;
         if is_due && !self.discovery.watching && self.settings.discovery_on_request {
             self.actions.push(Action::WatchDiscovery);
-            // In case nothing at all comes back.
+            // Repeats the call if there is no response at all.
             self.schedule_discovery_call(SILENT_CALL_RETRY * self.settings.max_poll_interval);
         }
     }
@@ -64,9 +65,9 @@
         self.handle_changed_suspensions();
     }
 
-    /// Resumes a suspended worker. It was most likely restarted: it counts as in slow start, its
-    /// earlier figures are dropped, and yet it is owed a request soon. One of all dispatchers,
-    /// drawn by chance, sends that request.
+    /// Resumes a suspended worker. It has most likely been restarted, so it goes through slow start
+    /// and its earlier state is discarded. It is also sent a request soon: each dispatcher decides
+    /// at random whether to send one, so that on average one of them does.
     pub(super) fn resume_worker(&mut self, id: WorkerId) {
         if let Some(start_at_suspension) = self.workers.suspended.remove(&id) {
             let dispatchers = f64::from(self.settings.dispatcher_count.max(1));
@@ -91,7 +92,8 @@
         index.map_or(0.0, |&index| self.workers.all[index].entry.started)
     }
 
-    /// Rejects the requests for which every worker is suspended now.
+    /// Recomputes the usable workers, and answers waiting requests for which every worker is
+    /// suspended.
     fn handle_changed_suspensions(&mut self) {
         self.workers.refresh_usable(&self.settings);
         let without_worker = |(&id, request): (&RequestId, &Request)| {
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Returns whether operators have suspended every worker that a class could be sent to.
+    /// Returns whether no worker is usable for a class, and at least one that could serve it is
+    /// suspended.
     pub(super) fn all_workers_suspended(&self, class: usize) -> bool {
         let ready = &self.workers.ready_by_class[class];
         self.workers
--- a/src/decision/discovery_calls.rs
+++ b/src/decision/discovery_calls.rs
@@ -3,9 +3,9 @@
 /// The state of the calls to discovery.
 #[derive(Default)]
 pub struct DiscoveryCalls {
-    /// When discovery is called next. An earlier timer is outdated.
+    /// When discovery is called next. Timers that expire earlier are outdated.
     pub next_call_at: f64,
-    /// Calls that failed in a row, up to a maximum.
+    /// Number of consecutive failed calls, up to a maximum.
     pub failed_calls: i32,
     /// Whether changes of the list are being received.
     pub watching: bool,
--- a/src/decision/dispatcher.rs
+++ b/src/decision/dispatcher.rs
@@ -1,9 +1,9 @@
-//! The dispatcher: events come in with the current time, actions go out.
+//! The dispatcher: takes events with the current time and returns actions.
 //!
-//! The ordinary path is the lottery of SNS: a request goes to a worker drawn at random with tickets
-//! of 1 / (load + correction + 1). The correction counts the dispatcher's own attempts, which are
-//! subtracted from the reported load. The modules beside this one contain the decisions, each for
-//! one concern.
+//! The normal path is the lottery scheduling of SNS: a request goes to a worker drawn at random
+//! with 1 / (load + correction + 1) tickets. The correction is the number of slots of the
+//! dispatcher's own attempts, which are subtracted from the reported load. Each of the sibling
+//! modules implements the decisions for one concern.
 
 use super::budgets::Budgets;
 use super::discovery_calls::DiscoveryCalls;
@@ -14,22 +14,22 @@
 use super::workers::WorkerTable;
 use std::collections::BTreeMap;
 
-/// A timer's token is its kind plus the number of its request, which is below this.
+/// Request ids are below this limit. The token of a timer combines its kind with a request id.
 pub(super) const MAX_REQUEST_ID: u64 = 1 << 52;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TimerKind {
     /// The final answer of a request is due.
     Deadline,
-    /// A request is to be reviewed.
+    /// A request is due for review.
     Review,
-    /// Discovery is to be called.
+    /// A call to discovery is due.
     Discovery,
 }
 
 impl TimerKind {
-    /// Returns the token of a timer of this kind. A timer of [`TimerKind::Discovery`] has number 0.
+    /// Returns the token of a timer of this kind. For [`TimerKind::Discovery`] the request id is 0.
     pub(super) fn token(self, request: RequestId) -> u64 {
         let kind = match self {
             Self::Deadline => 0,
@@ -39,7 +39,8 @@
         (kind * MAX_REQUEST_ID) | request
     }
 
-    /// Returns the kind and the request's number of a token, if it is one of ours.
+    /// Returns the kind and the request id of a token, or `None` if the dispatcher did not issue
+    /// it.
     fn parse(token: u64) -> Option<(Self, RequestId)> {
         let request = token % MAX_REQUEST_ID;
         match token / MAX_REQUEST_ID {
@@ -51,7 +52,7 @@
     }
 }
 
-/// One dispatcher: its settings, what it knows of the workers, its requests and its random numbers.
+/// A dispatcher: its settings, the state of workers and requests, and its random number generator.
 pub struct Dispatcher {
     pub(super) settings: Settings,
     pub(super) random: Random,
@@ -65,11 +66,11 @@
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher that knows nothing yet. Its random numbers follow from the seed.
+    /// Returns a dispatcher without workers and requests. The seed determines its random numbers.
     ///
     /// # Errors
     ///
-    /// If the settings have a figure out of range, see [`Settings::validate`].
+    /// Returns an error if a setting is out of range, see [`Settings::validate`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let expected_run_times: Vec<f64> = settings
@@ -90,10 +91,10 @@
         })
     }
 
-    /// Handles one event that happens at `now` and appends what is to be done at that time to
-    /// `actions`.
+    /// Handles one event at the time `now` and appends the resulting actions to `actions`.
     ///
-    /// Unknown requests, workers and timers are ignored. A clock that steps back is used as it is.
+    /// Unknown requests, workers and timers are ignored. If the clock steps back, its time is used
+    /// unchanged.
     pub fn handle(&mut self, now: f64, event: &Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.handle_event(event);
@@ -160,13 +161,13 @@
         }
     }
 
-    /// Returns a time between once and one and a half times `delay` from now: dispatchers must not
-    /// act in step.
+    /// Returns a random time between `delay` and 1.5 times `delay` from now, so that dispatchers do
+    /// not act in lockstep.
     pub(super) fn jittered(&mut self, delay: f64) -> f64 {
         self.now + delay.max(self.settings.tick) * (1.0 + 0.5 * self.random.uniform())
     }
 
-    /// Returns the time that is this many mean run times ago.
+    /// Returns the time this many mean run times ago.
     pub(super) fn run_times_ago(&self, run_times: f64) -> f64 {
         self.now - run_times * self.estimates.mean_run_time
     }
--- a/src/decision/event_times.rs
+++ b/src/decision/event_times.rs
@@ -1,4 +1,4 @@
-//! The latest times of one kind of event, for budgets that count within a window.
+//! The latest times of one kind of event, for budgets that count events within a window.
 
 use std::collections::VecDeque;
 
@@ -7,8 +7,8 @@
 pub struct EventTimes(VecDeque<f64>);
 
 impl EventTimes {
-    /// Number of times that are stored. Fewer admitted requests only make a retry budget smaller;
-    /// retries stay far below this number.
+    /// Maximum number of times that are kept. Dropping admitted requests only makes the retry
+    /// budget smaller, and the number of retries stays far below this limit.
     const MAX_TIMES: usize = 65536;
 
     /// Records an event at `now`.
@@ -17,7 +17,7 @@
         self.drop_oldest();
     }
 
-    /// Adds the times of a sibling process, in any order.
+    /// Adds the times recorded by a sibling process, which may be in any order.
     pub fn merge(&mut self, times: &[f64]) {
         let finite = times.iter().copied().filter(|at| at.is_finite());
         self.0.extend(finite);
@@ -25,7 +25,7 @@
         self.drop_oldest();
     }
 
-    /// Returns the latest times that are not before `since`, latest first, at most `max` of them.
+    /// Returns at most `max` of the times at or after `since`, latest first.
     pub fn latest(&self, max: usize, since: f64) -> Vec<f64> {
         self.0
             .iter()
@@ -36,15 +36,15 @@
             .collect()
     }
 
-    /// Returns the mean number of events in a window of this length, over the last `windows`
-    /// windows or, if the first event is more recent, over the time since then.
+    /// Returns the mean number of events per window of this length. The mean is over the last
+    /// `windows` windows, or over the time since the first event if that is shorter.
     pub fn mean_per_window(&self, now: f64, window: f64, windows: f64) -> f64 {
         let age = self.0.front().map_or(0.0, |first| now - first);
         let span = (windows * window).min(age).max(window);
         self.count_since(now - span) as f64 * window / span
     }
 
-    /// Returns the number of events that are not before `since`.
+    /// Returns the number of events at or after `since`.
     pub fn count_since(&self, since: f64) -> usize {
         self.0.len() - self.0.partition_point(|&time| time < since)
     }
--- a/src/decision/figures.rs
+++ b/src/decision/figures.rs
@@ -1,11 +1,11 @@
-//! Checks of the figures that come from outside.
+//! Checks of numbers from external input.
 
-/// Returns the figure if it is finite and not below zero.
-pub fn sound(figure: f64) -> Option<f64> {
-    Some(figure).filter(|figure| figure.is_finite() && *figure >= 0.0)
+/// Returns the number if it is finite and not negative.
+pub fn sound(number: f64) -> Option<f64> {
+    Some(number).filter(|number| number.is_finite() && *number >= 0.0)
 }
 
-/// Returns the figure if it is finite and above zero.
-pub fn finite_positive(figure: f64) -> Option<f64> {
-    sound(figure).filter(|figure| *figure > 0.0)
+/// Returns the number if it is finite and greater than zero.
+pub fn finite_positive(number: f64) -> Option<f64> {
+    sound(number).filter(|number| *number > 0.0)
 }
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -1,8 +1,8 @@
 //! The interface of the decision module: the events that a dispatcher handles and the actions that
 //! it returns.
 //!
-//! Times are seconds. Absent figures are zero unless a type says otherwise; figures that are not
-//! finite or below zero are treated as absent by the module.
+//! Times are in seconds. Absent numbers are zero unless a type says otherwise; the module treats
+//! numbers that are negative or not finite as absent.
 
 pub use super::configuration::{
     Class, DedupScope, Effect, ReportField, ReportSource, RetryBudget, Settings,
@@ -12,59 +12,59 @@
 pub use super::settings_error::{REMEDIES, SettingsError};
 pub use super::worker_entry::{Entry, Health, NO_CELL, NO_ZONE, WorkerId};
 
-/// How the entries of a worker list are to be read.
+/// The origin and completeness of a worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Delta,
-    /// The complete list; a worker that is absent has been removed.
+    /// The complete list; workers that are not in it have been removed.
     Full,
     /// The complete list from a cache; it may be stale.
     Cached,
-    /// Changed entries that a peer passed on. They don't show that discovery can be reached.
+    /// Changed entries forwarded by a peer. They do not imply that discovery can be reached.
     FromPeer,
-    /// A call to discovery failed or the watch on it broke; there are no entries.
+    /// A call to discovery failed or the watch was interrupted; there are no entries.
     Failed,
 }
 
 /// A request that a client has submitted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NewRequest {
-    /// Its number at this dispatcher.
+    /// Its id at this dispatcher.
     pub id: RequestId,
     /// Index of its class.
     pub class: u8,
     /// Index of its tenant.
     pub tenant: u16,
-    /// Number of the subject that it is about, by which workers cache data; 0 for none.
+    /// Affinity key; workers cache data by it. 0 for none.
     pub subject: u64,
     /// Time until the client gives up, in seconds.
     pub time_limit: f64,
-    /// Expected work in seconds on a standard core, if it is stated.
+    /// Expected work in seconds on a standard core, if the client states it.
     pub expected_work: Option<f64>,
-    /// Slots that it takes.
+    /// Number of slots that it takes.
     pub slots: f64,
-    /// Memory units that it takes.
+    /// Number of memory units that it takes.
     pub memory: f64,
-    /// The client marked it as a retry of an earlier request.
+    /// Whether the client marked it as a retry of an earlier request.
     pub is_marked_retry: bool,
-    /// It carries no idempotency key.
+    /// Whether it has no idempotency key.
     pub without_key: bool,
 }
 
-/// How an attempt, or a probe, ended.
+/// The outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The worker served it.
+    /// The worker served it successfully.
     Succeeded,
     /// The worker answered with an error.
     Error,
-    /// The worker rejected it, because its queue is full or it is draining. It has not run, unless
-    /// [`Settings::full_may_have_run`] is set.
+    /// The worker rejected it because its queue is full or it is draining. The job has not run,
+    /// unless [`Settings::full_may_have_run`] is set.
     Rejected,
     /// The worker did not answer before the timeout.
     Timeout,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
@@ -77,8 +77,8 @@
 }
 
 impl Outcome {
-    /// Returns whether the job of an attempt that ended so has certainly not run, by the protocol's
-    /// table of outcomes. `full_may_have_run` is [`Settings::full_may_have_run`].
+    /// Returns whether this outcome proves that the job of the attempt has not run, according to
+    /// the protocol's table of outcomes. `full_may_have_run` is [`Settings::full_may_have_run`].
     pub fn proves_never_ran(self, full_may_have_run: bool) -> bool {
         match self {
             Self::ConnectFailed | Self::CancelledLocally => true,
@@ -93,22 +93,22 @@
     }
 }
 
-/// What a worker reports of a running attempt.
+/// A worker's progress report on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressNote {
     /// The job has started.
     Started,
-    /// This share of the job is done, from 0 to 1.
+    /// The share of the job that is done, from 0 to 1.
     Progress(f64),
-    /// A report that this version does not know.
+    /// A kind of report that this version does not know.
     Unknown,
 }
 
-/// An event of the sibling process, which sends to the same workers. Limits and budgets are those
-/// of the node, so both processes count it.
+/// An event of the sibling process, which sends to the same workers. Limits and budgets apply to
+/// the node as a whole, so both processes count it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiblingEvent {
-    /// It admitted requests and sent retries at these times.
+    /// The times at which it admitted requests and sent retries.
     BudgetHistory {
         /// When requests were admitted.
         admitted: Vec<f64>,
@@ -117,15 +117,15 @@
     },
     /// It sent an attempt.
     AttemptSent {
-        /// The request's number, which no request of this dispatcher has.
+        /// The request's id, which differs from those of all requests of this dispatcher.
         request: RequestId,
         /// The attempt's number.
         attempt: u16,
         /// The worker.
         worker: WorkerId,
-        /// Slots that it takes.
+        /// Number of slots that it takes.
         slots: f64,
-        /// Expected work in seconds, if it is stated.
+        /// Expected work in seconds, if the client states it.
         work: Option<f64>,
         /// When it was sent.
         sent: f64,
@@ -146,14 +146,14 @@
 pub enum Event {
     /// A worker list arrived, or a call to discovery failed.
     WorkerListReceived {
-        /// How its entries are to be read.
+        /// The origin and completeness of the list.
         kind: ListKind,
         /// Its entries.
         entries: Vec<Entry>,
     },
     /// A client submitted a request.
     RequestReceived(NewRequest),
-    /// An attempt has begun to stream its answer to the client. From now on the request can't be
+    /// An attempt has started to stream its answer to the client. From now on the request can't be
     /// retried.
     AttemptStreaming {
         /// The request.
@@ -161,7 +161,7 @@
         /// The attempt's number.
         attempt: u16,
     },
-    /// A worker reported on an attempt in flight.
+    /// A worker reported progress of an attempt in flight.
     AttemptProgress {
         /// The request.
         request: RequestId,
@@ -182,7 +182,7 @@
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: f64,
-        /// The client has the final answer of the request.
+        /// Whether the client has received the final answer to the request.
         answered: bool,
         /// Load report, in the order of [`Settings::report_fields`]; empty for none.
         report: Vec<f32>,
@@ -192,22 +192,22 @@
         /// The request.
         request: RequestId,
     },
-    /// An operator suspended or resumed a worker. A suspension applies whatever the worker list
-    /// says.
+    /// An operator suspended or resumed a worker. A suspension takes precedence over the worker
+    /// list.
     SuspensionChanged {
         /// The worker.
         worker: WorkerId,
-        /// The worker is resumed; otherwise it is suspended.
+        /// Whether the worker was resumed; otherwise it was suspended.
         resume: bool,
     },
     /// The number of dispatchers that send to the workers changed. It replaces
     /// [`Settings::dispatcher_count`].
     DispatcherCountChanged(u32),
-    /// The sibling process, to or from which requests migrate, sent or ended attempts.
+    /// The sibling process, to or from which requests migrate, reported an event.
     SiblingEvent(SiblingEvent),
     /// A request of the sibling process continues here.
     RequestMigrated {
-        /// Its number at this dispatcher.
+        /// Its id at this dispatcher.
         request: RequestId,
         /// Its record in the sibling process.
         record: Box<MigratedRequest>,
@@ -228,7 +228,7 @@
         /// Load report, in the order of [`Settings::report_fields`]; empty for none.
         report: Vec<f32>,
     },
-    /// A message from another dispatcher. The module sends none and ignores them.
+    /// A message from another dispatcher. The module ignores it and sends none itself.
     PeerMessage,
 }
 
@@ -243,7 +243,7 @@
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Timeout in seconds; 0 for none before the client gives up.
+        /// Timeout in seconds; 0 for no timeout other than the client's deadline.
         timeout: f64,
     },
     /// Cancel an attempt.
@@ -253,11 +253,11 @@
         /// The attempt's number.
         attempt: u16,
     },
-    /// Final answer: rejected. The request has not run, or may safely be submitted again.
+    /// Final answer: rejected. The request has not run, or it is safe to submit it again.
     Reject {
         /// The request.
         request: RequestId,
-        /// Seconds after which the client should retry; 0 for no advice.
+        /// Seconds after which the client should retry; 0 if it is not told.
         retry_after: f64,
     },
     /// Final answer: failed. The request may have run.
@@ -269,10 +269,10 @@
     Timer {
         /// When it expires.
         at: f64,
-        /// Returned with [`Event::TimerExpired`].
+        /// Passed back in [`Event::TimerExpired`].
         token: u64,
     },
-    /// Ask a worker for its load report.
+    /// Request the load report of a worker.
     Probe {
         /// The worker.
         worker: WorkerId,
--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -1,5 +1,5 @@
-//! Requests that migrate between two processes of the node, and what the sibling process reports of
-//! its own.
+//! Migration of requests between two processes of the node, and handling of the sibling process's
+//! events.
 
 use super::dispatcher::{Dispatcher, TimerKind};
 use super::interface::{Action, MigratedRequest, RequestId, SiblingEvent};
@@ -7,7 +7,7 @@
 use super::request::Request;
 use super::workers::{OwnAttempt, WorkerIndex};
 
-/// When requests were admitted and retries sent of late, for the budgets of a sibling process.
+/// Recent admissions and retries, for the budgets of a sibling process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetHistory {
     /// When requests were admitted, latest first.
@@ -17,8 +17,8 @@
 }
 
 impl Dispatcher {
-    /// Removes a request that goes on in a sibling process, and returns its record. Nothing is
-    /// cancelled.
+    /// Removes a request that will continue in a sibling process, and returns its record. Its
+    /// attempts are not cancelled.
     pub fn release(&mut self, id: RequestId) -> Option<MigratedRequest> {
         let request = self.requests.remove(&id)?;
         for worker in &mut self.workers.all {
@@ -42,8 +42,8 @@
         Some(MigratedRequest { request, workers })
     }
 
-    /// Continues a request of a sibling process as if its attempts had been sent from here. A
-    /// record that can't be one is ignored.
+    /// Continues a request of a sibling process as if this dispatcher had sent its attempts.
+    /// Invalid records are ignored.
     pub(super) fn continue_migrated_request(&mut self, id: RequestId, migrated: &MigratedRequest) {
         let Some(request) = self.adopt_request(id, migrated) else {
             return;
@@ -60,7 +60,7 @@
         let mut request = migrated.request.clone();
         let is_known_class = request.class < self.settings.classes.len();
         let has_all_workers = request.attempts.len() == migrated.workers.len();
-        if !has_sound_figures(&request) || !is_known_class || !has_all_workers {
+        if !has_valid_numbers(&request) || !is_known_class || !has_all_workers {
             return None;
         }
         let attempts = request.attempts.iter_mut().zip(0..);
@@ -79,8 +79,8 @@
         Some(request)
     }
 
-    /// Returns the latest events that budgets count, at most `max` of each kind. A sibling process
-    /// counts them, too.
+    /// Returns the latest events that count towards the retry budget, at most `max` of each kind,
+    /// so that a sibling process can count them as well.
     pub fn budget_history(&self, max: usize) -> BudgetHistory {
         let window = self
             .settings
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Handles an event of a sibling process: its attempts weigh on the workers like own ones, and
-    /// the budgets are common.
+    /// Handles an event of a sibling process. Its attempts count towards the load of the workers
+    /// like this dispatcher's own, and both share the budgets.
     pub(super) fn handle_sibling_event(&mut self, event: &SiblingEvent) {
         match event {
             SiblingEvent::BudgetHistory { admitted, retries } => {
@@ -137,9 +137,9 @@
     }
 }
 
-/// Returns whether all figures of a migrated request are finite and not below zero.
-fn has_sound_figures(request: &Request) -> bool {
-    let figures = [
+/// Returns whether all numbers of a migrated request are finite and not negative.
+fn has_valid_numbers(request: &Request) -> bool {
+    let numbers = [
         request.slots,
         request.memory,
         request.work,
@@ -147,7 +147,7 @@
         request.first_submitted,
         request.deadline,
     ];
-    figures
+    numbers
         .iter()
-        .all(|figure| figure.is_finite() && *figure >= 0.0)
+        .all(|number| number.is_finite() && *number >= 0.0)
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,19 +1,19 @@
 //! The decision module: a deterministic state machine that chooses a worker for each request.
 //!
-//! It owns no clock, socket, disk or thread. The caller passes [`interface::Event`]s with the
+//! It uses no clock, socket, disk or thread. The caller passes [`interface::Event`]s with the
 //! current time to [`dispatcher::Dispatcher::handle`] and carries out the [`interface::Action`]s
-//! that it returns. The same seed and the same events give the same actions.
+//! that it returns. The same seed and the same events produce the same actions.
 //!
 //! - [`dispatcher`] passes events and timers to the module that handles them;
-//! - `admission` admits, queues and answers requests; `attempts` sends and reviews their attempts;
-//! - `selection` draws a worker, under the constraints of `rules`, with the loads of `load`, the
-//!   passes of `slow_start` and the answers to `probes`;
-//! - `ejection` ejects outliers from selection; `discovery` applies worker lists and suspensions;
+//! - `admission` admits, defers and answers requests; `attempts` sends and reviews their attempts;
+//! - `selection` draws a worker that `rules` permits, using the load estimates of `load`, the
+//!   permits of `slow_start` and the answers to `probes`; `affinity` ranks workers for a key;
+//! - `ejection` excludes outliers from selection; `discovery` applies worker lists and suspensions;
 //! - `migration` moves requests between two processes of the node;
-//! - `configuration` has the settings; `settings` reads them from JSON, with the sections of
+//! - `configuration` defines the settings; `settings` reads them from JSON, using the sections of
 //!   `settings_file` and the checks of `settings_validation`;
-//! - `workers`, `request`, `estimates`, `budgets`, `event_times` and `discovery_calls` are the
-//!   state; `parameters` has the constants.
+//! - `workers`, `request`, `estimates`, `budgets`, `event_times` and `discovery_calls` hold the
+//!   state; `parameters` contains the constants.
 
 mod admission;
 pub mod affinity;
--- a/src/decision/random.rs
+++ b/src/decision/random.rs
@@ -1,24 +1,25 @@
-//! Random numbers from a seed, the same on every machine.
+//! Seeded random numbers that are the same on every machine.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A dispatcher's random numbers.
+/// The random number generator of a dispatcher.
 #[derive(Debug)]
 pub struct Random(Pcg64Mcg);
 
 impl Random {
-    /// Numbers that follow from the seed.
+    /// Returns a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Self(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// A number of at least 0 and under 1.
+    /// Returns a random number in the range from 0 up to but excluding 1.
     pub fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Draws an index with chances in proportion to the tickets; `None` if there are none.
+    /// Draws an index with a probability in proportion to its tickets; `None` if the slice is
+    /// empty.
     pub fn lottery(&mut self, tickets: &[f64]) -> Option<usize> {
         let mut at = self.uniform() * tickets.iter().sum::<f64>();
         for (i, ticket) in tickets.iter().enumerate() {
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,48 +1,48 @@
-//! A request and its attempts as the dispatcher records them: plain types without any decision.
+//! The dispatcher's records of requests and attempts. These types make no decisions.
 //!
-//! A request that migrates to a sibling process carries these records. The order and the types of
-//! the serialized fields are part of the handover protocol.
+//! These records are sent along with a request that migrates to a sibling process. The order and
+//! the types of the serialized fields are part of the handover protocol.
 
 use super::worker_entry::{Entry, WorkerId};
 use serde::{Deserialize, Serialize};
 
-/// Number that identifies a request at this dispatcher; below 2^52 and never reused.
+/// Identifies a request at this dispatcher. Ids are below 2^52 and never reused.
 pub type RequestId = u64;
 
-/// What is known of an attempt's end.
+/// What is known about the end of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum AttemptState {
     /// The attempt has not ended.
     InFlight,
-    /// The attempt has ended, and its job has certainly not run.
+    /// The attempt has ended, and its job has definitely not run.
     NeverRan,
     /// The attempt has ended, and its job may have run.
     MayHaveRun,
 }
 
-/// One sending of a request to a worker.
+/// An attempt to have a request served by a worker.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Attempt {
-    /// Position of the worker in the dispatcher's table.
+    /// Index of the worker in the dispatcher's table.
     pub worker: usize,
     /// Zone and cell of the worker.
     pub cell: (u8, u16),
     /// When it was sent.
     pub sent: f64,
-    /// What is known of its end.
+    /// What is known about its end.
     pub state: AttemptState,
     /// When the worker reported the job's start.
     pub started: Option<f64>,
-    /// When the worker last reported progress.
+    /// When the worker last reported progress; initially when the attempt was sent.
     pub last_progress: f64,
-    /// The worker's load report showed free capacity.
+    /// Whether the worker's load report showed free capacity when it was sent.
     pub capacity_reported: bool,
-    /// It has been cancelled.
+    /// Whether it has been cancelled.
     pub cancelled: bool,
 }
 
 impl Attempt {
-    /// Returns an attempt that is sent now.
+    /// Returns an attempt that is sent at `now`.
     pub fn new(worker: usize, entry: &Entry, now: f64, capacity_reported: bool) -> Self {
         Self {
             worker,
@@ -61,7 +61,7 @@
         self.state == AttemptState::InFlight
     }
 
-    /// Returns whether the job may have run, or may run yet.
+    /// Returns whether the job may have run or may still run.
     pub fn may_have_run(&self) -> bool {
         self.state != AttemptState::NeverRan
     }
@@ -72,43 +72,43 @@
 pub struct Request {
     /// Index of its class.
     pub class: usize,
-    /// Its subject, where fetching what that needs has a price. Unknown of a request that has
-    /// migrated here.
+    /// Its affinity key, if fetching data has a price. It is not known for a request that migrated
+    /// here.
     #[serde(skip)]
     pub subject: Option<u64>,
-    /// It carries no idempotency key. The process that a request migrates to sets this from the
+    /// Whether it has no idempotency key. The process that a request migrates to sets this from the
     /// payload.
     #[serde(skip)]
     pub without_key: bool,
-    /// Slots that it takes.
+    /// Number of slots that it takes.
     pub slots: f64,
-    /// Memory units that it takes.
+    /// Number of memory units that it takes.
     pub memory: f64,
     /// Expected work, in seconds.
     pub work: f64,
-    /// Run time that it takes at least, in seconds.
+    /// Minimum run time, in seconds.
     pub min_run_time: f64,
-    /// When its client first submitted it, in an earlier request perhaps.
+    /// When the client first submitted it, possibly as an earlier request.
     pub first_submitted: f64,
     /// When the final answer is due.
     pub deadline: f64,
-    /// Its attempts, in the order in which they were sent.
+    /// Its attempts, in sending order.
     pub attempts: Vec<Attempt>,
-    /// Workers from which the next one is drawn.
+    /// Candidate workers for the next attempt.
     pub candidates: Vec<usize>,
     /// Workers that are being probed for it.
     pub probed: Vec<usize>,
-    /// Until when it waits for their answers.
+    /// Until when it waits for the answers to probes.
     pub probes_until: f64,
-    /// Rounds of probes sent for the next attempt.
+    /// Number of probe rounds sent for the next attempt.
     pub probe_rounds: u32,
-    /// The worker in slow start that the next attempt may go to.
+    /// The worker for which the next attempt has a slow-start permit.
     pub slow_start_pass: Option<usize>,
     /// Number of attempts, counted from 1, for which `slow_start_pass` was drawn.
     pub pass_drawn_for: usize,
     /// When it is reviewed next.
     pub review_at: f64,
-    /// An attempt streams its answer to the client.
+    /// Whether an attempt is streaming its answer to the client.
     pub streaming: bool,
 }
 
@@ -118,7 +118,7 @@
         self.attempts.iter().filter(|a| a.is_in_flight()).count()
     }
 
-    /// Records that an attempt streams its answer, if it has not ended.
+    /// Records that an attempt is streaming its answer, if it has not ended.
     pub fn record_streaming(&mut self, attempt: u16) {
         let attempt = self.attempts.get(attempt as usize);
         self.streaming |= attempt.is_some_and(Attempt::is_in_flight);
@@ -129,9 +129,9 @@
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Returns whether an attempt at this worker may have run or may run yet. An attempt that has
-    /// ended here may go on there: its connection broke, its time was up, or a cancellation is on
-    /// its way.
+    /// Returns whether an attempt at this worker may have run or may still run. The worker may
+    /// still be running an attempt that has ended here, if the connection broke, the attempt timed
+    /// out, or a cancellation has not reached the worker.
     pub fn may_have_run_at(&self, worker: usize) -> bool {
         self.attempts
             .iter()
@@ -151,7 +151,7 @@
     }
 }
 
-/// A request on its way to a sibling process of this node.
+/// A request that is migrating to a sibling process of this node.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MigratedRequest {
     pub(crate) request: Request,
@@ -160,13 +160,13 @@
 }
 
 impl MigratedRequest {
-    /// Sets whether the request carries no idempotency key, which its payload shows and its record
-    /// does not.
+    /// Sets whether the request has no idempotency key. This is known from its payload only and not
+    /// included in its record.
     pub fn set_without_key(&mut self, without_key: bool) {
         self.request.without_key = without_key;
     }
 
-    /// Moves all times by this many seconds, where the sibling's clock shows another time.
+    /// Shifts all times by this many seconds, to convert them to the sibling's clock.
     pub fn shift(&mut self, seconds: f64) {
         let request = &mut self.request;
         request.first_submitted += seconds;
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,11 +1,11 @@
-//! Reads settings from the JSON text that a dispatcher gets at its start.
+//! Reads settings from JSON text.
 
 use super::configuration::{Class, DedupScope, Effect, ReportField, ReportSource, Settings};
 use super::settings_error::SettingsError;
 use super::settings_file::{ClassSection, ExtraSection, ReportSection, SettingsFile};
 use super::settings_validation::check_objects;
 
-/// The words that a key may have, and the value that each stands for.
+/// The keywords that are allowed as the value of a key, and their meanings.
 type Keywords<T, const N: usize> = [(&'static str, T); N];
 
 const EFFECTS: Keywords<Effect, 3> = [
@@ -34,17 +34,17 @@
     ("errors_per_s", ReportField::Other),
 ];
 
-/// Returns the value that a word stands for. For the error, `path` is the key and `want` lists the
-/// words.
+/// Returns the meaning of a keyword. `path`, the key, and `want`, the list of allowed keywords, are
+/// used in the error.
 fn parse_keyword<T: Copy, const N: usize>(
-    words: Keywords<T, N>,
+    keywords: Keywords<T, N>,
     found: &str,
     path: impl FnOnce() -> String,
     want: &'static str,
 ) -> Result<T, SettingsError> {
-    let meaning = words
+    let meaning = keywords
         .iter()
-        .find(|(word, _)| *word == found)
+        .find(|(keyword, _)| *keyword == found)
         .map(|(_, meaning)| *meaning);
     meaning.ok_or_else(|| SettingsError::Word {
         path: path(),
@@ -53,8 +53,8 @@
     })
 }
 
-/// Returns the figures of a load report. The settings describe `x0` and `x1` in words; descriptions
-/// other than the two that are known are skipped.
+/// Returns the fields of a load report. The settings describe `x0` and `x1` in free text; a field
+/// whose description contains neither of the two known phrases is not used.
 fn report_fields(
     report: &ReportSection,
     extra: &ExtraSection,
@@ -81,7 +81,7 @@
     report.fields.iter().enumerate().map(field).collect()
 }
 
-/// Returns the class of this number.
+/// Returns the class with this index.
 fn class(
     number: usize,
     section: &ClassSection,
@@ -130,7 +130,7 @@
         .collect()
 }
 
-/// Returns where load reports come from; without a word, there are none.
+/// Returns the source of load reports. If the key is missing or empty, there are none.
 fn report_source(report: &ReportSection) -> Result<ReportSource, SettingsError> {
     match report.via.as_str() {
         "" => Ok(ReportSource::None),
@@ -148,8 +148,8 @@
     ///
     /// # Errors
     ///
-    /// If the text is not JSON, a known key has a value of another type, or a figure is out of
-    /// range.
+    /// Returns an error if the text is not valid JSON, a known key has a value of the wrong type or
+    /// an unknown keyword, or a value is out of range.
     pub fn from_json(text: &str) -> Result<Self, SettingsError> {
         let at_root = |error| {
             let path = serde_path_to_error::Track::new().path();
@@ -163,8 +163,7 @@
         Ok(settings)
     }
 
-    /// Returns the settings that a file states. A field a line, so it is longer than most
-    /// functions.
+    /// Converts the sections of the settings file.
     fn from_file(file: SettingsFile) -> Result<Self, SettingsError> {
         Ok(Self {
             report_fields: report_fields(&file.report, &file.extra)?,
@@ -178,7 +177,7 @@
             probes_allowed: file.limits.may_probe,
             cancel_allowed: file.limits.cancel,
             hedging_allowed: file.limits.second_copies,
-            max_retry_after: file.limits.longest_retry_after(),
+            max_retry_after: file.limits.effective_max_retry_after(),
             max_attempts: file.limits.max_attempts,
             dial_timeout: file.limits.dial_timeout,
             weight_by_work: file.counted_by == "work",
--- a/src/decision/settings_error.rs
+++ b/src/decision/settings_error.rs
@@ -1,27 +1,29 @@
-//! Settings that no dispatcher can work with.
+//! Errors in the settings of a dispatcher.
 
 use std::fmt;
 
-/// Settings that no dispatcher can work with.
+/// An error in the settings of a dispatcher.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The text is not JSON, or a key has a value of the wrong type; with the key's path.
+    /// The text is not valid JSON, or the value of a key has the wrong type. Includes the key's
+    /// path.
     Json(serde_path_to_error::Error<serde_json::Error>),
-    /// A key has a word that says nothing here; what it would stand for must not be guessed.
+    /// The value of a key is not one of the allowed keywords. There is no default for it, since its
+    /// meaning must not be guessed.
     Word {
         /// The key's path.
         path: String,
-        /// The word.
+        /// The value.
         found: String,
-        /// The words that there are.
+        /// The allowed keywords.
         want: &'static str,
     },
-    /// A key has a value outside of its range.
+    /// The value of a key is out of range.
     Range {
         /// The key.
         key: &'static str,
-        /// What it must be.
+        /// A description of valid values.
         want: &'static str,
     },
 }
--- a/src/decision/settings_file.rs
+++ b/src/decision/settings_file.rs
@@ -1,7 +1,7 @@
-//! The sections of the settings file as JSON has them, with the defaults of missing keys. Unknown
-//! keys are skipped.
+//! The sections of the settings file in their JSON form, with the defaults for missing keys.
+//! Unknown keys are ignored.
 //!
-//! Error texts name these types: `expecting` gives the names that the texts have, which are part of
+//! Error messages contain names for these types. `expecting` sets these names, which are part of
 //! the interface.
 
 use super::configuration::RetryBudget;
@@ -31,7 +31,7 @@
     pub(super) orgs: Vec<TenantSection>,
 }
 
-/// What clients do.
+/// The behaviour of clients.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "kebab-case", expecting = "struct Habits")]
 pub(super) struct ClientHabitsSection {
@@ -68,7 +68,7 @@
     }
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Deserialize)]
 #[serde(default, rename_all = "kebab-case", expecting = "struct Service")]
 pub(super) struct ClassSection {
@@ -87,7 +87,7 @@
 }
 
 impl Default for ClassSection {
-    /// A class without an effect is taken to be not idempotent, which is the safe assumption.
+    /// A class without an `effect` is assumed to be not idempotent, which is the safe assumption.
     fn default() -> Self {
         Self {
             name: String::new(),
@@ -114,7 +114,7 @@
     pub(super) via: String,
 }
 
-/// What a dispatcher may do, and its limits.
+/// The permissions and limits of a dispatcher.
 #[derive(Deserialize)]
 #[serde(default, rename_all = "kebab-case", expecting = "struct Limits")]
 pub(super) struct LimitsSection {
@@ -130,7 +130,7 @@
 }
 
 impl Default for LimitsSection {
-    /// What the file does not allow is not done.
+    /// Anything that the file does not allow explicitly is forbidden.
     fn default() -> Self {
         Self {
             cancel: false,
@@ -147,8 +147,8 @@
 }
 
 impl LimitsSection {
-    /// Returns the longest Retry-After that clients may be given; 0 if they may be given none.
-    pub(super) fn longest_retry_after(&self) -> f64 {
+    /// Returns the maximum `Retry-After` value for clients; 0 if none may be sent.
+    pub(super) fn effective_max_retry_after(&self) -> f64 {
         if self.retry_after {
             self.max_retry_after
         } else {
@@ -157,7 +157,7 @@
     }
 }
 
-/// PricesSection of probes and of wasteful placements.
+/// The prices of probes, of attempts across zones, of fetched data and of wasted work.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "kebab-case", expecting = "struct Prices")]
 pub(super) struct PricesSection {
@@ -167,7 +167,7 @@
     pub(super) waste: f64,
 }
 
-/// RulesSection of discovery, warm-up and retries.
+/// The rules for discovery, warm-up and retries.
 #[derive(Deserialize)]
 #[serde(default, rename_all = "kebab-case", expecting = "struct Rules")]
 pub(super) struct RulesSection {
@@ -199,14 +199,16 @@
 }
 
 impl RulesSection {
-    /// Returns the retry budget, if one is stated. A missing share counts as 0.
+    /// Returns the retry budget, or `None` if the file has none. If only one of the minimum and the
+    /// ratio is given, the other one is 0.
     ///
     /// # Errors
     ///
-    /// If the window is missing, or not above 0.
+    /// Returns an error if a budget has no window, or if there is no budget and the window is not
+    /// above 0. The window of a budget is validated with the other settings.
     pub(super) fn retry_budget(&self) -> Result<Option<RetryBudget>, SettingsError> {
         if self.spare_attempts.is_none() && self.repeat_ratio.is_none() {
-            // A window alone limits nothing, but an unsound one is a mistake in the file.
+            // A window alone has no effect, but an invalid one is a mistake in the file.
             check(
                 self.look_back.is_none_or(|x| x.is_finite() && x > 0.0),
                 "rules.look-back",
@@ -227,7 +229,7 @@
     }
 }
 
-/// Settings of the extensions.
+/// Settings of optional extensions.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "kebab-case", expecting = "struct Extra")]
 pub(super) struct ExtraSection {
--- a/src/decision/settings_validation.rs
+++ b/src/decision/settings_validation.rs
@@ -1,5 +1,4 @@
-//! Checks that settings are ones that a dispatcher can work with. The first key that is out of
-//! range is reported.
+//! Validation of settings. The first key that is out of range is reported.
 
 use super::configuration::{Class, RetryBudget, Settings};
 use super::figures::sound;
@@ -10,11 +9,11 @@
 const ZERO_OR_MORE: &str = "0 or more";
 
 impl Settings {
-    /// Checks that every figure is one that a dispatcher can work with.
+    /// Checks that all settings are within their valid ranges.
     ///
     /// # Errors
     ///
-    /// Names the first key that is out of range.
+    /// Returns an error that names the first key that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         check(self.dispatcher_count > 0, "balancers", "at least 1")?;
         check(self.max_attempts > 0, "limits.max-attempts", "at least 1")?;
@@ -84,8 +83,8 @@
     check_not_negative(class.late_weight, "services[].importance")
 }
 
-/// Checks that the file and its sections are JSON objects. Without this check a list in the place
-/// of a section would be read by the position of its elements.
+/// Checks that the file and its sections are JSON objects. Without this check, an array in place of
+/// a section would be accepted, and its elements would be assigned to the keys by position.
 pub(super) fn check_objects(json: &serde_json::Value) -> Result<(), SettingsError> {
     const WANT: &str = "an object";
     const SECTIONS: [&str; 6] = [
@@ -104,13 +103,13 @@
     }
     for (list, key) in LISTS {
         let entries = json.get(list).and_then(serde_json::Value::as_array);
-        let has_list = entries.is_some_and(|entries| entries.iter().any(|entry| entry.is_array()));
-        check(!has_list, key, WANT)?;
+        let has_array = entries.is_some_and(|entries| entries.iter().any(|entry| entry.is_array()));
+        check(!has_array, key, WANT)?;
     }
     Ok(())
 }
 
-/// Returns an error for this key, with what it must be, unless the condition holds.
+/// Returns an error for this key unless the condition holds. `want` describes valid values.
 pub(super) fn check(
     condition: bool,
     key: &'static str,
@@ -135,6 +134,6 @@
     )
 }
 
-fn check_not_negative(figure: f64, key: &'static str) -> Result<(), SettingsError> {
-    check(sound(figure).is_some(), key, ZERO_OR_MORE)
+fn check_not_negative(value: f64, key: &'static str) -> Result<(), SettingsError> {
+    check(sound(value).is_some(), key, ZERO_OR_MORE)
 }
--- a/src/decision/worker_entry.rs
+++ b/src/decision/worker_entry.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Address of a worker. It carries no meaning beyond identity.
+/// Address of a worker. It is only used to identify the worker.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize,
 )]
 pub struct WorkerId {
-    /// Four bytes of address.
+    /// IPv4 address.
     pub address: [u8; 4],
     /// Port.
     pub port: u16,
@@ -25,12 +25,12 @@
     Removed,
 }
 
-/// The zone of a worker whose zone is unknown: it shares no zone with any other worker.
+/// The zone of a worker whose zone is unknown. Such a worker shares its zone with no other worker.
 pub const NO_ZONE: u8 = u8::MAX;
-/// The cell of a worker whose cell is unknown: it shares no cell with any other worker.
+/// The cell of a worker whose cell is unknown. Such a worker shares its cell with no other worker.
 pub const NO_CELL: u16 = u16::MAX;
 
-/// A worker's entry in the list.
+/// A worker's entry in the worker list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Entry {
     /// The worker.
@@ -43,10 +43,10 @@
     pub cell: u16,
     /// Its state.
     pub health: Health,
-    /// Number that identifies it, the same at every dispatcher.
+    /// Hash that identifies it for affinity, the same at every dispatcher.
     pub identity: u64,
     /// Its size, for comparison with other workers.
     pub size: f64,
-    /// When it last started, in seconds; 0 for long ago.
+    /// When it last started, in seconds; 0 if it started long ago.
     pub started: f64,
 }
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -1,48 +1,50 @@
-//! The workers as a dispatcher knows them: list entries, load reports, own attempts and
-//! suspensions. Plain bookkeeping; the decisions are made by [`super::dispatcher::Dispatcher`].
+//! The state that a dispatcher keeps for workers: list entries, load reports, own attempts and
+//! suspensions. The decisions are made by [`super::dispatcher::Dispatcher`].
 
 use super::affinity;
 use super::interface::{Class, Entry, Health, ListKind, RequestId, Settings, WorkerId, sound};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Position of a worker in [`WorkerTable`]. It stays the same for as long as the dispatcher lives.
+/// Index of a worker in [`WorkerTable`]. It does not change during the lifetime of the dispatcher.
 pub type WorkerIndex = usize;
 
-/// Identifies an attempt: its request, and its number among the request's attempts.
+/// Identifies an attempt by its request and its number among the request's attempts.
 pub type AttemptKey = (RequestId, u16);
 
-/// A load report as the dispatcher uses it.
+/// The load report of a worker, converted for use by the dispatcher.
 #[derive(Clone, Copy)]
 pub struct LoadReport {
     /// Jobs at the worker, waiting or running, in slots.
     pub load: f64,
     /// Free memory units; infinite if not reported.
     pub memory: f64,
-    /// When the report came.
+    /// When the report arrived.
     pub at: f64,
 }
 
-/// An attempt of this dispatcher, or of a sibling process, that still weighs on its worker.
+/// An attempt of this dispatcher or of a sibling process that counts towards the load of its
+/// worker.
 pub struct OwnAttempt {
     /// The attempt.
     pub key: AttemptKey,
-    /// Slots that the job takes.
+    /// Number of slots that the job takes.
     pub slots: f64,
     /// Expected work, in seconds.
     pub work: f64,
     /// When it was sent.
     pub sent: f64,
-    /// Until when a failed attempt weighs on: as long as a successful job would have run.
+    /// Until when a failed attempt counts towards the load: as long as a successful job would have
+    /// run.
     pub until: Option<f64>,
 }
 
-/// How a worker answered the last attempt of a class.
+/// Whether a worker accepted the last attempt of a class.
 #[derive(Clone, Copy)]
 pub struct Acceptance {
-    /// 1 if the attempt was accepted, a small share if it was rejected.
+    /// Acceptance rate: 1 if the attempt was accepted, a small value if it was rejected.
     pub share: f64,
-    /// When.
+    /// When the attempt ended.
     pub at: f64,
 }
 
@@ -52,37 +54,38 @@
     work: f64,
 }
 
-/// What a dispatcher knows of one worker.
+/// The state that a dispatcher keeps for one worker.
 #[derive(Default)]
 pub struct Worker {
     /// Its entry in the worker list.
     pub entry: Entry,
     /// Its last load report.
     pub report: Option<LoadReport>,
-    /// Load of other dispatchers there, smoothed, in slots.
+    /// Smoothed load from other dispatchers, in slots.
     pub others_load: f64,
-    /// Own attempts there.
+    /// Attempts of this dispatcher and of a sibling process at the worker.
     pub own: Vec<OwnAttempt>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: i32,
     /// End of its ejection.
     pub ejected_until: f64,
-    /// When a probe without an answer yet was sent.
+    /// When the latest unanswered probe was sent.
     pub probe_sent: Option<f64>,
-    /// When the probe was sent whose answer was used last.
+    /// When the probe that was answered last was sent.
     pub answered_probe_sent: f64,
-    /// How it answered the last attempt of each class.
+    /// Whether it accepted the last attempt of each class.
     pub acceptance: BTreeMap<usize, Acceptance>,
-    /// When it was resumed, unless the list has reported a start during its suspension; 0 for
-    /// never.
+    /// When it was resumed; 0 if it was never resumed or the worker list has reported a start since
+    /// its suspension.
     pub resumed_at: f64,
-    /// A resumed worker is owed a request from this time on.
+    /// From when on a resumed worker is to be sent a request regardless of the lottery.
     pub request_due_at: Option<f64>,
     sent_work: VecDeque<SentWork>,
 }
 
 impl Worker {
-    /// Returns its size where the settings say that sizes compare workers, and 1 elsewhere.
+    /// Returns its size if sizes can be compared between workers and the size is known, and 1
+    /// otherwise.
     pub fn size(&self, sizes_compare: bool) -> f64 {
         if sizes_compare && self.entry.size > 0.0 {
             self.entry.size
@@ -91,12 +94,12 @@
         }
     }
 
-    /// Returns its latest known start; 0 for long ago.
+    /// Returns when it last started or was resumed; 0 if that is long ago.
     pub fn started(&self) -> f64 {
         self.entry.started.max(self.resumed_at)
     }
 
-    /// Records an attempt of this much work, and drops what was sent before the window.
+    /// Records the work of an attempt, and drops records from before the window.
     pub fn record_sent_work(&mut self, now: f64, work: f64, window: f64) {
         while self
             .sent_work
@@ -108,7 +111,7 @@
         self.sent_work.push_back(SentWork { at: now, work });
     }
 
-    /// Returns the work that was sent there after `since`, ended or not.
+    /// Returns the work that was sent to it after `since`, whether it has ended or not.
     pub fn work_sent_after(&self, since: f64) -> f64 {
         self.sent_work
             .iter()
@@ -117,7 +120,7 @@
             .sum()
     }
 
-    /// Returns the slots of the own attempts there that were sent before `at`.
+    /// Returns the number of slots taken by own attempts that were sent before `at`.
     pub fn own_load_before(&self, at: f64) -> f64 {
         self.own
             .iter()
@@ -126,8 +129,8 @@
             .sum()
     }
 
-    /// Removes and returns an own attempt that has ended, with the failed ones that no longer
-    /// weigh.
+    /// Removes and returns an own attempt that has ended. Failed attempts that no longer count
+    /// towards the load are removed as well.
     pub fn remove_own_attempt(&mut self, key: AttemptKey, now: f64) -> Option<OwnAttempt> {
         self.own
             .retain(|own| own.until.is_none_or(|until| until > now));
@@ -138,7 +141,7 @@
         Some(self.own.swap_remove(at))
     }
 
-    /// Returns whether its last report did not come before `since`.
+    /// Returns whether its last report arrived at or after `since`.
     pub fn reported_since(&self, since: f64) -> bool {
         self.report.is_some_and(|report| report.at >= since)
     }
@@ -149,24 +152,24 @@
     }
 }
 
-/// All workers that this dispatcher knows, and which of them may be used.
+/// All workers known to a dispatcher, and the subsets of them that are usable.
 #[derive(Default)]
 pub struct WorkerTable {
     /// Every worker that was ever listed.
     pub all: Vec<Worker>,
-    /// Their positions in `all`.
+    /// Their indexes in `all`.
     pub index: BTreeMap<WorkerId, WorkerIndex>,
-    /// Workers that an operator has suspended, each with its start as it was known then.
+    /// Workers that an operator has suspended, each with its start time as known at the suspension.
     pub suspended: BTreeMap<WorkerId, f64>,
     /// Usable workers that each class may be sent to.
     pub ready_by_class: Vec<Vec<WorkerIndex>>,
-    /// Usable workers with a known start.
+    /// Usable workers with a known start time.
     pub started: Vec<WorkerIndex>,
     /// Usable workers by zone and cell.
     pub by_cell: BTreeMap<(u8, u16), Vec<WorkerIndex>>,
     /// Sum of the usable workers' sizes.
     pub total_size: f64,
-    /// The workers whose reports came last, latest last.
+    /// The latest workers to report, most recent last.
     pub last_reporters: VecDeque<WorkerIndex>,
 }
 
@@ -179,8 +182,8 @@
         }
     }
 
-    /// Applies a worker list. What was known of a worker that has started since is not valid any
-    /// more.
+    /// Applies a worker list. If a worker has restarted, its load report and its ejection are
+    /// reset.
     pub fn apply_list(&mut self, kind: ListKind, entries: &[Entry]) {
         if !matches!(kind, ListKind::Delta | ListKind::FromPeer) {
             for worker in &mut self.all {
@@ -205,7 +208,7 @@
         }
         let start_at_suspension = self.suspended.get(&entry.worker).copied();
         if entry.started > start_at_suspension.unwrap_or(worker.entry.started) {
-            // The list reports the true start.
+            // The start time in the list is more accurate than the time of the resumption.
             worker.resumed_at = 0.0;
         }
         worker.entry = Entry {
@@ -214,7 +217,7 @@
         };
     }
 
-    /// Recomputes which workers may be used, by class, cell and start.
+    /// Recomputes the usable workers by class, by cell and with a known start time.
     pub fn refresh_usable(&mut self, settings: &Settings) {
         let usable = |&index: &WorkerIndex| self.is_usable(&self.all[index].entry);
         let ready: Vec<WorkerIndex> = (0..self.all.len()).filter(usable).collect();
@@ -239,20 +242,20 @@
         self.ready_by_class = ready_by_class;
     }
 
-    /// Returns whether anything new may be sent to a worker: it is ready and not suspended.
+    /// Returns whether new attempts may be sent to a worker: it is ready and not suspended.
     pub fn is_usable(&self, entry: &Entry) -> bool {
         entry.health == Health::Ready && !self.suspended.contains_key(&entry.worker)
     }
 
-    /// Returns whether every worker that a class could be sent to is suspended.
+    /// Returns whether no worker is ready for a class, and at least one that could serve it is
+    /// suspended.
     pub fn all_suspended(&self, class: &Class, ready: &[WorkerIndex]) -> bool {
         let entry = |id: &WorkerId| Some(&self.all[*self.index.get(id)?].entry);
         let admitted = |id: &WorkerId| entry(id).is_some_and(|entry| class.admits(entry));
         ready.is_empty() && self.suspended.keys().any(admitted)
     }
 
-    /// Resets what is known of a resumed worker but for its entry and the own attempts that are out
-    /// there.
+    /// Resets the state of a resumed worker except for its list entry and its own attempts.
     pub fn reset_resumed(
         &mut self,
         index: WorkerIndex,
@@ -271,14 +274,14 @@
         };
     }
 
-    /// Returns a resumed worker that is owed a request by `now`.
+    /// Returns a usable resumed worker whose request is due at `now`.
     pub fn resumed_worker_due_request(&self, now: f64) -> Option<WorkerIndex> {
         let is_due =
             |index: &WorkerIndex| self.all[*index].request_due_at.is_some_and(|at| at <= now);
         self.started.iter().copied().find(is_due)
     }
 
-    /// Returns for each candidate how many of the others the subject prefers to it.
+    /// Returns for each candidate how many of the others rank above it for the affinity key.
     pub fn preferred_before(&self, subject: u64, candidates: &[WorkerIndex]) -> Vec<i32> {
         let scores: Vec<u64> = candidates
             .iter()
@@ -288,7 +291,7 @@
         scores.iter().map(higher).collect()
     }
 
-    /// Returns the candidates that the subject prefers, at most `max`, most preferred first.
+    /// Returns the `max` candidates that rank highest for the affinity key, most preferred first.
     pub fn most_preferred(
         &self,
         subject: u64,
@@ -305,14 +308,14 @@
         affinity::score(subject, self.all[index].entry.identity)
     }
 
-    /// Records that a worker has reported, and keeps the last `max` reporters.
+    /// Records that a worker has reported, and keeps the latest `max` reporters.
     pub fn record_reporter(&mut self, index: WorkerIndex, max: usize) {
         self.last_reporters.push_back(index);
         let surplus = self.last_reporters.len().saturating_sub(max);
         self.last_reporters.drain(..surplus);
     }
 
-    /// Returns the position of a worker, and adds it as removed if it was never listed.
+    /// Returns the index of a worker. A worker that was never listed is added as removed.
     pub fn index_or_add_removed(&mut self, id: WorkerId) -> WorkerIndex {
         let new = self.all.len();
         let index = *self.index.entry(id).or_insert(new);
