--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -31,10 +31,10 @@
         let expected_work = self.estimates.run_time_by_class[class_index];
         let lead = (ANSWER_LEAD_TICKS * self.settings.tick).min(time_limit / 2.0);
         let deadline = self.now + time_limit - lead;
-        let has_subject = new.subject != 0 && self.settings.fetch_price > 0.0;
+        let has_affinity_key = new.affinity_key != 0 && self.settings.fetch_price > 0.0;
         let request = Request {
             class: class_index,
-            subject: has_subject.then_some(new.subject),
+            affinity_key: has_affinity_key.then_some(new.affinity_key),
             without_key: new.without_key,
             slots: finite_positive(new.slots).unwrap_or(1.0),
             memory: sound(new.memory).unwrap_or(0.0),
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -37,7 +37,7 @@
     /// Index of its tenant.
     pub tenant: u16,
     /// Affinity key; workers cache data by it. 0 for none.
-    pub subject: u64,
+    pub affinity_key: u64,
     /// Time until the client gives up, in seconds.
     pub time_limit: f64,
     /// Expected work in seconds on a standard core, if the client states it.
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -75,7 +75,7 @@
     /// Its affinity key, if fetching data has a price. It is not known for a request that migrated
     /// here.
     #[serde(skip)]
-    pub subject: Option<u64>,
+    pub affinity_key: Option<u64>,
     /// Whether it has no idempotency key. The process that a request migrates to sets this from the
     /// payload.
     #[serde(skip)]
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -42,7 +42,7 @@
             return self.probe_candidates(id, &in_zone, count);
         }
         let mut first_choice = with_capacity;
-        if request.subject.is_some() {
+        if request.affinity_key.is_some() {
             first_choice.extend(self.unreported_without_queue(&eligible));
         }
         retain_if_any(&mut first_choice, |&index| {
@@ -120,8 +120,8 @@
     /// key. The ranking is the same at all dispatchers. If workers were drawn by load alone, every
     /// worker would fetch the data of every key, and would soon evict it from its cache again.
     fn preferred_before(&self, request: &Request, candidates: &[WorkerIndex]) -> Vec<i32> {
-        match request.subject {
-            Some(subject) => self.workers.preferred_before(subject, candidates),
+        match request.affinity_key {
+            Some(affinity_key) => self.workers.preferred_before(affinity_key, candidates),
             None => vec![0; candidates.len()],
         }
     }
@@ -131,7 +131,7 @@
     fn update_candidates(&mut self, id: RequestId) {
         let request = &self.requests[&id];
         let class = request.class;
-        let subject = request.subject;
+        let affinity_key = request.affinity_key;
         let draws_candidates = request.probe_rounds == 0 && self.required_cell(request).is_none();
         let permit_is_current = request.pass_drawn_for > request.attempts.len();
         let permit = if permit_is_current {
@@ -139,7 +139,7 @@
         } else {
             self.draw_slow_start_permit()
         };
-        let drawn = draws_candidates.then(|| self.draw_candidates(class, subject, permit));
+        let drawn = draws_candidates.then(|| self.draw_candidates(class, affinity_key, permit));
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -156,7 +156,7 @@
     fn draw_candidates(
         &mut self,
         class: usize,
-        subject: Option<u64>,
+        affinity_key: Option<u64>,
         permit: Option<WorkerIndex>,
     ) -> Vec<WorkerIndex> {
         let ready = &self.workers.ready_by_class[class];
@@ -165,10 +165,11 @@
         }
         let random = &mut self.random;
         let mut draw_one = |_| ready[(random.uniform() * ready.len() as f64) as usize];
-        let mut candidates: Vec<WorkerIndex> = match subject {
-            Some(subject) => self
-                .workers
-                .most_preferred(subject, ready, CANDIDATE_POOL_SIZE),
+        let mut candidates: Vec<WorkerIndex> = match affinity_key {
+            Some(affinity_key) => {
+                self.workers
+                    .most_preferred(affinity_key, ready, CANDIDATE_POOL_SIZE)
+            }
             None => (0..CANDIDATE_POOL_SIZE).map(&mut draw_one).collect(),
         };
         candidates.extend(&self.workers.last_reporters);
@@ -296,7 +297,7 @@
         let own_zone_load = self.estimates.load_by_zone.get(&self.settings.zone);
         let own_zone_load = own_zone_load.copied().unwrap_or(0.0);
         self.settings.cross_zone_price > 0.0
-            && request.subject.is_none()
+            && request.affinity_key.is_none()
             && request.probe_rounds == 0
             && own_zone_load <= self.estimates.mean_load + OWN_ZONE_EXCESS_LOAD
             && self.reports_cover_all_workers(request.class)
@@ -331,7 +332,7 @@
 }
 
 fn probe_sample_size(request: &Request) -> usize {
-    match request.subject {
+    match request.affinity_key {
         Some(_) => AFFINITY_PROBE_SAMPLE_SIZE,
         None => PROBE_SAMPLE_SIZE,
     }
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -282,10 +282,10 @@
     }
 
     /// Returns for each candidate how many of the others rank above it for the affinity key.
-    pub fn preferred_before(&self, subject: u64, candidates: &[WorkerIndex]) -> Vec<i32> {
+    pub fn preferred_before(&self, affinity_key: u64, candidates: &[WorkerIndex]) -> Vec<i32> {
         let scores: Vec<u64> = candidates
             .iter()
-            .map(|&index| self.affinity(subject, index))
+            .map(|&index| self.affinity(affinity_key, index))
             .collect();
         let higher = |own: &u64| scores.iter().filter(|other| *other > own).count() as i32;
         scores.iter().map(higher).collect()
@@ -294,18 +294,18 @@
     /// Returns the `max` candidates that rank highest for the affinity key, most preferred first.
     pub fn most_preferred(
         &self,
-        subject: u64,
+        affinity_key: u64,
         candidates: &[WorkerIndex],
         max: usize,
     ) -> Vec<WorkerIndex> {
         let mut ordered = candidates.to_vec();
-        ordered.sort_by_key(|&index| Reverse(self.affinity(subject, index)));
+        ordered.sort_by_key(|&index| Reverse(self.affinity(affinity_key, index)));
         ordered.truncate(max);
         ordered
     }
 
-    fn affinity(&self, subject: u64, index: WorkerIndex) -> u64 {
-        affinity::score(subject, self.all[index].entry.identity)
+    fn affinity(&self, affinity_key: u64, index: WorkerIndex) -> u64 {
+        affinity::score(affinity_key, self.all[index].entry.identity)
     }
 
     /// Records that a worker has reported, and keeps the latest `max` reporters.
--- a/src/net/requests/admission.rs
+++ b/src/net/requests/admission.rs
@@ -102,7 +102,7 @@
             id: request,
             class: submission.class,
             tenant: tenant as u16,
-            subject: submission.affinity_key,
+            affinity_key: submission.affinity_key,
             time_limit: budget,
             expected_work: submission.expected_work,
             slots: submission.slots.unwrap_or(DEFAULT_SLOTS),
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -129,7 +129,7 @@
 fn subject_and_keyless_flag_are_not_encoded() {
     let bytes = postcard::to_stdvec(&request()).expect("an encoded request");
     let marked = Request {
-        subject: Some(9),
+        affinity_key: Some(9),
         without_key: true,
         ..request()
     };
--- a/src/simulator_protocol/records.rs
+++ b/src/simulator_protocol/records.rs
@@ -131,7 +131,7 @@
     let id = fields.read_u64()?;
     let class = fields.read_u8()?;
     let tenant = fields.read_u16()?;
-    let subject = fields.read_u64()?;
+    let affinity_key = fields.read_u64()?;
     let time_limit = fields.read_f64()?;
     let expected_work = fields.read_f64()?;
     let slots = fields.read_f32()?;
@@ -141,7 +141,7 @@
         id,
         class,
         tenant,
-        subject,
+        affinity_key,
         time_limit,
         expected_work: (marks & STATES_WORK != 0).then_some(expected_work),
         slots: slots.into(),
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -51,7 +51,7 @@
     let new = NewRequest {
         id: request,
         class: 0,
-        subject: key,
+        affinity_key: key,
         time_limit: 5.0,
         expected_work: Some(0.25),
         slots,
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -384,7 +384,7 @@
             id: 0,
             class,
             tenant: self.random.below(3) as u16,
-            subject: if subjects > 0 {
+            affinity_key: if subjects > 0 {
                 1 + self.random.below(subjects) as u64
             } else {
                 0
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -46,7 +46,7 @@
         new.id,
         new.class,
         new.tenant,
-        new.subject,
+        new.affinity_key,
         new.time_limit,
         new.expected_work
             .map_or("none".into(), |hint| format!("{hint:?}")),
--- a/tests/decisions/wire.rs
+++ b/tests/decisions/wire.rs
@@ -108,7 +108,7 @@
     let mut bytes = new.id.to_le_bytes().to_vec();
     bytes.push(new.class);
     bytes.extend(new.tenant.to_le_bytes());
-    bytes.extend(new.subject.to_le_bytes());
+    bytes.extend(new.affinity_key.to_le_bytes());
     bytes.extend(new.time_limit.to_le_bytes());
     bytes.extend(new.expected_work.unwrap_or(0.0).to_le_bytes());
     bytes.extend((new.slots as f32).to_le_bytes());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -207,7 +207,7 @@
                 id: request,
                 class,
                 // Some have no subject, most have one of a few.
-                subject: (self.random.uniform() * 5.0) as u64,
+                affinity_key: (self.random.uniform() * 5.0) as u64,
                 time_limit: 0.1 + 5.0 * self.random.uniform(),
                 slots: 1.0,
                 ..NewRequest::default()
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -245,7 +245,7 @@
         let id = self.next;
         let request = NewRequest {
             id,
-            subject: self.draw_subject(),
+            affinity_key: self.draw_affinity_key(),
             time_limit: 5.0,
             expected_work: Some(WORK),
             slots: 1.0,
@@ -266,7 +266,7 @@
     }
 
     /// Draws a subject; the first has as many requests as all others.
-    fn draw_subject(&mut self) -> u64 {
+    fn draw_affinity_key(&mut self) -> u64 {
         let subjects = self.case.subjects;
         if subjects == 0 {
             return 0;
