--- a/src/decision/migration.rs
+++ b/src/decision/migration.rs
@@ -34,8 +34,8 @@
             candidates: Vec::new(),
             probed: Vec::new(),
             probe_rounds: 0,
-            slow_start_pass: None,
-            pass_drawn_for: 0,
+            slow_start_permit: None,
+            permit_drawn_for: 0,
             review_at: 0.0,
             ..request
         };
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -103,9 +103,9 @@
     /// Number of probe rounds sent for the next attempt.
     pub probe_rounds: u32,
     /// The worker for which the next attempt has a slow-start permit.
-    pub slow_start_pass: Option<usize>,
-    /// Number of attempts, counted from 1, for which `slow_start_pass` was drawn.
-    pub pass_drawn_for: usize,
+    pub slow_start_permit: Option<usize>,
+    /// Number of attempts, counted from 1, for which `slow_start_permit` was drawn.
+    pub permit_drawn_for: usize,
     /// When it is reviewed next.
     pub review_at: f64,
     /// Whether an attempt is streaming its answer to the client.
--- a/src/decision/rules.rs
+++ b/src/decision/rules.rs
@@ -84,6 +84,6 @@
             return true;
         }
         let sent = worker.work_sent_after(self.now - self.settings.overload_window) + request.work;
-        request.slow_start_pass == Some(index) && sent <= self.own_slow_start_budget(worker)
+        request.slow_start_permit == Some(index) && sent <= self.own_slow_start_budget(worker)
     }
 }
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -133,9 +133,9 @@
         let class = request.class;
         let affinity_key = request.affinity_key;
         let draws_candidates = request.probe_rounds == 0 && self.required_cell(request).is_none();
-        let permit_is_current = request.pass_drawn_for > request.attempts.len();
+        let permit_is_current = request.permit_drawn_for > request.attempts.len();
         let permit = if permit_is_current {
-            request.slow_start_pass
+            request.slow_start_permit
         } else {
             self.draw_slow_start_permit()
         };
@@ -143,8 +143,8 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.slow_start_pass = permit;
-        request.pass_drawn_for = request.attempts.len() + 1;
+        request.slow_start_permit = permit;
+        request.permit_drawn_for = request.attempts.len() + 1;
         if let Some(drawn) = drawn {
             request.candidates = drawn;
         }
@@ -227,7 +227,7 @@
         request: &Request,
         eligible: &[WorkerIndex],
     ) -> Option<WorkerIndex> {
-        let index = request.slow_start_pass?;
+        let index = request.slow_start_permit?;
         let position = eligible.iter().position(|eligible| *eligible == index)?;
         let preferred_before = self.preferred_before(request, eligible);
         let worker = &self.workers.all[index];
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -71,8 +71,8 @@
         probed: vec![5],
         probes_until: 101.0,
         probe_rounds: 301,
-        slow_start_pass: Some(6),
-        pass_drawn_for: 7,
+        slow_start_permit: Some(6),
+        permit_drawn_for: 7,
         review_at: 102.0,
         streaming: true,
         ..Request::default()
