--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -3,7 +3,7 @@
 use super::budgets::affordable;
 use super::dispatcher::{Dispatcher, MAX_REQUEST_ID, TimerKind};
 use super::estimates::smooth;
-use super::figures::{finite_positive, sound};
+use super::figures::{finite_non_negative, finite_positive};
 use super::interface::{Action, Effect, NewRequest, RequestId};
 use super::parameters::{
     ANSWER_LEAD_TICKS, DEFER_INTERVAL, HEDGE_COST_SHARE, HEDGES_PER_REQUEST, LATE_DEFER_FACTOR,
@@ -37,7 +37,7 @@
             affinity_key: has_affinity_key.then_some(new.affinity_key),
             without_key: new.without_key,
             slots: finite_positive(new.slots).unwrap_or(1.0),
-            memory: sound(new.memory).unwrap_or(0.0),
+            memory: finite_non_negative(new.memory).unwrap_or(0.0),
             work: hint.unwrap_or(expected_work),
             min_run_time: MIN_RUN_TIME_SHARE * hint.unwrap_or(0.0),
             first_submitted,
@@ -146,7 +146,7 @@
     /// by a full worker would rule out any further attempt, a late request joins no queue.
     pub(super) fn queue_limit(&self, request: &Request) -> f64 {
         let class = &self.settings.classes[request.class];
-        let is_last_attempt = self.settings.full_may_have_run
+        let is_last_attempt = self.settings.rejected_may_have_run
             && class.effect_of(request.without_key) == Effect::NotIdempotent;
         let late_limit = if is_last_attempt {
             0.0
--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -2,7 +2,7 @@
 //! workers, and when a worker is added or removed, only the keys of that worker move.
 
 /// Returns the 64-bit FNV-1a hash of a name, which is the same on every machine.
-pub fn number_of(name: &[u8]) -> u64 {
+pub fn hash_name(name: &[u8]) -> u64 {
     const BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     name.iter().fold(BASIS, |hash, byte| {
--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -217,7 +217,7 @@
         if !attempt.is_in_flight() {
             return;
         }
-        let never_ran = outcome.proves_never_ran(self.settings.full_may_have_run);
+        let never_ran = outcome.proves_never_ran(self.settings.rejected_may_have_run);
         attempt.state = if never_ran {
             AttemptState::NeverRan
         } else {
--- a/src/decision/configuration.rs
+++ b/src/decision/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration of a dispatcher: request classes, limits, prices and the fields of load
 //! reports. Times are in seconds.
 
-use super::figures::sound;
+use super::figures::finite_non_negative;
 use super::worker_entry::{Entry, NO_CELL, NO_ZONE};
 
 /// The side effects of a request, which decide whether it can be sent again after it may have run.
@@ -201,7 +201,7 @@
     /// Whether clients mark requests that are retries of earlier ones.
     pub clients_mark_retries: bool,
     /// Whether the sizes in the worker list can be compared between workers.
-    pub sizes_compare: bool,
+    pub sizes_are_comparable: bool,
     /// Minimum share of its capacity that a worker has right after its start, from 0 to 1.
     pub initial_capacity_share: f64,
     /// Maximum time after its start that a worker takes to reach its full capacity.
@@ -214,7 +214,7 @@
     /// Retry budget; `None` if retries are not limited.
     pub retry_budget: Option<RetryBudget>,
     /// Whether workers may reject a job after starting it, so that a rejected attempt may have run.
-    pub full_may_have_run: bool,
+    pub rejected_may_have_run: bool,
     /// Names of the zones, in the order of their numbers.
     pub zone_names: Vec<String>,
     /// Names of the machine kinds, in the order of their numbers.
@@ -243,6 +243,6 @@
     /// Returns a value of a load report, if it is present, finite and not negative.
     pub fn report_value(&self, report: &[f32], field: ReportField) -> Option<f64> {
         let at = self.report_fields.iter().position(|&f| f == field)?;
-        report.get(at).and_then(|&v| sound(v.into()))
+        report.get(at).and_then(|&v| finite_non_negative(v.into()))
     }
 }
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -7,7 +7,7 @@
 pub use super::configuration::{
     Class, DedupScope, Effect, ReportField, ReportSource, RetryBudget, Settings,
 };
-pub use super::figures::sound;
+pub use super::figures::finite_non_negative;
 pub use super::request::{MigratedRequest, RequestId};
 pub use super::settings_error::{REMEDIES, SettingsError};
 pub use super::worker_entry::{Entry, Health, NO_CELL, NO_ZONE, WorkerId};
@@ -60,7 +60,7 @@
     /// The worker answered with an error.
     Error,
     /// The worker rejected it because its queue is full or it is draining. The job has not run,
-    /// unless [`Settings::full_may_have_run`] is set.
+    /// unless [`Settings::rejected_may_have_run`] is set.
     Rejected,
     /// The worker did not answer before the timeout.
     Timeout,
@@ -78,11 +78,11 @@
 
 impl Outcome {
     /// Returns whether this outcome proves that the job of the attempt has not run, according to
-    /// the protocol's table of outcomes. `full_may_have_run` is [`Settings::full_may_have_run`].
-    pub fn proves_never_ran(self, full_may_have_run: bool) -> bool {
+    /// the protocol's table of outcomes. `rejected_may_have_run` is [`Settings::rejected_may_have_run`].
+    pub fn proves_never_ran(self, rejected_may_have_run: bool) -> bool {
         match self {
             Self::ConnectFailed | Self::CancelledLocally => true,
-            Self::Rejected => !full_may_have_run,
+            Self::Rejected => !rejected_may_have_run,
             Self::Succeeded
             | Self::Error
             | Self::Timeout
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -113,7 +113,7 @@
 
     fn tickets(&self, worker: &Worker, class: usize) -> f64 {
         let acceptance = self.acceptance(worker, class).powi(ACCEPTANCE_POWER);
-        acceptance * worker.size(self.settings.sizes_compare) / (self.load(worker) + 1.0)
+        acceptance * worker.size(self.settings.sizes_are_comparable) / (self.load(worker) + 1.0)
     }
 
     /// Returns for each candidate how many of the others rank above it for the request's affinity
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -46,7 +46,7 @@
         .iter()
         .find(|(keyword, _)| *keyword == found)
         .map(|(_, meaning)| *meaning);
-    meaning.ok_or_else(|| SettingsError::Word {
+    meaning.ok_or_else(|| SettingsError::UnknownKeyword {
         path: path(),
         found: found.into(),
         want,
@@ -189,13 +189,13 @@
             reports_start: file.extra.tells_start,
             progress_interval: file.extra.progress,
             clients_mark_retries: file.client_habits.marks_retry,
-            sizes_compare: file.weight_source != "none",
+            sizes_are_comparable: file.weight_source != "none",
             initial_capacity_share: file.rules.cold_from,
             warm_up_time: file.rules.cold,
             overload_multiple: file.rules.fall_multiple,
             overload_window: file.rules.tip_after,
             retry_budget: file.rules.retry_budget()?,
-            full_may_have_run: file.rules.may_shed_begun.unwrap_or(false),
+            rejected_may_have_run: file.rules.may_shed_begun.unwrap_or(false),
             zone_names: file.dcs,
             kind_names: file.machine_types,
             tenant_names: file.orgs.into_iter().map(|tenant| tenant.name).collect(),
--- a/src/decision/settings_error.rs
+++ b/src/decision/settings_error.rs
@@ -11,7 +11,7 @@
     Json(serde_path_to_error::Error<serde_json::Error>),
     /// The value of a key is not one of the allowed keywords. There is no default for it, since its
     /// meaning must not be guessed.
-    Word {
+    UnknownKeyword {
         /// The key's path.
         path: String,
         /// The value.
@@ -35,7 +35,7 @@
                 "." => write!(f, "settings: {}", error.inner()),
                 path => write!(f, "settings.{path}: {}", error.inner()),
             },
-            Self::Word { path, found, want } => {
+            Self::UnknownKeyword { path, found, want } => {
                 write!(f, "settings.{path} must be one of {want}, and is {found:?}")
             }
             Self::Range { key, want } => write!(f, "settings.{key} must be {want}"),
@@ -49,7 +49,7 @@
     SettingsError::Json(_) => "settings.malformed",
         "correct the value at the key that is named, and start the node or signal it to reload \
          again";
-    SettingsError::Word { .. } => "settings.word",
+    SettingsError::UnknownKeyword { .. } => "settings.word",
         "give the key that is named one of the words that are listed, and start the node or signal \
          it to reload again";
     SettingsError::Range { .. } => "settings.range",
--- a/src/decision/settings_validation.rs
+++ b/src/decision/settings_validation.rs
@@ -1,7 +1,7 @@
 //! Validation of settings. The first key that is out of range is reported.
 
 use super::configuration::{Class, RetryBudget, Settings};
-use super::figures::sound;
+use super::figures::finite_non_negative;
 use super::settings_error::SettingsError;
 
 const TIME: &str = "a time of 0 or more";
@@ -33,7 +33,7 @@
         check_time(self.warm_up_time, "rules.cold")?;
         check_time(self.overload_window, "rules.tip-after")?;
         check_not_negative(self.overload_multiple, "rules.fall-multiple")?;
-        let share = sound(self.initial_capacity_share);
+        let share = finite_non_negative(self.initial_capacity_share);
         check(
             share.is_some_and(|share| share <= 1.0),
             "rules.cold-from",
@@ -123,17 +123,17 @@
 }
 
 fn check_time(seconds: f64, key: &'static str) -> Result<(), SettingsError> {
-    check(sound(seconds).is_some(), key, TIME)
+    check(finite_non_negative(seconds).is_some(), key, TIME)
 }
 
 fn check_time_above_zero(seconds: f64, key: &'static str) -> Result<(), SettingsError> {
     check(
-        sound(seconds).is_some_and(|seconds| seconds > 0.0),
+        finite_non_negative(seconds).is_some_and(|seconds| seconds > 0.0),
         key,
         TIME_ABOVE_ZERO,
     )
 }
 
 fn check_not_negative(value: f64, key: &'static str) -> Result<(), SettingsError> {
-    check(sound(value).is_some(), key, ZERO_OR_MORE)
+    check(finite_non_negative(value).is_some(), key, ZERO_OR_MORE)
 }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -68,7 +68,7 @@
             let worker = &self.workers.all[index];
             let warm_share = self.warm_share(worker);
             if warm_share < 1.0 {
-                drawn -= warm_share * worker.size(self.settings.sizes_compare);
+                drawn -= warm_share * worker.size(self.settings.sizes_are_comparable);
             }
             drawn < 0.0
         })
--- a/src/decision/workers.rs
+++ b/src/decision/workers.rs
@@ -2,7 +2,9 @@
 //! suspensions. The decisions are made by [`super::dispatcher::Dispatcher`].
 
 use super::affinity;
-use super::interface::{Class, Entry, Health, ListKind, RequestId, Settings, WorkerId, sound};
+use super::interface::{
+    Class, Entry, Health, ListKind, RequestId, Settings, WorkerId, finite_non_negative,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -86,8 +88,8 @@
 impl Worker {
     /// Returns its size if sizes can be compared between workers and the size is known, and 1
     /// otherwise.
-    pub fn size(&self, sizes_compare: bool) -> f64 {
-        if sizes_compare && self.entry.size > 0.0 {
+    pub fn size(&self, sizes_are_comparable: bool) -> f64 {
+        if sizes_are_comparable && self.entry.size > 0.0 {
             self.entry.size
         } else {
             1.0
@@ -212,7 +214,7 @@
             worker.resumed_at = 0.0;
         }
         worker.entry = Entry {
-            size: sound(entry.size).unwrap_or(0.0),
+            size: finite_non_negative(entry.size).unwrap_or(0.0),
             ..entry.clone()
         };
     }
@@ -236,7 +238,7 @@
         self.started = ready.iter().copied().filter(has_start).collect();
         self.total_size = ready
             .iter()
-            .map(|&index| self.all[index].size(settings.sizes_compare))
+            .map(|&index| self.all[index].size(settings.sizes_are_comparable))
             .sum();
         self.by_cell = by_cell;
         self.ready_by_class = ready_by_class;
--- a/src/net/downstream/submission.rs
+++ b/src/net/downstream/submission.rs
@@ -1,6 +1,6 @@
 //! Parses the header fields of a client's request.
 
-use crate::decision::interface::sound;
+use crate::decision::interface::finite_non_negative;
 use crate::net::messages::{Payload, Submission};
 use crate::net::transport::http::{Headers, ParseError, Request};
 
@@ -53,7 +53,9 @@
         return Ok(None);
     };
     let number = value.parse().map_err(|_| ParseError::Malformed)?;
-    sound(number).map(Some).ok_or(ParseError::Malformed)
+    finite_non_negative(number)
+        .map(Some)
+        .ok_or(ParseError::Malformed)
 }
 
 /// Returns the affinity key in the cookie `k`, in hexadecimal digits; 0 if there is none.
@@ -73,7 +75,7 @@
         .split(',')
         .filter_map(|extra| extra.split_once('='))
         .find(|(extra_name, _)| extra_name.trim() == name)?;
-    value.trim().parse().ok().and_then(sound)
+    value.trim().parse().ok().and_then(finite_non_negative)
 }
 
 /// Whether an id can be a segment of a path: workers are sent `DELETE /jobs/ID`.
--- a/src/net/requests/attempts.rs
+++ b/src/net/requests/attempts.rs
@@ -221,7 +221,7 @@
         };
         ended.ended = true;
         let never_ran =
-            !ended.may_start || outcome.proves_never_ran(self.settings.full_may_have_run);
+            !ended.may_start || outcome.proves_never_ran(self.settings.rejected_may_have_run);
         let worker = ended.worker.id();
         let elapsed = now - ended.sent_at;
         self.attempts.remove(&ended.id);
--- a/src/net/requests/siblings.rs
+++ b/src/net/requests/siblings.rs
@@ -4,7 +4,7 @@
 
 use super::in_flight::{InFlightRequest, SiblingAttempt, SiblingRequest};
 use super::manager::RequestManager;
-use crate::decision::interface::{Event, SiblingEvent, sound};
+use crate::decision::interface::{Event, SiblingEvent, finite_non_negative};
 use crate::net::messages::Command;
 use postproxy_handover::StateUpdate;
 
@@ -230,7 +230,7 @@
             attempt: *attempt,
             worker: worker.id(),
             slots: f64::from(*slots),
-            work: sound((*expected_work).into()).filter(|seconds| *seconds > 0.0),
+            work: finite_non_negative((*expected_work).into()).filter(|seconds| *seconds > 0.0),
             sent: time_of(now, *seconds_ago),
         });
         if *is_new && *attempt > 0 {
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -93,7 +93,7 @@
             _ => Health::Draining,
         };
         let entry = Entry {
-            identity: affinity::number_of(self.id.as_bytes()),
+            identity: affinity::hash_name(self.id.as_bytes()),
             zone: zone.map_or(NO_ZONE, |zone| zone as u8),
             kind: kind.map_or(u16::MAX, |kind| kind as u16),
             cell: self.cell,
--- a/src/simulator_protocol/records.rs
+++ b/src/simulator_protocol/records.rs
@@ -266,7 +266,7 @@
     let name = [&worker.address[..], &worker.port.to_be_bytes()].concat();
     Ok(Entry {
         worker,
-        identity: affinity::number_of(&name),
+        identity: affinity::hash_name(&name),
         zone,
         kind,
         cell,
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1043,7 +1043,7 @@
         ),
         (&None, &None)
     );
-    assert!(!sound.full_may_have_run);
+    assert!(!sound.rejected_may_have_run);
     let mut unsound = sound;
     unsound.retry_budget = Some(RetryBudget {
         min_retries: f64::NAN,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -27,7 +27,7 @@
 struct OptionalRules {
     placement: bool,
     budget: bool,
-    full_may_have_run: bool,
+    rejected_may_have_run: bool,
 }
 
 impl OptionalRules {
@@ -36,7 +36,7 @@
         Self {
             placement,
             budget,
-            full_may_have_run: (seed / 4).is_multiple_of(2),
+            rejected_may_have_run: (seed / 4).is_multiple_of(2),
         }
     }
 }
@@ -325,7 +325,7 @@
     /// Checks that a request that may have run is sent again only as its class allows.
     fn check_effect(&self, now: f64, id: u64, cell: u16) -> Result<(), String> {
         let request = &self.requests[&id];
-        let full_proves = !self.optional.full_may_have_run;
+        let full_proves = !self.optional.rejected_may_have_run;
         let mut may_have_run = request
             .sent
             .iter()
@@ -377,7 +377,7 @@
         if may_have_run(true) {
             return Err("rule 2: rejected although it may have run".into());
         }
-        if may_have_run(!self.optional.full_may_have_run) {
+        if may_have_run(!self.optional.rejected_may_have_run) {
             return Err("rule 7: rejected because a worker was full".into());
         }
         Ok(())
@@ -643,7 +643,7 @@
             s["rules"]["repeat-ratio"] = RETRY_RATIO.into();
             s["rules"]["look-back"] = RETRY_WINDOW_SECONDS.into();
         }
-        s["rules"]["may-shed-begun"] = optional.full_may_have_run.into();
+        s["rules"]["may-shed-begun"] = optional.rejected_may_have_run.into();
         s["discovery"] = if seed.is_multiple_of(5) {
             "on_request"
         } else {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -273,7 +273,7 @@
             } => {
                 if let Some(request) = self.requests.get_mut(request) {
                     let never_ran = *outcome == Outcome::ConnectFailed
-                        || *outcome == Outcome::Rejected && !self.settings.full_may_have_run;
+                        || *outcome == Outcome::Rejected && !self.settings.rejected_may_have_run;
                     request.attempts[*attempt as usize].may_have_run = !never_ran;
                     let succeeded = *outcome == Outcome::Succeeded;
                     request.answers += u32::from(succeeded && request.answers == 0);
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -212,7 +212,7 @@
         } = error.error_body();
         [error, code, what, remedy]
     };
-    let word = SettingsError::Word {
+    let word = SettingsError::UnknownKeyword {
         path: "report.via".into(),
         found: "x\"".into(),
         want: "a, b",
