--- a/src/decision/settings_error.rs
+++ b/src/decision/settings_error.rs
@@ -36,7 +36,7 @@
                 path => write!(f, "settings.{path}: {}", error.inner()),
             },
             Self::UnknownKeyword { path, found, want } => {
-                write!(f, "settings.{path} must be one of {want}, and is {found:?}")
+                write!(f, "settings.{path} must be one of {want}, but is {found:?}")
             }
             Self::Range { key, want } => write!(f, "settings.{key} must be {want}"),
         }
@@ -47,12 +47,12 @@
 
 postproxy_diagnostics::diagnostics! { SettingsError, REMEDIES:
     SettingsError::Json(_) => "settings.malformed",
-        "correct the value at the key that is named, and start the node or signal it to reload \
-         again";
+        "correct the value of the named key, then start the node or signal it to reload its \
+         settings";
     SettingsError::UnknownKeyword { .. } => "settings.word",
-        "give the key that is named one of the words that are listed, and start the node or signal \
-         it to reload again";
+        "set the named key to one of the listed values, then start the node or signal it to reload \
+         its settings";
     SettingsError::Range { .. } => "settings.range",
-        "give the key that is named a value as it must be, and start the node or signal it to \
-         reload again";
+        "set the named key to a valid value, then start the node or signal it to reload its \
+         settings";
 }
--- a/src/decision/settings_file.rs
+++ b/src/decision/settings_file.rs
@@ -216,7 +216,7 @@
             )?;
             return Ok(None);
         }
-        let want = "a time above 0 where further attempts are rationed";
+        let want = "a time above 0 if spare-attempts or repeat-ratio is set";
         let window = self.look_back.ok_or(SettingsError::Range {
             key: "rules.look-back",
             want,
--- a/src/decision/settings_validation.rs
+++ b/src/decision/settings_validation.rs
@@ -60,7 +60,7 @@
             check(
                 !self.classes[..number].iter().any(has_same_name),
                 "services[].name",
-                "of one class alone",
+                "unique among the classes",
             )?;
             validate_class(class)?;
         }
