--- a/tests/decisions/decider.rs
+++ b/tests/decisions/decider.rs
@@ -1,4 +1,4 @@
-//! What makes the decisions in a simulation: a dispatcher in this process, or one in the program
+//! The source of decisions in a simulation: a dispatcher in this process, or one in the program
 //! `postproxy-drill`.
 
 use super::text::{action_line, event_line, hex};
@@ -7,12 +7,13 @@
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// Handles events, returns the actions and writes both into a log.
+/// Handles events and writes them and the resulting actions into a log.
 pub trait Decider {
-    /// Returns the actions that follow from an event.
+    /// Handles an event and returns the resulting actions.
     fn handle(&mut self, now: f64, event: &Event, log: &mut Vec<String>) -> Vec<Action>;
 
-    /// A new process takes over: its dispatcher starts, and these requests go on there.
+    /// Replaces the dispatcher by that of a new process. Returns the events with which these
+    /// requests continue there.
     fn hand_over(&mut self, _now: f64, _requests: &[RequestId]) -> Vec<Event> {
         Vec::new()
     }
@@ -27,7 +28,7 @@
 
 impl Direct {
     pub fn new(settings: &str, seed: u64) -> Self {
-        let settings = Settings::from_json(settings).expect("sound settings");
+        let settings = Settings::from_json(settings).expect("valid settings");
         let dispatcher = Dispatcher::new(settings.clone(), seed).expect("a dispatcher");
         Self {
             settings,
@@ -75,7 +76,7 @@
     }
 }
 
-/// A dispatcher in the program `postproxy-drill`, which receives events as bytes.
+/// A dispatcher in the program `postproxy-drill`, which receives encoded events.
 pub struct Drill {
     child: Child,
     input: Option<ChildStdin>,
@@ -101,7 +102,7 @@
         drill
     }
 
-    /// Sends a batch of one record and reads its reply.
+    /// Sends a batch with one record and reads the reply. Returns the batch and the reply.
     fn exchange(&mut self, now: f64, record: &[u8]) -> (Vec<u8>, Vec<u8>) {
         self.batches += 1;
         let batch = wire::batch(self.batches, now, record);
@@ -109,14 +110,16 @@
             .as_mut()
             .expect("a pipe")
             .write_all(&batch)
-            .expect("it reads");
+            .expect("the program reads its input");
         let mut reply = vec![0; 8];
-        self.output.read_exact(&mut reply).expect("it replies");
+        self.output
+            .read_exact(&mut reply)
+            .expect("the program replies");
         let size = u32::from_le_bytes([reply[4], reply[5], reply[6], reply[7]]);
         reply.resize(8 + size as usize, 0);
         self.output
             .read_exact(&mut reply[8..])
-            .expect("it replies in full");
+            .expect("the reply is complete");
         (batch, reply)
     }
 }
--- a/tests/decisions/mod.rs
+++ b/tests/decisions/mod.rs
@@ -1,4 +1,4 @@
-//! A closed-loop simulation of clients and workers around one dispatcher, and the recordings of its
+//! A closed-loop simulation of clients and workers around one dispatcher, and recordings of its
 //! runs.
 
 pub mod decider;
--- a/tests/decisions/random.rs
+++ b/tests/decisions/random.rs
@@ -1,4 +1,4 @@
-//! The simulation's own random numbers, independent of the dispatcher's generator: SplitMix64.
+//! The random number generator of the simulation (SplitMix64), independent of the dispatcher's.
 
 /// A seeded generator.
 pub struct Generator(u64);
@@ -15,17 +15,17 @@
         value ^ (value >> 31)
     }
 
-    /// A number of at least 0 and below 1.
+    /// Returns a random number in the range from 0 up to but excluding 1.
     pub fn uniform(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A whole number below `limit`.
+    /// Returns a random integer below `limit`.
     pub fn below(&mut self, limit: usize) -> usize {
         (self.next() % limit as u64) as usize
     }
 
-    /// True with this probability.
+    /// Returns true with this probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.uniform() < probability
     }
--- a/tests/decisions/recording.rs
+++ b/tests/decisions/recording.rs
@@ -1,31 +1,33 @@
-//! Recordings of runs: the first lines in full and a digest of each block of lines, kept in
-//! `tests/fixtures/decisions/`.
+//! Recordings of runs in `tests/fixtures/decisions/`: the first lines in full, and a digest of each
+//! block of lines.
 
 use sha2::{Digest, Sha256};
 use std::path::{Path, PathBuf};
 
-/// Lines that one digest covers.
-const BLOCK: usize = 500;
-/// Bytes of a digest that are kept.
+/// Number of lines that one digest covers.
+const BLOCK_LINES: usize = 500;
+/// Number of bytes of each digest that are stored.
 const DIGEST_BYTES: usize = 12;
 
-/// What is kept of a run, and the run itself for a failure's report.
+/// The recording of a run.
 pub struct Recording {
-    kept: String,
-    whole: String,
+    /// The contents of the fixture file.
+    stored: String,
+    /// All lines of the run, which are written to a file if the comparison fails.
+    full: String,
 }
 
 impl Recording {
-    pub fn of(lines: &[String], in_full: usize) -> Self {
+    pub fn new(lines: &[String], lines_in_full: usize) -> Self {
         let head = lines
             .iter()
-            .take(in_full)
+            .take(lines_in_full)
             .map(|line| format!("line {line}\n"));
-        let blocks = lines.chunks(BLOCK).enumerate().map(block_line);
+        let blocks = lines.chunks(BLOCK_LINES).enumerate().map(block_line);
         let total = format!("total {} lines\n", lines.len());
         Self {
-            kept: head.chain(blocks).chain([total]).collect(),
-            whole: lines.join("\n") + "\n",
+            stored: head.chain(blocks).chain([total]).collect(),
+            full: lines.join("\n") + "\n",
         }
     }
 }
@@ -37,7 +39,7 @@
         .take(DIGEST_BYTES)
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    let first = number * BLOCK + 1;
+    let first = number * BLOCK_LINES + 1;
     format!(
         "block of lines {first} to {}: {digest}\n",
         first + lines.len() - 1
@@ -54,26 +56,26 @@
 ///
 /// # Errors
 ///
-/// Names the first line or block that differs, and the file that has the whole run.
+/// Returns the first line or block that differs, and the path of a file with the full run.
 pub fn compare(name: &str, run: &Recording) -> Result<(), String> {
     if std::env::var("UPDATE_RECORDED_DECISIONS").is_ok_and(|value| value == "1") {
-        std::fs::create_dir_all(fixture(name).parent().expect("a folder"))
-            .expect("the folder is made");
-        std::fs::write(fixture(name), &run.kept).expect("the recording is written");
+        std::fs::create_dir_all(fixture(name).parent().expect("a parent directory"))
+            .expect("the directory is created");
+        std::fs::write(fixture(name), &run.stored).expect("the recording is written");
         return Err(format!(
-            "{name}: recorded anew; run again without UPDATE_RECORDED_DECISIONS"
+            "{name}: recording updated; run again without UPDATE_RECORDED_DECISIONS"
         ));
     }
     let expected = std::fs::read_to_string(fixture(name)).unwrap_or_default();
-    if expected == run.kept {
+    if expected == run.stored {
         return Ok(());
     }
-    let whole = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("decisions-{name}.txt"));
-    std::fs::write(&whole, &run.whole).expect("the run is written");
+    let full_run = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("decisions-{name}.txt"));
+    std::fs::write(&full_run, &run.full).expect("the run is written");
     Err(format!(
-        "{name}: {}; the whole run is in {}",
-        first_difference(&expected, &run.kept),
-        whole.display()
+        "{name}: {}; the full run is in {}",
+        first_difference(&expected, &run.stored),
+        full_run.display()
     ))
 }
 
@@ -81,7 +83,7 @@
     let pairs = expected.lines().zip(found.lines()).enumerate();
     let mut different = pairs.filter(|(_, (expected, found))| expected != found);
     different.next().map_or_else(
-        || "one of the two ends early".into(),
+        || "one of the two ends before the other".into(),
         |(at, (expected, found))| {
             format!(
                 "line {} differs:\n  recorded {expected}\n  found    {found}",
--- a/tests/decisions/scenario.rs
+++ b/tests/decisions/scenario.rs
@@ -1,8 +1,8 @@
-//! The scenarios: settings of the dispatcher, and what its clients and workers are like.
+//! The scenarios: settings of the dispatcher, and the behaviour of its clients and workers.
 
-/// A figure of a load report.
+/// A field of a load report.
 #[derive(Clone, Copy)]
-pub enum Figure {
+pub enum ReportField {
     Queue,
     InFlight,
     FreeSlots,
@@ -10,65 +10,69 @@
     ServiceMilliseconds,
 }
 
-use Figure::{FreeMemory, FreeSlots, InFlight, Queue, ServiceMilliseconds};
+use ReportField::{FreeMemory, FreeSlots, InFlight, Queue, ServiceMilliseconds};
 
-/// What a simulation is run with.
+/// The parameters of a simulation.
 pub struct Scenario {
     pub name: &'static str,
     /// Seed of the dispatcher and of the simulation.
     pub seed: u64,
     /// Settings of the dispatcher, as JSON.
     pub settings: &'static str,
-    /// Longest budget of each class, in seconds.
-    pub budgets: &'static [f64],
-    /// Share of the requests with half the longest budget.
-    pub short_budgets: f64,
+    /// Longest time limit of each class, in seconds.
+    pub time_limits: &'static [f64],
+    /// Share of the requests with half the longest time limit.
+    pub short_time_limits: f64,
     /// Mean work of each class, in seconds.
-    pub works: &'static [f64],
-    /// Class whose answers are streams.
-    pub streams: Option<u8>,
-    /// Class whose running jobs are killed now and then for others.
-    pub pushed_out: Option<u8>,
-    /// Figures of a worker's report, in their order.
-    pub report: &'static [Figure],
-    /// Answers carry reports; probes do wherever there are any.
-    pub answers_report: bool,
+    pub mean_work: &'static [f64],
+    /// Class whose answers are streamed.
+    pub streamed_class: Option<u8>,
+    /// Class whose running jobs workers sometimes stop in favour of others.
+    pub preempted_class: Option<u8>,
+    /// Fields of a worker's load report, in their order.
+    pub report: &'static [ReportField],
+    /// Whether answers to attempts contain load reports. Answers to probes always do.
+    pub reports_in_answers: bool,
+    /// Number of workers.
     pub workers: usize,
+    /// Number of slots of a worker; every other worker has one more.
     pub slots: usize,
-    /// Jobs that wait at a worker before it answers that it is full.
-    pub queue: usize,
+    /// Number of waiting jobs at which a worker rejects further ones.
+    pub max_queue: usize,
+    /// Number of requests.
     pub requests: u64,
-    /// Mean requests a second outside of bursts.
+    /// Requests per second; multiplied by 0.7 outside of bursts and by `burst` in bursts.
     pub rate: f64,
-    /// Times that rate, in bursts.
+    /// Multiple of `rate` in bursts.
     pub burst: f64,
-    /// Subjects that requests are about; 0 for none.
-    pub subjects: u64,
-    /// Share of the requests without an idempotency key.
-    pub keyless: f64,
-    /// Share of the attempts that end in a fault.
+    /// Number of affinity keys; 0 for none.
+    pub affinity_keys: u64,
+    /// Share of the requests without an idempotency key, if `operator` is set.
+    pub without_key: f64,
+    /// Share of the attempts that end with a fault before they reach the worker.
     pub faults: f64,
-    /// Share of the attempts that run thirty times as long as they should, without a word.
+    /// Share of the attempts that take thirty times as long and report no progress.
     pub hangs: f64,
-    /// Most jobs that other dispatchers hold at a worker.
-    pub others: usize,
-    /// Mean seconds between changes of the worker list.
-    pub list_change: f64,
-    /// Share of the calls for the list that fail.
-    pub failed_watches: f64,
-    /// Share of the list changes that are restarts of a worker.
+    /// Maximum number of jobs of other dispatchers at a worker.
+    pub max_other_jobs: usize,
+    /// Mean time between changes of the worker list, in seconds.
+    pub list_change_interval: f64,
+    /// Share of the calls to discovery that fail.
+    pub failed_calls: f64,
+    /// Share of the list changes that are worker restarts.
     pub restarts: f64,
-    /// Seconds between a worker's start and its return to the list.
+    /// Time between a worker's start and its return to the list, in seconds.
     pub start_delay: f64,
-    /// Workers tell when a job starts.
-    pub tells_start: bool,
-    /// Seconds between progress notes; 0 for none.
-    pub progress: f64,
-    /// An operator, a sibling process and handovers take part, which the wire has no form for.
+    /// Whether workers report the start of a job.
+    pub reports_start: bool,
+    /// Interval between progress reports, in seconds; 0 for none.
+    pub progress_interval: f64,
+    /// Whether there are events of an operator, a sibling process and handovers. The protocol of
+    /// `postproxy-drill` does not encode these.
     pub operator: bool,
-    /// Handovers to new processes are among what the operator does.
+    /// Whether there are handovers to new processes, if `operator` is set.
     pub handovers: bool,
-    /// Lines of the run that its recording has in full.
+    /// Number of lines of the run that its recording contains in full.
     pub lines_in_full: usize,
 }
 
@@ -76,36 +80,36 @@
     name: "",
     seed: 0,
     settings: "{}",
-    budgets: &[4.0, 4.0, 4.0],
-    short_budgets: 0.2,
-    works: &[0.1, 0.2, 0.1],
-    streams: None,
-    pushed_out: None,
+    time_limits: &[4.0, 4.0, 4.0],
+    short_time_limits: 0.2,
+    mean_work: &[0.1, 0.2, 0.1],
+    streamed_class: None,
+    preempted_class: None,
     report: &[],
-    answers_report: true,
+    reports_in_answers: true,
     workers: 8,
     slots: 2,
-    queue: 8,
+    max_queue: 8,
     requests: 2500,
     rate: 60.0,
     burst: 2.0,
-    subjects: 0,
-    keyless: 0.1,
+    affinity_keys: 0,
+    without_key: 0.1,
     faults: 0.05,
     hangs: 0.01,
-    others: 0,
-    list_change: 0.7,
-    failed_watches: 0.4,
+    max_other_jobs: 0,
+    list_change_interval: 0.7,
+    failed_calls: 0.4,
     restarts: 0.2,
     start_delay: 0.0,
-    tells_start: false,
-    progress: 0.0,
+    reports_start: false,
+    progress_interval: 0.0,
     operator: false,
     handovers: true,
     lines_in_full: 160,
 };
 
-/// All scenarios that are recorded.
+/// Returns all recorded scenarios.
 pub fn scenarios() -> Vec<Scenario> {
     vec![
         queue_reports(),
@@ -113,23 +117,23 @@
         no_reports(),
         probes(),
         slow_probes(),
-        subjects(),
+        affinity_keys(),
         priorities(),
-        cold_starts(),
-        cold_starts_in_a_large_share(),
-        late_worth(),
+        worker_restarts(),
+        worker_restarts_with_uneven_traffic(),
+        late_answers(),
         marked_retries(),
         zones(),
         zones_without_reports(),
         coarse_clock(),
-        full_after_begin(),
+        rejection_after_start(),
         large_fleet(),
-        operators(),
+        operator_events(),
         overload_without_cancel(),
         suspended_workers(),
         few_requests(),
         silent_jobs(),
-        silent_jobs_at_a_price(),
+        silent_jobs_with_expensive_waste(),
     ]
 }
 
@@ -145,9 +149,9 @@
             "report": {"fields": ["backlog", "recent_ms"], "via": "answers"},
             "limits": {"cancel": true, "second-copies": true, "max-attempts": 3, "retry-after": true, "max-retry-after": 1.5},
             "extra": {"tells-start": true}}"#,
-        streams: Some(0),
+        streamed_class: Some(0),
         report: &[Queue, ServiceMilliseconds],
-        tells_start: true,
+        reports_start: true,
         ..COMMON
     }
 }
@@ -181,7 +185,7 @@
             {"name": "cell", "effect": "token", "dedup-scope": "cell", "memory-span": 2.5, "aim": 0.5, "deadline": 4.0},
             {"name": "safe", "effect": "pure", "aim": 0.5, "deadline": 4.0}],
             "limits": {"second-copies": true, "max-attempts": 3}}"#,
-        keyless: 0.25,
+        without_key: 0.25,
         faults: 0.1,
         ..COMMON
     }
@@ -200,16 +204,17 @@
             "prices": {"probe": 0.005, "waste": 0.02},
             "extra": {"report-x0": "free slots", "tells-start": true, "progress": 0.125}}"#,
         report: &[InFlight, FreeSlots],
-        answers_report: false,
+        reports_in_answers: false,
         workers: 12,
         rate: 70.0,
-        tells_start: true,
-        progress: 0.125,
+        reports_start: true,
+        progress_interval: 0.125,
         ..COMMON
     }
 }
 
-/// Probes are sent again before the answer to the last one has come, and discovery fails often.
+/// Probes are sent again before the previous one has been answered, and calls to discovery often
+/// fail.
 fn slow_probes() -> Scenario {
     Scenario {
         name: "slow-probes",
@@ -223,16 +228,16 @@
             "rules": {"must-ask-in": 1.0},
             "extra": {"report-x0": "free slots"}}"#,
         report: &[InFlight, FreeSlots],
-        answers_report: false,
+        reports_in_answers: false,
         workers: 6,
         requests: 1500,
-        list_change: 6.0,
-        failed_watches: 0.9,
+        list_change_interval: 6.0,
+        failed_calls: 0.9,
         ..COMMON
     }
 }
 
-fn subjects() -> Scenario {
+fn affinity_keys() -> Scenario {
     Scenario {
         name: "subjects",
         seed: 15,
@@ -248,7 +253,7 @@
         report: &[Queue, FreeSlots],
         workers: 80,
         rate: 250.0,
-        subjects: 40,
+        affinity_keys: 40,
         ..COMMON
     }
 }
@@ -265,15 +270,15 @@
             "limits": {"cancel": true, "second-copies": true, "max-attempts": 5},
             "extra": {"class-priority": [0, 2, 1], "class-stretch": [1.0, 3.0, 0.0], "queue-order": "priority",
                       "report-x0": "free slots", "progress": 0.25}}"#,
-        pushed_out: Some(0),
+        preempted_class: Some(0),
         report: &[Queue, FreeSlots, ServiceMilliseconds],
         rate: 90.0,
-        progress: 0.25,
+        progress_interval: 0.25,
         ..COMMON
     }
 }
 
-fn cold_starts() -> Scenario {
+fn worker_restarts() -> Scenario {
     Scenario {
         name: "cold-starts",
         seed: 17,
@@ -287,15 +292,15 @@
             "extra": {"report-x0": "free slots"}}"#,
         report: &[InFlight, FreeSlots],
         restarts: 0.6,
-        list_change: 0.6,
+        list_change_interval: 0.6,
         workers: 10,
         rate: 80.0,
         ..COMMON
     }
 }
 
-/// One of many dispatchers has most of the traffic.
-fn cold_starts_in_a_large_share() -> Scenario {
+/// One of many dispatchers receives most of the traffic.
+fn worker_restarts_with_uneven_traffic() -> Scenario {
     Scenario {
         name: "cold-starts-in-a-large-share",
         seed: 28,
@@ -309,7 +314,7 @@
             "extra": {"report-x0": "free slots"}}"#,
         report: &[InFlight, FreeSlots],
         restarts: 0.6,
-        list_change: 0.4,
+        list_change_interval: 0.4,
         workers: 10,
         slots: 3,
         requests: 4500,
@@ -319,7 +324,7 @@
     }
 }
 
-fn late_worth() -> Scenario {
+fn late_answers() -> Scenario {
     Scenario {
         name: "late-worth",
         seed: 18,
@@ -331,10 +336,10 @@
             "report": {"fields": ["backlog", "x0"], "via": "answers"},
             "limits": {"cancel": true, "second-copies": true, "max-attempts": 3, "retry-after": true, "max-retry-after": 0.2},
             "extra": {"report-x0": "free slots"}}"#,
-        budgets: &[5.0, 4.0, 4.0],
+        time_limits: &[5.0, 4.0, 4.0],
         report: &[Queue, FreeSlots],
         rate: 150.0,
-        queue: 12,
+        max_queue: 12,
         ..COMMON
     }
 }
@@ -350,7 +355,7 @@
             "report": {"fields": ["backlog", "x0"], "via": "answers"},
             "limits": {"cancel": true, "max-attempts": 3, "retry-after": true, "max-retry-after": 0.2},
             "extra": {"report-x0": "free slots"}}"#,
-        short_budgets: 0.12,
+        short_time_limits: 0.12,
         report: &[Queue, FreeSlots],
         requests: 3500,
         rate: 170.0,
@@ -394,7 +399,7 @@
     }
 }
 
-/// Times are known to a thirty-second of a second only, and further attempts have a small budget.
+/// The clock has a resolution of only 1/32 s, and the retry budget is small.
 fn coarse_clock() -> Scenario {
     Scenario {
         name: "coarse-clock",
@@ -413,7 +418,7 @@
     }
 }
 
-fn full_after_begin() -> Scenario {
+fn rejection_after_start() -> Scenario {
     Scenario {
         name: "full-after-begin",
         seed: 20,
@@ -427,10 +432,10 @@
             "rules": {"may-shed-begun": true, "spare-attempts": 1, "look-back": 0.5},
             "extra": {"tells-start": true, "progress": 0.125}}"#,
         report: &[Queue],
-        queue: 3,
+        max_queue: 3,
         rate: 110.0,
-        tells_start: true,
-        progress: 0.125,
+        reports_start: true,
+        progress_interval: 0.125,
         ..COMMON
     }
 }
@@ -451,12 +456,12 @@
         workers: 90,
         slots: 1,
         rate: 200.0,
-        tells_start: true,
+        reports_start: true,
         ..COMMON
     }
 }
 
-fn operators() -> Scenario {
+fn operator_events() -> Scenario {
     Scenario {
         name: "operators",
         seed: 22,
@@ -489,10 +494,10 @@
             "report": {"fields": ["backlog", "x0", "x1"], "via": "answers"},
             "limits": {"second-copies": true, "max-attempts": 2, "dial-timeout": 0.1, "may-probe": true},
             "extra": {"report-x0": "free memory", "report-x1": "free slots", "progress": 0.0625}}"#,
-        budgets: &[2.0, 2.0, 2.0],
+        time_limits: &[2.0, 2.0, 2.0],
         report: &[Queue, FreeMemory, FreeSlots],
         rate: 160.0,
-        progress: 0.0625,
+        progress_interval: 0.0625,
         ..COMMON
     }
 }
@@ -534,7 +539,7 @@
         report: &[InFlight, FreeSlots],
         requests: 400,
         rate: 6.0,
-        others: 6,
+        max_other_jobs: 6,
         ..COMMON
     }
 }
@@ -555,12 +560,12 @@
         workers: 16,
         requests: 1000,
         hangs: 0.45,
-        progress: 0.0625,
+        progress_interval: 0.0625,
         ..COMMON
     }
 }
 
-fn silent_jobs_at_a_price() -> Scenario {
+fn silent_jobs_with_expensive_waste() -> Scenario {
     Scenario {
         name: "silent-jobs-at-a-price",
         seed: 26,
@@ -577,7 +582,7 @@
         workers: 16,
         requests: 1000,
         hangs: 0.2,
-        progress: 0.0625,
+        progress_interval: 0.0625,
         ..COMMON
     }
 }
--- a/tests/decisions/simulation.rs
+++ b/tests/decisions/simulation.rs
@@ -1,43 +1,43 @@
-//! The closed loop: clients, workers, the worker list, an operator and a sibling process around one
-//! dispatcher. All times are whole ticks of 1/1024 s, so that they are exact as numbers and as
-//! text.
+//! The simulation loop: clients, workers, the worker list, an operator and a sibling process around
+//! one dispatcher. All times are multiples of 1/1024 s, so they are represented exactly as numbers
+//! and as text.
 
 use super::decider::Decider;
 use super::random::Generator;
-use super::scenario::{Figure, Scenario};
+use super::scenario::{ReportField, Scenario};
 use postproxy::{
     Action, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, SiblingEvent,
     WorkerId,
 };
 use std::collections::{BTreeMap, VecDeque};
 
-const TICKS_A_SECOND: f64 = 1024.0;
-/// The simulation starts at this time, in seconds.
-const START: f64 = 1000.0;
-/// Memory units of a worker.
-const MEMORY: f64 = 16.0;
-/// Length of a burst and of the quiet time after it, in seconds.
-const BURST: f64 = 3.0;
-/// A run is stopped after this time, in seconds; all its requests have to be answered by then.
-const LONGEST_RUN: f64 = 90.0;
-/// Lines of its log after which a run is given up: far more than any scenario needs.
+const TICKS_PER_SECOND: f64 = 1024.0;
+/// Start time of the simulation, in seconds.
+const START_TIME: f64 = 1000.0;
+/// Number of memory units of a worker.
+const WORKER_MEMORY: f64 = 16.0;
+/// Duration of a burst and of the interval until the next one, in seconds.
+const BURST_DURATION: f64 = 3.0;
+/// Maximum duration of a run, in seconds. All requests must have been answered by then.
+const MAX_RUN_TIME: f64 = 90.0;
+/// Maximum number of lines in the log of a run, far more than any scenario needs.
 const MAX_LINES: usize = 400_000;
-/// Ids of a sibling's requests begin here.
-const SIBLING_IDS: u64 = 1 << 50;
+/// The first id for requests of the sibling process.
+const FIRST_SIBLING_ID: u64 = 1 << 50;
 
 fn ticks(seconds: f64) -> u64 {
-    (seconds * TICKS_A_SECOND).ceil().max(0.0) as u64
+    (seconds * TICKS_PER_SECOND).ceil().max(0.0) as u64
 }
 
 fn seconds(ticks: u64) -> f64 {
-    ticks as f64 / TICKS_A_SECOND
+    ticks as f64 / TICKS_PER_SECOND
 }
 
 type AttemptKey = (u64, u16);
 
-/// Something that will happen.
+/// A scheduled occurrence.
 enum Pending {
-    Arrival,
+    Request,
     Retry(Box<NewRequest>),
     Timer(u64),
     AttemptReaches(AttemptKey),
@@ -45,20 +45,20 @@
     Progress(AttemptKey, u32),
     CancelReaches(AttemptKey),
     ProbeEnds(usize, u64, Outcome),
-    ClientLeaves(u64),
+    ClientDisconnects(u64),
     ListChange,
-    WorkerBack(usize),
-    Watched,
+    WorkerRestored(usize),
+    DiscoveryAnswer,
     Operator,
-    Use(usize),
-    SiblingEnds(u64, usize),
+    Resume(usize),
+    SiblingAttemptEnds(u64, usize),
 }
 
 struct WorkerModel {
     entry: Entry,
     slots: usize,
     speed: f64,
-    /// It fails all that it is sent.
+    /// Whether it answers every attempt with an error.
     failing: bool,
     running: Vec<AttemptKey>,
     waiting: VecDeque<AttemptKey>,
@@ -74,9 +74,9 @@
 struct ClientRequest {
     class: u8,
     work: f64,
-    ends: f64,
+    deadline: f64,
     attempts: u16,
-    /// The attempt whose answer goes to the client already.
+    /// The attempt whose answer is being streamed to the client.
     streaming: Option<u16>,
     answered: bool,
 }
@@ -88,8 +88,8 @@
     operator: bool,
     random: Generator,
     now: u64,
-    planned: u64,
-    schedule: BTreeMap<(u64, u64), Pending>,
+    scheduled: u64,
+    pending: BTreeMap<(u64, u64), Pending>,
     workers: Vec<WorkerModel>,
     requests: BTreeMap<u64, ClientRequest>,
     attempts: BTreeMap<AttemptKey, AttemptModel>,
@@ -106,14 +106,14 @@
             decider,
             operator,
             random,
-            now: ticks(START),
-            planned: 0,
-            schedule: BTreeMap::new(),
+            now: ticks(START_TIME),
+            scheduled: 0,
+            pending: BTreeMap::new(),
             workers: Vec::new(),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             next_request: 1,
-            next_sibling: SIBLING_IDS,
+            next_sibling: FIRST_SIBLING_ID,
             log: Vec::new(),
         };
         simulation.workers = (0..scenario.workers)
@@ -148,41 +148,41 @@
         }
     }
 
-    /// Runs it to its end; the lines of its log.
+    /// Runs the simulation to its end and returns the lines of its log.
     pub fn run(mut self) -> Vec<String> {
         self.start();
-        while let Some(((at, _), pending)) = self.schedule.pop_first() {
-            if self.is_over() || at > ticks(START + LONGEST_RUN) {
+        while let Some(((at, _), pending)) = self.pending.pop_first() {
+            if self.is_over() || at > ticks(START_TIME + MAX_RUN_TIME) {
                 break;
             }
             self.now = at;
-            self.happen(pending);
+            self.process(pending);
             assert!(
                 self.log.len() < MAX_LINES,
-                "{}: the log has no end",
+                "{}: the log is too long",
                 self.scenario.name
             );
         }
         let open = self.open_requests();
         assert!(
             open.is_empty(),
-            "{}: requests without an answer: {open:?}",
+            "{}: unanswered requests: {open:?}",
             self.scenario.name
         );
         self.log
     }
 
     fn start(&mut self) {
-        self.tell(&Event::WorkerListReceived {
+        self.handle(&Event::WorkerListReceived {
             kind: ListKind::Failed,
             entries: Vec::new(),
         });
-        self.list(ListKind::Cached);
-        self.tell(&Event::PeerMessage);
-        self.plan(0.25, Pending::Arrival);
-        self.plan(1.0, Pending::ListChange);
+        self.send_list(ListKind::Cached);
+        self.handle(&Event::PeerMessage);
+        self.schedule_after(0.25, Pending::Request);
+        self.schedule_after(1.0, Pending::ListChange);
         if self.operator {
-            self.plan(1.0, Pending::Operator);
+            self.schedule_after(1.0, Pending::Operator);
         }
     }
 
@@ -196,25 +196,25 @@
         open.map(|(request, _)| *request).collect()
     }
 
-    fn plan(&mut self, after: f64, pending: Pending) {
-        self.plan_at(self.now + ticks(after).max(1), pending);
+    fn schedule_after(&mut self, after: f64, pending: Pending) {
+        self.schedule_at(self.now + ticks(after).max(1), pending);
     }
 
-    fn plan_at(&mut self, at: u64, pending: Pending) {
-        self.planned += 1;
-        self.schedule.insert((at, self.planned), pending);
+    fn schedule_at(&mut self, at: u64, pending: Pending) {
+        self.scheduled += 1;
+        self.pending.insert((at, self.scheduled), pending);
     }
 
-    fn tell(&mut self, event: &Event) {
+    fn handle(&mut self, event: &Event) {
         let actions = self.decider.handle(seconds(self.now), event, &mut self.log);
-        actions.into_iter().for_each(|action| self.act(action));
+        actions.into_iter().for_each(|action| self.perform(action));
     }
 
     // ---- Actions of the dispatcher ----
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::WatchDiscovery => self.plan(0.03, Pending::Watched),
+            Action::WatchDiscovery => self.schedule_after(0.03, Pending::DiscoveryAnswer),
             Action::Send {
                 request, worker, ..
             } => self.send(request, worker),
@@ -222,10 +222,10 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => self.refused(request, retry_after),
-            Action::Fail { request } => self.answered(request),
+            } => self.handle_rejection(request, retry_after),
+            Action::Fail { request } => self.mark_answered(request),
             Action::Timer { at, token } => {
-                self.plan_at(ticks(at).max(self.now + 1), Pending::Timer(token));
+                self.schedule_at(ticks(at).max(self.now + 1), Pending::Timer(token));
             }
             Action::Probe { worker } => self.probe(worker),
         }
@@ -236,7 +236,7 @@
             .workers
             .iter()
             .position(|model| model.entry.worker == worker);
-        found.expect("a worker of the list")
+        found.expect("a listed worker")
     }
 
     fn send(&mut self, request: u64, worker: WorkerId) {
@@ -244,7 +244,7 @@
         let model = self
             .requests
             .get_mut(&request)
-            .expect("a request that arrived");
+            .expect("a submitted request");
         let (key, work) = ((request, model.attempts), model.work);
         model.attempts += 1;
         let hangs = self.random.chance(self.scenario.hangs);
@@ -258,14 +258,14 @@
             },
         );
         if self.random.chance(self.scenario.faults) {
-            let (after, outcome) = self.fault();
-            return self.plan(after, Pending::AttemptEnds(key, outcome));
+            let (after, outcome) = self.draw_fault();
+            return self.schedule_after(after, Pending::AttemptEnds(key, outcome));
         }
-        self.plan(0.002, Pending::AttemptReaches(key));
+        self.schedule_after(0.002, Pending::AttemptReaches(key));
     }
 
-    /// A fault of an attempt, and how long it takes to show.
-    fn fault(&mut self) -> (f64, Outcome) {
+    /// Draws a fault of an attempt. Returns the time until it is noticed, and the outcome.
+    fn draw_fault(&mut self) -> (f64, Outcome) {
         match self.random.below(7) {
             0 => (0.1, Outcome::ConnectFailed),
             1 => (0.05, Outcome::Reset),
@@ -278,29 +278,29 @@
     }
 
     fn cancel(&mut self, key: AttemptKey) {
-        // One of eight cancellations is lost.
+        // One in eight cancellations is lost.
         if !self.random.chance(0.125) {
-            self.plan(0.003, Pending::CancelReaches(key));
+            self.schedule_after(0.003, Pending::CancelReaches(key));
         }
     }
 
-    fn refused(&mut self, request: u64, retry_after: f64) {
-        self.answered(request);
-        let (class, ends) = {
+    fn handle_rejection(&mut self, request: u64, retry_after: f64) {
+        self.mark_answered(request);
+        let (class, deadline) = {
             let model = &self.requests[&request];
-            (model.class, model.ends)
+            (model.class, model.deadline)
         };
-        let left = ends - seconds(self.now) - retry_after;
+        let left = deadline - seconds(self.now) - retry_after;
         if left > 0.25 && self.random.chance(0.3) {
             let retry = NewRequest {
                 is_marked_retry: true,
                 ..self.new_request(class, left)
             };
-            self.plan(retry_after + 0.05, Pending::Retry(Box::new(retry)));
+            self.schedule_after(retry_after + 0.05, Pending::Retry(Box::new(retry)));
         }
     }
 
-    fn answered(&mut self, request: u64) {
+    fn mark_answered(&mut self, request: u64) {
         self.requests
             .entry(request)
             .and_modify(|model| model.answered = true);
@@ -315,31 +315,33 @@
             3..=6 => (0.3, Outcome::Succeeded),
             _ => (0.008, Outcome::Succeeded),
         };
-        self.plan(after, Pending::ProbeEnds(worker, self.now, outcome));
+        self.schedule_after(after, Pending::ProbeEnds(worker, self.now, outcome));
     }
 
-    // ---- What happens ----
+    // ---- Scheduled occurrences ----
 
-    fn happen(&mut self, pending: Pending) {
+    fn process(&mut self, pending: Pending) {
         match pending {
-            Pending::Arrival => self.arrive(),
+            Pending::Request => self.generate_request(),
             Pending::Retry(mut request) => {
                 request.id = self.next_id();
                 self.submit(*request);
             }
-            Pending::Timer(token) => self.tell(&Event::TimerExpired { token }),
-            Pending::AttemptReaches(key) => self.reach(key),
-            Pending::AttemptEnds(key, outcome) => self.end(key, outcome),
-            Pending::Progress(key, count) => self.progress(key, count),
-            Pending::CancelReaches(key) => self.end(key, Outcome::Cancelled),
-            Pending::ProbeEnds(worker, sent, outcome) => self.probed(worker, sent, outcome),
-            Pending::ClientLeaves(request) => self.client_leaves(request),
+            Pending::Timer(token) => self.handle(&Event::TimerExpired { token }),
+            Pending::AttemptReaches(key) => self.reach_worker(key),
+            Pending::AttemptEnds(key, outcome) => self.end_attempt(key, outcome),
+            Pending::Progress(key, count) => self.report_progress(key, count),
+            Pending::CancelReaches(key) => self.end_attempt(key, Outcome::Cancelled),
+            Pending::ProbeEnds(worker, sent, outcome) => self.end_probe(worker, sent, outcome),
+            Pending::ClientDisconnects(request) => self.disconnect_client(request),
             Pending::ListChange => self.change_list(),
-            Pending::WorkerBack(worker) => self.bring_back(worker),
-            Pending::Watched => self.watched(),
-            Pending::Operator => self.operate(),
-            Pending::Use(worker) => self.use_worker(worker, true),
-            Pending::SiblingEnds(request, worker) => self.sibling_ends(request, worker),
+            Pending::WorkerRestored(worker) => self.restore_worker(worker),
+            Pending::DiscoveryAnswer => self.answer_discovery_call(),
+            Pending::Operator => self.generate_operator_event(),
+            Pending::Resume(worker) => self.change_suspension(worker, true),
+            Pending::SiblingAttemptEnds(request, worker) => {
+                self.end_sibling_attempt(request, worker)
+            }
         }
     }
 
@@ -348,102 +350,103 @@
         self.next_request - 1
     }
 
-    fn arrive(&mut self) {
+    fn generate_request(&mut self) {
         if self.next_request > self.scenario.requests {
             return;
         }
         let class = self.random.below(3) as u8;
-        let budget = self.budget(class);
+        let time_limit = self.draw_time_limit(class);
         let request = NewRequest {
             id: self.next_id(),
-            ..self.new_request(class, budget)
+            ..self.new_request(class, time_limit)
         };
         self.submit(request);
-        let burst = ((seconds(self.now) - START) / BURST) as u64 % 2 == 1;
-        let rate = self.scenario.rate * if burst { self.scenario.burst } else { 0.7 };
+        let is_burst = ((seconds(self.now) - START_TIME) / BURST_DURATION) as u64 % 2 == 1;
+        let rate = self.scenario.rate * if is_burst { self.scenario.burst } else { 0.7 };
         let after = self.random.uniform() * 2.0 / rate;
-        self.plan(after, Pending::Arrival);
+        self.schedule_after(after, Pending::Request);
     }
 
-    fn budget(&mut self, class: u8) -> f64 {
-        let most = self.scenario.budgets[class as usize];
-        if self.random.chance(self.scenario.short_budgets) {
-            most * 0.5
+    fn draw_time_limit(&mut self, class: u8) -> f64 {
+        let longest = self.scenario.time_limits[class as usize];
+        if self.random.chance(self.scenario.short_time_limits) {
+            longest * 0.5
         } else {
-            most
+            longest
         }
     }
 
-    fn new_request(&mut self, class: u8, budget: f64) -> NewRequest {
-        let subjects = self.scenario.subjects as usize;
+    fn new_request(&mut self, class: u8, time_limit: f64) -> NewRequest {
+        let keys = self.scenario.affinity_keys as usize;
         let hint = self
             .random
             .chance(0.3)
-            .then(|| self.scenario.works[class as usize] * 1.25);
+            .then(|| self.scenario.mean_work[class as usize] * 1.25);
         NewRequest {
             id: 0,
             class,
             tenant: self.random.below(3) as u16,
-            affinity_key: if subjects > 0 {
-                1 + self.random.below(subjects) as u64
+            affinity_key: if keys > 0 {
+                1 + self.random.below(keys) as u64
             } else {
                 0
             },
-            time_limit: budget,
+            time_limit,
             expected_work: hint,
             slots: if self.random.chance(0.1) { 2.0 } else { 1.0 },
             memory: self.random.below(4) as f64,
             is_marked_retry: false,
-            without_key: self.operator && self.random.chance(self.scenario.keyless),
+            without_key: self.operator && self.random.chance(self.scenario.without_key),
         }
     }
 
     fn submit(&mut self, new: NewRequest) {
         let (request, class) = (new.id, new.class);
-        let work = self.scenario.works[class as usize] * (0.5 + self.random.uniform());
-        let ends = seconds(self.now) + new.time_limit;
+        let work = self.scenario.mean_work[class as usize] * (0.5 + self.random.uniform());
+        let deadline = seconds(self.now) + new.time_limit;
         let model = ClientRequest {
             class,
             work,
-            ends,
+            deadline,
             attempts: 0,
             streaming: None,
             answered: false,
         };
         self.requests.insert(request, model);
         let event = Event::RequestReceived(new);
-        self.tell(&event);
+        self.handle(&event);
         if self.random.chance(0.02) {
-            self.tell(&event); // the same id once more is ignored
+            self.handle(&event); // a second request with the same id is ignored
         }
         if self.random.chance(0.03) {
             let after = self.random.uniform();
-            self.plan(after, Pending::ClientLeaves(request));
+            self.schedule_after(after, Pending::ClientDisconnects(request));
         }
     }
 
-    fn client_leaves(&mut self, request: u64) {
+    fn disconnect_client(&mut self, request: u64) {
         if !self.requests[&request].answered {
-            self.answered(request);
-            self.tell(&Event::ClientDisconnected { request });
+            self.mark_answered(request);
+            self.handle(&Event::ClientDisconnected { request });
         }
     }
 
     // ---- Workers ----
 
-    fn reach(&mut self, key: AttemptKey) {
+    fn reach_worker(&mut self, key: AttemptKey) {
         let Some(attempt) = self.attempts.get(&key) else {
             return;
         };
         let model = &mut self.workers[attempt.worker];
         if model.entry.health == Health::Removed {
-            return self.plan(0.1, Pending::AttemptEnds(key, Outcome::ConnectFailed));
+            return self.schedule_after(0.1, Pending::AttemptEnds(key, Outcome::ConnectFailed));
         }
         if model.failing {
-            return self.plan(0.01, Pending::AttemptEnds(key, Outcome::Error));
+            return self.schedule_after(0.01, Pending::AttemptEnds(key, Outcome::Error));
         }
-        if model.entry.health == Health::Draining || model.waiting.len() >= self.scenario.queue {
-            return self.plan(0.002, Pending::AttemptEnds(key, Outcome::Rejected));
+        if model.entry.health == Health::Draining || model.waiting.len() >= self.scenario.max_queue
+        {
+            return self.schedule_after(0.002, Pending::AttemptEnds(key, Outcome::Rejected));
         }
         let worker = attempt.worker;
         model.waiting.push_back(key);
@@ -463,24 +466,24 @@
     fn start_job(&mut self, worker: usize, key: AttemptKey) {
         let attempt = &self.attempts[&key];
         let (hangs, class) = (attempt.hangs, self.requests[&key.0].class);
-        let takes = attempt.work / self.workers[worker].speed * if hangs { 30.0 } else { 1.0 };
+        let run_time = attempt.work / self.workers[worker].speed * if hangs { 30.0 } else { 1.0 };
         let outcome = if self.random.chance(0.02) {
             Outcome::Error
         } else {
             Outcome::Succeeded
         };
-        self.plan(takes, Pending::AttemptEnds(key, outcome));
-        if self.scenario.pushed_out == Some(class) && self.random.chance(0.1) {
-            self.plan(takes * 0.5, Pending::AttemptEnds(key, Outcome::Reset));
+        self.schedule_after(run_time, Pending::AttemptEnds(key, outcome));
+        if self.scenario.preempted_class == Some(class) && self.random.chance(0.1) {
+            self.schedule_after(run_time * 0.5, Pending::AttemptEnds(key, Outcome::Reset));
         }
-        if self.scenario.tells_start && !hangs {
-            self.plan(0.001, Pending::Progress(key, 0));
-        } else if self.scenario.progress > 0.0 && !hangs {
-            self.plan(self.scenario.progress, Pending::Progress(key, 1));
+        if self.scenario.reports_start && !hangs {
+            self.schedule_after(0.001, Pending::Progress(key, 0));
+        } else if self.scenario.progress_interval > 0.0 && !hangs {
+            self.schedule_after(self.scenario.progress_interval, Pending::Progress(key, 1));
         }
     }
 
-    fn progress(&mut self, key: AttemptKey, count: u32) {
+    fn report_progress(&mut self, key: AttemptKey, count: u32) {
         if !self.attempts.contains_key(&key) {
             return;
         }
@@ -490,51 +493,55 @@
             count => ProgressNote::Progress(f64::from(count.min(8)) / 8.0),
         };
         let (request, attempt) = key;
-        self.tell(&Event::AttemptProgress {
+        self.handle(&Event::AttemptProgress {
             request,
             attempt,
             note,
         });
-        let streams = self.scenario.streams == Some(self.requests[&request].class);
+        let streams = self.scenario.streamed_class == Some(self.requests[&request].class);
         if streams && count == 0 && self.random.chance(0.5) {
-            self.stream(key);
+            self.start_streaming(key);
         }
-        if self.scenario.progress > 0.0 {
-            self.plan(self.scenario.progress, Pending::Progress(key, count + 1));
+        if self.scenario.progress_interval > 0.0 {
+            self.schedule_after(
+                self.scenario.progress_interval,
+                Pending::Progress(key, count + 1),
+            );
         }
     }
 
-    /// The first bytes of an answer go to the client, unless those of another attempt have before.
-    fn stream(&mut self, (request, attempt): AttemptKey) {
+    /// Starts to stream the answer of an attempt to the client, unless another attempt already
+    /// does.
+    fn start_streaming(&mut self, (request, attempt): AttemptKey) {
         let model = self
             .requests
             .get_mut(&request)
-            .expect("a request that arrived");
+            .expect("a submitted request");
         if model.streaming.is_none() && !model.answered {
             model.streaming = Some(attempt);
-            self.tell(&Event::AttemptStreaming { request, attempt });
+            self.handle(&Event::AttemptStreaming { request, attempt });
         }
     }
 
-    fn end(&mut self, key: AttemptKey, outcome: Outcome) {
+    fn end_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
         let Some(attempt) = self.attempts.remove(&key) else {
             return;
         };
         let worker = &mut self.workers[attempt.worker];
-        let held = worker.running.len() + worker.waiting.len();
+        let jobs_before = worker.running.len() + worker.waiting.len();
         worker.running.retain(|other| *other != key);
         worker.waiting.retain(|other| *other != key);
-        let reached =
-            worker.running.len() + worker.waiting.len() < held || outcome == Outcome::Rejected;
-        let report = if reached && self.scenario.answers_report {
-            self.report(attempt.worker)
+        let reached = worker.running.len() + worker.waiting.len() < jobs_before
+            || outcome == Outcome::Rejected;
+        let report = if reached && self.scenario.reports_in_answers {
+            self.load_report(attempt.worker)
         } else {
             Vec::new()
         };
         let final_error = outcome == Outcome::Error && self.random.chance(0.3);
         let streamed = self.requests[&key.0].streaming == Some(key.1);
         if outcome == Outcome::Succeeded || final_error || streamed {
-            self.answered(key.0);
+            self.mark_answered(key.0);
         }
         let event = Event::AttemptEnded {
             request: key.0,
@@ -545,35 +552,35 @@
             answered: self.requests[&key.0].answered,
             report,
         };
-        self.tell(&event);
+        self.handle(&event);
         self.start_waiting(attempt.worker);
     }
 
-    fn report(&mut self, worker: usize) -> Vec<f32> {
+    fn load_report(&mut self, worker: usize) -> Vec<f32> {
         if self.random.chance(0.03) {
             return vec![f32::NAN; self.scenario.report.len()];
         }
-        let others = if self.scenario.others > 0 {
-            self.random.below(self.scenario.others + 1)
+        let others = if self.scenario.max_other_jobs > 0 {
+            self.random.below(self.scenario.max_other_jobs + 1)
         } else {
             0
         };
         let model = &self.workers[worker];
         let running = (model.running.len() + others).min(model.slots);
         let waiting = model.running.len() + others - running + model.waiting.len();
-        let figure = |figure: &Figure| match figure {
-            Figure::Queue => waiting as f32,
-            Figure::InFlight => (running + waiting) as f32,
-            Figure::FreeSlots => (model.slots - running) as f32,
-            Figure::FreeMemory => (MEMORY - 2.0 * running as f64) as f32,
-            Figure::ServiceMilliseconds => 125.0 + running as f32,
+        let value = |field: &ReportField| match field {
+            ReportField::Queue => waiting as f32,
+            ReportField::InFlight => (running + waiting) as f32,
+            ReportField::FreeSlots => (model.slots - running) as f32,
+            ReportField::FreeMemory => (WORKER_MEMORY - 2.0 * running as f64) as f32,
+            ReportField::ServiceMilliseconds => 125.0 + running as f32,
         };
-        self.scenario.report.iter().map(figure).collect()
+        self.scenario.report.iter().map(value).collect()
     }
 
-    fn probed(&mut self, worker: usize, sent: u64, outcome: Outcome) {
+    fn end_probe(&mut self, worker: usize, sent: u64, outcome: Outcome) {
         let report = if outcome == Outcome::Succeeded {
-            self.report(worker)
+            self.load_report(worker)
         } else {
             Vec::new()
         };
@@ -584,7 +591,7 @@
             outcome
         };
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::ProbeEnded {
+        self.handle(&Event::ProbeEnded {
             worker,
             outcome,
             elapsed,
@@ -594,38 +601,38 @@
 
     // ---- The worker list ----
 
-    fn list(&mut self, kind: ListKind) {
+    fn send_list(&mut self, kind: ListKind) {
         let listed = self
             .workers
             .iter()
             .filter(|model| model.entry.health != Health::Removed);
         let entries = listed.map(|model| model.entry.clone()).collect();
-        self.tell(&Event::WorkerListReceived { kind, entries });
+        self.handle(&Event::WorkerListReceived { kind, entries });
     }
 
-    fn entry_changed(&mut self, worker: usize) {
+    fn send_entry(&mut self, worker: usize) {
         let kind = if self.operator && self.random.chance(0.3) {
             ListKind::FromPeer
         } else {
             ListKind::Delta
         };
-        self.tell(&Event::WorkerListReceived {
+        self.handle(&Event::WorkerListReceived {
             kind,
             entries: vec![self.workers[worker].entry.clone()],
         });
     }
 
     fn change_list(&mut self) {
-        let after = self.random.uniform() * 2.0 * self.scenario.list_change;
-        self.plan(after, Pending::ListChange);
+        let after = self.random.uniform() * 2.0 * self.scenario.list_change_interval;
+        self.schedule_after(after, Pending::ListChange);
         let worker = self.random.below(self.workers.len());
         if self.random.chance(self.scenario.restarts) {
             return self.restart(worker);
         }
         match self.random.below(8) {
-            0 => self.list(ListKind::Full),
-            1 => self.list(ListKind::Cached),
-            2 => self.tell(&Event::WorkerListReceived {
+            0 => self.send_list(ListKind::Full),
+            1 => self.send_list(ListKind::Cached),
+            2 => self.handle(&Event::WorkerListReceived {
                 kind: ListKind::Failed,
                 entries: Vec::new(),
             }),
@@ -638,43 +645,43 @@
     fn resize(&mut self, worker: usize) {
         let size = [0.0, 0.5, 2.0, f64::NAN][self.random.below(4)];
         self.workers[worker].entry.size = size;
-        self.entry_changed(worker);
+        self.send_entry(worker);
     }
 
     fn fail_for_a_while(&mut self, worker: usize) {
         self.workers[worker].failing = true;
-        self.plan(1.5, Pending::WorkerBack(worker));
+        self.schedule_after(1.5, Pending::WorkerRestored(worker));
     }
 
     fn drain(&mut self, worker: usize) {
         if self.workers[worker].entry.health == Health::Ready {
             self.workers[worker].entry.health = Health::Draining;
-            self.entry_changed(worker);
-            self.plan(1.0, Pending::WorkerBack(worker));
+            self.send_entry(worker);
+            self.schedule_after(1.0, Pending::WorkerRestored(worker));
         }
     }
 
-    /// The worker dies with all that it has, and comes back after a while.
+    /// Restarts a worker: its attempts are reset, and it returns to the list after a while.
     fn restart(&mut self, worker: usize) {
         let model = &mut self.workers[worker];
         model.entry.health = Health::Removed;
         model.waiting.clear();
-        let lost: Vec<AttemptKey> = std::mem::take(&mut model.running);
-        let held = |(key, attempt): (&AttemptKey, &AttemptModel)| {
+        let running: Vec<AttemptKey> = std::mem::take(&mut model.running);
+        let is_at_worker = |(key, attempt): (&AttemptKey, &AttemptModel)| {
             (attempt.worker == worker).then_some(*key)
         };
-        let lost_waiting: Vec<AttemptKey> = self.attempts.iter().filter_map(held).collect();
-        debug_assert!(lost.iter().all(|key| lost_waiting.contains(key)));
-        lost_waiting
+        let attempts: Vec<AttemptKey> = self.attempts.iter().filter_map(is_at_worker).collect();
+        debug_assert!(running.iter().all(|key| attempts.contains(key)));
+        attempts
             .into_iter()
-            .for_each(|key| self.plan(0.01, Pending::AttemptEnds(key, Outcome::Reset)));
+            .for_each(|key| self.schedule_after(0.01, Pending::AttemptEnds(key, Outcome::Reset)));
         if self.random.chance(0.7) {
-            self.entry_changed(worker);
+            self.send_entry(worker);
         }
-        self.plan(0.75, Pending::WorkerBack(worker));
+        self.schedule_after(0.75, Pending::WorkerRestored(worker));
     }
 
-    fn bring_back(&mut self, worker: usize) {
+    fn restore_worker(&mut self, worker: usize) {
         let now = seconds(self.now);
         let model = &mut self.workers[worker];
         model.failing = false;
@@ -682,60 +689,57 @@
             model.entry.started = now - self.scenario.start_delay;
         }
         model.entry.health = Health::Ready;
-        self.entry_changed(worker);
+        self.send_entry(worker);
     }
 
-    fn watched(&mut self) {
-        if self.random.chance(self.scenario.failed_watches) {
-            self.tell(&Event::WorkerListReceived {
+    fn answer_discovery_call(&mut self) {
+        if self.random.chance(self.scenario.failed_calls) {
+            self.handle(&Event::WorkerListReceived {
                 kind: ListKind::Failed,
                 entries: Vec::new(),
             });
         } else {
-            self.list(ListKind::Full);
+            self.send_list(ListKind::Full);
         }
     }
 
     // ---- The operator and the sibling process ----
 
-    fn operate(&mut self) {
+    fn generate_operator_event(&mut self) {
         let after = self.random.uniform();
-        self.plan(after, Pending::Operator);
+        self.schedule_after(after, Pending::Operator);
         let worker = self.random.below(self.workers.len());
         match self.random.below(10) {
             0 if self.scenario.handovers => self.hand_over(),
             0 => {}
             1 => {
                 let count = 1 + self.random.below(5) as u32;
-                self.tell(&Event::DispatcherCountChanged(count));
+                self.handle(&Event::DispatcherCountChanged(count));
             }
             2 => (0..self.workers.len()).for_each(|worker| self.suspend(worker)),
             3..=5 => self.suspend(worker),
-            _ => self.sibling_sends(worker),
+            _ => self.send_sibling_attempt(worker),
         }
     }
 
     fn suspend(&mut self, worker: usize) {
-        self.use_worker(worker, false);
+        self.change_suspension(worker, false);
         let after = 0.25 + self.random.uniform();
-        self.plan(after, Pending::Use(worker));
+        self.schedule_after(after, Pending::Resume(worker));
     }
 
-    fn use_worker(&mut self, worker: usize, again: bool) {
+    fn change_suspension(&mut self, worker: usize, resume: bool) {
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::SuspensionChanged {
-            worker,
-            resume: again,
-        });
+        self.handle(&Event::SuspensionChanged { worker, resume });
     }
 
-    fn sibling_sends(&mut self, worker: usize) {
+    fn send_sibling_attempt(&mut self, worker: usize) {
         let request = self.next_sibling;
         self.next_sibling += 1;
         let work = self.random.chance(0.5).then_some(0.125);
         let sent = seconds(self.now) - 0.0625;
         let address = self.workers[worker].entry.worker;
-        let news = SiblingEvent::AttemptSent {
+        let event = SiblingEvent::AttemptSent {
             request,
             attempt: 0,
             worker: address,
@@ -743,31 +747,31 @@
             work,
             sent,
         };
-        self.tell(&Event::SiblingEvent(news));
-        self.plan(0.5, Pending::SiblingEnds(request, worker));
+        self.handle(&Event::SiblingEvent(event));
+        self.schedule_after(0.5, Pending::SiblingAttemptEnds(request, worker));
     }
 
-    fn sibling_ends(&mut self, request: u64, worker: usize) {
+    fn end_sibling_attempt(&mut self, request: u64, worker: usize) {
         let worker = self.workers[worker].entry.worker;
-        self.tell(&Event::SiblingEvent(SiblingEvent::AttemptEnded {
+        self.handle(&Event::SiblingEvent(SiblingEvent::AttemptEnded {
             request,
             attempt: 0,
             worker,
         }));
     }
 
-    /// Another process takes over: it is told the past and each open request, before the list or
-    /// after it.
+    /// Hands over to another process, which receives the budget history and the open requests
+    /// either before or after the worker list.
     fn hand_over(&mut self) {
         let open = self.open_requests();
         let list_first = self.random.chance(0.5);
         let events = self.decider.hand_over(seconds(self.now), &open);
         if list_first {
-            self.list(ListKind::Cached);
+            self.send_list(ListKind::Cached);
         }
-        events.iter().for_each(|event| self.tell(event));
+        events.iter().for_each(|event| self.handle(event));
         if !list_first {
-            self.list(ListKind::Cached);
+            self.send_list(ListKind::Cached);
         }
     }
 }
--- a/tests/decisions/text.rs
+++ b/tests/decisions/text.rs
@@ -1,5 +1,5 @@
-//! Events and actions as lines of text that don't depend on the names of Rust types; numbers are
-//! written exactly.
+//! Formats events and actions as lines of text. The lines don't depend on the names of Rust types,
+//! and numbers are written exactly. The recordings contain these words, so they must not change.
 
 use postproxy::{
     Action, Entry, Event, Health, ListKind, MigratedRequest, NewRequest, Outcome, ProgressNote,
@@ -82,7 +82,7 @@
 fn report_text(report: &[f32]) -> String {
     report
         .iter()
-        .map(|figure| format!("{figure:?}"))
+        .map(|value| format!("{value:?}"))
         .collect::<Vec<_>>()
         .join(",")
 }
@@ -128,18 +128,18 @@
     }
 }
 
-/// The bytes in which a request goes to another process.
+/// Returns the encoded record of a request that migrates to another process.
 fn record_text(record: &MigratedRequest) -> String {
-    let bytes = postcard::to_allocvec(record).expect("a migrated request is written to memory");
+    let bytes = postcard::to_allocvec(record).expect("an encoded request");
     hex(&bytes)
 }
 
-/// Bytes as hexadecimal digits.
+/// Returns bytes as hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The line of an event at a time.
+/// Returns the line for an event.
 pub fn event_line(now: f64, event: &Event) -> String {
     let text = match event {
         Event::WorkerListReceived { kind, entries } => {
@@ -172,7 +172,7 @@
             format!("use {} {resume}", worker_text(*worker))
         }
         Event::DispatcherCountChanged(count) => format!("balancers {count}"),
-        Event::SiblingEvent(news) => format!("sibling {}", sibling_text(news)),
+        Event::SiblingEvent(event) => format!("sibling {}", sibling_text(event)),
         Event::RequestMigrated { request, record } => {
             format!("carried {request} {}", record_text(record))
         }
@@ -193,7 +193,7 @@
     format!("{now:?} {text}")
 }
 
-/// The line of an action.
+/// Returns the line for an action.
 pub fn action_line(action: &Action) -> String {
     let text = match action {
         Action::WatchDiscovery => "watch".into(),
--- a/tests/decisions/wire.rs
+++ b/tests/decisions/wire.rs
@@ -1,11 +1,12 @@
-//! The byte form of the program `postproxy-drill`: events into records, replies into actions.
-//! Written apart from the program's own code, so that a change of the form there shows.
+//! The protocol of the program `postproxy-drill`: encodes events as records, and decodes the
+//! actions in replies. It shares no code with the program, so that changes of the protocol are
+//! detected.
 
 use postproxy::{
     Action, Entry, Event, Health, ListKind, NewRequest, Outcome, ProgressNote, WorkerId,
 };
 
-/// Number of the dispatcher in the program.
+/// Number that identifies the dispatcher in the program.
 const INSTANCE: u32 = 1;
 
 fn record(code: u8, fields: &[u8]) -> Vec<u8> {
@@ -19,7 +20,7 @@
     .concat()
 }
 
-/// A batch with one record.
+/// Returns a batch with one record.
 pub fn batch(number: u32, now: f64, record: &[u8]) -> Vec<u8> {
     let size = record.len() as u32 + 4;
     [
@@ -32,7 +33,7 @@
     .concat()
 }
 
-/// The record that starts a dispatcher.
+/// Returns the record that starts a dispatcher.
 pub fn start_record(seed: u64, settings: &str) -> Vec<u8> {
     let length = settings.len() as u32;
     record(
@@ -55,8 +56,8 @@
 }
 
 fn report_bytes(report: &[f32]) -> Vec<u8> {
-    let figures = report.iter().flat_map(|figure| figure.to_le_bytes());
-    std::iter::once(report.len() as u8).chain(figures).collect()
+    let values = report.iter().flat_map(|value| value.to_le_bytes());
+    std::iter::once(report.len() as u8).chain(values).collect()
 }
 
 fn outcome_code(outcome: Outcome) -> u16 {
@@ -95,7 +96,7 @@
         ListKind::Full => 1,
         ListKind::Cached => 2,
         ListKind::Failed => 3,
-        ListKind::FromPeer => unreachable!("the wire has no form for it"),
+        ListKind::FromPeer => unreachable!("the protocol does not encode it"),
     };
     let count = entries.len() as u32;
     let mut bytes = [&[0, 0, 0, 0, code][..], &count.to_le_bytes()].concat();
@@ -104,7 +105,7 @@
 }
 
 fn request_record(new: &NewRequest) -> Vec<u8> {
-    let marks = u8::from(new.expected_work.is_some()) | u8::from(new.is_marked_retry) << 1;
+    let flags = u8::from(new.expected_work.is_some()) | u8::from(new.is_marked_retry) << 1;
     let mut bytes = new.id.to_le_bytes().to_vec();
     bytes.push(new.class);
     bytes.extend(new.tenant.to_le_bytes());
@@ -113,7 +114,7 @@
     bytes.extend(new.expected_work.unwrap_or(0.0).to_le_bytes());
     bytes.extend((new.slots as f32).to_le_bytes());
     bytes.extend((new.memory as f32).to_le_bytes());
-    bytes.push(marks);
+    bytes.push(flags);
     record(18, &bytes)
 }
 
@@ -130,7 +131,7 @@
     record(26, &bytes)
 }
 
-/// The record of an event.
+/// Returns the record of an event.
 pub fn event_record(event: &Event) -> Vec<u8> {
     match event {
         Event::WorkerListReceived { kind, entries } => list_record(*kind, entries),
@@ -180,7 +181,7 @@
         | Event::DispatcherCountChanged(_)
         | Event::SiblingEvent(_)
         | Event::RequestMigrated { .. } => {
-            unreachable!("the wire has no form for it")
+            unreachable!("the protocol does not encode it")
         }
     }
 }
@@ -231,7 +232,7 @@
     }
 }
 
-/// The actions in the body of a reply.
+/// Returns the actions in the body of a reply.
 pub fn actions(mut bytes: &[u8]) -> Vec<Action> {
     let mut all = Vec::new();
     while !bytes.is_empty() {
@@ -242,7 +243,7 @@
         all.push(action(code, &mut fields));
         assert!(
             fields.is_empty(),
-            "the action of code {code} is longer than its fields"
+            "the action with code {code} has excess bytes"
         );
         bytes = rest;
     }
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,6 +1,6 @@
-//! The decisions of the dispatcher, compared with recorded runs: the same seed and the same events
-//! give the same actions. `UPDATE_RECORDED_DECISIONS=1` writes the recordings anew and lets the
-//! tests fail.
+//! Compares the decisions of the dispatcher with recorded runs: the same seed and the same events
+//! must produce the same actions. With `UPDATE_RECORDED_DECISIONS=1` the recordings are updated and
+//! the tests fail.
 
 mod decisions;
 
@@ -9,15 +9,15 @@
 use decisions::scenario::{Scenario, scenarios};
 use decisions::simulation::Simulation;
 
-/// Scenarios that are run through the program `postproxy-drill` as well.
-const THROUGH_THE_PROGRAM: [&str; 4] = ["queue-reports", "probes", "subjects", "cold-starts"];
+/// Scenarios that are also run with the program `postproxy-drill`.
+const PROGRAM_SCENARIOS: [&str; 4] = ["queue-reports", "probes", "subjects", "cold-starts"];
 
-fn run_directly(scenario: &Scenario) -> Vec<String> {
+fn run_in_process(scenario: &Scenario) -> Vec<String> {
     let decider = Direct::new(scenario.settings, scenario.seed);
     Simulation::new(scenario, Box::new(decider), scenario.operator).run()
 }
 
-fn run_through_the_program(scenario: &Scenario) -> Vec<String> {
+fn run_with_program(scenario: &Scenario) -> Vec<String> {
     let decider = Drill::start(scenario.settings, scenario.seed);
     Simulation::new(scenario, Box::new(decider), false).run()
 }
@@ -35,7 +35,7 @@
     let record = |scenario: Scenario| {
         (
             scenario.name.to_owned(),
-            Recording::of(&run_directly(&scenario), scenario.lines_in_full),
+            Recording::new(&run_in_process(&scenario), scenario.lines_in_full),
         )
     };
     compare_all(scenarios().into_iter().map(record).collect());
@@ -43,12 +43,12 @@
 
 #[test]
 fn drill_program_writes_the_recorded_bytes() {
-    let chosen = scenarios()
+    let selected = scenarios()
         .into_iter()
-        .filter(|scenario| THROUGH_THE_PROGRAM.contains(&scenario.name));
+        .filter(|scenario| PROGRAM_SCENARIOS.contains(&scenario.name));
     let record = |scenario: Scenario| {
         let name = format!("program-{}", scenario.name);
-        (name, Recording::of(&run_through_the_program(&scenario), 80))
+        (name, Recording::new(&run_with_program(&scenario), 80))
     };
-    compare_all(chosen.map(record).collect());
+    compare_all(selected.map(record).collect());
 }
