--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -78,7 +78,8 @@
 
 impl Outcome {
     /// Returns whether this outcome proves that the job of the attempt has not run, according to
-    /// the protocol's table of outcomes. `rejected_may_have_run` is [`Settings::rejected_may_have_run`].
+    /// the protocol's table of outcomes. `rejected_may_have_run` is
+    /// [`Settings::rejected_may_have_run`].
     pub fn proves_never_ran(self, rejected_may_have_run: bool) -> bool {
         match self {
             Self::ConnectFailed | Self::CancelledLocally => true,
@@ -257,7 +258,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// Seconds after which the client should retry; 0 if it is not told.
+        /// Seconds after which the client should retry; 0 for no advice.
         retry_after: f64,
     },
     /// Final answer: failed. The request may have run.
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher on its own: its mechanisms, and a small test for each failure that was found.
+//! Unit tests of the dispatcher: its mechanisms, and regression tests for failures found in use.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -10,8 +10,8 @@
 };
 use std::collections::BTreeMap;
 
-/// Submits `count` idempotent requests, each of which ends at once without a report, and returns
-/// how many each worker received.
+/// Submits `count` idempotent requests, each of which ends immediately without a report, and
+/// returns how many each worker received.
 fn choices(harness: &mut DispatcherHarness, count: u64) -> BTreeMap<u16, u64> {
     let mut chosen = BTreeMap::new();
     for id in 1000..1000 + count {
@@ -25,7 +25,7 @@
 }
 
 /// Lets worker `n` serve a request and report its load with the answer.
-fn report(harness: &mut DispatcherHarness, id: RequestId, n: u16, figures: Vec<f32>) {
+fn report(harness: &mut DispatcherHarness, id: RequestId, n: u16, values: Vec<f32>) {
     // All others are draining, so that the request goes to `n`.
     let others = (0..8)
         .filter(|&o| o != n)
@@ -34,12 +34,12 @@
     harness.receive_list(ListKind::Delta, others);
     let to = workers_sent_to(&harness.submit(id, 0));
     assert_eq!(to, [worker_id(n)]);
-    harness.end_attempt_with_report(id, 0, to[0], Outcome::Succeeded, figures);
+    harness.end_attempt_with_report(id, 0, to[0], Outcome::Succeeded, values);
     harness.receive_list(ListKind::Delta, (0..8).map(entry).collect());
 }
 
 #[test]
-fn without_reports_all_workers_are_selected_alike() {
+fn without_reports_all_workers_are_selected_equally() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let chosen = choices(&mut harness, 8000);
     assert_eq!(chosen.len(), 8);
@@ -55,7 +55,7 @@
         settings(|s| s["extra"]["class-stretch"] = serde_json::json!([12.0, 2.0, 2.0])),
         2,
     );
-    // Both full (no free slot); worker 0 has 1 waiting, worker 1 has 7.
+    // Neither has a free slot. The reported queues of 2 and 8 include the attempt that ends.
     for (id, n, queue) in [(1, 0, 2.0), (2, 1, 8.0)] {
         harness.receive_list(
             ListKind::Delta,
@@ -65,15 +65,15 @@
         harness.end_attempt_with_report(id, 0, to[0], Outcome::Succeeded, vec![queue, 0.0]);
         harness.receive_list(ListKind::Delta, vec![entry(0), entry(1)]);
     }
-    // The loads are 1 and 7 without the attempt that ended, so the weights are 1/2 and 1/8. The
-    // long objective lets requests join either queue.
+    // Without the attempt that ended, the loads are 1 and 7, so the weights are 1/2 and 1/8. The
+    // objective is long enough for requests to join either queue.
     let chosen = choices(&mut harness, 5000);
     let ratio = chosen[&0] as f64 / chosen[&1] as f64;
     assert!((3.2..4.8).contains(&ratio), "{ratio}");
 }
 
-/// An own attempt counts from its sending to its end. A report can't show that it has ended,
-/// however late the report was made.
+/// An attempt of the dispatcher counts towards the load from its sending to its end. A report does
+/// not end it, however late the report was made.
 #[test]
 fn own_attempts_add_to_a_report_until_they_end() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
@@ -82,18 +82,19 @@
         let id = ids.next().unwrap_or(0);
         (id, workers_sent_to(&harness.submit(id, 2)))
     };
-    // The first answer reports four free slots, beside the one of the attempt that ended.
+    // The first answer reports four free slots, not counting that of the attempt that ended.
     let (first, to) = send(&mut harness);
     harness.end_attempt_with_report(first, 0, to[0], Outcome::Succeeded, vec![0.0, 4.0]);
     let placed: Vec<_> = (0..40)
         .map(|_| send(&mut harness))
         .filter(|(_, to)| !to.is_empty())
         .collect();
-    // Own attempts use the capacity up although no report shows them: the rest waits here.
+    // The dispatcher's own attempts use up the capacity although no report shows them; the
+    // remaining requests are deferred.
     assert!((4..20).contains(&placed.len()), "{}", placed.len());
     assert!(
         send(&mut harness).1.is_empty(),
-        "held while the correction fills the worker"
+        "deferred while the correction shows the worker as full"
     );
     // An old report that shows the worker empty does not remove the own attempts.
     harness.now += 0.2;
@@ -104,12 +105,12 @@
         Outcome::Succeeded,
         vec![0.0, 4.0],
     );
-    let held: Vec<_> = (0..3).flat_map(|_| send(&mut harness).1).collect();
+    let sent: Vec<_> = (0..3).flat_map(|_| send(&mut harness).1).collect();
     assert!(
-        held.len() <= 1,
-        "at most the place of the one that ended: {held:?}"
+        sent.len() <= 1,
+        "at most one takes the place of the attempt that ended: {sent:?}"
     );
-    // Their ends do, with a report or without one.
+    // Their ends do, even without a report.
     for (id, _) in &placed[1..] {
         harness.end_attempt_with_report(*id, 0, worker_id(0), Outcome::Succeeded, vec![]);
     }
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn request_adds_the_slots_it_needs_to_the_load() {
+fn request_adds_its_slots_to_the_load() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut harness, 1, 3, vec![0.0, 4.0]);
     // Worker 3 has four free slots: a request of four slots goes there and takes all of them.
@@ -141,8 +142,8 @@
     );
 }
 
-/// A worker that has just answered does not receive all requests while others are no more loaded.
-/// Otherwise the worker that answers most would be sent most.
+/// A worker that has just answered does not receive all requests if the others have no higher load.
+/// Otherwise a worker that answers more often would be sent more requests.
 #[test]
 fn newly_reported_worker_does_not_receive_all_requests() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
@@ -155,40 +156,44 @@
     assert!(chosen.len() == 8 && chosen[&5] <= 25, "{chosen:?}");
 }
 
-/// The first request of a client with a short time limit is not taken for a late retry. Where
-/// clients mark their retries, an unmarked request is new, and a marked one may have been submitted
-/// before.
+/// The first request of a client with a short time limit is not mistaken for a late retry. If
+/// clients mark their retries, an unmarked request is new, and a marked one was submitted earlier,
+/// unless short time limits are common.
 #[test]
 fn request_with_a_short_time_limit_is_served() {
     let marks =
         |s: &mut serde_json::Value| s["client-habits"] = serde_json::json!({"marks-retry": true});
     let mut harness = DispatcherHarness::new(settings(marks), 8);
-    let ask = |harness: &mut DispatcherHarness, request, budget, repeat| {
+    let submit = |harness: &mut DispatcherHarness, request, time_limit, is_retry| {
         let (class, hint, slots) = (2, Some(0.2), 1.0);
         let new = NewRequest {
             id: request,
             class,
-            time_limit: budget,
-            is_marked_retry: repeat,
+            time_limit,
+            is_marked_retry: is_retry,
             expected_work: hint,
             slots,
             ..NewRequest::default()
         };
         workers_sent_to(&harness.handle(Event::RequestReceived(new))).len()
     };
-    assert_eq!(ask(&mut harness, 1, 10.0, false), 1);
+    assert_eq!(submit(&mut harness, 1, 10.0, false), 1);
     assert_eq!(
-        ask(&mut harness, 2, 4.0, true),
+        submit(&mut harness, 2, 4.0, true),
         0,
-        "a later try, too late to be of use"
+        "a retry that is too late to be of use"
     );
     for request in 3..6 {
-        assert_eq!(ask(&mut harness, request, 1.0, false), 1, "a first try");
+        assert_eq!(
+            submit(&mut harness, request, 1.0, false),
+            1,
+            "a first request"
+        );
     }
     assert_eq!(
-        ask(&mut harness, 6, 0.9, true),
+        submit(&mut harness, 6, 0.9, true),
         1,
-        "its budget says nothing of its age now"
+        "its time limit no longer indicates its age"
     );
 }
 
@@ -197,19 +202,19 @@
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     report(&mut harness, 1, 5, vec![0.0, 3.0]);
     assert_eq!(workers_sent_to(&harness.submit(2, 0)), [worker_id(5)]);
-    // An old report does not count as free capacity.
+    // An old report is no evidence of free capacity.
     harness.now += 60.0;
     let chosen = choices(&mut harness, 400);
     assert!(chosen.len() == 8, "{chosen:?}");
 }
 
 #[test]
-fn reports_of_free_capacity_lose_trust_when_they_prove_wrong() {
+fn inaccurate_reports_of_free_capacity_are_ignored() {
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..30 {
         report(&mut harness, 2 * id + 1, 5, vec![0.0, 3.0]);
         let to = workers_sent_to(&harness.submit(2 * id + 2, 2));
-        // Free capacity was reported, and the request takes far longer than its objective.
+        // In spite of the reported free capacity, the request takes far longer than its objective.
         harness.now += 5.0;
         harness.end_attempt_with_report(2 * id + 2, 0, to[0], Outcome::Succeeded, vec![0.0, 3.0]);
     }
@@ -221,7 +226,7 @@
     }
     assert!(
         all.len() > 4,
-        "not all to the one that promises room: {all:?}"
+        "not all go to the worker that reports free capacity: {all:?}"
     );
 }
 
@@ -229,9 +234,9 @@
 fn workers_are_probed_before_selection_where_allowed() {
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
-    let asked = harness.submit(1, 2);
-    let sample = workers_probed(&asked);
-    assert_eq!((sample.len(), workers_sent_to(&asked).len()), (3, 0));
+    let actions = harness.submit(1, 2);
+    let sample = workers_probed(&actions);
+    assert_eq!((sample.len(), workers_sent_to(&actions).len()), (3, 0));
     assert_eq!(
         harness.end_probe(sample[0], Outcome::Succeeded, vec![4.0, 0.0]),
         []
@@ -249,10 +254,10 @@
 
 #[test]
 fn number_of_probes_is_bounded_under_overload() {
-    // Found under overload: waiting requests sent 50 probes each.
+    // Regression: under overload, each deferred request sent 50 probes.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["may-probe"] = true.into()), 8);
-    let (mut due, mut asked) = (Vec::new(), 0);
+    let (mut due, mut probes) = (Vec::new(), 0);
     for id in 0..50 {
         let mut actions = harness.submit(id, 2);
         while let Some(Action::Probe { worker }) = actions
@@ -260,7 +265,7 @@
             .find(|a| matches!(a, Action::Probe { .. }))
             .cloned()
         {
-            asked += workers_probed(&actions).len();
+            probes += workers_probed(&actions).len();
             due.extend(timers_set(&actions));
             actions = workers_probed(&actions)
                 .into_iter()
@@ -270,9 +275,9 @@
         }
         due.extend(timers_set(&actions));
         let until = harness.now + 0.2;
-        asked += workers_probed(&harness.run_until(until, &mut due)).len();
+        probes += workers_probed(&harness.run_until(until, &mut due)).len();
     }
-    assert!(asked <= 50 * 5 + 50 + 3, "{asked}");
+    assert!(probes <= 50 * 5 + 50 + 3, "{probes}");
 }
 
 #[test]
@@ -338,11 +343,11 @@
     );
 }
 
-/// A retry must arrive within the dedup window, and connecting may take `dial-timeout`. A window
-/// shorter than that counts as none.
+/// A retry must arrive within the deduplication window, and connecting may take as long as
+/// `dial-timeout`. With a shorter window no retry is possible.
 #[test]
 fn request_with_a_key_is_retried_only_if_it_arrives_within_the_dedup_window() {
-    let after = |window: f64, pause: f64, seed: u64| {
+    let retries_after = |window: f64, pause: f64, seed: u64| {
         let mut harness = DispatcherHarness::new(
             settings(|json| json["services"][1]["memory-span"] = window.into()),
             16,
@@ -353,44 +358,45 @@
     };
     for seed in 1..20 {
         assert_eq!(
-            after(0.1, 0.01, seed),
+            retries_after(0.1, 0.01, seed),
             0,
-            "the connection alone may take 0.25 s"
+            "connecting alone may take 0.25 s"
         );
-        assert_eq!(after(0.25, 0.0, seed), 0);
-        assert_eq!(after(0.6, 0.01, seed), 1);
+        assert_eq!(retries_after(0.25, 0.0, seed), 0);
+        assert_eq!(retries_after(0.6, 0.01, seed), 1);
         assert_eq!(
-            after(0.6, 0.34, seed),
+            retries_after(0.6, 0.34, seed),
             0,
-            "decided in time, and there too late"
+            "it may arrive after the end of the window"
         );
     }
 }
 
 #[test]
 fn only_idempotent_requests_are_hedged() {
-    for (class, copies) in [(0, 1), (2, 0)] {
+    for (class, hedges) in [(0, 1), (2, 0)] {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
         let actions = harness.submit(1, class);
         let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
         harness.run_until(103.0, &mut due);
-        // The budget for hedges grows with requests.
+        // The hedge budget grows with each request.
         (10..30).for_each(|id| drop(harness.submit(id, 2)));
-        let copy = workers_sent_to(&harness.run_until(104.9, &mut due));
-        assert_eq!(copy.len(), copies, "class {class}");
-        assert!(!copy.contains(&to[0]));
+        let hedged_to = workers_sent_to(&harness.run_until(104.9, &mut due));
+        assert_eq!(hedged_to.len(), hedges, "class {class}");
+        assert!(!hedged_to.contains(&to[0]));
     }
 }
 
 #[test]
 fn request_that_does_not_start_is_hedged_and_the_waiting_attempt_cancelled() {
-    // Found where probes are not allowed: reports are old, but a start is reported at once.
+    // Regression where probes are not allowed: load reports are outdated, whereas the start of a
+    // job is reported immediately.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["extra"]["tells-start"] = true.into()), 8);
     let actions = harness.submit(1, 0);
     let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
-    let copy = workers_sent_to(&harness.run_until(100.3, &mut due));
-    assert!(copy.len() == 1 && copy != to);
+    let hedged_to = workers_sent_to(&harness.run_until(100.3, &mut due));
+    assert!(hedged_to.len() == 1 && hedged_to != to);
     assert_eq!(
         harness.report_progress(1, 1, ProgressNote::Started),
         [Action::Cancel {
@@ -400,8 +406,8 @@
     );
 }
 
-/// Where workers report nothing, their queues can't be seen. The load of other dispatchers at a
-/// worker is assumed to equal the own load.
+/// If workers send no reports, their queues are unknown. Each other dispatcher is then assumed to
+/// put the same load on a worker as this one.
 #[test]
 fn without_reports_no_request_joins_a_queue_that_makes_it_late() {
     for (dispatchers, sent) in [(4, 2), (1, 3)] {
@@ -424,7 +430,7 @@
         assert_eq!(to.len(), sent, "{dispatchers} dispatchers");
         if sent == 2 {
             assert_ne!(to[0], to[1]);
-            // It waits until another request ends.
+            // The third request is deferred until another one ends.
             harness.end_attempt(1, 0, to[0], Outcome::Succeeded);
             assert_eq!(
                 workers_sent_to(&harness.run_until(100.4, &mut due)),
@@ -434,7 +440,7 @@
     }
 }
 
-/// Hedges do not double the load of a full fleet where no report shows that it is full.
+/// Hedged requests do not double the load of a full fleet if no report shows that it is full.
 #[test]
 fn without_reports_hedges_stay_within_their_budget() {
     let mut harness = DispatcherHarness::new(
@@ -444,19 +450,22 @@
         }),
         64,
     );
-    let mut copies = 0;
+    let mut hedges = 0;
     for id in 0..400 {
         let actions = harness.submit(id, 0);
         let (to, mut due) = (workers_sent_to(&actions), timers_set(&actions));
-        let copy = workers_sent_to(&harness.run_until(harness.now + 0.3, &mut due));
-        copies += copy.len();
+        let hedged_to = workers_sent_to(&harness.run_until(harness.now + 0.3, &mut due));
+        hedges += hedged_to.len();
         harness.handle(Event::ClientDisconnected { request: id });
-        for (to, attempt) in to.into_iter().chain(copy).zip(0..) {
+        for (to, attempt) in to.into_iter().chain(hedged_to).zip(0..) {
             harness.end_attempt(id, attempt, to, Outcome::Cancelled);
         }
     }
-    // One in twenty, and those that the budget may save up.
-    assert!((20..=30).contains(&copies), "{copies} copies of 400 jobs");
+    // One in twenty, and up to ten that the budget may accumulate.
+    assert!(
+        (20..=30).contains(&hedges),
+        "{hedges} hedges for 400 requests"
+    );
 }
 
 #[test]
@@ -484,8 +493,8 @@
 
 #[test]
 fn worker_in_slow_start_receives_no_more_than_its_share() {
-    // Found during a rolling restart: a worker in slow start that also had to win the draw stayed
-    // idle.
+    // Regression from a rolling restart: a worker in slow start that also had to win the lottery
+    // stayed idle.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 10);
     harness.receive_list(
         ListKind::Delta,
@@ -494,10 +503,10 @@
             ..entry(0)
         }],
     );
-    let mut cold = 0;
+    let mut sent = 0;
     for id in 0..20_000 {
-        // Time passes, so that the budget for one window is not the limit; the start time moves
-        // along.
+        // The time advances so that the budget for one window is not the limit. The start time
+        // advances with it.
         harness.now += 3.0;
         harness.receive_list(
             ListKind::Delta,
@@ -514,12 +523,12 @@
             ..Default::default()
         })));
         assert_eq!(to.len(), 1, "request {id}");
-        cold += to.iter().filter(|w| **w == worker_id(0)).count();
+        sent += to.iter().filter(|w| **w == worker_id(0)).count();
         harness.end_attempt(id, 0, to[0], Outcome::Succeeded);
     }
-    // A tenth of the fleet at a fifth of its capacity carries 2% of the work; three times that
-    // overloads it. Passes give 0.7 of that, 840 on average.
-    assert!((200..1000).contains(&cold), "{cold} of 20000");
+    // A tenth of the fleet at a fifth of its capacity can serve 2% of the requests, and three times
+    // as many overload it. The permits allow 0.7 of that, 840 on average.
+    assert!((200..1000).contains(&sent), "{sent} of 20000");
 }
 
 #[test]
@@ -541,15 +550,15 @@
     let sent: usize = (0..3000)
         .map(|id| workers_sent_to(&harness.submit(id, 2)).len())
         .sum();
-    // Both are in slow start: 3 x 0.2 x 1 slot x 2 s = 1.2 s of work overloads one, and a second
-    // request of 0.5 s comes too close to that.
+    // Both workers are in slow start. Work of 3 x 0.2 x 1 slot x 2 s = 1.2 s overloads one, and a
+    // second request of 0.5 s would exceed this dispatcher's part of that.
     assert_eq!(sent, 2);
 }
 
 #[test]
 fn full_fleet_receives_fewer_attempts_than_requests() {
-    // Found in an incident: every request was sent to one full worker after another, and its client
-    // retried at once.
+    // Regression from an incident: every request was sent to one full worker after another, and its
+    // client retried immediately.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     let (mut sent, mut due) = (0, Vec::new());
     for id in 0..200 {
@@ -574,8 +583,8 @@
 
 #[test]
 fn dispatcher_without_new_reports_sends_again() {
-    // Found after crashes: a dispatcher that sends nothing gets no reports, so the load that it
-    // assumed never fell.
+    // Regression after crashes: a dispatcher that sends nothing receives no reports, so its
+    // estimate of the load never decreased.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 8);
     for id in 0..40 {
         for to in workers_sent_to(&harness.submit(id, 0)) {
@@ -595,7 +604,7 @@
         .flat_map(|id| workers_sent_to(&harness.submit(id, 2)))
         .collect();
     assert!(chosen.len() == 58 && !chosen.contains(&to[0]));
-    // When most workers fail, they are not the cause, and requests are still sent.
+    // If most workers fail, they are unlikely to be the cause, and requests are still sent.
     for (id, to) in (2..60).zip(chosen) {
         harness.end_attempt(id, 0, to, Outcome::Error);
     }
@@ -605,32 +614,32 @@
 #[test]
 fn discovery_is_polled_again_after_failures() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 0);
-    let mut bed2 = DispatcherHarness::new(settings(|_| ()), 0);
-    for (harness, asks) in [(&mut harness, true), (&mut bed2, false)] {
+    let mut watching = DispatcherHarness::new(settings(|_| ()), 0);
+    for (harness, polls) in [(&mut harness, true), (&mut watching, false)] {
         let fresh = postproxy::Dispatcher::new(
-            settings(|s| s["discovery"] = if asks { "on_request" } else { "pushed" }.into()),
+            settings(|s| s["discovery"] = if polls { "on_request" } else { "pushed" }.into()),
             3,
         );
-        harness.dispatcher = fresh.expect("sound settings");
+        harness.dispatcher = fresh.expect("valid settings");
         let mut due = timers_set(&harness.receive_list(ListKind::Cached, vec![entry(0)]));
         let watched = harness
             .run_until(110.0, &mut due)
             .contains(&Action::WatchDiscovery);
-        assert_eq!(watched, asks);
-        if asks {
+        assert_eq!(watched, polls);
+        if polls {
             due = timers_set(&harness.receive_list(ListKind::Failed, Vec::new()));
             assert!(
                 harness
                     .run_until(118.0, &mut due)
                     .contains(&Action::WatchDiscovery),
-                "asked again after a failure"
+                "polled again after a failure"
             );
             harness.receive_list(ListKind::Delta, Vec::new());
             assert!(
                 !harness
                     .run_until(300.0, &mut due)
                     .contains(&Action::WatchDiscovery),
-                "not while subscribed"
+                "not polled while changes are received"
             );
         }
     }
@@ -670,7 +679,7 @@
             ..entry(2)
         }],
     );
-    let odd = NewRequest {
+    let invalid = NewRequest {
         id: 2,
         class: 0,
         time_limit: f64::NAN,
@@ -678,16 +687,16 @@
         expected_work: Some(-1.0),
         ..Default::default()
     };
-    let actions = harness.handle(Event::RequestReceived(odd));
+    let actions = harness.handle(Event::RequestReceived(invalid));
     let mut due = timers_set(&actions);
     let actions = [actions, harness.run_until(101.0, &mut due)].concat();
     assert!(
         is_rejected(&actions),
-        "a request without a budget is answered at once: {actions:?}"
+        "a request without a time limit is answered immediately: {actions:?}"
     );
     assert!(
         is_failed(&harness.submit(3, 200)),
-        "a class that is not in the settings"
+        "its class is not in the settings"
     );
     assert_eq!(workers_sent_to(&harness.submit(4, 0)).len(), 1);
 }
@@ -705,12 +714,12 @@
         let until = harness.now + 0.01;
         harness.run_until(until, &mut due);
     }
-    // Two timers for each request of the last five seconds.
+    // Two timers per request of the last five seconds.
     assert!(due.len() <= 2 * 501 + 10, "{}", due.len());
     assert_eq!(
         harness.run_until(1000.0, &mut due),
         [],
-        "stale timers do nothing"
+        "outdated timers have no effect"
     );
 }
 
@@ -724,12 +733,12 @@
         8,
     );
     report(&mut harness, 1, 5, vec![0.0, 3.0, 2.0]);
-    let job = |request, memory| {
-        let (class, budget, hint) = (2, 10.0, Some(0.5));
+    let request = |id, memory| {
+        let (class, time_limit, hint) = (2, 10.0, Some(0.5));
         Event::RequestReceived(NewRequest {
-            id: request,
+            id,
             class,
-            time_limit: budget,
+            time_limit,
             expected_work: hint,
             slots: 1.0,
             memory,
@@ -737,23 +746,24 @@
         })
     };
     let large: Vec<_> = (100..120)
-        .flat_map(|id| workers_sent_to(&harness.handle(job(id, 3.0))))
+        .flat_map(|id| workers_sent_to(&harness.handle(request(id, 3.0))))
         .collect();
     assert!(
         large.iter().any(|w| *w != worker_id(5)),
-        "no room for it there: drawn among all"
+        "worker 5 has too little memory, so all workers are candidates"
     );
-    let mut bed2 = DispatcherHarness::new(settings(|_| ()), 8);
-    report(&mut bed2, 1, 5, vec![0.0, 3.0]);
+    let mut without_memory = DispatcherHarness::new(settings(|_| ()), 8);
+    report(&mut without_memory, 1, 5, vec![0.0, 3.0]);
     assert_eq!(
-        workers_sent_to(&bed2.handle(job(2, 3.0))),
+        workers_sent_to(&without_memory.handle(request(2, 3.0))),
         [worker_id(5)],
-        "memory that is not told is no limit"
+        "memory is no limit if it is not reported"
     );
 }
 
-/// Workers 0 to 7 of two kinds by turns, four to a zone.
-fn placed(n: u16) -> Entry {
+/// Returns the entry of worker `n`. The workers alternate between two machine kinds, and there are
+/// four in a zone.
+fn entry_with_placement(n: u16) -> Entry {
     Entry {
         kind: n % 2,
         zone: (n / 4) as u8,
@@ -763,14 +773,15 @@
 
 #[test]
 fn class_is_sent_only_to_its_allowed_kinds_and_zones() {
-    // Found at the first deployment with placement rules: most requests went to other kinds.
-    let bound = |s: &mut serde_json::Value| {
+    // Regression from the first deployment with placement rules: most requests went to workers of
+    // other machine kinds.
+    let restrictions = |s: &mut serde_json::Value| {
         s["services"][0]["allowed-on"] = serde_json::json!([1]);
         s["services"][0]["confined-to"] = serde_json::json!([0]);
         s["services"][1]["allowed-on"] = serde_json::json!([0]);
     };
-    let mut harness = DispatcherHarness::new(settings(bound), 0);
-    harness.receive_list(ListKind::Full, (0..8).map(placed).collect());
+    let mut harness = DispatcherHarness::new(settings(restrictions), 0);
+    harness.receive_list(ListKind::Full, (0..8).map(entry_with_placement).collect());
     let mut due = Vec::new();
     for id in 0..60 {
         let class = (id % 3) as u8;
@@ -782,37 +793,37 @@
             };
             let n = u16::from(to.address[3]);
             match class {
-                0 => assert!(n % 2 == 1 && n / 4 == 0, "both bind: {n}"),
-                1 => assert_eq!(n % 2, 0, "a zone that is not named is free"),
+                0 => assert!(n % 2 == 1 && n / 4 == 0, "both restrictions apply: {n}"),
+                1 => assert_eq!(n % 2, 0, "the zone is not restricted"),
                 _ => {}
             }
             actions = harness.end_attempt(id, attempt, to, Outcome::Rejected);
         }
     }
-    // The allowed workers are down and others are idle: the request waits, then is rejected.
+    // The allowed workers are removed and others are idle: the request is deferred, then rejected.
     harness.now += 60.0;
     harness.receive_list(
         ListKind::Delta,
         [1, 3]
             .map(|n| Entry {
                 health: Health::Removed,
-                ..placed(n)
+                ..entry_with_placement(n)
             })
             .to_vec(),
     );
     let mut due = timers_set(&harness.submit(100, 0));
     let actions = harness.run_until(harness.now + 6.0, &mut due);
     assert!(workers_sent_to(&actions).is_empty() && is_rejected(&actions));
-    // Hedges and attempts at workers in slow start follow the same rule.
+    // The same rule applies to hedged requests and to attempts at workers in slow start.
     harness.receive_list(
         ListKind::Delta,
         vec![
             Entry {
                 started: harness.now,
-                ..placed(0)
+                ..entry_with_placement(0)
             },
-            placed(1),
-            placed(3),
+            entry_with_placement(1),
+            entry_with_placement(3),
         ],
     );
     for id in 200..240 {
@@ -844,25 +855,25 @@
     }
 }
 
-/// Returns the number of attempts that are sent while each fails to connect.
-fn further_attempts(
+/// Submits requests whose attempts all fail to connect, and returns the number of retries.
+fn count_retries(
     harness: &mut DispatcherHarness,
     ids: std::ops::Range<u64>,
     due: &mut Vec<(f64, u64)>,
 ) -> usize {
-    let mut further = 0;
+    let mut retries = 0;
     for id in ids {
         let mut actions = harness.submit(id, 0);
         let mut attempt = 0;
         while let [to] = workers_sent_to(&actions)[..] {
-            further += usize::from(attempt > 0);
+            retries += usize::from(attempt > 0);
             due.extend(timers_set(&actions));
             actions = harness.end_attempt(id, attempt, to, Outcome::ConnectFailed);
             attempt += 1;
         }
         due.extend(timers_set(&actions));
     }
-    further
+    retries
 }
 
 #[test]
@@ -874,23 +885,24 @@
     };
     let mut harness = DispatcherHarness::new(settings(budget), 8);
     let mut due = Vec::new();
-    // Each request would be retried three times; ten are admitted, so five retries are allowed.
-    assert_eq!(further_attempts(&mut harness, 0..10, &mut due), 5);
-    // The end of a request does not return the retries that it has used.
+    // Each request could be retried three times. With ten admitted requests, five retries are
+    // allowed.
+    assert_eq!(count_retries(&mut harness, 0..10, &mut due), 5);
+    // The end of a request does not restore the budget that it has used.
     (0..10).for_each(|request| drop(harness.handle(Event::ClientDisconnected { request })));
     harness.now += 4.9;
-    assert_eq!(further_attempts(&mut harness, 10..19, &mut due), 0);
+    assert_eq!(count_retries(&mut harness, 10..19, &mut due), 0);
     // After the window, only requests that were admitted within it count.
     harness.now += 0.2;
-    assert_eq!(further_attempts(&mut harness, 19..30, &mut due), 4 + 2);
+    assert_eq!(count_retries(&mut harness, 19..30, &mut due), 4 + 2);
     // Without a budget, retries are not limited.
     let mut free = DispatcherHarness::new(settings(|_| ()), 8);
-    assert_eq!(further_attempts(&mut free, 0..10, &mut due), 30);
+    assert_eq!(count_retries(&mut free, 0..10, &mut due), 30);
 }
 
 #[test]
 fn rejection_does_not_prove_that_an_attempt_never_ran_where_settings_say_so() {
-    // Found at a deployment whose workers reject jobs that they have begun.
+    // Regression from a deployment whose workers reject jobs that they have already started.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 16);
     let to = workers_sent_to(&harness.submit(1, 2));
@@ -906,7 +918,7 @@
             again
                 .iter()
                 .all(|w| w.address[3] / 4 == first[0].address[3] / 4),
-            "inside its cell"
+            "the retry stays in the cell"
         );
         harness.handle(Event::ClientDisconnected { request: id });
         harness.now += 5.0;
@@ -916,7 +928,7 @@
     let late = harness.end_attempt(50, 0, first[0], Outcome::Rejected);
     assert!(
         is_failed(&late) && !is_rejected(&late),
-        "its window is over: {late:?}"
+        "its deduplication window is over: {late:?}"
     );
     // A failed connection still proves that the attempt has not run.
     let to = workers_sent_to(&harness.submit(60, 2));
@@ -928,12 +940,13 @@
 
 #[test]
 fn request_that_no_attempt_can_serve_is_answered_at_once() {
-    // Late answers earn nothing: the request waits while no worker is listed, then is rejected.
+    // Late answers have no weight: the request is deferred while no worker is listed, then
+    // rejected.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][0]["late-value"] = 0.0.into()), 0);
     let mut due = timers_set(&harness.submit(1, 0));
     let actions = harness.run_until(100.0 + 0.4 + 1.5 * 0.5, &mut due);
-    let after = |a: &Action| {
+    let retry_after = |a: &Action| {
         if let Action::Reject { retry_after, .. } = a {
             Some(*retry_after)
         } else {
@@ -941,17 +954,20 @@
         }
     };
     assert!(
-        actions.iter().find_map(after).is_some_and(|s| s > 0.0),
-        "with advice when to come back"
+        actions
+            .iter()
+            .find_map(retry_after)
+            .is_some_and(|s| s > 0.0),
+        "the client gets a retry time"
     );
-    // Late answers earn something, but the time that is left is too short for the request to run.
+    // Late answers have some weight, but the remaining time is too short for the request to run.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
     let mut due = timers_set(&harness.submit(1, 0));
     assert!(
         !is_rejected(&harness.run_until(104.8, &mut due))
             && is_rejected(&harness.run_until(104.9, &mut due))
     );
-    // The attempts are used up.
+    // The maximum number of attempts has been reached.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["limits"]["max-attempts"] = 1.into()), 8);
     let to = workers_sent_to(&harness.submit(1, 0));
@@ -961,7 +977,7 @@
         to[0],
         Outcome::Rejected
     )));
-    // The dedup window ends while the workers of the dedup scope are removed.
+    // The deduplication window ends while the workers of the deduplication scope are removed.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["services"][1]["late-value"] = 0.2.into()), 8);
     let first = harness.submit(1, 1);
@@ -988,7 +1004,7 @@
 #[test]
 fn invalid_settings_of_retry_budget_and_placement_are_errors() {
     use postproxy::{RetryBudget, Settings, SettingsError};
-    for (text, word) in [
+    for (text, name) in [
         (r#"{"rules": {"spare-attempts": 3}}"#, "look-back"),
         (
             r#"{"rules": {"repeat-ratio": 0.1, "look-back": 0}}"#,
@@ -1006,7 +1022,7 @@
     ] {
         let error = Settings::from_json(text).expect_err(text);
         assert!(
-            matches!(error, SettingsError::Range { key, .. } if key.contains(word)),
+            matches!(error, SettingsError::Range { key, .. } if key.contains(name)),
             "{text}: {error}"
         );
     }
@@ -1024,12 +1040,12 @@
             "{text}"
         );
     }
-    let sound = Settings::from_json(
+    let valid = Settings::from_json(
         r#"{"services": [{}], "rules": {"repeat-ratio": 0.5, "look-back": 2}}"#,
     );
-    let sound = sound.expect("a share alone is a budget");
+    let valid = valid.expect("a ratio alone is a budget");
     assert_eq!(
-        sound.retry_budget,
+        valid.retry_budget,
         Some(RetryBudget {
             min_retries: 0.0,
             ratio: 0.5,
@@ -1038,34 +1054,34 @@
     );
     assert_eq!(
         (
-            &sound.classes[0].allowed_kinds,
-            &sound.classes[0].allowed_zones
+            &valid.classes[0].allowed_kinds,
+            &valid.classes[0].allowed_zones
         ),
         (&None, &None)
     );
-    assert!(!sound.rejected_may_have_run);
-    let mut unsound = sound;
-    unsound.retry_budget = Some(RetryBudget {
+    assert!(!valid.rejected_may_have_run);
+    let mut invalid = valid;
+    invalid.retry_budget = Some(RetryBudget {
         min_retries: f64::NAN,
         ratio: 0.5,
         window: 2.0,
     });
-    assert!(unsound.validate().is_err());
+    assert!(invalid.validate().is_err());
 }
 
 #[test]
 fn worker_that_rejects_a_class_is_selected_less_for_it() {
-    // Found where workers rejected one class: as they were idle, they won every draw.
+    // Regression: workers that rejected one class were idle and therefore won every lottery for it.
     let mut harness =
         DispatcherHarness::new(settings(|s| s["rules"]["may-shed-begun"] = true.into()), 8);
-    let turn_away = |harness: &mut DispatcherHarness, id: u64| {
+    let report_capacity_and_reject = |harness: &mut DispatcherHarness, id: u64| {
         report(harness, id, 3, vec![0.0, 3.0]);
         let to = workers_sent_to(&harness.submit(id + 1, 2));
-        assert_eq!(to, [worker_id(3)], "the report promises room");
+        assert_eq!(to, [worker_id(3)], "it reported free capacity");
         harness.end_attempt_with_report(id + 1, 0, to[0], Outcome::Rejected, vec![0.0, 4.0]);
     };
-    turn_away(&mut harness, 1);
-    let to_it = |harness: &mut DispatcherHarness, class, ids: std::ops::Range<u64>| {
+    report_capacity_and_reject(&mut harness, 1);
+    let count_sent_to_it = |harness: &mut DispatcherHarness, class, ids: std::ops::Range<u64>| {
         let count = ids.end - ids.start;
         let mut hits = 0;
         for id in ids {
@@ -1078,26 +1094,26 @@
         }
         (hits, count)
     };
-    let (hits, count) = to_it(&mut harness, 2, 100..300);
+    let (hits, count) = count_sent_to_it(&mut harness, 2, 100..300);
     assert!(
         hits < count / 20,
-        "its room is not believed for that class: {hits} of {count}"
+        "its reported capacity is ignored for that class: {hits} of {count}"
     );
-    let (hits, count) = to_it(&mut harness, 0, 300..320);
+    let (hits, count) = count_sent_to_it(&mut harness, 0, 300..320);
     assert!(
         hits > count / 2,
-        "other classes still go there: {hits} of {count}"
+        "other classes are still sent to it: {hits} of {count}"
     );
-    // The rejections lose their effect with time.
+    // The effect of rejections decays over time.
     harness.now += 120.0;
-    let (hits, count) = to_it(&mut harness, 2, 400..1200);
+    let (hits, count) = count_sent_to_it(&mut harness, 2, 400..1200);
     assert!((count / 16..count / 5).contains(&hits), "{hits} of {count}");
 }
 
 #[test]
 fn all_workers_of_a_large_fleet_can_be_selected() {
-    // Each selection samples a part of the fleet; retries within a dedup scope consider all its
-    // workers.
+    // Each selection samples a part of the fleet, whereas retries within a deduplication scope
+    // consider all of its workers.
     let mut harness = DispatcherHarness::new(settings(|_| ()), 250);
     let chosen = choices(&mut harness, 10_000);
     assert_eq!(chosen.len(), 250);
@@ -1115,9 +1131,9 @@
 
 #[test]
 fn request_that_has_not_started_is_hedged_where_there_is_free_capacity() {
-    // Found at full size: reports are old when they arrive, and requests wait while workers are
-    // idle.
-    for (cancel, copies) in [(true, 1), (false, 0)] {
+    // Regression from a full-size fleet: load reports are outdated when they arrive, so requests
+    // wait in queues while other workers are idle.
+    for (cancel, hedges) in [(true, 1), (false, 0)] {
         let mut harness = DispatcherHarness::new(
             settings(|s| {
                 s["limits"]["may-probe"] = true.into();
@@ -1134,19 +1150,19 @@
                 .flat_map(|w| harness.end_probe(w, Outcome::Succeeded, vec![0.0, 4.0]))
                 .collect()
         };
-        let asked = harness.submit(1, 0);
-        let sent = answer(&mut harness, &asked);
+        let submitted = harness.submit(1, 0);
+        let sent = answer(&mut harness, &submitted);
         let (first, mut due) = (
             workers_sent_to(&sent),
-            [timers_set(&asked), timers_set(&sent)].concat(),
+            [timers_set(&submitted), timers_set(&sent)].concat(),
         );
         assert_eq!(first.len(), 1);
-        let looked = harness.run_until(100.3, &mut due);
-        let again = [answer(&mut harness, &looked), looked].concat();
+        let reviewed = harness.run_until(100.3, &mut due);
+        let again = [answer(&mut harness, &reviewed), reviewed].concat();
         assert_eq!(
             workers_sent_to(&again).len(),
-            copies,
-            "a waiting copy must be called back: {cancel}"
+            hedges,
+            "hedging requires that waiting attempts can be cancelled: {cancel}"
         );
         assert!(!workers_sent_to(&again).contains(&first[0]));
         if cancel {
@@ -1163,14 +1179,14 @@
 
 #[test]
 fn non_idempotent_request_is_not_sent_to_a_long_queue() {
-    // Found under overload where a rejected attempt may have run: a fifth of the requests failed on
-    // full queues.
-    for (shed_begun, sent) in [(false, 1), (true, 0)] {
+    // Regression under overload where a rejected attempt may have run: a fifth of the requests
+    // failed because of full queues.
+    for (rejected_may_have_run, sent) in [(false, 1), (true, 0)] {
         let mut harness = DispatcherHarness::new(
             settings(|s| {
                 s["services"][0]["late-value"] = 1.0.into();
                 s["services"][2]["late-value"] = 0.5.into();
-                s["rules"]["may-shed-begun"] = shed_begun.into();
+                s["rules"]["may-shed-begun"] = rejected_may_have_run.into();
             }),
             8,
         );
@@ -1178,49 +1194,49 @@
         assert_eq!(
             workers_sent_to(&harness.submit(99, 2)).len(),
             sent,
-            "{shed_begun}"
+            "{rejected_may_have_run}"
         );
     }
 }
 
-/// While discovery gives no answer for ten minutes, the timers don't multiply and the polls don't
+/// While calls to discovery fail for ten minutes, timers do not accumulate and polling does not
 /// stop.
 #[test]
 fn failed_discovery_is_polled_at_a_steady_rate() {
     let mut harness = DispatcherHarness::new(settings(|s| s["discovery"] = "on_request".into()), 3);
     let mut timers = timers_set(&harness.receive_list(ListKind::Failed, Vec::new()));
-    let mut asked = vec![harness.now];
+    let mut polls = vec![harness.now];
     while harness.now < 700.0 {
         timers.sort_by(|a, b| a.0.total_cmp(&b.0));
         let (at, token) = timers.remove(0);
         harness.now = at;
         let mut actions = harness.handle(Event::TimerExpired { token });
         if actions.iter().any(|a| matches!(a, Action::WatchDiscovery)) {
-            asked.push(harness.now);
+            polls.push(harness.now);
             actions.extend(harness.receive_list(ListKind::Failed, Vec::new()));
         }
         timers.extend(dispatcher_harness::timers_set(&actions));
         assert!(timers.len() <= 6, "{} timers at once", timers.len());
     }
-    assert!((60..=200).contains(&asked.len()), "{} calls", asked.len());
+    assert!((60..=200).contains(&polls.len()), "{} polls", polls.len());
     assert!(
-        asked.windows(2).all(|pair| pair[1] - pair[0] <= 10.0),
-        "{asked:?}"
+        polls.windows(2).all(|pair| pair[1] - pair[0] <= 10.0),
+        "{polls:?}"
     );
 }
 
-/// A worker without a report, which only a request could bring, is selected although others are
-/// known to have free capacity. Six clients submit one request after another; without exploration,
-/// 121 of 400 seeds sent the worker nothing in 20 s.
+/// A worker without a report is selected although others are known to have free capacity, since it
+/// can only report in the answer to a request. Six clients submit one request after another.
+/// Without exploration, the worker received no request within 20 s for 121 of 400 seeds.
 #[test]
 fn worker_without_a_report_is_selected_beside_others_with_free_capacity() {
     for seed in 0..40 {
         let mut harness = DispatcherHarness::new(settings(|_| ()), 0);
-        harness.dispatcher = Dispatcher::new(settings(|_| ()), seed).expect("sound settings");
+        harness.dispatcher = Dispatcher::new(settings(|_| ()), seed).expect("valid settings");
         harness.receive_list(ListKind::Full, (0..4).map(entry).collect());
         let (mut first, mut running) = ([None; 4], Vec::<(f64, RequestId, _)>::new());
         for request in 0..400 {
-            // The request that ends first makes room for the next one.
+            // The request that ends first is replaced by the next one.
             if running.len() == 6 {
                 let next = (0..6)
                     .min_by(|a, b| running[*a].0.total_cmp(&running[*b].0))
@@ -1230,7 +1246,7 @@
                 harness.end_attempt_with_report(id, 0, to, Outcome::Succeeded, vec![0.0, 4.0]);
             }
             let [to] = workers_sent_to(&harness.submit(request, 0))[..] else {
-                panic!("seed {seed}: held")
+                panic!("seed {seed}: request {request} was deferred")
             };
             let n = usize::from(to.address[3]);
             first[n].get_or_insert(request);
@@ -1238,7 +1254,7 @@
         }
         assert!(
             first.iter().all(Option::is_some),
-            "seed {seed}: first jobs {first:?}"
+            "seed {seed}: first requests {first:?}"
         );
     }
 }
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -1,5 +1,5 @@
-//! Answers to probes that are late, lost, out of order, from before a worker's restart, or that
-//! expire all at once after a pause.
+//! Probe answers that are late, lost, out of order or from before a worker's restart, probes that
+//! all expire at once after a pause, and deduplication scopes that are unknown or removed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -7,11 +7,13 @@
 use dispatcher_harness::*;
 use postproxy::{Action, Entry, Event, Health, ListKind, Outcome, WorkerId};
 
-/// Workers of the fleet, and slots of each.
+/// Number of workers.
 const WORKERS: u16 = 3;
+/// Number of slots of each worker.
 const SLOTS: f32 = 4.0;
 
-/// Returns a dispatcher that learns the load from probes only; workers report starts and progress.
+/// Returns a dispatcher that receives load reports from probes only. Workers report starts and
+/// progress.
 fn harness() -> DispatcherHarness {
     let set = settings(|s| {
         s["limits"]["may-probe"] = true.into();
@@ -21,7 +23,7 @@
     DispatcherHarness::new(set, WORKERS)
 }
 
-/// Handles the answer to a probe that was sent at that time.
+/// Handles the answer to a probe that was sent at `sent`.
 fn answer_probe(
     harness: &mut DispatcherHarness,
     to: WorkerId,
@@ -42,7 +44,7 @@
 fn report_free_capacity_only_at(harness: &mut DispatcherHarness, to: WorkerId) {
     let sent = harness.now;
     for n in 0..WORKERS {
-        // The first report shows how many slots it has.
+        // The first report shows the number of slots.
         answer_probe(harness, worker_id(n), sent, SLOTS, 0.0);
         let (free, waiting) = if worker_id(n) == to {
             (SLOTS, 0.0)
@@ -53,15 +55,14 @@
     }
 }
 
-/// An old answer, which shows as idle a worker that has become full since, does not replace a newer
-/// one.
+/// An old answer that shows a worker as idle does not replace a newer one that shows it as full.
 #[test]
 fn probe_answer_out_of_order_changes_nothing() {
     for late in [false, true] {
         let mut harness = harness();
         harness.now += 1.0;
         report_free_capacity_only_at(&mut harness, worker_id(1));
-        // Sent before the others and answered after them.
+        // These probes were sent before the others and are answered after them.
         let sent = harness.now - 0.3;
         if late {
             for _ in 0..20 {
@@ -90,7 +91,7 @@
     }
 }
 
-/// An answer of a worker's earlier process is not used, and the failure of a probe of that process
+/// A probe answer of a worker's previous process is ignored, and a failed probe of that process
 /// does not eject the worker.
 #[test]
 fn probe_answer_from_before_a_restart_changes_nothing() {
@@ -98,7 +99,7 @@
     harness.now += 1.0;
     report_free_capacity_only_at(&mut harness, worker_id(1));
     let before = harness.now;
-    // All have restarted, long enough ago to have warmed up, and the list shows it only now.
+    // All workers restarted long enough ago to have warmed up, but the list reports it only now.
     harness.now += 60.0;
     let started = before + 1.0;
     let entries = (0..WORKERS)
@@ -118,14 +119,14 @@
         };
         harness.handle(failed);
     }
-    let asked = workers_probed(&harness.submit(1, 0));
+    let probed = workers_probed(&harness.submit(1, 0));
     assert!(
-        !asked.is_empty(),
-        "what is known of them is of before their start: they are asked"
+        !probed.is_empty(),
+        "workers are probed again, since their reports are from before their start"
     );
     let now = harness.now;
     let mut to = Vec::new();
-    for probe in asked {
+    for probe in probed {
         to.extend(workers_sent_to(&answer_probe(
             &mut harness,
             probe,
@@ -137,31 +138,35 @@
     assert_eq!(
         to.len(),
         1,
-        "nothing of before the start counts against any"
+        "no answer from before the start counts against a worker"
     );
 }
 
-/// A request does not wait for answers that never come, and is not sent a second time when late
-/// answers arrive.
+/// A request does not wait for lost probe answers, and is not sent a second time when late answers
+/// arrive.
 #[test]
 fn lost_and_late_probe_answers_delay_a_request_only_briefly() {
     let mut harness = harness();
     let actions = harness.submit(1, 0);
-    let asked = workers_probed(&actions);
-    assert!(!asked.is_empty() && workers_sent_to(&actions).is_empty());
+    let probed = workers_probed(&actions);
+    assert!(!probed.is_empty() && workers_sent_to(&actions).is_empty());
     let (mut due, sent) = (timers_set(&actions), harness.now);
     let soon = harness.now + 0.15;
     let mut actions = harness.run_until(soon, &mut due);
     let placed = workers_sent_to(&actions);
-    assert_eq!(placed.len(), 1, "sent by what is known");
-    for to in asked {
+    assert_eq!(placed.len(), 1, "sent without the answers");
+    for to in probed {
         actions = answer_probe(&mut harness, to, sent, SLOTS, 0.0);
-        assert_eq!(workers_sent_to(&actions), [], "one attempt is out");
+        assert_eq!(
+            workers_sent_to(&actions),
+            [],
+            "an attempt is already in flight"
+        );
     }
 }
 
-/// A worker that answers probes, but no requests, stays ejected: an answered probe does not show
-/// that it works.
+/// A worker that answers probes but no requests stays ejected, since an answered probe does not
+/// prove that it serves requests.
 #[test]
 fn worker_that_answers_only_probes_stays_ejected() {
     let mut harness = harness();
@@ -187,7 +192,7 @@
     }
     assert_eq!(to, [worker_id(0)]);
     harness.report_progress(1, 0, postproxy::ProgressNote::Started);
-    // It does not answer the request any more, while its probes show it as the least loaded worker.
+    // It never answers the request, while its probe answers show it as the least loaded worker.
     let until = harness.now + 2.5;
     harness.run_until(until, &mut due);
     let mut again = Vec::new();
@@ -217,16 +222,16 @@
     );
 }
 
-/// After a pause of the process all its probes expire at once. When that many workers would be
-/// ejected, the workers are not the cause.
+/// After a pause of the process all its probes expire at once. When so many workers are ejected at
+/// once, they are not the cause, and requests are still sent.
 #[test]
-fn probes_that_expire_at_once_eject_no_worker() {
+fn probes_that_expire_at_once_do_not_stop_requests() {
     let mut harness = harness();
     let actions = harness.submit(1, 0);
-    let (asked, sent) = (workers_probed(&actions), harness.now);
+    let (probed, sent) = (workers_probed(&actions), harness.now);
     let mut due = timers_set(&actions);
     harness.now += 3.0;
-    for to in asked {
+    for to in probed {
         let elapsed = harness.now - sent;
         harness.handle(Event::ProbeEnded {
             worker: to,
@@ -242,13 +247,13 @@
     let mut to = workers_sent_to(&actions);
     let soon = harness.now + 0.5;
     to.extend(workers_sent_to(&harness.run_until(soon, &mut due)));
-    assert!(!to.is_empty(), "the next request is sent all the same");
+    assert!(!to.is_empty(), "the next request is sent nevertheless");
 }
 
-/// Two workers whose cells are unknown don't share a cell, and no retry leaves a cell that was
-/// removed.
+/// A retry that must stay in a cell or zone is not sent to a worker whose cell or zone is unknown,
+/// or outside of a cell whose other workers were removed.
 #[test]
-fn no_retry_goes_to_an_unknown_or_removed_cell() {
+fn retry_leaves_no_cell_that_is_unknown_or_removed() {
     use postproxy::decision::interface::{NO_CELL, NO_ZONE};
     let unknown = |n: u16| Entry {
         cell: NO_CELL,
@@ -280,10 +285,15 @@
         )));
         let until = harness.now + 1.0;
         let again = !workers_sent_to(&harness.run_until(until, &mut due)).is_empty();
-        let at_once = harness.dispatcher.budget_history(10).retries.len() == 1;
-        assert_eq!(again || at_once, known, "{scope}, told: {known}");
+        let retried_immediately = harness.dispatcher.budget_history(10).retries.len() == 1;
+        assert_eq!(
+            again || retried_immediately,
+            known,
+            "{scope}, known: {known}"
+        );
     }
-    // Its cell is removed between two attempts, and others remain.
+    // The other workers of the cell are removed after the first attempt, and those of the other
+    // cell remain.
     let mut harness = DispatcherHarness::new(
         settings(|s| s["services"][1]["memory-span"] = 9.0.into()),
         8,
@@ -291,10 +301,11 @@
     let actions = harness.submit(1, 1);
     let (first, mut due) = (workers_sent_to(&actions)[0], timers_set(&actions));
     let cell = u16::from(first.address[3]) / 4;
-    let gone = (0..8).filter(|n| n / 4 == cell && worker_id(*n) != first);
+    let removed = (0..8).filter(|n| n / 4 == cell && worker_id(*n) != first);
     harness.receive_list(
         ListKind::Delta,
-        gone.map(|n| entry_with_health(n, Health::Removed))
+        removed
+            .map(|n| entry_with_health(n, Health::Removed))
             .collect(),
     );
     let mut actions = harness.end_attempt(1, 0, first, Outcome::Reset);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
-//! The rules of the dispatcher over generated event sequences, verified by a checker that shares no
-//! code with the module.
+//! Checks the rules of the dispatcher over generated event sequences, with a checker that shares no
+//! code with the decision module.
 //!
-//! Queues are not modelled: the generator only draws legal events with a fixed seed.
+//! Workers and their queues are not modelled. The generator draws legal events with a fixed seed.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -17,7 +17,7 @@
 const DRAIN_GRACE_SECONDS: f64 = 0.5;
 const ANSWER_SLACK_SECONDS: f64 = 0.016;
 const DEDUP_WINDOW_SECONDS: f64 = 4.0;
-// The retry budget: minimum, share of the admitted requests, and window in seconds.
+// The retry budget: minimum, ratio to the admitted requests, and window in seconds.
 const MIN_RETRIES: usize = 3;
 const RETRY_RATIO: f64 = 0.25;
 const RETRY_WINDOW_SECONDS: f64 = 2.0;
@@ -26,31 +26,31 @@
 #[derive(Clone, Copy)]
 struct OptionalRules {
     placement: bool,
-    budget: bool,
+    retry_budget: bool,
     rejected_may_have_run: bool,
 }
 
 impl OptionalRules {
     fn of(seed: u64) -> Self {
-        let (placement, budget) = (seed.is_multiple_of(2), (seed / 2).is_multiple_of(2));
         Self {
-            placement,
-            budget,
+            placement: seed.is_multiple_of(2),
+            retry_budget: (seed / 2).is_multiple_of(2),
             rejected_may_have_run: (seed / 4).is_multiple_of(2),
         }
     }
 }
 
-/// Workers have one of two kinds and are in one of three zones, by their number.
+/// Returns the machine kind of worker `n`, one of two.
 fn kind(n: u16) -> u16 {
     n % 2
 }
 
+/// Returns the zone of worker `n`, one of three.
 fn zone(n: u16) -> u8 {
     (n / 4) as u8
 }
 
-fn place(entry: Entry) -> Entry {
+fn with_placement(entry: Entry) -> Entry {
     let n = entry.worker.address[3].into();
     Entry {
         kind: kind(n),
@@ -59,7 +59,7 @@
     }
 }
 
-/// What the checker observes: a dispatcher, or a wrapper that breaks a rule on purpose.
+/// The subject of the checker: a dispatcher, or a wrapper that violates a rule on purpose.
 trait Decider {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>);
 }
@@ -70,42 +70,46 @@
     }
 }
 
+/// A violation of a rule.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Break {
+enum Violation {
     NoAnswer,
     SecondAnswer,
     RetriesNonIdempotent,
     SendsToDraining,
-    LeavesPlacement,
+    IgnoresPlacement,
     SendsTwice,
-    TrustsFull,
+    TreatsRejectedAsNeverRan,
 }
 
-/// A dispatcher with one rule broken.
-struct Broken {
+/// A dispatcher that violates one rule.
+struct Violator {
     dispatcher: Dispatcher,
-    rule: Break,
-    /// The latest worker that was listed as draining.
+    violation: Violation,
+    /// The worker that was last listed as draining.
     draining: Option<WorkerId>,
 }
 
-impl Broken {
-    fn new(dispatcher: Dispatcher, rule: Break) -> Self {
+impl Violator {
+    fn new(dispatcher: Dispatcher, violation: Violation) -> Self {
         Self {
             dispatcher,
-            rule,
+            violation,
             draining: None,
         }
     }
 
-    /// Returns the actions that replace an action so that the rule is broken.
+    /// Returns the actions that replace an action in order to violate the rule.
     fn replace(&self, event: &Event, action: Action) -> Vec<Action> {
-        match (action.clone(), self.rule) {
-            (Action::Fail { .. } | Action::Reject { .. }, Break::NoAnswer) => Vec::new(),
-            (Action::Fail { request } | Action::Reject { request, .. }, Break::SecondAnswer) => {
+        match (action.clone(), self.violation) {
+            (Action::Fail { .. } | Action::Reject { .. }, Violation::NoAnswer) => Vec::new(),
+            (
+                Action::Fail { request } | Action::Reject { request, .. },
+                Violation::SecondAnswer,
+            ) => {
                 vec![Action::Fail { request }, action]
             }
-            (Action::Fail { request }, Break::RetriesNonIdempotent) => vec![Action::Send {
+            (Action::Fail { request }, Violation::RetriesNonIdempotent) => vec![Action::Send {
                 request,
                 worker: worker_id(1),
                 timeout: 0.0,
@@ -116,7 +120,7 @@
                     worker,
                     timeout,
                 },
-                Break::SendsToDraining,
+                Violation::SendsToDraining,
             ) => vec![Action::Send {
                 request,
                 worker: self.draining.unwrap_or(worker),
@@ -126,14 +130,16 @@
                 Action::Send {
                     request, timeout, ..
                 },
-                Break::LeavesPlacement,
+                Violation::IgnoresPlacement,
             ) => vec![Action::Send {
                 request,
                 worker: worker_id(2),
                 timeout,
             }],
-            (Action::Send { .. }, Break::SendsTwice) => vec![action.clone(), action],
-            (Action::Fail { request }, Break::TrustsFull) if is_rejected_attempt(event) => {
+            (Action::Send { .. }, Violation::SendsTwice) => vec![action.clone(), action],
+            (Action::Fail { request }, Violation::TreatsRejectedAsNeverRan)
+                if is_rejected_attempt(event) =>
+            {
                 vec![Action::Reject {
                     request,
                     retry_after: 0.0,
@@ -144,7 +150,7 @@
     }
 }
 
-impl Decider for Broken {
+impl Decider for Violator {
     fn handle(&mut self, now: f64, event: &Event, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.dispatcher.handle(now, event, &mut actions);
@@ -171,7 +177,7 @@
     )
 }
 
-struct Sent {
+struct SentAttempt {
     to: WorkerId,
     at: f64,
     cell: u16,
@@ -181,11 +187,11 @@
 struct ObservedRequest {
     class: u8,
     deadline: f64,
-    sent: Vec<Sent>,
-    done: bool,
+    sent: Vec<SentAttempt>,
+    is_answered: bool,
 }
 
-/// Records events and actions, and names the first broken rule.
+/// Records events and actions, and reports the first rule that is violated.
 struct Checker {
     optional: OptionalRules,
     admitted: Vec<f64>,
@@ -211,7 +217,7 @@
         }
     }
 
-    /// Returns the attempts that have no outcome, as request, number and worker.
+    /// Returns the attempts without an outcome as tuples of request, attempt number and worker.
     fn attempts_in_flight(&self) -> Vec<(u64, u16, WorkerId)> {
         let of_request = |(&id, request): (&u64, &ObservedRequest)| {
             let sent = request.sent.iter().zip(0..);
@@ -222,7 +228,7 @@
         self.requests.iter().flat_map(of_request).collect()
     }
 
-    /// Records an event, and sets in the end of an attempt whether its request is answered.
+    /// Records an event. In [`Event::AttemptEnded`], sets whether the request has been answered.
     fn observe_event(&mut self, now: f64, event: &mut Event) -> Result<(), String> {
         match event {
             Event::RequestReceived(_) => self.admitted.push(now),
@@ -236,8 +242,8 @@
                 ..
             } => {
                 let request = self.requests.get_mut(request).ok_or("an unknown request")?;
-                request.done |= *outcome == Outcome::Succeeded;
-                *answered = request.done;
+                request.is_answered |= *outcome == Outcome::Succeeded;
+                *answered = request.is_answered;
             }
             _ => {}
         }
@@ -276,28 +282,28 @@
         let request = self
             .requests
             .get(&id)
-            .ok_or("a send for an unknown request")?;
-        if request.done {
-            return Err("rule 1: a send after the end".into());
+            .ok_or("an attempt for an unknown request")?;
+        if request.is_answered {
+            return Err("rule 1: an attempt after the answer".into());
         }
         if self
             .unavailable_since
             .get(&worker)
             .is_some_and(|at| now > at + DRAIN_GRACE_SECONDS)
         {
-            return Err("rule 3: a send to an unavailable worker".into());
+            return Err("rule 3: an attempt at an unavailable worker".into());
         }
         let number = u16::from(worker.address[3]);
-        let leaves_placement =
+        let violates_placement =
             request.class == 0 && kind(number) != 1 || request.class == 1 && zone(number) == 0;
-        if self.optional.placement && leaves_placement {
-            return Err("rule 5: a class sent out of its place".into());
+        if self.optional.placement && violates_placement {
+            return Err("rule 5: an attempt outside of the class's placement".into());
         }
         self.check_retry_budget(now, id)?;
         let cell = number / 4;
         self.check_effect(now, id, cell)?;
         let request = self.requests.get_mut(&id).ok_or("an unknown request")?;
-        request.sent.push(Sent {
+        request.sent.push(SentAttempt {
             to: worker,
             at: now,
             cell,
@@ -307,7 +313,7 @@
     }
 
     fn check_retry_budget(&mut self, now: f64, id: u64) -> Result<(), String> {
-        if self.sent_for.insert(id) || !self.optional.budget {
+        if self.sent_for.insert(id) || !self.optional.retry_budget {
             return Ok(());
         }
         self.retries.push(now);
@@ -317,7 +323,7 @@
         };
         let allowed = MIN_RETRIES as f64 + RETRY_RATIO * in_window(&self.admitted);
         if in_window(&self.retries) > allowed {
-            return Err("rule 6: over the retry budget".into());
+            return Err("rule 6: retry budget exceeded".into());
         }
         Ok(())
     }
@@ -325,28 +331,32 @@
     /// Checks that a request that may have run is sent again only as its class allows.
     fn check_effect(&self, now: f64, id: u64, cell: u16) -> Result<(), String> {
         let request = &self.requests[&id];
-        let full_proves = !self.optional.rejected_may_have_run;
+        let rejection_proves = !self.optional.rejected_may_have_run;
         let mut may_have_run = request
             .sent
             .iter()
-            .filter(|sent| !proves(sent.outcome, full_proves));
+            .filter(|sent| !proves_never_ran(sent.outcome, rejection_proves));
         if request.class == 2 && may_have_run.next().is_some() {
-            let is_rejected = |sent: &Sent| sent.outcome == Some(Outcome::Rejected);
+            let is_rejected = |sent: &SentAttempt| sent.outcome == Some(Outcome::Rejected);
             let rule_7 = if request.sent.iter().any(is_rejected) {
                 ", rule 7"
             } else {
                 ""
             };
-            return Err(format!("rule 2: not idempotent and sent again{rule_7}"));
+            return Err(format!("rule 2: non-idempotent request sent again{rule_7}"));
         }
-        let outside_scope = |sent: &Sent| sent.cell != cell || now > sent.at + DEDUP_WINDOW_SECONDS;
+        let outside_scope =
+            |sent: &SentAttempt| sent.cell != cell || now > sent.at + DEDUP_WINDOW_SECONDS;
         if request.class == 1 && may_have_run.any(outside_scope) {
-            return Err("rule 2: keyed again outside its cell or window".into());
+            return Err(
+                "rule 2: request with a key sent again outside of its cell or window".into(),
+            );
         }
         Ok(())
     }
 
-    /// Checks that one dispatcher stays below the budget of all dispatchers in every window.
+    /// Checks that this dispatcher alone stays within the slow-start budget of all dispatchers in
+    /// every window.
     fn check_slow_start(&mut self, now: f64, worker: WorkerId) -> Result<(), String> {
         let age = now - self.started.get(&worker).copied().unwrap_or(0.0);
         if age >= 10.0 {
@@ -361,24 +371,25 @@
             .sum();
         let capacity = 4.0 * (0.2 + 0.8 * age / 10.0);
         if in_window > 3.0 * capacity * 2.0 {
-            return Err("rule 4: a worker in slow start is overloaded".into());
+            return Err("rule 4: worker in slow start overloaded".into());
         }
         Ok(())
     }
 
-    /// Checks a rejection, which is an answer and promises that the request has not run.
+    /// Checks a rejection. It is a final answer, and implies that the request has not run or may
+    /// safely run again.
     fn check_rejection(&mut self, now: f64, id: u64) -> Result<(), String> {
         self.check_answer(now, id)?;
         let request = &self.requests[&id];
-        let may_have_run = |full_proves| {
-            let ran = |sent: &Sent| !proves(sent.outcome, full_proves);
+        let may_have_run = |rejection_proves| {
+            let ran = |sent: &SentAttempt| !proves_never_ran(sent.outcome, rejection_proves);
             request.class != 0 && request.sent.iter().any(ran)
         };
         if may_have_run(true) {
             return Err("rule 2: rejected although it may have run".into());
         }
         if may_have_run(!self.optional.rejected_may_have_run) {
-            return Err("rule 7: rejected because a worker was full".into());
+            return Err("rule 7: rejected although a rejected attempt may have run".into());
         }
         Ok(())
     }
@@ -388,13 +399,13 @@
             .requests
             .get_mut(&id)
             .ok_or("an answer for an unknown request")?;
-        if request.done {
+        if request.is_answered {
             return Err("rule 1: a second answer".into());
         }
         if now > request.deadline + ANSWER_SLACK_SECONDS {
             return Err("rule 1: a late answer".into());
         }
-        request.done = true;
+        request.is_answered = true;
         Ok(())
     }
 
@@ -402,16 +413,18 @@
         let request = self
             .requests
             .get(&id)
-            .ok_or("a cancel for an unknown request")?;
+            .ok_or("a cancellation for an unknown request")?;
         if attempt as usize >= request.sent.len() {
-            return Err("a cancel of an attempt never made".into());
+            return Err("a cancellation of an attempt that was not sent".into());
         }
         Ok(())
     }
 
     fn check_overdue(&self, now: f64) -> Result<(), String> {
-        let late = |j: &&ObservedRequest| !j.done && now > j.deadline + ANSWER_SLACK_SECONDS;
-        if self.requests.values().any(|j| late(&j)) {
+        let is_overdue = |request: &ObservedRequest| {
+            !request.is_answered && now > request.deadline + ANSWER_SLACK_SECONDS
+        };
+        if self.requests.values().any(is_overdue) {
             Err("rule 1: no answer in time".into())
         } else {
             Ok(())
@@ -419,11 +432,12 @@
     }
 }
 
-/// Returns whether the outcome proves that an attempt never ran, by the protocol's description.
-fn proves(outcome: Option<Outcome>, full_proves: bool) -> bool {
+/// Returns whether the outcome proves that an attempt never ran, according to the description of
+/// the protocol.
+fn proves_never_ran(outcome: Option<Outcome>, rejection_proves: bool) -> bool {
     match outcome {
         Some(Outcome::ConnectFailed | Outcome::CancelledLocally) => true,
-        Some(Outcome::Rejected) => full_proves,
+        Some(Outcome::Rejected) => rejection_proves,
         _ => false,
     }
 }
@@ -431,7 +445,7 @@
 /// Number of workers in a sequence.
 const WORKERS: u16 = 12;
 
-/// Draws legal events and tracks the time and the timers.
+/// Generates legal events and keeps track of the time and the timers.
 struct Generator {
     random: rand_pcg::Pcg32,
     now: f64,
@@ -456,7 +470,9 @@
         };
         generator.queue.push(Event::WorkerListReceived {
             kind,
-            entries: (0..WORKERS).map(|number| place(entry(number))).collect(),
+            entries: (0..WORKERS)
+                .map(|number| with_placement(entry(number)))
+                .collect(),
         });
         generator
     }
@@ -465,8 +481,9 @@
         self.random.next_u64() % count
     }
 
-    /// Advances the time and queues the timers that expire and perhaps one other event.
-    fn generate(&mut self, checker: &mut Checker, is_drained: bool) -> Result<(), String> {
+    /// Advances the time and queues the timers that expire and possibly one other event. If
+    /// `is_draining`, no more requests are submitted.
+    fn generate(&mut self, checker: &mut Checker, is_draining: bool) -> Result<(), String> {
         self.advance();
         let in_flight = checker.attempts_in_flight();
         let attempt = if in_flight.is_empty() {
@@ -475,7 +492,7 @@
             Some(in_flight[self.pick(in_flight.len() as u64) as usize])
         };
         match (self.pick(10), attempt) {
-            (0..=3, _) if !is_drained => self.queue_request(checker),
+            (0..=3, _) if !is_draining => self.queue_request(checker),
             (4..=7, Some(attempt)) => self.queue_outcome(checker, attempt)?,
             (8, Some((request, attempt, _))) => {
                 let note = if self.pick(2) == 0 {
@@ -519,7 +536,7 @@
             class,
             deadline: self.now + time_limit,
             sent: Vec::new(),
-            done: false,
+            is_answered: false,
         };
         checker.requests.insert(id, request);
         self.queue.push(Event::RequestReceived(NewRequest {
@@ -580,7 +597,7 @@
         } else {
             0.0
         };
-        let mut entries = vec![place(Entry {
+        let mut entries = vec![with_placement(Entry {
             started,
             ..entry_with_health(number, health)
         })];
@@ -591,22 +608,22 @@
         };
         if kind == ListKind::Full {
             let others = (0..WORKERS).filter(|&other| other != number && self.pick(6) > 0);
-            entries.extend(others.map(|other| place(entry(other))));
+            entries.extend(others.map(|other| with_placement(entry(other))));
         }
         self.queue.push(Event::WorkerListReceived { kind, entries });
     }
 }
 
-/// Runs one generated sequence. Returns the number of attempts sent, or the first broken rule.
+/// Runs one generated sequence. Returns the number of attempts, or the first rule that is violated.
 fn run_sequence(seed: u64, decider: &mut dyn Decider) -> Result<usize, String> {
     let mut checker = Checker::new(OptionalRules::of(seed));
     let mut generator = Generator::new(seed);
     let mut sends = 0;
-    let mut is_drained = false;
+    let mut is_draining = false;
     for step in 0..3000 {
         if generator.queue.is_empty() {
-            is_drained |= step > 2000;
-            generator.generate(&mut checker, is_drained)?;
+            is_draining |= step > 2000;
+            generator.generate(&mut checker, is_draining)?;
         }
         if generator.queue.is_empty() {
             continue;
@@ -621,7 +638,7 @@
             sends += usize::from(matches!(action, Action::Send { .. }));
         }
         generator.timers.extend(timers_set(&actions));
-        // Timers of the same time are handled first.
+        // Timers that expire at this time are handled before the check.
         if generator.queue.is_empty() && generator.timers.iter().all(|timer| timer.0 > now) {
             checker.check_overdue(now)?;
         }
@@ -638,7 +655,7 @@
             s["services"][0]["allowed-on"] = serde_json::json!([1]);
             s["services"][1]["confined-to"] = serde_json::json!([1, 2]);
         }
-        if optional.budget {
+        if optional.retry_budget {
             s["rules"]["spare-attempts"] = MIN_RETRIES.into();
             s["rules"]["repeat-ratio"] = RETRY_RATIO.into();
             s["rules"]["look-back"] = RETRY_WINDOW_SECONDS.into();
@@ -651,7 +668,7 @@
         }
         .into();
     });
-    Dispatcher::new(set, seed).expect("sound settings")
+    Dispatcher::new(set, seed).expect("valid settings")
 }
 
 #[test]
@@ -669,31 +686,34 @@
                 .map(drop)
                 .map_err(proptest::test_runner::TestCaseError::fail)
         })
-        .expect("a broken rule");
+        .expect("no rule is violated");
     for seed in 0..20 {
-        total += run_sequence(seed, &mut dispatcher(seed)).expect("a broken rule");
+        total += run_sequence(seed, &mut dispatcher(seed)).expect("no rule is violated");
     }
-    assert!(total > 20 * 100, "the sequences do send: {total}");
+    assert!(
+        total > 20 * 100,
+        "the sequences have too few attempts: {total}"
+    );
 }
 
 #[test]
-fn checker_detects_each_broken_rule() {
-    for (broken, word) in [
-        (Break::NoAnswer, "no answer in time"),
-        (Break::SecondAnswer, "second answer"),
-        (Break::RetriesNonIdempotent, "rule 2"),
-        (Break::SendsToDraining, "rule 3"),
-        (Break::LeavesPlacement, "rule 5"),
-        (Break::SendsTwice, "rule 6"),
-        (Break::TrustsFull, "rule 7"),
+fn checker_detects_each_violation() {
+    for (violation, message) in [
+        (Violation::NoAnswer, "no answer in time"),
+        (Violation::SecondAnswer, "second answer"),
+        (Violation::RetriesNonIdempotent, "rule 2"),
+        (Violation::SendsToDraining, "rule 3"),
+        (Violation::IgnoresPlacement, "rule 5"),
+        (Violation::SendsTwice, "rule 6"),
+        (Violation::TreatsRejectedAsNeverRan, "rule 7"),
     ] {
         let found = (0..20).filter_map(|seed| {
-            run_sequence(seed, &mut Broken::new(dispatcher(seed), broken)).err()
+            run_sequence(seed, &mut Violator::new(dispatcher(seed), violation)).err()
         });
         let found: Vec<_> = found.collect();
         assert!(
-            found.iter().any(|f| f.contains(word)),
-            "{broken:?}: {found:?}"
+            found.iter().any(|error| error.contains(message)),
+            "{violation:?}: {found:?}"
         );
     }
 }
@@ -707,7 +727,7 @@
             class: 0,
             deadline: 1e9,
             sent: Vec::new(),
-            done: false,
+            is_answered: false,
         },
     );
     checker.started.insert(worker_id(1), 100.0);
@@ -717,5 +737,5 @@
         timeout: 0.0,
     };
     let found = (0..40).find_map(|_| checker.check(100.5, &send).err());
-    assert!(found.is_some_and(|f| f.contains("rule 4")));
+    assert!(found.is_some_and(|error| error.contains("rule 4")));
 }
--- a/tests/shortage.rs
+++ b/tests/shortage.rs
@@ -1,4 +1,5 @@
-//! The real program when something is short: descriptors, discovery, or time at a start.
+//! The real program with a shortage of descriptors, without discovery, and under floods of
+//! connections.
 
 use postproxy::net::transport::http;
 use postproxy::stand_ins::{Discovery, Worker, send_request};
@@ -9,15 +10,15 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long the tests wait for a condition.
+/// Maximum time that the tests wait for a condition.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long after discovery is reachable again the node may still use its old list: 6 s to poll it,
-/// and 300 ms of grace for a drain.
+/// and a grace period of 300 ms for a drain.
 const LIST_UPDATE_TIMEOUT: Duration = Duration::from_millis(6000 + 300);
-/// How long nine in ten restarted processes may take to be ready.
+/// Time within which nine in ten restarted processes must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running program, which ends with its test.
+/// A running program, which is killed when it is dropped.
 struct RunningNode {
     child: Child,
     at: SocketAddr,
@@ -32,7 +33,7 @@
     }
 }
 
-/// An address on which nobody listens, and which no other test uses.
+/// Returns an address on which no process listens and which no other test uses.
 fn unused_address() -> SocketAddr {
     SocketAddr::new(loopback_addresses(1)[0], 8080)
 }
@@ -43,7 +44,7 @@
 }
 
 impl RunningNode {
-    /// Starts the program with a limit of descriptors and a cached worker list.
+    /// Starts the program with a limit on descriptors and a cached worker list.
     fn start(
         name: &str,
         discovery: SocketAddr,
@@ -88,7 +89,7 @@
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Returns the processor time used so far, in ticks of the system: a hundred a second.
+    /// Returns the CPU time used so far, in clock ticks of 10 ms.
     fn processor_ticks(&self) -> u64 {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("it runs");
@@ -101,14 +102,14 @@
         fields[11].parse::<u64>().expect("a number") + fields[12].parse::<u64>().expect("a number")
     }
 
-    /// Returns the most memory that the program has held so far, in kB.
+    /// Returns the peak memory use of the program, in kB.
     fn peak_memory_kb(&self) -> u64 {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:"))
-            .expect("a figure");
+            .expect("a VmHWM line");
         line.trim()
             .trim_end_matches(" kB")
             .parse()
@@ -122,7 +123,7 @@
     }
 }
 
-/// Waits for a condition, and returns how long it took.
+/// Waits for a condition and returns how long that took.
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !holds() {
@@ -132,7 +133,7 @@
     start.elapsed()
 }
 
-/// Opens idle connections until there are `size`, also in place of those that were closed.
+/// Opens idle connections until there are `size`. Closed ones are replaced.
 fn refill_idle_connections(at: SocketAddr, idle: &mut Vec<TcpStream>, size: usize) {
     idle.retain_mut(|stream| {
         let _ = stream.set_nonblocking(true);
@@ -143,7 +144,7 @@
         let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else {
             return;
         };
-        // Every other connection has sent one request; the others send nothing.
+        // Every other connection sends one request; the rest send nothing.
         if idle.len().is_multiple_of(2) {
             let _ = stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         }
@@ -161,8 +162,8 @@
 }
 
 /// Guards against a node that can't connect to discovery or to a worker because idle clients hold
-/// all its descriptors, that does not answer readiness checks, or that spins on a listener from
-/// which it can accept nothing. While discovery is down, clients connect and stay idle; once it is
+/// all its descriptors, that does not answer readiness checks, or that busy-waits on a listener
+/// from which it can't accept. Clients connect and stay idle while discovery is down. Once it is
 /// back, its list must take effect in time.
 #[test]
 fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
@@ -186,7 +187,12 @@
         refill_idle_connections(running.at, &mut idle, 200);
         assert!(wait_until("ready", || running.is_ready()) < Duration::from_secs(3));
         let answer = submit(running.at, &format!("before-{n}")).expect("an answer");
-        assert_eq!(answer.status, 200, "a worker is dialled: {}", running.log());
+        assert_eq!(
+            answer.status,
+            200,
+            "the node connects to a worker: {}",
+            running.log()
+        );
     }
     assert!(running.descriptor_count() <= 64);
     refill_idle_connections(running.at, &mut idle, 200);
@@ -195,14 +201,14 @@
     std::thread::sleep(Duration::from_secs(1));
     let used =
         (running.processor_ticks() - ticks_before) as f64 / 100.0 / start.elapsed().as_secs_f64();
-    assert!(used < 0.3, "{used:.2} of a core while nothing is asked for");
+    assert!(used < 0.3, "{used:.2} of a core without any requests");
     let descriptors = running.descriptor_count();
     assert!(
         descriptors >= 36,
-        "the clients fill what there is for them: {descriptors}"
+        "idle clients use up their share of the descriptors: {descriptors}"
     );
-    // Discovery is back, and one worker drains. The node must learn it in time, however clients
-    // come and go meanwhile.
+    // Discovery is back, and one worker drains. The node must learn this in time while clients
+    // connect and disconnect.
     let back = Discovery::start_at(discovery, &workers).expect("discovery");
     back.drain("old");
     let start = Instant::now();
@@ -215,7 +221,7 @@
     let old = workers[0].runs().len();
     assert!(
         old > 0 && n > 20,
-        "it was sent to before, and the node went on: {old}, {n}"
+        "the old worker received requests and the node continued to serve: {old}, {n}"
     );
     for n in 0..10 {
         assert_eq!(
@@ -226,15 +232,15 @@
     assert_eq!(
         workers[0].runs().len(),
         old,
-        "nothing goes to the one that leaves: {}",
+        "no request is sent to the draining worker: {}",
         running.log()
     );
 }
 
-/// Guards against a flood that takes the other clients' connections, memory or descriptors: clients
-/// that send much at once and disconnect, with an end or a reset, reconnect at once, and send
-/// nothing, half a request, or invalid bytes. The others are served meanwhile. The function is long
-/// because flood and other clients share its scope of threads.
+/// Guards against a flood that uses up the connections, memory or descriptors of other clients. The
+/// flooding clients send nothing, partial requests or invalid bytes followed by much data,
+/// disconnect with a close or a reset, and reconnect immediately. The other clients must be served
+/// meanwhile.
 #[test]
 fn a_flood_of_connections_leaves_the_other_clients_served() {
     let worker = Worker::start("s-0", Duration::from_millis(5)).expect("a worker");
@@ -247,8 +253,8 @@
     wait_until("it is ready", || running.is_ready());
     worker.report_to(running.at);
     let at = running.at;
-    let over = std::sync::atomic::AtomicBool::new(false);
-    let going = || !over.load(std::sync::atomic::Ordering::SeqCst);
+    let is_over = std::sync::atomic::AtomicBool::new(false);
+    let is_running = || !is_over.load(std::sync::atomic::Ordering::SeqCst);
     let much = vec![b'x'; 300 << 10];
     let texts: [&[u8]; 5] = [
         b"",
@@ -259,10 +265,10 @@
     ];
     std::thread::scope(|scope| {
         for flooder in 0..6usize {
-            let (going, much) = (&going, &much);
+            let (is_running, much) = (&is_running, &much);
             scope.spawn(move || {
                 for n in flooder.. {
-                    if !going() {
+                    if !is_running() {
                         return;
                     }
                     let burst: Vec<TcpStream> = (0..8)
@@ -299,7 +305,7 @@
             .collect();
         let descriptors = running.descriptor_count();
         let peak_memory_kb = running.peak_memory_kb();
-        over.store(true, std::sync::atomic::Ordering::SeqCst);
+        is_over.store(true, std::sync::atomic::Ordering::SeqCst);
         assert!(
             served.iter().all(|served| *served == 50),
             "{served:?} of 50 each"
@@ -309,7 +315,7 @@
             "{descriptors} descriptors, {peak_memory_kb} kB"
         );
     });
-    // The descriptors of the flood are closed again.
+    // The descriptors of the flood must be closed.
     wait_until("the flood's connections end", || {
         running.descriptor_count() < 40
     });
@@ -319,11 +325,11 @@
 #[derive(Clone, Copy, Debug)]
 enum DiscoveryBehaviour {
     Down,
-    /// It accepts no connection: what is sent there stays unread.
+    /// It accepts no connections, so requests stay unread.
     Silent,
     /// It answers after 1.9 s.
     Slow,
-    /// It rejects all calls, as with too many callers.
+    /// It rejects all calls with status 503.
     Overloaded,
 }
 
@@ -331,7 +337,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     match behaviour {
-        // An address on which no other program can listen.
+        // No other program can listen on this address.
         DiscoveryBehaviour::Down => (unused_address(), None),
         DiscoveryBehaviour::Silent => (at, Some(listener)),
         DiscoveryBehaviour::Slow | DiscoveryBehaviour::Overloaded => {
@@ -365,13 +371,13 @@
     }
 }
 
-/// Guards against a start that waits for a discovery which is down, silent, slow or overloaded,
-/// with an old list or none, while clients fill the descriptors; and against a node that is ready
-/// and can't serve.
+/// Guards against a node that does not become ready while discovery is down, silent, slow or
+/// overloaded, with an old worker list or none, while clients use up the descriptors. Also guards
+/// against a node that is ready but can't serve requests.
 #[test]
 fn restarted_processes_become_ready_whatever_discovery_does() {
     let worker = Worker::start("old", Duration::from_millis(5)).expect("a worker");
-    let gone = unused_address();
+    let unreachable = unused_address();
     let mut times = Vec::new();
     for behaviour in [
         DiscoveryBehaviour::Down,
@@ -380,9 +386,9 @@
         DiscoveryBehaviour::Overloaded,
     ] {
         let (at, _listener) = start_discovery(behaviour);
-        // A worker that is gone and one that runs; and an empty list.
+        // One list has an unreachable and a running worker, the other is empty.
         for known in [
-            vec![member("gone", gone), member("old", worker.address)],
+            vec![member("gone", unreachable), member("old", worker.address)],
             Vec::new(),
         ] {
             let name = format!("{behaviour:?}-{}", known.len());
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! SimulationEvent all dispatchers together send to workers in slow start, in simulated time: with
-//! workers that run their requests, uneven traffic, restarts of dispatchers and retries.
+//! Simulation of the attempts that all dispatchers together send to workers in slow start, with
+//! queues at the workers, uneven traffic, restarts of dispatchers, and retries.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -13,20 +13,22 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Slots of a worker, and mean running time of a job, in seconds.
+/// Number of slots of a worker.
 const SLOTS: usize = 4;
-const WORK: f64 = 0.5;
-/// When workers restart, and when the simulation ends, in seconds.
-const START: f64 = 20.0;
+/// Mean run time of a job, in seconds.
+const MEAN_RUN_TIME: f64 = 0.5;
+/// When workers restart, in seconds.
+const RESTART_AT: f64 = 20.0;
+/// When the simulation ends, in seconds.
 const END: f64 = 36.0;
-/// How long a burst lasts, in seconds.
-const BURST: f64 = 6.0;
-/// How long it takes a worker to reject a request, in seconds.
+/// Duration of a burst, in seconds.
+const BURST_DURATION: f64 = 6.0;
+/// Time that a worker takes to reject a request, in seconds.
 const REJECTION_TIME: f64 = 0.01;
-/// A budget of fewer attempts than this has the wider tolerance.
+/// A budget of fewer attempts than this has the larger tolerance.
 const FEW_ATTEMPTS: f64 = 30.0;
 
-/// Returns by how much random variation may exceed a budget of so many attempts.
+/// Returns how far the number of attempts may exceed the budget owing to random variation.
 fn tolerance(attempts: f64) -> f64 {
     if attempts < FEW_ATTEMPTS {
         3.0 * attempts.sqrt() + 3.0
@@ -40,25 +42,25 @@
 struct Case {
     dispatchers: usize,
     workers: u16,
-    /// Number of workers that restart at `START`.
-    cold: u16,
+    /// Number of workers that restart at `RESTART_AT`.
+    restarted: u16,
     /// Traffic as a share of the capacity of all workers.
     load: f64,
-    /// Multiple of the traffic for `BURST` seconds from `START`.
+    /// Multiple of the traffic for `BURST_DURATION` seconds from `RESTART_AT`.
     burst: f64,
     /// Share of the dispatchers that restart while the workers warm up.
     restarts: f64,
     /// Share of the attempts that fail or are rejected.
     failing: f64,
-    /// Attempts that fail do so at once.
-    at_once: bool,
-    /// The budget is small: one slot for each worker, a short window and a low initial share.
-    small: bool,
-    /// Number of subjects, whose data workers fetch at a price; 0 for none.
-    subjects: u64,
-    /// Each dispatcher sends a request to the worker that has just restarted, which the check must
-    /// detect.
-    greedy: bool,
+    /// Whether failing attempts end after `REJECTION_TIME` instead of the run time of a job.
+    fails_fast: bool,
+    /// Whether the budget is small: one slot per worker, a short window and a low initial share.
+    small_budget: bool,
+    /// Number of affinity keys, whose data workers fetch at a price; 0 for none.
+    affinity_keys: u64,
+    /// Whether each dispatcher sends a request to the first worker right after its restart, which
+    /// the check must detect.
+    exceeds_budget: bool,
 }
 
 #[derive(Debug, PartialEq, PartialOrd)]
@@ -82,7 +84,7 @@
 
 struct Simulation {
     case: Case,
-    set: Settings,
+    settings: Settings,
     rng: Random,
     now: f64,
     dispatchers: Vec<(Dispatcher, u32)>,
@@ -95,21 +97,21 @@
 
 impl Simulation {
     fn new(case: Case, seed: u64) -> Self {
-        let set = settings(|json| {
+        let settings = settings(|json| {
             json["balancers"] = case.dispatchers.into();
             json["services"][0]["late-value"] = 0.0.into();
-            if case.subjects > 0 {
+            if case.affinity_keys > 0 {
                 json["prices"] = serde_json::json!({"origin": 0.2});
             }
-            if case.small {
+            if case.small_budget {
                 json["rules"]["cold-from"] = 0.1.into();
                 json["rules"]["fall-multiple"] = 2.0.into();
                 json["rules"]["tip-after"] = 1.0.into();
             }
         });
-        let world = Self {
+        let simulation = Self {
             case,
-            set,
+            settings,
             rng: Random::new(seed),
             now: 0.0,
             dispatchers: Vec::new(),
@@ -119,28 +121,28 @@
             events: BTreeMap::new(),
             next: 0,
         };
-        let mut world = world;
+        let mut simulation = simulation;
         for d in 0..case.dispatchers {
-            world
+            simulation
                 .dispatchers
-                .push((world.dispatcher(seed * 1000 + d as u64), 0));
-            world.list(d, ListKind::Full);
-            world.schedule(0.0, SimulationEvent::Arrival(d));
+                .push((simulation.dispatcher(seed * 1000 + d as u64), 0));
+            simulation.list(d, ListKind::Full);
+            simulation.schedule(0.0, SimulationEvent::Arrival(d));
         }
-        world.schedule(START, SimulationEvent::WorkersRestart);
+        simulation.schedule(RESTART_AT, SimulationEvent::WorkersRestart);
         for d in 0..(case.restarts * case.dispatchers as f64) as usize {
-            let at = START + 6.0 * world.rng.uniform();
-            world.schedule(at, SimulationEvent::Restart(d));
+            let at = RESTART_AT + 6.0 * simulation.rng.uniform();
+            simulation.schedule(at, SimulationEvent::Restart(d));
         }
-        world
+        simulation
     }
 
     fn dispatcher(&self, seed: u64) -> Dispatcher {
-        Dispatcher::new(self.set.clone(), seed).expect("sound settings")
+        Dispatcher::new(self.settings.clone(), seed).expect("valid settings")
     }
 
     fn slots(&self) -> usize {
-        if self.case.small { 1 } else { SLOTS }
+        if self.case.small_budget { 1 } else { SLOTS }
     }
 
     fn schedule(&mut self, at: f64, event: SimulationEvent) {
@@ -163,10 +165,12 @@
     }
 
     fn capacity_share(&self, w: usize) -> f64 {
-        let share = ((self.now - self.workers[w].started) / self.set.warm_up_time).clamp(0.0, 1.0);
-        let cold = self.workers[w].started > 0.0;
-        if cold {
-            self.set.initial_capacity_share + (1.0 - self.set.initial_capacity_share) * share
+        let share =
+            ((self.now - self.workers[w].started) / self.settings.warm_up_time).clamp(0.0, 1.0);
+        let has_restarted = self.workers[w].started > 0.0;
+        if has_restarted {
+            self.settings.initial_capacity_share
+                + (1.0 - self.settings.initial_capacity_share) * share
         } else {
             1.0
         }
@@ -210,10 +214,10 @@
         {
             self.workers[w].running += 1;
             let failed = self.rng.uniform() < self.case.failing;
-            let takes = if failed && self.case.at_once {
+            let takes = if failed && self.case.fails_fast {
                 REJECTION_TIME
             } else {
-                -(1.0 - self.rng.uniform()).ln() * WORK / speed
+                -(1.0 - self.rng.uniform()).ln() * MEAN_RUN_TIME / speed
             };
             self.schedule(
                 self.now + takes,
@@ -247,34 +251,35 @@
             id,
             affinity_key: self.draw_affinity_key(),
             time_limit: 5.0,
-            expected_work: Some(WORK),
+            expected_work: Some(MEAN_RUN_TIME),
             slots: 1.0,
             ..NewRequest::default()
         };
         self.handle(dispatcher, &Event::RequestReceived(request));
     }
 
-    /// Requests a second at a dispatcher. One dispatcher in five has as much traffic as four
-    /// others.
+    /// Returns the number of requests per second at a dispatcher. Every fifth dispatcher has four
+    /// times the traffic of each of the others.
     fn arrival_rate(&self, dispatcher: usize) -> f64 {
         let weight = |number: usize| if number.is_multiple_of(5) { 4.0 } else { 1.0 };
-        let total = self.case.load * f64::from(self.case.workers) * self.slots() as f64 / WORK;
+        let total =
+            self.case.load * f64::from(self.case.workers) * self.slots() as f64 / MEAN_RUN_TIME;
         let weights: f64 = (0..self.case.dispatchers).map(weight).sum();
-        let is_burst = (START..START + BURST).contains(&self.now);
+        let is_burst = (RESTART_AT..RESTART_AT + BURST_DURATION).contains(&self.now);
         let multiple = if is_burst { self.case.burst } else { 1.0 };
         total * multiple * weight(dispatcher) / weights
     }
 
-    /// Draws a subject; the first has as many requests as all others.
+    /// Draws an affinity key. The first one has about as many requests as all others together.
     fn draw_affinity_key(&mut self) -> u64 {
-        let subjects = self.case.subjects;
-        if subjects == 0 {
+        let keys = self.case.affinity_keys;
+        if keys == 0 {
             return 0;
         }
         if self.rng.uniform() < 0.5 {
             1
         } else {
-            1 + self.next % subjects
+            1 + self.next % keys
         }
     }
 
@@ -315,13 +320,13 @@
     }
 
     fn restart_workers(&mut self) {
-        for worker in &mut self.workers[..usize::from(self.case.cold)] {
+        for worker in &mut self.workers[..usize::from(self.case.restarted)] {
             worker.started = self.now;
             worker.queue = VecDeque::new();
             worker.sends.clear();
         }
         (0..self.dispatchers.len()).for_each(|number| self.list(number, ListKind::Full));
-        if self.case.greedy {
+        if self.case.exceeds_budget {
             let sends = std::iter::repeat_n(self.now, self.case.dispatchers);
             self.workers[0].sends.extend(sends);
         }
@@ -334,7 +339,8 @@
         self.list(number, ListKind::Cached);
     }
 
-    /// Runs the simulation and returns the window with the most attempts relative to the limit.
+    /// Runs the simulation. Returns, for the window with the most attempts relative to the limit,
+    /// the ratio, the number of attempts and the limit.
     fn run_to_end(mut self) -> (f64, usize, f64) {
         while let Some(Reverse((at, number))) = self.heap.pop() {
             self.now = at as f64 / 1e6;
@@ -345,26 +351,26 @@
             self.apply(event);
         }
         let mut worst = (0.0, 0, 0.0);
-        for w in 0..usize::from(self.case.cold) {
+        for w in 0..usize::from(self.case.restarted) {
             for (i, at) in self.workers[w].sends.iter().enumerate() {
                 self.now = *at;
-                // Nothing limits the attempts at a warm worker that rejects nearly all of them at
-                // once.
-                if self.case.at_once && self.capacity_share(w) >= 1.0 {
+                // Attempts at a worker that has warmed up are not limited, and there are many if it
+                // rejects most of them immediately.
+                if self.case.fails_fast && self.capacity_share(w) >= 1.0 {
                     continue;
                 }
                 let budget =
-                    self.set.overload_multiple * self.capacity_share(w) * self.slots() as f64
-                        / WORK
-                        * self.set.overload_window;
-                let most = budget + tolerance(budget);
-                let from = at - self.set.overload_window;
+                    self.settings.overload_multiple * self.capacity_share(w) * self.slots() as f64
+                        / MEAN_RUN_TIME
+                        * self.settings.overload_window;
+                let limit = budget + tolerance(budget);
+                let since = at - self.settings.overload_window;
                 let sent = self.workers[w].sends[..=i]
                     .iter()
-                    .filter(|s| **s > from)
+                    .filter(|s| **s > since)
                     .count();
-                if sent as f64 / most > worst.0 {
-                    worst = (sent as f64 / most, sent, most);
+                if sent as f64 / limit > worst.0 {
+                    worst = (sent as f64 / limit, sent, limit);
                 }
             }
         }
@@ -372,127 +378,129 @@
     }
 }
 
-/// SimulationEvent is harmless in one dispatcher could overload a worker in thirty: passes that add
-/// up, a minimum for each dispatcher, budgets that restart with the process, and retries that are
-/// not counted.
+/// Guards against limits that are adequate for one dispatcher but not for the sum of many: permits
+/// that add up, a minimum budget per dispatcher, budgets that are reset when a dispatcher restarts,
+/// and retries that are not counted.
 #[test]
 fn slow_start_budget_holds_for_the_sum_of_all_dispatchers() {
     let mut worst = 0.0f64;
     for dispatchers in [2, 20, 30, 300] {
-        for (workers, cold, small) in [(12, 6, false), (40, 24, false), (24, 8, true)] {
+        for (workers, restarted, small_budget) in [(12, 6, false), (40, 24, false), (24, 8, true)] {
             let burst = 1.0;
             for (load, restarts, failing) in [(0.6, 0.7, 0.1), (1.4, 0.5, 0.1)] {
                 let case = Case {
                     dispatchers,
                     workers,
-                    cold,
+                    restarted,
                     load,
                     burst,
                     restarts,
                     failing,
-                    at_once: false,
-                    small,
-                    subjects: 0,
-                    greedy: false,
+                    fails_fast: false,
+                    small_budget,
+                    affinity_keys: 0,
+                    exceeds_budget: false,
                 };
-                let (share, sent, most) =
+                let (share, sent, limit) =
                     Simulation::new(case, 7 + dispatchers as u64).run_to_end();
                 worst = worst.max(share);
-                assert!(
-                    share <= 1.0,
-                    "{case:?}: {sent} sends where {most:.1} may come"
-                );
+                assert!(share <= 1.0, "{case:?}: {sent} attempts, limit {limit:.1}");
             }
         }
     }
-    assert!(worst > 0.3, "cold workers were sent to: {worst}");
+    assert!(
+        worst > 0.3,
+        "workers in slow start received few attempts: {worst}"
+    );
 }
 
-/// The budget holds for few dispatchers and for many, with a burst just when the workers start, and
-/// with workers that reject or fail at once, so that hardly any attempt is in flight at any moment.
+/// The budget holds for few and for many dispatchers, with a burst of traffic at the start of the
+/// workers, and with workers that reject requests or fail immediately, so that hardly any attempts
+/// are in flight at a time.
 #[test]
 fn slow_start_budget_holds_for_few_dispatchers_and_for_many() {
     let mut cases = Vec::new();
     for dispatchers in [2, 5, 20, 40] {
         for (load, burst, failing) in [(1.0, 1.0, 0.9), (0.9, 3.0, 0.1), (0.6, 1.5, 0.5)] {
-            for small in [false, true] {
-                let (workers, cold, restarts) = (12, 6, 0.0);
+            for small_budget in [false, true] {
+                let (workers, restarted, restarts) = (12, 6, 0.0);
                 cases.push(Case {
                     dispatchers,
                     workers,
-                    cold,
+                    restarted,
                     load,
                     burst,
                     restarts,
                     failing,
-                    at_once: true,
-                    small,
-                    subjects: 0,
-                    greedy: false,
+                    fails_fast: true,
+                    small_budget,
+                    affinity_keys: 0,
+                    exceeds_budget: false,
                 });
             }
         }
     }
     for case in cases {
         for seed in 1..=2 {
-            let (share, sent, most) = Simulation::new(case, seed).run_to_end();
+            let (share, sent, limit) = Simulation::new(case, seed).run_to_end();
             assert!(
                 share <= 1.0,
-                "{case:?}, seed {seed}: {sent} sends where {most:.1} may come"
+                "{case:?}, seed {seed}: {sent} attempts, limit {limit:.1}"
             );
         }
     }
 }
 
-/// The budget holds for a worker that half of all requests prefer, at every dispatcher.
+/// The budget holds for a worker that is preferred by at least half of all requests at every
+/// dispatcher.
 #[test]
-fn slow_start_budget_holds_at_a_worker_that_all_subjects_prefer() {
+fn slow_start_budget_holds_at_a_worker_that_many_requests_prefer() {
     let mut worst = 0.0f64;
     for dispatchers in [2, 5, 20, 40] {
-        for subjects in [1, 2, 12] {
+        for affinity_keys in [1, 2, 12] {
             for (load, burst, failing) in [(0.6, 1.0, 0.1), (0.9, 3.0, 0.1)] {
                 let case = Case {
                     dispatchers,
                     workers: 12,
-                    cold: 12,
+                    restarted: 12,
                     load,
                     burst,
                     restarts: 0.3,
                     failing,
-                    at_once: false,
-                    small: false,
-                    subjects,
-                    greedy: false,
+                    fails_fast: false,
+                    small_budget: false,
+                    affinity_keys,
+                    exceeds_budget: false,
                 };
-                let (share, sent, most) = Simulation::new(case, 3 + subjects).run_to_end();
+                let (share, sent, limit) = Simulation::new(case, 3 + affinity_keys).run_to_end();
                 worst = worst.max(share);
-                assert!(
-                    share <= 1.0,
-                    "{case:?}: {sent} sends where {most:.1} may come"
-                );
+                assert!(share <= 1.0, "{case:?}: {sent} attempts, limit {limit:.1}");
             }
         }
     }
-    assert!(worst > 0.2, "cold workers were sent to: {worst}");
+    assert!(
+        worst > 0.2,
+        "workers in slow start received few attempts: {worst}"
+    );
 }
 
-/// The check fails if each of thirty dispatchers sends one request at once.
+/// The check fails if each of thirty dispatchers sends one request at the same time.
 #[test]
 fn check_detects_a_worker_in_slow_start_that_receives_too_much() {
-    let (dispatchers, workers, cold, load, small) = (30, 24, 2, 0.9, true);
+    let (dispatchers, workers, restarted, load, small_budget) = (30, 24, 2, 0.9, true);
     let case = Case {
         dispatchers,
         workers,
-        cold,
+        restarted,
         load,
         burst: 1.0,
         restarts: 0.0,
         failing: 0.0,
-        at_once: false,
-        small,
-        subjects: 0,
-        greedy: true,
+        fails_fast: false,
+        small_budget,
+        affinity_keys: 0,
+        exceeds_budget: true,
     };
-    let (share, sent, most) = Simulation::new(case, 7).run_to_end();
-    assert!(share > 1.0, "{sent} sends where {most:.1} may come");
+    let (share, sent, limit) = Simulation::new(case, 7).run_to_end();
+    assert!(share > 1.0, "{sent} attempts, limit {limit:.1}");
 }
--- a/tests/support/dispatcher_harness.rs
+++ b/tests/support/dispatcher_harness.rs
@@ -1,4 +1,4 @@
-//! A harness around a dispatcher, with settings, worker entries and queries of its actions.
+//! A test harness for a dispatcher, with settings, worker entries and helpers to inspect actions.
 #![allow(dead_code)]
 
 use postproxy::{
@@ -6,8 +6,8 @@
     RequestId, Settings, WorkerId,
 };
 
-/// Returns settings after `change` of their JSON. They have three classes: 0 is idempotent, 1 is
-/// idempotent by key within a cell, 2 is not idempotent.
+/// Returns default settings, whose JSON is modified by `change`. There are three classes: 0 is
+/// idempotent, 1 is idempotent by key within a cell, and 2 is not idempotent.
 pub fn settings(change: impl FnOnce(&mut serde_json::Value)) -> Settings {
     let mut json = serde_json::json!({
         "balancers": 4, "zone": 0, "discovery": "pushed", "tick": 0.004, "counted-by": "request",
@@ -23,7 +23,7 @@
         "extra": {"class-stretch": [1.5, 2.0, 2.0], "report-x0": "free slots", "progress": 1.0, "tells-start": false},
     });
     change(&mut json);
-    Settings::from_json(&json.to_string()).expect("settings of the tests are sound")
+    Settings::from_json(&json.to_string()).expect("valid settings")
 }
 
 /// Returns the id of worker `n`.
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the entry of worker `n`, which is ready and in a cell of four.
+/// Returns the entry of worker `n`, which is ready and in a cell with four workers.
 pub fn entry(n: u16) -> Entry {
     Entry {
         worker: worker_id(n),
@@ -44,16 +44,16 @@
     }
 }
 
-/// A dispatcher under test and the current time.
+/// A dispatcher and the current time.
 pub struct DispatcherHarness {
     pub dispatcher: Dispatcher,
     pub now: f64,
 }
 
 impl DispatcherHarness {
-    /// Returns a dispatcher that has received a list of `workers` workers.
+    /// Returns a harness whose dispatcher has received a list of `workers` workers.
     pub fn new(settings: Settings, workers: u16) -> Self {
-        let dispatcher = Dispatcher::new(settings, 7).expect("settings of the tests are sound");
+        let dispatcher = Dispatcher::new(settings, 7).expect("valid settings");
         let mut harness = Self {
             dispatcher,
             now: 100.0,
