--- a/src/decision/attempts.rs
+++ b/src/decision/attempts.rs
@@ -122,7 +122,8 @@
         self.schedule_review(silence_limit, id);
     }
 
-    /// Records that a report of free capacity was wrong, because the job sent on its account hangs.
+    /// Records that a report of free capacity was wrong, because the job that was sent owing to it
+    /// hangs.
     fn record_refuted_report(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/tests/decisions/scenario.rs
+++ b/tests/decisions/scenario.rs
@@ -41,7 +41,7 @@
     pub max_queue: usize,
     /// Number of requests.
     pub requests: u64,
-    /// Requests per second; multiplied by 0.7 outside of bursts and by `burst` in bursts.
+    /// Mean requests per second, multiplied by 0.7 outside of bursts and by `burst` in bursts.
     pub rate: f64,
     /// Multiple of `rate` in bursts.
     pub burst: f64,
