--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,29 +1,29 @@
-//! Reads settings from the JSON text that a dispatcher gets at its start.
+//! Reads settings from JSON text.
 
 use super::configuration::{Class, DedupScope, Effect, ReportField, ReportSource, Settings};
 use super::settings_error::SettingsError;
 use super::settings_file::{ClassSection, ExtraSection, ReportSection, SettingsFile};
 use super::settings_validation::check_objects;
 
-/// The words that a key may have, and the value that each stands for.
-type Words<T, const N: usize> = [(&'static str, T); N];
+/// The keywords that are allowed as the value of a key, and their meanings.
+type Keywords<T, const N: usize> = [(&'static str, T); N];
 
-const EFFECTS: Words<Effect, 3> = [
+const EFFECTS: Keywords<Effect, 3> = [
     ("pure", Effect::Idempotent),
     ("token", Effect::IdempotentByKey),
     ("side_effect", Effect::NotIdempotent),
 ];
-const DEDUP_SCOPES: Words<DedupScope, 3> = [
+const DEDUP_SCOPES: Keywords<DedupScope, 3> = [
     ("all", DedupScope::All),
     ("zone", DedupScope::Zone),
     ("cell", DedupScope::Cell),
 ];
-const REPORT_SOURCES: Words<ReportSource, 3> = [
+const REPORT_SOURCES: Keywords<ReportSource, 3> = [
     ("answers", ReportSource::Answers),
     ("probe", ReportSource::Probes),
     ("none", ReportSource::None),
 ];
-const REPORT_FIELDS: Words<ReportField, 8> = [
+const REPORT_FIELDS: Keywords<ReportField, 8> = [
     ("backlog", ReportField::Queue),
     ("outstanding", ReportField::InFlight),
     ("recent_ms", ReportField::ServiceMs),
@@ -34,27 +34,27 @@
     ("errors_per_s", ReportField::Other),
 ];
 
-/// Returns the value that a word stands for. For the error, `path` is the key and `want` lists the
-/// words.
-fn parse_word<T: Copy, const N: usize>(
-    words: Words<T, N>,
+/// Returns the meaning of a keyword. `path`, the key, and `want`, the list of allowed keywords, are
+/// used in the error.
+fn parse_keyword<T: Copy, const N: usize>(
+    keywords: Keywords<T, N>,
     found: &str,
     path: impl FnOnce() -> String,
     want: &'static str,
 ) -> Result<T, SettingsError> {
-    let meaning = words
+    let meaning = keywords
         .iter()
-        .find(|(word, _)| *word == found)
+        .find(|(keyword, _)| *keyword == found)
         .map(|(_, meaning)| *meaning);
-    meaning.ok_or_else(|| SettingsError::Word {
+    meaning.ok_or_else(|| SettingsError::UnknownKeyword {
         path: path(),
         found: found.into(),
         want,
     })
 }
 
-/// Returns the figures of a load report. The settings describe `x0` and `x1` in words; descriptions
-/// other than the two that are known are skipped.
+/// Returns the fields of a load report. The settings describe `x0` and `x1` in free text; a field
+/// whose description contains neither of the two known phrases is not used.
 fn report_fields(
     report: &ReportSection,
     extra: &ExtraSection,
@@ -68,7 +68,10 @@
         let path = || format!("report.fields[{position}]");
         let want = "backlog, outstanding, utilization, recent_ms, throughput, errors_per_s, x0, x1";
         Ok(
-            match (name.as_str(), parse_word(REPORT_FIELDS, name, path, want)?) {
+            match (
+                name.as_str(),
+                parse_keyword(REPORT_FIELDS, name, path, want)?,
+            ) {
                 ("x0", field) => meaning(&extra.report_x0, field),
                 ("x1", field) => meaning(&extra.report_x1, field),
                 (_, field) => field,
@@ -78,7 +81,7 @@
     report.fields.iter().enumerate().map(field).collect()
 }
 
-/// Returns the class of this number.
+/// Returns the class with this index.
 fn class(
     number: usize,
     section: &ClassSection,
@@ -90,13 +93,13 @@
         .or_else(|| extra.class_stretch.get(number).copied());
     Ok(Class {
         name: section.name.clone(),
-        effect: parse_word(
+        effect: parse_keyword(
             EFFECTS,
             &section.effect,
             || path("effect"),
             "pure, token, side_effect",
         )?,
-        dedup_scope: parse_word(
+        dedup_scope: parse_keyword(
             DEDUP_SCOPES,
             &section.dedup_scope,
             || path("dedup-scope"),
@@ -127,11 +130,11 @@
         .collect()
 }
 
-/// Returns where load reports come from; without a word, there are none.
+/// Returns the source of load reports. If the key is missing or empty, there are none.
 fn report_source(report: &ReportSection) -> Result<ReportSource, SettingsError> {
     match report.via.as_str() {
         "" => Ok(ReportSource::None),
-        via => parse_word(
+        via => parse_keyword(
             REPORT_SOURCES,
             via,
             || "report.via".into(),
@@ -145,8 +148,8 @@
     ///
     /// # Errors
     ///
-    /// If the text is not JSON, a known key has a value of another type, or a figure is out of
-    /// range.
+    /// Returns an error if the text is not valid JSON, a known key has a value of the wrong type or
+    /// an unknown keyword, or a value is out of range.
     pub fn from_json(text: &str) -> Result<Self, SettingsError> {
         let at_root = |error| {
             let path = serde_path_to_error::Track::new().path();
@@ -160,8 +163,7 @@
         Ok(settings)
     }
 
-    /// Returns the settings that a file states. A field a line, so it is longer than most
-    /// functions.
+    /// Converts the sections of the settings file.
     fn from_file(file: SettingsFile) -> Result<Self, SettingsError> {
         Ok(Self {
             report_fields: report_fields(&file.report, &file.extra)?,
@@ -175,7 +177,7 @@
             probes_allowed: file.limits.may_probe,
             cancel_allowed: file.limits.cancel,
             hedging_allowed: file.limits.second_copies,
-            max_retry_after: file.limits.longest_retry_after(),
+            max_retry_after: file.limits.effective_max_retry_after(),
             max_attempts: file.limits.max_attempts,
             dial_timeout: file.limits.dial_timeout,
             weight_by_work: file.counted_by == "work",
@@ -187,13 +189,13 @@
             reports_start: file.extra.tells_start,
             progress_interval: file.extra.progress,
             clients_mark_retries: file.client_habits.marks_retry,
-            sizes_compare: file.weight_source != "none",
+            sizes_are_comparable: file.weight_source != "none",
             initial_capacity_share: file.rules.cold_from,
             warm_up_time: file.rules.cold,
             overload_multiple: file.rules.fall_multiple,
             overload_window: file.rules.tip_after,
             retry_budget: file.rules.retry_budget()?,
-            full_may_have_run: file.rules.may_shed_begun.unwrap_or(false),
+            rejected_may_have_run: file.rules.may_shed_begun.unwrap_or(false),
             zone_names: file.dcs,
             kind_names: file.machine_types,
             tenant_names: file.orgs.into_iter().map(|tenant| tenant.name).collect(),
--- a/src/decision/settings_error.rs
+++ b/src/decision/settings_error.rs
@@ -1,27 +1,29 @@
-//! Settings that no dispatcher can work with.
+//! Errors in the settings of a dispatcher.
 
 use std::fmt;
 
-/// Settings that no dispatcher can work with.
+/// An error in the settings of a dispatcher.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// The text is not JSON, or a key has a value of the wrong type; with the key's path.
+    /// The text is not valid JSON, or the value of a key has the wrong type. Includes the key's
+    /// path.
     Json(serde_path_to_error::Error<serde_json::Error>),
-    /// A key has a word that says nothing here; what it would stand for must not be guessed.
-    Word {
+    /// The value of a key is not one of the allowed keywords. There is no default for it, since its
+    /// meaning must not be guessed.
+    UnknownKeyword {
         /// The key's path.
         path: String,
-        /// The word.
+        /// The value.
         found: String,
-        /// The words that there are.
+        /// The allowed keywords.
         want: &'static str,
     },
-    /// A key has a value outside of its range.
+    /// The value of a key is out of range.
     Range {
         /// The key.
         key: &'static str,
-        /// What it must be.
+        /// A description of valid values.
         want: &'static str,
     },
 }
@@ -33,8 +35,8 @@
                 "." => write!(f, "settings: {}", error.inner()),
                 path => write!(f, "settings.{path}: {}", error.inner()),
             },
-            Self::Word { path, found, want } => {
-                write!(f, "settings.{path} must be one of {want}, and is {found:?}")
+            Self::UnknownKeyword { path, found, want } => {
+                write!(f, "settings.{path} must be one of {want}, but is {found:?}")
             }
             Self::Range { key, want } => write!(f, "settings.{key} must be {want}"),
         }
@@ -45,12 +47,12 @@
 
 postproxy_diagnostics::diagnostics! { SettingsError, REMEDIES:
     SettingsError::Json(_) => "settings.malformed",
-        "correct the value at the key that is named, and start the node or signal it to reload \
-         again";
-    SettingsError::Word { .. } => "settings.word",
-        "give the key that is named one of the words that are listed, and start the node or signal \
-         it to reload again";
+        "correct the value of the named key, then start the node or signal it to reload its \
+         settings";
+    SettingsError::UnknownKeyword { .. } => "settings.word",
+        "set the named key to one of the listed values, then start the node or signal it to reload \
+         its settings";
     SettingsError::Range { .. } => "settings.range",
-        "give the key that is named a value as it must be, and start the node or signal it to \
-         reload again";
+        "set the named key to a valid value, then start the node or signal it to reload its \
+         settings";
 }
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -71,8 +71,8 @@
         probed: vec![5],
         probes_until: 101.0,
         probe_rounds: 301,
-        slow_start_pass: Some(6),
-        pass_drawn_for: 7,
+        slow_start_permit: Some(6),
+        permit_drawn_for: 7,
         review_at: 102.0,
         streaming: true,
         ..Request::default()
@@ -129,7 +129,7 @@
 fn subject_and_keyless_flag_are_not_encoded() {
     let bytes = postcard::to_stdvec(&request()).expect("an encoded request");
     let marked = Request {
-        subject: Some(9),
+        affinity_key: Some(9),
         without_key: true,
         ..request()
     };
