--- a/crates/replicated-log/src/admission.rs
+++ b/crates/replicated-log/src/admission.rs
@@ -1,43 +1,45 @@
-//! Admission of a process as a voter. A voter that comes back with an empty or an older store has
-//! lost promises that it made, and must not vote under its number any more.
+//! Admission of a process as a voter. A voter that restarts with an empty or an older store has
+//! lost promises that it made, and must no longer vote under its number.
 //!
 //! Each start of a voter has a number, which is stored before it is announced. The other voters
-//! store the highest start that they know of each voter before they confirm it. A voter that
-//! announces a start that is known already, of another process, has an older store. A voter with
-//! nothing stored asks all others for its latest start: if anybody knows of one, it has lost its
-//! store; if nobody does, it has never voted.
+//! store the latest start that they know of each voter before they confirm it. If a voter announces
+//! a start that the others already know of another process, its store is an older one. A voter with
+//! nothing stored asks all others for its latest start: if any of them knows of one, the voter has
+//! lost its store; if none does, it has never voted.
 //!
-//! A process is admitted once all others have confirmed its start, or once a majority with itself
-//! has and the rest stay silent for [`GRACE_TICKS`]. Waiting for all without a limit would leave
-//! three voters without a majority after one has died for good and another has been restarted.
+//! A process is admitted once all others have confirmed its start, or once it and those that have
+//! confirmed it are a majority and the others have been silent for [`GRACE_TICKS`]. Waiting for all
+//! without a limit would leave three voters without a majority after one of them has failed
+//! permanently and another has been restarted.
 //!
-//! An older store of the same start is detected by a voter that, since its own start, has received
-//! a message of a later term or a confirmation of more entries; that is not stored. So an older
-//! store goes unnoticed only if all voters that have confirmed its latest start are away, or have
-//! lost their stores, for the whole grace period; or, with the same start, if they have been
-//! restarted.
+//! A store can also be an older one of the same start. This is detected by a voter that has, since
+//! its own start, received a message with a later term or an acknowledgement of a higher index from
+//! the restarted one; it keeps these in memory only. An older store therefore goes undetected only
+//! if all voters that have confirmed the latest start are unreachable for the whole grace period or
+//! have lost their stores, or, for an older store of the same start, have been restarted.
 
 use crate::durability_gate::DurabilityGate;
 use crate::storage::{LogEnd, StorageChange};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of ticks after the first announcement for which silent voters are waited for.
+/// Number of ticks after the first announcement during which an admission waits for voters that
+/// have not confirmed the start.
 pub const GRACE_TICKS: u64 = 50;
 
 /// Key of the number of this voter's latest start.
 const START_KEY: &[u8] = b"s/start";
 
-/// Prefix of the keys of other voters' latest starts; the number of the voter follows, with the
-/// most significant byte first.
+/// Prefix of the keys of other voters' latest starts; the number of the voter follows as eight
+/// bytes in big-endian order.
 const KNOWN_START_KEY_PREFIX: &[u8] = b"s/known/";
 
-/// A message between voters on their admission.
+/// A message between voters about their admission.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AdmissionMessage {
-    /// A voter with nothing stored asks for the latest start known of it.
+    /// The sender has nothing stored, and asks for its latest start known to the receiver.
     QueryLatestStart,
-    /// The latest start known of the receiver, 0 if none is.
+    /// The latest start of the receiver known to the sender; 0 if it knows of none.
     LatestStart(u64),
     /// The sender has started.
     StartAnnounced {
@@ -45,31 +47,31 @@
         start: u64,
         /// The incarnation of the sender's process.
         incarnation: u64,
-        /// How far the sender's log has got.
+        /// The end of the sender's log.
         log_end: LogEnd,
     },
-    /// The receiver's start of this number has been stored.
+    /// The sender has stored the receiver's start with this number.
     StartConfirmed(u64),
-    /// The receiver's start of this number, or a later one, was known before, or the receiver has
-    /// made promises that its log does not contain.
+    /// The receiver's store is an older one: the sender already knows this start of another
+    /// process, or a later start, or the receiver has made promises that its log does not contain.
     StartOutdated(u64),
-    /// The receiver's start is not known to the sender: it is to be announced again.
+    /// The sender does not know the receiver's start; the receiver has to announce it again.
     AnnounceAgain,
 }
 
 /// Whether a process may vote.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AdmissionVerdict {
-    /// Not known yet.
+    /// The admission has not been decided yet.
     Pending,
     /// It may vote.
     Admitted,
-    /// It has lost its promises: it must not vote under this number, and can only be added as a new
-    /// voter.
+    /// It has lost promises that it made: it must not vote under this number, and can only be added
+    /// as a new voter.
     PromisesLost,
 }
 
-/// What the caller is to do.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionEffect {
     /// Send a message.
@@ -79,7 +81,7 @@
         /// The message.
         message: AdmissionMessage,
     },
-    /// Write these changes; report them by [`Admission::record_durable`].
+    /// Write these changes, and call [`Admission::record_durable`] once they are durable.
     Write {
         /// The number of the write.
         number: u64,
@@ -96,8 +98,8 @@
 }
 
 impl KnownStart {
-    /// Stands for a stored value that can't be read. It is later than every start, so that the
-    /// voter counts as having lost its promises, which is the safe side.
+    /// Replaces a stored value that can't be decoded. It is later than every start, so that the
+    /// voter is treated as having lost its promises, which is safe.
     const UNREADABLE: Self = Self {
         start: u64::MAX,
         incarnation: 0,
@@ -115,51 +117,52 @@
     bytes.try_into().map(u64::from_be_bytes).ok()
 }
 
-/// This voter's start before it is durable.
+/// The number of this voter's start while it is not durable yet.
 #[derive(Debug)]
 struct PendingStart {
     start: u64,
-    /// The number of its write, once it has begun.
+    /// The number of the write, once the write has begun.
     write: Option<u64>,
 }
 
-/// An answer to another voter, held back until what it confirms is durable.
+/// A confirmation to another voter, held back until the confirmed start is durable.
 #[derive(Debug)]
-struct Answer {
+struct Confirmation {
     to: u64,
     message: AdmissionMessage,
 }
 
-/// The admission of one voter, from the start of its process on.
+/// The admission of one voter, and its part in the admission of the others.
 #[derive(Debug)]
 pub struct Admission {
     id: u64,
-    /// Tells this process from earlier ones of the same voter.
+    /// Distinguishes this process from earlier processes of the same voter.
     incarnation: u64,
     voters: Vec<u64>,
-    /// How far its log had got when it started.
+    /// The end of the log when the process started.
     log_end: LogEnd,
-    /// The latest term and the highest index that each voter has promised, in its known
-    /// incarnation.
+    /// The latest term and the highest index that each other voter has promised since its latest
+    /// known start.
     promised: BTreeMap<u64, LogEnd>,
-    /// The number of its start, once it is durable.
+    /// The number of this start, once it is durable.
     start: Option<u64>,
     pending_start: Option<PendingStart>,
-    /// The latest start of each other voter.
+    /// The latest known start of each other voter.
     known_starts: BTreeMap<u64, KnownStart>,
-    /// Voters that know of no start of this one.
-    unaware: BTreeSet<u64>,
-    /// Voters that have confirmed this one's start.
+    /// Voters that have answered that they know of no start of this one.
+    reported_no_start: BTreeSet<u64>,
+    /// Voters that have confirmed the start of this one.
     confirmed: BTreeSet<u64>,
-    /// Ticks since its start was announced first.
+    /// Number of ticks since the start was first announced.
     ticks_since_start: u64,
     verdict: AdmissionVerdict,
-    answers: DurabilityGate<Answer>,
+    confirmations: DurabilityGate<Confirmation>,
 }
 
 impl Admission {
-    /// Creates the admission of the voter `id` of these voters, from its stored keys (those that
-    /// begin with `s/`) and values. `log_end` is what [`crate::stored_log_end`] returns.
+    /// Creates the admission of the voter `id`, which is one of `voters`, from its stored keys
+    /// (those that begin with `s/`) and values. `log_end` is what [`crate::stored_log_end`]
+    /// returns.
     pub fn new(
         id: u64,
         incarnation: u64,
@@ -192,11 +195,11 @@
                 write: None,
             }),
             known_starts,
-            unaware: BTreeSet::new(),
+            reported_no_start: BTreeSet::new(),
             confirmed: BTreeSet::new(),
             ticks_since_start: 0,
             verdict: AdmissionVerdict::Pending,
-            answers: DurabilityGate::default(),
+            confirmations: DurabilityGate::default(),
         }
     }
 
@@ -208,26 +211,29 @@
     /// Replaces the voters after a membership change.
     pub fn set_voters(&mut self, voters: &[u64]) {
         self.voters = voters.to_vec();
-        self.unaware.retain(|voter| voters.contains(voter));
+        self.reported_no_start
+            .retain(|voter| voters.contains(voter));
         self.confirmed.retain(|voter| voters.contains(voter));
     }
 
-    /// Returns whether the start of this incarnation of a voter is known. Only then its messages of
-    /// the log may be handled.
+    /// Returns whether the latest known start of a voter is of this incarnation. Only then may its
+    /// log messages be handled.
     pub fn knows(&self, voter: u64, incarnation: u64) -> bool {
         self.known_starts
             .get(&voter)
             .is_some_and(|known| known.incarnation == incarnation)
     }
 
-    /// Records that a voter has promised a term and to have stored all entries up to an index.
+    /// Records that a voter has promised that it has reached `term` and has stored all entries up
+    /// to `index`.
     pub fn record_promise(&mut self, voter: u64, term: u64, index: u64) {
         let promised = self.promised.entry(voter).or_default();
         promised.term = promised.term.max(term);
         promised.index = promised.index.max(index);
     }
 
-    /// Returns whether a voter is known to have promised more than its log contains.
+    /// Returns whether a voter is known to have promised a later term or a higher index than that
+    /// of its log.
     fn has_promised_beyond(&self, voter: u64, log_end: LogEnd) -> bool {
         self.promised
             .get(&voter)
@@ -243,7 +249,7 @@
 
     /// Writes numbers under a key and returns the number of the write.
     fn write(&mut self, key: Vec<u8>, numbers: &[u64], out: &mut Vec<AdmissionEffect>) -> u64 {
-        let number = self.answers.begin_write();
+        let number = self.confirmations.begin_write();
         let value = numbers
             .iter()
             .flat_map(|number| number.to_be_bytes())
@@ -256,8 +262,8 @@
         number
     }
 
-    /// Admits the process if all others have confirmed its start, or enough have and the others
-    /// stay silent.
+    /// Admits the process if all others have confirmed its start, or if a majority has (counting
+    /// the process itself) and the grace period is over.
     fn update_verdict(&mut self) {
         let confirmed_with_self = self.confirmed.len() + 1;
         let by_all = confirmed_with_self == self.voters.len();
@@ -268,8 +274,8 @@
         }
     }
 
-    /// Counts a tick: queries or announces again until all others have confirmed the start, or the
-    /// promises are known to be lost.
+    /// Advances the time by one tick. Repeats the query or the announcement until all others have
+    /// confirmed the start, or the promises are known to be lost.
     pub fn tick(&mut self, out: &mut Vec<AdmissionEffect>) {
         if self.verdict == AdmissionVerdict::PromisesLost {
             return;
@@ -299,7 +305,7 @@
 
     /// Records that all writes up to this number are durable.
     pub fn record_durable(&mut self, number: u64, out: &mut Vec<AdmissionEffect>) {
-        self.answers.record_durable(number);
+        self.confirmations.record_durable(number);
         let durable = self
             .pending_start
             .take_if(|pending| pending.write.is_some_and(|write| write <= number));
@@ -307,17 +313,17 @@
             self.start = Some(pending.start);
             self.tick(out);
         }
-        self.send_answers(out);
+        self.send_confirmations(out);
     }
 
-    /// Sends the answers whose writes are durable.
-    fn send_answers(&mut self, out: &mut Vec<AdmissionEffect>) {
-        while let Some(Answer { to, message }) = self.answers.pop_released() {
+    /// Sends the confirmations whose writes are durable.
+    fn send_confirmations(&mut self, out: &mut Vec<AdmissionEffect>) {
+        while let Some(Confirmation { to, message }) = self.confirmations.pop_released() {
             out.push(AdmissionEffect::Send { to, message });
         }
     }
 
-    /// Handles a message of another voter.
+    /// Handles a message from another voter.
     pub fn receive(
         &mut self,
         from: u64,
@@ -351,12 +357,12 @@
                 }
             }
             AdmissionMessage::StartOutdated(start) => {
-                // Also after the admission: late is better than never.
+                // Also applies after the admission, so that the process stops voting.
                 if self.start == Some(start) {
                     self.verdict = AdmissionVerdict::PromisesLost;
                 }
             }
-            // The sender may have an older store than when it confirmed the start.
+            // The sender may have lost what it stored before it confirmed the start.
             AdmissionMessage::AnnounceAgain => {
                 self.confirmed.remove(&from);
             }
@@ -380,12 +386,12 @@
             self.write(key, &[start, incarnation], out);
             self.hold_confirmation(from, start);
         } else if !is_newer && announced == known {
-            // Announced again: the answer was lost, or its write is in progress.
+            // Announced again: the confirmation was lost, or the start is still being written.
             self.hold_confirmation(from, start);
-            self.send_answers(out);
+            self.send_confirmations(out);
         } else {
-            // The store is an older one: of an earlier start, or of the same start with less than
-            // the voter has promised.
+            // The voter's store is an older one: it is of an earlier start, or its log ends before
+            // what the voter has promised.
             out.push(AdmissionEffect::Send {
                 to: from,
                 message: AdmissionMessage::StartOutdated(start),
@@ -394,7 +400,7 @@
     }
 
     fn hold_confirmation(&mut self, to: u64, start: u64) {
-        self.answers.hold(Answer {
+        self.confirmations.hold(Confirmation {
             to,
             message: AdmissionMessage::StartConfirmed(start),
         });
@@ -410,8 +416,8 @@
             self.verdict = AdmissionVerdict::PromisesLost;
             return;
         }
-        self.unaware.insert(from);
-        if self.unaware.len() + 1 == self.voters.len() {
+        self.reported_no_start.insert(from);
+        if self.reported_no_start.len() + 1 == self.voters.len() {
             self.pending_start = Some(PendingStart {
                 start: 1,
                 write: None,
--- a/crates/replicated-log/src/durability_gate.rs
+++ b/crates/replicated-log/src/durability_gate.rs
@@ -1,13 +1,13 @@
-//! Holds back messages until the writes before them are durable.
+//! Holds messages back until the writes before them are durable.
 
 use std::collections::VecDeque;
 
-/// Numbers writes, and holds items back until all writes that were begun before them are durable.
+/// Numbers writes, and holds items back until all writes that began before them are durable.
 #[derive(Debug)]
 pub struct DurabilityGate<T> {
     last_write: u64,
     last_durable: u64,
-    /// Each with the number of the write that it waits for.
+    /// The items held back, each with the number of the write that it waits for.
     pending: VecDeque<(u64, T)>,
 }
 
@@ -22,13 +22,13 @@
 }
 
 impl<T> DurabilityGate<T> {
-    /// Begins another write and returns its number, from 1 on.
+    /// Begins a write and returns its number; the first one is 1.
     pub fn begin_write(&mut self) -> u64 {
         self.last_write += 1;
         self.last_write
     }
 
-    /// Holds an item back until all writes begun so far are durable.
+    /// Holds an item back until all writes that have begun so far are durable.
     pub fn hold(&mut self, item: T) {
         self.pending.push_back((self.last_write, item));
     }
@@ -38,7 +38,7 @@
         self.last_durable = self.last_durable.max(number);
     }
 
-    /// Returns the next item whose writes are durable.
+    /// Removes and returns the oldest held-back item, if its writes are durable.
     pub fn pop_released(&mut self) -> Option<T> {
         self.pending
             .pop_front_if(|(write, _)| *write <= self.last_durable)
--- a/crates/replicated-log/src/lib.rs
+++ b/crates/replicated-log/src/lib.rs
@@ -1,11 +1,11 @@
 //! A replicated log: all voters agree on one order of entries and apply them to the same state
-//! machine. Consensus is that of the `raft` library; this crate wraps it so that no message that
-//! makes a promise is sent, and no entry counts as committed, before the writes that it rests on
-//! are durable.
+//! machine. The `raft` library provides the consensus algorithm. This crate wraps it so that a
+//! message that makes a promise is sent, and an entry counts as committed, only after the writes
+//! that it depends on are durable.
 //!
-//! [`Voter`] has no socket, disk or clock. It receives messages, ticks and the numbers of durable
-//! writes, and returns what to send, what to write and what has been committed. The design note is
-//! `docs/design/duties.md`.
+//! [`Voter`] does no I/O and has no clock. It receives messages, ticks and the numbers of durable
+//! writes, and returns what to send, what to write and what has been committed. The design is
+//! described in `docs/design/duties.md`.
 
 pub mod admission;
 mod durability_gate;
@@ -23,8 +23,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Debug;
 
-/// A deterministic state machine: the same entries in the same order lead to the same state at
-/// every voter.
+/// A deterministic state machine: applying the same entries in the same order leads to the same
+/// state at every voter.
 pub trait StateMachine:
     Clone + Debug + Default + PartialEq + Serialize + for<'a> Deserialize<'a>
 {
--- a/crates/replicated-log/src/message.rs
+++ b/crates/replicated-log/src/message.rs
@@ -1,12 +1,12 @@
-//! Checks on the messages between voters, which are those of the `raft` library.
+//! Checks of the messages between voters, which are messages of the `raft` library.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 
-/// What a message of the log promises for its sender.
+/// What a message of the log promises on behalf of its sender.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MessagePromise {
-    /// The number of the voter that promises; 0 if the message promises nothing for its sender.
+    /// The number of the voter that makes the promise; 0 if the message contains no promise.
     pub voter: u64,
     /// The term that the sender has reached; 0 if the message contains none.
     pub term: u64,
@@ -14,8 +14,9 @@
     pub index: u64,
 }
 
-/// Returns what an encoded message promises for its sender. A message that can't be read promises
-/// nothing, and neither does a proposal, which other voters forward.
+/// Returns what an encoded message promises on behalf of its sender. A message that can't be
+/// decoded promises nothing. Neither does a proposal, since another voter than the one that it
+/// names may have forwarded it.
 pub fn message_promise(bytes: &[u8]) -> MessagePromise {
     let Ok(message) = Message::parse_from_bytes(bytes) else {
         return MessagePromise::default();
@@ -27,7 +28,7 @@
     };
     match message.get_msg_type() {
         MessageType::MsgPropose => return MessagePromise::default(),
-        // Their term is one that the sender may reach later.
+        // They contain the term of a possible election, which the sender has not reached.
         MessageType::MsgRequestPreVote | MessageType::MsgRequestPreVoteResponse => promise.term = 0,
         MessageType::MsgAppendResponse if !message.reject => promise.index = message.index,
         _ => {}
@@ -35,8 +36,8 @@
     promise
 }
 
-/// Returns whether a voter could have sent this message. The library ends the process at some
-/// messages that no voter sends.
+/// Returns whether a voter could have sent this message. The library panics on some messages that
+/// no voter sends.
 pub fn is_valid(message: &Message) -> bool {
     let entries = message.get_entries();
     match message.get_msg_type() {
--- a/crates/replicated-log/src/proposal.rs
+++ b/crates/replicated-log/src/proposal.rs
@@ -1,45 +1,46 @@
-//! Proposals of a voter: entries of the log, and changes of the voters.
+//! Proposals to the leader: entries of the log, and changes of the voters.
 
 use crate::StateMachine;
 use crate::voter::{MAX_PENDING_READIES, MAX_VOTERS, MIN_VOTERS, Output, Voter};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
-/// Maximum size of an entry, in bytes. It keeps one entry well below the limit of a message between
-/// nodes.
+/// Maximum size of an entry, in bytes. Keeps a message with one entry well below the size limit of
+/// messages between nodes.
 pub const MAX_ENTRY_BYTES: usize = 256 << 10;
 
-/// Why a proposal is rejected without an attempt.
+/// Why a proposal was rejected. The entry or change has not been appended to the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ProposalRejected {
     /// The entry is longer than [`MAX_ENTRY_BYTES`].
-    #[error("it is too long")]
+    #[error("the entry is longer than {MAX_ENTRY_BYTES} bytes")]
     TooLong,
-    /// Too much waits for the disk or to be committed.
-    #[error("too much waits for the disk or to be decided")]
+    /// Too much waits for the disk or for its commit, or leadership is being transferred.
+    #[error("too many entries are waiting to be stored or committed")]
     Busy,
     /// This voter knows of no leader.
-    #[error("no voter leads")]
+    #[error("no leader is known")]
     NoLeader,
-    /// The voter of this number leads and is to be asked.
-    #[error("voter {0} leads")]
+    /// The voter with this number is the leader; the change has to be proposed there.
+    #[error("voter {0} is the leader")]
     NotLeader(u64),
-    /// Another membership change is in progress.
-    #[error("another change of the voters is not decided yet")]
+    /// Another membership change is in progress, or leadership is being transferred so that this
+    /// voter can be removed.
+    #[error("another change of the voters is in progress")]
     ChangePending,
-    /// The number of voters would be outside two to seven.
-    #[error("two to seven nodes vote")]
+    /// The number of voters would fall below two or exceed seven.
+    #[error("there must be {MIN_VOTERS} to {MAX_VOTERS} voters")]
     VoterCount,
-    /// The library has found its log inconsistent; this process votes no more.
-    #[error("the log of this process is at its end")]
+    /// This process has stopped voting, for the reason that [`Voter::failure`] returns.
+    #[error("this process has stopped voting after a failure")]
     VoterFailed,
 }
 
 /// A change of the voters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipChange {
-    /// The node of this name becomes a voter, with a number that no voter ever had.
+    /// Makes the node with this name a voter, with a number that no voter has ever had.
     Add(String),
-    /// The voter of this number votes no more.
+    /// Removes the voter with this number.
     Remove(u64),
 }
 
@@ -50,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// If the proposal is rejected without an attempt.
+    /// [`ProposalRejected`] if the entry has not been proposed.
     pub fn propose(
         &mut self,
         entry: Vec<u8>,
@@ -70,12 +71,13 @@
         }
     }
 
-    /// Proposes a change of the voters, which holds once [`Voter::voters`] shows it. Only the
-    /// leader makes changes, one at a time. A change that holds already succeeds.
+    /// Proposes a change of the voters. It is in effect once [`Voter::voters`] shows it. Only the
+    /// leader accepts changes, one at a time. Succeeds without a proposal if the change is already
+    /// in effect.
     ///
     /// # Errors
     ///
-    /// If the change is rejected without an attempt.
+    /// [`ProposalRejected`] if the change has not been proposed.
     pub fn propose_membership_change(
         &mut self,
         change: &MembershipChange,
@@ -127,7 +129,7 @@
             return Err(ProposalRejected::VoterCount);
         }
         if voter == self.id() {
-            // Another voter has to lead first and removes this one then.
+            // Leadership is transferred first; the next leader can then remove this voter.
             let other = voters
                 .keys()
                 .copied()
--- a/crates/replicated-log/src/ready.rs
+++ b/crates/replicated-log/src/ready.rs
@@ -1,4 +1,4 @@
-//! Carries out what the library has ready after an input: messages, writes, committed entries and
+//! Processes what the library has ready after an input: messages, writes, committed entries and
 //! membership changes.
 
 use crate::StateMachine;
@@ -9,12 +9,12 @@
     ConfChange, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
 };
 
-/// The log is compacted after this many applied entries.
+/// Number of applied entries after which the log is compacted.
 const COMPACTION_INTERVAL_ENTRIES: u64 = 512;
 
-/// What waits until the writes of one ready state of the library are durable.
+/// Messages of one ready state of the library that wait until its writes are durable.
 pub struct PendingReady {
-    /// The number that the library gave the ready state.
+    /// The number that the library has given the ready state.
     number: u64,
     messages: Vec<Message>,
 }
@@ -26,14 +26,14 @@
     immediate_messages: Vec<Message>,
     persisted_messages: Vec<Message>,
     committed_entries: Vec<Entry>,
-    /// Whether a snapshot of the leader's was installed; `None` if there was none.
+    /// Whether the leader's snapshot was installed; `None` if the ready state contains none.
     snapshot_installed: Option<bool>,
 }
 
 impl<S: StateMachine> Voter<S> {
-    /// Carries out all that an input has led to. Messages that make a promise wait until the writes
-    /// before them are durable. A leader's own messages are sent at once: that others store an
-    /// entry makes no promise of the leader's.
+    /// Processes everything that an input has led to. Messages that make a promise wait until the
+    /// writes before them are durable. A leader's messages are sent at once: by asking other voters
+    /// to store an entry, the leader does not promise that it has stored the entry itself.
     pub(crate) fn process_ready(&mut self, out: &mut Vec<Output>) {
         loop {
             self.release_durable(out);
@@ -48,7 +48,7 @@
                     });
                     out.push(Output::VotersChanged);
                 }
-                Some(false) => self.fail("a state of the leader's can't be read".to_owned()),
+                Some(false) => self.fail("a snapshot from the leader can't be decoded".to_owned()),
                 None => {}
             }
             for entry in ready.committed_entries {
@@ -68,12 +68,12 @@
                 messages: ready.persisted_messages,
             });
         }
-        // The initial state of a new log is written without a ready state.
+        // The initial state of a new log is written although the library has no ready state.
         self.write_changes(out);
     }
 
-    /// Sends the messages whose writes are durable, and reports to the library how far the log has
-    /// been stored and applied.
+    /// Sends the messages whose writes are durable, and reports to the library up to where the log
+    /// has been stored and applied.
     fn release_durable(&mut self, out: &mut Vec<Output>) {
         while let Some(ready) = self.gate.pop_released() {
             self.run_guarded(|raft| raft.on_persist_ready(ready.number));
@@ -129,8 +129,9 @@
                 message: message.write_to_bytes().unwrap_or_default(),
             });
             if message.get_msg_type() == MessageType::MsgSnapshot {
-                // The transport does not report the arrival. The next response shows it; without
-                // this report the leader would wait for ever.
+                // The transport does not report whether a snapshot has arrived. Without this report
+                // the leader would send this voter no more entries; the voter's next response shows
+                // whether it has the snapshot.
                 self.run_guarded(|raft| raft.report_snapshot(message.to, SnapshotStatus::Finish));
             }
         }
@@ -187,15 +188,15 @@
             }
             out.push(Output::VotersChanged);
         }
-        // The library's leader goes on after its own removal, and would end the process at its next
-        // write.
+        // The library lets a leader continue after its own removal, and would panic when the next
+        // entries are reported as durable.
         if self.is_leader() && !self.voters().contains_key(&self.id()) {
             self.run_guarded(|raft| raft.raft.become_follower(raft.raft.term, 0));
         }
     }
 
-    /// Returns whether a proposed membership change may still be made when it is committed: others
-    /// may have been made before it.
+    /// Returns whether a membership change is still valid when it is committed: other changes may
+    /// have been committed since it was proposed.
     fn is_still_valid(&self, change: &ConfChange, name: &str) -> bool {
         let snapshot = &self.raft.store().snapshot;
         match change.get_change_type() {
--- a/crates/replicated-log/src/storage.rs
+++ b/crates/replicated-log/src/storage.rs
@@ -1,4 +1,4 @@
-//! The log in memory. Each change is recorded, to be written to the store by the caller.
+//! The in-memory log. It records each change, so that the caller can write it to the store.
 
 use crate::StateMachine;
 use protobuf::Message as _;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change of the store.
+/// A change of one key in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StorageChange {
     /// The key.
@@ -16,27 +16,28 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// The stored log can't be used. Carries the reason.
+/// The voter can't be restored from its stored log. Contains the reason.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the log of the voters: {0}")]
+#[error("the log of this voter can't be restored: {0}")]
 pub struct CorruptLog(pub String);
 
-/// Index and term at which the log of the initial voters begins, with a snapshot. So a voter that
-/// is added later gets a snapshot with the voters, never the log from its first entry without them.
+/// Index and term of the snapshot with which the log of the initial voters begins. Because of it, a
+/// voter that is added later receives a snapshot, which contains all voters; the entries do not
+/// contain the initial ones.
 const INITIAL_INDEX: u64 = 1;
 
-/// Prefix of the keys of entries; the index follows, with the most significant byte first.
+/// Prefix of the keys of entries; the index follows as eight bytes in big-endian order.
 const ENTRY_KEY_PREFIX: &[u8] = b"a/l/";
 
-/// Key of the library's hard state: the term, the vote, and the committed index.
+/// Key of the library's hard state: the term, the vote and the committed index.
 const HARD_STATE_KEY: &[u8] = b"a/hard";
 
-/// Key of the snapshot and of the index where the log begins. They share a value, so that neither
-/// is stored without the other.
+/// Key of the snapshot and of the position before the first entry of the log. They share a value,
+/// so that neither is stored without the other.
 const SNAPSHOT_KEY: &[u8] = b"a/folded";
 
-/// Number of applied entries that a compaction leaves in the log, so that a voter that is little
-/// behind needs no snapshot.
+/// Number of applied entries that a compaction leaves in the log, so that a voter that is only
+/// slightly behind needs no snapshot.
 const RETAINED_ENTRIES: u64 = 64;
 
 fn entry_key(index: u64) -> Vec<u8> {
@@ -50,7 +51,7 @@
     term: u64,
 }
 
-/// How far a log has got.
+/// The end of a log: the latest term and the last index.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogEnd {
     /// The latest term that the voter has reached.
@@ -59,16 +60,17 @@
     pub index: u64,
 }
 
-/// The state after all applied entries. The leader also sends it to a voter that is far behind.
+/// The state after all applied entries. The leader sends it to a voter that lacks entries which are
+/// no longer in the log.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(bound = "")]
 pub struct StateSnapshot<S: StateMachine> {
     pub state: S,
-    /// The number of entries applied to the state; the library's own entries don't count.
+    /// The number of entries applied to the state, without the library's own entries.
     pub entries: u64,
     /// The name of each voter's node, by the voter's number.
     pub voters: BTreeMap<u64, String>,
-    /// The highest number that a voter ever had; no number is used twice.
+    /// The highest number that any voter has ever had; no number is used twice.
     pub highest_voter_id: u64,
 }
 
@@ -77,14 +79,14 @@
 #[serde(bound = "")]
 struct StoredSnapshot<S: StateMachine> {
     applied: LogPosition,
-    /// The last position that is not in the log any more.
+    /// The position before the first entry of the log.
     compacted: LogPosition,
     /// The encoded [`ConfState`] of the library.
     conf_state: Vec<u8>,
     snapshot: StateSnapshot<S>,
 }
 
-/// Returns how far a stored log has got. Values that can't be read count as missing.
+/// Returns the end of a stored log. Values that can't be decoded count as missing.
 pub fn stored_log_end<'a>(stored: impl IntoIterator<Item = (&'a Vec<u8>, &'a Vec<u8>)>) -> LogEnd {
     let mut end = LogEnd::default();
     for (key, value) in stored {
@@ -95,7 +97,7 @@
             let hard_state = HardState::parse_from_bytes(value);
             end.term = hard_state.map(|state| state.term).unwrap_or_default();
         } else if key == SNAPSHOT_KEY {
-            // The index comes first in the stored form.
+            // The stored form begins with the index of the last applied entry.
             let index = postcard::take_from_bytes::<u64>(value).map(|(index, _)| index);
             end.index = end.index.max(index.unwrap_or_default());
         }
@@ -103,11 +105,11 @@
     end
 }
 
-/// The log in memory.
+/// The in-memory log of a voter, as the storage of the library.
 #[derive(Debug)]
 pub struct LogStorage<S: StateMachine> {
     log: Vec<Entry>,
-    /// The last position that is not in the log any more.
+    /// The position before the first entry of the log.
     compacted: LogPosition,
     hard_state: HardState,
     /// The voters in the library's form.
@@ -116,6 +118,7 @@
     pub applied_index: u64,
     /// The state at `applied_index`.
     pub snapshot: StateSnapshot<S>,
+    /// Changes that the caller has not taken yet.
     changes: Vec<StorageChange>,
 }
 
@@ -124,18 +127,20 @@
     message.write_to_bytes().unwrap_or_default()
 }
 
-/// Decodes a stored value; `name` is its name in the error.
+/// Decodes a stored value; `name` denotes the value in the error.
 fn decode<M: protobuf::Message>(name: &str, value: &[u8]) -> std::result::Result<M, CorruptLog> {
-    M::parse_from_bytes(value).map_err(|_| CorruptLog(format!("{name} can't be read")))
+    M::parse_from_bytes(value).map_err(|_| CorruptLog(format!("{name} can't be decoded")))
 }
 
 impl<S: StateMachine> LogStorage<S> {
-    /// Restores the log from its stored keys and values. With nothing stored it is the log that the
-    /// initial voters begin with; if there are none, an empty log that waits for the leader.
+    /// Restores the log from its stored keys and values. If nothing is stored, returns the log with
+    /// which the initial voters begin, or without initial voters an empty log, which the leader
+    /// fills.
     ///
     /// # Errors
     ///
-    /// If a value can't be read or is missing.
+    /// [`CorruptLog`] if a key is unknown, a value can't be decoded, entries are missing or values
+    /// contradict each other.
     pub fn restore(
         initial_voters: &BTreeMap<u64, String>,
         stored: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>,
@@ -156,8 +161,8 @@
             if let Some(index) = key.strip_prefix(ENTRY_KEY_PREFIX) {
                 let index = index
                     .try_into()
-                    .map_err(|_| CorruptLog("a place has no number".into()))?;
-                entries.insert(u64::from_be_bytes(index), decode("a word", &value)?);
+                    .map_err(|_| CorruptLog("the key of an entry has no valid index".into()))?;
+                entries.insert(u64::from_be_bytes(index), decode("an entry", &value)?);
             } else {
                 storage.restore_value(&key, &value)?;
             }
@@ -169,27 +174,29 @@
         Ok(storage)
     }
 
-    /// Restores a value that is not an entry.
+    /// Restores the hard state or the snapshot.
     fn restore_value(&mut self, key: &[u8], value: &[u8]) -> std::result::Result<(), CorruptLog> {
         match key {
-            HARD_STATE_KEY => self.hard_state = decode("the promise", value)?,
+            HARD_STATE_KEY => self.hard_state = decode("the hard state", value)?,
             SNAPSHOT_KEY => {
                 let Ok((stored, [])) = postcard::take_from_bytes::<StoredSnapshot<S>>(value) else {
-                    return Err(CorruptLog("what is folded can't be read".into()));
+                    return Err(CorruptLog("the snapshot can't be decoded".into()));
                 };
-                self.conf_state = decode("the voters", &stored.conf_state)?;
+                self.conf_state = decode("the voter configuration", &stored.conf_state)?;
                 self.applied_index = stored.applied.index;
                 self.compacted = stored.compacted;
                 self.snapshot = stored.snapshot;
                 if self.applied_index < self.compacted.index
                     || self.conf_state.get_voters().is_empty()
                 {
-                    return Err(CorruptLog("what is folded contradicts itself".into()));
+                    return Err(CorruptLog(
+                        "the snapshot has no voters or ends before the log begins".into(),
+                    ));
                 }
             }
             key => {
                 return Err(CorruptLog(format!(
-                    "{} is nothing of it",
+                    "unknown key {}",
                     String::from_utf8_lossy(key)
                 )));
             }
@@ -205,19 +212,23 @@
             let expected = self.last_entry_index() + 1;
             if index != expected || entry.index != index {
                 return Err(CorruptLog(format!(
-                    "place {expected} is missing: {index} is the next that is there"
+                    "entry {expected} is missing: found key {index} with entry {}",
+                    entry.index
                 )));
             }
             self.log.push(entry);
         }
         let last = self.last_entry_index();
         if self.applied_index > last || self.hard_state.commit > last {
-            return Err(CorruptLog("more is decided than is there".into()));
+            return Err(CorruptLog(format!(
+                "the log ends at index {last}, before its applied index {} or committed index {}",
+                self.applied_index, self.hard_state.commit
+            )));
         }
         Ok(())
     }
 
-    /// Begins the log of the initial voters.
+    /// Sets the initial state of the log of the initial voters.
     fn initialize(&mut self, initial_voters: &BTreeMap<u64, String>) {
         self.compacted = LogPosition {
             index: INITIAL_INDEX,
@@ -241,7 +252,7 @@
         });
     }
 
-    /// Returns the changes since the last call, to be written.
+    /// Returns the changes since the last call, for the caller to write.
     pub fn take_changes(&mut self) -> Vec<StorageChange> {
         std::mem::take(&mut self.changes)
     }
@@ -276,7 +287,7 @@
         self.record_change(SNAPSHOT_KEY, Some(value));
     }
 
-    /// Appends entries. They replace those that are in the log from the first of their indexes on.
+    /// Appends entries. They replace all entries in the log from the index of the first one on.
     pub fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first().map(|entry| entry.index) else {
             return;
@@ -292,8 +303,8 @@
         }
     }
 
-    /// Replaces the log and the state by a snapshot of the leader's. Returns `false` and changes
-    /// nothing if it can't be read.
+    /// Replaces the log and the state by a snapshot from the leader. Returns `false` and changes
+    /// nothing if the snapshot can't be decoded.
     pub fn install_snapshot(&mut self, snapshot: &Snapshot) -> bool {
         let Ok((state, [])) = postcard::take_from_bytes::<StateSnapshot<S>>(snapshot.get_data())
         else {
@@ -315,7 +326,8 @@
         true
     }
 
-    /// Stores a snapshot and removes all applied entries but the last ones from the log.
+    /// Stores a snapshot and removes all applied entries but the last [`RETAINED_ENTRIES`] from the
+    /// log.
     pub fn compact(&mut self) {
         let index = self
             .applied_index
@@ -330,7 +342,7 @@
         self.record_snapshot();
     }
 
-    /// Returns whether at least this many entries have been applied since the last compaction.
+    /// Returns whether at least `interval_entries` have been applied since the last compaction.
     pub fn needs_compaction(&self, interval_entries: u64) -> bool {
         self.applied_index >= self.compacted.index + RETAINED_ENTRIES + interval_entries
     }
--- a/crates/replicated-log/src/voter.rs
+++ b/crates/replicated-log/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: its inputs, its state and what it asks the caller to do.
+//! A voter: its inputs, its state and its outputs.
 
 use crate::StateMachine;
 use crate::durability_gate::DurabilityGate;
@@ -11,37 +11,39 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Maximum number of voters. More make each commit slower and hardly add to availability.
+/// Maximum number of voters. More of them would make each commit slower and hardly improve
+/// availability.
 pub const MAX_VOTERS: usize = 7;
 
-/// Minimum number of voters that a removal may leave.
+/// Minimum number of voters after a removal.
 pub const MIN_VOTERS: usize = 2;
 
-/// Maximum number of ready states that wait for the disk. Beyond it the voter drops its inputs,
-/// which bounds its memory.
+/// Maximum number of ready states that wait for the disk. At this number the voter drops messages
+/// and ticks and rejects proposals, which bounds its memory.
 pub const MAX_PENDING_READIES: usize = 4096;
 
-/// Minimum number of ticks without a message of the leader before a voter stands for election.
+/// Minimum number of ticks without a message from the leader before a voter starts an election.
 const ELECTION_TICKS: usize = 10;
 
-/// Each voter waits this many more ticks for each unit of its number, so that two seldom stand at
-/// once. There is no randomness in it, so that a seed replays a run of the simulation.
+/// Each voter waits its number modulo [`MAX_VOTERS`] times this many ticks longer, so that two
+/// voters seldom start an election at the same time. The wait is not random, so that a simulation
+/// is reproducible from its seed.
 const ELECTION_STAGGER_TICKS: usize = 3;
 
-/// Number of ticks between two heartbeats of the leader.
+/// Number of ticks between heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
 
 /// Approximate maximum size of a message with entries, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 64 << 10;
 
-/// Maximum size of the proposed entries that are not committed, in bytes.
+/// Maximum total size of proposed entries that are not committed yet, in bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
-/// What the caller is to do, or what has happened.
+/// What the caller has to do, or what has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Write these changes, all or none, in the order of the numbers; report them by
-    /// [`Voter::record_durable`].
+    /// Write these changes atomically, in the order of the numbers of the writes, and call
+    /// [`Voter::record_durable`] once they are durable.
     Write {
         /// The number of the write.
         number: u64,
@@ -57,15 +59,15 @@
     },
     /// An entry has been committed and applied to [`Voter::state`].
     Committed {
-        /// The number of the entry, from 1 on.
+        /// The number of the entry; the first one is 1.
         number: u64,
         /// The entry.
         entry: Vec<u8>,
     },
-    /// A snapshot of the leader's has replaced the state, and these entries are part of
-    /// [`Voter::state`] without a [`Output::Committed`] each.
+    /// A snapshot from the leader has replaced [`Voter::state`]. Its entries are not reported by
+    /// [`Output::Committed`].
     SnapshotInstalled {
-        /// The number of entries applied so far.
+        /// The number of entries that the new state contains.
         applied_entries: u64,
     },
     /// [`Voter::voters`] has changed.
@@ -81,16 +83,16 @@
 }
 
 impl<S: StateMachine> Voter<S> {
-    /// Restores the voter of this number from its stored keys and values. With nothing stored it is
-    /// one of `initial_voters`; if these are empty, it has been added to a running log and waits
-    /// for the leader. Also returns what the caller is to do.
+    /// Restores the voter `id` from its stored keys and values. If nothing is stored, it is one of
+    /// `initial_voters`, or without initial voters one that has been added to an existing log and
+    /// waits for the leader. Also returns the first outputs.
     ///
-    /// **A voter that has voted and comes back with less than it had stored must not be restored
-    /// under its number**, because it may break its promises; [`crate::admission`] finds that out.
+    /// **A voter that has voted and has lost some of its stored data must not be restored under its
+    /// number**, because it may break its promises. [`crate::admission`] detects this.
     ///
     /// # Errors
     ///
-    /// If the stored log is corrupt, or the number is not one of the initial voters'.
+    /// [`CorruptLog`] if the stored log is corrupt, or `id` or the initial voters are invalid.
     pub fn new(
         id: u64,
         initial_voters: &BTreeMap<u64, String>,
@@ -100,7 +102,8 @@
         let valid = initial_voters.is_empty() || is_initial;
         if !valid || id == 0 || initial_voters.len() > MAX_VOTERS {
             return Err(CorruptLog(format!(
-                "voter {id} of {initial_voters:?}: up to {MAX_VOTERS} numbers above 0, its own among them"
+                "voter {id} does not fit the initial voters {initial_voters:?}: there may be up to \
+                 {MAX_VOTERS}, with numbers above 0 and voter {id} among them"
             )));
         }
         let storage = LogStorage::<S>::restore(initial_voters, stored)?;
@@ -129,13 +132,13 @@
             gate: DurabilityGate::default(),
             failure: None,
         };
-        // What was stored is durable, so that its committed entries are applied at once.
+        // The stored log is durable, so that its committed entries can be applied at once.
         let mut out = Vec::new();
         voter.process_ready(&mut out);
         Ok((voter, out))
     }
 
-    /// Returns its number.
+    /// Returns the number of this voter.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -145,38 +148,39 @@
         &self.raft.store().snapshot.state
     }
 
-    /// Returns how many entries have been applied to the state.
+    /// Returns the number of entries that have been applied to the state.
     pub fn applied_entries(&self) -> u64 {
         self.raft.store().snapshot.entries
     }
 
-    /// Returns the voters: the number of each, and the name of its node.
+    /// Returns the name of each voter's node, by the voter's number.
     pub fn voters(&self) -> &BTreeMap<u64, String> {
         &self.raft.store().snapshot.voters
     }
 
-    /// Returns the index of the log that has been applied. It also counts the library's own entries
+    /// Returns the index of the last applied entry. Indexes also count the library's own entries
     /// and membership changes.
     pub fn applied_index(&self) -> u64 {
         self.raft.store().applied_index
     }
 
-    /// Returns the number of the leader, as far as this voter knows.
+    /// Returns the number of the leader, if this voter knows of one.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raft.raft.leader_id).filter(|leader| *leader > 0)
     }
 
-    /// Returns whether this voter leads.
+    /// Returns whether this voter is the leader.
     pub fn is_leader(&self) -> bool {
         self.raft.raft.state == StateRole::Leader
     }
 
-    /// Returns the number of entries of the log in memory.
+    /// Returns the number of log entries in memory.
     pub fn entries_in_memory(&self) -> usize {
         self.raft.store().entries_in_memory()
     }
 
-    /// Returns why this process votes no more, if the library has found its log inconsistent.
+    /// Returns why this process has stopped voting: the library has found its log inconsistent, or
+    /// a snapshot from the leader could not be decoded. Returns `None` while it votes.
     pub fn failure(&self) -> Option<&str> {
         self.failure.as_deref()
     }
@@ -185,10 +189,11 @@
         self.failure = Some(reason);
     }
 
-    /// Counts a tick; they come evenly, about twenty a second.
+    /// Advances the time by one tick. The caller ticks at even intervals, about twenty times a
+    /// second.
     pub fn tick(&mut self, out: &mut Vec<Output>) {
-        // A voter whose disk does not finish its writes starts nothing new; the others elect
-        // another leader.
+        // While too many writes wait for the disk, ticks are dropped: the voter sends no heartbeats
+        // and starts no election, so that the others elect another leader.
         if self.gate.pending_count() < MAX_PENDING_READIES {
             self.run_guarded(|raft| {
                 raft.tick();
@@ -197,14 +202,14 @@
         self.process_ready(out);
     }
 
-    /// Handles a message of another voter. Returns `false` if the message can't be read or no voter
-    /// could have sent it.
+    /// Handles a message from another voter. Returns `false` if the message can't be decoded or no
+    /// voter could have sent it.
     pub fn receive(&mut self, bytes: &[u8], out: &mut Vec<Output>) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else {
             return false;
         };
-        // A forwarded proposal keeps the number of its first sender, and may come back to it after
-        // a change of the leader.
+        // A forwarded proposal keeps the number of its first sender, and may be forwarded back to
+        // it after a change of leader.
         let claims_own_id =
             message.from == self.id && message.get_msg_type() != MessageType::MsgPropose;
         if message.to != self.id
@@ -216,7 +221,7 @@
         }
         if self.gate.pending_count() < MAX_PENDING_READIES {
             self.run_guarded(|raft| {
-                // A rejected message changes nothing.
+                // A message that the library rejects changes nothing.
                 let _ = raft.step(message);
             });
         }
@@ -224,8 +229,8 @@
         true
     }
 
-    /// Records that the connection to another voter was made anew: messages in both directions may
-    /// have been lost.
+    /// Records that the connection to another voter was re-established: messages in both directions
+    /// may have been lost.
     pub fn peer_reconnected(&mut self, voter: u64, out: &mut Vec<Output>) {
         self.run_guarded(|raft| {
             raft.report_unreachable(voter);
@@ -240,8 +245,8 @@
         self.process_ready(out);
     }
 
-    /// Runs an action of the library. The library panics if it finds its log inconsistent; here
-    /// that only ends the voting of this process.
+    /// Runs an action of the library and catches its panic. The library panics if it finds its log
+    /// inconsistent; the process then stops voting and keeps running.
     pub(crate) fn run_guarded(&mut self, action: impl FnOnce(&mut RawNode<LogStorage<S>>)) {
         if self.failure.is_some() {
             return;
@@ -252,7 +257,9 @@
                 .downcast_ref::<String>()
                 .cloned()
                 .or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-            self.failure = Some(reason.unwrap_or_else(|| "the library gave up".to_owned()));
+            self.failure = Some(
+                reason.unwrap_or_else(|| "the raft library panicked without a message".to_owned()),
+            );
         }
     }
 }
--- a/crates/replicated-log/tests/surface_bytes.rs
+++ b/crates/replicated-log/tests/surface_bytes.rs
@@ -1,7 +1,8 @@
-//! Pins what voters store and send: keys and values of the log (`a/`), of the admission (`s/`), and
-//! the messages between voters, as a run of two voters writes them. Another voter may run another
-//! version of the program, and a node reads what an older version stored, so these bytes must not
-//! change with a rename. The literals were written by the version before the renames.
+//! Pins what voters store and send: the keys and values of the log (`a/`) and of the admission
+//! (`s/`), and the messages between voters, as recorded from a run of two voters. Another voter may
+//! run another version of the program, and a node reads what an older version has stored, so a
+//! rename must not change these bytes. The literals were written by a version before the
+//! identifiers were renamed.
 
 use postproxy_replicated_log::admission::{Admission, AdmissionEffect, AdmissionMessage};
 use postproxy_replicated_log::{
@@ -24,7 +25,7 @@
     pairs.map(byte).collect()
 }
 
-/// The admission message, encoded.
+/// Asserts that the message is encoded as this literal, and decoded from it.
 #[track_caller]
 fn pin(message: AdmissionMessage, literal: &str) {
     let bytes = postcard::to_stdvec(&message).expect("an encoded message");
@@ -52,7 +53,7 @@
     pin(AdmissionMessage::AnnounceAgain, "05");
 }
 
-/// A state machine that counts the entries and stores the last one.
+/// A state machine that counts the entries and keeps the last one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 struct LastEntry {
     count: u64,
@@ -66,8 +67,8 @@
     }
 }
 
-/// The changes as text: the key (its text part, then the number in hexadecimal digits) and the
-/// value.
+/// Formats changes as text: the text part of the key, then its number and the value in hexadecimal
+/// digits.
 fn shown(changes: &[StorageChange]) -> Vec<String> {
     let shown = |StorageChange { key, value }: &StorageChange| {
         let text = key
@@ -83,12 +84,12 @@
 
 #[test]
 fn stored_start_and_known_starts_keep_their_keys_and_bytes() {
-    // A voter with nothing stored learns that the other knows of no start of it, and stores its
-    // first start.
+    // A voter with nothing stored learns that the other voter knows of no start of it, and stores
+    // its first start.
     let mut effects = Vec::new();
     let mut admission = Admission::new(1, 7, &[1, 2], LogEnd::default(), []);
     admission.receive(2, AdmissionMessage::LatestStart(0), &mut effects);
-    // The other's start is stored under its number.
+    // The other voter's start is stored under that voter's number.
     admission.receive(
         2,
         AdmissionMessage::StartAnnounced {
@@ -153,7 +154,7 @@
     );
 }
 
-/// Two voters whose messages and writes are recorded as they are made.
+/// Two voters whose messages, writes and committed entries are recorded in their order.
 struct Pair {
     voters: BTreeMap<u64, Voter<LastEntry>>,
     stores: BTreeMap<u64, BTreeMap<Vec<u8>, Vec<u8>>>,
@@ -176,7 +177,7 @@
         pair
     }
 
-    /// Has a voter take something in, and carries out what comes of it.
+    /// Runs an action on a voter and handles its outputs.
     fn act(&mut self, id: u64, action: impl FnOnce(&mut Voter<LastEntry>, &mut Vec<Output>)) {
         let mut out = Vec::new();
         action(self.voters.get_mut(&id).expect("a voter"), &mut out);
@@ -206,7 +207,7 @@
                         .push(format!("{id} sends {to} {}", hex(&message)));
                     if self.voters.contains_key(&to) {
                         self.act(to, |voter, out| {
-                            assert!(voter.receive(&message, out), "a sound message")
+                            assert!(voter.receive(&message, out), "a valid message")
                         });
                     }
                 }
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Ticks the first voter until it leads.
+    /// Ticks the first voter until it is the leader.
     fn elect(&mut self) {
         for _ in 0..1000 {
             if self.voters[&1].is_leader() {
@@ -230,7 +231,7 @@
     }
 }
 
-/// An election, an entry and a membership change: all that the two store and send.
+/// All that the two voters store and send in an election, for an entry and for a membership change.
 const RECORD: &[&str] = &[
     "1 writes a/folded  0101010104080108020000000201036e2d3102036e2d3202",
     "1 writes a/hard  08011801",
@@ -293,7 +294,7 @@
     assert_eq!(actual.collect::<Vec<_>>(), stored.collect::<Vec<_>>());
 }
 
-/// What a voter has stored after that, as it was written.
+/// The keys and values that the first voter has stored after [`RECORD`].
 const STORED: &[(&str, &str)] = &[
     (
         "612f666f6c646564",
@@ -315,7 +316,7 @@
         stored_log_end(stored.iter().map(|(key, value)| (key, value))),
         LogEnd { term: 2, index: 4 }
     );
-    let (voter, out) = Voter::<LastEntry>::new(1, &BTreeMap::new(), stored).expect("a sound log");
+    let (voter, out) = Voter::<LastEntry>::new(1, &BTreeMap::new(), stored).expect("a valid log");
     assert_eq!(
         voter.state(),
         &LastEntry {
@@ -335,32 +336,32 @@
 }
 
 #[test]
-fn damaged_stored_log_is_not_read() {
-    let with = |key: &str, value: &str| {
-        let sound = STORED.iter().map(|(key, value)| (unhex(key), unhex(value)));
-        let damaged: BTreeMap<_, _> = sound
+fn corrupt_stored_log_is_rejected() {
+    let error_with = |key: &str, value: &str| {
+        let valid = STORED.iter().map(|(key, value)| (unhex(key), unhex(value)));
+        let corrupt: BTreeMap<_, _> = valid
             .chain([(key.as_bytes().to_vec(), unhex(value))])
             .collect();
-        Voter::<LastEntry>::new(1, &BTreeMap::new(), damaged)
+        Voter::<LastEntry>::new(1, &BTreeMap::new(), corrupt)
             .err()
-            .expect("damage")
+            .expect("an error")
             .to_string()
     };
     assert_eq!(
-        with("a/hard", "ff"),
-        "the log of the voters: the promise can't be read"
+        error_with("a/hard", "ff"),
+        "the log of this voter can't be restored: the hard state can't be decoded"
     );
     assert_eq!(
-        with("a/folded", "01"),
-        "the log of the voters: what is folded can't be read"
+        error_with("a/folded", "01"),
+        "the log of this voter can't be restored: the snapshot can't be decoded"
     );
     assert_eq!(
-        with("a/l/", ""),
-        "the log of the voters: a place has no number"
+        error_with("a/l/", ""),
+        "the log of this voter can't be restored: the key of an entry has no valid index"
     );
     assert_eq!(
-        with("a/other", ""),
-        "the log of the voters: a/other is nothing of it"
+        error_with("a/other", ""),
+        "the log of this voter can't be restored: unknown key a/other"
     );
 }
 
@@ -368,8 +369,8 @@
 fn promises_are_read_from_recorded_messages() {
     let promise = |digits: &str| message_promise(&unhex(digits));
     let expected = |voter, term, index| MessagePromise { voter, term, index };
-    // No message, a request for a vote in advance, a request for a vote, an append, and a response
-    // to it.
+    // Bytes that are no message, a pre-vote request, a vote request, an append, and the response to
+    // an append.
     assert_eq!(promise("ff"), expected(0, 0, 0));
     assert_eq!(
         promise("08111002180120022801300140017801"),
@@ -386,8 +387,8 @@
     assert_eq!(promise("080410011802200230034002"), expected(2, 2, 3));
 }
 
-/// A voter that is added when the log begins later gets a snapshot; a snapshot is stored once in
-/// 512 entries.
+/// A snapshot is stored every 512 entries, and a voter that is added after the log was compacted
+/// gets a snapshot.
 #[test]
 fn compacted_log_and_snapshot_message_keep_their_bytes() {
     let mut pair = Pair::new();
@@ -436,7 +437,7 @@
         ]
     );
     assert_eq!(pair.voters[&3].state(), pair.voters[&1].state());
-    // It is removed again.
+    // The added voter is removed again.
     pair.record.clear();
     pair.act(1, |voter, out| {
         voter
--- a/crates/replicated-log/tests/surface_errors.rs
+++ b/crates/replicated-log/tests/surface_errors.rs
@@ -1,26 +1,29 @@
-//! Pins the messages of this crate's errors, which the log shows. They must not change with a name
-//! in the code.
+//! Pins the texts of this crate's errors. Each text is written out here as a literal, so that a
+//! rename in the code can't change it unnoticed.
 
 use postproxy_replicated_log::{CorruptLog, ProposalRejected};
 
 #[test]
 fn every_rejection_of_a_proposal_has_its_message() {
     let cases = [
-        (ProposalRejected::TooLong, "it is too long"),
+        (
+            ProposalRejected::TooLong,
+            "the entry is longer than 262144 bytes",
+        ),
         (
             ProposalRejected::Busy,
-            "too much waits for the disk or to be decided",
+            "too many entries are waiting to be stored or committed",
         ),
-        (ProposalRejected::NoLeader, "no voter leads"),
-        (ProposalRejected::NotLeader(3), "voter 3 leads"),
+        (ProposalRejected::NoLeader, "no leader is known"),
+        (ProposalRejected::NotLeader(3), "voter 3 is the leader"),
         (
             ProposalRejected::ChangePending,
-            "another change of the voters is not decided yet",
+            "another change of the voters is in progress",
         ),
-        (ProposalRejected::VoterCount, "two to seven nodes vote"),
+        (ProposalRejected::VoterCount, "there must be 2 to 7 voters"),
         (
             ProposalRejected::VoterFailed,
-            "the log of this process is at its end",
+            "this process has stopped voting after a failure",
         ),
     ];
     for (rejected, message) in cases {
@@ -29,9 +32,9 @@
 }
 
 #[test]
-fn a_damaged_log_says_what_is_wrong() {
+fn corrupt_log_error_contains_the_reason() {
     assert_eq!(
         CorruptLog("a gap at 7".into()).to_string(),
-        "the log of the voters: a gap at 7"
+        "the log of this voter can't be restored: a gap at 7"
     );
 }
