--- a/crates/version-tracking/src/audit_log.rs
+++ b/crates/version-tracking/src/audit_log.rs
@@ -1,23 +1,24 @@
-//! The audit log of a node: the versions that it has acted on, each entry chained to those before
-//! it by its hash.
+//! The audit log of a node: the versions that it has acted on. The hash of each entry covers the
+//! entries before it.
 
 use crate::version::{VersionKind, VersionRecord};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::collections::VecDeque;
 
-/// The fewest entries that a log keeps: compaction merges two.
+/// Minimum number of entries that a log can be limited to, since compaction merges two.
 const MIN_ENTRIES: usize = 2;
-/// The hash before the first entry.
+
+/// Hash that the first entry is chained to.
 const INITIAL_HASH: [u8; 32] = [0; 32];
 
 /// Where a node got a version from.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// The node's own source: discovery, a file, the build.
+    /// The node's own source: discovery, a file or the build.
     Own,
-    /// The node with this name, which passed it on.
+    /// The node with this name, which sent the content.
     Peer(String),
 }
 
@@ -25,13 +26,14 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AuditEvent {
-    /// The process started: the log has nothing from before.
+    /// The process started. The log contains nothing from before its start.
     #[serde(rename = "began")]
     Started,
-    /// The node acts on this version from now on. The fields have no names because this is a list
-    /// in JSON.
+    /// The node acts on this version from now on. The fields are unnamed because their JSON is a
+    /// list.
     Adopted(VersionKind, VersionRecord, Source),
-    /// This many entries were merged into this one; only their hash is left.
+    /// This many entries were merged into this one, which keeps the hash of the last of them and
+    /// the sum of their actions.
     #[serde(rename = "folded")]
     Compacted(u64),
 }
@@ -39,25 +41,26 @@
 /// An entry of the audit log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AuditEntry {
-    /// The number of the entry, from 1 on. It is also the number of the view under which the node
-    /// acts from here on.
+    /// The number of the entry, counted from 1. It is also the number of the view under which the
+    /// node acts from this entry on.
     pub view: u64,
-    /// Unix time in milliseconds by this node's clock; for readers, not for ordering.
+    /// Unix time in milliseconds by this node's clock. Informational; not used for ordering.
     pub at_ms: u64,
     /// What happened.
     #[serde(rename = "what")]
     pub event: AuditEvent,
-    /// How many actions the node took under the view before.
+    /// Number of actions that the node took under the previous view.
     #[serde(rename = "acts")]
     pub action_count: u64,
-    /// Hash of this entry and all before it.
+    /// Hash of this entry and all entries before it.
     pub hash: [u8; 32],
 }
 
 impl AuditEntry {
     /// Returns the hash that this entry must have after an entry with the hash `previous`.
     ///
-    /// The hashed bytes are the postcard encoding of the other fields in their order.
+    /// It is the SHA-256 hash of `previous` and the postcard encoding of the other fields in their
+    /// order.
     fn expected_hash(&self, previous: &[u8; 32]) -> [u8; 32] {
         let fields = (self.view, self.at_ms, &self.event, self.action_count);
         let mut hasher = Sha256::new();
@@ -66,11 +69,12 @@
         hasher.finalize().into()
     }
 
-    /// Whether this entry can come directly after `previous`, or be the first one.
+    /// Returns whether this entry can come directly after `previous`, or be the oldest one if that
+    /// is `None`.
     fn follows(&self, previous: Option<&Self>) -> bool {
         match (previous, &self.event) {
-            // The hash of a compacted entry covers entries that are gone, so that it can't be
-            // checked itself.
+            // The hash of a compacted entry covers entries that are no longer there, so that it
+            // can't be checked.
             (None, AuditEvent::Compacted(_)) => true,
             (None, _) => self.hash == self.expected_hash(&INITIAL_HASH),
             (Some(_), AuditEvent::Compacted(_)) => false,
@@ -81,11 +85,11 @@
     }
 }
 
-/// The hashes of an audit log don't chain.
+/// An entry of an audit log does not follow from the one before it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the trail does not hold together at view {view}")]
+#[error("the hash chain of the audit log is broken at view {view}")]
 pub struct BrokenChain {
-    /// The view of the first entry that doesn't follow from the one before.
+    /// The view of the first such entry.
     pub view: u64,
 }
 
@@ -100,7 +104,8 @@
 }
 
 impl AuditLog {
-    /// Returns a log that starts now and keeps at most `max_entries` entries, but two at least.
+    /// Returns a log that starts now and keeps at most `max_entries` entries. A limit below two
+    /// counts as two.
     pub fn new(at_ms: u64, max_entries: usize) -> Self {
         let mut log = Self {
             max_entries: max_entries.max(MIN_ENTRIES),
@@ -131,7 +136,7 @@
         self.view
     }
 
-    /// Returns the hash of the latest entry, which covers the whole log.
+    /// Returns the hash of the latest entry, which covers all entries.
     pub fn head_hash(&self) -> [u8; 32] {
         self.entries
             .back()
@@ -139,12 +144,12 @@
             .unwrap_or_default()
     }
 
-    /// Returns the entries that are left, the oldest first.
+    /// Returns the entries that the log still contains, the oldest first.
     pub fn entries(&self) -> impl Iterator<Item = &AuditEntry> {
         self.entries.iter()
     }
 
-    /// Returns the number of actions under the latest view, which no entry has yet.
+    /// Returns the number of actions under the latest view, which the next entry will record.
     pub fn open_action_count(&self) -> u64 {
         self.open_action_count
     }
@@ -153,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// [`BrokenChain`] with the first entry that doesn't.
+    /// [`BrokenChain`] with the view of the first entry that does not.
     pub fn verify<'a>(
         entries: impl IntoIterator<Item = &'a AuditEntry>,
     ) -> Result<(), BrokenChain> {
@@ -184,8 +189,8 @@
         }
     }
 
-    /// Merges the two oldest entries into one that keeps the later one's hash, so that the next
-    /// entry still follows.
+    /// Merges the two oldest entries. The result keeps the hash of the later one, so that the next
+    /// entry still follows from it.
     fn compact(&mut self) {
         let Some(oldest) = self.entries.pop_front() else {
             return;
--- a/crates/version-tracking/src/auditor.rs
+++ b/crates/version-tracking/src/auditor.rs
@@ -1,22 +1,24 @@
-//! The auditor: it decides which nodes are behind, excluded and readmitted. It runs on the holder
-//! of the lease `audit`.
+//! The auditor decides which nodes are behind, excluded and readmitted. It runs on the node that
+//! holds the lease `audit`.
 
 use crate::decisions::{AuditorEvent, NodeState, VersionDecisions};
 use crate::version::{VersionKind, VersionLine, VersionRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The wait before a readmission doubles at most this often, so that the shift can't overflow.
+/// Maximum number of times that the wait before a readmission doubles, so that the shift can't
+/// overflow.
 const MAX_READMISSION_DOUBLINGS: u32 = 10;
 
-/// Times of an auditor, in milliseconds.
+/// The delays of an auditor's decisions, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct AuditorTiming {
-    /// How long a majority has to have a version before a node without it is behind.
+    /// How long a majority must have had a version before a node with an older one counts as
+    /// behind.
     pub lag_ms: u64,
     /// How long a node may be behind before it is excluded.
     pub grace_ms: u64,
-    /// How long a node has to stay caught up before it is readmitted; twice as long for each
-    /// earlier exclusion.
+    /// How long a node has to stay caught up before it is readmitted. Doubles with each earlier
+    /// exclusion.
     pub readmission_ms: u64,
 }
 
@@ -30,12 +32,12 @@
     }
 }
 
-/// What is known of a node in one kind.
+/// What is known of a node with regard to one kind of version.
 #[derive(Clone, Debug)]
 struct NodeVersion {
     version: VersionRecord,
     state: NodeState,
-    /// When it got into this state, in milliseconds.
+    /// When it entered this state, in milliseconds.
     since_ms: u64,
 }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// A version number of a line, and when it was first reached, in milliseconds.
+/// The highest version number of a line that was reached, and when, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Milestone {
     number: u64,
@@ -56,7 +58,7 @@
 }
 
 impl Milestone {
-    /// Moves the milestone of the line up to this number, if it isn't there yet.
+    /// Advances the milestone of a line to this number, unless it is already as high.
     fn advance(
         milestones: &mut BTreeMap<VersionLine, Self>,
         line: VersionLine,
@@ -74,32 +76,32 @@
     }
 }
 
-/// The next step of a node in its line.
+/// What happens to a node next.
 enum Step {
     /// It stays in its state.
     Stay,
-    /// It changes its state, for this reason.
+    /// It changes to this state, for this reason.
     Change(NodeState, String),
     /// Its grace period is over.
     Exclude,
 }
 
-/// Decides on nodes from the versions that they report. All times are in milliseconds.
+/// Decides on nodes by the versions that they report. All times are in milliseconds.
 #[derive(Debug)]
 pub struct Auditor {
     timing: AuditorTiming,
     members: BTreeSet<String>,
     nodes: BTreeMap<(String, VersionKind), NodeVersion>,
-    /// The version that a majority of the nodes of a line has.
+    /// The newest version that a majority of the nodes in a line has reached.
     majority: BTreeMap<VersionLine, Milestone>,
-    /// The newest version that any node of a line has.
+    /// The newest version that any node in a line has reached.
     newest: BTreeMap<VersionLine, Milestone>,
     decisions: VersionDecisions,
 }
 
 impl Auditor {
-    /// Returns an auditor that continues from the decisions of the one before. It doesn't know yet
-    /// which versions the nodes have, and gives each node the whole grace period again.
+    /// Returns an auditor that continues from the decisions of the previous one. It doesn't know
+    /// the nodes' versions yet, and gives each node the whole grace period again.
     pub fn new(timing: AuditorTiming, decisions: VersionDecisions) -> Self {
         Self {
             timing,
@@ -116,14 +118,14 @@
         &self.decisions
     }
 
-    /// Returns the state of a node in a kind, if the node has reported a version of it.
+    /// Returns the state of a node with regard to a kind of version, if the node has reported one.
     pub fn state(&self, node: &str, kind: VersionKind) -> Option<NodeState> {
         self.nodes
             .get(&(node.to_owned(), kind))
             .map(|node| node.state)
     }
 
-    /// Sets the names of the members; nothing is decided on other nodes.
+    /// Sets the names of the members. Other nodes are not considered.
     pub fn set_members(&mut self, members: BTreeSet<String>) {
         self.nodes.retain(|(node, _), _| members.contains(node));
         self.members = members;
@@ -161,13 +163,12 @@
         known.version = version;
     }
 
-    /// Clears the fault of a line's version by an operator's request; returns whether there was
-    /// one.
+    /// Clears the faulty version of a line at an operator's request. Returns whether there was one.
     pub fn clear_fault(&mut self, line: VersionLine) -> bool {
         self.decisions.faulty.remove(&line).is_some()
     }
 
-    /// Decides on all nodes and versions. It is to be called several times a second.
+    /// Decides on all nodes and versions. To be called several times a second.
     pub fn decide(&mut self, now_ms: u64) -> Vec<AuditorEvent> {
         self.update_milestones(now_ms);
         let decisions_before = self.decisions.clone();
@@ -183,7 +184,7 @@
         events
     }
 
-    /// Updates which version of each line a majority has, and which is the newest.
+    /// Updates the newest version of each line, and the newest that a majority has.
     fn update_milestones(&mut self, now_ms: u64) {
         let mut numbers_by_line: BTreeMap<VersionLine, Vec<u64>> = BTreeMap::new();
         for ((_, kind), node) in &self.nodes {
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Marks versions as faulty that a minority has and most nodes could not adopt for a long time.
+    /// Marks a line's newest version as faulty if most nodes have not adopted it within the time
+    /// after which a node would be excluded.
     fn detect_faulty_versions(&mut self, now_ms: u64) -> Vec<AuditorEvent> {
         let max_adoption_ms = self.timing.lag_ms + self.timing.grace_ms;
         let mut events = Vec::new();
@@ -217,14 +219,14 @@
                 events.push(AuditorEvent::VersionFaulty {
                     line: *line,
                     number: newest.number,
-                    reason: format!("the majority is still at version {of_majority}"),
+                    reason: format!("most nodes are still at version {of_majority}"),
                 });
             }
         }
         events
     }
 
-    /// Updates the state of each node; returns the nodes whose grace period is over.
+    /// Updates the state of each node. Returns the nodes whose grace period is over, by line.
     fn update_states(
         &mut self,
         now_ms: u64,
@@ -255,7 +257,7 @@
             if state == NodeState::Current
                 && let Some(lines) = self.decisions.excluded.get_mut(name)
             {
-                // Also from lines of generations that the node has left.
+                // Also removes lines of generations that the node no longer uses.
                 lines.retain(|line| line.kind != *kind);
             }
             node.state = state;
@@ -270,8 +272,8 @@
         overdue
     }
 
-    /// Excludes nodes that were behind for too long. If that would leave no majority of members,
-    /// the version counts as faulty instead.
+    /// Excludes nodes that were behind for the whole grace period. If this would leave no majority
+    /// of the members, the version counts as faulty instead.
     fn exclude(
         &mut self,
         now_ms: u64,
@@ -307,8 +309,8 @@
         }
     }
 
-    /// Returns how many members would be excluded with these. Nodes that are no members don't
-    /// serve, and don't count.
+    /// Returns the number of members that would be excluded together with these nodes. Excluded
+    /// nodes that are not members don't serve, and don't count.
     fn excluded_members_with(&self, nodes: &[String]) -> usize {
         let mut excluded: BTreeSet<&String> = self
             .decisions
@@ -343,12 +345,12 @@
             node,
             line,
             state: NodeState::Excluded,
-            reason: format!("below the floor {floor}"),
+            reason: format!("its version is below the floor {floor}"),
         });
     }
 }
 
-/// Returns the next step of the node `name`.
+/// Returns what happens next to the node `name`.
 fn next_step(
     timing: &AuditorTiming,
     decisions: &VersionDecisions,
@@ -364,7 +366,7 @@
     match node.state {
         NodeState::Current if is_behind => {
             let reason = format!(
-                "version {number} is older than {} of the majority",
+                "version {number} is older than version {} of the majority",
                 majority.number
             );
             Step::Change(NodeState::Behind, reason)
@@ -378,7 +380,7 @@
             NodeState::CatchingUp,
             format!("caught up with version {number}"),
         ),
-        // A node that falls behind again before it is readmitted starts over.
+        // A node that falls behind again before it is readmitted has to wait from the beginning.
         NodeState::CatchingUp if !has_caught_up => Step::Change(
             NodeState::Excluded,
             format!("behind again with version {number}"),
@@ -392,8 +394,8 @@
     }
 }
 
-/// Returns how long a node has to stay caught up before it is readmitted: twice as long for each
-/// exclusion but the first.
+/// Returns how long a node has to stay caught up before it is readmitted. The time doubles with
+/// each exclusion after the first.
 fn readmission_ms(timing: &AuditorTiming, decisions: &VersionDecisions, name: &str) -> u64 {
     let exclusion_count = decisions.exclusion_counts.get(name).copied().unwrap_or(0);
     let doublings = exclusion_count
--- a/crates/version-tracking/src/decisions.rs
+++ b/crates/version-tracking/src/decisions.rs
@@ -1,67 +1,69 @@
-//! What an auditor decides on nodes and versions.
+//! The decisions of an auditor on nodes and versions.
 
 use crate::version::VersionLine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state of a node in one kind of version.
+/// The state of a node with regard to one kind of version.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeState {
-    /// It acts on the version of the majority or on a newer one.
+    /// It has not been found to be behind the version of the majority.
     Current,
-    /// It acts on an older one; its peers send it the newer one.
+    /// It acts on a version older than that of the majority; its peers send it the newer one.
     Behind,
-    /// It was behind for longer than the grace period and is excluded.
+    /// It was behind for the whole grace period, and is excluded.
     #[serde(rename = "out")]
     Excluded,
-    /// It has caught up after an exclusion and has to stay so for a while before it is readmitted.
+    /// It has caught up after an exclusion, and is readmitted after it has stayed caught up for a
+    /// while.
     CatchingUp,
 }
 
-/// The decisions of the auditors: the value of the lease `audit`, which only the holder of its
-/// newest token can change.
+/// The decisions of the auditors: the value of the lease `audit`, which only the holder of the
+/// lease's newest fencing token can change.
 ///
-/// Postcard writes the fields by their order.
+/// Postcard encodes the fields by their order, which therefore must not change.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct VersionDecisions {
-    /// The oldest number under which actions are accepted. It never falls.
+    /// The floor of each line: the oldest version number under which actions are accepted. It never
+    /// falls.
     pub floors: BTreeMap<VersionLine, u64>,
     /// The lines in which a node is excluded, by the node's name.
     pub excluded: BTreeMap<String, BTreeSet<VersionLine>>,
-    /// How often a node was excluded, by its name.
+    /// How often a node was excluded, by the node's name.
     pub exclusion_counts: BTreeMap<String, u32>,
-    /// The versions that count as faulty: no node is excluded for them until an operator clears the
-    /// fault.
+    /// The number of the version that counts as faulty, by line. Until an operator clears the fault,
+    /// no node is excluded for lacking it or an older version.
     pub faulty: BTreeMap<VersionLine, u64>,
 }
 
 impl VersionDecisions {
-    /// Whether this version, or a newer one of the line, counts as faulty.
+    /// Returns whether this version or a newer one of the line counts as faulty.
     pub(crate) fn is_faulty(&self, line: VersionLine, number: u64) -> bool {
         self.faulty
             .get(&line)
             .is_some_and(|faulty| *faulty >= number)
     }
 
-    /// Returns the oldest number under which actions are accepted; 0 without a decision.
+    /// Returns the floor of a line; 0 if none has been decided.
     pub(crate) fn floor(&self, line: VersionLine) -> u64 {
         self.floors.get(&line).copied().unwrap_or(0)
     }
 }
 
-/// What an auditor has decided.
+/// A decision of an auditor.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AuditorEvent {
     /// The state of a node has changed.
     StateChanged {
         /// The node's name.
         node: String,
-        /// In which line.
+        /// The line of the node's version.
         line: VersionLine,
         /// Its new state.
         state: NodeState,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
     },
     /// A version counts as faulty: excluding the nodes that are behind it would leave no majority,
@@ -71,10 +73,10 @@
         line: VersionLine,
         /// Its number.
         number: u64,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
     },
-    /// The decisions have changed: they have to be saved under the lease's token before any node is
-    /// told.
+    /// The decisions have changed. They have to be stored under the lease's fencing token before
+    /// any node is informed of them.
     DecisionsChanged,
 }
--- a/crates/version-tracking/src/lib.rs
+++ b/crates/version-tracking/src/lib.rs
@@ -1,20 +1,18 @@
-//! Configuration version tracking: which node acts on which version of what, and how a node that is
-//! behind catches up.
+//! Configuration version tracking: which node acts on which version of the worker list and of the
+//! program, and how a node that is behind catches up.
 //!
-//! - [`VersionTracker`] runs on each node. It knows the versions that the node acts on, keeps its
-//!   [`AuditLog`], gossips
-//!   the versions to other nodes, and requests newer ones.
+//! - [`VersionTracker`] runs on each node. It holds the versions that the node acts on, keeps the
+//!   node's [`AuditLog`], gossips the versions to other nodes and requests newer ones.
 //! - [`Auditor`] runs on the node that holds the lease `audit`. It decides which nodes are behind,
-//!   excluded and
-//!   readmitted.
+//!   excluded and readmitted.
 //!
-//! Both are state machines without sockets and without a clock. The design is described in
+//! Both are state machines without I/O and without a clock. The design is described in
 //! `docs/design/audit.md`.
 
-/// Error codes that the log names, each with what an operator can do.
+/// Error codes in log lines, each with its remedy for the operator.
 pub const REMEDIES: &[(&str, &str)] = &[(
     "audit.fork",
-    "see which of the two the source of this version holds; end whatever else speaks in its name",
+    "find out which of the two versions its source published; stop whatever publishes the other",
 )];
 
 mod audit_log;
--- a/crates/version-tracking/src/message.rs
+++ b/crates/version-tracking/src/message.rs
@@ -1,74 +1,74 @@
-//! What a version tracker sends and reports.
+//! The messages, outputs and events of a version tracker.
 
 use crate::audit_log::Source;
 use crate::version::{VersionKind, VersionRecord};
 use serde::{Deserialize, Serialize};
 
-/// The most versions that a message may carry; one with more is dropped.
+/// Maximum number of versions in a message; a message with more is dropped.
 pub const MAX_VERSIONS_PER_MESSAGE: usize = 16;
 
-/// A message from one node to another; small enough for a datagram. Postcard writes the fields by
-/// their order.
+/// A message from one node to another, small enough for a datagram. Postcard encodes variants and
+/// fields by their order, which therefore must not change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// The versions that the sender acts on.
     Versions(Vec<(VersionKind, VersionRecord)>),
     /// The sender requests the content of a newer version.
     Request {
-        /// Of what.
+        /// What it is a version of.
         kind: VersionKind,
-        /// The generation that it has to be of.
+        /// The generation that the newer version must have.
         generation: u64,
-        /// The number that the sender acts on; 0 if it has none of this generation.
+        /// The number of the version that the sender acts on; 0 if it has none of this generation.
         newer_than: u64,
     },
 }
 
-/// What the node has to do for its tracker.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send this message; it may get lost.
+    /// Send this message. It may be lost.
     Send {
         /// The receiving node's name.
         to: String,
         /// The message.
         message: Message,
     },
-    /// Send the whole content that this node acts on.
+    /// Send the complete content of the version that this node acts on.
     SendContent {
         /// The receiving node's name.
         to: String,
-        /// The content of what.
+        /// What the content is of.
         kind: VersionKind,
     },
     /// Report this event.
     Event(Event),
 }
 
-/// What an operator should know.
+/// An event that an operator should know of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A peer acts on a newer version than this node.
     Behind {
-        /// Of what.
+        /// What the versions are of.
         kind: VersionKind,
         /// The peer's name.
         peer: String,
         /// The peer's version.
         version: VersionRecord,
     },
-    /// This node was behind and isn't any more.
+    /// This node was behind and has caught up.
     CaughtUp {
-        /// Of what.
+        /// What the version is of.
         kind: VersionKind,
         /// Where the version came from.
         source: Source,
         /// The version that this node acts on now.
         version: VersionRecord,
     },
-    /// One version number means one thing at this node and another at a peer.
+    /// A version of this node and one of a peer have the same number and different digests.
     Fork {
-        /// Of what.
+        /// What the versions are of.
         kind: VersionKind,
         /// The peer's name.
         peer: String,
--- a/crates/version-tracking/src/tracker.rs
+++ b/crates/version-tracking/src/tracker.rs
@@ -8,59 +8,60 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After how long a request without an answer is sent again, in milliseconds.
+/// Time after which an unanswered request is repeated, in milliseconds.
 const REQUEST_RETRY_INTERVAL_MS: u64 = 500;
-/// The most entries of the audit log in memory.
+
+/// Maximum number of audit log entries in memory.
 const MAX_AUDIT_ENTRIES: usize = 1024;
-/// To how many peers a new version is sent at once: a node that is behind hears of it before the
-/// next gossip.
-const PEERS_TOLD_OF_NEW_VERSION: usize = 2;
+
+/// Number of random peers that a node informs as soon as it adopts a version, so that nodes that
+/// are behind learn of it before the next gossip.
+const NEW_VERSION_FANOUT: usize = 2;
 
 /// Settings of a version tracker.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Mean time between two messages with this node's versions, each to a random peer, in
-    /// milliseconds.
+    /// Mean interval at which this node sends its versions to a random peer, in milliseconds.
     pub gossip_interval_ms: u64,
 }
 
 /// The versions that a peer reported last.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerVersions {
-    /// When it reported them, in milliseconds.
+    /// When they were received, in milliseconds.
     pub received_at_ms: u64,
     /// The versions.
     pub versions: BTreeMap<VersionKind, VersionRecord>,
 }
 
-/// That this node is behind a peer in one kind.
+/// Describes that this node is behind a peer in one kind of version.
 #[derive(Clone, Debug)]
 pub struct Lag {
-    /// Since when this node has known that it is behind, in milliseconds.
+    /// When this node learned that it is behind, in milliseconds.
     pub since_ms: u64,
     /// The peer that has the newer version.
     pub peer: String,
     /// The newer version.
     pub wanted: VersionRecord,
-    /// When it was requested last, in milliseconds.
+    /// When the newer version was last requested, in milliseconds.
     requested_at_ms: u64,
 }
 
 impl Lag {
-    /// Whether the last request has had no answer for so long that another is due.
+    /// Returns whether the last request has been unanswered for so long that it has to be repeated.
     fn is_request_due(&self, now_ms: u64) -> bool {
         self.requested_at_ms + REQUEST_RETRY_INTERVAL_MS <= now_ms
     }
 
-    /// Whether a node that acts on this version isn't behind any more.
-    fn ends_with(&self, version: &VersionRecord) -> bool {
+    /// Returns whether a node that acts on this version is no longer behind.
+    fn is_resolved_by(&self, version: &VersionRecord) -> bool {
         self.wanted.generation != version.generation || self.wanted.number <= version.number
     }
 }
 
-/// Whether a peer has to be sent this node's versions, because it is behind.
+/// Whether a peer is behind this node in one kind of version.
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum PeerIs {
+enum PeerState {
     Behind,
     UpToDate,
 }
@@ -75,7 +76,7 @@
     peers: BTreeSet<String>,
     peer_versions: BTreeMap<String, PeerVersions>,
     lags: BTreeMap<VersionKind, Lag>,
-    /// The number of the last fork that was reported, by kind and peer.
+    /// The version number of the last reported fork, by kind and peer.
     reported_forks: BTreeMap<(VersionKind, String), u64>,
     next_gossip_ms: u64,
 }
@@ -111,12 +112,13 @@
         &self.peer_versions
     }
 
-    /// Returns in what this node is behind.
+    /// Returns the kinds of version in which this node is behind.
     pub fn lags(&self) -> &BTreeMap<VersionKind, Lag> {
         &self.lags
     }
 
-    /// Sets the names of the other nodes; what is known of any other is dropped.
+    /// Sets the names of the other nodes. What was known of nodes that are no longer among them is
+    /// dropped.
     pub fn set_peers(&mut self, peers: BTreeSet<String>) {
         self.peer_versions.retain(|name, _| peers.contains(name));
         self.reported_forks
@@ -129,7 +131,7 @@
         self.audit_log.count_actions(action_count);
     }
 
-    /// Returns when [`VersionTracker::handle_timer`] is to be called next.
+    /// Returns when [`VersionTracker::handle_timer`] has to be called next.
     pub fn next_timer_ms(&self) -> u64 {
         self.next_gossip_ms
     }
@@ -160,7 +162,7 @@
         if self
             .lags
             .get(&kind)
-            .is_some_and(|lag| lag.ends_with(&version))
+            .is_some_and(|lag| lag.is_resolved_by(&version))
         {
             self.lags.remove(&kind);
             outputs.push(Output::Event(Event::CaughtUp {
@@ -169,19 +171,19 @@
                 version,
             }));
         }
-        for _ in 0..PEERS_TOLD_OF_NEW_VERSION {
+        for _ in 0..NEW_VERSION_FANOUT {
             self.send_versions_to_random_peer(outputs);
         }
         true
     }
 
-    /// Sends gossip and repeats requests, if the time of [`VersionTracker::next_timer_ms`] has
-    /// come.
+    /// Sends gossip and repeats unanswered requests, if the time of
+    /// [`VersionTracker::next_timer_ms`] has come.
     pub fn handle_timer(&mut self, now_ms: u64, outputs: &mut Vec<Output>) {
         if now_ms < self.next_gossip_ms {
             return;
         }
-        // The interval is random, so that nodes don't send in step.
+        // The interval is random, so that nodes don't send at the same time.
         let interval_ms = self.settings.gossip_interval_ms;
         let jitter_ms = self.rng.next_u64() % (interval_ms / 2 + 1);
         self.next_gossip_ms = now_ms + interval_ms * 3 / 4 + jitter_ms;
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Handles a message of the peer `from`.
+    /// Handles a message from the peer `from`.
     pub fn handle_message(
         &mut self,
         now_ms: u64,
@@ -237,8 +239,8 @@
     ) {
         let mut peer_is_behind = false;
         for (kind, version) in &versions {
-            let peer_is = self.compare(now_ms, from, *kind, *version, outputs);
-            peer_is_behind |= peer_is == PeerIs::Behind;
+            let peer_state = self.compare(now_ms, from, *kind, *version, outputs);
+            peer_is_behind |= peer_state == PeerState::Behind;
         }
         let peer_versions = PeerVersions {
             received_at_ms: now_ms,
@@ -262,15 +264,15 @@
         kind: VersionKind,
         theirs: VersionRecord,
         outputs: &mut Vec<Output>,
-    ) -> PeerIs {
-        // Numbers of another generation mean nothing here.
+    ) -> PeerState {
+        // Numbers of different generations can't be compared.
         let Some(own) = self
             .versions
             .get(&kind)
             .copied()
             .filter(|own| own.generation == theirs.generation)
         else {
-            return PeerIs::UpToDate;
+            return PeerState::UpToDate;
         };
         if theirs.number == own.number && theirs.digest != own.digest {
             self.report_fork(from, kind, own, theirs, outputs);
@@ -278,13 +280,13 @@
             self.handle_newer_version(now_ms, from, kind, theirs, outputs);
         }
         if theirs.number < own.number {
-            PeerIs::Behind
+            PeerState::Behind
         } else {
-            PeerIs::UpToDate
+            PeerState::UpToDate
         }
     }
 
-    /// Reports a fork, once for each number.
+    /// Reports a fork, once for each version number.
     fn report_fork(
         &mut self,
         from: &str,
@@ -306,8 +308,8 @@
         }
     }
 
-    /// Requests a peer's newer version, unless this one or a newer one was requested a short while
-    /// ago.
+    /// Requests a peer's newer version, unless this or a newer version was requested less than
+    /// [`REQUEST_RETRY_INTERVAL_MS`] ago.
     fn handle_newer_version(
         &mut self,
         now_ms: u64,
@@ -339,7 +341,7 @@
         self.request_version(now_ms, kind, outputs);
     }
 
-    /// Requests the newer version of a kind in which this node is behind.
+    /// Requests the newer version of a kind from the peer that has it, if this node is behind.
     fn request_version(&mut self, now_ms: u64, kind: VersionKind, outputs: &mut Vec<Output>) {
         let Some(lag) = self.lags.get_mut(&kind) else {
             return;
--- a/crates/version-tracking/src/version.rs
+++ b/crates/version-tracking/src/version.rs
@@ -1,4 +1,4 @@
-//! Versions: what they are versions of, how they are numbered, and their digests.
+//! Versions: their kinds, their numbers and their digests.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -15,7 +15,7 @@
 }
 
 impl VersionKind {
-    /// Returns the name that the management API and the log use.
+    /// Returns the name that the management API and log lines use.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::WorkerList => "list",
@@ -24,17 +24,17 @@
     }
 }
 
-/// Digest of what a version means: equal digests mean that nodes act alike, however the version was
-/// written down.
+/// Digest of the meaning of a version. Nodes on versions with equal digests act alike, however
+/// these are encoded.
 pub type Digest = u64;
 
 /// A version that a node acts on.
 ///
-/// Numbers are compared within one generation only: another discovery service numbers its lists
+/// Numbers are compared within one generation only, since each discovery service numbers its lists
 /// independently.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct VersionRecord {
-    /// The source of the numbers.
+    /// Identifies the source that assigns the numbers.
     pub generation: u64,
     /// The number; a newer version has a higher one.
     pub number: u64,
@@ -42,17 +42,18 @@
     pub digest: Digest,
 }
 
-/// A sequence of versions whose numbers can be compared: a kind, and a generation of it.
+/// A sequence of versions whose numbers can be compared: those of one kind and one generation.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct VersionLine {
-    /// What the versions are of.
+    /// The kind of the versions.
     pub kind: VersionKind,
-    /// The source of their numbers.
+    /// Identifies the source that assigns their numbers.
     pub generation: u64,
 }
 
 /// Returns the digest of these parts. Each part is hashed with its length, so that moving a byte
-/// from one part to the next changes the digest.
+/// from one part to the next changes the digest. The digest is the first eight bytes of the SHA-256
+/// hash.
 pub fn digest<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Digest {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/version-tracking/tests/surface_json.rs
+++ b/crates/version-tracking/tests/surface_json.rs
@@ -1,9 +1,9 @@
-//! Pins what `GET /v1/fleet/audit` and `GET /v1/fleet/versions` have of this crate in their JSON
-//! bodies.
+//! Pins the JSON of this crate's types in the answers to `GET /v1/fleet/audit` and
+//! `GET /v1/fleet/versions`.
 //!
-//! The keys and variant names are those of Rust types, so that renaming a field or a variant would
-//! change them unseen: the text below is literal and does not follow a rename. Keep the name on the
-//! wire with `#[serde(rename)]` instead of changing it here.
+//! Keys and values are derived from names of fields and variants in Rust, so that a rename could
+//! change them unnoticed. The literals below do not follow a rename: keep the name on the wire with
+//! `#[serde(rename)]` instead of changing it here.
 
 use postproxy_version_tracking::{
     AuditEntry, AuditEvent, NodeState, REMEDIES, Source, VersionKind, VersionRecord,
@@ -12,8 +12,9 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// The value is written as this text, and this text is read as the value.
-fn pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
+/// Asserts that the value is serialized to this text, and deserialized from it.
+#[track_caller]
+fn pin<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("JSON"), text);
     assert_eq!(&serde_json::from_str::<T>(text).expect("a value"), value);
 }
@@ -26,8 +27,8 @@
 
 #[test]
 fn each_kind_of_version_has_this_json_and_this_name() {
-    pinned(&VersionKind::WorkerList, r#""list""#);
-    pinned(&VersionKind::Program, r#""program""#);
+    pin(&VersionKind::WorkerList, r#""list""#);
+    pin(&VersionKind::Program, r#""program""#);
     assert_eq!(
         [
             VersionKind::WorkerList.as_str(),
@@ -39,27 +40,27 @@
 
 #[test]
 fn a_version_has_this_json() {
-    pinned(&VERSION, r#"{"generation":5,"number":41,"digest":9}"#);
+    pin(&VERSION, r#"{"generation":5,"number":41,"digest":9}"#);
 }
 
 #[test]
 fn each_source_of_a_version_has_this_json() {
-    pinned(&Source::Own, r#""own""#);
-    pinned(&Source::Peer("n1".into()), r#"{"peer":"n1"}"#);
+    pin(&Source::Own, r#""own""#);
+    pin(&Source::Peer("n1".into()), r#"{"peer":"n1"}"#);
 }
 
 #[test]
 fn each_event_of_the_audit_log_has_this_json() {
-    pinned(&AuditEvent::Started, r#""began""#);
-    pinned(
+    pin(&AuditEvent::Started, r#""began""#);
+    pin(
         &AuditEvent::Adopted(VersionKind::WorkerList, VERSION, Source::Own),
         r#"{"adopted":["list",{"generation":5,"number":41,"digest":9},"own"]}"#,
     );
-    pinned(
+    pin(
         &AuditEvent::Adopted(VersionKind::Program, VERSION, Source::Peer("n1".into())),
         r#"{"adopted":["program",{"generation":5,"number":41,"digest":9},{"peer":"n1"}]}"#,
     );
-    pinned(&AuditEvent::Compacted(3), r#"{"folded":3}"#);
+    pin(&AuditEvent::Compacted(3), r#"{"folded":3}"#);
 }
 
 #[test]
@@ -73,7 +74,7 @@
         action_count: 4,
         hash,
     };
-    pinned(
+    pin(
         &entry,
         r#"{"view":2,"at_ms":1000000,"what":"began","acts":4,"hash":[1,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,0,255]}"#,
     );
@@ -81,10 +82,10 @@
 
 #[test]
 fn each_state_of_a_node_has_this_json() {
-    pinned(&NodeState::Current, r#""current""#);
-    pinned(&NodeState::Behind, r#""behind""#);
-    pinned(&NodeState::Excluded, r#""out""#);
-    pinned(&NodeState::CatchingUp, r#""catchingup""#);
+    pin(&NodeState::Current, r#""current""#);
+    pin(&NodeState::Behind, r#""behind""#);
+    pin(&NodeState::Excluded, r#""out""#);
+    pin(&NodeState::CatchingUp, r#""catchingup""#);
 }
 
 #[test]
@@ -93,7 +94,7 @@
         REMEDIES,
         [(
             "audit.fork",
-            "see which of the two the source of this version holds; end whatever else speaks in its name",
+            "find out which of the two versions its source published; stop whatever publishes the other",
         )]
     );
 }
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -17,7 +17,7 @@
 fn codes_of_the_audit_have_their_remedies() {
     let expected = [(
         "audit.fork",
-        "see which of the two the source of this version holds; end whatever else speaks in its name",
+        "find out which of the two versions its source published; stop whatever publishes the other",
     )];
     assert_eq!(postproxy_version_tracking::REMEDIES, expected);
 }
