--- a/crates/version-tracking/tests/audit_log.rs
+++ b/crates/version-tracking/tests/audit_log.rs
@@ -1,8 +1,8 @@
-//! The audit log: its chain of hashes and its compaction.
+//! The hash chain and the compaction of the audit log.
 
 use postproxy_version_tracking::{AuditEvent, AuditLog, Source, VersionKind, VersionRecord};
 
-/// A version of the worker list with this number.
+/// Returns a version with this number.
 fn version(number: u64) -> VersionRecord {
     VersionRecord {
         generation: 1,
@@ -11,7 +11,7 @@
     }
 }
 
-/// A log that is changed anywhere no longer chains, and its length is bounded.
+/// A change of any entry breaks the hash chain, and compaction bounds the length of the log.
 #[test]
 fn a_change_anywhere_in_the_log_is_detected_and_old_entries_are_compacted() {
     let mut log = AuditLog::new(5, 8);
@@ -27,7 +27,7 @@
         assert_eq!(
             action_count,
             (1..=n).sum::<u64>(),
-            "a compacted entry still counts its actions"
+            "a compacted entry keeps the actions of the merged ones"
         );
     }
     let entries: Vec<_> = log.entries().cloned().collect();
@@ -36,8 +36,8 @@
         "{:?}",
         entries[0]
     );
-    // The content of the first entry is gone; its hash and all later entries can't be changed
-    // undetected.
+    // The first entry is a compacted one, whose hash can't be checked. A change of any later entry
+    // must be detected.
     for at in 1..entries.len() {
         for change in 0..5 {
             let mut bad = entries.clone();
@@ -51,8 +51,12 @@
                 3 => bad[at].hash[31] ^= 1,
                 _ => drop(bad.remove(at)),
             }
-            let last = at + 1 == entries.len() && change == 4;
-            assert!(last || AuditLog::verify(&bad).is_err(), "{at} {change}");
+            // Without its last entry the log is still valid.
+            let removed_last = at + 1 == entries.len() && change == 4;
+            assert!(
+                removed_last || AuditLog::verify(&bad).is_err(),
+                "{at} {change}"
+            );
         }
     }
 }
--- a/crates/version-tracking/tests/auditor.rs
+++ b/crates/version-tracking/tests/auditor.rs
@@ -1,5 +1,5 @@
-//! The auditor over simulated clusters in virtual time: nodes that lag, flap, stop and come back,
-//! versions that no node can adopt, lease holders that change.
+//! The auditor in simulated clusters and virtual time: nodes that lag and catch up, versions that
+//! most nodes can't adopt, and changes of the lease holder.
 
 use postproxy_version_tracking::{
     Auditor, AuditorEvent, AuditorTiming, NodeState, VersionDecisions, VersionKind, VersionLine,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Nodes with the numbers of their versions, under one auditor.
+/// An auditor, and the version number of each node.
 struct Cluster {
     now_ms: u64,
     auditor: Auditor,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Lets this much time pass.
+    /// Advances the time; the nodes report their versions and the auditor decides every 100 ms.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             self.now_ms += 100;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the node that the event puts into this state.
+/// Returns the node that the event reports in this state, if it is such an event.
 fn node_in_state(event: &AuditorEvent, wanted: NodeState) -> Option<&str> {
     match event {
         AuditorEvent::StateChanged { node, state, .. } if *state == wanted => Some(node),
@@ -76,8 +76,8 @@
     (0..count).map(|n| format!("n{n}")).collect()
 }
 
-/// A node that is behind is excluded after the grace period and readmitted once it has caught up;
-/// the wait doubles the second time.
+/// A node that is behind is excluded after the grace period, and readmitted after it has caught up.
+/// The wait before the readmission doubles the second time.
 #[test]
 fn a_node_behind_is_excluded_after_the_grace_period_and_readmitted() {
     let mut cluster = Cluster::new(5);
@@ -87,18 +87,18 @@
     assert_eq!(
         cluster.state(4),
         Some(NodeState::Current),
-        "a version counts once a majority has held it for a while"
+        "a node is behind only after a majority has had the version for a while"
     );
     cluster.run(400);
     assert_eq!(cluster.state(4), Some(NodeState::Behind));
     assert!(
         cluster.auditor.decisions().excluded.is_empty(),
-        "not before the grace period is over"
+        "excluded before the grace period is over"
     );
     cluster.run(3000);
     assert_eq!(cluster.state(4), Some(NodeState::Excluded));
     assert_eq!(cluster.auditor.decisions().floors.get(&LINE), Some(&2));
-    let waits = |cluster: &mut Cluster| {
+    let readmission_ms = |cluster: &mut Cluster| {
         cluster.numbers[4] = *cluster.numbers.iter().max().expect("a number");
         let start = cluster.now_ms;
         while cluster.state(4) != Some(NodeState::Current) {
@@ -107,12 +107,12 @@
         }
         cluster.now_ms - start
     };
-    let first = waits(&mut cluster);
+    let first = readmission_ms(&mut cluster);
     assert!(cluster.auditor.decisions().excluded.is_empty());
     cluster.numbers = vec![3, 3, 3, 3, 2];
     cluster.run(6000);
     assert_eq!(cluster.state(4), Some(NodeState::Excluded));
-    let second = waits(&mut cluster);
+    let second = readmission_ms(&mut cluster);
     assert!(
         first < 1300 && second > first + 900,
         "{first} ms, then {second} ms"
@@ -132,10 +132,10 @@
     );
 }
 
-/// If an exclusion would leave no majority, or most nodes can't adopt a version, the version counts
-/// as faulty: no node is excluded until an operator clears the fault.
+/// If an exclusion would leave no majority, or most nodes don't adopt a version, the version counts
+/// as faulty, and no node is excluded until an operator clears the fault.
 #[test]
-fn version_that_half_the_nodes_lack_is_faulty() {
+fn a_version_that_half_the_nodes_lack_is_faulty() {
     for (numbers, newest) in [(vec![2, 2, 2, 1, 1, 1], 2), (vec![2, 1, 1, 1, 1, 1], 2)] {
         let mut cluster = Cluster::new(6);
         cluster.run(500);
@@ -152,11 +152,11 @@
         assert_eq!(
             faults.count(),
             1,
-            "reported once: {numbers:?}: {:?}",
+            "not reported exactly once: {numbers:?}: {:?}",
             cluster.events
         );
     }
-    // Two of five are excluded; a third would leave no majority.
+    // Two of five nodes are excluded; excluding a third one would leave no majority.
     let mut cluster = Cluster::new(5);
     cluster.run(500);
     cluster.numbers = vec![2, 2, 2, 1, 1];
@@ -174,25 +174,28 @@
     assert!(cluster.auditor.clear_fault(LINE) || cluster.auditor.decisions().faulty.is_empty());
 }
 
-/// Over random lags, new lease holders and new versions: fewer than half of the members are
-/// excluded, floors never fall, no node is excluded that wasn't behind for the grace period, and
-/// all are readmitted after the last lag.
+/// With random lags, lease holders and versions, fewer than half of the members are excluded,
+/// floors never fall, a node is excluded only after it was found to be behind, and all nodes are
+/// readmitted after the last lag.
 #[test]
 fn fewer_than_half_the_nodes_are_excluded_and_all_are_readmitted() {
     let mut exclusions = 0;
     for seed in 0..300u64 {
-        let mut draws = Pcg64Mcg::seed_from_u64(seed);
-        let mut draw = |below: u64| draws.next_u64() % below;
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut random_below = |below: u64| rng.next_u64() % below;
         let count = 3 + seed as usize % 10;
         let mut cluster = Cluster::new(count);
         let (mut newest, mut lags) = (1, vec![0; count]);
         let mut floor = 0;
         for _ in 0..60 {
-            match draw(6) {
+            match random_below(6) {
                 0 => newest += 1,
-                1 => lags[draw(count as u64) as usize] = cluster.now_ms + draw(15_000),
+                1 => {
+                    lags[random_below(count as u64) as usize] =
+                        cluster.now_ms + random_below(15_000)
+                }
                 2 => {
-                    // Another lease holder.
+                    // Another node holds the lease.
                     cluster.auditor = Auditor::new(
                         AuditorTiming::default(),
                         cluster.auditor.decisions().clone(),
@@ -206,7 +209,7 @@
                     *number = newest;
                 }
             }
-            let ms = 100 * draw(20);
+            let ms = 100 * random_below(20);
             cluster.run(ms);
             let decisions = cluster.auditor.decisions();
             assert!(
--- a/crates/version-tracking/tests/support/simulation.rs
+++ b/crates/version-tracking/tests/support/simulation.rs
@@ -1,6 +1,6 @@
-//! A simulated cluster in virtual time, for tests of version trackers: lists that change, nodes
-//! whose discovery is stuck or another one, messages that are lost and late, nodes that stop and
-//! restart, partitions.
+//! A simulated cluster in virtual time, for tests of version trackers. Its faults are nodes whose
+//! discovery is stuck, messages that are lost or delayed, nodes that stop or restart, and
+//! partitions. The worker lists change, and nodes may poll different discovery services.
 
 use postproxy_version_tracking::{
     Event, Message, Output, Settings, Source, VersionKind, VersionRecord, VersionTracker, digest,
@@ -12,27 +12,27 @@
 /// A simulated node.
 pub struct Node {
     pub tracker: VersionTracker,
-    /// The generation of the discovery that it polls.
+    /// The generation of the discovery service that the node polls.
     pub generation: u64,
-    /// Its discovery only ever tells the first list.
+    /// Whether the discovery service only ever returns the first list.
     pub discovery_stuck: bool,
-    /// It is stopped until this time.
+    /// The node is stopped until this time.
     pub stopped_until_ms: u64,
-    /// It is cut off from the others.
+    /// Whether the node can't reach the others.
     pub partitioned: bool,
     pub incarnation: u64,
-    /// The highest number that it has acted on in this incarnation.
+    /// The highest version number that the node has acted on in this incarnation.
     pub highest_number: u64,
 }
 
 /// What a node sends to another.
 pub enum Payload {
     Message(Message),
-    /// The whole content of this version.
+    /// The complete content of this version.
     Content(VersionRecord),
 }
 
-/// A message under way.
+/// A message in transit.
 pub struct InFlight {
     pub arrives_at_ms: u64,
     pub from: usize,
@@ -40,7 +40,7 @@
     pub payload: Payload,
 }
 
-/// The list of one generation.
+/// The current list of one generation.
 #[derive(Clone, Copy)]
 pub struct List {
     pub number: u64,
@@ -52,9 +52,9 @@
     pub rng: Pcg64Mcg,
     pub nodes: Vec<Node>,
     pub in_flight: Vec<InFlight>,
-    /// How many messages of a hundred are lost.
+    /// Share of the messages that are lost, in percent.
     pub loss_percent: u64,
-    /// The list of each generation.
+    /// The current list of each generation.
     pub lists: BTreeMap<u64, List>,
     pub sent_count: u64,
     pub fork_count: usize,
@@ -122,7 +122,7 @@
         );
         node.tracker.set_peers(others);
         node.highest_number = 0;
-        // A stuck discovery only tells its first list.
+        // A stuck discovery service only returns its first list.
         let number = if node.discovery_stuck {
             1
         } else {
@@ -237,7 +237,8 @@
                     );
                     self.handle_outputs(to, out);
                 }
-                // As in the node: content of another generation, or none newer, is dropped.
+                // As in the program, content is dropped unless it is newer and of the same
+                // generation.
                 Payload::Content(content) => {
                     let own = self.nodes[to].tracker.versions()[&VersionKind::WorkerList];
                     if content.generation == own.generation && content.number > own.number {
--- a/crates/version-tracking/tests/surface_bytes.rs
+++ b/crates/version-tracking/tests/surface_bytes.rs
@@ -1,6 +1,6 @@
-//! Pins the messages between nodes on versions, and the entries of the audit log: their bytes,
-//! their JSON and the hashes that chain them. Nodes of a fleet may run different versions, so none
-//! of it must change with a rename. The literals were written by the version before the renames.
+//! Pins the bytes of messages between version trackers, and the bytes, JSON and hashes of audit log
+//! entries. The nodes of a fleet may run different versions of the program, so a rename must not
+//! change any of these. The literals were written by a version before the identifiers were renamed.
 
 use postproxy_version_tracking::{
     AuditEntry, AuditEvent, AuditLog, MAX_VERSIONS_PER_MESSAGE, Message, NodeState, Source,
@@ -158,7 +158,7 @@
         hex(&log.head_hash()),
         "9396ccc54918bccb9984eea1060bce571ee05e1509b93df2e2e3572a59c694f9"
     );
-    // The oldest two entries have become one.
+    // The two oldest entries have been merged.
     let entries: Vec<AuditEntry> = log.entries().cloned().collect();
     assert_eq!(entries[0].event, AuditEvent::Compacted(2));
     assert_eq!(
--- a/crates/version-tracking/tests/tracker.rs
+++ b/crates/version-tracking/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! Version trackers: in a simulated cluster, and by single messages.
+//! Version trackers in a simulated cluster, and a single tracker with given messages.
 
 #[path = "support/simulation.rs"]
 mod simulation;
@@ -9,15 +9,16 @@
 use simulation::{Simulation, version};
 use std::collections::BTreeSet;
 
-/// An older version never replaces a newer one, none of another generation is adopted, a node that
-/// is behind catches up from any node that has a newer version, and the audit logs chain.
+/// Under faults, an older version never replaces a newer one, no node adopts a version of another
+/// generation, a node that is behind catches up from any node with a newer version, and the audit
+/// logs are valid.
 #[test]
-fn a_node_behind_catches_up_whatever_fails() {
+fn a_node_behind_catches_up_despite_faults() {
     let mut caught_up = 0;
     for seed in 0..60 {
         let mut simulation = Simulation::new(3 + seed as usize % 10, seed);
         let count = simulation.nodes.len() as u64;
-        // One polls another discovery.
+        // Node 0 polls another discovery.
         simulation.nodes[0].generation = 2;
         simulation.restart(0);
         for _ in 0..8 {
@@ -26,7 +27,7 @@
             }
             let n = 1 + simulation.random_below(count - 1) as usize;
             match simulation.random_below(7) {
-                // At least one node of the generation has a working discovery.
+                // Node 1 is left out, so that generation 1 keeps a node with a working discovery.
                 0 if n > 1 => simulation.nodes[n].discovery_stuck = true,
                 1 => {
                     simulation.nodes[n].stopped_until_ms =
@@ -43,7 +44,7 @@
             .nodes
             .iter_mut()
             .for_each(|node| (node.partitioned, node.stopped_until_ms) = (false, 0));
-        // A node that was stopped polls its own discovery again.
+        // Nodes that were stopped poll their discovery again.
         for n in 0..simulation.nodes.len() {
             let (generation, stuck) = (
                 simulation.nodes[n].generation,
@@ -78,8 +79,8 @@
     assert!(caught_up > 30, "{caught_up}");
 }
 
-/// How long a node with a stuck discovery acts on an old list after the others have the new one,
-/// and how many messages a node sends; prints a table with `--nocapture`.
+/// Measures how long a node with a stuck discovery acts on an old list after the others have the
+/// new one, and how many messages each node sends. Prints a table with `--nocapture`.
 #[test]
 fn a_node_behind_catches_up_within_two_seconds_at_any_cluster_size_with_few_messages() {
     let mut steady = Vec::new();
@@ -107,7 +108,7 @@
             let at = |share: usize| times[(times.len() * share / 100).min(times.len() - 1)];
             let each = sent_count as f64 / (2.0 * runs as f64 * count as f64);
             println!(
-                "{count} nodes, {loss} % lost: p50 {} ms, p99 {} ms, max {} ms; {each:.2} messages a second a node",
+                "{count} nodes, {loss} % lost: p50 {} ms, p99 {} ms, max {} ms; {each:.2} messages/s per node",
                 at(50),
                 at(99),
                 at(100)
@@ -122,7 +123,7 @@
     );
 }
 
-/// A tracker with the peer `b`, and what it has to send.
+/// A tracker with the peer `b`, and its outputs.
 struct TrackerHarness {
     tracker: VersionTracker,
     outputs: Vec<Output>,
@@ -155,23 +156,23 @@
     }
 }
 
-/// An older version never replaces a newer one of its generation; another generation has numbers of
-/// its own.
+/// An older version never replaces a newer one of the same generation. Numbers of different
+/// generations are not compared.
 #[test]
 fn numbers_are_compared_within_a_generation_only() {
     let mut harness = TrackerHarness::with_version(version(1, 5));
     assert!(
         !harness.adopt(1, version(1, 4), Source::Peer("b".into())),
-        "older never replaces newer"
+        "an older version replaced a newer one"
     );
     assert!(
         harness.adopt(2, version(2, 1), Source::Own),
-        "another discovery numbers its lists independently"
+        "another discovery service numbers its lists independently"
     );
     assert!(harness.adopt(3, version(1, 5), Source::Own));
 }
 
-/// A fork that a peer reports again and again is one event.
+/// A fork is reported only once, although the peer repeats its version.
 #[test]
 fn a_fork_is_reported_once() {
     let mut harness = TrackerHarness::with_version(version(1, 5));
@@ -186,8 +187,8 @@
     assert_eq!(harness.outputs.iter().filter(is_fork).count(), 1);
 }
 
-/// Nothing is done for a message with too many versions, for versions of another generation, and
-/// for a request for them.
+/// A message with too many versions, versions of another generation and a request for another
+/// generation have no effect.
 #[test]
 fn oversized_messages_and_other_generations_are_ignored() {
     let mut harness = TrackerHarness::with_version(version(1, 5));
@@ -203,5 +204,9 @@
             newer_than: 0,
         },
     );
-    assert_eq!(harness.outputs, [], "too many, another generation");
+    assert_eq!(
+        harness.outputs,
+        [],
+        "too many versions, and another generation"
+    );
 }
