--- a/crates/version-tracking/src/decisions.rs
+++ b/crates/version-tracking/src/decisions.rs
@@ -59,7 +59,7 @@
     StateChanged {
         /// The node's name.
         node: String,
-        /// The line of the node's version.
+        /// The line of the version that the node acts on.
         line: VersionLine,
         /// Its new state.
         state: NodeState,
--- a/crates/version-tracking/src/message.rs
+++ b/crates/version-tracking/src/message.rs
@@ -13,7 +13,7 @@
 pub enum Message {
     /// The versions that the sender acts on.
     Versions(Vec<(VersionKind, VersionRecord)>),
-    /// The sender requests the content of a newer version.
+    /// The sender requests the content of a newer version than its own.
     Request {
         /// What it is a version of.
         kind: VersionKind,
@@ -66,7 +66,8 @@
         /// The version that this node acts on now.
         version: VersionRecord,
     },
-    /// A version of this node and one of a peer have the same number and different digests.
+    /// A version of this node and one of a peer have the same generation and number, but different
+    /// digests.
     Fork {
         /// What the versions are of.
         kind: VersionKind,
