--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -28,19 +28,19 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, thiserror::Error)]
 pub enum Error {
     /// Nothing was committed in time. Carries the names of the voters that are silent.
-    #[error("not decided in time; voters not heard: {}", name_list(.0))]
+    #[error("not committed in time; silent voters: {}", name_list(.0))]
     NoMajority(Vec<String>),
     /// Too many calls are queued.
-    #[error("too many calls wait")]
+    #[error("too many calls are queued")]
     Busy,
     /// No voter is known.
-    #[error("no node votes")]
+    #[error("no voter is known")]
     NoVoters,
     /// The lease table has rejected the operation.
     #[error("{0}")]
     Rejected(Rejection),
     /// The membership change would leave less than a majority of live voters.
-    #[error("it would leave {living} living voters of {of}")]
+    #[error("only {living} of {of} voters would be alive, which is no majority")]
     WouldLoseMajority {
         /// The number of live voters after the change.
         living: usize,
@@ -48,7 +48,7 @@
         of: usize,
     },
     /// The number of voters would be outside two to seven.
-    #[error("two to seven nodes vote")]
+    #[error("the number of voters must be two to seven")]
     VoterCount,
     /// No node of this name is known.
     #[error("no node of that name is known")]
@@ -57,7 +57,7 @@
     #[error("a name must have 1 to 64 bytes")]
     InvalidName,
     /// The named node leads; the call is repeated there.
-    #[error("{0} leads")]
+    #[error("{0} is the leader")]
     NotLeader(String),
 }
 
@@ -72,31 +72,31 @@
 postproxy_diagnostics::diagnostics! {
     Error, REMEDIES:
     Self::NoMajority(_) => "duties.no_majority",
-        "ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back";
+        "retry, the call may have been committed meanwhile; if the error persists, start the silent voters or repair the network between the voters, and remove a voter that will not return";
     Self::Busy => "duties.busy",
-        "wait a second and ask again";
+        "wait a second and retry";
     Self::NoVoters => "duties.no_voters",
-        "name voters in the section fleet of every node, and start them";
+        "list the voters in the section fleet of every node's settings, and start them";
     Self::Rejected(Rejection::OwnedByOther { .. }) => "duties.owned",
-        "ask its owner to release it, or hand it on";
+        "release the lease, or transfer it to another node";
     Self::Rejected(Rejection::StaleToken(_)) => "duties.stale",
-        "nothing: another owner has it, and the old one has stopped";
+        "no action needed: the lease has another owner or none, and the previous owner has stopped";
     Self::Rejected(Rejection::UnknownLease) => "duties.unknown",
-        "see GET /v1/fleet/owners for the duties that there are";
+        "see GET /v1/fleet/owners for the leases that exist";
     Self::Rejected(Rejection::Malformed) => "duties.malformed",
         "give a name of 1 to 64 bytes";
     Self::Rejected(Rejection::TooManyLeases) => "duties.full",
-        "no more than 4096 duties can be known: end parts that make them";
+        "at most 4096 leases can exist: stop whatever creates leases under new names";
     Self::Rejected(Rejection::SupersededCommand) => "duties.old",
-        "nothing: a later call of the same node has been answered";
+        "no action needed: a later call of the same node has been answered";
     Self::WouldLoseMajority { .. } => "voters.would_stop",
-        "start voters that are down first, or remove a dead one instead of a living one";
+        "start the voters that are down first, or remove a dead voter instead of a live one";
     Self::VoterCount => "voters.count",
-        "remove a seat before another is added; two voters are the least";
+        "remove a voter before adding another one; at least two voters must remain";
     Self::UnknownNode => "voters.nobody",
-        "see GET /v1/fleet/members for the names; the node must be there to get a seat";
+        "see GET /v1/fleet/members for the names; only a node listed there can become a voter";
     Self::InvalidName => "voters.name",
         "give a name of 1 to 64 bytes";
     Self::NotLeader(_) => "voters.elsewhere",
-        "ask again: who leads has just changed";
+        "retry: the leader has just changed";
 }
--- a/crates/coordination/tests/surface.rs
+++ b/crates/coordination/tests/surface.rs
@@ -148,11 +148,11 @@
 
 #[test]
 fn calls_that_were_not_committed_have_these_error_bodies() {
-    let remedy = "ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network \
-                  between them, and remove one that will not come back";
-    let body = |heard: &str| {
+    let remedy = "retry, the call may have been committed meanwhile; if the error persists, start the silent voters or repair \
+                  the network between the voters, and remove a voter that will not return";
+    let body = |silent: &str| {
         format!(
-            r#"{{"error":"duties","code":"duties.no_majority","what":"not decided in time; voters not heard: {heard}","remedy":"{remedy}"}}"#
+            r#"{{"error":"duties","code":"duties.no_majority","what":"not committed in time; silent voters: {silent}","remedy":"{remedy}"}}"#
         )
     };
     rejected(
@@ -162,15 +162,15 @@
     rejected(&Error::NoMajority(Vec::new()), &body("none"));
     rejected(
         &Error::Busy,
-        r#"{"error":"duties","code":"duties.busy","what":"too many calls wait","remedy":"wait a second and ask again"}"#,
+        r#"{"error":"duties","code":"duties.busy","what":"too many calls are queued","remedy":"wait a second and retry"}"#,
     );
     rejected(
         &Error::NoVoters,
-        r#"{"error":"duties","code":"duties.no_voters","what":"no node votes","remedy":"name voters in the section fleet of every node, and start them"}"#,
+        r#"{"error":"duties","code":"duties.no_voters","what":"no voter is known","remedy":"list the voters in the section fleet of every node's settings, and start them"}"#,
     );
     rejected(
         &Error::NotLeader("n1".into()),
-        r#"{"error":"voters","code":"voters.elsewhere","what":"n1 leads","remedy":"ask again: who leads has just changed"}"#,
+        r#"{"error":"voters","code":"voters.elsewhere","what":"n1 is the leader","remedy":"retry: the leader has just changed"}"#,
     );
 }
 
@@ -181,19 +181,19 @@
             owner: "n1".into(),
             token: 7,
         }),
-        r#"{"error":"duties","code":"duties.owned","what":"n1 owns it under token 7","remedy":"ask its owner to release it, or hand it on"}"#,
+        r#"{"error":"duties","code":"duties.owned","what":"n1 owns the lease under token 7","remedy":"release the lease, or transfer it to another node"}"#,
     );
     rejected(
         &Error::Rejected(Rejection::StaleToken(Some(7))),
-        r#"{"error":"duties","code":"duties.stale","what":"the token is over: it is 7 now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
+        r#"{"error":"duties","code":"duties.stale","what":"the token is stale: the lease is owned under token 7 now","remedy":"no action needed: the lease has another owner or none, and the previous owner has stopped"}"#,
     );
     rejected(
         &Error::Rejected(Rejection::StaleToken(None)),
-        r#"{"error":"duties","code":"duties.stale","what":"the token is over: nobody owns it now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
+        r#"{"error":"duties","code":"duties.stale","what":"the token is stale: the lease has no owner now","remedy":"no action needed: the lease has another owner or none, and the previous owner has stopped"}"#,
     );
     rejected(
         &Error::Rejected(Rejection::UnknownLease),
-        r#"{"error":"duties","code":"duties.unknown","what":"nobody knows this duty","remedy":"see GET /v1/fleet/owners for the duties that there are"}"#,
+        r#"{"error":"duties","code":"duties.unknown","what":"no lease of that name is known","remedy":"see GET /v1/fleet/owners for the leases that exist"}"#,
     );
     rejected(
         &Error::Rejected(Rejection::Malformed),
@@ -201,11 +201,11 @@
     );
     rejected(
         &Error::Rejected(Rejection::TooManyLeases),
-        r#"{"error":"duties","code":"duties.full","what":"no more duties can be remembered","remedy":"no more than 4096 duties can be known: end parts that make them"}"#,
+        r#"{"error":"duties","code":"duties.full","what":"the lease table is full","remedy":"at most 4096 leases can exist: stop whatever creates leases under new names"}"#,
     );
     rejected(
         &Error::Rejected(Rejection::SupersededCommand),
-        r#"{"error":"duties","code":"duties.old","what":"a later call of this client has been answered","remedy":"nothing: a later call of the same node has been answered"}"#,
+        r#"{"error":"duties","code":"duties.old","what":"superseded by a later call of the same client","remedy":"no action needed: a later call of the same node has been answered"}"#,
     );
 }
 
@@ -213,15 +213,15 @@
 fn calls_on_voters_that_are_rejected_have_these_error_bodies() {
     rejected(
         &Error::WouldLoseMajority { living: 1, of: 3 },
-        r#"{"error":"voters","code":"voters.would_stop","what":"it would leave 1 living voters of 3","remedy":"start voters that are down first, or remove a dead one instead of a living one"}"#,
+        r#"{"error":"voters","code":"voters.would_stop","what":"only 1 of 3 voters would be alive, which is no majority","remedy":"start the voters that are down first, or remove a dead voter instead of a live one"}"#,
     );
     rejected(
         &Error::VoterCount,
-        r#"{"error":"voters","code":"voters.count","what":"two to seven nodes vote","remedy":"remove a seat before another is added; two voters are the least"}"#,
+        r#"{"error":"voters","code":"voters.count","what":"the number of voters must be two to seven","remedy":"remove a voter before adding another one; at least two voters must remain"}"#,
     );
     rejected(
         &Error::UnknownNode,
-        r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; the node must be there to get a seat"}"#,
+        r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; only a node listed there can become a voter"}"#,
     );
     rejected(
         &Error::InvalidName,
--- a/crates/coordination/tests/surface_errors.rs
+++ b/crates/coordination/tests/surface_errors.rs
@@ -9,32 +9,32 @@
     let cases = [
         (
             Error::NoMajority(vec!["n1".into(), "n2".into()]),
-            "not decided in time; voters not heard: n1, n2",
+            "not committed in time; silent voters: n1, n2",
             "duties.no_majority",
         ),
         (
             Error::NoMajority(vec![]),
-            "not decided in time; voters not heard: none",
+            "not committed in time; silent voters: none",
             "duties.no_majority",
         ),
-        (Error::Busy, "too many calls wait", "duties.busy"),
-        (Error::NoVoters, "no node votes", "duties.no_voters"),
+        (Error::Busy, "too many calls are queued", "duties.busy"),
+        (Error::NoVoters, "no voter is known", "duties.no_voters"),
         (
             Error::Rejected(Rejection::OwnedByOther {
                 owner: "n1".into(),
                 token: 7,
             }),
-            "n1 owns it under token 7",
+            "n1 owns the lease under token 7",
             "duties.owned",
         ),
         (
             Error::Rejected(Rejection::StaleToken(Some(8))),
-            "the token is over: it is 8 now",
+            "the token is stale: the lease is owned under token 8 now",
             "duties.stale",
         ),
         (
             Error::Rejected(Rejection::UnknownLease),
-            "nobody knows this duty",
+            "no lease of that name is known",
             "duties.unknown",
         ),
         (
@@ -44,20 +44,24 @@
         ),
         (
             Error::Rejected(Rejection::TooManyLeases),
-            "no more duties can be remembered",
+            "the lease table is full",
             "duties.full",
         ),
         (
             Error::Rejected(Rejection::SupersededCommand),
-            "a later call of this client has been answered",
+            "superseded by a later call of the same client",
             "duties.old",
         ),
         (
             Error::WouldLoseMajority { living: 1, of: 3 },
-            "it would leave 1 living voters of 3",
+            "only 1 of 3 voters would be alive, which is no majority",
             "voters.would_stop",
         ),
-        (Error::VoterCount, "two to seven nodes vote", "voters.count"),
+        (
+            Error::VoterCount,
+            "the number of voters must be two to seven",
+            "voters.count",
+        ),
         (
             Error::UnknownNode,
             "no node of that name is known",
@@ -70,7 +74,7 @@
         ),
         (
             Error::NotLeader("n2".into()),
-            "n2 leads",
+            "n2 is the leader",
             "voters.elsewhere",
         ),
     ];
@@ -84,8 +88,8 @@
     let expected = ErrorBody {
         error: "duties".into(),
         code: "duties.busy".into(),
-        what: "too many calls wait".into(),
-        remedy: "wait a second and ask again".into(),
+        what: "too many calls are queued".into(),
+        remedy: "wait a second and retry".into(),
     };
     assert_eq!(Error::Busy.error_body(), expected);
 }
--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -58,7 +58,7 @@
         } = self;
         write!(
             f,
-            "token {token} of '{lease}' is over: {highest_seen} has been seen"
+            "token {token} of lease '{lease}' is stale: token {highest_seen} has been seen"
         )
     }
 }
--- a/crates/leases/src/operation.rs
+++ b/crates/leases/src/operation.rs
@@ -140,16 +140,21 @@
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::OwnedByOther { owner, token } => write!(f, "{owner} owns it under token {token}"),
-            Self::StaleToken(Some(token)) => write!(f, "the token is over: it is {token} now"),
-            Self::StaleToken(None) => write!(f, "the token is over: nobody owns it now"),
-            Self::UnknownLease => write!(f, "nobody knows this duty"),
+            Self::OwnedByOther { owner, token } => {
+                write!(f, "{owner} owns the lease under token {token}")
+            }
+            Self::StaleToken(Some(token)) => write!(
+                f,
+                "the token is stale: the lease is owned under token {token} now"
+            ),
+            Self::StaleToken(None) => write!(f, "the token is stale: the lease has no owner now"),
+            Self::UnknownLease => write!(f, "no lease of that name is known"),
             Self::Malformed => write!(
                 f,
                 "a name must have 1 to {MAX_NAME_BYTES} bytes, a value at most {MAX_VALUE_BYTES}"
             ),
-            Self::TooManyLeases => write!(f, "no more duties can be remembered"),
-            Self::SupersededCommand => write!(f, "a later call of this client has been answered"),
+            Self::TooManyLeases => write!(f, "the lease table is full"),
+            Self::SupersededCommand => write!(f, "superseded by a later call of the same client"),
         }
     }
 }
--- a/crates/leases/tests/holder_granter_fence.rs
+++ b/crates/leases/tests/holder_granter_fence.rs
@@ -143,7 +143,10 @@
         highest_seen: 5,
     };
     assert_eq!(fence.admit(older), Err(stale.clone()));
-    assert_eq!(stale.to_string(), "token 3 of 'd' is over: 5 has been seen");
+    assert_eq!(
+        stale.to_string(),
+        "token 3 of lease 'd' is stale: token 5 has been seen"
+    );
     // A stored fence goes on where it stopped.
     let stored = postcard::to_stdvec(&fence).expect("bytes");
     let mut restored: Fence = postcard::from_bytes(&stored).expect("a fence");
--- a/crates/leases/tests/surface_errors.rs
+++ b/crates/leases/tests/surface_errors.rs
@@ -11,25 +11,25 @@
                 owner: "n1".into(),
                 token: 7,
             },
-            "n1 owns it under token 7",
+            "n1 owns the lease under token 7",
         ),
         (
             Rejection::StaleToken(Some(8)),
-            "the token is over: it is 8 now",
+            "the token is stale: the lease is owned under token 8 now",
         ),
         (
             Rejection::StaleToken(None),
-            "the token is over: nobody owns it now",
+            "the token is stale: the lease has no owner now",
         ),
-        (Rejection::UnknownLease, "nobody knows this duty"),
+        (Rejection::UnknownLease, "no lease of that name is known"),
         (
             Rejection::Malformed,
             "a name must have 1 to 64 bytes, a value at most 65536",
         ),
-        (Rejection::TooManyLeases, "no more duties can be remembered"),
+        (Rejection::TooManyLeases, "the lease table is full"),
         (
             Rejection::SupersededCommand,
-            "a later call of this client has been answered",
+            "superseded by a later call of the same client",
         ),
     ];
     for (rejection, message) in cases {
@@ -46,6 +46,6 @@
     };
     assert_eq!(
         stale.to_string(),
-        "token 3 of 'bans' is over: 5 has been seen"
+        "token 3 of lease 'bans' is stale: token 5 has been seen"
     );
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -156,7 +156,7 @@
         (503, "duties.no_majority", "duties")
     );
     assert!(
-        error.what.contains("n0, n1") && error.remedy.contains("start the voters"),
+        error.what.contains("n0, n1") && error.remedy.contains("start the silent voters"),
         "{error:?}"
     );
     for n in [2, 3] {
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -27,45 +27,48 @@
     let expected = [
         (
             "duties.no_majority",
-            "ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back",
+            "retry, the call may have been committed meanwhile; if the error persists, start the silent voters or repair the network between the voters, and remove a voter that will not return",
         ),
-        ("duties.busy", "wait a second and ask again"),
+        ("duties.busy", "wait a second and retry"),
         (
             "duties.no_voters",
-            "name voters in the section fleet of every node, and start them",
+            "list the voters in the section fleet of every node's settings, and start them",
+        ),
+        (
+            "duties.owned",
+            "release the lease, or transfer it to another node",
         ),
-        ("duties.owned", "ask its owner to release it, or hand it on"),
         (
             "duties.stale",
-            "nothing: another owner has it, and the old one has stopped",
+            "no action needed: the lease has another owner or none, and the previous owner has stopped",
         ),
         (
             "duties.unknown",
-            "see GET /v1/fleet/owners for the duties that there are",
+            "see GET /v1/fleet/owners for the leases that exist",
         ),
         ("duties.malformed", "give a name of 1 to 64 bytes"),
         (
             "duties.full",
-            "no more than 4096 duties can be known: end parts that make them",
+            "at most 4096 leases can exist: stop whatever creates leases under new names",
         ),
         (
             "duties.old",
-            "nothing: a later call of the same node has been answered",
+            "no action needed: a later call of the same node has been answered",
         ),
         (
             "voters.would_stop",
-            "start voters that are down first, or remove a dead one instead of a living one",
+            "start the voters that are down first, or remove a dead voter instead of a live one",
         ),
         (
             "voters.count",
-            "remove a seat before another is added; two voters are the least",
+            "remove a voter before adding another one; at least two voters must remain",
         ),
         (
             "voters.nobody",
-            "see GET /v1/fleet/members for the names; the node must be there to get a seat",
+            "see GET /v1/fleet/members for the names; only a node listed there can become a voter",
         ),
         ("voters.name", "give a name of 1 to 64 bytes"),
-        ("voters.elsewhere", "ask again: who leads has just changed"),
+        ("voters.elsewhere", "retry: the leader has just changed"),
     ];
     assert_eq!(postproxy_coordination::REMEDIES, expected);
 }
@@ -103,27 +106,27 @@
     assert_rejection(
         Error::NoMajority(vec!["n1".into(), "n2".into()]),
         503,
-        r#"{"error":"duties","code":"duties.no_majority","what":"not decided in time; voters not heard: n1, n2","remedy":"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back"}"#,
+        r#"{"error":"duties","code":"duties.no_majority","what":"not committed in time; silent voters: n1, n2","remedy":"retry, the call may have been committed meanwhile; if the error persists, start the silent voters or repair the network between the voters, and remove a voter that will not return"}"#,
     );
     assert_rejection(
         Error::NoMajority(vec![]),
         503,
-        r#"{"error":"duties","code":"duties.no_majority","what":"not decided in time; voters not heard: none","remedy":"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back"}"#,
+        r#"{"error":"duties","code":"duties.no_majority","what":"not committed in time; silent voters: none","remedy":"retry, the call may have been committed meanwhile; if the error persists, start the silent voters or repair the network between the voters, and remove a voter that will not return"}"#,
     );
     assert_rejection(
         Error::Busy,
         503,
-        r#"{"error":"duties","code":"duties.busy","what":"too many calls wait","remedy":"wait a second and ask again"}"#,
+        r#"{"error":"duties","code":"duties.busy","what":"too many calls are queued","remedy":"wait a second and retry"}"#,
     );
     assert_rejection(
         Error::NoVoters,
         503,
-        r#"{"error":"duties","code":"duties.no_voters","what":"no node votes","remedy":"name voters in the section fleet of every node, and start them"}"#,
+        r#"{"error":"duties","code":"duties.no_voters","what":"no voter is known","remedy":"list the voters in the section fleet of every node's settings, and start them"}"#,
     );
     assert_rejection(
         Error::NotLeader("n2".into()),
         503,
-        r#"{"error":"voters","code":"voters.elsewhere","what":"n2 leads","remedy":"ask again: who leads has just changed"}"#,
+        r#"{"error":"voters","code":"voters.elsewhere","what":"n2 is the leader","remedy":"retry: the leader has just changed"}"#,
     );
 }
 
@@ -135,17 +138,17 @@
             token: 7,
         }),
         409,
-        r#"{"error":"duties","code":"duties.owned","what":"n1 owns it under token 7","remedy":"ask its owner to release it, or hand it on"}"#,
+        r#"{"error":"duties","code":"duties.owned","what":"n1 owns the lease under token 7","remedy":"release the lease, or transfer it to another node"}"#,
     );
     assert_rejection(
         Error::Rejected(Rejection::StaleToken(Some(8))),
         409,
-        r#"{"error":"duties","code":"duties.stale","what":"the token is over: it is 8 now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
+        r#"{"error":"duties","code":"duties.stale","what":"the token is stale: the lease is owned under token 8 now","remedy":"no action needed: the lease has another owner or none, and the previous owner has stopped"}"#,
     );
     assert_rejection(
         Error::Rejected(Rejection::StaleToken(None)),
         409,
-        r#"{"error":"duties","code":"duties.stale","what":"the token is over: nobody owns it now","remedy":"nothing: another owner has it, and the old one has stopped"}"#,
+        r#"{"error":"duties","code":"duties.stale","what":"the token is stale: the lease has no owner now","remedy":"no action needed: the lease has another owner or none, and the previous owner has stopped"}"#,
     );
     assert_rejection(
         Error::Rejected(Rejection::Malformed),
@@ -155,12 +158,12 @@
     assert_rejection(
         Error::Rejected(Rejection::TooManyLeases),
         409,
-        r#"{"error":"duties","code":"duties.full","what":"no more duties can be remembered","remedy":"no more than 4096 duties can be known: end parts that make them"}"#,
+        r#"{"error":"duties","code":"duties.full","what":"the lease table is full","remedy":"at most 4096 leases can exist: stop whatever creates leases under new names"}"#,
     );
     assert_rejection(
         Error::Rejected(Rejection::SupersededCommand),
         409,
-        r#"{"error":"duties","code":"duties.old","what":"a later call of this client has been answered","remedy":"nothing: a later call of the same node has been answered"}"#,
+        r#"{"error":"duties","code":"duties.old","what":"superseded by a later call of the same client","remedy":"no action needed: a later call of the same node has been answered"}"#,
     );
 }
 
@@ -169,12 +172,12 @@
     assert_rejection(
         Error::WouldLoseMajority { living: 1, of: 3 },
         409,
-        r#"{"error":"voters","code":"voters.would_stop","what":"it would leave 1 living voters of 3","remedy":"start voters that are down first, or remove a dead one instead of a living one"}"#,
+        r#"{"error":"voters","code":"voters.would_stop","what":"only 1 of 3 voters would be alive, which is no majority","remedy":"start the voters that are down first, or remove a dead voter instead of a live one"}"#,
     );
     assert_rejection(
         Error::VoterCount,
         409,
-        r#"{"error":"voters","code":"voters.count","what":"two to seven nodes vote","remedy":"remove a seat before another is added; two voters are the least"}"#,
+        r#"{"error":"voters","code":"voters.count","what":"the number of voters must be two to seven","remedy":"remove a voter before adding another one; at least two voters must remain"}"#,
     );
 }
 
@@ -183,12 +186,12 @@
     assert_rejection(
         Error::Rejected(Rejection::UnknownLease),
         404,
-        r#"{"error":"duties","code":"duties.unknown","what":"nobody knows this duty","remedy":"see GET /v1/fleet/owners for the duties that there are"}"#,
+        r#"{"error":"duties","code":"duties.unknown","what":"no lease of that name is known","remedy":"see GET /v1/fleet/owners for the leases that exist"}"#,
     );
     assert_rejection(
         Error::UnknownNode,
         404,
-        r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; the node must be there to get a seat"}"#,
+        r#"{"error":"voters","code":"voters.nobody","what":"no node of that name is known","remedy":"see GET /v1/fleet/members for the names; only a node listed there can become a voter"}"#,
     );
 }
 
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -421,8 +421,8 @@
     assert_eq!(
         node.until("POST", "/v1/fleet/owners/bans/hand/n0", |answer| !answer
             .ends_with("yes\n")),
-        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 271\r\nConnection: close\r\n\r\n\
-         {\"error\":\"duties\",\"code\":\"duties.no_majority\",\"what\":\"not decided in time; voters not heard: n1\",\"remedy\":\"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back\"}\n"
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 288\r\nConnection: close\r\n\r\n\
+         {\"error\":\"duties\",\"code\":\"duties.no_majority\",\"what\":\"not committed in time; silent voters: n1\",\"remedy\":\"retry, the call may have been committed meanwhile; if the error persists, start the silent voters or repair the network between the voters, and remove a voter that will not return\"}\n"
     );
     node.stop();
 }
@@ -448,18 +448,18 @@
     );
     assert_eq!(
         node.post("/v1/fleet/owners/nothing/release"),
-        "HTTP/1.1 404 Not Found\r\nContent-Length: 141\r\nConnection: close\r\n\r\n\
-         {\"error\":\"duties\",\"code\":\"duties.unknown\",\"what\":\"nobody knows this duty\",\"remedy\":\"see GET /v1/fleet/owners for the duties that there are\"}\n"
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 145\r\nConnection: close\r\n\r\n\
+         {\"error\":\"duties\",\"code\":\"duties.unknown\",\"what\":\"no lease of that name is known\",\"remedy\":\"see GET /v1/fleet/owners for the leases that exist\"}\n"
     );
     assert_eq!(
         node.post("/v1/fleet/voters/n9/add"),
-        "HTTP/1.1 404 Not Found\r\nContent-Length: 170\r\nConnection: close\r\n\r\n\
-         {\"error\":\"voters\",\"code\":\"voters.nobody\",\"what\":\"no node of that name is known\",\"remedy\":\"see GET /v1/fleet/members for the names; the node must be there to get a seat\"}\n"
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 177\r\nConnection: close\r\n\r\n\
+         {\"error\":\"voters\",\"code\":\"voters.nobody\",\"what\":\"no node of that name is known\",\"remedy\":\"see GET /v1/fleet/members for the names; only a node listed there can become a voter\"}\n"
     );
     assert_eq!(
         node.post("/v1/fleet/voters/n1/remove"),
-        "HTTP/1.1 409 Conflict\r\nContent-Length: 149\r\nConnection: close\r\n\r\n\
-         {\"error\":\"voters\",\"code\":\"voters.count\",\"what\":\"two to seven nodes vote\",\"remedy\":\"remove a seat before another is added; two voters are the least\"}\n"
+        "HTTP/1.1 409 Conflict\r\nContent-Length: 177\r\nConnection: close\r\n\r\n\
+         {\"error\":\"voters\",\"code\":\"voters.count\",\"what\":\"the number of voters must be two to seven\",\"remedy\":\"remove a voter before adding another one; at least two voters must remain\"}\n"
     );
     assert_eq!(node.post("/v1/fleet/members/n1/forget"), LIVES);
     assert_eq!(node.post("/v1/fleet/owners/bans/release"), YES);
