--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -11,16 +11,16 @@
 /// Maximum number of calls of this node that wait behind the pending one.
 pub const MAX_QUEUED_CALLS: usize = 64;
 
-/// Maximum number of calls of other nodes that are proposed and not committed, which bounds the
-/// memory for them.
+/// Maximum number of calls of other nodes that are proposed and not committed; bounds the memory
+/// for them.
 pub const MAX_FORWARDED_CALLS: usize = 4096;
 
-/// A call that waits to be made.
+/// A call that waits until no other call of this node is pending.
 pub struct QueuedCall {
     /// The caller's ticket; 0 if no caller waits for the result.
     pub ticket: u64,
     pub operation: Operation,
-    /// When it is given up, in milliseconds.
+    /// When it fails if it has no result by then, in milliseconds.
     pub deadline: u64,
 }
 
@@ -29,15 +29,15 @@
     /// The caller's ticket; 0 if no caller waits for the result.
     ticket: u64,
     pub command: Command,
-    /// When it was made, in milliseconds; a lease counts from then.
-    asked_at: u64,
-    /// When it was sent last, in milliseconds.
+    /// When it was first sent, in milliseconds; a lease that it grants or renews counts from then.
+    requested_at: u64,
+    /// When it was last sent, in milliseconds.
     sent_at: Option<u64>,
-    /// When it is given up, in milliseconds.
+    /// When it fails if it has no result by then, in milliseconds.
     deadline: u64,
 }
 
-/// Identifies a call of any node.
+/// Identifies a call across all nodes.
 #[derive(Clone, Eq, Ord, PartialEq, PartialOrd)]
 pub struct CallId {
     node: String,
@@ -46,8 +46,8 @@
 }
 
 impl Coordinator {
-    /// Puts an operation to the log. [`Event::CallCompleted`] reports its result with the ticket,
-    /// which must be above 0.
+    /// Queues an operation, to be proposed to the log. `ticket` identifies the call:
+    /// [`Event::CallCompleted`] reports the result with it. It must be above 0.
     pub fn call(&mut self, now: u64, ticket: u64, operation: Operation, out: &mut Vec<Output>) {
         if self.queued_calls.len() >= MAX_QUEUED_CALLS {
             return out.push(Output::Event(Event::CallCompleted {
@@ -66,10 +66,10 @@
         self.advance_calls(now, out);
     }
 
-    /// Gives up calls whose time is over, makes the next one if none is pending, and sends the
-    /// pending one again if it is due.
+    /// Fails the calls past their deadlines, starts the next one if none is pending, and sends the
+    /// pending one again if a retry is due.
     pub(crate) fn advance_calls(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.give_up_overdue_calls(now, out);
+        self.fail_overdue_calls(now, out);
         if self.pending_call.is_none() {
             let Some(next) = self.next_call(now) else {
                 return;
@@ -79,11 +79,11 @@
         self.send_pending_call(now, out);
     }
 
-    fn give_up_overdue_calls(&mut self, now: u64, out: &mut Vec<Output>) {
+    fn fail_overdue_calls(&mut self, now: u64, out: &mut Vec<Output>) {
         if let Some(call) = self.pending_call.take_if(|call| call.deadline <= now) {
             self.report_call(call.ticket, Err(self.no_majority_error(now)), out);
         }
-        // Calls behind a pending one have their deadlines, too.
+        // Queued calls have deadlines too.
         let (overdue, remaining): (VecDeque<_>, VecDeque<_>) = self
             .queued_calls
             .drain(..)
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns the next call to make. A renewal goes before all others.
+    /// Returns the next call to start. A renewal that is due precedes all queued calls.
     fn next_call(&mut self, now: u64) -> Option<QueuedCall> {
         if self.holder.renew_at().is_some_and(|at| at <= now) {
             let claims = self.holder.claims();
@@ -105,7 +105,7 @@
             });
         }
         let mut next = self.queued_calls.pop_front()?;
-        // A call that has waited in the queue still gets the time of one attempt.
+        // However long the call has been queued, there is time for one attempt.
         next.deadline = next.deadline.max(now + CALL_RETRY_INTERVAL_MS);
         Some(next)
     }
@@ -121,13 +121,14 @@
         PendingCall {
             ticket: call.ticket,
             command,
-            asked_at: now,
+            requested_at: now,
             sent_at: None,
             deadline: call.deadline,
         }
     }
 
-    /// Proposes the pending call, or sends it to a voter, if it has not been sent lately.
+    /// Proposes the pending call, or sends it to a voter if this node does not vote, unless it was
+    /// sent within the retry interval.
     fn send_pending_call(&mut self, now: u64, out: &mut Vec<Output>) {
         let Some(call) = &mut self.pending_call else {
             return;
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Proposes a command. A rejected proposal is not reported: whoever made the call repeats it.
+    /// Proposes a command. A rejected proposal is not reported: the node that makes the call
+    /// retries it.
     pub(crate) fn propose(&mut self, now: u64, command: &Command, out: &mut Vec<Output>) {
         let mut replica_outputs = Vec::new();
         let _ = self.replica.propose(command, &mut replica_outputs);
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Completes the pending call if the committed state has its result.
+    /// Completes the pending call if the committed state contains its response.
     pub(crate) fn complete_committed_call(&mut self, now: u64, out: &mut Vec<Output>) {
         let Some(call) = &self.pending_call else {
             return;
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Completes the pending call, if it has this number, and makes the next one.
+    /// Completes the pending call if it has this sequence number, and starts the next one.
     pub(crate) fn complete_call(
         &mut self,
         now: u64,
@@ -211,7 +213,7 @@
         match (&call.command.operation, &response) {
             (Operation::Acquire { lease }, Response::Granted { token, value }) => {
                 self.acquire_at.remove(lease);
-                self.holder.record_grant(call.asked_at, lease, *token);
+                self.holder.record_grant(call.requested_at, lease, *token);
                 out.push(Output::Event(Event::LeaseAcquired {
                     lease: lease.clone(),
                     token: *token,
@@ -226,7 +228,7 @@
                         renewed.iter().find(|renewed| renewed.lease == claim.lease)
                     {
                         self.holder
-                            .record_grant(call.asked_at, &claim.lease, claim.token);
+                            .record_grant(call.requested_at, &claim.lease, claim.token);
                         if let Some(next_owner) = &renewed.next_owner {
                             self.transfer_lease(now, claim, next_owner, out);
                         }
@@ -243,7 +245,7 @@
         self.advance_calls(now, out);
     }
 
-    /// Gives up a lease in favour of the node that an operator wants as its next owner.
+    /// Gives up a lease and transfers it to the node that an operator has chosen as its next owner.
     fn transfer_lease(
         &mut self,
         now: u64,
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -23,18 +23,18 @@
     pub node: String,
     /// The name of the cluster.
     pub cluster: String,
-    /// The names of the nodes that vote as long as no log says otherwise.
+    /// The names of the nodes that vote initially, until the log records a change of the voters.
     pub initial_voters: BTreeSet<String>,
     /// The timing of leases.
     pub lease_timing: LeaseTiming,
-    /// The leases that this node acquires whenever nobody owns them.
+    /// The leases that this node acquires whenever they have no owner.
     pub wanted_leases: BTreeSet<String>,
 }
 
 /// What the caller is to do, or what has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message to a node. It must arrive, or the loss be reported by
+    /// Send a message to a node. If it may have been lost, this must be reported by
     /// [`Coordinator::peer_reconnected`].
     Send {
         /// The name of the node.
@@ -42,8 +42,8 @@
         /// The encoded message.
         message: Vec<u8>,
     },
-    /// Write these changes, all or none, in the order of the numbers; report them by
-    /// [`Coordinator::record_durable`].
+    /// Write these changes atomically, in the order of the write numbers. Once they are durable,
+    /// report that by [`Coordinator::record_durable`].
     Write {
         /// The number of the write.
         number: u64,
@@ -59,14 +59,14 @@
 pub enum Event {
     /// A call has been completed or has failed.
     CallCompleted {
-        /// The ticket of the call.
+        /// The ticket that the caller has given the call.
         ticket: u64,
         /// The result.
         result: Result<Response, Error>,
     },
     /// A membership change has been completed or has failed.
     MembershipChangeCompleted {
-        /// The ticket of the change.
+        /// The ticket that the caller has given the change.
         ticket: u64,
         /// The result.
         result: Result<(), Error>,
@@ -94,20 +94,20 @@
         /// The owner.
         owner: Option<LeaseOwner>,
     },
-    /// The log has another leader, as far as this node knows, or none that it knows of.
+    /// The leader of the log, as far as this node knows, has changed.
     LeaderChanged {
-        /// The name of the leader.
+        /// The name of the leader; `None` if no leader is known.
         leader: Option<String>,
     },
-    /// This node has begun or stopped to vote, or does not vote for another reason than before.
+    /// This node has started or stopped voting, or the reason why it does not vote has changed.
     VotingChanged {
         /// Why it does not vote; `None` if it votes.
         not_voting_reason: Option<NotVotingReason>,
     },
     /// The committed state has changed.
     StateChanged,
-    /// The process was paused: every lease of this node has to be renewed before the node may act
-    /// for it.
+    /// The process was paused: this node must renew each of its leases before it may act for it
+    /// again.
     PauseDetected,
 }
 
@@ -119,37 +119,38 @@
     pub(crate) random: Pcg64Mcg,
     pub(crate) replica: Replica,
     pub(crate) granter: LeaseGranter,
-    /// The number of the latest expiry that this voter has proposed.
+    /// The sequence number of the latest expiry that this voter has proposed.
     pub(crate) expiry_sequence: u64,
     pub(crate) holder: LeaseHolder,
-    /// The number of the latest call of this node.
+    /// The sequence number of the latest call of this node.
     pub(crate) call_sequence: u64,
     /// The call that waits for its result.
     pub(crate) pending_call: Option<PendingCall>,
     pub(crate) queued_calls: VecDeque<QueuedCall>,
-    /// Calls of other nodes that this voter has proposed and that are not committed yet.
+    /// Calls of other nodes that this voter has proposed and not seen committed.
     pub(crate) forwarded_calls: BTreeSet<CallId>,
-    /// The latest committed state that a voter has sent to this node, for the time that it does not
-    /// vote.
+    /// The latest committed state that a voter has sent to this node, which is used while this node
+    /// does not vote.
     pub(crate) follower_snapshot: FollowerSnapshot,
-    /// When each voter has sent something last, in milliseconds.
+    /// When the latest message of each voter arrived, in milliseconds, by voter ID.
     pub(crate) last_heard: BTreeMap<u64, u64>,
-    /// Voters that have said that they lost their promises.
+    /// Voters that have reported that they lost their promises.
     pub(crate) promises_lost: BTreeSet<u64>,
-    /// Membership changes that this node makes, as the leader.
+    /// Membership changes that this node carries out as the leader.
     pub(crate) changes_in_progress: Vec<MembershipChangeInProgress>,
-    /// Membership changes that this node wants, by ticket.
+    /// Membership changes that were requested at this node, by ticket.
     pub(crate) requested_changes: BTreeMap<u64, RequestedChange>,
-    /// When this node asks for each lease that it wants, in milliseconds.
+    /// When this node is to request each lease that it wants, in milliseconds.
     pub(crate) acquire_at: BTreeMap<String, u64>,
-    /// The owners, the leader and the reason not to vote that events have reported last.
+    /// The owners that events have reported last; the next two fields are the leader and the reason
+    /// for not voting that they have reported last.
     pub(crate) reported_owners: BTreeMap<String, LeaseOwner>,
     reported_leader: Option<String>,
     reported_not_voting_reason: Option<NotVotingReason>,
     next_tick_at: u64,
-    pub(crate) next_follow_at: u64,
+    pub(crate) next_snapshot_request_at: u64,
     pub(crate) next_reminder_at: u64,
-    /// The position, among the other voters, of the one that this node asks next.
+    /// Counter that selects the voter to ask next, in round-robin order.
     pub(crate) next_voter: usize,
 }
 
@@ -195,7 +196,7 @@
             reported_leader: None,
             reported_not_voting_reason: Some(NotVotingReason::NotAVoter),
             next_tick_at: now,
-            next_follow_at: now,
+            next_snapshot_request_at: now,
             next_reminder_at: now,
             next_voter: 0,
             settings,
@@ -218,7 +219,7 @@
             .map_or(self.follower_snapshot.applied_index, Voter::applied_index)
     }
 
-    /// Returns a permit if this node may act as the owner of a lease now; to be asked before each
+    /// Returns a permit if this node may act as the owner of a lease now; to be called before each
     /// effect.
     pub fn permit(&self, now: u64, lease: &str) -> Option<LeasePermit> {
         self.holder.permit(now, lease)
@@ -229,7 +230,7 @@
         self.replica.voter().is_some()
     }
 
-    /// Returns the voters: the number of each, and the name of its node.
+    /// Returns the name of each voter's node, by voter ID.
     pub fn voters(&self) -> &BTreeMap<u64, String> {
         let known = self.replica.voters();
         if !self.is_voter() && self.follower_snapshot.applied_index > known.applied_index {
@@ -252,8 +253,8 @@
         self.next_tick_at
     }
 
-    /// Does what is due. To be called in each turn of the event loop, at least every 250 ms while
-    /// this node owns a lease.
+    /// Runs the periodic work that is due. To be called in each turn of the event loop, at least
+    /// every 250 ms while this node owns a lease.
     pub fn run_turn(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.holder.detect_pause(now) {
             out.push(Output::Event(Event::PauseDetected));
@@ -261,15 +262,15 @@
         if now < self.next_tick_at {
             return;
         }
-        // After a pause there is one tick, not all that were missed; otherwise all other voters
-        // would seem silent at once.
+        // After a pause one tick is counted, not all that were missed; otherwise this node would
+        // consider all other voters silent at once.
         self.next_tick_at = now + TICK_INTERVAL_MS;
         let mut replica_outputs = Vec::new();
         self.replica.tick(&mut replica_outputs);
         self.carry_out(now, replica_outputs, out);
         self.expire_leases(now, out);
         self.advance_membership_changes(now, out);
-        self.exchange_state(now, out);
+        self.send_periodic_messages(now, out);
         self.acquire_wanted_leases(now, out);
         self.advance_calls(now, out);
     }
@@ -303,8 +304,7 @@
         true
     }
 
-    /// Handles a message of a node, which is the voter of this number if it is one. Long only by
-    /// its patterns: a call for each case.
+    /// Dispatches a message from a node, whose voter ID is `sender_id` if it is a voter.
     fn handle_message(
         &mut self,
         now: u64,
@@ -323,7 +323,7 @@
                 self.replica
                     .receive_admission(id, to, message, replica_outputs);
             }
-            // The sender does not vote any more, or under another number: the announcement shows it
+            // The sender no longer votes, or votes under another ID; the announcement tells it
             // that.
             Message::Admission { .. } => self.send_voters(from, out),
             Message::Log {
@@ -362,7 +362,7 @@
             Message::MembershipChangeCompleted { ticket, result } => {
                 self.complete_requested_change(ticket, result, out);
             }
-            Message::FollowRequested { applied_index } => {
+            Message::FollowerSnapshotRequested { applied_index } => {
                 self.send_follower_snapshot(from, applied_index, out);
             }
             Message::FollowerSnapshot(snapshot) => {
@@ -371,7 +371,7 @@
         }
     }
 
-    /// Returns whether a voter has sent something lately.
+    /// Returns whether a message from a voter has arrived within the liveness timeout.
     pub(crate) fn is_recently_heard(&self, now: u64, voter_id: u64) -> bool {
         self.last_heard
             .get(&voter_id)
@@ -386,7 +386,7 @@
     }
 
     /// Returns a random number below this one, 0 if that is 0.
-    pub(crate) fn draw(&mut self, below: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, below: u64) -> u64 {
         self.random.next_u64() % below.max(1)
     }
 
@@ -413,7 +413,7 @@
         self.report_leader_and_voting(out);
     }
 
-    /// Reports the leader, and whether this node votes, if they have changed.
+    /// Reports a change of the leader, or of whether this node votes and why not.
     fn report_leader_and_voting(&mut self, out: &mut Vec<Output>) {
         let leader = self.leader().cloned();
         if leader != self.reported_leader {
@@ -467,8 +467,8 @@
     }
 }
 
-/// Returns whether a message of the log may come from this voter: it promises something for it, or
-/// for nobody.
+/// Returns whether a message of the log may come from this voter: it names this voter as its
+/// sender, or makes no promise.
 fn may_be_from(message: &[u8], voter_id: u64) -> bool {
     let promising_id = message_promise(message).voter;
     promising_id == voter_id || promising_id == 0
--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -10,16 +10,17 @@
     #[default]
     #[serde(rename = "NoSeat")]
     NotAVoter,
-    /// It has started and waits until the other voters have confirmed that it has kept its
+    /// It has started and waits until the other voters have confirmed that it has not lost its
     /// promises.
     #[serde(rename = "Waits")]
     AwaitingAdmission,
-    /// It has lost its promises: its store is empty or an older one.
+    /// It has lost its promises: its store is empty or outdated and lacks votes or log entries that
+    /// it has confirmed to other voters.
     #[serde(rename = "Lost")]
     PromisesLost,
     /// It was removed from the voters.
     Removed,
-    /// Its log is inconsistent or can't be read. Carries the reason.
+    /// Its log is inconsistent or cannot be read. Carries the reason.
     #[serde(rename = "Damaged")]
     LogDamaged(String),
 }
@@ -27,7 +28,9 @@
 /// Why a call or a membership change has failed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, thiserror::Error)]
 pub enum Error {
-    /// Nothing was committed in time. Carries the names of the voters that are silent.
+    /// The call or the membership change was not committed before its deadline; it may still be
+    /// committed later. Carries the names of the voters from which nothing has been received
+    /// lately.
     #[error("not committed in time; silent voters: {}", name_list(.0))]
     NoMajority(Vec<String>),
     /// Too many calls are queued.
@@ -39,7 +42,7 @@
     /// The lease table has rejected the operation.
     #[error("{0}")]
     Rejected(Rejection),
-    /// The membership change would leave less than a majority of live voters.
+    /// After the membership change, the live voters would be no majority of all voters.
     #[error("only {living} of {of} voters would be alive, which is no majority")]
     WouldLoseMajority {
         /// The number of live voters after the change.
@@ -56,7 +59,7 @@
     /// The name of a node is empty or too long.
     #[error("a name must have 1 to 64 bytes")]
     InvalidName,
-    /// The named node leads; the call is repeated there.
+    /// The named node is the leader; the request is sent again to it.
     #[error("{0} is the leader")]
     NotLeader(String),
 }
--- a/crates/coordination/src/followers.rs
+++ b/crates/coordination/src/followers.rs
@@ -1,20 +1,26 @@
-//! State that voters send to nodes that do not vote, and announcements of the voters.
+//! The committed state that voters send to followers, and announcements of the voters. A follower
+//! is a node that does not vote, unlike a follower in Raft.
 
 use crate::calls::MAX_FORWARDED_CALLS;
 use crate::coordinator::{Coordinator, Output};
 use crate::error::NotVotingReason;
 use crate::message::{FollowerSnapshot, Message};
 use crate::replica::ReplicaOutput;
-use crate::timing::{FOLLOW_INTERVAL_MS, REMINDER_INTERVAL_MS};
+use crate::timing::{FOLLOWER_SNAPSHOT_INTERVAL_MS, REMINDER_INTERVAL_MS};
 
 impl Coordinator {
-    /// Sends what is due periodically to other nodes.
-    pub(crate) fn exchange_state(&mut self, now: u64, out: &mut Vec<Output>) {
-        if !self.is_voter() && self.next_follow_at <= now {
-            self.next_follow_at = now + FOLLOW_INTERVAL_MS;
+    /// Sends the periodic messages that are due: the request of a follower for the committed state,
+    /// and reminders.
+    pub(crate) fn send_periodic_messages(&mut self, now: u64, out: &mut Vec<Output>) {
+        if !self.is_voter() && self.next_snapshot_request_at <= now {
+            self.next_snapshot_request_at = now + FOLLOWER_SNAPSHOT_INTERVAL_MS;
             if let Some(to) = self.next_voter_to_ask() {
                 let applied_index = self.follower_snapshot.applied_index;
-                self.send(&to, &Message::FollowRequested { applied_index }, out);
+                self.send(
+                    &to,
+                    &Message::FollowerSnapshotRequested { applied_index },
+                    out,
+                );
             }
         }
         if self.next_reminder_at <= now {
@@ -24,8 +30,8 @@
     }
 
     fn send_reminders(&mut self, now: u64, out: &mut Vec<Output>) {
-        // Forwarded calls that were never committed: their nodes have asked another voter, or given
-        // up.
+        // Calls that were never committed stay in the set, so it is cleared at half its limit. A
+        // node whose call is dropped here sends it again or has given it up.
         if self.forwarded_calls.len() >= MAX_FORWARDED_CALLS / 2 {
             self.forwarded_calls.clear();
         }
@@ -49,7 +55,7 @@
         }
     }
 
-    /// Returns another voter to ask, each in its turn.
+    /// Returns the other voter to ask next, in round-robin order.
     pub(crate) fn next_voter_to_ask(&mut self) -> Option<String> {
         let others: Vec<String> = self
             .voters()
@@ -72,8 +78,8 @@
         }
     }
 
-    /// Sends the committed state to a node that has the state of this index, unless this node knows
-    /// less.
+    /// Sends the committed state to a node that has the state of `known_index`, unless this node
+    /// does not vote or its state is older.
     pub(crate) fn send_follower_snapshot(&self, to: &str, known_index: u64, out: &mut Vec<Output>) {
         let Some(voter) = self.replica.voter() else {
             return;
@@ -90,7 +96,8 @@
         self.send(to, &Message::FollowerSnapshot(Box::new(snapshot)), out);
     }
 
-    /// Takes the committed state from a voter, unless this node votes or knows a later one.
+    /// Installs the committed state received from a voter, unless this node votes or has a later
+    /// one.
     pub(crate) fn install_follower_snapshot(
         &mut self,
         snapshot: FollowerSnapshot,
--- a/crates/coordination/src/lease_acquisition.rs
+++ b/crates/coordination/src/lease_acquisition.rs
@@ -1,5 +1,5 @@
-//! The leases of this node: acquiring those that it wants, giving up those that it has lost, and,
-//! as the leader, expiring those of nodes that are silent.
+//! The leases of this node: acquiring those that it wants and giving up those that it has lost. As
+//! the leader, it also proposes the expiry of leases that are not renewed in time.
 
 use crate::calls::MAX_QUEUED_CALLS;
 use crate::coordinator::{Coordinator, Event, Output};
@@ -7,8 +7,8 @@
 use postproxy_leases::{Command, FencingToken, LeaseClaim, Operation};
 use std::collections::BTreeSet;
 
-/// Begins the client name under which a voter proposes expiries; the number of the voter follows.
-/// No node has such a name. It is part of the stored log.
+/// Prefix of the client name under which a voter proposes expiries; its voter ID follows. No node
+/// has such a name. It is part of the stored log.
 const EXPIRY_CLIENT_PREFIX: &str = "\u{1}seat ";
 
 /// Returns whether an operation acquires or releases this lease.
@@ -20,8 +20,8 @@
 }
 
 impl Coordinator {
-    /// Gives up a lease that this node holds under this token or an earlier one. The node leaves it
-    /// to the others for the duration of a lease.
+    /// Gives up a lease that this node holds under this token or a lower one. The node does not
+    /// request the lease again for the duration of a lease, so that another node can acquire it.
     pub(crate) fn give_up_lease(
         &mut self,
         now: u64,
@@ -46,9 +46,9 @@
         }));
     }
 
-    /// Gives up the leases that the committed state shows to be another node's, or nobody's. A
-    /// token above the latest one of the state was granted by an entry that this copy of the log
-    /// does not have yet, so that such a lease is kept.
+    /// Gives up the leases that this node does not own according to the committed state. A lease
+    /// with a token above the latest one of that state is kept: the entry that granted it has not
+    /// been applied here yet.
     pub(crate) fn drop_leases_of_others(&mut self, now: u64, out: &mut Vec<Output>) {
         let latest_token = self.lease_table().latest_token();
         for LeaseClaim { lease, token } in self.holder.claims() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Proposes the expiry of leases that have run out, if this node leads.
+    /// Proposes the expiry of leases that were not renewed in time, if this node leads.
     pub(crate) fn expire_leases(&mut self, now: u64, out: &mut Vec<Output>) {
         self.granter.set_leading(self.replica.is_leader());
         if let Some(operation) = self.granter.expire_due_leases(now) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Asks for the leases that this node wants and nobody owns, and for those that have been
+    /// Requests the leases that this node wants and that have no owner, and those that have been
     /// transferred to it.
     pub(crate) fn acquire_wanted_leases(&mut self, now: u64, out: &mut Vec<Output>) {
         let is_busy =
@@ -89,7 +89,7 @@
         self.acquire_at
             .retain(|lease, at| wanted.contains(lease) || *at > now);
         for lease in wanted {
-            let delay = self.draw(MAX_ACQUIRE_DELAY_MS);
+            let delay = self.random_below(MAX_ACQUIRE_DELAY_MS);
             let at = *self.acquire_at.entry(lease.clone()).or_insert(now + delay);
             if at <= now && !self.has_call_for(&lease) {
                 self.acquire_at
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Returns the leases that this node wants or owns, and does not hold.
+    /// Returns the leases that this node does not hold, but either wants while they have no owner,
+    /// or owns according to the committed state.
     fn leases_to_acquire(&self) -> BTreeSet<String> {
         let held: BTreeSet<String> = self
             .holder
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,6 @@
-//! A node's part in the coordination service of its cluster: its replica of the replicated log, if
-//! it is a voter; the leases that it acquires and holds; its calls to the log, and those of other
-//! nodes that it forwards.
+//! A node's part in the coordination service of its cluster: its replica of the log, if it is a
+//! voter; the leases that it acquires and holds; its calls to the log, and the calls of other nodes
+//! that it proposes for them.
 //!
 //! [`Coordinator`] has no socket, disk or clock. It receives messages, the time and the numbers of
 //! durable writes, and returns what to send, what to write and what has changed. The same code runs
--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -1,8 +1,8 @@
-//! Changes of the voters: requests of this node, and the changes that this node makes as the
-//! leader.
+//! Changes of the voters: those that are requested at this node, and those that it carries out as
+//! the leader.
 //!
-//! Each turn compares the voters with what is wanted and takes the next step, so that a new leader
-//! or a lost message does no harm.
+//! Each turn compares the present voters with the requested change and takes the next step. A new
+//! leader or a lost message therefore only delays a change.
 
 use crate::coordinator::{Coordinator, Event, Output};
 use crate::error::Error;
@@ -22,14 +22,14 @@
     Remove,
 }
 
-/// A membership change that this node has been asked for, and that it asks the leader for.
+/// A membership change that was requested at this node and that it requests from the leader.
 #[derive(Clone)]
 pub struct RequestedChange {
     action: VoterAction,
     node: String,
-    /// When the leader was asked last, in milliseconds; 0 if it was not yet.
+    /// When it was last requested from the leader, in milliseconds; 0 if not yet.
     sent_at: u64,
-    /// When it is given up, in milliseconds.
+    /// When it fails if it is not complete by then, in milliseconds.
     deadline: u64,
 }
 
@@ -38,22 +38,22 @@
 pub struct ChangeRequester {
     /// The name of the node; `None` for the leader itself.
     node: Option<String>,
-    /// The ticket of that node.
+    /// The ticket that this node has given the change.
     ticket: u64,
 }
 
-/// A membership change that this node makes as the leader.
+/// A membership change that this node carries out as the leader.
 pub struct MembershipChangeInProgress {
     requester: ChangeRequester,
     action: VoterAction,
     node: String,
-    /// When it is given up, in milliseconds.
+    /// When it fails if it is not complete by then, in milliseconds.
     deadline: u64,
 }
 
 impl Coordinator {
-    /// Makes a node a voter, or removes it. [`Event::MembershipChangeCompleted`] reports the result
-    /// with the ticket.
+    /// Makes a node a voter, or removes it. `ticket` identifies the change:
+    /// [`Event::MembershipChangeCompleted`] reports the result with it.
     pub fn change_membership(
         &mut self,
         now: u64,
@@ -78,7 +78,7 @@
         self.advance_membership_changes(now, out);
     }
 
-    /// Handles the request of another node.
+    /// Handles a request of another node for a membership change.
     pub(crate) fn handle_change_request(
         &mut self,
         now: u64,
@@ -100,8 +100,8 @@
         self.begin_change(now, requester, action, node, out);
     }
 
-    /// Begins a change if this node leads; otherwise names the leader to the requester. Where no
-    /// leader is known, the requester repeats its request.
+    /// Begins a change if this node leads; otherwise names the leader to the requester. If no
+    /// leader is known, nothing is sent, and the requester retries.
     fn begin_change(
         &mut self,
         now: u64,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Completes a change that this node has asked for.
+    /// Completes a change that was requested at this node.
     pub(crate) fn complete_requested_change(
         &mut self,
         ticket: u64,
@@ -161,7 +161,7 @@
         out: &mut Vec<Output>,
     ) {
         match result {
-            // The change is requested again, of this leader, until its deadline.
+            // The change is requested again, from this leader, until its deadline.
             Err(Error::NotLeader(leader)) if self.requested_changes.contains_key(&ticket) => {
                 self.follower_snapshot.leader = Some(leader);
             }
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Asks the leader for a change, or any voter if this node does not vote. A voter that knows of
-    /// no other leader begins the change itself.
+    /// Requests a change from the leader, or from any voter if this node does not vote and knows no
+    /// leader. A voter that knows of no other leader tries to begin the change itself.
     fn send_change_request(
         &mut self,
         now: u64,
@@ -250,14 +250,13 @@
                 .get(&leader)
                 .cloned()
                 .map_or(Error::NoVoters, Error::NotLeader))),
-            // The change is complete once the voters show it. A proposal that can't be made now is
-            // repeated.
+            // The change is complete once the voters show it. A proposal that was not possible, or
+            // was lost, is made again in a later turn.
             Ok(()) | Err(_) => None,
         }
     }
 
-    /// Returns what is to be proposed next for a change; `None` if the voters show the change
-    /// already.
+    /// Returns what is to be proposed next for a change; `None` if the voters already show it.
     fn next_proposal(
         &self,
         now: u64,
@@ -268,8 +267,7 @@
         let (proposal, count) = match (change.action, id) {
             (VoterAction::Add, Some(id)) if !self.promises_lost.contains(&id) => return Ok(None),
             (VoterAction::Remove, None) => return Ok(None),
-            // A node that has lost its promises is removed first, and then added under another
-            // number.
+            // A voter that has lost its promises is removed first and then added under a new ID.
             (VoterAction::Add | VoterAction::Remove, Some(id)) => {
                 (MembershipChange::Remove(id), voters.len() - 1)
             }
@@ -277,27 +275,27 @@
                 (MembershipChange::Add(change.node.clone()), voters.len() + 1)
             }
         };
-        let living = self.count_living(now, voters, id);
+        let living = self.count_live_voters(now, voters, id);
         if living * 2 <= count {
             return Err(Error::WouldLoseMajority { living, of: count });
         }
         Ok(Some(proposal))
     }
 
-    /// Returns how many voters, without this one, are alive and have not lost their promises.
-    fn count_living(
+    /// Returns how many voters other than `excluded` are alive and have not lost their promises.
+    fn count_live_voters(
         &self,
         now: u64,
         voters: &BTreeMap<u64, String>,
         excluded: Option<u64>,
     ) -> usize {
-        let is_living = |id: &u64| {
+        let is_live = |id: &u64| {
             let is_self = *id == self.replica.id();
             is_self || self.is_recently_heard(now, *id) && !self.promises_lost.contains(id)
         };
         voters
             .keys()
-            .filter(|id| Some(**id) != excluded && is_living(id))
+            .filter(|id| Some(**id) != excluded && is_live(id))
             .count()
     }
 }
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -6,18 +6,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first bytes of every message. The last of them is the version; messages of other parts over
-/// the same stream begin otherwise.
+/// The first bytes of every message. The last of them is the version; messages of other protocols
+/// on the same stream begin with other bytes.
 pub const MESSAGE_PREFIX: [u8; 3] = *b"PC\x01";
 
 /// A message from one node to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// From one voter to another, on its admission.
+    /// A message of the admission protocol, from one voter to another.
     Admission {
-        /// The number of the sender.
+        /// The voter ID of the sender.
         from: u64,
-        /// The number of the receiver.
+        /// The voter ID of the receiver.
         to: u64,
         /// The message.
         message: AdmissionMessage,
@@ -29,32 +29,32 @@
         /// The encoded message.
         message: Vec<u8>,
     },
-    /// Announces who votes.
+    /// Announces the voters.
     VotersAnnounced {
-        /// The index of the log at which this holds.
+        /// The index of the log as of which these are the voters.
         applied_index: u64,
         /// The voters.
         voters: BTreeMap<u64, String>,
     },
-    /// The sender has lost the promises that it made as this voter.
+    /// The sender has lost the promises that it made under this voter ID.
     PromisesLost {
-        /// The number of the sender.
+        /// The voter ID of the sender.
         voter: u64,
     },
-    /// A call to be put to the log.
+    /// A call of the sender, which the receiver is to propose to the log.
     Call(Command),
     /// The result of a call of the receiver.
     CallCompleted {
         /// The incarnation of the receiver's process that made the call.
         incarnation: u64,
-        /// The number of the call.
+        /// The sequence number of the call.
         sequence: u64,
         /// The result.
         response: Response,
     },
     /// Asks the leader for a change of the voters.
     MembershipChangeRequested {
-        /// The sender's ticket.
+        /// The ticket that the sender has given the change.
         ticket: u64,
         /// Whether the node is to become a voter, or to be removed.
         add: bool,
@@ -63,13 +63,13 @@
     },
     /// The result of a membership change that the receiver has asked for.
     MembershipChangeCompleted {
-        /// The receiver's ticket.
+        /// The ticket that the receiver has given the change.
         ticket: u64,
         /// The result.
         result: Result<(), Error>,
     },
     /// A node that does not vote asks for the committed state.
-    FollowRequested {
+    FollowerSnapshotRequested {
         /// The index of the state that it has.
         applied_index: u64,
     },
@@ -90,8 +90,8 @@
     pub leases: LeaseTable,
 }
 
-/// Returns a number that differs between clusters with different names or initial voters (FNV-1a).
-/// Messages between such clusters must be ignored, because their logs have nothing in common.
+/// Returns an FNV-1a hash of the cluster's name and its initial voters. Messages with another hash
+/// must be ignored, because the logs of two clusters have nothing in common.
 pub fn cluster_id(cluster: &str, initial_voters: &BTreeSet<String>) -> u64 {
     let names = std::iter::once(cluster).chain(initial_voters.iter().map(String::as_str));
     let bytes = names.flat_map(|name| name.bytes().chain([0]));
@@ -100,7 +100,7 @@
     })
 }
 
-/// Encodes a message of this cluster.
+/// Encodes a message for nodes of this cluster.
 pub fn encode(cluster_id: u64, message: &Message) -> Vec<u8> {
     // Encoding to memory fails only when memory is exhausted.
     postcard::to_extend(&(cluster_id, message), MESSAGE_PREFIX.to_vec()).unwrap_or_default()
--- a/crates/coordination/src/replica.rs
+++ b/crates/coordination/src/replica.rs
@@ -34,7 +34,7 @@
     StateChanged,
 }
 
-/// The part of the replica that has begun a write, with that part's own number of it.
+/// The component that has requested a write, with the number that this component has given it.
 enum WriteOrigin {
     Replica,
     Admission { number: u64 },
@@ -46,7 +46,7 @@
     origin: WriteOrigin,
 }
 
-/// Key of the number of the replica, and whether it is an initial voter.
+/// Key of the voter ID of the replica and of whether it is an initial voter.
 const REPLICA_KEY: &[u8] = b"c/seat";
 
 /// Prefix of the keys of the log.
@@ -62,15 +62,16 @@
     node: String,
     incarnation: u64,
     initial_voters: BTreeMap<u64, String>,
-    /// Its number as a voter; 0 if it is none.
+    /// Its voter ID; 0 if it is not a voter.
     id: u64,
     is_initial_voter: bool,
     admission: Option<Admission>,
     voter: Option<Voter<LeaseStateMachine>>,
     not_voting_reason: NotVotingReason,
-    /// The stored keys, to be removed with the voter; with their values until it votes.
+    /// The stored keys, which are deleted when the voter is removed. Their values are kept up to
+    /// date only until it votes.
     stored: StoredKeys,
-    /// The voters that have been announced or committed last, and the index at which.
+    /// The voters that were last announced or committed; the next field is their index.
     known_voters: BTreeMap<u64, String>,
     known_voters_index: u64,
     last_write: u64,
@@ -79,7 +80,7 @@
 
 impl Replica {
     /// Restores the replica from its stored keys (those that begin with `a/`, `c/` or `s/`) and
-    /// values. An initial voter with nothing stored takes the number that the settings give it.
+    /// values. An initial voter with nothing stored takes the voter ID that the settings give it.
     pub fn new(
         node: &str,
         incarnation: u64,
@@ -137,7 +138,7 @@
             .collect()
     }
 
-    /// Returns its number as a voter; 0 if it is none.
+    /// Returns its voter ID; 0 if it is not a voter.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -160,7 +161,8 @@
     /// Returns the latest voters that it knows.
     pub fn voters(&self) -> VotersAt<'_> {
         match &self.voter {
-            // A voter that was just added has nothing in its own log yet.
+            // The log of a voter that was just added is still empty, so that the announced voters
+            // are used.
             Some(voter) if voter.applied_index() >= self.known_voters_index => VotersAt {
                 applied_index: voter.applied_index(),
                 voters: voter.voters(),
@@ -183,7 +185,7 @@
                 Some(value) if self.voter.is_none() => {
                     self.stored.insert(change.key.clone(), value.clone());
                 }
-                // Once it votes only the keys are needed, to remove them with the voter.
+                // Once the replica votes, only the keys are needed, to delete them with the voter.
                 Some(_) => {
                     self.stored.insert(change.key.clone(), Vec::new());
                 }
@@ -332,7 +334,7 @@
         }
     }
 
-    /// Takes the voters over from the replica's own log.
+    /// Updates the known voters from the replica's own log.
     fn update_voters(&mut self) {
         let latest = self.voters();
         let applied_index = latest.applied_index;
@@ -347,13 +349,14 @@
         }
     }
 
-    /// Counts a tick; there are twenty a second.
+    /// Advances the timeouts of the log and of the admission by one tick; there are twenty ticks
+    /// per second.
     pub fn tick(&mut self, out: &mut Vec<ReplicaOutput>) {
         if self.not_voting_reason == NotVotingReason::AwaitingAdmission {
             self.with_admission(Admission::tick, out);
         }
         self.with_voter(Voter::tick, out);
-        // Its own log may show that it was removed.
+        // The replica's own log may show that it was removed.
         let latest = self.voters();
         let was_removed = !latest.voters.contains_key(&self.id) && latest.applied_index > 1;
         if self.id > 0 && self.voter.is_some() && was_removed {
@@ -361,7 +364,7 @@
         }
     }
 
-    /// Handles a message of another voter on admission.
+    /// Handles an admission message from another voter.
     pub fn receive_admission(
         &mut self,
         from: u64,
@@ -459,8 +462,8 @@
                     admission.set_voters(&ids);
                 }
             }
-            // It has become another voter. Numbers only grow, so that a late message brings no
-            // earlier one back.
+            // The node has been added under a new voter ID. IDs only increase, so that a late
+            // message cannot bring back an earlier one.
             Some(id) if id > self.id => self.reset(id, out),
             Some(_) => {}
             None if self.id > 0 => self.reset(0, out),
@@ -468,11 +471,13 @@
         }
     }
 
-    /// Removes all that belongs to the present voter. `next_id` is its new number; 0 if it is no
-    /// voter any more.
+    /// Deletes the log and the admission state of the present voter. `next_id` is the new voter ID
+    /// of the node, 0 if it is no longer a voter.
     fn reset(&mut self, next_id: u64, out: &mut Vec<ReplicaOutput>) {
         self.voter = None;
         self.admission = None;
+        // The starts of other voters that it had confirmed are deleted as well; those voters
+        // announce them again on request.
         let is_removed =
             |key: &[u8]| key.starts_with(LOG_KEY_PREFIX) || key.starts_with(ADMISSION_KEY_PREFIX);
         let removed = self.stored.keys().filter(|key| is_removed(key));
@@ -483,7 +488,6 @@
             })
             .collect();
         changes.push(replica_change(next_id, false));
-        // The starts that it had confirmed are announced to it again.
         self.pending_writes.clear();
         self.id = next_id;
         self.is_initial_voter = false;
--- a/crates/coordination/src/state_machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -10,7 +10,8 @@
 
 impl StateMachine for LeaseStateMachine {
     fn apply(&mut self, entry: &[u8]) {
-        // An entry that can't be read changes nothing, at every voter alike.
+        // An entry that cannot be decoded is ignored by every voter, so that their states stay
+        // equal.
         if let Ok(command) = postcard::from_bytes::<Command>(entry) {
             self.0.apply(&command);
         }
--- a/crates/coordination/src/status.rs
+++ b/crates/coordination/src/status.rs
@@ -15,7 +15,7 @@
     pub owner: Option<String>,
     /// The token under which that node owns it.
     pub token: Option<FencingToken>,
-    /// The node that is to own it next.
+    /// The node to which it is to be transferred.
     #[serde(rename = "next")]
     pub next_owner: Option<String>,
     /// The size of its value, in bytes.
@@ -29,16 +29,16 @@
 /// The status of a voter.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReplicaStatus {
-    /// The number of the voter.
+    /// The voter ID.
     #[serde(rename = "seat")]
     pub voter_id: u64,
     /// The name of its node.
     pub node: String,
-    /// Whether it has sent something lately; `None` if the node that shows this does not vote and
-    /// so does not know.
+    /// Whether a message from it has arrived lately; `None` if the node that shows this does not
+    /// vote and so does not know.
     #[serde(rename = "heard")]
     pub recently_heard: Option<bool>,
-    /// Whether it has said that it has lost its promises.
+    /// Whether it has reported that it lost its promises.
     #[serde(rename = "lost")]
     pub promises_lost: bool,
 }
--- a/crates/coordination/src/tests.rs
+++ b/crates/coordination/src/tests.rs
@@ -1,8 +1,7 @@
-//! Pins the messages of the coordination service between nodes: the prefix `PC` with its version,
-//! the number of the cluster, and every kind of message; and the stored number of the replica.
-//! Nodes of a fleet may run different versions, and a node reads what an older version stored, so
-//! these bytes must not change with a rename. The literals were written by the version before the
-//! renames.
+//! Pins the encoding of the messages of the coordination service: the prefix `PC` with its version,
+//! the cluster ID, and every kind of message; and that of the stored voter ID. Nodes of a cluster
+//! may run different versions, and a node reads what an older version stored, so these bytes must
+//! not change when a type or field is renamed. The literals do not follow a rename.
 
 use crate::message::{FollowerSnapshot, MESSAGE_PREFIX, Message, cluster_id, decode, encode};
 use crate::replica::{Replica, ReplicaOutput};
@@ -26,23 +25,23 @@
     pairs.map(byte).collect()
 }
 
-/// A cluster number that differs in each byte.
+/// A cluster ID that differs in each byte.
 const CLUSTER_ID: u64 = 0x0102_0304_0506_0708;
-/// What every message of that cluster begins with: `PC`, version 1, and the number.
-const HEAD: &str = "504301888e98a8c0e0808101";
+/// The first bytes of every message of that cluster: `PC`, version 1, and the cluster ID.
+const PREFIX_HEX: &str = "504301888e98a8c0e0808101";
 
-/// Asserts that the message is encoded as this literal behind the prefix, and decoded from it.
+/// Asserts that the message is encoded as the prefix and this literal, and decoded from them.
 #[track_caller]
 fn pin(message: Message, literal: &str) {
     let bytes = encode(CLUSTER_ID, &message);
-    assert_eq!(hex(&bytes), HEAD.to_owned() + literal, "{message:?}");
+    assert_eq!(hex(&bytes), PREFIX_HEX.to_owned() + literal, "{message:?}");
     assert_eq!(
-        decode(CLUSTER_ID, &unhex(&(HEAD.to_owned() + literal))),
+        decode(CLUSTER_ID, &unhex(&(PREFIX_HEX.to_owned() + literal))),
         Some(message)
     );
 }
 
-/// Two voters with their names.
+/// Two voters, one with an ID that takes two bytes.
 fn voters() -> BTreeMap<u64, String> {
     BTreeMap::from([(1, "n-1".to_owned()), (300, "n-2".to_owned())])
 }
@@ -189,7 +188,10 @@
         },
         "060d00036e2d34",
     );
-    pin(Message::FollowRequested { applied_index: 14 }, "080e");
+    pin(
+        Message::FollowerSnapshotRequested { applied_index: 14 },
+        "080e",
+    );
 }
 
 #[test]
@@ -316,42 +318,42 @@
 }
 
 #[test]
-fn foreign_and_damaged_messages_are_not_read() {
-    let sound = HEAD.to_owned() + "080e";
-    let read = |digits: &str| decode(CLUSTER_ID, &unhex(digits));
+fn foreign_and_damaged_messages_are_not_decoded() {
+    let valid = PREFIX_HEX.to_owned() + "080e";
+    let decoded = |digits: &str| decode(CLUSTER_ID, &unhex(digits));
     assert_eq!(
-        read(&sound),
-        Some(Message::FollowRequested { applied_index: 14 })
+        decoded(&valid),
+        Some(Message::FollowerSnapshotRequested { applied_index: 14 })
     );
     assert_eq!(
-        decode(CLUSTER_ID + 1, &unhex(&sound)),
+        decode(CLUSTER_ID + 1, &unhex(&valid)),
         None,
-        "another cluster's"
+        "another cluster"
     );
     assert_eq!(
-        read(&sound.replacen("504301", "504302", 1)),
+        decoded(&valid.replacen("504301", "504302", 1)),
         None,
         "another version"
     );
     assert_eq!(
-        read(&sound.replacen("504301", "504401", 1)),
+        decoded(&valid.replacen("504301", "504401", 1)),
         None,
         "another prefix"
     );
-    assert_eq!(read(&(sound.clone() + "00")), None, "a byte too many");
+    assert_eq!(decoded(&(valid.clone() + "00")), None, "a trailing byte");
     assert_eq!(
-        read(&(HEAD.to_owned() + "0a")),
+        decoded(&(PREFIX_HEX.to_owned() + "0a")),
         None,
         "a variant that does not exist"
     );
-    let bytes = unhex(&sound);
+    let bytes = unhex(&valid);
     assert!(
         (0..bytes.len()).all(|size| decode(CLUSTER_ID, &bytes[..size]).is_none()),
-        "a cut message"
+        "a truncated message"
     );
 }
 
-/// The changes that a node of this name writes when it starts with these stored keys, as text.
+/// Returns the changes that a node writes when it starts with these stored keys, as text.
 fn written_at_start(name: &str, stored: &[(&[u8], &str)]) -> Vec<String> {
     let stored = stored
         .iter()
@@ -380,12 +382,12 @@
 }
 
 #[test]
-fn stored_replica_number_keeps_its_key_and_bytes() {
+fn stored_voter_id_keeps_its_key_and_bytes() {
     assert_eq!(written_at_start("n-2", &[]), ["c/seat ac0201"]);
     assert_eq!(
         written_at_start("n-3", &[]),
         [""; 0],
-        "a node that is no voter stores none"
+        "a node that is not a voter stores no ID"
     );
     let mut out = Vec::new();
     let stored = |value| BTreeMap::from([(b"c/seat".to_vec(), unhex(value))]);
@@ -393,11 +395,11 @@
         Replica::new("n-3", 9, voters(), stored("ad0200"), &mut out).id(),
         301
     );
-    assert!(out.is_empty(), "what is stored is not written again");
+    assert!(out.is_empty(), "a stored ID is not written again");
 }
 
-/// Entries of the log are commands, and the state in its snapshots is the lease table without
-/// anything around it.
+/// Entries of the log are encoded commands, and the state in its snapshots is the encoded lease
+/// table alone.
 #[test]
 fn state_machine_is_encoded_as_the_lease_table() {
     let mut state = LeaseTable::default();
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -1,4 +1,4 @@
-//! The voters as a node knows them.
+//! The voters, as far as a node knows.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 pub struct VotersAt<'a> {
     /// The index of the log.
     pub applied_index: u64,
-    /// The name of each voter's node, by the voter's number.
+    /// The name of each voter's node, by voter ID.
     pub voters: &'a BTreeMap<u64, String>,
 }
 
-/// Returns the number under which a node votes.
+/// Returns the voter ID of a node, if it is a voter.
 pub fn voter_id_of(voters: &BTreeMap<u64, String>, node: &str) -> Option<u64> {
     voters
         .iter()
