--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use postproxy_coordination::{Coordinator, Error, Operation, VoterAction};
-use simulation::{Exercised, LEASES, Node, Simulation, Without};
+use simulation::{DisabledSafeguards, Exercised, LEASES, Node, Simulation};
 
 fn seeds(default: &str) -> std::ops::Range<u64> {
     let range = std::env::var("POSTPROXY_RUNS").unwrap_or_else(|_| default.into());
@@ -12,8 +12,8 @@
 }
 
 /// Runs the simulation of a seed with random faults and repairs them at the end.
-fn run_with_faults(seed: u64, without: Without) -> Simulation {
-    let mut sim = Simulation::new([3, 5][seed as usize % 2], seed as usize % 3, seed, without);
+fn run_with_faults(seed: u64, disabled: DisabledSafeguards) -> Simulation {
+    let mut sim = Simulation::new([3, 5][seed as usize % 2], seed as usize % 3, seed, disabled);
     for _ in 0..7 {
         for _ in 0..100 + sim.draw(400) {
             sim.step();
@@ -30,9 +30,10 @@
     all_admitted.any(|admitted| !admitted.windows(2).all(|two| two[0].token <= two[1].token))
 }
 
-/// No effect of an owner is admitted after one of a later owner, tokens have one owner each, and no
-/// two nodes may act at once. After the last fault every lease has an owner, voters that have lost
-/// their stores vote again after they were added anew, and a stored value reaches all nodes.
+/// No effect of an owner is admitted after one of a later owner, each token has one owner, and no
+/// two nodes may act for a lease at once. After the last fault every lease gets an owner, voters
+/// that have lost their stores vote again once they are added again, and a stored value reaches all
+/// nodes.
 #[test]
 fn one_owner_at_a_time_whatever_fails() {
     let mut exercised = Exercised::default();
@@ -40,7 +41,7 @@
     let mut tokens = 0;
     let mut runs = 0;
     for seed in seeds("0..40") {
-        let mut sim = run_with_faults(seed, Without::default());
+        let mut sim = run_with_faults(seed, DisabledSafeguards::default());
         assert!(!has_stale_effect(&sim), "seed {seed}: a stale effect");
         let repaired_at = sim.now;
         for lease in LEASES {
@@ -102,7 +103,8 @@
     });
 }
 
-/// The owner of a lease stores a value with it, under its token, and every node learns it.
+/// Asserts that the owner of a lease can store a value with it, and that the value reaches every
+/// node.
 fn assert_value_reaches_all_nodes(sim: &mut Simulation) {
     let mut value = Vec::new();
     let saved = (0..10).any(|_| {
@@ -149,11 +151,11 @@
     })
 }
 
-/// Without fences, an effect of an earlier owner is admitted in some run.
+/// Without fences, some run admits an effect of an earlier owner after one of a later owner.
 #[test]
 fn removing_the_fence_is_detected() {
     let found = (0..200).find(|seed| {
-        let sim = run_with_faults(*seed, Without { fence: true });
+        let sim = run_with_faults(*seed, DisabledSafeguards { fence: true });
         has_stale_effect(&sim)
     });
     assert!(found.is_some(), "no run has a stale effect");
@@ -161,7 +163,7 @@
 
 /// Runs without faults until all leases have an owner.
 fn run_until_owned(initial_voters: usize, others: usize, seed: u64) -> Simulation {
-    let mut sim = Simulation::new(initial_voters, others, seed, Without::default());
+    let mut sim = Simulation::new(initial_voters, others, seed, DisabledSafeguards::default());
     sim.without_pauses = true;
     sim.wait_until(10_000, "owners", |sim| {
         LEASES
@@ -180,7 +182,7 @@
     assert_eq!(
         sim.change_membership(VoterAction::Add, "n3"),
         Some(Ok(())),
-        "repeated without effect"
+        "n3 already votes"
     );
     assert_eq!(
         sim.change_membership(VoterAction::Remove, "n3"),
@@ -215,8 +217,9 @@
     );
 }
 
-/// Without a majority the owners stop and calls fail with a reason; with one again, everything
-/// resumes without help. Leases can be transferred and released at any node.
+/// Without a majority the owners stop, and calls fail with an error that names the silent voters.
+/// Once there is a majority again, leases have owners without intervention. Leases can be
+/// transferred and released at any node.
 #[test]
 fn leases_stop_without_a_majority_and_resume_with_one() {
     let mut sim = run_until_owned(3, 2, 4);
@@ -234,8 +237,8 @@
         call(&mut sim, 2, acquire("x")),
         Some(Err(Error::NoMajority(vec!["n0".into(), "n1".into()])))
     );
-    // The second of two calls waits behind the first, and is given up in time all the same.
-    let asked_at = sim.now;
+    // Of two calls, the second is queued behind the first, but still fails by its own deadline.
+    let requested_at = sim.now;
     let clock = sim.clock(2);
     let mut out = Vec::new();
     if let Some(coordinator) = &mut sim.nodes[2].coordinator {
@@ -245,9 +248,9 @@
     (0..200).for_each(|_| sim.step());
     let result = call(&mut sim, 2, acquire("z"));
     assert!(
-        matches!(result, Some(Err(Error::NoMajority(_)))) && sim.now < asked_at + 7300,
+        matches!(result, Some(Err(Error::NoMajority(_)))) && sim.now < requested_at + 7300,
         "{result:?} after {}",
-        sim.now - asked_at
+        sim.now - requested_at
     );
     sim.start(0);
     sim.wait_until(15_000, "owners", |sim| {
@@ -255,7 +258,8 @@
             .iter()
             .all(|lease| sim.acting_owners(lease).len() == 1)
     });
-    // Transferred by an operator at any node to one that does not vote; and released.
+    // A call at any node transfers a lease, here to a node that does not vote, which then releases
+    // it.
     let owner = sim.acting_owners("bans")[0];
     let transfer = Operation::Transfer {
         lease: "bans".into(),
@@ -275,9 +279,9 @@
     });
 }
 
-/// An operator's release at another node reaches the owner through the log alone. The owner must
-/// stop acting as soon as its own copy of the log shows the release, not with its next renewal, and
-/// must leave the lease to the other nodes for a lease's duration.
+/// A release that an operator requests at another node reaches the owner only through the log. The
+/// owner must stop acting as soon as its own copy of the log shows the release, not at its next
+/// renewal, and must not acquire the lease again for the duration of a lease.
 #[test]
 fn an_owner_stops_acting_once_its_log_shows_a_release_made_elsewhere() {
     for seed in seeds("0..40") {
@@ -303,7 +307,7 @@
             let knows_release = known.as_ref().is_none_or(|known| known.token != token);
             assert!(
                 !knows_release || held_token(&sim, owner, "bans") == 0,
-                "seed {seed}: it acts on after the release"
+                "seed {seed}: the owner still acts after the release"
             );
             next_owner = next_owner.or(known.filter(|known| known.token > token));
             sim.step();
--- a/crates/coordination/tests/simulation/effects.rs
+++ b/crates/coordination/tests/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! The effects of owners on their way to the fences, and who may act as an owner.
+//! The delivery of owners' effects to the fences, and which nodes may act as owners.
 
 use super::{AdmittedEffect, SentEffect, Simulation};
 use postproxy_coordination::{Effect, Fence};
@@ -27,8 +27,8 @@
         for SentEffect { fence, effect, .. } in due {
             let lease = effect.lease().to_owned();
             let token = effect.token();
-            let admitted = if self.without.fence {
-                // As if it were another fence each time.
+            let admitted = if self.disabled.fence {
+                // A new fence has seen no token and admits every effect.
                 Fence::default().admit(effect)
             } else {
                 self.fences[fence].admit(effect)
--- a/crates/coordination/tests/simulation/faults.rs
+++ b/crates/coordination/tests/simulation/faults.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Restarts a node with an empty or an older store, while all other voters are there to find
-    /// that out.
+    /// Restarts a node with an empty or an older store, while all other voters are running and can
+    /// detect that.
     fn lose_store(&mut self, n: usize) {
         self.repair();
         (0..800).for_each(|_| self.step());
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Returns whether all nodes are running and connected, and all voters vote, so that no store
-    /// is lost but the next one.
+    /// Returns whether all nodes are running and connected and all voters vote, so that at most one
+    /// store at a time is lost.
     fn all_vote(&self) -> bool {
         let all_running = self
             .nodes
@@ -73,7 +73,7 @@
             .map(|coordinator| coordinator.voters().len())
             .max();
         let voting = voting.count();
-        // Of two voters, one whose store is lost is half of them.
+        // With two voters, the loss of one store would leave no majority.
         all_running && self.cut_links.is_empty() && voting >= 3 && expected_voters == Some(voting)
     }
 
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -1,9 +1,10 @@
-//! Simulation of the coordinators of a cluster, from seeds and with virtual time: voters and nodes
-//! that do not vote, links that are cut in one or both directions and lose messages, slow disks,
-//! crashes that lose what was not durable, stores that are lost or set back, pauses between a
-//! permit and its effect, clocks up to 2 % apart, and membership changes.
+//! Simulation of the coordinators of a cluster in virtual time, with random faults from a seed:
+//! links that are cut in one or both directions and lose messages, slow disks, crashes that lose
+//! what was not durable, stores that are emptied or replaced by an older copy, pauses between a
+//! permit and its effect, clocks that deviate by up to 2 %, and membership changes. Some nodes vote
+//! and others do not.
 
-// Each test target uses a part of it.
+// Each test target uses only some of these items.
 #![allow(dead_code)]
 
 mod effects;
@@ -22,7 +23,7 @@
 
 pub type Store = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Messages in transit, each with when it arrives.
+/// Messages in transit, each with its time of arrival.
 pub type Link = VecDeque<(u64, Vec<u8>)>;
 
 /// A write in progress.
@@ -40,7 +41,7 @@
 
 #[derive(Default)]
 pub struct Node {
-    /// `None` while the process is dead.
+    /// `None` while the process is not running.
     pub coordinator: Option<Coordinator>,
     pub store: Store,
     /// The store as it was at some earlier time.
@@ -50,11 +51,11 @@
     pub paused_until: u64,
     pub clock_drift_per_mille: i64,
     pub inbox: Vec<Received>,
-    /// Effects that were permitted before a pause, to be sent after it.
+    /// Effects that were permitted before a pause and are sent after it.
     pub delayed_effects: Vec<Effect<usize>>,
     /// The results of calls and membership changes, by ticket.
     pub results: BTreeMap<u64, Result<(), Error>>,
-    /// The latest value that the node has got with each lease.
+    /// The latest value that the node has received with each lease.
     pub values: BTreeMap<String, u64>,
 }
 
@@ -69,10 +70,10 @@
     }
 }
 
-/// The safeguards that are removed from the protocol.
+/// The safeguards that are disabled.
 #[derive(Clone, Copy, Default)]
-pub struct Without {
-    /// Fences admit every effect.
+pub struct DisabledSafeguards {
+    /// Fences, which reject effects under stale tokens.
     pub fence: bool,
 }
 
@@ -89,7 +90,7 @@
     pub node: usize,
 }
 
-/// What a run has exercised.
+/// The cases that have occurred in a run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Exercised {
     pub promises_lost: bool,
@@ -115,16 +116,21 @@
     pub token_owners: BTreeMap<u64, String>,
     last_incarnation: u64,
     last_ticket: u64,
-    /// Whether processes are not paused at random.
+    /// Disables random pauses of processes.
     pub without_pauses: bool,
-    without: Without,
+    disabled: DisabledSafeguards,
     pub timeline: Timeline,
     pub exercised: Exercised,
 }
 
 impl Simulation {
-    /// Starts this many initial voters, and other nodes that do not vote.
-    pub fn new(initial_voters: usize, others: usize, seed: u64, without: Without) -> Self {
+    /// Starts this many initial voters, and this many other nodes, which do not vote.
+    pub fn new(
+        initial_voters: usize,
+        others: usize,
+        seed: u64,
+        disabled: DisabledSafeguards,
+    ) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut node = || Node {
             clock_drift_per_mille: (random.next_u64() % 41) as i64 - 20,
@@ -147,7 +153,7 @@
             last_incarnation: seed << 20,
             last_ticket: 0,
             without_pauses: false,
-            without,
+            disabled,
             timeline: Timeline::new((0..count).map(|n| format!("n{n}"))),
             exercised: Exercised::default(),
         };
@@ -199,7 +205,7 @@
         self.reconnect_all(n);
     }
 
-    /// Makes all connections of a node anew.
+    /// Re-establishes all connections of a node.
     pub fn reconnect_all(&mut self, n: usize) {
         (0..self.nodes.len())
             .filter(|other| *other != n)
@@ -218,7 +224,7 @@
         }
     }
 
-    /// Carries out the outputs of a coordinator.
+    /// Carries out the outputs of a node's coordinator.
     pub fn carry_out(&mut self, n: usize, out: Vec<Output>) {
         for output in out {
             match output {
@@ -270,7 +276,7 @@
                 let before = self.nodes[n].values.insert(lease.clone(), value);
                 assert!(
                     before.is_none_or(|before| before <= value),
-                    "seed {}: the value of {lease} went back",
+                    "seed {}: {lease} has an older value than before",
                     self.seed
                 );
             }
@@ -281,7 +287,7 @@
         }
     }
 
-    /// Asserts that no token has two owners, as far as a node knows.
+    /// Asserts that no token known to this node has had another owner at any node.
     fn check_token_owners(&mut self, n: usize) {
         let Some(coordinator) = &self.nodes[n].coordinator else {
             return;
@@ -295,7 +301,7 @@
                     .or_insert_with(|| description.clone());
                 assert_eq!(
                     *known, description,
-                    "seed {}: a token of two owners",
+                    "seed {}: a token has two owners",
                     self.seed
                 );
             }
@@ -316,7 +322,7 @@
         for Received { from, message } in inbox {
             assert!(
                 coordinator.receive(clock, &format!("n{from}"), &message, &mut out),
-                "a message of this cluster"
+                "a message of this cluster is valid"
             );
         }
         let permitted: Vec<Effect<usize>> = LEASES
@@ -333,7 +339,7 @@
         }
     }
 
-    /// Advances the time by ten milliseconds.
+    /// Advances the time by 10 ms.
     pub fn step(&mut self) {
         self.now += 10;
         let now = self.now;
@@ -395,7 +401,8 @@
         }
     }
 
-    /// Makes a call or a membership change at a node, and returns its result within 8 s.
+    /// Makes a call or a membership change at a node. Returns its result, or `None` if there is
+    /// none within 8 s or the node is not running.
     pub fn call(
         &mut self,
         n: usize,
@@ -446,7 +453,7 @@
             Some(coordinator) => {
                 format!("{coordinator:?} {:?}", coordinator.status(self.clock(n)))
             }
-            None => format!("n{n} is dead"),
+            None => format!("n{n} is not running"),
         });
         descriptions.collect::<Vec<_>>().join("\n")
     }
--- a/crates/coordination/tests/surface.rs
+++ b/crates/coordination/tests/surface.rs
@@ -1,9 +1,8 @@
-//! Pins what `GET /v1/fleet/owners` and the rejected calls of the management API have in their JSON
-//! bodies.
+//! Pins the JSON bodies of `GET /v1/fleet/owners` and of rejected calls of the management API.
 //!
-//! The keys and variant names are those of Rust types, so that renaming a field or a variant would
-//! change them unseen: the text below is literal and does not follow a rename. Keep the name on the
-//! wire with `#[serde(rename)]` instead of changing it here.
+//! The keys and variant names come from Rust types, so renaming a field or a variant would change
+//! them unnoticed. The texts below are literals and do not follow a rename. After a rename, keep
+//! the name on the wire with `#[serde(rename)]` instead of changing it here.
 
 use postproxy_coordination::{
     Error, LeaseStatus, NotVotingReason, Rejection, ReplicaStatus, Status,
@@ -13,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// The value is written as this text, and this text is read as the value.
+/// Asserts that the value is serialized as this text, and this text deserialized as the value.
 fn pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("JSON"), text);
     assert_eq!(&serde_json::from_str::<T>(text).expect("a value"), value);
--- a/crates/coordination/tests/surface_errors.rs
+++ b/crates/coordination/tests/surface_errors.rs
@@ -1,5 +1,6 @@
-//! Pins the messages, codes and remedies of this crate's errors, and the form in which one is
-//! shown. They are read by operators and scripts and must not change with a name in the code.
+//! Pins the messages and codes of this crate's errors, and the body in which an error is shown with
+//! its remedy. Operators and scripts read them, so they must not change when a name in the code
+//! changes.
 
 use postproxy_coordination::{Error, Rejection};
 use postproxy_diagnostics::{Diagnostic, ErrorBody};
--- a/crates/coordination/tests/timelines.rs
+++ b/crates/coordination/tests/timelines.rs
@@ -1,14 +1,15 @@
-//! Approved timelines of difficult cases: who may act as the owner of the lease `audit`, in virtual
-//! time, with a column for each node. A changed line is a changed behaviour. The timelines are in
-//! `timelines/`; `POSTPROXY_DRAW=1` writes them anew, to be reviewed.
+//! Approved timelines of failures: which node may act as the owner of the lease `audit`, in virtual
+//! time, with a column for each node. A changed line means changed behaviour. The timelines are in
+//! `timelines/`; with `POSTPROXY_DRAW=1` the tests rewrite them, and the changes are to be
+//! reviewed.
 
 mod simulation;
 
-use simulation::{Simulation, Without};
+use simulation::{DisabledSafeguards, Simulation};
 
 /// Runs three voters and one other node until the lease has an owner, and returns the owner.
 fn run_until_owned(seed: u64) -> (Simulation, usize) {
-    let mut sim = Simulation::new(3, 1, seed, Without::default());
+    let mut sim = Simulation::new(3, 1, seed, DisabledSafeguards::default());
     sim.without_pauses = true;
     sim.wait_until(10_000, "an owner", |sim| {
         sim.acting_owners("audit").len() == 1
@@ -34,7 +35,7 @@
     );
 }
 
-/// After the owner's crash another node has the lease within the duration of a lease, and the old
+/// After the owner's crash another node acquires the lease once it has expired, and the previous
 /// owner restarts without it.
 #[test]
 fn another_node_owns_the_lease_after_the_owners_crash() {
@@ -47,7 +48,8 @@
     assert_timeline(&sim, "killed");
 }
 
-/// An owner that is paused past its lease gives it up before it does anything else.
+/// An owner that is paused past the end of its lease gives it up on resuming and does not act for
+/// it again.
 #[test]
 fn an_owner_paused_past_its_lease_gives_it_up() {
     let (mut sim, owner) = run_until_owned(2);
@@ -58,7 +60,7 @@
     assert_timeline(&sim, "asleep");
 }
 
-/// An owner that is cut off stops by itself before another node owns the lease.
+/// An owner that is cut off from all nodes stops acting before another node owns the lease.
 #[test]
 fn an_owner_that_is_cut_off_stops_before_another_owns_the_lease() {
     let (mut sim, owner) = run_until_owned(3);
