--- a/crates/leases/src/fence.rs
+++ b/crates/leases/src/fence.rs
@@ -1,5 +1,5 @@
-//! Fencing: effects carry the token of their owner, and whoever carries them out rejects stale
-//! tokens.
+//! Fencing: an effect carries the token of the owner that makes it, and the component that carries
+//! it out rejects stale tokens.
 
 use crate::holder::LeasePermit;
 use crate::operation::FencingToken;
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An action of a lease's owner, with the token under which it is made. The payload can only be
-/// reached through [`Fence::admit`], so that whoever carries the action out has to check the token
-/// first.
+/// An action of a lease's owner, with the token under which it is made. The payload is only
+/// accessible through [`Fence::admit`], so that the action cannot be carried out without a check of
+/// the token.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Effect<T> {
     lease: String,
@@ -84,7 +84,7 @@
         Ok(effect.payload)
     }
 
-    /// Records that this token has been granted, without an effect.
+    /// Records a token that has been granted, without an effect.
     ///
     /// # Errors
     ///
--- a/crates/leases/src/granter.rs
+++ b/crates/leases/src/granter.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 
 /// An expiry that was proposed and has not been applied is proposed again after this many
-/// milliseconds: the proposal may be lost.
+/// milliseconds, because a proposal may be lost.
 const PROPOSAL_RETRY_MS: u64 = 1000;
 
-/// An owned lease as this voter has seen it.
+/// An owned lease as this voter has last seen it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct ObservedLease {
     token: FencingToken,
@@ -24,9 +24,9 @@
     proposed_at: u64,
 }
 
-/// Finds expired leases. Each voter counts a lease from the moment when it has itself applied the
-/// grant or the renewal, which is after the owner asked for it. So a new leader need not wait for a
-/// whole lease.
+/// Finds expired leases. Each voter, not only the leader, measures a lease from the moment when it
+/// has itself applied the grant or the renewal, which is after the owner requested it. A new leader
+/// therefore need not wait for a whole lease duration.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseGranter {
     timing: LeaseTiming,
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,11 +1,12 @@
-//! The leases that a node holds, and whether it may still act, by its own clock alone.
+//! The leases that a node holds, and whether it may still act as their owner, measured by its own
+//! clock alone.
 
 use crate::LeaseTiming;
 use crate::operation::{FencingToken, LeaseClaim};
 use std::collections::BTreeMap;
 
-/// Permission of a node to act for a lease now. It covers the effect that is made at once, not one
-/// that is made later.
+/// Permission of a node to act as the owner of a lease now. It covers an effect that is made
+/// immediately, not one that is made later.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeasePermit {
     lease: String,
@@ -24,7 +25,7 @@
         self.token
     }
 
-    /// Returns how long the lease still runs, in milliseconds.
+    /// Returns for how long the lease is still valid, in milliseconds.
     pub fn remaining_ms(&self) -> u64 {
         self.remaining_ms
     }
@@ -34,7 +35,7 @@
 struct HeldLease {
     token: FencingToken,
     /// When the lease ends by this node's clock, in milliseconds; `None` if it must be renewed
-    /// before the node may act.
+    /// before the node may act for it.
     valid_until: Option<u64>,
 }
 
@@ -43,10 +44,10 @@
 pub struct LeaseHolder {
     timing: LeaseTiming,
     held: BTreeMap<String, HeldLease>,
-    /// When [`LeaseHolder::detect_pause`] was called last, in milliseconds.
+    /// When [`LeaseHolder::detect_pause`] was last called, in milliseconds.
     last_turn: Option<u64>,
-    /// When the latest pause ended, in milliseconds; answers to calls made before it do not extend
-    /// a lease.
+    /// When the latest pause was detected, in milliseconds; responses to calls made before it do
+    /// not extend a lease.
     resumed_at: u64,
 }
 
@@ -63,7 +64,7 @@
 
     /// Records a turn of the event loop, which must come at least every half of
     /// [`LeaseTiming::pause_threshold_ms`]. Returns whether the process was paused since the
-    /// previous one; if so, every lease has to be renewed before the node may act for it.
+    /// previous turn; if so, every lease must be renewed before the node may act for it.
     pub fn detect_pause(&mut self, now: u64) -> bool {
         let paused = self
             .last_turn
@@ -78,12 +79,12 @@
         paused
     }
 
-    /// Records a grant or a renewal that was asked for at `asked_at`. The lease counts from that
-    /// time, which is before the log granted it. An answer to a call made before a pause does not
-    /// extend the lease.
-    pub fn record_grant(&mut self, asked_at: u64, lease: &str, token: FencingToken) {
-        let valid_until =
-            (asked_at >= self.resumed_at).then(|| asked_at + self.timing.holder_duration_ms());
+    /// Records a grant or a renewal that was requested at `requested_at`. The lease counts from
+    /// that time, which is before the log granted it. The response to a call made before a pause
+    /// does not extend the lease.
+    pub fn record_grant(&mut self, requested_at: u64, lease: &str, token: FencingToken) {
+        let valid_until = (requested_at >= self.resumed_at)
+            .then(|| requested_at + self.timing.holder_duration_ms());
         let granted = HeldLease { token, valid_until };
         let held = self
             .held
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Returns a permit if this node may act for the lease now; to be asked before each effect.
+    /// Returns a permit if this node may act as the owner of the lease now; to be called before
+    /// each effect.
     pub fn permit(&self, now: u64, lease: &str) -> Option<LeasePermit> {
         let held = self.held.get(lease)?;
         // The same check as in `detect_pause`, for a caller in the middle of a turn.
@@ -122,8 +124,8 @@
         })
     }
 
-    /// Returns all leases that this node believes to own, also those that must be renewed after a
-    /// pause.
+    /// Returns all leases that this node holds as far as it knows, including those that must be
+    /// renewed before it may act for them.
     pub fn claims(&self) -> Vec<LeaseClaim> {
         self.held
             .iter()
@@ -134,9 +136,9 @@
             .collect()
     }
 
-    /// Returns when to renew, in milliseconds: with two thirds of the shortest lease left, so that
-    /// two renewals may be lost. Returns 0 if a lease must be renewed before the node may act for
-    /// it.
+    /// Returns when to renew, in milliseconds: when two thirds of the lease that ends first are
+    /// left, so that two renewals may be lost. Returns 0 if a lease must be renewed before the node
+    /// may act for it.
     pub fn renew_at(&self) -> Option<u64> {
         let remaining_at_renewal = self.timing.holder_duration_ms() * 2 / 3;
         self.held
--- a/crates/leases/src/lease_table.rs
+++ b/crates/leases/src/lease_table.rs
@@ -1,5 +1,4 @@
-//! The replicated state of all leases. It has no clock: that a lease has expired comes as a
-//! command.
+//! The replicated state of all leases. It has no clock: the expiry of a lease is a command.
 
 use crate::operation::{
     Command, ExpiredLease, FencingToken, LeaseClaim, LeaseOwner, MAX_NAME_BYTES, MAX_VALUE_BYTES,
@@ -11,8 +10,8 @@
 /// Maximum number of leases in the table, which bounds its memory and the size of a snapshot.
 pub const MAX_LEASES: usize = 4096;
 
-/// Maximum number of clients whose latest response is remembered; the one that called longest ago
-/// is forgotten first.
+/// Maximum number of clients whose latest response is kept; the client that has called least
+/// recently is evicted first.
 const MAX_CLIENTS: usize = 1024;
 
 /// A lease.
@@ -20,9 +19,10 @@
 pub struct Lease {
     /// The owner, if there is one.
     pub owner: Option<LeaseOwner>,
-    /// The number of grants and renewals so far, which tells a lease from its renewal.
+    /// The number of grants and renewals so far. An expiry names the number that the leader has
+    /// seen, so that it does not end a lease that has been renewed since.
     pub renewals: u64,
-    /// The node that is to own the lease next.
+    /// The node to which the lease is to be transferred.
     pub next_owner: Option<String>,
     /// The value stored with the lease.
     pub value: Vec<u8>,
@@ -36,7 +36,7 @@
 struct ClientRecord {
     sequence: u64,
     response: Response,
-    /// The value of `applied_commands` when the client called last.
+    /// The value of `applied_commands` at the latest command of the client.
     last_used: u64,
 }
 
@@ -55,8 +55,8 @@
 }
 
 impl LeaseTable {
-    /// Applies the next command of the log and returns its result, which is the same at every
-    /// voter. A command that a client repeats is not applied again and has the same result.
+    /// Applies the next command of the log and returns its response, which is the same at every
+    /// voter. A retry of a client's latest command is not applied again and has the same response.
     pub fn apply(&mut self, command: &Command) -> Response {
         self.applied_commands += 1;
         let client_id = (command.node.clone(), command.incarnation);
@@ -78,11 +78,11 @@
             last_used: self.applied_commands,
         };
         self.clients.insert(client_id, client);
-        self.forget_oldest_client();
+        self.evict_least_recent_client();
         response
     }
 
-    fn forget_oldest_client(&mut self) {
+    fn evict_least_recent_client(&mut self) {
         if self.clients.len() <= MAX_CLIENTS {
             return;
         }
@@ -148,8 +148,7 @@
         }
     }
 
-    /// Ends the ownership of a lease, and grants it to the node that is to own it next, if there is
-    /// one.
+    /// Ends the ownership of a lease and, if it is to be transferred, grants it to that node.
     fn end_ownership(&mut self, name: &str) {
         let Some(lease) = self.leases.get_mut(name) else {
             return;
@@ -195,8 +194,8 @@
             });
         }
         let value = lease.map(|lease| lease.value.clone()).unwrap_or_default();
-        // A node that owns the lease already, from an earlier incarnation, gets a new token, so
-        // that effects of that incarnation are rejected.
+        // A node that already owns the lease, for example from an earlier incarnation, gets a new
+        // token, so that effects of that incarnation are rejected.
         let token = self.grant(name, node);
         Ok(Response::Granted { token, value })
     }
@@ -268,7 +267,8 @@
         Ok(Response::Completed)
     }
 
-    /// Ends the ownership of those leases that have not been renewed since the leader saw them.
+    /// Ends the ownership of those leases whose token and number of renewals are still those that
+    /// the leader has seen.
     fn expire(&mut self, leases: &[ExpiredLease]) -> Response {
         for expired in leases {
             let unrenewed = self
--- a/crates/leases/src/operation.rs
+++ b/crates/leases/src/operation.rs
@@ -1,10 +1,10 @@
-//! The commands that nodes put to the replicated log, and their results.
+//! The commands that nodes propose to the replicated log, and their responses.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A number that grows with each change of an owner, over all leases and for ever. The later owner
-/// has the higher token.
+/// A number that increases with each grant, across all leases, and is never reused. A later owner
+/// of a lease has a higher token.
 pub type FencingToken = u64;
 
 /// Maximum length of the name of a lease or a node, in bytes. Names are part of every command of
@@ -24,7 +24,7 @@
     pub token: FencingToken,
 }
 
-/// A lease that a node holds, as far as it knows.
+/// A lease that a node holds, as far as the node knows.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct LeaseClaim {
     /// The name of the lease.
@@ -33,7 +33,7 @@
     pub token: FencingToken,
 }
 
-/// A lease that the leader of the log has seen expire.
+/// A lease that has expired by the clock of the leader of the log.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ExpiredLease {
     /// The name of the lease.
@@ -50,7 +50,7 @@
 pub struct RenewedLease {
     /// The name of the lease.
     pub lease: String,
-    /// The node that is to own the lease next, if a transfer is wanted; the present owner is to
+    /// The node to which an operator wants the lease transferred, if any; the present owner is to
     /// transfer it.
     pub next_owner: Option<String>,
 }
@@ -75,14 +75,14 @@
         /// The token of its owner.
         token: FencingToken,
     },
-    /// Transfer the lease to another node: at once if the owner's token is given or nobody owns the
-    /// lease, otherwise as soon as the owner gives it up or loses it.
+    /// Transfer the lease to another node: immediately if the owner's token is given or the lease
+    /// has no owner, otherwise as soon as the owner gives it up or loses it.
     Transfer {
         /// The name of the lease.
         lease: String,
-        /// The token of its owner, if the owner itself asks.
+        /// The token of its owner, if the owner itself makes the call.
         token: Option<FencingToken>,
-        /// The name of the node that is to own it.
+        /// The name of the node to which it is transferred.
         to: String,
     },
     /// Store a value with the lease.
@@ -107,11 +107,11 @@
 pub struct Command {
     /// The name of the node that makes the call.
     pub node: String,
-    /// The incarnation of its process; numbers start again with each.
+    /// The incarnation of its process. Sequence numbers start again with each incarnation.
     pub incarnation: u64,
-    /// The number of the call.
+    /// The sequence number of the call.
     pub sequence: u64,
-    /// What is to be done.
+    /// The operation.
     pub operation: Operation,
 }
 
@@ -125,13 +125,14 @@
         /// The token of the owner.
         token: FencingToken,
     },
-    /// The token is not the owner's. Carries the token of the present owner, if there is one.
+    /// The token is not that of the present owner. Carries the token of the present owner, if there
+    /// is one.
     StaleToken(Option<FencingToken>),
     /// There is no lease of this name.
     UnknownLease,
     /// A name is empty or too long, or the value is too long.
     Malformed,
-    /// The table holds [`crate::MAX_LEASES`] leases.
+    /// The table already holds [`crate::MAX_LEASES`] leases.
     TooManyLeases,
     /// The same client has made a later call.
     SupersededCommand,
@@ -175,7 +176,7 @@
     Renewed {
         /// The leases that have been renewed.
         renewed: Vec<RenewedLease>,
-        /// The names of the leases that the caller owns no more.
+        /// The names of the leases that the caller no longer owns.
         lost: Vec<String>,
     },
     /// The operation has been carried out.
