--- a/crates/leases/tests/harness/assertions.rs
+++ b/crates/leases/tests/harness/assertions.rs
@@ -27,13 +27,13 @@
         for ((fence, lease), admitted) in &self.admitted {
             assert!(
                 admitted.windows(2).all(|two| two[0].token <= two[1].token),
-                "seed {seed}: {lease} at {fence}: an effect of an earlier owner"
+                "seed {seed}: {lease} at fence {fence}: an effect of an earlier owner after one of a later owner"
             );
             for effect in admitted {
                 assert_eq!(
                     owners.entry(effect.token).or_insert(effect.node),
                     &effect.node,
-                    "seed {seed}: {lease}: token {} of two nodes",
+                    "seed {seed}: {lease}: token {} has two owners",
                     effect.token
                 );
             }
@@ -41,8 +41,8 @@
         owners.len()
     }
 
-    /// Asserts that stored values never go back to an earlier token, and that the voters agree with
-    /// the log.
+    /// Asserts that no stored value is replaced by one with a lower token, and that the voter that
+    /// has applied most agrees with the log.
     pub fn assert_log_is_consistent(&self, seed: u64) {
         let mut value_tokens: BTreeMap<&str, u64> = BTreeMap::new();
         let mut table = LeaseTable::default();
@@ -56,7 +56,7 @@
                 let before = value_tokens.entry(name).or_default();
                 assert!(
                     lease.value_token >= *before,
-                    "seed {seed}: the value of {name} went back"
+                    "seed {seed}: the value of {name} was replaced by an older one"
                 );
                 *before = lease.value_token;
             }
@@ -69,7 +69,7 @@
         assert_eq!(
             furthest.table.latest_token(),
             table.latest_token(),
-            "seed {seed}: voters agree"
+            "seed {seed}: a voter differs from the log"
         );
     }
 
--- a/crates/leases/tests/harness/mod.rs
+++ b/crates/leases/tests/harness/mod.rs
@@ -1,6 +1,7 @@
-//! Simulation of nodes that compete for leases, from seeds and with virtual time: real lease
-//! tables, granters, holders and fences. The log is simplified: it commits in one order, with
-//! delays and changes of the leader. Clocks run up to 2 % apart.
+//! Simulation of nodes that compete for leases, in virtual time and with random faults from a seed.
+//! The lease tables, granters, holders and fences are the real ones. The log is simplified: it
+//! commits commands in one order, with delays and changes of the leader. Clocks deviate by at most
+//! 2 %.
 
 mod assertions;
 
@@ -21,11 +22,11 @@
     count: u64,
 }
 
-/// A command that waits for its response.
+/// A command without a response so far.
 struct PendingCommand {
-    /// When it was sent first, by the node's clock.
-    asked_at: u64,
-    /// When it was sent last, by the node's clock.
+    /// When it was first sent, by the node's clock.
+    requested_at: u64,
+    /// When it was last sent, by the node's clock.
     sent_at: u64,
     command: Command,
 }
@@ -46,7 +47,7 @@
     cut_off: bool,
 }
 
-/// A voter: the table with what it has applied of the log, and its granter.
+/// A voter: its table, its granter, and how much of the log it has applied.
 struct Voter {
     table: LeaseTable,
     granter: LeaseGranter,
@@ -82,16 +83,16 @@
     random: Pcg64Mcg,
     nodes: Vec<Node>,
     voters: Vec<Voter>,
-    /// The commands of the log, each with when it is committed.
+    /// The commands of the log, each with the time at which it is committed.
     log: Vec<(u64, Command)>,
     leader: usize,
     expiries: u64,
-    /// Messages in transit, each with when it arrives.
+    /// Messages in transit, each with its time of arrival.
     in_transit: Vec<(u64, Delivery)>,
     fences: Vec<Fence>,
     /// The effects admitted by each fence for each lease.
     admitted: BTreeMap<(usize, String), Vec<AdmittedEffect>>,
-    /// How many of a hundred messages are lost.
+    /// The percentage of messages that are lost.
     loss_percent: u64,
 }
 
@@ -153,10 +154,12 @@
         !self.nodes[n].dead && self.now >= self.nodes[n].paused_until
     }
 
-    /// One turn of a node's event loop: its commands, then work under the leases that it holds.
+    /// Runs one turn of a node's event loop: it sends commands, then does work under the leases
+    /// that it holds.
     fn run_turn(&mut self, n: usize) {
         let clock = self.clock(n);
-        // Effects that were permitted before a pause leave first: only the fences may stop them.
+        // Effects that were permitted before a pause are sent first; only the fences can reject
+        // them.
         for effect in std::mem::take(&mut self.nodes[n].delayed_effects) {
             self.send_effect(2000, &effect);
         }
@@ -229,7 +232,7 @@
         let clock = self.clock(n);
         let node = &mut self.nodes[n];
         node.sequence += 1;
-        // A node stops acting before it asks for the release.
+        // A node stops acting before it requests the release.
         if let Operation::Release { lease, token } = &operation {
             node.holder.remove(lease, *token);
         }
@@ -240,7 +243,7 @@
             operation,
         };
         node.pending = Some(PendingCommand {
-            asked_at: clock,
+            requested_at: clock,
             sent_at: clock,
             command: command.clone(),
         });
@@ -301,7 +304,7 @@
                 let token = effect.token();
                 if let Ok(work) = self.fences[fence].admit(effect) {
                     let admitted = self.admitted.entry((fence, lease)).or_default();
-                    assert!(work.count > 0, "a count starts from 1");
+                    assert!(work.count > 0, "counts start from 1");
                     admitted.push(AdmittedEffect {
                         token,
                         node: work.node,
@@ -317,14 +320,16 @@
             (Operation::Acquire { lease }, Response::Granted { token, value }) => {
                 let count = value.try_into().map_or(0, u64::from_be_bytes);
                 node.counts.insert(lease.clone(), count);
-                node.holder.record_grant(pending.asked_at, &lease, token);
+                node.holder
+                    .record_grant(pending.requested_at, &lease, token);
             }
             (Operation::Renew { claims }, Response::Renewed { renewed, lost }) => {
                 for LeaseClaim { lease, token } in claims {
                     if lost.contains(&lease) {
                         node.holder.remove(&lease, token);
                     } else if renewed.iter().any(|renewed| renewed.lease == lease) {
-                        node.holder.record_grant(pending.asked_at, &lease, token);
+                        node.holder
+                            .record_grant(pending.requested_at, &lease, token);
                     }
                 }
             }
@@ -335,7 +340,7 @@
         }
     }
 
-    /// Advances the time by ten milliseconds.
+    /// Advances the time by 10 ms.
     pub fn step(&mut self) {
         self.now += 10;
         self.deliver_due();
@@ -364,7 +369,7 @@
         self.in_transit = rest;
         for (at, delivery) in due {
             match &delivery {
-                // A response to a paused process waits for it.
+                // A response to a paused process is delivered when it resumes.
                 Delivery::Response { caller, .. } if !self.is_running(*caller) => {
                     self.in_transit.push((at + 10, delivery));
                 }
@@ -375,7 +380,7 @@
 
     fn apply_committed(&mut self, v: usize) {
         let now = self.now;
-        // The leader applies an entry first.
+        // The leader applies an entry 40 ms before the other voters.
         let lag = if v == self.leader { 0 } else { 40 };
         while let Some((at, command)) = self.log.get(self.voters[v].applied).cloned()
             && at + lag <= now
@@ -384,7 +389,10 @@
             voter.applied += 1;
             let before = voter.table.latest_token();
             let response = voter.table.apply(&command);
-            assert!(voter.table.latest_token() >= before, "tokens grow");
+            assert!(
+                voter.table.latest_token() >= before,
+                "the latest token never decreases"
+            );
             voter.granter.record_applied(now, &voter.table);
             let caller = self
                 .nodes
--- a/crates/leases/tests/holder_granter_fence.rs
+++ b/crates/leases/tests/holder_granter_fence.rs
@@ -1,4 +1,4 @@
-//! The holder, the granter and the fence by themselves, with times at their limits.
+//! The holder, the granter and the fence in isolation, with times at their limits.
 
 use postproxy_leases::{
     Command, Effect, ExpiredLease, Fence, LeaseClaim, LeaseGranter, LeaseHolder, LeaseTable,
@@ -21,31 +21,35 @@
     });
 }
 
-/// A lease ends by its owner's clock, and a response to a call from before a pause does not bring
-/// it back.
+/// A lease ends by its owner's clock, and the response to a call from before a pause does not
+/// extend it.
 #[test]
 fn a_lease_ends_by_the_owners_own_clock_and_a_pause_voids_it() {
     let mut holder = LeaseHolder::new(LeaseTiming::default());
     holder.detect_pause(10_000);
     assert_eq!(holder.permit(10_000, "d"), None);
     holder.record_grant(10_000, "d", 7);
-    let permit = holder.permit(10_100, "d").expect("it runs");
+    let permit = holder.permit(10_100, "d").expect("a permit");
     assert_eq!(
         (permit.lease(), permit.token(), permit.remaining_ms()),
         ("d", 7, 2840)
     );
-    // To its end: 3,000 ms less the drift of 2 %.
+    // Until the lease ends, after 3,000 ms less the drift of 2 %.
     let mut now = 10_000;
     while holder.permit(now, "d").is_some() {
         now += 20;
         assert!(!holder.detect_pause(now));
     }
     assert_eq!(now, 12_940);
-    assert_eq!(holder.claims(), [claim("d", 7)], "it may still be renewed");
+    assert_eq!(
+        holder.claims(),
+        [claim("d", 7)],
+        "an expired lease may still be renewed"
+    );
     holder.record_grant(12_900, "d", 7);
     assert!(holder.permit(now, "d").is_some());
     assert_eq!(holder.renew_at(), Some(12_900 + 980));
-    // In the middle of a turn that takes too long, and at the next.
+    // A pause is detected in the middle of a turn that takes too long, and at the next turn.
     assert!(holder.permit(now + 500, "d").is_some() && holder.permit(now + 501, "d").is_none());
     assert!(holder.detect_pause(now + 501));
     assert_eq!(
@@ -56,11 +60,11 @@
     assert_eq!(
         holder.permit(now + 501, "d"),
         None,
-        "asked before the pause"
+        "requested before the pause"
     );
     holder.record_grant(now + 501, "d", 7);
     assert!(holder.permit(now + 501, "d").is_some());
-    // Neither the late grant of a lower token nor its loss changes anything.
+    // Neither a late grant under a lower token nor its loss affects the lease under the higher one.
     holder.record_grant(now + 501, "d", 9);
     holder.record_grant(now + 501, "d", 7);
     holder.remove("d", 7);
@@ -72,8 +76,8 @@
     assert!(holder.claims().is_empty());
 }
 
-/// A granter expires a lease only after its owner has, and proposes the expiry again only if it was
-/// lost.
+/// A granter expires a lease only after the lease has ended at its owner, and proposes the expiry
+/// again only if it was not applied.
 #[test]
 fn a_granter_expires_a_lease_after_the_lease_duration_plus_drift() {
     let mut table = LeaseTable::default();
@@ -83,7 +87,7 @@
     assert_eq!(
         (granter.next_expiry(), granter.expire_due_leases(9000)),
         (None, None),
-        "it does not lead"
+        "the node does not lead"
     );
     granter.set_leading(true);
     assert_eq!(
@@ -107,12 +111,12 @@
     assert_eq!(
         (granter.expire_due_leases(5061), granter.next_expiry()),
         (None, Some(6060)),
-        "it has been proposed"
+        "the expiry has been proposed"
     );
     assert_eq!(
         granter.expire_due_leases(6060),
         Some(expiry.clone()),
-        "it was lost"
+        "the proposal was lost"
     );
     apply(&mut table, "v", 1, expiry);
     granter.record_applied(6100, &table);
@@ -122,8 +126,8 @@
     );
 }
 
-/// A fence rejects the effects of an earlier owner, admits those of the present one, and can be
-/// stored.
+/// A fence rejects the effects of an earlier owner, admits those of the present one, and keeps its
+/// state when it is stored and restored.
 #[test]
 fn a_fence_rejects_tokens_below_the_highest() {
     let mut holder = LeaseHolder::new(LeaseTiming::default());
@@ -147,7 +151,7 @@
         stale.to_string(),
         "token 3 of lease 'd' is stale: token 5 has been seen"
     );
-    // A stored fence goes on where it stopped.
+    // A restored fence still knows the highest token.
     let stored = postcard::to_stdvec(&fence).expect("bytes");
     let mut restored: Fence = postcard::from_bytes(&stored).expect("a fence");
     assert_eq!(
--- a/crates/leases/tests/lease_table.rs
+++ b/crates/leases/tests/lease_table.rs
@@ -126,7 +126,7 @@
         log.save("b", 2, b"y"),
         rejected(Rejection::StaleToken(Some(1)))
     );
-    // A new incarnation gets a new token: effects of the earlier one are rejected.
+    // A repeated acquisition gets a new token, so that effects under the earlier one are rejected.
     assert_eq!(log.acquire("a"), granted(2, b"x"));
     assert_eq!(
         log.save("a", 1, b"y"),
@@ -154,12 +154,12 @@
             renewed: Vec::new(),
             lost: vec![d(), "e".into()]
         },
-        "not its own"
+        "the leases of another node"
     );
 }
 
-/// A transfer that an operator asks for is announced to the owner at its renewal, and completed by
-/// a release; one by the owner itself is made at once.
+/// A transfer that an operator requests is announced to the owner at its renewal and completed by
+/// its release. A transfer by the owner itself takes effect immediately.
 #[test]
 fn a_transfer_is_completed_by_the_owner() {
     let mut log = Log::new();
@@ -184,14 +184,14 @@
     assert_eq!(
         log.owner("d"),
         Some(("a".into(), 4)),
-        "by its owner: at once"
+        "a transfer by the owner takes effect immediately"
     );
 }
 
-/// An expiry that has not seen a renewal, or names an earlier owner, changes nothing. The value
-/// stays with the lease.
+/// An expiry that names an earlier number of renewals or an earlier token changes nothing. The
+/// value stays with the lease.
 #[test]
-fn an_expiry_ends_only_the_lease_that_it_has_seen() {
+fn an_expiry_ends_only_a_lease_that_has_not_changed() {
     let mut log = Log::new();
     log.acquire("a");
     log.save("a", 1, b"x");
@@ -274,8 +274,8 @@
     assert_eq!(log.table.leases().count(), MAX_LEASES);
 }
 
-/// A command is applied once, also when it is retried because its response was lost; a superseded
-/// one is rejected.
+/// A command that is retried because its response was lost is applied only once; a superseded
+/// command is rejected.
 #[test]
 fn a_retried_command_has_the_response_of_the_first_attempt() {
     let mut table = LeaseTable::default();
@@ -323,9 +323,9 @@
             token: 2,
             value: Vec::new()
         },
-        "another incarnation has its own numbers"
+        "another incarnation has its own sequence numbers"
     );
-    // The client that called longest ago is forgotten first.
+    // The number of clients in the table is bounded.
     for n in 0..5000u64 {
         table.apply(&Command {
             node: format!("n{n}"),
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,8 +1,8 @@
-//! The real lease table, granter, holder and fence under a model checker: two nodes compete for one
+//! Model checking of the real lease table, granter, holder and fence: two nodes compete for one
 //! lease, either of two voters may lead the log, and one fence admits effects. Commands, responses
-//! and effects are lost, delayed and reordered, and nodes are paused at any moment, also between
-//! the check and the effect. Time is a few ticks. Each safeguard is removed in turn, and the
-//! checker must find the violation.
+//! and effects are lost, delayed and reordered, and nodes are paused at any moment, including
+//! between the check and the effect. Time is limited to a few ticks. Each safeguard is disabled in
+//! turn, and the checker must then find a violation.
 
 use postproxy_leases::{
     Command, Effect, Fence, LeaseClaim, LeaseGranter, LeaseHolder, LeasePermit, LeaseTable,
@@ -10,26 +10,26 @@
 };
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// The safeguards that are removed from the protocol.
+/// The safeguards that are disabled.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
-struct Without {
-    /// Effects are admitted whatever their token is.
+struct DisabledSafeguards {
+    /// The fence rejects effects under stale tokens.
     fence: bool,
-    /// A lease counts from the arrival of the response, not from the request.
-    asked: bool,
-    /// A new leader expires leases at once that it has not seen run.
-    wait: bool,
-    /// A pause does not void the leases of a node.
-    pause: bool,
-    /// An expiry also ends a lease that has been renewed since it was proposed.
-    renewal: bool,
+    /// A lease counts from the request, not from the arrival of the response.
+    count_from_request: bool,
+    /// A new leader does not expire a lease before it has observed it for the whole lease duration.
+    granter_wait: bool,
+    /// A node that was paused must renew its leases before it acts.
+    pause_detection: bool,
+    /// An expiry does not end a lease that has been renewed since the expiry was proposed.
+    renewal_check: bool,
 }
 
 /// A command in transit to the log.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct SentCommand {
     caller: usize,
-    asked_at: u64,
+    requested_at: u64,
     command: Command,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct SentResponse {
     caller: usize,
-    asked_at: u64,
+    requested_at: u64,
     operation: Operation,
     response: Response,
 }
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct World {
+struct ModelState {
     now: u64,
     table: LeaseTable,
     granters: [LeaseGranter; 2],
@@ -62,7 +62,7 @@
     commands: Vec<SentCommand>,
     /// Responses in transit.
     responses: Vec<SentResponse>,
-    /// The permit that each node has obtained and not used yet.
+    /// The permit that each node has obtained and not yet used.
     obtained: [Option<LeasePermit>; 2],
     effects: Vec<Effect<usize>>,
     fence: Fence,
@@ -88,7 +88,7 @@
 }
 
 struct LeaseModel {
-    without: Without,
+    disabled: DisabledSafeguards,
     ticks: u64,
     /// How many commands each node makes.
     max_commands: [u64; 2],
@@ -96,14 +96,15 @@
 }
 
 const LEASE: &str = "d";
-/// The caller of the commands that the leader proposes.
+/// Stands for the leader as the caller of the expiries that it proposes.
 const VOTER: usize = 2;
 
 impl LeaseModel {
-    fn new(without: Without, ticks: u64, max_commands: [u64; 2]) -> Self {
-        // A lease of 2 ticks, equal clocks, and a pause is more than one tick.
+    fn new(disabled: DisabledSafeguards, ticks: u64, max_commands: [u64; 2]) -> Self {
+        // A lease lasts 2 ticks, clocks do not drift, and more than one tick between two turns is a
+        // pause.
         Self {
-            without,
+            disabled,
             ticks,
             max_commands,
             timing: LeaseTiming {
@@ -116,10 +117,10 @@
 }
 
 impl Model for LeaseModel {
-    type State = World;
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let mut holders = [LeaseHolder::new(self.timing), LeaseHolder::new(self.timing)];
         holders.iter_mut().for_each(|holder| {
             holder.detect_pause(0);
@@ -131,7 +132,7 @@
         granters
             .iter_mut()
             .for_each(|granter| granter.set_leading(true));
-        vec![World {
+        vec![ModelState {
             now: 0,
             table: LeaseTable::default(),
             granters,
@@ -148,167 +149,167 @@
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.now < self.ticks {
+    fn actions(&self, state: &ModelState, steps: &mut Vec<Step>) {
+        if state.now < self.ticks {
             steps.push(Step::Tick);
         }
         for n in 0..2 {
-            if world.paused[n] {
+            if state.paused[n] {
                 steps.push(Step::Resume(n));
                 continue;
             }
-            if !world.holders[n].claims().is_empty() {
+            if !state.holders[n].claims().is_empty() {
                 steps.push(Step::Pause(n));
             }
-            if world.sequences[n] < self.max_commands[n] {
-                steps.push(if world.holders[n].claims().is_empty() {
+            if state.sequences[n] < self.max_commands[n] {
+                steps.push(if state.holders[n].claims().is_empty() {
                     Step::Acquire(n)
                 } else {
                     Step::Renew(n)
                 });
             }
-            if world.obtained[n].is_some() {
+            if state.obtained[n].is_some() {
                 steps.push(Step::SendEffect(n));
-            } else if world.holders[n].permit(world.now, LEASE).is_some()
-                && world.admitted.len() + world.effects.len() < 2
+            } else if state.holders[n].permit(state.now, LEASE).is_some()
+                && state.admitted.len() + state.effects.len() < 2
             {
                 steps.push(Step::ObtainPermit(n));
             }
         }
-        // A lost command is one that is never applied.
-        steps.extend((0..world.commands.len()).map(Step::ApplyCommand));
-        let running = |i: &usize| !world.paused[world.responses[*i].caller];
+        // A lost command is modelled as one that is never applied.
+        steps.extend((0..state.commands.len()).map(Step::ApplyCommand));
+        let running = |i: &usize| !state.paused[state.responses[*i].caller];
         steps.extend(
-            (0..world.responses.len())
+            (0..state.responses.len())
                 .filter(running)
                 .map(Step::ReceiveResponse),
         );
-        steps.extend((0..world.effects.len()).map(Step::AdmitEffect));
-        // Either voter may lead.
+        steps.extend((0..state.effects.len()).map(Step::AdmitEffect));
+        // Either voter may propose as the leader.
         steps.extend(
             [0, 1]
                 .into_iter()
-                .filter(|_| world.expiries < 2)
+                .filter(|_| state.expiries < 2)
                 .map(Step::ProposeExpiry),
         );
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
-        let mut world = before.clone();
-        let now = world.now;
+    fn next_state(&self, before: &ModelState, step: Step) -> Option<ModelState> {
+        let mut state = before.clone();
+        let now = state.now;
         match step {
             Step::Tick => {
-                world.now += 1;
+                state.now += 1;
                 for n in 0..2 {
-                    if !world.paused[n] {
-                        world.holders[n].detect_pause(world.now);
+                    if !state.paused[n] {
+                        state.holders[n].detect_pause(state.now);
                     }
                 }
             }
-            Step::Pause(n) => world.paused[n] = true,
-            Step::Resume(n) => self.resume(&mut world, n),
-            Step::Acquire(n) | Step::Renew(n) => send_command(&mut world, n),
-            Step::ApplyCommand(i) => self.apply_command(&mut world, i),
-            Step::ReceiveResponse(i) => self.receive_response(&mut world, i),
-            Step::ProposeExpiry(leader) => self.propose_expiry(&mut world, leader)?,
-            Step::ObtainPermit(n) => world.obtained[n] = world.holders[n].permit(now, LEASE),
+            Step::Pause(n) => state.paused[n] = true,
+            Step::Resume(n) => self.resume(&mut state, n),
+            Step::Acquire(n) | Step::Renew(n) => send_command(&mut state, n),
+            Step::ApplyCommand(i) => self.apply_command(&mut state, i),
+            Step::ReceiveResponse(i) => self.receive_response(&mut state, i),
+            Step::ProposeExpiry(leader) => self.propose_expiry(&mut state, leader)?,
+            Step::ObtainPermit(n) => state.obtained[n] = state.holders[n].permit(now, LEASE),
             Step::SendEffect(n) => {
-                let permit = world.obtained[n].take()?;
-                world.effects.push(Effect::new(&permit, n));
+                let permit = state.obtained[n].take()?;
+                state.effects.push(Effect::new(&permit, n));
             }
-            Step::AdmitEffect(i) => self.admit_effect(&mut world, i)?,
+            Step::AdmitEffect(i) => self.admit_effect(&mut state, i)?,
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // Safety rests on tokens alone, whatever is paused.
+            // This depends on tokens alone, whichever processes are paused.
             Property::always(
                 "no effect after a newer owner's, no token of two owners",
-                |_, world: &World| {
-                    world
+                |_, state: &ModelState| {
+                    state
                         .admitted
                         .windows(2)
                         .all(|two| two[0].token < two[1].token || two[0] == two[1])
                 },
             ),
-            // Leases add, as long as clocks keep their bound, that two nodes never have a permit at
-            // once.
-            Property::always("one owner at a time", |_, world: &World| {
+            // As long as clocks keep within their bound, the durations of leases also ensure that
+            // two nodes never have a permit at once.
+            Property::always("one owner at a time", |_, state: &ModelState| {
                 let has_permit = |n: &usize| {
-                    !world.paused[*n] && world.holders[*n].permit(world.now, LEASE).is_some()
+                    !state.paused[*n] && state.holders[*n].permit(state.now, LEASE).is_some()
                 };
                 (0..2).filter(has_permit).count() < 2
             }),
-            Property::sometimes("the second owner acts", |_, world: &World| {
-                world.admitted.len() == 2 && world.admitted[0].node != world.admitted[1].node
+            Property::sometimes("the second owner acts", |_, state: &ModelState| {
+                state.admitted.len() == 2 && state.admitted[0].node != state.admitted[1].node
             }),
-            Property::sometimes("an effect is rejected", |_, world: &World| {
-                world.fence.rejected_count() > 0
+            Property::sometimes("an effect is rejected", |_, state: &ModelState| {
+                state.fence.rejected_count() > 0
             }),
         ]
     }
 }
 
 impl LeaseModel {
-    fn resume(&self, world: &mut World, n: usize) {
-        world.paused[n] = false;
-        if self.without.pause {
-            // As if no time had passed: the missed turns are made up for.
-            for tick in 0..=world.now {
-                world.holders[n].detect_pause(tick);
+    fn resume(&self, state: &mut ModelState, n: usize) {
+        state.paused[n] = false;
+        if self.disabled.pause_detection {
+            // The missed turns are made up for, so that no pause is detected.
+            for tick in 0..=state.now {
+                state.holders[n].detect_pause(tick);
             }
         } else {
-            world.holders[n].detect_pause(world.now);
+            state.holders[n].detect_pause(state.now);
         }
     }
 
-    fn apply_command(&self, world: &mut World, i: usize) {
+    fn apply_command(&self, state: &mut ModelState, i: usize) {
         let SentCommand {
             caller,
-            asked_at,
+            requested_at,
             mut command,
-        } = world.commands.remove(i);
+        } = state.commands.remove(i);
         if let Operation::Expire { leases } = &mut command.operation
-            && self.without.renewal
+            && self.disabled.renewal_check
         {
-            // The renewals that the leader saw are replaced by those that there are now.
+            // The number of renewals that the leader saw is replaced by the present one.
             for expired in leases {
-                expired.renewals = world
+                expired.renewals = state
                     .table
                     .lease(&expired.lease)
                     .map_or(0, |lease| lease.renewals);
             }
         }
-        let response = world.table.apply(&command);
+        let response = state.table.apply(&command);
         if caller != VOTER {
-            world.responses.push(SentResponse {
+            state.responses.push(SentResponse {
                 caller,
-                asked_at,
+                requested_at,
                 operation: command.operation,
                 response,
             });
         }
-        for granter in &mut world.granters {
-            granter.record_applied(world.now, &world.table);
+        for granter in &mut state.granters {
+            granter.record_applied(state.now, &state.table);
         }
     }
 
-    fn receive_response(&self, world: &mut World, i: usize) {
-        let received = world.responses.remove(i);
-        let asked_at = if self.without.asked {
-            world.now
+    fn receive_response(&self, state: &mut ModelState, i: usize) {
+        let received = state.responses.remove(i);
+        let requested_at = if self.disabled.count_from_request {
+            state.now
         } else {
-            received.asked_at
+            received.requested_at
         };
-        let holder = &mut world.holders[received.caller];
+        let holder = &mut state.holders[received.caller];
         match (received.operation, received.response) {
-            (_, Response::Granted { token, .. }) => holder.record_grant(asked_at, LEASE, token),
+            (_, Response::Granted { token, .. }) => holder.record_grant(requested_at, LEASE, token),
             (Operation::Renew { claims }, Response::Renewed { renewed, lost }) => {
                 for LeaseClaim { lease, token } in claims {
                     if renewed.iter().any(|renewed| renewed.lease == lease) {
-                        holder.record_grant(asked_at, &lease, token);
+                        holder.record_grant(requested_at, &lease, token);
                     } else if lost.contains(&lease) {
                         holder.remove(&lease, token);
                     }
@@ -318,47 +319,47 @@
         }
     }
 
-    fn propose_expiry(&self, world: &mut World, leader: usize) -> Option<()> {
-        let operation = if self.without.wait {
-            // A granter that counts every lease from time 0.
+    fn propose_expiry(&self, state: &mut ModelState, leader: usize) -> Option<()> {
+        let operation = if self.disabled.granter_wait {
+            // A new granter that measures every lease from time 0.
             let mut granter = LeaseGranter::new(self.timing);
-            granter.record_applied(0, &world.table);
+            granter.record_applied(0, &state.table);
             granter.set_leading(true);
-            granter.expire_due_leases(world.now + 100)?
+            granter.expire_due_leases(state.now + 100)?
         } else {
-            world.granters[leader].expire_due_leases(world.now)?
+            state.granters[leader].expire_due_leases(state.now)?
         };
-        world.expiries += 1;
+        state.expiries += 1;
         let command = Command {
             node: "v".into(),
             incarnation: 1,
-            sequence: world.expiries,
+            sequence: state.expiries,
             operation,
         };
-        world.commands.push(SentCommand {
+        state.commands.push(SentCommand {
             caller: VOTER,
-            asked_at: world.now,
+            requested_at: state.now,
             command,
         });
         Some(())
     }
 
-    fn admit_effect(&self, world: &mut World, i: usize) -> Option<()> {
-        let effect = world.effects.remove(i);
+    fn admit_effect(&self, state: &mut ModelState, i: usize) -> Option<()> {
+        let effect = state.effects.remove(i);
         let token = effect.token();
-        if self.without.fence {
+        if self.disabled.fence {
             let mut empty = Fence::default();
             let node = empty.admit(effect).ok()?;
-            world.admitted.push(AdmittedEffect { token, node });
-        } else if let Ok(node) = world.fence.admit(effect) {
-            world.admitted.push(AdmittedEffect { token, node });
+            state.admitted.push(AdmittedEffect { token, node });
+        } else if let Ok(node) = state.fence.admit(effect) {
+            state.admitted.push(AdmittedEffect { token, node });
         }
         Some(())
     }
 }
 
-fn send_command(world: &mut World, n: usize) {
-    let claims = world.holders[n].claims();
+fn send_command(state: &mut ModelState, n: usize) {
+    let claims = state.holders[n].claims();
     let operation = if claims.is_empty() {
         Operation::Acquire {
             lease: LEASE.into(),
@@ -366,52 +367,53 @@
     } else {
         Operation::Renew { claims }
     };
-    world.sequences[n] += 1;
+    state.sequences[n] += 1;
     let command = Command {
         node: format!("n{n}"),
         incarnation: 1,
-        sequence: world.sequences[n],
+        sequence: state.sequences[n],
         operation,
     };
-    world.commands.push(SentCommand {
+    state.commands.push(SentCommand {
         caller: n,
-        asked_at: world.now,
+        requested_at: state.now,
         command,
     });
 }
 
 /// Explores all states within this many steps of the first.
 fn check(
-    without: Without,
+    disabled: DisabledSafeguards,
     max_commands: [u64; 2],
     depth: usize,
 ) -> (usize, usize, Vec<&'static str>) {
-    let checker = LeaseModel::new(without, 4, max_commands)
+    let checker = LeaseModel::new(disabled, 4, max_commands)
         .checker()
         .threads(4)
         .target_max_depth(depth);
-    let (states, depth, found) = if without == Without::default() && depth < UNLIMITED_DEPTH {
-        // Breadth first, so that all states within the depth are seen.
-        let checker = checker.spawn_bfs().join();
-        (
-            checker.unique_state_count(),
-            checker.max_depth(),
-            checker.discoveries(),
-        )
-    } else {
-        // Depth first, which takes little memory: all states, or up to the first violation.
-        let stop_condition = if without == Without::default() {
-            HasDiscoveries::AllFailures
+    let (states, depth, found) =
+        if disabled == DisabledSafeguards::default() && depth < UNLIMITED_DEPTH {
+            // Breadth first, so that all states within the depth are explored.
+            let checker = checker.spawn_bfs().join();
+            (
+                checker.unique_state_count(),
+                checker.max_depth(),
+                checker.discoveries(),
+            )
         } else {
-            HasDiscoveries::AnyFailures
+            // Depth first, which takes little memory: all states, or up to the first violation.
+            let stop_condition = if disabled == DisabledSafeguards::default() {
+                HasDiscoveries::AllFailures
+            } else {
+                HasDiscoveries::AnyFailures
+            };
+            let checker = checker.finish_when(stop_condition).spawn_dfs().join();
+            (
+                checker.unique_state_count(),
+                checker.max_depth(),
+                checker.discoveries(),
+            )
         };
-        let checker = checker.finish_when(stop_condition).spawn_dfs().join();
-        (
-            checker.unique_state_count(),
-            checker.max_depth(),
-            checker.discoveries(),
-        )
-    };
     let mut found: Vec<&'static str> = found.into_keys().collect();
     found.sort_unstable();
     (states, depth, found)
@@ -420,7 +422,7 @@
 /// Deeper than any path of nodes with one command each.
 const UNLIMITED_DEPTH: usize = 1000;
 
-/// The depth in CI; `POSTPROXY_DEPTH` sets another.
+/// Returns the depth to explore: 11, which CI uses, unless `POSTPROXY_DEPTH` sets another.
 fn depth() -> usize {
     std::env::var("POSTPROXY_DEPTH")
         .ok()
@@ -431,17 +433,18 @@
 const TOKENS_ARE_ORDERED: &str = "no effect after a newer owner's, no token of two owners";
 const ONE_OWNER: &str = "one owner at a time";
 
-/// No state within that depth violates a property; with one command a node, none at all.
+/// With two commands per node, no state within the explored depth violates a safety property; with
+/// one command per node, no state at all does.
 #[test]
 fn no_state_violates_a_property() {
-    let (states, depth, found) = check(Without::default(), [2, 2], depth());
+    let (states, depth, found) = check(DisabledSafeguards::default(), [2, 2], depth());
     println!("two commands a node: {states} states, depth {depth}: {found:?}");
     assert!(
         !found.contains(&TOKENS_ARE_ORDERED) && !found.contains(&ONE_OWNER),
         "{found:?}"
     );
     assert!(states > 100_000, "{states}");
-    let (states, depth, found) = check(Without::default(), [1, 1], UNLIMITED_DEPTH);
+    let (states, depth, found) = check(DisabledSafeguards::default(), [1, 1], UNLIMITED_DEPTH);
     println!("one command a node: {states} states, depth {depth}: {found:?}");
     assert_eq!(
         found,
@@ -450,15 +453,15 @@
     );
 }
 
-/// The model has no state in which the detection of pauses matters: the clock goes on while a node
-/// is paused, so its lease expires by itself. Pinned here so that nobody takes this safeguard for
-/// more than it is.
+/// In this model, pause detection prevents no violation: the clock advances while a node is paused,
+/// so its lease ends by the clock alone. The test documents that safety does not depend on this
+/// safeguard here.
 #[test]
 fn pause_detection_is_redundant_in_this_model() {
     let (_, _, found) = check(
-        Without {
-            pause: true,
-            ..Without::default()
+        DisabledSafeguards {
+            pause_detection: true,
+            ..DisabledSafeguards::default()
         },
         [1, 1],
         15,
@@ -469,49 +472,49 @@
     );
 }
 
-/// Without each of the safeguards the checker finds a state that violates a property.
+/// With any of the other safeguards disabled, the checker finds a state that violates a property.
 #[test]
 fn removing_any_safeguard_is_detected() {
     let cases = [
         (
             "fence",
-            Without {
+            DisabledSafeguards {
                 fence: true,
-                ..Without::default()
+                ..DisabledSafeguards::default()
             },
             [1, 1],
             TOKENS_ARE_ORDERED,
         ),
         (
-            "asked",
-            Without {
-                asked: true,
-                ..Without::default()
+            "count_from_request",
+            DisabledSafeguards {
+                count_from_request: true,
+                ..DisabledSafeguards::default()
             },
             [1, 1],
             ONE_OWNER,
         ),
         (
-            "wait",
-            Without {
-                wait: true,
-                ..Without::default()
+            "granter_wait",
+            DisabledSafeguards {
+                granter_wait: true,
+                ..DisabledSafeguards::default()
             },
             [1, 1],
             ONE_OWNER,
         ),
         (
-            "renewal",
-            Without {
-                renewal: true,
-                ..Without::default()
+            "renewal_check",
+            DisabledSafeguards {
+                renewal_check: true,
+                ..DisabledSafeguards::default()
             },
             [2, 1],
             ONE_OWNER,
         ),
     ];
-    for (name, without, max_commands, property) in cases {
-        let (states, depth, found) = check(without, max_commands, 20);
+    for (name, disabled, max_commands, property) in cases {
+        let (states, depth, found) = check(disabled, max_commands, 20);
         println!("without {name}: {states} states, depth {depth}: {found:?}");
         assert!(found.contains(&property), "without {name}: {found:?}");
     }
--- a/crates/leases/tests/simulation.rs
+++ b/crates/leases/tests/simulation.rs
@@ -4,9 +4,9 @@
 
 use harness::Simulation;
 
-/// Whatever fails, no fence admits an effect of an earlier owner after one of a later owner, no
-/// token has two owners, stored values do not go back, no two nodes have a permit at once, and
-/// after the last fault every lease has an owner again.
+/// Under random faults, no fence admits an effect of an earlier owner after one of a later owner,
+/// no token has two owners, no stored value is replaced by one of an earlier owner, and no two
+/// nodes have a permit for a lease at once. After the last fault every lease gets an owner again.
 #[test]
 fn one_owner_at_a_time_whatever_fails() {
     let range = std::env::var("POSTPROXY_RUNS").unwrap_or_else(|_| "0..150".into());
@@ -23,7 +23,7 @@
             sim.inject_fault();
         }
         sim.repair();
-        // A lease, its drift, and the duration of a call.
+        // 6 s: long enough for a lease to expire and be acquired again.
         for _ in 0..600 {
             sim.step();
         }
@@ -36,6 +36,6 @@
     println!("{effects} effects under {owners} tokens, {rejected} rejected");
     assert!(
         rejected > 20 && owners > 500,
-        "{rejected} rejected, {owners} owners: the faults did happen"
+        "{rejected} rejected, {owners} owners: too few for the faults to have had an effect"
     );
 }
--- a/crates/leases/tests/surface_bytes.rs
+++ b/crates/leases/tests/surface_bytes.rs
@@ -1,7 +1,7 @@
 //! Pins the encodings of commands, responses and the lease table. Commands are entries of the
 //! replicated log and the state is part of its snapshots; both are stored and sent to other nodes,
-//! which may run another version. So these bytes must not change with a rename. The literals were
-//! written by the version before the renames.
+//! which may run another version. These bytes must therefore not change when a type or field is
+//! renamed. The literals do not follow a rename.
 
 use postproxy_leases::{
     Command, Effect, ExpiredLease, Fence, Lease, LeaseClaim, LeaseOwner, LeaseTable, MAX_LEASES,
@@ -221,7 +221,7 @@
     pin(Lease::default(), "0000000000");
 }
 
-/// The table after these operations: two leases, one of them without an owner, and two clients.
+/// Returns a table with two leases, one of them without an owner, and two clients.
 fn table() -> LeaseTable {
     let calls = [
         (
@@ -315,7 +315,7 @@
         },
         "03642d310203",
     );
-    // An effect can't be made without a permit, but it can be read: lease, token, payload.
+    // An effect cannot be created without a permit, but it can be decoded: lease, token, payload.
     let read: Effect<u8> = postcard::from_bytes(&unhex("03642d310509")).expect("an effect");
     assert_eq!((read.lease(), read.token()), ("d-1", 5));
     pin(read, "03642d310509");
--- a/crates/leases/tests/surface_errors.rs
+++ b/crates/leases/tests/surface_errors.rs
@@ -1,5 +1,5 @@
 //! Pins the messages of this crate's errors, which the management API and the log show. They must
-//! not change with a name in the code.
+//! not change when a name in the code changes.
 
 use postproxy_leases::{Rejection, StaleToken};
 
