--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -43,12 +43,12 @@
     #[error("{0}")]
     Rejected(Rejection),
     /// After the membership change, the live voters would be no majority of all voters.
-    #[error("only {living} of {of} voters would be alive, which is no majority")]
+    #[error("only {live} of {total} voters would be alive, which is no majority")]
     WouldLoseMajority {
         /// The number of live voters after the change.
-        living: usize,
+        live: usize,
         /// The number of all voters after the change.
-        of: usize,
+        total: usize,
     },
     /// The number of voters would be outside two to seven.
     #[error("the number of voters must be two to seven")]
--- a/crates/coordination/src/membership_changes.rs
+++ b/crates/coordination/src/membership_changes.rs
@@ -275,9 +275,9 @@
                 (MembershipChange::Add(change.node.clone()), voters.len() + 1)
             }
         };
-        let living = self.count_live_voters(now, voters, id);
-        if living * 2 <= count {
-            return Err(Error::WouldLoseMajority { living, of: count });
+        let live = self.count_live_voters(now, voters, id);
+        if live * 2 <= count {
+            return Err(Error::WouldLoseMajority { live, total: count });
         }
         Ok(Some(proposal))
     }
--- a/crates/coordination/src/tests.rs
+++ b/crates/coordination/src/tests.rs
@@ -244,7 +244,7 @@
     pin(
         Message::MembershipChangeCompleted {
             ticket: 1,
-            result: Err(Error::WouldLoseMajority { living: 3, of: 4 }),
+            result: Err(Error::WouldLoseMajority { live: 3, total: 4 }),
         },
         "070101040304",
     );
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -195,11 +195,11 @@
     (0..300).for_each(|_| sim.step());
     assert_eq!(
         sim.change_membership(VoterAction::Remove, "n1"),
-        Some(Err(Error::WouldLoseMajority { living: 1, of: 2 }))
+        Some(Err(Error::WouldLoseMajority { live: 1, total: 2 }))
     );
     assert_eq!(
         sim.change_membership(VoterAction::Add, "n3"),
-        Some(Err(Error::WouldLoseMajority { living: 2, of: 4 }))
+        Some(Err(Error::WouldLoseMajority { live: 2, total: 4 }))
     );
     assert_eq!(
         sim.change_membership(VoterAction::Remove, "n2"),
--- a/crates/coordination/tests/surface.rs
+++ b/crates/coordination/tests/surface.rs
@@ -211,7 +211,7 @@
 #[test]
 fn calls_on_voters_that_are_rejected_have_these_error_bodies() {
     rejected(
-        &Error::WouldLoseMajority { living: 1, of: 3 },
+        &Error::WouldLoseMajority { live: 1, total: 3 },
         r#"{"error":"voters","code":"voters.would_stop","what":"only 1 of 3 voters would be alive, which is no majority","remedy":"start the voters that are down first, or remove a dead voter instead of a live one"}"#,
     );
     rejected(
--- a/crates/coordination/tests/surface_errors.rs
+++ b/crates/coordination/tests/surface_errors.rs
@@ -54,7 +54,7 @@
             "duties.old",
         ),
         (
-            Error::WouldLoseMajority { living: 1, of: 3 },
+            Error::WouldLoseMajority { live: 1, total: 3 },
             "only 1 of 3 voters would be alive, which is no majority",
             "voters.would_stop",
         ),
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -170,7 +170,7 @@
 #[test]
 fn changes_of_the_voters_that_are_not_possible_are_shown_with_status_409() {
     assert_rejection(
-        Error::WouldLoseMajority { living: 1, of: 3 },
+        Error::WouldLoseMajority { live: 1, total: 3 },
         409,
         r#"{"error":"voters","code":"voters.would_stop","what":"only 1 of 3 voters would be alive, which is no majority","remedy":"start the voters that are down first, or remove a dead voter instead of a live one"}"#,
     );
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -482,7 +482,7 @@
 #[test]
 fn each_rejected_call_has_this_status() {
     let status = |error: &Error| error_response(error).status;
-    let stop = Error::WouldLoseMajority { living: 1, of: 3 };
+    let stop = Error::WouldLoseMajority { live: 1, total: 3 };
     for error in [
         Error::NoMajority(Vec::new()),
         Error::Busy,
