--- a/src/net/node/cluster.rs
+++ b/src/net/node/cluster.rs
@@ -1,4 +1,5 @@
-//! Carries out the events of the cluster service and tells it which worker list this node uses.
+//! Handles the events of the cluster service, and reports to it which version of the worker list
+//! this node uses.
 
 use super::Node;
 use crate::net::cluster::service::Event;
@@ -24,7 +25,7 @@
         self.handle_cluster_events(events.unwrap_or_default());
     }
 
-    /// Notifies the cluster service that a write of its coordination has become durable, or has
+    /// Notifies the cluster service that a write of coordination records has become durable or has
     /// failed.
     pub(super) fn complete_coordination_write(&mut self, durable: bool) {
         let events = self
@@ -34,7 +35,8 @@
         self.handle_cluster_events(events.unwrap_or_default());
     }
 
-    /// Records in the cluster which version of the worker list this node uses from now on.
+    /// Records with the cluster service which version of the worker list this node uses from now
+    /// on.
     pub(super) fn record_worker_list_version(&mut self, source: Source) {
         let version = self.worker_list.version();
         let (Some(cluster), Some((number, digest))) = (&mut self.cluster, version) else {
@@ -50,7 +52,7 @@
         self.handle_cluster_events(events);
     }
 
-    /// Carries out events of the cluster service, in order.
+    /// Handles events of the cluster service, in order.
     pub(super) fn handle_cluster_events(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
@@ -70,7 +72,7 @@
                     self.worker_list
                         .set_cluster_position((rank.position, rank.members));
                 }
-                Event::Synchronised => self.share_suspended_workers(),
+                Event::Synchronised => self.announce_suspended_workers(),
                 Event::Write(changes) => {
                     let accepted = self
                         .store
@@ -112,8 +114,8 @@
         }
     }
 
-    /// Passes on the suspensions that only this node knows.
-    fn share_suspended_workers(&mut self) {
+    /// Announces the workers suspended at this node of which the cluster has no record.
+    fn announce_suspended_workers(&mut self) {
         let workers = self.requests.suspended_workers();
         let events = self
             .cluster
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Adopts the worker list of another node if it is of the same generation, and newer.
+    /// Adopts the worker list of another node if it is of the same generation, which means that it
+    /// comes from the same discovery, and newer than this node's list.
     fn adopt_peer_list(&mut self, from: String, generation: u64, body: &[u8]) {
         let own = self
             .cluster
--- a/src/net/node/commands.rs
+++ b/src/net/node/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of the request manager.
+//! Executes the commands of the request manager.
 
 use super::Node;
 use crate::net::messages::Command;
@@ -6,8 +6,8 @@
 use postproxy_handover::Message;
 
 impl Node {
-    /// Hands all queued events to the request manager, in order, and carries out the commands of
-    /// each before the next.
+    /// Passes the queued inputs to the request manager in order, and executes the commands that
+    /// each produces before it passes the next.
     pub(super) fn process_queue(&mut self) {
         let mut commands = Vec::new();
         while let Some(input) = self.reactor.queue.pop_front() {
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Carries out one command. A flat list of forwardings, one an arm: it stays whole although it
-    /// is long.
+    /// Executes one command. Each arm only forwards to the component concerned, so that the
+    /// function is not split although it is long.
     fn execute(&mut self, command: Command) {
         let reactor = &mut self.reactor;
         match command {
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -1,5 +1,5 @@
-//! Works with sibling processes of this node: takes over from an older one, and hands over to a
-//! newer one.
+//! The node's side of the handover between its processes: takes over from an older sibling process,
+//! and hands over to a newer one.
 
 use super::Node;
 use crate::net::downstream::callback;
@@ -22,7 +22,7 @@
         self.handle_handover_events(events.unwrap_or_default());
     }
 
-    /// Checks the links for stalled siblings.
+    /// Handles an expired timer of the handover, which closes the links to stalled siblings.
     pub(super) fn handle_handover_timer(&mut self) {
         let events = self
             .handover
@@ -81,7 +81,7 @@
                 self.record_callback_result(caller, known);
             }
             LinkEvent::QuietConnection { input, used_before } => {
-                // Without its descriptor there is nothing to take over.
+                // Without a descriptor there is no connection to take over.
                 if let Some(descriptor) = descriptor {
                     let connection = ReleasedIdleConnection {
                         stream: descriptor.into(),
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Continues a request of a sibling. Without its connection, for which there may have been no
-    /// descriptor left, its client counts as disconnected.
+    /// Continues a request that a sibling has passed on. If its connection is missing, because
+    /// there was no descriptor left for it, the client counts as disconnected.
     fn adopt_request(
         &mut self,
         link: usize,
@@ -130,7 +130,7 @@
         });
     }
 
-    /// A link is closed: its sibling's requests have ended, or are out of reach.
+    /// Handles the end of a link: the sibling's requests have ended, or can't be reached any more.
     fn handle_link_closed(&mut self, link: usize, pending_callers: Vec<ClientId>, stalled: bool) {
         self.reactor.queue.push_back(Input::SiblingLost { link });
         self.descriptor_shares.forget_sibling(link);
@@ -138,7 +138,8 @@
         self.forwarded_callbacks.forget_link(link);
         for caller in pending_callers {
             if stalled {
-                // The sibling may still hold the request: its worker is to call again.
+                // The sibling may still hold the request. Without an acknowledgement the worker
+                // sends the callback again.
                 self.forwarded_callbacks.abandon(caller);
                 self.clients.abort_connection(&mut self.reactor, caller);
             } else {
@@ -149,7 +150,7 @@
             .set_siblings_linked(self.handover.as_ref().is_some_and(Handover::has_links));
         let successor = self.handover.as_ref().and_then(Handover::successor);
         if self.lifecycle.stage() == Stage::HandingOver && successor.is_none() {
-            tracing::warn!("process that took over is gone");
+            tracing::warn!("link to the newer process of this node lost: handover cancelled");
             self.lifecycle.set_handing_over(false);
             self.clients.set_accepting(&self.reactor, true);
             self.apply_readiness();
@@ -184,9 +185,10 @@
         }
     }
 
-    /// Passes a sibling's suspension on to the other nodes: of two processes, only one is a member
-    /// of the cluster. Suspensions of an older process's snapshot are not new; they are passed on
-    /// once it is known what the cluster has decided.
+    /// Announces a sibling's change of a suspension to the other nodes: of a node's processes, only
+    /// one is a member of the cluster. Suspensions in the snapshot of an older process are not
+    /// changes; they are announced once this process has learned the suspensions that the cluster
+    /// has recorded.
     fn pass_suspension_to_cluster(&mut self, link: usize, worker: &str, resume: bool) {
         let from_older = self
             .handover
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Sends a newer process all the state that it needs.
+    /// Sends a newer process a snapshot of this one's state, and then hands over to it if this one
+    /// is stopping.
     fn send_snapshot(&mut self, link: usize) {
         let Some(handover) = self
             .handover
@@ -231,11 +234,12 @@
         self.begin_handover();
     }
 
-    /// After the stop signal: lets another process of this node take over, if there is one.
+    /// Starts the handover if this process has received the stop signal and a newer process of this
+    /// node is linked.
     pub(super) fn begin_handover(&mut self) {
         let successor = self.handover.as_ref().and_then(Handover::successor);
         if self.lifecycle.stage() == Stage::Stopping && successor.is_some() {
-            tracing::info!("handing over");
+            tracing::info!("handing over to the newer process of this node");
             self.lifecycle.set_handing_over(true);
             self.clients.set_accepting(&self.reactor, false);
             if let Some(cluster) = &mut self.cluster {
@@ -246,16 +250,16 @@
         }
     }
 
-    /// Whether an older process of this node is still linked. This process must not end before it:
-    /// what the older one passes to an ended process is lost, and nobody would forward call-backs
-    /// to it.
+    /// Whether an older process of this node is still linked. This process must not exit before it:
+    /// connections that the older one hands over to an exited process are lost, and callbacks for
+    /// the older one's requests would not be forwarded to it.
     pub(super) fn has_predecessor(&self) -> bool {
         self.handover
             .as_ref()
             .is_some_and(Handover::has_predecessor)
     }
 
-    /// Whether all has been handed over, so that this process can end.
+    /// Whether the handover is complete, so that this process can exit.
     pub(super) fn is_handover_complete(&self) -> bool {
         let answered = self.clients.connection_count() == 0
             && self.requests.waiting_client_count() == 0
@@ -264,18 +268,18 @@
         answered && flushed && !self.has_predecessor()
     }
 
-    /// Passes connections to the process that takes over: those that wait for nothing, then
-    /// requests with theirs.
+    /// Migrates connections to the process that takes over: first idle ones, then those with a
+    /// request in flight, together with the request.
     pub(super) fn migrate_connections(&mut self) {
         let Some(successor) = self.handover.as_ref().and_then(Handover::successor) else {
             return;
         };
-        self.migrate_quiet_connections(successor);
+        self.migrate_idle_connections(successor);
         self.migrate_requests(successor);
         self.divide_descriptors();
     }
 
-    fn migrate_quiet_connections(&mut self, successor: usize) {
+    fn migrate_idle_connections(&mut self, successor: usize) {
         let Some(handover) = &mut self.handover else {
             return;
         };
@@ -300,7 +304,7 @@
             if !handover.has_write_capacity(successor) {
                 break;
             }
-            // The request manager has yet to handle the disconnect of a client that has just gone.
+            // The client has disconnected, and the request manager has not handled that yet.
             if !self.clients.awaits_answer(client) {
                 continue;
             }
@@ -339,8 +343,8 @@
             handover.send_to_successors(&self.reactor, &Message::DescriptorsHeld(held));
         }
         if shutting_down {
-            // A request may still come on one of this process's connections; lower limits would
-            // make it fail.
+            // A request may still arrive on one of this process's connections; a lower limit would
+            // reject it.
             return;
         }
         let limits = self.descriptor_budget.limits(share.own);
@@ -349,7 +353,8 @@
         self.requests.set_waiting_limit(limits.waiting);
     }
 
-    /// Handles a call-back that a sibling has forwarded, or replies at once if it can't be parsed.
+    /// Handles a callback that a sibling has forwarded. One that can't be parsed is answered at
+    /// once as one for an unknown request.
     fn receive_callback(&mut self, link: usize, number: u64, body: &[u8]) {
         match callback::parse(body) {
             Some(callback) => {
@@ -365,8 +370,8 @@
         }
     }
 
-    /// Forwards a call-back on an unknown request to the siblings; without any it is acknowledged
-    /// at once.
+    /// Forwards a callback for a request that this process doesn't know to the siblings. If there
+    /// are none, it is acknowledged at once.
     pub(super) fn forward_callback(&mut self, client: ClientId, callback: WorkerCallback) {
         let except = self.forwarded_callbacks.origin_link(client);
         let body = callback::encode(&callback);
@@ -381,12 +386,12 @@
         }
     }
 
-    /// Records whether a sibling knows the request of a forwarded call-back.
+    /// Records whether a sibling knows the request of a forwarded callback.
     fn record_callback_result(&mut self, client: ClientId, known: bool) {
         match self.forwarded_callbacks.record_result(client, known) {
             CallbackResolution::Pending => {}
             CallbackResolution::Known => self.acknowledge_callback(client, true),
-            // The request may have migrated here before the last result came.
+            // The request may have migrated here before the last result arrived.
             CallbackResolution::Unknown(callback) => self
                 .reactor
                 .queue
@@ -394,7 +399,7 @@
         }
     }
 
-    /// Acknowledges a call-back to its worker, or to the sibling that forwarded it.
+    /// Acknowledges a callback to its worker, or to the sibling that forwarded it.
     pub(super) fn acknowledge_callback(&mut self, client: ClientId, known: bool) {
         if !self.forwarded_callbacks.is_forwarded_here(client) {
             self.clients.acknowledge_callback(&mut self.reactor, client);
--- a/src/net/node/lifecycle.rs
+++ b/src/net/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, drains and ends the node.
+//! Start of service, drain and shutdown of the node.
 
 use super::Node;
 use crate::net::handover::Handover;
@@ -7,21 +7,22 @@
 use crate::net::transport::reactor::Timer;
 use postproxy_handover::{Message, StateUpdate};
 
-/// How long new connections are still accepted after the stop signal, in seconds: the front may not
-/// yet know that this node ends.
+/// How long new connections are still accepted after the stop signal, in seconds: clients may not
+/// have learned yet that this node shuts down.
 const ACCEPT_WINDOW_SECONDS: f64 = 0.6;
-/// How often the node checks during its shutdown whether all has been answered, in seconds.
+/// Interval at which the node checks during its shutdown whether all requests have been answered,
+/// in seconds.
 const SHUTDOWN_CHECK_SECONDS: f64 = 0.02;
-/// Consecutive checks without work before the node ends: a client whose request crossed the end of
-/// its connection sends it again on a new one.
+/// Consecutive shutdown checks without pending work before the node exits: a client whose request
+/// was in transit when the node closed the connection sends it again on a new one.
 const QUIET_CHECKS_BEFORE_END: u32 = 10;
-/// How often idle connections are checked during a drain, in seconds.
+/// Interval at which idle connections are checked during a drain, in seconds.
 const DRAIN_CHECK_SECONDS: f64 = 0.05;
 
 impl Node {
-    /// Begins to serve once an older process has sent its snapshot and discovery has answered: with
-    /// a list from before its start the node would send to workers that have left since. Deferred
-    /// management requests are carried out as soon as the snapshot is complete.
+    /// Starts to serve once an older process has sent its whole snapshot and discovery has
+    /// answered: by a list from before its start, the node would send requests to workers that have
+    /// left since. Deferred management requests are handled as soon as the snapshot is complete.
     pub(super) fn start_serving_when_ready(&mut self) {
         let ready = self.lifecycle.stage() == Stage::Starting
             && !self.is_waiting_for_snapshot()
@@ -40,15 +41,15 @@
         }
     }
 
-    /// Whether an older process has still to send a part of its snapshot.
+    /// Whether an older process has not sent its whole snapshot yet.
     pub(super) fn is_waiting_for_snapshot(&self) -> bool {
         self.handover
             .as_ref()
             .is_some_and(Handover::is_waiting_for_snapshot)
     }
 
-    /// Tells the clients' side whether the node wants new connections and ends them after an
-    /// answer.
+    /// Applies the stage of the lifecycle to the client connections: whether the readiness check
+    /// succeeds, and whether a connection is closed after a response.
     pub(super) fn apply_readiness(&mut self) {
         self.clients.set_readiness(
             self.lifecycle.wants_connections(),
@@ -59,7 +60,7 @@
     /// Drains the node, or continues a drain that a sibling process began `seconds_ago`.
     pub(super) fn drain(&mut self, link: Option<usize>, seconds_ago: f64) {
         if !self.lifecycle.is_draining() {
-            tracing::info!("draining");
+            tracing::info!("drain started");
             self.reactor
                 .set_timer(self.reactor.now + DRAIN_CHECK_SECONDS, Timer::Drain);
             let update = StateUpdate::DrainChanged {
@@ -72,7 +73,7 @@
         self.apply_readiness();
     }
 
-    /// Ends a drain, and returns the reply to whoever asked for it.
+    /// Ends a drain, and returns the reply to the caller who requested that.
     pub(super) fn activate(&mut self) -> ManagementReply {
         if self.lifecycle.is_draining() {
             let update = StateUpdate::DrainChanged {
@@ -82,7 +83,7 @@
             self.broadcast_to_siblings(None, &Message::StateUpdate(update));
         }
         let accepted = self.lifecycle.activate();
-        tracing::info!(accepted, "activated");
+        tracing::info!(accepted, "activation requested");
         self.apply_readiness();
         if accepted {
             ManagementReply::Done
@@ -104,11 +105,12 @@
         }
     }
 
-    /// Begins the shutdown: by a handover, if another process of this node can take over.
+    /// Handles the stop signal: starts the shutdown, by a handover if a newer process of this node
+    /// is linked.
     pub(super) fn stop(&mut self) {
         self.stop_signal.consume(&self.reactor);
-        // A node that has not begun to serve holds no request, and what waits at the listener is
-        // another process's.
+        // A process that has not started to serve holds no request, and connections that wait at
+        // the listener are left to another process. It exits at once.
         self.finished |= self.lifecycle.stage() == Stage::Starting;
         if self.lifecycle.stop() {
             self.apply_readiness();
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Checks whether the node can end.
+    /// Checks whether the process can exit.
     pub(super) fn check_shutdown(&mut self) {
         if self.lifecycle.stage() == Stage::HandingOver {
             self.finished = self.is_handover_complete();
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -34,12 +34,11 @@
         self.handle_management_requests(calls.unwrap_or_default());
     }
 
-    /// Carries out requests of the management API, each with its caller's connection. Requests that
-    /// change the node are deferred while an older process still sends its snapshot: the snapshot
-    /// would override them.
+    /// Handles requests of the management API. Those that change the node's state are deferred
+    /// while an older process still sends its snapshot: the snapshot would override them.
     pub(super) fn handle_management_requests(&mut self, requests: Vec<ReceivedRequest>) {
         for received in requests {
-            if changes_node(&received.request) && self.is_waiting_for_snapshot() {
+            if changes_state(&received.request) && self.is_waiting_for_snapshot() {
                 self.deferred_requests.push(received);
                 continue;
             }
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Carries out the deferred requests.
+    /// Handles the deferred requests.
     pub(super) fn handle_deferred_requests(&mut self) {
         let requests = std::mem::take(&mut self.deferred_requests);
         self.handle_management_requests(requests);
@@ -109,14 +108,14 @@
         }
     }
 
-    /// Sends a text to a caller of the management API, or `otherwise` if there is none.
-    fn reply_with_text(&mut self, caller: usize, text: Option<String>, otherwise: ManagementReply) {
+    /// Sends a text to a caller of the management API, or `fallback` if there is none.
+    fn reply_with_text(&mut self, caller: usize, text: Option<String>, fallback: ManagementReply) {
         match (&mut self.management, text) {
             (Some(management), Some(text)) => {
                 management.send_text(&mut self.reactor, caller, 200, &text);
             }
             (Some(management), None) => {
-                management.send_reply(&mut self.reactor, caller, otherwise);
+                management.send_reply(&mut self.reactor, caller, fallback);
             }
             (None, _) => {}
         }
@@ -156,8 +155,8 @@
         );
     }
 
-    /// Submits a request to the cluster's coordination; the caller gets its reply once the request
-    /// is decided.
+    /// Submits a request to the coordination service; the caller gets the reply once the request
+    /// has been decided.
     fn submit_admin_request(&mut self, caller: usize, request: AdminRequest) {
         let events = self
             .cluster
@@ -198,8 +197,9 @@
         });
     }
 
-    /// Passes an accepted suspension on to the other nodes, which then confirm it to the caller;
-    /// without other nodes the caller gets the request manager's reply at once.
+    /// Announces a suspension that the request manager has accepted to the other nodes. The caller
+    /// then gets the number of nodes that have recorded it; if this process doesn't participate in
+    /// a cluster, the caller gets the request manager's reply at once.
     pub(super) fn complete_suspension(&mut self, caller: usize, reply: ManagementReply) {
         let change = self
             .pending_suspensions
@@ -220,8 +220,8 @@
     }
 }
 
-/// Returns whether a request changes what this node does.
-fn changes_node(request: &ManagementRequest) -> bool {
+/// Returns whether a request changes state that the snapshot of an older process contains.
+fn changes_state(request: &ManagementRequest) -> bool {
     matches!(
         request,
         ManagementRequest::Drain
--- a/src/net/node/mod.rs
+++ b/src/net/node/mod.rs
@@ -1,13 +1,14 @@
-//! The node's event loop: waits for sockets, timers and signals, and hands each event to the part
-//! that owns it.
+//! The node's event loop: waits for sockets, timers and signals, and passes each event to the
+//! component that owns it.
 //!
-//! This file owns the loop and the order of work within one turn: first the queued events of the
-//! request manager, then connections for a process that takes over, then the poller's events in the
-//! order of their owners, then the expired timers. The glue between the loop and each part is in
-//! the submodules: `startup` builds the node, `commands` carries out what the request manager asks
-//! for, `management`, `cluster` and `handover` serve the management API, the other nodes and the
-//! sibling processes, `lifecycle` starts, drains and ends the node, and `timers` dispatches expired
-//! timers.
+//! This file has the loop and the order of work within one turn: first the queued inputs of the
+//! request manager, then the migration of connections to a process that takes over, then the
+//! poller's events in the order of their owners, then the expired timers. The submodules connect
+//! the loop to the components: `startup` builds the node, `commands` executes the commands of the
+//! request manager, `management`, `cluster` and `handover` serve the management API, the other
+//! nodes and the sibling processes, `lifecycle` starts, drains and stops the node, `signals` reads
+//! the stop and reload signals, `timers` dispatches expired timers, and `descriptor_budget`
+//! computes the limits of connections.
 
 mod cluster;
 mod commands;
@@ -54,8 +55,8 @@
     management: Option<ManagementServer>,
     handover: Option<Handover>,
     cluster: Option<ClusterService>,
-    /// Suspensions requested through the management API, by the caller's connection. The cluster is
-    /// notified once the request manager has accepted the change.
+    /// Changes of suspensions requested through the management API, by the caller's connection.
+    /// They are announced to the cluster once the request manager has accepted them.
     pending_suspensions: HashMap<usize, SuspensionChange>,
     forwarded_callbacks: ForwardedCallbacks,
     descriptor_shares: DescriptorShares,
@@ -68,11 +69,11 @@
     address: SocketAddr,
     /// Consecutive shutdown checks that found nothing left to answer.
     quiet_checks: u32,
-    /// Nothing is left to answer: the loop ends.
+    /// Whether nothing is left to answer, so that the loop ends.
     finished: bool,
     /// The longest turn of the loop so far, in seconds.
     longest_turn: f64,
-    /// Management requests that came before an older process had sent its whole snapshot.
+    /// Management requests that arrived before an older process had sent its whole snapshot.
     deferred_requests: Vec<ReceivedRequest>,
     /// Whether the cluster tracks configuration versions.
     tracks_versions: bool,
@@ -81,13 +82,13 @@
 }
 
 impl Node {
-    /// Has a byte on `signal` ask `source` for a new configuration; `None` from it keeps the
-    /// current one. Of a new configuration only the address of discovery takes effect at once; all
-    /// else holds from the next start.
+    /// Makes a byte on `signal` reload the configuration from `source`; if that returns `None`, the
+    /// current one stays. Of a new configuration, only the address of discovery takes effect at
+    /// once; the rest takes effect at the next start.
     ///
     /// # Errors
     ///
-    /// If the system's poller refuses the signal.
+    /// If the signal can't be registered with the system's poller.
     pub fn reload_on(
         &mut self,
         signal: UnixStream,
@@ -113,7 +114,7 @@
         self.management.as_ref()?.address().ok()
     }
 
-    /// Serves until a byte comes on the stop signal and no request is left to answer.
+    /// Serves until a byte has arrived on the stop signal and no request is left to answer.
     ///
     /// # Errors
     ///
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// Hands a readiness event of the poller to the owner of its socket.
+    /// Passes a readiness event of the poller to the owner of its socket.
     fn dispatch_event(&mut self, event: Event) {
         let Event {
             key,
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Handles writes that the store has completed, and hands on those of the cluster's
-    /// coordination.
+    /// Handles writes that the store has completed. The result of a write of coordination records
+    /// is passed to the cluster service.
     fn handle_store_ready(&mut self) {
         let written = self
             .store
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Asks the source of configurations for a new one, if a reload was signalled.
+    /// Reads a new configuration from the source, if a reload was signalled.
     fn reload(&mut self) {
         let Some(reload) = &mut self.reload else {
             return;
--- a/src/net/node/signals.rs
+++ b/src/net/node/signals.rs
@@ -17,7 +17,7 @@
     ///
     /// # Errors
     ///
-    /// If the system's poller refuses the stream.
+    /// If the stream can't be registered with the system's poller.
     pub(super) fn new(reactor: &mut Reactor, stream: UnixStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         let key = reactor.register(&stream, SocketOwner::Signal)?;
@@ -31,7 +31,7 @@
     }
 
     /// Reads all pending bytes and returns whether there were any. A stream whose other end is
-    /// closed is not waited for any more.
+    /// closed is not polled any more.
     pub(super) fn consume(&mut self, reactor: &Reactor) -> bool {
         let mut bytes = [0; 64];
         let mut any = false;
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads a new configuration; `None` if there is none to use.
+/// Reads a new configuration; returns `None` if there is no valid one.
 pub(super) type ConfigSource = Box<dyn FnMut() -> Option<Config>>;
 
 /// The reload signal, and where a new configuration comes from.
@@ -61,8 +61,8 @@
         Self { signal, source }
     }
 
-    /// Returns a new configuration if one was signalled. The signal is consumed before the source
-    /// is read, so that a change during the read is signalled again.
+    /// Reads a new configuration if a reload was signalled. The signal is consumed before the
+    /// source is read, so that a signal sent during the read causes another reload.
     pub(super) fn poll(&mut self, reactor: &Reactor) -> Option<Config> {
         if self.signal.consume(reactor) {
             (self.source)()
--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -1,4 +1,4 @@
-//! Builds a node from its configuration, one step a function.
+//! Builds a node from its configuration, with a function for each step.
 
 use super::Node;
 use super::descriptor_budget::DescriptorBudget;
@@ -27,14 +27,15 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
 
-/// Descriptors reserved for what is no connection, such as standard streams, the poller and files.
+/// Descriptors reserved for anything but connections, such as standard streams, the poller and
+/// files.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// The store, opened, with what the request manager needs of it.
+/// The opened store, with the parts of it that the request manager needs.
 struct OpenedStore {
     adapter: StoreAdapter,
     durability: DurabilityPolicy,
-    /// Writes that record which requests of an earlier run never ran.
+    /// Writes that record which requests of an earlier process never ran.
     initial_writes: Vec<Write>,
 }
 
@@ -52,10 +53,10 @@
 }
 
 impl Node {
-    /// Listens, and adopts the worker list that the configuration holds. A byte on `stop` shuts the
-    /// node down.
+    /// Creates a node that listens on its addresses and uses the worker list cached in the
+    /// configuration or in the store. A byte on `stop` shuts the node down.
     ///
-    /// The function is long because it lists every field of the node once; the steps are the
+    /// The function is long because it lists every field of the node once; the steps are in the
     /// functions below.
     ///
     /// # Errors
@@ -65,12 +66,12 @@
     pub fn new(mut config: Config, stop: UnixStream) -> Result<Self, Box<dyn Error>> {
         let clock = Clock::new();
         let mut reactor = Reactor::new(clock.now())?;
-        // The store is read before anybody can connect: an earlier call-back would meet a node
-        // without requests.
+        // The store is read before the listeners are opened: a callback that arrived earlier would
+        // find none of the recovered requests.
         let mut recovered = RecoveredState::default();
         let store = open_store(&mut reactor, &mut config, &mut recovered)?;
         // An inherited listener is shared with other processes; a process with a listener of its
-        // own has no successor.
+        // own can't hand over to a successor.
         let shared_listener = config.listener.is_some();
         let listeners = open_listeners(&mut reactor, &mut config)?;
         let address = listeners.clients.local_addr()?;
@@ -155,8 +156,8 @@
     }
 }
 
-/// Opens the store, if one is configured. A worker list that it holds takes the place of the
-/// configured one if it is newer.
+/// Opens the store, if one is configured. A worker list in the store replaces the configured one if
+/// it is newer.
 fn open_store(
     reactor: &mut Reactor,
     config: &mut Config,
@@ -193,8 +194,8 @@
     }))
 }
 
-/// Gives the request manager its durability, and starts the writes and the expiry of the recovered
-/// requests.
+/// Enables durability in the request manager, and starts the initial writes and the expiry of the
+/// recovered requests.
 fn attach_store(
     reactor: &mut Reactor,
     requests: &mut RequestManager,
@@ -234,9 +235,10 @@
     })
 }
 
-/// Works out how many descriptors the node may use for what.
+/// Computes the budget of descriptors from the configuration.
 fn descriptor_budget(config: &Config, has_management: bool) -> DescriptorBudget {
-    // Three quarters of the memory are for what each client's connection can hold at most.
+    // Three quarters of the memory are for client connections, each counted with the most memory
+    // that it can use.
     let clients_by_memory = (config.memory_mb << 20) / 4 * 3 / clients::MAX_CONNECTION_MEMORY_BYTES;
     let management = if has_management {
         management::MAX_SESSIONS
@@ -256,8 +258,8 @@
     }
 }
 
-/// Reads the workers of a cached list. A list without workers counts as none: with its revision the
-/// node would wait for a newer one.
+/// Reads the workers of a cached list. A list without workers counts as no list: a poll with its
+/// revision would be answered only once discovery has a newer list.
 fn cached_workers(list: Option<&DiscoveryList>, settings: &Settings) -> CachedWorkers {
     let revision = list.map(|list| list.revision);
     let workers = list
@@ -270,8 +272,8 @@
     }
 }
 
-/// Connects to an older process of this node, if the listener is shared and a folder for the socket
-/// is known.
+/// Starts the handover from an older process of this node, if the listener is shared and a folder
+/// for the handover socket is configured.
 fn start_handover(
     reactor: &mut Reactor,
     config: &Config,
@@ -288,7 +290,7 @@
     Some(Handover::start(reactor, folder, &config.name, &listen))
 }
 
-/// A node that votes on leases must keep its promises across restarts.
+/// Checks that a voter has a store: it must keep its votes across restarts.
 fn check_voter_has_store(config: &Config, has_store: bool) -> Result<(), Box<dyn Error>> {
     let votes = config
         .fleet
@@ -296,7 +298,8 @@
         .is_some_and(|section| section.voters.contains(&config.name));
     if config.duties.is_some() && !has_store && votes {
         return Err(
-            "duties: this node votes, and its promises must outlive it: it needs the section store"
+            "duties: this node is a voter and must keep its votes across restarts: \
+             configure the section store"
                 .into(),
         );
     }
--- a/src/net/node/timers.rs
+++ b/src/net/node/timers.rs
@@ -1,14 +1,15 @@
-//! Hands each expired timer to its owner.
+//! Dispatches expired timers to their owners.
 
 use super::Node;
 use crate::net::messages::Input;
 use crate::net::transport::reactor::Timer;
 
-/// How often the worker list and the suspensions are saved if they have changed, in seconds.
+/// Interval at which the worker list and the suspensions are saved if they have changed, in
+/// seconds.
 pub(super) const SAVE_INTERVAL_SECONDS: f64 = 1.0;
 
 impl Node {
-    /// Hands an expired timer to its owner.
+    /// Dispatches an expired timer to its owner.
     pub(super) fn dispatch_timer(&mut self, timer: Timer) {
         let reactor = &mut self.reactor;
         match timer {
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -670,7 +670,7 @@
     let folder = Folder::new("serve-voter");
     let operator = r#"{"duties": {}, "fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0", "n1", "n2"]}}"#;
     folder.write("operator.json", operator);
-    let stderr = "postproxy: duties: this node votes, and its promises must outlive it: it needs the section store\n";
+    let stderr = "postproxy: duties: this node is a voter and must keep its votes across restarts: configure the section store\n";
     folder.assert_serve_fails(&["--operator", "operator.json"], &config(""), stderr);
 }
 
