--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -1,6 +1,6 @@
-//! The coordination service in the node: it carries messages, writes and the time to and from the
-//! coordinator of `postproxy-coordination`, answers requests of the management API, and logs
-//! events.
+//! The coordination service of the node: passes messages, writes and the time between the event
+//! loop and the coordinator of `postproxy-coordination`, answers requests of the management API,
+//! and logs events.
 
 mod write_queue;
 
@@ -36,7 +36,7 @@
     },
 }
 
-/// What the caller is to do.
+/// What the coordination service needs its caller to do.
 #[derive(Debug)]
 pub enum CoordinationEffect {
     /// Send a message to a node.
@@ -66,7 +66,7 @@
     pub body: String,
 }
 
-/// A node's part in the coordination service.
+/// The coordination service of one node.
 pub struct CoordinationService {
     coordinator: Coordinator,
     writes: WriteQueue,
@@ -95,8 +95,8 @@
 }
 
 impl CoordinationService {
-    /// Creates the service of a new process from what is stored. Also returns what the caller is to
-    /// do.
+    /// Creates the service of a new process from the stored records. Also returns the first
+    /// effects.
     pub fn new(
         settings: Settings,
         now: f64,
@@ -112,7 +112,7 @@
             callers: HashMap::new(),
             reconnected_peers: HashSet::new(),
         };
-        let effects = service.carry_out(now, out);
+        let effects = service.handle_outputs(now, out);
         (service, effects)
     }
 
@@ -121,14 +121,14 @@
         self.coordinator.next_turn_at() as f64 / 1000.0
     }
 
-    /// Does what is due; to be called in each turn of the event loop.
+    /// Runs one turn of the coordinator, after it has been told which peers have reconnected.
     pub fn run_turn(&mut self, now: f64) -> Vec<CoordinationEffect> {
         let mut out = Vec::new();
         for name in std::mem::take(&mut self.reconnected_peers) {
             self.coordinator.peer_reconnected(ms(now), &name, &mut out);
         }
         self.coordinator.run_turn(ms(now), &mut out);
-        self.carry_out(now, out)
+        self.handle_outputs(now, out)
     }
 
     /// Handles a message of another node. Returns `None` if it is not a message of the coordination
@@ -146,7 +146,7 @@
         if !self.coordinator.receive(ms(now), from, message, &mut out) {
             tracing::debug!(from, "message of another cluster dropped");
         }
-        Some(self.carry_out(now, out))
+        Some(self.handle_outputs(now, out))
     }
 
     /// Records that messages to and from a node may have been lost. The coordinator repeats them in
@@ -163,7 +163,7 @@
         } else if let Some(number) = self.writes.record_success() {
             self.coordinator.record_durable(ms(now), number, &mut out);
         }
-        self.carry_out(now, out)
+        self.handle_outputs(now, out)
     }
 
     /// Handles a request of a caller of the management API, who is answered by
@@ -207,7 +207,7 @@
                     .change_membership(ms(now), ticket, action, &node, &mut out);
             }
         }
-        self.carry_out(now, out)
+        self.handle_outputs(now, out)
     }
 
     /// Returns the status for the management API.
@@ -225,7 +225,7 @@
         self.coordinator.leader().cloned()
     }
 
-    /// Returns the answer to the caller of a ticket, if there is one.
+    /// Returns the effect that answers the caller of a ticket, if there is one.
     fn respond(&mut self, ticket: u64, result: Result<&str, Error>) -> Option<CoordinationEffect> {
         let caller = self.callers.remove(&ticket)?;
         let response = match result {
@@ -241,8 +241,9 @@
         Some(CoordinationEffect::Respond { caller, response })
     }
 
-    /// Carries out the outputs of the coordinator.
-    fn carry_out(&mut self, now: f64, out: Vec<Output>) -> Vec<CoordinationEffect> {
+    /// Handles the outputs of the coordinator: queues its writes, logs its events and returns the
+    /// rest as effects.
+    fn handle_outputs(&mut self, now: f64, out: Vec<Output>) -> Vec<CoordinationEffect> {
         let mut effects = Vec::new();
         for output in out {
             match output {
@@ -283,7 +284,7 @@
             owner: Some(LeaseOwner { node, token }),
         } => tracing::info!(lease, owner = node, token, "lease owner changed"),
         Event::OwnerChanged { lease, owner: None } => {
-            tracing::warn!(lease, "lease without an owner");
+            tracing::warn!(lease, "lease has no owner");
         }
         Event::LeaderChanged {
             leader: Some(leader),
--- a/src/net/cluster/coordination/write_queue.rs
+++ b/src/net/cluster/coordination/write_queue.rs
@@ -1,31 +1,31 @@
-//! Writes of the coordinator to the store, one batch at a time.
+//! Queue of the coordinator's writes to the store, which are written one batch at a time.
 
 use postproxy_coordination::StorageChange;
 
 #[cfg(test)]
 mod tests;
 
-/// A batch that the store has rejected is written again after this time, in seconds. Most failures,
-/// like a full disk, last longer.
+/// Time after which a batch that failed is written again, in seconds. Most failures, such as a full
+/// disk, last longer.
 const RETRY_INTERVAL_SECONDS: f64 = 0.2;
 
 /// Changes that are written together.
 #[derive(Clone, Debug, Default)]
 struct Batch {
-    /// The number of the latest write of the coordinator in it.
+    /// Number of the latest of the coordinator's writes in the batch.
     last_number: u64,
     changes: Vec<StorageChange>,
 }
 
-/// The queue of the coordinator's writes. A batch that has failed is written again before anything
-/// later, so that the store never holds a later change without an earlier one.
+/// The queue of the coordinator's writes. A batch that has failed is written again before any later
+/// one, so that the store never holds a later change without an earlier one.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
-    /// What is written next.
+    /// The next batch, which collects writes while another one is in progress.
     queued: Batch,
-    /// What is being written.
+    /// The batch that is being written, or that failed and is written again.
     in_progress: Option<Batch>,
-    /// When the batch in progress is written again after a failure.
+    /// Time at which the batch in progress is written again, if it has failed.
     retry_at: Option<f64>,
 }
 
--- a/src/net/cluster/coordination/write_queue/tests.rs
+++ b/src/net/cluster/coordination/write_queue/tests.rs
@@ -1,4 +1,4 @@
-//! The order of the coordinator's writes when the store rejects some.
+//! The order of the coordinator's writes when some of them fail.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     }
 }
 
-/// A later write must never be durable where an earlier one was rejected.
+/// Guards against a later write that becomes durable although an earlier one failed.
 #[test]
 fn a_failed_batch_is_written_again_before_anything_later() {
     let mut queue = WriteQueue::default();
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Other nodes of the cluster: membership, coordination, version tracking and the connections to
-//! peers. These modules move messages; the decisions are made by the libraries under `crates/`.
+//! Membership in a cluster of nodes, coordination, version tracking and the connections to peers.
+//! These modules do the I/O; the protocols are state machines in the libraries under `crates/`.
 
 pub mod coordination;
 pub mod peer_connections;
--- a/src/net/cluster/peer_connections.rs
+++ b/src/net/cluster/peer_connections.rs
@@ -1,5 +1,5 @@
 //! The TCP connections to other nodes. This module moves bytes between the sockets and [`Streams`],
-//! which decides.
+//! the state machine of the protocol.
 
 use crate::net::transport::connection::{Callbacks, Connection, State};
 use crate::net::transport::reactor::{self, Reactor, SocketOwner};
@@ -13,14 +13,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes that a connection reads ahead, at most. Further ones wait in the buffer of the system.
+/// Bytes that a connection reads ahead, at most. Further bytes stay in the kernel's receive buffer.
 const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
-/// Bytes read from all connections in one turn of the event loop, about: other nodes must never
-/// delay a request.
+/// Approximate limit of the bytes read from all connections in one turn of the event loop: traffic
+/// of other nodes must never delay a request. The read that reaches the limit may exceed it.
 const MAX_READ_BYTES_PER_TURN: usize = 256 << 10;
 /// Connections accepted in one turn of the event loop, at most.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
-/// Bytes of acknowledgements that another node may leave unread before its connection is dropped.
+/// Bytes of acknowledgements that another node may leave unread before its connection is closed.
 const MAX_UNREAD_ACKNOWLEDGEMENT_BYTES: usize = 64 << 10;
 /// Sockets beside the connections: the datagram socket and the listener.
 const OTHER_SOCKETS: usize = 2;
@@ -28,7 +28,7 @@
 pub const MAX_DESCRIPTORS: usize =
     MAX_INCOMING_CONNECTIONS + MAX_OUTGOING_CONNECTIONS + OTHER_SOCKETS;
 
-/// What other nodes have sent or done.
+/// An event on the connections to other nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PeerEvent {
     /// A node sent a message.
@@ -40,14 +40,14 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// A node's process was restarted: what was queued for the earlier one is dropped.
+    /// A node's process was restarted; messages queued for the earlier process are dropped.
     PeerRestarted {
         /// Name of the node.
         node: String,
     },
 }
 
-/// What a connection reported during one call.
+/// Events that a connection has reported during one call.
 #[derive(Default)]
 struct ConnectionEvents {
     opened: bool,
@@ -74,7 +74,7 @@
 }
 
 impl ReadBudget {
-    /// Begins to count anew if this is another turn.
+    /// Resets the count if a new turn has begun.
     fn begin_turn(&mut self, now: f64) {
         if self.turn != now {
             self.turn = now;
@@ -91,7 +91,7 @@
 pub struct PeerConnections {
     listener: TcpListener,
     listener_key: usize,
-    /// Address that connections are made from; `None` if the node listens at all addresses.
+    /// Source address of outgoing connections; `None` if the node listens on all addresses.
     local_ip: Option<IpAddr>,
     streams: Streams,
     connections: HashMap<usize, Connection<TcpStream>>,
@@ -99,7 +99,7 @@
 }
 
 impl PeerConnections {
-    /// Listens at an address.
+    /// Listens on an address.
     ///
     /// # Errors
     ///
@@ -147,26 +147,26 @@
         let mut out = Vec::new();
         self.streams
             .send(reactor.now, to, address, message, &mut out)?;
-        // Sending reads nothing, so no event comes of it.
-        self.carry_out(reactor, out);
+        // Nothing is read while sending, so there are no events.
+        self.apply_effects(reactor, out);
         Ok(())
     }
 
-    /// Gives a node up: what is queued for it is dropped.
+    /// Closes the connection to a node and drops the messages queued for it.
     pub fn forget(&mut self, reactor: &mut Reactor, node: &str) {
         let mut out = Vec::new();
         self.streams.forget(node, &mut out);
-        self.carry_out(reactor, out);
+        self.apply_effects(reactor, out);
     }
 
-    /// Handles the timeouts that are due. It may be called at any time.
+    /// Handles the timeouts that are due; may be called at any time.
     pub fn handle_timeout(&mut self, reactor: &mut Reactor) -> Vec<PeerEvent> {
         let mut out = Vec::new();
         self.streams.handle_timeout(reactor.now, &mut out);
-        self.carry_out(reactor, out)
+        self.apply_effects(reactor, out)
     }
 
-    /// Handles that a socket is ready, if it is one of these connections or the listener.
+    /// Handles readiness of the listener or of a connection; other keys are ignored.
     pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -181,7 +181,7 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return Vec::new();
         };
-        // What exceeds the budget of this turn is read in the next.
+        // Bytes beyond the budget of this turn are read in a later one.
         let readable = readable && !self.read_budget.is_exhausted();
         let mut events = ConnectionEvents::default();
         connection.handle_ready(readable, writable, &mut events);
@@ -195,7 +195,7 @@
             self.streams
                 .handle_bytes(reactor.now, key, &input, &mut out);
         }
-        let peer_events = self.carry_out(reactor, out);
+        let peer_events = self.apply_effects(reactor, out);
         self.close_or_rearm(reactor, key, events.ended);
         peer_events
     }
@@ -211,8 +211,8 @@
     fn accept(&mut self, reactor: &mut Reactor) -> Vec<PeerEvent> {
         let mut peer_events = Vec::new();
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            // An error concerns one connection, which is gone, or a missing descriptor, which the
-            // next turn may have.
+            // The error is either of one connection, which is lost, or a lack of descriptors, of
+            // which there may be some in a later turn.
             let Ok((stream, _)) = self.listener.accept() else {
                 break;
             };
@@ -225,14 +225,14 @@
             self.connections.insert(key, connection);
             let mut out = Vec::new();
             self.streams.handle_accepted(reactor.now, key, &mut out);
-            peer_events.extend(self.carry_out(reactor, out));
+            peer_events.extend(self.apply_effects(reactor, out));
             self.close_or_rearm(reactor, key, false);
         }
         reactor.rearm(&self.listener, self.listener_key, (true, false));
         peer_events
     }
 
-    /// Closes a connection that has ended, or else waits for its next readiness.
+    /// Closes a connection that has ended, or else polls it for its next readiness.
     fn close_or_rearm(&mut self, reactor: &mut Reactor, key: usize, ended: bool) {
         let Some(connection) = self.connections.get(&key) else {
             return;
@@ -253,16 +253,12 @@
         address: SocketAddr,
         out: &mut Vec<Effect>,
     ) {
-        let key = self.begin_connection(reactor, address).ok();
+        let key = self.dial(reactor, address).ok();
         self.streams.handle_connecting(reactor.now, node, key, out);
     }
 
-    /// Begins to connect. Returns the key of the connection.
-    fn begin_connection(
-        &mut self,
-        reactor: &mut Reactor,
-        address: SocketAddr,
-    ) -> io::Result<usize> {
+    /// Starts to connect to an address. Returns the key of the connection.
+    fn dial(&mut self, reactor: &mut Reactor, address: SocketAddr) -> io::Result<usize> {
         let stream = reactor::dial_from(self.local_ip, address)?;
         let key = reactor.register(&stream, SocketOwner::Peers)?;
         let connection = Connection::dialing(stream, MAX_READ_AHEAD_BYTES);
@@ -283,8 +279,9 @@
         self.close_or_rearm(reactor, key, events.ended || drops_incoming);
     }
 
-    /// Carries out what the streams want done, and what comes of it.
-    fn carry_out(&mut self, reactor: &mut Reactor, mut effects: Vec<Effect>) -> Vec<PeerEvent> {
+    /// Applies effects of the streams, and the further effects that these cause. Returns the events
+    /// among them.
+    fn apply_effects(&mut self, reactor: &mut Reactor, mut effects: Vec<Effect>) -> Vec<PeerEvent> {
         let mut peer_events = Vec::new();
         while !effects.is_empty() {
             for effect in std::mem::take(&mut effects) {
--- a/src/net/cluster/peer_connections/tests.rs
+++ b/src/net/cluster/peer_connections/tests.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-/// Number of the cluster of all nodes.
+/// Number of the cluster that all nodes belong to.
 const CLUSTER: u32 = 7;
 
 /// A node with an event loop of its own.
@@ -97,7 +97,7 @@
         }
     }
     assert!(received == messages, "{} of {sent}", received.len());
-    // Node b ends; another process of it starts at another address.
+    // The process of node b ends, and another one starts at another address.
     b.connections.close(&b.reactor);
     let mut restarted = Node::new("b", 3);
     let address = restarted.address();
@@ -161,8 +161,8 @@
     }
 }
 
-/// Connections that stall, flood, or claim a frame of 4 GiB delay neither the event loop nor a
-/// valid connection.
+/// Guards against connections that stall, flood, or announce a frame of 4 GiB and thereby delay the
+/// event loop or a valid connection.
 #[test]
 fn invalid_connections_delay_nothing() {
     let (mut a, mut b) = (Node::new("a", 1), Node::new("b", 2));
@@ -215,8 +215,8 @@
         ended.is_err() || rest.len() < 64,
         "the answer to its greeting, and the end"
     );
-    // The bytes read in a turn are bounded; this is far more than they take, and far less than a
-    // request waits.
+    // The bytes read in a turn are bounded. The limit is far above the time that reading them
+    // takes, and far below the time that a request may wait.
     assert!(
         longest_turn < Duration::from_millis(250),
         "a turn of {longest_turn:?}"
--- a/src/net/cluster/service.rs
+++ b/src/net/cluster/service.rs
@@ -1,6 +1,6 @@
-//! The node's part in the cluster. This module owns the sockets at the cluster's address, moves
+//! The cluster service of the node. This module owns the sockets at the cluster address, moves
 //! datagrams and messages between them and the state machines of membership, coordination and
-//! version tracking, and notifies the node of what comes of it. Each concern has a submodule.
+//! version tracking, and returns the resulting events to the node. Each concern has a submodule.
 
 mod coordinated;
 mod events;
@@ -30,8 +30,8 @@
 use std::net::SocketAddr;
 use suspended_workers::PendingCaller;
 
-/// Time between two attempts to open the sockets while an earlier process of this node has them, in
-/// seconds.
+/// Time between two attempts to open the sockets while an earlier process of this node still uses
+/// the cluster address, in seconds.
 const ADDRESS_RETRY_SECONDS: f64 = 0.05;
 
 /// Sections of the operator's file that concern the cluster.
@@ -44,7 +44,7 @@
     pub audit: Option<AuditSection>,
 }
 
-/// Whether an earlier process of this node may still have the cluster's address.
+/// Whether an earlier process of this node may still use the cluster address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AddressUse {
     /// This process is the only one: the address must be free.
@@ -53,10 +53,10 @@
     Shared,
 }
 
-/// What the node was notified of last about the size of the cluster.
+/// The size of the cluster, and this node's position in it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct ClusterSize {
-    /// 0 if no other node is known.
+    /// Number of nodes that may be alive, 0 if no other one is known.
     nodes: usize,
     rank: MemberRank,
 }
@@ -67,7 +67,7 @@
     due_at: f64,
 }
 
-/// The node's part in the cluster.
+/// The cluster service of one process of the node.
 pub struct ClusterService {
     settings: FleetSection,
     duties_section: Option<DutiesSection>,
@@ -76,28 +76,29 @@
     /// `None` while an earlier process of this node participates, and after a later one has taken
     /// over.
     participant: Option<Participant>,
-    /// Whether this process has stopped to participate for good.
+    /// Whether this process has stopped participating for good.
     has_stopped: bool,
-    /// Stored suspensions, until this process participates.
+    /// Suspensions from the store, kept until this process participates.
     restored_suspensions: Vec<WorkerSuspension>,
-    /// Stored records of the coordination service, until this process participates.
+    /// Records of the coordination service from the store, kept until this process participates.
     restored_coordination: Vec<(Vec<u8>, Vec<u8>)>,
     timer: ServiceTimer,
     /// Callers of the management API by the ticket of their suspend or resume.
     pending_callers: HashMap<u64, PendingCaller>,
+    /// The size that the node was notified of last.
     notified_size: ClusterSize,
-    /// Digest of the suspensions that are stored.
+    /// Digest of the suspensions that were passed to the store last.
     stored_digest: u64,
     drop_log: DropLog,
 }
 
 impl ClusterService {
-    /// Begins to participate in the cluster, or waits until an earlier process of this node has
-    /// stopped.
+    /// Starts to participate in the cluster, or waits until an earlier process of this node has
+    /// stopped participating.
     ///
     /// # Errors
     ///
-    /// Returns a text for the operator if the node has no valid name, or the address can't be
+    /// Returns a message for the operator if the node's name is invalid, or the sockets can't be
     /// opened.
     pub fn start(
         reactor: &mut Reactor,
@@ -139,7 +140,7 @@
         let mut events = Vec::new();
         let listen = service.settings.listen;
         match service.participate(reactor) {
-            Ok(actions) => events = service.carry_out_coordination(reactor, actions),
+            Ok(effects) => events = service.apply_coordination_effects(reactor, effects),
             Err(error)
                 if address_use == AddressUse::Shared && error.kind() == ErrorKind::AddrInUse =>
             {
@@ -151,8 +152,8 @@
         Ok((service, events))
     }
 
-    /// Opens the sockets and begins to join the cluster. Returns what the coordination service
-    /// wants done.
+    /// Opens the sockets and starts to join the cluster. Returns the first effects of the
+    /// coordination service.
     fn participate(&mut self, reactor: &mut Reactor) -> io::Result<Vec<CoordinationEffect>> {
         // The process's nonce must differ from every other's, so it comes from the system, not from
         // the node's seed.
@@ -172,7 +173,7 @@
         let membership = self.start_membership(reactor.now, address, seed);
         self.stored_digest = membership.suspensions_digest();
         tracing::info!(name = self.name, %address, cluster = self.settings.cluster, "joining the cluster");
-        let (coordination, actions) = self.start_coordination(reactor.now, seed).unzip();
+        let (coordination, effects) = self.start_coordination(reactor.now, seed).unzip();
         let versions = self.audit_section.as_ref().map(|section| {
             let settings = postproxy_version_tracking::Settings {
                 gossip_interval_ms: section.beat_ms,
@@ -189,7 +190,7 @@
             versions,
             synchronised_at: reactor.now + SYNCHRONISATION_SECONDS,
         });
-        Ok(actions.unwrap_or_default())
+        Ok(effects.unwrap_or_default())
     }
 
     fn start_membership(&mut self, now: f64, address: SocketAddr, seed: u64) -> Membership {
@@ -200,7 +201,7 @@
         membership
     }
 
-    /// Starts the coordination service, if it is configured. Returns what it wants done as well.
+    /// Starts the coordination service, if it is configured. Also returns its first effects.
     fn start_coordination(
         &mut self,
         now: f64,
@@ -221,7 +222,7 @@
         Some(CoordinationService::new(settings, now, seed, records))
     }
 
-    /// Sets the timer for the next thing to do, unless an earlier one is set.
+    /// Sets the timer for the next timeout, unless a timer for an earlier time is set.
     fn schedule_timer(&mut self, reactor: &mut Reactor) {
         if self.has_stopped {
             return;
@@ -249,7 +250,7 @@
             return Vec::new();
         }
         self.timer.due_at = f64::INFINITY;
-        let mut coordination_actions = self.retry_to_participate(reactor);
+        let mut coordination_effects = self.retry_participation(reactor);
         let mut version_actions = Vec::new();
         let mut out = Vec::new();
         let mut synchronised = false;
@@ -262,31 +263,31 @@
                 }
             }
             let peer_events = participant.peer_connections.handle_timeout(reactor);
-            coordination_actions.extend(participant.handle_peer_events(now, peer_events, &mut out));
+            coordination_effects.extend(participant.handle_peer_events(now, peer_events, &mut out));
             if let Some(coordination) = &mut participant.coordination {
-                coordination_actions.extend(coordination.run_turn(now));
+                coordination_effects.extend(coordination.run_turn(now));
             }
             if let Some(versions) = &mut participant.versions {
                 version_actions = versions.handle_timer(now);
             }
             synchronised = participant.check_synchronised(now);
         }
-        let mut events = self.carry_out_coordination(reactor, coordination_actions);
-        events.extend(self.carry_out_version_actions(version_actions, &mut out));
-        events.extend(self.carry_out(reactor, out));
+        let mut events = self.apply_coordination_effects(reactor, coordination_effects);
+        events.extend(self.handle_version_actions(version_actions, &mut out));
+        events.extend(self.handle_outputs(reactor, out));
         if synchronised {
             events.push(Event::Synchronised);
         }
         events
     }
 
-    /// Begins to participate if this process doesn't yet and the address is free.
-    fn retry_to_participate(&mut self, reactor: &mut Reactor) -> Vec<CoordinationEffect> {
+    /// Starts to participate, unless this process already does or the address is still in use.
+    fn retry_participation(&mut self, reactor: &mut Reactor) -> Vec<CoordinationEffect> {
         if self.participant.is_some() {
             return Vec::new();
         }
         match self.participate(reactor) {
-            Ok(actions) => actions,
+            Ok(effects) => effects,
             Err(error) => {
                 if error.kind() != ErrorKind::AddrInUse {
                     tracing::error!(listen = %self.settings.listen, %error, "cluster address unavailable");
@@ -296,7 +297,7 @@
         }
     }
 
-    /// Handles that a socket of the cluster is ready.
+    /// Handles readiness of a socket of the cluster.
     pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -309,15 +310,15 @@
         };
         if participant.socket_key == key {
             let out = participant.read_datagrams(reactor);
-            return self.carry_out(reactor, out);
+            return self.handle_outputs(reactor, out);
         }
         let peer_events = participant
             .peer_connections
             .handle_ready(reactor, key, readable, writable);
         let mut out = Vec::new();
-        let actions = participant.handle_peer_events(reactor.now, peer_events, &mut out);
-        let mut events = self.carry_out_coordination(reactor, actions);
-        events.extend(self.carry_out(reactor, out));
+        let effects = participant.handle_peer_events(reactor.now, peer_events, &mut out);
+        let mut events = self.apply_coordination_effects(reactor, effects);
+        events.extend(self.handle_outputs(reactor, out));
         events
     }
 
@@ -336,10 +337,11 @@
         let mut out = Vec::new();
         participant.membership.forget(reactor.now, name, &mut out)?;
         tracing::info!(name, "node forgotten on an operator's request");
-        Ok(self.carry_out(reactor, out))
+        Ok(self.handle_outputs(reactor, out))
     }
 
-    /// Stops to participate without notifying other nodes: a later process of this node takes over.
+    /// Closes the sockets and stops participating without notifying other nodes: a later process of
+    /// this node takes over.
     pub fn yield_socket(&mut self, reactor: &Reactor) {
         self.has_stopped = true;
         if let Some(participant) = self.participant.take() {
@@ -353,12 +355,12 @@
         if let Some(participant) = &mut self.participant {
             participant.membership.leave(reactor.now, &mut out);
         }
-        self.carry_out(reactor, out);
+        self.handle_outputs(reactor, out);
         self.yield_socket(reactor);
     }
 
-    /// Carries out what the membership wants done. Returns what the node is to be notified of.
-    fn carry_out(&mut self, reactor: &mut Reactor, out: Vec<Output>) -> Vec<Event> {
+    /// Handles the outputs of the membership. Returns the resulting events for the node.
+    fn handle_outputs(&mut self, reactor: &mut Reactor, out: Vec<Output>) -> Vec<Event> {
         let mut events = Vec::new();
         let mut membership_changed = false;
         let mut outputs = VecDeque::from(out);
@@ -366,7 +368,7 @@
             match output {
                 Output::SendDatagram { to, datagram } => {
                     if let Some(participant) = &self.participant {
-                        // One that can't be sent counts as lost.
+                        // A datagram that can't be sent counts as lost.
                         let _ = participant.socket.send_to(&datagram, to);
                     }
                 }
@@ -416,12 +418,13 @@
         if sent.is_err() {
             tracing::warn!(
                 name = &*to.name,
-                "message queue of a peer full: message dropped"
+                "peer's message queue is full: message dropped"
             );
         }
     }
 
-    /// Logs a change of the membership, and adapts connections and coordination to it.
+    /// Logs a change of the membership, closes connections to peers that have failed or left, and
+    /// notifies the coordination service of peers whose messages may have been lost.
     fn handle_membership_change(&mut self, reactor: &mut Reactor, event: &MembershipEvent) {
         if let Some(participant) = &mut self.participant {
             match event {
@@ -438,8 +441,8 @@
         log_membership_event(event);
     }
 
-    /// Gives the version tracking the names of the members. Returns an event if the size of the
-    /// cluster has changed.
+    /// Passes the names of the live peers to the version tracking. Returns an event if the size of
+    /// the cluster or this node's position in it has changed.
     fn update_members(&mut self) -> Option<Event> {
         let participant = self.participant.as_mut()?;
         let membership = &participant.membership;
--- a/src/net/cluster/service/coordinated.rs
+++ b/src/net/cluster/service/coordinated.rs
@@ -5,16 +5,15 @@
 use crate::net::transport::reactor::Reactor;
 
 impl ClusterService {
-    /// Carries out what the coordination service wants done. Returns what the node has to do for
-    /// it.
-    pub(super) fn carry_out_coordination(
+    /// Applies effects of the coordination service. Returns the resulting events for the node.
+    pub(super) fn apply_coordination_effects(
         &mut self,
         reactor: &mut Reactor,
-        actions: Vec<CoordinationEffect>,
+        effects: Vec<CoordinationEffect>,
     ) -> Vec<Event> {
         let mut events = Vec::new();
-        for action in actions {
-            match action {
+        for effect in effects {
+            match effect {
                 CoordinationEffect::Send { to, message } => {
                     self.send_coordination_message(reactor, &to, message);
                 }
@@ -27,7 +26,8 @@
         events
     }
 
-    /// Sends a message to a node. A node that isn't known gets what still matters when it joins.
+    /// Sends a message to a node. Nothing is sent to an unknown node: when it joins, the
+    /// coordinator repeats the messages that still matter.
     fn send_coordination_message(&mut self, reactor: &mut Reactor, to: &str, message: Vec<u8>) {
         let Some(participant) = &mut self.participant else {
             return;
@@ -39,26 +39,26 @@
             .peer_connections
             .send(reactor, to, address, message);
         if sent.is_err() {
-            tracing::debug!(to, "message queue of a peer full: message dropped");
+            tracing::debug!(to, "peer's message queue is full: message dropped");
             participant.mark_reconnected(to);
         }
     }
 
-    /// Handles that a write of [`Event::Write`] has completed, or failed.
+    /// Handles the completion or the failure of a write requested by [`Event::Write`].
     pub fn handle_write_completed(&mut self, reactor: &mut Reactor, succeeded: bool) -> Vec<Event> {
-        let actions = self
+        let effects = self
             .participant
             .as_mut()
             .and_then(|participant| participant.coordination.as_mut())
             .map(|coordination| coordination.handle_write_completed(reactor.now, succeeded))
             .unwrap_or_default();
-        let events = self.carry_out_coordination(reactor, actions);
+        let events = self.apply_coordination_effects(reactor, effects);
         self.schedule_timer(reactor);
         events
     }
 
-    /// Handles a request of an operator to the coordination service. Returns `None` if that isn't
-    /// configured, or this process doesn't participate in the cluster.
+    /// Handles an operator's request to the coordination service. Returns `None` if the service
+    /// isn't configured, or this process doesn't participate in the cluster.
     pub fn handle_admin_request(
         &mut self,
         reactor: &mut Reactor,
@@ -66,23 +66,23 @@
         request: AdminRequest,
     ) -> Option<Vec<Event>> {
         if self.adds_unknown_voter(&request) {
-            // A voter that doesn't exist would count towards the majority all the same.
+            // A voter that doesn't exist would raise the number of votes needed for a majority.
             let error = postproxy_coordination::Error::UnknownNode;
             let response = coordination::error_response(&error);
             return Some(vec![reply_event(caller, response)]);
         }
-        let actions = self
+        let effects = self
             .participant
             .as_mut()?
             .coordination
             .as_mut()?
             .handle_admin_request(reactor.now, caller, request);
-        let events = self.carry_out_coordination(reactor, actions);
+        let events = self.apply_coordination_effects(reactor, effects);
         self.schedule_timer(reactor);
         Some(events)
     }
 
-    /// Returns whether a request is to add a voter that isn't a known node.
+    /// Returns whether a request adds a voter that isn't a known node.
     fn adds_unknown_voter(&self, request: &AdminRequest) -> bool {
         let AdminRequest::ChangeVoter {
             node: name,
@@ -97,7 +97,7 @@
         *name != self.name && self.participant.as_ref().is_some_and(is_unknown)
     }
 
-    /// Returns the voters and the holders of leases, as JSON for the management API.
+    /// Returns the voters, the leases and their owners, as JSON for the management API.
     pub fn lease_status_json(&self, now: f64) -> Option<String> {
         let coordination = self.participant.as_ref()?.coordination.as_ref()?;
         let status = coordination.status(now);
--- a/src/net/cluster/service/events.rs
+++ b/src/net/cluster/service/events.rs
@@ -1,10 +1,10 @@
-//! What the node has to do for the cluster, or is notified of.
+//! The events that the cluster service returns to the node.
 
 use postproxy_coordination::StorageChange;
 use postproxy_membership::MemberRank;
 use postproxy_version_tracking::VersionKind;
 
-/// What the node has to do for the cluster, or is notified of.
+/// A notification of the node, or work that it has to do for the cluster service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A worker was suspended or resumed for the cluster.
@@ -30,11 +30,11 @@
         /// Number of nodes in the cluster.
         nodes: usize,
     },
-    /// This node has learned what the cluster knows of workers. What it alone knows is to be
-    /// announced, see [`super::ClusterService::adopt_suspended_workers`].
+    /// This node has learned the suspensions that the cluster has recorded. Its own suspensions are
+    /// to be announced by [`super::ClusterService::adopt_suspended_workers`].
     Synchronised,
-    /// Write these changes; [`super::ClusterService::handle_write_completed`] is to be called for
-    /// it.
+    /// Write these changes, and report the result by
+    /// [`super::ClusterService::handle_write_completed`].
     Write(Vec<StorageChange>),
     /// Answer a caller of the management API.
     Reply {
@@ -45,11 +45,12 @@
         /// Body of the response.
         body: String,
     },
-    /// A node asks for what this one holds of a kind: [`super::ClusterService::send_worker_list`].
+    /// Another node requests content that this node uses, which is to be sent by
+    /// [`super::ClusterService::send_worker_list`].
     VersionRequested {
         /// Name of the node.
         node: String,
-        /// What it asks for.
+        /// The kind of content that is requested.
         kind: VersionKind,
     },
     /// A node sent a worker list.
--- a/src/net/cluster/service/participant.rs
+++ b/src/net/cluster/service/participant.rs
@@ -1,5 +1,5 @@
-//! The state of a process that participates in the cluster: its sockets, its membership, and what
-//! builds on it.
+//! The state of a process that participates in the cluster: its sockets, its membership, and the
+//! services that use them.
 
 use crate::net::cluster::coordination::{CoordinationEffect, CoordinationService};
 use crate::net::cluster::peer_connections::{PeerConnections, PeerEvent};
@@ -11,7 +11,8 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
-/// Datagrams read in one turn of the event loop, at most: other nodes must never delay a request.
+/// Datagrams read in one turn of the event loop, at most: traffic of other nodes must never delay a
+/// request.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// Size of the buffer for one datagram, in bytes; the longest valid one has 1,400.
 const DATAGRAM_BUFFER_BYTES: usize = 2048;
@@ -19,11 +20,11 @@
 /// the port.
 const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// Time after a process begins to participate in which it learns what the cluster knows of workers,
-/// in seconds. After it the process announces what it alone knows.
+/// Time in which a process that has started to participate learns the suspensions that the cluster
+/// has recorded, in seconds. After it the process announces its own.
 pub(super) const SYNCHRONISATION_SECONDS: f64 = 3.0;
 
-/// A worker list that another node sent.
+/// A worker list that another node has sent.
 pub(super) struct ReceivedWorkerList {
     pub(super) from: String,
     pub(super) generation: u64,
@@ -37,7 +38,7 @@
 }
 
 impl ClusterSockets {
-    /// Opens a socket for datagrams and a listener for connections at the same address.
+    /// Opens a socket for datagrams and a listener for connections on the same address.
     pub(super) fn open(
         reactor: &mut Reactor,
         listen: SocketAddr,
@@ -46,8 +47,8 @@
         process_nonce: u64,
     ) -> io::Result<Self> {
         let cluster_number = packet::cluster_number(cluster);
-        // A port that the system chose for datagrams may be in use for connections; it then chooses
-        // another one.
+        // A port that the system has chosen for datagrams may be in use for connections; the system
+        // then chooses another one.
         let mut attempts_left = if listen.port() == 0 {
             MAX_PORT_ATTEMPTS
         } else {
@@ -77,14 +78,14 @@
     pub(super) socket_key: usize,
     pub(super) membership: Membership,
     pub(super) peer_connections: PeerConnections,
-    /// Worker lists that other nodes sent and that the node hasn't been notified of.
+    /// Worker lists that other nodes have sent and that the node hasn't been notified of yet.
     pub(super) received_lists: Vec<ReceivedWorkerList>,
     /// The coordination service, if it is configured.
     pub(super) coordination: Option<CoordinationService>,
-    /// The tracking of versions, if it is configured.
+    /// The version tracking, if it is configured.
     pub(super) versions: Option<VersionService>,
-    /// Time at which the node knows what the cluster knows; infinite once it has been notified of
-    /// it.
+    /// Time at which the node is taken to know the cluster's suspensions; infinite once it has been
+    /// notified that it does.
     pub(super) synchronised_at: f64,
 }
 
@@ -105,7 +106,7 @@
         .fold(f64::INFINITY, f64::min)
     }
 
-    /// Reads the datagrams that have come.
+    /// Reads the datagrams that have arrived.
     pub(super) fn read_datagrams(&mut self, reactor: &mut Reactor) -> Vec<Output> {
         let mut out = Vec::new();
         let mut buffer = [0; DATAGRAM_BUFFER_BYTES];
@@ -116,7 +117,7 @@
                         .handle_datagram(reactor.now, &buffer[..size], &mut out);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // The error of an earlier datagram, which nobody received.
+                // An error caused by a datagram sent earlier, which did not reach its receiver.
                 Err(_) => {}
             }
         }
@@ -124,30 +125,31 @@
         out
     }
 
-    /// Handles what has come over connections. Returns what the coordination service wants done.
+    /// Handles events of the connections. Returns the effects of the coordination service.
     pub(super) fn handle_peer_events(
         &mut self,
         now: f64,
         events: Vec<PeerEvent>,
         out: &mut Vec<Output>,
     ) -> Vec<CoordinationEffect> {
-        let mut actions = Vec::new();
+        let mut effects = Vec::new();
         for event in events {
             match event {
                 PeerEvent::Message { from, message, .. } => {
-                    actions.extend(self.handle_peer_message(now, from, &message, out));
+                    effects.extend(self.handle_peer_message(now, from, &message, out));
                 }
-                // Messages of the membership are sent again when digests differ.
+                // The membership sends its messages again when digests differ; the coordination
+                // service has to be notified.
                 PeerEvent::PeerRestarted { node } => {
                     tracing::debug!(name = node, "peer restarted: queued messages dropped");
                     self.mark_reconnected(&node);
                 }
             }
         }
-        actions
+        effects
     }
 
-    /// Gives a message to the part of the program that it is for, by its prefix.
+    /// Passes a message to the service that it is for, by its prefix.
     fn handle_peer_message(
         &mut self,
         now: f64,
@@ -161,7 +163,7 @@
         }
         let coordination = self.coordination.as_mut();
         match coordination.and_then(|service| service.receive(now, &from, message)) {
-            Some(actions) => actions,
+            Some(effects) => effects,
             None => {
                 self.membership.handle_stream_message(now, message, out);
                 Vec::new()
@@ -188,8 +190,9 @@
         }
     }
 
-    /// Returns whether the node has just learned what the cluster knows. While it isn't a member it
-    /// can't.
+    /// Returns whether the node has just learned the suspensions that the cluster has recorded. A
+    /// node that isn't a member can't learn them: it waits for another
+    /// [`SYNCHRONISATION_SECONDS`].
     pub(super) fn check_synchronised(&mut self, now: f64) -> bool {
         if self.synchronised_at > now {
             return false;
--- a/src/net/cluster/service/status.rs
+++ b/src/net/cluster/service/status.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node in the answer of the management API. The JSON keys, and the name in errors of
+/// A node in the response of the management API. The JSON keys, and the name in errors of
 /// deserialisation, are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(expecting = "struct Shown")]
@@ -16,19 +16,19 @@
     pub name: String,
     /// Its address.
     pub address: SocketAddr,
-    /// Grows with each start and each return.
+    /// Grows each time the node starts or rejoins the cluster.
     pub incarnation: u64,
     /// `here` for the answering node, else `alive`, `suspect`, `failed` or `left`.
     pub state: String,
     /// Whether it is a voter.
     #[serde(rename = "voter")]
     pub is_voter: bool,
-    /// Whether it leads the voters, as far as the answering node knows.
+    /// Whether it is the leader, as far as the answering node knows.
     #[serde(default, rename = "leads")]
     pub is_leader: bool,
 }
 
-/// The cluster in the answer of the management API. The JSON keys, and the name in errors of
+/// The cluster in the response of the management API. The JSON keys, and the name in errors of
 /// deserialisation, are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(expecting = "struct Picture")]
@@ -66,7 +66,7 @@
     pub dropped: BTreeMap<String, u64>,
 }
 
-/// The voters, and the one that leads them.
+/// The names of the voters and of the leader.
 struct Voters {
     names: Vec<String>,
     leader: Option<String>,
--- a/src/net/cluster/service/suspended_workers.rs
+++ b/src/net/cluster/service/suspended_workers.rs
@@ -1,16 +1,17 @@
-//! Workers that are suspended for the cluster: announcing what operators do here, and the state to
-//! store.
+//! Workers that are suspended for the whole cluster: announces changes that operators make at this
+//! node, and returns the suspensions to store.
 
 use super::{ClusterService, Event};
 use crate::net::transport::reactor::Reactor;
 use postproxy_membership::SuspensionChange;
 
-/// Time until a caller of the management API is answered, in seconds. The membership's own timeout
-/// may be later, as its clock runs slower after a pause; the caller waits for one second.
+/// Time after which a caller of the management API is answered at the latest, in seconds. The
+/// caller waits for one second; the membership's own timeout may come later, because its clock runs
+/// slower after a pause.
 const REPLY_TIMEOUT_SECONDS: f64 = 0.8;
 
-/// A caller of the management API that waits until its suspend or resume is recorded at the other
-/// nodes.
+/// A caller of the management API that waits until the other nodes have recorded its suspend or
+/// resume.
 pub(super) struct PendingCaller {
     /// Key of the caller's connection.
     pub(super) caller: usize,
@@ -50,10 +51,10 @@
             self.pending_callers
                 .insert(ticket, PendingCaller { caller, deadline });
         }
-        Some(self.carry_out(reactor, out))
+        Some(self.handle_outputs(reactor, out))
     }
 
-    /// Returns the answer for the caller that waits for a ticket, if there is one.
+    /// Returns the event that answers the caller of a ticket, if there is one.
     pub(super) fn finish_pending_caller(
         &mut self,
         ticket: u64,
@@ -68,9 +69,9 @@
         })
     }
 
-    /// Announces those of the workers suspended here that were never suspended or resumed for the
-    /// cluster: they were suspended before this process participated, or by an earlier process that
-    /// didn't announce it.
+    /// Announces those of the workers suspended at this node of which the cluster has no record:
+    /// they were suspended before this process participated, or by an earlier process that didn't
+    /// announce it. If the cluster has resumed a worker, that record counts.
     pub fn adopt_suspended_workers(
         &mut self,
         reactor: &mut Reactor,
@@ -89,11 +90,11 @@
                 let _ = membership.change_suspension(reactor.now, worker, change, &mut out);
             }
         }
-        self.carry_out(reactor, out)
+        self.handle_outputs(reactor, out)
     }
 
-    /// Returns the suspensions to store, if they have changed since the last call or `force` is
-    /// set.
+    /// Returns the encoded suspensions to store, if they have changed since the last call or
+    /// `force` is set.
     pub fn take_changed_suspensions(&mut self, force: bool) -> Option<Vec<u8>> {
         let membership = &self.participant.as_ref()?.membership;
         let digest = membership.suspensions_digest();
--- a/src/net/cluster/service/version_tracking.rs
+++ b/src/net/cluster/service/version_tracking.rs
@@ -1,5 +1,4 @@
-//! The tracking of which node acts on which version, and the worker lists that nodes send each
-//! other.
+//! Tracks which node uses which version, and sends worker lists to other nodes.
 
 use super::{ClusterService, Event};
 use crate::net::cluster::versions::{self, VersionAction, VersionService};
@@ -14,26 +13,28 @@
         self.audit_section.is_some()
     }
 
-    /// Records that the node acts on this worker list from now on, after `acts` actions on the one
-    /// before.
+    /// Records that the node uses this version of the worker list from now on, after `action_count`
+    /// attempts on the one before.
     pub fn record_version(
         &mut self,
         reactor: &mut Reactor,
         version: VersionRecord,
         source: Source,
-        acts: u64,
+        action_count: u64,
     ) -> Vec<Event> {
         let now = reactor.now;
+        let kind = VersionKind::WorkerList;
         let actions = self
             .version_tracking()
-            .map(|versions| versions.adopt(now, VersionKind::WorkerList, version, source, acts));
+            .map(|versions| versions.adopt(now, kind, version, source, action_count));
         let mut out = Vec::new();
-        let mut events = self.carry_out_version_actions(actions.unwrap_or_default(), &mut out);
-        events.extend(self.carry_out(reactor, out));
+        let mut events = self.handle_version_actions(actions.unwrap_or_default(), &mut out);
+        events.extend(self.handle_outputs(reactor, out));
         events
     }
 
-    /// Returns the generation of the worker lists from this discovery address.
+    /// Returns the generation of worker lists from this discovery address. Nodes whose section
+    /// `audit` names the same discovery have the same generation, whatever the address.
     pub fn generation(&self, discovery: SocketAddr) -> u64 {
         let name = self
             .audit_section
@@ -56,23 +57,24 @@
         let header = postcard::to_extend(&generation, versions::WORKER_LIST_PREFIX.to_vec());
         let message = [&header.unwrap_or_default()[..], body].concat();
         if let Some(address) = participant.address(to) {
-            // If it isn't queued or gets lost, the node asks again.
+            // If the message isn't queued or gets lost, the node requests the list again.
             let _ = participant
                 .peer_connections
                 .send(reactor, to, address, message);
         }
     }
 
-    /// Returns which node acts on which version, as JSON for the management API.
+    /// Returns the versions that each node uses, as JSON for the management API.
     pub fn versions_json(&self, now: f64) -> Option<String> {
         let versions = self.participant.as_ref()?.versions.as_ref()?;
         Some(versions.versions_json(now))
     }
 
-    /// Returns what this node has acted on, as JSON for the management API.
-    pub fn audit_log_json(&self, acts: u64) -> Option<String> {
+    /// Returns this node's audit log, as JSON for the management API. `action_count` is the number
+    /// of attempts that haven't been recorded yet.
+    pub fn audit_log_json(&self, action_count: u64) -> Option<String> {
         let versions = self.participant.as_ref()?.versions.as_ref()?;
-        Some(versions.audit_log_json(acts))
+        Some(versions.audit_log_json(action_count))
     }
 
     fn version_tracking(&mut self) -> Option<&mut VersionService> {
@@ -90,11 +92,12 @@
         let actions = self
             .version_tracking()
             .map(|versions| versions.handle_datagram(now, &from.name, message));
-        self.carry_out_version_actions(actions.unwrap_or_default(), out)
+        self.handle_version_actions(actions.unwrap_or_default(), out)
     }
 
-    /// Sends what the version tracking wants sent. Returns what other nodes ask this one for.
-    pub(super) fn carry_out_version_actions(
+    /// Sends the messages of the version tracking. Returns an event for each request of another
+    /// node for content.
+    pub(super) fn handle_version_actions(
         &mut self,
         actions: Vec<VersionAction>,
         out: &mut Vec<Output>,
--- a/src/net/cluster/versions.rs
+++ b/src/net/cluster/versions.rs
@@ -1,5 +1,5 @@
-//! Version tracking of a running node: passes messages and times to and from the state machine in
-//! `postproxy-version-tracking`, and writes what the management API answers on versions.
+//! Version tracking of a running node: passes messages and the time to and from the state machine
+//! in `postproxy-version-tracking`, and builds the management API's responses on versions.
 
 use super::coordination::ms;
 use postproxy_version_tracking::{
@@ -9,11 +9,11 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a message with a worker list begins with on a stream between nodes; the last byte is the
-/// version of the format.
+/// Prefix of a message with a worker list on a stream between nodes; the last byte is the version
+/// of the format.
 pub const WORKER_LIST_PREFIX: [u8; 3] = *b"PA\x01";
 
-/// What the node has to do for its version tracking.
+/// What the version tracking needs the node to do.
 #[derive(Debug)]
 pub enum VersionAction {
     /// Send these bytes in a datagram.
@@ -23,41 +23,41 @@
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// Send the whole content that this node acts on.
+    /// Send the whole content that this node uses.
     SendContent {
         /// The receiving node's name.
         to: String,
-        /// The content of what.
+        /// The kind of content.
         kind: VersionKind,
     },
 }
 
-/// A version in an answer of the management API.
+/// A version in a response of the management API.
 #[derive(Debug, Serialize)]
 struct VersionStatus {
     kind: &'static str,
     generation: String,
     number: u64,
     digest: String,
-    /// By how much the number is lower than the highest one that this node knows of.
+    /// Difference between the highest number that this node knows of and this version's number.
     behind_by: u64,
 }
 
-/// A node's versions in an answer of the management API.
+/// A node's versions in a response of the management API.
 #[derive(Debug, Serialize)]
 struct NodeVersionsStatus<'a> {
     node: &'a str,
     /// `current`, or `behind` where another node has a newer version of the same generation.
     state: &'static str,
-    /// How long ago the node reported its versions, in milliseconds; 0 for the node that answers.
+    /// Time since the node reported its versions, in milliseconds; 0 for the answering node.
     heard_ms: u64,
-    /// How long the node that answers has known that it is behind, in milliseconds; 0 for the other
+    /// Time since the answering node has known that it is behind, in milliseconds; 0 for the other
     /// nodes.
     behind_ms: u64,
     versions: Vec<VersionStatus>,
 }
 
-/// A node's audit log in an answer of the management API.
+/// A node's audit log in a response of the management API.
 #[derive(Debug, Serialize)]
 struct AuditLogStatus<'a> {
     node: &'a str,
@@ -78,10 +78,10 @@
 }
 
 impl VersionService {
-    /// Returns the service of a node that acts on the version of its program only.
+    /// Creates the service of a node that has recorded the version of its program only.
     pub fn new(settings: Settings, node_name: &str, now: f64, seed: u64) -> Self {
         let mut tracker = VersionTracker::new(settings, ms(now), seed);
-        // No peer is known yet, so that nothing is to be sent.
+        // No peer is known yet, so there is nothing to send.
         tracker.adopt(
             ms(now),
             VersionKind::Program,
@@ -100,7 +100,7 @@
         self.tracker.next_timer_ms() as f64 / 1000.0
     }
 
-    /// Does what is due.
+    /// Handles the timeouts that are due.
     pub fn handle_timer(&mut self, now: f64) -> Vec<VersionAction> {
         let mut outputs = Vec::new();
         self.tracker.handle_timer(ms(now), &mut outputs);
@@ -122,8 +122,8 @@
         actions(outputs)
     }
 
-    /// Records that the node acts on this version from now on, after `action_count` actions on the
-    /// one before.
+    /// Records that the node uses this version from now on, after `action_count` actions on the one
+    /// before.
     pub fn adopt(
         &mut self,
         now: f64,
@@ -169,7 +169,7 @@
     }
 
     /// Returns this node's audit log as JSON, with a line feed. `action_count` is the number of
-    /// actions that the tracker hasn't been given yet.
+    /// actions that haven't been passed to the tracker yet.
     pub fn audit_log_json(&self, action_count: u64) -> String {
         let log = self.tracker.audit_log();
         to_json_line(&AuditLogStatus {
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Returns the highest number of each line that this node knows of.
+    /// Returns the highest number that this node knows of, by kind and generation.
     fn newest_numbers(&self) -> BTreeMap<VersionLine, u64> {
         let peers = self.tracker.peer_versions().values();
         let all = peers
@@ -259,7 +259,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Encodes what is to be sent, and logs the events.
+/// Converts the tracker's outputs to actions: encodes the messages, and logs the events.
 fn actions(outputs: Vec<Output>) -> Vec<VersionAction> {
     let mut actions = Vec::new();
     for output in outputs {
