--- a/tests/kill.rs
+++ b/tests/kill.rs
@@ -1,5 +1,4 @@
-//! The program with a store, killed again and again while it serves requests that must not run
-//! twice.
+//! The program with a store, killed repeatedly while it serves requests that must not run twice.
 
 use postproxy::stand_ins::{Discovery, Worker, send_request};
 use postproxy_fault_injection::{Process, loopback_addresses, wait_until};
@@ -11,20 +10,20 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often the node is killed; the environment variable `POSTPROXY_KILLS` may send_request for
-/// more.
+/// Number of times that the node is killed, unless the environment variable `POSTPROXY_KILLS` sets
+/// another one.
 const DEFAULT_KILLS: u32 = 20;
 /// Number of clients that submit requests at the same time.
 const CLIENTS: u64 = 8;
 /// Number of workers; each takes longer for a request than the one before.
 const WORKERS: u64 = 4;
-/// How long the node may take from its start until it is ready.
+/// Time that the node may take from its start until it is ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a client waits after a rejection before it retries.
+/// Time that a client waits after a rejection before it retries.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long a client waits after a broken connection before it connects again.
+/// Time that a client waits after a broken connection before it connects again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
-/// How long the clients go on after the last kill.
+/// Time that the clients continue to submit requests after the last kill.
 const LAST_RUN: Duration = Duration::from_millis(300);
 
 /// The program under test, as a process of its own.
@@ -51,7 +50,7 @@
         );
         self.process = Some(process.expect("the program starts"));
         let is_ready = || send_request(self.address, "GET", "/-/ready", &[], b"").is_ok();
-        assert!(wait_until(START_TIMEOUT, is_ready), "it is not ready");
+        assert!(wait_until(START_TIMEOUT, is_ready), "the node is not ready");
     }
 
     fn kill(&mut self) {
@@ -71,7 +70,7 @@
     std::fs::write(folder.join("operator.json"), operator.to_string()).expect("a file");
 }
 
-/// How often the clients' requests ended in each way.
+/// Numbers of the clients' requests by their outcome.
 #[derive(Default)]
 struct Counts {
     served: AtomicU64,
@@ -114,7 +113,7 @@
                     assert_eq!(
                         answer.body,
                         body.to_uppercase().as_bytes(),
-                        "an answer that no worker made"
+                        "a response that no worker has produced"
                     );
                     increment(&counts.served);
                     break;
@@ -138,7 +137,7 @@
     }
 }
 
-/// Kills the node so many times, each after a pseudo-random time, and starts it again.
+/// Kills the node this number of times, each after a pseudo-random delay, and starts it again.
 fn kill_repeatedly(node: &mut NodeProcess, kills: u32) {
     let mut random = 7u64;
     for _ in 0..kills {
@@ -151,7 +150,7 @@
     }
 }
 
-/// Returns how often each request has run, over all workers.
+/// Returns the number of runs of each request over all workers.
 fn total_runs(workers: &[Worker]) -> HashMap<String, u32> {
     let mut runs: HashMap<String, u32> = HashMap::new();
     for (key, times) in workers.iter().flat_map(Worker::runs) {
@@ -160,8 +159,8 @@
     runs
 }
 
-/// Submits each request again of which a worker's result was acknowledged, and asserts that it is
-/// answered with that result. Returns their number.
+/// Submits each request again whose result was acknowledged to a worker, and asserts that it is
+/// answered with that result. Returns the number of these requests.
 fn check_acknowledged_results(workers: &[Worker], node: SocketAddr) -> u64 {
     let mut checked = 0;
     for (key, result) in workers.iter().flat_map(Worker::acknowledged) {
@@ -180,8 +179,9 @@
     checked
 }
 
-/// Guards against a second run of a request that must not run twice, a result that was acknowledged
-/// to its worker and is gone, and an answer that no worker made, whenever the node dies.
+/// Guards against a second run of a request that must not run twice, the loss of a result that was
+/// acknowledged to its worker, and a response that no worker has produced, whenever the node is
+/// killed.
 #[test]
 fn killed_node_runs_nothing_twice_and_loses_no_acknowledged_result() {
     let kills = std::env::var("POSTPROXY_KILLS")
@@ -231,8 +231,8 @@
     let served = read(&counts.served);
     let connections_broken = read(&counts.connection_broken);
     println!(
-        "{kills} kills: {} requests run, {served} served, {} failed, {} rejected, {connections_broken} broken off, \
-         {checked} results kept",
+        "{kills} kills: {} requests run, {served} served, {} failed, {} rejected, \
+         {connections_broken} connections broken, {checked} results kept",
         runs.len(),
         read(&counts.failed),
         read(&counts.rejected),
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,6 +1,6 @@
-//! No attempt, first or further, begins for a client that has closed its connection. Real
-//! connections, and the unfavourable order made each time: the test goes on when the node has shown
-//! that it has handled what came before.
+//! No attempt, first or retry, begins for a client that has closed its connection. The tests use
+//! real connections and force the unfavourable order of events: each continues only after the node
+//! has shown that it has handled the events before.
 
 #[path = "support/clients_harness.rs"]
 mod clients_harness;
@@ -24,39 +24,42 @@
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Disconnect {
-    /// In good order.
+    /// Closes the connection in good order.
     Fin,
-    /// With a reset.
+    /// Resets the connection.
     Reset,
-    /// In good order, with this number of bytes behind its request that nobody waits for.
-    FinBehind(usize),
-    /// With a reset, with this number of bytes behind its request.
-    ResetBehind(usize),
+    /// Sends this number of bytes that are no request after its request, then closes the connection
+    /// in good order.
+    FinAfterBytes(usize),
+    /// Sends this number of bytes that are no request after its request, then resets the
+    /// connection.
+    ResetAfterBytes(usize),
 }
 
 const ALL_DISCONNECTS: [Disconnect; 6] = [
     Disconnect::Fin,
     Disconnect::Reset,
-    Disconnect::FinBehind(200),
+    Disconnect::FinAfterBytes(200),
     // More than a node buffers, and more than it would discard of a connection that closes.
-    Disconnect::FinBehind(64 << 10),
-    Disconnect::FinBehind(1 << 20),
-    Disconnect::ResetBehind(64 << 10),
+    Disconnect::FinAfterBytes(64 << 10),
+    Disconnect::FinAfterBytes(1 << 20),
+    Disconnect::ResetAfterBytes(64 << 10),
 ];
 
 impl Disconnect {
-    /// Sends what comes behind the request, then disconnects.
+    /// Sends the bytes that follow the request, then disconnects.
     fn disconnect(self, mut client: TestSocket) {
-        let (Disconnect::FinBehind(size) | Disconnect::ResetBehind(size)) = self else {
+        let (Disconnect::FinAfterBytes(size) | Disconnect::ResetAfterBytes(size)) = self else {
             return self.close(client);
         };
-        // A node may close the connection because of it; then the client has gone as well.
+        // The node may close the connection because of these bytes; the client is disconnected then
+        // as well.
         let _ = client.stream.write_all(&vec![b'x'; size]);
         self.close(client);
     }
 
     fn close(self, client: TestSocket) {
-        if matches!(self, Disconnect::Reset | Disconnect::ResetBehind(_)) {
+        if matches!(self, Disconnect::Reset | Disconnect::ResetAfterBytes(_)) {
             socket2::SockRef::from(&client.stream)
                 .set_linger(Some(Duration::ZERO))
                 .expect("a setting");
@@ -65,7 +68,7 @@
     }
 }
 
-/// A connection that the node has made to a worker.
+/// A connection from the node to a worker.
 struct WorkerConnection {
     socket: TestSocket,
     worker: usize,
@@ -84,7 +87,7 @@
     }
 }
 
-/// Accepts a connection to any worker if there is one; the listeners don't block after this.
+/// Accepts a connection to any worker if there is one. Sets the listeners to non-blocking mode.
 fn accept_any(harness: &NodeHarness) -> Option<WorkerConnection> {
     for (worker, listener) in harness.workers.iter().enumerate() {
         listener.set_nonblocking(true).expect("a setting");
@@ -108,7 +111,7 @@
     }
 }
 
-/// Waits for the connection on which the next attempt comes: this one, or a new one.
+/// Waits for the connection on which the next attempt arrives: this one or a new one.
 fn next_connection(harness: &NodeHarness, connection: WorkerConnection) -> WorkerConnection {
     let start = Instant::now();
     let stream = &connection.socket.stream;
@@ -125,8 +128,8 @@
     }
 }
 
-/// Guards against a retry for nobody: the client disconnects while its request runs, and then the
-/// worker loses it. The cancel shows that the node has seen the client's end.
+/// Guards against a retry for a disconnected client: the client disconnects while its request runs,
+/// and then the worker loses it. The cancellation shows that the node has seen the disconnect.
 #[test]
 fn no_retry_begins_for_a_client_that_has_disconnected() {
     for disconnect in ALL_DISCONNECTS {
@@ -141,7 +144,7 @@
         let cancel = connection.socket.read_request();
         assert!(
             disconnected.elapsed() < Duration::from_secs(3),
-            "{disconnect:?}: cancelled not for the client's end, but at the deadline, after 5 s"
+            "{disconnect:?}: cancelled not at the disconnect, but at the deadline, after 5 s"
         );
         assert_eq!(
             (cancel.method.as_str(), cancel.target.as_str()),
@@ -153,7 +156,7 @@
             harness.post_callback("one", connection.worker, r#""state":"lost""#),
             200
         );
-        // Whatever that led to has been done when another request comes through.
+        // Once another request has been forwarded, the node has handled the callback.
         let mut other = harness.connect();
         other.submit_request("two");
         let mut connection = next_connection(&harness, connection);
@@ -173,10 +176,11 @@
     }
 }
 
-/// Guards against a client's end that is noticed late: an attempt for nobody counts 0.1 s after it.
-/// Nine in ten must be in time, since the machine may be busy.
+/// Guards against a disconnect that is noticed late: an attempt counts as made for a disconnected
+/// client from 0.1 s after the disconnect. Nine in ten disconnects must be noticed in time, since
+/// the machine may be busy.
 #[test]
-fn a_clients_end_is_noticed_within_a_tenth_of_a_second() {
+fn a_disconnect_is_noticed_within_a_tenth_of_a_second() {
     let harness = NodeHarness::new(1, 256);
     let mut last_connection: Option<WorkerConnection> = None;
     let mut delays = Vec::new();
@@ -211,8 +215,9 @@
     harness.stop();
 }
 
-/// Guards against a first attempt for nobody: requests wait_until, since no worker is in service,
-/// most of their clients disconnect, and then a worker is added. In a burst, among others who stay.
+/// Guards against a first attempt for a disconnected client: requests wait, since no worker is in
+/// service, most of their clients disconnect in a burst, and then a worker is added. The requests
+/// of the remaining clients are served.
 #[test]
 fn no_first_attempt_begins_for_clients_that_have_disconnected() {
     let harness = NodeHarness::new(0, 1024);
@@ -234,8 +239,8 @@
     for (n, client) in leaving {
         ALL_DISCONNECTS[n % ALL_DISCONNECTS.len()].disconnect(client);
     }
-    // Each of these is read after what the others had sent before; and a large rest takes some
-    // turns.
+    // Each of these requests is read after the bytes that the clients have sent before; reading
+    // those takes several turns.
     for _ in 0..100 {
         harness.wait_for_two_turns();
     }
@@ -254,8 +259,11 @@
             .get("x-request-id")
             .expect("an id")
             .to_owned();
-        assert!(id.starts_with("stays-"), "{id} is forwarded for nobody");
-        // Each comes on a connection of its own.
+        assert!(
+            id.starts_with("stays-"),
+            "{id} is forwarded for a disconnected client"
+        );
+        // The connection is closed, so that the next request arrives on a new one.
         attempt.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         assert_eq!(harness.report_done(&id, 0), 200);
     }
@@ -265,9 +273,9 @@
     harness.stop();
 }
 
-/// Guards against an attempt that begins because its connection was being established when the
-/// client disconnected: the connection comes up after that, and carries nothing. It is not looked
-/// at before the test polls.
+/// Guards against an attempt that is sent although its client has disconnected while its connection
+/// was being established: the connection is established after that, and nothing may be written to
+/// it. The node doesn't see that it is established before the test polls.
 #[test]
 fn a_connection_dialled_for_a_disconnected_client_carries_nothing() {
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
@@ -299,7 +307,7 @@
     assert!(reactor.queue.is_empty());
 }
 
-/// A node's side that has accepted the connection of a client which had sent a request and
+/// Returns a harness that has accepted the connection of a client which had sent a request and
 /// disconnected before.
 fn accepted_after_disconnect(disconnect: Disconnect) -> ClientsHarness {
     let mut harness = ClientsHarness::new(8);
@@ -310,24 +318,24 @@
     harness
 }
 
-/// Guards against a request that is begun and cancelled in one turn, since its client's end was
-/// read with it: the client had gone before the node read a byte.
+/// Guards against a request that is begun and cancelled in one turn because the disconnect was read
+/// together with it: the client had disconnected before the node read a byte.
 #[test]
-fn a_request_read_with_its_clients_end_is_never_passed_on() {
+fn a_request_read_together_with_its_disconnect_is_never_passed_on() {
     for disconnect in [
         Disconnect::Fin,
         Disconnect::Reset,
-        Disconnect::FinBehind(64 << 10),
-        Disconnect::ResetBehind(64 << 10),
+        Disconnect::FinAfterBytes(64 << 10),
+        Disconnect::ResetAfterBytes(64 << 10),
     ] {
         let mut harness = accepted_after_disconnect(disconnect);
-        // What did not fit into one read comes with the next ones; nothing of the queue has been
-        // taken meanwhile.
+        // Bytes that did not fit into one read arrive with the next ones. Nothing takes inputs from
+        // the queue meanwhile.
         let start = Instant::now();
         while harness.clients.connection_count() > 0 {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{disconnect:?}: the client's end is not seen"
+                "{disconnect:?}: the disconnect is not seen"
             );
             harness.poll();
         }
@@ -336,32 +344,33 @@
     }
 }
 
-/// Guards against an attempt that begins one turn before the client's end is seen: the client
-/// closed before the node read a byte, and all that it sent, more than the node buffers, is there.
+/// Guards against an attempt that begins one turn before the disconnect is seen: the client
+/// disconnected before the node read a byte, and all bytes that it sent, more than the node
+/// buffers, have arrived.
 #[test]
-fn a_clients_end_behind_a_full_buffer_is_seen_in_the_same_turn() {
+fn a_disconnect_behind_a_full_buffer_is_seen_in_the_same_turn() {
     for disconnect in [
         Disconnect::Fin,
-        Disconnect::FinBehind(200),
-        Disconnect::FinBehind(40 << 10),
-        Disconnect::ResetBehind(40 << 10),
+        Disconnect::FinAfterBytes(200),
+        Disconnect::FinAfterBytes(40 << 10),
+        Disconnect::ResetAfterBytes(40 << 10),
     ] {
         let harness = accepted_after_disconnect(disconnect);
         assert!(
             harness.reactor.queue.is_empty(),
-            "{disconnect:?}: a request that nobody waits for was passed on"
+            "{disconnect:?}: a request of a disconnected client was passed on"
         );
     }
 }
 
-/// Guards against a hot restart that takes a client for one that waits, though its end was on the
-/// way with its connection.
+/// Guards against a handover after which a client counts as waiting although it had disconnected
+/// before its connection was adopted.
 #[test]
 fn an_adopted_connection_whose_client_has_disconnected_awaits_nothing() {
     for (disconnect, awaits_answer) in [
         (None, true),
         (Some(Disconnect::Fin), false),
-        (Some(Disconnect::ResetBehind(64 << 10)), false),
+        (Some(Disconnect::ResetAfterBytes(64 << 10)), false),
     ] {
         let mut harness = ClientsHarness::new(8);
         let other_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -381,7 +390,7 @@
             .adopt_waiting_connection(&mut harness.reactor, released)
             .expect("it is adopted");
         let start = Instant::now();
-        // What does not fit into the first read comes with the next ones.
+        // Bytes that don't fit into the first read arrive with the next ones.
         while harness.clients.awaits_answer(adopted) != awaits_answer {
             assert!(
                 start.elapsed() < TEST_TIMEOUT && disconnect != Some(Disconnect::Fin),
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -1,4 +1,4 @@
-//! A whole node on loopback: forwarding, cancelling, retries, worker list, reload and shutdown.
+//! A whole node on loopback: forwarding, cancellation, retries, worker list, reload and shutdown.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -11,8 +11,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Guards against a request that reaches its worker changed, a result that is not the worker's, and
-/// a connection for each request.
+/// Guards against a request that is changed on its way to the worker, a result that is not the
+/// worker's, and a new connection for each request.
 #[test]
 fn forwards_a_request_unchanged_and_reuses_the_connection() {
     let harness = NodeHarness::new(1, 256);
@@ -44,14 +44,14 @@
         assert_eq!(
             harness.post_callback(id, 0, r#""state":"lost""#),
             200,
-            "a late call-back is still answered"
+            "a late callback is still answered"
         );
     }
     harness.stop();
 }
 
-/// Guards against a request written to a connection whose end has arrived, which would be reset;
-/// and against giving up on a worker that proves that nothing ran.
+/// Guards against a request written to a connection that the worker has closed, which would be
+/// reset, and against no retry although the worker has shown that nothing ran.
 #[test]
 fn a_pooled_connection_that_has_ended_is_not_reused() {
     let harness = NodeHarness::new(1, 256);
@@ -59,14 +59,14 @@
     client.submit_request("one");
     let mut worker = harness.accept_worker(0);
     worker.read_request();
-    // A response that arrives while the node still writes the request would count as that of an
-    // earlier one.
+    // A response that arrives while the node still writes the request would be taken for that to an
+    // earlier request.
     harness.wait_for_two_turns();
     worker.write(
         "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nX-Load: TEXT queue=3\r\nContent-Length: 0\r\n\r\n",
     );
-    // The connection on which it was rejected is closed: a second response there would be mistaken
-    // for this attempt's.
+    // The connection of the rejected attempt is closed: a second response on it would be taken for
+    // that to the next attempt.
     let mut again = harness.accept_worker(0);
     assert!(worker.is_closed());
     assert_eq!(
@@ -100,8 +100,8 @@
     harness.stop();
 }
 
-/// Guards against a request that crosses its worker's end of an idle connection: the node closes it
-/// first.
+/// Guards against a request that is in transit when its worker closes an idle connection: the node
+/// closes the connection first.
 #[test]
 fn closes_idle_pooled_connections_before_the_worker_does() {
     let harness = NodeHarness::with_unreachable_workers(1, 256, &[], 1.0);
@@ -120,8 +120,8 @@
     harness.stop();
 }
 
-/// Guards against work that goes on for a client that has disconnected: before the 202 the worker's
-/// connection is closed, after it the worker gets a DELETE.
+/// Guards against work that continues for a client that has disconnected: before the 202 the
+/// connection to the worker is closed, after it the worker gets a DELETE.
 #[test]
 fn cancels_a_request_whose_client_has_disconnected() {
     let harness = NodeHarness::new(1, 256);
@@ -136,7 +136,7 @@
     let mut worker = harness.accept_worker(0);
     worker.read_request();
     worker.write(ACCEPTED);
-    // Once a call-back is answered, the 202 before it has been read.
+    // Once a callback is answered, the 202 before it has been read.
     assert_eq!(
         harness.post_callback("two", 0, r#""state":"running","share":0.5"#),
         200
@@ -151,8 +151,9 @@
     harness.stop();
 }
 
-/// Guards against input that stops the node, blocks it, or is mistaken for something else; only the
-/// dispatcher decides on a 503. The function is long because it is one list of cases.
+/// Guards against invalid input that stops or blocks the node, or gets another status than its own;
+/// 503 is only for requests that the dispatcher rejects. The function is long because it is one
+/// list of cases.
 #[test]
 fn answers_bad_input_with_its_status() {
     let harness = NodeHarness::new(1, 256);
@@ -219,8 +220,8 @@
     harness.stop();
 }
 
-/// Guards against losing requests when the node is signalled to stop: it still accepts and serves,
-/// announces the end with `Connection: close`, and ends by itself once nothing is pending.
+/// Guards against requests that are lost when the node is signalled to stop: it still accepts and
+/// serves them, responds with `Connection: close`, and exits once nothing is pending.
 #[test]
 fn serves_pending_and_arriving_requests_while_shutting_down() {
     let mut harness = NodeHarness::new(1, 256);
@@ -248,8 +249,8 @@
     harness.wait_for_end();
 }
 
-/// Guards against a watch that is not renewed at once, a change applied to another list than the
-/// node has, requests to a draining worker, and a failed poll that is not retried.
+/// Guards against a watch that is not renewed at once, a change that is applied to a list which it
+/// doesn't belong to, requests to a draining worker, and a failed poll that is not retried.
 #[test]
 fn watches_the_worker_list() {
     let harness = NodeHarness::new(2, 256);
@@ -283,7 +284,8 @@
     for n in 0..4 {
         let mut client = harness.connect();
         client.submit_request(&format!("job-{n}"));
-        // Its worker must not close first: the request would be retried.
+        // The client must disconnect before the worker closes: otherwise the request would be
+        // retried.
         let mut worker = harness.accept_worker(1);
         worker.read_request();
         drop(client);
@@ -302,13 +304,13 @@
             .starts_with("/api/targets?since=8&")
     );
     drop(again);
-    // This one stays silent: another poll is made beside it, and then one in its place, neither of
-    // which waits.
+    // This poll is not answered: another one is made in parallel, and then one that replaces it.
+    // Neither of them waits for changes.
     let mut silent = TestSocket::accept(&harness.discovery);
     assert!(is_watch_request(&silent.read_request().target, 8));
-    let mut beside = TestSocket::accept(&harness.discovery);
+    let mut second = TestSocket::accept(&harness.discovery);
     assert_eq!(
-        beside.read_request().target,
+        second.read_request().target,
         "/api/targets?since=8&timeout_ms=1"
     );
     let mut third = TestSocket::accept(&harness.discovery);
@@ -322,16 +324,16 @@
         &mut third,
         r#"{"revision":9,"complete":false,"members":[]}"#,
     );
-    assert!(beside.is_closed());
+    assert!(second.is_closed());
     assert!(is_watch_request(&third.read_request().target, 9));
     harness.stop();
 }
 
-/// Guards against a reload that loses the requests or the workers, that goes on at the old address,
-/// or that asks the new one for changes to versions which it never gave: also while a poll runs,
-/// while the connection is being established, several times over, while stopping, and without a new
-/// configuration. The function is long because it is one sequence, in which each reload starts from
-/// what the one before has left.
+/// Guards against a reload that loses requests or workers, that continues to poll the old address,
+/// or that polls the new address for changes since a revision of the old one. Covers reloads while
+/// a poll is running, while a connection is being established, several in a row, during a shutdown,
+/// and without a new configuration. The function is long because it is one sequence, in which each
+/// reload starts from the state that the one before has left.
 #[test]
 fn a_reload_changes_the_address_of_discovery_and_nothing_else() {
     let mut harness = NodeHarness::new(1, 256);
@@ -349,7 +351,7 @@
     worker.read_request();
     worker.write(ACCEPTED);
     harness.reload(None);
-    // Something listens there and nothing answers: the next reload finds the poll still running.
+    // This listener never answers: the next reload finds the poll still running.
     let (silent, new) = (bind_listener(), bind_listener());
     harness.reload(Some(&silent));
     assert!(old.is_closed(), "the poll at the old address is cancelled");
@@ -418,8 +420,8 @@
     harness.stop();
 }
 
-/// Guards against a worker that can't be reached and delays a request: what never ran is retried
-/// elsewhere.
+/// Guards against a request that is delayed by an unreachable worker: as it never ran, it is
+/// retried at another one.
 #[test]
 fn retries_elsewhere_after_a_refused_connection() {
     // Nothing listens at port 1.
@@ -440,11 +442,12 @@
     harness.stop();
 }
 
-/// Guards against waiting for a machine that is cut off: `dial-timeout` ends the attempt, and
-/// nothing has run.
+/// Guards against a request that waits for an unreachable machine: `dial-timeout` ends the attempt,
+/// and as nothing has run, the request is retried at another worker.
 #[test]
 fn retries_elsewhere_after_a_dial_timeout() {
-    // A listener whose queue is full drops what else arrives, as a machine that has vanished does.
+    // A listener whose backlog is full drops further connection attempts without an answer, like a
+    // machine that has vanished.
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket
@@ -459,7 +462,7 @@
     let filler: Vec<TcpStream> = (0..8)
         .map_while(|_| TcpStream::connect_timeout(&vanished, Duration::from_millis(200)).ok())
         .collect();
-    assert!(filler.len() < 8, "the queue never filled");
+    assert!(filler.len() < 8, "the backlog never filled");
     let harness = NodeHarness::with_unreachable_workers(1, 256, &[vanished], 60.0);
     for n in 0..6 {
         let mut client = harness.connect();
@@ -472,8 +475,8 @@
     harness.stop();
 }
 
-/// Guards against a process that sends by the list of before its start, which is outdated:
-/// discovery is asked first.
+/// Guards against a node that sends requests by the cached worker list, which may be outdated:
+/// discovery is polled first.
 #[test]
 fn sends_nothing_before_discovery_has_answered_at_the_start() {
     const REQUESTS: usize = 12;
@@ -486,7 +489,7 @@
     assert_eq!(
         discovery.read_request().target,
         "/api/targets?since=41&timeout_ms=1",
-        "not a watch: it is to be answered at once"
+        "not a watch: it must be answered at once"
     );
     let terminated = worker_entry_json(0, harness.worker_address(0), "terminated");
     send_worker_list(
@@ -498,15 +501,15 @@
     }
     assert!(
         !harness.has_pending_connection(0),
-        "a request went to a worker that is gone"
+        "a request went to a terminated worker"
     );
     drop(clients);
     harness.stop();
 }
 
-/// Guards against requests that have been read and are dropped with their connection, since more
-/// was sent behind them than the node buffers. What was buffered completely is answered, and then
-/// the connection is closed in good order.
+/// Guards against requests that have been read and are dropped with their connection because the
+/// client has sent more after them than the node buffers. Completely buffered requests are
+/// answered, and then the connection is closed in good order.
 #[test]
 fn answers_buffered_requests_though_later_input_was_discarded() {
     const REQUESTS_BEHIND: usize = 4000;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,6 +1,6 @@
-//! The real program as operators run it, under load from stand-in clients and workers: workers
-//! suspended, the node drained, its process replaced while it serves, on a listener that all
-//! processes inherit.
+//! The real program under the operations that operators perform: workers are suspended, the node is
+//! drained, and its process is replaced, under load from stand-in clients and workers. All
+//! processes of the node inherit the same listener.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -25,8 +25,8 @@
 }
 
 /// Guards against a request that is lost, rejected or run twice when the process is replaced,
-/// against a call-back that reaches the wrong process, and against a replacement that takes long.
-/// Ten in a row, under load.
+/// against a callback that reaches the wrong process, and against a replacement that takes too
+/// long.
 #[test]
 fn ten_replacements_under_load_lose_nothing() {
     let harness = ProgramHarness::new("replace");
@@ -46,7 +46,8 @@
         process = next.process;
         load.wait_for_served(40);
     }
-    // Two in quick succession, the second before the first one's predecessor has ended.
+    // Two more in quick succession: the second one starts before the process that the first one
+    // replaces has exited.
     let second = harness.start();
     process.signal_stop();
     let third = harness.start();
@@ -98,19 +99,19 @@
     ));
 }
 
-/// Signals a process to stop while jobs run, which it must not wait for.
+/// Signals a process to stop while jobs run, and checks that it doesn't wait for them.
 fn stop_without_waiting_for_jobs(mut process: NodeProcess) {
     process.signal_stop();
     let end = process.wait_for_end();
     assert!(
         end.successful && end.after < ms(1500),
-        "it waited for its jobs: {end:?}"
+        "the process waited for its jobs: {end:?}"
     );
 }
 
-/// Guards against a job that is lost with the process that accepted it: requests in flight migrate
-/// with their clients, also through two replacements, and their workers' call-backs find them. So
-/// the old process ends long before its jobs do.
+/// Guards against a job that is lost with the process that accepted it, and against a process that
+/// waits for its jobs before it exits. Requests in flight migrate with their client connections,
+/// here through two replacements, and callbacks of their workers reach the process that has them.
 #[test]
 fn requests_in_flight_survive_replacements_of_the_process() {
     const JOBS: usize = 12;
@@ -119,17 +120,20 @@
     let clients: Vec<JoinHandle<Option<u16>>> = (0..JOBS)
         .map(|number| submit_long_job(harness.address, number))
         .collect();
-    // One client disconnects: the process that has its job by then cancels it.
+    // This client disconnects later: the process that has its job by then cancels it.
     let mut leaving = TestSocket::connect(harness.address);
     write_request(&mut leaving, "gone");
     let start = Instant::now();
     while harness.run_counts().len() < JOBS + 1 {
-        assert!(start.elapsed() < TEST_TIMEOUT, "they do not arrive");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "not all jobs reach the workers"
+        );
         sleep(ms(5));
     }
     let second = harness.start();
     stop_without_waiting_for_jobs(first);
-    // What was submitted to the first process is known to the second.
+    // A job that was submitted to the first process is known to the second.
     let duplicate = [("X-Request-Id", "long-3"), ("Idempotency-Key", "other")];
     assert_eq!(
         send_request(harness.address, "POST", "/reroute/x", &duplicate, b"x")
@@ -157,7 +161,7 @@
     while harness.workers[0].acknowledged().len() < JOBS + 1 {
         assert!(
             start.elapsed() < answered + TEST_TIMEOUT,
-            "a call-back is not acknowledged"
+            "a callback is not acknowledged"
         );
         sleep(ms(5));
     }
@@ -165,19 +169,19 @@
     assert!(third.wait_for_end().successful);
 }
 
-/// Guards against requests to a suspended worker, also through another process and over a
-/// replacement, and against a resumed worker that stays idle.
+/// Guards against requests to a suspended worker, also if it was suspended at another process or
+/// the process was replaced, and against a resumed worker that stays idle.
 #[test]
 fn a_suspended_worker_stays_suspended_over_a_replacement() {
     let harness = ProgramHarness::new("suspend");
     let mut process = harness.start();
     let load = ClientLoad::start(harness.address, 6);
     load.wait_for_served(60);
-    // The first six may all go to others, which are then known to have capacity: one request in
-    // twenty explores a worker without a report.
+    // The first six requests may all go to other workers, which are then known to have capacity;
+    // after that, only one request in twenty goes to a worker that has not reported its load.
     assert!(
         wait_until(TEST_TIMEOUT, || harness.runs_of_worker(0) > 0),
-        "it is never selected"
+        "the worker is never selected"
     );
     assert_eq!(process.post("/v1/route-workers/nobody/suspend"), 404);
     assert_eq!(process.post("/v1/route-workers/s-0/suspend"), 200);
@@ -205,7 +209,10 @@
     assert_eq!(next.post("/v1/route-workers/s-0/resume"), 200);
     let resumed_at = Instant::now();
     while harness.runs_of_worker(0) == runs_of_first {
-        assert!(resumed_at.elapsed() < ms(5000), "resumed, and idle");
+        assert!(
+            resumed_at.elapsed() < ms(5000),
+            "a resumed worker gets no request"
+        );
         sleep(ms(5));
     }
     let idle = resumed_at.elapsed();
@@ -217,8 +224,8 @@
     assert!(next.wait_for_end().successful);
 }
 
-/// Guards against a drained node that still reports readiness or keeps a client's connection open,
-/// against one that can't be activated, and against a drain that ends with a replacement.
+/// Guards against a drained node that still reports readiness or keeps client connections open,
+/// against one that can't be activated, and against a replacement that ends the drain.
 #[test]
 fn a_drained_node_closes_its_connections_until_it_is_activated() {
     let harness = ProgramHarness::new("drain");
@@ -290,9 +297,9 @@
     drop(process);
 }
 
-/// Guards against a start that fails or takes long because of what is at the place of the handover
-/// socket: nothing, a file, the socket of a process that is gone, no folder, or a peer that is
-/// silent, speaks another protocol, or stalls.
+/// Guards against a start that fails or takes too long because of what is at the path of the
+/// handover socket: nothing, a file, the socket of a killed process, a missing folder, or a peer
+/// that is silent, speaks another protocol, or stalls.
 #[test]
 fn a_process_serves_whatever_is_at_the_handover_socket() {
     let harness = ProgramHarness::new("meet");
@@ -308,7 +315,7 @@
             .env("TMPDIR", "/dev/null/none")
             .stderr(Stdio::null());
     });
-    assert_serves(&harness, "no folder named", second, &|command| {
+    assert_serves(&harness, "TMPDIR not set", second, &|command| {
         command.env_remove("TMPDIR").stderr(Stdio::null());
     });
     let long = harness.folder.join("l".repeat(120));
@@ -338,7 +345,7 @@
     assert_replaces_paused_and_killed_processes(&harness);
 }
 
-/// The older process is paused, and killed while the next takes over.
+/// Checks that a process takes over although the older one is paused or killed during the handover.
 fn assert_replaces_paused_and_killed_processes(harness: &ProgramHarness) {
     let mut first = harness.start();
     first.pause();
@@ -355,7 +362,7 @@
     assert_eq!(third.post("/v1/route-workers/s-0/resume"), 200);
 }
 
-/// Runs a process that is expected to fail at the start, with this environment variable.
+/// Runs a process with this environment variable that is expected to fail at its start.
 fn run_with(harness: &ProgramHarness, variable: &str, value: &str) -> Output {
     let mut command = harness.command().command;
     command
@@ -364,8 +371,8 @@
         .expect("the program starts")
 }
 
-/// Guards against serving on what is not the node's listener, and against an error message that
-/// does not name it.
+/// Guards against serving on a descriptor that is not the node's listener, and against an error
+/// message that does not name the environment variable.
 #[test]
 fn a_start_without_the_nodes_listener_fails() {
     let harness = ProgramHarness::new("fd");
@@ -410,14 +417,14 @@
     );
 }
 
-/// The status code of the response to a request on a connection of its own.
+/// Submits a request on a connection of its own; returns the status code of the response.
 fn submit_status(harness: &ProgramHarness, id: &str) -> u16 {
     harness.submit(id, &[("Connection", "close")]).status
 }
 
-/// A process is signalled to reload and to stop before it is ready: it ends, and the older one,
-/// which was paused, goes on.
-fn assert_ends_before_it_is_ready(harness: &ProgramHarness, older: &mut NodeProcess) {
+/// Checks that a process which is signalled to reload and to stop before it is ready exits, and
+/// that the older process, which was paused, continues to serve.
+fn assert_stops_before_it_is_ready(harness: &ProgramHarness, older: &mut NodeProcess) {
     older.pause();
     let mut command = harness.command();
     command.command.stderr(Stdio::null());
@@ -426,11 +433,15 @@
     while early.readiness().is_none() {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "its management API is not served"
+            "the management API does not answer"
         );
         sleep(ms(2));
     }
-    assert_eq!(early.readiness(), Some(503), "it waits for the older one");
+    assert_eq!(
+        early.readiness(),
+        Some(503),
+        "it waits for the older process"
+    );
     early.signal_reload();
     early.signal_stop();
     let end = early.wait_for_end();
@@ -439,11 +450,12 @@
     assert_eq!(
         submit_status(harness, "after"),
         200,
-        "the older one goes on"
+        "the older process continues to serve"
     );
 }
 
-/// In a drain, a reload changes nothing and a stop ends the process, also over a replacement.
+/// Checks that during a drain a reload changes nothing and a stop ends the process, with a
+/// replacement and without one.
 fn assert_signals_work_in_a_drain(harness: &ProgramHarness, mut first: NodeProcess) {
     assert_eq!(first.post("/v1/node/drain"), 200);
     first.signal_reload();
@@ -464,12 +476,12 @@
     second.signal_stop();
     assert!(
         second.wait_for_end().successful,
-        "drained, and nobody takes over"
+        "a drained process exits without a successor"
     );
 }
 
-/// Processes are killed while they hand over, under load: requests in flight may fail, none is run
-/// more often than it was submitted, and the new process serves.
+/// Kills processes while they hand over, under load, and checks that no request is run more often
+/// than it was submitted and that the new process serves. Requests in flight may fail.
 fn assert_kills_run_nothing_twice(harness: &ProgramHarness) {
     let mut process = harness.start();
     let load = ClientLoad::start(harness.address, 8);
@@ -500,13 +512,14 @@
     );
 }
 
-/// Guards against a signal that comes at the wrong moment: to stop before the process is ready, in
-/// a drain, to reload in each; and against an old process that is killed while it hands over.
+/// Guards against a signal to stop or to reload that is mishandled before the process is ready or
+/// during a drain, and against a request that is run twice because an old process is killed while
+/// it hands over.
 #[test]
 fn signals_work_at_any_moment() {
     let harness = ProgramHarness::new("signals");
     let mut first = harness.start();
-    assert_ends_before_it_is_ready(&harness, &mut first);
+    assert_stops_before_it_is_ready(&harness, &mut first);
     assert_signals_work_in_a_drain(&harness, first);
     assert_kills_run_nothing_twice(&harness);
 }
