--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -50,19 +50,19 @@
     Write(Vec<StorageChange>),
     /// Answer a caller of the management API.
     Respond {
-        /// The number of the caller.
+        /// The key of the caller's connection.
         caller: usize,
-        /// The answer.
+        /// The response.
         response: AdminResponse,
     },
 }
 
-/// An answer of the management API.
+/// A response of the management API.
 #[derive(Debug)]
 pub struct AdminResponse {
-    /// The HTTP status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The body.
+    /// Body of the response.
     pub body: String,
 }
 
@@ -82,7 +82,7 @@
     (now * 1000.0) as u64
 }
 
-/// Returns the answer of the management API to a request that has failed.
+/// Returns the response of the management API to a request that has failed.
 pub fn error_response(error: &Error) -> AdminResponse {
     let status = match error {
         Error::NoMajority(_) | Error::Busy | Error::NoVoters | Error::NotLeader(_) => 503,
--- a/src/net/cluster/peer_connections/tests.rs
+++ b/src/net/cluster/peer_connections/tests.rs
@@ -213,7 +213,7 @@
     let ended = claiming_4_gib.read_to_end(&mut rest);
     assert!(
         ended.is_err() || rest.len() < 64,
-        "the answer to its greeting, and the end"
+        "only the response to the greeting is sent before the end"
     );
     // The bytes read in a turn are bounded. The limit is far above the time that reading them
     // takes, and far below the time that a request may wait.
--- a/src/net/cluster/service/events.rs
+++ b/src/net/cluster/service/events.rs
@@ -59,7 +59,7 @@
         from: String,
         /// Generation of the list.
         generation: u64,
-        /// The list, as discovery sent it.
+        /// The encoded list.
         body: Vec<u8>,
     },
 }
--- a/src/net/cluster/versions.rs
+++ b/src/net/cluster/versions.rs
@@ -201,8 +201,8 @@
     postproxy_version_tracking::digest([name.as_bytes()])
 }
 
-/// Returns the version of this program: the package's version as one number, three digits for each
-/// part.
+/// Returns the version record of this program: its number is the version of the package, with three
+/// digits for each part.
 fn program_version() -> VersionRecord {
     let package = env!("CARGO_PKG_VERSION");
     let protocol = postproxy_membership::packet::VERSION;
