--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -1,4 +1,4 @@
-//! Nodes that are killed, stopped, leave or are forgotten.
+//! Nodes that are killed, paused, leave or are forgotten.
 
 use crate::fleet_harness::{FleetHarness, has_state};
 use postproxy::net::cluster::service::ClusterStatus;
@@ -35,9 +35,10 @@
     );
 }
 
-/// A stopped node learns at once that it was declared failed.
+/// Guards against a paused node that declares the others failed when it is resumed. It learns at
+/// once that it was declared failed itself, and rejoins.
 #[test]
-fn stopped_node_declares_nobody_failed_and_rejoins() {
+fn paused_node_declares_nobody_failed_and_rejoins() {
     let mut fleet = FleetHarness::new(3, 2);
     for seconds in [1, 4, 20] {
         fleet.pause(&[1], Duration::from_secs(seconds));
@@ -61,40 +62,42 @@
     let status = fleet.status(1).expect("a status");
     assert!(
         status.skipped_seconds > 20.0,
-        "it knows how long it was stopped: {}",
+        "the node knows how long it was paused: {}",
         status.skipped_seconds
     );
 }
 
-/// As on a machine that was suspended.
+/// Guards against failures declared after all nodes were paused together, as on a machine that was
+/// suspended.
 #[test]
-fn cluster_that_was_stopped_as_a_whole_is_unchanged() {
+fn cluster_that_was_paused_as_a_whole_is_unchanged() {
     let mut fleet = FleetHarness::new(3, 3);
     fleet.pause(&[0, 1, 2], Duration::from_secs(6));
     fleet.wait_until_complete();
     (0..3).for_each(|n| fleet.assert_no_failure_logged(n));
 }
 
-/// Two nodes hear of each other through the third only. A stop of one is no failure, however long;
-/// a kill is one.
+/// Two nodes reach each other only through the third. However long one of them is paused, nobody
+/// counts as failed once it is back; a killed one counts as failed.
 #[test]
-fn node_reached_through_another_is_stopped_and_killed() {
+fn node_reached_through_another_is_paused_and_killed() {
     let mut fleet = FleetHarness::new(3, 17);
     fleet.net.partition(&[0], &[2]);
     fleet.history.note("cut 0 2");
-    let is_line =
+    let is_one_pair_cut =
         |status: &ClusterStatus| status.health == "some pairs cut" && status.reasons.len() == 2;
-    fleet.wait_until("a line", &[0, 1, 2], |_, status| is_line(status));
+    let all = [0, 1, 2];
+    fleet.wait_until("one pair is cut", &all, |_, status| is_one_pair_cut(status));
     for seconds in [1, 4, 20] {
         fleet.pause(&[2], Duration::from_secs(seconds));
-        fleet.wait_until("a line again", &[0, 1, 2], |_, status| {
+        fleet.wait_until("one pair is cut after the pause", &all, |_, status| {
             let nobody_failed = status.members.iter().all(|member| member.state != "failed");
-            is_line(status) && nobody_failed
+            is_one_pair_cut(status) && nobody_failed
         });
         fleet.assert_no_failure_logged(2);
     }
     fleet.kill(2);
-    fleet.wait_until("known through the middle", &[0, 1], |_, status| {
+    fleet.wait_until("the failure is known at both", &[0, 1], |_, status| {
         status.health == "cut off with a majority" && has_state(status, "n2", "failed")
     });
     assert_eq!(
@@ -119,7 +122,8 @@
     (output.status.success(), errors)
 }
 
-/// A live node can't be forgotten. A failed one is counted until it is forgotten.
+/// A live node can't be forgotten. A failed one counts as a node of the cluster until it is
+/// forgotten.
 #[test]
 fn node_that_will_not_come_back_is_forgotten() {
     let mut fleet = FleetHarness::new(3, 13);
@@ -145,5 +149,5 @@
     assert_eq!(fleet.suspend(1, "w-1"), "yes, at 2 of 2 nodes\n");
     fleet.start(2);
     fleet.wait_until_complete();
-    fleet.wait_until_suspended("it is back and knows", &["w-0", "w-1"]);
+    fleet.wait_until_suspended("known to the node that is back", &["w-0", "w-1"]);
 }
--- a/tests/cluster/identity.rs
+++ b/tests/cluster/identity.rs
@@ -4,7 +4,8 @@
 use postproxy_fault_injection::{loopback_addresses, wait_until};
 use std::net::SocketAddr;
 
-/// Adds a second process with the name of n2, and all else its own. It isn't started.
+/// Adds a second process with the name of n2 and with addresses and a folder of its own. It isn't
+/// started.
 fn add_second_n2(fleet: &mut FleetHarness) {
     let ip = loopback_addresses(1)[0];
     let folder = fleet.folder.join("second-n2");
@@ -52,21 +53,21 @@
         fleet.describe()
     );
     let (alone, member) = if has_conflict(2) { (2, 3) } else { (3, 2) };
-    let serves = || fleet.ready_status(alone, "j-1") == Some(200);
+    let serves = || fleet.readiness_status(alone, "j-1") == Some(200);
     assert!(
         wait_until(MAX_WAIT, serves),
         "it serves alone: {}",
         fleet.describe()
     );
     assert!(fleet.count_log_lines(alone, "another process has this node's name") >= 1);
-    // When the member is gone, the name is free.
+    // When the member is killed, its name becomes free.
     fleet.kill(member);
     fleet.wait_until("it is a member", &[alone], |_, status| {
         status.is_member && status.health == "whole"
     });
 }
 
-/// Numbers of log lines on peers that failed and left, at n0 and n2.
+/// Returns the numbers of log lines on peers that have failed and that have left, at n0 and n2.
 fn departures_logged(fleet: &FleetHarness) -> [(usize, usize); 2] {
     [0, 2].map(|n| {
         (
@@ -76,21 +77,21 @@
     })
 }
 
-/// While one process takes over from another, one of them is a member at any time. A suspend at the
-/// one that isn't a member is announced by the other.
+/// While one process takes over from another, exactly one of them is a member at any time. A
+/// suspend at the process that isn't a member is announced by the other one.
 #[test]
 fn replacement_of_a_process_does_not_change_the_members() {
     let mut fleet = FleetHarness::new(3, 9);
     fleet.kill(1);
-    fleet.lend_listener(1);
+    fleet.open_inherited_listener(1);
     fleet.start(1);
     fleet.wait_until_complete();
     let before = departures_logged(&fleet);
     let first_incarnation = fleet.status(1).expect("a status").members[0].incarnation;
     let first_management = fleet.nodes[1].management_address;
     let mut first = fleet.nodes[1].process.take().expect("it was started");
-    // The second process has a management API of its own; the cluster's address is still the first
-    // one's.
+    // The second process has a management API of its own; the cluster address is still in use by
+    // the first one.
     fleet.nodes[1].management_address = SocketAddr::new(first_management.ip(), 8082);
     fleet.start(1);
     assert!(fleet.status(1).is_none(), "one member, not two");
@@ -101,10 +102,10 @@
     first.terminate();
     assert!(
         wait_until(MAX_WAIT, || first.exit_success() == Some(true)),
-        "the first one ends"
+        "the first process ends"
     );
     fleet.wait_until_complete();
-    fleet.wait_until_suspended("known to the second, too", &["w-1"]);
+    fleet.wait_until_suspended("known to the second process, too", &["w-1"]);
     assert!(fleet.status(1).expect("a status").members[0].incarnation > first_incarnation);
     assert_eq!(
         before,
--- a/tests/cluster/invalid_traffic.rs
+++ b/tests/cluster/invalid_traffic.rs
@@ -1,4 +1,4 @@
-//! Datagrams and connections that no valid node sends.
+//! Datagrams and connections that no valid node sends: they are dropped and delay nothing.
 
 use crate::fleet_harness::{FleetHarness, MAX_WAIT};
 use postproxy::net::cluster::service::ClusterStatus;
@@ -39,7 +39,7 @@
             std::thread::sleep(Duration::from_millis(5));
         }
     }
-    fleet.wait_until("it is counted", &[0], |_, status| {
+    fleet.wait_until("dropped and counted", &[0], |_, status| {
         status.dropped.values().sum::<u64>() > 500
     });
     fleet.wait_until_complete();
@@ -85,7 +85,8 @@
     status.dropped.get(reason).copied().unwrap_or_default()
 }
 
-/// One connection stalls behind each byte, one claims a frame of 4 GiB, and ten flood the node.
+/// Guards against invalid connections that delay valid ones: for each byte of a valid message, one
+/// connection stalls before that byte; one announces a frame of 4 GiB, and ten flood the node.
 #[test]
 fn invalid_connections_delay_neither_requests_nor_the_cluster() {
     let fleet = FleetHarness::new(3, 12);
@@ -107,7 +108,7 @@
         .map(|n| spawn_flood(connect(), 2 + n, &stop))
         .collect();
     for n in 0..50 {
-        assert_eq!(fleet.ready_status(0, &format!("j-{n}")), Some(200));
+        assert_eq!(fleet.readiness_status(0, &format!("j-{n}")), Some(200));
     }
     assert_eq!(fleet.suspend(0, "w-0"), "yes, at 3 of 3 nodes\n");
     fleet.wait_until_complete();
@@ -125,10 +126,10 @@
     let ended = claiming_4_gib.read_to_end(&mut rest);
     assert!(
         ended.is_err() || rest.len() < 64,
-        "the answer to its greeting, and the end"
+        "only the response to the greeting is sent before the end"
     );
     drop(stalled);
-    fleet.wait_until("only valid ones are left", &[0], |_, status| {
+    fleet.wait_until("only valid connections are left", &[0], |_, status| {
         status.health == "whole"
     });
 }
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,4 +1,5 @@
-//! Several processes of the real program that form a cluster, with faults between them and in them.
+//! Several processes of the real program that form a cluster, with faults of processes and of the
+//! network.
 
 #[path = "../support/fleet_harness.rs"]
 mod fleet_harness;
@@ -16,7 +17,8 @@
 use socket2::{Domain, Socket, Type};
 use std::time::Duration;
 
-/// Time in which a node stores what has changed, with room to spare.
+/// Time within which a node stores a change of its state, with a margin: changes are saved every
+/// second.
 const STORE_INTERVAL: Duration = Duration::from_millis(2500);
 
 impl FleetHarness {
@@ -29,8 +31,9 @@
         std::fs::write(&file, json.to_string()).expect("it is written");
     }
 
-    /// Gives a node that doesn't run a listener which outlives its processes.
-    fn lend_listener(&mut self, n: usize) {
+    /// Opens a listener for clients that the future processes of a node inherit; the node must not
+    /// be running.
+    fn open_inherited_listener(&mut self, n: usize) {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener.set_reuse_address(true).expect("a setting");
         listener
@@ -41,12 +44,12 @@
         self.nodes[n].listener = Some(listener);
     }
 
-    /// Ends a node's process by a signal, and waits until it has shut down gracefully.
+    /// Signals a node's process to stop, and waits until it has shut down gracefully.
     fn shut_down(&mut self, n: usize) {
         self.process(n).terminate();
         assert!(
             wait_until(MAX_WAIT, || self.process(n).exit_success() == Some(true)),
-            "it ends in good order"
+            "the process ends in good order"
         );
         self.nodes[n].process = None;
     }
@@ -57,8 +60,8 @@
         assert_eq!(failures, 0, "n{n}: {}", self.describe());
     }
 
-    /// Sends a request to a node. Returns the status of the answer.
-    fn ready_status(&self, n: usize, id: &str) -> Option<u16> {
+    /// Sends a readiness check to a node. Returns the status code of the response.
+    fn readiness_status(&self, n: usize, id: &str) -> Option<u16> {
         let fields = [("X-Request-Id", id), ("X-Deadline", "5")];
         let client_address = self.nodes[n].client_address;
         postproxy::stand_ins::send_request(client_address, "GET", "/-/ready", &fields, b"")
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -13,12 +13,12 @@
     };
     fleet.net.set_link(0, 1, cut);
     fleet.history.note("cut n0 to n1");
-    fleet.wait_until("one way", &[0, 1, 2], |_, status| {
+    fleet.wait_until("cut one way", &[0, 1, 2], |_, status| {
         status.health == "some pairs cut" && status.reasons == ["n1 does not hear n0"]
     });
     fleet.net.partition(&[0], &[1]);
     fleet.history.note("cut n1 to n0, too");
-    fleet.wait_until("a line", &[0, 1, 2], |_, status| {
+    fleet.wait_until("cut both ways", &[0, 1, 2], |_, status| {
         status.health == "some pairs cut"
             && status.reasons == ["n0 does not hear n1", "n1 does not hear n0"]
     });
--- a/tests/cluster/schedules.rs
+++ b/tests/cluster/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of kills, pauses, cuts, losses and suspensions.
+//! Random schedules of kills, pauses, cut links, lost datagrams and suspensions.
 
 use crate::fleet_harness::{AcceptedAction, FleetHarness, MAX_WAIT, WorkerAction};
 use postproxy::stand_ins::{Worker, send_request};
@@ -7,16 +7,16 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Nodes of the cluster.
+/// Number of nodes in the cluster.
 const NODES: usize = 5;
-/// Workers of the cluster.
+/// Number of workers.
 const WORKERS: usize = 3;
-/// Attempts that the class of the requests allows.
+/// Number of attempts that the class of the requests allows.
 const MAX_ATTEMPTS: u32 = 3;
 
 impl FleetHarness {
-    /// Suspends or resumes a worker at a node. A node that has just started may not know the worker
-    /// yet; an action that it accepts is recorded.
+    /// Suspends or resumes a worker at a node, and records the action if the node accepts it. A
+    /// node that has just started may not know the worker yet, and reject it.
     fn try_worker_action(&mut self, n: usize, worker: usize, action: WorkerAction) {
         let path = format!("/v1/route-workers/w-{worker}/{}", action.name());
         let answer = send_request(self.nodes[n].management_address, "POST", &path, &[], b"")
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Ends all faults: heals the network, wakes stopped processes and starts killed nodes.
+    /// Ends all faults: heals the network, resumes paused processes and starts killed nodes.
     fn end_faults(&mut self) {
         self.run_step(&Step::Heal);
         for n in 0..self.nodes.len() {
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Checks the answers that clients got, and that only nodes with a fault were declared failed.
+    /// Checks the responses that clients received, and that only nodes with a fault were declared
+    /// failed.
     fn check_history(&self, seed: u64) {
         let served = self
             .history
@@ -135,8 +136,8 @@
                 .map(|accepted| accepted.action)
                 .peekable();
             let any = actions.peek().is_some();
-            // A worker that was never resumed is suspended if and only if it was suspended
-            // anywhere.
+            // A worker that was never resumed is suspended if and only if it was suspended at any
+            // node.
             if actions.all(|action| action == WorkerAction::Suspend) {
                 assert_eq!(
                     suspended.contains(&format!("w-{worker}")),
@@ -149,7 +150,7 @@
     }
 }
 
-/// `POSTPROXY_SCHEDULES=FROM..TO` runs other seeds.
+/// The environment variable `POSTPROXY_SCHEDULES=FROM..TO` sets other seeds.
 #[test]
 fn cluster_is_complete_and_agrees_after_any_schedule() {
     let range = std::env::var("POSTPROXY_SCHEDULES").unwrap_or_else(|_| "0..2".into());
--- a/tests/cluster/suspensions.rs
+++ b/tests/cluster/suspensions.rs
@@ -1,4 +1,4 @@
-//! Workers that are suspended for the cluster, over partitions, restarts and disks with faults.
+//! Workers that are suspended for the whole cluster, during partitions, restarts and disk faults.
 
 use crate::STORE_INTERVAL;
 use crate::fleet_harness::{FleetHarness, MAX_WAIT};
@@ -14,11 +14,12 @@
     fleet.wait_until_suspended("w-0 is suspended", &["w-0"]);
     fleet.net.partition(&[0], &[1, 2]);
     fleet.history.note("cut");
-    // Whether or not the partition is known yet, a change holds on its own side only.
+    // Whether or not the partition is detected yet, a change is recorded on its own side only.
     assert_eq!(fleet.resume(0, "w-0"), "yes, at 1 of 3 nodes\n");
     assert_eq!(fleet.suspend(1, "w-1"), "yes, at 2 of 3 nodes\n");
     fleet.suspend(0, "w-1");
-    // A resume that hasn't received the other side's suspend.
+    // The suspend of the other side counts more than this resume, which was made without knowledge
+    // of it.
     fleet.resume(2, "w-1");
     fleet.net.heal();
     fleet.wait_until_complete();
@@ -38,8 +39,8 @@
     fleet.wait_until_suspended("w-1 is resumed", &["w-2"]);
 }
 
-/// The suspensions don't fit a datagram. The streams break, stall or are slow, and one node starts
-/// without a store.
+/// The suspensions don't fit into a datagram, so they are sent over streams, which are reset or
+/// slow. One node starts without a store.
 #[test]
 fn many_suspensions_are_synchronised_over_faulty_streams() {
     let names: Vec<String> = (0..40)
@@ -57,29 +58,29 @@
         max_delay: Duration::from_millis(20),
         ..LinkFaults::default()
     });
-    fleet.history.note("torn");
+    fleet.history.note("streams are reset");
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
-    fleet.wait_until_suspended("torn, and they agree", &all);
+    fleet.wait_until_suspended("they agree although streams are reset", &all);
     fleet.net.set_all_links(LinkFaults {
         max_bytes_per_second: 8 << 10,
         ..LinkFaults::default()
     });
-    fleet.history.note("slow");
+    fleet.history.note("streams are slow");
     fleet.kill(2);
     std::fs::remove_dir_all(fleet.nodes[2].folder.join("store")).expect("its store");
     fleet.start(2);
     fleet.wait_until_complete();
-    fleet.wait_until_suspended("slow, and restarted without a store", &all);
+    fleet.wait_until_suspended("slow streams, and n2 restarted without a store", &all);
     fleet.net.heal();
 }
 
-/// A worker that was suspended at a node before the node had the section `fleet` is suspended for
-/// the cluster, unless the cluster has resumed it.
+/// A worker that was suspended at a node before the section `fleet` was configured there becomes
+/// suspended for the cluster, unless the cluster has resumed it.
 #[test]
 fn earlier_local_suspension_is_adopted_by_the_cluster() {
     let mut fleet = FleetHarness::new(3, 14);
     fleet.kill(1);
-    fleet.lend_listener(1);
+    fleet.open_inherited_listener(1);
     let mut section = serde_json::Value::Null;
     fleet.change_operator_file(1, |json| section = json["fleet"].take());
     fleet.change_operator_file(1, |json| *json = serde_json::json!({}));
@@ -99,13 +100,13 @@
     first.terminate();
     assert!(
         wait_until(MAX_WAIT, || first.exit_success() == Some(true)),
-        "the first one ends"
+        "the first process ends"
     );
-    fleet.wait_until_suspended("still", &["w-1"]);
+    fleet.wait_until_suspended("unchanged after the handover", &["w-1"]);
 }
 
-/// A node that comes back with an older store, on a disk on which each sync takes 2 s, undoes
-/// nothing, and is a member.
+/// A node that restarts with an older copy of its store, on a disk on which each sync takes 2 s,
+/// rejoins the cluster and undoes no change.
 #[test]
 fn older_store_and_slow_disk_change_no_suspension() {
     let mut fleet = FleetHarness::with_stores(3, 15);
@@ -129,7 +130,7 @@
     fleet.wait_until_suspended("the latest changes", &["w-0", "w-2"]);
     fleet.kill(2);
     std::fs::remove_dir_all(&store).expect("its store");
-    std::fs::rename(&older_store, &store).expect("the older one");
+    std::fs::rename(&older_store, &store).expect("the older store");
     fleet.change_operator_file(2, |json| json["store"]["sync_delay_ms"] = 2000.into());
     fleet.history.note("n2 has its older store, on a slow disk");
     fleet.start(2);
@@ -138,7 +139,7 @@
     assert_eq!(
         fleet.resume(2, "w-2"),
         "yes, at 3 of 3 nodes\n",
-        "nor does it wait for the disk"
+        "the caller doesn't wait for the disk"
     );
     fleet.wait_until_suspended("w-2 is resumed", &["w-0"]);
     for n in 0..2 {
@@ -147,8 +148,8 @@
     }
 }
 
-/// A disk that is full, or whose syncs fail, takes no node out of the cluster and keeps no
-/// suspension from it. When it works again, the suspensions are stored.
+/// A node whose disk is full, or whose syncs fail, stays a member and announces suspensions. When
+/// the disk works again, the suspensions are stored.
 #[test]
 fn disk_faults_change_no_member_and_lose_no_suspension() {
     let mut fleet = FleetHarness::with_stores(3, 16);
@@ -179,10 +180,10 @@
         let works = || fleet.count_log_lines(1, "store writable again") == n + 1;
         assert!(wait_until(MAX_WAIT, works), "{}", fleet.describe());
     }
-    // What the disk rejected is written within the same interval.
+    // Changes that could not be written are written again within the same interval.
     std::thread::sleep(STORE_INTERVAL);
     (0..3).for_each(|n| fleet.kill(n));
-    // It starts alone, so it knows what it has stored and nothing else.
+    // The node starts alone, so it can have the suspensions from its store only.
     fleet.start(1);
     fleet.wait_until("restored", &[1], |_, status| {
         status.suspended_workers == ["w-0", "w-1"]
--- a/tests/cluster/trial.rs
+++ b/tests/cluster/trial.rs
@@ -12,7 +12,8 @@
         "{text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    // At this address other programs' connections may take a node's port before the node does.
+    // Connections of other programs from this address may use a node's port before the node binds
+    // it.
     assert!(!text.contains(" 127.0.0.1:"), "{text}");
     for step in [
         "yes, at 3 of 3 nodes",
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many dispatchers over many workers: what is harmless at one dispatcher and harmful at all of
-//! them.
+//! Many dispatchers that share many workers: behaviour that is harmless at one dispatcher and
+//! harmful if all of them have it.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -58,19 +58,20 @@
     (all - own_zone) as f64 / all as f64
 }
 
-/// A dispatcher with few requests learns little of other zones. If all such kept to their zone they
-/// would fill it while the others idle. One with many requests learns of all zones, and stays in
-/// its own while that one is no fuller.
+/// A dispatcher with few requests has few load reports from other zones. If all such dispatchers
+/// preferred their own zone, they would overload it while the other zones are idle. A dispatcher
+/// with many requests has reports from all zones, and prefers its own unless that one is more
+/// loaded.
 #[test]
-fn dispatchers_with_few_requests_do_not_keep_to_their_zone() {
+fn dispatchers_with_few_requests_do_not_prefer_their_zone() {
     let with_few = share_sent_to_other_zones(2);
     let with_many = share_sent_to_other_zones(60);
     assert!(with_few > 0.5, "{with_few}");
     assert!(with_many < 0.15, "{with_many}");
 }
 
-/// The number of dispatchers may be missing from the settings. Requests are sent, also to a cold
-/// worker.
+/// The number of dispatchers may be missing from the settings. Requests are sent with any number of
+/// them, also to a worker in its slow start.
 #[test]
 fn dispatcher_works_with_any_number_of_dispatchers_in_the_settings() {
     for balancers in [None, Some(1), Some(100)] {
@@ -102,12 +103,13 @@
     assert!(error.to_string().contains("balancers"), "{error}");
 }
 
-/// Nothing is sent to them. A held request is sent once discovery has a better list.
+/// Nothing is sent to removed or draining workers. A waiting request is sent once discovery has
+/// returned a list with workers in service.
 #[test]
-fn list_of_workers_that_are_gone_serves_until_a_better_one_comes() {
+fn request_waits_while_all_listed_workers_are_removed_or_draining() {
     let on_request = |s: &mut serde_json::Value| s["discovery"] = "on_request".into();
     let mut harness = DispatcherHarness::new(settings(on_request), 0);
-    let gone_or_draining = (0..60).map(|n| {
+    let removed_or_draining = (0..60).map(|n| {
         let health = if n % 2 == 0 {
             Health::Removed
         } else {
@@ -115,7 +117,8 @@
         };
         entry_with_health(n, health)
     });
-    let mut due = timers_set(&harness.receive_list(ListKind::Cached, gone_or_draining.collect()));
+    let mut due =
+        timers_set(&harness.receive_list(ListKind::Cached, removed_or_draining.collect()));
     let actions = harness.submit(1, 2);
     assert!(workers_sent_to(&actions).is_empty());
     due.extend(timers_set(&actions));
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -37,7 +37,7 @@
         .find(|lease| lease.lease == "bans")
 }
 
-/// Returns which of these nodes may act as the owner of the lease now, as they show themselves.
+/// Returns which of these nodes may act as the owner of the lease now, by their own status.
 fn acting_owners(fleet: &FleetHarness, nodes: &[usize]) -> Vec<usize> {
     nodes
         .iter()
@@ -46,10 +46,10 @@
         .collect()
 }
 
-/// Waits until exactly one of these nodes may act as the owner of the lease and shows itself as its
-/// owner, under a token above this one, and returns the node and the token. Whether a node may act
-/// and under which token is read from one answer of it. With two answers, a node that stops acting
-/// in between could be taken for the holder of the next owner's token.
+/// Waits until exactly one of these nodes may act as the owner of the lease and names itself as its
+/// owner, with a token above this one, and returns the node and the token. Whether a node may act
+/// and with which token is read from one response: with two, a node whose lease expires in between
+/// could be paired with the token of the next owner.
 fn wait_for_owner(fleet: &FleetHarness, what: &str, nodes: &[usize], above: u64) -> (usize, u64) {
     let mut found = None;
     let is_owned = wait_until(MAX_WAIT, || {
@@ -84,7 +84,7 @@
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
-/// Returns each token that any of the logs names, with the nodes that have acquired the lease under
+/// Returns each token that any of the logs names, with the nodes that have acquired the lease with
 /// it.
 fn logged_tokens(fleet: &FleetHarness) -> BTreeMap<u64, Vec<usize>> {
     let mut tokens = BTreeMap::<u64, Vec<usize>>::new();
@@ -106,12 +106,12 @@
     tokens
 }
 
-/// Tokens only grow, and each has one owner: over a kill, a pause of the owner, a cut, and the
-/// death of all nodes at once with a start in another order. Without a majority nobody owns
-/// anything, and everything resumes without help. One long scenario, because each fault needs the
-/// owner that the one before has led to.
+/// Tokens only grow, and each has one owner, while the owner is killed, paused and partitioned, and
+/// after all nodes are killed and started in another order. Without a majority no lease has an
+/// owner; once there is one again, the lease is acquired without an operator. One long scenario,
+/// because each fault needs the owner that the one before has led to.
 #[test]
-fn a_lease_has_one_owner_over_kills_pauses_cuts_and_the_death_of_all() {
+fn a_lease_has_one_owner_over_kills_pauses_partitions_and_a_restart_of_all() {
     let mut fleet = start_fleet(4, 3, 31);
     let all = [0, 1, 2, 3];
     let (first, token) = wait_for_owner(&fleet, "an owner", &all, 0);
@@ -128,7 +128,7 @@
         "the pause is logged: {}",
         fleet.describe()
     );
-    // An owner that is cut off stops at its lease's end, and the others go on.
+    // A partitioned owner stops acting when its lease expires, and another node acquires the lease.
     let others: Vec<usize> = all.into_iter().filter(|n| *n != third).collect();
     fleet.net.partition(&[third], &others);
     fleet.history.note(format!("cut off n{third}"));
@@ -165,7 +165,7 @@
     for n in [3, 1, 2, 0] {
         fleet.start(n);
     }
-    let (_, last) = wait_for_owner(&fleet, "an owner after all died", &all, token);
+    let (_, last) = wait_for_owner(&fleet, "an owner after all were killed", &all, token);
     assert!(
         voters
             .iter()
@@ -185,10 +185,10 @@
     );
 }
 
-/// A voter that restarts with an empty store does not vote under its old number: it shows that, is
-/// added anew by a call, and votes. A membership change that would leave no majority is rejected
-/// with a remedy. One long scenario, because the last changes need the voters that the first have
-/// made.
+/// A voter that restarts with an empty store does not vote under its old number: its status shows
+/// that, an operator adds it as a new voter, and it votes again. A membership change that would
+/// leave no majority is rejected with an error code. One long scenario, because the later changes
+/// need the voters that the earlier ones have added.
 #[test]
 fn a_voter_without_its_store_is_added_anew_and_no_change_loses_the_majority() {
     let mut fleet = start_fleet(4, 3, 32);
@@ -228,7 +228,7 @@
     assert!(
         wait_until(MAX_WAIT, || node_status(&fleet, 2)
             .is_some_and(|status| status.is_voter)),
-        "it votes anew: {}",
+        "it votes again: {}",
         fleet.describe()
     );
     let voter = node_status(&fleet, 0)
@@ -246,12 +246,13 @@
         "{}",
         fleet.describe()
     );
-    let shown = |p: &ClusterStatus| {
-        p.members.iter().filter(|m| m.is_voter).count() == 4
-            && p.members.iter().filter(|m| m.is_leader).count() == 1
+    let has_four_voters_and_a_leader = |status: &ClusterStatus| {
+        let members = &status.members;
+        members.iter().filter(|member| member.is_voter).count() == 4
+            && members.iter().filter(|member| member.is_leader).count() == 1
     };
-    fleet.wait_until("four vote, one leads", &[0, 1, 2, 3], |_, picture| {
-        shown(picture)
+    fleet.wait_until("four voters, one leader", &[0, 1, 2, 3], |_, status| {
+        has_four_voters_and_a_leader(status)
     });
     assert_eq!(post(&fleet, 1, "/v1/fleet/voters/n3/remove").0, 200);
     assert!(
@@ -261,7 +262,7 @@
         fleet.describe()
     );
     fleet.kill(1);
-    let dead = || {
+    let is_unheard = || {
         node_status(&fleet, 0).is_some_and(|status| {
             status
                 .voters
@@ -269,7 +270,7 @@
                 .any(|voter| voter.node == "n1" && voter.recently_heard == Some(false))
         })
     };
-    assert!(wait_until(MAX_WAIT, dead), "{}", fleet.describe());
+    assert!(wait_until(MAX_WAIT, is_unheard), "{}", fleet.describe());
     let (status, text) = post(&fleet, 0, "/v1/fleet/voters/n2/remove");
     assert_eq!(
         (status, error_body(&text).code.as_str()),
@@ -291,8 +292,8 @@
     );
 }
 
-/// A lease can be transferred and released at any node, and does not return to the node that was
-/// made to release it.
+/// A lease can be transferred and released through the management API of any node, and does not
+/// return to the node that was made to release it.
 #[test]
 fn a_lease_is_transferred_and_released_at_any_node() {
     let fleet = start_fleet(3, 3, 33);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,6 @@
-//! A node that is stopped while requests are in each of their states. Real connections; each test
-//! waits until the node has handled the signal, so that the order of events is forced.
+//! A node that is stopped while requests are in each of their states. The tests use real
+//! connections, and wait until the node has handled the signal, so that the order of events is
+//! forced.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -15,8 +16,8 @@
     }
 }
 
-/// Has the worker call back with a result, and checks that the client gets it on a connection that
-/// ends then.
+/// Posts the worker's callback with a result, and checks that the client gets this result and that
+/// its connection is closed after it.
 fn complete_and_check(harness: &NodeHarness, id: &str, client: &mut TestSocket) {
     assert_eq!(
         harness.post_callback(id, 0, r#""state":"done","result":"r""#),
@@ -28,17 +29,21 @@
         (200, &b"r"[..], false),
         "{id}"
     );
-    assert!(client.is_closed(), "{id}: nothing more is sent");
+    assert!(
+        client.is_closed(),
+        "{id}: nothing is sent after the response"
+    );
 }
 
-/// Guards against a request that is dropped, answered without a worker's result, or sent twice,
-/// because the signal came while it was half read, waited for a worker, was sent and not accepted,
-/// or was accepted. The function is long because it is one scenario, step after step.
+/// Guards against a request that is dropped, answered without a worker's result, or sent twice
+/// because the signal arrived while the request was half read, waited for a worker, was sent and
+/// not accepted yet, or was accepted. The function is long because it is one scenario of many
+/// steps.
 #[test]
 fn a_request_in_any_state_gets_exactly_one_answer() {
     let mut harness = NodeHarness::new(1, 256);
-    // The first call to discovery is answered: otherwise it would time out after 2.2 s, and the
-    // first request be sent only then.
+    // The first poll of discovery is answered: otherwise it would time out after 2.2 s, and the
+    // first request would be sent only then.
     let mut discovery = TestSocket::accept(&harness.discovery);
     discovery.read_request();
     send_worker_list(
@@ -84,7 +89,7 @@
             worker_entry_json(0, at, "in_service")
         ),
     );
-    // Both waiting requests are sent now, once each, one of them on the pooled connection.
+    // Both waiting requests are sent now, each once, and one of them on the pooled connection.
     let mut second = TestSocket::accept(&harness.workers[0]);
     let mut ids: Vec<String> = [&mut first, &mut second]
         .map(|worker| {
@@ -111,8 +116,8 @@
     );
 }
 
-/// Guards against a node that does not end, or leaves its client without an answer, because a
-/// worker hangs: it has read or accepted the request, and does not call back.
+/// Guards against a node that does not exit, or does not answer its client, because a worker hangs:
+/// the worker has read or accepted the request, and sends no callback.
 #[test]
 fn a_hanging_worker_delays_the_end_no_longer_than_the_deadline() {
     let mut harness = NodeHarness::new(1, 256);
@@ -149,23 +154,23 @@
     );
 }
 
-/// Guards against a request that reaches a worker although its connection was closed before it was
-/// read: clients that keep sending on every open connection get one answer for each request that
-/// the node has read, and an orderly end.
+/// Guards against requests that are lost, sent twice or left unanswered because clients continue to
+/// send on open connections during the shutdown: each request that the node has read is answered
+/// once, and then its connection is closed in good order.
 #[test]
-fn clients_that_keep_sending_get_an_answer_or_an_end() {
+fn clients_that_keep_sending_get_each_request_answered_before_the_close() {
     let mut harness = NodeHarness::new(1, 256);
     let mut clients: Vec<TestSocket> = (0..8).map(|_| TestSocket::connect(harness.node)).collect();
     for client in &mut clients {
         assert_eq!(client.request_status("GET /-/ready HTTP/1.1\r\n\r\n"), 200);
     }
     stop_node(&mut harness);
-    // Two requests at once on idle connections: both are read, so that both get an answer; the last
-    // one ends the connection.
+    // Two requests at once on each idle connection: both are read, so that both are answered; the
+    // connection is closed after the last response.
     for (number, client) in clients.iter_mut().enumerate() {
         client.stream.set_nodelay(true).expect("a setting");
         client.submit_request(&format!("first-{number}"));
-        client.submit_request(&format!("behind-{number}"));
+        client.submit_request(&format!("second-{number}"));
     }
     harness.wait_for_two_turns();
     let mut ids = Vec::new();
--- a/tests/version_tracking.rs
+++ b/tests/version_tracking.rs
@@ -33,7 +33,8 @@
     OtherDiscovery,
 }
 
-/// Starts nodes of which the last one polls a discovery of its own, whose list never changes.
+/// Starts nodes of which the last one polls a discovery service of its own, whose list never
+/// changes.
 fn start_cluster(seed: u64, audit: AuditSection) -> (FleetHarness, Discovery) {
     let workers = ["w-0", "w-1", "w-2"].map(str::to_owned);
     let stuck_address = SocketAddr::new(loopback_addresses(1)[0], 8500);
@@ -44,20 +45,20 @@
         AuditSection::OtherDiscovery => sections["audit"] = serde_json::json!({}),
     }
     let fleet = FleetHarness::with_sections(NODES, seed, false, &workers, &sections);
-    // It needs the addresses of the workers, which the cluster starts. Its node polls it until it
-    // is there.
+    // This discovery service needs the addresses of the workers, which the cluster starts, so it is
+    // started after its node, which polls until it answers.
     let stuck_discovery = Discovery::start_at(stuck_address, &fleet.workers).expect("discovery");
     (fleet, stuck_discovery)
 }
 
-/// Returns what a node answers on the versions of all nodes, its own first.
+/// Returns the versions of all nodes from the management API of a node, its own first.
 fn versions(fleet: &FleetHarness, node: usize) -> Option<serde_json::Value> {
-    let door = fleet.nodes[node].management_address;
-    let response = send_request(door, "GET", "/v1/fleet/versions", &[], b"").ok()?;
+    let management = fleet.nodes[node].management_address;
+    let response = send_request(management, "GET", "/v1/fleet/versions", &[], b"").ok()?;
     serde_json::from_slice(&response.body).ok()
 }
 
-/// Returns the number of the worker list that a node acts on.
+/// Returns the number of the worker list that a node uses.
 fn worker_list_number(fleet: &FleetHarness, node: usize) -> Option<u64> {
     let nodes = versions(fleet, node)?;
     nodes[0]["versions"]
@@ -67,8 +68,8 @@
         .as_u64()
 }
 
-/// Whether all nodes act on the worker list with this number.
-fn all_act_on(fleet: &FleetHarness, number: u64) -> bool {
+/// Returns whether all nodes use the worker list with this number.
+fn all_use(fleet: &FleetHarness, number: u64) -> bool {
     (0..NODES).all(|node| worker_list_number(fleet, node) == Some(number))
 }
 
@@ -92,9 +93,9 @@
     })
 }
 
-/// Drains a worker in the cluster's discovery while clients send requests to the stuck node.
-/// Returns how long after that the last attempt went to this worker within `observed`; `None` if
-/// there was none.
+/// Drains a worker in the cluster's discovery while clients send requests to the stuck node, and
+/// observes the worker for the time `observed`. Returns the time from the drain until the last
+/// attempt at this worker; `None` if there was none.
 fn last_attempt_after_drain(fleet: &FleetHarness, observed: Duration) -> Option<Duration> {
     let stopped = Arc::new(AtomicBool::new(false));
     let node = fleet.nodes[STUCK_NODE].client_address;
@@ -124,31 +125,31 @@
         .into_iter()
         .for_each(|client| client.join().expect("a client"));
     fleet.history.note(format!(
-        "the last attempt came {last_attempt:?} after the drain"
+        "the last attempt was made {last_attempt:?} after the drain"
     ));
     last_attempt
 }
 
-/// A node that is behind gets the newer list from a peer and acts on it: no attempt goes to the
-/// drained worker any more.
+/// A node that is behind gets the newer list from a peer and uses it: no further attempt is made at
+/// the drained worker.
 #[test]
 fn a_node_whose_discovery_is_stuck_catches_up_from_its_peers() {
     let (fleet, _stuck_discovery) = start_cluster(41, AuditSection::SameDiscovery);
     assert!(
-        wait_until(MAX_WAIT, || all_act_on(&fleet, 1)),
-        "not all act on list 1: {}",
+        wait_until(MAX_WAIT, || all_use(&fleet, 1)),
+        "not all nodes use list 1: {}",
         fleet.describe()
     );
     let last = last_attempt_after_drain(&fleet, Duration::from_secs(5));
-    println!("the last attempt came {last:?} after the drain");
+    println!("the last attempt was made {last:?} after the drain");
     assert!(
         last.is_none_or(|last| last < Duration::from_secs(2)),
         "{last:?}: {}",
         fleet.describe()
     );
     assert!(
-        wait_until(MAX_WAIT, || all_act_on(&fleet, 2)),
-        "not all act on list 2: {}",
+        wait_until(MAX_WAIT, || all_use(&fleet, 2)),
+        "not all nodes use list 2: {}",
         fleet.describe()
     );
     assert!(
@@ -159,11 +160,11 @@
     check_audit_log(&fleet);
 }
 
-/// The audit log of the stuck node names the peer that the list came from, and counts the actions
-/// under each view.
+/// Checks that the audit log of the stuck node names the peer that sent the list, and counts the
+/// actions under each view.
 fn check_audit_log(fleet: &FleetHarness) {
-    let door = fleet.nodes[STUCK_NODE].management_address;
-    let response = send_request(door, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
+    let management = fleet.nodes[STUCK_NODE].management_address;
+    let response = send_request(management, "GET", "/v1/fleet/audit", &[], b"").expect("an answer");
     let log: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     let entries = log["records"].as_array().expect("records");
     let adopted = entries
@@ -173,7 +174,7 @@
     let peer = adopted.and_then(|entry| entry["what"]["adopted"][2]["peer"].as_str());
     assert!(
         peer.is_some_and(|peer| peer.starts_with('n')),
-        "from which peer: {log}"
+        "the entry names the peer: {log}"
     );
     let earlier_actions: u64 = entries
         .iter()
@@ -181,24 +182,24 @@
         .sum();
     assert!(
         earlier_actions > 5 && log["acts"].as_u64() > Some(5),
-        "actions under the views before, and since: {log}"
+        "actions under the earlier views and under the latest one: {log}"
     );
 }
 
-/// A node ignores lists of a discovery that its own configuration doesn't name, and goes on sending
-/// to the drained worker; so it does without the section `audit`.
+/// A node ignores lists from another discovery than its own, and continues to use the drained
+/// worker; without the section `audit`, nodes send no lists to each other, with the same result.
 #[test]
 fn lists_of_another_discovery_are_ignored_and_without_the_audit_none_are_passed_on() {
     let (fleet, _stuck_discovery) = start_cluster(42, AuditSection::OtherDiscovery);
     assert!(
-        wait_until(MAX_WAIT, || all_act_on(&fleet, 1)),
-        "not all act on list 1: {}",
+        wait_until(MAX_WAIT, || all_use(&fleet, 1)),
+        "not all nodes use list 1: {}",
         fleet.describe()
     );
     let last = last_attempt_after_drain(&fleet, Duration::from_secs(4));
     assert!(
         last > Some(Duration::from_secs(3)),
-        "it has another discovery: {last:?}: {}",
+        "lists of another discovery are ignored: {last:?}: {}",
         fleet.describe()
     );
     assert_eq!(
@@ -216,7 +217,8 @@
         "{last:?}: {}",
         fleet.describe()
     );
-    let door = fleet.nodes[0].management_address;
-    let response = send_request(door, "GET", "/v1/fleet/versions", &[], b"").expect("an answer");
+    let management = fleet.nodes[0].management_address;
+    let response =
+        send_request(management, "GET", "/v1/fleet/versions", &[], b"").expect("an answer");
     assert_eq!(response.status, 404);
 }
