--- a/tests/support/fleet_harness.rs
+++ b/tests/support/fleet_harness.rs
@@ -1,4 +1,5 @@
-//! A cluster of processes of the real program, with relays between them that can fail.
+//! A cluster of processes of the real program, connected through proxies that inject network
+//! faults.
 #![allow(dead_code)]
 
 use postproxy::net::cluster::service::ClusterStatus;
@@ -21,7 +22,7 @@
 /// A node of the cluster.
 pub struct Node {
     pub name: String,
-    /// `None` while it doesn't run.
+    /// `None` while the node doesn't run.
     pub process: Option<Process>,
     /// Address of the listener for clients.
     pub client_address: SocketAddr,
@@ -29,7 +30,7 @@
     pub management_address: SocketAddr,
     /// Folder of its configuration, log and store.
     pub folder: PathBuf,
-    /// Listener for clients that outlives the node's processes, if there is one.
+    /// Listener for clients that the node's processes inherit, if there is one.
     pub listener: Option<Socket>,
 }
 
@@ -50,22 +51,23 @@
     }
 }
 
-/// An action that a node has accepted.
+/// A suspend or resume that a node has accepted.
 pub struct AcceptedAction {
     /// Number of the worker.
     pub worker: usize,
     pub action: WorkerAction,
 }
 
-/// A cluster with one discovery service and some workers. Nodes reach each other through relays.
+/// A cluster with its workers and a discovery service. Nodes reach each other through proxies only.
 pub struct FleetHarness {
     pub nodes: Vec<Node>,
+    /// The proxies between the nodes.
     pub net: FaultyNetwork,
     pub history: History,
     pub folder: PathBuf,
     pub workers: Vec<Worker>,
     pub accepted_actions: Vec<AcceptedAction>,
-    /// The discovery service of all nodes that have none of their own.
+    /// The discovery service of all nodes that don't have one of their own.
     pub discovery: Discovery,
 }
 
@@ -131,7 +133,7 @@
         &self,
         fleet_section: serde_json::Value,
         sections: &serde_json::Value,
-        stored: bool,
+        has_store: bool,
     ) -> serde_json::Value {
         let mut operator = serde_json::json!({"fleet": fleet_section});
         for (name, section) in sections.as_object().into_iter().flatten() {
@@ -139,7 +141,7 @@
                 operator[name] = section.clone();
             }
         }
-        if stored {
+        if has_store {
             let store = self.folder.join("store").display().to_string();
             operator["store"] = serde_json::json!({"folder": store});
         }
@@ -168,12 +170,12 @@
     }
 
     /// Starts a cluster with these sections of the operator's file. Two keys aren't sections:
-    /// `voters` is the number of nodes that vote, instead of all; `discovery_of` has the addresses
-    /// of discovery services of single nodes.
+    /// `voters` is the number of voters, if not all nodes are voters; `discovery_of` maps the
+    /// numbers of nodes with a discovery service of their own to its address.
     pub fn with_sections(
         count: usize,
         seed: u64,
-        stored: bool,
+        has_store: bool,
         names: &[String],
         sections: &serde_json::Value,
     ) -> Self {
@@ -190,11 +192,11 @@
         }
         let cluster_addresses: Vec<SocketAddr> =
             ips.iter().map(|ip| SocketAddr::new(*ip, 7946)).collect();
-        let net = FaultyNetwork::start(&cluster_addresses, seed).expect("relays");
+        let net = FaultyNetwork::start(&cluster_addresses, seed).expect("proxies");
         let mut seeds: Vec<String> = (0..count.min(3))
             .map(|n| net.proxy_address(n).to_string())
             .collect();
-        // A seed that never answers. The node itself is among the seeds as well.
+        // A seed that never answers. Each of the first three nodes is also its own seed.
         seeds.insert(0, "127.0.0.1:9".into());
         let voter_count = sections["voters"]
             .as_u64()
@@ -214,7 +216,7 @@
                 "seeds": seeds,
                 "voters": voters,
             });
-            let operator = node.operator_file(fleet_section, sections, stored);
+            let operator = node.operator_file(fleet_section, sections, has_store);
             node.write_json("operator.json", &operator);
             nodes.push(node);
         }
@@ -273,8 +275,8 @@
         );
     }
 
-    /// Starts a client that sends one request after another to the nodes in turn, and records the
-    /// answers, until `stop` is set.
+    /// Starts a client that sends one request after another to the nodes in turn and records the
+    /// responses, until `stop` is set.
     pub fn spawn_client(
         &self,
         number: usize,
@@ -342,7 +344,7 @@
         self.nodes[n].process = None;
     }
 
-    /// Stops the processes of these nodes for a time.
+    /// Pauses the processes of these nodes for this time.
     pub fn pause(&mut self, nodes: &[usize], time: Duration) {
         self.history.note(format!("pause {nodes:?} for {time:?}"));
         nodes.iter().for_each(|n| self.process(*n).pause());
@@ -386,7 +388,8 @@
             .collect()
     }
 
-    /// Waits until a condition holds for the status of the cluster at each of these nodes.
+    /// Waits until a condition holds for the status of the cluster at each of these nodes. The text
+    /// names the condition in the history and in a failure message.
     pub fn wait_until(
         &self,
         condition: &str,
@@ -427,12 +430,12 @@
         });
     }
 
-    /// Suspends a worker at a node. Returns the answer's text.
+    /// Suspends a worker at a node. Returns the body of the response.
     pub fn suspend(&self, n: usize, worker: &str) -> String {
         self.change_worker(n, worker, WorkerAction::Suspend)
     }
 
-    /// Resumes a worker at a node. Returns the answer's text.
+    /// Resumes a worker at a node. Returns the body of the response.
     pub fn resume(&self, n: usize, worker: &str) -> String {
         self.change_worker(n, worker, WorkerAction::Resume)
     }
@@ -456,8 +459,8 @@
         log.lines().filter(|line| line.contains(text)).count()
     }
 
-    /// Describes what has happened and what each running node sees and has logged, for the message
-    /// of a failed assertion.
+    /// Returns the history, and the status and the log of each running node, for the message of a
+    /// failed assertion.
     pub fn describe(&self) -> String {
         let describe_node = |n: &usize| {
             let log = std::fs::read_to_string(self.nodes[*n].folder.join("log"));
--- a/tests/support/node_harness.rs
+++ b/tests/support/node_harness.rs
@@ -1,5 +1,5 @@
-//! A whole node on loopback: the test acts as client, worker and discovery in turn, on blocking
-//! sockets.
+//! A whole node on loopback: the test acts as client, worker and discovery service in turn, on
+//! blocking sockets.
 #![allow(dead_code)]
 
 use postproxy::net::transport::http::{self, ParseStatus, Request, Response};
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How long a test waits for anything; nothing in these tests takes nearly so long.
+/// Longest time that a test waits for an event; it usually takes much less.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// A request of the readiness check.
 pub const READINESS_CHECK: &str = "GET /-/ready HTTP/1.1\r\n\r\n";
@@ -20,7 +20,7 @@
 /// A response without a body.
 pub const EMPTY_OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// The test's side of a connection, with what has been read and not consumed.
+/// The test's side of a connection, with the bytes that have been read and not consumed.
 pub struct TestSocket {
     pub stream: TcpStream,
     pub input: Vec<u8>,
@@ -51,8 +51,8 @@
             .expect("it is written");
     }
 
-    /// Reads more bytes; returns whether there is any input, which there is not at the end of the
-    /// connection.
+    /// Reads more bytes; returns whether there is any input, which is not so if the connection has
+    /// ended.
     pub fn read_more(&mut self) -> bool {
         let mut bytes = [0; 4096];
         match self.stream.read(&mut bytes) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Reads a response; `None` if the connection ends or fails before.
+    /// Reads a response; returns `None` if the connection ends or fails before it is complete.
     pub fn try_read_response(&mut self) -> Option<Response> {
         loop {
             let status = http::read_response(&self.input, false, http::MAX_BODY_BYTES).ok()?;
@@ -109,7 +109,7 @@
         self.read_response().status
     }
 
-    /// Sends a request for the workers with this id, which does not wait longer than 5 s.
+    /// Sends a request with this id and a deadline of 5 s that is to be forwarded to a worker.
     pub fn submit_request(&mut self, id: &str) {
         self.write(&format!(
             "POST /render/a?b=c HTTP/1.1\r\nHost: x\r\nX-Request-Id: {id}\r\nX-Deadline: 5.0\r\n\
@@ -117,7 +117,7 @@
         ));
     }
 
-    /// Waits for the next bytes or the end; returns whether it was the end.
+    /// Waits for the next bytes or the end of the connection; returns whether it has ended.
     pub fn is_closed(&mut self) -> bool {
         self.input.clear();
         !self.read_more()
@@ -126,21 +126,22 @@
 
 /// A running node, and the listeners of its workers and of its discovery.
 pub struct NodeHarness {
-    /// The clients' address of the node.
+    /// The address on which the node listens for clients.
     pub node: SocketAddr,
     pub workers: Vec<TcpListener>,
     pub discovery: TcpListener,
-    /// A byte on it has the node shut down.
+    /// A byte on this stream signals the node to stop.
     pub stop: UnixStream,
-    /// A byte on it has the node reload its configuration.
+    /// A byte on this stream signals the node to reload its configuration.
     pub reload: UnixStream,
-    /// The address of discovery that the next reload finds; `None` for no configuration.
+    /// The address of discovery in the configuration that the next reload reads; `None` for no
+    /// configuration.
     pub reloaded_discovery: Arc<Mutex<Option<SocketAddr>>>,
     pub thread: JoinHandle<()>,
 }
 
-/// A listener on loopback. Its time limit holds for accepting too, so that a missing connection
-/// fails the test.
+/// Returns a listener on loopback. Its time limit holds for accepting too, so that a missing
+/// connection fails the test.
 pub fn bind_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     socket2::SockRef::from(&listener)
@@ -149,14 +150,14 @@
     listener
 }
 
-/// An entry of discovery's worker list.
+/// Returns an entry of discovery's worker list.
 pub fn worker_entry_json(id: usize, at: SocketAddr, phase: &str) -> String {
     format!(
         r#"{{"id":"s-{id}","host_port":"{at}","locality":"riga","flavor":"m2","cell":1,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
     )
 }
 
-/// The configuration of a node with this discovery and these entries of workers.
+/// Returns the configuration of a node with this discovery and these entries of workers.
 fn config_json(sockets: usize, discovery: SocketAddr, workers: &[String]) -> serde_json::Value {
     let workers = workers.join(",");
     let text = format!(
@@ -175,13 +176,13 @@
 }
 
 impl NodeHarness {
-    /// A node with this number of workers, which may have this number of sockets.
+    /// Starts a node with this number of workers and this limit of sockets.
     pub fn new(workers: usize, sockets: usize) -> Self {
         Self::with_unreachable_workers(workers, sockets, &[], 60.0)
     }
 
-    /// A node whose list has further workers for which the test does not listen, and that closes
-    /// idle connections to workers after this number of seconds.
+    /// Starts a node whose list also has workers at addresses on which the test doesn't listen, and
+    /// that closes idle connections to workers after this number of seconds.
     pub fn with_unreachable_workers(
         workers: usize,
         sockets: usize,
@@ -193,7 +194,7 @@
         })
     }
 
-    /// A node with changed settings.
+    /// Starts a node with changed settings.
     pub fn with_settings(
         workers: usize,
         sockets: usize,
@@ -256,21 +257,21 @@
         TestSocket::accept(&self.workers[worker])
     }
 
-    /// The address of a worker.
+    /// Returns the address of a worker.
     pub fn worker_address(&self, worker: usize) -> SocketAddr {
         local_address(&self.workers[worker])
     }
 
-    /// Whether the node has connected to a worker and the test has not accepted that. The worker's
-    /// listener doesn't block any more after this.
+    /// Returns whether there is a connection to a worker that the test has not accepted yet. Sets
+    /// the worker's listener to non-blocking mode.
     pub fn has_pending_connection(&self, worker: usize) -> bool {
         let listener = &self.workers[worker];
         listener.set_nonblocking(true).expect("a setting");
         listener.accept().is_ok()
     }
 
-    /// Posts a worker's call-back with these further members of its JSON; returns the status code
-    /// of the response.
+    /// Posts a worker's callback with these further members of its JSON; returns the status code of
+    /// the response.
     pub fn post_callback(&self, id: &str, from: usize, state: &str) -> u16 {
         let body = format!(r#"{{"id":"{id}","from":"s-{from}",{state}}}"#);
         let size = body.len();
@@ -279,21 +280,22 @@
         ))
     }
 
-    /// Posts the call-back of a worker that has done its job, with the result `r`; returns the
+    /// Posts the callback of a worker that has done its job, with the result `r`; returns the
     /// status code of the response.
     pub fn report_done(&self, id: &str, from: usize) -> u16 {
         self.post_callback(id, from, r#""state":"done","result":"r""#)
     }
 
-    /// Waits until the node has handled all that had arrived before: two whole turns of its event
-    /// loop.
+    /// Waits until the node has handled all input that had arrived before: two whole turns of its
+    /// event loop.
     pub fn wait_for_two_turns(&self) {
         for _ in 0..2 {
             assert!(self.connect().request_status(READINESS_CHECK) > 0);
         }
     }
 
-    /// Signals a reload, which finds discovery at this listener; `None` finds no configuration.
+    /// Signals a reload to a configuration whose discovery is this listener; with `None` the reload
+    /// finds no configuration.
     pub fn reload(&mut self, discovery: Option<&TcpListener>) {
         *self.reloaded_discovery.lock().expect("a lock") = discovery.map(local_address);
         self.reload.write_all(b"x").expect("a signal");
@@ -318,8 +320,8 @@
     }
 }
 
-/// Whether a request to discovery waits for changes since this revision, for about 3 s: no longer
-/// than a missed change may stay unknown.
+/// Returns whether a request to discovery waits for changes since this revision, and for about 3 s,
+/// which is the longest time for which a missed change may stay unknown.
 pub fn is_watch_request(target: &str, revision: u64) -> bool {
     let timeout = target.strip_prefix(&format!("/api/targets?since={revision}&timeout_ms="));
     timeout
