--- a/tests/data_directory/jobs.rs
+++ b/tests/data_directory/jobs.rs
@@ -1,18 +1,20 @@
-//! The job records of the fixture: one for each stage and each outcome of an attempt.
+//! The job records of the fixture: at least one for each stage of a job and each outcome of an
+//! attempt.
 
 use postproxy_idempotency::{AttemptFailure, Limits, RequestIdentity, RequestLog, Write};
 use postproxy_store::{Change, Engine, Options, OsDisk};
 use sha2::{Digest, Sha256};
 use std::path::Path;
 
-/// When the jobs were asked for, in seconds of Unix time: the beginning of 2100.
-const ASKED: f64 = 4_102_444_800.0;
-/// The same of a job that has expired long ago: the beginning of 2001.
-const ASKED_LONG_AGO: f64 = 978_307_200.0;
-/// Longest result that is kept, in bytes.
-const LONGEST_RESULT: usize = 64;
+/// Time at which the jobs were submitted, in seconds of Unix time: the beginning of 2100, so that
+/// they don't expire.
+const SUBMITTED_AT: f64 = 4_102_444_800.0;
+/// Time at which the expired job was submitted: the beginning of 2001.
+const EXPIRED_SUBMITTED_AT: f64 = 978_307_200.0;
+/// Longest result that is stored, in bytes.
+const MAX_RESULT_BYTES: usize = 64;
 
-/// A job as a client asks for it.
+/// A job as a client submits it.
 pub struct Job {
     pub id: &'static str,
     pub key: Option<&'static str>,
@@ -65,7 +67,7 @@
     }
 }
 
-/// A store that a ledger's writes go to.
+/// A request log, and the store to which its writes go.
 struct Writer {
     log: RequestLog,
     engine: Engine<OsDisk>,
@@ -74,7 +76,7 @@
 impl Writer {
     fn open(folder: &Path) -> Self {
         let limits = Limits {
-            max_result_bytes: LONGEST_RESULT,
+            max_result_bytes: MAX_RESULT_BYTES,
             ..Limits::default()
         };
         let disk = OsDisk::new(folder).expect("a folder");
@@ -110,12 +112,12 @@
         self.engine.commit().expect("durable");
     }
 
-    fn send(&mut self, job: &Job, worker: &str) {
-        self.send_at(ASKED, job, worker);
+    fn record_attempt(&mut self, job: &Job, worker: &str) {
+        self.record_attempt_at(SUBMITTED_AT, job, worker);
     }
 
-    fn send_at(&mut self, now: f64, job: &Job, worker: &str) {
-        let asked = RequestIdentity {
+    fn record_attempt_at(&mut self, now: f64, job: &Job, worker: &str) {
+        let request = RequestIdentity {
             id: job.id,
             idempotency_key: job.key,
             class: job.class,
@@ -123,11 +125,11 @@
         };
         let writes = self
             .log
-            .record_attempt_intent(now, &asked, worker, now + 12.0);
+            .record_attempt_intent(now, &request, worker, now + 12.0);
         self.write(writes);
     }
 
-    fn attempt_ended(&mut self, job: &Job, attempt: usize, may_have_run: bool) {
+    fn record_attempt_ended(&mut self, job: &Job, attempt: usize, may_have_run: bool) {
         let failure = if may_have_run {
             AttemptFailure::MayHaveRun
         } else {
@@ -135,17 +137,19 @@
         };
         let writes = self
             .log
-            .record_attempt_ended(ASKED, job.id, attempt, failure);
+            .record_attempt_ended(SUBMITTED_AT, job.id, attempt, failure);
         self.write(writes);
     }
 
-    fn served(&mut self, job: &Job, result: &str) {
-        let writes = self.log.record_served(ASKED, job.id, result.as_bytes());
+    fn record_served(&mut self, job: &Job, result: &str) {
+        let writes = self
+            .log
+            .record_served(SUBMITTED_AT, job.id, result.as_bytes());
         self.write(writes);
     }
 
-    fn over(&mut self, job: &Job) {
-        let writes = self.log.record_finished(ASKED, job.id);
+    fn record_finished(&mut self, job: &Job) {
+        let writes = self.log.record_finished(SUBMITTED_AT, job.id);
         self.write(writes);
     }
 }
@@ -153,26 +157,26 @@
 /// Writes the jobs to a store.
 pub fn add_to_store(folder: &Path) {
     let mut writer = Writer::open(folder);
-    writer.send(&SERVED, "s-0");
-    writer.served(&SERVED, "SERVED PLAN");
-    writer.send(&SERVED_TOO_LONG, "s-0");
-    writer.served(&SERVED_TOO_LONG, &"LONG PLAN ".repeat(LONGEST_RESULT));
-    writer.send(&FAILED, "s-1");
-    writer.attempt_ended(&FAILED, 0, true);
-    writer.over(&FAILED);
-    writer.send(&IN_DOUBT, "s-0");
-    writer.send(&IN_DOUBT_AT_SECOND, "s-1");
-    writer.attempt_ended(&IN_DOUBT_AT_SECOND, 0, false);
-    writer.send(&IN_DOUBT_AT_SECOND, "s-0");
-    writer.send(&NEVER_RAN, "s-2");
-    writer.attempt_ended(&NEVER_RAN, 0, false);
-    writer.send(&ATTEMPT_ENDED, "s-0");
-    writer.attempt_ended(&ATTEMPT_ENDED, 0, true);
-    writer.send(&TOKEN_SERVED, "s-1");
-    writer.attempt_ended(&TOKEN_SERVED, 0, true);
-    writer.send(&TOKEN_SERVED, "s-0");
-    writer.served(&TOKEN_SERVED, "NEW ROUTE");
-    writer.send(&WITHOUT_KEY, "s-2");
-    writer.served(&WITHOUT_KEY, "KEYLESS PLAN");
-    writer.send_at(ASKED_LONG_AGO, &EXPIRED, "s-2");
+    writer.record_attempt(&SERVED, "s-0");
+    writer.record_served(&SERVED, "SERVED PLAN");
+    writer.record_attempt(&SERVED_TOO_LONG, "s-0");
+    writer.record_served(&SERVED_TOO_LONG, &"LONG PLAN ".repeat(MAX_RESULT_BYTES));
+    writer.record_attempt(&FAILED, "s-1");
+    writer.record_attempt_ended(&FAILED, 0, true);
+    writer.record_finished(&FAILED);
+    writer.record_attempt(&IN_DOUBT, "s-0");
+    writer.record_attempt(&IN_DOUBT_AT_SECOND, "s-1");
+    writer.record_attempt_ended(&IN_DOUBT_AT_SECOND, 0, false);
+    writer.record_attempt(&IN_DOUBT_AT_SECOND, "s-0");
+    writer.record_attempt(&NEVER_RAN, "s-2");
+    writer.record_attempt_ended(&NEVER_RAN, 0, false);
+    writer.record_attempt(&ATTEMPT_ENDED, "s-0");
+    writer.record_attempt_ended(&ATTEMPT_ENDED, 0, true);
+    writer.record_attempt(&TOKEN_SERVED, "s-1");
+    writer.record_attempt_ended(&TOKEN_SERVED, 0, true);
+    writer.record_attempt(&TOKEN_SERVED, "s-0");
+    writer.record_served(&TOKEN_SERVED, "NEW ROUTE");
+    writer.record_attempt(&WITHOUT_KEY, "s-2");
+    writer.record_served(&WITHOUT_KEY, "KEYLESS PLAN");
+    writer.record_attempt_at(EXPIRED_SUBMITTED_AT, &EXPIRED, "s-2");
 }
--- a/tests/data_directory/mod.rs
+++ b/tests/data_directory/mod.rs
@@ -1,4 +1,5 @@
-//! The data directories under `tests/fixtures/data-directory`, and what runs on copies of them.
+//! The data directories under `tests/fixtures/data-directory`, and the node, the workers and the
+//! commands that run on copies of them.
 
 pub mod jobs;
 pub mod node;
@@ -8,12 +9,12 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Where the fixtures are.
+/// Returns the folder of the fixtures.
 pub fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/data-directory")
 }
 
-/// A folder that is removed with its value.
+/// A folder that is removed when its value is dropped, unless the test has failed.
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -51,7 +52,7 @@
     }
 }
 
-/// What `postproxy store ACTION` writes about a store.
+/// Returns the output of `postproxy store ACTION` for a store.
 pub fn store_command(action: &str, folder: &Path) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
     let output = command
--- a/tests/data_directory/node.rs
+++ b/tests/data_directory/node.rs
@@ -1,5 +1,5 @@
-//! A node of the real program on a store, alone in its fleet, with a list of three workers at fixed
-//! addresses.
+//! A node of the real program with a store, alone in its cluster, with a list of three workers at
+//! fixed addresses.
 
 use super::TemporaryFolder;
 use super::jobs::Job;
@@ -9,13 +9,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Nothing here takes nearly so long.
+/// Longest time to wait for a condition; it usually holds much sooner.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Nothing listens there.
+/// An address at which no discovery service listens.
 pub const NO_DISCOVERY: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
-/// Where the kept list says that a worker is.
+/// Returns the address of a worker in the stored worker list.
 pub fn worker_address(number: u8) -> SocketAddr {
     SocketAddr::from(([127, 44, 1, number + 1], 9001))
 }
@@ -29,7 +29,7 @@
 }
 
 impl Node {
-    /// Starts the program on a store that `fill` puts into its folder.
+    /// Starts the program with a store that `fill` has written to its folder.
     pub fn start(discovery: SocketAddr, fill: impl FnOnce(&std::path::Path)) -> Self {
         let folder = TemporaryFolder::new();
         let ip = loopback_addresses(1)[0];
@@ -71,13 +71,13 @@
         };
         assert!(
             wait_until(TEST_TIMEOUT, ready),
-            "it is not ready: {}",
+            "the node is not ready: {}",
             node.process.log_text()
         );
         node
     }
 
-    /// Workers that are suspended, as the node tells it.
+    /// Returns the suspended workers from the node's management API.
     pub fn suspended(&self) -> Vec<String> {
         let answer =
             send_request(self.management, "GET", "/v1/fleet/members", &[], b"").expect("an answer");
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// Asks for a job under this id and key; the status and the body of the answer.
+    /// Submits a job with this id and key; returns the status code and the body of the response.
     pub fn ask(&self, id: &str, key: Option<&str>, job: &Job, deadline: &str) -> (u16, String) {
         let mut fields = vec![
             ("X-Request-Id", id),
@@ -108,7 +108,7 @@
         (answer.status, String::from_utf8(answer.body).expect("text"))
     }
 
-    /// Ends it without notice.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process.kill();
     }
--- a/tests/data_directory/worker.rs
+++ b/tests/data_directory/worker.rs
@@ -1,4 +1,4 @@
-//! Workers at the addresses that the kept list of the fixture names.
+//! Workers at the addresses in the stored worker list of the fixture.
 
 use super::node::{TEST_TIMEOUT, worker_address};
 use postproxy::net::transport::http::{self, ConnectionOption, ParseStatus};
@@ -8,22 +8,23 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How many workers the kept list names.
+/// Number of workers in the stored list.
 const COUNT: u8 = 3;
 
-/// The addresses are fixed, so one test at a time has them.
+/// Held by the test that uses the workers' addresses: they are fixed, so only one test at a time
+/// can use them.
 static ADDRESSES: Mutex<()> = Mutex::new(());
 
-/// A job that a worker has received: the worker's number, and the job's id.
+/// The jobs that the workers have received: the worker's number and the job's id.
 type Received = Arc<Mutex<Vec<(u8, String)>>>;
-/// Where the workers call back.
+/// The address to which the workers send callbacks; `None` if there is no node.
 type NodeAddress = Arc<Mutex<Option<SocketAddr>>>;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// All workers of the list. Each takes a job and reports its body in capitals as the result.
+/// All workers of the list. Each accepts jobs, and reports the body in capitals as the result.
 pub struct Workers {
     received: Received,
     node: NodeAddress,
@@ -49,7 +50,7 @@
         *lock(&self.node) = Some(node);
     }
 
-    /// The jobs that they have received: each worker's number and the job's id.
+    /// Returns the jobs that the workers have received: the worker's number and the job's id.
     pub fn received(&self) -> Vec<(u8, String)> {
         lock(&self.received).clone()
     }
@@ -57,7 +58,7 @@
 
 impl Drop for Workers {
     fn drop(&mut self) {
-        // Wakes the threads that accept, which end as no node is named any more.
+        // Wakes the accepting threads, which end because there is no address of a node any more.
         *lock(&self.node) = None;
         for listener in &self.listeners {
             listener.set_nonblocking(true).expect("a setting");
@@ -66,7 +67,7 @@
     }
 }
 
-/// Listens at a worker's address; another run of these tests may have it for a moment.
+/// Listens on a worker's address, which another run of these tests may still use for a moment.
 fn listen(number: u8) -> TcpListener {
     let mut listener = None;
     let bound = wait_until(TEST_TIMEOUT, || {
@@ -81,18 +82,19 @@
     let listener = listen(number);
     let accepting = listener.try_clone().expect("a descriptor");
     std::thread::spawn(move || {
-        // The first that comes after the end, or the setting not to wait_until, ends it.
+        // Ends at the first connection after the workers were dropped, or at the error that the
+        // listener returns in non-blocking mode.
         while let Ok((stream, _)) = accepting.accept() {
             let Some(node) = *lock(&node) else { return };
             let received = received.clone();
-            std::thread::spawn(move || converse(number, stream, node, &received));
+            std::thread::spawn(move || serve_connection(number, stream, node, &received));
         }
     });
     listener
 }
 
-/// Answers one request after another on a connection.
-fn converse(number: u8, mut stream: TcpStream, node: SocketAddr, received: &Received) {
+/// Accepts one job after another on a connection, and reports each as done.
+fn serve_connection(number: u8, mut stream: TcpStream, node: SocketAddr, received: &Received) {
     let (mut input, mut bytes) = (Vec::new(), [0; 4096]);
     loop {
         if let Ok(ParseStatus::Complete {
@@ -113,7 +115,7 @@
                 .to_owned();
             lock(received).push((number, id.clone()));
             let result = String::from_utf8_lossy(&request.body).to_uppercase();
-            // The node may have ended with its test by now.
+            // The node may have ended with its test.
             let _ = report_done(node, &id, number, &result);
         } else {
             match stream.read(&mut bytes) {
@@ -124,7 +126,7 @@
     }
 }
 
-/// Tells the node that a job is done; the status of its answer.
+/// Sends the callback of a worker that has done a job; returns the status code of the response.
 pub fn report_done(node: SocketAddr, id: &str, worker: u8, result: &str) -> std::io::Result<u16> {
     let event = serde_json::json!({"id": id, "from": format!("s-{worker}"), "state": "done", "result": result});
     let fields = [("Connection", "close")];
