--- a/tests/data_directory/node.rs
+++ b/tests/data_directory/node.rs
@@ -90,7 +90,7 @@
     }
 
     /// Submits a job with this id and key; returns the status code and the body of the response.
-    pub fn ask(&self, id: &str, key: Option<&str>, job: &Job, deadline: &str) -> (u16, String) {
+    pub fn submit(&self, id: &str, key: Option<&str>, job: &Job, deadline: &str) -> (u16, String) {
         let mut fields = vec![
             ("X-Request-Id", id),
             ("X-Deadline", deadline),
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -83,8 +83,8 @@
     let (node, workers) = node_on_a_copy();
     let again = |job: &Job| {
         [
-            node.ask(job.id, None, job, "5"),
-            node.ask(&format!("new-{}", job.id), job.key, job, "5"),
+            node.submit(job.id, None, job, "5"),
+            node.submit(&format!("new-{}", job.id), job.key, job, "5"),
         ]
     };
     assert_eq!(
@@ -99,14 +99,17 @@
     assert_eq!(again(&jobs::FAILED), [failed(), failed()]);
     let without_key = &jobs::WITHOUT_KEY;
     assert_eq!(
-        node.ask(without_key.id, None, without_key, "5"),
+        node.submit(without_key.id, None, without_key, "5"),
         served("KEYLESS PLAN")
     );
     let other_body = Job {
         body: "another plan",
         ..jobs::SERVED
     };
-    assert_eq!(node.ask("another", other_body.key, &other_body, "5").0, 409);
+    assert_eq!(
+        node.submit("another", other_body.key, &other_body, "5").0,
+        409
+    );
     assert_eq!(workers.received(), []);
 }
 
@@ -119,13 +122,13 @@
         jobs::ATTEMPT_ENDED,
     ] {
         assert_eq!(
-            node.ask(job.id, None, &job, "0.5"),
+            node.submit(job.id, None, &job, "0.5"),
             failed(),
             "{} by its id",
             job.id
         );
         assert_eq!(
-            node.ask("other-id", job.key, &job, "0.5"),
+            node.submit("other-id", job.key, &job, "0.5"),
             failed(),
             "{} by its key",
             job.id
@@ -135,12 +138,15 @@
     // The worker's report settles it; a report of a worker that did not have it does not.
     let (job, id) = (&jobs::IN_DOUBT_AT_SECOND, jobs::IN_DOUBT_AT_SECOND.id);
     report_done(node.clients, id, 1, "FROM THE WRONG WORKER").expect("an answer");
-    assert_eq!(node.ask("other-id", job.key, job, "0.5"), failed());
+    assert_eq!(node.submit("other-id", job.key, job, "0.5"), failed());
     assert_eq!(
         report_done(node.clients, id, 0, "LATE PLAN").expect("an answer"),
         200
     );
-    assert_eq!(node.ask("other-id", job.key, job, "5"), served("LATE PLAN"));
+    assert_eq!(
+        node.submit("other-id", job.key, job, "5"),
+        served("LATE PLAN")
+    );
     assert_eq!(workers.received(), []);
 }
 
@@ -149,7 +155,7 @@
     let (node, workers) = node_on_a_copy();
     let job = &jobs::NEVER_RAN;
     assert_eq!(
-        node.ask("other-id", job.key, job, "5"),
+        node.submit("other-id", job.key, job, "5"),
         served("UNSTARTED PLAN")
     );
     let received: Vec<String> = workers.received().into_iter().map(|(_, id)| id).collect();
@@ -167,7 +173,7 @@
     };
     for number in 0..40 {
         assert_eq!(
-            node.ask(&format!("{prefix}-{number}"), None, &job, "5"),
+            node.submit(&format!("{prefix}-{number}"), None, &job, "5"),
             served("ROUTE")
         );
     }
