--- a/crates/membership/src/cluster_health.rs
+++ b/crates/membership/src/cluster_health.rs
@@ -1,17 +1,18 @@
 //! The health of the cluster as one node sees it, derived from the list of members and from the
-//! reports on who reaches whom. It is an opinion: other nodes may see another one at the same time.
+//! nodes' reports on unreachable peers. Other nodes may see a different health at the same time.
 
 use crate::reachability;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What one node knows of the cluster, as far as its health depends on it.
+/// What one node knows of the cluster that the cluster's health is derived from.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterView {
     /// Name of this node.
     pub local_node: String,
-    /// Whether this node isn't a member: it hasn't joined, or another process has its name.
-    pub isolated: bool,
+    /// Whether this node isn't a member: it hasn't joined, it has left or another process holds its
+    /// name.
+    pub not_a_member: bool,
     /// Members, this node among them, in the order of [`reachability::sort_by_hash`].
     pub members: Vec<String>,
     /// Nodes that have failed.
@@ -20,16 +21,16 @@
     pub left: BTreeSet<String>,
     /// The configured voters; empty if there are none.
     pub voters: BTreeSet<String>,
-    /// By node, the peers that it monitors and doesn't hear.
+    /// By node, the peers that it monitors and receives no heartbeats from.
     pub unreachable: BTreeMap<String, BTreeSet<String>>,
 }
 
-/// Two members of which the first doesn't hear the second.
+/// Two members of which the first receives no heartbeats from the second.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreachablePair {
     /// The node that reports it.
     pub observer: String,
-    /// The node that it doesn't hear.
+    /// The node that it receives no heartbeats from.
     pub peer: String,
 }
 
@@ -40,21 +41,23 @@
     Alone,
     /// All nodes that haven't left are members and reach each other.
     Complete,
-    /// All nodes are members, but some don't hear others.
+    /// No node is cut off from the others, but some members receive no heartbeats from others.
     PartiallyUnreachable(Vec<UnreachablePair>),
-    /// These nodes have failed, and no voters are configured.
+    /// No voters are configured, and these nodes have failed.
     SomeFailed(Vec<String>),
-    /// This node reaches more than half of the voters; the nodes that it doesn't reach.
+    /// This node reaches more than half of the voters, but not these nodes.
     MajorityPartition(Vec<String>),
-    /// This node reaches at most half of the voters; the voters that it doesn't reach.
+    /// This node doesn't reach these voters, at least half of all. Another side may have a
+    /// majority.
     MinorityPartition(Vec<String>),
-    /// As far as this node knows, no side has a majority of the voters; the voters that it doesn't
-    /// reach.
+    /// As far as this node knows, no side of a partition has a majority of the voters. This node
+    /// doesn't reach these voters.
     NoMajority(Vec<String>),
 }
 
 impl ClusterHealth {
-    /// Returns the text for logs and the management API. Programs compare it: it must not change.
+    /// Returns the name for logs and the management API. Programs compare it as text, so it must
+    /// not change.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Alone => "alone",
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Returns the reasons as text, for logs and the management API; none for a complete cluster or
-    /// a single node.
+    /// Returns the reasons as text, for logs and the management API; there are none for a complete
+    /// cluster or a single node.
     pub fn reasons(&self) -> Vec<String> {
         match self {
             Self::Alone | Self::Complete => Vec::new(),
@@ -101,7 +104,7 @@
 impl ClusterView {
     /// Returns the health of the cluster in this view.
     pub fn health(&self) -> ClusterHealth {
-        if self.isolated || self.members.len() + self.failed.len() <= 1 {
+        if self.not_a_member || self.members.len() + self.failed.len() <= 1 {
             return ClusterHealth::Alone;
         }
         if self.voters.is_empty() {
@@ -120,7 +123,7 @@
     }
 
     /// Returns on which side of a partition this node is, judged by the voters; `None` if it
-    /// reaches all nodes.
+    /// reaches all nodes and a majority of the voters.
     fn partition(&self) -> Option<ClusterHealth> {
         let reached = self.reachable_from(&self.local_node);
         let not_reached = |names: &BTreeSet<String>| -> Vec<String> {
@@ -153,7 +156,7 @@
             .filter(|voter| self.members.contains(voter))
     }
 
-    /// Returns the largest number of voters that may reach each other on any side of a partition.
+    /// Returns the largest number of voters that may reach each other on one side of a partition.
     fn max_connected_voters(&self) -> usize {
         let has_left = |voter: &String| self.left.contains(voter);
         let remaining = self.voters.iter().filter(|voter| !has_left(voter)).count();
@@ -167,7 +170,7 @@
             })
             .max()
             .unwrap_or(0);
-        // The voters that aren't members may all reach each other where they are.
+        // The voters that aren't members may be alive and all reach each other on another side.
         let elsewhere = remaining
             - self
                 .member_voters()
@@ -176,7 +179,8 @@
         largest_side.max(elsewhere).min(remaining)
     }
 
-    /// Returns the pairs of members of which the first monitors the second and doesn't hear it.
+    /// Returns the pairs of members of which the first monitors the second and receives no
+    /// heartbeats from it.
     fn unreachable_pairs(&self) -> Vec<UnreachablePair> {
         let members: BTreeSet<&String> = self.members.iter().collect();
         let mut pairs = Vec::new();
@@ -194,8 +198,8 @@
         pairs
     }
 
-    /// Returns the members that a member reaches, itself included, directly or over others, by
-    /// links on which both ends hear each other.
+    /// Returns the members that a member reaches, itself included, directly or through others. A
+    /// link counts only if neither end reports the other as unreachable.
     fn reachable_from(&self, start: &str) -> BTreeSet<&str> {
         let is_unreachable = |observer: &str, peer: &str| {
             self.unreachable
--- a/crates/membership/src/events.rs
+++ b/crates/membership/src/events.rs
@@ -1,4 +1,4 @@
-//! What a call of [`crate::Membership`] returns: bytes to send and events.
+//! What a call of [`crate::Membership`] returns: messages to send, and events.
 
 use crate::cluster_health::ClusterHealth;
 use crate::identity::Identity;
@@ -14,19 +14,19 @@
         /// The whole datagram.
         datagram: Vec<u8>,
     },
-    /// Send a message over a stream, as it is too long for a datagram. If it gets lost, another one
-    /// is sent later.
+    /// Send a message over a stream, as it may be too long for a datagram. If it is lost, a later
+    /// synchronisation sends its content again.
     SendOverStream {
         /// Receiver.
         to: Identity,
         /// The whole message.
         message: Vec<u8>,
     },
-    /// Something has changed.
+    /// An event that the caller may act on.
     Event(MembershipEvent),
 }
 
-/// A change that the caller may act on.
+/// An event that the caller may act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
     /// A node became a member.
@@ -42,7 +42,8 @@
         /// Its new incarnation.
         incarnation: u64,
     },
-    /// Another process has this node's name; this node is no member until that one is gone.
+    /// Another process holds this node's name; this node is not a member until that process is
+    /// gone.
     NameConflict {
         /// Address of the other process.
         address: SocketAddr,
@@ -56,7 +57,8 @@
         /// Whether it is suspended now.
         is_suspended: bool,
     },
-    /// The nodes have acknowledged a suspend or resume, or the time for it has passed.
+    /// All nodes that were asked to record a suspend or resume have acknowledged it, or the time to
+    /// do so is over.
     SuspensionRecorded {
         /// The ticket that [`crate::Membership::change_suspension`] returned.
         ticket: u64,
@@ -74,14 +76,14 @@
     },
 }
 
-/// Why a node can't be forgotten.
+/// Why a node can't be forgotten, see [`crate::Membership::forget`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ForgetError {
     /// No node of this name is known.
     UnknownNode,
     /// The node is a member.
     StillAlive,
-    /// The limit of forgotten nodes is reached.
+    /// The maximum number of forgotten nodes is reached.
     TooMany,
 }
 
@@ -90,7 +92,8 @@
 pub enum MemberState {
     /// A member.
     Alive,
-    /// A member that did not answer probes; it may still refute the suspicion.
+    /// A member that did not answer probes and may still refute the suspicion, or a node that is
+    /// down of which it isn't known yet whether it failed or left.
     Suspect,
     /// Declared failed.
     Failed,
--- a/crates/membership/src/fnv.rs
+++ b/crates/membership/src/fnv.rs
@@ -1,13 +1,12 @@
-//! FNV-1a hashing in 64 bits. Unlike the standard library's hasher it gives the same value at every
-//! node, whatever version of the program the node was built from, so that nodes can compare
-//! digests.
+//! 64-bit FNV-1a hash. Unlike the standard library's hasher it gives the same value in every
+//! version of the program, so that nodes of different versions can compare digests.
 
-/// Offset basis of FNV-1a in 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// Prime of FNV-1a in 64 bits.
+/// Prime of 64-bit FNV-1a.
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// An FNV-1a hash that is being computed.
+/// State of a hash computation.
 pub(crate) struct Fnv(u64);
 
 impl Default for Fnv {
@@ -33,7 +32,8 @@
     pub(crate) fn hash_name(name: &str) -> u64 {
         let mut hash = Self::default();
         hash.write(name.as_bytes());
-        // The hashes of short names differ little in their low bits alone; this spreads them.
+        // The FNV-1a hashes of similar short names differ in few bits, hardly in the high ones,
+        // which decide the order. This spreads the difference over all bits.
         hash.0 ^ hash.0.rotate_left(29).wrapping_mul(0x9e37_79b9_7f4a_7c15)
     }
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -10,17 +10,18 @@
 
 /// One incarnation of a node.
 ///
-/// The order of the fields is that of the encoding.
+/// The encoding follows the order of the fields, which must not change.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Identity {
     /// Name of the node, unique in the cluster.
     pub name: Arc<str>,
     /// Address at which other nodes reach it.
     pub address: SocketAddr,
-    /// Grows with each start of the node's process and each return after it was declared failed.
+    /// Increases with each start of the node's process and each time that the node rejoins after it
+    /// was declared failed.
     pub incarnation: u64,
-    /// Random number drawn at the start of the process. Two processes that claim the same name
-    /// differ in it.
+    /// Random number drawn at the start of the process. It tells apart processes that claim the
+    /// same name.
     pub process_nonce: u64,
 }
 
@@ -44,8 +45,8 @@
 impl foca::Identity for Identity {
     type Addr = Arc<str>;
 
-    /// Returns no identity: [`crate::Membership`] decides on a return, as another process may have
-    /// the name by then.
+    /// Returns `None`, so that the library does not rejoin by itself: [`crate::Membership`] decides
+    /// on that, as another process may hold the name by then.
     fn renew(&self) -> Option<Self> {
         None
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! [`Membership`] is a state machine without I/O: it receives datagrams and the time, and returns
 //! what to send, what has changed and when to call it next. It has no socket and no clock, so the
-//! same code runs in a node, in simulation and under a model checker. What it reports is an
-//! opinion: two nodes may disagree, so nothing that must be safe may depend on it. The design is
+//! same code runs in a node, in a simulation and under a model checker. What it reports is the view
+//! of one node: two nodes may disagree, so no safety property may depend on it. The design is
 //! described in `docs/design/members.md`.
 
 pub mod cluster_health;
--- a/crates/membership/src/membership/status.rs
+++ b/crates/membership/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! What a node knows of itself and of the cluster.
+//! Queries for what a node knows of itself and of the cluster.
 
 use super::{JoinState, Membership, swim};
 use crate::cluster_health::{ClusterHealth, ClusterView};
@@ -39,7 +39,7 @@
         self.join_state == JoinState::Member
     }
 
-    /// Returns the address of the other process that has this node's name, if there is one.
+    /// Returns the address of the other process that holds this node's name, if there is one.
     pub fn name_conflict(&self) -> Option<SocketAddr> {
         if let JoinState::NameConflict { address, .. } = self.join_state {
             Some(address)
@@ -90,7 +90,8 @@
         &self.health
     }
 
-    /// Returns the names of the peers that this node monitors and doesn't hear, in order.
+    /// Returns the names of the peers that this node monitors and receives no heartbeats from, in
+    /// order.
     pub fn unreachable(&self) -> impl Iterator<Item = &String> {
         self.reachability.unreachable()
     }
@@ -117,7 +118,7 @@
             .filter(|(name, report)| self.is_current_process(name, report.process_nonce));
         ClusterView {
             local_node: self.local_identity.name.to_string(),
-            isolated: !self.is_member(),
+            not_a_member: !self.is_member(),
             members: self.sorted_members(),
             failed: self.names_in_state(MemberState::Failed),
             left: self.names_in_state(MemberState::Left),
@@ -139,8 +140,8 @@
         nodes.map(|node| node.identity.name.to_string()).collect()
     }
 
-    /// Returns whether a report of this process still counts: those of a node end when another
-    /// process replaces it.
+    /// Returns whether reports of this process still count: they don't once another process of the
+    /// node has replaced it.
     fn is_current_process(&self, name: &str, process_nonce: u64) -> bool {
         *name == *self.local_identity.name
             || self
@@ -149,8 +150,8 @@
                 .is_some_and(|node| node.identity.process_nonce == process_nonce)
     }
 
-    /// Derives the cluster's health, and reports it if it has changed. Adapts the SWIM library to
-    /// the cluster's size.
+    /// Updates the cluster's health, and reports it if it has changed. Configures the SWIM library
+    /// for the current size of the cluster.
     pub(super) fn update_health(&mut self, out: &mut Vec<Output>) {
         self.health_update_pending = false;
         let config = swim::config(&self.settings, self.nodes.len() + 1);
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,15 +1,15 @@
 //! The datagrams between members: an envelope that is checked before its content is decoded.
 //!
-//! Layout: `P M`, version (1 byte), number of the cluster (4 bytes, little-endian), CRC-32 of what
-//! follows (4 bytes, little-endian), then the sender's [`Identity`] and the [`Message`] in postcard
-//! encoding.
+//! Layout: the magic `PM` (2 bytes), version (1 byte), cluster number (4 bytes, little-endian),
+//! CRC-32 of what follows (4 bytes, little-endian), then the sender's [`Identity`] and the
+//! [`Message`] in postcard encoding.
 
 use crate::identity::{Identity, MAX_NAME_BYTES};
 use crate::suspended_workers::WorkerSuspension;
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram in bytes. It fits the smallest MTU of usual networks, so that datagrams aren't
-/// fragmented.
+/// Maximum length of a datagram, in bytes. It fits the smallest MTU of common networks, so that
+/// datagrams aren't fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Version of the protocol.
 pub const VERSION: u8 = 1;
@@ -17,60 +17,62 @@
 const MAGIC: [u8; 2] = *b"PM";
 /// Length of the envelope: magic, version, cluster number and checksum, in bytes.
 const ENVELOPE_BYTES: usize = 11;
-/// Offset of the cluster's number in the envelope.
+/// Offset of the cluster number in the envelope.
 const CLUSTER_OFFSET: usize = 3;
 /// Offset of the checksum in the envelope.
 const CHECKSUM_OFFSET: usize = 7;
-/// Bytes of an encoded sender beside its name, and of the message's own frame, at most.
+/// Upper bound on the bytes of an encoded sender without its name, and of the message's framing.
 const MAX_SENDER_OVERHEAD_BYTES: usize = 48;
-/// Bytes that are left for the content of a message after the envelope and the longest sender.
+/// Bytes that are left for the content of a message after the envelope and a sender of maximum
+/// length.
 pub const MAX_CONTENT_BYTES: usize =
     MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - MAX_NAME_BYTES - MAX_SENDER_OVERHEAD_BYTES;
 
-/// Returns the number in the envelope that stands for the cluster of this name.
+/// Returns the number that identifies the cluster of this name in the envelope.
 pub fn cluster_number(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
 /// A node that an operator declared permanently gone.
 ///
-/// The order of the fields is that of the encoding.
+/// The encoding follows the order of the fields, which must not change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ForgottenNode {
     /// Name of the node.
     pub name: String,
-    /// Highest incarnation that is forgotten; a later one is a member like any other.
+    /// Highest incarnation that is forgotten; a later one may join like any other node.
     pub up_to_incarnation: u64,
 }
 
 /// A message from one node to another.
 ///
-/// The order of the variants and of their fields is that of the encoding.
+/// The encoding follows the order of the variants and of their fields, which must not change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// A packet of the SWIM library.
     Swim(Vec<u8>),
-    /// Shows that the sender reaches the receiver directly, and what it knows.
+    /// Shows that the sender reaches the receiver directly, and lets the receiver compare digests.
     Heartbeat {
-        /// Grows with each heartbeat of a process, so that an overtaken one is recognised.
+        /// Increases with each heartbeat of a process, so that one that is delivered late or
+        /// repeatedly is recognised.
         sequence: u64,
         /// Digest of the suspensions and forgotten nodes that the sender knows.
         digest: u64,
     },
-    /// Asks which identity holds the sender's name, and which name the receiver has.
+    /// Asks which identity holds the sender's name. The answer also shows the receiver's identity.
     NameQuery,
     /// The identity that holds the receiver's name, as far as the sender knows; `None` if it knows
     /// none.
     NameHolder(Option<Identity>),
-    /// Asks a process whether it is alive; it answers with the same number.
+    /// Asks a process to show that it is alive, by an answer with the same number.
     LivenessChallenge(u64),
     /// Answers a challenge with its number.
     LivenessResponse(u64),
-    /// The sender suspects the receiver, which is to refute it.
+    /// The sender suspects the receiver, which should refute the suspicion if it is alive.
     Suspicion {
         /// The process that is suspected.
         process_nonce: u64,
-        /// The SWIM library's own incarnation number for it.
+        /// The incarnation number that the SWIM library has for it.
         swim_incarnation: u16,
     },
     /// The sender leaves the cluster.
@@ -79,14 +81,14 @@
     Suspensions {
         /// Some or all of them.
         suspensions: Vec<WorkerSuspension>,
-        /// Whether the receiver is to send all that it knows in return.
+        /// Whether the receiver should send all its records in return.
         reply_wanted: bool,
     },
-    /// The sender has recorded the suspensions of this ticket.
+    /// The sender has recorded suspensions of this ticket.
     SuspensionAcknowledged(u64),
-    /// Asks the receiver to record suspensions and to acknowledge it.
+    /// Asks the receiver to record suspensions and to acknowledge the ticket.
     RecordSuspensions {
-        /// Number to acknowledge.
+        /// Ticket to acknowledge.
         ticket: u64,
         /// The suspensions to record.
         suspensions: Vec<WorkerSuspension>,
@@ -97,24 +99,24 @@
     Application(Vec<u8>),
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram or stream message is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum DecodeError {
-    /// It isn't a datagram of this program.
+    /// It does not start with the envelope of this program.
     Foreign,
     /// It is of another version of the protocol.
     Version,
     /// It is of another cluster.
     Cluster,
-    /// Its checksum is wrong, or it is too long.
+    /// Its checksum is wrong, or it is longer than a datagram may be.
     Damaged,
-    /// Its content can't be decoded.
+    /// Its content can't be decoded, or is invalid.
     Malformed,
 }
 
 impl DecodeError {
-    /// Returns the text by which logs and the management API name the error. Programs compare it:
-    /// it must not change.
+    /// Returns the name of the error in logs and in the management API. Programs compare it as
+    /// text, so it must not change.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Foreign => "foreign",
@@ -154,7 +156,7 @@
     }
 }
 
-/// Decodes the same layout from a stream, where it may be longer than a datagram.
+/// Decodes a message from a stream: the layout is that of a datagram, but it may be longer.
 ///
 /// # Errors
 ///
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -1,16 +1,16 @@
-//! Direct reachability: which peers this node monitors with heartbeats, and which of them it
-//! doesn't hear.
+//! Direct reachability: which peers this node monitors by their heartbeats, and from which of them
+//! it receives none.
 
 use crate::fnv::Fnv;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Up to this number of nodes each node monitors every other. Beyond it the number of heartbeats
-/// would grow with the square of the nodes.
+/// Largest cluster in which each node monitors every other. In a larger one the number of
+/// heartbeats would grow with the square of the number of nodes.
 pub const MAX_FULL_MESH_NODES: usize = 16;
-/// Neighbours that a node of a larger cluster monitors on either side, in the order of
-/// [`sort_by_hash`].
+/// Number of neighbours on either side, in the order of [`sort_by_hash`], that a node of a larger
+/// cluster monitors.
 const NEIGHBOURS_PER_SIDE: usize = 2;
-/// Largest number of unreachable peers in one reachability report. It keeps the report within a
+/// Maximum number of unreachable peers in one reachability report, so that the report fits a
 /// datagram.
 pub const MAX_REPORTED_PEERS: usize = 32;
 
@@ -23,8 +23,8 @@
     sorted
 }
 
-/// Returns the peers that `node` monitors, and that monitor it. `sorted` are all members in the
-/// order of [`sort_by_hash`]; a node that isn't among them monitors nobody. Voters monitor each
+/// Returns the peers that `node` monitors; the same peers monitor it. `sorted` are all members in
+/// the order of [`sort_by_hash`]; a node that isn't among them monitors nobody. Voters monitor each
 /// other in a cluster of any size.
 pub fn monitored_peers<'a>(
     sorted: &'a [String],
@@ -62,7 +62,7 @@
     received_at: f64,
 }
 
-/// Heartbeats received from the monitored peers, and which of these are unreachable.
+/// The latest heartbeats of the monitored peers, and which of these peers are unreachable.
 #[derive(Debug, Default)]
 pub struct Reachability {
     heartbeats: BTreeMap<String, LastHeartbeat>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records a heartbeat of a monitored peer. One that was overtaken or repeated by the network
+    /// Records a heartbeat of a monitored peer. One that the network delivered late or repeatedly
     /// is ignored.
     pub fn record_heartbeat(&mut self, now: f64, name: &str, process_nonce: u64, sequence: u64) {
         if let Some(last) = self.heartbeats.get_mut(name)
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Marks those monitored peers as unreachable whose latest heartbeat is older than `timeout`
-    /// seconds.
+    /// Determines the unreachable peers: those monitored ones whose latest heartbeat is older than
+    /// `timeout` seconds.
     pub fn update_unreachable(&mut self, now: f64, timeout: f64) {
         self.unreachable = self
             .heartbeats
--- a/crates/membership/src/suspended_workers.rs
+++ b/crates/membership/src/suspended_workers.rs
@@ -2,19 +2,19 @@
 //! data type.
 //!
 //! Merging is commutative, associative and idempotent, so nodes that have received the same
-//! suspensions agree, whatever the order. A resume undoes the suspends that its node had received,
-//! and no others.
+//! suspensions agree, whatever the order. A resume undoes the suspends that its node has received
+//! by then, and no others.
 
 use crate::fnv::Fnv;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest name of a worker that is accepted, in bytes.
+/// Maximum length of a worker's name, in bytes.
 pub const MAX_WORKER_NAME_BYTES: usize = 256;
-/// Largest number of workers with a record. A suspend beyond it is rejected, so that no existing
-/// one gets lost.
+/// Maximum number of workers with a record. A suspend beyond it is rejected, so that no existing
+/// record is dropped.
 pub const MAX_WORKERS: usize = 4096;
-/// Largest number of processes with a record for one worker. More can only come from a faulty node.
+/// Maximum number of processes with a record for one worker. More can only come from a faulty node.
 const MAX_PROCESSES_PER_WORKER: usize = 1024;
 
 /// The suspends of one worker that one process of a node has issued.
@@ -26,7 +26,7 @@
     pub process_nonce: u64,
     /// Number of suspends issued.
     pub suspend_count: u32,
-    /// How many of these a resume has undone.
+    /// Number of these that a resume has undone.
     pub undone_count: u32,
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// A suspension with the worker that it is about.
+/// A suspension with the worker that it applies to.
 ///
 /// The order of the fields is that of the encoding, in datagrams and in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkerSuspension {
     /// Name of the worker.
     pub worker: String,
-    /// What one process has issued for it.
+    /// The suspends of it that one process has issued.
     pub suspension: Suspension,
 }
 
@@ -131,8 +131,8 @@
         changed
     }
 
-    /// Merges a suspension received from another node or read from the store. An invalid one, or
-    /// one too many, is ignored. Returns whether the worker became suspended or resumed by it.
+    /// Merges a suspension received from another node or read from the store. One that is invalid
+    /// or beyond the limits is ignored. Returns whether the worker was suspended or resumed by it.
     pub fn merge(&mut self, worker: &str, received: Suspension) -> bool {
         if worker.is_empty()
             || worker.len() > MAX_WORKER_NAME_BYTES
