--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -35,11 +35,11 @@
 use std::rc::Rc;
 use suspensions::Ticket;
 
-/// Time after a change until the cluster's health is derived anew, in seconds: many changes may
-/// come at once.
+/// Time between a change and the update of the cluster's health, in seconds, so that changes that
+/// come together cause one update.
 const HEALTH_UPDATE_DELAY_SECONDS: f64 = 0.05;
-/// Timers that are due within this time of the local clock are handled as well, in microseconds. It
-/// covers the rounding of times to microseconds.
+/// Timers that are due up to this much later than the local time are handled as well, in
+/// microseconds. This covers the rounding of times to microseconds.
 const TIMER_TOLERANCE_MICROS: u64 = 2;
 /// Number of nodes that the SWIM library is configured for at the start, before any other is known.
 const INITIAL_CLUSTER_SIZE: usize = 3;
@@ -51,11 +51,11 @@
     Swim(foca::Timer<Identity>),
     /// Send heartbeats to the monitored peers.
     Heartbeat,
-    /// Contact the seeds, and take the next step of joining.
+    /// Take the next step of joining, and contact the seeds while no other member is known.
     Join,
     /// Compare digests with a random member.
     CompareDigests,
-    /// Repeat the reachability report, and expire those of others.
+    /// Repeat the reachability report, and expire those of other nodes.
     RepeatReport,
     /// The time for acknowledgements of this ticket is over.
     TicketExpired(u64),
@@ -68,16 +68,16 @@
     },
     /// Notify suspects of the suspicion.
     NotifySuspects,
-    /// Derive the cluster's health anew.
+    /// Update the cluster's health.
     UpdateHealth,
     /// Decide whether a node that is down has failed or left.
-    DecideDown { name: String, process_nonce: u64 },
+    DecideFailedOrLeft { name: String, process_nonce: u64 },
 }
 
-/// A timer's local time in microseconds, then the order in which timers were set.
+/// A timer's local time in microseconds, then its sequence number.
 type TimerKey = (u64, u64);
 
-/// A node as this node knows it.
+/// What this node knows of another one.
 struct KnownNode {
     identity: Identity,
     state: MemberState,
@@ -85,7 +85,7 @@
 
 /// The membership of one node in a cluster.
 ///
-/// Each call that takes `now`, the wall clock's reading in seconds, appends to `out` what the
+/// The methods that take `now`, the wall clock's reading in seconds, append to `out` what the
 /// caller has to carry out.
 pub struct Membership {
     settings: Settings,
@@ -93,13 +93,14 @@
     local_identity: Identity,
     swim: Foca<Identity, PostcardCodec, Pcg64Mcg, GossipHandler>,
     swim_runtime: AccumulatingRuntime<Identity>,
-    /// Shared with the SWIM library's handler of gossip.
+    /// Shared with the [`GossipHandler`] that the SWIM library owns.
     gossip: Rc<RefCell<GossipState>>,
     clock: LocalClock,
     timers: BTreeMap<TimerKey, Timer>,
-    timers_set: u64,
+    /// Sequence number of the latest timer.
+    timer_sequence: u64,
     join_state: JoinState,
-    /// All other nodes that are or were members, by name.
+    /// All other nodes that are or were members, by name. They are never removed.
     nodes: BTreeMap<String, KnownNode>,
     reachability: Reachability,
     /// Sequence number of the latest heartbeat.
@@ -113,7 +114,7 @@
     health_update_pending: bool,
     tickets: BTreeMap<u64, Ticket>,
     next_ticket: u64,
-    /// Numbers of datagrams dropped, by reason.
+    /// Numbers of datagrams and stream messages dropped, by reason.
     dropped: BTreeMap<DecodeError, u64>,
     rng: Pcg64Mcg,
     /// Local time of the latest synchronisation with a node over a stream, by name.
@@ -125,11 +126,12 @@
 }
 
 impl Membership {
-    /// Starts to join the cluster: asks the seeds which identity holds the node's name.
+    /// Creates a node that joins the cluster: its first timer asks the seeds which identity holds
+    /// the node's name.
     ///
-    /// `started_ms` is the time of the start in Unix milliseconds, from which incarnations are
-    /// counted. `seed` is the seed of all random numbers, the process's nonce among them. `now` is
-    /// the wall clock's reading in seconds.
+    /// `started_ms` is the time of the start in Unix milliseconds, which is the node's first
+    /// incarnation. `seed` is the seed of all random numbers, the process's nonce among them. `now`
+    /// is the wall clock's reading in seconds.
     pub fn new(
         settings: Settings,
         name: &str,
@@ -162,7 +164,7 @@
             gossip,
             clock: LocalClock::new(now),
             timers: BTreeMap::new(),
-            timers_set: 0,
+            timer_sequence: 0,
             join_state: JoinState::initial(),
             nodes: BTreeMap::new(),
             reachability: Reachability::default(),
@@ -224,8 +226,8 @@
     pub fn handle_stream_message(&mut self, now: f64, bytes: &[u8], out: &mut Vec<Output>) {
         let local_time = self.advance_clock(now);
         match packet::decode_stream_message(self.cluster_number, bytes) {
-            // Only these are sent over streams. That another kind came by datagram is part of its
-            // meaning.
+            // Only these kinds are sent over streams. The others are accepted as datagrams only: a
+            // heartbeat, for one, shows that the sender's datagrams arrive.
             Ok((from, message @ (Message::Suspensions { .. } | Message::Forgotten(_)))) => {
                 self.handle_message(local_time, from, message, out);
             }
@@ -259,8 +261,7 @@
     fn handle_timer(&mut self, local_time: f64, timer: Timer, out: &mut Vec<Output>) {
         match timer {
             Timer::Swim(timer) => {
-                // The library rejects timers of an earlier incarnation; nothing is to be done for
-                // them.
+                // The library rejects timers of an earlier incarnation, which need no handling.
                 let _ = self.swim.handle_timer(timer, &mut self.swim_runtime);
             }
             Timer::Heartbeat => self.send_heartbeats(local_time, out),
@@ -282,7 +283,7 @@
                 self.set_timer(next, Timer::NotifySuspects);
             }
             Timer::UpdateHealth => self.update_health(out),
-            Timer::DecideDown {
+            Timer::DecideFailedOrLeft {
                 name,
                 process_nonce,
             } => self.decide_failed_or_left(&name, process_nonce, out),
@@ -305,8 +306,8 @@
             }
             return;
         }
-        // A process that a later one has replaced isn't listened to; it is sent the identity that
-        // replaced it.
+        // From a process that a later one has replaced, only messages about names and liveness are
+        // handled. Any other is answered with the identity that replaced it.
         let known = self
             .nodes
             .get(&*from.name)
@@ -388,7 +389,7 @@
             Message::SuspensionAcknowledged(ticket) => {
                 self.record_acknowledgement(ticket, &from, out);
             }
-            // Handled by the caller, whoever sent them.
+            // Handled by the caller, also if the sender has been replaced.
             Message::NameQuery
             | Message::NameHolder(_)
             | Message::LivenessChallenge(_)
@@ -423,9 +424,9 @@
     }
 
     fn set_timer(&mut self, local_time: f64, timer: Timer) {
-        self.timers_set += 1;
+        self.timer_sequence += 1;
         self.timers
-            .insert((to_micros(local_time), self.timers_set), timer);
+            .insert((to_micros(local_time), self.timer_sequence), timer);
     }
 
     fn random_number(&mut self) -> u64 {
@@ -441,15 +442,16 @@
         *self.dropped.entry(error).or_default() += 1;
     }
 
-    /// Sets the state of a node, which may change the cluster's health.
+    /// Sets the identity and state of a node, which may change the cluster's health.
     fn set_node(&mut self, identity: Identity, state: MemberState) {
         let name = identity.name.to_string();
         self.nodes.insert(name, KnownNode { identity, state });
         self.gossip.borrow_mut().health_may_have_changed = true;
     }
 
-    /// Ends a call: carries out what the SWIM library and the gossip that it received have left to
-    /// do.
+    /// Ends a call: processes the output of the SWIM library, reports the workers that were
+    /// suspended or resumed, and schedules an update of the cluster's health if it may have
+    /// changed.
     fn complete_call(&mut self, out: &mut Vec<Output>) {
         self.process_swim_output(out);
         let mut gossip = self.gossip.borrow_mut();
--- a/crates/membership/src/membership/departures.rs
+++ b/crates/membership/src/membership/departures.rs
@@ -1,4 +1,4 @@
-//! Nodes that go for good: leaving the cluster, and forgetting failed nodes on an operator's
+//! Nodes that are gone for good: leaving the cluster, and forgetting failed nodes on an operator's
 //! request.
 
 use super::dissemination::GossipMessage;
@@ -7,13 +7,13 @@
 use crate::identity::{Identity, MAX_NAME_BYTES};
 use crate::packet::{ForgottenNode, Message};
 
-/// Members that are notified directly that this node leaves.
+/// Maximum number of members that a leaving node notifies directly.
 const MAX_NOTIFIED_OF_LEAVING: usize = 16;
-/// Forgotten nodes that are remembered, at most.
+/// Maximum number of forgotten nodes.
 const MAX_FORGOTTEN_NODES: usize = 1024;
 
 impl Membership {
-    /// Leaves the cluster. The state machine does nothing afterwards.
+    /// Leaves the cluster and clears the timers. Messages that arrive afterwards are ignored.
     pub fn leave(&mut self, now: f64, out: &mut Vec<Output>) {
         self.advance_clock(now);
         if self.is_member() {
@@ -32,8 +32,8 @@
         self.process_swim_output(out);
     }
 
-    /// Handles that a node leaves: passes it on to the nodes that the leaving one hasn't notified
-    /// itself.
+    /// Handles a notice that a node leaves: disseminates it to the nodes that the leaving one
+    /// hasn't notified itself.
     pub(super) fn handle_leaving(&mut self, from: &Identity) {
         self.disseminate(&GossipMessage::Left {
             name: from.name.to_string(),
@@ -42,7 +42,7 @@
     }
 
     /// Declares a failed node permanently gone, on an operator's request: it no longer counts as a
-    /// node of the cluster. If it comes back it is a member like any other.
+    /// node of the cluster. If it comes back, it may join like any other node.
     ///
     /// # Errors
     ///
@@ -77,7 +77,8 @@
         Ok(())
     }
 
-    /// Merges forgotten nodes. Those that have failed become nodes that left.
+    /// Merges forgotten nodes. Those that have failed count as nodes that left from then on. Those
+    /// that are invalid or beyond the limit are ignored.
     pub(super) fn merge_forgotten(&mut self, nodes: Vec<ForgottenNode>, out: &mut Vec<Output>) {
         for ForgottenNode {
             name,
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! What the SWIM library's gossip carries beside its own updates: reachability reports and notices
-//! of nodes that left. The state that gossip and synchronisation fill is here as well.
+//! What the SWIM library's gossip carries in addition to its own updates: reachability reports and
+//! notices of nodes that left. The state that gossip and synchronisation update is here as well.
 
 use super::Membership;
 use crate::identity::Identity;
@@ -13,14 +13,14 @@
 
 /// A message that is passed on from node to node.
 ///
-/// The order of the variants and of their fields is that of the encoding.
+/// The encoding follows the order of the variants and of their fields, which must not change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) enum GossipMessage {
-    /// The peers that a node monitors and doesn't hear.
+    /// The peers that a node monitors and receives no heartbeats from.
     ReachabilityReport {
         name: String,
         process_nonce: u64,
-        /// Grows with each report of a process.
+        /// Increases with each report of a process.
         sequence: u32,
         unreachable: Vec<String>,
     },
@@ -51,7 +51,7 @@
     pub(super) received_at: f64,
 }
 
-/// What nodes have disseminated about themselves, about nodes that are gone and about workers.
+/// What this node has learned about nodes and workers by gossip and synchronisation.
 #[derive(Debug, Default)]
 pub(super) struct GossipState {
     /// Local time in seconds.
@@ -61,7 +61,7 @@
     /// By node, the nonce of the process that has left.
     pub(super) left: BTreeMap<String, u64>,
     /// By node that operators declared permanently gone, the highest such incarnation. Entries are
-    /// never removed, so that all nodes come to agree.
+    /// never removed, so that all nodes converge.
     pub(super) forgotten: BTreeMap<String, u64>,
     pub(super) suspended_workers: SuspendedWorkers,
     /// Workers that were suspended or resumed since the last call ended.
@@ -71,7 +71,7 @@
 }
 
 impl GossipState {
-    /// Records a message. Returns its key if it is new and is to be passed on.
+    /// Records a message. Returns its key if it is new, so that the library passes it on.
     fn record(&mut self, message: GossipMessage) -> Option<GossipKey> {
         match message {
             GossipMessage::ReachabilityReport {
@@ -145,7 +145,7 @@
 }
 
 impl Membership {
-    /// Has a message passed on from node to node.
+    /// Disseminates a message through the SWIM library's gossip.
     pub(super) fn disseminate(&mut self, message: &GossipMessage) {
         if let Ok(bytes) = postcard::to_stdvec(message) {
             let _ = self.swim.add_broadcast(&bytes);
--- a/crates/membership/src/membership/failure_detection.rs
+++ b/crates/membership/src/membership/failure_detection.rs
@@ -7,11 +7,11 @@
 use crate::packet::Message;
 use foca::State;
 
-/// Time after the SWIM library reports a node as down in which a notice that it left may arrive, in
-/// seconds.
+/// Time that a notice that a node left has to arrive after the SWIM library has reported the node
+/// as down, in seconds.
 const LEFT_NOTICE_GRACE_SECONDS: f64 = 0.1;
-/// Suspects that are notified at a time. The notice is repeated, since one that reaches a stopped
-/// process is lost, and the gossip of a suspicion ends before the suspicion does.
+/// Maximum number of suspects that are notified at a time. The notice is repeated, since one that
+/// reaches a stopped process may be lost, and a suspicion stops being gossiped before it ends.
 const MAX_SUSPECTS_NOTIFIED: usize = 8;
 
 impl Membership {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Handles that the SWIM library reports a node as down.
+    /// Handles a report of the SWIM library that a node is down.
     pub(super) fn handle_member_down(
         &mut self,
         local_time: f64,
@@ -54,7 +54,7 @@
         let process_nonce = identity.process_nonce;
         let name = identity.name.to_string();
         let has_left = self.gossip.borrow().left.get(&name) == Some(&process_nonce);
-        // Until it is known whether it failed or left, it counts as a node that may be alive.
+        // Until it is known whether it failed or left, it counts as a suspect.
         self.set_node(identity, MemberState::Suspect);
         if has_left {
             self.decide_failed_or_left(&name, process_nonce, out);
@@ -62,7 +62,7 @@
             let decide_at = local_time + LEFT_NOTICE_GRACE_SECONDS;
             self.set_timer(
                 decide_at,
-                Timer::DecideDown {
+                Timer::DecideFailedOrLeft {
                     name,
                     process_nonce,
                 },
@@ -79,7 +79,7 @@
         out: &mut Vec<Output>,
     ) {
         let mut gossip = self.gossip.borrow_mut();
-        let sent_notice = gossip.left.get(name) == Some(&process_nonce);
+        let has_left = gossip.left.get(name) == Some(&process_nonce);
         let forgotten_up_to = gossip.forgotten.get(name).copied();
         let Some(node) = self
             .nodes
@@ -92,7 +92,7 @@
             return;
         }
         let is_forgotten = forgotten_up_to.is_some_and(|up_to| node.identity.incarnation <= up_to);
-        let event = if sent_notice || is_forgotten {
+        let event = if has_left || is_forgotten {
             node.state = MemberState::Left;
             MembershipEvent::Left(node.identity.clone())
         } else {
--- a/crates/membership/src/membership/heartbeats.rs
+++ b/crates/membership/src/membership/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between peers that monitor each other, and the reports on peers that aren't heard.
+//! Heartbeats between peers that monitor each other, and the reports on unreachable peers.
 
 use super::dissemination::GossipMessage;
 use super::{Membership, Timer};
@@ -9,16 +9,16 @@
 /// A peer is unreachable after this number of heartbeat intervals without a heartbeat: three may be
 /// missed, and the next may be late by half an interval.
 const UNREACHABLE_AFTER_INTERVALS: f64 = 3.5;
-/// Time between two repetitions of a reachability report, for nodes that have joined since, in
-/// seconds.
+/// Time between two repetitions of a reachability report, in seconds. They inform nodes that have
+/// joined since.
 pub(super) const REPORT_INTERVAL_SECONDS: f64 = 5.0;
-/// Time after which a report that wasn't repeated expires, in seconds: this node may have been cut
-/// off when it was withdrawn. Three repetitions may be missed.
+/// Time after which a report that wasn't repeated expires, in seconds, as this node may have been
+/// cut off when the report was withdrawn. Three repetitions may be missed.
 const REPORT_EXPIRY_SECONDS: f64 = 3.0 * REPORT_INTERVAL_SECONDS + 1.0;
 
 impl Membership {
-    /// Sends heartbeats to the monitored peers, and a report if other peers are unreachable than
-    /// before.
+    /// Sends heartbeats to the monitored peers, and a reachability report if the unreachable peers
+    /// have changed.
     pub(super) fn send_heartbeats(&mut self, local_time: f64, out: &mut Vec<Output>) {
         self.timers.retain(|_, timer| *timer != Timer::Heartbeat);
         let next = local_time + self.settings.heartbeat_interval;
@@ -75,8 +75,8 @@
         self.disseminate(&report);
     }
 
-    /// Repeats this node's report if any peer is unreachable, and empties reports of others that
-    /// have expired.
+    /// Repeats this node's report if any peer is unreachable, and clears the expired reports of
+    /// other nodes.
     pub(super) fn repeat_report(&mut self, local_time: f64) {
         if self.reachability.unreachable().next().is_some() {
             self.report_unreachable();
--- a/crates/membership/src/membership/join.rs
+++ b/crates/membership/src/membership/join.rs
@@ -13,28 +13,30 @@
 const CHALLENGE_TIMEOUT_SECONDS: f64 = 1.0;
 /// Time between two steps of joining, in seconds.
 const JOIN_STEP_SECONDS: f64 = 0.1;
-/// Time between two contacts of the seeds by a member that knows no other one, in seconds.
+/// Time after which a member that knows no other one contacts the seeds again, in seconds.
 const SEED_CONTACT_INTERVAL_SECONDS: f64 = 1.0;
 /// Time after which a node with a name conflict checks whether its name is free, in seconds.
 const NAME_CONFLICT_RECHECK_SECONDS: f64 = 5.0;
-/// Known nodes to which a new member announces itself directly, at most.
+/// Maximum number of known nodes to which a new member announces itself directly.
 const MAX_ANNOUNCED: usize = 16;
 /// Time between two requests for lists of members, in seconds.
 const LIST_REQUEST_INTERVAL_SECONDS: f64 = 0.1;
-/// Number of requests for lists of members, at most.
+/// Maximum number of requests for lists of members.
 const MAX_LIST_REQUESTS: u32 = 20;
-/// Number of requests that are always made: the first answers may still be on their way.
-const MIN_LIST_REQUESTS: u32 = 3;
-/// Members that are asked for their lists at a time. One answer has no more members than fit a
-/// datagram.
+/// Number of times that the first request is repeated in any case, as the first answers may still
+/// be on their way.
+const MIN_REPEATED_LIST_REQUESTS: u32 = 3;
+/// Number of members that are asked for their lists at a time, as one answer holds no more members
+/// than fit a datagram.
 const LIST_REQUEST_FANOUT: usize = 4;
 
-/// How far this node is in joining the cluster.
+/// Progress of this node in joining the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum JoinState {
-    /// It asks the seeds which identity holds its name, until this local time.
+    /// It asks the seeds which identity holds its name, and waits for an answer until this local
+    /// time.
     QueryingName { until: f64 },
-    /// Another address holds the name; it is to answer this challenge until this local time.
+    /// Another process may hold the name; it has until this local time to answer the challenge.
     ChallengingHolder {
         challenge: u64,
         holder: Identity,
@@ -42,7 +44,7 @@
     },
     /// It is a member, perhaps the only one.
     Member,
-    /// Another process has the name; whether it is free is checked at this local time.
+    /// Another process holds the name; whether it still does is checked at this local time.
     NameConflict {
         address: SocketAddr,
         recheck_at: f64,
@@ -99,7 +101,7 @@
         self.set_timer(local_time + next_step, Timer::Join);
     }
 
-    /// Begins to check whether the process that has this node's name is still alive.
+    /// Begins to check whether the process that holds this node's name is still alive.
     fn recheck_name(&mut self, local_time: f64, address: SocketAddr) {
         let challenge = self.random_number();
         let holder = Identity {
@@ -161,7 +163,8 @@
         );
     }
 
-    /// Asks random members for their lists of members, until an answer brings no new one.
+    /// Asks random members for their lists of members. It is repeated until the number of known
+    /// members no longer grows.
     pub(super) fn request_member_lists(
         &mut self,
         local_time: f64,
@@ -169,7 +172,7 @@
         known_before: usize,
     ) {
         let peers: Vec<Identity> = self.live_peers().cloned().collect();
-        let first_requests = remaining + MIN_LIST_REQUESTS >= MAX_LIST_REQUESTS;
+        let first_requests = remaining + MIN_REPEATED_LIST_REQUESTS >= MAX_LIST_REQUESTS;
         let learned_nothing = !first_requests && peers.len() == known_before;
         if !self.is_member() || remaining == 0 || learned_nothing {
             return;
@@ -198,7 +201,7 @@
         out: &mut Vec<Output>,
     ) {
         match message {
-            // The other process wants to know whether it may join.
+            // The other process may join with this name unless this one answers.
             Message::LivenessChallenge(number)
                 if self.is_member() || self.local_identity.supersedes(from) =>
             {
@@ -217,7 +220,8 @@
                     }));
                 }
             }
-            // A member with this name at another address takes precedence if its identity does.
+            // The other process acts as a member with this name, which it holds if its identity
+            // takes precedence.
             Message::Swim(_) | Message::Heartbeat { .. }
                 if from.supersedes(&self.local_identity) =>
             {
@@ -255,8 +259,8 @@
         }
     }
 
-    /// Handles that another identity is said to hold this node's name: that of an earlier process
-    /// of this node, or of another process that is alive.
+    /// Handles a message that another identity holds this node's name: an earlier process of this
+    /// node, or another process that may be alive.
     fn handle_other_holder(&mut self, local_time: f64, holder: Identity, out: &mut Vec<Output>) {
         if holder.address == self.local_identity.address {
             // Two processes can't have the same address, so this was an earlier process of this
--- a/crates/membership/src/membership/suspensions.rs
+++ b/crates/membership/src/membership/suspensions.rs
@@ -12,16 +12,16 @@
 /// Time that the other nodes have to acknowledge a suspend or resume, in seconds.
 const ACKNOWLEDGEMENT_TIMEOUT_SECONDS: f64 = 0.5;
 
-/// What an operator wants done with a worker.
+/// The change to a worker that an operator requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspensionChange {
-    /// Give it no more requests.
+    /// Send it no more requests.
     Suspend,
-    /// Give it requests again.
+    /// Send it requests again.
     Resume,
 }
 
-/// A suspend or resume that waits for acknowledgements.
+/// A suspend or resume that other nodes were asked to acknowledge.
 pub(super) struct Ticket {
     /// Names of the nodes that were asked to record it.
     asked: BTreeSet<String>,
@@ -77,8 +77,8 @@
         Some(ticket)
     }
 
-    /// Records a change here. Returns the suspensions to send to the other nodes, or `None` if
-    /// there are too many.
+    /// Records a change at this node. Returns the suspensions to send to the other nodes, or `None`
+    /// if there are too many records.
     fn record_change(
         &mut self,
         worker: &str,
@@ -103,7 +103,7 @@
         Some(suspensions.into_iter().map(with_worker).collect())
     }
 
-    /// Ends the wait for acknowledgements of a ticket now.
+    /// Stops waiting for acknowledgements of a ticket, and reports those that were received.
     pub fn expire_ticket(&mut self, now: f64, ticket: u64, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.finish_ticket(ticket, out);
--- a/crates/membership/src/membership/swim.rs
+++ b/crates/membership/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! The SWIM library (`foca`): its configuration, its packets, and what it wants done.
+//! The SWIM library (`foca`): its configuration, its packets and its output.
 
 use super::{JoinState, Membership, Timer};
 use crate::events::{MemberState, MembershipEvent, Output};
@@ -9,17 +9,17 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members that are asked to probe one that didn't answer.
+/// Number of members that are asked to probe one that didn't answer.
 const INDIRECT_PROBES: usize = 3;
 /// Time for which the library remembers that an identity is down.
 const REMEMBER_DOWN: Duration = Duration::from_secs(7 * 86_400);
-/// Time between two exchanges of lists with a random member, in seconds.
+/// Time between two requests to a random member for its list of members, in seconds.
 const ANNOUNCE_INTERVAL_SECONDS: f64 = 10.0;
-/// Members that a round of gossip is sent to.
+/// Number of members that a round of gossip is sent to.
 const GOSSIP_FANOUT: usize = 3;
-/// Failed nodes that are contacted at a time, as they may be back.
+/// Number of failed nodes that are contacted at a time, as they may be back.
 const FAILED_NODES_PER_PROBE: usize = 2;
-/// Shortest time that the library is given, in seconds; it doesn't accept 0.
+/// Shortest duration in the library's configuration, in seconds; the library doesn't accept 0.
 const MIN_DURATION_SECONDS: f64 = 0.001;
 
 fn duration(seconds: f64) -> Duration {
@@ -30,8 +30,8 @@
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
-/// Returns how often an update is passed on: enough to reach all nodes with high probability, and
-/// some more.
+/// Returns how often a node passes on an update: often enough to reach all nodes with high
+/// probability, plus a margin.
 fn max_transmissions(cluster_size: usize) -> NonZeroU8 {
     let rounds = (cluster_size.max(1) as f64).log2().ceil() as u8;
     NonZeroU8::new(4 + 2 * rounds).unwrap_or(NonZeroU8::MIN)
@@ -69,8 +69,8 @@
         if !self.is_member() {
             return;
         }
-        // The library rejects what was meant for an earlier incarnation of this node, and what is
-        // malformed.
+        // The library rejects packets that are meant for an earlier incarnation of this node, and
+        // malformed ones.
         if self
             .swim
             .handle_data(packet, &mut self.swim_runtime)
@@ -80,8 +80,7 @@
         }
     }
 
-    /// Carries out what the library wants done: packets to send, timers to set, notifications to
-    /// handle.
+    /// Processes the library's output: sends packets, sets timers and handles notifications.
     pub(super) fn process_swim_output(&mut self, out: &mut Vec<Output>) {
         let local_time = self.clock.local_time();
         loop {
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Returns whether a node is known by another identity of the same name.
+    /// Returns whether the node of this name is known by another identity.
     fn is_other_identity(&self, identity: &Identity) -> bool {
         self.nodes
             .get(&*identity.name)
--- a/crates/membership/src/membership/synchronisation.rs
+++ b/crates/membership/src/membership/synchronisation.rs
@@ -1,5 +1,5 @@
 //! Synchronisation of suspensions and forgotten nodes between members (anti-entropy): members
-//! compare digests, and those that differ send each other all that they know.
+//! compare digests, and if these differ, they send each other all their records.
 
 use super::Membership;
 use crate::events::Output;
@@ -10,21 +10,21 @@
 
 /// Time between two comparisons of digests with a random member, in seconds.
 pub(super) const COMPARE_INTERVAL_SECONDS: f64 = 1.0;
-/// Bytes of suspensions in one datagram, at most; the rest is for the frame of the message.
+/// Maximum number of bytes of suspensions in one datagram; the rest is for the message's framing.
 pub(super) const MAX_SUSPENSION_BYTES_PER_DATAGRAM: usize = MAX_CONTENT_BYTES - 64;
-/// Bytes of suspensions in one message over a stream, at most.
+/// Maximum number of bytes of suspensions in one message over a stream.
 const MAX_SUSPENSION_BYTES_PER_STREAM_MESSAGE: usize = 64 << 10;
-/// Bytes of an encoded suspension beside the worker's name, at most.
+/// Upper bound on the bytes of an encoded suspension without the worker's name.
 const SUSPENSION_OVERHEAD_BYTES: usize = 24;
-/// Bytes of an encoded forgotten node beside its name, at most.
+/// Upper bound on the bytes of an encoded forgotten node without its name.
 const FORGOTTEN_OVERHEAD_BYTES: usize = 16;
-/// Forgotten nodes in one datagram, at most.
+/// Maximum number of forgotten nodes in one datagram.
 const MAX_FORGOTTEN_PER_DATAGRAM: usize =
     MAX_SUSPENSION_BYTES_PER_DATAGRAM / (MAX_NAME_BYTES + FORGOTTEN_OVERHEAD_BYTES);
 /// Shortest time between two synchronisations with the same node over a stream, in seconds.
 const STREAM_SYNC_INTERVAL_SECONDS: f64 = 1.0;
 
-/// Whether the receiver of a node's records is to send its own in return.
+/// Whether the receiver of a node's records should send its own in return.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Reply {
     Wanted,
@@ -44,7 +44,7 @@
         gossip.suspended_workers.digest() ^ hash.finish()
     }
 
-    /// Sends the digest to a random member, which may know more.
+    /// Sends the digest to a random member, which sends its records if its digest differs.
     pub(super) fn compare_digests(&mut self, out: &mut Vec<Output>) {
         let peers = self.live_addresses();
         if self.is_member() && !peers.is_empty() {
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Sends a node all suspensions and forgotten nodes: in datagrams if they fit one each,
-    /// otherwise over a stream.
+    /// Sends a node all suspensions and forgotten nodes: in datagrams if the suspensions and the
+    /// forgotten nodes fit one each, otherwise over a stream.
     pub(super) fn send_all_records(
         &mut self,
         local_time: f64,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Returns whether records may be sent to a node over a stream now; they may not if the latest
-    /// ones are likely to be on their way still.
+    /// Returns whether records may be sent to a node over a stream now. They may not shortly after
+    /// the previous ones, which are likely still on their way.
     fn begin_stream_sync(&mut self, local_time: f64, to: &Identity) -> bool {
         let last = self.last_stream_sync.get(&*to.name).copied();
         if last.is_some_and(|last| local_time - last < STREAM_SYNC_INTERVAL_SECONDS) {
--- a/crates/membership/src/membership/tests.rs
+++ b/crates/membership/src/membership/tests.rs
@@ -1,6 +1,6 @@
-//! Pins the bytes of what the gossip carries beside the SWIM library's own updates. Nodes of a
-//! cluster may run different versions, so these bytes must not change with a rename. The literals
-//! were written by the version before the renames.
+//! Checks the encoding of the messages that gossip carries in addition to the SWIM library's own
+//! updates. Nodes of a cluster may run different versions, so the encoding must not change, for
+//! example when a type or field is renamed. The literals were recorded with an earlier version.
 
 use super::dissemination::GossipMessage;
 
