--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -1,8 +1,9 @@
 //! Measures simulated clusters: `cargo run --release -p postproxy-membership --example measure -- 3
-//! 10 30`. Prints the tables of `docs/measure/members.md`; seeds are fixed.
+//! 10 30`. Prints the tables of `docs/measure/members.md`; the seeds of the simulations are fixed.
 //!
 //! Arguments: sizes of clusters, each as `NODES`, `NODES:LOSS_PERCENT` or
-//! `NODES:LOSS_PERCENT:KILLS`; or `heal` with sizes; or `hours`.
+//! `NODES:LOSS_PERCENT:KILLS`; or `heal` with sizes, to measure partitions that heal; or `hours`,
+//! to simulate ten hours with pauses.
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
@@ -19,7 +20,7 @@
 /// Bytes of an all-to-all heartbeat: the headers of UDP and IP, the envelope, a sender and a
 /// number.
 const HEARTBEAT_BYTES: f64 = 28.0 + 11.0 + 30.0 + 9.0;
-/// Failures that are simulated with all-to-all heartbeats.
+/// Number of failures that are simulated with all-to-all heartbeats.
 const HEARTBEAT_KILLS: usize = 200;
 /// Seconds in an hour.
 const SECONDS_PER_HOUR: f64 = 3600.0;
@@ -48,7 +49,7 @@
     first_knows: Vec<f64>,
     /// Seconds from each kill until all nodes know, sorted.
     all_know: Vec<f64>,
-    /// Kills that not all nodes knew of after a minute.
+    /// Number of kills that not all nodes knew of after a minute.
     missed: usize,
     /// Nodes wrongly declared failed, per hour and node.
     wrongly_failed: f64,
@@ -133,7 +134,8 @@
             .filter(|(_, node, _)| known_after(node).is_some())
             .count()
     };
-    // The times are those of the events, so a coarse check is enough.
+    // The measured times are those of the events, so checking at intervals of 0.1 s doesn't distort
+    // them.
     let mut checks_left = 600;
     while checks_left > 0 && nodes_that_know(simulation) < nodes - 1 {
         simulation.run(0.1);
@@ -155,8 +157,8 @@
     wrongly_failed: f64,
 }
 
-/// Measures all-to-all heartbeats: one every `period` to every node, which is declared failed after
-/// `timeout` without.
+/// Measures all-to-all heartbeats: each node sends one to every other each `period`, and is
+/// declared failed if none arrives for `timeout`.
 fn measure_heartbeats(nodes: usize, loss: f64, period: f64, timeout: f64) -> HeartbeatMeasurement {
     let mut rng = Pcg64Mcg::seed_from_u64(9);
     let mut uniform = || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
@@ -212,8 +214,8 @@
     );
 }
 
-/// Measures the time after a partition into halves until all nodes agree, and until all see a
-/// complete cluster.
+/// Measures the time from the end of a partition into halves until all nodes know each other as
+/// members, and until all see a complete cluster.
 fn measure_healing(nodes: usize, loss: f64, times: usize, seed: u64) {
     let mut simulation = Simulation::new(nodes, seed, Settings::default());
     simulation.run_until(60.0, Simulation::all_agree);
@@ -256,7 +258,7 @@
 
 fn print_healing_table(sizes: impl Iterator<Item = usize>) {
     println!(
-        "| nodes | loss | all are members, s, median / most | all stand whole, s | never | never whole |"
+        "| nodes | loss | all know each other, s, median / max | all see a complete cluster, s, median / max | never know each other | never see a complete cluster |"
     );
     for nodes in sizes {
         let times = if nodes > 100 { 5 } else { 20 };
@@ -313,7 +315,7 @@
     };
     let kills = case.kills.unwrap_or(usual_kills);
     let swim = measure_swim(nodes, loss, kills, quiet_seconds, 7 + nodes as u64);
-    // Four heartbeats in the time that SWIM took at its 99th percentile.
+    // The timeout is the 99th percentile of SWIM, with four heartbeats in that time.
     let timeout = quantile(&swim.all_know, 0.99);
     let period = timeout / 4.0;
     let heartbeats = measure_heartbeats(nodes, loss, period, timeout);
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Simulated clusters: starts, failures, pauses, restarts and name conflicts. The promises are
-//! those of `docs/design/members.md`.
+//! Simulated clusters: starts, failures, pauses, restarts and name conflicts. The numbers of
+//! promises are those of `docs/design/members.md`.
 
 mod simulation;
 
@@ -10,7 +10,7 @@
     matches!(event, MembershipEvent::Failed(_))
 }
 
-/// The seeds may be down, wrong or the node itself.
+/// The seeds may be down, wrong or the node's own address.
 #[test]
 fn nodes_find_each_other_in_any_order_of_starts() {
     for seed in 0..20 {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Promise 1.
+/// Promise 1: all nodes learn that a node has failed or left, and don't mistake one for the other.
 #[test]
 fn failure_is_known_to_all_and_leaving_is_no_failure() {
     let mut simulation = Simulation::new(10, 5, Settings::default());
@@ -90,7 +90,8 @@
     );
 }
 
-/// The notice may come by other nodes, before or after the SWIM library reports the node as down.
+/// The notice of leaving may arrive through other nodes, before or after the SWIM library reports
+/// the node as down. In either order the node must not be reported as failed.
 #[test]
 fn leaving_is_never_reported_as_a_failure() {
     for seed in 0..4 {
@@ -110,8 +111,8 @@
     }
 }
 
-/// The gossip of the suspicion arrives while the node is stopped and the buffer of its socket is
-/// full.
+/// The gossip of a suspicion may arrive while the suspected node is stopped and the buffer of its
+/// socket is full. The node must still learn of the suspicion in time to refute it.
 #[test]
 fn pause_below_a_second_is_no_failure_despite_lost_datagrams() {
     let mut simulation = Simulation::new(10, 77, Settings::default());
@@ -125,7 +126,8 @@
     assert_eq!(simulation.count_events(at, is_failure), 0);
 }
 
-/// Promise 2, for a process that for a minute gets 1.5 ms of every 0 to 3 s.
+/// Promise 2, for a starved process: for a minute it runs for 1.5 ms at a time, between pauses of
+/// up to 3 s.
 #[test]
 fn starved_node_declares_nobody_failed() {
     for seed in 0..10 {
@@ -149,8 +151,8 @@
     }
 }
 
-/// Promise 2: a node that wakes doesn't declare others failed for the time that it missed. Promise
-/// 3: it learns that it was declared failed, and rejoins at once.
+/// Promise 2: a node that continues after a pause doesn't declare others failed for the time in
+/// which it was stopped. Promise 3: it learns that it was declared failed, and rejoins at once.
 #[test]
 fn paused_node_declares_nobody_failed_and_rejoins() {
     for (seed, pause) in [(1, 1.0), (2, 4.0), (3, 20.0), (4, 300.0)] {
@@ -191,7 +193,7 @@
     }
 }
 
-/// Promise 2, for all nodes at once.
+/// Promise 2, for a pause of all nodes at once.
 #[test]
 fn cluster_that_was_paused_as_a_whole_is_unchanged() {
     let mut simulation = Simulation::new(8, 9, Settings::default());
@@ -205,8 +207,8 @@
     assert_eq!(simulation.count_events(at, is_failure), 0);
 }
 
-/// The node has no disk, its clock may be set back, and it may come back at another address. It
-/// must neither wait nor be taken for its earlier process.
+/// A restarted node has no stored state, its clock may be set back, and it may come back at another
+/// address. It must not have to wait, and must not be taken for its earlier process.
 #[test]
 fn restarted_node_rejoins_whatever_its_clock_shows() {
     for (seed, clock) in [(1, None), (2, Some(0)), (3, Some(7))] {
@@ -240,7 +242,8 @@
             simulation.membership(3).local_identity().incarnation > before,
             "seed {seed}"
         );
-        // The same at another address, while the old one's record is still that of a member.
+        // It restarts at another address while the others still have its old address as that of a
+        // member.
         simulation.kill(3);
         let moved = simulation.add("n3", address(40));
         simulation.start_at(moved, 1);
@@ -251,8 +254,8 @@
     }
 }
 
-/// One answer has no room for all members. With one answer alone it took 7 to 10 s with 30
-/// processes.
+/// One answer to a request for the list of members doesn't hold all members of a large cluster.
+/// With a single request it took 7 to 10 s in a cluster of 30 processes.
 #[test]
 fn restarted_node_knows_all_members_within_a_second_in_a_large_cluster() {
     for seed in 0..3 {
@@ -270,7 +273,8 @@
     }
 }
 
-/// Promise 4. The two must not replace each other for ever, either.
+/// Promise 4: of two processes with the same name one becomes a member. They must not replace each
+/// other for ever, either.
 #[test]
 fn one_of_two_processes_with_the_same_name_stays_a_member() {
     for seed in 0..10 {
@@ -298,7 +302,7 @@
             simulation.nodes[4].events,
             simulation.nodes[5].events
         );
-        // This lasts.
+        // This state is stable.
         let before = simulation.now;
         simulation.run(60.0);
         assert!(one_is_member(&simulation), "seed {seed}");
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams that a member receives and sends: what isn't a valid datagram of its cluster changes a
-//! counter only.
+//! Datagrams that a member receives and sends. One that isn't a valid datagram of its cluster
+//! changes nothing but a counter.
 
 use postproxy_membership::packet::{self, DecodeError, Message};
 use postproxy_membership::{Identity, Membership, Output, Settings};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn cut_and_changed_datagrams_are_rejected() {
+fn truncated_and_changed_datagrams_are_rejected() {
     let cluster = packet::cluster_number(CLUSTER);
     let message = Message::Heartbeat {
         sequence: 3,
@@ -61,7 +61,7 @@
     for length in 0..valid.len() {
         assert!(
             packet::decode(cluster, &valid[..length]).is_err(),
-            "cut at {length}"
+            "truncated to {length} bytes"
         );
     }
     for bit in 0..valid.len() * 8 {
--- a/crates/membership/tests/local_clock.rs
+++ b/crates/membership/tests/local_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process: pauses don't count, and after one the clock runs slower.
+//! The local clock: a pause of the process isn't counted, and the clock runs slower after it.
 
 use postproxy_membership::LocalClock;
 
@@ -17,7 +17,7 @@
         after - before
     );
     assert!(clock.skipped_seconds() > 59.0 && clock.slowdown() > 7.0);
-    // A call before its deadline shows no pause.
+    // A call before its deadline isn't late.
     let local_time = clock.local_time();
     let slowdown = clock.slowdown();
     clock.advance(61.05, Some(local_time + 10.0));
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -73,7 +73,8 @@
     }
 }
 
-/// A link may be cut in one direction only. A node that others hear isn't declared failed.
+/// A link may be cut in one direction only. A node that is cut off from some nodes, but not from
+/// all, isn't declared failed.
 #[test]
 fn cut_links_are_reported_and_nobody_is_declared_failed() {
     let one_way = |simulation: &mut Simulation| {
@@ -115,8 +116,8 @@
     }
 }
 
-/// A node that was cut off when a report was withdrawn must not believe it for ever. Found by a
-/// schedule of processes (seed 30).
+/// A node that was cut off when another one withdrew its reachability report must not keep that
+/// report for ever.
 #[test]
 fn reachability_report_expires_if_its_withdrawal_was_lost() {
     for seed in 0..10 {
@@ -127,7 +128,7 @@
         simulation.cut_links.insert((4, 2));
         simulation.cut_links.insert((4, 3));
         simulation.run(4.0);
-        // The report is withdrawn while n0 is cut off; by then n0 is declared failed, or not yet.
+        // The report is withdrawn while n0 is cut off, before or after n0 is declared failed.
         simulation.partition(&[0], &[1, 2, 3, 4]);
         simulation.cut_links.remove(&(4, 2));
         simulation.cut_links.remove(&(4, 3));
--- a/crates/membership/tests/reachability.rs
+++ b/crates/membership/tests/reachability.rs
@@ -1,8 +1,9 @@
-//! Heartbeats and the peers that aren't heard.
+//! Unreachable peers, as determined by their heartbeats.
 
 use postproxy_membership::reachability::Reachability;
 
-/// An old heartbeat that the network repeats must not make a node count as reachable that isn't.
+/// An old heartbeat that the network delivers late or repeatedly must not make an unreachable node
+/// count as reachable.
 #[test]
 fn repeated_heartbeat_is_ignored() {
     let mut reachability = Reachability::default();
--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Simulation of a cluster: many members and the network between them, with simulated time and a
-//! seed. It runs the same state machine as a node.
+//! Simulation of a cluster: its members and the network between them, with simulated time and
+//! seeded random numbers. It runs the same state machine as a node.
 
 #![allow(dead_code)]
 
@@ -50,7 +50,7 @@
     pub events: Vec<(f64, MembershipEvent)>,
     /// Datagrams that wait for a stopped process.
     inbox: Vec<Vec<u8>>,
-    /// Number of the latest timer; earlier ones are ignored.
+    /// Sequence number of the latest timer; earlier ones are ignored.
     timer_number: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
@@ -84,7 +84,6 @@
 }
 
 /// Returns the address of node `n`.
-/// Adds a node that isn't started. Returns its number.
 pub fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250 + 1) as u8], 7000))
 }
@@ -218,7 +217,7 @@
         self.carry_out(n, out);
     }
 
-    /// Returns a random number from 0 up to 1.
+    /// Returns a random number from 0 inclusive to 1 exclusive.
     pub fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -237,7 +236,7 @@
         )));
     }
 
-    /// Carries out what a call of a node's membership returned.
+    /// Carries out what a call of a node's [`Membership`] returned.
     pub fn carry_out(&mut self, n: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -245,8 +244,9 @@
                     let now = self.now;
                     self.nodes[n].events.push((now, event));
                 }
-                // Streams lose nothing here: a real one continues after a cut, or ends with its
-                // node.
+                // Streams aren't subject to random loss, since real ones retransmit. A message is
+                // lost only if the link is cut, or if the receiver is stopped or dead when it
+                // arrives.
                 Output::SendOverStream { to, message } => {
                     self.stream_messages += 1;
                     let Some(&to) = self.by_address.get(&to.address) else {
@@ -289,7 +289,7 @@
         self.set_timer(n);
     }
 
-    /// Sets the one timer of a node anew.
+    /// Replaces the one timer of a node.
     fn set_timer(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         node.timer_number += 1;
@@ -312,7 +312,7 @@
     }
 
     /// Runs the simulation until a condition holds, for this number of seconds at most. Returns
-    /// whether it holds.
+    /// whether it held.
     pub fn run_until(&mut self, seconds: f64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let until = self.now + seconds;
         holds(self) || self.run_until_time(until, holds)
@@ -339,8 +339,8 @@
         holds(self)
     }
 
-    /// Handles an event. Returns the node that has handled it, and what it wants done; `None` if
-    /// none has.
+    /// Handles an event. Returns the node that has handled it, and its output; `None` if no node
+    /// has.
     fn handle_event(&mut self, event: SimulationEvent) -> Option<(usize, Vec<Output>)> {
         let mut out = Vec::new();
         match event {
@@ -434,7 +434,7 @@
     }
 }
 
-/// Returns the names of the peers that a node takes for members.
+/// Returns the names of the peers that a node knows as members.
 pub fn known_members(membership: &Membership) -> impl Iterator<Item = &str> {
     use postproxy_membership::MemberState;
     membership
--- a/crates/membership/tests/surface_bytes.rs
+++ b/crates/membership/tests/surface_bytes.rs
@@ -1,6 +1,6 @@
-//! Pins the datagrams between members: the envelope, every kind of message, suspensions of workers,
-//! and the stored suspensions. Nodes of a fleet may run different versions, so these bytes must not
-//! change with a rename. The literals were written by the version before the renames.
+//! Checks the encoding of datagrams between members, with every kind of message, and of stored
+//! suspensions. Nodes of a cluster may run different versions, so the encoding must not change, for
+//! example when a type or field is renamed. The literals were recorded with an earlier version.
 
 use postproxy_membership::packet::{
     DecodeError, ForgottenNode, MAX_DATAGRAM_BYTES, Message, VERSION, cluster_number, decode,
@@ -38,8 +38,8 @@
 /// The sender, encoded.
 const SENDER: &str = "036e2d31007f0000019e37ac02ffffffffffffffffff01";
 
-/// Asserts that the message is encoded as this literal, and that a datagram of it is the envelope,
-/// the sender and it.
+/// Asserts that the message is encoded as this literal, that its datagram consists of the envelope,
+/// the sender and this literal, and that the datagram is decoded to the message.
 #[track_caller]
 fn pin(message: Message, literal: &str) {
     let bytes = postcard::to_stdvec(&message).expect("an encoded message");
@@ -48,7 +48,7 @@
     assert_eq!(
         hex(&datagram[..7]),
         "504d0104030201",
-        "P M, the version, the cluster"
+        "the magic PM, the version, the cluster number"
     );
     assert_eq!(
         datagram[7..11],
@@ -148,7 +148,7 @@
     pin(Message::Application(Vec::new()), "0c00");
 }
 
-/// A whole datagram: `NameQuery`.
+/// A whole datagram, with [`Message::NameQuery`].
 const DATAGRAM: &str = "504d01040302015dcc674e036e2d31007f0000019e37ac02ffffffffffffffffff0102";
 
 #[test]
@@ -164,10 +164,10 @@
 }
 
 #[test]
-fn datagrams_of_others_and_damaged_ones_keep_their_errors() {
-    let sound = unhex(DATAGRAM);
+fn foreign_and_damaged_datagrams_keep_their_errors() {
+    let valid = unhex(DATAGRAM);
     let changed = |at: usize| {
-        let mut bytes = sound.clone();
+        let mut bytes = valid.clone();
         bytes[at] ^= 1;
         decode(0x0102_0304, &bytes)
     };
@@ -175,32 +175,33 @@
     assert_eq!(changed(1), Err(DecodeError::Foreign));
     assert_eq!(changed(2), Err(DecodeError::Version));
     (3..7).for_each(|at| assert_eq!(changed(at), Err(DecodeError::Cluster)));
-    (7..sound.len()).for_each(|at| assert_eq!(changed(at), Err(DecodeError::Damaged)));
-    assert_eq!(decode(0x0102_0304, &sound[..10]), Err(DecodeError::Foreign));
-    assert_eq!(decode(0x0102_0304, &sound[..11]), Err(DecodeError::Damaged));
-    assert_eq!(decode(0x0102_0305, &sound), Err(DecodeError::Cluster));
-    // Sound checksums: a message that does not exist, a byte too many, a sender without a name.
-    let with = |rest: &str| {
-        let rest = unhex(rest);
-        let sum = crc32fast::hash(&rest).to_le_bytes();
+    (7..valid.len()).for_each(|at| assert_eq!(changed(at), Err(DecodeError::Damaged)));
+    assert_eq!(decode(0x0102_0304, &valid[..10]), Err(DecodeError::Foreign));
+    assert_eq!(decode(0x0102_0304, &valid[..11]), Err(DecodeError::Damaged));
+    assert_eq!(decode(0x0102_0305, &valid), Err(DecodeError::Cluster));
+    // Valid checksums, but invalid content: an unknown kind of message, an extra byte, a sender
+    // without a name.
+    let decode_content = |content: &str| {
+        let content = unhex(content);
+        let sum = crc32fast::hash(&content).to_le_bytes();
         decode(
             0x0102_0304,
-            &[&unhex("504d0104030201"), &sum[..], &rest].concat(),
+            &[&unhex("504d0104030201"), &sum[..], &content].concat(),
         )
     };
     assert_eq!(
-        with(&(SENDER.to_owned() + "0d")),
+        decode_content(&(SENDER.to_owned() + "0d")),
         Err(DecodeError::Malformed)
     );
     assert_eq!(
-        with(&(SENDER.to_owned() + "0200")),
+        decode_content(&(SENDER.to_owned() + "0200")),
         Err(DecodeError::Malformed)
     );
     assert_eq!(
-        with(&("00".to_owned() + &SENDER[8..] + "02")),
+        decode_content(&("00".to_owned() + &SENDER[8..] + "02")),
         Err(DecodeError::Malformed)
     );
-    // Longer than a datagram may be; over a stream it is read.
+    // Longer than a datagram may be; from a stream it is accepted.
     let long = encode(0x0102_0304, &sender(), &Message::Application(vec![0; 1400]));
     assert_eq!(decode(0x0102_0304, &long), Err(DecodeError::Damaged));
     assert!(decode_stream_message(0x0102_0304, &long).is_ok());
@@ -224,7 +225,7 @@
     );
 }
 
-/// Nodes compare these digests: each must come to the same number at every version.
+/// Nodes compare these digests, so every version must compute the same number.
 #[test]
 fn digest_of_suspended_workers_is_unchanged() {
     let mut workers = SuspendedWorkers::default();
--- a/crates/membership/tests/surface_errors.rs
+++ b/crates/membership/tests/surface_errors.rs
@@ -1,12 +1,12 @@
-//! Pins the words with which the log and the management API name dropped datagrams, the state of
-//! the cluster and its nodes. They must not change with a name in the code.
+//! Checks the texts that logs and the management API use for dropped datagrams, the health of the
+//! cluster and its nodes. They must not change when an identifier in the code is renamed.
 
 use postproxy_membership::packet::DecodeError;
 use postproxy_membership::{ClusterHealth, Identity, UnreachablePair};
 
 #[test]
-fn reasons_to_drop_a_datagram_have_their_words() {
-    let flaws = [
+fn decode_errors_keep_their_texts() {
+    let errors = [
         DecodeError::Foreign,
         DecodeError::Version,
         DecodeError::Cluster,
@@ -20,11 +20,11 @@
         "damaged",
         "not understood",
     ];
-    assert_eq!(flaws.map(DecodeError::as_str), expected);
+    assert_eq!(errors.map(DecodeError::as_str), expected);
 }
 
 #[test]
-fn states_of_the_cluster_have_their_words_and_reasons() {
+fn cluster_health_keeps_its_texts_and_reasons() {
     let names = || vec!["n1".to_owned(), "n2".to_owned()];
     let cases = [
         (ClusterHealth::Alone, "alone", vec![]),
@@ -58,17 +58,14 @@
             vec!["voter n1 is not reached", "voter n2 is not reached"],
         ),
     ];
-    for (standing, word, reasons) in cases {
-        assert_eq!(
-            (standing.as_str(), standing.to_string().as_str()),
-            (word, word)
-        );
-        assert_eq!(standing.reasons(), reasons);
+    for (health, text, reasons) in cases {
+        assert_eq!((health.as_str(), health.to_string().as_str()), (text, text));
+        assert_eq!(health.reasons(), reasons);
     }
 }
 
 #[test]
-fn a_node_is_named_with_its_address_and_incarnation() {
+fn identity_is_displayed_with_its_address_and_incarnation() {
     let address = ([127, 0, 0, 1], 7946).into();
     let identity = Identity {
         name: "n1".into(),
--- a/crates/membership/tests/surface_json.rs
+++ b/crates/membership/tests/surface_json.rs
@@ -1,8 +1,9 @@
-//! Pins the words of this crate that stand in the JSON body of `GET /v1/fleet/members`.
+//! Checks the texts of this crate that are values or keys in the JSON body of `GET
+//! /v1/fleet/members`.
 //!
-//! `standing` and `reasons` are worded by [`ClusterHealth`], the keys of `dropped` by
-//! [`DecodeError`]. Programs compare them as text: they are literal here, so that renaming the
-//! types and variants can't change them unseen.
+//! The values of `standing` and `reasons` are those of [`ClusterHealth`], the keys of `dropped`
+//! those of [`DecodeError`]. Programs compare them as text, so they must not change when the types
+//! and variants are renamed.
 
 use postproxy_membership::packet::DecodeError;
 use postproxy_membership::{ClusterHealth, UnreachablePair};
@@ -11,45 +12,45 @@
     vec!["n1".into(), "n2".into()]
 }
 
-/// The standing is shown by this word, also in logs, and for these reasons.
+/// Asserts that the health has this text, in JSON and in logs, and these reasons.
 #[track_caller]
-fn pinned(standing: &ClusterHealth, word: &str, reasons: &[&str]) {
-    assert_eq!(standing.as_str(), word);
-    assert_eq!(standing.to_string(), word);
-    assert_eq!(standing.reasons(), reasons);
+fn assert_texts(health: &ClusterHealth, text: &str, reasons: &[&str]) {
+    assert_eq!(health.as_str(), text);
+    assert_eq!(health.to_string(), text);
+    assert_eq!(health.reasons(), reasons);
 }
 
 #[test]
-fn each_standing_has_this_word_and_these_reasons() {
-    pinned(&ClusterHealth::Alone, "alone", &[]);
-    pinned(&ClusterHealth::Complete, "whole", &[]);
+fn cluster_health_keeps_its_texts_and_reasons() {
+    assert_texts(&ClusterHealth::Alone, "alone", &[]);
+    assert_texts(&ClusterHealth::Complete, "whole", &[]);
     let pair = UnreachablePair {
         observer: "n0".to_owned(),
         peer: "n1".to_owned(),
     };
-    pinned(
+    assert_texts(
         &ClusterHealth::PartiallyUnreachable(vec![pair]),
         "some pairs cut",
         &["n0 does not hear n1"],
     );
-    pinned(
+    assert_texts(
         &ClusterHealth::SomeFailed(names()),
         "some failed",
         &["n1 has failed", "n2 has failed"],
     );
     let reasons = ["n1 is not reached", "n2 is not reached"];
-    pinned(
+    assert_texts(
         &ClusterHealth::MajorityPartition(names()),
         "cut off with a majority",
         &reasons,
     );
     let reasons = ["voter n1 is not reached", "voter n2 is not reached"];
-    pinned(
+    assert_texts(
         &ClusterHealth::MinorityPartition(names()),
         "cut off with a minority",
         &reasons,
     );
-    pinned(
+    assert_texts(
         &ClusterHealth::NoMajority(names()),
         "no majority anywhere",
         &reasons,
@@ -57,8 +58,8 @@
 }
 
 #[test]
-fn each_reason_for_dropping_a_datagram_has_this_word() {
-    let flaws = [
+fn decode_errors_keep_their_texts() {
+    let errors = [
         DecodeError::Foreign,
         DecodeError::Version,
         DecodeError::Cluster,
@@ -66,7 +67,7 @@
         DecodeError::Malformed,
     ];
     assert_eq!(
-        flaws.map(DecodeError::as_str),
+        errors.map(DecodeError::as_str),
         [
             "foreign",
             "another version",
--- a/crates/membership/tests/synchronisation.rs
+++ b/crates/membership/tests/synchronisation.rs
@@ -1,5 +1,5 @@
-//! Simulated clusters: suspended workers and forgotten nodes become known to all. The promises are
-//! those of `docs/design/members.md`.
+//! Simulated clusters: all nodes learn of suspended workers and of forgotten nodes. The numbers of
+//! promises are those of `docs/design/members.md`.
 
 mod simulation;
 
@@ -7,8 +7,8 @@
 use simulation::{Simulation, address};
 use std::collections::BTreeSet;
 
-/// Promise 5: the sides come to agree, a resume undoes no suspend that it hadn't received, and a
-/// node that joins later learns of all.
+/// Promise 5: the sides of a partition come to agree, a resume undoes no suspend that its node
+/// hadn't received, and a node that joins later learns of all suspensions.
 #[test]
 fn suspensions_on_both_sides_of_a_partition_converge() {
     for seed in 0..10 {
@@ -67,7 +67,8 @@
     }
 }
 
-/// They don't fit a datagram. They must be sent neither in parts that get lost nor again and again.
+/// Thousands of suspensions don't fit a datagram. They must not be sent as many datagrams, some of
+/// which get lost, and must not be sent again and again.
 #[test]
 fn thousands_of_suspensions_are_sent_over_streams_and_all_agree() {
     let mut simulation = Simulation::new(6, 21, Settings::default());
@@ -107,7 +108,7 @@
     assert!(
         simulation.run_until(30.0, Simulation::all_agree) && simulation.run_until(10.0, have_all)
     );
-    // Each node is sent all a few times, not again and again.
+    // Each node is sent all suspensions a few times, not again and again.
     let sent = simulation.stream_messages;
     assert!((5..400).contains(&sent), "{sent}");
     simulation.run(20.0);
@@ -117,7 +118,7 @@
     );
 }
 
-/// Has an operator forget a node at node `n`.
+/// Forgets a node at node `n`, as on an operator's request.
 fn forget(simulation: &mut Simulation, n: usize, name: &str) -> Result<(), ForgetError> {
     let now = simulation.now;
     let mut out = Vec::new();
@@ -126,8 +127,8 @@
     result
 }
 
-/// A live node can't be forgotten. A forgotten one isn't counted, also by nodes that were cut off
-/// at the time.
+/// A live node can't be forgotten. A forgotten one isn't counted any more, not even by nodes that
+/// were cut off when it was forgotten.
 #[test]
 fn forgotten_node_is_forgotten_by_all_and_may_come_back() {
     for seed in 0..10 {
