--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest name of a node, in bytes.
+/// Maximum length of a node's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// One incarnation of a node.
--- a/crates/membership/src/membership/join.rs
+++ b/crates/membership/src/membership/join.rs
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Handles a message that another identity holds this node's name: an earlier process of this
-    /// node, or another process that may be alive.
+    /// Handles a message which shows that another identity holds this node's name: an earlier
+    /// process of this node, or another process that may be alive.
     fn handle_other_holder(&mut self, local_time: f64, holder: Identity, out: &mut Vec<Output>) {
         if holder.address == self.local_identity.address {
             // Two processes can't have the same address, so this was an earlier process of this
--- a/crates/membership/tests/surface_json.rs
+++ b/crates/membership/tests/surface_json.rs
@@ -1,5 +1,5 @@
-//! Checks the texts of this crate that are values or keys in the JSON body of `GET
-//! /v1/fleet/members`.
+//! Checks the texts of this crate that are values or keys in the JSON body of
+//! `GET /v1/fleet/members`.
 //!
 //! The values of `standing` and `reasons` are those of [`ClusterHealth`], the keys of `dropped`
 //! those of [`DecodeError`]. Programs compare them as text, so they must not change when the types
