--- a/src/net/handover/callbacks.rs
+++ b/src/net/handover/callbacks.rs
@@ -1,41 +1,42 @@
-//! Call-backs that cross between sibling processes: those forwarded to siblings, which wait for
-//! their results, and those that siblings have forwarded here, which wait for this process's own.
+//! Callbacks that are forwarded between sibling processes: those that this process has sent to
+//! siblings and whose results it awaits, and those that siblings have sent to this process, which
+//! owes them a result.
 
 use crate::net::messages::{ClientId, WorkerCallback};
 use std::collections::HashMap;
 
-/// Marks the client numbers of call-backs that siblings have forwarded here, apart from those of
-/// connections.
-const FORWARDED_MARK: ClientId = 1 << 63;
+/// Bit that is set in the client ids of callbacks that siblings have forwarded here, and in no
+/// client id of a connection.
+const FORWARDED_BIT: ClientId = 1 << 63;
 
-/// Where a call-back came from that a sibling has forwarded.
+/// The source of a callback that a sibling has forwarded here.
 #[derive(Debug)]
 pub struct CallbackOrigin {
     /// The link to the sibling.
     pub link: usize,
-    /// The sibling's number of the call-back.
+    /// The number that the sibling has given the callback.
     pub number: u64,
 }
 
-/// A call-back that was forwarded to siblings.
+/// A callback that was forwarded to siblings.
 struct PendingCallback {
-    /// Siblings that have yet to send their result.
-    results_left: usize,
+    /// Number of siblings that have not sent their result yet.
+    missing_results: usize,
     callback: WorkerCallback,
 }
 
-/// What is known of a forwarded call-back after a result.
+/// The state of a forwarded callback after a result has been recorded.
 #[derive(Debug)]
 pub enum CallbackResolution {
-    /// Other results are still to come, or the call-back was resolved before.
+    /// Other results are outstanding, or the callback was resolved before.
     Pending,
-    /// A sibling knows the call-back's request.
+    /// A sibling knows the request that the callback is about.
     Known,
     /// No sibling knows the request.
     Unknown(WorkerCallback),
 }
 
-/// The call-backs that cross between this process and its siblings.
+/// The callbacks that are forwarded between this process and its siblings.
 #[derive(Default)]
 pub struct ForwardedCallbacks {
     pending: HashMap<ClientId, PendingCallback>,
@@ -44,47 +45,49 @@
 }
 
 impl ForwardedCallbacks {
-    /// Adds a call-back that a sibling has forwarded, and returns the client number that stands for
-    /// it here.
+    /// Registers a callback that a sibling has forwarded, and returns the client id that stands for
+    /// it in this process.
     pub fn add_origin(&mut self, link: usize, number: u64) -> ClientId {
         self.last_origin += 1;
-        let client = FORWARDED_MARK | self.last_origin;
+        let client = FORWARDED_BIT | self.last_origin;
         self.origins.insert(client, CallbackOrigin { link, number });
         client
     }
 
-    /// Whether this client number stands for a call-back that a sibling has forwarded here.
+    /// Whether this client id stands for a callback that a sibling has forwarded here.
     pub fn is_forwarded_here(&self, client: ClientId) -> bool {
-        client & FORWARDED_MARK != 0
+        client & FORWARDED_BIT != 0
     }
 
-    /// Returns the link over which a call-back was forwarded here.
+    /// Returns the link over which a callback was forwarded here.
     pub fn origin_link(&self, client: ClientId) -> Option<usize> {
         self.origins.get(&client).map(|origin| origin.link)
     }
 
-    /// Removes the origin of a call-back that was forwarded here; `None` if its link is closed.
+    /// Removes and returns the origin of a callback that was forwarded here; `None` if its link is
+    /// closed.
     pub fn take_origin(&mut self, client: ClientId) -> Option<CallbackOrigin> {
         self.origins.remove(&client)
     }
 
-    /// Waits for the results of so many siblings to which a call-back was forwarded.
+    /// Registers a callback that was forwarded to this number of siblings, each of which sends a
+    /// result.
     pub fn await_results(&mut self, client: ClientId, siblings: usize, callback: WorkerCallback) {
         let pending = PendingCallback {
-            results_left: siblings,
+            missing_results: siblings,
             callback,
         };
         self.pending.insert(client, pending);
     }
 
-    /// Records whether a sibling knows the request of a call-back. The first `known`, or the last
-    /// result, resolves it.
+    /// Records a sibling's result: whether it knows the request that the callback is about. The
+    /// callback is resolved by the first sibling that knows the request, or by the last result.
     pub fn record_result(&mut self, client: ClientId, known: bool) -> CallbackResolution {
         let Some(pending) = self.pending.get_mut(&client) else {
             return CallbackResolution::Pending;
         };
-        pending.results_left -= 1;
-        if !known && pending.results_left > 0 {
+        pending.missing_results -= 1;
+        if !known && pending.missing_results > 0 {
             return CallbackResolution::Pending;
         }
         match self.pending.remove(&client) {
@@ -94,17 +97,17 @@
         }
     }
 
-    /// Stops waiting for the results of a call-back.
+    /// Stops waiting for the results of a callback.
     pub fn abandon(&mut self, client: ClientId) {
         self.pending.remove(&client);
     }
 
-    /// Removes the origins of a link that is closed: nobody is left to send their results to.
+    /// Removes the origins of a closed link, on which results can no longer be sent.
     pub fn forget_link(&mut self, link: usize) {
         self.origins.retain(|_, origin| origin.link != link);
     }
 
-    /// Whether call-backs wait for siblings' results.
+    /// Whether results of siblings are outstanding.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
--- a/src/net/handover/descriptors.rs
+++ b/src/net/handover/descriptors.rs
@@ -1,45 +1,48 @@
-//! How the processes of one node divide its descriptors during a handover.
+//! Divides the file descriptors of a node among its processes during a handover.
 
 use std::collections::HashMap;
 
-/// A process that shuts down announces its descriptors again once they are fewer by this many.
+/// A process that shuts down repeats its announcement once its share has shrunk by at least this
+/// many descriptors.
 const ANNOUNCEMENT_STEP: usize = 8;
 
-/// The descriptors of the node and of this process.
+/// Descriptor limits of the node, and the usage and state of this process.
 #[derive(Clone, Copy, Debug)]
 pub struct DescriptorUsage {
     /// Descriptors that all processes of the node may hold together.
     pub total: usize,
-    /// Descriptors that each process reserves for what is no client's and no worker's connection.
+    /// Descriptors that each process reserves for anything other than connections of clients and
+    /// workers.
     pub reserved: usize,
-    /// Connections that this process holds.
+    /// Connections of clients and workers that this process holds.
     pub in_use: usize,
     /// Whether a newer process is linked.
     pub has_successor: bool,
-    /// Whether this process hands over and will end.
+    /// Whether this process is handing over and will end.
     pub shutting_down: bool,
 }
 
-/// The outcome of a division.
+/// The result of [`DescriptorShares::divide`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorShare {
     /// Connections that this process may hold.
     pub own: usize,
-    /// What to announce to newer processes: descriptors that all older ones hold at most.
+    /// The number of descriptors that this process and all older ones hold at most, if it has to be
+    /// announced to newer processes.
     pub announcement: Option<u32>,
 }
 
-/// What the processes have announced to each other.
+/// The limits that the processes of a node have announced to each other.
 #[derive(Debug, Default)]
 pub struct DescriptorShares {
-    /// Descriptors that each sibling may hold, by its link.
+    /// Descriptors that each sibling has announced that it may hold, by its link.
     siblings: HashMap<usize, usize>,
     /// Connections that this process has announced that it may hold.
     announced: Option<usize>,
 }
 
 impl DescriptorShares {
-    /// Records what a sibling has announced.
+    /// Records the number of descriptors that a sibling has announced.
     pub fn record_sibling(&mut self, link: usize, descriptors: usize) {
         self.siblings.insert(link, descriptors);
     }
@@ -49,13 +52,14 @@
         self.siblings.remove(&link);
     }
 
-    /// Forgets what this process has announced, so that the next division announces it anew.
+    /// Discards this process's announcement, so that the next division makes a new one.
     pub fn reset_announcement(&mut self) {
         self.announced = None;
     }
 
-    /// Divides the descriptors: the older process keeps what it has, and at least half until it
-    /// shuts down; the newer one has the rest.
+    /// Computes this process's share. With a successor, a process keeps half of the available
+    /// descriptors, or all that it has in use if those are more; once it shuts down, it keeps only
+    /// those in use. The newer process gets the rest.
     pub fn divide(&mut self, usage: DescriptorUsage) -> DescriptorShare {
         let siblings: usize = self.siblings.values().sum();
         let available = usage.total.saturating_sub(usage.reserved + siblings);
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -1,7 +1,8 @@
-//! Links between the processes of one node while one takes over from another: a Unix stream in the
-//! node's folder for passing files, on which the newer process connects to the older one. The
-//! messages and the state of a link are `postproxy_handover`'s; this module owns the sockets.
-//! `callbacks` and `descriptors` track what crosses between the processes besides requests.
+//! Links between the processes of one node during a handover. A link is a Unix stream socket: the
+//! older process listens in the node's folder for temporary files, and the newer one connects to
+//! it. `postproxy_handover` defines the messages and the state of a link; this module owns the
+//! sockets. `callbacks` tracks forwarded callbacks, and `descriptors` divides the node's file
+//! descriptors among its processes.
 
 pub mod callbacks;
 pub mod descriptors;
@@ -20,35 +21,37 @@
 #[cfg(test)]
 mod tests;
 
-/// How often links are checked while there are any, in seconds.
+/// Interval at which open links are checked, in seconds.
 const CHECK_INTERVAL_SECONDS: f64 = 0.02;
-/// Bytes that may wait to be written on a link; beyond that the sibling has stalled.
+/// Maximum number of bytes queued on a link; with more, the sibling counts as stalled and the link
+/// is closed.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
-/// With this many bytes waiting on a link, no further connections are passed.
-const PASSING_QUEUED_BYTES: usize = 256 << 10;
-/// Links at a time: more than one while replacements follow each other faster than the replaced
-/// processes end.
+/// With this many bytes queued on a link, no further connections are migrated over it.
+const MIGRATION_MAX_QUEUED_BYTES: usize = 256 << 10;
+/// Maximum number of open links. There is more than one while processes are replaced faster than
+/// the replaced ones end.
 const MAX_LINKS: usize = 4;
 
 /// An event on a link.
 #[derive(Debug)]
 pub enum Event {
-    /// The sibling has sent something.
+    /// The sibling has sent a message.
     Received {
         /// The link.
         link: usize,
-        /// What was sent.
+        /// The event that the message has caused.
         event: LinkEvent,
-        /// The descriptor that came with it; `None` also if this process had no room for it.
+        /// The descriptor that came with the message; `None` also if this process had no free
+        /// descriptor for it.
         descriptor: Option<OwnedFd>,
     },
     /// The link is closed.
     Closed {
         /// The link.
         link: usize,
-        /// Callers whose call-backs still waited for results of the sibling.
+        /// Callers of [`Handover::forward_callback`] that have not got the sibling's result.
         pending_callers: Vec<u64>,
-        /// Whether the sibling may still run, and has only stalled.
+        /// Whether the sibling may still be running: `false` if it has closed its end of the link.
         stalled: bool,
     },
 }
@@ -66,12 +69,12 @@
     path: PathBuf,
     listener: Option<SuccessorListener>,
     sessions: BTreeMap<usize, Session>,
-    /// Whether the timer that checks the links is set.
-    checking: bool,
+    /// Whether the timer for checking the links is set.
+    check_timer_set: bool,
 }
 
 impl Handover {
-    /// Connects to the process that serves the node now, if there is one.
+    /// Connects to the process that is serving this node, if there is one.
     pub fn start(reactor: &mut Reactor, folder: &Path, name: &str, listen: &str) -> Self {
         let mut handover = Self {
             name: name.to_owned(),
@@ -79,18 +82,18 @@
             path: socket::socket_path(folder, name),
             listener: None,
             sessions: BTreeMap::new(),
-            checking: false,
+            check_timer_set: false,
         };
         match socket::connect(&handover.path) {
             Ok(stream) => handover.open_link(reactor, stream, Role::Newer),
-            // No process, or one that has ended and left its socket.
+            // There is no older process, or it has ended and left its socket file.
             Err(error)
                 if matches!(
                     error.kind(),
                     ErrorKind::NotFound | ErrorKind::ConnectionRefused
                 ) => {}
             Err(error) => {
-                tracing::warn!(%error, path = %handover.path.display(), "handover socket unavailable");
+                tracing::warn!(%error, path = %handover.path.display(), "cannot connect to the handover socket; starting without a handover");
             }
         }
         handover
@@ -98,7 +101,9 @@
 
     fn open_link(&mut self, reactor: &mut Reactor, stream: UnixStream, role: Role) {
         if self.sessions.len() >= MAX_LINKS || !socket::is_same_user(&stream) {
-            return tracing::warn!("handover link rejected");
+            return tracing::warn!(
+                "handover link rejected: too many links, or a process of another user"
+            );
         }
         let key = stream
             .set_nonblocking(true)
@@ -110,8 +115,8 @@
         session.enqueue([greeting(), hello].concat(), None);
         self.sessions.insert(key, session);
         self.rearm(reactor, key);
-        if !self.checking {
-            self.checking = true;
+        if !self.check_timer_set {
+            self.check_timer_set = true;
             self.set_check_timer(reactor);
         }
     }
@@ -120,7 +125,8 @@
         reactor.set_timer(reactor.now + CHECK_INTERVAL_SECONDS, Timer::Handover);
     }
 
-    /// Listens for the next process from now on, in place of the one that served before.
+    /// Starts to listen for the next process, and replaces the socket of the process that served
+    /// before.
     pub fn accept_successors(&mut self, reactor: &mut Reactor) {
         let temporary = self.path.with_extension(format!("{}", std::process::id()));
         let opened = socket::listen(&temporary, &self.path).and_then(|listener| {
@@ -132,19 +138,20 @@
             Ok(opened) => self.listener = Some(opened),
             Err(error) => {
                 let _ = std::fs::remove_file(&temporary);
-                tracing::warn!(%error, path = %temporary.display(), "handover socket unavailable to the next process");
+                tracing::warn!(%error, path = %temporary.display(), "cannot listen on the handover socket; the next process cannot take over from this one");
             }
         }
     }
 
-    /// Whether an older process has still to send a part of its snapshot.
+    /// Whether an older process has not yet sent its whole snapshot.
     pub fn is_waiting_for_snapshot(&self) -> bool {
         self.sessions
             .values()
             .any(|session| session.link.role() == Role::Newer && !session.link.is_joined())
     }
 
-    /// Returns the link to the process that takes over from this one, if there is one.
+    /// Returns the link to the process that takes over from this one: a newer process that has been
+    /// sent this one's whole snapshot.
     pub fn successor(&self) -> Option<usize> {
         self.sessions
             .iter()
@@ -152,7 +159,7 @@
             .map(|(key, _)| *key)
     }
 
-    /// Returns this process's side of a link.
+    /// Returns this process's role on a link.
     pub fn role_of(&self, key: usize) -> Option<Role> {
         self.sessions.get(&key).map(|session| session.link.role())
     }
@@ -164,7 +171,7 @@
             .any(|session| session.link.role() == Role::Newer)
     }
 
-    /// Whether a newer process is linked and has greeted.
+    /// Whether a newer process is linked and its hello has been received.
     pub fn has_successor(&self) -> bool {
         self.sessions
             .values()
@@ -176,16 +183,16 @@
         !self.sessions.is_empty()
     }
 
-    /// Whether all messages have been passed to the system.
+    /// Whether all messages have been written to the sockets.
     pub fn is_flushed(&self) -> bool {
         self.sessions.values().all(Session::is_flushed)
     }
 
-    /// Whether a connection can be passed on a link now.
+    /// Whether a connection can be migrated over a link now.
     pub fn has_write_capacity(&self, key: usize) -> bool {
         self.sessions
             .get(&key)
-            .is_some_and(|session| session.queued_bytes() < PASSING_QUEUED_BYTES)
+            .is_some_and(|session| session.queued_bytes() < MIGRATION_MAX_QUEUED_BYTES)
     }
 
     /// Handles readiness of the listener or of a link.
@@ -244,7 +251,7 @@
         }
     }
 
-    /// Closes links that have stalled, and writes on the others.
+    /// Closes stalled links, and writes queued messages on the others.
     pub fn handle_timer(&mut self, reactor: &mut Reactor) -> Vec<Event> {
         let mut events = Vec::new();
         for key in self.sessions.keys().copied().collect::<Vec<_>>() {
@@ -256,8 +263,8 @@
                 Err(error) => events.extend(self.close_link(reactor, key, &error)),
             }
         }
-        self.checking = !self.sessions.is_empty();
-        if self.checking {
+        self.check_timer_set = !self.sessions.is_empty();
+        if self.check_timer_set {
             self.set_check_timer(reactor);
         }
         events
@@ -276,9 +283,9 @@
             ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset | ErrorKind::BrokenPipe
         );
         if ended {
-            tracing::info!("other process of this node ended");
+            tracing::info!("other process of this node has ended");
         } else {
-            tracing::warn!(%error, "link to the other process of this node closed");
+            tracing::warn!(%error, "handover link to the other process of this node closed");
         }
         Some(Event::Closed {
             link: key,
@@ -308,22 +315,22 @@
     ) {
         if let Some(session) = self.sessions.get_mut(&key) {
             session.enqueue(frame(message), descriptor);
-            // A link that breaks here is closed at its next event or check.
+            // If the write fails, the link is closed at its next event or check.
             let _ = session.flush();
             self.rearm(reactor, key);
         }
     }
 
-    /// Sends a message to newer processes.
+    /// Sends a message to all newer processes.
     pub fn send_to_successors(&mut self, reactor: &Reactor, message: &Message) {
-        for key in self.greeted_links(None) {
+        for key in self.established_links(None) {
             if self.role_of(key) == Some(Role::Older) {
                 self.send(reactor, key, message);
             }
         }
     }
 
-    /// Tells a newer process that its snapshot is complete.
+    /// Tells a newer process that it has this process's whole snapshot.
     pub fn complete_snapshot(&mut self, reactor: &Reactor, key: usize) {
         self.send(reactor, key, &Message::SnapshotComplete);
         if let Some(session) = self.sessions.get_mut(&key) {
@@ -331,15 +338,15 @@
         }
     }
 
-    /// Sends a message on all links that have greeted, except one.
+    /// Sends a message on all links whose hello has been received, except one.
     pub fn broadcast(&mut self, reactor: &Reactor, except: Option<usize>, message: &Message) {
-        for key in self.greeted_links(except) {
+        for key in self.established_links(except) {
             self.send(reactor, key, message);
         }
     }
 
-    /// Sends a call-back over all links but one, and returns over how many: `caller` waits for as
-    /// many results.
+    /// Sends a callback on all links whose hello has been received, except one, and returns the
+    /// number of those links, which is the number of results that `caller` will get.
     pub fn forward_callback(
         &mut self,
         reactor: &Reactor,
@@ -347,7 +354,7 @@
         caller: u64,
         body: &[u8],
     ) -> usize {
-        let keys = self.greeted_links(except);
+        let keys = self.established_links(except);
         for key in &keys {
             if let Some(session) = self.sessions.get_mut(key) {
                 let message = session
@@ -359,7 +366,7 @@
         keys.len()
     }
 
-    fn greeted_links(&self, except: Option<usize>) -> Vec<usize> {
+    fn established_links(&self, except: Option<usize>) -> Vec<usize> {
         self.sessions
             .iter()
             .filter(|(key, session)| Some(**key) != except && session.link.is_greeted())
@@ -368,17 +375,19 @@
     }
 }
 
-/// Writes what waits on a link.
+/// Writes queued bytes on a link, and checks whether the sibling has stalled.
 ///
 /// # Errors
 ///
-/// If the sibling has stalled or the stream is broken: the link is to be closed.
+/// If the sibling has stalled or the stream is broken. The caller closes the link.
 fn check_session(session: &mut Session, now: f64) -> io::Result<()> {
     let is_full = session.queued_bytes() > MAX_QUEUED_BYTES;
     session.link.check_timeouts(now).map_err(io::Error::other)?;
     session.flush()?;
     if is_full {
-        return Err(io::Error::other("it does not read"));
+        return Err(io::Error::other(format!(
+            "the other process is not reading: more than {MAX_QUEUED_BYTES} bytes are queued"
+        )));
     }
     Ok(())
 }
--- a/src/net/handover/session.rs
+++ b/src/net/handover/session.rs
@@ -1,5 +1,5 @@
-//! One link's stream: writes frames, each with at most one descriptor, and reads events with their
-//! descriptors.
+//! The stream of one link: writes frames with at most one file descriptor each, and reads events
+//! and the descriptors that belong to them.
 
 use postproxy_handover::{Link, LinkEvent};
 use rustix::net::{
@@ -12,12 +12,13 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 
-/// Bytes read at a time.
+/// Size of the read buffer, in bytes.
 const READ_CHUNK_BYTES: usize = 32 << 10;
-/// Descriptors that may arrive ahead of their messages; a link with more is closed.
+/// Maximum number of descriptors whose messages have not been decoded yet; a link with more is
+/// closed.
 const MAX_EARLY_DESCRIPTORS: usize = 1024;
 
-/// Bytes to write, with the descriptor that goes with the first of them.
+/// Bytes to write, and the descriptor that is sent with the first of them.
 struct OutgoingFrame {
     bytes: Vec<u8>,
     descriptor: Option<OwnedFd>,
@@ -28,11 +29,12 @@
     pub(super) stream: UnixStream,
     pub(super) link: Link,
     outgoing: VecDeque<OutgoingFrame>,
-    /// Bytes of the first outgoing frame that are written.
+    /// Bytes of the first outgoing frame that have been written.
     written: usize,
-    /// Bytes of all outgoing frames that are not yet written.
+    /// Bytes of all outgoing frames that have not been written.
     queued: usize,
-    /// Descriptors that have arrived, in order; `None` for one that this process had no room for.
+    /// Received descriptors, in order; `None` for one that the kernel discarded because this
+    /// process had no free descriptor.
     received: VecDeque<Option<OwnedFd>>,
 }
 
@@ -54,27 +56,27 @@
         self.queued
     }
 
-    /// Whether all frames are written.
+    /// Whether all frames have been written.
     pub(super) fn is_flushed(&self) -> bool {
         self.outgoing.is_empty()
     }
 
-    /// Queues bytes, with a descriptor that goes with the first of them.
+    /// Queues bytes to be written, and a descriptor to be sent with the first of them.
     pub(super) fn enqueue(&mut self, bytes: Vec<u8>, descriptor: Option<OwnedFd>) {
         self.queued += bytes.len();
         self.outgoing.push_back(OutgoingFrame { bytes, descriptor });
     }
 
-    /// Takes the descriptor of the next event that carries one; `None` if it was lost.
+    /// Removes the descriptor of the next event that carries one; `None` if it was lost.
     pub(super) fn take_descriptor(&mut self) -> Option<OwnedFd> {
         self.received.pop_front().flatten()
     }
 
-    /// Writes queued frames until the stream is full.
+    /// Writes queued frames until all are written or the send buffer is full.
     ///
     /// # Errors
     ///
-    /// If the stream is broken: the link is to be closed.
+    /// If the stream is broken. The caller closes the link.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         while let Some(frame) = self.outgoing.front_mut() {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -86,7 +88,7 @@
             let slice = [IoSlice::new(&frame.bytes[self.written..])];
             match rustix::net::sendmsg(&self.stream, &slice, &mut control, SendFlags::NOSIGNAL) {
                 Ok(size) => {
-                    // The descriptor went with the first byte and now belongs to the sibling.
+                    // The descriptor was sent with the first byte: close this process's copy.
                     drop(frame.descriptor.take());
                     self.written += size;
                     self.queued -= size;
@@ -95,7 +97,7 @@
                         self.written = 0;
                     }
                 }
-                // Too many descriptors are in transit: the same as a full stream.
+                // The limit on descriptors in transit is reached; handled like a full send buffer.
                 Err(error) if error == rustix::io::Errno::TOOMANYREFS => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -105,12 +107,12 @@
         Ok(())
     }
 
-    /// Reads until the stream is empty, and appends the events to `events`.
+    /// Reads until no more bytes are available, and appends the events to `events`.
     ///
     /// # Errors
     ///
-    /// If the stream has ended or its bytes are invalid: the link is to be closed. Events before
-    /// that count.
+    /// If the stream has ended or its bytes are invalid. The caller handles the events that were
+    /// appended before the error, and closes the link.
     pub(super) fn read(&mut self, events: &mut Vec<LinkEvent>) -> io::Result<()> {
         let mut bytes = vec![0; READ_CHUNK_BYTES];
         loop {
@@ -131,9 +133,10 @@
                 }
             }
             if truncated {
-                // A lost descriptor needs a place in the order: otherwise the next message's
-                // descriptor would be used for this one, and a request be answered to another
-                // client. The sibling sends one descriptor at a time, and a read ends behind it.
+                // `None` keeps the place of the lost descriptor. Without it, this message would get
+                // the descriptor of the next one, and a request would be answered to the wrong
+                // client. At most one is lost per read, because the sibling sends one descriptor at
+                // a time and a read does not go beyond the bytes that were sent with it.
                 self.received.push_back(None);
             }
             if size == 0 {
@@ -143,7 +146,9 @@
                 .receive(&bytes[..size], events)
                 .map_err(io::Error::other)?;
             if self.received.len() > MAX_EARLY_DESCRIPTORS {
-                return Err(io::Error::other("more descriptors than messages"));
+                return Err(io::Error::other(format!(
+                    "more than {MAX_EARLY_DESCRIPTORS} descriptors received without their messages"
+                )));
             }
         }
     }
--- a/src/net/handover/socket.rs
+++ b/src/net/handover/socket.rs
@@ -1,33 +1,37 @@
-//! The Unix socket on which the processes of one node find each other.
+//! The Unix socket at which the newer process of a node connects to the older one.
 
 use std::io::{self, ErrorKind};
 use std::os::fd::AsRawFd;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// The longest path that surely fits into the address of a Unix socket, in bytes; the limit of
+/// Maximum length of a path that is used as the address of a Unix socket, in bytes; the limit of
 /// Linux is 108.
 const MAX_PATH_BYTES: usize = 100;
-/// Characters of the node's name that the file name holds.
+/// Maximum number of characters of the node's name in the file name.
 const MAX_NAME_CHARS: usize = 40;
 
-/// Returns the path of the socket of the node with this name. Only the letters, digits, `-` and `_`
-/// of the name are used.
+/// Returns the path of the handover socket of the node with this name. Characters of the name other
+/// than ASCII letters, digits, `-` and `_` are left out.
 pub(super) fn socket_path(folder: &Path, name: &str) -> PathBuf {
-    let is_plain = |c: &char| c.is_ascii_alphanumeric() || "-_".contains(*c);
-    let plain: String = name.chars().filter(is_plain).take(MAX_NAME_CHARS).collect();
-    folder.join(format!("postproxy-{plain}.handover"))
+    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || "-_".contains(*c);
+    let sanitized: String = name
+        .chars()
+        .filter(is_allowed)
+        .take(MAX_NAME_CHARS)
+        .collect();
+    folder.join(format!("postproxy-{sanitized}.handover"))
 }
 
-/// A path short enough for the address of a Unix socket.
-struct SocketAddress {
+/// A path that fits into the address of a Unix socket.
+struct SocketPath {
     path: PathBuf,
-    /// The folder of a long path, which the address names by its descriptor: it must stay open
-    /// meanwhile.
+    /// The folder of a path that is too long. `path` refers to it by its descriptor, so it must stay
+    /// open while `path` is in use.
     _folder: Option<std::fs::File>,
 }
 
-impl SocketAddress {
+impl SocketPath {
     fn new(path: &Path) -> io::Result<Self> {
         if path.as_os_str().len() <= MAX_PATH_BYTES {
             return Ok(Self {
@@ -49,22 +53,22 @@
 
 /// Connects to the socket at a path of any length.
 pub(super) fn connect(path: &Path) -> io::Result<UnixStream> {
-    let address = SocketAddress::new(path)?;
-    UnixStream::connect(&address.path)
+    let short = SocketPath::new(path)?;
+    UnixStream::connect(&short.path)
 }
 
-/// Listens, non-blocking, at a path of any length. The socket is bound at `temporary` and then
-/// renamed to `path`, so that it replaces an earlier process's in one step.
+/// Returns a non-blocking listener at a path of any length. The socket is bound at `temporary` and
+/// then renamed to `path`, which atomically replaces the socket of an earlier process.
 pub(super) fn listen(temporary: &Path, path: &Path) -> io::Result<UnixListener> {
-    let address = SocketAddress::new(temporary)?;
+    let short = SocketPath::new(temporary)?;
     let _ = std::fs::remove_file(temporary);
-    let listener = UnixListener::bind(&address.path)?;
+    let listener = UnixListener::bind(&short.path)?;
     listener.set_nonblocking(true)?;
     std::fs::rename(temporary, path)?;
     Ok(listener)
 }
 
-/// Whether the other end is a process of the same user.
+/// Whether the process at the other end runs as the same user.
 pub(super) fn is_same_user(stream: &UnixStream) -> bool {
     rustix::net::sockopt::socket_peercred(stream)
         .is_ok_and(|peer| peer.uid == rustix::process::getuid())
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,10 +1,11 @@
-//! Pins the name of the handover socket: the other process may run another version of the program.
+//! Pins the file name of the handover socket: the processes of a node may run different versions of
+//! the program.
 
 use super::socket::socket_path;
 use std::path::Path;
 
 #[test]
-fn socket_keeps_its_name() {
+fn handover_socket_has_a_fixed_file_name() {
     let name = |node: &str| {
         socket_path(Path::new("/run/postproxy"), node)
             .display()
