--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -1,59 +1,71 @@
-//! Messages as bytes: a greeting, then frames of a length and a body.
+//! The wire format of a link: a greeting, then frames, each of which is a length and a body.
 
 use crate::Message;
 use std::fmt;
 
-/// The bytes with which every link begins, before the version.
+/// The first bytes that each side sends on a link; the protocol version follows them.
 pub const GREETING_MAGIC: &[u8; 6] = b"ppho\r\n";
-/// The protocol version. Bytes of another version are not read.
+/// The protocol version. A link to a process that uses another version is closed.
 pub const VERSION: u16 = 1;
-/// The longest body of a frame, in bytes: a list of many thousand workers fits.
+/// Maximum length of a frame's body, in bytes. A list of many thousand workers fits.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Bytes of the greeting: the magic and the version.
+/// Length of the greeting, in bytes: the magic and the version.
 const GREETING_BYTES: usize = GREETING_MAGIC.len() + size_of::<u16>();
-/// Bytes of a frame's length.
+/// Size of the length field of a frame, in bytes.
 const LENGTH_BYTES: usize = size_of::<u32>();
 
-/// Why the other side's bytes are rejected.
+/// Why a link has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum DecodeError {
-    /// The bytes do not begin with the greeting.
+pub enum LinkError {
+    /// The received bytes do not begin with the greeting.
     UnknownProtocol,
-    /// The other side speaks this other version.
+    /// The other side uses this other protocol version.
     UnsupportedVersion(u16),
-    /// A frame claims this body length, which is over [`MAX_FRAME_BYTES`].
+    /// A frame's length field has this value, which is over [`MAX_FRAME_BYTES`].
     FrameTooLong(u32),
-    /// A frame holds no message.
+    /// The body of a frame can't be decoded as a message.
     Malformed,
-    /// A message that is not allowed in the link's state.
+    /// A message is not allowed in the link's state.
     UnexpectedMessage,
-    /// The other side is a process of another node, with this name and address.
+    /// The other side is a process of another node, whose name and address the text holds.
     OtherNode(String),
-    /// The other side has taken too long.
+    /// A hello, a snapshot or the result of a callback has not arrived in time.
     TimedOut,
 }
 
-impl fmt::Display for DecodeError {
+impl fmt::Display for LinkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::UnknownProtocol => write!(f, "it speaks another language"),
+            Self::UnknownProtocol => {
+                write!(f, "the other process does not use the handover protocol")
+            }
             Self::UnsupportedVersion(version) => {
-                write!(f, "it speaks version {version}, this is {VERSION}")
+                write!(
+                    f,
+                    "the other process uses version {version} of the handover protocol, this one \
+                     version {VERSION}"
+                )
             }
-            Self::FrameTooLong(size) => write!(f, "a message of {size} bytes is too long"),
-            Self::Malformed => write!(f, "a message that can't be read"),
-            Self::UnexpectedMessage => write!(f, "a message that can't come now"),
-            Self::OtherNode(name) => write!(f, "it is {name}"),
-            Self::TimedOut => write!(f, "it took too long"),
+            Self::FrameTooLong(size) => write!(
+                f,
+                "message of {size} bytes received, the limit is {MAX_FRAME_BYTES}"
+            ),
+            Self::Malformed => write!(f, "malformed message received"),
+            Self::UnexpectedMessage => write!(
+                f,
+                "message received that the state of the link does not allow"
+            ),
+            Self::OtherNode(name) => write!(f, "the other process belongs to another node: {name}"),
+            Self::TimedOut => write!(f, "timed out waiting for the other process"),
         }
     }
 }
 
-impl std::error::Error for DecodeError {}
+impl std::error::Error for LinkError {}
 
-/// Returns the bytes that each side sends first.
+/// Returns the greeting, which each side sends first.
 pub fn greeting() -> Vec<u8> {
     let mut bytes = GREETING_MAGIC.to_vec();
     bytes.extend(VERSION.to_be_bytes());
@@ -62,24 +74,24 @@
 
 /// Encodes a message as a frame.
 pub fn frame(message: &Message) -> Vec<u8> {
-    // Messages hold only strings, numbers and bytes, whose encoding can't fail; an empty frame
-    // would be malformed.
+    // A message holds only strings, numbers and bytes, so encoding it can't fail. The other side
+    // would reject an empty frame as malformed.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend(body);
     bytes
 }
 
-/// Decodes messages from bytes that arrive in pieces of any size.
+/// Decodes messages from a stream of bytes that arrives in pieces of any size.
 #[derive(Debug, Default)]
-pub struct Reader {
-    greeted: bool,
+pub struct Decoder {
+    greeting_decoded: bool,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that are decoded.
+    /// Number of bytes at the start of the buffer that have been decoded.
     consumed: usize,
 }
 
-impl Reader {
+impl Decoder {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.consumed);
@@ -87,15 +99,15 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next message; `None` if it is not yet complete.
+    /// Returns the next message, or `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// If the bytes hold no message of this protocol.
-    pub fn next(&mut self) -> Result<Option<Message>, DecodeError> {
-        if !self.greeted {
-            self.greeted = self.read_greeting()?;
-            if !self.greeted {
+    /// If the bytes are not valid in this protocol.
+    pub fn next_message(&mut self) -> Result<Option<Message>, LinkError> {
+        if !self.greeting_decoded {
+            self.greeting_decoded = self.decode_greeting()?;
+            if !self.greeting_decoded {
                 return Ok(None);
             }
         }
@@ -105,34 +117,33 @@
         };
         let size = u32::from_be_bytes(*size);
         if size as usize > MAX_FRAME_BYTES {
-            return Err(DecodeError::FrameTooLong(size));
+            return Err(LinkError::FrameTooLong(size));
         }
         let end = LENGTH_BYTES + size as usize;
         let Some(body) = rest.get(LENGTH_BYTES..end) else {
             return Ok(None);
         };
-        let (message, left) =
-            postcard::take_from_bytes(body).map_err(|_| DecodeError::Malformed)?;
+        let (message, left) = postcard::take_from_bytes(body).map_err(|_| LinkError::Malformed)?;
         if !left.is_empty() {
-            return Err(DecodeError::Malformed);
+            return Err(LinkError::Malformed);
         }
         self.consumed += end;
         Ok(Some(message))
     }
 
-    /// Reads the greeting; `false` if it is not yet complete.
-    fn read_greeting(&mut self) -> Result<bool, DecodeError> {
+    /// Decodes the greeting; returns `false` if it is incomplete.
+    fn decode_greeting(&mut self) -> Result<bool, LinkError> {
         let rest = &self.buffer[self.consumed..];
         let size = rest.len().min(GREETING_MAGIC.len());
         if rest[..size] != GREETING_MAGIC[..size] {
-            return Err(DecodeError::UnknownProtocol);
+            return Err(LinkError::UnknownProtocol);
         }
         let Some(version) = rest.get(GREETING_MAGIC.len()..GREETING_BYTES) else {
             return Ok(false);
         };
         let version = u16::from_be_bytes([version[0], version[1]]);
         if version != VERSION {
-            return Err(DecodeError::UnsupportedVersion(version));
+            return Err(LinkError::UnsupportedVersion(version));
         }
         self.consumed += GREETING_BYTES;
         Ok(true)
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,19 +1,19 @@
-//! Hot restart: the messages that two processes of one node exchange while the newer takes over
-//! from the older, their codec, and the state of one link. The crate does no I/O: bytes go in and
-//! out, and callers pass the time.
+//! Hot restart: the messages that two processes of one node exchange while the newer one takes over
+//! from the older one, their encoding, and the state of one link. The crate does no I/O: callers
+//! pass in received bytes and the time, and send the encoded messages.
 //!
-//! The encoding is postcard, which writes variants by position and fields by order: neither may
-//! change within a protocol [`VERSION`].
+//! Messages are encoded with postcard, which identifies enum variants by their position and fields
+//! by their order. Neither may change within a protocol [`VERSION`]; names may.
 
 mod codec;
 mod link;
 
-pub use codec::{DecodeError, GREETING_MAGIC, MAX_FRAME_BYTES, VERSION, frame, greeting};
+pub use codec::{GREETING_MAGIC, LinkError, MAX_FRAME_BYTES, VERSION, frame, greeting};
 pub use link::{Link, LinkEvent, Role};
 
 use serde::{Deserialize, Serialize};
 
-/// A change of one process's state that the other one follows.
+/// A change of the sender's state that the receiver has to apply or keep track of.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StateUpdate {
     /// An operator has suspended or resumed a worker.
@@ -23,20 +23,20 @@
         /// `true` if the worker is resumed, `false` if it is suspended.
         resume: bool,
     },
-    /// An operator has drained the node, or ended the drain.
+    /// An operator has begun or ended the draining of the node.
     DrainChanged {
-        /// Whether the node drains.
+        /// Whether the node is draining.
         draining: bool,
-        /// How long ago the drain began, in seconds.
+        /// How long ago the draining began, in seconds.
         seconds_ago: f32,
     },
-    /// The cached worker list, encoded by its owner.
+    /// The cached worker list, in an encoding that this crate does not interpret.
     WorkerList(Vec<u8>),
-    /// A request was admitted: no other with its id may be.
+    /// A request was admitted. The receiver rejects other requests with the same id.
     RequestAdmitted {
         /// The request's id.
         id: String,
-        /// Whether the request is new, and counts towards budgets.
+        /// Whether the request has just been admitted, and counts towards retry budgets.
         is_new: bool,
     },
     /// An attempt was sent to a worker.
@@ -47,13 +47,13 @@
         attempt: u16,
         /// The worker's name.
         worker: String,
-        /// Slots that the request takes at the worker.
+        /// Number of slots that the request occupies at the worker.
         slots: f32,
-        /// Expected work in seconds; 0 if it is unknown.
+        /// Expected processing time in seconds; 0 if it is unknown.
         expected_work: f32,
-        /// How long ago it was sent, in seconds.
+        /// How long ago the attempt was sent, in seconds.
         seconds_ago: f32,
-        /// Whether the attempt is new, and counts towards budgets.
+        /// Whether the attempt has just been sent, and counts towards retry budgets.
         is_new: bool,
     },
     /// An attempt has ended.
@@ -63,16 +63,16 @@
         /// The attempt's number within the request.
         attempt: u16,
     },
-    /// A request has its answer, and no attempt of it is in flight.
+    /// A request has been answered, and no attempt of it is in flight.
     RequestFinished {
         /// The request's id.
         id: String,
     },
-    /// What retry budgets have counted so far: how long ago each event was, in seconds.
+    /// The recent events that retry budgets count: how long ago each one happened, in seconds.
     BudgetHistory {
         /// Admitted requests.
         admissions: Vec<f32>,
-        /// Attempts after a request's first.
+        /// Attempts other than the first one of a request.
         retries: Vec<f32>,
     },
 }
@@ -80,7 +80,8 @@
 /// One message on a link.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// The first message of each side.
+    /// The first message of each side, by which the other side checks that both processes belong to
+    /// the same node.
     Hello {
         /// The node's name.
         name: String,
@@ -89,41 +90,42 @@
     },
     /// A change of the sender's state, or a part of its snapshot.
     StateUpdate(StateUpdate),
-    /// The older side has sent all the state that it had when it was greeted.
+    /// The older side has sent its whole state, as it was when the newer side's hello arrived.
     SnapshotComplete,
-    /// The number of descriptors that the sender and older processes hold at most, until it sends
-    /// another.
+    /// Maximum number of file descriptors that the sender and all older processes hold together,
+    /// until the sender announces another number.
     DescriptorsHeld(u32),
-    /// A worker's call-back on a request that the sender does not know.
+    /// A worker's callback about a request that the sender does not know.
     Callback {
-        /// Counts the sender's forwarded call-backs, from 1.
+        /// Identifies the callback on this link; counted from 1 by the sender.
         number: u64,
-        /// The call-back's body.
+        /// The callback's body.
         body: Vec<u8>,
     },
-    /// The result of a forwarded call-back: the sender of the call-back may acknowledge it.
+    /// The result of a forwarded callback. The process that forwarded it acknowledges the callback
+    /// to the worker only after the results of its siblings.
     CallbackResult {
-        /// The number of the call-back.
+        /// The number of the callback.
         number: u64,
-        /// Whether the sender of this message knows, or knew, the request.
+        /// Whether the sender of this message knows the request, or did so before.
         known: bool,
     },
-    /// A client's connection on which no answer is owed. Its descriptor comes with this message.
+    /// A client's connection that waits for no answer. Its descriptor comes with this message.
     QuietConnection {
-        /// Bytes that were read from the connection and not yet used.
+        /// Bytes that were read from the connection and have not been parsed.
         input: Vec<u8>,
-        /// Whether the connection has carried a request or a call-back before.
+        /// Whether the connection has carried a request or a callback before.
         used_before: bool,
     },
     /// A request in flight. The descriptor of its client's connection comes with this message.
     Request {
-        /// The request, encoded by its owner.
+        /// The request, in an encoding that this crate does not interpret.
         request: Vec<u8>,
-        /// Bytes that were read from the connection and not yet used.
+        /// Bytes that were read from the connection and have not been parsed.
         input: Vec<u8>,
-        /// Whether the connection closes after the answer.
+        /// Whether the connection is closed after the answer.
         close_after_answer: bool,
     },
-    /// The sender is shutting down: it accepts nothing new, and its connections follow.
+    /// The sender is shutting down. It accepts no new connections, and migrates those it has.
     ShuttingDown,
 }
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -1,80 +1,84 @@
 //! The state of one link between two processes of a node.
 
-use crate::codec::{DecodeError, Reader};
+use crate::codec::{Decoder, LinkError};
 use crate::{Message, StateUpdate};
 use std::collections::BTreeMap;
 
-/// How long the older side may take to greet and to send its snapshot, in seconds. Operators expect
-/// the newer process to serve within seconds, so it then serves alone.
+/// How long a link may take from its opening until the older side's snapshot is complete, in
+/// seconds. After that the newer process serves without the older one's state, because operators
+/// expect it to serve within seconds.
 const SNAPSHOT_TIMEOUT_SECONDS: f64 = 1.0;
-/// How long the other side may take to send the result of a forwarded call-back, in seconds.
+/// How long the result of a forwarded callback may take, in seconds.
 const CALLBACK_TIMEOUT_SECONDS: f64 = 2.0;
 
-/// A process's side of a link.
+/// A process's role on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The process that served before.
+    /// The process that is replaced.
     Older,
     /// The process that takes over.
     Newer,
 }
 
-/// What the other side has sent.
+/// What a message of the other side means for this one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkEvent {
-    /// The other side has greeted: it is to be sent this side's snapshot.
+    /// The other side's hello has been received. If this is the older side, it now sends its
+    /// snapshot.
     Greeted,
     /// A change of the other side's state, or a part of its snapshot.
     StateUpdate(StateUpdate),
     /// The older side has sent its whole snapshot.
     SnapshotComplete,
-    /// The number of descriptors that the other side holds at most.
+    /// Maximum number of file descriptors that the other side and all processes older than it hold
+    /// together.
     DescriptorsHeld(u32),
-    /// A call-back that the other side does not know; it waits for a [`Message::CallbackResult`].
+    /// A callback about a request that the other side does not know. It has to be answered with a
+    /// [`Message::CallbackResult`].
     Callback {
-        /// The number that the result must carry.
+        /// The number to send in the result.
         number: u64,
-        /// The call-back's body.
+        /// The callback's body.
         body: Vec<u8>,
     },
-    /// The result of a call-back that this side has forwarded.
+    /// The result of a callback that this side has forwarded.
     CallbackResult {
-        /// Who waits for the result on this side.
+        /// The `caller` that was passed to [`Link::forward_callback`].
         caller: u64,
         /// Whether the other side knows the request.
         known: bool,
     },
-    /// A client's connection on which no answer is owed; its descriptor came with it.
+    /// A client's connection that waits for no answer; its descriptor came with the message.
     QuietConnection {
-        /// Bytes that were read from the connection and not yet used.
+        /// Bytes that were read from the connection and have not been parsed.
         input: Vec<u8>,
-        /// Whether the connection has carried a request or a call-back before.
+        /// Whether the connection has carried a request or a callback before.
         used_before: bool,
     },
-    /// A request in flight; the descriptor of its client's connection came with it.
+    /// A request in flight; the descriptor of its client's connection came with the message.
     Request {
-        /// The request, encoded by its owner.
+        /// The request, in an encoding that this crate does not interpret.
         request: Vec<u8>,
-        /// Bytes that were read from the connection and not yet used.
+        /// Bytes that were read from the connection and have not been parsed.
         input: Vec<u8>,
-        /// Whether the connection closes after the answer.
+        /// Whether the connection is closed after the answer.
         close_after_answer: bool,
     },
-    /// The other side is shutting down and accepts nothing new.
+    /// The other side is shutting down and accepts no new connections.
     ShuttingDown,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The other side's hello has not come.
+    /// The other side's hello has not been received.
     AwaitingHello,
-    /// The hello has come; the older side sends its snapshot.
+    /// The hello has been received, and the older side's snapshot is incomplete.
     SendingSnapshot,
-    /// Both sides send what changes.
-    Joined,
+    /// The snapshot is complete; both sides send state updates.
+    Synchronized,
 }
 
-/// A call-back that was forwarded to the other side.
+/// A callback that was forwarded to the other side.
 #[derive(Debug)]
 struct ForwardedCallback {
     caller: u64,
@@ -82,30 +86,30 @@
     since: f64,
 }
 
-/// The state of one link. Times are in seconds, of any fixed origin.
+/// The state of one link. Times are in seconds, relative to any fixed origin.
 #[derive(Debug)]
 pub struct Link {
     role: Role,
     name: String,
     listen: String,
     state: State,
-    reader: Reader,
+    decoder: Decoder,
     opened_at: f64,
     peer_shutting_down: bool,
-    /// Forwarded call-backs that wait for their results, by number.
+    /// Forwarded callbacks whose results are outstanding, by number.
     callbacks: BTreeMap<u64, ForwardedCallback>,
     next_callback: u64,
 }
 
 impl Link {
-    /// Creates a link of the node with this name that listens at `listen`.
+    /// Creates a link for a process of the node with this name, which listens at `listen`.
     pub fn new(role: Role, name: &str, listen: &str, now: f64) -> Self {
         Self {
             role,
             name: name.to_owned(),
             listen: listen.to_owned(),
             state: State::AwaitingHello,
-            reader: Reader::default(),
+            decoder: Decoder::default(),
             opened_at: now,
             peer_shutting_down: false,
             callbacks: BTreeMap::new(),
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Returns this side's first message, which follows the greeting's bytes.
+    /// Returns this side's first message, which is sent after the greeting.
     pub fn hello(&self) -> Message {
         Message::Hello {
             name: self.name.clone(),
@@ -121,19 +125,19 @@
         }
     }
 
-    /// Returns this process's side of the link.
+    /// Returns this process's role on the link.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Whether the other side has greeted.
-    pub fn is_greeted(&self) -> bool {
+    /// Whether the other side's hello has been received.
+    pub fn is_hello_received(&self) -> bool {
         self.state != State::AwaitingHello
     }
 
-    /// Whether the newer side has the older side's whole snapshot.
-    pub fn is_joined(&self) -> bool {
-        self.state == State::Joined
+    /// Whether the older side's snapshot has been sent, or received, in whole.
+    pub fn is_synchronized(&self) -> bool {
+        self.state == State::Synchronized
     }
 
     /// Whether the other side has announced that it is shutting down.
@@ -141,8 +145,8 @@
         self.peer_shutting_down
     }
 
-    /// Returns the message that forwards a call-back to the other side; `caller` waits for its
-    /// result.
+    /// Returns the message that forwards a callback to the other side. The event with its result
+    /// will carry `caller`.
     pub fn forward_callback(&mut self, now: f64, caller: u64, body: Vec<u8>) -> Message {
         let number = self.next_callback;
         self.next_callback += 1;
@@ -151,7 +155,7 @@
         Message::Callback { number, body }
     }
 
-    /// Returns the callers whose results will not come if the link is closed now.
+    /// Returns the callers whose results are outstanding; they get none if the link is closed.
     pub fn pending_callers(&self) -> Vec<u64> {
         self.callbacks
             .values()
@@ -159,64 +163,61 @@
             .collect()
     }
 
-    /// Checks whether the other side has taken too long.
+    /// Checks whether a hello, a snapshot or the result of a callback is overdue.
     ///
     /// # Errors
     ///
-    /// [`DecodeError::TimedOut`] if it has: the link is to be closed.
-    pub fn check_timeouts(&self, now: f64) -> Result<(), DecodeError> {
+    /// [`LinkError::TimedOut`] if one is. The caller closes the link.
+    pub fn check_timeouts(&self, now: f64) -> Result<(), LinkError> {
         let snapshot_late =
-            self.state != State::Joined && now - self.opened_at > SNAPSHOT_TIMEOUT_SECONDS;
+            self.state != State::Synchronized && now - self.opened_at > SNAPSHOT_TIMEOUT_SECONDS;
         let callback_late = self
             .callbacks
             .values()
             .any(|callback| now - callback.since > CALLBACK_TIMEOUT_SECONDS);
         if snapshot_late || callback_late {
-            Err(DecodeError::TimedOut)
+            Err(LinkError::TimedOut)
         } else {
             Ok(())
         }
     }
 
-    /// Records that this older side has sent its whole snapshot.
+    /// Records that this process, the older one, has sent its whole snapshot.
     pub fn complete_snapshot(&mut self) {
         if self.state == State::SendingSnapshot {
-            self.state = State::Joined;
+            self.state = State::Synchronized;
         }
     }
 
-    /// Decodes received bytes, cut anywhere, and appends their events to `events`.
+    /// Decodes received bytes, which may end anywhere in a message, and appends their events to
+    /// `events`.
     ///
     /// # Errors
     ///
-    /// If the bytes or a message are invalid: the link is to be closed. The events before the fault
-    /// are appended.
-    pub fn receive(
-        &mut self,
-        bytes: &[u8],
-        events: &mut Vec<LinkEvent>,
-    ) -> Result<(), DecodeError> {
-        self.reader.push(bytes);
-        while let Some(message) = self.reader.next()? {
+    /// If the bytes are invalid or a message is not allowed. The events before it have been
+    /// appended; the caller closes the link.
+    pub fn receive(&mut self, bytes: &[u8], events: &mut Vec<LinkEvent>) -> Result<(), LinkError> {
+        self.decoder.push(bytes);
+        while let Some(message) = self.decoder.next_message()? {
             events.push(self.handle_message(message)?);
         }
         Ok(())
     }
 
-    fn handle_message(&mut self, message: Message) -> Result<LinkEvent, DecodeError> {
+    fn handle_message(&mut self, message: Message) -> Result<LinkEvent, LinkError> {
         match message {
             Message::Hello { name, listen } => return self.handle_hello(&name, &listen),
-            _ if self.state == State::AwaitingHello => return Err(DecodeError::UnexpectedMessage),
+            _ if self.state == State::AwaitingHello => return Err(LinkError::UnexpectedMessage),
             _ => {}
         }
-        // Only a side that shuts down gives its connections away.
-        let accepts_connections = self.state == State::Joined && self.peer_shutting_down;
+        // Only a process that is shutting down migrates its connections.
+        let accepts_connections = self.state == State::Synchronized && self.peer_shutting_down;
         Ok(match message {
             Message::StateUpdate(update) => LinkEvent::StateUpdate(update),
             Message::SnapshotComplete
                 if self.state == State::SendingSnapshot && self.role == Role::Newer =>
             {
-                self.state = State::Joined;
+                self.state = State::Synchronized;
                 LinkEvent::SnapshotComplete
             }
             Message::DescriptorsHeld(count) => LinkEvent::DescriptorsHeld(count),
@@ -225,7 +226,7 @@
                 let callback = self
                     .callbacks
                     .remove(&number)
-                    .ok_or(DecodeError::UnexpectedMessage)?;
+                    .ok_or(LinkError::UnexpectedMessage)?;
                 LinkEvent::CallbackResult {
                     caller: callback.caller,
                     known,
@@ -250,16 +251,16 @@
             Message::Hello { .. }
             | Message::SnapshotComplete
             | Message::QuietConnection { .. }
-            | Message::Request { .. } => return Err(DecodeError::UnexpectedMessage),
+            | Message::Request { .. } => return Err(LinkError::UnexpectedMessage),
         })
     }
 
-    fn handle_hello(&mut self, name: &str, listen: &str) -> Result<LinkEvent, DecodeError> {
+    fn handle_hello(&mut self, name: &str, listen: &str) -> Result<LinkEvent, LinkError> {
         if self.state != State::AwaitingHello {
-            return Err(DecodeError::UnexpectedMessage);
+            return Err(LinkError::UnexpectedMessage);
         }
         if name != self.name || listen != self.listen {
-            return Err(DecodeError::OtherNode(format!("{name} at {listen}")));
+            return Err(LinkError::OtherNode(format!("{name} at {listen}")));
         }
         self.state = State::SendingSnapshot;
         Ok(LinkEvent::Greeted)
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -1,8 +1,8 @@
-//! Two links against each other, with bytes cut anywhere, and one link against arbitrary bytes.
-//! Fixed seeds.
+//! Property tests, with fixed seeds: two links that exchange bytes in pieces of any size, and one
+//! link that receives arbitrary bytes.
 
 use postproxy_handover::{
-    DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
+    GREETING_MAGIC, Link, LinkError, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
     VERSION, frame, greeting,
 };
 use proptest::prelude::*;
@@ -12,18 +12,18 @@
     Link::new(role, "n1", "127.0.0.1:80", 100.0)
 }
 
-/// The bytes that a side sends first.
+/// The greeting and the hello, which a side sends first.
 fn opening_bytes(link: &Link) -> Vec<u8> {
     [greeting(), frame(&link.hello())].concat()
 }
 
-fn receive(link: &mut Link, bytes: &[u8]) -> Result<Vec<LinkEvent>, DecodeError> {
+fn receive(link: &mut Link, bytes: &[u8]) -> Result<Vec<LinkEvent>, LinkError> {
     let mut events = Vec::new();
     link.receive(bytes, &mut events).map(|()| events)
 }
 
-/// Both sides after the greeting and the older side's snapshot.
-fn joined_links() -> (Link, Link) {
+/// An older and a newer side that have exchanged their hellos and the snapshot.
+fn synchronized_links() -> (Link, Link) {
     let mut older = new_link(Role::Older);
     let mut newer = new_link(Role::Newer);
     assert_eq!(
@@ -34,13 +34,13 @@
         receive(&mut newer, &opening_bytes(&older)),
         Ok(vec![LinkEvent::Greeted])
     );
-    assert!(!older.is_joined() && !newer.is_joined());
+    assert!(!older.is_synchronized() && !newer.is_synchronized());
     older.complete_snapshot();
     assert_eq!(
         receive(&mut newer, &frame(&Message::SnapshotComplete)),
         Ok(vec![LinkEvent::SnapshotComplete])
     );
-    assert!(older.is_joined() && newer.is_joined());
+    assert!(older.is_synchronized() && newer.is_synchronized());
     (older, newer)
 }
 
@@ -92,30 +92,33 @@
     };
     TestRunner::new_with_rng(config, rng)
         .run(&strategy, test)
-        .expect("it holds");
+        .expect("the property holds");
 }
 
-/// Guards against a message that is lost, doubled or changed by where its bytes are cut.
+/// Guards against a message that is lost, duplicated or altered because its bytes arrive in pieces.
 #[test]
-fn state_updates_arrive_however_the_bytes_are_cut() {
-    let cuts = proptest::collection::vec(1usize..40, 1..20);
+fn state_updates_are_decoded_from_pieces_of_any_size() {
+    let piece_sizes = proptest::collection::vec(1usize..40, 1..20);
     check_property(
         400,
-        (proptest::collection::vec(any_state_update(), 0..20), cuts),
-        |(updates, cuts)| {
-            let (_, mut newer) = joined_links();
+        (
+            proptest::collection::vec(any_state_update(), 0..20),
+            piece_sizes,
+        ),
+        |(updates, piece_sizes)| {
+            let (_, mut newer) = synchronized_links();
             let bytes: Vec<u8> = updates
                 .iter()
-                .flat_map(|t| frame(&Message::StateUpdate(t.clone())))
+                .flat_map(|update| frame(&Message::StateUpdate(update.clone())))
                 .collect();
             let mut events = Vec::new();
             let mut rest = &bytes[..];
-            let mut cuts = cuts.iter().cycle();
+            let mut piece_sizes = piece_sizes.iter().cycle();
             while !rest.is_empty() {
-                let size = rest.len().min(*cuts.next().expect("a cycle"));
+                let size = rest.len().min(*piece_sizes.next().expect("a cycle"));
                 newer
                     .receive(&rest[..size], &mut events)
-                    .expect("sound messages");
+                    .expect("valid messages");
                 rest = &rest[size..];
             }
             prop_assert_eq!(
@@ -130,7 +133,8 @@
     );
 }
 
-/// Guards against bytes that cause a panic, are buffered without a bound, or pass for a greeting.
+/// Guards against invalid bytes that cause a panic, are accepted as a greeting, or are buffered
+/// instead of rejected.
 #[test]
 fn invalid_bytes_are_rejected() {
     check_property(
@@ -144,32 +148,32 @@
                     GREETING_MAGIC.starts_with(&bytes[..bytes.len().min(GREETING_MAGIC.len())])
                 );
             }
-            // After a valid greeting, too.
-            let (_, mut newer) = joined_links();
+            // The same after a valid greeting, hello and snapshot.
+            let (_, mut newer) = synchronized_links();
             let _ = receive(&mut newer, &bytes);
             Ok(())
         },
     );
 }
 
-/// Guards against accepting another version, another node, an unexpected message, or a frame of any
-/// length.
+/// Guards against a link that accepts another protocol version, another node, an unexpected message
+/// or a frame over the limit.
 #[test]
 fn each_protocol_violation_has_its_error() {
-    let mut other = GREETING_MAGIC.to_vec();
-    other.extend((VERSION + 1).to_be_bytes());
+    let mut other_version = GREETING_MAGIC.to_vec();
+    other_version.extend((VERSION + 1).to_be_bytes());
     assert_eq!(
-        receive(&mut new_link(Role::Older), &other),
-        Err(DecodeError::UnsupportedVersion(VERSION + 1))
+        receive(&mut new_link(Role::Older), &other_version),
+        Err(LinkError::UnsupportedVersion(VERSION + 1))
     );
     assert_eq!(
         receive(&mut new_link(Role::Older), b"GET / HTTP/1.1"),
-        Err(DecodeError::UnknownProtocol)
+        Err(LinkError::UnknownProtocol)
     );
-    let foreign = Link::new(Role::Newer, "n2", "127.0.0.1:80", 100.0);
+    let other_node = Link::new(Role::Newer, "n2", "127.0.0.1:80", 100.0);
     assert!(matches!(
-        receive(&mut new_link(Role::Older), &opening_bytes(&foreign)),
-        Err(DecodeError::OtherNode(_))
+        receive(&mut new_link(Role::Older), &opening_bytes(&other_node)),
+        Err(LinkError::OtherNode(_))
     ));
     let long = [
         greeting(),
@@ -178,14 +182,14 @@
     .concat();
     assert_eq!(
         receive(&mut new_link(Role::Older), &long),
-        Err(DecodeError::FrameTooLong(MAX_FRAME_BYTES as u32 + 1))
+        Err(LinkError::FrameTooLong(MAX_FRAME_BYTES as u32 + 1))
     );
     let premature = [greeting(), frame(&Message::ShuttingDown)].concat();
     assert_eq!(
         receive(&mut new_link(Role::Older), &premature),
-        Err(DecodeError::UnexpectedMessage)
+        Err(LinkError::UnexpectedMessage)
     );
-    let client = Message::QuietConnection {
+    let connection = Message::QuietConnection {
         input: Vec::new(),
         used_before: true,
     };
@@ -194,7 +198,7 @@
         input: Vec::new(),
         close_after_answer: false,
     };
-    let (mut older, mut newer) = joined_links();
+    let (mut older, mut newer) = synchronized_links();
     for message in [
         new_link(Role::Older).hello(),
         Message::SnapshotComplete,
@@ -202,19 +206,19 @@
             number: 3,
             known: true,
         },
-        client.clone(),
+        connection.clone(),
         request.clone(),
     ] {
-        let (_, mut newer) = joined_links();
+        let (_, mut newer) = synchronized_links();
         assert_eq!(
             receive(&mut newer, &frame(&message)),
-            Err(DecodeError::UnexpectedMessage),
+            Err(LinkError::UnexpectedMessage),
             "{message:?}"
         );
     }
     assert_eq!(
         receive(&mut older, &frame(&Message::SnapshotComplete)),
-        Err(DecodeError::UnexpectedMessage),
+        Err(LinkError::UnexpectedMessage),
         "only the newer side receives a snapshot"
     );
     assert_eq!(
@@ -222,7 +226,7 @@
         Ok(vec![LinkEvent::ShuttingDown])
     );
     assert_eq!(
-        receive(&mut newer, &frame(&client)),
+        receive(&mut newer, &frame(&connection)),
         Ok(vec![LinkEvent::QuietConnection {
             input: Vec::new(),
             used_before: true
@@ -236,20 +240,20 @@
             close_after_answer: false
         }])
     );
-    let mut empty = 0u32.to_be_bytes().to_vec();
-    assert_eq!(receive(&mut newer, &empty), Err(DecodeError::Malformed));
-    empty = [3u32.to_be_bytes().to_vec(), vec![255, 255, 255]].concat();
+    let empty = 0u32.to_be_bytes();
+    assert_eq!(receive(&mut newer, &empty), Err(LinkError::Malformed));
+    let undecodable = [3u32.to_be_bytes().to_vec(), vec![255, 255, 255]].concat();
     assert_eq!(
-        receive(&mut joined_links().0, &empty),
-        Err(DecodeError::Malformed)
+        receive(&mut synchronized_links().0, &undecodable),
+        Err(LinkError::Malformed)
     );
 }
 
-/// Guards against a result that reaches another call-back, and a call-back or a greeting that is
-/// awaited for ever.
+/// Guards against a result that is attributed to another callback, and against a link that waits
+/// for a result or a hello without a limit.
 #[test]
 fn each_callback_gets_its_result_or_times_out() {
-    let (mut older, mut newer) = joined_links();
+    let (mut older, mut newer) = synchronized_links();
     let one = newer.forward_callback(100.0, 11, b"a".to_vec());
     let two = newer.forward_callback(100.5, 22, b"b".to_vec());
     let events = receive(&mut older, &[frame(&one), frame(&two)].concat()).expect("callbacks");
@@ -283,24 +287,24 @@
     );
     assert_eq!(
         receive(&mut newer, &result),
-        Err(DecodeError::UnexpectedMessage),
-        "one result for each call-back"
+        Err(LinkError::UnexpectedMessage),
+        "one result for each callback"
     );
     assert!(newer.check_timeouts(101.9).is_ok());
     assert_eq!(
         (newer.check_timeouts(102.1), newer.pending_callers()),
-        (Err(DecodeError::TimedOut), vec![11])
+        (Err(LinkError::TimedOut), vec![11])
     );
     let result = frame(&Message::CallbackResult {
         number: *first,
         known: false,
     });
-    let mut newer_two = joined_links().1;
-    assert!(receive(&mut newer_two, &result).is_err());
+    let mut other_link = synchronized_links().1;
+    assert!(receive(&mut other_link, &result).is_err());
     assert!(new_link(Role::Newer).check_timeouts(100.9).is_ok());
     assert_eq!(
         new_link(Role::Newer).check_timeouts(101.1),
-        Err(DecodeError::TimedOut)
+        Err(LinkError::TimedOut)
     );
     assert!(
         older.check_timeouts(500.0).is_ok(),
@@ -308,13 +312,13 @@
     );
 }
 
-/// The model's state of one side.
+/// A model of one side, which predicts its events.
 #[derive(Clone, Default)]
 struct Model {
-    greeted: bool,
+    hello_received: bool,
     has_snapshot: bool,
     peer_shutting_down: bool,
-    /// Own call-backs that wait: their numbers and callers.
+    /// The numbers and callers of this side's callbacks whose results are outstanding.
     callbacks: Vec<(u64, u64)>,
     last_callback: u64,
 }
@@ -322,10 +326,10 @@
 impl Model {
     /// Predicts the event of a message; `None` if the message is not allowed.
     fn handle(&mut self, message: Message) -> Option<LinkEvent> {
-        let joined = self.greeted && self.has_snapshot;
+        let synchronized = self.hello_received && self.has_snapshot;
         match message {
             Message::Hello { .. } => {
-                self.greeted = true;
+                self.hello_received = true;
                 Some(LinkEvent::Greeted)
             }
             Message::SnapshotComplete => {
@@ -345,7 +349,7 @@
                 Some(LinkEvent::ShuttingDown)
             }
             Message::QuietConnection { input, used_before }
-                if joined && self.peer_shutting_down =>
+                if synchronized && self.peer_shutting_down =>
             {
                 Some(LinkEvent::QuietConnection { input, used_before })
             }
@@ -358,21 +362,22 @@
     }
 }
 
-/// One side of a link with its model, and what is in transit to it.
+/// One side of a link, its model, and the messages that are in transit to it.
 struct Side {
     link: Link,
     model: Model,
-    /// Messages in transit, and the sizes of their frames.
+    /// Messages that have not been delivered in whole.
     messages: Vec<Message>,
+    /// Sizes of the frames of `messages`.
     frame_sizes: Vec<usize>,
-    /// Bytes in transit.
+    /// Bytes that have not been delivered.
     stream: Vec<u8>,
-    /// Bytes that were delivered and belong to no complete frame yet.
+    /// Number of bytes delivered of the first frame of `frame_sizes`.
     delivered: usize,
 }
 
 impl Side {
-    /// A side to which the other one's greeting and hello are in transit.
+    /// Returns a side to which the greeting and the hello of `peer` are in transit.
     fn new(role: Role, peer: &Link) -> Self {
         let stream = opening_bytes(peer);
         Self {
@@ -392,8 +397,8 @@
         self.messages.push(message);
     }
 
-    /// Predicts the events of the frames that are complete; `Err` with those before a message that
-    /// is not allowed.
+    /// Predicts the events of the frames that have been delivered in whole; `Err` with the events
+    /// before a message that is not allowed.
     fn predict_events(&mut self) -> Result<Vec<LinkEvent>, Vec<LinkEvent>> {
         let mut events = Vec::new();
         while let Some(size) = self.frame_sizes.first()
@@ -424,14 +429,17 @@
             return Ok(false);
         }
         let (link, model) = (&self.link, &self.model);
-        prop_assert_eq!(link.is_greeted(), model.greeted);
-        prop_assert_eq!(link.is_joined(), model.greeted && model.has_snapshot);
+        prop_assert_eq!(link.is_hello_received(), model.hello_received);
+        prop_assert_eq!(
+            link.is_synchronized(),
+            model.hello_received && model.has_snapshot
+        );
         prop_assert_eq!(link.is_peer_shutting_down(), model.peer_shutting_down);
         prop_assert_eq!(link.pending_callers(), model.pending_callers());
         Ok(true)
     }
 
-    /// Forwards a call-back, and returns its message.
+    /// Forwards a callback, and returns its message.
     fn forward_callback(&mut self, caller: u64) -> Result<Message, TestCaseError> {
         let message = self.link.forward_callback(100.0, caller, vec![7]);
         self.model.last_callback += 1;
@@ -442,9 +450,10 @@
         Ok(message)
     }
 
-    /// Completes the snapshot of the older side, if it is due, and returns the message.
+    /// Completes the snapshot, unless the hello is outstanding or the snapshot is complete, and
+    /// returns the message.
     fn complete_snapshot(&mut self) -> Option<Message> {
-        let is_due = self.model.greeted && !self.model.has_snapshot;
+        let is_due = self.model.hello_received && !self.model.has_snapshot;
         is_due.then(|| {
             self.link.complete_snapshot();
             self.model.has_snapshot = true;
@@ -453,9 +462,9 @@
     }
 }
 
-/// Guards against a link whose state differs from the messages on it: two sides, random steps,
-/// bytes delivered in random pieces, and messages that are not allowed. The model predicts the
-/// events, or an error.
+/// Guards against a link whose state or events do not follow from the messages that it has
+/// received. Two sides take random steps, some of which send messages that are not allowed, and
+/// bytes are delivered in random pieces. A model predicts the events or an error.
 #[test]
 fn link_state_follows_its_messages() {
     let step = (0usize..9, any::<bool>(), 1usize..60);
@@ -491,7 +500,7 @@
             if let Some(message) = message {
                 sides[usize::from(!newer)].add_in_transit(message);
             }
-            // A piece is delivered to the side of this step.
+            // The side that has taken the step then receives a piece of what is in transit to it.
             if !sides[usize::from(newer)].deliver(size)? {
                 return Ok(());
             }
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -1,19 +1,19 @@
 //! Pins the bytes that two processes of one node exchange during a handover: the greeting, the
 //! frames, and every message. During an upgrade the older process may run an older version of the
-//! program, so these bytes must not change with a rename. The literals were written by the version
-//! before the renames.
+//! program, so these bytes must not change within a protocol version. The literals were recorded
+//! with an earlier version of the program.
 
 use postproxy_handover::{
-    DecodeError, GREETING_MAGIC, Link, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
+    GREETING_MAGIC, Link, LinkError, LinkEvent, MAX_FRAME_BYTES, Message, Role, StateUpdate,
     VERSION, frame, greeting,
 };
 
-/// Returns the bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns the bytes that the hexadecimal digits stand for.
+/// Decodes hexadecimal digits.
 fn unhex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
     let byte =
@@ -21,10 +21,10 @@
     pairs.map(byte).collect()
 }
 
-/// Asserts that the message is encoded as this literal, in a frame with its length, and decoded
-/// from it.
+/// Asserts that the message is encoded as this literal, that its frame is the length and the
+/// literal, and that the literal is decoded as the message.
 #[track_caller]
-fn pin(message: Message, literal: &str) {
+fn assert_encoding(message: Message, literal: &str) {
     let bytes = postcard::to_stdvec(&message).expect("an encoded message");
     assert_eq!(hex(&bytes), literal, "{message:?}");
     assert_eq!(
@@ -45,65 +45,65 @@
 
 #[test]
 fn messages_keep_their_bytes() {
-    pin(
+    assert_encoding(
         Message::Hello {
             name: "n-1".into(),
             listen: "127.0.0.1:7070".into(),
         },
         "00036e2d310e3132372e302e302e313a37303730",
     );
-    pin(
+    assert_encoding(
         Message::Hello {
             name: String::new(),
             listen: String::new(),
         },
         "000000",
     );
-    pin(Message::SnapshotComplete, "02");
-    pin(Message::DescriptorsHeld(300), "03ac02");
-    pin(
+    assert_encoding(Message::SnapshotComplete, "02");
+    assert_encoding(Message::DescriptorsHeld(300), "03ac02");
+    assert_encoding(
         Message::Callback {
             number: 5,
             body: vec![1, 2, 255],
         },
         "0405030102ff",
     );
-    pin(
+    assert_encoding(
         Message::Callback {
             number: u64::MAX,
             body: Vec::new(),
         },
         "04ffffffffffffffffff0100",
     );
-    pin(
+    assert_encoding(
         Message::CallbackResult {
             number: 6,
             known: true,
         },
         "050601",
     );
-    pin(
+    assert_encoding(
         Message::CallbackResult {
             number: 7,
             known: false,
         },
         "050700",
     );
-    pin(
+    assert_encoding(
         Message::QuietConnection {
             input: b"GET".to_vec(),
             used_before: true,
         },
         "060347455401",
     );
-    pin(
+    assert_encoding(
         Message::QuietConnection {
             input: Vec::new(),
             used_before: false,
         },
         "060000",
     );
-    pin(
+    assert_encoding(
         Message::Request {
             request: vec![9, 8],
             input: vec![7],
@@ -111,7 +111,7 @@
         },
         "07020908010701",
     );
-    pin(
+    assert_encoding(
         Message::Request {
             request: Vec::new(),
             input: Vec::new(),
@@ -119,55 +119,55 @@
         },
         "07000000",
     );
-    pin(Message::ShuttingDown, "08");
+    assert_encoding(Message::ShuttingDown, "08");
 }
 
 #[test]
 fn state_updates_keep_their_bytes() {
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-1".into(),
             resume: true,
         }),
         "010003772d3101",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-2".into(),
             resume: false,
         }),
         "010003772d3200",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::DrainChanged {
             draining: true,
             seconds_ago: 1.5,
         }),
         "0101010000c03f",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::DrainChanged {
             draining: false,
             seconds_ago: 0.0,
         }),
         "01010000000000",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::WorkerList(vec![3, 4, 5])),
         "010203030405",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::WorkerList(Vec::new())),
         "010200",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-1".into(),
             is_new: true,
         }),
         "0103036a2d3101",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::RequestAdmitted {
             id: "j-2".into(),
             is_new: false,
@@ -184,7 +184,7 @@
         seconds_ago: 0.125,
         is_new: true,
     };
-    pin(
+    assert_encoding(
         Message::StateUpdate(sent),
         "0104036a2d33830403772d33000020400000803e0000003e01",
     );
@@ -198,29 +198,29 @@
         seconds_ago: 0.0,
         is_new: false,
     };
-    pin(
+    assert_encoding(
         Message::StateUpdate(sent),
         "01040000000000803f000000000000000000",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::AttemptEnded {
             id: "j-4".into(),
             attempt: 2,
         }),
         "0105036a2d3402",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::RequestFinished { id: "j-5".into() }),
         "0106036a2d35",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::BudgetHistory {
             admissions: vec![0.5, 4.0],
             retries: vec![8.0],
         }),
         "0107020000003f000080400100000041",
     );
-    pin(
+    assert_encoding(
         Message::StateUpdate(StateUpdate::BudgetHistory {
             admissions: Vec::new(),
             retries: Vec::new(),
@@ -229,89 +229,98 @@
     );
 }
 
-/// A link of this role, of the node `n-1` that listens at port 7070.
+/// Returns a link of a process with this role, of the node `n-1` that listens at port 7070.
 fn link(role: Role) -> Link {
     Link::new(role, "n-1", "127.0.0.1:7070", 0.0)
 }
 
-/// The error that comes of these bytes at a link of the newer process.
+/// Returns the error that these bytes cause on a link of the newer process.
 #[track_caller]
-fn fault(digits: &str) -> DecodeError {
+fn receive_error(digits: &str) -> LinkError {
     link(Role::Newer)
         .receive(&unhex(digits), &mut Vec::new())
         .expect_err("an error")
 }
 
 #[test]
-fn damaged_bytes_keep_their_errors() {
-    assert_eq!(fault("7070686f0d0b"), DecodeError::UnknownProtocol);
-    assert_eq!(fault("00"), DecodeError::UnknownProtocol);
+fn each_kind_of_invalid_bytes_has_its_error() {
+    assert_eq!(receive_error("7070686f0d0b"), LinkError::UnknownProtocol);
+    assert_eq!(receive_error("00"), LinkError::UnknownProtocol);
     assert_eq!(
-        fault("7070686f0d0a0002"),
-        DecodeError::UnsupportedVersion(2)
+        receive_error("7070686f0d0a0002"),
+        LinkError::UnsupportedVersion(2)
     );
     assert_eq!(
-        fault("7070686f0d0a000100800001"),
-        DecodeError::FrameTooLong(8_388_609)
+        receive_error("7070686f0d0a000100800001"),
+        LinkError::FrameTooLong(8_388_609)
     );
-    // An empty body, a variant that does not exist, a string that is cut, and a byte too many.
-    assert_eq!(fault("7070686f0d0a000100000000"), DecodeError::Malformed);
-    assert_eq!(fault("7070686f0d0a00010000000109"), DecodeError::Malformed);
+    // An empty body, an unknown variant, a truncated string, and a trailing byte.
     assert_eq!(
-        fault("7070686f0d0a00010000000300036e"),
-        DecodeError::Malformed
+        receive_error("7070686f0d0a000100000000"),
+        LinkError::Malformed
     );
     assert_eq!(
-        fault("7070686f0d0a0001000000020200"),
-        DecodeError::Malformed
+        receive_error("7070686f0d0a00010000000109"),
+        LinkError::Malformed
     );
-    // A variant of the inner enum that does not exist.
     assert_eq!(
-        fault("7070686f0d0a0001000000020108"),
-        DecodeError::Malformed
+        receive_error("7070686f0d0a00010000000300036e"),
+        LinkError::Malformed
     );
-    // `SnapshotComplete` before `Hello`; and a `Hello` of another node.
     assert_eq!(
-        fault("7070686f0d0a00010000000102"),
-        DecodeError::UnexpectedMessage
+        receive_error("7070686f0d0a0001000000020200"),
+        LinkError::Malformed
     );
+    // An unknown variant of the inner enum.
     assert_eq!(
-        fault("7070686f0d0a00010000000500016e0178"),
-        DecodeError::OtherNode("n at x".into())
+        receive_error("7070686f0d0a0001000000020108"),
+        LinkError::Malformed
+    );
+    // `SnapshotComplete` before `Hello`, and the `Hello` of another node.
+    assert_eq!(
+        receive_error("7070686f0d0a00010000000102"),
+        LinkError::UnexpectedMessage
+    );
+    assert_eq!(
+        receive_error("7070686f0d0a00010000000500016e0178"),
+        LinkError::OtherNode("n at x".into())
     );
 }
 
 #[test]
-fn error_texts_are_unchanged() {
+fn each_error_has_its_text() {
+    assert_eq!(
+        LinkError::UnknownProtocol.to_string(),
+        "the other process does not use the handover protocol"
+    );
     assert_eq!(
-        DecodeError::UnknownProtocol.to_string(),
-        "it speaks another language"
+        LinkError::UnsupportedVersion(2).to_string(),
+        "the other process uses version 2 of the handover protocol, this one version 1"
     );
     assert_eq!(
-        DecodeError::UnsupportedVersion(2).to_string(),
-        "it speaks version 2, this is 1"
+        LinkError::FrameTooLong(9).to_string(),
+        "message of 9 bytes received, the limit is 8388608"
     );
     assert_eq!(
-        DecodeError::FrameTooLong(9).to_string(),
-        "a message of 9 bytes is too long"
+        LinkError::Malformed.to_string(),
+        "malformed message received"
     );
     assert_eq!(
-        DecodeError::Malformed.to_string(),
-        "a message that can't be read"
+        LinkError::UnexpectedMessage.to_string(),
+        "message received that the state of the link does not allow"
     );
     assert_eq!(
-        DecodeError::UnexpectedMessage.to_string(),
-        "a message that can't come now"
+        LinkError::OtherNode("n at x".into()).to_string(),
+        "the other process belongs to another node: n at x"
     );
     assert_eq!(
-        DecodeError::OtherNode("n at x".into()).to_string(),
-        "it is n at x"
+        LinkError::TimedOut.to_string(),
+        "timed out waiting for the other process"
     );
-    assert_eq!(DecodeError::TimedOut.to_string(), "it took too long");
 }
 
-/// The messages that the older process of a node writes during a handover, in their order.
-fn conversation() -> Vec<Message> {
+/// The messages that the older process of a node sends during a handover, in order.
+fn older_process_messages() -> Vec<Message> {
     let (id, worker) = ("j-1".to_owned(), "w-1".to_owned());
     let sent = StateUpdate::AttemptSent {
         id,
@@ -369,7 +378,7 @@
     ]
 }
 
-/// All bytes of that conversation: the greeting, then one frame a line.
+/// The bytes of those messages: the greeting, then one frame per line.
 const RECORDED: &str = concat!(
     "7070686f0d0a0001",                                         // greeting
     "0000001400036e2d310e3132372e302e302e313a37303730",         // Hello
@@ -391,15 +400,18 @@
 
 #[test]
 fn older_process_writes_the_recorded_bytes() {
-    let frames = conversation().iter().flat_map(frame).collect::<Vec<u8>>();
+    let frames = older_process_messages()
+        .iter()
+        .flat_map(frame)
+        .collect::<Vec<u8>>();
     assert_eq!(hex(&[greeting(), frames].concat()), RECORDED);
 }
 
-/// The bytes are read in pieces of every size.
+/// The bytes are received in pieces of every size.
 #[test]
-fn newer_process_reads_the_recorded_conversation() {
+fn newer_process_decodes_the_recorded_bytes() {
     let recorded = unhex(RECORDED);
-    let sent = conversation()
+    let sent = older_process_messages()
         .into_iter()
         .filter_map(|message| match message {
             Message::StateUpdate(update @ StateUpdate::AttemptSent { .. }) => {
@@ -459,9 +471,9 @@
         let mut events = Vec::new();
         recorded
             .chunks(size)
-            .for_each(|part| link.receive(part, &mut events).expect("sound bytes"));
+            .for_each(|part| link.receive(part, &mut events).expect("valid bytes"));
         assert_eq!(events, expected, "pieces of {size} bytes");
-        assert!(link.is_joined() && link.is_peer_shutting_down());
+        assert!(link.is_synchronized() && link.is_peer_shutting_down());
     }
 }
 
@@ -479,6 +491,6 @@
     assert_eq!(
         hex(&frame(&link.forward_callback(0.0, 9, vec![11]))),
         "000000040402010b",
-        "calls are counted from 1"
+        "callbacks are numbered from 1"
     );
 }
--- a/crates/handover/tests/surface_errors.rs
+++ b/crates/handover/tests/surface_errors.rs
@@ -1,29 +1,38 @@
-//! Pins the messages with which the log names a fault of the other process. They must not change
-//! with a name in the code.
+//! Pins the texts with which the log says why a link was closed. They must not change when a name
+//! in the code changes.
 
-use postproxy_handover::DecodeError;
+use postproxy_handover::LinkError;
 
 #[test]
-fn every_fault_has_its_message() {
+fn every_error_has_its_text() {
     let cases = [
-        (DecodeError::UnknownProtocol, "it speaks another language"),
         (
-            DecodeError::UnsupportedVersion(9),
-            "it speaks version 9, this is 1",
+            LinkError::UnknownProtocol,
+            "the other process does not use the handover protocol",
         ),
         (
-            DecodeError::FrameTooLong(70_000),
-            "a message of 70000 bytes is too long",
+            LinkError::UnsupportedVersion(9),
+            "the other process uses version 9 of the handover protocol, this one version 1",
         ),
-        (DecodeError::Malformed, "a message that can't be read"),
         (
-            DecodeError::UnexpectedMessage,
-            "a message that can't come now",
+            LinkError::FrameTooLong(70_000),
+            "message of 70000 bytes received, the limit is 8388608",
+        ),
+        (LinkError::Malformed, "malformed message received"),
+        (
+            LinkError::UnexpectedMessage,
+            "message received that the state of the link does not allow",
+        ),
+        (
+            LinkError::OtherNode("n1".into()),
+            "the other process belongs to another node: n1",
+        ),
+        (
+            LinkError::TimedOut,
+            "timed out waiting for the other process",
         ),
-        (DecodeError::OtherNode("n1".into()), "it is n1"),
-        (DecodeError::TimedOut, "it took too long"),
     ];
-    for (fault, message) in cases {
-        assert_eq!(fault.to_string(), message);
+    for (error, text) in cases {
+        assert_eq!(error.to_string(), text);
     }
 }
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -147,15 +147,17 @@
     pub fn is_waiting_for_snapshot(&self) -> bool {
         self.sessions
             .values()
-            .any(|session| session.link.role() == Role::Newer && !session.link.is_joined())
+            .any(|session| session.link.role() == Role::Newer && !session.link.is_synchronized())
     }
 
-    /// Returns the link to the process that takes over from this one: a newer process that has been
-    /// sent this one's whole snapshot.
+    /// Returns the link to the process that takes over from this one: the most recently linked
+    /// newer process that has been sent this one's whole snapshot.
     pub fn successor(&self) -> Option<usize> {
         self.sessions
             .iter()
-            .rfind(|(_, session)| session.link.role() == Role::Older && session.link.is_joined())
+            .rfind(|(_, session)| {
+                session.link.role() == Role::Older && session.link.is_synchronized()
+            })
             .map(|(key, _)| *key)
     }
 
@@ -175,7 +177,7 @@
     pub fn has_successor(&self) -> bool {
         self.sessions
             .values()
-            .any(|session| session.link.role() == Role::Older && session.link.is_greeted())
+            .any(|session| session.link.role() == Role::Older && session.link.is_hello_received())
     }
 
     /// Whether there is any link.
@@ -369,7 +371,7 @@
     fn established_links(&self, except: Option<usize>) -> Vec<usize> {
         self.sessions
             .iter()
-            .filter(|(key, session)| Some(**key) != except && session.link.is_greeted())
+            .filter(|(key, session)| Some(**key) != except && session.link.is_hello_received())
             .map(|(key, _)| *key)
             .collect()
     }
--- a/src/net/handover/socket.rs
+++ b/src/net/handover/socket.rs
@@ -26,7 +26,7 @@
 /// A path that fits into the address of a Unix socket.
 struct SocketPath {
     path: PathBuf,
-    /// The folder of a path that is too long. `path` refers to it by its descriptor, so it must stay
+    /// The folder of a path that is too long. `path` names it by its descriptor, so it must stay
     /// open while `path` is in use.
     _folder: Option<std::fs::File>,
 }
