--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -111,7 +111,7 @@
         known: bool,
     },
     /// A client's connection that waits for no answer. Its descriptor comes with this message.
-    QuietConnection {
+    IdleConnection {
         /// Bytes that were read from the connection and have not been parsed.
         input: Vec<u8>,
         /// Whether the connection has carried a request or a callback before.
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -25,7 +25,7 @@
 pub enum LinkEvent {
     /// The other side's hello has been received. If this is the older side, it now sends its
     /// snapshot.
-    Greeted,
+    HelloReceived,
     /// A change of the other side's state, or a part of its snapshot.
     StateUpdate(StateUpdate),
     /// The older side has sent its whole snapshot.
@@ -49,7 +49,7 @@
         known: bool,
     },
     /// A client's connection that waits for no answer; its descriptor came with the message.
-    QuietConnection {
+    IdleConnection {
         /// Bytes that were read from the connection and have not been parsed.
         input: Vec<u8>,
         /// Whether the connection has carried a request or a callback before.
@@ -232,8 +232,8 @@
                     known,
                 }
             }
-            Message::QuietConnection { input, used_before } if accepts_connections => {
-                LinkEvent::QuietConnection { input, used_before }
+            Message::IdleConnection { input, used_before } if accepts_connections => {
+                LinkEvent::IdleConnection { input, used_before }
             }
             Message::Request {
                 request,
@@ -250,7 +250,7 @@
             }
             Message::Hello { .. }
             | Message::SnapshotComplete
-            | Message::QuietConnection { .. }
+            | Message::IdleConnection { .. }
             | Message::Request { .. } => return Err(LinkError::UnexpectedMessage),
         })
     }
@@ -263,6 +263,6 @@
             return Err(LinkError::OtherNode(format!("{name} at {listen}")));
         }
         self.state = State::SendingSnapshot;
-        Ok(LinkEvent::Greeted)
+        Ok(LinkEvent::HelloReceived)
     }
 }
--- a/crates/handover/tests/link.rs
+++ b/crates/handover/tests/link.rs
@@ -28,11 +28,11 @@
     let mut newer = new_link(Role::Newer);
     assert_eq!(
         receive(&mut older, &opening_bytes(&newer)),
-        Ok(vec![LinkEvent::Greeted])
+        Ok(vec![LinkEvent::HelloReceived])
     );
     assert_eq!(
         receive(&mut newer, &opening_bytes(&older)),
-        Ok(vec![LinkEvent::Greeted])
+        Ok(vec![LinkEvent::HelloReceived])
     );
     assert!(!older.is_synchronized() && !newer.is_synchronized());
     older.complete_snapshot();
@@ -189,7 +189,7 @@
         receive(&mut new_link(Role::Older), &premature),
         Err(LinkError::UnexpectedMessage)
     );
-    let connection = Message::QuietConnection {
+    let connection = Message::IdleConnection {
         input: Vec::new(),
         used_before: true,
     };
@@ -227,7 +227,7 @@
     );
     assert_eq!(
         receive(&mut newer, &frame(&connection)),
-        Ok(vec![LinkEvent::QuietConnection {
+        Ok(vec![LinkEvent::IdleConnection {
             input: Vec::new(),
             used_before: true
         }])
@@ -330,7 +330,7 @@
         match message {
             Message::Hello { .. } => {
                 self.hello_received = true;
-                Some(LinkEvent::Greeted)
+                Some(LinkEvent::HelloReceived)
             }
             Message::SnapshotComplete => {
                 self.has_snapshot = true;
@@ -348,10 +348,10 @@
                 self.peer_shutting_down = true;
                 Some(LinkEvent::ShuttingDown)
             }
-            Message::QuietConnection { input, used_before }
+            Message::IdleConnection { input, used_before }
                 if synchronized && self.peer_shutting_down =>
             {
-                Some(LinkEvent::QuietConnection { input, used_before })
+                Some(LinkEvent::IdleConnection { input, used_before })
             }
             _ => None,
         }
@@ -491,7 +491,7 @@
                 }),
                 4 if !newer => sender.complete_snapshot(),
                 5 if size > 50 => Some(Message::ShuttingDown),
-                6 if size > 40 => Some(Message::QuietConnection {
+                6 if size > 40 => Some(Message::IdleConnection {
                     input: vec![1],
                     used_before: newer,
                 }),
--- a/crates/handover/tests/surface_bytes.rs
+++ b/crates/handover/tests/surface_bytes.rs
@@ -90,14 +90,14 @@
         "050700",
     );
     assert_encoding(
-        Message::QuietConnection {
+        Message::IdleConnection {
             input: b"GET".to_vec(),
             used_before: true,
         },
         "060347455401",
     );
     assert_encoding(
-        Message::QuietConnection {
+        Message::IdleConnection {
             input: Vec::new(),
             used_before: false,
         },
@@ -361,7 +361,7 @@
             known: true,
         },
         Message::ShuttingDown,
-        Message::QuietConnection {
+        Message::IdleConnection {
             input: b"GET /".to_vec(),
             used_before: true,
         },
@@ -392,7 +392,7 @@
     "000000050401027b7d",                                       // Callback
     "00000003050101",                                           // CallbackResult
     "0000000108",                                               // ShuttingDown
-    "000000080605474554202f01",                                 // QuietConnection
+    "000000080605474554202f01",                                 // IdleConnection
     "000000080703010203015001",                                 // Request
     "000000070105036a2d3101",                                   // AttemptEnded
     "000000060106036a2d31",                                     // RequestFinished
@@ -420,7 +420,7 @@
             _ => None,
         });
     let expected: Vec<LinkEvent> = [
-        LinkEvent::Greeted,
+        LinkEvent::HelloReceived,
         LinkEvent::StateUpdate(StateUpdate::WorkerSuspensionChanged {
             worker: "w-9".into(),
             resume: false,
@@ -449,7 +449,7 @@
             known: true,
         },
         LinkEvent::ShuttingDown,
-        LinkEvent::QuietConnection {
+        LinkEvent::IdleConnection {
             input: b"GET /".to_vec(),
             used_before: true,
         },
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -222,7 +222,7 @@
         for event in link_events {
             let has_descriptor = matches!(
                 event,
-                LinkEvent::QuietConnection { .. } | LinkEvent::Request { .. }
+                LinkEvent::IdleConnection { .. } | LinkEvent::Request { .. }
             );
             let descriptor = if has_descriptor {
                 session.take_descriptor()
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -63,7 +63,7 @@
 
     fn handle_link_event(&mut self, link: usize, event: LinkEvent, descriptor: Option<OwnedFd>) {
         match event {
-            LinkEvent::Greeted => {
+            LinkEvent::HelloReceived => {
                 self.requests.set_siblings_linked(true);
                 self.send_snapshot(link);
             }
@@ -80,7 +80,7 @@
             LinkEvent::CallbackResult { caller, known } => {
                 self.record_callback_result(caller, known);
             }
-            LinkEvent::QuietConnection { input, used_before } => {
+            LinkEvent::IdleConnection { input, used_before } => {
                 // Without its descriptor there is nothing to take over.
                 if let Some(descriptor) = descriptor {
                     let connection = ReleasedIdleConnection {
@@ -270,12 +270,12 @@
         let Some(successor) = self.handover.as_ref().and_then(Handover::successor) else {
             return;
         };
-        self.migrate_quiet_connections(successor);
+        self.migrate_idle_connections(successor);
         self.migrate_requests(successor);
         self.divide_descriptors();
     }
 
-    fn migrate_quiet_connections(&mut self, successor: usize) {
+    fn migrate_idle_connections(&mut self, successor: usize) {
         let Some(handover) = &mut self.handover else {
             return;
         };
@@ -283,7 +283,7 @@
             let Some(released) = self.clients.release_idle_connection(&self.reactor) else {
                 break;
             };
-            let message = Message::QuietConnection {
+            let message = Message::IdleConnection {
                 input: released.input,
                 used_before: released.useful,
             };
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -131,7 +131,7 @@
             events: Vec::new(),
         };
         older
-            .wait_for(|event| matches!(event, LinkEvent::Greeted).then_some(()))
+            .wait_for(|event| matches!(event, LinkEvent::HelloReceived).then_some(()))
             .expect("it greets");
         Self {
             listener,
