--- a/crates/inherited-listener/src/lib.rs
+++ b/crates/inherited-listener/src/lib.rs
@@ -1,5 +1,5 @@
-//! Adopts a listening socket that this process inherited at its start, by the number of its
-//! descriptor. The one block of unsafe code of the project is here.
+//! Adopts a listening socket that this process inherited from its parent, by the number of its file
+//! descriptor. This crate contains the project's only unsafe block.
 
 use socket2::{Socket, Type};
 use std::fmt;
@@ -7,14 +7,15 @@
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 use std::sync::Mutex;
 
-/// The highest descriptor of the standard streams, which are never adopted.
-const LAST_STANDARD_STREAM: RawFd = 2;
+/// The descriptor of standard error. The standard streams, 0 to 2, are never adopted.
+const STANDARD_ERROR: RawFd = 2;
 
-/// Why a number names no listener that can be adopted.
+/// Why an inherited descriptor can't be adopted. The texts continue a sentence whose subject is the
+/// descriptor number.
 #[derive(Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum InheritError {
-    /// The text is not the number of a descriptor above those of the standard streams, 0 to 2.
+    /// The text is not a number above those of the standard streams, 0 to 2.
     InvalidNumber,
     /// The descriptor was adopted before.
     AlreadyAdopted,
@@ -22,34 +23,37 @@
     NotOpen,
     /// The descriptor is not a socket.
     NotASocket,
-    /// The socket does not listen for streams.
+    /// The socket is not a stream socket, or does not listen.
     NotListening,
-    /// The socket listens at this other address; `None` if that is not an internet address.
+    /// The socket listens at this other address; `None` if that is not an IP address.
     OtherAddress(Option<SocketAddr>),
-    /// The system refused an operation on the socket.
+    /// A system call on the socket failed.
     System(std::io::ErrorKind),
 }
 
 impl fmt::Display for InheritError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::InvalidNumber => write!(f, "is no number of a descriptor above 2"),
-            Self::AlreadyAdopted => write!(f, "was taken over before"),
+            Self::InvalidNumber => write!(f, "is not a descriptor number above 2"),
+            Self::AlreadyAdopted => write!(f, "names a descriptor that was adopted before"),
             Self::NotOpen => write!(f, "names a descriptor that is not open"),
-            Self::NotASocket => write!(f, "names a descriptor that is no socket"),
-            Self::NotListening => write!(f, "names a socket that does not listen for streams"),
+            Self::NotASocket => write!(f, "names a descriptor that is not a socket"),
+            Self::NotListening => write!(
+                f,
+                "names a socket that does not listen for stream connections"
+            ),
             Self::OtherAddress(Some(at)) => write!(f, "names a socket that listens at {at}"),
             Self::OtherAddress(None) => {
-                write!(f, "names a socket that listens at no internet address")
+                write!(f, "names a socket that does not listen at an IP address")
             }
-            Self::System(kind) => write!(f, "names a socket that can't be used: {kind}"),
+            Self::System(kind) => write!(f, "names a socket that cannot be used: {kind}"),
         }
     }
 }
 
 impl std::error::Error for InheritError {}
 
-/// The descriptors that were adopted, so that none gets a second owner.
+/// The numbers of the descriptors that were adopted, so that none gets a second owner.
 static ADOPTED: Mutex<Vec<RawFd>> = Mutex::new(Vec::new());
 
 /// Adopts the socket whose descriptor number is in `text`.
@@ -57,7 +61,7 @@
     let number: RawFd = text
         .parse()
         .ok()
-        .filter(|number| *number > LAST_STANDARD_STREAM)
+        .filter(|number| *number > STANDARD_ERROR)
         .ok_or(InheritError::InvalidNumber)?;
     let mut adopted = ADOPTED.lock().map_err(|_| InheritError::AlreadyAdopted)?;
     if adopted.contains(&number) {
@@ -69,23 +73,23 @@
         return Err(InheritError::NotASocket);
     }
     adopted.push(number);
-    // SAFETY: the descriptor is open, as its link in /proc has just shown, and so was it when this
-    // process began: the caller opens nothing before, so no other part of the program owns it. Each
-    // number is adopted once, which the list above ensures, so there is never a second owner, and
-    // what is returned closes it once.
+    // SAFETY: the link in /proc has shown that the descriptor is open. No other part of the program
+    // owns it, because it was inherited: callers adopt descriptors before the program opens any of
+    // its own. `ADOPTED` ensures that each number is adopted at most once, so the returned value is
+    // the only owner and closes the descriptor once.
     #[allow(unsafe_code)]
     let owned = unsafe { OwnedFd::from_raw_fd(number) };
     Ok(owned.into())
 }
 
-/// Adopts the listener whose descriptor number is in `text`; it must listen at `address`. Call it
-/// before the program opens descriptors of its own. The listener may be shared with other
-/// processes. It is made non-blocking, and programs started from this process do not inherit it.
+/// Adopts the listener whose descriptor number is in `text`; it must listen at `address`. Must be
+/// called before the program opens descriptors of its own. The listener may be shared with other
+/// processes. It is made non-blocking, and child processes do not inherit it.
 ///
 /// # Errors
 ///
-/// If the descriptor is not open, is not a socket that listens for streams, listens at another
-/// address, or was adopted before.
+/// If the descriptor is not open, is not a stream socket that listens, listens at another address,
+/// or was adopted before.
 pub fn adopt_listener(text: &str, address: SocketAddr) -> Result<TcpListener, InheritError> {
     let socket = adopt_socket(text)?;
     let system = |error: std::io::Error| InheritError::System(error.kind());
--- a/crates/inherited-listener/tests/adopt_listener.rs
+++ b/crates/inherited-listener/tests/adopt_listener.rs
@@ -1,17 +1,17 @@
-//! Descriptors of every kind, passed by their number. The one test is alone in its process: it
+//! Adopts descriptors of every kind by their numbers. The test is alone in its process, because it
 //! relies on which numbers are free.
 
 use postproxy_inherited_listener::{InheritError, adopt_listener};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::fd::{IntoRawFd, OwnedFd};
 
-/// Any free port.
+/// Returns a loopback address whose port, 0, lets the system choose a free one.
 fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Guards against serving on whatever a wrong number names: nothing open, a file, a socket that
-/// does not listen, one of another address; and against two owners of one descriptor.
+/// Guards against adopting what a wrong number refers to: no open descriptor, a file, a socket that
+/// does not listen, or a listener at another address; and against two owners of one descriptor.
 #[test]
 fn adopts_only_a_listener_at_the_address_and_only_once() {
     let into_number = |owned: OwnedFd| owned.into_raw_fd().to_string();
@@ -26,7 +26,8 @@
         adopt_listener("987654", any_address()).err(),
         Some(InheritError::NotOpen)
     );
-    // All are opened first: the number of one that was refused and closed would be given out again.
+    // All are opened before the first is adopted: a rejected descriptor is closed, and the next one
+    // to be opened would get its number.
     let file = std::fs::File::open("/dev/null").expect("a file");
     let datagrams = UdpSocket::bind(any_address()).expect("a port");
     let real = TcpListener::bind(any_address()).expect("a port");
@@ -56,7 +57,10 @@
         Some(InheritError::AlreadyAdopted)
     );
     let peer = TcpStream::connect(at).expect("another connection");
-    assert!(adopted.accept().is_ok(), "the first one waits");
+    assert!(
+        adopted.accept().is_ok(),
+        "the first connection is waiting to be accepted"
+    );
     assert!(
         std::iter::repeat_with(|| adopted.accept())
             .take(1000)
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -1731,7 +1731,7 @@
         (
             "RELAY_SOCKET_FD",
             "x",
-            "RELAY_SOCKET_FD: 'x' is no number of a descriptor above 2, not at 127.0.0.1:80",
+            "RELAY_SOCKET_FD: 'x' is not a descriptor number above 2, not at 127.0.0.1:80",
         ),
         (
             "RELAY_SOCKET_FD",
