--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,27 +1,26 @@
-//! The request log of a node: what it remembers of requests beyond the life of its process, so that
-//! a request that may have run isn't run twice.
+//! The request log of a node: records of requests that outlive the process, so that a request that
+//! may have run isn't run twice.
 //!
-//! A [`RequestLog`] is a state machine without I/O and without a clock. The node reports what
-//! becomes of each request whose class is logged; the log answers with [`Write`]s, and those of one
-//! answer are to be written together. After a restart the log is loaded from the stored records. It
-//! then answers two questions: what a client that repeats a request gets ([`Lookup`]), and what a
-//! worker's call-back on a request of an earlier process settles ([`Resolution`]).
+//! A [`RequestLog`] is a state machine without I/O and without a clock. The node reports the
+//! progress of each request whose class is logged; the log returns [`Write`]s, and those of one
+//! call have to be written together. After a restart the log is loaded from the stored records. It
+//! then determines what a client that repeats a request gets ([`Lookup`]), and how a worker's
+//! callback resolves a request of an earlier process ([`Resolution`]).
 //!
-//! Guarantees, whenever any process dies:
+//! Guarantees, at whatever point a process crashes:
 //!
 //! - A request of which an attempt may have run isn't started again under its id or its idempotency
-//!   key until its
-//!   record expires.
-//! - A request that was served stays served once the record that says so is durable.
+//!   key until its record expires.
+//! - A request that was served remains served once the record that says so is durable.
 //! - A request of which no attempt was ever sent has no record.
 //!
-//! | module | what it owns |
+//! | module | content |
 //! | --- | --- |
 //! | `record` | the stored form of a request and its attempts |
-//! | `keys` | the keys of the store under which records and results lie |
+//! | `keys` | the store keys of records and results |
 //! | `limits` | retention times and maximum sizes |
-//! | `lookup` | identity of a submitted request, and what its client gets |
-//! | `callback` | late call-backs and what they settle |
+//! | `lookup` | the identity of a submitted request, and what its client gets |
+//! | `callback` | late callbacks, and how they resolve requests |
 //! | `request_log` | the log itself |
 
 mod callback;
--- a/crates/idempotency/src/limits.rs
+++ b/crates/idempotency/src/limits.rs
@@ -8,21 +8,21 @@
 const DEFAULT_MAX_RESULT_BYTES: usize = 64 << 10;
 /// Default of [`Limits::max_requests`].
 const DEFAULT_MAX_REQUESTS: usize = 1_000_000;
-/// How long a record is kept beyond its client's deadline at least, in milliseconds.
+/// Minimum time for which a record is kept after its client's deadline, in milliseconds.
 const MIN_RETENTION_AFTER_DEADLINE_MS: u64 = 1000;
 
-/// Limits of what a request log keeps.
+/// Limits on what a request log keeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// How long a record is kept after its last change, in seconds, for classes that have no time
-    /// of their own.
+    /// How long a record is kept after its last change, in seconds, for classes that are not in
+    /// `retention_seconds_by_class`.
     pub retention_seconds: f64,
-    /// The retention times of classes that have their own, in seconds, by the class's name.
+    /// Retention times that apply to single classes instead, in seconds, by the name of the class.
     pub retention_seconds_by_class: HashMap<String, f64>,
-    /// The longest result that is stored, in bytes; a longer one is dropped and its request counts
-    /// as served without it.
+    /// Maximum size of a stored result, in bytes. A larger one isn't stored, and its request is
+    /// recorded as served without a stored result.
     pub max_result_bytes: usize,
-    /// How many requests are kept at most.
+    /// Maximum number of requests in the log.
     pub max_requests: usize,
 }
 
@@ -39,9 +39,7 @@
 
 impl Limits {
     /// Returns when a record that changes at `now` (seconds of Unix time) expires, in milliseconds
-    /// of Unix time.
-    ///
-    /// A record outlives its client's deadline in any case.
+    /// of Unix time. That is after the client's deadline, however short the retention time is.
     pub(crate) fn expires_at_ms(&self, class: &str, now: f64, deadline_ms: u64) -> u64 {
         let retention_seconds = self
             .retention_seconds_by_class
@@ -51,7 +49,7 @@
     }
 }
 
-/// Returns the time in whole milliseconds; a negative time is 0.
+/// Converts seconds to whole milliseconds, rounded down; negative times become 0.
 pub(crate) fn seconds_to_ms(seconds: f64) -> u64 {
     (seconds * 1000.0).max(0.0) as u64
 }
--- a/crates/idempotency/src/request_log.rs
+++ b/crates/idempotency/src/request_log.rs
@@ -7,56 +7,56 @@
 use crate::record::{Attempt, AttemptOutcome, RequestRecord, Stage};
 use std::collections::{BTreeSet, HashMap};
 
-/// By how much the record of a request that is still in flight is prolonged when it expires, in
-/// milliseconds.
+/// By how much the lifetime of a record is extended if the record expires while its request is in
+/// flight, in milliseconds.
 const IN_FLIGHT_EXTENSION_MS: u64 = 60_000;
 
-/// One change of the store's content.
+/// A change of one key in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// The key has this value from now on.
+    /// Sets the value of a key.
     Put {
         /// The key.
         key: Vec<u8>,
         /// The value.
         value: Vec<u8>,
-        /// When it expires, in milliseconds of Unix time.
+        /// When the value expires, in milliseconds of Unix time.
         expires_at_ms: u64,
     },
-    /// The key has no value from now on.
+    /// Removes a key and its value.
     Delete {
         /// The key.
         key: Vec<u8>,
     },
 }
 
-/// How an attempt ended that didn't serve its request.
+/// How an attempt that didn't serve its request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptFailure {
-    /// It never ran.
+    /// The attempt never ran.
     NeverRan,
-    /// It may have run.
+    /// The attempt may have run.
     MayHaveRun,
 }
 
-/// A request in the log, and what this process knows of it.
+/// A request in the log, with its state in this process.
 #[derive(Debug)]
 struct Entry {
     record: RequestRecord,
-    /// It is in flight in this process.
+    /// Whether the request is in flight in this process.
     in_flight: bool,
-    /// Its last write didn't become durable.
+    /// Whether the last write of the record failed to become durable.
     unwritten: bool,
 }
 
 impl Entry {
-    /// Whether it may have run in an earlier process, and its end isn't known.
+    /// Whether the request may have run in an earlier process and its end isn't known.
     fn is_in_doubt(&self) -> bool {
         !self.in_flight && self.record.stage == Stage::Pending
     }
 }
 
-/// Whether this process is the one in which a request is in flight.
+/// Whether a request is in flight in this process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum InFlight {
     Yes,
@@ -67,12 +67,12 @@
 #[derive(Debug, Default)]
 pub struct RequestLog {
     limits: Limits,
-    /// The entries by request id. Boxed, because a table that grows moves all its entries at once,
-    /// in the middle of a client's request.
+    /// The entries by request id. They are boxed because a table that grows moves all its entries
+    /// at once, which delays the client's request that made it grow.
     entries: HashMap<String, Box<Entry>>,
-    /// The request ids by class and idempotency key.
+    /// Request ids by class and idempotency key.
     ids_by_key: HashMap<(String, String), String>,
-    /// The request ids by the time at which their records expire, in milliseconds of Unix time.
+    /// Request ids in the order in which their records expire; times in milliseconds of Unix time.
     expiry: BTreeSet<(u64, String)>,
     in_doubt_count: usize,
 }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Adds a stored record; returns `false` if this isn't the key and value of a record.
+    /// Loads a stored record; returns `false` if this isn't the key and value of a record.
     pub fn load_record(&mut self, key: &[u8], value: &[u8]) -> bool {
         let Some(id) = request_id(key) else {
             return false;
@@ -103,8 +103,8 @@
         true
     }
 
-    /// Ends the loading: removes the requests that never ran, and returns the writes that delete
-    /// them.
+    /// Removes the loaded requests that never ran, and returns the writes that delete them. Must be
+    /// called after the last [`RequestLog::load_record`].
     pub fn finish_loading(&mut self) -> Vec<Write> {
         let never_ran =
             |entry: &Entry| entry.record.stage == Stage::Pending && !entry.record.may_have_run();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Finds the entry under the request's id, else that under its class and idempotency key.
+    /// Finds the entry by the request's id, or else by its class and idempotency key.
     fn find<'a>(&'a self, request: &RequestIdentity<'a>) -> Option<(&'a str, &'a Entry)> {
         let id = if self.entries.contains_key(request.id) {
             request.id
@@ -169,21 +169,21 @@
         Some((id, self.entries.get(id)?))
     }
 
-    /// Makes room for another request: while the log is full, the oldest request that has its final
-    /// answer is removed.
+    /// Makes room for another request: while the log is full, removes the request that expires
+    /// first among those that were served or have failed.
     ///
-    /// Returns the writes that delete the removed ones, or `None` if there is no room because every
-    /// request may still run.
+    /// Returns the writes that delete the removed requests, or `None` if the log is full of
+    /// requests that may still run.
     pub fn make_room(&mut self) -> Option<Vec<Write>> {
         let mut writes = Vec::new();
         while self.entries.len() >= self.limits.max_requests.max(1) {
-            let oldest = self.oldest_with_final_answer()?.to_owned();
-            writes.extend(self.delete(&oldest));
+            let id = self.first_expiring_with_final_answer()?.to_owned();
+            writes.extend(self.delete(&id));
         }
         Some(writes)
     }
 
-    fn oldest_with_final_answer(&self) -> Option<&str> {
+    fn first_expiring_with_final_answer(&self) -> Option<&str> {
         let has_final_answer = |id: &str| {
             self.entries
                 .get(id)
@@ -195,9 +195,9 @@
 
     /// Records that an attempt is about to be sent to `worker`.
     ///
-    /// The returned writes have to be durable before it is sent, or only under way, by the
-    /// durability level of the class. `now` and `deadline`, when the client stops waiting, are in
-    /// seconds of Unix time.
+    /// Before the attempt is sent, the returned writes have to be durable or only to have been
+    /// issued, depending on the durability level of the class. `now` and the client's `deadline`
+    /// are in seconds of Unix time.
     pub fn record_attempt_intent(
         &mut self,
         now: f64,
@@ -245,7 +245,7 @@
             AttemptFailure::NeverRan => AttemptOutcome::NeverRan,
             AttemptFailure::MayHaveRun => AttemptOutcome::MayHaveRun,
         };
-        self.prolong(&mut entry.record, now);
+        self.renew_expiry(&mut entry.record, now);
         vec![self.store(id, entry.record, InFlight::Yes)]
     }
 
@@ -265,7 +265,7 @@
         };
         let result_stored = result.len() <= self.limits.max_result_bytes;
         entry.record.stage = Stage::Served { result_stored };
-        self.prolong(&mut entry.record, now);
+        self.renew_expiry(&mut entry.record, now);
         let expires_at_ms = entry.record.expires_at_ms;
         let mut writes = vec![self.store(id, entry.record, InFlight::No)];
         if result_stored {
@@ -278,9 +278,9 @@
         writes
     }
 
-    /// Records that the client has its final answer and that no attempt is in flight any more.
+    /// Records that the client has been given its final answer and that no attempt is in flight.
     ///
-    /// A request that never ran is removed; any other that wasn't served has failed.
+    /// A request that never ran is removed. Any other one that wasn't served is recorded as failed.
     pub fn record_finished(&mut self, now: f64, id: &str) -> Vec<Write> {
         let Some(entry) = self.entries.get(id) else {
             return Vec::new();
@@ -295,11 +295,11 @@
             return Vec::new();
         };
         entry.record.stage = Stage::Failed;
-        self.prolong(&mut entry.record, now);
+        self.renew_expiry(&mut entry.record, now);
         vec![self.store(id, entry.record, InFlight::No)]
     }
 
-    /// Records the call-back of `worker` on a request of an earlier process.
+    /// Records the callback of `worker` about a request that an earlier process sent.
     pub fn resolve_late_callback(
         &mut self,
         now: f64,
@@ -310,8 +310,8 @@
         let Some(entry) = self.entries.get_mut(id).filter(|entry| entry.is_in_doubt()) else {
             return LateCallback::ignored();
         };
-        // A worker has one attempt of a request at a time, so that its call-back is on the last
-        // one.
+        // A worker has at most one attempt of a request at a time, so its callback is about its
+        // last one.
         let attempt = entry.record.attempts.iter_mut().rev().find(|attempt| {
             attempt.worker == worker && attempt.outcome == AttemptOutcome::InFlight
         });
@@ -343,8 +343,8 @@
         }
     }
 
-    /// Settles a request in doubt after a call-back that didn't serve it: it has failed, unless the
-    /// end of another attempt is unknown.
+    /// Resolves a request in doubt after a callback without a result: the request has failed,
+    /// unless the end of another attempt is unknown.
     fn resolve_without_result(&mut self, now: f64, id: &str) -> LateCallback {
         let Some(mut entry) = self.remove(id) else {
             return LateCallback::ignored();
@@ -355,23 +355,24 @@
             entry.record.stage = Stage::Failed;
             Resolution::Failed
         };
-        self.prolong(&mut entry.record, now);
+        self.renew_expiry(&mut entry.record, now);
         LateCallback {
             resolution,
             writes: vec![self.store(id, entry.record, InFlight::No)],
         }
     }
 
-    /// Marks that the last write of this request didn't become durable.
+    /// Marks a request whose last write failed to become durable.
     pub fn mark_unwritten(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.unwritten = true;
         }
     }
 
-    /// Returns the writes that have to be repeated now that the store accepts writes again.
+    /// Returns the writes that store all marked records again. Called when the store accepts writes
+    /// again.
     ///
-    /// Results whose write was refused are lost: their requests count as served without a stored
+    /// Results whose write failed are lost: their requests are recorded as served without a stored
     /// result.
     pub fn rewrite_unwritten(&mut self) -> Vec<Write> {
         let unwritten = self.entries.iter_mut().filter(|(_, entry)| entry.unwritten);
@@ -390,8 +391,8 @@
 
     /// Removes the requests whose records have expired at `now`, in seconds of Unix time.
     ///
-    /// Nothing has to be written, because the store leaves out expired values by itself. A request
-    /// that is in flight in this process isn't removed before its end.
+    /// Nothing has to be written, because the store drops expired values itself. The record of a
+    /// request that is in flight in this process isn't removed; its lifetime is extended.
     pub fn remove_expired(&mut self, now: f64) {
         let now_ms = seconds_to_ms(now);
         while let Some((expires_at_ms, id)) = self.expiry.first() {
@@ -409,8 +410,8 @@
         }
     }
 
-    /// Sets when a record that changes at `now` (seconds of Unix time) expires.
-    fn prolong(&self, record: &mut RequestRecord, now: f64) {
+    /// Sets the expiry of a record that changes at `now`, in seconds of Unix time.
+    fn renew_expiry(&self, record: &mut RequestRecord, now: f64) {
         record.expires_at_ms = self
             .limits
             .expires_at_ms(&record.class, now, record.deadline_ms);
@@ -428,7 +429,7 @@
         write
     }
 
-    /// Adds the entry to all indexes, in place of the one that was there.
+    /// Adds the entry to the log and its indexes, and removes an earlier entry with the same id.
     fn insert(&mut self, id: &str, entry: Entry) {
         self.remove(id);
         if let Some(key) = &entry.record.idempotency_key {
@@ -441,8 +442,8 @@
         self.entries.insert(id.to_owned(), Box::new(entry));
     }
 
-    /// Removes the entry from all indexes; an idempotency key that meanwhile belongs to another
-    /// request stays with that.
+    /// Removes the entry from the log and its indexes. An idempotency key that has since been
+    /// assigned to another request stays assigned to that request.
     fn remove(&mut self, id: &str) -> Option<Entry> {
         let entry = self.entries.remove(id)?;
         self.in_doubt_count -= usize::from(entry.is_in_doubt());
@@ -461,7 +462,7 @@
         Some(*entry)
     }
 
-    /// Removes the entry, and returns the writes that delete its record and its stored result.
+    /// Removes the entry, and returns the writes that delete its record and, if stored, its result.
     fn delete(&mut self, id: &str) -> Vec<Write> {
         let Some(entry) = self.remove(id) else {
             return Vec::new();
--- a/crates/idempotency/tests/request_log.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -1,5 +1,5 @@
-//! The request log, by scenarios and against a model: random steps, and after any of them a restart
-//! of the node that loses any part of the last writes.
+//! Tests the request log with scenarios, and with random steps among which are restarts of the node
+//! that lose any number of the last writes.
 
 use postproxy_idempotency::{
     AttemptFailure, Completion, Limits, Lookup, RequestIdentity, RequestLog, Resolution, Write,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The keys and values that are durable.
+/// The durable keys and values.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     values: BTreeMap<Vec<u8>, Vec<u8>>,
@@ -46,7 +46,8 @@
     }
 }
 
-/// A client that repeats a request gets what became of it: its result, a wait, or a conflict.
+/// Guards against a repeated request that is run again, and against one that is mistaken for
+/// another: its client waits, or gets the result, or a conflict.
 #[test]
 fn a_repeated_request_gets_the_state_of_the_first() {
     let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
@@ -61,7 +62,7 @@
     assert_eq!(log.in_doubt_count(), 1);
     assert_eq!(lookup(&log, "b", Some("k")), Lookup::InDoubt("a".into()));
     assert_eq!(lookup(&log, "a", None), Lookup::InDoubt("a".into()));
-    // The call-back of another worker settles nothing.
+    // The callback of another worker changes nothing.
     assert_eq!(
         log.resolve_late_callback(101.0, "a", "w-2", Completion::Done(b"x"))
             .resolution,
@@ -77,7 +78,7 @@
         log.resolve_late_callback(102.0, "a", "w-1", Completion::Failed)
             .resolution,
         Resolution::Unresolved,
-        "it is settled"
+        "it is resolved already"
     );
     let log = disk.restart(Limits::default());
     assert_eq!(lookup(&log, "c", Some("k")), Lookup::Served("a".into()));
@@ -87,8 +88,9 @@
     );
 }
 
-/// A call-back of an earlier attempt doesn't prove that the last one never ran; once that is
-/// proved, the request is new.
+/// Guards against a request that is run again because a callback about an earlier attempt is taken
+/// as proof that the last one never ran. Only once all attempts are known never to have run is the
+/// request new again.
 #[test]
 fn only_a_request_that_never_ran_is_new_again() {
     let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
@@ -98,7 +100,7 @@
     assert_eq!(
         restarted.lookup(&identity("a", None)),
         Lookup::New,
-        "it was handed back before the end"
+        "its only attempt never ran"
     );
     assert!(disk.values.is_empty());
     disk.write(log.record_attempt_intent(100.2, &identity("a", None), "w-2", 112.0));
@@ -107,7 +109,7 @@
         log.resolve_late_callback(101.0, "a", "w-1", Completion::Returned)
             .resolution,
         Resolution::Unresolved,
-        "of an earlier attempt"
+        "the callback is about an earlier attempt"
     );
     let callback = log.resolve_late_callback(101.0, "a", "w-2", Completion::Returned);
     disk.write(callback.writes);
@@ -123,8 +125,8 @@
     );
 }
 
-/// Results beyond the limit aren't stored; a full log removes only requests with a final answer;
-/// expired ones are removed.
+/// Results over the size limit aren't stored, a full log removes only requests with a final answer,
+/// and expired requests are removed.
 #[test]
 fn a_full_log_removes_only_requests_with_a_final_answer() {
     let limits = Limits {
@@ -146,7 +148,7 @@
         "its result is not kept"
     );
     assert!(!disk.values.contains_key(&result_key("b")));
-    disk.write(log.make_room().expect("one is settled"));
+    disk.write(log.make_room().expect("one request was served"));
     assert_eq!(
         (log.len(), log.lookup(&identity("b", None))),
         (1, Lookup::New)
@@ -158,9 +160,9 @@
     assert!(log.is_empty() && log.in_doubt_count() == 0);
 }
 
-/// Writes that were refused while the disk was full are repeated once it accepts writes again.
+/// Writes that failed while the disk was full are repeated once it accepts writes again.
 #[test]
-fn refused_writes_are_repeated_when_the_disk_accepts_writes() {
+fn failed_writes_are_repeated_when_the_disk_accepts_writes() {
     let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
     disk.write(log.record_attempt_intent(100.0, &identity("a", None), "w", 112.0));
     drop(log.record_served(101.0, "a", b"lost"));
@@ -196,15 +198,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A request that may have run never runs again, in whatever order attempts end, call-backs
-    /// arrive and the node restarts. A worker runs each attempt that is sent; an attempt is sent
-    /// only after its intent is durable. All other writes may be lost at a restart.
+    /// Guards against a request that is run twice, in whatever order attempts end, callbacks arrive
+    /// and the node restarts. A worker runs each attempt that is sent, and an attempt is sent only
+    /// after its intent is durable; all other writes may be lost at a restart.
     #[test]
     fn a_request_that_may_have_run_never_runs_again(steps in steps()) {
         let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
         let mut unsynced: Vec<Vec<Write>> = Vec::new();
-        // Of each request: how often it may have run; the number of its attempt in flight; how many
-        // were sent.
+        // For each request: how often it may have run, the number of its attempt in flight, and how
+        // many attempts were sent.
         let (mut runs, mut in_flight, mut attempts_sent) = ([0u32; 4], [None::<usize>; 4], [0usize; 4]);
         let mut served = [false; 4];
         let mut now = 100.0;
@@ -217,14 +219,14 @@
                     let at = n as usize;
                     match lookup {
                         Lookup::New => {
-                            prop_assert_eq!(runs[at], 0, "{} would run again", id);
-                            // Group commit: what was written before is durable with it.
+                            prop_assert_eq!(runs[at], 0, "{} would be run again", id);
+                            // Group commit: earlier writes become durable together with this one.
                             unsynced.drain(..).for_each(|writes| disk.write(writes));
                             disk.write(log.record_attempt_intent(now, &identity(&id, None), "w", now + 10.0));
                             (runs[at], in_flight[at], attempts_sent[at]) = (1, Some(0), 1);
                         }
                         Lookup::InFlight(_) => prop_assert!(in_flight[at].is_some()),
-                        // If the write that says that nothing ran was lost, the request only fails.
+                        // A request that never ran only fails if the write that says so was lost.
                         Lookup::InDoubt(_) | Lookup::Failed => prop_assert!(in_flight[at].is_none()),
                         Lookup::Served(_) => prop_assert!(served[at]),
                         Lookup::Conflict => prop_assert!(false, "no other request has this id"),
--- a/crates/idempotency/tests/surface_bytes.rs
+++ b/crates/idempotency/tests/surface_bytes.rs
@@ -1,18 +1,18 @@
-//! Pins the keys and values that the request log stores. A data directory of an older version of
-//! the program must be readable, so these bytes must not change with a rename. The literals were
-//! written by the version before the renames.
+//! Pins the keys and values that the request log stores. The data directory of an older version of
+//! the program must stay readable, so these bytes must not change within a version of the format.
+//! The literals were recorded with an earlier version of the program.
 
 use postproxy_idempotency::{
     Attempt, AttemptFailure, AttemptOutcome, Limits, RequestIdentity, RequestLog, RequestRecord,
     Stage, Write, request_id, request_key, result_key,
 };
 
-/// Returns the bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns the bytes that the hexadecimal digits stand for.
+/// Decodes hexadecimal digits.
 fn unhex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
     let byte =
@@ -20,15 +20,16 @@
     pairs.map(byte).collect()
 }
 
-/// Asserts that the record is stored as this literal, and read from it.
+/// Asserts that the record is encoded as this literal, and that the literal is decoded as the
+/// record.
 #[track_caller]
-fn pin(record: RequestRecord, literal: &str) {
+fn assert_encoding(record: RequestRecord, literal: &str) {
     let bytes = record.encode();
     assert_eq!(hex(&bytes), literal, "{record:?}");
     assert_eq!(RequestRecord::decode(&unhex(literal)), Some(record));
 }
 
-/// A record in this stage, with these attempts.
+/// Returns a record in this stage, with these attempts.
 fn record(stage: Stage, attempts: Vec<Attempt>) -> RequestRecord {
     let digest = std::array::from_fn(|at| at as u8);
     let (class, key) = ("day-plan".to_owned(), Some("k-1".to_owned()));
@@ -45,36 +46,36 @@
 
 #[test]
 fn records_keep_their_bytes_in_every_stage() {
-    let out = || {
+    let attempts = || {
         vec![Attempt {
             worker: "w-1".into(),
             outcome: AttemptOutcome::InFlight,
         }]
     };
-    pin(
-        record(Stage::Pending, out()),
+    assert_encoding(
+        record(Stage::Pending, attempts()),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f000103772d3100e0ad96ffbc3180adf180bd31",
     );
-    pin(
+    assert_encoding(
         record(
             Stage::Served {
                 result_stored: true,
             },
-            out(),
+            attempts(),
         ),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f01010103772d3100e0ad96ffbc3180adf180bd31",
     );
-    pin(
+    assert_encoding(
         record(
             Stage::Served {
                 result_stored: false,
             },
-            out(),
+            attempts(),
         ),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f01000103772d3100e0ad96ffbc3180adf180bd31",
     );
-    pin(
-        record(Stage::Failed, out()),
+    assert_encoding(
+        record(Stage::Failed, attempts()),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f020103772d3100e0ad96ffbc3180adf180bd31",
     );
 }
@@ -90,11 +91,11 @@
         attempt("w-2", AttemptOutcome::NeverRan),
         attempt("w-3", AttemptOutcome::MayHaveRun),
     ];
-    pin(
+    assert_encoding(
         record(Stage::Pending, attempts),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f000303772d310003772d320103772d3302e0ad96ffbc3180adf180bd31",
     );
-    pin(
+    assert_encoding(
         record(Stage::Pending, Vec::new()),
         "01086461792d706c616e01036b2d31000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f0000e0ad96ffbc3180adf180bd31",
     );
@@ -113,22 +114,22 @@
         deadline_ms: 0,
         expires_at_ms: 0,
     };
-    pin(
+    assert_encoding(
         record,
         "010000000000000000000000000000000000000000000000000000000000000000000002000000",
     );
 }
 
 #[test]
-fn records_of_other_versions_and_cut_records_are_not_read() {
-    let sound = record(Stage::Pending, Vec::new()).encode();
-    assert_eq!(sound[0], 1, "the version");
+fn records_of_other_versions_and_truncated_records_are_rejected() {
+    let valid = record(Stage::Pending, Vec::new()).encode();
+    assert_eq!(valid[0], 1, "the version");
     for version in [0, 2, 255] {
-        let mut other = sound.clone();
+        let mut other = valid.clone();
         other[0] = version;
         assert_eq!(RequestRecord::decode(&other), None);
     }
-    assert!((0..sound.len()).all(|size| RequestRecord::decode(&sound[..size]).is_none()));
+    assert!((0..valid.len()).all(|size| RequestRecord::decode(&valid[..size]).is_none()));
 }
 
 #[test]
@@ -140,9 +141,9 @@
     assert_eq!(request_id(b"j/\xff"), None);
 }
 
-/// The writes as text: the key, the value, and when it expires.
-fn shown(writes: &[Write]) -> Vec<String> {
-    let shown = |write: &Write| match write {
+/// Formats each write as a line with the key, the value, and when the value expires.
+fn format_writes(writes: &[Write]) -> Vec<String> {
+    let format_write = |write: &Write| match write {
         Write::Put {
             key,
             value,
@@ -156,11 +157,10 @@
         }
         Write::Delete { key } => format!("delete {}", String::from_utf8_lossy(key)),
     };
-    writes.iter().map(shown).collect()
+    writes.iter().map(format_write).collect()
 }
 
-/// The writes of a request that fails at one worker and is served by another, and of one that never
-/// runs.
+/// Covers a request that fails at one worker and is served by another, and one that never runs.
 #[test]
 fn writes_of_a_request_keep_their_bytes() {
     let mut log = RequestLog::new(Limits::default());
@@ -192,5 +192,5 @@
         "put j/b 010163000707070707070707070707070707070707070707070707070707070707070707000103772d330180eb06a891e201 3705000",
         "delete j/b",
     ];
-    assert_eq!(shown(&writes), expected);
+    assert_eq!(format_writes(&writes), expected);
 }
