--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! What reaches a process that takes over between the older one's greeting and the end of its
-//! snapshot. The test plays the older process, so that each order of events is forced.
+//! Events that reach a newer process while it takes over, before the older one's snapshot is
+//! complete. The test plays the older process, so that it controls the order of events.
 
 use postproxy::net::transport::http::Response;
 use postproxy::stand_ins::{Discovery, Worker, send_request};
@@ -15,13 +15,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the test waits for an event.
+/// Time limit for each awaited event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Starts that are tried: the newer process serves alone if the older one's snapshot is not
-/// complete within 1 s.
+/// Maximum number of attempts at a scenario. An attempt is void if the test is so slow that the
+/// snapshot is not complete within 1 s, after which the newer process serves without it.
 const MAX_STARTS: usize = 20;
 
-/// The older process, as far as the newer one can tell.
+/// The test's side of the link, which plays the older process.
 struct OlderProcess {
     stream: UnixStream,
     link: Link,
@@ -31,7 +31,7 @@
 impl OlderProcess {
     fn send(&mut self, messages: &[Message]) {
         let bytes: Vec<u8> = messages.iter().flat_map(frame).collect();
-        self.stream.write_all(&bytes).expect("the link holds");
+        self.stream.write_all(&bytes).expect("the link is open");
     }
 
     /// Completes the snapshot.
@@ -40,7 +40,8 @@
         self.link.complete_snapshot();
     }
 
-    /// Waits for an event that `wanted` accepts; `None` if the newer process has closed the link.
+    /// Waits for an event for which `wanted` returns a value, and returns that value; `None` if the
+    /// newer process has closed the link.
     fn wait_for<T>(&mut self, wanted: impl Fn(&LinkEvent) -> Option<T>) -> Option<T> {
         loop {
             if let Some(found) = self.events.iter().find_map(&wanted) {
@@ -50,7 +51,7 @@
             let size = self
                 .stream
                 .read(&mut bytes)
-                .expect("the newer process sends it in time");
+                .expect("bytes from the newer process within the time limit");
             if size == 0 {
                 return None;
             }
@@ -61,7 +62,7 @@
     }
 }
 
-/// The newer process with the older one, workers and discovery.
+/// A newer process, the older one that the test plays, workers and discovery.
 struct HandoverHarness {
     listener: Socket,
     address: SocketAddr,
@@ -82,8 +83,8 @@
 }
 
 impl HandoverHarness {
-    /// Starts the real program, which has connected to the older process and greeted it, and has
-    /// received nothing yet.
+    /// Starts the program, and returns when it has connected to the older process and sent its
+    /// hello. It has received nothing yet.
     fn new(name: &str) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener
@@ -100,7 +101,7 @@
         workers[0].report_to(address);
         let discovery = Discovery::start(&workers).expect("discovery");
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
-            .join(format!("hand-{name}-{}", std::process::id()));
+            .join(format!("handover-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let mut config: serde_json::Value =
@@ -132,7 +133,7 @@
         };
         older
             .wait_for(|event| matches!(event, LinkEvent::HelloReceived).then_some(()))
-            .expect("it greets");
+            .expect("the newer process sends its hello");
         Self {
             listener,
             address,
@@ -145,23 +146,24 @@
         }
     }
 
-    /// Greets the newer process.
-    fn greet(&mut self) {
+    /// Sends the older process's greeting and hello.
+    fn send_hello(&mut self) {
         let hello = frame(&self.older.link.hello());
         self.older
             .stream
             .write_all(&[greeting(), hello].concat())
-            .expect("the link holds");
+            .expect("the link is open");
     }
 
-    /// Sends a management request, and returns once the process has read it; the answer comes
-    /// later.
+    /// Sends a management request, and returns its connection once the process has read the
+    /// request. The answer may follow later.
     fn begin_management_request(&self, path: &str) -> TcpStream {
         let mut call = TcpStream::connect(self.management).expect("the management API listens");
         call.set_read_timeout(Some(EVENT_TIMEOUT))
             .expect("a time limit");
         write!(call, "POST {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("it is written");
-        // Connections are read in the order in which they come.
+        // Connections are read in the order in which they were opened, so the answer to this
+        // request shows that the other one has been read.
         assert_eq!(
             send_request(self.management, "GET", "/v1/readyz", &[], b"")
                 .expect("an answer")
@@ -171,8 +173,8 @@
         call
     }
 
-    /// Waits until the process has sent the older one this update; `None` if it has closed the link
-    /// before.
+    /// Waits until the process has sent this update to the older one; `None` if it has closed the
+    /// link before.
     fn wait_for_update(&mut self, update: &StateUpdate) -> Option<()> {
         self.older.wait_for(|event| {
             matches!(event, LinkEvent::StateUpdate(sent) if sent == update).then_some(())
@@ -186,15 +188,19 @@
     answer
 }
 
-/// Repeats a start until the newer process has waited for the older one's whole snapshot.
-fn run_until_joined(name: &str, mut scenario: impl FnMut(&mut HandoverHarness) -> Option<()>) {
+/// Repeats a scenario, each time with a new process, until the process has waited for the whole
+/// snapshot. The scenario returns `None` if it has closed the link instead.
+fn run_until_synchronized(
+    name: &str,
+    mut scenario: impl FnMut(&mut HandoverHarness) -> Option<()>,
+) {
     for number in 0..MAX_STARTS {
         let mut harness = HandoverHarness::new(&format!("{name}-{number}"));
         if scenario(&mut harness).is_some() {
             return;
         }
     }
-    panic!("in {MAX_STARTS} starts the newer process never waited");
+    panic!("the newer process closed the link in each of {MAX_STARTS} starts");
 }
 
 fn suspension_changed(worker: &str, resume: bool) -> StateUpdate {
@@ -204,32 +210,33 @@
     }
 }
 
-/// Guards against a management request that is confirmed and lost: it came to the process that
-/// takes over before the older one had greeted, or before its snapshot was complete.
+/// Guards against a management request that is confirmed and then lost, because the newer process
+/// received it before the older one's hello, or before its snapshot was complete.
 #[test]
 fn management_requests_before_the_end_of_the_snapshot_override_it() {
     let drain_changed = |draining, seconds_ago| StateUpdate::DrainChanged {
         draining,
         seconds_ago,
     };
-    for greeted in [false, true] {
+    for hello_first in [false, true] {
         for (name, path, snapshot, expected) in [
-            // The older process has suspended the worker, and does not know yet that it is to be
-            // resumed.
+            // According to its snapshot, the older process has suspended the worker; the request to
+            // resume it must override that, also in the older process.
             (
                 "resume",
                 "/v1/route-workers/s-0/resume",
                 suspension_changed("s-0", false),
                 suspension_changed("s-0", true),
             ),
-            // The older process, which still sends to the worker, must learn that it is suspended.
+            // The older process still sends requests to the worker, so it must be told that the
+            // worker is suspended.
             (
                 "suspend",
                 "/v1/route-workers/s-0/suspend",
                 suspension_changed("s-0", true),
                 suspension_changed("s-0", false),
             ),
-            // The older process drains, and the drain is ended.
+            // The older process is draining, and the request ends that.
             (
                 "activate",
                 "/v1/node/activate",
@@ -237,13 +244,13 @@
                 drain_changed(false, 0.0),
             ),
         ] {
-            run_until_joined(name, |harness| {
-                if greeted {
-                    harness.greet();
+            run_until_synchronized(name, |harness| {
+                if hello_first {
+                    harness.send_hello();
                 }
                 let call = harness.begin_management_request(path);
-                if !greeted {
-                    harness.greet();
+                if !hello_first {
+                    harness.send_hello();
                 }
                 harness
                     .older
@@ -257,19 +264,19 @@
     }
 }
 
-/// Guards against a request that is admitted by a process that does not know the older one's
-/// requests yet.
+/// Guards against a newer process that admits requests before it knows which ones the older process
+/// has in flight.
 #[test]
 fn requests_wait_until_the_snapshot_is_complete() {
-    run_until_joined("request", |harness| {
-        harness.greet();
+    run_until_synchronized("request", |harness| {
+        harness.send_hello();
         let mut client = TcpStream::connect(harness.address).expect("a connection");
         client
             .set_read_timeout(Some(EVENT_TIMEOUT))
             .expect("a time limit");
         write!(client, "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
             .expect("it is written");
-        // Two turns of its loop later the connection is still the older process's to accept.
+        // Two more turns of its event loop later, it has still not accepted the connection.
         for _ in 0..2 {
             assert_eq!(
                 send_request(harness.management, "GET", "/v1/readyz", &[], b"")
@@ -278,15 +285,16 @@
                 503
             );
         }
-        // The listener is shared: it stays non-blocking, for the process would block at its next
-        // accept otherwise.
+        // The newer process shares the listener and would block in its next accept if the listener
+        // were set back to blocking, so it stays non-blocking.
         harness.listener.set_nonblocking(true).expect("a setting");
-        // The newer process may have given up waiting already, and have accepted it.
+        // This fails if the newer process has stopped waiting for the snapshot and has accepted the
+        // connection; in that case the link is closed, and the attempt is void.
         let accepted = harness.listener.accept().ok().map(|(stream, _)| stream);
         harness.older.complete_snapshot();
         harness.wait_for_callback_result()?;
         assert!(accepted.is_some(), "the newer process accepted it");
-        // From now on the newer process accepts.
+        // Now the newer process accepts connections.
         let answer = send_request(
             harness.address,
             "GET",
@@ -301,8 +309,8 @@
 }
 
 impl HandoverHarness {
-    /// Waits until the newer process has handled all messages: it answers a call-back after them.
-    /// `None` if it has closed the link before.
+    /// Waits until the newer process has handled all messages: sends a callback, whose result
+    /// follows after them. `None` if the process has closed the link before.
     fn wait_for_callback_result(&mut self) -> Option<()> {
         let body = br#"{"id": "nobody's", "from": "s-0", "state": "done", "result": "x"}"#;
         let call = self.older.link.forward_callback(0.0, 77, body.to_vec());
@@ -312,12 +320,12 @@
     }
 }
 
-/// Guards against a call-back that is acknowledged although no process has handled it: it came to
-/// the newer process, as soon as that serves, on a request of the older one.
+/// Guards against a callback that is acknowledged before any process has handled it: the newer
+/// process has just begun to serve, and receives a callback about a request of the older one.
 #[test]
 fn callbacks_on_the_older_processs_requests_are_acknowledged_only_on_its_result() {
-    run_until_joined("call", |harness| {
-        harness.greet();
+    run_until_synchronized("call", |harness| {
+        harness.send_hello();
         harness
             .older
             .send(&[Message::StateUpdate(StateUpdate::RequestAdmitted {
@@ -344,7 +352,7 @@
             _ => None,
         })?;
         let start = Instant::now();
-        // Other requests are answered meanwhile, the call-back is not acknowledged.
+        // Meanwhile other requests are answered, but the callback is not acknowledged.
         for _ in 0..5 {
             assert_eq!(
                 send_request(harness.management, "GET", "/v1/readyz", &[], b"")
--- a/tests/handover_bookkeeping.rs
+++ b/tests/handover_bookkeeping.rs
@@ -1,5 +1,5 @@
-//! What a process tracks of its siblings during a handover: forwarded call-backs and the division
-//! of descriptors.
+//! Tests what a process keeps track of during a handover besides requests: forwarded callbacks, and
+//! the division of file descriptors.
 
 use postproxy::net::handover::callbacks::{CallbackResolution, ForwardedCallbacks};
 use postproxy::net::handover::descriptors::{DescriptorShare, DescriptorShares, DescriptorUsage};
@@ -35,7 +35,7 @@
             callbacks.record_result(CLIENT, true),
             CallbackResolution::Pending
         ),
-        "it is resolved once"
+        "it is resolved only once"
     );
 }
 
@@ -48,13 +48,13 @@
         CallbackResolution::Pending
     ));
     let CallbackResolution::Unknown(returned) = callbacks.record_result(CLIENT, false) else {
-        panic!("no sibling knows it");
+        panic!("no sibling knows the request");
     };
     assert_eq!(returned, callback());
 }
 
 #[test]
-fn the_origins_of_a_closed_link_are_forgotten() {
+fn the_origins_of_a_closed_link_are_removed() {
     let mut callbacks = ForwardedCallbacks::default();
     let first = callbacks.add_origin(1, 10);
     let second = callbacks.add_origin(2, 10);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_process_alone_has_all_unreserved_descriptors() {
+fn a_process_without_a_successor_gets_all_unreserved_descriptors() {
     let mut shares = DescriptorShares::default();
     assert_eq!(shares.divide(USAGE), share(90, None));
     shares.record_sibling(1, 40);
@@ -101,7 +101,11 @@
     usage.shutting_down = true;
     assert_eq!(shares.divide(usage), share(20, Some(30)));
     usage.in_use = 13;
-    assert_eq!(shares.divide(usage), share(13, None), "7 fewer are too few");
+    assert_eq!(
+        shares.divide(usage),
+        share(13, None),
+        "a decrease by 7 is not announced"
+    );
     usage.in_use = 12;
     assert_eq!(shares.divide(usage), share(12, Some(22)));
     usage.in_use = 60;
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn each_new_successor_gets_the_share_of_a_full_process() {
+fn a_share_is_announced_again_after_a_reset() {
     let mut shares = DescriptorShares::default();
     let usage = DescriptorUsage {
         in_use: 70,
--- a/tests/handover_descriptors.rs
+++ b/tests/handover_descriptors.rs
@@ -1,5 +1,5 @@
-//! A handover to a process that has no descriptor left. The test is alone in its process, because
-//! the limit on descriptors applies to the whole process.
+//! A handover to a process that has no free file descriptor. The test is alone in its process,
+//! because the limit on descriptors applies to the whole process.
 
 use postproxy::net::handover::{Event, Handover};
 use postproxy::net::transport::reactor::{Reactor, SocketOwner, Timer, owner};
@@ -14,14 +14,13 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long the test waits for an event.
+/// Time limit for each awaited event.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs one turn of the loop, and returns the handover's events by the readiness event that led to
-/// them.
+/// Runs one turn of the event loop, and returns the handover events of each readiness event.
 fn run_turn(reactor: &mut Reactor, handover: &mut Handover) -> Vec<Vec<Event>> {
     let mut ready = Vec::new();
-    // A timer that is due keeps the reactor from waiting.
+    // A timer that is due keeps the reactor from blocking.
     reactor.set_timer(reactor.now, Timer::ClientAccept);
     reactor.wait(&mut ready, f64::MAX).expect("a poller");
     ready
@@ -37,12 +36,15 @@
         if let Some(found) = found() {
             return found;
         }
-        assert!(start.elapsed() < EVENT_TIMEOUT, "not seen: {what}");
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::yield_now();
     }
 }
 
-/// Sends bytes with the node's end of a connection.
+/// Sends bytes over the link, and with them the descriptor of the node's end of a connection.
 fn send_with_connection(link: &UnixStream, bytes: &[u8], connection: TcpStream) {
     let passed = [connection.as_fd()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -58,7 +60,7 @@
     assert_eq!(sent, bytes.len());
 }
 
-/// Both ends of a connection.
+/// Both ends of a client's connection.
 struct Connection {
     client: TcpStream,
     node: TcpStream,
@@ -79,7 +81,7 @@
     })
 }
 
-/// What an older process sends up to the end of its snapshot and its shutdown.
+/// The messages of an older process up to its shutdown, after which it passes its connections.
 fn handover_messages() -> Vec<u8> {
     let hello = Message::Hello {
         name: "n0".into(),
@@ -94,10 +96,9 @@
     .concat()
 }
 
-/// Guards against a request that is answered to another's client: there was no room for the
-/// descriptor that came with one message, the rest of the message came only later, and it was
-/// matched with the next message's descriptor. The function is long because it is one scenario,
-/// step after step.
+/// Guards against a request that is answered to the wrong client. The process has no free
+/// descriptor for the one that comes with the first bytes of a message; when the rest of that
+/// message arrives, it must not be matched with the descriptor of the next message.
 #[test]
 fn a_lost_descriptor_leaves_the_others_with_their_requests() {
     let folder =
@@ -140,14 +141,14 @@
     )
     .expect("a lower limit");
     send_with_connection(&link, &first_frame[..5], first.node);
-    // The node's end was closed with the lost descriptor, which shows that its first bytes have
-    // been read.
+    // The lost descriptor was the last one of the node's end, so the client sees the end of the
+    // connection once the first bytes of the message have been read.
     wait_for("the first connection's end", || {
         assert!(
             run_turn(&mut reactor, &mut handover)
                 .iter()
                 .all(Vec::is_empty),
-            "a part of a message is none"
+            "an incomplete message causes no event"
         );
         first.client.read(&mut [0; 1]).ok()
     });
@@ -171,10 +172,10 @@
         },
     ] = &events[..]
     else {
-        panic!("both come in one read: {events:?}");
+        panic!("not the two requests in one read: {events:?}");
     };
     assert_eq!((&one[..], &other[..]), (&b"a"[..], &b"b"[..]));
-    assert!(lost.is_none(), "the first request's client has gone");
+    assert!(lost.is_none(), "the first request has lost its connection");
     TcpStream::from(passed.try_clone().expect("a descriptor"))
         .write_all(b"yours")
         .expect("it is written");
