--- a/crates/handover/src/codec.rs
+++ b/crates/handover/src/codec.rs
@@ -50,7 +50,7 @@
             }
             Self::FrameTooLong(size) => write!(
                 f,
-                "message of {size} bytes received, the limit is {MAX_FRAME_BYTES}"
+                "message of {size} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
             ),
             Self::Malformed => write!(f, "malformed message received"),
             Self::UnexpectedMessage => write!(
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -49,7 +49,8 @@
     Closed {
         /// The link.
         link: usize,
-        /// Callers of [`Handover::forward_callback`] that have not got the sibling's result.
+        /// The callers that were passed to [`Handover::forward_callback`] and whose results from the
+        /// sibling are outstanding.
         pending_callers: Vec<u64>,
         /// Whether the sibling may still be running: `false` if it has closed its end of the link.
         stalled: bool,
