--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,6 +1,5 @@
-//! Upstream: the connections to workers and to discovery. This module sends the attempts, probes
-//! and cancels that the request manager orders and reports how they end; no worker is selected
-//! here.
+//! Connections to workers and to discovery. This module sends the attempts, probes and cancels that
+//! the request manager requests, and reports how they end; it does not select workers.
 
 pub mod attempts;
 pub mod backoff;
--- a/src/net/upstream/worker_list/calls.rs
+++ b/src/net/upstream/worker_list/calls.rs
@@ -1,5 +1,4 @@
-//! Calls to discovery: the connections that carry them, what discovery answers, and how a call
-//! fails.
+//! Calls to discovery: the connections that carry them, their answers, and their failures.
 
 use super::list::DiscoveryList;
 use super::{InitialSync, LOG_TARGET, WorkerList};
@@ -10,16 +9,16 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Longest response to a call, in bytes: a list of tens of thousands of workers is shorter, and a
-/// response without end must not fill the memory.
+/// Largest accepted response to a call, in bytes: enough for a list of tens of thousands of
+/// workers, while an endless response can't exhaust memory.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// A connection to discovery, and the call that waits for its answer on it.
+/// A connection to discovery, and the call that is open on it, if any.
 pub(super) struct Session {
     connection: Connection<TcpStream>,
     key: usize,
     call: Option<CallId>,
-    /// The connection has been made.
+    /// Whether the connection has been established.
     established: bool,
 }
 
@@ -31,26 +30,26 @@
         /// Whether the connection can carry another call.
         reusable: bool,
     },
-    /// The connection ended, or the response wasn't a list.
+    /// The connection ended, or the response was not a list.
     Failed,
 }
 
 impl CallResult {
-    fn from_response(response: &Response, more_expected: bool) -> Self {
+    fn from_response(response: &Response, read_side_open: bool) -> Self {
         if response.status != 200 {
             return Self::Failed;
         }
         match DiscoveryList::from_json(&response.body) {
             Ok(list) => Self::Answered {
                 list,
-                reusable: response.keep_alive && more_expected,
+                reusable: response.keep_alive && read_side_open,
             },
             Err(_) => Self::Failed,
         }
     }
 }
 
-/// Collects what happens on one connection while it is served.
+/// What happened on one connection while its events were handled.
 #[derive(Default)]
 struct CallEvents {
     result: Option<CallResult>,
@@ -63,16 +62,16 @@
     }
 
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
-        let more_expected = !connection.read_side_closed();
-        match http::read_response(&connection.input, !more_expected, MAX_RESPONSE_BYTES) {
+        let read_side_open = !connection.read_side_closed();
+        match http::read_response(&connection.input, !read_side_open, MAX_RESPONSE_BYTES) {
             Ok(ParseStatus::Complete {
                 message: response,
                 size,
             }) => {
                 connection.consume(size);
-                self.result = Some(CallResult::from_response(&response, more_expected));
+                self.result = Some(CallResult::from_response(&response, read_side_open));
             }
-            Ok(_) if more_expected && !connection.is_full() => {}
+            Ok(_) if read_side_open && !connection.is_full() => {}
             Ok(_) | Err(_) => self.result = Some(CallResult::Failed),
         }
     }
@@ -132,8 +131,8 @@
         self.apply_call_events(reactor, key, events);
     }
 
-    /// The request of a call: the full list, or the changes since the revision that this node
-    /// holds.
+    /// Encodes the request of a call: for the full list, or for the changes since the revision that
+    /// this node holds.
     fn request_bytes(&self, call: &Call) -> Vec<u8> {
         let target = match self.revision {
             Some(revision) => {
@@ -177,7 +176,7 @@
         self.apply_call_events(reactor, key, events);
     }
 
-    /// Ends a call whose connection has not been made within the dial timeout.
+    /// Ends a call whose connection has not been established within the dial timeout.
     pub fn handle_dial_timer(&mut self, reactor: &mut Reactor, call: CallId) {
         let dialing = |s: &Session| s.call == Some(call) && s.connection.state() == State::Dialing;
         if self.sessions.iter().any(dialing) {
@@ -186,7 +185,7 @@
         }
     }
 
-    /// Applies what happened on one connection, and makes the calls that are due then.
+    /// Applies what happened on one connection, then makes the calls that are due.
     fn apply_call_events(&mut self, reactor: &mut Reactor, key: usize, events: CallEvents) {
         let Some(session) = self.sessions.iter_mut().find(|s| s.key == key) else {
             return;
@@ -197,8 +196,8 @@
         match (events.result, call) {
             (Some(CallResult::Answered { list, reusable }), Some(call)) => {
                 self.initial_sync = InitialSync::Done;
-                // The other connections are closed, so that an older answer on one of them can't
-                // follow this one.
+                // The other connections are closed, so that no older answer can arrive on them
+                // after this one.
                 self.close_sessions(reactor, |s| s.key != key || !reusable);
                 self.sessions.iter_mut().for_each(|s| s.call = None);
                 let content = self.apply_discovery_list(reactor, list);
@@ -224,8 +223,8 @@
         }
     }
 
-    /// Records that no connection came up. What discovery holds can't be known, so the node serves
-    /// by the list it has.
+    /// Records that no connection could be established. Whether discovery has a newer list is
+    /// unknown, so the node goes on with the list that it has.
     fn record_unreachable(&mut self, reactor: &mut Reactor, call: CallId) {
         self.initial_sync = InitialSync::Done;
         self.record_failure(reactor, call);
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -1,4 +1,4 @@
-//! The data of a worker list: the JSON that discovery answers, its conversion to members, and the
+//! The data of a worker list: discovery's JSON format, its conversion for the dispatcher, and the
 //! digest of a version.
 
 use crate::decision::affinity;
@@ -17,7 +17,7 @@
 /// Worker records by worker id.
 pub(super) type WorkerRecords = BTreeMap<String, WorkerRecord>;
 
-/// One worker as discovery describes it, and as nodes pass it on to each other.
+/// One worker as discovery describes it and as nodes describe it to each other.
 ///
 /// The field names are keys of discovery's JSON and of the stored snapshot; their order and types
 /// are those of the binary list between nodes.
@@ -49,8 +49,8 @@
         self.phase == TERMINATED
     }
 
-    /// This worker as `newer` describes it, at the address that this node knows. A worker that
-    /// `newer` does not name has been terminated.
+    /// Returns this worker as `newer` describes it, with the address that this node knows. A worker
+    /// that is missing in `newer` has been terminated.
     pub(super) fn updated_from(&self, newer: &WorkerRecords) -> Self {
         match newer.get(&self.id) {
             Some(record) => Self {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The line that stands for this worker in the digest of a version. The address is left out:
-    /// nodes may reach the same worker at different addresses.
+    /// Returns the text that represents this worker in the digest of a version. The address is left
+    /// out: nodes may reach the same worker at different addresses.
     fn digest_line(&self) -> String {
         let Self {
             id,
@@ -80,7 +80,7 @@
         format!("{id}\n{locality}\n{flavor}\n{cell}\n{phase}\n{size}\n{up_since_ms}")
     }
 
-    /// The member that the dispatcher is given; `None` without a usable address.
+    /// Converts the record for the dispatcher; `None` without a usable address.
     fn into_member(self, settings: &Settings) -> Option<ListedWorker> {
         let address: SocketAddr = self.host_port.parse().ok()?;
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
@@ -89,7 +89,7 @@
         let health = match self.phase.as_str() {
             IN_SERVICE => Health::Ready,
             TERMINATED => Health::Removed,
-            // A worker in an unknown phase gets no new requests.
+            // A worker in an unknown phase is sent no new requests.
             _ => Health::Draining,
         };
         let entry = Entry {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Returns these records by worker id.
+/// Indexes records by worker id.
 pub(super) fn index_by_id(records: Vec<WorkerRecord>) -> WorkerRecords {
     records
         .into_iter()
@@ -118,8 +118,8 @@
         .collect()
 }
 
-/// Returns the digest of a list's meaning: the same for every order of the records and every
-/// address of the workers.
+/// Returns the digest of a list's content. It depends neither on the order of the records nor on
+/// the addresses of the workers.
 pub(super) fn digest_of<'a>(records: impl IntoIterator<Item = &'a WorkerRecord>) -> Digest {
     let mut lines: Vec<String> = records
         .into_iter()
@@ -134,26 +134,26 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(expecting = "struct List")]
 pub struct DiscoveryList {
-    /// The revision that the list leads to.
+    /// The revision that a node holds once it has applied this list.
     pub revision: u64,
-    /// Whether it is the full list; otherwise it holds the changed workers alone.
+    /// Whether this is the full list; otherwise it holds only the workers that have changed.
     pub complete: bool,
     #[serde(rename = "members")]
     pub(super) records: Vec<WorkerRecord>,
 }
 
 impl DiscoveryList {
-    /// Reads a list from JSON.
+    /// Parses a list from JSON.
     ///
     /// # Errors
     ///
-    /// If the text isn't JSON of this form.
+    /// If the text is not JSON of this form.
     pub fn from_json(text: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(text)
     }
 
-    /// The members for the dispatcher. Workers without a usable address are left out. Times are
-    /// Unix time in seconds.
+    /// Converts the list for the dispatcher. Workers without a usable address are left out. Times
+    /// are Unix time in seconds.
     pub fn into_members(self, settings: &Settings) -> Vec<ListedWorker> {
         self.records
             .into_iter()
--- a/src/net/upstream/worker_list/mod.rs
+++ b/src/net/upstream/worker_list/mod.rs
@@ -1,8 +1,8 @@
 //! The list of workers that this node holds, and the watch on discovery that keeps it current.
 //!
 //! [`WorkerList`] owns the list, its revision and the calls to discovery (`calls`); `list` holds
-//! the data that discovery answers, `snapshot` the forms in which a list leaves this process. When
-//! a call is made is decided by [`super::watch`].
+//! the data of discovery's answers, and `snapshot` the encodings in which a list is stored or sent
+//! to other processes. [`super::watch`] decides when a call is made.
 
 mod calls;
 mod list;
@@ -23,33 +23,33 @@
 use std::net::SocketAddr;
 
 /// The log target of this module and of the modules below it. Operators filter by it, so it must
-/// not move with the code.
+/// stay the same when code is moved.
 const LOG_TARGET: &str = "postproxy::net::upstream::worker_list";
 
-/// Shortest time within which a connection to discovery has to be made, in seconds: below it a busy
-/// machine would take a reachable discovery for an unreachable one.
+/// Lower bound of the dial timeout for connections to discovery, in seconds: with a shorter
+/// timeout, a busy machine would treat a reachable discovery as unreachable.
 const MIN_DIAL_TIMEOUT_SECONDS: f64 = 0.25;
 
-/// How far the first call since the start has come.
+/// Progress of the first call to discovery since the start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum InitialSync {
-    /// Discovery has not been called.
+    /// Discovery has not been called yet.
     NotStarted,
-    /// The answer is awaited until `until`, in the reactor's time.
+    /// The node waits for the answer until `until`, in the reactor's time.
     Pending { until: f64 },
-    /// Discovery has answered, can't be reached, or has not answered in time.
+    /// Discovery has answered, could not be reached, or has not answered in time.
     Done,
 }
 
-/// The full list, held where it is to be stored or passed on.
+/// The full list, kept for snapshots and for other nodes.
 struct RetainedList {
     records: WorkerRecords,
-    /// It has changed since the last snapshot was taken for the store.
+    /// Whether the list has changed since the last snapshot for the store was taken.
     changed: bool,
 }
 
 impl RetainedList {
-    /// Applies a full list, or the changes in it.
+    /// Applies a full list, or the changes of a partial one.
     fn apply(&mut self, list: &DiscoveryList) {
         if list.complete {
             self.records.clear();
@@ -69,33 +69,41 @@
 pub struct WorkerList {
     discovery: SocketAddr,
     settings: Settings,
-    /// The revision that this node holds; `None` where only the full list will do.
+    /// The revision of the list that this node holds; `None` if the next call must request the full
+    /// list.
     revision: Option<u64>,
     schedule: Schedule,
     initial_sync: InitialSync,
-    /// The time for which a discovery timer is set, if any is.
+    /// The earliest time for which a discovery timer is set, if one is.
     timer_set_for: Option<f64>,
     /// The connections to discovery: at most two, the older one first.
     sessions: Vec<Session>,
     dial_timeout: f64,
-    /// A list from another node that is newer than what discovery has answered here.
+    /// A list from another node that is newer than discovery's last answer to this node.
     peer_list: Option<PeerList>,
-    /// The version may have changed since [`WorkerList::take_version_changed`] was last called.
+    /// Whether the version may have changed since [`WorkerList::take_version_changed`] was last
+    /// called.
     version_changed: bool,
     /// The full list, if it is retained.
     retained: Option<RetainedList>,
 }
 
 impl WorkerList {
-    /// Creates a list without a watch. `known` is the revision of the list that the node starts
-    /// with, if that names a worker; `seed` sets the jitter of the calls.
-    pub fn new(discovery: SocketAddr, settings: Settings, known: Option<u64>, seed: u64) -> Self {
+    /// Creates a list that is not being watched yet. `initial_revision` is the revision of the list
+    /// that the node starts with, `None` if there is no such list or it has no workers; `seed` sets
+    /// the jitter of the calls.
+    pub fn new(
+        discovery: SocketAddr,
+        settings: Settings,
+        initial_revision: Option<u64>,
+        seed: u64,
+    ) -> Self {
         let dial_timeout = settings.dial_timeout.max(MIN_DIAL_TIMEOUT_SECONDS);
         let schedule = Schedule::new(settings.dispatcher_count, seed);
         Self {
             discovery,
             settings,
-            revision: known,
+            revision: initial_revision,
             schedule,
             initial_sync: InitialSync::NotStarted,
             timer_set_for: None,
@@ -107,17 +115,17 @@
         }
     }
 
-    /// Retains the full list from now on, beginning with `known`, so that snapshots of it can be
+    /// Retains the full list from now on, starting with `initial`, so that snapshots of it can be
     /// taken.
-    pub fn retain_list(&mut self, known: Option<&DiscoveryList>) {
-        let records = known.map(|list| list.records.clone()).unwrap_or_default();
+    pub fn retain_list(&mut self, initial: Option<&DiscoveryList>) {
+        let records = initial.map(|list| list.records.clone()).unwrap_or_default();
         self.retained = Some(RetainedList {
             records: index_by_id(records),
             changed: false,
         });
     }
 
-    /// Returns a snapshot for the store, if the list has changed since this was last called.
+    /// Returns a snapshot for the store if the list has changed since the last call of this method.
     pub fn take_changed_snapshot(&mut self) -> Option<Vec<u8>> {
         self.revision?;
         let retained = self.retained.as_mut()?;
@@ -128,8 +136,7 @@
         }
     }
 
-    /// Returns a snapshot of the retained list in JSON; `None` without a retained list or a
-    /// revision.
+    /// Returns a JSON snapshot of the retained list; `None` without a retained list or a revision.
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let revision = self.revision?;
         let retained = self.retained.as_ref()?;
@@ -141,8 +148,9 @@
         .ok()
     }
 
-    /// Adopts the snapshot of the sibling process if it is at least as new, and watches from its
-    /// revision on: after the takeover this process is the one that has to follow discovery.
+    /// Adopts the snapshot of the sibling process if it is at least as new as the list held here,
+    /// and watches for changes from its revision on: after the handover this process has to follow
+    /// discovery.
     pub fn adopt_snapshot(&mut self, reactor: &mut Reactor, snapshot: &[u8]) {
         let Some(snapshot) = WorkerListSnapshot::from_json(snapshot)
             .filter(|snapshot| snapshot.discovery == self.discovery)
@@ -158,20 +166,20 @@
         }
     }
 
-    /// Starts the watch, which goes on until the node ends.
+    /// Starts the watch, which runs until the node stops.
     pub fn start(&mut self, reactor: &mut Reactor) {
         self.initial_sync = match self.revision {
             Some(_) => InitialSync::Pending {
                 until: reactor.now + INITIAL_SYNC_TIMEOUT_SECONDS,
             },
-            // Without a list nothing can be sent by an outdated one.
+            // Without a list, no request can be sent to a worker of an outdated one.
             None => InitialSync::Done,
         };
         if let InitialSync::Pending { until } = self.initial_sync {
             reactor.set_timer(until, Timer::Discovery);
         }
-        // Where lists are pushed, changes count from the first moment; without a list there is no
-        // time to lose.
+        // Where discovery pushes lists, a change can only arrive as the answer to a call, and a
+        // node without a list can't send requests: in both cases the first call is made at once.
         let first_call = if self.revision.is_some() && self.settings.discovery_on_request {
             FirstCall::Spread
         } else {
@@ -181,15 +189,15 @@
         self.make_due_calls(reactor);
     }
 
-    /// Whether requests may be sent by the list that is held: discovery has been called since the
-    /// start, as far as it could be reached.
+    /// Whether requests may be sent according to the current list: since the start, discovery has
+    /// answered, could not be reached, or has not answered in time.
     pub fn is_initialized(&self) -> bool {
         self.initial_sync == InitialSync::Done
     }
 
     /// Sets the address of discovery. The revisions of another discovery can't be compared with
-    /// those of the old one, so the full list is requested at once; the workers stay known
-    /// meanwhile.
+    /// those of the old one, so the full list is requested at once; until it arrives, the current
+    /// workers stay in use.
     pub fn set_discovery_address(&mut self, reactor: &mut Reactor, discovery: SocketAddr) {
         if discovery != self.discovery {
             self.close_all_sessions(reactor);
@@ -201,10 +209,10 @@
         }
     }
 
-    /// The timer for calls to discovery has expired.
+    /// Handles the expiry of the timer for calls to discovery.
     pub fn handle_timer(&mut self, reactor: &mut Reactor) {
-        // A timer that was set for a time before the schedule's present one finds no call due and
-        // sets the next timer.
+        // If the next call has been postponed since this timer was set, no call is due now and the
+        // timer is set again.
         self.timer_set_for = None;
         if matches!(self.initial_sync, InitialSync::Pending { until } if until <= reactor.now) {
             self.initial_sync = InitialSync::Done;
@@ -222,8 +230,8 @@
         self.schedule.open_call_count()
     }
 
-    /// The version that this node acts on: its revision and the digest of its meaning. `None`
-    /// without a list.
+    /// The version of the list in use: its revision and the digest of its content. `None` without a
+    /// list.
     pub fn version(&self) -> Option<(u64, Digest)> {
         match &self.peer_list {
             Some(peer_list) => Some((peer_list.revision, peer_list.digest)),
@@ -235,7 +243,7 @@
         }
     }
 
-    /// Whether the version may have changed since this was last called.
+    /// Whether the version may have changed since the last call of this method.
     pub fn take_version_changed(&mut self) -> bool {
         std::mem::take(&mut self.version_changed)
     }
@@ -245,7 +253,7 @@
         self.discovery
     }
 
-    /// Encodes the list that this node acts on for another node.
+    /// Encodes the list in use, to be sent to another node.
     pub fn encode_for_peer(&self) -> Option<Vec<u8>> {
         let (revision, digest) = self.version()?;
         let records = match &self.peer_list {
@@ -255,10 +263,10 @@
         encode_for_peer(revision, digest, records)
     }
 
-    /// Applies a list that another node has passed on, if it is newer than the one this node acts
-    /// on; returns the new version if it is. An older list must never replace a newer one.
-    /// Addresses of workers come from this node's own discovery alone, so a worker that discovery
-    /// has not named here is left out.
+    /// Applies a list from another node if it is newer than the list in use, and returns the new
+    /// version if so. An older list must never replace a newer one. Addresses of workers come only
+    /// from this node's own discovery, so a worker that discovery has not reported to this node is
+    /// left out.
     pub fn apply_peer_list(&mut self, reactor: &mut Reactor, body: &[u8]) -> Option<(u64, Digest)> {
         let peer_list = PeerList::decode(body)?;
         let (current, _) = self.version()?;
@@ -285,15 +293,15 @@
         Some(version)
     }
 
-    /// Applies a list that discovery has answered; returns whether it brought anything new.
+    /// Applies a list from discovery; returns whether it contained anything new.
     fn apply_discovery_list(
         &mut self,
         reactor: &mut Reactor,
         mut list: DiscoveryList,
     ) -> AnswerContent {
-        // Changes to another list than the one held can't be applied, and an older list must not
-        // replace a newer one: the full list is requested at once. Its answer is applied whatever
-        // its revision, for revisions may have started again.
+        // Changes can't be applied without a list to apply them to, and an older list must not
+        // replace a newer one: in both cases the full list is requested at once. That answer is
+        // applied whatever its revision is, since discovery may have restarted its numbering.
         let stale = match self.revision {
             Some(held) => list.revision < held,
             None => !list.complete,
@@ -326,8 +334,8 @@
         }
     }
 
-    /// Drops the peer's list once discovery has caught up with it; until then the peer's records
-    /// replace discovery's.
+    /// Drops the peer's list once discovery has caught up with it; until then, replaces discovery's
+    /// records by the peer's.
     fn merge_peer_list(&mut self, list: &mut DiscoveryList) {
         let Some(peer_list) = &self.peer_list else {
             return;
--- a/src/net/upstream/worker_list/snapshot.rs
+++ b/src/net/upstream/worker_list/snapshot.rs
@@ -1,12 +1,12 @@
-//! Worker lists that leave this process: the snapshot in JSON for the store and for the sibling
-//! process, and the binary list that nodes pass on to each other.
+//! Encodings of the worker list: the JSON snapshot for the store and for the sibling process, and
+//! the binary form in which nodes send it to each other.
 
 use super::list::{DiscoveryList, WorkerRecord, WorkerRecords, digest_of, index_by_id};
 use postproxy_version_tracking::Digest;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The full list that a process last held, and the discovery whose revisions it counts in.
+/// The full list that a process last held, and the discovery that its revision belongs to.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(expecting = "struct Kept")]
 pub struct WorkerListSnapshot {
@@ -17,14 +17,14 @@
 }
 
 impl WorkerListSnapshot {
-    /// Reads a snapshot from JSON; `None` if the text isn't one.
+    /// Parses a snapshot from JSON; `None` if the text is not a snapshot.
     pub fn from_json(text: &[u8]) -> Option<Self> {
         serde_json::from_slice(text).ok()
     }
 
     /// Returns the list to start with: this snapshot or the configured list, whichever is newer.
-    /// Revisions of another discovery can't be compared; a snapshot of such a one counts only if
-    /// the configuration names no worker.
+    /// Revisions of different discoveries can't be compared, so a snapshot from another one is used
+    /// only if the configuration lists no workers.
     pub fn select_initial_list(
         self,
         configured: Option<DiscoveryList>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The snapshot as a full list.
+    /// Converts the snapshot to a full list.
     pub(super) fn into_list(self) -> DiscoveryList {
         DiscoveryList {
             revision: self.revision,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A list that another node passed on because it is newer than what discovery has answered here.
+/// A list from another node that is newer than discovery's last answer to this node.
 pub(super) struct PeerList {
     pub(super) revision: u64,
     pub(super) digest: Digest,
@@ -61,8 +61,8 @@
 }
 
 impl PeerList {
-    /// Reads a list that was written by [`encode_for_peer`]; `None` if the bytes aren't one, or
-    /// don't match their digest.
+    /// Decodes a list that was encoded by [`encode_for_peer`]; `None` if the bytes are malformed or
+    /// don't match the digest.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         let (revision, digest, records): (u64, Digest, Vec<WorkerRecord>) =
             postcard::from_bytes(bytes).ok()?;
@@ -74,7 +74,7 @@
     }
 }
 
-/// Writes a list for other nodes: its revision, its digest and its records, in postcard.
+/// Encodes a list for other nodes: its revision, digest and records, in the postcard format.
 pub(super) fn encode_for_peer(
     revision: u64,
     digest: Digest,
