--- a/src/net/upstream/attempts.rs
+++ b/src/net/upstream/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at workers: the connections that carry them, dialed or taken from the pool, and their
-//! timers.
+//! Attempts and probes: the connections to workers that carry them, dialed or taken from the pool,
+//! and the timers of these connections.
 
 use super::exchange::{Exchange, ExchangeKind, OutgoingRequest};
 use super::pool::Pool;
@@ -12,24 +12,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// How long the response to a cancel, or to an attempt past its deadline, is awaited, in seconds.
+/// How long the node waits for the response to a cancel, or to an attempt past its deadline, in
+/// seconds.
 const RESPONSE_GRACE_SECONDS: f64 = 2.0;
 
-/// Most bytes of a response that a connection buffers: a head, and a body with the overhead of its
-/// chunks.
+/// Largest response that a connection buffers, in bytes: a head, and a body with its chunk framing.
 const MAX_RESPONSE_BYTES: usize = http::MAX_HEAD_BYTES + 2 * http::MAX_BODY_BYTES;
 
 /// A connection to a worker.
 struct Session {
     connection: Connection<TcpStream>,
     exchange: Exchange,
-    /// The attempt that it carries or carried last.
+    /// The attempt or probe that the connection carries, until its end has been handled.
     attempt: Option<AttemptId>,
-    /// Since when it has carried its request, or been idle, in the reactor's time.
-    since: f64,
-    /// How long it had been idle before its request, in seconds; `None` for a new connection.
+    /// When its current request was started, or when it became idle, in the reactor's time.
+    state_since: f64,
+    /// How long it had been idle before its current request, in seconds; `None` for a new
+    /// connection.
     idle_before_seconds: Option<f64>,
-    /// Counts requests and idle periods, so that the timer of an earlier one is recognised.
+    /// Counts requests and idle periods, so that a timer that was set in an earlier one can be
+    /// ignored.
     round: u64,
 }
 
@@ -55,7 +57,7 @@
 
 impl Attempts {
     /// Creates an empty set of at most `max_connections` connections. `dial_timeout` and the
-    /// workers' `idle_timeout` are in seconds; an `idle_timeout` of 0 is unknown.
+    /// workers' `idle_timeout` are in seconds; an `idle_timeout` of 0 means that it is unknown.
     pub fn new(max_connections: usize, dial_timeout: f64, idle_timeout: f64) -> Self {
         Self {
             sessions: HashMap::new(),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Sets the limit on connections.
+    /// Sets the limit on the number of connections.
     pub fn set_connection_limit(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
@@ -98,8 +100,8 @@
         );
     }
 
-    /// Requests a worker's load report and waits `timeout` seconds for it. A worker that accepts
-    /// connections and answers nothing is found this way.
+    /// Requests a worker's load report and waits `timeout` seconds for it. This detects a worker
+    /// that accepts connections but doesn't respond.
     pub fn start_probe(
         &mut self,
         reactor: &mut Reactor,
@@ -117,8 +119,8 @@
         );
     }
 
-    /// Cancels an attempt: sends a cancel to a worker that has `accepted` it, or else closes its
-    /// connection.
+    /// Cancels an attempt: sends a cancel to the worker if it has `accepted` the attempt, otherwise
+    /// closes the attempt's connection.
     pub fn cancel_attempt(
         &mut self,
         reactor: &mut Reactor,
@@ -155,7 +157,7 @@
         if let Some(session) = self.sessions.get_mut(&key) {
             session.exchange.abandon(&mut session.connection);
         }
-        self.settle(reactor, key);
+        self.update_session(reactor, key);
     }
 
     /// Starts a request on an idle connection or a new one. It times out at `timeout_at`, in the
@@ -186,8 +188,9 @@
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
         };
-        session.idle_before_seconds = (session.round > 0).then_some(reactor.now - session.since);
-        session.since = reactor.now;
+        session.idle_before_seconds =
+            (session.round > 0).then_some(reactor.now - session.state_since);
+        session.state_since = reactor.now;
         session.round += 1;
         session.attempt = kind.attempt_id();
         self.by_attempt.extend(session.attempt.map(|id| (id, key)));
@@ -201,7 +204,7 @@
         session
             .exchange
             .start(kind, outgoing, &mut session.connection, reactor);
-        self.settle(reactor, key);
+        self.update_session(reactor, key);
     }
 
     /// Whether the worker has left a request unanswered for longer than a connection may take to be
@@ -211,22 +214,22 @@
             session.exchange.worker() == worker
                 && !session.is_idle()
                 && !session.is_dialing()
-                && now - session.since > self.dial_timeout
+                && now - session.state_since > self.dial_timeout
         })
     }
 
-    /// Closes the idle connections to a worker. One that has vanished leaves them open, and a
-    /// request written to them has perhaps run; a connection that can't be established proves that
-    /// it has not.
+    /// Closes the idle connections to a worker that may have become unreachable. They would still
+    /// look open then, and a request written to one of them may have run, whereas a new connection
+    /// that can't be established proves that the request has not run.
     pub fn close_idle_connections(&mut self, reactor: &mut Reactor, worker: SocketAddr) {
         for key in self.pool.take_all(worker) {
             self.close(reactor, key);
         }
     }
 
-    /// Withdraws an attempt whose last byte has not been written: nothing ran, and its worker is
-    /// not to blame. Only the connection knows that; an attempt that has been written completely
-    /// goes on.
+    /// Withdraws an attempt whose last byte has not been written: it can't have run, and this does
+    /// not count against its worker. Only the connection knows how much has been written; an
+    /// attempt that has been written completely goes on.
     pub fn withdraw_attempt(&mut self, reactor: &mut Reactor, attempt: AttemptId) {
         let Some(key) = self.by_attempt.get(&attempt).copied() else {
             return;
@@ -237,12 +240,12 @@
         if session.exchange.kind() == ExchangeKind::Attempt(attempt)
             && session.exchange.withdraw(&mut session.connection, reactor)
         {
-            self.settle(reactor, key);
+            self.update_session(reactor, key);
         }
     }
 
-    /// Takes an idle connection to the worker that is still open and has not been idle for too
-    /// long.
+    /// Takes an idle connection to the worker that is still open and has not been idle too long to
+    /// be reused.
     fn take_idle_connection(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Option<usize> {
         if self.pool.has_idle(worker) && self.is_unresponsive(reactor.now, worker) {
             self.close_idle_connections(reactor, worker);
@@ -252,12 +255,13 @@
             let Some(session) = self.sessions.get_mut(&key) else {
                 continue;
             };
-            // Its end may have arrived without having been noticed.
+            // The worker may have closed the connection, and the event may not have been handled
+            // yet.
             session
                 .exchange
                 .handle_ready(true, false, &mut session.connection, reactor);
             if session.connection.state() == State::Open
-                && reactor.now - session.since <= max_idle_seconds
+                && reactor.now - session.state_since <= max_idle_seconds
             {
                 return Some(key);
             }
@@ -266,9 +270,9 @@
         None
     }
 
-    /// Opens a connection; at the limit an idle one is closed for it. Only what proves that the
-    /// worker refused or can't be reached ends in [`AttemptEnd::NeverSent`]: a shortage on this
-    /// side must not count against the worker.
+    /// Opens a connection; at the limit on connections, an idle one is closed first. A failure is
+    /// [`AttemptEnd::NeverSent`] only if the worker refused the connection or can't be reached: a
+    /// lack of resources on this node must not count against the worker.
     fn dial(&mut self, reactor: &mut Reactor, worker: SocketAddr) -> Result<usize, AttemptEnd> {
         if self.sessions.len() >= self.max_connections {
             let oldest = self
@@ -285,7 +289,7 @@
             connection: Connection::dialing(stream, MAX_RESPONSE_BYTES),
             exchange: Exchange::new(worker),
             attempt: None,
-            since: reactor.now,
+            state_since: reactor.now,
             idle_before_seconds: None,
             round: 0,
         };
@@ -311,7 +315,7 @@
         session
             .exchange
             .handle_ready(readable, writable, &mut session.connection, reactor);
-        self.settle(reactor, key);
+        self.update_session(reactor, key);
     }
 
     /// Ends the request of a connection that has not been established within the dial timeout.
@@ -320,12 +324,12 @@
             session
                 .exchange
                 .handle_timeout(&mut session.connection, reactor);
-            self.settle(reactor, key);
+            self.update_session(reactor, key);
         }
     }
 
     /// Ends a request that has timed out, or closes a connection that has been idle for long
-    /// enough. A worker that left a request unanswered loses its idle connections too.
+    /// enough. After a timeout the idle connections to the same worker are closed as well.
     pub fn handle_attempt_timer(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
         let Some(session) = self.sessions.get_mut(&key).filter(|s| s.round == round) else {
             return;
@@ -335,15 +339,15 @@
         session
             .exchange
             .handle_timeout(&mut session.connection, reactor);
-        self.settle(reactor, key);
+        self.update_session(reactor, key);
         if unanswered {
             self.close_idle_connections(reactor, worker);
         }
     }
 
-    /// Settles a connection after something has happened on it: closes it, returns it to the pool,
-    /// or waits for more.
-    fn settle(&mut self, reactor: &mut Reactor, key: usize) {
+    /// Updates a session after an event on its connection: closes the connection, returns it to the
+    /// pool, or waits for its next event.
+    fn update_session(&mut self, reactor: &mut Reactor, key: usize) {
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
         };
@@ -352,9 +356,9 @@
         {
             self.by_attempt.remove(&attempt);
         }
-        // Only a break soon after the request says that the idle connection had been dropped before
-        // it.
-        let soon = reactor.now - session.since <= self.dial_timeout;
+        // Only a connection that breaks soon after the request was started is taken to have been
+        // dropped while it was idle.
+        let soon = reactor.now - session.state_since <= self.dial_timeout;
         let broke = session.exchange.broke_unanswered() && soon;
         if let Some(idle_seconds) = session.idle_before_seconds.filter(|_| broke) {
             self.pool
@@ -370,7 +374,7 @@
         );
         if session.is_idle() && self.pool.add(session.exchange.worker(), key) {
             session.round += 1;
-            session.since = reactor.now;
+            session.state_since = reactor.now;
             reactor.set_timer(
                 reactor.now + self.pool.keep_seconds(),
                 Timer::Attempt {
@@ -393,7 +397,7 @@
     }
 }
 
-/// The end of an attempt whose connection could not be opened.
+/// Returns the end of an attempt whose connection could not be opened.
 fn dial_failure(error: &io::Error) -> AttemptEnd {
     match error.kind() {
         ErrorKind::ConnectionRefused
@@ -403,7 +407,7 @@
     }
 }
 
-/// A request without a body.
+/// Encodes a request without a body.
 fn bodyless_request(method: &str, target: &str, worker: SocketAddr) -> OutgoingRequest {
     let host = worker.to_string();
     let mut bytes = Vec::new();
--- a/src/net/upstream/backoff.rs
+++ b/src/net/upstream/backoff.rs
@@ -1,10 +1,10 @@
-//! Exponential backoff with jitter: growing waits between attempts at something that keeps failing.
-//! It holds no clock and returns durations.
+//! Exponential backoff with jitter: growing waits between retries of an operation that keeps
+//! failing. It has no clock and returns durations.
 
 use crate::decision::random::Random;
 
-/// The exponent at which the wait stops doubling, so that `2^step` stays finite; every maximum is
-/// reached long before.
+/// The exponent at which the wait stops doubling, so that `2^step` stays finite; the maximum wait
+/// is reached long before.
 const MAX_DOUBLINGS: i32 = 30;
 
 /// This node's position among the nodes of its cluster.
@@ -16,7 +16,7 @@
     pub node_count: usize,
 }
 
-/// The waits between attempts, in seconds.
+/// The waits between retries, in seconds.
 #[derive(Debug)]
 pub struct Backoff {
     first_seconds: f64,
@@ -29,7 +29,7 @@
 }
 
 impl Backoff {
-    /// Creates waits that begin at `first_seconds` and double up to `max_seconds`; `seed` sets the
+    /// Creates waits that start at `first_seconds` and double up to `max_seconds`; `seed` sets the
     /// jitter.
     pub fn new(first_seconds: f64, max_seconds: f64, seed: u64) -> Self {
         Self {
@@ -41,19 +41,19 @@
         }
     }
 
-    /// Spreads waits by this position instead of at random, so that no two nodes that know each
-    /// other retry together. A node that knows no other keeps its random jitter.
+    /// Spreads the waits by this position instead of at random, so that nodes that know each other
+    /// don't retry together. A node that knows no other keeps its random jitter.
     pub fn set_cluster_position(&mut self, position: ClusterPosition) {
         self.position = (position.node_count > 1).then_some(position);
     }
 
-    /// Returns the next wait in seconds. After the first it lies in the upper half of its step, so
-    /// that many nodes that failed together don't retry together.
+    /// Returns the next wait in seconds. Each wait after the first is jittered between half and all
+    /// of its full length, so that nodes that failed together don't retry together.
     pub fn next_wait(&mut self) -> f64 {
         let full = (self.first_seconds * 2f64.powi(self.step)).min(self.max_seconds);
         self.step = (self.step + 1).min(MAX_DOUBLINGS);
-        // Drawn even where the position decides, so that the sequence of draws doesn't depend on
-        // it.
+        // Drawn even if the position is used instead, so that the sequence of random numbers
+        // doesn't depend on it.
         let random = self.rng.uniform();
         let spread = self.position.map_or(random, |position| {
             position.index as f64 / position.node_count as f64
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Begins again with the first wait, after a success.
+    /// Starts over with the first wait, after a success.
     pub fn reset(&mut self) {
         self.step = 0;
     }
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,8 +1,8 @@
-//! One HTTP exchange at a time on a connection to a worker: the request that is sent, how much of
-//! it has been written, and how it ends.
+//! The HTTP exchanges on a connection to a worker, one at a time: the request that is sent, how
+//! much of it has been written, and how it ends.
 //!
-//! Whether a worker may have run an attempt is decided here, at each end, from the connection's own
-//! count of bytes.
+//! When an exchange ends, this module decides whether the worker may have run the attempt, from the
+//! number of bytes that were written to the connection.
 
 use crate::net::messages::{AttemptEnd, AttemptId, Input, Load, Payload};
 use crate::net::transport::connection::{Callbacks, Connection, State, Stream};
@@ -11,26 +11,26 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Shortest time left that is written into `X-Deadline`, in seconds: the field has three decimals,
-/// and a worker reads 0 as a request that is over.
+/// Smallest value that is written to `X-Deadline`, in seconds: the field has three decimals, and a
+/// worker takes 0 for a request that has expired.
 const MIN_DEADLINE_SECONDS: f64 = 0.001;
 
-/// The exchange that a connection carries.
+/// The kind of exchange that a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeKind {
-    /// None: the connection is idle.
+    /// No exchange: the connection is idle.
     Idle,
     /// An attempt.
     Attempt(AttemptId),
     /// A probe: a request for the worker's load report.
     Probe(AttemptId),
-    /// One whose response is discarded: a cancel, or an attempt that has been given up or has
+    /// An exchange whose response is discarded: a cancel, or an attempt that was abandoned or has
     /// ended.
     Discarded,
 }
 
 impl ExchangeKind {
-    /// The attempt or probe under whose number the end is reported.
+    /// The attempt or probe whose end is reported, if any.
     pub fn attempt_id(self) -> Option<AttemptId> {
         match self {
             Self::Attempt(id) | Self::Probe(id) => Some(id),
@@ -43,12 +43,12 @@
 pub enum OutgoingRequest {
     /// An encoded request.
     Encoded(Vec<u8>),
-    /// An attempt. It is encoded when it is written, since its head says how much time is left
-    /// then.
+    /// An attempt. It is encoded only when it is written, since its head states the time that is
+    /// left then.
     Attempt {
-        /// The request of the client.
+        /// The client's request.
         payload: Rc<Payload>,
-        /// Until when the client waits, in the reactor's time.
+        /// The time until which the client waits, in the reactor's time.
         deadline: f64,
     },
 }
@@ -90,22 +90,23 @@
     bytes
 }
 
-/// The exchanges on one connection, one after the other.
+/// The exchanges on one connection, one after another.
 pub struct Exchange {
     worker: SocketAddr,
     kind: ExchangeKind,
-    /// The request, until the connection is established.
+    /// The request, until it is written to the established connection.
     outgoing: Option<OutgoingRequest>,
-    /// The end of the request among all bytes written to the connection; `None` until it is queued.
+    /// The count of bytes written to the connection at which the request is complete; `None` until
+    /// the request is queued.
     request_end: Option<u64>,
-    /// [`Input::AttemptWritten`] has been queued.
+    /// Whether [`Input::AttemptWritten`] has been queued.
     written_reported: bool,
-    /// The request had been written completely before the last read, so that a response may be its
-    /// own.
+    /// Whether the request had been written completely before the last read: only then can the
+    /// response that was read belong to it.
     written_before_read: bool,
     /// The number of requests that the connection has carried.
     request_count: u64,
-    /// The connection ended under a request that had no response yet.
+    /// Whether the connection ended while a request on it had no response yet.
     broke_unanswered: bool,
 }
 
@@ -134,7 +135,7 @@
         self.kind
     }
 
-    /// Whether the connection ended under a request that had no response yet.
+    /// Whether the connection ended while a request on it had no response yet.
     pub fn broke_unanswered(&self) -> bool {
         self.broke_unanswered
     }
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Gives the request up: its end is not reported, and the connection is closed.
+    /// Abandons the request: its end is not reported, and the connection is closed.
     pub fn abandon<S: Stream>(&mut self, connection: &mut Connection<S>) {
         self.kind = ExchangeKind::Discarded;
         connection.abort();
@@ -200,9 +201,9 @@
         self.callbacks(reactor).ended(connection);
     }
 
-    /// Closes the connection of a request that has not been written completely, and reports an end
-    /// that does not blame the worker. Returns whether it did; a request that has been written goes
-    /// on.
+    /// Closes the connection if the request has not been written completely, and reports an end
+    /// that does not count against the worker. Returns whether it did; a request that has been
+    /// written goes on.
     pub fn withdraw<S: Stream>(
         &mut self,
         connection: &mut Connection<S>,
@@ -246,8 +247,8 @@
         self.report_written(connection);
     }
 
-    /// Reads what has arrived by the time at which the last byte was written: it was sent before
-    /// the worker can have read the request.
+    /// Reads what had arrived by the time the last byte was written: the worker sent it before it
+    /// can have read the whole request.
     fn read_early_bytes<S: Stream>(&mut self, connection: &mut Connection<S>) {
         connection.handle_ready(true, false, self);
     }
@@ -265,8 +266,8 @@
         }
     }
 
-    /// Ends the request. Every end goes through here, so that the report of the written request
-    /// comes before it.
+    /// Ends the request. All ends are reported here, so that the report that the request was
+    /// written always precedes them.
     fn finish<S: Stream>(&mut self, connection: &Connection<S>, end: AttemptEnd, load: Load) {
         self.report_written(connection);
         let finished = std::mem::replace(&mut self.exchange.kind, ExchangeKind::Discarded);
@@ -294,8 +295,8 @@
             }
         };
         self.finish(connection, end, load);
-        // A worker that answers anything else may answer twice, and the second response would be
-        // taken for that of the next request.
+        // After any other response the worker may send a second one, which would be taken for the
+        // response to the next request.
         end == AttemptEnd::Accepted
     }
 
@@ -318,9 +319,9 @@
         }
     }
 
-    /// Whether the response is certainly that of this request. One that arrived before the worker
-    /// can have read the request is not; on a connection that has carried others it may be a second
-    /// response to one of them, however late.
+    /// Whether the response certainly belongs to this request. A response that arrived before the
+    /// worker can have read the request does not; on a connection that has carried other requests,
+    /// it may be a late second response to one of them.
     fn is_own_response(&self) -> bool {
         self.exchange.written_before_read && self.exchange.request_count == 1
     }
@@ -357,8 +358,8 @@
                     connection.abort();
                 }
             }
-            // More is to come. With a full buffer no end would ever be seen, and the attempt would
-            // wait for its timeout.
+            // The response is incomplete. With a full buffer it can't be completed, and the attempt
+            // would wait for its timeout.
             Ok(_) if !closed && !connection.is_full() => {}
             Ok(_) | Err(_) => {
                 connection.abort();
@@ -378,8 +379,8 @@
     }
 }
 
-/// The end of a probe and the load report in its body; a status other than 200 says that the worker
-/// is not well.
+/// Returns the end of a probe and the load report in its body; any status other than 200 is an
+/// error of the worker.
 fn probe_result(response: &Response) -> (AttemptEnd, Load) {
     let load = std::str::from_utf8(&response.body)
         .map(parse_load_report)
@@ -392,7 +393,7 @@
     (end, load)
 }
 
-/// Parses a load report of the form `TEXT name=value, name=value`; entries that can't be read are
+/// Parses a load report of the form `TEXT name=value, name=value`; entries that can't be parsed are
 /// left out.
 fn parse_load_report(text: &str) -> Load {
     let text = text.trim();
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,32 +1,30 @@
-//! The pool of idle connections to workers, and for how long a connection may have been idle to be
-//! reused. It owns no sockets and no clock: connections are named by their key, and the time is
-//! passed in.
+//! The pool of idle connections to workers, and the limit on how long a connection may have been
+//! idle to be reused. It owns neither sockets nor a clock: connections are identified by their key,
+//! and the time is passed in.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// The share of a worker's idle timeout for which a connection is kept here: it must be closed on
-/// this side first.
+/// The share of a worker's idle timeout for which an idle connection is kept, so that this side
+/// closes it before the worker does.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// How long an idle connection is kept where the workers' idle timeout isn't configured, in
-/// seconds.
+/// How long an idle connection is kept if the workers' idle timeout is not configured, in seconds.
 const DEFAULT_IDLE_SECONDS: f64 = 1.0;
-/// After a connection broke that had been idle for some time, others are reused only up to this
-/// share of that time.
+/// After a connection has broken under its next request, others are reused only if they have been
+/// idle for at most this share of its idle time.
 const LEARNED_SHARE: f64 = 0.5;
-/// The time in which a learned limit doubles again, in seconds: what has been learned is forgotten
-/// at this pace.
+/// A learned limit doubles in this time, in seconds, until it no longer has an effect.
 const LEARNED_DOUBLING_SECONDS: f64 = 5.0;
-/// Shortest limit that is learned, in seconds: reuse at once stays possible.
+/// Shortest limit that is learned, in seconds, so that a connection can still be reused at once.
 const MIN_LEARNED_SECONDS: f64 = 0.02;
 
-/// The longest idle time after which a connection was last thought fit for reuse.
+/// A limit on idle time, learned from a connection that broke under its next request.
 struct LearnedLimit {
     idle_seconds: f64,
     learned_at: f64,
 }
 
-/// The idle connections by worker.
+/// The idle connections of each worker.
 pub struct Pool {
     /// The keys of the connections; the one used last comes last.
     idle: HashMap<SocketAddr, Vec<usize>>,
@@ -35,8 +33,8 @@
 }
 
 impl Pool {
-    /// Creates an empty pool for workers that close a connection which has been idle for
-    /// `idle_timeout` seconds; 0 where that is unknown.
+    /// Creates an empty pool for workers that close a connection after it has been idle for
+    /// `idle_timeout` seconds; 0 means that this time is unknown.
     pub fn new(idle_timeout: f64) -> Self {
         let keep_seconds = if idle_timeout > 0.0 {
             idle_timeout * IDLE_TIMEOUT_SHARE
@@ -60,10 +58,10 @@
 
     /// How long a connection may have been idle to be reused, in seconds.
     ///
-    /// Workers, or what stands before them, may drop idle connections far earlier than configured
-    /// and without a sign until the next request, which may then have run. One connection that
-    /// broke so limits the reuse of the others, and the limit doubles with time until it is without
-    /// effect.
+    /// Workers, or network devices in front of them, may drop idle connections far earlier than
+    /// configured, which is not noticed until the next request fails; that request may have run. A
+    /// connection that breaks in this way therefore limits the reuse of the others, and the limit
+    /// doubles over time until it has no effect.
     pub fn reusable_seconds(&self, now: f64) -> f64 {
         let doublings = (now - self.learned.learned_at) / LEARNED_DOUBLING_SECONDS;
         (self.learned.idle_seconds * doublings.exp2()).min(self.keep_seconds)
@@ -83,7 +81,7 @@
         self.idle.contains_key(&worker)
     }
 
-    /// Adds a connection; returns whether it was not in the pool.
+    /// Adds a connection; returns false if it is in the pool already.
     pub fn add(&mut self, worker: SocketAddr, key: usize) -> bool {
         let keys = self.idle.entry(worker).or_default();
         let is_new = !keys.contains(&key);
@@ -105,8 +103,8 @@
         self.idle.remove(&worker).unwrap_or_default()
     }
 
-    /// Returns the connection to close for room: of the longest idle connection of each worker, the
-    /// one opened first.
+    /// Returns the connection to close when the limit on connections is reached: among the longest
+    /// idle connections of all workers, the one that was opened first.
     pub fn oldest(&self) -> Option<usize> {
         self.idle
             .values()
--- a/src/net/upstream/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -1,57 +1,58 @@
-//! The schedule of calls to discovery: when one is made, and how long its answer is awaited. A
-//! state machine without I/O or clock: it is given the time and the outcome of calls, and returns
-//! the calls to make. It serves lists that are pushed and lists that are polled: on the sockets
-//! both arrive as answers to calls.
+//! The schedule of calls to discovery: when a call is made, and how long the node waits for its
+//! answer. It is a state machine without I/O or a clock: it is given the time and the outcomes of
+//! calls, and returns the calls to make. It is used for pushed and for polled lists, since both
+//! arrive as answers to calls.
 //!
-//! The bound it keeps: this node must act on a change within 6 s after discovery had it and could
-//! be reached, whatever happened to calls. A call made before the change is therefore trusted for
-//! [`MAX_WATCH_SECONDS`] and [`WATCH_GRACE_SECONDS`] at most; then a second call is made beside it,
-//! and a third replaces it. A failed call is repeated within `MAX_RETRY_WAIT_SECONDS` and
-//! `MAX_RETRY_SPREAD_SECONDS`.
+//! It guarantees that this node acts on a change within 6 s after discovery has the change and can
+//! be reached, whatever happens to calls. The node therefore relies on an unanswered watch for at
+//! most [`MAX_WATCH_SECONDS`] plus [`WATCH_GRACE_SECONDS`]; then a second call is made in parallel,
+//! and a third one replaces the first. A failed call is retried within `MAX_RETRY_WAIT_SECONDS`
+//! plus `MAX_RETRY_SPREAD_SECONDS`.
 
 use super::backoff::{Backoff, ClusterPosition};
 use crate::decision::random::Random;
 
-/// Longest time that a watch waits for changes, in seconds. Each watch that ends costs discovery a
-/// call, and a longer one would be trusted for too long.
+/// Longest time that a watch waits for changes, in seconds. A shorter maximum would cost discovery
+/// more calls; a longer one would break the 6 s bound if a watch stays unanswered.
 pub const MAX_WATCH_SECONDS: f64 = 3.4;
-/// Shortest time that a watch waits for changes, in seconds. The waits differ, so that nodes that
-/// learned of a change at one moment don't call again at one moment.
+/// Shortest time that a watch waits for changes, in seconds. The waits are random, so that nodes
+/// that learned of a change at the same time don't all call again at the same time.
 const MIN_WATCH_SECONDS: f64 = 2.6;
-/// How much later than its wait the answer of a watch may come, in seconds.
+/// How long after the end of its wait a watch may still be answered, in seconds.
 pub const WATCH_GRACE_SECONDS: f64 = 0.5;
-/// How long a call that does not wait for changes may take before a second one is made beside it,
-/// in seconds.
+/// How long a call that does not wait for changes may stay unanswered before a second one is made
+/// in parallel, in seconds.
 pub const SECOND_CALL_DELAY_SECONDS: f64 = 1.1;
-/// How long a call for the full list may take, in seconds: discovery ends or fails a call within 2
-/// s. The full list is too expensive to be requested twice at a time.
+/// How long a call for the full list may take, in seconds: discovery completes or fails a call
+/// within 2 s. The full list is too expensive to be requested twice in parallel.
 pub const FULL_LIST_TIMEOUT_SECONDS: f64 = 2.2;
-/// How long a node that holds a list waits for its first call before it serves by that list, in
-/// seconds.
+/// How long a node that starts with a list waits for the answer to its first call before it uses
+/// that list, in seconds.
 pub const INITIAL_SYNC_TIMEOUT_SECONDS: f64 = 2.2;
 
-/// First wait before a failed call is repeated, in seconds.
+/// First wait before a failed call is retried, in seconds.
 const FIRST_RETRY_WAIT_SECONDS: f64 = 0.1;
-/// Longest wait before a failed call is repeated, in seconds, without the spread.
+/// Longest wait before a failed call is retried, in seconds, without the spread.
 const MAX_RETRY_WAIT_SECONDS: f64 = 1.4;
-/// Spread of repeated calls for each node of the cluster, in seconds: all may have lost discovery
-/// at one moment.
+/// Spread of retried calls for each node of the cluster, in seconds: all nodes may have lost
+/// discovery at the same time.
 const RETRY_SPREAD_PER_NODE_SECONDS: f64 = 0.004;
-/// Longest spread of repeated calls, in seconds.
+/// Longest spread of retried calls, in seconds.
 const MAX_RETRY_SPREAD_SECONDS: f64 = 1.2;
-/// Spread of first calls for each node of the cluster, in seconds: all may start at one moment.
+/// Spread of first calls for each node of the cluster, in seconds: all nodes may start at the same
+/// time.
 const START_SPREAD_PER_NODE_SECONDS: f64 = 0.001;
-/// Longest spread of first calls, in seconds. It is short, because a node does not serve before its
-/// first call.
+/// Longest spread of first calls, in seconds. It is short, because a node does not serve requests
+/// before its first call.
 const MAX_START_SPREAD_SECONDS: f64 = 0.25;
-/// An answer without changes that comes sooner than this after its call, in seconds, comes from a
-/// discovery that did not wait.
+/// An answer without changes that arrives sooner than this after its call, in seconds, shows that
+/// discovery did not wait for changes.
 const IMMEDIATE_ANSWER_SECONDS: f64 = 0.05;
-/// Pause after such an answer, in seconds, against a loop of calls. It stays below the 0.2 s after
-/// which discovery would no longer count the next call as the same watch.
+/// Pause after such an answer, in seconds, which prevents a tight loop of calls. It stays below the
+/// 0.2 s after which discovery no longer treats the next call as part of the same watch.
 const IMMEDIATE_ANSWER_PAUSE_SECONDS: f64 = 0.1;
 
-/// Sets the random numbers of the schedule apart from those of its backoff, which has the same
+/// Makes the random numbers of the schedule differ from those of its backoff, which has the same
 /// seed.
 const SEED_OFFSET: u64 = 0x5eed;
 
@@ -63,7 +64,7 @@
 pub struct Call {
     /// Its number.
     pub id: CallId,
-    /// How long discovery is to wait for changes, in seconds; `None` where the call does not wait.
+    /// How long discovery is to wait for changes, in seconds; `None` if the call does not wait.
     pub wait_seconds: Option<f64>,
     /// The unanswered call that this one replaces.
     pub supersedes: Option<CallId>,
@@ -78,10 +79,10 @@
     Spread,
 }
 
-/// What an answer brought.
+/// Whether an answer contained anything new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerContent {
-    /// Something that this node did not have.
+    /// A change that this node did not have yet.
     Changed,
     /// Nothing new.
     Unchanged,
@@ -94,31 +95,32 @@
     made_at: f64,
 }
 
-/// The calls that wait for an answer, and the time of the next one.
+/// The calls that wait for an answer, and the time of the next call.
 #[derive(Debug)]
 pub struct Schedule {
     rng: Random,
     backoff: Backoff,
     /// The number of nodes that call the same discovery.
-    nodes: u32,
+    node_count: u32,
     /// At most two, the older one first.
     open_calls: Vec<OpenCall>,
     next_id: CallId,
     /// The number of calls since the last answer or failure that were not answered in time.
     unanswered: u32,
     next_call_at: Option<f64>,
-    /// No call since the start has been answered yet; until then no call waits for changes.
+    /// Whether no call since the start has been answered yet; until then, no call waits for
+    /// changes.
     starting: bool,
 }
 
 impl Schedule {
-    /// Creates a schedule without calls. `nodes` is the number of nodes that call the same
+    /// Creates a schedule without calls. `node_count` is the number of nodes that call the same
     /// discovery.
-    pub fn new(nodes: u32, seed: u64) -> Self {
+    pub fn new(node_count: u32, seed: u64) -> Self {
         Self {
             rng: Random::new(seed ^ SEED_OFFSET),
             backoff: Backoff::new(FIRST_RETRY_WAIT_SECONDS, MAX_RETRY_WAIT_SECONDS, seed),
-            nodes,
+            node_count,
             open_calls: Vec::new(),
             next_id: 1,
             unanswered: 0,
@@ -130,16 +132,17 @@
     /// Sets this node's position among the nodes that it knows, and their number.
     pub fn set_cluster_position(&mut self, position: ClusterPosition) {
         self.backoff.set_cluster_position(position);
-        self.nodes = u32::try_from(position.node_count.max(1)).unwrap_or(u32::MAX);
+        self.node_count = u32::try_from(position.node_count.max(1)).unwrap_or(u32::MAX);
     }
 
-    /// A random delay in seconds that grows with the number of nodes up to `max_seconds`.
+    /// Returns a random delay in seconds; its range grows with the number of nodes up to
+    /// `max_seconds`.
     fn random_spread(&mut self, seconds_per_node: f64, max_seconds: f64) -> f64 {
-        (seconds_per_node * f64::from(self.nodes)).min(max_seconds) * self.rng.uniform()
+        (seconds_per_node * f64::from(self.node_count)).min(max_seconds) * self.rng.uniform()
     }
 
-    /// Starts the calls. A process that starts with an old list is expected to know what changed
-    /// before its start, so the first call comes before all else and does not wait for changes.
+    /// Starts the calls. A process that starts with an old list must learn what changed before its
+    /// start before it serves requests, so the first call does not wait for changes.
     pub fn start(&mut self, now: f64, first_call: FirstCall) {
         self.starting = true;
         let delay = match first_call {
@@ -171,8 +174,8 @@
         self.open_calls.len()
     }
 
-    /// Returns the call that is due now, if one is. `has_list` is whether the node holds a list, so
-    /// that changes to it can be requested.
+    /// Returns the call that is due now, if one is. `has_list` says whether the node holds a list,
+    /// whose changes can be requested.
     pub fn take_due_call(&mut self, now: f64, has_list: bool) -> Option<Call> {
         self.next_call_at.filter(|at| *at <= now)?;
         // A call that is still open when the next one is due has not been answered in time.
@@ -180,8 +183,8 @@
         let max_open_before = if has_list { 1 } else { 0 };
         let supersedes =
             (self.open_calls.len() > max_open_before).then(|| self.open_calls.remove(0).id);
-        // A call that replaces an unanswered watch does not wait: unanswered too, it would be
-        // trusted as long again.
+        // A call that follows an unanswered watch does not wait for changes: if it stayed
+        // unanswered too, the node would rely on it for as long again.
         let watches = has_list && self.unanswered == 0 && !self.starting;
         let wait_seconds = watches.then(|| {
             MIN_WATCH_SECONDS + (MAX_WATCH_SECONDS - MIN_WATCH_SECONDS) * self.rng.uniform()
@@ -202,7 +205,7 @@
         })
     }
 
-    /// Records the answer to an open call. All other open calls are given up.
+    /// Records the answer to an open call, and gives up all other open calls.
     pub fn record_answer(&mut self, now: f64, id: CallId, content: AnswerContent) {
         let Some(made_at) = self
             .open_calls
@@ -212,7 +215,7 @@
         else {
             return;
         };
-        // The first call does not wait; the watch follows it at once.
+        // The first call does not wait for changes; the watch follows its answer at once.
         let did_not_wait = content == AnswerContent::Unchanged
             && self.unanswered == 0
             && !self.starting
@@ -224,8 +227,8 @@
         });
     }
 
-    /// Records that a call was refused or reset, or that its answer was no list. Another open call
-    /// may still be answered.
+    /// Records that a call was refused or reset, or that its answer was not a list. It is retried
+    /// only if no other call is open that may still be answered.
     pub fn record_failure(&mut self, now: f64, id: CallId) {
         let open_before = self.open_calls.len();
         self.open_calls.retain(|open| open.id != id);
@@ -238,8 +241,8 @@
         }
     }
 
-    /// Begins anew with a call at this time; the open calls are given up. Also for a discovery
-    /// whose address has changed.
+    /// Starts over with a call at this time and gives up the open calls; also used after the
+    /// address of discovery has changed.
     pub fn restart(&mut self, at: f64) {
         self.open_calls.clear();
         self.starting = false;
