--- a/src/net/transport/connection.rs
+++ b/src/net/transport/connection.rs
@@ -1,13 +1,12 @@
-//! One connection: its buffers and its states. The owner is called back with what happens to it.
+//! A connection: its buffers and its state. Its owner is notified of events through callbacks.
 
 use std::io::{self, ErrorKind, Read, Write};
 
-/// The byte stream below a connection.
+/// The byte stream under a connection.
 pub trait Stream: Read + Write {
-    /// Closes the sending side: nothing more is written.
-    fn finish(&mut self);
-    /// Returns whether connecting has succeeded; called when a dialled stream first becomes
-    /// writable.
+    /// Closes the sending side; nothing more is written.
+    fn shutdown_write(&mut self);
+    /// Returns the result of connecting; called when a dialled stream first becomes ready.
     ///
     /// # Errors
     ///
@@ -16,7 +15,7 @@
 }
 
 impl Stream for std::net::TcpStream {
-    fn finish(&mut self) {
+    fn shutdown_write(&mut self) {
         let _ = self.shutdown(std::net::Shutdown::Write);
     }
 
@@ -35,40 +34,41 @@
     Open,
     /// The peer has closed its sending side; queued output can still be written.
     HalfClosed,
-    /// Lingering close: queued output is written, then the peer's end is awaited. Input is
-    /// discarded.
+    /// Lingering close: queued output is written, then the connection waits for the peer to close
+    /// its side. Input is discarded.
     Closing,
-    /// The connection is over.
+    /// The connection has ended.
     Ended,
 }
 
-/// The owner's callbacks. Each of them may use the connection again.
+/// The owner's callbacks. Each of them may call methods of the connection.
 pub trait Callbacks<S> {
     /// The connection has been established.
     fn opened(&mut self, _connection: &mut Connection<S>) {}
     /// Bytes have arrived, or the peer has closed its sending side.
     fn received(&mut self, connection: &mut Connection<S>);
-    /// The connection is over; called once, and not if the owner aborted it.
+    /// The connection has ended; called once, and not if the owner aborted it.
     fn ended(&mut self, connection: &mut Connection<S>);
 }
 
-/// Bytes read by one system call. Of a connection that closes, no more is read in a turn after a
-/// full chunk, so that other connections have their turn too.
+/// Bytes read by one system call. A closing connection stops reading for this turn of the event
+/// loop after a full chunk, so that other connections are served as well.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are discarded at most: of a connection that closes, in all, after which a peer that
-/// goes on sending is cut off; of one whose excess input is discarded, in one turn.
+/// Limit on discarded input, in bytes. On a closing connection it applies to the total, and a peer
+/// that sends more is disconnected; on a connection that discards excess input, it applies to one
+/// turn of the event loop.
 pub const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 /// A connection and its buffers.
 pub struct Connection<S> {
     stream: S,
     state: State,
-    /// Bytes that have been received and not consumed.
+    /// Bytes that have been received but not consumed.
     pub input: Vec<u8>,
-    /// Bytes to be written; the first `written` of them have been.
+    /// Queued output, of which the first `written` bytes have been written.
     output: Vec<u8>,
     written: usize,
-    /// Bytes written and removed from `output` before.
+    /// Number of bytes that have been written and removed from `output`.
     written_before: u64,
     /// Reading stops when `input` has reached this size, in bytes.
     max_input_bytes: usize,
@@ -117,7 +117,7 @@
         &self.stream
     }
 
-    /// Gives up the stream and the input that has not been consumed; nothing is closed.
+    /// Returns the stream and the input that has not been consumed, without closing anything.
     pub fn into_parts(self) -> (S, Vec<u8>) {
         (self.stream, self.input)
     }
@@ -127,23 +127,24 @@
         self.written == self.output.len()
     }
 
-    /// Bytes that the kernel has accepted since the connection was made; still valid when it has
-    /// ended.
+    /// Bytes that the kernel has accepted since the connection was created; stays valid after it
+    /// has ended.
     pub fn written(&self) -> u64 {
         self.written_before + self.written as u64
     }
 
-    /// Bytes that have been queued since the connection was made, written or not.
+    /// Bytes that have been queued since the connection was created, written or not.
     pub fn queued(&self) -> u64 {
         self.written_before + self.output.len() as u64
     }
 
-    /// Bytes that are queued and not written.
+    /// Bytes that are queued but not written.
     pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Whether the input buffer is full: a message that is incomplete now never becomes complete.
+    /// Whether the input buffer is full. A message that is still incomplete then can't be
+    /// completed.
     pub fn is_full(&self) -> bool {
         self.input.len() >= self.max_input_bytes
     }
@@ -165,14 +166,15 @@
         (reads, writes)
     }
 
-    /// Sets whether input beyond the buffer's limit is read and discarded, so that the peer's end
-    /// is noticed while nothing is consumed. If reading just stopped, a peer that has sent much and
-    /// disconnected would go unnoticed.
+    /// Sets whether input beyond the buffer's limit is read and discarded, so that the peer's
+    /// disconnection is noticed while no input is consumed. If reading stopped at the limit, the
+    /// disconnection of a peer that has sent more than that would go unnoticed.
     pub fn set_discard_excess_input(&mut self, discard: bool) {
         self.discards_excess_input = discard;
     }
 
-    /// Whether input was discarded for want of buffer space: the buffered input is incomplete.
+    /// Whether input was discarded for lack of buffer space, so that the buffered input is
+    /// incomplete.
     pub fn has_discarded_input(&self) -> bool {
         self.has_discarded_input
     }
@@ -197,9 +199,9 @@
         }
     }
 
-    /// Closes the connection in good order: queued output is written, then the sending side is
-    /// closed and the peer's end awaited. Closing with unread input would reset the connection and
-    /// could destroy output on its way.
+    /// Closes the connection gracefully: queued output is written, the sending side is closed, and
+    /// the connection waits for the peer to close its side. Closing the socket with unread input
+    /// would reset the connection and could destroy output in flight.
     pub fn close(&mut self, owner: &mut impl Callbacks<S>) {
         let state_before = self.state;
         match state_before {
@@ -209,7 +211,7 @@
         }
         self.input = Vec::new();
         if self.state == State::Closing && self.flushed() {
-            self.stream.finish();
+            self.stream.shutdown_write();
             if state_before == State::HalfClosed {
                 self.end(owner);
             }
@@ -221,7 +223,7 @@
         self.state = State::Ended;
     }
 
-    /// Reads and writes as much as possible and calls the owner back.
+    /// Reads and writes as much as possible and notifies the owner.
     pub fn handle_ready(&mut self, readable: bool, writable: bool, owner: &mut impl Callbacks<S>) {
         if self.state == State::Dialing && (readable || writable) {
             if self.stream.connected().is_err() {
@@ -271,7 +273,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
-                    // What arrived before the error counts.
+                    // Input that arrived before the error is still delivered.
                     if self.input.len() > unread_before {
                         owner.received(self);
                     }
@@ -301,7 +303,7 @@
             self.output = Vec::new();
             self.written = 0;
             if self.state == State::Closing {
-                self.stream.finish();
+                self.stream.shutdown_write();
             }
         }
     }
--- a/src/net/transport/http/body.rs
+++ b/src/net/transport/http/body.rs
@@ -2,15 +2,15 @@
 
 use super::message::{MAX_HEAD_BYTES, MAX_HEADERS, ParseError};
 
-/// Bytes of chunk framing that a body may have beyond its number of data bytes, against endless
-/// tiny chunks.
+/// Number of bytes by which the chunk framing of a body may exceed its data; this limits bodies of
+/// endless tiny chunks.
 const MAX_FRAMING_BYTES: usize = 64 * 1024;
 /// Longest line with a chunk's size and extensions, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
-/// The line end behind a chunk's data.
+/// The line end after a chunk's data.
 const CRLF: &[u8] = b"\r\n";
 
-/// How the end of a body is recognised.
+/// How the end of a body is determined.
 pub(super) enum BodyFraming {
     /// The body has this number of bytes.
     Length(usize),
@@ -20,24 +20,25 @@
     UntilClose,
 }
 
-/// What a body decoder expects next.
+/// What the decoder expects next.
 #[derive(Clone, Copy)]
 enum BodyState {
-    /// This number of bytes, the last of the body.
+    /// The remaining bytes of a body of known length.
     FixedLengthData { remaining: usize },
-    /// All bytes up to the end of the connection.
+    /// All bytes until the connection ends.
     DataUntilClose,
     /// The line with a chunk's size.
     ChunkSize,
-    /// This number of bytes of a chunk.
+    /// The remaining bytes of a chunk.
     ChunkData { remaining: usize },
-    /// The line end behind a chunk's data.
+    /// The line end after a chunk's data.
     ChunkEnd,
-    /// The trailer fields behind the last chunk.
+    /// The trailer fields after the last chunk.
     Trailers,
 }
 
-/// The result of one decoding step; the number of bytes that it took off the front of its input.
+/// The result of one decoding step, with the number of bytes that it consumed from the front of the
+/// input.
 enum Step {
     /// The next step can follow.
     Advanced(usize),
@@ -49,13 +50,13 @@
 
 /// How far a body was decoded in one call.
 pub(super) struct BodyProgress {
-    /// Bytes taken off the front of the input.
+    /// Bytes consumed from the front of the input.
     pub(super) consumed: usize,
     /// Whether the body is complete.
     pub(super) complete: bool,
 }
 
-/// Decodes a body that arrives in pieces; each byte is looked at once.
+/// Decodes a body that arrives in pieces; each byte is examined once.
 pub(super) struct BodyReader {
     state: BodyState,
     /// Largest body that is accepted, in bytes.
@@ -66,7 +67,7 @@
 }
 
 impl BodyReader {
-    /// A decoder of a body with this framing.
+    /// Creates a decoder for a body with this framing.
     ///
     /// # Errors
     ///
@@ -91,7 +92,8 @@
         self.data
     }
 
-    /// Decodes as much of the input as possible; `end_of_stream` says that no more can follow.
+    /// Decodes as much of the input as possible; `end_of_stream` says that no more input can
+    /// follow.
     ///
     /// # Errors
     ///
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Appends up to `remaining` bytes of the input to the data; the number of bytes appended.
+    /// Appends up to `remaining` bytes of the input to the data; returns the number of bytes
+    /// appended.
     fn append(&mut self, input: &[u8], remaining: usize) -> usize {
         let size = remaining.min(input.len());
         if self.data.is_empty() {
@@ -219,7 +222,7 @@
     }
 }
 
-/// Skips the trailer fields of a chunked body: nothing here uses them.
+/// Skips the trailer fields of a chunked body, which are not used.
 fn read_trailers(input: &[u8]) -> Result<Step, ParseError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let parsed = httparse::parse_headers(input, &mut fields).map_err(|_| ParseError::Malformed)?;
--- a/src/net/transport/http/message.rs
+++ b/src/net/transport/http/message.rs
@@ -1,4 +1,4 @@
-//! The types of HTTP messages, their size limits and the errors of parsing them.
+//! HTTP message types, their size limits and parse errors.
 
 /// Largest head of a message, in bytes: start line and header fields.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -58,8 +58,8 @@
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] if there are several fields: each reader could go by a different
-    /// one.
+    /// [`ParseError::Malformed`] if there are several fields: other recipients of the message might
+    /// use a different one.
     pub fn get_unique(&self, name: &str) -> Result<Option<&str>, ParseError> {
         if self.get_all(name).count() > 1 {
             Err(ParseError::Malformed)
@@ -127,12 +127,12 @@
     Complete {
         /// The message.
         message: T,
-        /// Bytes that the message took off the front of the input.
+        /// Bytes to remove from the front of the input.
         size: usize,
     },
 }
 
-/// What the writer of a response announces about its connection.
+/// What a response announces about its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOption {
     /// The connection stays open for further requests.
--- a/src/net/transport/http/mod.rs
+++ b/src/net/transport/http/mod.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 messages as bytes: requests and responses are parsed from and written to buffers,
-//! without any socket.
+//! independently of sockets.
 
 mod body;
 mod message;
--- a/src/net/transport/http/parse.rs
+++ b/src/net/transport/http/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of requests and responses, incremental for requests.
+//! Parsing of requests and responses; requests are parsed incrementally.
 
 use super::body::{BodyFraming, BodyReader};
 use super::message::{
@@ -25,12 +25,12 @@
     }
 }
 
-/// Returns how a body is framed, `default` if no header field says so.
+/// Returns the framing of a body, or `default` if no header field states it.
 ///
 /// # Errors
 ///
-/// If two readers could see two different ends: several lengths, a length with a coding, an unknown
-/// coding.
+/// If recipients could disagree about where the body ends: different lengths, a length together
+/// with a coding, or an unknown coding.
 fn body_framing(headers: &Headers, default: BodyFraming) -> Result<BodyFraming, ParseError> {
     let mut lengths = headers
         .get_all("content-length")
@@ -46,7 +46,7 @@
 }
 
 fn parse_content_length(length: &str) -> Result<BodyFraming, ParseError> {
-    // `parse` alone would accept a sign.
+    // `parse` alone would accept a plus sign.
     if length.is_empty() || !length.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ParseError::Malformed);
     }
@@ -60,7 +60,7 @@
     persistent && !headers.has_token("connection", "close")
 }
 
-/// A request whose head has been parsed and whose body arrives.
+/// A request whose head has been parsed and whose body is still arriving.
 struct PendingRequest {
     /// The request without its body.
     request: Request,
@@ -87,7 +87,7 @@
     }
     let headers = Headers::from_parsed(head.headers);
     let framing = body_framing(&headers, BodyFraming::Length(0))?;
-    // HTTP/1.0 has no chunked coding: an intermediary may have read another length.
+    // HTTP/1.0 has no chunked coding: an intermediary may have determined a different length.
     if head.version == HTTP_1_0 && matches!(framing, BodyFraming::Chunked) {
         return Err(ParseError::Malformed);
     }
@@ -112,32 +112,32 @@
 pub struct RequestProgress {
     /// How much of the request has arrived.
     pub status: ParseStatus<Request>,
-    /// Bytes taken off the front of the input; they must not be passed in again.
+    /// Bytes consumed from the front of the input; they must not be passed in again.
     pub consumed: usize,
 }
 
-/// Parses the requests of one connection and looks at each piece of input once, so that a peer that
-/// sends byte by byte costs no more than one that sends all at once.
+/// Parses the requests of one connection. Input is not parsed again with each piece that arrives,
+/// so that a peer that sends byte by byte costs little more than one that sends everything at once.
 #[derive(Default)]
 pub struct RequestReader {
-    /// Bytes of the input in which the end of a head was searched without success.
+    /// Length of the input that has been searched for the end of a head without success.
     searched: usize,
-    /// The request whose body arrives.
+    /// The request whose body is still arriving.
     pending: Option<PendingRequest>,
 }
 
 impl RequestReader {
-    /// Whether the head of a request has been taken off the input and its body is incomplete.
+    /// Whether the head of a request has been consumed and its body is incomplete.
     pub fn in_progress(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Continues with the input.
+    /// Continues parsing with the input that has not been consumed yet.
     ///
     /// # Errors
     ///
-    /// If the input can't become a request that this node accepts; the connection can't be read any
-    /// further then.
+    /// If the input can't become a request that this node accepts; nothing more can be read from
+    /// the connection then.
     pub fn read(&mut self, input: &[u8]) -> Result<RequestProgress, ParseError> {
         let mut consumed = 0;
         let pending = match self.pending.take() {
@@ -158,10 +158,10 @@
         self.read_body(pending, input, consumed)
     }
 
-    /// Parses a head if the input may contain a whole one.
+    /// Parses a head if the input may contain a complete one.
     fn read_head(&mut self, input: &[u8]) -> Result<Option<RequestHead>, ParseError> {
-        // Only a line end can complete a head. Input that has doubled is parsed without one as
-        // well: bytes that can't be a head would go undetected otherwise.
+        // Only a line end can complete a head. Input that has doubled in size is parsed without one
+        // as well, since bytes that can't be part of a head would go undetected otherwise.
         let unsearched = &input[self.searched.min(input.len())..];
         let has_doubled = input.len() >= 2 * self.searched;
         if !unsearched.contains(&b'\n') && !has_doubled && input.len() <= MAX_HEAD_BYTES {
@@ -213,8 +213,8 @@
         .map(|progress| progress.status)
 }
 
-/// Parses the final response at the start of the input, behind any interim ones; `end_of_stream`
-/// says that no more can follow. Bodies of up to `max_body_bytes` are accepted.
+/// Parses the final response at the start of the input, after any interim ones; `end_of_stream`
+/// says that no more input can follow. Bodies of up to `max_body_bytes` are accepted.
 ///
 /// # Errors
 ///
--- a/src/net/transport/http/write.rs
+++ b/src/net/transport/http/write.rs
@@ -1,9 +1,8 @@
-//! Writing of requests and responses.
+//! Serialization of requests and responses.
 
 use super::message::ConnectionOption;
 use std::fmt::Write as _;
 
-/// The reason phrase of a status code.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -43,8 +42,8 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a request with these header fields to `out`; `Content-Length` is added for a body, and
-/// for `POST`.
+/// Appends a request with these header fields to `out`; `Content-Length` is added if there is a
+/// body or the method is `POST`.
 pub fn write_request(
     out: &mut Vec<u8>,
     method: &str,
--- a/src/net/transport/mod.rs
+++ b/src/net/transport/mod.rs
@@ -1,5 +1,6 @@
-//! What all owners of sockets share: the event loop's poller, timers and clock, a connection's
-//! buffers, HTTP messages. Nothing here knows requests to workers, workers or other nodes.
+//! What all owners of sockets share: the event loop's poller, timers and clock, buffered
+//! connections, and HTTP messages. This module has no knowledge of workers, their requests or other
+//! nodes.
 
 pub mod connection;
 pub mod http;
--- a/src/net/transport/reactor.rs
+++ b/src/net/transport/reactor.rs
@@ -1,5 +1,5 @@
 //! The reactor: the poller, the timers, the clock of the current turn, and the queue of events for
-//! the request manager. It is shared by all owners of sockets.
+//! the request manager. All owners of sockets share it.
 
 use super::timer_wheel::TimerWheel;
 use crate::net::messages::{self, Input};
@@ -10,11 +10,11 @@
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant, SystemTime};
 
-/// A tick of the timers, in seconds.
+/// Length of a tick of the timers, in seconds.
 const TICK_SECONDS: f64 = 0.002;
 /// Connections that the kernel queues at a listener until they are accepted.
 const LISTEN_BACKLOG: i32 = 1024;
-/// The error of Linux for a connection that is still being made.
+/// Linux's error number for a connection that is still being established.
 const EINPROGRESS: i32 = 115;
 
 /// The part of the node that owns a socket.
@@ -24,7 +24,7 @@
     ManagementServer,
     /// The handover: its listener or a link to a sibling process.
     Handover,
-    /// The clients' side: its listener or a connection.
+    /// The clients' listener or a connection to a client.
     Client,
     /// A connection to a worker.
     Attempt,
@@ -72,52 +72,52 @@
         /// The connection's key.
         key: usize,
     },
-    /// The management API accepts connections again.
+    /// The time at which the management API accepts connections again.
     ManagementAccept,
-    /// The check of idle connections in a drain.
+    /// The check of idle connections while draining.
     Drain,
     /// The timeout of a client's connection.
     Client {
         /// The connection's key.
         key: usize,
-        /// The connection's round that the timer was set in; it is void in a later one.
+        /// The connection's round in which the timer was set; in a later round it is ignored.
         round: u64,
     },
-    /// The clients' listener accepts connections again.
+    /// The time at which the clients' listener accepts connections again.
     ClientAccept,
     /// The timeout of a connection to a worker.
     Attempt {
         /// The connection's key.
         key: usize,
-        /// The connection's round that the timer was set in; it is void in a later one.
+        /// The connection's round in which the timer was set; in a later round it is ignored.
         round: u64,
     },
-    /// The time in which a connection to a worker must be made.
+    /// The time by which a connection to a worker must be established.
     AttemptConnect {
         /// The connection's key.
         key: usize,
     },
     /// The check whether a call to discovery is due.
     Discovery,
-    /// The time in which the connection for a call to discovery must be made.
+    /// The time by which the connection for a call to discovery must be established.
     DiscoveryConnect {
         /// The call's number.
         call: u64,
     },
-    /// The worker list and the suspensions are saved if they have changed.
+    /// The check whether the worker list or the suspensions have changed and must be saved.
     SaveSnapshots,
     /// The end of the accept window of a shutdown, or a check after it.
     Shutdown,
 }
 
-/// A monotonic clock that counts from the Unix time at its creation.
+/// A monotonic clock that starts at the Unix time of its creation.
 pub struct Clock {
     start: Instant,
     unix: f64,
 }
 
 impl Clock {
-    /// Creates a clock that begins with the current Unix time.
+    /// Creates a clock that starts at the current Unix time.
     pub fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -140,7 +140,8 @@
     }
 }
 
-/// The poller, the timers, the time of the turn, and the queue to the request manager.
+/// The poller, the timers, the time of the current turn, and the queue of events for the request
+/// manager.
 pub struct Reactor {
     poller: Poller,
     timers: TimerWheel<Timer>,
@@ -156,7 +157,7 @@
     ///
     /// # Errors
     ///
-    /// If the system gives no poller.
+    /// If the system can't create a poller.
     pub fn new(now: f64) -> io::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
@@ -167,13 +168,15 @@
         })
     }
 
-    /// Registers a socket, without interest yet, and returns its key. Keys are never reused.
+    /// Registers a socket, which waits for no events yet, and returns its key. Keys are never
+    /// reused.
     ///
     /// # Errors
     ///
     /// If the poller refuses it.
     pub fn register(&mut self, source: impl Source, owner: SocketOwner) -> io::Result<usize> {
-        // The rank is part of the key: it orders the events of a turn and leads back to the owner.
+        // The owner's rank is part of the key, which orders the events of a turn and identifies the
+        // owner.
         let rank = OWNERS
             .iter()
             .position(|candidate| *candidate == owner)
@@ -184,7 +187,8 @@
         Ok(key)
     }
 
-    /// Sets whether a socket waits to be readable and writable, until its next event.
+    /// Sets whether a socket waits to become readable and writable. After its next event it waits
+    /// for nothing until it is rearmed.
     pub fn rearm(&self, source: impl Source, key: usize, (readable, writable): (bool, bool)) {
         // This can't fail for a registered socket; if it does, the owner's timeout closes the
         // socket.
@@ -204,8 +208,8 @@
     }
 
     /// Waits for events, or until the next timer is due, and sorts the events by the rank of their
-    /// owners. Discovery comes first, so that nothing is sent by an outdated worker list; then the
-    /// management API, which must answer however busy the node is.
+    /// owners. Discovery comes first, so that no request is sent by an outdated worker list; then
+    /// the management API, which must answer however busy the node is.
     ///
     /// # Errors
     ///
@@ -245,7 +249,7 @@
     dial_from(None, to)
 }
 
-/// Starts a non-blocking connection from a local address, if one is given.
+/// Starts a non-blocking connection, from a local address if one is given.
 ///
 /// # Errors
 ///
--- a/src/net/transport/timer_wheel.rs
+++ b/src/net/transport/timer_wheel.rs
@@ -1,11 +1,11 @@
-//! A timer wheel of coarse ticks. It owns no clock: callers pass the time, in seconds.
+//! A timer wheel with coarse ticks. It has no clock: callers pass the time, in seconds.
 
-/// Slots of the wheel, one a tick; a timer further off than that stays in its slot for further
-/// turns of the wheel.
+/// Number of slots, one per tick; a timer that is further ahead stays in its slot for more than one
+/// turn of the wheel.
 const SLOTS: usize = 4096;
-/// Slots whose occupancy one word of the bitmap holds.
+/// Number of slots that one word of the bitmap covers.
 const SLOTS_PER_WORD: usize = 64;
-/// Words of the bitmap.
+/// Number of words in the bitmap.
 const WORDS: usize = SLOTS / SLOTS_PER_WORD;
 
 /// A timer in its slot.
@@ -17,7 +17,7 @@
 
 /// Timers that expire in the order of their ticks, never early and at most a tick late.
 pub struct TimerWheel<T> {
-    /// Seconds a tick.
+    /// Length of a tick, in seconds.
     tick: f64,
     /// The last tick whose timers have expired.
     last_tick: u64,
@@ -27,7 +27,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// Creates an empty wheel that starts at `now`, with ticks of so many seconds.
+    /// Creates an empty wheel that starts at `now`, with ticks of `tick` seconds.
     pub fn new(tick: f64, now: f64) -> Self {
         Self {
             tick,
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Sets a timer that expires at `at`, in seconds. One that is due already expires with the next
-    /// tick, as does one whose time is not a number; a time out of range counts as the furthest
-    /// tick.
+    /// Sets a timer that expires at `at`, in seconds. A timer that is already due, or whose time is
+    /// not a number, expires with the next tick; a time beyond the range of ticks counts as the
+    /// last tick.
     pub fn insert(&mut self, at: f64, timer: T) {
         let due = ((at / self.tick).ceil() as u64).max(self.last_tick + 1);
         let slot = due as usize % SLOTS;
@@ -52,7 +52,7 @@
     pub fn advance(&mut self, now: f64) -> Vec<T> {
         let last = (now / self.tick) as u64;
         let mut expired = Vec::new();
-        // After a whole turn of the wheel or more, each slot is visited once.
+        // If a whole turn of the wheel or more has passed, each slot is visited once.
         let first = (self.last_tick + 1).max((last + 1).saturating_sub(SLOTS as u64));
         for tick in first..=last {
             let slot = tick as usize % SLOTS;
@@ -76,12 +76,12 @@
     }
 
     /// Returns when to call [`Self::advance`] next: no later than the next timer expires, and
-    /// earlier if the next occupied slot holds only timers of a further turn. `None` without
-    /// timers.
+    /// earlier if the next occupied slot holds only timers of a later turn. `None` without timers.
     pub fn next(&self) -> Option<f64> {
         let start = (self.last_tick + 1) as usize % SLOTS;
         let start_word = start / SLOTS_PER_WORD;
-        // The first word is visited twice: first its slots from `start` on, at last those before.
+        // The first word is visited twice: first for its slots from `start` on, and at the end for
+        // those before it.
         (0..=WORDS).find_map(|offset| {
             let word = (start_word + offset) % WORDS;
             let mut bits = self.occupied[word];
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -28,7 +28,7 @@
     /// Connecting fails.
     refused: bool,
     /// How often the sending side was closed.
-    finish_calls: usize,
+    shutdown_calls: usize,
 }
 
 type SharedWire = Rc<RefCell<Wire>>;
@@ -74,8 +74,8 @@
 }
 
 impl Stream for TestStream {
-    fn finish(&mut self) {
-        self.0.borrow_mut().finish_calls += 1;
+    fn shutdown_write(&mut self) {
+        self.0.borrow_mut().shutdown_calls += 1;
     }
 
     fn connected(&mut self) -> io::Result<()> {
@@ -336,13 +336,13 @@
             owner: self.owner.clone(),
         };
         let has_finished = model.state == State::Closing && model.queued == 0;
-        let finish_calls_match =
-            wire.finish_calls == usize::from(has_finished) || actual.state == State::Ended;
+        let shutdown_calls_match =
+            wire.shutdown_calls == usize::from(has_finished) || actual.state == State::Ended;
         let flushed_matches = self.connection.flushed() == (model.queued == 0);
-        let matches = actual == *model && finish_calls_match && flushed_matches;
+        let matches = actual == *model && shutdown_calls_match && flushed_matches;
         if !matches {
-            let finish_calls = wire.finish_calls;
-            eprintln!("{actual:?} in place of {model:?}, {finish_calls} finish calls");
+            let shutdown_calls = wire.shutdown_calls;
+            eprintln!("{actual:?} in place of {model:?}, {shutdown_calls} calls of shutdown_write");
         }
         matches
     }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -90,7 +90,7 @@
 }
 
 impl<F: FnMut()> Stream for InterruptedStream<F> {
-    fn finish(&mut self) {}
+    fn shutdown_write(&mut self) {}
 
     fn connected(&mut self) -> io::Result<()> {
         self.stream.connected()
@@ -281,7 +281,7 @@
 }
 
 impl Stream for ScriptedStream {
-    fn finish(&mut self) {}
+    fn shutdown_write(&mut self) {}
 
     fn connected(&mut self) -> io::Result<()> {
         if self.0.borrow().refused {
