--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts at workers over real connections, with simulated time: every unfavourable order of
-//! events on a connection.
+//! Attempts at workers over real connections, with simulated time and unfavourable orders of events
+//! on a connection.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -15,7 +15,7 @@
 
 const NOT_RUN: &str = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// The attempts under test, and a listener that stands for a worker.
+/// The attempts under test, and a listener that acts as a worker.
 struct AttemptsHarness {
     reactor: Reactor,
     attempts: Attempts,
@@ -27,8 +27,8 @@
         Self::with(8, 60.0)
     }
 
-    /// With this limit on connections, and workers that close a connection after being idle for
-    /// `idle_timeout` seconds.
+    /// Creates a harness with this limit on connections, and workers that close a connection after
+    /// it has been idle for `idle_timeout` seconds.
     fn with(max_connections: usize, idle_timeout: f64) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
         Self {
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Starts attempts at one time, and has the worker accept each on a connection of its own;
-    /// these are idle then.
-    fn accepted_attempts(&mut self, attempts: &[AttemptId]) -> Vec<TestSocket> {
+    /// Starts these attempts at the same time and has the worker accept each on a connection of its
+    /// own; the connections are idle afterwards.
+    fn run_accepted_attempts(&mut self, attempts: &[AttemptId]) -> Vec<TestSocket> {
         attempts.iter().for_each(|attempt| self.start(*attempt));
         let mut peers: Vec<TestSocket> = attempts
             .iter()
@@ -50,7 +50,7 @@
             self.run_until_received(peer);
             peer.read_request();
             peer.write(ACCEPTED);
-            assert_eq!(self.end().1, AttemptEnd::Accepted);
+            assert_eq!(self.next_end().1, AttemptEnd::Accepted);
         }
         peers
     }
@@ -58,10 +58,10 @@
     /// Starts an attempt at this time; returns whether it opens a connection.
     fn opens_connection(&mut self, at: f64, attempt: AttemptId) -> bool {
         self.reactor.now = at;
-        self.worker.set_nonblocking(true).expect("a setting");
+        self.worker.set_nonblocking(true).expect("a socket option");
         self.start(attempt);
         let opened = self.worker.accept().is_ok();
-        self.worker.set_nonblocking(false).expect("a setting");
+        self.worker.set_nonblocking(false).expect("a socket option");
         opened
     }
 
@@ -78,12 +78,12 @@
             .start_attempt(&mut self.reactor, attempt, at, &Rc::new(payload), deadline);
     }
 
-    /// Serves ready connections until `found` returns something.
-    fn until<T>(&mut self, mut found: impl FnMut(&mut Self) -> Option<T>) -> T {
+    /// Serves ready connections until `find` returns something.
+    fn run_until<T>(&mut self, mut find: impl FnMut(&mut Self) -> Option<T>) -> T {
         let start = Instant::now();
         let mut events = Vec::new();
         loop {
-            if let Some(found) = found(self) {
+            if let Some(found) = find(self) {
                 return found;
             }
             assert!(start.elapsed() < TEST_TIMEOUT, "nothing was found in time");
@@ -99,21 +99,21 @@
         }
     }
 
-    /// Serves ready connections until the peer has received something: a request is written once
-    /// its connection is known to be established.
+    /// Serves ready connections until the peer has received something: a request is not written
+    /// before its connection is known to be established.
     fn run_until_received(&mut self, peer: &TestSocket) {
-        peer.stream.set_nonblocking(true).expect("a setting");
-        self.until(|_| {
+        peer.stream.set_nonblocking(true).expect("a socket option");
+        self.run_until(|_| {
             peer.stream
                 .peek(&mut [0])
                 .is_ok_and(|size| size > 0)
                 .then_some(())
         });
-        peer.stream.set_nonblocking(false).expect("a setting");
+        peer.stream.set_nonblocking(false).expect("a socket option");
     }
 
     /// Returns the key of the first connection that becomes ready.
-    fn key(&mut self) -> usize {
+    fn first_ready_key(&mut self) -> usize {
         let mut events = Vec::new();
         while events.is_empty() {
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
@@ -121,9 +121,9 @@
         events[0].key
     }
 
-    /// Returns the first end of an attempt that is reported.
-    fn end(&mut self) -> (AttemptId, AttemptEnd) {
-        self.until(|harness| {
+    /// Returns the next end of an attempt that is reported.
+    fn next_end(&mut self) -> (AttemptId, AttemptEnd) {
+        self.run_until(|harness| {
             std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
                 Input::ExchangeEnded { attempt, end, .. } => Some((attempt, end)),
                 _ => None,
@@ -132,9 +132,9 @@
     }
 }
 
-/// Guards against a worker's second response, some milliseconds after its first, that is taken for
-/// that of the next attempt: a second 'not run' would have a request that runs retried on another
-/// worker.
+/// Guards against taking a second response of a worker, some milliseconds after its first, for the
+/// response to the next attempt: because of a second 'not run', a running request would be retried
+/// on another worker.
 #[test]
 fn second_response_is_not_taken_for_the_next_attempt() {
     let mut harness = AttemptsHarness::new();
@@ -146,16 +146,16 @@
         Some("job-1")
     );
     first.write(NOT_RUN);
-    assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
+    assert_eq!(harness.next_end(), (1, AttemptEnd::RejectedUnstarted));
     harness.reactor.now = 1000.01;
     harness.start(2);
-    // It arrives after the next attempt has been written, on whichever connection; perhaps nobody
-    // reads it.
+    // The second response arrives after the next attempt has been written, on whichever connection;
+    // it may never be read.
     let mut second = TestSocket::accept(&harness.worker);
     harness.run_until_received(&second);
     let _ = first.stream.write_all(NOT_RUN.as_bytes());
     second.write(ACCEPTED);
-    assert_eq!(harness.end(), (2, AttemptEnd::Accepted));
+    assert_eq!(harness.next_end(), (2, AttemptEnd::Accepted));
     assert_eq!(harness.attempts.connection_count(), 1);
     assert!(
         first.is_closed(),
@@ -163,12 +163,12 @@
     );
 }
 
-/// Guards against the same after a cancel: its second response would end the next attempt, which
-/// runs, in an error.
+/// Guards against the same after a cancel: a second response to the cancel would end the next
+/// attempt in an error although it runs.
 #[test]
 fn second_response_to_a_cancel_is_not_taken_for_the_next_attempt() {
     let mut harness = AttemptsHarness::new();
-    let mut peer = harness.accepted_attempts(&[1]).remove(0);
+    let mut peer = harness.run_accepted_attempts(&[1]).remove(0);
     let at = harness.worker.local_addr().expect("an address");
     harness
         .attempts
@@ -176,7 +176,7 @@
     harness.run_until_received(&peer);
     assert_eq!(peer.read_request().method, "DELETE");
     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
+    harness.run_until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
     assert!(
         peer.is_closed(),
         "the connection of the cancel carries nothing more, however late"
@@ -184,9 +184,9 @@
     assert!(harness.opens_connection(1060.0, 2));
 }
 
-/// Guards against a second response that comes later than any idle time: a connection on which a
-/// worker has answered anything but 202 carries nothing more. One on which the attempt was accepted
-/// is reused at once.
+/// Guards against a second response that arrives later than any limit on idle time: a connection on
+/// which a worker has responded with anything but 202 is not reused. After an accepted attempt, the
+/// connection is reused at once.
 #[test]
 fn connection_is_reused_only_after_an_accepted_attempt() {
     let rejections = [
@@ -201,35 +201,35 @@
         harness.run_until_received(&peer);
         peer.read_request();
         peer.write(answer);
-        harness.end();
-        harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
+        harness.next_end();
+        harness.run_until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
         assert!(peer.is_closed(), "{answer}");
         assert!(harness.opens_connection(1060.0, 2), "{answer}");
     }
     let mut harness = AttemptsHarness::new();
-    let mut peer = harness.accepted_attempts(&[1]).remove(0);
+    let mut peer = harness.run_accepted_attempts(&[1]).remove(0);
     for attempt in [2, 3] {
         harness.start(attempt);
         harness.run_until_received(&peer);
         peer.read_request();
         peer.write(ACCEPTED);
-        assert_eq!(harness.end(), (attempt, AttemptEnd::Accepted));
+        assert_eq!(harness.next_end(), (attempt, AttemptEnd::Accepted));
     }
     assert_eq!(harness.attempts.connection_count(), 1);
 }
 
-/// Guards against a worker's second response after a 202, however late: 'not run' on a connection
-/// that has carried another request may be the response to that one, and so proves nothing. On a
-/// new connection it does.
+/// Guards against a late second response after a 202: 'not run' on a connection that has carried
+/// another request may be a response to that request, and so proves nothing. On a new connection it
+/// proves that the attempt has not run.
 #[test]
 fn not_run_on_a_reused_connection_proves_nothing() {
     let mut harness = AttemptsHarness::new();
-    let mut peer = harness.accepted_attempts(&[1]).remove(0);
+    let mut peer = harness.run_accepted_attempts(&[1]).remove(0);
     harness.reactor.now = 1010.0;
     harness.start(2);
     harness.run_until_received(&peer);
     peer.write(NOT_RUN);
-    assert_eq!(harness.end(), (2, AttemptEnd::RejectedAmbiguous));
+    assert_eq!(harness.next_end(), (2, AttemptEnd::RejectedAmbiguous));
     assert!(
         peer.read_request().headers.get("x-request-id") == Some("job-2"),
         "the worker has read it, and may run it"
@@ -240,11 +240,11 @@
     harness.run_until_received(&peer);
     peer.read_request();
     peer.write(NOT_RUN);
-    assert_eq!(harness.end(), (1, AttemptEnd::RejectedUnstarted));
+    assert_eq!(harness.next_end(), (1, AttemptEnd::RejectedUnstarted));
 }
 
-/// Guards against a response that arrived before the worker can have read the request and is taken
-/// for its own: it proves nothing, on a new connection either.
+/// Guards against accepting a response as proof that arrived before the worker can have read the
+/// request: it proves nothing, not even on a new connection.
 #[test]
 fn response_received_before_the_request_was_written_proves_nothing() {
     let mut harness = AttemptsHarness::new();
@@ -252,11 +252,11 @@
     let mut peer = TestSocket::accept(&harness.worker);
     peer.write(NOT_RUN);
     // Readable and writable in one event: the request is written and the response read in one turn.
-    let key = harness.key();
+    let key = harness.first_ready_key();
     harness
         .attempts
         .handle_ready(&mut harness.reactor, key, true, true);
-    assert_eq!(harness.end(), (1, AttemptEnd::RejectedAmbiguous));
+    assert_eq!(harness.next_end(), (1, AttemptEnd::RejectedAmbiguous));
     assert_eq!(
         peer.read_request().headers.get("x-request-id"),
         Some("job-1")
@@ -267,7 +267,7 @@
 struct MalformedResponse {
     name: &'static str,
     beginning: &'static str,
-    /// Repeated without end behind the beginning; if it is empty, other bytes follow.
+    /// Repeated endlessly after the beginning; if it is empty, other bytes follow.
     continuation: &'static str,
 }
 
@@ -334,8 +334,8 @@
     },
 ];
 
-/// Guards against a malformed response that is accepted or read for ever: the attempt ends once, as
-/// one that may have run, and its connection is closed whatever is still to come.
+/// Guards against accepting a malformed response or reading it forever: the attempt ends once, as
+/// one that may have run, and its connection is closed whatever else arrives.
 #[test]
 fn malformed_response_ends_the_attempt_and_closes_the_connection() {
     for MalformedResponse {
@@ -349,7 +349,8 @@
         let mut peer = TestSocket::accept(&harness.worker);
         let worker = std::thread::spawn(move || {
             peer.read_request();
-            // More than any response may hold; the connection ends when the node reads no more.
+            // This is more than any response may contain; the connection ends when the node stops
+            // reading.
             let more = if continuation.is_empty() {
                 "x".repeat(1 << 20)
             } else {
@@ -361,13 +362,13 @@
                 .and_then(|()| peer.stream.write_all(more.as_bytes()));
             sent.is_err() || peer.is_closed()
         });
-        let (attempt, end) = harness.end();
+        let (attempt, end) = harness.next_end();
         assert_eq!(attempt, 1, "{name}");
         assert!(
             matches!(end, AttemptEnd::Error | AttemptEnd::Reset),
             "{name}: {end:?}"
         );
-        harness.until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
+        harness.run_until(|harness| (harness.attempts.connection_count() == 0).then_some(()));
         assert!(
             worker.join().expect("the worker's thread"),
             "{name}: its connection stays open"
@@ -381,19 +382,19 @@
     }
 }
 
-/// Guards against a retry of a request that a worker may have run, and against none of one that it
-/// can't have run: a pooled connection breaks under a request that is written completely or in
-/// part, whether the worker resets or closes it.
+/// Guards against retrying a request that a worker may have run, and against not retrying one that
+/// it can't have run: the worker resets or closes a pooled connection to which the request has been
+/// written completely or in part.
 #[test]
 fn partly_written_request_is_reported_as_never_sent() {
     for (resets, fully_written) in [(true, true), (false, true), (true, false), (false, false)] {
         let mut harness = AttemptsHarness::new();
-        // The worker receives little at a time, and the body is larger than all buffers in between,
+        // The worker's receive buffer is small and the large body exceeds all buffers in between,
         // so that it is not written completely.
         socket2::SockRef::from(&harness.worker)
             .set_recv_buffer_size(1 << 10)
-            .expect("a setting");
-        let peer = harness.accepted_attempts(&[1]).remove(0);
+            .expect("a socket option");
+        let peer = harness.run_accepted_attempts(&[1]).remove(0);
         harness.reactor.now = 1000.1;
         let at = harness.worker.local_addr().expect("an address");
         let body = vec![b'x'; if fully_written { 10 } else { 16 << 20 }];
@@ -417,7 +418,7 @@
         if resets {
             socket2::SockRef::from(&peer.stream)
                 .set_linger(Some(std::time::Duration::ZERO))
-                .expect("a setting");
+                .expect("a socket option");
         }
         drop(peer);
         let expected = if fully_written {
@@ -426,7 +427,7 @@
             AttemptEnd::NeverSent
         };
         assert_eq!(
-            harness.end(),
+            harness.next_end(),
             (2, expected),
             "reset: {resets}, fully written: {fully_written}"
         );
@@ -434,14 +435,14 @@
     }
 }
 
-/// Guards against a load report that is misread, or in which an invalid figure becomes 0.
+/// Guards against misreading a load report, and against taking an invalid value for 0.
 #[test]
 fn load_report_is_parsed_by_name() {
     let mut harness = AttemptsHarness::new();
     harness.start(1);
     let mut peer = TestSocket::accept(&harness.worker);
     peer.write("HTTP/1.1 202 Accepted\r\nX-Load: TEXT inflight=7, queue=2, util=0.61, x0=what\r\nContent-Length: 0\r\n\r\n");
-    let load = harness.until(|harness| {
+    let load = harness.run_until(|harness| {
         std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
             Input::ExchangeEnded {
                 attempt: 1,
@@ -458,37 +459,37 @@
     assert_eq!(names, [("inflight", 7.0), ("queue", 2.0), ("util", 0.61)]);
 }
 
-/// Guards against writing one request after the other to idle connections that break at once: the
-/// first one that breaks limits, for a while, how long others may have been idle.
+/// Guards against losing one request after another to idle connections that break when they are
+/// reused: the first one that breaks limits, for a while, how long others may have been idle.
 #[test]
 fn broken_reused_connection_limits_the_idle_time_of_others() {
     let mut harness = AttemptsHarness::new();
-    let mut peers = harness.accepted_attempts(&[1, 2]);
+    let mut peers = harness.run_accepted_attempts(&[1, 2]);
     assert!(
         !harness.opens_connection(1000.8, 3),
         "an idle one is reused"
     );
     drop(peers.pop()); // the one used last; its request is unread, so that the connection is reset
-    assert_eq!(harness.end(), (3, AttemptEnd::Reset));
+    assert_eq!(harness.next_end(), (3, AttemptEnd::Reset));
     assert!(
         harness.opens_connection(1000.8, 4),
-        "0.8 s of idle time are too long now: a new connection"
+        "after 0.8 s of idle time a new connection is opened now"
     );
     assert_eq!(
         harness.attempts.connection_count(),
         1,
         "and the other idle one is closed"
     );
-    // Half of that is learned, and it doubles every 5 s, up to the usual 48 s.
+    // The learned limit is half of that and doubles every 5 s, up to the regular 48 s.
     for (after, reusable, too_long) in [(0.0, 0.39, 0.5), (5.0, 0.79, 1.0), (100.0, 47.0, 48.5)] {
         for (idle, opens_connection) in [(reusable, false), (too_long, true)] {
             let mut harness = AttemptsHarness::new();
-            let mut peers = harness.accepted_attempts(&[1, 2]);
+            let mut peers = harness.run_accepted_attempts(&[1, 2]);
             assert!(!harness.opens_connection(1000.8, 3));
             drop(peers.pop());
-            assert_eq!(harness.end(), (3, AttemptEnd::Reset));
+            assert_eq!(harness.next_end(), (3, AttemptEnd::Reset));
             harness.reactor.now = 1000.8 + after;
-            let _peers = harness.accepted_attempts(&[5]);
+            let _peers = harness.run_accepted_attempts(&[5]);
             assert_eq!(
                 harness.opens_connection(1000.8 + after + idle, 6),
                 opens_connection,
@@ -498,7 +499,7 @@
     }
 }
 
-/// Guards against a shortage of this node that counts as a worker's failure.
+/// Guards against counting a lack of resources on this node as a failure of the worker.
 #[test]
 fn connection_limit_does_not_count_against_the_worker() {
     let mut harness = AttemptsHarness::with(0, 5.0);
@@ -514,18 +515,19 @@
 }
 
 /// Guards against writing to the idle connections of a worker that has left a request unanswered:
-/// if it has vanished, a new connection can't be established, which proves that nothing ran.
+/// if the worker has become unreachable, a new connection can't be established, which proves that
+/// nothing ran.
 #[test]
 fn idle_connections_to_an_unresponsive_worker_are_not_reused() {
     let mut harness = AttemptsHarness::new();
-    let mut peers = harness.accepted_attempts(&[1, 2]);
+    let mut peers = harness.run_accepted_attempts(&[1, 2]);
     assert!(
         !harness.opens_connection(1001.0, 3) && !harness.opens_connection(1001.0, 4),
-        "a worker that answers keeps its connections"
+        "the connections of a worker that answers are reused"
     );
     assert_eq!(harness.attempts.connection_count(), 2);
     peers[0].write(ACCEPTED);
-    harness.end();
+    harness.next_end();
     assert!(harness.opens_connection(1001.3, 5), "a new connection");
     assert_eq!(
         harness.attempts.connection_count(),
@@ -534,19 +536,19 @@
     );
 }
 
-/// Guards against keeping a connection until its worker may be closing it.
+/// Guards against reusing an idle connection that its worker may be closing.
 #[test]
 fn idle_connections_are_closed_before_the_workers_timeout() {
-    // 0 is an unknown timeout: 1 s.
+    // A timeout of 0 is unknown: connections are kept for 1 s.
     for (idle, max_idle) in [(0.5, 0.45), (5.0, 4.5), (60.0, 54.0), (0.0, 1.0)] {
         let mut harness = AttemptsHarness::with(8, idle);
-        let _peers = harness.accepted_attempts(&[1]);
+        let _peers = harness.run_accepted_attempts(&[1]);
         assert!(harness.opens_connection(1000.001 + max_idle, 2), "{idle} s");
     }
 }
 
-/// Starts probe 1, has the worker answer this (or close the connection), and returns the end, the
-/// report, and the worker's side.
+/// Starts probe 1, has the worker send this answer or close the connection, and returns the end,
+/// the load report and the worker's side of the connection.
 fn probe_result(
     harness: &mut AttemptsHarness,
     answer: Option<&str>,
@@ -566,7 +568,7 @@
         peer.write(answer);
         peer
     });
-    let (end, load) = harness.until(|harness| {
+    let (end, load) = harness.run_until(|harness| {
         std::iter::from_fn(|| harness.reactor.queue.pop_front()).find_map(|input| match input {
             Input::ExchangeEnded {
                 attempt: 1,
@@ -580,8 +582,8 @@
     (end, load, peer)
 }
 
-/// Guards against a probe whose report is lost or misread, against one that fails, is malformed or
-/// rejected and counts as a report, and against a new connection for each.
+/// Guards against losing or misreading the report of a probe, against counting a failed, malformed
+/// or rejected probe as a report, and against opening a new connection for each request.
 #[test]
 fn probe_reports_the_load_or_the_failure() {
     let text = |status: &str, body: &str| {
@@ -618,8 +620,8 @@
     }
 }
 
-/// Guards against a worker that receives requests and answers nothing: the probe times out, its
-/// late response changes nothing, and a worker that can't be reached is reported as such.
+/// Guards against not detecting a worker that receives requests and never responds: the probe times
+/// out, its late response changes nothing, and a worker that can't be reached is reported as such.
 #[test]
 fn probe_without_a_response_times_out() {
     let mut harness = AttemptsHarness::new();
@@ -640,7 +642,7 @@
         }
         assert_eq!(harness.attempts.connection_count() == 0, ended, "at {now}");
     }
-    assert_eq!(harness.end(), (1, AttemptEnd::Reset));
+    assert_eq!(harness.next_end(), (1, AttemptEnd::Reset));
     // Its late response is not read.
     let _ = peer
         .stream
@@ -649,7 +651,7 @@
     harness
         .attempts
         .start_probe(&mut harness.reactor, 2, at, 0.4);
-    assert_eq!(harness.end(), (2, AttemptEnd::NeverSent));
+    assert_eq!(harness.next_end(), (2, AttemptEnd::NeverSent));
     assert!(harness.reactor.queue.is_empty());
     let mut harness = AttemptsHarness::with(0, 5.0);
     harness
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,8 +1,8 @@
-//! The waits between attempts at something that keeps failing.
+//! The waits between retries of an operation that keeps failing.
 
 use postproxy::net::upstream::backoff::{Backoff, ClusterPosition};
 
-/// Guards against nodes that know each other and retry at one moment all the same.
+/// Guards against nodes that know each other but retry at the same time.
 #[test]
 fn cluster_positions_spread_the_waits() {
     let second = |at| {
--- a/tests/connection.rs
+++ b/tests/connection.rs
@@ -1,4 +1,4 @@
-//! A connection is compared with a model of its states over random steps.
+//! Compares a connection with a model of its states over random steps.
 
 use postproxy::net::transport::connection::{
     Callbacks, Connection, MAX_DISCARDED_BYTES, State, Stream,
@@ -10,7 +10,7 @@
 
 /// Input that the connection buffers, in bytes.
 const MAX_INPUT_BYTES: usize = 64;
-/// Bytes that the stream gives in one read.
+/// Bytes that the stream returns from one read.
 const READ_BYTES: usize = 16;
 
 /// The state of the stream below the connection.
@@ -27,7 +27,7 @@
     broken: bool,
     /// Connecting fails.
     refused: bool,
-    /// How often the sending side was closed.
+    /// Number of times that the sending side was closed.
     shutdown_calls: usize,
 }
 
@@ -154,8 +154,8 @@
         self.owner.ended += 1;
     }
 
-    /// Does what the stream allows.
-    fn settle(&mut self, wire: &mut Wire) {
+    /// Reads and writes as much as the stream allows.
+    fn apply_io(&mut self, wire: &mut Wire) {
         let alive = matches!(self.state, State::Open | State::HalfClosed | State::Closing);
         if alive && self.queued > 0 {
             if wire.broken {
@@ -201,7 +201,8 @@
     }
 }
 
-/// Acts as the poller: reports readiness as long as the connection waits for what is possible.
+/// Acts as the poller: reports readiness as long as the connection waits for an event that is
+/// possible.
 fn poll_until_idle(
     connection: &mut Connection<TestStream>,
     owner: &mut CallbackCounter,
@@ -221,10 +222,10 @@
         }
         connection.handle_ready(reads && readable, writes && writable, owner);
     }
-    panic!("it never becomes idle");
+    panic!("the connection never becomes idle");
 }
 
-/// What a random step does; the numbers give the weights.
+/// What a random step does; the ranges in [`Step::new`] are the weights.
 enum Step {
     ReceiveBytes,
     AllowWriting,
@@ -320,7 +321,7 @@
             }
             _ => {}
         }
-        self.model.settle(&mut self.model_wire);
+        self.model.apply_io(&mut self.model_wire);
         poll_until_idle(&mut self.connection, &mut self.owner, &self.wire);
     }
 
@@ -348,9 +349,9 @@
     }
 }
 
-/// Guards against bytes that are lost, duplicated or sent after the end, states that don't follow
-/// from what happened, an end that is reported twice or not at all, and waiting for what can't
-/// come.
+/// Guards against bytes that are lost, duplicated or sent after the end, against wrong states,
+/// against an end that is reported twice or not at all, and against waiting for events that can't
+/// occur.
 #[test]
 fn a_connection_behaves_like_its_model() {
     let mut check = QuickCheck::new()
@@ -368,7 +369,7 @@
 }
 
 /// Guards against reading forever from a peer that goes on sending after its last response, and
-/// against one that takes a whole turn of the event loop for itself.
+/// against spending a whole turn of the event loop on such a peer.
 #[test]
 fn a_peer_that_goes_on_sending_to_a_closing_connection_is_cut_off() {
     let (wire, mut owner) = (SharedWire::default(), CallbackCounter::default());
@@ -380,6 +381,6 @@
     assert_eq!((connection.state(), owner.ended), (State::Ended, 1));
     assert!(
         total - wire.borrow().readable <= MAX_DISCARDED_BYTES + READ_BYTES,
-        "no more is read than that takes"
+        "reading stops at the limit"
     );
 }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,5 +1,5 @@
 //! One request on a connection to a worker: whether it may have run follows from the bytes that
-//! were written, in every order in which the events of one turn can come.
+//! were written, in every order in which the events of one turn can occur.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -60,11 +60,11 @@
     reports
 }
 
-/// A real connection on which the test acts right after a write, before the next call.
+/// A real connection on which the test runs a hook right after each write.
 struct InterruptedStream<F: FnMut()> {
     stream: TcpStream,
-    /// The first write finds the buffer full.
-    full: bool,
+    /// The next write finds the send buffer full.
+    send_buffer_full: bool,
     after_write: F,
 }
 
@@ -76,7 +76,7 @@
 
 impl<F: FnMut()> Write for InterruptedStream<F> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if std::mem::take(&mut self.full) {
+        if std::mem::take(&mut self.send_buffer_full) {
             return Err(ErrorKind::WouldBlock.into());
         }
         let size = self.stream.write(bytes)?;
@@ -97,38 +97,38 @@
     }
 }
 
-/// Guards against a request that its worker has read completely and that is reported as never sent:
-/// its last byte is written and the reset read in one turn.
+/// Guards against reporting a request as never sent although its worker has read it completely: its
+/// last byte is written and the reset is read in one turn.
 #[test]
 fn reset_in_the_turn_of_the_last_byte_counts_as_written() {
     let listener = bind_listener();
     let stream =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    stream.set_nonblocking(true).expect("a setting");
-    // A read would consume the reset: its arrival is watched on a second handle.
+    stream.set_nonblocking(true).expect("a socket option");
+    // A read would consume the reset, so a second handle is polled for its arrival.
     let poller = polling::Poller::new().expect("a poller");
     let watched = stream.try_clone().expect("a second handle");
     poller
         .add(&watched, polling::Event::readable(1))
-        .expect("it is watched");
+        .expect("the handle is registered");
     let mut worker = Some(TestSocket::accept(&listener));
     let after_write = move || {
         let _ = &watched;
-        // The worker has read the complete request, perhaps run it, and its process dies.
+        // The worker has read the complete request and may have run it; then its process dies.
         let Some(mut peer) = worker.take() else {
             return;
         };
         assert_eq!(peer.read_request().headers.get("x-request-id"), Some("one"));
         socket2::SockRef::from(&peer.stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("a setting");
+            .expect("a socket option");
         drop(peer);
         let mut events = Vec::new();
         let mut event_count = 0;
         while event_count == 0 {
             event_count = poller
                 .wait(&mut events, Some(node_harness::TEST_TIMEOUT))
-                .expect("it is waited");
+                .expect("the poller waits");
         }
     };
     let mut reactor = Reactor::new(1000.0).expect("a reactor");
@@ -136,7 +136,7 @@
     let mut connection = Connection::dialing(
         InterruptedStream {
             stream,
-            full: true,
+            send_buffer_full: true,
             after_write,
         },
         1 << 16,
@@ -163,8 +163,8 @@
     );
 }
 
-/// Guards against a deadline field that holds more than the client has left: the connection took
-/// long to establish, or came up after the client's deadline.
+/// Guards against a deadline field that states more time than the client has left, if the
+/// connection took long to establish or was established after the client's deadline.
 #[test]
 fn deadline_field_holds_the_time_left_when_the_request_is_written() {
     for (dial_seconds, left) in [
@@ -178,7 +178,7 @@
         let mut reactor = Reactor::new(1000.0).expect("a reactor");
         let mut exchange = Exchange::new(at);
         let stream = TcpStream::connect(at).expect("a connection");
-        stream.set_nonblocking(true).expect("a setting");
+        stream.set_nonblocking(true).expect("a socket option");
         let mut connection = Connection::dialing(stream, 1 << 16);
         let outgoing = OutgoingRequest::Attempt {
             payload: payload(10),
@@ -222,8 +222,8 @@
     }
 }
 
-/// The connection of the property test: what the worker has sent, how much it receives, and how it
-/// fails.
+/// The state of the connection in the property test: what the worker has sent, how much it
+/// receives, and how the connection fails.
 #[derive(Default)]
 struct WireState {
     /// Bytes that the worker has sent and the node has not read.
@@ -231,11 +231,11 @@
     /// Bytes that the node may still write.
     room: usize,
     written: usize,
-    /// The worker has closed its side.
-    over: bool,
-    /// The connection has been reset.
-    broken: bool,
-    /// The connection is refused.
+    /// Whether the worker has closed its side.
+    peer_closed: bool,
+    /// Whether the connection has been reset.
+    reset: bool,
+    /// Whether the connection is refused.
     refused: bool,
 }
 
@@ -246,8 +246,8 @@
         let mut wire = self.0.borrow_mut();
         let size = wire.arrived.len().min(out.len());
         match size {
-            0 if wire.broken => Err(ErrorKind::ConnectionReset.into()),
-            0 if wire.over => Ok(0),
+            0 if wire.reset => Err(ErrorKind::ConnectionReset.into()),
+            0 if wire.peer_closed => Ok(0),
             0 => Err(ErrorKind::WouldBlock.into()),
             _ => {
                 out[..size].copy_from_slice(&wire.arrived[..size]);
@@ -263,9 +263,9 @@
         let mut wire = self.0.borrow_mut();
         let size = wire.room.min(bytes.len());
         match size {
-            // A reset is seen by whichever call comes first; a write for which there is room may
-            // still succeed.
-            0 if wire.broken => Err(ErrorKind::BrokenPipe.into()),
+            // The first read or write that can make no progress reports a reset; a write may still
+            // succeed as long as there is room.
+            0 if wire.reset => Err(ErrorKind::BrokenPipe.into()),
             0 => Err(ErrorKind::WouldBlock.into()),
             _ => {
                 wire.room -= size;
@@ -294,20 +294,20 @@
 
 /// The result of one scenario.
 struct ScenarioResult {
-    /// The ends that were reported.
+    /// The ends that have been reported.
     ends: Vec<AttemptEnd>,
-    /// The request was reported as written before any end.
+    /// Whether the request was reported as written before any end.
     written_reported: bool,
-    /// The complete request was written.
+    /// Whether the complete request was written.
     fully_written: bool,
-    /// The connection had carried another request.
+    /// Whether the connection had carried another request.
     reused: bool,
-    /// A response was sent before the request had been written completely.
+    /// Whether a response was sent before the request had been written completely.
     answered_before_written: bool,
 }
 
-/// Does what the worker does between two turns, sometimes several things at once; returns whether
-/// it answered.
+/// Performs random actions of the worker between two turns, sometimes several at once; returns
+/// whether the worker responded.
 fn act_as_worker(wire: &RefCell<WireState>, rng: &mut Random) -> bool {
     let mut answered = false;
     for _ in 0..=(2.0 * rng.uniform()) as usize {
@@ -323,8 +323,8 @@
                 wire.arrived.extend_from_slice(answer);
                 answered = true;
             }
-            5 if rng.uniform() < 0.3 => wire.over = true,
-            6 if rng.uniform() < 0.3 => wire.broken = true,
+            5 if rng.uniform() < 0.3 => wire.peer_closed = true,
+            6 if rng.uniform() < 0.3 => wire.reset = true,
             _ => {}
         }
     }
@@ -418,9 +418,9 @@
     }
 }
 
-/// Guards the table of all ends, over all orders of events: one end for each request; an end that
-/// proves that nothing ran only if the worker doesn't have the complete request or the response is
-/// certainly its own; the report that it was written comes before the end.
+/// Checks the rules for all ends, over random orders of events: a request ends at most once; an end
+/// proves that nothing ran only if the worker doesn't have the complete request or the response
+/// certainly belongs to it; the report that the request was written precedes its end.
 #[test]
 fn end_proves_not_run_only_if_the_written_bytes_do() {
     let mut seen = std::collections::BTreeMap::<String, u32>::new();
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,4 +1,5 @@
-//! Parsing of HTTP messages: complete and in parts, in both framings, and of what is not a message.
+//! Parsing of HTTP messages: complete ones and partial ones, with both framings, and malformed
+//! input.
 
 use postproxy::net::transport::http::{
     self, ParseError, ParseStatus, Request, RequestProgress, RequestReader, read_request,
@@ -6,7 +7,7 @@
 };
 use quickcheck::{Gen, QuickCheck};
 
-/// A request with a body in the chunked coding, in chunks of up to these sizes.
+/// Returns a request with a body in the chunked coding, in chunks of up to these sizes.
 fn chunked_request(body: &[u8], chunk_sizes: &[u8]) -> Vec<u8> {
     let mut request =
         b"POST /a/b?c=d HTTP/1.1\r\nx-request-id: x\r\ncookie: k=1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -26,8 +27,8 @@
     request
 }
 
-/// Parses a request byte by byte: what has been consumed is not passed in again. `None` if there is
-/// an error, no complete request, or anything left.
+/// Parses a request byte by byte; bytes that have been consumed are not passed in again. `None` if
+/// there is an error, no complete request, or unconsumed input.
 fn parse_byte_by_byte(bytes: &[u8]) -> Option<Request> {
     let mut reader = RequestReader::default();
     let mut input = Vec::new();
@@ -43,17 +44,18 @@
     parsed.filter(|_| input.is_empty() && !reader.in_progress())
 }
 
-/// Guards against a request that is accepted before it is complete, or changed by how it arrives.
+/// Guards against accepting a request before it is complete, and against a result that depends on
+/// how the request arrives.
 #[test]
 fn a_request_is_parsed_alike_however_it_arrives() {
-    fn is_parsed_alike(request: &[u8], body: &[u8], bytes_behind: &[u8]) -> bool {
+    fn is_parsed_alike(request: &[u8], body: &[u8], trailing_bytes: &[u8]) -> bool {
         let complete_too_early = (0..request.len()).any(|end| {
             matches!(
                 read_request(&request[..end]),
                 Ok(ParseStatus::Complete { .. }) | Err(_)
             )
         });
-        let bytes = [request, bytes_behind].concat();
+        let bytes = [request, trailing_bytes].concat();
         let Ok(ParseStatus::Complete { message, size }) = read_request(&bytes) else {
             return false;
         };
@@ -69,14 +71,14 @@
             && (message.method.as_str(), message.target.as_str(), fields)
                 == ("POST", "/a/b?c=d", [Some("x"), Some("k=1")])
     }
-    fn holds(body: Vec<u8>, bytes_behind: Vec<u8>, chunk_sizes: Vec<u8>) -> bool {
+    fn holds(body: Vec<u8>, trailing_bytes: Vec<u8>, chunk_sizes: Vec<u8>) -> bool {
         let mut plain = Vec::new();
         let fields = [("X-Request-Id", "x"), ("Cookie", "k=1")];
         http::write_request(&mut plain, "POST", "/a/b?c=d", &fields, &body);
         let chunked = chunked_request(&body, &chunk_sizes);
         [plain, chunked]
             .iter()
-            .all(|request| is_parsed_alike(request, &body, &bytes_behind))
+            .all(|request| is_parsed_alike(request, &body, &trailing_bytes))
     }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 3))
@@ -84,7 +86,7 @@
     check.quickcheck(holds as fn(Vec<u8>, Vec<u8>, Vec<u8>) -> bool);
 }
 
-/// Guards against bytes that panic a parser, or make it consume more than there is.
+/// Guards against input that makes a parser panic or consume more than there is.
 #[test]
 fn arbitrary_bytes_neither_panic_nor_overrun() {
     fn holds(start: u8, bytes: Vec<u8>) -> bool {
@@ -105,8 +107,8 @@
     check.quickcheck(holds as fn(u8, Vec<u8>) -> bool);
 }
 
-/// Guards against framing in which two readers could see two different messages, and against bodies
-/// without bound.
+/// Guards against framing that two recipients could read as different messages, and against
+/// unbounded bodies.
 #[test]
 fn conflicting_or_excessive_framing_is_rejected() {
     let error_of = |fields: &str, rest: &str| {
@@ -188,7 +190,7 @@
     assert!(
         matches!(reader.read(&[b'x'; 1024]), Ok(RequestProgress { status: ParseStatus::Complete { message, .. }, consumed: 1024 }) if message.body.len() == 65536)
     );
-    // A head without an end is found to be too large however it arrives.
+    // A head without an end is rejected as too large however it arrives.
     let long = [b"POST /".as_slice(), &[b'x'; http::MAX_HEAD_BYTES]].concat();
     let mut reader = RequestReader::default();
     let first_error =
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -1,5 +1,5 @@
-//! A worker is sent another attempt of a request only if the earlier one there has ended and was
-//! not cancelled.
+//! A worker is sent another attempt of a request only if the earlier attempt there has ended, was
+//! not cancelled, and can't have run.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -12,7 +12,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// Number of listed workers in the tests with a choice.
+/// Number of listed workers in the tests that need more than one.
 const WORKERS: u16 = 8;
 /// Classes of [`settings`]: requests that are safe to repeat, those with an idempotency key, and
 /// those that must not run twice.
@@ -27,7 +27,7 @@
     u16::from(worker.address[3])
 }
 
-/// Has all workers but one drain.
+/// Marks all workers but one as draining.
 fn drain_others(harness: &mut DispatcherHarness, remaining: u16) {
     let others = (0..WORKERS)
         .filter(|n| *n != remaining)
@@ -43,7 +43,8 @@
     actions.iter().filter(is_send).count()
 }
 
-/// Guards against a hedged request at the worker that has been silent, where no other is left.
+/// Guards against a hedged request to the worker that has not responded, if no other worker is
+/// left.
 #[test]
 fn does_not_hedge_at_the_worker_of_a_silent_attempt() {
     for class in [SAFE, KEYED] {
@@ -65,8 +66,8 @@
     }
 }
 
-/// Guards against a send to a worker to which a cancel of the same request is on its way: it may
-/// arrive after the new attempt and end that one, or miss the old one.
+/// Guards against a new attempt at a worker to which a cancel of the same request is on its way:
+/// the cancel may arrive after the new attempt and end it, or miss the old one.
 #[test]
 fn does_not_retry_at_the_worker_of_a_cancelled_attempt() {
     let settings = settings(|json| json["extra"]["tells-start"] = true.into());
@@ -91,9 +92,9 @@
     assert_eq!(count_sends(&actions), 0);
 }
 
-/// Guards against an outcome that is taken for a proof in one place and not in another: of each
-/// outcome, whether the only worker may be sent the request again, and whether the request counts
-/// as one that may have run.
+/// Guards against treating an outcome as proof that nothing ran in one place but not in another:
+/// checks for each outcome whether the only worker may be sent the request again, and whether the
+/// request counts as one that may have run.
 #[test]
 fn retries_at_the_same_worker_only_if_nothing_ran() {
     let outcomes = [
@@ -110,7 +111,7 @@
         assert_eq!(outcome.proves_never_ran(false), never_ran, "{outcome:?}");
         assert!(
             !outcome.proves_never_ran(true) || outcome != Outcome::Rejected,
-            "unless the settings say so"
+            "unless the settings say that a rejected request may have run"
         );
         for class in [SAFE, KEYED, UNSAFE] {
             let mut harness = DispatcherHarness::new(settings(|_| ()), 1);
@@ -148,9 +149,9 @@
     }
 }
 
-/// Guards against the same in a whole node, on real connections: the worker has read the complete
-/// request, and its connection is reset before the 202. It runs there, so that the only worker is
-/// sent no other attempt, whatever its class allows.
+/// Guards against a retry at the same worker in a whole node, on real connections: the worker has
+/// read the complete request, and its connection is reset before the 202. The request may run
+/// there, so the only worker is sent no second attempt, whatever the request's class allows.
 #[test]
 fn does_not_retry_at_a_worker_that_reset_the_connection() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
@@ -183,9 +184,9 @@
     }
 }
 
-/// Guards against a repetition that no worker can recognise: the class is keyed, every worker drops
-/// repetitions, and this request came without a key. On real connections: the first worker resets
-/// its connection, and a second one is there.
+/// Guards against a retry that no worker can recognise as a duplicate: the class is keyed and all
+/// workers drop duplicates, but this request came without a key. The connections are real; the
+/// first worker resets its connection, and a second worker is available.
 #[test]
 fn does_not_retry_a_keyed_request_without_a_key() {
     for has_key in [true, false] {
--- a/tests/timer_wheel.rs
+++ b/tests/timer_wheel.rs
@@ -1,10 +1,10 @@
-//! Timers of the wheel, with times that the test passes.
+//! The timer wheel, with times that the test passes in.
 
 use postproxy::net::transport::timer_wheel::TimerWheel;
 use quickcheck::{Gen, QuickCheck};
 
-/// Guards against a timer that expires early, late, twice, never, or out of its order, far ones
-/// included.
+/// Guards against a timer that expires early, late, twice, never, or out of order, including timers
+/// that are further ahead than one turn of the wheel.
 #[test]
 fn timers_expire_once_in_order_and_on_time() {
     fn holds(steps: Vec<(u16, u8)>) -> bool {
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,6 +1,6 @@
-//! A change must be applied within 6 s after discovery had it and could be reached, whatever
-//! happens to calls: in simulated time, over every way in which a call can fail, with the
-//! dispatcher that selects workers by the list.
+//! A change must be applied within 6 s after discovery has it and can be reached, whatever happens
+//! to calls. This is tested in simulated time, over every way in which a call can fail, with the
+//! dispatcher that selects workers from the list.
 
 #[path = "support/dispatcher_harness.rs"]
 mod dispatcher_harness;
@@ -37,8 +37,8 @@
     Answered(f64),
 }
 
-/// Discovery and the network to it: faulty up to some time, then healthy except for some calls that
-/// are never answered.
+/// Discovery and the network to it: faulty up to some time, and healthy after that except for some
+/// calls that are never answered.
 struct Discovery {
     rng: Random,
     reachable_from: f64,
@@ -79,7 +79,7 @@
             1 => CallOutcome::Fails(now + 4.0 * self.rng.uniform()), // reset, or cut short, at any time
             2 => CallOutcome::Fails(now + 2.0), // a 503 after its time in the queue
             3 | 4 => CallOutcome::Unanswered,
-            // Late: it comes after other calls have been made.
+            // The answer is late: it arrives after other calls have been made.
             5 => CallOutcome::Answered(now + wait.unwrap_or(0.0) + 8.0 * self.rng.uniform()),
             _ => answer,
         }
@@ -97,12 +97,12 @@
 #[derive(Clone, Copy)]
 struct OpenCall {
     call: Call,
-    /// The revision that it asks for changes of.
+    /// The revision since which it requests changes.
     since: Option<u64>,
     outcome: CallOutcome,
 }
 
-/// One run of the schedule against a discovery, with a dispatcher that gets the lists.
+/// One run of the schedule against a discovery, with a dispatcher that receives the lists.
 struct Scenario {
     seed: u64,
     discovery: Discovery,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Applies the outcomes of calls that are due.
+    /// Applies the outcomes of open calls that are due.
     fn apply_outcomes(&mut self, now: f64) -> Result<(), String> {
         for OpenCall {
             call,
@@ -233,7 +233,7 @@
     }
 
     /// Has the dispatcher place one request. Returns the number of attempts at workers that leave
-    /// at some time, or an error if one of these has left longer ago than `max_delay` seconds.
+    /// at some time, or an error if one of these workers left more than `max_delay` seconds ago.
     fn place_request(&mut self, now: f64, request: u64, max_delay: f64) -> Result<u64, String> {
         let new = NewRequest {
             id: request,
@@ -285,8 +285,8 @@
 }
 
 /// Runs one seed: the schedule, discovery, and a dispatcher that is given a request every 50 ms.
-/// Returns the number of attempts at workers that leave, or the first attempt that comes later than
-/// `max_delay` seconds after its worker left.
+/// Returns the number of attempts at workers that leave, or an error for the first attempt that is
+/// made more than `max_delay` seconds after its worker left.
 fn run_scenario(seed: u64, max_delay: f64) -> Result<u64, String> {
     let mut scenario = Scenario::new(seed);
     scenario.apply_list(0.0, ListKind::Cached, 0);
@@ -305,10 +305,10 @@
     Ok(checked)
 }
 
-/// Guards against an unanswered watch that is trusted for too long, against waits that grow beyond
-/// the bound, and against one timer that another's failure resets: calls refused, reset, cut short,
-/// unanswered, answered late, a 503, superseded, an outage, a change of address in between, and
-/// unanswered once more after all that.
+/// Guards against waiting too long for an unanswered watch, against waits that grow beyond the
+/// bound, and against a failed call that resets the timer of another. Calls are refused, reset, cut
+/// short, never answered, answered late or with a 503, or superseded; there is an outage, the
+/// address of discovery changes, and after all that a call may remain unanswered once more.
 #[test]
 fn change_is_applied_within_the_bound_whatever_happens_to_calls() {
     let checked: u64 = (0..200)
@@ -322,7 +322,7 @@
     );
 }
 
-/// Guards against a check that detects nothing: with a bound that no calls could keep, it fails.
+/// Guards against a check that detects nothing: with a bound that can't be met, it has to fail.
 #[test]
 fn check_detects_a_change_that_is_applied_late() {
     let broken = (0..40)
@@ -331,8 +331,8 @@
     assert!(broken > 20, "{broken} of 40");
 }
 
-/// The sum that the schedule rests on: a watch that is unanswered from its first moment, one more
-/// unanswered call, and an answer.
+/// Checks the sum on which the bound rests: a watch that is never answered, a second unanswered
+/// call, and the answer to the third one.
 #[test]
 fn two_unanswered_calls_and_an_answer_fit_into_the_bound() {
     const {
@@ -358,9 +358,9 @@
     }
 }
 
-/// Guards against nodes that call at the same moment at their start, against a long delay, since a
-/// node does not serve before its first call, and against a first call that waits for changes: that
-/// nothing has changed would not be known for seconds.
+/// Guards against nodes that call at the same time when they start; against a long delay, since a
+/// node does not serve requests before its first call; and against a first call that waits for
+/// changes, since the node would not learn for seconds that nothing has changed.
 #[test]
 fn first_calls_are_spread_and_do_not_wait() {
     let first = |nodes, spread| {
@@ -375,7 +375,7 @@
                 schedule
                     .take_due_call(at, true)
                     .is_some_and(|call| call.wait_seconds.is_some()),
-                "then a watch"
+                "a watch follows"
             );
             at - 100.0
         });
@@ -395,11 +395,11 @@
     assert_eq!(
         first(300, FirstCall::Immediate),
         (0.0, 0.0),
-        "without a spread"
+        "there is no spread"
     );
 }
 
-/// Guards against calls that come together after all nodes have lost discovery at one moment, and
+/// Guards against calls of all nodes at the same time after they have lost discovery together, and
 /// against waits that grow beyond the bound.
 #[test]
 fn failed_calls_are_retried_soon_and_spread() {
@@ -411,7 +411,7 @@
         for step in 0..40 {
             let call = schedule.take_due_call(now, true).expect("it is due");
             schedule.record_failure(now, call.id);
-            let next = schedule.next_call_at().expect("another");
+            let next = schedule.next_call_at().expect("another call");
             assert!(
                 next > now + 0.04 && next <= now + 2.61,
                 "seed {seed}, step {step}: {}",
@@ -433,7 +433,7 @@
     }
 }
 
-/// Guards against a discovery that answers without waiting and is called in a loop.
+/// Guards against calling discovery in a tight loop if it answers without waiting.
 #[test]
 fn immediate_answers_do_not_cause_a_call_loop() {
     let mut schedule = Schedule::new(1, 7);
@@ -448,7 +448,7 @@
         now += 0.001;
     }
     assert!((5..=12).contains(&calls), "{calls} calls in a second");
-    // After an answer with changes the watch goes on at once.
+    // After an answer with changes, the next watch follows at once.
     let call = std::iter::repeat_with(|| {
         now += 0.001;
         schedule.take_due_call(now, true)
@@ -458,7 +458,7 @@
     assert!(schedule.take_due_call(now, true).is_some());
 }
 
-/// Guards against an answer to a superseded call that counts.
+/// Guards against applying the answer to a superseded call.
 #[test]
 fn superseded_call_is_ignored() {
     let mut schedule = Schedule::new(1, 7);
@@ -495,7 +495,7 @@
     );
 }
 
-/// Guards against two requests of the full list at a time: it is long.
+/// Guards against requesting the full list twice in parallel: it is large.
 #[test]
 fn full_list_is_requested_once_at_a_time() {
     let mut schedule = Schedule::new(1, 7);
@@ -508,7 +508,7 @@
     );
     let second = schedule
         .take_due_call(100.0 + FULL_LIST_TIMEOUT_SECONDS, false)
-        .expect("another");
+        .expect("another call");
     assert_eq!(
         (second.supersedes, second.wait_seconds),
         (Some(first.id), None)
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -1,5 +1,5 @@
-//! The list of workers and the calls for it: real connections to a stand-in for discovery, with
-//! simulated time.
+//! The worker list and the calls to discovery, over real connections to a stand-in for discovery
+//! and with simulated time.
 
 use postproxy::decision::interface::{Health, ListKind, Settings};
 use postproxy::net::messages::Input;
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// Longest time that a test waits for a socket.
-const LIMIT: Duration = Duration::from_secs(20);
+const SOCKET_TIMEOUT: Duration = Duration::from_secs(20);
 /// A worker in service, as discovery describes it.
 const MEMBER: &str = r#"{"id":"a","host_port":"10.0.0.1:80","phase":"in_service"}"#;
 
-/// The list under test, and a listener that stands for discovery.
+/// The list under test, and a listener that acts as discovery.
 struct WorkerListHarness {
     reactor: Reactor,
     list: WorkerList,
@@ -29,7 +29,7 @@
 
 impl Call {
     /// Reads the next call on the same connection.
-    fn next(&mut self) {
+    fn read_next(&mut self) {
         let mut text = String::new();
         let mut byte = [0];
         while !text.ends_with("\r\n\r\n") {
@@ -54,8 +54,9 @@
         .expect("it is written");
     }
 
-    /// How long it waits, in milliseconds; `None` for the full list.
-    fn wait(&self) -> Option<u64> {
+    /// How long discovery is to wait for changes, in milliseconds; `None` for a call for the full
+    /// list.
+    fn wait_ms(&self) -> Option<u64> {
         self.target.split("timeout_ms=").nth(1)?.parse().ok()
     }
 
@@ -67,14 +68,14 @@
 
 impl WorkerListHarness {
     fn new(known: Option<u64>, seed: u64) -> Self {
-        Self::with(known, seed, "on_request")
+        Self::with_discovery_mode(known, seed, "on_request")
     }
 
-    fn with(known: Option<u64>, seed: u64, how: &str) -> Self {
+    fn with_discovery_mode(known: Option<u64>, seed: u64, mode: &str) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let settings =
-            Settings::from_json(&format!(r#"{{"discovery": "{how}"}}"#)).expect("sound settings");
+            Settings::from_json(&format!(r#"{{"discovery": "{mode}"}}"#)).expect("sound settings");
         let list = WorkerList::new(
             listener.local_addr().expect("an address"),
             settings,
@@ -91,11 +92,11 @@
     }
 
     /// Serves ready connections until `done`.
-    fn until(&mut self, mut done: impl FnMut(&mut Self) -> bool) {
+    fn run_until(&mut self, mut done: impl FnMut(&mut Self) -> bool) {
         let start = Instant::now();
         let mut events = Vec::new();
         while !done(self) {
-            assert!(start.elapsed() < LIMIT, "nothing happened in time");
+            assert!(start.elapsed() < SOCKET_TIMEOUT, "nothing happened in time");
             self.reactor.wait(&mut events, f64::MAX).expect("a poller");
             for event in &events {
                 assert_eq!(owner(event.key), SocketOwner::Discovery);
@@ -125,25 +126,28 @@
         }
     }
 
-    /// Returns the next call on a connection of its own and the time at which it was made, if there
-    /// is one by this time.
-    fn call(&mut self, by: f64) -> Option<(f64, Call)> {
-        self.listener.set_nonblocking(true).expect("a setting");
+    /// Returns the next call that opens a connection and the time at which it was made, if there is
+    /// one until `by`.
+    fn next_call(&mut self, by: f64) -> Option<(f64, Call)> {
+        self.listener
+            .set_nonblocking(true)
+            .expect("a socket option");
         while self.reactor.now <= by {
             if let Ok((peer, _)) = self.listener.accept() {
-                peer.set_nonblocking(false).expect("a setting");
-                peer.set_read_timeout(Some(LIMIT)).expect("a time limit");
+                peer.set_nonblocking(false).expect("a socket option");
+                peer.set_read_timeout(Some(SOCKET_TIMEOUT))
+                    .expect("a time limit");
                 let at = self.reactor.now;
                 let mut call = Call {
                     peer,
                     target: String::new(),
                 };
-                // It is written once the connection is known to be established.
+                // The request is not written before the connection is known to be established.
                 let mut peek = [0];
-                call.peer.set_nonblocking(true).expect("a setting");
-                self.until(|_| call.peer.peek(&mut peek).is_ok_and(|size| size == 1));
-                call.peer.set_nonblocking(false).expect("a setting");
-                call.next();
+                call.peer.set_nonblocking(true).expect("a socket option");
+                self.run_until(|_| call.peer.peek(&mut peek).is_ok_and(|size| size == 1));
+                call.peer.set_nonblocking(false).expect("a socket option");
+                call.read_next();
                 return Some((at, call));
             }
             self.advance_to(self.reactor.now + 0.01);
@@ -153,7 +157,7 @@
 
     /// Waits for the next list that is reported, and returns its kind.
     fn next_list_kind(&mut self) -> ListKind {
-        self.until(|harness| !harness.reactor.queue.is_empty());
+        self.run_until(|harness| !harness.reactor.queue.is_empty());
         match self.reactor.queue.pop_front() {
             Some(Input::WorkerListReceived { kind, .. }) => kind,
             _ => panic!("no list"),
@@ -161,13 +165,13 @@
     }
 }
 
-/// Guards against a node without a list that delays its first call, gives up when discovery is not
-/// up yet, or goes on requesting the full list after it has one.
+/// Guards against a node without a list that delays its first call, gives up if discovery is not
+/// running yet, or goes on requesting the full list after it has one.
 #[test]
 fn node_without_a_list_calls_until_it_has_one() {
     let mut harness = WorkerListHarness::new(None, 7);
     let at = harness.listener.local_addr().expect("an address");
-    let (_, first) = harness.call(1000.0).expect("a call at once");
+    let (_, first) = harness.next_call(1000.0).expect("a call at once");
     assert_eq!(first.target, "/api/targets");
     // Nothing listens there from now on.
     harness.listener = TcpListener::bind("127.0.0.1:0").expect("another port");
@@ -179,7 +183,7 @@
         let before = harness.list.call_count();
         let start = Instant::now();
         while harness.list.call_count() == before {
-            assert!(start.elapsed() < LIMIT);
+            assert!(start.elapsed() < SOCKET_TIMEOUT);
             let mut events = Vec::new();
             harness
                 .reactor
@@ -204,63 +208,63 @@
         "{waits:?}"
     );
     assert!(harness.reactor.queue.is_empty(), "no list is reported");
-    harness.until(|harness| harness.list.open_call_count() == 0);
+    harness.run_until(|harness| harness.list.open_call_count() == 0);
     harness.listener = TcpListener::bind(at).expect("the port again");
     let (_, mut call) = harness
-        .call(harness.reactor.now + 2.0)
+        .next_call(harness.reactor.now + 2.0)
         .expect("another call");
     call.answer(1, true, MEMBER);
     assert_eq!(harness.next_list_kind(), ListKind::Full);
-    call.next();
+    call.read_next();
     assert!(
         call.target.starts_with("/api/targets?since=1&"),
-        "a watch, and no full list any more"
+        "a watch; the full list is not requested again"
     );
 }
 
-/// Guards against a pushed list that is never requested, since the node waits for what can come as
-/// an answer only; and against a start at which what has changed meanwhile stays unknown.
+/// Guards against waiting for pushed lists without calling discovery, although they can only arrive
+/// as answers to calls, and against a start after which earlier changes stay unknown.
 #[test]
 fn pushed_lists_are_watched_at_once() {
-    for how in ["pushed", "some other word"] {
-        let mut harness = WorkerListHarness::with(Some(5), 1023, how);
-        let (at, mut call) = harness.call(1000.0).expect("a call");
+    for mode in ["pushed", "some other word"] {
+        let mut harness = WorkerListHarness::with_discovery_mode(Some(5), 1023, mode);
+        let (at, mut call) = harness.next_call(1000.0).expect("a call");
         assert_eq!(
             (at, call.target.starts_with("/api/targets?since=5&")),
             (1000.0, true)
         );
         call.answer(6, false, MEMBER);
         assert_eq!(harness.next_list_kind(), ListKind::Delta);
-        call.next();
+        call.read_next();
         assert!(
             call.target.starts_with("/api/targets?since=6&"),
-            "and the watch goes on"
+            "the watch goes on"
         );
     }
 }
 
-/// Guards against an unanswered watch that is trusted until after what it missed had to be applied,
-/// 6 s after discovery had it; against one unanswered call after the other, each trusted for as
-/// long; against calls that add up; and against a report of a list where there was no answer.
+/// Guards against waiting for an unanswered watch beyond the 6 s within which a missed change must
+/// be applied, against waiting as long for each further unanswered call, against open calls that
+/// accumulate, and against reporting a list without an answer.
 #[test]
 fn unanswered_watch_gets_a_second_call_and_is_then_superseded() {
     for seed in [0, 7, 1023] {
         let mut harness = WorkerListHarness::new(Some(5), seed);
-        let (_, mut watch) = harness.call(1001.0).expect("a watch");
+        let (_, mut watch) = harness.next_call(1001.0).expect("a watch");
         watch.answer(5, true, MEMBER);
         assert_eq!(harness.next_list_kind(), ListKind::Full);
-        watch.next();
+        watch.read_next();
         let opened = harness.reactor.now;
-        let wait = watch.wait().expect("it waits");
+        let wait = watch.wait_ms().expect("it waits");
         assert!((2600..=3400).contains(&wait), "{wait}");
-        let (at, mut second) = harness.call(opened + 10.0).expect("another");
+        let (at, mut second) = harness.next_call(opened + 10.0).expect("another");
         let waited = at - opened;
         assert!(
             (waited - (wait as f64 / 1000.0 + 0.5)).abs() < 0.03,
             "seed {seed}: after {waited} s"
         );
-        assert_eq!(second.wait(), Some(1), "it does not wait");
-        let (at, third) = harness.call(opened + 10.0).expect("a third");
+        assert_eq!(second.wait_ms(), Some(1), "it does not wait");
+        let (at, third) = harness.next_call(opened + 10.0).expect("a third");
         assert!(
             (at - opened - waited - 1.1).abs() < 0.03 && at - opened < 5.05,
             "seed {seed}: {}",
@@ -272,29 +276,29 @@
         assert_eq!(harness.next_list_kind(), ListKind::Delta);
         let mut third = third;
         assert!(third.is_closed(), "the first answer counts");
-        second.next();
+        second.read_next();
         assert!(
-            second.target.contains("since=6&") && second.wait() > Some(2000),
+            second.target.contains("since=6&") && second.wait_ms() > Some(2000),
             "the watch goes on there"
         );
     }
 }
 
-/// Guards against an older list that replaces a newer one, in which a worker that leaves is in
-/// service; and against revisions that are compared with older ones after discovery has started
-/// again.
+/// Guards against replacing a newer list by an older one, in which a leaving worker is still in
+/// service, and against comparing revisions with earlier ones after discovery has restarted its
+/// numbering.
 #[test]
 fn older_list_does_not_replace_a_newer_one() {
     let mut harness = WorkerListHarness::new(Some(5), 7);
-    let (_, mut call) = harness.call(1001.0).expect("a watch");
+    let (_, mut call) = harness.next_call(1001.0).expect("a watch");
     call.answer(8, true, &MEMBER.replace("in_service", "terminating"));
     assert_eq!(harness.next_list_kind(), ListKind::Full);
-    call.next();
+    call.read_next();
     for (revision, complete) in [(7, true), (7, false)] {
         let before = harness.list.call_count();
         call.answer(revision, complete, MEMBER);
-        harness.until(|harness| harness.list.call_count() > before);
-        call.next();
+        harness.run_until(|harness| harness.list.call_count() > before);
+        call.read_next();
         assert_eq!(call.target, "/api/targets", "the full list is requested");
         assert!(
             harness.reactor.queue.is_empty(),
@@ -307,13 +311,13 @@
         };
         call.answer(last, true, &MEMBER.replace("in_service", text));
         assert_eq!(harness.next_list_kind(), ListKind::Full);
-        call.next();
+        call.read_next();
         assert!(call.target.contains(&format!("since={last}&")));
     }
 }
 
 /// Guards against a watch that is not renewed after an invalid answer: refused, cut short,
-/// malformed, late, or without end.
+/// malformed, late, or endless.
 #[test]
 fn invalid_answers_are_retried_soon() {
     let malformed: [&[u8]; 7] = [
@@ -327,12 +331,12 @@
     ];
     for text in malformed {
         let mut harness = WorkerListHarness::new(Some(5), 7);
-        let (at, mut call) = harness.call(1001.0).expect("a watch");
+        let (at, mut call) = harness.next_call(1001.0).expect("a watch");
         call.peer.write_all(text).expect("it is written");
         drop(call);
         let before = harness.list.call_count();
-        harness.until(|harness| harness.list.open_call_count() == 0);
-        let (again, call) = harness.call(at + 5.0).expect("another");
+        harness.run_until(|harness| harness.list.open_call_count() == 0);
+        let (again, call) = harness.next_call(at + 5.0).expect("another");
         assert!(
             harness.list.call_count() > before && again - at < 0.2,
             "{text:?}: after {} s",
@@ -341,9 +345,9 @@
         assert!(call.target.starts_with("/api/targets?since=5&"));
         assert!(harness.reactor.queue.is_empty());
     }
-    // An answer that trickles counts as none: no byte gives it more time.
+    // An answer that arrives byte by byte doesn't extend its call's timeout.
     let mut harness = WorkerListHarness::new(Some(5), 7);
-    let (at, mut call) = harness.call(1001.0).expect("a watch");
+    let (at, mut call) = harness.next_call(1001.0).expect("a watch");
     let mut left = b"HTTP/1.1 200 OK\r\nX-Endless: "
         .iter()
         .chain(std::iter::repeat(&b'x'));
@@ -352,7 +356,7 @@
         call.peer
             .write_all(&[*left.next().expect("another byte")])
             .expect("it is written");
-        second = harness.call(harness.reactor.now + 0.05);
+        second = harness.next_call(harness.reactor.now + 0.05);
     }
     assert!(
         second.is_some_and(|(second, _)| second - at < 4.0),
@@ -360,8 +364,8 @@
     );
 }
 
-/// Guards against an answer of discovery without end that is read for ever, or keeps its call open
-/// until the timeout though it can't become a list any more: the call is repeated soon, on another
+/// Guards against reading an endless answer forever, and against keeping its call open until the
+/// timeout although the answer can't become a list any more: the call is retried soon, on another
 /// connection.
 #[test]
 fn endless_answer_ends_its_call() {
@@ -381,18 +385,18 @@
     ];
     for (beginning, continuation) in endless {
         let mut harness = WorkerListHarness::new(Some(5), 7);
-        let (at, call) = harness.call(1001.0).expect("a watch");
+        let (at, call) = harness.next_call(1001.0).expect("a watch");
         let mut peer = call.peer;
         let text = beginning.to_owned() + &continuation.repeat((16 << 20) / continuation.len());
         let writer = std::thread::spawn(move || {
             peer.write_all(text.as_bytes()).is_err() || !matches!(peer.read(&mut [0]), Ok(1..))
         });
-        harness.until(|harness| harness.list.open_call_count() == 0);
+        harness.run_until(|harness| harness.list.open_call_count() == 0);
         assert!(
             writer.join().expect("discovery's thread"),
             "{beginning:?}: its connection stays open"
         );
-        let (again, call) = harness.call(at + 5.0).expect("another");
+        let (again, call) = harness.next_call(at + 5.0).expect("another");
         assert!(
             again - at < 0.2 && call.target.starts_with("/api/targets?since=5&"),
             "{beginning:?}: after {} s",
@@ -402,9 +406,8 @@
     }
 }
 
-/// Guards against a start with an older list than the one that was stored, or with one whose
-/// revisions can't be compared; and against a snapshot that misses changes, or holds workers that
-/// have been terminated.
+/// Guards against starting with an older list than the stored one, or with one whose revisions
+/// can't be compared; and against a snapshot that misses changes or contains terminated workers.
 #[test]
 fn newer_list_is_used_at_the_start() {
     let member = |id: &str, phase: &str| {
@@ -427,7 +430,7 @@
         member("b", "in_service"),
         member("c", "terminating"),
     ];
-    let (_, mut call) = harness.call(1001.0).expect("a watch");
+    let (_, mut call) = harness.next_call(1001.0).expect("a watch");
     call.answer(8, false, &changes.join(","));
     assert_eq!(harness.next_list_kind(), ListKind::Delta);
     let snapshot = harness
@@ -475,8 +478,8 @@
     );
 }
 
-/// Guards against an affinity that differs from node to node: addresses of workers differ between
-/// nodes, their ids do not.
+/// Guards against an affinity that differs between nodes: the same worker may have different
+/// addresses at different nodes, but it has the same id.
 #[test]
 fn worker_has_the_same_identity_at_every_node() {
     let identities = |addresses: [&str; 2]| {
@@ -499,8 +502,8 @@
     assert_ne!(here[0], here[1]);
 }
 
-/// Guards against a start time that is lost in the conversion (0 stays 0), names resolved to wrong
-/// numbers, and an invalid entry that makes the others invalid or gets requests.
+/// Guards against losing a start time in the conversion (0 stays 0), against resolving names to
+/// wrong numbers, and against an invalid entry that invalidates the others or is sent requests.
 #[test]
 fn zones_and_kinds_are_resolved_by_name() {
     let settings = r#"{"dcs": ["riga", "liepaja"], "machine-types": ["std-4", "eco-4"]}"#;
