--- a/src/net/upstream/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -4,7 +4,7 @@
 //! arrive as answers to calls.
 //!
 //! It guarantees that this node acts on a change within 6 s after discovery has the change and can
-//! be reached, whatever happens to calls. The node therefore relies on an unanswered watch for at
+//! be reached, whatever happens to calls. The node therefore waits for an unanswered watch for at
 //! most [`MAX_WATCH_SECONDS`] plus [`WATCH_GRACE_SECONDS`]; then a second call is made in parallel,
 //! and a third one replaces the first. A failed call is retried within `MAX_RETRY_WAIT_SECONDS`
 //! plus `MAX_RETRY_SPREAD_SECONDS`.
@@ -184,7 +184,7 @@
         let supersedes =
             (self.open_calls.len() > max_open_before).then(|| self.open_calls.remove(0).id);
         // A call that follows an unanswered watch does not wait for changes: if it stayed
-        // unanswered too, the node would rely on it for as long again.
+        // unanswered too, waiting for it would take as long again.
         let watches = has_list && self.unanswered == 0 && !self.starting;
         let wait_seconds = watches.then(|| {
             MIN_WATCH_SECONDS + (MAX_WATCH_SECONDS - MIN_WATCH_SECONDS) * self.rng.uniform()
@@ -215,7 +215,8 @@
         else {
             return;
         };
-        // The first call does not wait for changes; the watch follows its answer at once.
+        // The first call does not wait for changes, so an immediate answer to it is expected and
+        // the watch follows at once.
         let did_not_wait = content == AnswerContent::Unchanged
             && self.unanswered == 0
             && !self.starting
--- a/src/net/upstream/worker_list/mod.rs
+++ b/src/net/upstream/worker_list/mod.rs
@@ -172,7 +172,8 @@
             Some(_) => InitialSync::Pending {
                 until: reactor.now + INITIAL_SYNC_TIMEOUT_SECONDS,
             },
-            // Without a list, no request can be sent to a worker of an outdated one.
+            // There is no outdated list that requests could be sent by, so there is nothing to wait
+            // for.
             None => InitialSync::Done,
         };
         if let InitialSync::Pending { until } = self.initial_sync {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -24,12 +24,12 @@
 
 impl AttemptsHarness {
     fn new() -> Self {
-        Self::with(8, 60.0)
+        Self::with_limits(8, 60.0)
     }
 
     /// Creates a harness with this limit on connections, and workers that close a connection after
     /// it has been idle for `idle_timeout` seconds.
-    fn with(max_connections: usize, idle_timeout: f64) -> Self {
+    fn with_limits(max_connections: usize, idle_timeout: f64) -> Self {
         let reactor = Reactor::new(1000.0).expect("a reactor");
         Self {
             reactor,
@@ -502,7 +502,7 @@
 /// Guards against counting a lack of resources on this node as a failure of the worker.
 #[test]
 fn connection_limit_does_not_count_against_the_worker() {
-    let mut harness = AttemptsHarness::with(0, 5.0);
+    let mut harness = AttemptsHarness::with_limits(0, 5.0);
     harness.start(7);
     assert!(matches!(
         harness.reactor.queue.pop_front(),
@@ -541,7 +541,7 @@
 fn idle_connections_are_closed_before_the_workers_timeout() {
     // A timeout of 0 is unknown: connections are kept for 1 s.
     for (idle, max_idle) in [(0.5, 0.45), (5.0, 4.5), (60.0, 54.0), (0.0, 1.0)] {
-        let mut harness = AttemptsHarness::with(8, idle);
+        let mut harness = AttemptsHarness::with_limits(8, idle);
         let _peers = harness.run_accepted_attempts(&[1]);
         assert!(harness.opens_connection(1000.001 + max_idle, 2), "{idle} s");
     }
@@ -653,7 +653,7 @@
         .start_probe(&mut harness.reactor, 2, at, 0.4);
     assert_eq!(harness.next_end(), (2, AttemptEnd::NeverSent));
     assert!(harness.reactor.queue.is_empty());
-    let mut harness = AttemptsHarness::with(0, 5.0);
+    let mut harness = AttemptsHarness::with_limits(0, 5.0);
     harness
         .attempts
         .start_probe(&mut harness.reactor, 3, at, 0.4);
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -54,7 +54,7 @@
             let actions = harness.submit(REQUEST, class);
             let mut timers = timers_set(&actions);
             drain_others(&mut harness, worker_number(workers_sent_to(&actions)[0]));
-            // Requests fill the budget for hedged requests.
+            // Each of these requests adds to the budget for hedged requests.
             (1000..1040).for_each(|id| drop(harness.submit(id, UNSAFE)));
             let actions = harness.run_until(103.9, &mut timers);
             assert_eq!(
