--- a/src/net/node/startup.rs
+++ b/src/net/node/startup.rs
@@ -262,7 +262,7 @@
     let revision = list.map(|list| list.revision);
     let workers = list
         .cloned()
-        .map(|list| list.into_members(settings))
+        .map(|list| list.into_workers(settings))
         .unwrap_or_default();
     CachedWorkers {
         revision: revision.filter(|_| !workers.is_empty()),
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -81,7 +81,7 @@
     }
 
     /// Converts the record for the dispatcher; `None` without a usable address.
-    fn into_member(self, settings: &Settings) -> Option<ListedWorker> {
+    fn into_worker(self, settings: &Settings) -> Option<ListedWorker> {
         let address: SocketAddr = self.host_port.parse().ok()?;
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let zone = position(&settings.zone_names, &self.locality);
@@ -154,10 +154,10 @@
 
     /// Converts the list for the dispatcher. Workers without a usable address are left out. Times
     /// are Unix time in seconds.
-    pub fn into_members(self, settings: &Settings) -> Vec<ListedWorker> {
+    pub fn into_workers(self, settings: &Settings) -> Vec<ListedWorker> {
         self.records
             .into_iter()
-            .filter_map(|record| record.into_member(settings))
+            .filter_map(|record| record.into_worker(settings))
             .collect()
     }
 }
--- a/src/net/upstream/worker_list/mod.rs
+++ b/src/net/upstream/worker_list/mod.rs
@@ -287,7 +287,7 @@
         };
         reactor.queue.push_back(Input::WorkerListReceived {
             kind: ListKind::FromPeer,
-            workers: list.into_members(&self.settings),
+            workers: list.into_workers(&self.settings),
         });
         let version = (peer_list.revision, peer_list.digest);
         self.peer_list = Some(peer_list);
@@ -326,7 +326,7 @@
         };
         reactor.queue.push_back(Input::WorkerListReceived {
             kind,
-            workers: list.into_members(&self.settings),
+            workers: list.into_workers(&self.settings),
         });
         if changed {
             AnswerContent::Changed
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -527,7 +527,7 @@
         };
         let address = "10.0.0.4:80".parse().expect("an address");
         assert_eq!(
-            list.into_members(&settings()),
+            list.into_workers(&settings()),
             [ListedWorker {
                 id: "s-0".into(),
                 address,
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -1636,7 +1636,7 @@
     assert_eq!((config.sockets, config.memory_mb), (99, 33));
     let known = config.cached_list.expect("a list");
     assert_eq!((known.revision, known.complete), (12, true));
-    let members = known.into_members(&config.settings);
+    let members = known.into_workers(&config.settings);
     let names: Vec<&str> = members.iter().map(|member| &*member.id).collect();
     assert_eq!(names, ["s-1", "s-2", "s-3"]);
     let health: Vec<Health> = members.iter().map(|member| member.entry.health).collect();
--- a/tests/worker_list.rs
+++ b/tests/worker_list.rs
@@ -450,7 +450,7 @@
         let revision = list.revision;
         (
             revision,
-            list.into_members(&settings)
+            list.into_workers(&settings)
                 .iter()
                 .map(|m| m.id.clone())
                 .collect::<Vec<_>>()
@@ -491,7 +491,7 @@
         let settings = Settings::from_json("{}").expect("sound settings");
         let members = DiscoveryList::from_json(text.as_bytes())
             .expect("a list")
-            .into_members(&settings);
+            .into_workers(&settings);
         members
             .into_iter()
             .map(|member| member.entry.identity)
@@ -516,7 +516,7 @@
         {"id": "e", "host_port": "10.0.0.5:80", "phase": "terminated"}]}"#;
     let members = DiscoveryList::from_json(text)
         .expect("a list")
-        .into_members(&settings);
+        .into_workers(&settings);
     let ids: Vec<&str> = members.iter().map(|m| m.id.as_str()).collect();
     assert_eq!(ids, ["a", "c", "d", "e"]);
     let entry = |n: usize| &members[n].entry;
