--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -243,8 +243,8 @@
     assert_eq!(harness.next_end(), (1, AttemptEnd::RejectedUnstarted));
 }
 
-/// Guards against accepting a response as proof that arrived before the worker can have read the
-/// request: it proves nothing, not even on a new connection.
+/// Guards against a response that arrived before the worker can have read the request and is still
+/// accepted as proof: it proves nothing, not even on a new connection.
 #[test]
 fn response_received_before_the_request_was_written_proves_nothing() {
     let mut harness = AttemptsHarness::new();
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -228,8 +228,8 @@
 struct WireState {
     /// Bytes that the worker has sent and the node has not read.
     arrived: Vec<u8>,
-    /// Bytes that the node may still write.
-    room: usize,
+    /// Number of bytes that the node may still write.
+    writable_bytes: usize,
     written: usize,
     /// Whether the worker has closed its side.
     peer_closed: bool,
@@ -261,14 +261,14 @@
 impl Write for ScriptedStream {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut wire = self.0.borrow_mut();
-        let size = wire.room.min(bytes.len());
+        let size = wire.writable_bytes.min(bytes.len());
         match size {
             // The first read or write that can make no progress reports a reset; a write may still
-            // succeed as long as there is room.
+            // succeed as long as `writable_bytes` is not 0.
             0 if wire.reset => Err(ErrorKind::BrokenPipe.into()),
             0 => Err(ErrorKind::WouldBlock.into()),
             _ => {
-                wire.room -= size;
+                wire.writable_bytes -= size;
                 wire.written += size;
                 Ok(size)
             }
@@ -313,7 +313,7 @@
     for _ in 0..=(2.0 * rng.uniform()) as usize {
         let mut wire = wire.borrow_mut();
         match (rng.uniform() * 9.0) as u32 {
-            0..=3 => wire.room += (200.0 * rng.uniform()) as usize,
+            0..=3 => wire.writable_bytes += (200.0 * rng.uniform()) as usize,
             4 => {
                 let answer = if rng.uniform() < 0.7 {
                     NOT_RUN
@@ -343,7 +343,7 @@
         deadline: 1009.0,
     };
     exchange.start(ExchangeKind::Attempt(7), first, connection, reactor);
-    wire.borrow_mut().room = 1 << 20;
+    wire.borrow_mut().writable_bytes = 1 << 20;
     wire.borrow_mut().refused = false;
     exchange.handle_ready(false, true, connection, reactor);
     wire.borrow_mut().arrived.extend_from_slice(ACCEPTED);
