--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,11 @@
-//! The real node: sockets, timers and HTTP round the decision module.
+//! The node itself: sockets, timers and HTTP around the decision module.
 //!
-//! [`Node`] runs one loop. Clients' requests are held by the request manager
-//! ([`requests::manager`]), which asks the [`crate::Dispatcher`] and has attempts started; news of
-//! the list come from a watch.
+//! [`Node`] runs a single event loop. The request manager ([`requests::manager`]) keeps the state
+//! of clients' requests: it consults the [`crate::Dispatcher`] and has attempts started. Changes of
+//! the worker list arrive through a watch on discovery.
 //!
-//! A node runs in the thread that calls it, until a byte comes on the stream that it was given:
+//! A node runs in the thread that calls [`Node::run`], until a byte arrives on the stream that was
+//! passed to [`Node::new`]:
 //!
 //! ```
 //! use postproxy::net::{Config, Node};
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -139,7 +139,7 @@
     assert!(!output.status.success());
     assert_eq!(
         String::from_utf8_lossy(&output.stderr).trim(),
-        "postproxy: RELAY_CONFIG names no configuration file"
+        "postproxy: RELAY_CONFIG is not set to the path of a configuration file"
     );
 }
 
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -597,7 +597,7 @@
 #[test]
 fn serve_without_a_configuration_fails() {
     let folder = Folder::new("serve-none");
-    let stderr = "postproxy: RELAY_CONFIG names no configuration file\n";
+    let stderr = "postproxy: RELAY_CONFIG is not set to the path of a configuration file\n";
     folder.assert_fails(&["serve"], stderr);
     folder.assert_fails(&[], stderr);
 }
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -814,11 +814,11 @@
         ("{", "EOF while parsing an object at line 1 column 1"),
         (
             "[]",
-            "invalid length 6, expected struct Raw with 8 elements at line 1 column 2",
+            "invalid length 6, expected a configuration object at line 1 column 2",
         ),
         ("{} {}", "missing field `settings` at line 1 column 2"),
         ("{}", "missing field `settings` at line 1 column 2"),
-        (r#"{"settings": 3}"#, "seed: '' is no hexadecimal number"),
+        (r#"{"settings": 3}"#, "seed: '' is not a hexadecimal number"),
     ];
     assert_configuration_errors(&cases);
 }
@@ -848,7 +848,7 @@
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "7", "settings": {}, "limits": 3}"#,
-            "invalid type: integer `3`, expected struct Limits at line 1 column 109",
+            "invalid type: integer `3`, expected the object `limits` at line 1 column 109",
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "7", "settings": {}, "limits": {"sockets": "x"}}"#,
@@ -950,31 +950,31 @@
     let cases = [
         (
             r#"{"name": "n0", "listen": "here", "discovery": "127.0.0.1:1", "seed": "7", "settings": {}}"#,
-            "RELAY_LISTEN: 'here' is no address of the form 10.0.0.4:8080",
+            "RELAY_LISTEN: 'here' is not an address with a port, such as 10.0.0.4:8080",
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "", "seed": "7", "settings": {}}"#,
-            "RELAY_DISCOVERY: '' is no address of the form 10.0.0.4:8080",
+            "RELAY_DISCOVERY: '' is not an address with a port, such as 10.0.0.4:8080",
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "7", "settings": {}, "mgmt": "x"}"#,
-            "RELAY_MGMT: 'x' is no address of the form 10.0.0.4:8080",
+            "RELAY_MGMT: 'x' is not an address with a port, such as 10.0.0.4:8080",
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "7", "settings": {}, "mgmt": "127.0.0.1:80"}"#,
-            "RELAY_MGMT: 127.0.0.1:80 is where clients are listened for",
+            "RELAY_MGMT: 127.0.0.1:80 is already the address for clients",
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "seed": "seven", "settings": {}}"#,
-            "seed: 'seven' is no hexadecimal number",
+            "seed: 'seven' is not a hexadecimal number",
         ),
         (
             r#"{"name": "n0", "listen": "127.0.0.1:80", "discovery": "127.0.0.1:1", "settings": {}}"#,
-            "seed: '' is no hexadecimal number",
+            "seed: '' is not a hexadecimal number",
         ),
         (
             r#"{"name": "n0", "discovery": "127.0.0.1:1", "seed": "7", "settings": {}}"#,
-            "RELAY_LISTEN: '' is no address of the form 10.0.0.4:8080",
+            "RELAY_LISTEN: '' is not an address with a port, such as 10.0.0.4:8080",
         ),
     ];
     assert_configuration_errors(&cases);
@@ -1711,32 +1711,32 @@
         (
             "RELAY_LISTEN",
             "here",
-            "config.json: RELAY_LISTEN: 'here' is no address of the form 10.0.0.4:8080",
+            "config.json: RELAY_LISTEN: 'here' is not an address with a port, such as 10.0.0.4:8080",
         ),
         (
             "RELAY_DISCOVERY",
             "x",
-            "config.json: RELAY_DISCOVERY: 'x' is no address of the form 10.0.0.4:8080",
+            "config.json: RELAY_DISCOVERY: 'x' is not an address with a port, such as 10.0.0.4:8080",
         ),
         (
             "RELAY_MGMT",
             "y",
-            "config.json: RELAY_MGMT: 'y' is no address of the form 10.0.0.4:8080",
+            "config.json: RELAY_MGMT: 'y' is not an address with a port, such as 10.0.0.4:8080",
         ),
         (
             "RELAY_MGMT",
             "127.0.0.1:80",
-            "config.json: RELAY_MGMT: 127.0.0.1:80 is where clients are listened for",
+            "config.json: RELAY_MGMT: 127.0.0.1:80 is already the address for clients",
         ),
         (
             "RELAY_SOCKET_FD",
             "x",
-            "RELAY_SOCKET_FD: 'x' is no number of a descriptor above 2, not at 127.0.0.1:80",
+            "RELAY_SOCKET_FD: 'x' is no number of a descriptor above 2; expected a socket that listens at 127.0.0.1:80",
         ),
         (
             "RELAY_SOCKET_FD",
             "987",
-            "RELAY_SOCKET_FD: '987' names a descriptor that is not open, not at 127.0.0.1:80",
+            "RELAY_SOCKET_FD: '987' names a descriptor that is not open; expected a socket that listens at 127.0.0.1:80",
         ),
     ];
     for (name, value, expected) in cases {
@@ -1762,7 +1762,10 @@
         message("reading .: Is a directory (os error 21)")
     );
     let empty = folder.run(&["serve"], &[("RELAY_CONFIG", "")]);
-    assert_eq!(empty, message("RELAY_CONFIG names no configuration file"));
+    assert_eq!(
+        empty,
+        message("RELAY_CONFIG is not set to the path of a configuration file")
+    );
 }
 
 #[test]
