--- a/src/net/downstream/accept.rs
+++ b/src/net/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and closes some to make room if there are too many.
+//! Accepts connections from clients and workers, and evicts one for each that exceeds the limit.
 
 use super::clients::Clients;
 use super::session::{EvictionRank, REQUEST_TIMEOUT_SECONDS, Session};
@@ -7,13 +7,14 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Pause of accepting after the system gave no connection, or no connection could be closed to make
-/// room.
+/// Delay before accepting is retried after `accept` has failed, or after no connection could be
+/// evicted.
 const ACCEPT_RETRY_SECONDS: f64 = 0.05;
-/// Connections accepted in one turn of the event loop, so that existing ones have their turn too.
+/// Largest number of connections accepted in one iteration of the event loop, so that existing
+/// connections are served as well.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// A connection that can be closed to make room.
+/// A connection that can be closed to make room for a new one.
 #[derive(PartialEq)]
 struct EvictionCandidate {
     rank: EvictionRank,
@@ -30,8 +31,8 @@
         })
     }
 
-    /// Orders by rank, then by the time of waiting, then by key: of several that came in one turn
-    /// of the event loop, the first.
+    /// Orders by rank, then by waiting time, longest first. The key decides between connections
+    /// that were accepted in the same iteration of the event loop: the oldest comes first.
     fn compare(&self, other: &Self) -> Ordering {
         self.rank
             .cmp(&other.rank)
@@ -41,13 +42,14 @@
 }
 
 impl Clients {
-    /// Accepts the connections that have come, up to a number per turn.
+    /// Accepts pending connections, up to a limit per iteration of the event loop.
     pub fn accept(&mut self, reactor: &mut Reactor) {
         if !self.accepting {
             return;
         }
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            // One connection more than the limit: none is closed before another one is there.
+            // The limit may be exceeded by one: nothing is evicted before there is a connection to
+            // make room for.
             if self.sessions.len() > self.max_connections && !self.make_room(reactor) {
                 return self.pause_accepting(reactor);
             }
@@ -56,8 +58,8 @@
                 Err(error) => match error.kind() {
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
                     io::ErrorKind::WouldBlock => break,
-                    // Perhaps no descriptors: the listener stays readable, and trying on at once
-                    // would be a busy loop.
+                    // Probably out of file descriptors. The listener stays readable, so an
+                    // immediate retry would be a busy loop.
                     _ => return self.pause_accepting(reactor),
                 },
             }
@@ -72,11 +74,11 @@
         self.accept(reactor);
     }
 
-    /// Resumes accepting in the next turn if it is paused and this connection, which has just
-    /// changed, is gone or can be closed to make room.
+    /// Resumes accepting in the next iteration of the event loop if it is paused and this
+    /// connection, whose state has just changed, is gone or can be evicted.
     pub(super) fn resume_accepting_if_room(&mut self, reactor: &mut Reactor, key: usize) {
-        let makes_room = |session: &Session| session.eviction_rank(reactor.now).is_some();
-        if self.accept_paused && self.sessions.get(&key).is_none_or(makes_room) {
+        let can_be_evicted = |session: &Session| session.eviction_rank(reactor.now).is_some();
+        if self.accept_paused && self.sessions.get(&key).is_none_or(can_be_evicted) {
             self.schedule_accepting(reactor, 0.0);
         }
     }
@@ -86,7 +88,7 @@
         self.schedule_accepting(reactor, ACCEPT_RETRY_SECONDS);
     }
 
-    /// Resumes accepting after this time, if no earlier timer does.
+    /// Schedules accepting after a delay, unless it is already scheduled earlier.
     fn schedule_accepting(&mut self, reactor: &mut Reactor, delay_seconds: f64) {
         let at = reactor.now + delay_seconds;
         if at < self.accept_resumes_at {
@@ -102,16 +104,16 @@
         };
         self.with_session(reactor, key, |connection, handler| {
             handler.state.request_timeout_runs = true;
-            handler.start_wait(REQUEST_TIMEOUT_SECONDS);
+            handler.start_timeout(REQUEST_TIMEOUT_SECONDS);
             connection.handle_ready(true, false, handler);
         });
     }
 
-    /// Closes the connection that comes first in the order of eviction; returns whether there is
+    /// Evicts the connection that comes first in the order of eviction; returns whether there is
     /// room now.
     fn make_room(&mut self, reactor: &mut Reactor) -> bool {
-        // A request may have arrived unseen on the chosen connection: then a response is due, and
-        // another one is chosen.
+        // The candidate may have unread input. It is read first; if it holds a request, the
+        // connection is no longer a candidate, and the next one is tried.
         for _ in 0..=self.sessions.len() {
             let now = reactor.now;
             let Some(candidate) = self.first_eviction_candidate(now) else {
--- a/src/net/downstream/callback.rs
+++ b/src/net/downstream/callback.rs
@@ -1,10 +1,10 @@
-//! The JSON of a worker's call-back: what a worker posts, and what sibling processes forward to
+//! The JSON encoding of a worker's callback, which workers post and sibling processes forward to
 //! each other.
 
 use crate::net::messages::{CallbackState, Load, WorkerCallback};
 use serde::Deserialize;
 
-/// A call-back as it stands in JSON.
+/// The JSON object of a callback.
 #[derive(Deserialize)]
 struct CallbackBody {
     id: String,
@@ -18,9 +18,9 @@
     load: serde_json::Map<String, serde_json::Value>,
 }
 
-/// Parses a call-back. A state that this version does not know becomes [`CallbackState::Unknown`],
-/// and figures of the load report that are not numbers are skipped; `None` if the body is not a
-/// call-back.
+/// Parses a callback; returns `None` if the body is not a callback. A state that this version does
+/// not know becomes [`CallbackState::Unknown`], and values of the load report that are not numbers
+/// are skipped.
 pub fn parse(body: &[u8]) -> Option<WorkerCallback> {
     let body: CallbackBody = serde_json::from_slice(body).ok()?;
     let state = match body.state.as_str() {
@@ -45,7 +45,7 @@
     })
 }
 
-/// Encodes a call-back as a worker would, to forward it to a sibling process.
+/// Encodes a callback as a worker does, to forward it to a sibling process.
 pub fn encode(callback: &WorkerCallback) -> Vec<u8> {
     let state = match &callback.state {
         CallbackState::Started => "started",
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -1,4 +1,5 @@
-//! All connections that clients and workers have opened to this node, as the event loop sees them.
+//! The connections that clients and workers have opened to this node, and the calls by which the
+//! event loop operates them.
 
 use super::routing::Readiness;
 use super::session::{Phase, Session, SessionHandler};
@@ -11,11 +12,11 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Input that is buffered on a connection, in bytes. The bytes of a body are taken off the buffer
-/// at once.
+/// Size of a connection's input buffer, in bytes. Bytes of a request body are moved out of it as
+/// they arrive.
 pub(super) const MAX_INPUT_BYTES: usize = 2 * http::MAX_HEAD_BYTES;
-/// The most memory that the data of one connection takes, in bytes: its input, and a body, which
-/// may be in two places while it arrives, waits or is forwarded.
+/// The most memory that the data of one connection takes, in bytes: the input buffer, and the body,
+/// of which there may be two copies while it arrives, waits or is forwarded.
 pub const MAX_CONNECTION_MEMORY_BYTES: usize = MAX_INPUT_BYTES + 2 * http::MAX_BODY_BYTES;
 
 /// All connections that clients and workers have opened.
@@ -25,24 +26,23 @@
     pub(super) sessions: HashMap<usize, Session>,
     settings: Settings,
     pub(super) max_connections: usize,
-    /// Accepting has stopped for want of descriptors or of a connection that could be closed.
+    /// Whether accepting is paused, because `accept` failed or no connection could be evicted.
     pub(super) accept_paused: bool,
-    /// When the next timer resumes accepting; infinite if none is set.
+    /// When the earliest timer resumes accepting; infinite if none is set.
     pub(super) accept_resumes_at: f64,
     /// Whether new connections are accepted.
     pub(super) accepting: bool,
     readiness: Readiness,
-    /// Whether connections are closed after their next response.
+    /// Whether every connection is closed after its next response.
     closes_connections: bool,
 }
 
 impl Clients {
-    /// Accepts connections from a listener that does not block, at most `max_connections` at a
-    /// time.
+    /// Serves the connections of a non-blocking listener, at most `max_connections` at a time.
     ///
     /// # Errors
     ///
-    /// If the listener can't be registered with the system's poller.
+    /// If the listener can't be registered with the poller.
     pub fn new(
         reactor: &mut Reactor,
         listener: TcpListener,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Handles a socket that can be read or written: the listener or a connection.
+    /// Handles readiness of the listener or of a connection.
     pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -81,7 +81,7 @@
         });
     }
 
-    /// Handles the timer of a connection, set in this round of its waits.
+    /// Handles a connection's timer, which was set with this round number.
     pub fn handle_timer(&mut self, reactor: &mut Reactor, key: usize, round: u64) {
         self.with_session(reactor, key, |connection, handler| {
             handler.handle_timer(connection, round)
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Acknowledges a worker's call-back.
+    /// Acknowledges a worker's callback.
     pub fn acknowledge_callback(&mut self, reactor: &mut Reactor, client: ClientId) {
         self.with_session(reactor, client as usize, |connection, handler| {
             if handler.state.phase == Phase::AwaitingAcknowledgement {
@@ -106,7 +106,7 @@
         });
     }
 
-    /// Aborts the connection of a worker whose call-back can't be acknowledged: the worker retries.
+    /// Aborts the connection of a worker whose callback can't be acknowledged: the worker retries.
     pub fn abort_connection(&mut self, reactor: &mut Reactor, client: ClientId) {
         self.with_session(reactor, client as usize, |connection, handler| {
             if handler.state.phase == Phase::AwaitingAcknowledgement {
@@ -115,8 +115,8 @@
         });
     }
 
-    /// Sets whether new connections are accepted. If not, they wait at the listener for the process
-    /// that shares it.
+    /// Sets whether new connections are accepted. While they are not, they stay queued at the
+    /// listener for the sibling process that shares it.
     pub fn set_accepting(&mut self, reactor: &Reactor, accepting: bool) {
         self.accepting = accepting;
         reactor.rearm(&self.listener, self.listener_key, (accepting, false));
@@ -127,10 +127,10 @@
         self.max_connections = max_connections;
     }
 
-    /// Sets whether new clients are wanted, which the readiness check reports, and whether
-    /// connections are closed after their next response.
-    pub fn set_readiness(&mut self, wants_clients: bool, closes_connections: bool) {
-        self.readiness = if wants_clients {
+    /// Sets whether the readiness check reports the node as ready for new clients, and whether
+    /// every connection is closed after its next response.
+    pub fn set_readiness(&mut self, ready: bool, closes_connections: bool) {
+        self.readiness = if ready {
             Readiness::Ready
         } else {
             Readiness::NotReady
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     ///
-    /// If the system does not tell it.
+    /// If the operating system can't report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -157,14 +157,14 @@
         self.sessions.keys().copied()
     }
 
-    /// Whether there is a connection with this key on which both sides may send.
+    /// Whether there is a connection with this key that neither side has begun to close.
     pub fn is_open(&self, key: usize) -> bool {
         self.sessions
             .get(&key)
             .is_some_and(|session| session.connection.state() == State::Open)
     }
 
-    /// Whether a connection has brought a request for the workers or a call-back.
+    /// Whether a request for the workers or a callback has arrived on a connection.
     pub fn is_useful(&self, key: usize) -> bool {
         self.sessions
             .get(&key)
@@ -178,7 +178,7 @@
             .is_some_and(Session::awaits_answer)
     }
 
-    /// Closes connections that have been idle for this long, unless something has arrived on them.
+    /// Closes connections that have been idle for at least this long and have no unread input.
     pub fn close_idle_connections(&mut self, reactor: &mut Reactor, min_idle_seconds: f64) {
         let keys: Vec<usize> = self.connection_keys().collect();
         for key in keys {
@@ -189,7 +189,7 @@
             if !self.sessions.get(&key).is_some_and(waits_for_request) {
                 continue;
             }
-            // What has arrived is read first.
+            // Unread input may hold a request, so it is read first.
             self.handle_ready(reactor, key, true, false);
             self.with_session(reactor, key, |connection, handler| {
                 if handler.state.phase == Phase::Reading {
@@ -199,15 +199,15 @@
         }
     }
 
-    /// Accepts the connections that have come and closes those that are idle; returns whether none
-    /// is left.
+    /// Accepts pending connections and closes all idle ones; returns whether no connection is left.
     pub fn close_for_shutdown(&mut self, reactor: &mut Reactor) -> bool {
         self.accept(reactor);
         self.close_idle_connections(reactor, 0.0);
         self.sessions.is_empty()
     }
 
-    /// Adds a connection over a stream from which `input` has been read already; returns its key.
+    /// Adds a connection over a stream from which `input` has already been read; returns its key,
+    /// or `None` if the stream can't be registered with the poller.
     pub(super) fn add_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -224,13 +224,13 @@
         Some(key)
     }
 
-    /// Lets `act` work on a connection, then updates its registration, or removes it if it has
-    /// ended.
+    /// Runs `operation` on a connection, then updates its registration with the poller, or removes
+    /// the connection if it has ended.
     pub(super) fn with_session(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        act: impl FnOnce(&mut Connection<TcpStream>, &mut SessionHandler<'_>),
+        operation: impl FnOnce(&mut Connection<TcpStream>, &mut SessionHandler<'_>),
     ) {
         let Some(session) = self.sessions.get_mut(&key) else {
             return;
@@ -243,7 +243,7 @@
             closes_connections: self.closes_connections,
             reactor,
         };
-        act(connection, &mut handler);
+        operation(connection, &mut handler);
         connection.set_discard_excess_input(state.phase != Phase::Reading);
         if connection.state() == State::Ended {
             self.remove_connection(reactor, key);
@@ -253,7 +253,7 @@
         self.resume_accepting_if_room(reactor, key);
     }
 
-    /// Removes a connection, which closes its socket.
+    /// Removes a connection and closes its socket.
     pub(super) fn remove_connection(&mut self, reactor: &Reactor, key: usize) {
         if let Some(session) = self.sessions.remove(&key) {
             reactor.deregister(session.connection.stream());
--- a/src/net/downstream/migration.rs
+++ b/src/net/downstream/migration.rs
@@ -1,4 +1,4 @@
-//! Passes connections on to, and takes them over from, sibling processes of this node during a hot
+//! Hands connections over to sibling processes of this node, and adopts theirs, during a hot
 //! restart.
 
 use super::clients::Clients;
@@ -7,29 +7,29 @@
 use crate::net::transport::reactor::Reactor;
 use std::net::TcpStream;
 
-/// A connection between two requests, on its way from one process to another.
+/// A connection between two requests, in transit from one process to another.
 #[derive(Debug)]
 pub struct ReleasedIdleConnection {
-    /// The socket; unread input stays in it.
+    /// The socket; unread input stays in its receive buffer.
     pub stream: TcpStream,
-    /// Input that was read and not consumed.
+    /// Input that was read but not consumed.
     pub input: Vec<u8>,
-    /// Whether the connection has brought a request for the workers or a call-back.
+    /// Whether a request for the workers or a callback has arrived on the connection.
     pub useful: bool,
 }
 
-/// A connection whose client waits for its final answer, on its way from one process to another.
+/// A connection whose client waits for its final answer, in transit from one process to another.
 #[derive(Debug)]
 pub struct ReleasedWaitingConnection {
-    /// The socket; unread input stays in it.
+    /// The socket; unread input stays in its receive buffer.
     pub stream: TcpStream,
-    /// Input that was read behind the request.
+    /// Input that was read after the request.
     pub input: Vec<u8>,
     /// Whether the connection is closed after the answer.
     pub close_after_response: bool,
 }
 
-/// The parts of a connection that was removed without being closed.
+/// The parts of a connection that was removed but not closed.
 struct ReleasedParts {
     stream: TcpStream,
     input: Vec<u8>,
@@ -37,13 +37,13 @@
 }
 
 impl Clients {
-    /// Gives away a connection on which no response is due and no request is in progress, if there
-    /// is one.
+    /// Releases a connection on which no response is due and no request is in progress, if there is
+    /// one.
     pub fn release_idle_connection(&mut self, reactor: &Reactor) -> Option<ReleasedIdleConnection> {
         let (&key, _) = self
             .sessions
             .iter()
-            .find(|(_, session)| session.is_quiet())?;
+            .find(|(_, session)| session.is_between_requests())?;
         let parts = self.release_connection(reactor, key)?;
         Some(ReleasedIdleConnection {
             stream: parts.stream,
@@ -52,7 +52,8 @@
         })
     }
 
-    /// Gives away the connection of a client, if it waits for its final answer.
+    /// Releases the connection of a client that waits for its final answer; returns `None` if the
+    /// client does not.
     pub fn release_waiting_connection(
         &mut self,
         reactor: &Reactor,
@@ -69,8 +70,7 @@
         })
     }
 
-    /// Takes over a connection between two requests; the input that came with it is handled at
-    /// once.
+    /// Adopts a connection between two requests and handles the input that came with it.
     pub fn adopt_idle_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -81,14 +81,14 @@
         };
         self.with_session(reactor, key, |connection, handler| {
             handler.state.useful = released.useful;
-            handler.start_wait(IDLE_TIMEOUT_SECONDS);
+            handler.start_timeout(IDLE_TIMEOUT_SECONDS);
             handler.read_requests(connection);
             connection.handle_ready(true, false, handler);
         });
     }
 
-    /// Takes over the connection of a client that waits for its final answer; returns the client's
-    /// id here.
+    /// Adopts the connection of a client that waits for its final answer; returns the client's id
+    /// in this process.
     pub fn adopt_waiting_connection(
         &mut self,
         reactor: &mut Reactor,
@@ -100,8 +100,8 @@
             handler.state.useful = true;
             handler.state.close_after_response = released.close_after_response;
         });
-        // The client may have disconnected on the way: its end must be read before a further
-        // attempt begins.
+        // The client may have disconnected in the meantime. That must be noticed before another
+        // attempt starts.
         self.handle_ready(reactor, key, true, false);
         Some(key as ClientId)
     }
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,12 +1,12 @@
-//! The downstream side: the listener for clients and for the workers' call-backs. Nothing here
-//! decides on a request, and nothing here opens a connection.
+//! The downstream side: the listener for clients' requests and workers' callbacks. This module
+//! makes no decision on a request and opens no connections.
 //!
 //! - [`clients`] owns all connections and is called by the event loop.
-//! - `accept` accepts connections and closes some if there are too many.
-//! - `session` runs the dialogue on one connection: requests, responses, timeouts.
-//! - [`routing`] finds out what a request asks for; `submission` and [`callback`] parse it.
+//! - `accept` accepts connections and evicts some if there are too many.
+//! - `session` speaks HTTP on one connection: requests, responses, timeouts.
+//! - [`routing`] routes a request by path and method; `submission` and [`callback`] parse it.
 //! - `response` turns final answers into HTTP responses.
-//! - [`migration`] passes connections on to, and takes them over from, sibling processes.
+//! - [`migration`] hands connections over to sibling processes and adopts theirs.
 
 mod accept;
 pub mod callback;
--- a/src/net/downstream/response.rs
+++ b/src/net/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Turns final answers into HTTP responses.
+//! Maps final answers to HTTP responses.
 
 use crate::net::messages::Answer;
 
@@ -8,7 +8,7 @@
     /// Value of the field `Retry-After`, in seconds.
     pub(super) retry_after: Option<String>,
     pub(super) body: &'a [u8],
-    /// Whether the connection is closed after the response, whatever the client asked for.
+    /// Whether the connection is closed after the response, even if the client asked to keep it.
     pub(super) close_connection: bool,
 }
 
@@ -17,7 +17,7 @@
         match answer {
             Answer::Served(result) => Self::with_body(200, result),
             Answer::RejectedWithRetryAfter(retry_after) => Self {
-                // Where the settings allow no advice, 0 s would make the client retry at once.
+                // 0 stands for no advice. Sent as a field, it would make the client retry at once.
                 retry_after: (*retry_after > 0.0).then(|| format!("{retry_after:.3}")),
                 ..Self::with_body(503, b"unavailable\n")
             },
--- a/src/net/downstream/routing.rs
+++ b/src/net/downstream/routing.rs
@@ -1,4 +1,4 @@
-//! Finds out what a request at the clients' listener asks for.
+//! Routes the requests that arrive at the clients' listener.
 
 use super::{callback, submission};
 use crate::decision::interface::Settings;
@@ -7,19 +7,19 @@
 
 /// Path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
-/// Path where workers call back.
+/// Path to which workers post their callbacks.
 const CALLBACK_PATH: &str = "/v1/job-events";
 
-/// Whether this node wants new clients; the readiness check reports it.
+/// Whether this node takes new clients, as the readiness check reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// New clients are welcome.
+    /// New clients may connect to this node.
     Ready,
-    /// New clients should go elsewhere.
+    /// New clients should connect to another node.
     NotReady,
 }
 
-/// A response that does not depend on the request's content.
+/// A predefined response, which does not depend on the request's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FixedResponse {
     /// The status code.
@@ -52,19 +52,19 @@
 pub const BAD_REQUEST: FixedResponse = FixedResponse::new(400, "bad request\n");
 const NOT_FOUND: FixedResponse = FixedResponse::new(404, "unknown path\n");
 const READY: FixedResponse = FixedResponse::new(200, "ready\n");
-/// Not a 503: that would count as an unavailable answer.
+/// Not a 503, which would count as the answer `unavailable` to a request.
 const NOT_READY: FixedResponse = FixedResponse::new(500, "not ready\n");
 const ONLY_GET: FixedResponse = FixedResponse::method_not_allowed(&[("Allow", "GET, HEAD")]);
 const ONLY_POST: FixedResponse = FixedResponse::method_not_allowed(&[("Allow", "POST")]);
 
-/// What a request asks for.
+/// How a request is handled.
 #[derive(Debug, PartialEq)]
 pub enum Route {
-    /// The request is answered at once.
+    /// With a predefined response.
     Respond(FixedResponse),
-    /// The request is a worker's call-back.
+    /// As a worker's callback.
     Callback(WorkerCallback),
-    /// The request is for the workers.
+    /// As a request for the workers.
     Submission(Box<Submission>),
 }
 
--- a/src/net/downstream/session.rs
+++ b/src/net/downstream/session.rs
@@ -1,4 +1,4 @@
-//! The dialogue on one connection: parses requests, writes responses, keeps the timeouts.
+//! The HTTP exchanges on one connection: parses requests, writes responses, applies timeouts.
 
 use super::response::AnswerResponse;
 use super::routing::{self, BAD_REQUEST, FixedResponse, Readiness, Route};
@@ -13,18 +13,19 @@
 
 /// How long a connection may be idle between requests.
 pub(super) const IDLE_TIMEOUT_SECONDS: f64 = 120.0;
-/// How long a request may take to arrive; the first one from the start of its connection. A client
-/// that sends nothing, or half a request, must get an end or an error within 3 s of connecting.
+/// How long a request may take to arrive; for the first one this counts from the start of the
+/// connection. A client that sends nothing, or an incomplete request, must get a close or an error
+/// within 3 s of connecting.
 pub(super) const REQUEST_TIMEOUT_SECONDS: f64 = 2.0;
 /// How long a client may take to read a response.
 const DELIVERY_TIMEOUT_SECONDS: f64 = 30.0;
-/// How long the client's end is awaited after the last response on a connection.
+/// How long to wait, after the last response, for the client to close its side of the connection.
 const LINGER_TIMEOUT_SECONDS: f64 = 1.0;
-/// For this long a connection is never closed to make room: the request of a new one is on its way,
-/// and so is the last response of one that is closing.
+/// How long a connection is exempt from eviction: the request of a new connection, or the last
+/// response on a closing one, is still in transit.
 const EVICTION_GRACE_SECONDS: f64 = 0.05;
-/// A connection without a request after this long is closed to make room before those that have
-/// brought one.
+/// A connection without a complete request after this long is evicted before those that have
+/// carried one.
 const SILENT_AFTER_SECONDS: f64 = 0.3;
 
 /// The interim response that asks a client for the body of its request.
@@ -37,7 +38,7 @@
     Reading,
     /// The final answer to a request.
     AwaitingAnswer,
-    /// The acknowledgement of a call-back.
+    /// The acknowledgement of a callback.
     AwaitingAcknowledgement,
 }
 
@@ -46,32 +47,32 @@
 pub(super) enum EvictionRank {
     /// Its last response has been written.
     Closing,
-    /// Silent for long, with half a request, or idle without ever having brought a request or a
-    /// call-back.
+    /// Without a complete request for more than [`SILENT_AFTER_SECONDS`], or idle and never used
+    /// for a request or a callback.
     Unused,
-    /// Idle, after a request or a call-back.
+    /// Idle, after a request or a callback.
     IdleAfterUse,
-    /// Without a complete request, for a short while.
+    /// Without a complete request for at most [`SILENT_AFTER_SECONDS`].
     RecentlySilent,
 }
 
-/// The state of the dialogue on a connection.
+/// The HTTP state of a connection.
 pub(super) struct SessionState {
     key: usize,
     pub(super) phase: Phase,
     /// Whether the connection is closed after the next response.
     pub(super) close_after_response: bool,
-    /// Whether the client has been asked for the body of the request that arrives.
+    /// Whether `100 Continue` has been sent for the request that is arriving.
     continue_sent: bool,
-    /// Whether the connection has brought a request for the workers or a call-back.
+    /// Whether a request for the workers or a callback has arrived on the connection.
     pub(super) useful: bool,
-    /// Whether the timeout of an incomplete request runs; for the first request it runs from the
-    /// start.
+    /// Whether the timeout of an incomplete request is running. For the first request it runs from
+    /// the start of the connection.
     pub(super) request_timeout_runs: bool,
     reader: RequestReader,
-    /// When the current wait began.
+    /// When the current timeout started.
     pub(super) waiting_since: f64,
-    /// Number of the current wait: timers of earlier ones are recognised by theirs and ignored.
+    /// Number of the current timeout; a timer that was set with an older number is ignored.
     timer_round: u64,
 }
 
@@ -100,7 +101,7 @@
     }
 }
 
-/// A connection and the state of its dialogue.
+/// A connection and its HTTP state.
 pub(super) struct Session {
     pub(super) connection: Connection<TcpStream>,
     pub(super) state: SessionState,
@@ -119,25 +120,25 @@
         self.state.phase == Phase::AwaitingAnswer && self.connection.state() == State::Open
     }
 
-    /// Whether the connection is open, no response is due and no head of a request has been parsed.
-    pub(super) fn is_quiet(&self) -> bool {
+    /// Whether the connection is open, no response is due and no request head has been parsed.
+    pub(super) fn is_between_requests(&self) -> bool {
         self.state.phase == Phase::Reading
             && self.connection.state() == State::Open
             && self.connection.flushed()
             && !self.state.reader.in_progress()
     }
 
-    /// How early this connection is closed to make room; `None` for a new connection and for one on
-    /// which a response is due. Without an order, a crowd of silent connections would displace
-    /// clients with requests, or a call-back, which comes on a connection of its own.
+    /// Returns the connection's rank in the order of eviction; `None` for a new connection and for
+    /// one on which a response is due. Without such an order, many silent connections would
+    /// displace clients with requests, and callbacks, which arrive on connections of their own.
     pub(super) fn eviction_rank(&self, now: f64) -> Option<EvictionRank> {
         if self.state.phase != Phase::Reading || !self.connection.flushed() {
             return None;
         }
         let waited = now - self.state.waiting_since;
         match self.connection.state() {
-            // The client may still be sending: closing now would reset the connection, and the
-            // response could be lost.
+            // The client may still be sending. Closing the socket now would reset the connection,
+            // and the response could be lost.
             State::Closing => (waited > EVICTION_GRACE_SECONDS).then_some(EvictionRank::Closing),
             State::Open if self.state.request_timeout_runs => {
                 if waited <= EVICTION_GRACE_SECONDS {
@@ -155,20 +156,21 @@
     }
 }
 
-/// Runs the dialogue on one connection: borrows its state and what it needs of its owner.
+/// Handles the HTTP exchanges on one connection. Borrows the connection's state, and what it needs
+/// from the owner of the connection.
 pub(super) struct SessionHandler<'a> {
     pub(super) state: &'a mut SessionState,
     pub(super) settings: &'a Settings,
     pub(super) readiness: Readiness,
-    /// Whether this process closes connections after their next response.
+    /// Whether this process closes every connection after its next response.
     pub(super) closes_connections: bool,
     pub(super) reactor: &'a mut Reactor,
 }
 
 impl SessionHandler<'_> {
-    /// Begins a wait that ends after this time.
-    pub(super) fn start_wait(&mut self, timeout_seconds: f64) {
-        self.stop_wait();
+    /// Starts a timeout, which replaces the current one.
+    pub(super) fn start_timeout(&mut self, timeout_seconds: f64) {
+        self.cancel_timeout();
         self.state.waiting_since = self.reactor.now;
         let timer = Timer::Client {
             key: self.state.key,
@@ -178,19 +180,19 @@
             .set_timer(self.reactor.now + timeout_seconds, timer);
     }
 
-    /// Invalidates the timer of the current wait.
-    fn stop_wait(&mut self) {
+    /// Cancels the current timeout: its timer is ignored when it expires.
+    fn cancel_timeout(&mut self) {
         self.state.timer_round += 1;
     }
 
-    /// Closes the connection; the client's end is awaited for a short while.
+    /// Closes the connection; the client gets [`LINGER_TIMEOUT_SECONDS`] to close its side.
     fn close(&mut self, connection: &mut Connection<TcpStream>) {
         connection.close(self);
-        self.start_wait(LINGER_TIMEOUT_SECONDS);
+        self.start_timeout(LINGER_TIMEOUT_SECONDS);
     }
 
-    /// Closes the connection if nothing has arrived on it and no response is due; returns whether
-    /// it did.
+    /// Closes the connection if no response is due and no part of a request has arrived; returns
+    /// whether it did.
     pub(super) fn close_if_idle(&mut self, connection: &mut Connection<TcpStream>) -> bool {
         let idle = connection.state() == State::Open
             && connection.flushed()
@@ -201,7 +203,7 @@
         idle
     }
 
-    /// Handles the end of a wait.
+    /// Handles an expired timeout.
     pub(super) fn handle_timer(&mut self, connection: &mut Connection<TcpStream>, round: u64) {
         if self.state.timer_round != round || self.state.phase != Phase::Reading {
             return;
@@ -224,8 +226,8 @@
         fields: &[(&str, &str)],
         body: &[u8],
     ) {
-        // A request that has been read in part would be lost with its connection: that one's
-        // response closes it.
+        // A request of which a part has been read would be lost with its connection, so the
+        // connection stays open until that request has its response.
         let closes = self.state.close_after_response
             || (self.closes_connections && !self.state.request_has_begun(connection));
         let option = if closes {
@@ -239,14 +241,14 @@
         if closes {
             connection.close(self);
         }
-        self.start_wait(match (connection.flushed(), option) {
+        self.start_timeout(match (connection.flushed(), option) {
             (false, _) => DELIVERY_TIMEOUT_SECONDS,
             (true, ConnectionOption::Close) => LINGER_TIMEOUT_SECONDS,
             (true, ConnectionOption::KeepAlive) => IDLE_TIMEOUT_SECONDS,
         });
     }
 
-    /// Writes the final answer to the client's request and continues with the input behind that.
+    /// Writes the final answer to the client's request and continues with the input that follows.
     pub(super) fn write_answer(&mut self, connection: &mut Connection<TcpStream>, answer: &Answer) {
         self.state.phase = Phase::Reading;
         let response = AnswerResponse::new(answer);
@@ -260,7 +262,7 @@
         self.read_buffered_requests(connection);
     }
 
-    /// Acknowledges the call-back and continues with the input behind it.
+    /// Acknowledges the callback and continues with the input that follows.
     pub(super) fn acknowledge_callback(&mut self, connection: &mut Connection<TcpStream>) {
         self.state.phase = Phase::Reading;
         self.write_response(connection, 200, &[], b"");
@@ -268,8 +270,8 @@
         self.received(connection);
     }
 
-    /// Continues with the input that was buffered while a response was due. If more of it was
-    /// discarded, the connection is closed once the buffer has no further complete request.
+    /// Continues with the input that was buffered while a response was due. If excess input was
+    /// discarded meanwhile, closes the connection once the buffer has no further complete request.
     fn read_buffered_requests(&mut self, connection: &mut Connection<TcpStream>) {
         self.read_requests(connection);
         let open = self.state.phase == Phase::Reading && connection.state() == State::Open;
@@ -278,8 +280,8 @@
         }
     }
 
-    /// Handles the requests in the input until a response is due. The timeout of an incomplete
-    /// request runs from its first byte: a client that sends byte after byte gets no more time.
+    /// Handles the requests in the input until one has to wait for its response. The timeout of an
+    /// incomplete request runs from its first byte; later bytes do not extend it.
     pub(super) fn read_requests(&mut self, connection: &mut Connection<TcpStream>) {
         self.parse_requests(connection);
         let incomplete = self.state.phase == Phase::Reading
@@ -287,7 +289,7 @@
             && self.state.request_has_begun(connection);
         if incomplete && !self.state.request_timeout_runs {
             self.state.request_timeout_runs = true;
-            self.start_wait(REQUEST_TIMEOUT_SECONDS);
+            self.start_timeout(REQUEST_TIMEOUT_SECONDS);
         }
     }
 
@@ -334,7 +336,7 @@
         response: FixedResponse,
         is_head: bool,
     ) {
-        // A client whose request can't be served makes room for others.
+        // A client whose request can't be served gives up its connection, to make room for others.
         self.state.close_after_response |= (400..500).contains(&response.status);
         let body = if is_head { "" } else { response.body };
         self.write_response(
@@ -345,23 +347,24 @@
         );
     }
 
-    /// Passes a call-back on. It is acknowledged once the request manager has handled it: what the
-    /// worker may forget then must be stored here before.
+    /// Queues a callback for the request manager. It is acknowledged only once the request manager
+    /// has handled it: the worker may then forget the result, so it must be stored here first.
     fn begin_callback(&mut self, callback: WorkerCallback) {
         self.state.useful = true;
         self.state.phase = Phase::AwaitingAcknowledgement;
-        self.stop_wait();
+        self.cancel_timeout();
         let client = self.state.client_id();
         self.reactor
             .queue
             .push_back(Input::CallbackReceived { client, callback });
     }
 
-    /// Passes a request on. No timeout of the connection runs then, only the request's own.
+    /// Queues a request for the request manager. While it is pending, only its own deadline applies
+    /// and no timeout of the connection.
     fn begin_submission(&mut self, submission: Submission) {
         self.state.useful = true;
         self.state.phase = Phase::AwaitingAnswer;
-        self.stop_wait();
+        self.cancel_timeout();
         let client = self.state.client_id();
         self.reactor
             .queue
@@ -371,13 +374,13 @@
 
 impl Callbacks<TcpStream> for SessionHandler<'_> {
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
-        // Reading stopped at a full buffer: more input, and the client's end behind it, may be
-        // there already.
+        // If reading stopped because the buffer was full, more input may be waiting in the socket,
+        // and behind it the client's close.
         let may_have_more = connection.is_full();
         self.read_requests(connection);
         let awaits_answer = self.state.phase == Phase::AwaitingAnswer;
         if may_have_more && awaits_answer && connection.state() == State::Open {
-            // Otherwise an attempt would begin for a client that has disconnected long ago.
+            // Without reading on, an attempt could start for a client that has disconnected.
             connection.set_discard_excess_input(true);
             connection.handle_ready(true, false, self);
         }
@@ -387,7 +390,7 @@
                     connection.abort();
                     self.ended(connection);
                 }
-                // The worker has sent all that it wanted to, and still reads.
+                // The worker has closed its sending side, but still reads the acknowledgement.
                 Phase::AwaitingAcknowledgement => {}
                 Phase::Reading => connection.close(self),
             }
@@ -402,8 +405,8 @@
         let client = self.state.client_id();
         let queue = &mut self.reactor.queue;
         let is_own_request = |input: &Input| matches!(input, Input::RequestReceived { client: from, .. } if *from == client);
-        // A request that is still in the queue is withdrawn: with both events in a row, the first
-        // attempt would begin for a client that has disconnected already.
+        // A request that is still in the queue is removed. Otherwise its first attempt would start
+        // before the disconnect, which would be queued behind it, is handled.
         match queue.iter().rposition(is_own_request) {
             Some(index) => drop(queue.remove(index)),
             None => queue.push_back(Input::ClientDisconnected { client }),
--- a/src/net/downstream/submission.rs
+++ b/src/net/downstream/submission.rs
@@ -9,12 +9,12 @@
 /// Microseconds in a second; `X-Cost-Hint` is given in microseconds.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Makes a submission of a request for the class with this index.
+/// Builds the submission of a request for the class with this index.
 ///
 /// # Errors
 ///
-/// [`ParseError::Malformed`] if the request can't be forwarded: a worker closes its connection on
-/// what it can't read, whatever other requests wait there.
+/// [`ParseError::Malformed`] if the request can't be forwarded safely. A worker that can't parse a
+/// request closes the connection, which also fails the other requests on it.
 pub(super) fn parse(request: Request, class: u8) -> Result<Submission, ParseError> {
     let headers = &request.headers;
     let id = headers
@@ -25,17 +25,16 @@
     if !is_visible_ascii(&request.target) || !idempotency_key.is_none_or(is_visible_ascii) {
         return Err(ParseError::Malformed);
     }
-    // Unlike the deadline, a hint that can't be read is left out: the request can be served without
-    // it.
-    let cost_hint = number(headers, "x-cost-hint").ok().flatten();
+    // An invalid hint is ignored, unlike an invalid deadline: the request can be served without it.
+    let cost_hint = unique_number(headers, "x-cost-hint").ok().flatten();
     Ok(Submission {
         class,
         tenant: headers.get("x-tenant").map(str::to_owned),
         affinity_key: affinity_key(headers),
-        budget: number(headers, "x-deadline")?,
+        budget: unique_number(headers, "x-deadline")?,
         expected_work: cost_hint.map(|microseconds| microseconds / MICROSECONDS_PER_SECOND),
-        slots: extra(headers, "slots"),
-        memory: extra(headers, "memory"),
+        slots: extra_number(headers, "slots"),
+        memory: extra_number(headers, "memory"),
         repeat: headers.get("x-retry") == Some("1"),
         payload: Payload {
             id: id.to_owned(),
@@ -47,8 +46,8 @@
     })
 }
 
-/// Returns the number in a header field that may be given once.
-fn number(headers: &Headers, name: &str) -> Result<Option<f64>, ParseError> {
+/// Returns the value of a numeric header field, which may occur only once.
+fn unique_number(headers: &Headers, name: &str) -> Result<Option<f64>, ParseError> {
     let Some(value) = headers.get_unique(name)? else {
         return Ok(None);
     };
@@ -56,7 +55,7 @@
     sound(number).map(Some).ok_or(ParseError::Malformed)
 }
 
-/// Returns the affinity key in the cookie `k`, in hexadecimal digits; 0 if there is none.
+/// Returns the affinity key, which the cookie `k` holds in hexadecimal digits; 0 if there is none.
 fn affinity_key(headers: &Headers) -> u64 {
     let cookies = headers.get("cookie").unwrap_or_default();
     cookies
@@ -66,8 +65,8 @@
         .unwrap_or(0)
 }
 
-/// Returns the number of this name in the field `X-Extras`, a list of `name=number`.
-fn extra(headers: &Headers, name: &str) -> Option<f64> {
+/// Returns the number with this name in the field `X-Extras`, a list of `name=number` pairs.
+fn extra_number(headers: &Headers, name: &str) -> Option<f64> {
     let extras = headers.get("x-extras").unwrap_or_default();
     let (_, value) = extras
         .split(',')
@@ -76,14 +75,14 @@
     value.trim().parse().ok().and_then(sound)
 }
 
-/// Whether an id can be a segment of a path: workers are sent `DELETE /jobs/ID`.
+/// Whether an id can be a path segment, since attempts are cancelled with `DELETE /jobs/ID`.
 fn is_valid_request_id(id: &str) -> bool {
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES && id.bytes().all(is_unreserved)
 }
 
-/// Whether the text has only visible ASCII characters, and no `#`, which is not part of a request
-/// target.
+/// Whether the text has only visible ASCII characters and no `#`, which a request target can't
+/// contain.
 fn is_visible_ascii(text: &str) -> bool {
     text.bytes()
         .all(|byte| byte.is_ascii_graphic() && byte != b'#')
