--- a/src/net/management/mod.rs
+++ b/src/net/management/mod.rs
@@ -1,5 +1,6 @@
-//! The management API: a listener of its own for operators' requests to a running node, one request
-//! a connection. It parses requests and writes responses; what a request does is decided elsewhere.
+//! The management API: a separate listener for operators' requests to a running node, with one
+//! request per connection. This module parses requests and writes responses; the node carries out
+//! the requests.
 
 mod request;
 mod response;
--- a/src/net/management/request.rs
+++ b/src/net/management/request.rs
@@ -2,13 +2,13 @@
 
 use crate::net::transport::http::Request;
 
-/// Longest name in a path, of a worker, a node or a lease, in bytes.
+/// Longest name of a worker, a node or a lease in a path, in bytes.
 pub(super) const MAX_NAME_BYTES: usize = 256;
 
-/// A request of an operator.
+/// An operator's request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ManagementRequest {
-    /// Report whether this process can serve.
+    /// Report whether this process serves requests.
     CheckReadiness,
     /// Drain the node.
     Drain,
@@ -31,13 +31,13 @@
         /// Name of the node.
         node: String,
     },
-    /// Show voters and lease holders.
+    /// Show the voters, and the leases with their owners.
     ShowCoordination,
-    /// List the version of the worker list that each node acts on.
+    /// List the configuration versions that each node uses.
     ListVersions,
-    /// Show the log of the versions that this node has acted on.
+    /// Show the audit log of the configuration versions that this node has used.
     ShowAuditLog,
-    /// Have the holder of a lease release it.
+    /// Have the owner of a lease release it.
     ReleaseLease {
         /// Name of the lease.
         lease: String,
@@ -46,24 +46,24 @@
     TransferLease {
         /// Name of the lease.
         lease: String,
-        /// Name of the node that is to hold it.
+        /// Name of the node that is to own it.
         to: String,
     },
-    /// Add a voter or remove it.
+    /// Add or remove a voter.
     SetVoter {
         /// Name of the node.
         node: String,
-        /// Whether the node is to vote.
+        /// Whether the node is to be a voter.
         votes: bool,
     },
 }
 
-/// Why a request is not one of the management API.
+/// The response to a request that the management API does not accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RejectedRequest {
     /// The status code of the response.
     pub(super) status: u16,
-    /// The methods that the path allows, if the method is what's wrong.
+    /// The methods that the path allows, if the request's method is not one of them.
     pub(super) allowed_methods: Option<&'static str>,
 }
 
@@ -85,27 +85,27 @@
     }
 }
 
-/// Methods of a path that reads.
+/// Methods of a path that only reads.
 const READ_METHODS: &str = "GET, HEAD";
 /// Method of a path that changes something.
 const WRITE_METHODS: &str = "POST";
 
-/// Decodes a name in a path segment.
+/// Decodes a percent-encoded name in a path segment.
 fn decode_name(segment: &str) -> Result<String, RejectedRequest> {
     let name = percent_encoding::percent_decode_str(segment)
         .decode_utf8()
         .map_err(|_| RejectedRequest::BAD_REQUEST)?;
-    let is_printable =
+    let is_valid =
         !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains(char::is_control);
-    if has_valid_escapes(segment) && is_printable {
+    if has_valid_escapes(segment) && is_valid {
         Ok(name.into_owned())
     } else {
         Err(RejectedRequest::BAD_REQUEST)
     }
 }
 
-/// Whether each `%` is followed by two hexadecimal digits; the decoder would pass others through
-/// unchanged.
+/// Whether each `%` is followed by two hexadecimal digits. The decoder does not check this: it
+/// leaves an invalid escape as it is.
 fn has_valid_escapes(segment: &str) -> bool {
     let mut escapes = segment.split('%').skip(1);
     escapes.all(|escape| {
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// If the path is unknown, does not allow the method or holds a name that can't be decoded.
+/// If the path is unknown, does not allow the method or contains an invalid name.
 pub(super) fn parse(request: &Request) -> Result<ManagementRequest, RejectedRequest> {
     use ManagementRequest::*;
     let path = request.target.split('?').next().unwrap_or_default();
--- a/src/net/management/response.rs
+++ b/src/net/management/response.rs
@@ -4,15 +4,15 @@
 use crate::net::transport::http::{self, ConnectionOption};
 use std::borrow::Cow;
 
-/// The body of a response to what is not a request of the management API.
-pub(super) const UNKNOWN_REQUEST: &str = "no call of mine\n";
-/// The body of a response to what can't be parsed.
+/// The body of the response to an unknown path, a wrong method or an invalid name.
+pub(super) const UNKNOWN_REQUEST: &str = "not a request of the management API\n";
+/// The body of the response to input that is not a valid HTTP request.
 pub(super) const BAD_REQUEST: &str = "bad request\n";
 
-/// A response in text, after which the connection is closed.
+/// A plain-text response, after which the connection is closed.
 pub(super) struct TextResponse<'a> {
     pub(super) status: u16,
-    /// Value of the field `Allow`.
+    /// Value of the header field `Allow`.
     pub(super) allowed_methods: Option<&'a str>,
     pub(super) body: Cow<'a, str>,
 }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The bytes of the response.
+    /// Encodes the response; a response to `HEAD` has no body.
     pub(super) fn encode(&self, is_head: bool) -> Vec<u8> {
         let fields: Vec<(&str, &str)> = self
             .allowed_methods
@@ -50,18 +50,21 @@
     fn from(reply: ManagementReply) -> Self {
         match reply {
             ManagementReply::Done => Self::new(200, "yes\n"),
-            ManagementReply::PartiallyApplied {
-                applied: at,
-                nodes: of,
-            } => Self::new(200, format!("yes, at {at} of {of} nodes\n")),
-            ManagementReply::NotNow => Self::new(503, "not now\n"),
-            ManagementReply::NotFound => Self::new(404, "nobody has that name\n"),
-            ManagementReply::StillAlive => Self::new(409, "it has not failed\n"),
-            ManagementReply::AuditDisabled => Self::new(404, "the section audit is not on here\n"),
+            ManagementReply::PartiallyApplied { applied, nodes } => {
+                Self::new(200, format!("yes, at {applied} of {nodes} nodes\n"))
+            }
+            ManagementReply::NotNow => Self::new(503, "unavailable at the moment\n"),
+            ManagementReply::NotFound => Self::new(404, "no worker or node has this name\n"),
+            ManagementReply::StillAlive => Self::new(409, "the node has not failed\n"),
+            ManagementReply::AuditDisabled => {
+                Self::new(404, "the section audit is not enabled here\n")
+            }
             ManagementReply::CoordinationDisabled => {
-                Self::new(404, "the section duties is not on here\n")
+                Self::new(404, "the section duties is not enabled here\n")
+            }
+            ManagementReply::ClusterDisabled => {
+                Self::new(404, "this node is not part of a cluster\n")
             }
-            ManagementReply::ClusterDisabled => Self::new(404, "this node knows no others\n"),
         }
     }
 }
--- a/src/net/management/server.rs
+++ b/src/net/management/server.rs
@@ -1,4 +1,4 @@
-//! The management server: accepts connections, reads one request from each and writes its response.
+//! The management server: accepts connections, reads one request from each and responds to it.
 
 use super::request::{self, ManagementRequest};
 use super::response::{BAD_REQUEST, TextResponse, UNKNOWN_REQUEST};
@@ -10,25 +10,25 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Largest number of connections at a time; as many descriptors are reserved for them.
+/// Largest number of simultaneous connections; as many file descriptors are reserved for them.
 pub const MAX_SESSIONS: usize = 32;
-/// How long a request may take to arrive, from the start of its connection.
+/// How long a request may take to arrive, counted from the start of its connection.
 const REQUEST_TIMEOUT_SECONDS: f64 = 6.0;
-/// How long the caller may take to read a response and to close its connection.
+/// How long the caller may take to read the response and to close the connection.
 const LINGER_TIMEOUT_SECONDS: f64 = 1.0;
-/// For this long a new connection is never closed to make room: its request is on its way.
+/// How long a new connection is exempt from eviction: its request is still in transit.
 pub(super) const EVICTION_GRACE_SECONDS: f64 = 0.05;
-/// Pause of accepting after the system gave no connection, or no connection could be closed to make
-/// room.
+/// Delay before accepting is retried after `accept` has failed, or after no connection could be
+/// evicted.
 const ACCEPT_RETRY_SECONDS: f64 = EVICTION_GRACE_SECONDS;
-/// Connections accepted in one turn of the event loop.
+/// Largest number of connections accepted in one iteration of the event loop.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
-/// Input that is buffered on a connection, in bytes: a whole request.
+/// Size of a connection's input buffer, in bytes: it holds a complete request.
 const MAX_INPUT_BYTES: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 /// The interim response that asks a caller for the body of its request.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A request that has arrived, and the connection that waits for its response.
+/// A request that has arrived, and the connection on which its response is awaited.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedRequest {
     /// Key of the connection.
@@ -37,17 +37,17 @@
     pub request: ManagementRequest,
 }
 
-/// The state of the dialogue on a connection.
+/// The HTTP state of a connection.
 pub(super) struct SessionState {
     reader: RequestReader,
     connected_at: f64,
-    /// Whether the caller has been asked for the body of its request.
+    /// Whether `100 Continue` has been sent.
     continue_sent: bool,
-    /// Whether the request is being carried out.
+    /// Whether the request has been passed on and its response is due.
     awaits_response: bool,
-    /// Whether the method was `HEAD`: the response has no body.
+    /// Whether the request's method is `HEAD`, so that the response has no body.
     is_head: bool,
-    /// The request that has just arrived.
+    /// A request that has arrived and not been passed on yet.
     received: Option<ManagementRequest>,
 }
 
@@ -89,7 +89,7 @@
 
 impl Callbacks<TcpStream> for SessionState {
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
-        // There is only one request a connection: whatever follows it is ignored.
+        // There is only one request per connection; whatever follows it is ignored.
         if self.awaits_response || connection.state() == State::Closing {
             return;
         }
@@ -116,7 +116,7 @@
     fn ended(&mut self, _: &mut Connection<TcpStream>) {}
 }
 
-/// A connection and the state of its dialogue.
+/// A connection and its HTTP state.
 pub(super) struct Session {
     connection: Connection<TcpStream>,
     state: SessionState,
@@ -130,11 +130,11 @@
 }
 
 impl ManagementServer {
-    /// Accepts connections from a listener that does not block.
+    /// Serves the connections of a non-blocking listener.
     ///
     /// # Errors
     ///
-    /// If the listener can't be registered with the system's poller.
+    /// If the listener can't be registered with the poller.
     pub fn new(reactor: &mut Reactor, listener: TcpListener) -> io::Result<Self> {
         let listener_key = reactor.register(&listener, SocketOwner::ManagementServer)?;
         reactor.rearm(&listener, listener_key, (true, false));
@@ -149,13 +149,13 @@
     ///
     /// # Errors
     ///
-    /// If the system does not tell it.
+    /// If the operating system can't report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Handles a socket that can be read or written, the listener or a connection; returns the
-    /// requests that have arrived.
+    /// Handles readiness of the listener or of a connection; returns the requests that have
+    /// arrived.
     pub fn handle_ready(
         &mut self,
         reactor: &mut Reactor,
@@ -195,18 +195,18 @@
         );
     }
 
-    /// Ends a connection whose time is up.
+    /// Removes a connection whose timeout has expired.
     pub fn handle_timer(&mut self, reactor: &mut Reactor, key: usize) {
         self.remove_session(reactor, key);
     }
 
-    /// Accepts the connections that have come, up to a number per turn; returns the requests that
-    /// have arrived on them.
+    /// Accepts pending connections, up to a limit per iteration of the event loop; returns the
+    /// requests that have arrived on them.
     pub fn accept(&mut self, reactor: &mut Reactor) -> Vec<ReceivedRequest> {
         let mut requests = Vec::new();
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if self.sessions.len() >= MAX_SESSIONS && !self.make_room(reactor) {
-                retry_accepting(reactor);
+                schedule_accepting(reactor);
                 return requests;
             }
             match self.listener.accept() {
@@ -215,7 +215,7 @@
                     io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted => {}
                     io::ErrorKind::WouldBlock => break,
                     _ => {
-                        retry_accepting(reactor);
+                        schedule_accepting(reactor);
                         return requests;
                     }
                 },
@@ -249,16 +249,17 @@
         self.handle_ready(reactor, key, true, false)
     }
 
-    /// Closes the oldest connection whose request has not arrived, or has been answered; returns
-    /// whether there was one. Otherwise silent callers would keep out those with a request.
+    /// Evicts the oldest connection on which no response is due, since its request has not arrived
+    /// or has been answered; returns whether there was one. Without this, silent callers would keep
+    /// out those with a request.
     fn make_room(&mut self, reactor: &mut Reactor) -> bool {
-        let can_be_closed = |state: &SessionState| {
+        let can_be_evicted = |state: &SessionState| {
             !state.awaits_response && reactor.now - state.connected_at >= EVICTION_GRACE_SECONDS
         };
         let oldest = self
             .sessions
             .iter()
-            .filter(|(_, session)| can_be_closed(&session.state))
+            .filter(|(_, session)| can_be_evicted(&session.state))
             .map(|(&key, session)| (session.state.connected_at, key))
             .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let Some((_, key)) = oldest else {
@@ -268,23 +269,23 @@
         true
     }
 
-    /// Removes a connection, which closes its socket.
+    /// Removes a connection and closes its socket.
     fn remove_session(&mut self, reactor: &Reactor, key: usize) {
         if let Some(session) = self.sessions.remove(&key) {
             reactor.deregister(session.connection.stream());
         }
     }
 
-    /// Lets `act` work on a connection, then updates its registration, or removes it if it has
-    /// ended; returns the request that has arrived meanwhile.
+    /// Runs `operation` on a connection, then updates its registration with the poller, or removes
+    /// the connection if it has ended; returns the request that arrived meanwhile, if any.
     fn with_session(
         &mut self,
         reactor: &mut Reactor,
         key: usize,
-        act: impl FnOnce(&mut Connection<TcpStream>, &mut SessionState),
+        operation: impl FnOnce(&mut Connection<TcpStream>, &mut SessionState),
     ) -> Option<ReceivedRequest> {
         let Session { connection, state } = self.sessions.get_mut(&key)?;
-        act(connection, state);
+        operation(connection, state);
         let received = state.received.take();
         if connection.state() == State::Ended {
             self.remove_session(reactor, key);
@@ -298,8 +299,8 @@
     }
 }
 
-/// Accepts again after a pause: the listener stays readable, and trying on at once would be a busy
-/// loop.
-fn retry_accepting(reactor: &mut Reactor) {
+/// Schedules accepting after a delay: the listener stays readable, so an immediate retry would be a
+/// busy loop.
+fn schedule_accepting(reactor: &mut Reactor) {
     reactor.set_timer(reactor.now + ACCEPT_RETRY_SECONDS, Timer::ManagementAccept);
 }
--- a/src/net/management/tests.rs
+++ b/src/net/management/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the management server that need its private parts.
+//! Tests of the management server that need its private items.
 
 use super::request::{self, MAX_NAME_BYTES};
 use super::server::EVICTION_GRACE_SECONDS;
@@ -10,10 +10,10 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Nothing in these tests takes nearly so long.
+/// Far longer than anything in these tests takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A management server on loopback with a clock that the test sets.
+/// A management server on loopback, with a clock that the test controls.
 struct ServerHarness {
     reactor: Reactor,
     server: ManagementServer,
@@ -37,7 +37,7 @@
         caller
     }
 
-    /// Reads all that has arrived, and sends this reply to each request.
+    /// Reads all requests that have arrived, and sends this reply to each.
     fn handle_requests(&mut self, reply: ManagementReply) -> Vec<ManagementRequest> {
         let mut received = self.server.accept(&mut self.reactor);
         let mut keys: Vec<usize> = self.server.sessions.keys().copied().collect();
@@ -59,12 +59,14 @@
 
 fn read_to_end(caller: &mut TcpStream) -> String {
     let mut text = String::new();
-    caller.read_to_string(&mut text).expect("its end");
+    caller
+        .read_to_string(&mut text)
+        .expect("the end of the connection");
     text
 }
 
-/// Guards against a path, a method or a name that is mistaken for another, and against success for
-/// what is not a request of the API. The function is long because it is one table of cases.
+/// Guards against a path, method or name that is taken for another, and against success for what is
+/// not a request of the API.
 #[test]
 fn parses_only_requests_of_the_api() {
     use ManagementRequest::*;
@@ -172,8 +174,8 @@
     }
 }
 
-/// Guards against a server that silent callers keep busy, and against a request that has to wait
-/// for them.
+/// Guards against silent callers that occupy all connections, so that a request is not served or
+/// has to wait until they time out.
 #[test]
 fn silent_callers_do_not_keep_out_a_request() {
     let mut harness = ServerHarness::new();
@@ -181,7 +183,7 @@
     let mut caller = harness.connect();
     caller
         .write_all(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
-        .expect("it is written");
+        .expect("bytes are written");
     let mut requests = Vec::new();
     for _ in 0..20 {
         requests.extend(harness.handle_requests(ManagementReply::Done));
@@ -193,16 +195,16 @@
     drop(silent);
 }
 
-/// Guards against a request that is lost because its bytes come one by one, with a body, or with a
-/// second request behind it, which is ignored; and against an endless head.
+/// Guards against a request that is lost because it arrives byte by byte, has a body, or is
+/// followed by a second request, which must be ignored; and against a head of unlimited length.
 #[test]
-fn handles_one_request_a_connection_however_it_is_split() {
+fn handles_one_request_per_connection_however_it_is_split() {
     let mut harness = ServerHarness::new();
     let mut caller = harness.connect();
     let text = "POST /v1/node/drain HTTP/1.1\r\nContent-Length: 3\r\n\r\n{ }GET /v1/readyz HTTP/1.1\r\n\r\n";
     let mut requests = Vec::new();
     for byte in text.bytes() {
-        caller.write_all(&[byte]).expect("it is written");
+        caller.write_all(&[byte]).expect("bytes are written");
         requests.extend(harness.handle_requests(ManagementReply::Done));
     }
     assert_eq!(requests, [ManagementRequest::Drain]);
@@ -222,29 +224,41 @@
         ("what is this\r\n\r\n".into(), 400),
     ] {
         let mut caller = harness.connect();
-        caller.write_all(text.as_bytes()).expect("it is written");
+        caller
+            .write_all(text.as_bytes())
+            .expect("bytes are written");
         assert!(harness.handle_requests(ManagementReply::Done).is_empty());
         assert!(
             read_to_end(&mut caller).starts_with(&format!("HTTP/1.1 {status} ")),
             "{text:.40}"
         );
     }
-    let mut half = harness.connect();
-    half.write_all(b"GET /v1/rea").expect("it is written");
-    half.shutdown(Shutdown::Write).expect("it is closed");
+    let mut incomplete = harness.connect();
+    incomplete
+        .write_all(b"GET /v1/rea")
+        .expect("bytes are written");
+    incomplete
+        .shutdown(Shutdown::Write)
+        .expect("the sending side is closed");
     assert!(harness.handle_requests(ManagementReply::Done).is_empty());
-    assert_eq!(read_to_end(&mut half), "", "half a request has no response");
+    assert_eq!(
+        read_to_end(&mut incomplete),
+        "",
+        "an incomplete request gets no response"
+    );
     let mut caller = harness.connect();
     caller
         .write_all(b"GET /v1/readyz HTTP/1.1\r\n\r\n")
-        .expect("it is written");
-    caller.shutdown(Shutdown::Write).expect("it is closed");
+        .expect("bytes are written");
+    caller
+        .shutdown(Shutdown::Write)
+        .expect("the sending side is closed");
     assert_eq!(
         harness.handle_requests(ManagementReply::NotNow),
         [ManagementRequest::CheckReadiness]
     );
     assert!(
         read_to_end(&mut caller).starts_with("HTTP/1.1 503 "),
-        "a caller that has closed its sending side still gets its response"
+        "a caller that has closed its sending side still gets a response"
     );
 }
--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -130,7 +130,7 @@
     );
     let (succeeded, errors) = forget(&fleet, "nobody");
     assert!(
-        !succeeded && errors.contains("nobody has that name"),
+        !succeeded && errors.contains("no worker or node has this name"),
         "{errors}"
     );
     fleet.kill(2);
--- a/tests/surface_management.rs
+++ b/tests/surface_management.rs
@@ -1,11 +1,11 @@
-//! Pins the management API as an operator's program sees it: for each path the complete answer,
-//! byte for byte.
+//! Compares the responses of the management API, as an operator's program receives them, byte for
+//! byte with literal text, for each path.
 //!
-//! The answers come from whole nodes on loopback sockets. Status lines, header fields, words and
-//! JSON keys are literal here, and none of them follows the rename of a Rust item: if one of these
-//! tests fails after a rename, mend the code (for JSON keys with `#[serde(rename)]`), not the
-//! literal. Ports, times and drawn numbers are replaced by a word before the comparison. The number
-//! and digest of the kind `program` follow the package's version, and change with a release.
+//! The responses come from complete nodes on loopback sockets. Status lines, header fields, bodies
+//! and JSON keys are literals here, which must not follow the rename of a Rust item: if a test
+//! fails after a rename, fix the code (for JSON keys with `#[serde(rename)]`), not the literal.
+//! Ports, times and random numbers are masked before the comparison. The number and digest of the
+//! version kind `program` depend on the package's version and change with a release.
 
 use postproxy::net::cluster::coordination::error_response;
 use postproxy::net::cluster::service::{ClusterStatus, MemberStatus};
@@ -22,20 +22,20 @@
 use std::thread::{JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-/// No answer in these tests takes nearly so long.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Far longer than any response in these tests takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A whole node with one worker in its list, `s-0`, which is never called.
+/// A complete node whose worker list has one worker, `s-0`, which never gets a request.
 struct TestNode {
     management: SocketAddr,
     stop: UnixStream,
     thread: JoinHandle<()>,
-    /// Keeps discovery's port: calls to it are never answered.
+    /// Occupies the port of discovery; calls to it are never answered.
     _discovery: TcpListener,
 }
 
 impl TestNode {
-    fn start(change: impl FnOnce(&mut Config)) -> Self {
+    fn start(configure: impl FnOnce(&mut Config)) -> Self {
         let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
         let text = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","mgmt":"127.0.0.1:0","discovery":"{}","seed":"8c1f",
@@ -46,16 +46,19 @@
             discovery.local_addr().expect("an address")
         );
         let mut config = Config::from_json(&text, |_| None).expect("a configuration");
-        change(&mut config);
+        configure(&mut config);
         let (stop, signal) = UnixStream::pair().expect("a pair");
-        let (tell, told) = std::sync::mpsc::channel();
+        let (address_sender, address_receiver) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
             let mut node = Node::new(config, signal).expect("a node");
-            tell.send(node.management_address().expect("a management address"))
-                .expect("the test waits");
-            node.run().expect("it runs");
+            address_sender
+                .send(node.management_address().expect("a management address"))
+                .expect("the test waits for the address");
+            node.run().expect("the node runs");
         });
-        let management = told.recv_timeout(LIMIT).expect("the node starts");
+        let management = address_receiver
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the node starts");
         Self {
             management,
             stop,
@@ -64,50 +67,54 @@
         }
     }
 
-    /// The complete answer to these bytes.
+    /// Sends these bytes and returns the complete response.
     fn exchange(&self, request: &str) -> String {
         let mut stream = TcpStream::connect(self.management).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("a time limit");
-        stream.write_all(request.as_bytes()).expect("it is written");
-        let mut answer = String::new();
         stream
-            .read_to_string(&mut answer)
-            .expect("an answer and the connection's end");
-        answer
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time limit");
+        stream
+            .write_all(request.as_bytes())
+            .expect("the request is written");
+        let mut response = String::new();
+        stream
+            .read_to_string(&mut response)
+            .expect("a response and the end of the connection");
+        response
     }
 
-    fn ask(&self, method: &str, path: &str) -> String {
+    fn request(&self, method: &str, path: &str) -> String {
         self.exchange(&format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
     }
 
     fn get(&self, path: &str) -> String {
-        self.ask("GET", path)
+        self.request("GET", path)
     }
 
     fn post(&self, path: &str) -> String {
-        self.ask("POST", path)
+        self.request("POST", path)
     }
 
-    /// Asks until the answer is as wanted.
-    fn until(&self, method: &str, path: &str, wanted: impl Fn(&str) -> bool) -> String {
+    /// Repeats a request until its response satisfies the condition; returns that response.
+    fn request_until(&self, method: &str, path: &str, condition: impl Fn(&str) -> bool) -> String {
         let start = Instant::now();
         loop {
-            let answer = self.ask(method, path);
-            if wanted(&answer) {
-                return answer;
+            let response = self.request(method, path);
+            if condition(&response) {
+                return response;
             }
-            assert!(start.elapsed() < LIMIT, "{path}: {answer}");
+            assert!(start.elapsed() < TEST_TIMEOUT, "{path}: {response}");
             sleep(Duration::from_millis(20));
         }
     }
 
     fn stop(mut self) {
         self.stop.write_all(b"x").expect("a signal");
-        self.thread.join().expect("the node ends in good order");
+        self.thread.join().expect("the node shuts down cleanly");
     }
 }
 
-/// The section `fleet` of a node that knows no other.
+/// The section `fleet` of a node without seeds.
 fn fleet_section(voters: &[&str]) -> FleetSection {
     serde_json::from_value(
         serde_json::json!({"cluster": "riga", "listen": "127.0.0.1:0", "voters": voters}),
@@ -115,7 +122,7 @@
     .expect("a section")
 }
 
-/// An empty folder for a node's store.
+/// The section `store` of a node, with a folder that does not exist yet.
 fn store_section(name: &str) -> StoreSection {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("surface-{name}-{}", std::process::id()));
@@ -123,8 +130,8 @@
     serde_json::from_value(serde_json::json!({"folder": folder})).expect("a section")
 }
 
-/// Replaces the number or text behind each `"key":` by `VARIES`.
-fn varying(text: &str, keys: &[&str]) -> String {
+/// Replaces the value of each of these JSON keys by `VARIES`.
+fn mask_values(text: &str, keys: &[&str]) -> String {
     let mut text = text.to_owned();
     for key in keys {
         let mark = format!("\"{key}\":");
@@ -140,20 +147,20 @@
     text
 }
 
-/// The same of an answer whose head tells the size of a body that varies.
-fn varying_answer(answer: &str, keys: &[&str]) -> String {
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+/// Masks these values in a response, and the `Content-Length`, which depends on them.
+fn mask_response(response: &str, keys: &[&str]) -> String {
+    let (head, body) = response.split_once("\r\n\r\n").expect("a head");
     let size = format!("Content-Length: {}\r\n", body.len());
     assert!(head.contains(&size), "{head}");
     format!(
         "{}\r\n\r\n{}",
         head.replace(&size, "Content-Length: VARIES\r\n"),
-        varying(body, keys)
+        mask_values(body, keys)
     )
 }
 
-/// Replaces the hashes of a trail, which hold its times.
-fn varying_hashes(text: &str) -> String {
+/// Masks the hashes in an audit log, which depend on its times.
+fn mask_hashes(text: &str) -> String {
     let mut text = text.to_owned();
     for (start, end) in [("\"hash\":[", "]"), ("\"head\":\"", "\"")] {
         let parts: Vec<&str> = text.split(start).collect();
@@ -166,35 +173,30 @@
 }
 
 const YES: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nyes\n";
-const NOT_NOW: &str =
-    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 8\r\nConnection: close\r\n\r\nnot now\n";
-const NOBODY: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 21\r\nConnection: close\r\n\r\nnobody has that name\n";
-const LIVES: &str =
-    "HTTP/1.1 409 Conflict\r\nContent-Length: 18\r\nConnection: close\r\n\r\nit has not failed\n";
-const NO_FLEET: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 26\r\nConnection: close\r\n\r\nthis node knows no others\n";
-const NO_AUDIT: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 33\r\nConnection: close\r\n\r\nthe section audit is not on here\n";
-const NO_DUTIES: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 34\r\nConnection: close\r\n\r\nthe section duties is not on here\n";
-const UNKNOWN_PATH: &str =
-    "HTTP/1.1 404 Not Found\r\nContent-Length: 16\r\nConnection: close\r\n\r\nno call of mine\n";
-const WRONG_NAME: &str =
-    "HTTP/1.1 400 Bad Request\r\nContent-Length: 16\r\nConnection: close\r\n\r\nno call of mine\n";
+const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 26\r\nConnection: close\r\n\r\nunavailable at the moment\n";
+const NAME_NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 32\r\nConnection: close\r\n\r\nno worker or node has this name\n";
+const STILL_ALIVE: &str = "HTTP/1.1 409 Conflict\r\nContent-Length: 24\r\nConnection: close\r\n\r\nthe node has not failed\n";
+const CLUSTER_DISABLED: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 35\r\nConnection: close\r\n\r\nthis node is not part of a cluster\n";
+const AUDIT_DISABLED: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 38\r\nConnection: close\r\n\r\nthe section audit is not enabled here\n";
+const COORDINATION_DISABLED: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 39\r\nConnection: close\r\n\r\nthe section duties is not enabled here\n";
+const UNKNOWN_PATH: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 36\r\nConnection: close\r\n\r\nnot a request of the management API\n";
+const INVALID_NAME: &str = "HTTP/1.1 400 Bad Request\r\nContent-Length: 36\r\nConnection: close\r\n\r\nnot a request of the management API\n";
 const BAD_REQUEST: &str =
     "HTTP/1.1 400 Bad Request\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n";
-const ONLY_GET: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 16\r\nAllow: GET, HEAD\r\nConnection: close\r\n\r\nno call of mine\n";
-const ONLY_POST: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 16\r\nAllow: POST\r\nConnection: close\r\n\r\nno call of mine\n";
+const ONLY_GET: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 36\r\nAllow: GET, HEAD\r\nConnection: close\r\n\r\nnot a request of the management API\n";
+const ONLY_POST: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 36\r\nAllow: POST\r\nConnection: close\r\n\r\nnot a request of the management API\n";
 
-/// A node that holds a list from before its start serves once discovery has been asked, or has been
-/// silent for 2.2 s.
+/// A node with a cached list serves once discovery has answered, or has been silent for 2.2 s.
 #[test]
 fn the_readiness_check_answers_with_these_bytes_before_and_after_the_start() {
     let node = TestNode::start(|_| {});
-    assert_eq!(node.get("/v1/readyz"), NOT_NOW);
+    assert_eq!(node.get("/v1/readyz"), UNAVAILABLE);
     assert_eq!(
-        node.until("GET", "/v1/readyz", |answer| answer != NOT_NOW),
+        node.request_until("GET", "/v1/readyz", |answer| answer != UNAVAILABLE),
         YES
     );
     assert_eq!(
-        node.ask("HEAD", "/v1/readyz"),
+        node.request("HEAD", "/v1/readyz"),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     );
     node.stop();
@@ -213,45 +215,54 @@
     let node = TestNode::start(|_| {});
     assert_eq!(node.post("/v1/route-workers/s-0/suspend"), YES);
     assert_eq!(node.post("/v1/route-workers/s-0/resume"), YES);
-    assert_eq!(node.post("/v1/route-workers/s-9/suspend"), NOBODY);
-    assert_eq!(node.post("/v1/route-workers/s-9/resume"), NOBODY);
+    assert_eq!(node.post("/v1/route-workers/s-9/suspend"), NAME_NOT_FOUND);
+    assert_eq!(node.post("/v1/route-workers/s-9/resume"), NAME_NOT_FOUND);
     node.stop();
 }
 
 #[test]
-fn suspend_in_a_fleet_of_one_answers_with_these_bytes() {
+fn suspend_in_a_cluster_of_one_answers_with_these_bytes() {
     let node = TestNode::start(|config| config.fleet = Some(fleet_section(&[])));
-    let held =
+    let applied =
         "HTTP/1.1 200 OK\r\nContent-Length: 21\r\nConnection: close\r\n\r\nyes, at 1 of 1 nodes\n";
-    assert_eq!(node.post("/v1/route-workers/s-0/suspend"), held);
-    assert_eq!(node.post("/v1/route-workers/s-0/resume"), held);
+    assert_eq!(node.post("/v1/route-workers/s-0/suspend"), applied);
+    assert_eq!(node.post("/v1/route-workers/s-0/resume"), applied);
     node.stop();
 }
 
 #[test]
 fn a_node_without_the_sections_says_so_with_these_bytes() {
     let node = TestNode::start(|_| {});
-    assert_eq!(node.get("/v1/fleet/members"), NO_FLEET);
-    assert_eq!(node.post("/v1/fleet/members/n1/forget"), NO_FLEET);
-    assert_eq!(node.get("/v1/fleet/versions"), NO_AUDIT);
-    assert_eq!(node.get("/v1/fleet/audit"), NO_AUDIT);
-    assert_eq!(node.get("/v1/fleet/owners"), NO_DUTIES);
-    assert_eq!(node.post("/v1/fleet/owners/bans/release"), NO_DUTIES);
-    assert_eq!(node.post("/v1/fleet/owners/bans/hand/n1"), NO_DUTIES);
-    assert_eq!(node.post("/v1/fleet/voters/n1/add"), NO_DUTIES);
-    assert_eq!(node.post("/v1/fleet/voters/n1/remove"), NO_DUTIES);
+    assert_eq!(node.get("/v1/fleet/members"), CLUSTER_DISABLED);
+    assert_eq!(node.post("/v1/fleet/members/n1/forget"), CLUSTER_DISABLED);
+    assert_eq!(node.get("/v1/fleet/versions"), AUDIT_DISABLED);
+    assert_eq!(node.get("/v1/fleet/audit"), AUDIT_DISABLED);
+    assert_eq!(node.get("/v1/fleet/owners"), COORDINATION_DISABLED);
+    assert_eq!(
+        node.post("/v1/fleet/owners/bans/release"),
+        COORDINATION_DISABLED
+    );
+    assert_eq!(
+        node.post("/v1/fleet/owners/bans/hand/n1"),
+        COORDINATION_DISABLED
+    );
+    assert_eq!(node.post("/v1/fleet/voters/n1/add"), COORDINATION_DISABLED);
+    assert_eq!(
+        node.post("/v1/fleet/voters/n1/remove"),
+        COORDINATION_DISABLED
+    );
     node.stop();
 }
 
 #[test]
-fn what_is_no_call_is_answered_with_these_bytes() {
+fn requests_that_are_rejected_are_answered_with_these_bytes() {
     let node = TestNode::start(|_| {});
     assert_eq!(node.get("/v1/nothing"), UNKNOWN_PATH);
     assert_eq!(node.post("/v1/readyz"), ONLY_GET);
     assert_eq!(node.post("/v1/fleet/members"), ONLY_GET);
     assert_eq!(node.get("/v1/node/drain"), ONLY_POST);
     assert_eq!(node.get("/v1/route-workers/s-0/suspend"), ONLY_POST);
-    assert_eq!(node.post("/v1/route-workers/%zz/suspend"), WRONG_NAME);
+    assert_eq!(node.post("/v1/route-workers/%zz/suspend"), INVALID_NAME);
     assert_eq!(node.exchange("what is this\r\n\r\n"), BAD_REQUEST);
     assert_eq!(
         node.exchange("GET /v1/readyz HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
@@ -266,24 +277,24 @@
 }
 
 #[test]
-fn the_members_of_a_fleet_of_one_are_shown_with_these_bytes() {
+fn the_members_of_a_cluster_of_one_are_shown_with_these_bytes() {
     let node = TestNode::start(|config| config.fleet = Some(fleet_section(&["n0"])));
-    let answer = node.until("GET", "/v1/fleet/members", |answer| {
+    let answer = node.request_until("GET", "/v1/fleet/members", |answer| {
         answer.contains("\"member\":true")
     });
     assert_eq!(
-        varying_answer(&answer, &["address", "incarnation", "ill", "missed_s"]),
+        mask_response(&answer, &["address", "incarnation", "ill", "missed_s"]),
         "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
          {\"cluster\":\"riga\",\"node\":\"n0\",\"member\":true,\"namesake\":null,\"standing\":\"alone\",\"reasons\":[],\
          \"members\":[{\"name\":\"n0\",\"address\":VARIES,\"incarnation\":VARIES,\"state\":\"here\",\"voter\":true,\
          \"leads\":false}],\"unheard\":[],\"ill\":VARIES,\"missed_s\":VARIES,\"bans\":[],\"dropped\":{}}\n"
     );
-    assert_eq!(node.post("/v1/fleet/members/n9/forget"), NOBODY);
+    assert_eq!(node.post("/v1/fleet/members/n9/forget"), NAME_NOT_FOUND);
     node.stop();
 }
 
 #[test]
-fn the_versions_and_the_trail_of_a_node_are_shown_with_these_bytes() {
+fn the_versions_and_the_audit_log_of_a_node_are_shown_with_these_bytes() {
     let node = TestNode::start(|config| {
         config.fleet = Some(fleet_section(&[]));
         config.audit = Some(AuditSection {
@@ -300,7 +311,7 @@
     );
     let answer = node.get("/v1/fleet/audit");
     assert_eq!(
-        varying_hashes(&varying_answer(&answer, &["at_ms"])),
+        mask_hashes(&mask_response(&answer, &["at_ms"])),
         "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
          {\"node\":\"n0\",\"view\":3,\"head\":\"VARIES\",\"acts\":0,\"records\":[\
          {\"view\":1,\"at_ms\":VARIES,\"what\":\"began\",\"acts\":0,\"hash\":[VARIES]},\
@@ -310,9 +321,9 @@
     node.stop();
 }
 
-/// Two nodes' versions with every field away from its default, in a time that is told.
+/// Passes fixed times, and has values other than the default in the fields of both nodes.
 #[test]
-fn versions_and_trail_of_a_node_that_is_behind_have_this_json() {
+fn versions_and_audit_log_of_a_node_that_is_behind_have_this_json() {
     let mut audit = VersionService::new(
         Settings {
             gossip_interval_ms: 400,
@@ -322,7 +333,7 @@
         7,
     );
     audit.set_peers(["n1".to_owned()].into());
-    let stand = |number| VersionRecord {
+    let version = |number| VersionRecord {
         generation: 0xab,
         number,
         digest: 0xcd,
@@ -330,12 +341,12 @@
     audit.adopt(
         1001.0,
         VersionKind::WorkerList,
-        stand(41),
+        version(41),
         Source::Peer("n1".into()),
         3,
     );
-    let heads = Message::Versions(vec![(VersionKind::WorkerList, stand(44))]);
-    audit.handle_datagram(1002.0, "n1", &postcard::to_stdvec(&heads).expect("bytes"));
+    let message = Message::Versions(vec![(VersionKind::WorkerList, version(44))]);
+    audit.handle_datagram(1002.0, "n1", &postcard::to_stdvec(&message).expect("bytes"));
     assert_eq!(
         audit.versions_json(1002.5),
         "[{\"node\":\"n0\",\"state\":\"behind\",\"heard_ms\":0,\"behind_ms\":500,\"versions\":[\
@@ -353,9 +364,9 @@
     );
 }
 
-/// So many whole nodes that hear each other, of which the first two vote.
-fn nodes<const COUNT: usize>(test: &str) -> [TestNode; COUNT] {
-    let at: Vec<SocketAddr> = loopback_addresses(COUNT as u8)
+/// Starts complete nodes that form a cluster, in which the first two are voters.
+fn start_nodes<const COUNT: usize>(test: &str) -> [TestNode; COUNT] {
+    let addresses: Vec<SocketAddr> = loopback_addresses(COUNT as u8)
         .into_iter()
         .map(|ip| SocketAddr::new(ip, 8090))
         .collect();
@@ -364,8 +375,8 @@
             config.name = format!("n{n}");
             config.store = Some(store_section(&format!("{test}-{n}")));
             config.fleet = Some(FleetSection {
-                listen: at[n],
-                seeds: at.clone(),
+                listen: addresses[n],
+                seeds: addresses.clone(),
                 ..fleet_section(&["n0", "n1"])
             });
             config.duties = Some(DutiesSection::default());
@@ -375,13 +386,13 @@
 
 #[test]
 fn a_voter_that_is_added_and_removed_is_shown_with_these_bytes() {
-    let [first, second, third] = nodes("voters");
-    third.until("GET", "/v1/fleet/owners", |answer| {
+    let [first, second, third] = start_nodes("voters");
+    third.request_until("GET", "/v1/fleet/owners", |answer| {
         answer.contains("\"owner\":\"n")
     });
     let answer = third.get("/v1/fleet/owners");
     assert_eq!(
-        varying_answer(&answer, &["leader", "place", "owner", "token", "left_ms"]),
+        mask_response(&answer, &["leader", "place", "owner", "token", "left_ms"]),
         "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
          {\"node\":\"n2\",\"votes\":false,\"why\":null,\"leader\":VARIES,\"place\":VARIES,\"voters\":[\
          {\"seat\":1,\"node\":\"n0\",\"heard\":null,\"lost\":false},{\"seat\":2,\"node\":\"n1\",\"heard\":null,\"lost\":false}],\
@@ -389,17 +400,17 @@
          \"token\":VARIES}\n"
     );
     assert_eq!(
-        first.until("POST", "/v1/fleet/voters/n2/add", |answer| !answer
+        first.request_until("POST", "/v1/fleet/voters/n2/add", |answer| !answer
             .contains("voters.nobody")),
         YES
     );
-    // It has the log, not the seat alone: one that is removed before that is a matter of its own,
-    // and no surface.
-    let follows =
+    // The voter is removed only once it has received the log. Removal before that is not covered
+    // by this test.
+    let has_log =
         |answer: &str| answer.contains("\"votes\":true") && !answer.contains("\"place\":0,");
-    third.until("GET", "/v1/fleet/owners", follows);
+    third.request_until("GET", "/v1/fleet/owners", has_log);
     assert_eq!(first.post("/v1/fleet/voters/n2/remove"), YES);
-    let answer = third.until("GET", "/v1/fleet/owners", |answer| {
+    let answer = third.request_until("GET", "/v1/fleet/owners", |answer| {
         answer.contains("\"votes\":false")
     });
     assert!(
@@ -412,14 +423,14 @@
 }
 
 #[test]
-fn a_call_without_a_majority_is_answered_with_these_bytes() {
-    let [node, other] = nodes("majority");
-    node.until("GET", "/v1/fleet/owners", |answer| {
+fn a_request_without_a_majority_is_answered_with_these_bytes() {
+    let [node, other] = start_nodes("majority");
+    node.request_until("GET", "/v1/fleet/owners", |answer| {
         answer.contains("\"owner\":\"n")
     });
     other.stop();
     assert_eq!(
-        node.until("POST", "/v1/fleet/owners/bans/hand/n0", |answer| !answer
+        node.request_until("POST", "/v1/fleet/owners/bans/hand/n0", |answer| !answer
             .ends_with("yes\n")),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 271\r\nConnection: close\r\n\r\n\
          {\"error\":\"duties\",\"code\":\"duties.no_majority\",\"what\":\"not decided in time; voters not heard: n1\",\"remedy\":\"ask again, it may be decided by now; if it stays so, start the voters that are not heard or mend the network between them, and remove one that will not come back\"}\n"
@@ -428,18 +439,18 @@
 }
 
 #[test]
-fn the_owners_and_the_calls_on_them_are_answered_with_these_bytes() {
-    let [node, other] = nodes("owners");
+fn the_lease_owners_and_requests_about_leases_are_answered_with_these_bytes() {
+    let [node, other] = start_nodes("owners");
     let path = "/v1/fleet/owners";
-    let owned = |answer: &str| answer.contains("\"owner\":\"n");
-    other.until("GET", path, owned);
-    node.until("GET", path, owned);
+    let has_owner = |answer: &str| answer.contains("\"owner\":\"n");
+    other.request_until("GET", path, has_owner);
+    node.request_until("GET", path, has_owner);
     assert_eq!(node.post("/v1/fleet/owners/bans/hand/n0"), YES);
-    let acts =
+    let is_settled =
         |answer: &str| answer.contains("\"next\":null") && !answer.contains("\"left_ms\":null");
-    let answer = node.until("GET", path, acts);
+    let answer = node.request_until("GET", path, is_settled);
     assert_eq!(
-        varying_answer(&answer, &["leader", "place", "token", "left_ms"]),
+        mask_response(&answer, &["leader", "place", "token", "left_ms"]),
         "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
          {\"node\":\"n0\",\"votes\":true,\"why\":null,\"leader\":VARIES,\"place\":VARIES,\"voters\":[\
          {\"seat\":1,\"node\":\"n0\",\"heard\":true,\"lost\":false},{\"seat\":2,\"node\":\"n1\",\"heard\":true,\"lost\":false}],\
@@ -461,14 +472,14 @@
         "HTTP/1.1 409 Conflict\r\nContent-Length: 149\r\nConnection: close\r\n\r\n\
          {\"error\":\"voters\",\"code\":\"voters.count\",\"what\":\"two to seven nodes vote\",\"remedy\":\"remove a seat before another is added; two voters are the least\"}\n"
     );
-    assert_eq!(node.post("/v1/fleet/members/n1/forget"), LIVES);
+    assert_eq!(node.post("/v1/fleet/members/n1/forget"), STILL_ALIVE);
     assert_eq!(node.post("/v1/fleet/owners/bans/release"), YES);
-    let answer = node.until("GET", "/v1/fleet/members", |answer| {
+    let answer = node.request_until("GET", "/v1/fleet/members", |answer| {
         answer.contains("\"leads\":true")
     });
     let keys = ["address", "incarnation", "leads", "ill", "missed_s"];
     assert_eq!(
-        varying_answer(&answer, &keys),
+        mask_response(&answer, &keys),
         "HTTP/1.1 200 OK\r\nContent-Length: VARIES\r\nConnection: close\r\n\r\n\
          {\"cluster\":\"riga\",\"node\":\"n0\",\"member\":true,\"namesake\":null,\"standing\":\"whole\",\"reasons\":[],\"members\":[\
          {\"name\":\"n0\",\"address\":VARIES,\"incarnation\":VARIES,\"state\":\"here\",\"voter\":true,\"leads\":VARIES},\
@@ -478,11 +489,12 @@
     other.stop();
 }
 
-/// Pins a rejected call's status beside its body, whose other forms the tests of `crates/coordination` pin.
+/// Checks the status code of each error, and one body. The tests of `crates/coordination` check the
+/// other bodies.
 #[test]
-fn each_rejected_call_has_this_status() {
+fn each_rejected_request_has_this_status() {
     let status = |error: &Error| error_response(error).status;
-    let stop = Error::WouldLoseMajority { living: 1, of: 3 };
+    let would_lose_majority = Error::WouldLoseMajority { living: 1, of: 3 };
     for error in [
         Error::NoMajority(Vec::new()),
         Error::Busy,
@@ -495,7 +507,7 @@
         assert_eq!(status(&error), 404, "{error}");
     }
     assert_eq!(status(&Error::InvalidName), 400);
-    let refused = [
+    let rejections = [
         Rejection::OwnedByOther {
             owner: "n1".into(),
             token: 7,
@@ -505,10 +517,10 @@
         Rejection::TooManyLeases,
         Rejection::SupersededCommand,
     ];
-    for error in refused
+    for error in rejections
         .map(Error::Rejected)
         .into_iter()
-        .chain([stop, Error::VoterCount])
+        .chain([would_lose_majority, Error::VoterCount])
     {
         assert_eq!(status(&error), 409, "{error}");
     }
@@ -536,7 +548,7 @@
     }
 }
 
-fn picture() -> ClusterStatus {
+fn cluster_status() -> ClusterStatus {
     ClusterStatus {
         cluster: "riga".into(),
         node: "n0".into(),
@@ -553,8 +565,8 @@
     }
 }
 
-/// The value is written as this text, and this text is read as the value.
-fn pinned(value: &ClusterStatus, text: &str) {
+/// Checks that the value is serialised to this text, and the text deserialised to the value.
+fn assert_json(value: &ClusterStatus, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("JSON"), text);
     assert_eq!(
         &serde_json::from_str::<ClusterStatus>(text).expect("a value"),
@@ -563,9 +575,9 @@
 }
 
 #[test]
-fn a_picture_of_the_members_with_every_field_has_this_json() {
-    pinned(
-        &picture(),
+fn a_cluster_status_with_every_field_has_this_json() {
+    assert_json(
+        &cluster_status(),
         "{\"cluster\":\"riga\",\"node\":\"n0\",\"member\":false,\"namesake\":\"10.0.0.9:8080\",\
          \"standing\":\"some failed\",\"reasons\":[\"n1 has failed\"],\"members\":[\
          {\"name\":\"n0\",\"address\":\"10.0.0.4:8080\",\"incarnation\":12,\"state\":\"here\",\"voter\":true,\"leads\":true},\
@@ -575,18 +587,16 @@
 }
 
 #[test]
-fn a_picture_of_the_members_with_nothing_to_tell_has_this_json() {
-    let (reasons, members, unheard, bans) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    let (namesake, dropped) = (None, Default::default());
-    pinned(
+fn a_cluster_status_with_empty_fields_has_this_json() {
+    assert_json(
         &ClusterStatus {
-            name_conflict: namesake,
-            reasons,
-            members,
-            unreachable_peers: unheard,
-            suspended_workers: bans,
-            dropped,
-            ..picture()
+            name_conflict: None,
+            reasons: Vec::new(),
+            members: Vec::new(),
+            unreachable_peers: Vec::new(),
+            suspended_workers: Vec::new(),
+            dropped: Default::default(),
+            ..cluster_status()
         },
         "{\"cluster\":\"riga\",\"node\":\"n0\",\"member\":false,\"namesake\":null,\"standing\":\"some failed\",\
          \"reasons\":[],\"members\":[],\"unheard\":[],\"ill\":0.5,\"missed_s\":1.25,\"bans\":[],\"dropped\":{}}",
