--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Responses to bad input can be read by the client also when it goes on sending; none of the input
-//! reaches a worker.
+//! A client can read the response to invalid input even if it goes on sending, and none of the
+//! input reaches a worker.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -8,14 +8,15 @@
 use std::io::{Read as _, Write as _};
 use std::time::{Duration, Instant};
 
-/// Bytes sent behind a request: less than a node discards of a connection that closes.
-const BYTES_BEHIND: usize = 200 << 10;
-/// Bytes that a client sends behind its request at a time.
-const PIECE_BYTES: usize = 8192;
+/// Number of excess bytes that a client sends after a request: fewer than a node reads and discards
+/// on a closing connection.
+const MAX_EXCESS_BYTES: usize = 200 << 10;
+/// Size of the chunks in which a client sends the excess bytes.
+const CHUNK_BYTES: usize = 8192;
 
-/// Guards against a close with unread bytes, which resets the connection and destroys the response;
-/// against a client that holds a connection by sending on; and against any of the input at a
-/// worker.
+/// Guards against a close with unread input, which resets the connection, so that the client loses
+/// the response; against a client that occupies a connection by sending on; and against forwarding
+/// any of the input to a worker.
 #[test]
 fn responses_to_bad_input_are_readable_though_the_client_goes_on_sending() {
     let harness = NodeHarness::new(1, 256);
@@ -41,16 +42,17 @@
         (431, format!("POST /render HTTP/1.1\r\nX-Long: {long}")),
     ];
     for (status, text) in cases {
-        for behind in [0, 1, 200, BYTES_BEHIND] {
+        for excess in [0, 1, 200, MAX_EXCESS_BYTES] {
             let mut client = harness.connect();
             let start = Instant::now();
             client.write(&text);
-            // It goes on while the response is on its way, and closes only once it has read that.
+            // The client goes on sending while the response is in transit, and closes the
+            // connection only after it has read the response.
             let mut writer = client.stream.try_clone().expect("a stream");
             let sender = std::thread::spawn(move || {
-                for _ in 0..behind.div_ceil(PIECE_BYTES) {
+                for _ in 0..excess.div_ceil(CHUNK_BYTES) {
                     if writer
-                        .write_all(&vec![b'x'; behind.min(PIECE_BYTES)])
+                        .write_all(&vec![b'x'; excess.min(CHUNK_BYTES)])
                         .is_err()
                     {
                         return;
@@ -61,10 +63,10 @@
             client
                 .stream
                 .read_to_string(&mut response)
-                .unwrap_or_else(|error| panic!("{status}, {behind}: {error}: {response}"));
+                .unwrap_or_else(|error| panic!("{status}, {excess}: {error}: {response}"));
             assert!(
                 response.starts_with(&format!("HTTP/1.1 {status} ")),
-                "{status}, {behind}: {response}"
+                "{status}, {excess}: {response}"
             );
             assert!(
                 response.contains("Connection: close\r\n") && response.contains("\r\n\r\n"),
@@ -72,20 +74,20 @@
             );
             assert!(
                 start.elapsed() < Duration::from_secs(3),
-                "{status}, {behind}"
+                "{status}, {excess}"
             );
-            sender.join().expect("it ends");
+            sender.join().expect("the sender ends");
         }
     }
-    // Half a request, and then nothing: the response comes in time.
-    let mut half = harness.connect();
-    half.write("POST /render HTTP/1.1\r\nX-Requ");
+    // An incomplete request, followed by nothing, is answered in time.
+    let mut incomplete = harness.connect();
+    incomplete.write("POST /render HTTP/1.1\r\nX-Requ");
     let start = Instant::now();
-    assert_eq!(half.read_response().status, 408);
+    assert_eq!(incomplete.read_response().status, 408);
     assert!(start.elapsed() < Duration::from_secs(3));
     assert!(
         !harness.has_pending_connection(0),
-        "some of the input reached a worker"
+        "none of the input reaches a worker"
     );
     drop((pending, worker));
     harness.stop();
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,5 @@
-//! The connections that clients and workers open: timeouts, the limit of connections, and what
-//! requests are parsed to.
+//! The connections that clients and workers open to a node: timeouts, eviction at the connection
+//! limit, and the parsing of requests and callbacks.
 
 #[path = "support/clients_harness.rs"]
 mod clients_harness;
@@ -17,27 +17,27 @@
 const CALLBACK: &str = "POST /v1/job-events HTTP/1.1\r\nContent-Length: 40\r\n\r\n\
                         {\"id\":\"a\",\"from\":\"s-1\",\"state\":\"asleep\"}";
 
-/// Guards against a client that holds a connection by silence, or by a request that never ends: it
-/// must get a close or an error within 3 s of connecting, and no byte in between gives it more
-/// time. A client that has made a request keeps the connection, and has as much time for its next
-/// request.
+/// Guards against a client that occupies a connection by sending nothing, or a request that never
+/// ends: it must get a close or an error within 3 s of connecting, and further bytes must not
+/// extend this time. A client that has made a request keeps its connection, and its next request
+/// has the same time limit.
 #[test]
 fn closes_connections_whose_request_does_not_arrive_in_time() {
     let mut harness = ClientsHarness::new(8);
     let mut silent = harness.connect();
-    let mut half = harness.connect();
+    let mut incomplete = harness.connect();
     let mut persistent = harness.connect();
-    harness.send(&mut half, "POST /render HTTP/1.1\r\nX-Requ");
+    harness.send(&mut incomplete, "POST /render HTTP/1.1\r\nX-Requ");
     harness.send(&mut persistent, READINESS_CHECK);
     harness.advance_to(1001.9);
-    assert!(harness.is_open(&silent) && harness.is_open(&half));
-    harness.send(&mut half, "est-Id: a");
+    assert!(harness.is_open(&silent) && harness.is_open(&incomplete));
+    harness.send(&mut incomplete, "est-Id: a");
     harness.advance_to(1002.5);
     assert_eq!(silent.read_to_end(), "");
-    assert!(half.read_to_end().starts_with("HTTP/1.1 408 "));
+    assert!(incomplete.read_to_end().starts_with("HTTP/1.1 408 "));
     harness.advance_to(1060.0);
     assert!(harness.is_open(&persistent));
-    // The body counts too, though it is taken off the input as it arrives.
+    // The time limit includes the body, though that is moved out of the input buffer as it arrives.
     harness.send(
         &mut persistent,
         "POST /render HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 9\r\n\r\nbody",
@@ -50,9 +50,9 @@
     assert!(harness.clients.connection_count() == 0);
 }
 
-/// Guards against a response that its client can't read because the connection was reset over what
-/// the client was still sending: a new one had come, for which there was no room. A connection with
-/// its last response keeps its place for a moment.
+/// Guards against a lost response: if a connection were evicted while its client is still sending,
+/// it would be reset, and the client could not read the response. A connection is exempt from
+/// eviction for a short time after its last response.
 #[test]
 fn a_connection_is_not_evicted_right_after_its_last_response() {
     let mut harness = ClientsHarness::new(1);
@@ -67,16 +67,16 @@
     answered
         .stream
         .write_all(&more_of_the_body)
-        .expect("it is written");
+        .expect("bytes are written");
     assert_eq!(harness.clients.connection_count(), 2);
     harness.advance_to(1000.04);
     answered
         .stream
         .write_all(&more_of_the_body)
-        .expect("it is written");
-    // The client goes on sending, and reads its response up to the connection's orderly end.
+        .expect("bytes are written");
+    // The client, which has sent more, can read its response up to the end of the connection.
     assert!(answered.read_to_end().starts_with("HTTP/1.1 413 "));
-    // Its place is free after that, though it goes on sending.
+    // After that the connection is evicted, though the client goes on sending.
     let before: Vec<usize> = harness.clients.connection_keys().collect();
     harness.advance_to(1000.11);
     assert!(
@@ -88,10 +88,11 @@
     );
 }
 
-/// Guards against advice to retry at once where the settings allow no advice.
+/// Guards against a `Retry-After` of 0 s where the settings allow no advice: clients would retry at
+/// once.
 #[test]
-fn an_unavailable_response_advises_when_to_retry_or_nothing() {
-    for (retry_after, field) in [(0.25, Some("Retry-After: 0.250\r\n")), (0.0, None)] {
+fn retry_after_is_sent_only_if_there_is_advice() {
+    for (retry_after, expected_field) in [(0.25, Some("Retry-After: 0.250\r\n")), (0.0, None)] {
         let mut harness = ClientsHarness::new(8);
         let mut client = harness.connect();
         let fields = "X-Request-Id: a\r\nConnection: close\r\n";
@@ -106,14 +107,20 @@
         );
         let text = client.read_to_end();
         assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
-        assert_eq!(text.contains("Retry-After"), field.is_some(), "{text}");
-        assert!(field.is_none_or(|field| text.contains(field)), "{text}");
+        assert_eq!(
+            text.contains("Retry-After"),
+            expected_field.is_some(),
+            "{text}"
+        );
+        assert!(
+            expected_field.is_none_or(|field| text.contains(field)),
+            "{text}"
+        );
     }
 }
 
-/// Guards against a worker that gets the acknowledgement of its call-back before the request
-/// manager gives it, and against one that gets none because it closed its sending side after the
-/// call-back.
+/// Guards against an acknowledgement of a callback before the request manager has handled the
+/// callback, and against a missing one if the worker closes its sending side after the callback.
 #[test]
 fn a_callback_is_acknowledged_only_by_the_request_manager() {
     let mut harness = ClientsHarness::new(4);
@@ -121,11 +128,11 @@
     worker
         .stream
         .write_all(CALLBACK.as_bytes())
-        .expect("it is written");
+        .expect("bytes are written");
     worker
         .stream
         .shutdown(Shutdown::Write)
-        .expect("it is closed");
+        .expect("the sending side is closed");
     for _ in 0..3 {
         harness.read_from(&worker);
     }
@@ -145,10 +152,11 @@
     assert!(worker.read_to_end().starts_with("HTTP/1.1 200 "));
 }
 
-/// Guards against a crowd that takes all places: silent connections are closed before those that
-/// have brought a request or a call-back, and no new one is, since its request is on its way.
+/// Guards against many silent connections that keep out clients: silent and idle connections are
+/// evicted before those that were used for a request or a callback. A new connection is exempt,
+/// since its request is still in transit.
 #[test]
-fn silent_and_idle_connections_are_evicted_before_useful_ones() {
+fn silent_and_idle_connections_are_evicted_before_used_ones() {
     let mut harness = ClientsHarness::new(4);
     let mut useful = harness.connect();
     let mut idle = harness.connect();
@@ -165,7 +173,7 @@
     let mut first = harness.connect();
     assert!(
         !harness.is_open(&silent) && harness.is_open(&idle),
-        "of the unused ones, that which has waited longest is closed first"
+        "of the unused connections, the one that has waited longest is evicted first"
     );
     let second = harness.connect();
     assert!(!harness.is_open(&idle) && harness.is_open(&useful) && harness.is_open(&young));
@@ -174,13 +182,14 @@
     let mut late = harness.connect();
     let are_open = [&young, &first, &second, &third].map(|client| harness.is_open(client));
     assert_eq!(are_open, [true; 4]);
-    // The late one waits until one is no longer new; then accepting resumes by itself.
+    // `late` is accepted once the exemption of another connection has ended, without further
+    // events.
     harness.advance_to(1000.6);
     assert!(!harness.is_open(&young) && harness.is_open(&first));
     harness.send(&mut late, CALLBACK);
     assert!(harness.clients.is_useful(late.key));
-    // A connection that has its last response and does not end comes first of all, after a moment
-    // to read it.
+    // A connection that has had its last response and is not closed by its client is evicted first
+    // of all, after the short time that the client has to read the response.
     harness.send(&mut first, "no request\r\n\r\n");
     assert!(harness.has_connection(&first) && !harness.is_open(&first));
     harness.advance_to(1000.66);
@@ -188,8 +197,8 @@
     assert!(!harness.has_connection(&first) && harness.is_open(&second) && harness.is_open(&late));
 }
 
-/// Guards against forwarding what a worker can't read, or what each reader could read in its own
-/// way: a worker closes its connection on that, whatever other requests wait there.
+/// Guards against forwarding a request that a worker can't parse, or that may be parsed in more
+/// than one way. A worker closes the connection on that, which also fails the other requests on it.
 #[test]
 fn a_request_that_can_not_be_forwarded_is_rejected() {
     let id = "X-Request-Id: a\r\n";
@@ -230,11 +239,11 @@
     }
 }
 
-/// Guards against figures of a request that are lost or mixed up on their way to the dispatcher.
+/// Guards against header fields that are lost, or assigned to the wrong field of the submission.
 #[test]
 fn a_submission_has_all_fields_of_its_request() {
     let settings = r#"{"services": [{"name": "reroute"}, {"name": "day-plan"}]}"#;
-    let settings = Settings::from_json(settings).expect("sound settings");
+    let settings = Settings::from_json(settings).expect("valid settings");
     let request = parse_request(
         "POST /day-plan/x?y=z HTTP/1.1\r\nX-Request-Id: 9b1f\r\nX-Tenant: acme\r\nX-Deadline: 0.480\r\n\
          Cookie: a=b; k=7f3a9c21e0b4d655\r\nIdempotency-Key: 5c0f\r\nX-Retry: 1\r\nX-Cost-Hint: 250000\r\n\
@@ -262,29 +271,29 @@
         route(request, &settings, Readiness::Ready),
         Route::Submission(Box::new(submission))
     );
-    let bare =
+    let minimal =
         parse_request("POST /reroute HTTP/1.1\r\nX-Request-Id: a\r\nX-Cost-Hint: much\r\n\r\n");
-    let Route::Submission(bare) = route(bare, &settings, Readiness::Ready) else {
+    let Route::Submission(minimal) = route(minimal, &settings, Readiness::Ready) else {
         panic!("no submission")
     };
     assert_eq!(
         (
-            bare.affinity_key,
-            bare.budget,
-            bare.expected_work,
-            bare.slots,
-            bare.repeat
+            minimal.affinity_key,
+            minimal.budget,
+            minimal.expected_work,
+            minimal.slots,
+            minimal.repeat
         ),
         (0, None, None, None, false)
     );
 }
 
-/// Guards against a call-back that is misread, and against one that changes on its way through a
+/// Guards against a callback that is parsed incorrectly, or that changes when it is forwarded to a
 /// sibling process.
 #[test]
 fn a_callback_has_all_that_the_worker_sent_and_survives_encoding() {
     let text = r#"{"id":"9b1f","from":"s-1","state":"running","share":0.4,"load":{"queue":2,"x0":1.5,"odd":"x"}}"#;
-    let parsed = callback::parse(text.as_bytes()).expect("a call-back");
+    let parsed = callback::parse(text.as_bytes()).expect("a callback");
     assert_eq!(
         (parsed.id.as_str(), parsed.from.as_str(), parsed.state),
         ("9b1f", "s-1", CallbackState::Running(0.4))
--- a/tests/support/clients_harness.rs
+++ b/tests/support/clients_harness.rs
@@ -1,5 +1,5 @@
-//! The clients' side of a node on loopback, without the request manager and with a clock that the
-//! test sets.
+//! The clients' side of a node on loopback, without a request manager and with a clock that the
+//! test controls.
 #![allow(dead_code)]
 
 use postproxy::decision::interface::Settings;
@@ -10,9 +10,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How long a test waits for input; nothing in these tests takes nearly so long.
+/// How long a test waits for input: far longer than anything in these tests takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// What the clock shows at the start, in seconds.
+/// The time on the clock at the start, in seconds.
 pub const START_TIME: f64 = 1000.0;
 
 /// The settings of a node with one class, `render`.
@@ -20,27 +20,29 @@
     Settings::from_json(r#"{"services": [{"name": "render"}]}"#).expect("settings")
 }
 
-/// A client's side of a connection, and the key of the node's side.
+/// The client's side of a connection, and the key of the node's side.
 pub struct TestClient {
     pub stream: TcpStream,
     pub key: usize,
 }
 
 impl TestClient {
-    /// What arrives up to the end of the connection.
+    /// Reads up to the end of the connection.
     pub fn read_to_end(&mut self) -> String {
         let mut text = String::new();
-        self.stream.read_to_string(&mut text).expect("its end");
+        self.stream
+            .read_to_string(&mut text)
+            .expect("the end of the connection");
         text
     }
 }
 
-/// The listener and the connections of clients.
+/// The clients' listener with its connections, and the reactor that drives them.
 pub struct ClientsHarness {
     pub reactor: Reactor,
     pub clients: Clients,
-    /// Whether the timer of [`ClientsHarness::poll`] is set.
-    polls: bool,
+    /// Whether [`ClientsHarness::poll`] has set its timer.
+    poll_timer_set: bool,
 }
 
 impl ClientsHarness {
@@ -49,11 +51,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("a setting");
         let clients = Clients::new(&mut reactor, listener, render_settings(), max_connections)
-            .expect("they listen");
+            .expect("the listener is registered");
         Self {
             reactor,
             clients,
-            polls: false,
+            poll_timer_set: false,
         }
     }
 
@@ -65,7 +67,7 @@
         self.clients.accept(&mut self.reactor);
     }
 
-    /// Connects a client and accepts its connection, which is there at once on loopback.
+    /// Connects a client and accepts its connection, which on loopback is pending at once.
     pub fn connect(&mut self) -> TestClient {
         let stream = TcpStream::connect(self.address()).expect("a connection");
         stream
@@ -76,18 +78,19 @@
         TestClient { stream, key }
     }
 
-    /// Has the node read what has arrived from a client.
+    /// Lets the node read what has arrived from a client.
     pub fn read_from(&mut self, client: &TestClient) {
         self.clients
             .handle_ready(&mut self.reactor, client.key, true, false);
     }
 
-    /// Sends, has the node read it, and acknowledges a call-back in place of the request manager.
+    /// Sends a text and lets the node read it. If it is a callback, acknowledges it in place of the
+    /// request manager.
     pub fn send(&mut self, client: &mut TestClient, text: &str) {
         client
             .stream
             .write_all(text.as_bytes())
-            .expect("it is written");
+            .expect("bytes are written");
         self.read_from(client);
         if let Some(Input::CallbackReceived { client, .. }) = self.reactor.queue.pop_front() {
             self.clients.acknowledge_callback(&mut self.reactor, client);
@@ -108,11 +111,11 @@
         }
     }
 
-    /// Asks the poller once and handles the clients' events. A timer in the past has the poller
-    /// return at once.
+    /// Polls once and handles the clients' events. A timer in the past makes the poller return at
+    /// once.
     pub fn poll(&mut self) {
-        if !self.polls {
-            self.polls = true;
+        if !self.poll_timer_set {
+            self.poll_timer_set = true;
             self.reactor.set_timer(START_TIME, Timer::ClientAccept);
         }
         let mut events = Vec::new();
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Whether the node still has the client's connection, closing or not.
+    /// Whether the node still has the client's connection, open or closing.
     pub fn has_connection(&self, client: &TestClient) -> bool {
         self.clients.connection_keys().any(|key| key == client.key)
     }
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -1,10 +1,10 @@
-//! Pins what the node sends over HTTP to clients, workers and discovery, byte for byte, and the
-//! fields that it reads from them.
+//! Compares the messages that the node sends over HTTP to clients, workers and discovery, byte for
+//! byte with literal text, and checks the fields that it reads from them.
 //!
-//! The test plays all three on real loopback sockets and compares complete messages with literal
-//! text: request lines, header fields with their order and case, status lines, bodies. None of it
-//! follows the rename of a Rust item: if one of these tests fails after a rename, mend the code,
-//! not the literal. Ports and times vary; they are replaced by a word before the comparison.
+//! The test plays the three roles on real loopback sockets and compares complete messages: request
+//! lines, header fields with their order and case, status lines, bodies. The literals must not
+//! follow the rename of a Rust item: if a test fails after a rename, fix the code, not the literal.
+//! Ports and times vary, and are masked before the comparison.
 
 #[path = "support/node_harness.rs"]
 mod node_harness;
@@ -19,8 +19,8 @@
 use std::io::Write as _;
 use std::net::TcpListener;
 
-/// The next whole message on a connection, as its bytes.
-fn message(peer: &mut TestSocket) -> String {
+/// Reads the next complete message on a connection.
+fn read_message(peer: &mut TestSocket) -> String {
     loop {
         let text = String::from_utf8(peer.input.clone()).expect("text");
         if let Some((head, rest)) = text.split_once("\r\n\r\n") {
@@ -29,82 +29,82 @@
                 .find_map(|line| line.strip_prefix("Content-Length: "));
             let size: usize = field.map_or(0, |size| size.parse().expect("a size"));
             if rest.len() >= size {
-                let whole = text[..head.len() + 4 + size].to_owned();
-                peer.input.drain(..whole.len());
-                return whole;
+                let message = text[..head.len() + 4 + size].to_owned();
+                peer.input.drain(..message.len());
+                return message;
             }
         }
         assert!(peer.read_more(), "the connection ended after {text:?}");
     }
 }
 
-/// The first message after these bytes on a connection of its own.
-fn answer(harness: &NodeHarness, request: &str) -> String {
+/// Sends these bytes on a new connection and returns the first message of the response.
+fn exchange(harness: &NodeHarness, request: &str) -> String {
     let mut client = TestSocket::connect(harness.node);
     client.write(request);
-    message(&mut client)
+    read_message(&mut client)
 }
 
-/// A message in which the port of this listener and the number in a field are replaced by a word.
-fn varying(text: &str, listener: &TcpListener, field: &str) -> String {
+/// Masks the port of this listener and the number in a header field of a message.
+fn mask(text: &str, listener: &TcpListener, field: &str) -> String {
     let host = format!("Host: {}\r\n", listener.local_addr().expect("an address"));
     let text = text.replace(&host, "Host: 127.0.0.1:PORT\r\n");
-    varying_field(&text, field)
+    mask_field(&text, field)
 }
 
-/// A message in which the number in a field, which has three decimals, is replaced by a word.
-fn varying_field(text: &str, field: &str) -> String {
+/// Masks the number in a header field of a message; it must have three decimals.
+fn mask_field(text: &str, field: &str) -> String {
     let start = format!("\r\n{field}: ");
     let Some((before, rest)) = text.split_once(&start) else {
         return text.to_owned();
     };
     let (value, after) = rest.split_once("\r\n").expect("a line ends");
-    let (whole, decimals) = value.split_once('.').expect("decimals");
+    let (integer, decimals) = value.split_once('.').expect("decimals");
     assert!(
-        whole.parse::<u32>().is_ok() && decimals.len() == 3,
+        integer.parse::<u32>().is_ok() && decimals.len() == 3,
         "{value}"
     );
     assert!(decimals.parse::<u32>().is_ok(), "{value}");
     format!("{before}{start}SECONDS\r\n{after}")
 }
 
-/// The request that a worker receives for a client's request.
-fn forwarded(request: &str) -> String {
+/// Submits a request as a client and returns what the worker receives.
+fn forward(request: &str) -> String {
     let harness = NodeHarness::new(1, 256);
     let mut client = TestSocket::connect(harness.node);
     client.write(request);
-    let text = message(&mut TestSocket::accept(&harness.workers[0]));
-    let text = varying(&text, &harness.workers[0], "X-Deadline");
+    let text = read_message(&mut TestSocket::accept(&harness.workers[0]));
+    let text = mask(&text, &harness.workers[0], "X-Deadline");
     drop(client);
     harness.stop();
     text
 }
 
 #[test]
-fn a_forwarded_job_reaches_the_worker_with_these_bytes() {
+fn a_forwarded_request_reaches_the_worker_with_these_bytes() {
     let request = "POST /render/a?b=c HTTP/1.1\r\nhost: x\r\nx-request-id: one\r\nidempotency-key: k 1\r\n\
                    x-deadline: 5\r\nX-Tenant: t\r\nX-Cost-Hint: 1000\r\nX-Extras: slots=1,memory=2\r\nX-Retry: 1\r\n\
                    Cookie: k=ff\r\nX-Other: y\r\ncontent-length: 4\r\n\r\nbody";
     assert_eq!(
-        forwarded(&request.replace("k 1", "k-1")),
+        forward(&request.replace("k 1", "k-1")),
         "POST /render/a?b=c HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nX-Request-Id: one\r\nX-Deadline: SECONDS\r\n\
          Idempotency-Key: k-1\r\nContent-Length: 4\r\n\r\nbody"
     );
 }
 
 #[test]
-fn a_forwarded_job_without_key_and_body_reaches_the_worker_with_these_bytes() {
+fn a_forwarded_request_without_key_and_body_reaches_the_worker_with_these_bytes() {
     assert_eq!(
-        forwarded("POST /render HTTP/1.1\r\nX-Request-Id: one\r\n\r\n"),
+        forward("POST /render HTTP/1.1\r\nX-Request-Id: one\r\n\r\n"),
         "POST /render HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\nX-Request-Id: one\r\nX-Deadline: SECONDS\r\n\
          Content-Length: 0\r\n\r\n"
     );
 }
 
 #[test]
-fn a_forwarded_job_that_came_in_chunks_reaches_the_worker_with_these_bytes() {
+fn a_forwarded_request_that_came_in_chunks_reaches_the_worker_with_these_bytes() {
     assert_eq!(
-        forwarded(
+        forward(
             "POST /render HTTP/1.1\r\nX-Request-Id: one\r\nTransfer-Encoding: chunked\r\n\r\n\
              2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
         ),
@@ -114,21 +114,21 @@
 }
 
 #[test]
-fn a_cancelled_job_reaches_the_worker_with_these_bytes() {
+fn a_cancelled_request_reaches_the_worker_with_these_bytes() {
     let harness = NodeHarness::new(1, 256);
     let mut client = TestSocket::connect(harness.node);
     client.submit_request("one");
     let mut worker = TestSocket::accept(&harness.workers[0]);
-    message(&mut worker);
+    read_message(&mut worker);
     worker.write(ACCEPTED);
-    // Once a call-back is answered, the 202 before it has been read.
+    // Once the callback is acknowledged, the node has read the worker's 202.
     assert_eq!(
         harness.post_callback("one", 0, r#""state":"running","share":0.5"#),
         200
     );
     drop(client);
     assert_eq!(
-        varying(&message(&mut worker), &harness.workers[0], "-"),
+        mask(&read_message(&mut worker), &harness.workers[0], "-"),
         "DELETE /jobs/one HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n"
     );
     harness.stop();
@@ -143,8 +143,8 @@
     let mut client = TestSocket::connect(harness.node);
     client.submit_request("one");
     assert_eq!(
-        varying(
-            &message(&mut TestSocket::accept(&harness.workers[0])),
+        mask(
+            &read_message(&mut TestSocket::accept(&harness.workers[0])),
             &harness.workers[0],
             "-"
         ),
@@ -155,14 +155,14 @@
 }
 
 #[test]
-fn the_calls_to_discovery_have_these_bytes() {
+fn the_requests_to_discovery_have_these_bytes() {
     let harness = NodeHarness::new(1, 256);
     let mut discovery = TestSocket::accept(&harness.discovery);
-    let next = |peer: &mut TestSocket| varying(&message(peer), &harness.discovery, "-");
+    let next = |peer: &mut TestSocket| mask(&read_message(peer), &harness.discovery, "-");
     assert_eq!(
         next(&mut discovery),
         "GET /api/targets?since=41&timeout_ms=1 HTTP/1.1\r\nHost: 127.0.0.1:PORT\r\n\r\n",
-        "the first call does not wait"
+        "the first request does not wait"
     );
     send_worker_list(
         &mut discovery,
@@ -181,11 +181,11 @@
 }
 
 #[test]
-fn the_call_for_the_whole_list_has_these_bytes() {
+fn the_request_for_the_complete_worker_list_has_these_bytes() {
     let harness = NodeHarness::new(0, 256);
     assert_eq!(
-        varying(
-            &message(&mut TestSocket::accept(&harness.discovery)),
+        mask(
+            &read_message(&mut TestSocket::accept(&harness.discovery)),
             &harness.discovery,
             "-"
         ),
@@ -195,12 +195,12 @@
 }
 
 #[test]
-fn a_result_reaches_the_client_and_its_call_back_the_worker_with_these_bytes() {
+fn a_result_and_the_acknowledgement_of_its_callback_have_these_bytes() {
     let mut harness = NodeHarness::new(1, 256);
     let mut client = TestSocket::connect(harness.node);
     client.submit_request("one");
     let mut worker = TestSocket::accept(&harness.workers[0]);
-    message(&mut worker);
+    read_message(&mut worker);
     worker.write(ACCEPTED);
     let body = r#"{"id":"one","from":"s-0","state":"done","result":"r"}"#;
     let call = format!(
@@ -208,28 +208,28 @@
         body.len()
     );
     assert_eq!(
-        answer(&harness, &call),
+        exchange(&harness, &call),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     );
     assert_eq!(
-        message(&mut client),
+        read_message(&mut client),
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr"
     );
-    // Told to stop, it closes behind each answer.
+    // While the node shuts down, it closes each connection after its response.
     client.submit_request("two");
-    message(&mut worker);
+    read_message(&mut worker);
     worker.write(ACCEPTED);
     harness.stop.write_all(b"x").expect("a signal");
-    while answer(&harness, READY).starts_with("HTTP/1.1 200") {}
+    while exchange(&harness, READY).starts_with("HTTP/1.1 200") {}
     assert_eq!(
-        answer(&harness, &call.replace(r#""id":"one""#, r#""id":"two""#)),
+        exchange(&harness, &call.replace(r#""id":"one""#, r#""id":"two""#)),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     );
     assert_eq!(
-        message(&mut client),
+        read_message(&mut client),
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nr"
     );
-    harness.thread.join().expect("the node ends in good order");
+    harness.thread.join().expect("the node shuts down cleanly");
 }
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\n\r\n";
@@ -238,66 +238,66 @@
 fn the_readiness_check_answers_with_these_bytes() {
     let mut harness = NodeHarness::new(1, 256);
     let mut discovery = TestSocket::accept(&harness.discovery);
-    message(&mut discovery);
+    read_message(&mut discovery);
     send_worker_list(
         &mut discovery,
         r#"{"revision":42,"complete":false,"members":[]}"#,
     );
-    message(&mut discovery);
+    read_message(&mut discovery);
     assert_eq!(
-        answer(&harness, READY),
+        exchange(&harness, READY),
         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n"
     );
     assert_eq!(
-        answer(&harness, &READY.replace("GET", "HEAD")),
+        exchange(&harness, &READY.replace("GET", "HEAD")),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     );
     assert_eq!(
-        answer(
+        exchange(
             &harness,
             &READY.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
         ),
         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\nready\n"
     );
     assert_eq!(
-        answer(&harness, &READY.replace("GET", "DELETE")),
+        exchange(&harness, &READY.replace("GET", "DELETE")),
         "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 13\r\nAllow: GET, HEAD\r\nConnection: close\r\n\r\nwrong method\n"
     );
-    // A job in flight keeps the node there when it is told to stop.
+    // A request in flight keeps the node running after the signal to stop.
     let mut client = TestSocket::connect(harness.node);
     client.submit_request("one");
-    message(&mut TestSocket::accept(&harness.workers[0]));
+    read_message(&mut TestSocket::accept(&harness.workers[0]));
     harness.stop.write_all(b"x").expect("a signal");
-    let mut not_ready = answer(&harness, READY);
+    let mut not_ready = exchange(&harness, READY);
     while not_ready.starts_with("HTTP/1.1 200") {
-        not_ready = answer(&harness, READY);
+        not_ready = exchange(&harness, READY);
     }
     assert_eq!(
         not_ready,
         "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 10\r\nConnection: close\r\n\r\nnot ready\n"
     );
     drop(client);
-    harness.thread.join().expect("the node ends in good order");
+    harness.thread.join().expect("the node shuts down cleanly");
 }
 
 #[test]
-fn a_rejected_job_is_answered_with_these_bytes() {
+fn a_rejected_request_is_answered_with_these_bytes() {
     let rejected = |advice: bool| {
         let harness = NodeHarness::with_settings(1, 256, &[], |settings| {
             settings["limits"]["retry-after"] = advice.into();
             settings["limits"]["max-retry-after"] = 2.0.into();
         });
         let mut discovery = TestSocket::accept(&harness.discovery);
-        message(&mut discovery);
+        read_message(&mut discovery);
         send_worker_list(
             &mut discovery,
             r#"{"revision":42,"complete":true,"members":[]}"#,
         );
-        message(&mut discovery);
+        read_message(&mut discovery);
         let request = "POST /render HTTP/1.1\r\nX-Request-Id: one\r\nX-Deadline: 0.3\r\n\r\n";
-        let text = answer(&harness, request);
+        let text = exchange(&harness, request);
         harness.stop();
-        varying_field(&text, "Retry-After")
+        mask_field(&text, "Retry-After")
     };
     assert_eq!(
         rejected(true),
@@ -310,24 +310,24 @@
 }
 
 #[test]
-fn a_failed_job_and_a_duplicate_are_answered_with_these_bytes() {
+fn a_failed_request_and_a_duplicate_are_answered_with_these_bytes() {
     let harness = NodeHarness::with_settings(1, 256, &[], |settings| {
         settings["services"][0]["effect"] = "side_effect".into()
     });
     let mut client = TestSocket::connect(harness.node);
     client.submit_request("one");
     let mut worker = TestSocket::accept(&harness.workers[0]);
-    message(&mut worker);
+    read_message(&mut worker);
     worker.write(ACCEPTED);
     let mut second = TestSocket::connect(harness.node);
     second.submit_request("one");
     assert_eq!(
-        message(&mut second),
+        read_message(&mut second),
         "HTTP/1.1 409 Conflict\r\nContent-Length: 13\r\nConnection: close\r\n\r\nheld already\n"
     );
     assert_eq!(harness.post_callback("one", 0, r#""state":"lost""#), 200);
     assert_eq!(
-        message(&mut client),
+        read_message(&mut client),
         "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 7\r\n\r\nfailed\n"
     );
     harness.stop();
@@ -338,43 +338,46 @@
     let harness = NodeHarness::new(1, 256);
     let bad =
         "HTTP/1.1 400 Bad Request\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n";
-    assert_eq!(answer(&harness, "what is this\r\n\r\n"), bad);
+    assert_eq!(exchange(&harness, "what is this\r\n\r\n"), bad);
     assert_eq!(
-        answer(
+        exchange(
             &harness,
             "POST /render HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
         ),
         bad
     );
     assert_eq!(
-        answer(
+        exchange(
             &harness,
             "POST /v1/job-events HTTP/1.1\r\nContent-Length: 4\r\n\r\nnone"
         ),
         bad
     );
     assert_eq!(
-        answer(
+        exchange(
             &harness,
             "POST /nowhere HTTP/1.1\r\nX-Request-Id: a\r\n\r\n"
         ),
         "HTTP/1.1 404 Not Found\r\nContent-Length: 13\r\nConnection: close\r\n\r\nunknown path\n"
     );
     let only_post = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 13\r\nAllow: POST\r\nConnection: close\r\n\r\nwrong method\n";
-    assert_eq!(answer(&harness, "GET /render HTTP/1.1\r\n\r\n"), only_post);
     assert_eq!(
-        answer(&harness, "GET /v1/job-events HTTP/1.1\r\n\r\n"),
+        exchange(&harness, "GET /render HTTP/1.1\r\n\r\n"),
         only_post
     );
     assert_eq!(
-        answer(
+        exchange(&harness, "GET /v1/job-events HTTP/1.1\r\n\r\n"),
+        only_post
+    );
+    assert_eq!(
+        exchange(
             &harness,
             "POST /render HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"
         ),
         "HTTP/1.1 413 Content Too Large\r\nContent-Length: 12\r\nConnection: close\r\n\r\nbad request\n"
     );
     assert_eq!(
-        answer(
+        exchange(
             &harness,
             &format!(
                 "GET /-/ready HTTP/1.1\r\nX-Long: {}",
@@ -387,20 +390,20 @@
 }
 
 #[test]
-fn half_a_request_is_answered_with_these_bytes() {
+fn an_incomplete_request_is_answered_with_these_bytes() {
     let harness = NodeHarness::new(1, 256);
     assert_eq!(
-        answer(&harness, "POST /render HTTP/1.1\r\nX-Requ"),
+        exchange(&harness, "POST /render HTTP/1.1\r\nX-Requ"),
         "HTTP/1.1 408 Request Timeout\r\nContent-Length: 9\r\nConnection: close\r\n\r\ntoo slow\n"
     );
     harness.stop();
 }
 
 #[test]
-fn a_body_that_waits_for_word_is_asked_for_with_these_bytes() {
+fn expect_100_continue_is_answered_with_these_bytes() {
     let harness = NodeHarness::new(1, 256);
     let head = "POST /render HTTP/1.1\r\nX-Request-Id: one\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n";
-    assert_eq!(answer(&harness, head), "HTTP/1.1 100 Continue\r\n\r\n");
+    assert_eq!(exchange(&harness, head), "HTTP/1.1 100 Continue\r\n\r\n");
     harness.stop();
 }
 
@@ -410,7 +413,7 @@
 }
 
 #[test]
-fn a_job_is_read_from_these_header_fields() {
+fn a_submission_is_read_from_these_header_fields() {
     let text = "POST /commit/a?b=c HTTP/1.1\r\nX-Request-Id: one\r\nIdempotency-Key: k-1\r\nX-Deadline: 5\r\nX-Tenant: t\r\n\
                 X-Cost-Hint: 1500000\r\nX-Extras: slots=2, memory=3\r\nX-Retry: 1\r\nCookie: a=b; k=ff\r\n\
                 Content-Length: 4\r\n\r\nbody";
@@ -444,63 +447,63 @@
     );
 }
 
-/// A call-back is read from these fields, and passed on to another process of this node in these.
+/// Checks the JSON keys with which a callback is parsed, and forwarded to a sibling process.
 #[test]
-fn a_call_back_has_this_json() {
-    let of = |state| WorkerCallback {
+fn a_callback_has_this_json() {
+    let with_state = |state| WorkerCallback {
         id: "one".into(),
         from: "s-0".into(),
         state,
         load: vec![("queue".into(), 3.0)],
     };
-    let pinned = |state: CallbackState, text: &str| {
-        let call_back = of(state);
+    let assert_json = |state: CallbackState, text: &str| {
+        let original = with_state(state);
         assert_eq!(
-            String::from_utf8(callback::encode(&call_back)).expect("text"),
+            String::from_utf8(callback::encode(&original)).expect("text"),
             text
         );
-        assert_eq!(callback::parse(text.as_bytes()), Some(call_back));
+        assert_eq!(callback::parse(text.as_bytes()), Some(original));
     };
-    pinned(
+    assert_json(
         CallbackState::Started,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"started"}"#,
     );
-    pinned(
+    assert_json(
         CallbackState::Running(0.5),
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"share":0.5,"state":"running"}"#,
     );
-    pinned(
+    assert_json(
         CallbackState::Done(b"r".to_vec()),
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"result":"r","state":"done"}"#,
     );
-    pinned(
+    assert_json(
         CallbackState::Failed,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"failed"}"#,
     );
-    pinned(
+    assert_json(
         CallbackState::Returned,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"returned"}"#,
     );
-    pinned(
+    assert_json(
         CallbackState::Lost,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"lost"}"#,
     );
-    pinned(
+    assert_json(
         CallbackState::Unknown,
         r#"{"from":"s-0","id":"one","load":{"queue":3.0},"state":"unknown"}"#,
     );
-    let bare = WorkerCallback {
+    let minimal = WorkerCallback {
         load: Vec::new(),
-        ..of(CallbackState::Running(0.0))
+        ..with_state(CallbackState::Running(0.0))
     };
     assert_eq!(
         callback::parse(br#"{"id":"one","from":"s-0","state":"running"}"#),
-        Some(bare)
+        Some(minimal)
     );
 }
 
 #[test]
-fn a_member_of_discoverys_list_is_read_from_these_fields() {
+fn a_member_of_the_discovery_list_is_read_from_these_fields() {
     let text = |phase: &str| {
         format!(
             r#"{{"revision":41,"complete":true,"members":[{{"id":"s-0","host_port":"10.0.0.4:80","locality":"riga",
