--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -165,10 +165,10 @@
     }
 
     /// Whether a request for the workers or a callback has arrived on a connection.
-    pub fn is_useful(&self, key: usize) -> bool {
+    pub fn used_before(&self, key: usize) -> bool {
         self.sessions
             .get(&key)
-            .is_some_and(|session| session.state.useful)
+            .is_some_and(|session| session.state.used_before)
     }
 
     /// Whether a client is connected and waits for its final answer.
--- a/src/net/downstream/migration.rs
+++ b/src/net/downstream/migration.rs
@@ -15,7 +15,7 @@
     /// Input that was read but not consumed.
     pub input: Vec<u8>,
     /// Whether a request for the workers or a callback has arrived on the connection.
-    pub useful: bool,
+    pub used_before: bool,
 }
 
 /// A connection whose client waits for its final answer, in transit from one process to another.
@@ -48,7 +48,7 @@
         Some(ReleasedIdleConnection {
             stream: parts.stream,
             input: parts.input,
-            useful: parts.state.useful,
+            used_before: parts.state.used_before,
         })
     }
 
@@ -80,7 +80,7 @@
             return;
         };
         self.with_session(reactor, key, |connection, handler| {
-            handler.state.useful = released.useful;
+            handler.state.used_before = released.used_before;
             handler.start_timeout(IDLE_TIMEOUT_SECONDS);
             handler.read_requests(connection);
             connection.handle_ready(true, false, handler);
@@ -97,7 +97,7 @@
         let key = self.add_connection(reactor, released.stream, released.input)?;
         self.with_session(reactor, key, |_, handler| {
             handler.state.phase = Phase::AwaitingAnswer;
-            handler.state.useful = true;
+            handler.state.used_before = true;
             handler.state.close_after_response = released.close_after_response;
         });
         // The client may have disconnected in the meantime. That must be noticed before another
--- a/src/net/downstream/session.rs
+++ b/src/net/downstream/session.rs
@@ -65,7 +65,7 @@
     /// Whether `100 Continue` has been sent for the request that is arriving.
     continue_sent: bool,
     /// Whether a request for the workers or a callback has arrived on the connection.
-    pub(super) useful: bool,
+    pub(super) used_before: bool,
     /// Whether the timeout of an incomplete request is running. For the first request it runs from
     /// the start of the connection.
     pub(super) request_timeout_runs: bool,
@@ -83,7 +83,7 @@
             phase: Phase::Reading,
             close_after_response: false,
             continue_sent: false,
-            useful: false,
+            used_before: false,
             request_timeout_runs: false,
             reader: RequestReader::default(),
             waiting_since: 0.0,
@@ -149,7 +149,7 @@
                     Some(EvictionRank::Unused)
                 }
             }
-            State::Open if self.state.useful => Some(EvictionRank::IdleAfterUse),
+            State::Open if self.state.used_before => Some(EvictionRank::IdleAfterUse),
             State::Open => Some(EvictionRank::Unused),
             _ => None,
         }
@@ -350,7 +350,7 @@
     /// Queues a callback for the request manager. It is acknowledged only once the request manager
     /// has handled it: the worker may then forget the result, so it must be stored here first.
     fn begin_callback(&mut self, callback: WorkerCallback) {
-        self.state.useful = true;
+        self.state.used_before = true;
         self.state.phase = Phase::AwaitingAcknowledgement;
         self.cancel_timeout();
         let client = self.state.client_id();
@@ -362,7 +362,7 @@
     /// Queues a request for the request manager. While it is pending, only its own deadline applies
     /// and no timeout of the connection.
     fn begin_submission(&mut self, submission: Submission) {
-        self.state.useful = true;
+        self.state.used_before = true;
         self.state.phase = Phase::AwaitingAnswer;
         self.cancel_timeout();
         let client = self.state.client_id();
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -86,7 +86,7 @@
                     let connection = ReleasedIdleConnection {
                         stream: descriptor.into(),
                         input,
-                        useful: used_before,
+                        used_before,
                     };
                     self.clients
                         .adopt_idle_connection(&mut self.reactor, connection);
@@ -285,7 +285,7 @@
             };
             let message = Message::QuietConnection {
                 input: released.input,
-                used_before: released.useful,
+                used_before: released.used_before,
             };
             let descriptor = Some(released.stream.into());
             handover.send_with_descriptor(&self.reactor, successor, &message, descriptor);
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -158,14 +158,14 @@
 #[test]
 fn silent_and_idle_connections_are_evicted_before_used_ones() {
     let mut harness = ClientsHarness::new(4);
-    let mut useful = harness.connect();
+    let mut used = harness.connect();
     let mut idle = harness.connect();
     let silent = harness.connect();
     assert_eq!(
         CALLBACK.split_once("\r\n\r\n").map(|(_, body)| body.len()),
         Some(40)
     );
-    harness.send(&mut useful, CALLBACK);
+    harness.send(&mut used, CALLBACK);
     harness.reactor.now = 1000.2;
     harness.send(&mut idle, READINESS_CHECK);
     harness.reactor.now = 1000.5;
@@ -176,9 +176,9 @@
         "of the unused connections, the one that has waited longest is evicted first"
     );
     let second = harness.connect();
-    assert!(!harness.is_open(&idle) && harness.is_open(&useful) && harness.is_open(&young));
+    assert!(!harness.is_open(&idle) && harness.is_open(&used) && harness.is_open(&young));
     let third = harness.connect();
-    assert!(!harness.is_open(&useful) && harness.is_open(&young) && harness.is_open(&first));
+    assert!(!harness.is_open(&used) && harness.is_open(&young) && harness.is_open(&first));
     let mut late = harness.connect();
     let are_open = [&young, &first, &second, &third].map(|client| harness.is_open(client));
     assert_eq!(are_open, [true; 4]);
@@ -187,7 +187,7 @@
     harness.advance_to(1000.6);
     assert!(!harness.is_open(&young) && harness.is_open(&first));
     harness.send(&mut late, CALLBACK);
-    assert!(harness.clients.is_useful(late.key));
+    assert!(harness.clients.used_before(late.key));
     // A connection that has had its last response and is not closed by its client is evicted first
     // of all, after the short time that the client has to read the response.
     harness.send(&mut first, "no request\r\n\r\n");
