--- a/src/net/downstream/accept.rs
+++ b/src/net/downstream/accept.rs
@@ -12,7 +12,7 @@
 const ACCEPT_RETRY_SECONDS: f64 = 0.05;
 /// Largest number of connections accepted in one iteration of the event loop, so that existing
 /// connections are served as well.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 
 /// A connection that can be closed to make room for a new one.
 #[derive(PartialEq)]
@@ -47,7 +47,7 @@
         if !self.accepting {
             return;
         }
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             // The limit may be exceeded by one: nothing is evicted before there is a connection to
             // make room for.
             if self.sessions.len() > self.max_connections && !self.make_room(reactor) {
--- a/src/net/downstream/clients.rs
+++ b/src/net/downstream/clients.rs
@@ -1,5 +1,5 @@
-//! The connections that clients and workers have opened to this node, and the calls by which the
-//! event loop operates them.
+//! The connections that clients and workers have opened to this node, with the operations that the
+//! event loop calls.
 
 use super::routing::Readiness;
 use super::session::{Phase, Session, SessionHandler};
--- a/src/net/downstream/session.rs
+++ b/src/net/downstream/session.rs
@@ -22,7 +22,7 @@
 /// How long to wait, after the last response, for the client to close its side of the connection.
 const LINGER_TIMEOUT_SECONDS: f64 = 1.0;
 /// How long a connection is exempt from eviction: the request of a new connection, or the last
-/// response on a closing one, is still in transit.
+/// response on a closing one, may still be in transit.
 const EVICTION_GRACE_SECONDS: f64 = 0.05;
 /// A connection without a complete request after this long is evicted before those that have
 /// carried one.
@@ -45,7 +45,7 @@
 /// The order in which connections are closed to make room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionRank {
-    /// Its last response has been written.
+    /// Closing; its last response has been written.
     Closing,
     /// Without a complete request for more than [`SILENT_AFTER_SECONDS`], or idle and never used
     /// for a request or a callback.
@@ -325,8 +325,8 @@
         let is_head = request.method == "HEAD";
         match routing::route(request, self.settings, self.readiness) {
             Route::Respond(response) => self.respond(connection, response, is_head),
-            Route::Callback(callback) => self.begin_callback(callback),
-            Route::Submission(submission) => self.begin_submission(*submission),
+            Route::Callback(callback) => self.queue_callback(callback),
+            Route::Submission(submission) => self.queue_submission(*submission),
         }
     }
 
@@ -349,7 +349,7 @@
 
     /// Queues a callback for the request manager. It is acknowledged only once the request manager
     /// has handled it: the worker may then forget the result, so it must be stored here first.
-    fn begin_callback(&mut self, callback: WorkerCallback) {
+    fn queue_callback(&mut self, callback: WorkerCallback) {
         self.state.used_before = true;
         self.state.phase = Phase::AwaitingAcknowledgement;
         self.cancel_timeout();
@@ -361,7 +361,7 @@
 
     /// Queues a request for the request manager. While it is pending, only its own deadline applies
     /// and no timeout of the connection.
-    fn begin_submission(&mut self, submission: Submission) {
+    fn queue_submission(&mut self, submission: Submission) {
         self.state.used_before = true;
         self.state.phase = Phase::AwaitingAnswer;
         self.cancel_timeout();
--- a/src/net/management/server.rs
+++ b/src/net/management/server.rs
@@ -16,13 +16,13 @@
 const REQUEST_TIMEOUT_SECONDS: f64 = 6.0;
 /// How long the caller may take to read the response and to close the connection.
 const LINGER_TIMEOUT_SECONDS: f64 = 1.0;
-/// How long a new connection is exempt from eviction: its request is still in transit.
+/// How long a new connection is exempt from eviction: its request may still be in transit.
 pub(super) const EVICTION_GRACE_SECONDS: f64 = 0.05;
 /// Delay before accepting is retried after `accept` has failed, or after no connection could be
 /// evicted.
 const ACCEPT_RETRY_SECONDS: f64 = EVICTION_GRACE_SECONDS;
 /// Largest number of connections accepted in one iteration of the event loop.
-const MAX_ACCEPTS_PER_TURN: usize = 16;
+const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 /// Size of a connection's input buffer, in bytes: it holds a complete request.
 const MAX_INPUT_BYTES: usize = http::MAX_HEAD_BYTES + http::MAX_BODY_BYTES;
 /// The interim response that asks a caller for the body of its request.
@@ -204,7 +204,7 @@
     /// requests that have arrived on them.
     pub fn accept(&mut self, reactor: &mut Reactor) -> Vec<ReceivedRequest> {
         let mut requests = Vec::new();
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             if self.sessions.len() >= MAX_SESSIONS && !self.make_room(reactor) {
                 schedule_accepting(reactor);
                 return requests;
--- a/tests/surface_http.rs
+++ b/tests/surface_http.rs
@@ -203,12 +203,12 @@
     read_message(&mut worker);
     worker.write(ACCEPTED);
     let body = r#"{"id":"one","from":"s-0","state":"done","result":"r"}"#;
-    let call = format!(
+    let callback = format!(
         "POST /v1/job-events HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
     assert_eq!(
-        exchange(&harness, &call),
+        exchange(&harness, &callback),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     );
     assert_eq!(
@@ -222,7 +222,10 @@
     harness.stop.write_all(b"x").expect("a signal");
     while exchange(&harness, READY).starts_with("HTTP/1.1 200") {}
     assert_eq!(
-        exchange(&harness, &call.replace(r#""id":"one""#, r#""id":"two""#)),
+        exchange(
+            &harness,
+            &callback.replace(r#""id":"one""#, r#""id":"two""#)
+        ),
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     );
     assert_eq!(
