--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -1,11 +1,12 @@
-//! Durable records a second and their latency, next to redb and fjall in one run; recovery; space.
+//! Benchmarks of the store: durable records per second and their latency, compared with redb and
+//! fjall in the same run; recovery time; space amplification.
 //!
-//!     cargo bench -p postproxy-store            # everything, some minutes
-//!     cargo bench -p postproxy-store -- quick   # a tenth of it
+//!     cargo bench -p postproxy-store            # full run, takes some minutes
+//!     cargo bench -p postproxy-store -- quick   # about a tenth of that
 //!
-//! Each store has a number of records outstanding: as one is acknowledged the next is appended.
-//! redb and fjall are used in the way that suits them best: all outstanding records in one
-//! transaction, made durable at its end.
+//! Each store has a fixed number of records outstanding: when one is acknowledged, the next is
+//! appended. redb and fjall are used in the way that is fastest for them: all outstanding records
+//! are written in one transaction, which is made durable at its end.
 
 use fjall::{Database, KeyspaceCreateOptions, PersistMode};
 use hdrhistogram::Histogram;
@@ -24,15 +25,15 @@
     key
 }
 
-/// One line of the first table.
-struct Line {
+/// One row of the first table.
+struct Row {
     name: &'static str,
     outstanding: usize,
     rate: f64,
     latency: Histogram<u64>,
 }
 
-impl Line {
+impl Row {
     fn print(&self) {
         let at = |q| self.latency.value_at_quantile(q) as f64 / 1000.0;
         println!(
@@ -47,25 +48,25 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("a histogram")
+    Histogram::new(3).expect("create a histogram")
 }
 
 fn engine(folder: &Path) -> Engine<OsDisk> {
-    let disk = OsDisk::new(folder).expect("a folder");
+    let disk = OsDisk::new(folder).expect("create a folder");
     Engine::open(vec![disk], Options::default(), "a bench", 1, 0)
-        .expect("a store")
+        .expect("open the store")
         .0
 }
 
-/// Appends records to the store until the time is over.
-fn postproxy_store(folder: &Path, outstanding: usize, time: Duration) -> Line {
+/// Appends records to the store for this time.
+fn postproxy_store(folder: &Path, outstanding: usize, time: Duration) -> Row {
     let options = WriterOptions {
         max_queued_bytes: 64 << 20,
         retry_interval: Duration::from_secs(1),
         clock: Box::new(|| 0),
         wake: Box::new(|| {}),
     };
-    let (mut store, events) = Store::start(engine(folder), options).expect("a thread");
+    let (mut store, events) = Store::start(engine(folder), options).expect("start the thread");
     let mut sent = Vec::new();
     let mut done = 0usize;
     let mut latency = histogram();
@@ -76,21 +77,21 @@
             sent.push(Instant::now());
             store
                 .append(Batch::new().put(&key(n), &VALUE, 0))
-                .expect("room");
+                .expect("append");
         }
         if sent.len() == done {
             break;
         }
-        if let Event::Durable(ticket) = events.recv().expect("an event") {
+        if let Event::Durable(ticket) = events.recv().expect("receive an event") {
             while done < ticket as usize {
                 latency
                     .record(sent[done].elapsed().as_micros() as u64)
-                    .expect("in range");
+                    .expect("value in range");
                 done += 1;
             }
         }
     }
-    Line {
+    Row {
         name: "store",
         outstanding,
         rate: done as f64 / start.elapsed().as_secs_f64(),
@@ -98,13 +99,13 @@
     }
 }
 
-/// Commits groups of `outstanding` records until the time is over.
-fn grouped(
+/// Commits groups of `outstanding` records for this time.
+fn measure_groups(
     name: &'static str,
     outstanding: usize,
     time: Duration,
     mut commit: impl FnMut(std::ops::Range<u64>),
-) -> Line {
+) -> Row {
     let mut done = 0u64;
     let mut latency = histogram();
     let start = Instant::now();
@@ -113,10 +114,10 @@
         commit(done..done + outstanding as u64);
         latency
             .record_n(began.elapsed().as_micros() as u64, outstanding as u64)
-            .expect("in range");
+            .expect("value in range");
         done += outstanding as u64;
     }
-    Line {
+    Row {
         name,
         outstanding,
         rate: done as f64 / start.elapsed().as_secs_f64(),
@@ -124,48 +125,46 @@
     }
 }
 
-fn redb(folder: &Path, outstanding: usize, time: Duration) -> Line {
+fn redb(folder: &Path, outstanding: usize, time: Duration) -> Row {
     const TABLE: redb::TableDefinition<'_, &[u8], &[u8]> = redb::TableDefinition::new("records");
-    let database = redb::Database::create(folder.join("redb")).expect("a database");
-    let line = grouped("redb", outstanding, time, |range| {
-        let transaction = database.begin_write().expect("a transaction");
+    let database = redb::Database::create(folder.join("redb")).expect("open the database");
+    let row = measure_groups("redb", outstanding, time, |range| {
+        let transaction = database.begin_write().expect("begin a transaction");
         {
-            let mut table = transaction.open_table(TABLE).expect("a table");
+            let mut table = transaction.open_table(TABLE).expect("open the table");
             for n in range {
-                table.insert(&key(n)[..], &VALUE[..]).expect("it is taken");
+                table.insert(&key(n)[..], &VALUE[..]).expect("insert");
             }
         }
-        transaction.commit().expect("it is durable");
+        transaction.commit().expect("commit");
     });
     let read = database
         .begin_read()
-        .expect("a transaction")
+        .expect("begin a transaction")
         .open_table(TABLE)
-        .expect("a table");
-    assert!(read.get(&key(0)[..]).expect("a read").is_some());
-    line
+        .expect("open the table");
+    assert!(read.get(&key(0)[..]).expect("read").is_some());
+    row
 }
 
-fn fjall(folder: &Path, outstanding: usize, time: Duration) -> Line {
-    let database = Database::builder(folder).open().expect("a database");
+fn fjall(folder: &Path, outstanding: usize, time: Duration) -> Row {
+    let database = Database::builder(folder).open().expect("open the database");
     let records = database
         .keyspace("records", KeyspaceCreateOptions::default)
-        .expect("a keyspace");
-    grouped("fjall", outstanding, time, |range| {
+        .expect("open the keyspace");
+    measure_groups("fjall", outstanding, time, |range| {
         let mut batch = database.batch();
         for n in range {
             batch.insert(&records, key(n), VALUE);
         }
-        batch.commit().expect("it is taken");
-        database
-            .persist(PersistMode::SyncData)
-            .expect("it is durable");
+        batch.commit().expect("insert");
+        database.persist(PersistMode::SyncData).expect("commit");
     })
 }
 
-/// Prints how long the recovery of a store of this many records takes.
+/// Measures and prints the recovery time of a store with this many records.
 fn measure_recovery(records: u64) {
-    let folder = tempfile::tempdir_in(target()).expect("a folder");
+    let folder = tempfile::tempdir_in(target_folder()).expect("create a folder");
     let mut store = engine(folder.path());
     for n in 0..records {
         let key = key(n);
@@ -176,12 +175,12 @@
                 value: &value,
                 expires_at_ms: 0,
             }])
-            .expect("room");
+            .expect("append");
         if n % 4096 == 4095 {
-            store.commit().expect("durable");
+            store.commit().expect("commit");
         }
     }
-    store.commit().expect("durable");
+    store.commit().expect("commit");
     drop(store);
     let start = Instant::now();
     let store = engine(folder.path());
@@ -195,17 +194,17 @@
     );
 }
 
-/// Prints the space that this many overwrites take.
+/// Measures and prints space amplification and copied bytes under this many overwrites.
 fn measure_space(writes: u64) {
     const KEYS: u64 = 50_000;
-    let folder = tempfile::tempdir_in(target()).expect("a folder");
-    let disk = OsDisk::new(folder.path()).expect("a folder");
+    let folder = tempfile::tempdir_in(target_folder()).expect("create a folder");
+    let disk = OsDisk::new(folder.path()).expect("create a folder");
     let options = Options {
         segment_bytes: 1 << 20,
         ..Options::default()
     };
     let mut store = Engine::open(vec![disk], options, "a bench", 1, 0)
-        .expect("a store")
+        .expect("open the store")
         .0;
     let mut random = 1u64;
     let mut max = 0f64;
@@ -222,17 +221,17 @@
                 value: &VALUE,
                 expires_at_ms: 0,
             }])
-            .expect("room");
+            .expect("append");
         if n % 512 == 511 {
-            store.commit().expect("durable");
-            while store.needs_cleaning() {
-                store.clean().expect("cleaned");
-                store.commit().expect("durable");
+            store.commit().expect("commit");
+            while store.needs_compaction() {
+                store.compact_step().expect("compact");
+                store.commit().expect("commit");
             }
         }
         if n > writes / 2 && n % 512 == 0 {
             let files: u64 = std::fs::read_dir(folder.path())
-                .expect("a folder")
+                .expect("read the folder")
                 .filter_map(|entry| entry.ok()?.metadata().ok())
                 .map(|data| data.len())
                 .sum();
@@ -248,8 +247,8 @@
     );
 }
 
-/// The folder for the stores.
-fn target() -> &'static str {
+/// The folder in which the stores are created.
+fn target_folder() -> &'static str {
     env!("CARGO_TARGET_TMPDIR")
 }
 
@@ -259,14 +258,14 @@
     println!("| store | outstanding | durable records/s | p50 ms | p99 ms |");
     println!("| --- | --- | --- | --- | --- |");
     for outstanding in [1, 8, 64, 512] {
-        // In turns, so that other load on the machine affects all of them.
+        // The stores take turns, so that other load on the machine affects all of them.
         for run in [postproxy_store, redb, fjall] {
-            let folder = tempfile::tempdir_in(target()).expect("a folder");
+            let folder = tempfile::tempdir_in(target_folder()).expect("create a folder");
             run(folder.path(), outstanding, time).print();
         }
     }
     println!(
-        "\n| live records | recovery s | us a record | index bytes a record, beside its key |"
+        "\n| live records | recovery s | us per record | index bytes per record, without its key |"
     );
     println!("| --- | --- | --- | --- |");
     let sizes: &[u64] = if quick {
@@ -276,7 +275,7 @@
     };
     sizes.iter().for_each(|size| measure_recovery(*size));
     println!(
-        "\n| overwrites | keys | files over live, mean | most | bytes copied by cleaning over bytes written |"
+        "\n| overwrites | keys | file bytes / live bytes, mean | max | bytes copied by compaction / bytes written |"
     );
     println!("| --- | --- | --- | --- | --- |");
     measure_space(if quick { 200_000 } else { 2_000_000 });
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,7 +1,7 @@
-//! Access to files: a folder of flat names, and files that are read and written at offsets.
+//! File access: a folder without subfolders, and files that are read and written at offsets.
 //!
-//! The engine reaches the disk only through [`Disk`] and [`File`], so that tests can replace it by
-//! a simulated one ([`crate::sim::SimDisk`]) which crashes, fills up and fails on demand.
+//! The engine accesses the disk only through [`Disk`] and [`File`], so that tests can replace it
+//! with a simulated one ([`crate::sim::SimDisk`]) that crashes, fills up and fails on demand.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -10,124 +10,127 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A folder with flat names. A file that was created, renamed or removed is so after a crash only
-/// once [`Disk::sync_folder`] has succeeded.
+/// A folder without subfolders. The creation, renaming or removal of a file is certain to survive
+/// a crash only after [`Disk::sync_folder`] has succeeded.
 pub trait Disk {
     /// An open file.
     type File: File;
-    /// The lock of the folder, held until it is dropped.
+    /// A lock on the folder, released when dropped.
     type Lock;
 
-    /// Returns the names of the files, in order.
+    /// Returns the names of the files, sorted.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     fn list(&self) -> io::Result<Vec<String>>;
 
     /// Creates an empty file and opens it.
     ///
     /// # Errors
     ///
-    /// An error of the system; `AlreadyExists` if there is a file of this name.
+    /// An I/O error; `AlreadyExists` if there is already a file of this name.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Opens a file for reading and writing.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Renames a file; one that has the new name already is replaced.
+    /// Renames a file, replacing any file that already has the new name.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes all creations, renames and removals of files durable.
+    /// Makes all creations, renames and removals of files so far durable.
     ///
     /// # Errors
     ///
-    /// An error of the system: then perhaps none of them is durable.
+    /// An I/O error; any of these changes may then not be durable.
     fn sync_folder(&self) -> io::Result<()>;
 
-    /// Locks the folder against other processes; `holder` names this one to them.
+    /// Locks the folder against other processes. `holder` identifies this process in the error that
+    /// they get.
     ///
     /// # Errors
     ///
-    /// `WouldBlock`, with the holder's name in its text, if another process holds the lock.
+    /// `WouldBlock`, with the name of the holder in the message, if another process holds the lock.
     fn lock(&self, holder: &str) -> io::Result<Self::Lock>;
 
-    /// Returns the name of the folder for messages.
+    /// Returns the name of the folder, for log lines and error messages.
     fn name(&self) -> String;
 }
 
-/// An open file. Bytes written are there after a crash only once [`File::sync`] has succeeded.
+/// An open file. Written bytes are certain to survive a crash only after [`File::sync`] has
+/// succeeded.
 pub trait File {
-    /// Returns its size in bytes.
+    /// Returns the size of the file in bytes.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     fn size(&self) -> io::Result<u64>;
 
-    /// Reads until the buffer is full or the file ends, and returns the number of bytes read.
+    /// Reads from `offset` until the buffer is full or the file ends, and returns the number of
+    /// bytes read.
     ///
     /// # Errors
     ///
-    /// An error of the system.
-    fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize>;
+    /// An I/O error.
+    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes all bytes.
+    /// Writes all bytes at `offset`.
     ///
     /// # Errors
     ///
-    /// An error of the system: then any part of the bytes may have been written.
-    fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()>;
+    /// An I/O error; any part of the bytes may have been written.
+    fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Shortens the file to `size` bytes.
+    /// Truncates the file to `size` bytes.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     fn truncate(&self, size: u64) -> io::Result<()>;
 
     /// Makes all bytes written so far durable.
     ///
     /// # Errors
     ///
-    /// An error of the system: then any page written since the last sync may never become durable,
-    /// even if a later sync succeeds.
+    /// An I/O error; any page written since the last sync may then never become durable, even if a
+    /// later sync succeeds.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A folder in the file system.
 #[derive(Clone, Debug)]
 pub struct OsDisk {
     folder: PathBuf,
     faults: InjectedFaults,
 }
 
-/// Faults that are injected for tests of a running node.
+/// Faults to inject, for tests of a running node.
 #[derive(Clone, Debug, Default)]
 struct InjectedFaults {
-    /// By how much each sync is slowed down.
+    /// Delay added to each sync of a file.
     sync_delay: Duration,
-    /// While this file is there, the disk has the fault that its text names.
+    /// While this file exists, the fault that its content names is injected.
     fault_file: Option<Arc<Path>>,
 }
 
 impl InjectedFaults {
-    /// Whether the disk has this fault now.
+    /// Whether this fault is currently injected.
     fn is_active(&self, fault: &str) -> bool {
         let Some(path) = &self.fault_file else {
             return false;
@@ -135,7 +138,7 @@
         fs::read_to_string(path).is_ok_and(|text| text.trim() == fault)
     }
 
-    /// Fails while the disk is said to be full.
+    /// Returns `StorageFull` while a full disk is injected.
     fn check_not_full(&self) -> io::Result<()> {
         if self.is_active(FULL_FAULT) {
             Err(io::ErrorKind::StorageFull.into())
@@ -145,26 +148,26 @@
     }
 }
 
-/// A file of the operating system.
+/// A file in the file system.
 #[derive(Debug)]
 pub struct OsFile {
     file: fs::File,
     faults: InjectedFaults,
 }
 
-/// The file that is locked; it holds the name of the process that locked it.
+/// The file that is locked; it contains the name of the process that holds the lock.
 const LOCK_FILE: &str = "LOCK";
-/// The text of the fault file for a full disk.
+/// Content of the fault file that makes the disk appear full.
 const FULL_FAULT: &str = "full";
-/// The text of the fault file for a disk on which every sync fails.
+/// Content of the fault file that makes every sync of a file fail.
 const SYNC_FAULT: &str = "sync";
 
 impl OsDisk {
-    /// Opens the folder at this path; it is created if it isn't there.
+    /// Opens the folder at this path and creates it if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// An error of the system.
+    /// An I/O error.
     pub fn new(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         Ok(Self {
@@ -173,26 +176,26 @@
         })
     }
 
-    /// Slows every sync of a file down by `delay`, for tests.
+    /// Delays every sync of a file by `delay`, for tests.
     #[must_use]
     pub fn with_sync_delay(mut self, delay: Duration) -> Self {
         self.faults.sync_delay = delay;
         self
     }
 
-    /// Makes the disk full while this file holds the word `full`, and fail every sync while it
-    /// holds `sync`, for tests.
+    /// Makes the disk appear full while this file contains the word `full`, and makes every sync
+    /// of a file fail while it contains `sync`, for tests.
     #[must_use]
     pub fn with_fault_file(mut self, file: &Path) -> Self {
         self.faults.fault_file = Some(file.into());
         self
     }
 
-    /// Opens the folder at this path, which must be there.
+    /// Opens the folder at this path, which must exist.
     ///
     /// # Errors
     ///
-    /// An error of the system, and `NotADirectory`.
+    /// An I/O error; `NotADirectory` if the path is not a folder.
     pub fn existing(folder: &Path) -> io::Result<Self> {
         if !fs::metadata(folder)?.is_dir() {
             return Err(io::ErrorKind::NotADirectory.into());
@@ -205,7 +208,7 @@
 }
 
 impl OsDisk {
-    /// The error for a folder that another process has locked; the lock file names it.
+    /// The error for a folder that another process has locked, with the name from the lock file.
     fn locked_error(&self, lock_file: &Path) -> io::Error {
         let content = fs::read_to_string(lock_file).unwrap_or_default();
         let holder = match content.trim() {
@@ -225,7 +228,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let entry = entry?;
-            // The store's own names are UTF-8; any other file is not the store's.
+            // Names of the store's files are UTF-8; other files do not belong to the store.
             names.extend(entry.file_name().into_string().ok());
         }
         names.sort();
@@ -300,10 +303,10 @@
         Ok(self.file.metadata()?.len())
     }
 
-    fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize> {
+    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         let mut done = 0;
-        while done < into.len() {
-            match FileExt::read_at(&self.file, &mut into[done..], at + done as u64) {
+        while done < buffer.len() {
+            match FileExt::read_at(&self.file, &mut buffer[done..], offset + done as u64) {
                 Ok(0) => break,
                 Ok(size) => done += size,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -313,9 +316,9 @@
         Ok(done)
     }
 
-    fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.faults.check_not_full()?;
-        self.file.write_all_at(bytes, at)
+        self.file.write_all_at(bytes, offset)
     }
 
     fn truncate(&self, size: u64) -> io::Result<()> {
@@ -327,7 +330,7 @@
             std::thread::sleep(self.faults.sync_delay);
         }
         if self.faults.is_active(SYNC_FAULT) {
-            return Err(io::Error::other("a sync that fails for trials"));
+            return Err(io::Error::other("injected sync failure"));
         }
         self.file.sync_data()
     }
--- a/crates/store/src/engine/compaction.rs
+++ b/crates/store/src/engine/compaction.rs
@@ -1,5 +1,5 @@
-//! Compaction: live records of the oldest segment are copied to the active one, step by step, and
-//! then it is removed.
+//! Compaction: the live records of the oldest segment are copied to the active one in bounded
+//! steps, and then the oldest segment is removed.
 
 use super::Engine;
 use super::segment::{ChangePosition, find_frame};
@@ -8,70 +8,74 @@
 use crate::index::IndexUpdate;
 use std::io;
 
-/// Bytes of a segment that one step of cleaning reads, at most: appends wait for a step.
+/// Maximum number of bytes of a segment that one step processes. Bounded because appends wait for a
+/// step to end.
 const MAX_STEP_BYTES: usize = 256 << 10;
-/// Segments that are left alone beside those that the size of the store accounts for, however small
-/// they are.
+/// Number of segments allowed in addition to twice the number that the file bytes would fill.
+/// Beyond that the oldest segment is compacted, so that small segments do not accumulate.
 const SPARE_SEGMENTS: u64 = 16;
 
-/// When a segment is cleaned.
+/// When to compact the oldest segment.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum CleaningPolicy {
-    /// When it frees enough space for the copies that it costs.
+pub(super) enum CompactionPolicy {
+    /// If it has no live records, or if space amplification or the number of segments is above its
+    /// limit.
     WhenWorthwhile,
-    /// Whenever it frees any space.
+    /// Also if any file bytes are not live.
     Always,
 }
 
-/// The segment that is being cleaned.
-pub(super) struct CleaningRun {
+/// The compaction of one segment, in progress.
+pub(super) struct CompactionRun {
     segment: u64,
     image: Vec<u8>,
-    /// Where in the image the next step begins.
+    /// Offset in the image at which the next step begins.
     position: usize,
-    /// All is copied: the segment can go when this frame is durable.
+    /// Set when all live records are copied: the segment may be removed when the frame with this
+    /// sequence number is durable.
     copied_until_seq: Option<u64>,
 }
 
 impl<D: Disk> Engine<D> {
-    /// Whether cleaning is due or in progress.
-    pub fn needs_cleaning(&self) -> bool {
-        self.cleaning.is_some()
+    /// Whether compaction is due or in progress.
+    pub fn needs_compaction(&self) -> bool {
+        self.compaction.is_some()
             || self
-                .next_segment_to_clean(CleaningPolicy::WhenWorthwhile)
+                .next_segment_to_compact(CompactionPolicy::WhenWorthwhile)
                 .is_some()
     }
 
-    /// Does a bounded step of cleaning: copies what is live in the oldest segment to the active one
-    /// or, once that is durable, removes the segment. Copies become durable with the next
-    /// [`Engine::commit`].
+    /// Does one bounded step of compaction: copies live records of the oldest segment to the active
+    /// one or, once all copies are durable, removes the segment. Copies become durable with the
+    /// next [`Engine::commit`].
     ///
     /// # Errors
     ///
-    /// An error of the disk: the segment stays, and cleaning begins anew.
-    pub fn clean(&mut self) -> io::Result<()> {
-        self.clean_step(CleaningPolicy::WhenWorthwhile)
+    /// An I/O error; the segment then stays, and its compaction begins anew.
+    pub fn compact_step(&mut self) -> io::Result<()> {
+        self.run_step(CompactionPolicy::WhenWorthwhile)
     }
 
-    /// Cleans until every file but the last holds live records only, whatever that costs.
+    /// Compacts the whole store, regardless of cost, until all segments but the last have live
+    /// records only. Stops early at a damaged segment.
     ///
     /// # Errors
     ///
-    /// An error of the disk.
+    /// An I/O error.
     pub fn compact(&mut self) -> io::Result<()> {
         let end = self.next_segment;
         if self.index.live_bytes() < self.file_bytes() {
-            // What is written from now on goes to a segment that is not cleaned here.
+            // Frames written from now on go to a new segment, which is not compacted here.
             if let Some(active) = self.active {
                 self.seal(active);
             }
         }
-        while self.cleaning.is_some()
+        while self.compaction.is_some()
             || self
-                .next_segment_to_clean(CleaningPolicy::Always)
+                .next_segment_to_compact(CompactionPolicy::Always)
                 .is_some_and(|number| number < end && !self.damaged.contains(&number))
         {
-            self.clean_step(CleaningPolicy::Always)?;
+            self.run_step(CompactionPolicy::Always)?;
             if !self.buffer.is_empty() {
                 self.commit()?;
             }
@@ -79,14 +83,15 @@
         Ok(())
     }
 
-    /// The segment that is to be cleaned next, if one is: a distrusted one first, else the oldest.
-    fn next_segment_to_clean(&self, policy: CleaningPolicy) -> Option<u64> {
+    /// The segment to compact next, if compaction is due: one that needs a rewrite, or else the
+    /// oldest.
+    fn next_segment_to_compact(&self, policy: CompactionPolicy) -> Option<u64> {
         let (&oldest, segment) = self.segments.iter().next()?;
-        let distrusted = self
+        let needs_rewrite = self
             .segments
             .iter()
-            .find(|(number, s)| s.distrusted && Some(**number) != self.active);
-        if let Some((&number, _)) = distrusted {
+            .find(|(number, s)| s.needs_rewrite && Some(**number) != self.active);
+        if let Some((&number, _)) = needs_rewrite {
             return Some(number);
         }
         if Some(oldest) == self.active {
@@ -100,19 +105,19 @@
         let is_due = segment.live_bytes == 0
             || file_bytes > max_bytes
             || self.segments.len() as u64 > max_segments
-            || (policy == CleaningPolicy::Always && file_bytes > live_bytes);
+            || (policy == CompactionPolicy::Always && file_bytes > live_bytes);
         is_due.then_some(oldest)
     }
 
-    fn clean_step(&mut self, policy: CleaningPolicy) -> io::Result<()> {
-        let Some(mut run) = self.cleaning.take() else {
-            return self.begin_cleaning(policy);
+    fn run_step(&mut self, policy: CompactionPolicy) -> io::Result<()> {
+        let Some(mut run) = self.compaction.take() else {
+            return self.begin_compaction(policy);
         };
         if let Some(seq) = run.copied_until_seq {
             if seq <= self.durable_seq {
-                return self.finish_cleaning(run.segment);
+                return self.finish_compaction(run.segment);
             }
-            self.cleaning = Some(run);
+            self.compaction = Some(run);
             return Ok(());
         }
         let is_oldest = self.first_segment() == Some(run.segment);
@@ -129,13 +134,13 @@
             }
         }
         run.image = image;
-        self.cleaning = Some(run);
+        self.compaction = Some(run);
         Ok(())
     }
 
-    fn begin_cleaning(&mut self, policy: CleaningPolicy) -> io::Result<()> {
-        if let Some(segment) = self.next_segment_to_clean(policy) {
-            self.cleaning = Some(CleaningRun {
+    fn begin_compaction(&mut self, policy: CompactionPolicy) -> io::Result<()> {
+        if let Some(segment) = self.next_segment_to_compact(policy) {
+            self.compaction = Some(CompactionRun {
                 segment,
                 image: self.read_image(segment)?,
                 position: HEADER_BYTES,
@@ -145,9 +150,9 @@
         Ok(())
     }
 
-    /// Returns the sequence number that has to be durable before the segment may go. For the oldest
-    /// one it is that of a frame which says that the segment no longer counts: a start must be able
-    /// to tell a file that was removed from one that is missing.
+    /// Returns the sequence number that has to be durable before the segment may be removed. For
+    /// the oldest segment, it is that of a new frame that marks the segment as obsolete, so that
+    /// recovery can distinguish a removed file from a missing one.
     fn mark_copied(&mut self, number: u64, is_oldest: bool) -> u64 {
         if is_oldest {
             self.buffer_frame(&[Change::OldestSegment {
@@ -158,7 +163,7 @@
         }
     }
 
-    /// Copies a change of the segment that is cleaned, if it is still needed.
+    /// Copies a change of the segment that is being compacted, if it is still needed.
     fn copy_if_needed(&mut self, position: ChangePosition, change: Change<'_>, is_oldest: bool) {
         let needed = match change {
             Change::Put {
@@ -169,20 +174,20 @@
                         key: key.into(),
                         location: None,
                     });
-                    // Older values of its key, if there are any, must not come back.
+                    // Values of the key in older segments must not reappear.
                     (!is_oldest).then_some(Change::Delete { key })
                 } else {
                     Some(change)
                 }
             }
-            // A delete is needed as long as an older segment may hold what it deletes.
-            Change::Delete { key } if !is_oldest && !self.has(key) => Some(change),
+            // A delete is needed while an older segment may have a value of the key.
+            Change::Delete { key } if !is_oldest && !self.contains_key(key) => Some(change),
             _ => None,
         };
         let Some(copy) = needed else {
             return;
         };
-        // A newer change of the same key in the buffer makes the copy needless.
+        // The copy is not needed if the buffer has a newer change of the same key.
         let overwritten = self
             .buffered_updates
             .iter()
@@ -193,19 +198,20 @@
         }
     }
 
-    /// Removes a segment whose live records have been copied.
-    fn finish_cleaning(&mut self, number: u64) -> io::Result<()> {
+    /// Ends the compaction of a segment whose live records have been copied: removes it if it is the
+    /// oldest.
+    fn finish_compaction(&mut self, number: u64) -> io::Result<()> {
         let is_oldest = self.first_segment() == Some(number);
         let Some(segment) = self.segments.get_mut(&number) else {
             return Ok(());
         };
         if !is_oldest {
-            // It keeps its place, or the segments around it would seem to miss it. All that was
-            // live in it is elsewhere, so that it goes without more work once it is the oldest.
-            segment.distrusted = false;
+            // Its file stays, since recovery would report a gap between segments as lost frames. It
+            // has no live records, so that it is removed without copying once it is the oldest.
+            segment.needs_rewrite = false;
             return Ok(());
         }
-        // While a part of it can't be read in any copy, nothing of it is thrown away.
+        // A segment with live records that can't be read from any copy is kept.
         if segment.live_bytes > 0 && self.damaged.contains(&number) {
             return Ok(());
         }
--- a/crates/store/src/engine/mod.rs
+++ b/crates/store/src/engine/mod.rs
@@ -1,14 +1,15 @@
-//! The engine: the store of one thread. It appends, commits, reads, cleans and recovers, and
-//! reaches files only through [`Disk`]. Nothing here waits for anything but the disk.
+//! The single-threaded engine of the store: append, commit, read, compaction and recovery. It
+//! accesses files only through [`Disk`], and blocks on nothing but the disk.
 //!
 //! # Crash model
 //!
-//! A frame is acknowledged when [`Engine::commit`] has returned without error after it was
-//! appended. Segments are written in order and synced before the next one begins; an acknowledged
-//! frame thus has only acknowledged frames before it. After a crash any part of what was not synced
-//! may be there, in any order. Recovery tells the torn end of the last segment, of which nothing
-//! was acknowledged, from damage inside what was: an intact frame behind the hole that was made
-//! when the missing ones were durable already.
+//! A frame is acknowledged when an [`Engine::commit`] after its append returns without error.
+//! Segments are written in order, and each is synced before the next one begins; all frames before
+//! an acknowledged one are therefore acknowledged too. After a crash, any subset of the writes that
+//! were not synced may be on the disk. Recovery has to distinguish a torn write at the end of the
+//! last segment, which was never acknowledged, from damage to acknowledged frames. Each frame
+//! records which frames were durable when it was made: an intact frame after a gap shows that the
+//! missing ones had been acknowledged.
 
 mod compaction;
 mod read;
@@ -17,16 +18,16 @@
 mod types;
 mod write;
 
-pub use types::{LostFrames, OpenError, Options, Recovery, Rejected, Statistics};
+pub use types::{AppendError, LostFrames, OpenError, Options, Recovery, Statistics};
 
 use crate::disk::Disk;
 use crate::frame::{Change, FRAME_HEADER_BYTES};
 use crate::index::{Index, IndexUpdate, RecordLocation};
-use compaction::CleaningRun;
+use compaction::CompactionRun;
 use segment::{ChangePosition, Segment};
 use std::collections::BTreeMap;
 
-/// A store on one folder, or on two of the same content.
+/// A store in one folder, or in two folders that mirror each other.
 pub struct Engine<D: Disk> {
     disks: Vec<D>,
     _locks: Vec<D::Lock>,
@@ -34,40 +35,42 @@
     store_id: u64,
     index: Index,
     segments: BTreeMap<u64, Segment<D::File>>,
-    /// The segment that is written; `None` until there is one that can be trusted.
+    /// The segment that is appended to; `None` before the first commit, and after one is sealed or
+    /// a write to it has failed.
     active: Option<u64>,
     /// The number of the next new segment.
     next_segment: u64,
-    /// The folder has to be synced before anything is acknowledged.
+    /// Whether the folders have to be synced before the next frame is acknowledged.
     folder_changed: bool,
-    /// Frames that are not written yet.
+    /// Encoded frames that have not been written yet.
     buffer: Vec<u8>,
-    /// What these change in the index.
+    /// Index updates of the buffered frames, applied when they are durable.
     buffered_updates: Vec<IndexUpdate>,
     /// The sequence number of the last frame.
     last_seq: u64,
     /// The sequence number of the last durable frame.
     durable_seq: u64,
-    cleaning: Option<CleaningRun>,
+    compaction: Option<CompactionRun>,
     copied_bytes: u64,
-    /// The time that was last set, in milliseconds of Unix time.
+    /// The current time as last set by the caller, in milliseconds of Unix time.
     now_ms: u64,
-    /// The oldest segment that counts according to the frames read at the start.
+    /// The oldest segment that is not obsolete, according to the headers and frames read during
+    /// recovery.
     oldest_segment: u64,
-    /// Segments of which a part could not be read in any copy since the start.
+    /// Segments in which, since the store was opened, a part could not be read from any copy.
     damaged: Vec<u64>,
 }
 
 impl<D: Disk> Engine<D> {
-    /// Opens the store in these folders, which hold the same files, and creates it if it isn't
-    /// there. `holder` names this process to others that find the folder locked, `new_store_id` is
-    /// the number of a store that is created, and `now_ms` is the time in milliseconds of Unix
-    /// time.
+    /// Opens the store in these folders, which mirror each other, and creates it if it doesn't
+    /// exist. `holder` identifies this process to others that find the folder locked,
+    /// `new_store_id` is the id of the store if it is created, and `now_ms` is the current time in
+    /// milliseconds of Unix time.
     ///
     /// # Errors
     ///
-    /// If a folder is locked or can't be read or written, or holds files of another format or
-    /// store. Nothing is written in that case.
+    /// If a folder is locked, can't be read or written, or has files of another format version or
+    /// of another store. Files of another format version or store are left unchanged.
     pub fn open(
         disks: Vec<D>,
         options: Options,
@@ -94,7 +97,7 @@
             buffered_updates: Vec::new(),
             last_seq: 0,
             durable_seq: 0,
-            cleaning: None,
+            compaction: None,
             copied_bytes: 0,
             now_ms,
             oldest_segment: 0,
@@ -104,12 +107,12 @@
         Ok((engine, recovery))
     }
 
-    /// Sets the time by which records expire, in milliseconds of Unix time.
+    /// Sets the current time, by which records expire, in milliseconds of Unix time.
     pub fn set_time(&mut self, now_ms: u64) {
         self.now_ms = now_ms;
     }
 
-    /// Returns the figures of the store.
+    /// Returns statistics of the store.
     pub fn statistics(&self) -> Statistics {
         Statistics {
             live_keys: self.index.len(),
@@ -122,17 +125,18 @@
         }
     }
 
-    /// Returns the segments of which a part could not be read in any copy since the start.
+    /// Returns the segments in which, since the store was opened, a part could not be read from any
+    /// copy.
     pub fn damaged_segments(&self) -> &[u64] {
         &self.damaged
     }
 
-    /// Bytes of all files, one copy.
+    /// Total size of the segments in bytes, not counting the mirror.
     fn file_bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.size).sum()
     }
 
-    /// The oldest segment that there is.
+    /// The oldest existing segment.
     fn first_segment(&self) -> Option<u64> {
         self.segments.keys().next().copied()
     }
@@ -143,8 +147,8 @@
         }
     }
 
-    /// What a change at this position makes of its key. `overhead_bytes` are accounted to it beside
-    /// its own bytes. A put that has expired counts as a delete.
+    /// Returns the index update for a change at this position. `overhead_bytes` are attributed to
+    /// the record in addition to its own bytes. A put that has expired is treated as a delete.
     fn index_update(
         &self,
         position: ChangePosition,
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Applies an update to the index, and to the live bytes of the segments.
+    /// Applies an update to the index and to the live bytes of the segments.
     fn apply_update(&mut self, update: IndexUpdate) {
         let previous = match update.location {
             Some(location) => {
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Whether the put at this position is the newest value of its key.
+    /// Whether the put at this position holds the newest value of its key.
     fn is_live(&self, position: ChangePosition, key: &[u8]) -> bool {
         self.index.get(key).is_some_and(|location| {
             let newest = ChangePosition {
@@ -200,5 +204,5 @@
     }
 }
 
-/// Bytes that are accounted to the first change of a frame for the frame itself.
+/// Bytes that are attributed to the first change of a frame for the frame's header.
 const FRAME_OVERHEAD_BYTES: usize = FRAME_HEADER_BYTES;
--- a/crates/store/src/engine/read.rs
+++ b/crates/store/src/engine/read.rs
@@ -1,4 +1,4 @@
-//! The read path: single values and scans, each frame from a copy that holds it intact.
+//! The read path: single values and scans. Each frame is taken from a copy in which it is intact.
 
 use super::Engine;
 use super::segment::{file_name, frames, is_intact, read_file};
@@ -6,27 +6,28 @@
 use crate::frame::{self, Change, FRAME_HEADER_BYTES, Frame};
 use std::io;
 
-/// One frame as it was read from the copies.
+/// The result of reading one frame from the copies of its segment.
 struct FrameRead {
-    /// Its bytes, from the first copy that holds it intact.
+    /// The encoded frame, from the first copy in which it is intact.
     intact: Option<Vec<u8>>,
-    /// The copies that don't hold it intact.
+    /// The copies that were read and in which the frame is not intact.
     bad_copies: Vec<usize>,
-    /// The error to report if no copy serves.
+    /// The error to report if no copy is intact.
     error: io::Error,
 }
 
 impl<D: Disk> Engine<D> {
-    /// Whether a key has a value that is acknowledged.
-    pub fn has(&self, key: &[u8]) -> bool {
+    /// Whether a key has an acknowledged value.
+    pub fn contains_key(&self, key: &[u8]) -> bool {
         self.index.get(key).is_some()
     }
 
-    /// Returns the acknowledged value of a key. A damaged copy of it is repaired from the other.
+    /// Returns the acknowledged value of a key. If the first copy is damaged, the value is read from
+    /// the mirror and the copy is repaired.
     ///
     /// # Errors
     ///
-    /// An error of the disk, and `InvalidData` if no copy holds the value intact.
+    /// An I/O error; `InvalidData` if the value is intact in no copy.
     pub fn get(&mut self, key: &[u8]) -> io::Result<Option<Vec<u8>>> {
         let Some(location) = self.index.get(key) else {
             return Ok(None);
@@ -39,8 +40,8 @@
             return Err(read.error);
         };
         for copy in read.bad_copies {
-            // The value has been read from another copy; a repair that fails is tried again with
-            // the next read.
+            // A failed repair is not an error, since another copy has the value; the next read
+            // tries again.
             let _ = self.rewrite_frame(number, copy, offset, &frame);
         }
         let content = &frame[FRAME_HEADER_BYTES + location.change as usize..];
@@ -61,7 +62,7 @@
             bad_copies: Vec::new(),
             error: io::Error::new(
                 io::ErrorKind::InvalidData,
-                format!("{}: damaged", file_name(number)),
+                format!("{}: record damaged in all copies", file_name(number)),
             ),
         };
         for copy in 0..self.disks.len() {
@@ -75,7 +76,7 @@
                     read.error = error;
                 }
             }
-            // The second copy is read only if the first one is bad.
+            // The mirror is read only if the first copy is bad.
             if read.bad_copies.is_empty() {
                 break;
             }
@@ -83,7 +84,7 @@
         read
     }
 
-    /// The bytes of one frame, if this copy holds them intact.
+    /// Returns the encoded frame, or `None` if it is not intact in this copy.
     fn read_frame(&mut self, number: u64, copy: usize, offset: u64) -> io::Result<Option<Vec<u8>>> {
         let file = self.open_file(number, copy)?;
         let mut bytes = vec![0; FRAME_HEADER_BYTES];
@@ -114,7 +115,7 @@
         file.sync()
     }
 
-    /// The file of a segment in one folder, opened if it is not.
+    /// Returns the file of a segment in one folder, and opens it if it is not open.
     fn open_file(&mut self, number: u64, copy: usize) -> io::Result<&D::File> {
         let segment = self
             .segments
@@ -127,11 +128,11 @@
         slot.as_ref().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Passes every live record to `visit`, key and value, in the order in which they were written.
+    /// Calls `visit` with the key and the value of every live record, in log order.
     ///
     /// # Errors
     ///
-    /// An error of the disk. A record that is damaged is passed over, and its segment is added to
+    /// An I/O error. A damaged record is not an error: it is skipped, and its segment is added to
     /// [`Engine::damaged_segments`].
     pub fn scan(&mut self, mut visit: impl FnMut(&[u8], &[u8])) -> io::Result<()> {
         let numbers: Vec<u64> = self.segments.keys().copied().collect();
@@ -152,7 +153,7 @@
         Ok(())
     }
 
-    /// The bytes of a segment, each frame from a copy that holds it intact.
+    /// Returns the content of a segment, each frame from a copy in which it is intact.
     pub(super) fn read_image(&mut self, number: u64) -> io::Result<Vec<u8>> {
         let size = self
             .segments
--- a/crates/store/src/engine/recovery.rs
+++ b/crates/store/src/engine/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery: reads all segments at the start, rebuilds the index, repairs copies, and reports what
-//! is lost.
+//! Recovery: when the store is opened, reads all segments, rebuilds the index, repairs damaged
+//! copies, and reports lost frames.
 
 use super::segment::{
     Segment, file_name, frames, is_temporary_name, read_file, replace_file, segment_number,
@@ -10,24 +10,25 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// The files that a start found.
+/// The files found when the store is opened.
 #[derive(Default)]
 struct FileListing {
-    /// The segments in any folder, in order.
+    /// The segments of which any folder has a file, in ascending order.
     segments: Vec<u64>,
-    /// Files of repairs that did not end, with the index of their folder.
+    /// Files left by interrupted repairs, with the index of their folder.
     temporary: Vec<(usize, String)>,
 }
 
-/// The bytes of one segment, in all its copies.
+/// The content of all copies of one segment.
 struct SegmentCopies {
     images: Vec<Vec<u8>>,
-    /// The header, from the first copy that holds it intact.
+    /// The header, from the first copy in which it is intact.
     header: Option<Header>,
 }
 
 impl SegmentCopies {
-    /// The frame at this offset, from the first copy that holds it intact, and that copy's index.
+    /// Returns the frame at this offset from the first copy in which it is intact, and the index of
+    /// that copy.
     fn frame_at(&self, segment: u64, offset: usize) -> Option<(usize, Frame<'_>)> {
         self.images
             .iter()
@@ -39,8 +40,8 @@
         self.images.iter().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// Bytes behind `intact_end` up to the last that is not zero, of the copy that has most of
-    /// them.
+    /// The number of bytes from `intact_end` to the last byte that is not zero, in the copy where
+    /// it is greatest.
     fn torn_bytes(&self, intact_end: usize) -> u64 {
         let tails = self
             .images
@@ -52,14 +53,14 @@
 }
 
 impl<D: Disk> Engine<D> {
-    /// Reads what the folders hold. Nothing is written before all headers are known to be of this
-    /// format and store.
+    /// Loads the store from its folders. Nothing is written before all headers are known to be of
+    /// this format version and of the same store.
     pub(super) fn recover(&mut self) -> Result<Recovery, OpenError> {
         let mut report = Recovery::default();
         let listing = self.list_files()?;
         let headers = self.read_headers(&listing.segments)?;
         for (copy, name) in listing.temporary {
-            // A repair that did not end; the file that it was to replace is still there.
+            // Left by an interrupted repair; the file that it was to replace is unchanged.
             let _ = self.disks[copy].remove(&name);
         }
         let known = headers.values().flatten();
@@ -71,7 +72,7 @@
         if let Some(last) = listing.segments.last() {
             self.next_segment = last + 1;
         }
-        // Segments that a newer header no longer counts were to be removed.
+        // Segments that are obsolete according to a newer header, but were not removed.
         for &number in listing.segments.iter().filter(|n| **n < oldest) {
             self.remove_obsolete_files(number)?;
         }
@@ -87,7 +88,7 @@
             let next_header = headers.get(&(number + 1)).copied().flatten();
             self.recover_segment(number, next_header, &mut report)?;
         }
-        self.remove_cleaned_segments(&mut report)?;
+        self.remove_obsolete_segments(&mut report)?;
         self.durable_seq = self.last_seq;
         report.segments = self.segments.len();
         report.live_keys = self.index.len();
@@ -111,7 +112,7 @@
         Ok(listing)
     }
 
-    /// The headers of all segments, each from the first copy that holds it intact.
+    /// Returns the headers of all segments, each from the first copy in which it is intact.
     fn read_headers(&self, numbers: &[u64]) -> Result<BTreeMap<u64, Option<Header>>, OpenError> {
         let mut headers = BTreeMap::new();
         let mut store_id = None;
@@ -122,7 +123,7 @@
                     continue;
                 };
                 if *store_id.get_or_insert(header.store_id) != header.store_id {
-                    return Err(OpenError::Mixed(full_name(disk, number)));
+                    return Err(OpenError::StoreMismatch(full_name(disk, number)));
                 }
                 found.get_or_insert(header);
             }
@@ -131,8 +132,8 @@
         Ok(headers)
     }
 
-    /// Recovers one segment: its frames in their order, from whichever copy holds them intact.
-    /// `next_header` is the header of the segment behind it.
+    /// Recovers one segment, taking each frame from a copy in which it is intact. `next_header` is
+    /// the header of the next segment.
     fn recover_segment(
         &mut self,
         number: u64,
@@ -141,8 +142,8 @@
     ) -> Result<(), OpenError> {
         let copies = self.read_copies(number)?;
         if let Some(header) = copies.header {
-            // Frames that the segments before should have held; the very first ones may have been
-            // cleaned away.
+            // Frames that earlier segments should have had. Not checked for the first segment,
+            // before which segments may have been removed by compaction.
             if header.first_seq > self.last_seq + 1 && !self.segments.is_empty() {
                 report.lost.push(LostFrames {
                     segment: number - 1,
@@ -160,7 +161,7 @@
         self.segments
             .insert(number, Segment::new(bytes.len() as u64, files));
         self.load_records(number, &bytes);
-        // With copies, all of them are made equal again. A single one is left as it was found.
+        // With a mirror, both copies are made equal again. A single copy is left as it was found.
         if self.disks.len() > 1 && !nothing_left {
             self.repair_copies(number, &copies, &bytes, report)?;
         }
@@ -182,7 +183,7 @@
         Ok(copies)
     }
 
-    /// The header that a segment without an intact one gets.
+    /// Returns a substitute for a segment's header that is missing or damaged in all copies.
     fn missing_header(&self, number: u64) -> Header {
         let previous = self.segments.get(&(number - 1));
         Header {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Enters the records of a segment into the index.
+    /// Adds the records of a segment to the index.
     fn load_records(&mut self, number: u64, bytes: &[u8]) {
         for located in frames(number, bytes) {
             let mut overhead_bytes = FRAME_OVERHEAD_BYTES;
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Replaces each copy that does not begin with these bytes.
+    /// Replaces each copy that does not begin with the recovered content.
     fn repair_copies(
         &self,
         number: u64,
@@ -229,10 +230,10 @@
         Ok(())
     }
 
-    /// Returns the bytes of a segment up to the end of its last frame that counts, each frame from
-    /// a copy that has it intact. Where a frame is damaged in all copies, those behind it still
-    /// count if they are known to have been durable: if the next segment says so, or a frame behind
-    /// them does.
+    /// Returns the content of a segment up to the end of its last valid frame, each frame from a
+    /// copy in which it is intact. Frames after one that is damaged in all copies are valid only if
+    /// the damaged one is known to have been durable: from the header of the next segment, or from
+    /// the durable sequence number in a later frame.
     fn assemble_segment(
         &self,
         number: u64,
@@ -241,9 +242,9 @@
         report: &mut Recovery,
     ) -> Vec<u8> {
         let longest = copies.longest();
-        let counted = next_header
+        let expected_size = next_header
             .map(|header| usize::try_from(header.previous_segment_bytes).unwrap_or(usize::MAX));
-        let end = counted.unwrap_or(longest).min(longest);
+        let end = expected_size.unwrap_or(longest).min(longest);
         let mut bytes = vec![0; end.max(HEADER_BYTES)];
         let mut offset = HEADER_BYTES;
         let mut intact_end = HEADER_BYTES;
@@ -254,7 +255,7 @@
                 .filter(|(_, frame)| frame.seq > last_seq && offset + frame.size() <= end);
             if let Some((copy, frame)) = next {
                 if frame.seq > last_seq + 1 {
-                    // Only a hole that was passed over leads here.
+                    // The frames in a damaged range that was skipped.
                     report.lost.push(LostFrames {
                         segment: number,
                         first_seq: last_seq + 1,
@@ -268,18 +269,19 @@
                 intact_end = offset;
                 continue;
             }
-            let behind_hole = (offset + 1..end).find(|&offset| {
+            let resume_at = (offset + 1..end).find(|&offset| {
                 copies.frame_at(number, offset).is_some_and(|(_, frame)| {
-                    frame.seq > last_seq && (counted.is_some() || frame.durable_seq > last_seq)
+                    frame.seq > last_seq
+                        && (expected_size.is_some() || frame.durable_seq > last_seq)
                 })
             });
-            match behind_hole {
-                Some(behind_hole) => offset = behind_hole,
+            match resume_at {
+                Some(resume_at) => offset = resume_at,
                 None => break,
             }
         }
         match next_header {
-            // Frames that the next segment says were there.
+            // Frames that the segment had according to the header of the next one.
             Some(header) if header.first_seq > last_seq + 1 => {
                 report.lost.push(LostFrames {
                     segment: number,
@@ -294,12 +296,13 @@
         bytes
     }
 
-    /// Removes the segments that had been cleaned away, and what the report says is lost of them.
-    fn remove_cleaned_segments(&mut self, report: &mut Recovery) -> Result<(), OpenError> {
+    /// Removes the segments that compaction had made obsolete, and their frames from the report of
+    /// lost ones.
+    fn remove_obsolete_segments(&mut self, report: &mut Recovery) -> Result<(), OpenError> {
         let oldest = self.oldest_segment;
         report.lost.retain(|lost| lost.segment >= oldest);
-        let cleaned: Vec<u64> = self.segments.range(..oldest).map(|(n, _)| *n).collect();
-        for number in cleaned {
+        let obsolete: Vec<u64> = self.segments.range(..oldest).map(|(n, _)| *n).collect();
+        for number in obsolete {
             self.remove_obsolete_files(number)?;
             self.segments.remove(&number);
         }
@@ -312,12 +315,12 @@
     }
 }
 
-/// The name of a segment's file in this folder, for messages.
+/// The name of a segment's file with its folder, for log lines and error messages.
 fn full_name<D: Disk>(disk: &D, number: u64) -> String {
     format!("{}/{}", disk.name(), file_name(number))
 }
 
-/// The header of a segment in this folder; `None` if it is not there or damaged.
+/// Reads the header of a segment in this folder; `None` if it is missing or damaged.
 fn read_header<D: Disk>(disk: &D, number: u64) -> Result<Option<Header>, OpenError> {
     let mut bytes = [0; HEADER_BYTES];
     let size = match disk.open(&file_name(number)) {
@@ -328,7 +331,7 @@
     match Header::decode(&bytes[..size]) {
         Ok(header) => Ok((header.segment == number).then_some(header)),
         Err(HeaderError::Damaged) => Ok(None),
-        Err(HeaderError::Version(version)) => Err(OpenError::Version {
+        Err(HeaderError::UnsupportedVersion(version)) => Err(OpenError::UnsupportedVersion {
             file: full_name(disk, number),
             version,
         }),
--- a/crates/store/src/engine/segment.rs
+++ b/crates/store/src/engine/segment.rs
@@ -1,25 +1,26 @@
-//! Segments: their state in memory, their file names, and reading and replacing whole files.
+//! Segments: in-memory state, file names, reading and replacing of whole files, and iteration over
+//! frames.
 
 use crate::disk::{Disk, File};
 use crate::frame::{self, Change, Frame, HEADER_BYTES};
 use std::io;
 
-/// The block in which a file is read where reading it whole fails, in bytes: the usual size of a
-/// page.
+/// The size of the blocks in which a file is read after reading it as a whole has failed, in bytes:
+/// the usual page size.
 const RETRY_BLOCK_BYTES: usize = 4096;
 
-/// A segment as the engine knows it.
+/// The state of a segment.
 pub(super) struct Segment<F> {
-    /// Bytes that count.
+    /// Offset of the end of the last acknowledged frame.
     pub(super) size: u64,
-    /// Bytes of these that are live.
+    /// Bytes of the segment that belong to live records.
     pub(super) live_bytes: u64,
-    /// One file for each folder; `None` where it is not open.
+    /// The file in each folder; `None` if it is not open.
     pub(super) files: Vec<Option<F>>,
-    /// Bytes of the file that have been written, with zeros behind those that count.
-    pub(super) reserved: u64,
-    /// A write or sync of it failed: what is live in it has to be written anew.
-    pub(super) distrusted: bool,
+    /// Size of the file in bytes, with the zeros that are preallocated after `size`.
+    pub(super) allocated: u64,
+    /// A write or sync has failed: the live records have to be copied to another segment.
+    pub(super) needs_rewrite: bool,
 }
 
 impl<F> Segment<F> {
@@ -29,8 +30,8 @@
             size,
             live_bytes: 0,
             files,
-            reserved: size,
-            distrusted: false,
+            allocated: size,
+            needs_rewrite: false,
         }
     }
 
@@ -44,7 +45,7 @@
     format!("{segment:016x}.seg")
 }
 
-/// The segment that a file name stands for, if it is one.
+/// The number of the segment with this file name; `None` for other files.
 pub(super) fn segment_number(name: &str) -> Option<u64> {
     let digits = name
         .strip_suffix(".seg")
@@ -54,17 +55,17 @@
         .filter(|number| u32::try_from(*number).is_ok())
 }
 
-/// The name of the file that is to replace this one.
+/// The name under which a replacement of this file is written.
 pub(super) fn temporary_name(name: &str) -> String {
     format!("{name}.tmp")
 }
 
-/// Whether this is the name of a file that was to replace a segment.
+/// Whether this is the name of an unfinished replacement of a segment's file.
 pub(super) fn is_temporary_name(name: &str) -> bool {
     name.ends_with(".seg.tmp")
 }
 
-/// Removes a file; one that is not there counts as removed.
+/// Removes a file if it exists.
 pub(super) fn remove_if_exists<D: Disk>(disk: &D, name: &str) -> io::Result<()> {
     match disk.remove(name) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
@@ -72,7 +73,7 @@
     }
 }
 
-/// Replaces a file with a new one that is durable before it takes the name.
+/// Replaces a file atomically: the new content is durable before it is renamed to `name`.
 pub(super) fn replace_file<D: Disk>(disk: &D, name: &str, bytes: &[u8]) -> io::Result<()> {
     let temporary = temporary_name(name);
     let _ = disk.remove(&temporary);
@@ -83,7 +84,8 @@
     disk.sync_folder()
 }
 
-/// Returns the whole content of a file; what can't be read is left out or zero.
+/// Returns the whole content of a file, empty if it doesn't exist. Blocks that can't be read are
+/// zero.
 pub(super) fn read_file<D: Disk>(disk: &D, name: &str) -> io::Result<Vec<u8>> {
     let file = match disk.open(name) {
         Ok(file) => file,
@@ -93,13 +95,13 @@
     let mut bytes = vec![0; usize::try_from(file.size()?).map_err(io::Error::other)?];
     match file.read_at(0, &mut bytes) {
         Ok(size) => bytes.truncate(size),
-        // One bad sector fails the whole read; block by block, only the bad blocks are lost.
+        // One bad sector fails the whole read. Read block by block to lose only the bad blocks.
         Err(_) => read_blocks(&file, &mut bytes),
     }
     Ok(bytes)
 }
 
-/// Reads block by block; a block that can't be read is zero.
+/// Reads a file block by block. Blocks that can't be read are zero.
 fn read_blocks<F: File>(file: &F, bytes: &mut [u8]) {
     for (number, block) in bytes.chunks_mut(RETRY_BLOCK_BYTES).enumerate() {
         if file
@@ -111,19 +113,19 @@
     }
 }
 
-/// An intact frame and where it begins in its segment.
+/// An intact frame and its offset in the segment's file.
 pub(super) struct LocatedFrame<'a> {
     pub(super) offset: usize,
     pub(super) frame: Frame<'a>,
 }
 
 impl<'a> LocatedFrame<'a> {
-    /// Where the next frame begins.
+    /// The offset of the end of the frame.
     pub(super) fn end(&self) -> usize {
         self.offset + self.frame.size()
     }
 
-    /// Its changes, each with its position.
+    /// The changes of the frame with their positions.
     pub(super) fn changes(
         &self,
         segment: u64,
@@ -140,17 +142,17 @@
     }
 }
 
-/// Where a change is.
+/// The position of a change in the log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct ChangePosition {
     pub(super) segment: u64,
-    /// Where its frame begins in the segment.
+    /// Offset of the frame in the segment's file.
     pub(super) frame: usize,
-    /// Where it begins in the frame's content.
+    /// Offset of the change in the frame's content.
     pub(super) change: usize,
 }
 
-/// Returns the next intact frame that begins at `from` or later; damaged bytes are passed over.
+/// Returns the first intact frame that begins at `from` or later, skipping damaged bytes.
 pub(super) fn find_frame(segment: u64, image: &[u8], from: usize) -> Option<LocatedFrame<'_>> {
     (from..image.len()).find_map(|offset| {
         Some(LocatedFrame {
@@ -160,7 +162,7 @@
     })
 }
 
-/// Returns all intact frames of a segment's bytes.
+/// Returns all intact frames in the content of a segment's file.
 pub(super) fn frames(segment: u64, image: &[u8]) -> impl Iterator<Item = LocatedFrame<'_>> {
     let mut position = HEADER_BYTES;
     std::iter::from_fn(move || {
@@ -170,7 +172,7 @@
     })
 }
 
-/// Whether a segment's bytes consist of intact frames without a gap.
+/// Whether the content of a segment's file consists of intact frames without gaps.
 pub(super) fn is_intact(segment: u64, image: &[u8]) -> bool {
     let mut position = HEADER_BYTES;
     while let Some(frame) = Frame::decode(segment, image, position) {
--- a/crates/store/src/engine/types.rs
+++ b/crates/store/src/engine/types.rs
@@ -1,18 +1,19 @@
-//! What the engine is given and what it reports: options, errors, recovery report, statistics.
+//! Types of the engine's interface: options, errors, recovery report, statistics.
 
 use crate::frame;
 use std::fmt;
 use std::io;
 
-/// How a store is run.
+/// Options of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// The size at which a segment is closed and a new one begun, in bytes.
+    /// The size from which a segment is sealed and a new one begun, in bytes.
     pub segment_bytes: u64,
-    /// Limit on the bytes of all files, one copy; 0 for none. Puts beyond it are rejected.
+    /// Limit on the total size of the segments in bytes, not counting the mirror; 0 for none. Puts
+    /// that would exceed it are rejected.
     pub max_bytes: u64,
-    /// Space amplification from which on the oldest segments are cleaned: bytes of files over live
-    /// bytes.
+    /// Space amplification (file bytes divided by live bytes) above which the oldest segments are
+    /// compacted. One segment more is allowed.
     pub max_space_ratio: f64,
 }
 
@@ -29,33 +30,33 @@
 /// Why a store can't be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// An error of the disk, with the file or folder it concerns.
+    /// An I/O error, with the file or folder that it concerns.
     Io(String, io::Error),
-    /// A file has a format version that this program doesn't know.
-    Version {
+    /// A file has a format version that this program doesn't support.
+    UnsupportedVersion {
         /// The file.
         file: String,
-        /// Its version.
+        /// Its format version.
         version: u32,
     },
-    /// This file belongs to another store than the files before it.
-    Mixed(String),
+    /// This file belongs to a different store than the files that were read before it.
+    StoreMismatch(String),
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(what, error) => write!(f, "{what}: {error}"),
-            Self::Version { file, version } => {
+            Self::UnsupportedVersion { file, version } => {
                 write!(
                     f,
-                    "{file}: format version {version}; this program knows version {}",
+                    "{file}: format version {version} is not supported; this program supports version {}",
                     frame::FORMAT_VERSION
                 )
             }
-            Self::Mixed(file) => write!(
+            Self::StoreMismatch(file) => write!(
                 f,
-                "{file}: belongs to another store than the files beside it"
+                "{file}: belongs to a different store than the other files"
             ),
         }
     }
@@ -65,34 +66,34 @@
 
 /// Why a batch is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum AppendError {
     /// The batch is empty, or a key or the whole batch is too long.
-    TooLong,
-    /// The files have reached their limit.
+    InvalidSize,
+    /// The batch would bring the files over [`Options::max_bytes`].
     Full,
 }
 
-/// What a recovery found.
+/// The report of a recovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// The number of segments that count.
+    /// The number of segments, without those that were obsolete.
     pub segments: usize,
     /// The number of keys that have a value.
     pub live_keys: usize,
-    /// Bytes of all files, one copy.
+    /// Total size of the segments in bytes, not counting the mirror.
     pub file_bytes: u64,
-    /// Bytes behind the last intact frame, none of which had been acknowledged.
+    /// Bytes after the last intact frame, none of which had been acknowledged.
     pub torn_bytes: u64,
-    /// Frames that had been acknowledged and are gone.
+    /// Acknowledged frames that are lost.
     pub lost: Vec<LostFrames>,
     /// Files that were restored from their copies.
     pub repaired: Vec<String>,
 }
 
-/// A range of frames that are gone though they had been acknowledged.
+/// A range of acknowledged frames that are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostFrames {
-    /// The segment that held them.
+    /// The segment that they were in.
     pub segment: u64,
     /// The first sequence number of the range.
     pub first_seq: u64,
@@ -100,21 +101,21 @@
     pub last_seq: u64,
 }
 
-/// Figures of a store.
+/// Statistics of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Statistics {
     /// The number of keys that have a value.
     pub live_keys: usize,
-    /// Bytes on the disk that these account for.
+    /// Bytes of the files that these keys use.
     pub live_bytes: u64,
-    /// Bytes of all files, one copy.
+    /// Total size of the segments in bytes, not counting the mirror.
     pub file_bytes: u64,
     /// The number of segments.
     pub segments: usize,
-    /// Memory of the index beside its keys, in bytes.
+    /// Memory of the index in addition to its keys, in bytes.
     pub index_bytes: usize,
-    /// The last sequence number that is durable.
+    /// The sequence number of the last durable frame.
     pub durable_seq: u64,
-    /// Bytes that cleaning has copied since the start.
+    /// Bytes that compaction has copied since the store was opened.
     pub copied_bytes: u64,
 }
--- a/crates/store/src/engine/write.rs
+++ b/crates/store/src/engine/write.rs
@@ -1,41 +1,42 @@
-//! The write path: batches are buffered as frames, and a commit writes and syncs them in the active
-//! segment.
+//! The write path: batches are buffered as frames; a commit writes them to the active segment and
+//! syncs it.
 
 use super::segment::{ChangePosition, Segment, file_name, remove_if_exists};
-use super::{Engine, FRAME_OVERHEAD_BYTES, Rejected};
+use super::{AppendError, Engine, FRAME_OVERHEAD_BYTES};
 use crate::disk::{Disk, File};
 use crate::frame::{self, Change, FRAME_HEADER_BYTES, HEADER_BYTES, Header};
 use std::io;
 
-/// Zeros are written ahead of the frames, so that not every sync has to make a new file size
-/// durable too: this many times the bytes of a commit, within the bounds below.
-const WRITE_AHEAD_FACTOR: u64 = 2;
-/// Fewest zeros that are written ahead, in bytes.
-const MIN_WRITE_AHEAD_BYTES: u64 = 32 << 10;
-/// Most zeros that are written ahead, in bytes.
-const MAX_WRITE_AHEAD_BYTES: u64 = 256 << 10;
+/// Space is preallocated with zeros after the frames, so that not every sync has to make a new file
+/// size durable too: this many times the bytes of the commit, within the bounds below.
+const PREALLOCATION_FACTOR: u64 = 2;
+/// Minimum to preallocate, in bytes.
+const MIN_PREALLOCATED_BYTES: u64 = 32 << 10;
+/// Maximum to preallocate, in bytes.
+const MAX_PREALLOCATED_BYTES: u64 = 256 << 10;
 
-/// Where a commit was written.
+/// The position at which a commit was written.
 struct CommitPosition {
     segment: u64,
     offset: u64,
 }
 
 impl<D: Disk> Engine<D> {
-    /// Buffers a batch, which counts as a whole or not at all, and returns the sequence number of
-    /// its frame. It is acknowledged with the next [`Engine::commit`] that succeeds.
+    /// Buffers a batch, whose changes are applied atomically, and returns the sequence number of
+    /// its frame. The next [`Engine::commit`] acknowledges it if it succeeds, and otherwise drops
+    /// it.
     ///
     /// # Errors
     ///
-    /// If it is too long, or would bring the files over their limit.
-    pub fn append(&mut self, batch: &[Change<'_>]) -> Result<u64, Rejected> {
+    /// If the batch is empty or too long, or would bring the files over their size limit.
+    pub fn append(&mut self, batch: &[Change<'_>]) -> Result<u64, AppendError> {
         let content: usize = batch.iter().map(Change::size).sum();
         let key_too_long = |change: &Change<'_>| change.key().len() > frame::MAX_KEY_BYTES;
         if batch.is_empty() || content > frame::MAX_CONTENT_BYTES || batch.iter().any(key_too_long)
         {
-            return Err(Rejected::TooLong);
+            return Err(AppendError::InvalidSize);
         }
-        // Deletes are always accepted: they make room.
+        // A batch of deletes only is always accepted: it makes room.
         let has_put = batch
             .iter()
             .any(|change| matches!(change, Change::Put { .. }));
@@ -43,13 +44,13 @@
         let size_after =
             self.file_bytes() + (self.buffer.len() + FRAME_HEADER_BYTES + content) as u64;
         if has_put && limit > 0 && size_after > limit {
-            return Err(Rejected::Full);
+            return Err(AppendError::Full);
         }
         Ok(self.buffer_frame(batch))
     }
 
-    /// The bytes of files up to which puts are accepted: room is left to clean a segment. 0 for no
-    /// limit.
+    /// The total size of the segments up to which puts are accepted, 0 for no limit. It is below
+    /// `max_bytes`, to leave room for the copies that compaction writes.
     fn append_limit(&self) -> u64 {
         self.options
             .max_bytes
@@ -57,9 +58,9 @@
             .max(self.options.max_bytes / 2)
     }
 
-    /// Adds a frame to the buffer and returns its sequence number. Segment and offset are known
-    /// only when the buffer is written: until then the updates of the index stand for a segment
-    /// that begins with the buffer.
+    /// Adds a frame to the buffer and returns its sequence number. Its segment and offset are known
+    /// only when the buffer is written: until then, the buffered index updates have segment 0 and
+    /// offsets relative to the start of the buffer.
     pub(super) fn buffer_frame(&mut self, batch: &[Change<'_>]) -> u64 {
         self.last_seq += 1;
         let mut position = ChangePosition {
@@ -87,12 +88,12 @@
         self.last_seq
     }
 
-    /// Makes all that was appended durable, and returns the last durable sequence number. If the
-    /// active segment can't be written, all is written to a new one.
+    /// Makes all appended batches durable, and returns the last durable sequence number. If the
+    /// active segment can't be written, the batches are written to a new one.
     ///
     /// # Errors
     ///
-    /// If that fails too: then nothing that was appended since the last commit counts.
+    /// If that fails too; all batches appended since the last commit are then dropped.
     pub fn commit(&mut self) -> io::Result<u64> {
         if self.buffer.is_empty() {
             return Ok(self.durable_seq);
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Writes the buffer to the active segment. `None` if there is none, if it is full, or if it
-    /// can't be written; it is not active any more then.
+    /// Writes the buffer to the active segment. Returns `None` if there is none, if it is full, or
+    /// if it can't be written; in the latter two cases it is no longer active.
     fn write_to_active(&mut self) -> Option<CommitPosition> {
         let active = self.active?;
         let is_full = self
@@ -132,7 +133,7 @@
         written.inspect_err(|_| self.abandon(active)).ok()
     }
 
-    /// Records that the buffer is durable, and applies its updates to the index.
+    /// Records that the buffered frames are durable, and applies their updates to the index.
     fn acknowledge_buffer(&mut self, written: &CommitPosition) {
         self.durable_seq = self.last_seq;
         if let Some(segment) = self.segments.get_mut(&written.segment) {
@@ -148,32 +149,34 @@
         self.buffer.clear();
     }
 
-    /// Drops what was appended since the last commit, copies of cleaning included.
+    /// Drops all frames that were buffered since the last commit, including copies by compaction,
+    /// which then begins anew.
     fn discard_buffer(&mut self) {
         self.buffer.clear();
         self.buffered_updates.clear();
         self.last_seq = self.durable_seq;
-        self.cleaning = None;
+        self.compaction = None;
     }
 
-    /// Writes the buffer at the end of a segment and syncs it.
+    /// Writes the buffer to the end of a segment and syncs it.
     fn write_buffer(&mut self, number: u64) -> io::Result<CommitPosition> {
-        frame::readdress(number, &mut self.buffer);
+        frame::update_checksums(number, &mut self.buffer);
         let Some(segment) = self.segments.get_mut(&number) else {
             return Err(io::ErrorKind::NotFound.into());
         };
         let offset = segment.size;
         let commit_bytes = self.buffer.len() as u64;
-        if offset + commit_bytes > segment.reserved {
+        if offset + commit_bytes > segment.allocated {
             let room = self
                 .options
                 .segment_bytes
                 .saturating_sub(offset + commit_bytes);
-            let ahead = (commit_bytes * WRITE_AHEAD_FACTOR)
-                .clamp(MIN_WRITE_AHEAD_BYTES, MAX_WRITE_AHEAD_BYTES)
+            let preallocated = (commit_bytes * PREALLOCATION_FACTOR)
+                .clamp(MIN_PREALLOCATED_BYTES, MAX_PREALLOCATED_BYTES)
                 .min(room);
-            self.buffer.resize(self.buffer.len() + ahead as usize, 0);
-            segment.reserved = offset + commit_bytes + ahead;
+            self.buffer
+                .resize(self.buffer.len() + preallocated as usize, 0);
+            segment.allocated = offset + commit_bytes + preallocated;
         }
         let mut written = segment
             .open_files()
@@ -183,8 +186,8 @@
             .as_ref()
             .is_err_and(|error| error.kind() == io::ErrorKind::StorageFull)
         {
-            // There may be room without the zeros.
-            segment.reserved = offset + commit_bytes;
+            // There may be enough room without the preallocation.
+            segment.allocated = offset + commit_bytes;
             written = segment
                 .open_files()
                 .try_for_each(|file| file.write_at(offset, &self.buffer));
@@ -207,23 +210,23 @@
         self.disks.iter().try_for_each(D::sync_folder)
     }
 
-    /// Closes the active segment; nothing more is written to it.
+    /// Seals the active segment: nothing more is written to it.
     pub(super) fn seal(&mut self, number: u64) {
         self.active = None;
         if let Some(segment) = self.segments.get_mut(&number) {
-            segment.reserved = segment.size;
+            segment.allocated = segment.size;
             for file in segment.open_files() {
-                // The zeros do no harm if they stay.
+                // An error is ignored, since zeros after the last frame do no harm.
                 let _ = file.truncate(segment.size);
             }
         }
     }
 
-    /// Begins a new segment, which is the active one from then on, and returns its number.
+    /// Begins a new segment, makes it the active one, and returns its number.
     fn begin_segment(&mut self) -> io::Result<u64> {
         let number = self.next_segment;
         if u32::try_from(number).is_err() {
-            return Err(io::Error::other("no numbers are left for segments"));
+            return Err(io::Error::other("segment numbers exhausted"));
         }
         let previous = self.segments.get(&(number - 1));
         let header = Header {
@@ -237,8 +240,8 @@
         let mut files = Vec::new();
         self.folder_changed = true;
         for disk in &self.disks {
-            // A failed start of a segment may have left a file of this name; nothing in it was ever
-            // acknowledged.
+            // An earlier attempt to begin this segment may have failed and left a file; nothing in
+            // it was ever acknowledged.
             remove_if_exists(disk, &name)?;
             let file = disk.create(&name)?;
             file.write_at(0, &header.encode())?;
@@ -251,16 +254,16 @@
         Ok(number)
     }
 
-    /// Gives up the active segment after a write or sync of it failed. Nothing that was
-    /// acknowledged is lost with it, but its pages are not trusted: what is live in it is written
-    /// anew once the disk takes writes again.
+    /// Stops writing to a segment after a write or sync has failed. Its acknowledged frames remain
+    /// readable, but after a failed sync it is unknown which pages are on the disk: its live
+    /// records are copied to another segment once the disk accepts writes again.
     fn abandon(&mut self, number: u64) {
         self.active = None;
         let Some(segment) = self.segments.get_mut(&number) else {
             return;
         };
         if segment.size == HEADER_BYTES as u64 {
-            // Nothing in it was ever acknowledged: its number is used again.
+            // Nothing in it was ever acknowledged: its number is reused.
             self.segments.remove(&number);
             for disk in &self.disks {
                 let _ = disk.remove(&file_name(number));
@@ -268,15 +271,15 @@
             self.next_segment = number;
             return;
         }
-        segment.distrusted = true;
+        segment.needs_rewrite = true;
         for file in segment.open_files() {
-            // If the disk still does that, what was not acknowledged is not found again after a
-            // crash either.
+            // Prevents recovery from finding the frames that were not acknowledged. Best effort,
+            // since the disk has failed.
             let _ = file.truncate(segment.size);
         }
     }
 
-    /// Checks whether the disk takes writes again after a failure.
+    /// Checks whether the disk accepts writes again after a failure, by beginning a new segment.
     ///
     /// # Errors
     ///
@@ -290,12 +293,12 @@
             .segments
             .get_mut(&number)
             .ok_or(io::ErrorKind::NotFound)?;
-        // Room for a header alone would not be enough to go on.
-        let zeros = vec![0; MIN_WRITE_AHEAD_BYTES as usize];
+        // Room for the header alone would not be enough for the next commit.
+        let zeros = vec![0; MIN_PREALLOCATED_BYTES as usize];
         let written = segment
             .open_files()
             .try_for_each(|file| file.write_at(segment.size, &zeros));
-        segment.reserved = segment.size + MIN_WRITE_AHEAD_BYTES;
+        segment.allocated = segment.size + MIN_PREALLOCATED_BYTES;
         let written = written.and_then(|()| self.write_buffer(number));
         if let Err(error) = written {
             self.abandon(number);
@@ -304,8 +307,8 @@
         Ok(())
     }
 
-    /// Removes the files of a segment durably: an older delete may be dropped only when what it
-    /// deletes is gone for sure.
+    /// Removes the files of a segment durably. Deletes in later segments may be dropped only when
+    /// the records that they delete can't reappear after a crash.
     pub(super) fn remove_files(&self, number: u64) -> io::Result<()> {
         for disk in &self.disks {
             remove_if_exists(disk, &file_name(number))?;
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,52 +1,55 @@
-//! The file format: a header, then frames. No I/O.
+//! The file format: a header followed by frames. No I/O.
 //!
 //! All numbers are little-endian. A file begins with a header of [`HEADER_BYTES`] bytes:
 //!
-//! | at | size | what |
+//! | offset | size | field |
 //! | --- | --- | --- |
 //! | 0 | 8 | `PPXSTORE` |
-//! | 8 | 4 | version of the format |
+//! | 8 | 4 | format version |
 //! | 12 | 4 | CRC32C of the other 60 bytes |
-//! | 16 | 8 | the number of the store, drawn when it was created |
-//! | 24 | 8 | the number of the segment |
-//! | 32 | 8 | the oldest segment that counts |
-//! | 40 | 8 | how many bytes of the segment before this one count |
-//! | 48 | 8 | the first sequence number that this segment may hold |
+//! | 16 | 8 | id of the store, chosen when it was created |
+//! | 24 | 8 | number of the segment |
+//! | 32 | 8 | number of the oldest segment that is not obsolete |
+//! | 40 | 8 | size of the previous segment up to the end of its last acknowledged frame |
+//! | 48 | 8 | lowest sequence number that may occur in this segment |
 //! | 56 | 8 | 0 |
 //!
-//! A frame is a batch of changes that take effect together or not at all, behind
+//! A frame is a batch of changes that are applied atomically. It begins with a header of
 //! [`FRAME_HEADER_BYTES`] bytes:
 //!
-//! | at | size | what |
+//! | offset | size | field |
 //! | --- | --- | --- |
-//! | 0 | 4 | length of the content behind these 24 bytes |
+//! | 0 | 4 | length of the content that follows these 24 bytes |
 //! | 4 | 4 | CRC32C of the segment's number, bytes 0 to 4, bytes 8 to 24 and the content |
-//! | 8 | 8 | sequence number; each frame has the next one |
-//! | 16 | 4 | how many sequence numbers the last durable frame was behind when this one was made |
+//! | 8 | 8 | sequence number, one higher than that of the previous frame |
+//! | 16 | 4 | sequence number minus that of the last frame that was durable when this one was made |
 //! | 20 | 1 | kind: 1, a batch |
 //! | 21 | 1 | version of the kind: 1 |
 //! | 22 | 2 | 0 |
 //!
-//! A change is a put: `1`, length of the key (2), length of the value (4), expiry (8, milliseconds
-//! of Unix time, 0 for never), key, value; or a delete: `2`, length of the key (2), key; or a mark
-//! of the oldest segment: `3`, the oldest segment that counts from here on (8).
+//! The content is a sequence of changes of three types, with the sizes of the fields in brackets:
+//!
+//! - a put: `1`, length of the key (2), length of the value (4), expiry (8, milliseconds of Unix
+//!   time, 0 for never), key, value
+//! - a delete: `2`, length of the key (2), key
+//! - a mark of the oldest segment: `3`, number of the oldest segment that is not obsolete (8)
 
 /// Size of a file's header, in bytes.
 pub const HEADER_BYTES: usize = 64;
-/// Size of what precedes a frame's content, in bytes.
+/// Size of a frame's header, in bytes.
 pub const FRAME_HEADER_BYTES: usize = 24;
-/// Longest content of a frame, in bytes: a damaged length must not cost more memory than that.
+/// Maximum size of a frame's content, in bytes. Limits the memory that a damaged length can cost.
 pub const MAX_CONTENT_BYTES: usize = 16 << 20;
-/// Longest key, in bytes: well below what its length field of 16 bits can hold.
+/// Maximum length of a key, in bytes, well below the limit of its 16-bit length field.
 pub const MAX_KEY_BYTES: usize = 1024;
 /// The format version that this program writes and reads.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// First bytes of a file.
+/// The bytes at the start of every file.
 const MAGIC: &[u8; 8] = b"PPXSTORE";
 /// Kind of a frame that holds a batch.
 const BATCH_KIND: u8 = 1;
-/// Version of that kind.
+/// Version of the batch kind.
 const BATCH_VERSION: u8 = 1;
 /// First byte of a put.
 const PUT_TAG: u8 = 1;
@@ -54,43 +57,43 @@
 const DELETE_TAG: u8 = 2;
 /// First byte of a mark of the oldest segment.
 const OLDEST_SEGMENT_TAG: u8 = 3;
-/// Bytes of a put in front of key and value.
+/// Size of a put without key and value, in bytes.
 const PUT_HEADER_BYTES: usize = 15;
-/// Bytes of a delete in front of the key.
+/// Size of a delete without the key, in bytes.
 const DELETE_HEADER_BYTES: usize = 3;
-/// Bytes of a mark of the oldest segment.
+/// Size of a mark of the oldest segment, in bytes.
 const OLDEST_SEGMENT_BYTES: usize = 9;
 
-fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap_or_default())
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(bytes[offset..offset + 4].try_into().unwrap_or_default())
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap_or_default())
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(bytes[offset..offset + 8].try_into().unwrap_or_default())
 }
 
 /// A file's header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// The number of the store.
+    /// The id of the store.
     pub store_id: u64,
     /// The number of the segment.
     pub segment: u64,
-    /// Segments before this one no longer count.
+    /// Segments before this one are obsolete.
     pub oldest_segment: u64,
-    /// How many bytes of the segment before this one count.
+    /// Size of the previous segment up to the end of its last acknowledged frame.
     pub previous_segment_bytes: u64,
-    /// The first sequence number that this segment may hold.
+    /// The lowest sequence number that may occur in this segment.
     pub first_seq: u64,
 }
 
 /// Why bytes can't be decoded as a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderError {
-    /// They are damaged or cut short.
+    /// They are damaged or incomplete.
     Damaged,
-    /// They are intact, and of a version that this program doesn't know.
-    Version(u32),
+    /// They are intact, but of a format version that this program doesn't support.
+    UnsupportedVersion(u32),
 }
 
 impl Header {
@@ -99,14 +102,14 @@
         let mut bytes = [0; HEADER_BYTES];
         bytes[..8].copy_from_slice(MAGIC);
         bytes[8..12].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
-        for (at, number) in [
+        for (offset, number) in [
             (16, self.store_id),
             (24, self.segment),
             (32, self.oldest_segment),
             (40, self.previous_segment_bytes),
             (48, self.first_seq),
         ] {
-            bytes[at..at + 8].copy_from_slice(&number.to_le_bytes());
+            bytes[offset..offset + 8].copy_from_slice(&number.to_le_bytes());
         }
         let checksum = Self::checksum(&bytes);
         bytes[12..16].copy_from_slice(&checksum.to_le_bytes());
@@ -121,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// If it is damaged, or intact and of another version.
+    /// If it is damaged, or intact but of another format version.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeaderError> {
         if bytes.len() < HEADER_BYTES
             || &bytes[..8] != MAGIC
@@ -131,7 +134,7 @@
         }
         match u32_at(bytes, 8) {
             FORMAT_VERSION => {}
-            version => return Err(HeaderError::Version(version)),
+            version => return Err(HeaderError::UnsupportedVersion(version)),
         }
         Ok(Self {
             store_id: u64_at(bytes, 16),
@@ -146,23 +149,23 @@
 /// One change of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change<'a> {
-    /// The key has this value from now on.
+    /// Sets the value of a key.
     Put {
         /// The key.
         key: &'a [u8],
         /// Its value.
         value: &'a [u8],
-        /// When it expires, in milliseconds of Unix time; 0 for never.
+        /// When the value expires, in milliseconds of Unix time; 0 if never.
         expires_at_ms: u64,
     },
-    /// The key has no value from now on.
+    /// Removes a key.
     Delete {
         /// The key.
         key: &'a [u8],
     },
-    /// Segments before this one no longer count. Written by the store itself; it has no key.
+    /// Marks the segments before this one as obsolete. Written by the store itself; it has no key.
     OldestSegment {
-        /// The oldest segment that counts.
+        /// The oldest segment that is not obsolete.
         segment: u64,
     },
 }
@@ -212,8 +215,8 @@
         }
     }
 
-    /// Decodes the change at the start of the bytes, and returns it with its size. `None` if there
-    /// is none.
+    /// Decodes the change at the start of the bytes, and returns it with its encoded size. `None`
+    /// if there is no valid change.
     pub fn decode(bytes: &'a [u8]) -> Option<(Self, usize)> {
         let change = match *bytes.first()? {
             PUT_TAG => Self::decode_put(bytes)?,
@@ -252,7 +255,7 @@
     Some(u16::from_le_bytes(size).into())
 }
 
-/// Returns the changes in a frame's content, each with its offset.
+/// Returns the changes in a frame's content with their offsets.
 pub fn changes(content: &[u8]) -> impl Iterator<Item = (usize, Change<'_>)> {
     let mut offset = 0;
     std::iter::from_fn(move || {
@@ -285,7 +288,7 @@
         FRAME_HEADER_BYTES + self.content.len()
     }
 
-    /// Decodes the frame that begins at `offset` of a segment's file; `None` if there is none.
+    /// Decodes the frame at `offset` in a segment's file; `None` if there is no intact frame.
     pub fn decode(segment: u64, file: &'a [u8], offset: usize) -> Option<Self> {
         let header = file.get(offset..offset.checked_add(FRAME_HEADER_BYTES)?)?;
         let size = u32_at(header, 0) as usize;
@@ -308,7 +311,7 @@
     }
 }
 
-/// Appends an encoded frame whose content is written by `write_content`.
+/// Encodes a frame at the end of `out`; `write_content` appends its content.
 pub fn encode(
     segment: u64,
     seq: u64,
@@ -331,9 +334,9 @@
     frame[4..8].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Gives the frames of a buffer, which were encoded for another segment, the checksums for this
-/// one.
-pub fn readdress(segment: u64, frames: &mut [u8]) {
+/// Updates the checksums of encoded frames, which cover the number of the segment, for the segment
+/// to which they are written.
+pub fn update_checksums(segment: u64, frames: &mut [u8]) {
     let mut offset = 0;
     while offset + FRAME_HEADER_BYTES <= frames.len() {
         let end = offset + FRAME_HEADER_BYTES + u32_at(frames, offset) as usize;
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,29 +1,32 @@
-//! The index in memory: where the newest value of each key is. No I/O.
+//! The in-memory index: the location of the newest value of each key. No I/O.
 
 use hashbrown::HashMap;
 
-/// What an allocator adds to the bytes of each key, roughly.
+/// Approximate overhead of the allocator for each key.
 const ALLOCATION_OVERHEAD_BYTES: usize = 16;
 
-/// Where a put is. Four numbers of 32 bits, since the index holds one for each key.
+/// The location of a put in the log. Its fields have 32 bits to save memory, since the index holds
+/// one location for each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
-    /// The number of the segment. A store reaches its end long before these numbers do.
+    /// The number of the segment. 32 bits are enough: a store writes far fewer segments over its
+    /// lifetime.
     pub segment: u32,
-    /// Where in the file its frame begins.
+    /// Offset of its frame in the segment's file.
     pub frame: u32,
-    /// Where in the frame's content it begins.
+    /// Offset of the put in the frame's content.
     pub change: u32,
-    /// The bytes that are accounted to it.
+    /// Bytes of the file that are attributed to the put: its encoded size and, for the first change
+    /// of a frame, the frame's header.
     pub bytes: u32,
 }
 
-/// A change of the index.
+/// An update of the index.
 #[derive(Clone, Debug)]
 pub struct IndexUpdate {
     /// The key.
     pub key: Box<[u8]>,
-    /// Where its value is from now on; `None` if it has none.
+    /// The new location of its value; `None` if the key is removed.
     pub location: Option<RecordLocation>,
 }
 
@@ -45,17 +48,17 @@
         self.locations.is_empty()
     }
 
-    /// Bytes on the disk that are accounted to the newest values.
+    /// Total of [`RecordLocation::bytes`] over all keys.
     pub fn live_bytes(&self) -> u64 {
         self.live_bytes
     }
 
-    /// Returns where the value of a key is.
+    /// Returns the location of a key's value.
     pub fn get(&self, key: &[u8]) -> Option<RecordLocation> {
         self.locations.get(key).copied()
     }
 
-    /// Sets the location of a key and returns the previous one, which no longer counts.
+    /// Sets the location of a key and returns the previous one, whose record is no longer live.
     pub fn put(&mut self, key: Box<[u8]>, location: RecordLocation) -> Option<RecordLocation> {
         self.live_bytes += u64::from(location.bytes);
         let previous = self.locations.insert(key, location);
@@ -63,20 +66,20 @@
         previous
     }
 
-    /// Removes a key and returns its location.
+    /// Removes a key and returns the location that it had.
     pub fn remove(&mut self, key: &[u8]) -> Option<RecordLocation> {
         let previous = self.locations.remove(key);
         self.live_bytes -= previous.map_or(0, |previous| u64::from(previous.bytes));
         previous
     }
 
-    /// All keys with their locations, in no order.
+    /// All keys with their locations, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], RecordLocation)> {
         self.locations.iter().map(|(key, at)| (&**key, *at))
     }
 
-    /// Memory that the index takes beside the keys themselves, in bytes: its table at its present
-    /// size, and what an allocator adds to each key.
+    /// Memory that the index uses in addition to the bytes of the keys: the allocated hash table,
+    /// and the approximate overhead of the allocator for each key.
     pub fn overhead_bytes(&self) -> usize {
         self.locations.allocation_size() + self.locations.len() * ALLOCATION_OVERHEAD_BYTES
     }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,50 +1,51 @@
-//! A simulated disk in memory that crashes, fills up and fails on demand. What is not synced is
-//! lost, kept or reordered at a crash, at random by a seed.
+//! A simulated in-memory disk that crashes, fills up and fails on demand. At a crash, each change
+//! that is not synced is kept or lost at random, reproducibly by a seed.
 
 use crate::disk::{Disk, File};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes that a disk writes as one: after a crash each sector is there or not.
+/// Size of a sector in bytes. At a crash, each sector of a write is kept or lost as a whole.
 const SECTOR_BYTES: usize = 512;
 
-/// The faults of a disk. Operations are those that change something: writes, syncs, truncations,
-/// and changes of names; they are counted from 0.
+/// The faults of a disk. Operations that change something (writes, syncs, truncations, and creating,
+/// renaming and removing files) are counted from 0.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// The operation at which the machine crashes: from then on everything fails. Of a write, a
-    /// part is done first.
+    /// The number of the operation at which the machine crashes; it and everything after it fails.
+    /// A write is done in part first.
     pub crash_at: Option<u64>,
-    /// Bytes that fit on the disk; `None` for no limit.
+    /// Capacity of the disk in bytes; `None` for no limit.
     pub capacity: Option<u64>,
-    /// Syncs of files that fail, counted from 0. What they were to make durable never is.
+    /// Syncs of files that fail, counted from 0. The changes that they cover are lost at a crash,
+    /// unless a later sync of the same file succeeds.
     pub failing_syncs: Vec<u64>,
     /// Syncs of folders that fail, counted from 0.
     pub failing_folder_syncs: Vec<u64>,
-    /// All writes fail with EIO.
+    /// Whether all writes fail with EIO and no file can be created.
     pub no_writes: bool,
 }
 
-/// A change of a file's content that is not durable yet.
+/// A change of a file's content that is not yet durable.
 #[derive(Clone, Debug)]
 enum PendingChange {
     Write { offset: usize, bytes: Vec<u8> },
     Truncate { size: usize },
 }
 
-/// The content of a file.
+/// A file, independent of its name.
 #[derive(Clone, Debug, Default)]
-struct Node {
-    /// What a reader sees.
+struct Inode {
+    /// The content that a reader sees.
     live: Vec<u8>,
-    /// What is certainly there after a crash.
+    /// The content that is certain to survive a crash.
     durable: Vec<u8>,
-    /// What may be there after a crash too.
+    /// Changes that may or may not survive a crash.
     pending: Vec<PendingChange>,
 }
 
-impl Node {
+impl Inode {
     fn durable_content(bytes: Vec<u8>) -> Self {
         Self {
             live: bytes.clone(),
@@ -54,22 +55,22 @@
     }
 }
 
-/// A change of the folder.
+/// A change of a name in the folder.
 #[derive(Clone, Debug)]
 enum NameChange {
-    Set { name: String, node: usize },
+    Set { name: String, inode: usize },
     Remove { name: String },
 }
 
-/// Names of files, with the indexes of their nodes.
+/// Names of files, with the indexes of their inodes.
 type Names = BTreeMap<String, usize>;
 
 #[derive(Debug, Default)]
 struct DiskState {
-    nodes: Vec<Node>,
+    inodes: Vec<Inode>,
     names: Names,
     durable_names: Names,
-    /// Changes of names that are not durable yet; those of one operation take effect together.
+    /// Changes of names that are not yet durable. Those of one operation are applied atomically.
     pending_names: Vec<Vec<NameChange>>,
     faults: Faults,
     operations: u64,
@@ -90,13 +91,13 @@
         z ^ (z >> 31)
     }
 
-    /// Fails after a crash.
+    /// Returns an error after a crash.
     fn check_not_crashed(&self) -> io::Result<()> {
         if self.crashed { Err(crashed()) } else { Ok(()) }
     }
 
-    /// Counts an operation, and fails after a crash. Returns whether the machine crashes at this
-    /// operation.
+    /// Counts an operation and returns whether the machine crashes at it. Returns an error after a
+    /// crash.
     fn count_operation(&mut self) -> io::Result<bool> {
         self.check_not_crashed()?;
         let crashes_now = self.faults.crash_at.is_some_and(|at| self.operations >= at);
@@ -105,7 +106,7 @@
         Ok(crashes_now)
     }
 
-    /// Counts an operation that a crash prevents as a whole.
+    /// Counts an operation that has no effect if the machine crashes at it.
     fn begin_operation(&mut self) -> io::Result<()> {
         if self.count_operation()? {
             return Err(crashed());
@@ -113,14 +114,14 @@
         Ok(())
     }
 
-    /// The content of a file after a crash: what is durable, and a random part of the pending
+    /// The content of a file after a crash: the durable content with a random subset of the pending
     /// changes.
-    fn content_after_crash(&mut self, node: &Node) -> Vec<u8> {
-        let mut content = node.durable.clone();
-        for change in &node.pending {
+    fn content_after_crash(&mut self, inode: &Inode) -> Vec<u8> {
+        let mut content = inode.durable.clone();
+        for change in &inode.pending {
             match change {
                 PendingChange::Write { offset, bytes } => {
-                    // Each sector by itself: written or not, whatever came before it.
+                    // Each sector is kept or lost independently of the others.
                     let mut from = 0;
                     while from < bytes.len() {
                         let sector_end = from + SECTOR_BYTES - (offset + from) % SECTOR_BYTES;
@@ -141,21 +142,21 @@
         content
     }
 
-    /// Bytes of all files.
+    /// Total size of all files in bytes.
     fn used_bytes(&self) -> u64 {
         self.names
             .values()
-            .map(|node| self.nodes[*node].live.len() as u64)
+            .map(|inode| self.inodes[*inode].live.len() as u64)
             .sum()
     }
 }
 
 /// The error of every operation after a crash.
 fn crashed() -> io::Error {
-    io::Error::other("the disk is gone")
+    io::Error::other("simulated crash")
 }
 
-/// Overwrites bytes at an offset; the file grows as needed.
+/// Overwrites bytes at an offset, extending the content with zeros as needed.
 fn overwrite(content: &mut Vec<u8>, offset: usize, bytes: &[u8]) {
     let end = offset + bytes.len();
     if content.len() < end {
@@ -172,7 +173,7 @@
 #[derive(Debug)]
 pub struct SimFile {
     disk: SimDisk,
-    node: usize,
+    inode: usize,
 }
 
 /// The lock of a simulated folder.
@@ -186,7 +187,7 @@
 }
 
 impl SimDisk {
-    /// Creates an empty folder with these faults; the seed decides what a crash keeps.
+    /// Creates an empty folder with these faults. The seed determines what a crash keeps.
     pub fn new(faults: Faults, seed: u64) -> Self {
         Self(Arc::new(Mutex::new(DiskState {
             faults,
@@ -214,14 +215,14 @@
         self.state().syncs
     }
 
-    /// Returns the disk after a crash and a restart: without faults, with what was durable and some
-    /// of the rest.
+    /// Returns the disk as it is after a crash and a restart: without faults, with all durable
+    /// changes and a random subset of the others.
     #[must_use]
     pub fn after_crash(&self) -> Self {
         let mut state = self.state();
-        let mut nodes = state.nodes.clone();
-        for node in &mut nodes {
-            *node = Node::durable_content(state.content_after_crash(node));
+        let mut inodes = state.inodes.clone();
+        for inode in &mut inodes {
+            *inode = Inode::durable_content(state.content_after_crash(inode));
         }
         let mut names = state.durable_names.clone();
         for changes in std::mem::take(&mut state.pending_names) {
@@ -231,7 +232,7 @@
         }
         let seed = state.random();
         Self(Arc::new(Mutex::new(DiskState {
-            nodes,
+            inodes,
             durable_names: names.clone(),
             names,
             seed,
@@ -246,18 +247,18 @@
     /// If there is no such file.
     pub fn content(&self, name: &str) -> Vec<u8> {
         let state = self.state();
-        state.nodes[state.names[name]].live.clone()
+        state.inodes[state.names[name]].live.clone()
     }
 
-    /// Sets the content of a file, durably; `None` removes it.
+    /// Sets the content of a file durably; `None` removes the file.
     pub fn set_content(&self, name: &str, content: Option<Vec<u8>>) {
         let mut state = self.state();
         match content {
             Some(bytes) => {
-                state.nodes.push(Node::durable_content(bytes));
-                let node = state.nodes.len() - 1;
-                state.names.insert(name.into(), node);
-                state.durable_names.insert(name.into(), node);
+                state.inodes.push(Inode::durable_content(bytes));
+                let inode = state.inodes.len() - 1;
+                state.names.insert(name.into(), inode);
+                state.durable_names.insert(name.into(), inode);
             }
             None => {
                 state.names.remove(name);
@@ -270,8 +271,8 @@
 fn apply_name_changes(names: &mut Names, changes: Vec<NameChange>) {
     for change in changes {
         match change {
-            NameChange::Set { name, node } => {
-                names.insert(name, node);
+            NameChange::Set { name, inode } => {
+                names.insert(name, inode);
             }
             NameChange::Remove { name } => {
                 names.remove(&name);
@@ -304,39 +305,39 @@
         {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        state.nodes.push(Node::default());
-        let node = state.nodes.len() - 1;
-        state.names.insert(name.into(), node);
+        state.inodes.push(Inode::default());
+        let inode = state.inodes.len() - 1;
+        state.names.insert(name.into(), inode);
         state.pending_names.push(vec![NameChange::Set {
             name: name.into(),
-            node,
+            inode,
         }]);
         Ok(SimFile {
             disk: self.clone(),
-            node,
+            inode,
         })
     }
 
     fn open(&self, name: &str) -> io::Result<SimFile> {
         let state = self.state();
         state.check_not_crashed()?;
-        let node = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
+        let inode = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(SimFile {
             disk: self.clone(),
-            node,
+            inode,
         })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
         state.begin_operation()?;
-        let node = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        state.names.insert(to.into(), node);
+        let inode = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        state.names.insert(to.into(), inode);
         state.pending_names.push(vec![
             NameChange::Remove { name: from.into() },
             NameChange::Set {
                 name: to.into(),
-                node,
+                inode,
             },
         ]);
         Ok(())
@@ -374,7 +375,7 @@
         if std::mem::replace(&mut state.locked, true) {
             return Err(io::Error::new(
                 io::ErrorKind::WouldBlock,
-                "held by another one",
+                "locked by another engine",
             ));
         }
         Ok(SimLock(self.clone()))
@@ -389,38 +390,39 @@
     fn size(&self) -> io::Result<u64> {
         let state = self.disk.state();
         state.check_not_crashed()?;
-        Ok(state.nodes[self.node].live.len() as u64)
+        Ok(state.inodes[self.inode].live.len() as u64)
     }
 
-    fn read_at(&self, at: u64, into: &mut [u8]) -> io::Result<usize> {
+    fn read_at(&self, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
         let state = self.disk.state();
         state.check_not_crashed()?;
-        let live = &state.nodes[self.node].live;
-        let from = (at as usize).min(live.len());
-        let size = into.len().min(live.len() - from);
-        into[..size].copy_from_slice(&live[from..from + size]);
+        let live = &state.inodes[self.inode].live;
+        let from = (offset as usize).min(live.len());
+        let size = buffer.len().min(live.len() - from);
+        buffer[..size].copy_from_slice(&live[from..from + size]);
         Ok(size)
     }
 
-    fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.disk.state();
         let crashes_now = state.count_operation()?;
-        let offset = at as usize;
+        let offset = offset as usize;
         if state.faults.no_writes {
             return Err(io::Error::other("EIO"));
         }
-        let grows = (offset + bytes.len()).saturating_sub(state.nodes[self.node].live.len()) as u64;
+        let growth =
+            (offset + bytes.len()).saturating_sub(state.inodes[self.inode].live.len()) as u64;
         let room = state.faults.capacity.map_or(u64::MAX, |capacity| {
             capacity.saturating_sub(state.used_bytes())
         });
-        let missing = grows.saturating_sub(room) as usize;
+        let missing = growth.saturating_sub(room) as usize;
         let mut written = bytes.len().saturating_sub(missing);
         if crashes_now {
             written = (state.random() as usize) % (written + 1);
         }
-        let node = &mut state.nodes[self.node];
-        overwrite(&mut node.live, offset, &bytes[..written]);
-        node.pending.push(PendingChange::Write {
+        let inode = &mut state.inodes[self.inode];
+        overwrite(&mut inode.live, offset, &bytes[..written]);
+        inode.pending.push(PendingChange::Write {
             offset,
             bytes: bytes[..written].to_vec(),
         });
@@ -436,9 +438,9 @@
     fn truncate(&self, size: u64) -> io::Result<()> {
         let mut state = self.disk.state();
         state.begin_operation()?;
-        let node = &mut state.nodes[self.node];
-        node.live.truncate(size as usize);
-        node.pending.push(PendingChange::Truncate {
+        let inode = &mut state.inodes[self.inode];
+        inode.live.truncate(size as usize);
+        inode.pending.push(PendingChange::Truncate {
             size: size as usize,
         });
         Ok(())
@@ -450,14 +452,14 @@
         let number = state.syncs;
         state.syncs += 1;
         let fails = state.faults.failing_syncs.contains(&number);
-        let node = &mut state.nodes[self.node];
-        node.pending.clear();
+        let inode = &mut state.inodes[self.inode];
+        inode.pending.clear();
         if fails {
-            // As on Linux: the pages count as clean now though they were never written, and a
-            // reader still sees them.
+            // As on Linux: the pages are marked clean though they were never written, and a reader
+            // still sees them.
             return Err(io::Error::other("EIO"));
         }
-        node.durable = node.live.clone();
+        inode.durable = inode.live.clone();
         Ok(())
     }
 }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,9 +1,9 @@
-//! The engine behind queues: one thread waits for the disk, so that nobody else does. All requests
-//! that have queued up while one sync ran are made durable by the next: group commit.
+//! Runs an engine on a thread of its own behind queues, so that only that thread blocks on the
+//! disk. All appends that queue up during one sync are made durable by the next (group commit).
 
 use crate::batch::Batch;
 use crate::disk::Disk;
-use crate::engine::{Engine, Rejected, Statistics};
+use crate::engine::{AppendError, Engine, Statistics};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,24 +11,24 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Most bytes of one group: the time of its commit stays bounded.
+/// Maximum number of bytes in one group, which bounds the duration of its commit.
 const MAX_GROUP_BYTES: usize = 8 << 20;
-/// Longest time that a group waits for appends that are about to come.
+/// Maximum time that a group waits for further appends.
 const MAX_GROUP_WAIT: Duration = Duration::from_micros(500);
-/// The share of the usual commit time that a group may wait, as a divisor.
+/// A group waits for at most the smoothed commit time divided by this.
 const GROUP_WAIT_DIVISOR: u32 = 8;
-/// The weight of the last commit in the smoothed commit time is one part of this many.
+/// The latest commit contributes one part in this many to the smoothed commit time.
 const COMMIT_TIME_SMOOTHING: u32 = 8;
-/// What an append weighs in the queue beside the bytes of its batch.
+/// Bytes that an append takes of the queue's limit in addition to its batch.
 const APPEND_OVERHEAD_BYTES: usize = 64;
 
-/// The number of an append, counted from 1.
+/// The number of an append, starting at 1.
 pub type Ticket = u64;
 
-/// What the thread reports.
+/// An event that the store's thread reports.
 #[derive(Debug)]
 pub enum Event {
-    /// All appends up to this one are durable, except for those reported as rejected before.
+    /// All appends up to this one are durable, except for those reported as rejected earlier.
     Durable(Ticket),
     /// These appends were rejected and have no effect.
     Rejected {
@@ -37,24 +37,24 @@
         /// The last of them.
         to: Ticket,
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// The result of a read.
     Value {
-        /// The number that the reader gave.
+        /// The token that was passed to [`Store::read`].
         token: u64,
-        /// The value, `None` if the key has none; or the error, as text.
+        /// The value, `None` if the key has none; or the text of the error.
         value: Result<Option<Vec<u8>>, String>,
     },
-    /// Figures, as they were requested.
+    /// The result of a request for statistics or compaction.
     Statistics(Statistics),
-    /// The disk takes no writes; appends are rejected until [`Event::WritesRecovered`].
+    /// A write has failed; appends are rejected until [`Event::WritesRecovered`].
     WritesFailed(String),
-    /// The disk takes writes again.
+    /// The disk accepts writes again.
     WritesRecovered,
 }
 
-/// Too many bytes wait for the disk already.
+/// The append was not queued, since the queue is full or the store's thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
@@ -66,19 +66,19 @@
     Stop,
 }
 
-/// How the thread works.
+/// Options of the store's thread.
 pub struct WriterOptions {
-    /// Bytes that may wait for the disk.
+    /// Maximum number of queued bytes.
     pub max_queued_bytes: usize,
-    /// How long after a failure the disk is tried again.
+    /// How long after a failed write the disk is probed again.
     pub retry_interval: Duration,
-    /// Returns the time in milliseconds of Unix time.
+    /// Returns the current time in milliseconds of Unix time.
     pub clock: Box<dyn Fn() -> u64 + Send>,
-    /// Called after events have been queued.
+    /// Called on the store's thread after it has queued events.
     pub wake: Box<dyn Fn() + Send>,
 }
 
-/// A store for a thread that must not wait for the disk.
+/// A store for a caller that must not block on the disk.
 pub struct Store {
     requests: Sender<Request>,
     queued_bytes: Arc<AtomicUsize>,
@@ -88,7 +88,7 @@
 }
 
 impl Store {
-    /// Starts the thread, and returns the store with the queue of its events.
+    /// Starts the store's thread, and returns the store and the queue of its events.
     ///
     /// # Errors
     ///
@@ -129,11 +129,11 @@
         Ok((store, event_queue))
     }
 
-    /// Queues a batch to be written. It never waits.
+    /// Queues a batch to be written. Never blocks.
     ///
     /// # Errors
     ///
-    /// If too many bytes are queued already, or the thread has ended.
+    /// If too many bytes are already queued, or the thread has ended.
     pub fn append(&mut self, batch: Batch) -> Result<Ticket, QueueFull> {
         let weight = batch.size() + APPEND_OVERHEAD_BYTES;
         if self.queued_bytes.load(Ordering::Relaxed) + weight > self.max_queued_bytes {
@@ -148,29 +148,30 @@
         Ok(ticket)
     }
 
-    /// Requests the value of a key, as it is after all that was appended before.
+    /// Requests the value of a key, as of all appends before this call. It is reported as
+    /// [`Event::Value`] with the same `token`.
     pub fn read(&self, token: u64, key: Vec<u8>) {
         let _ = self.requests.send(Request::Read { token, key });
     }
 
-    /// Requests the figures.
+    /// Requests statistics, which are reported as [`Event::Statistics`].
     pub fn request_statistics(&self) {
         let _ = self.requests.send(Request::Statistics);
     }
 
-    /// Requests that all files be compacted.
+    /// Requests compaction of the whole store. [`Event::Statistics`] reports that it has ended.
     pub fn compact(&self) {
         let _ = self.requests.send(Request::Compact);
     }
 
-    /// Bytes that wait for the disk.
+    /// Returns the number of queued bytes.
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for Store {
-    /// Waits until all that was appended is durable or rejected.
+    /// Waits until all appends are durable or rejected, and the thread has ended.
     fn drop(&mut self) {
         let _ = self.requests.send(Request::Stop);
         if let Some(thread) = self.thread.take() {
@@ -179,13 +180,13 @@
     }
 }
 
-/// What the thread does next.
+/// What the thread is to do next.
 enum Work {
-    /// Serve this request, and all that have queued up behind it.
+    /// Serve this request and those queued after it.
     Serve(Request),
-    /// No request is queued: clean, or try the disk again after a failure.
+    /// No request is queued: compact, or probe the disk after a failed write.
     Background,
-    /// The store is gone.
+    /// The store has been dropped.
     End,
 }
 
@@ -193,10 +194,10 @@
 #[derive(Default)]
 struct Group {
     bytes: usize,
-    /// The appends that the engine has taken.
+    /// The appends that the engine has accepted.
     tickets: Vec<Ticket>,
     reads: Vec<(u64, Vec<u8>)>,
-    /// Requests for figures or compaction.
+    /// Requests for statistics or compaction.
     maintenance: Vec<Request>,
     stop: bool,
 }
@@ -209,7 +210,7 @@
     queued_bytes: Arc<AtomicUsize>,
     /// The number of appends in the last group.
     last_group_size: usize,
-    /// How long a commit takes, smoothed.
+    /// Smoothed duration of a commit.
     commit_time: Duration,
     writes_failed: bool,
 }
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Waits for a request, unless there is other work.
+    /// Returns a request, or background work if it is due. Blocks until there is either.
     fn next_work(&self) -> Work {
         if self.writes_failed {
             return match self.requests.recv_timeout(self.options.retry_interval) {
@@ -245,7 +246,7 @@
                 Err(RecvTimeoutError::Disconnected) => Work::End,
             };
         }
-        if self.engine.needs_cleaning() {
+        if self.engine.needs_compaction() {
             return match self.requests.try_recv() {
                 Ok(request) => Work::Serve(request),
                 Err(TryRecvError::Empty) => Work::Background,
@@ -255,7 +256,7 @@
         self.requests.recv().map_or(Work::End, Work::Serve)
     }
 
-    /// Collects the requests that have queued up, and appends their batches to the engine.
+    /// Collects the queued requests, and appends their batches to the engine.
     fn collect_group(&mut self, first: Option<Request>) -> Group {
         let mut group = Group::default();
         let began = Instant::now();
@@ -282,9 +283,10 @@
         group
     }
 
-    /// The next request of a group of `size` appends so far. Whoever was notified of the last
-    /// group's commit is about to append again: a sync for the first of them alone would make all
-    /// others wait for the one after it.
+    /// Returns the next request for a group that has `size` appends so far. Waits briefly while the
+    /// group is smaller than the last one: callers that were notified of the last commit are about
+    /// to append again, and syncing after the first of these appends would make all others wait for
+    /// the sync after that.
     fn next_of_group(&self, size: usize, began: Instant) -> Option<Request> {
         if let Ok(request) = self.requests.try_recv() {
             return Some(request);
@@ -298,11 +300,12 @@
         None
     }
 
-    /// Cleans a step, commits the group, and reports what became of its requests.
+    /// Does a step of compaction if it is due, commits the group, and reports the outcome of its
+    /// requests.
     fn serve_group(&mut self, group: Group) {
-        if !self.writes_failed && self.engine.needs_cleaning() {
-            // A step that fails is tried again with the next group.
-            let _ = self.engine.clean();
+        if !self.writes_failed && self.engine.needs_compaction() {
+            // A failed step is retried with the next group.
+            let _ = self.engine.compact_step();
         }
         self.commit(&group.tickets);
         for (token, key) in group.reads {
@@ -320,21 +323,21 @@
         (self.options.wake)();
     }
 
-    /// Appends a batch to the engine; returns whether it was accepted.
+    /// Appends a batch to the engine. Returns whether it was accepted.
     fn append(&mut self, ticket: Ticket, batch: &Batch) -> bool {
         if self.writes_failed {
-            self.reject(ticket, "the disk takes no writes");
+            self.reject(ticket, "store is not writable");
             return false;
         }
         let changes: Vec<_> = batch.changes().collect();
         match self.engine.append(&changes) {
             Ok(_) => true,
-            Err(Rejected::TooLong) => {
-                self.reject(ticket, "batch too long");
+            Err(AppendError::InvalidSize) => {
+                self.reject(ticket, "batch is empty or too long");
                 false
             }
-            Err(Rejected::Full) => {
-                self.reject(ticket, "store full");
+            Err(AppendError::Full) => {
+                self.reject(ticket, "store is full");
                 false
             }
         }
@@ -360,22 +363,22 @@
         }
     }
 
-    fn reject(&self, ticket: Ticket, why: &str) {
+    fn reject(&self, ticket: Ticket, reason: &str) {
         self.send(Event::Rejected {
             from: ticket,
             to: ticket,
-            why: why.into(),
+            reason: reason.into(),
         });
     }
 
-    /// Reports, once until it has ended, that the disk takes no writes.
+    /// Reports that a write has failed, unless that was reported since writes last succeeded.
     fn report_failure(&mut self, error: &io::Error) {
         if !std::mem::replace(&mut self.writes_failed, true) {
             self.send(Event::WritesFailed(error.to_string()));
         }
     }
 
-    /// Tries the disk again after a failure.
+    /// Checks whether the disk accepts writes again after a failure.
     fn probe(&mut self) {
         if self.engine.probe().is_ok() {
             self.writes_failed = false;
@@ -384,7 +387,7 @@
         }
     }
 
-    /// Queues an event. That nobody receives events any more doesn't stop the writes.
+    /// Queues an event. A dropped receiver is not an error: writes continue.
     fn send(&self, event: Event) {
         let _ = self.events.send(event);
     }
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -1,11 +1,11 @@
-//! The engine on a simulated disk: cuts at every byte, crashes after every operation, compared with
-//! a model of what was acknowledged.
+//! The engine on a simulated disk: files truncated at every byte, and crashes at every operation.
+//! The recovered records are compared with a model of what was acknowledged.
 
 use postproxy_store::sim::{Faults, SimDisk};
-use postproxy_store::{Change, Disk, Engine, OpenError, Options, Recovery, Rejected};
+use postproxy_store::{AppendError, Change, Disk, Engine, OpenError, Options, Recovery};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Segments that are full after a few records.
+/// Options with segments that are full after a few records.
 const SMALL_SEGMENTS: Options = Options {
     segment_bytes: 2048,
     max_bytes: 0,
@@ -20,23 +20,23 @@
 }
 
 fn open_store(disks: &[SimDisk]) -> (Engine<SimDisk>, Recovery) {
-    open(disks).expect("a store")
+    open(disks).expect("open the store")
 }
 
-/// Returns all records, read by a scan and one by one.
+/// Returns all records as read by a scan, and checks that single reads agree.
 fn read_all(engine: &mut Engine<SimDisk>) -> Records {
     let mut model = Records::new();
     engine
         .scan(|key, value| {
             assert!(
                 model.insert(key.into(), value.into()).is_none(),
-                "a key twice"
+                "the scan returned a key twice"
             )
         })
-        .expect("read");
+        .expect("scan");
     assert_eq!(model.len(), engine.statistics().live_keys);
     for (key, value) in &model {
-        assert_eq!(engine.get(key).expect("a read").as_ref(), Some(value));
+        assert_eq!(engine.get(key).expect("read").as_ref(), Some(value));
     }
     model
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// A small generator of random numbers, the same every time.
+/// A small deterministic random number generator.
 struct Random(u64);
 
 impl Random {
@@ -62,7 +62,7 @@
     }
 }
 
-/// What a run did: the states that a recovery may return to.
+/// The states that recovery may restore after a run.
 struct Run {
     /// The state after each batch, the first one empty.
     states: Vec<Records>,
@@ -70,8 +70,7 @@
     acknowledged: usize,
 }
 
-/// Runs puts, overwrites and deletes with cleaning in between, until all batches are done or the
-/// disk fails.
+/// Runs puts, overwrites, deletes and compaction until all batches are done or the disk fails.
 fn run(engine: &mut Engine<SimDisk>, start: Records, seed: u64, batches: usize) -> Run {
     let mut random = Random(seed);
     let mut run = Run {
@@ -79,7 +78,7 @@
         acknowledged: 0,
     };
     for _ in 0..batches {
-        let mut next = run.states.last().expect("a state").clone();
+        let mut next = run.states.last().expect("at least one state").clone();
         let mut changes = Vec::new();
         for _ in 0..=random.below(3) {
             let key = format!("job-{}", random.below(12)).into_bytes();
@@ -100,7 +99,7 @@
                 None => next.remove(key),
             };
         }
-        engine.append(&batch).expect("it is accepted");
+        engine.append(&batch).expect("append");
         run.states.push(next);
         if random.below(3) == 0 {
             if engine.commit().is_err() {
@@ -108,7 +107,7 @@
             }
             run.acknowledged = run.states.len() - 1;
         }
-        if engine.needs_cleaning() && random.below(2) == 0 && engine.clean().is_err() {
+        if engine.needs_compaction() && random.below(2) == 0 && engine.compact_step().is_err() {
             return run;
         }
     }
@@ -118,7 +117,7 @@
     run
 }
 
-/// Guards against a store that loses, or brings back, anything over an ordinary stop and start.
+/// Guards against losing records, or bringing back deleted ones, over an ordinary restart.
 #[test]
 fn acknowledged_records_survive_a_restart() {
     let disks = [SimDisk::new(Faults::default(), 1)];
@@ -128,7 +127,7 @@
     let stat = engine.statistics();
     assert!(
         stat.copied_bytes > 0 && stat.segments > 1,
-        "it was cleaned: {stat:?}"
+        "the run must include compaction: {stat:?}"
     );
     drop(engine);
     let (mut engine, recovery) = open_store(&disks);
@@ -143,60 +142,61 @@
     );
 }
 
-/// Calls `check` with a copy of the disk for each way to cut, remove or overwrite one file.
+/// Calls `check` with a copy of the disk for each way to truncate, remove or overwrite one file: the
+/// name of the file, its new size, and the disk. The size is `usize::MAX` if the file was removed or
+/// overwritten.
 fn each_damage(disk: &SimDisk, mut check: impl FnMut(&str, usize, SimDisk)) {
-    for name in disk.list().expect("names") {
+    for name in disk.list().expect("list the files") {
         let original = disk.content(&name);
         for size in 0..original.len() {
-            let cut = disk.after_crash();
-            cut.set_content(&name, Some(original[..size].to_vec()));
-            check(&name, size, cut);
+            let truncated = disk.after_crash();
+            truncated.set_content(&name, Some(original[..size].to_vec()));
+            check(&name, size, truncated);
         }
-        let gone = disk.after_crash();
-        gone.set_content(&name, None);
-        check(&name, usize::MAX, gone);
-        let other = disk.after_crash();
-        other.set_content(
+        let removed = disk.after_crash();
+        removed.set_content(&name, None);
+        check(&name, usize::MAX, removed);
+        let overwritten = disk.after_crash();
+        overwritten.set_content(
             &name,
             Some(original.iter().map(|byte| byte ^ 0x5a).collect()),
         );
-        check(&name, usize::MAX, other);
+        check(&name, usize::MAX, overwritten);
     }
 }
 
-/// Fills a store with jobs that are started and completed: one value first, another in its place
-/// later.
-fn jobs(disks: &[SimDisk], count: usize) -> Records {
+/// Fills a store with records that are each overwritten once, and returns them.
+fn write_records(disks: &[SimDisk], count: usize) -> Records {
     let (mut engine, _) = open_store(disks);
     for step in 0..2 * count {
-        let job = step / 2;
+        let record = step / 2;
         let value = if step % 2 == 0 {
-            "begun"
+            "first"
         } else {
-            "done, and its result"
+            "second, longer value"
         };
         engine
-            .append(&[put(format!("job-{job}").as_bytes(), value.as_bytes())])
-            .expect("it is accepted");
-        engine.commit().expect("it is durable");
+            .append(&[put(format!("job-{record}").as_bytes(), value.as_bytes())])
+            .expect("append");
+        engine.commit().expect("commit");
     }
     read_all(&mut engine)
 }
 
-/// Guards against a start that fails, or invents records, after any file was cut at any byte (also
-/// inside a length field), emptied, removed or overwritten; and against a loss of more than the
-/// records behind the cut, or one that is not reported.
+/// Guards against a failing start, invented records or an unreported loss after any one file was
+/// truncated at any byte (also inside a length field), removed or overwritten. A loss in the last
+/// segment may go unreported, since it looks like a torn write.
 #[test]
-fn file_cut_at_any_byte_loses_only_records_behind_the_cut() {
+fn loss_from_damage_of_any_single_file_is_reported() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let original = jobs(std::slice::from_ref(&disk), 40);
+    let original = write_records(std::slice::from_ref(&disk), 40);
     assert!(
-        disk.list().expect("names").len() > 2,
+        disk.list().expect("list the files").len() > 2,
         "more than one segment"
     );
-    let mut cuts = 0;
-    each_damage(&disk, |name, size, cut| {
-        let (mut engine, recovery) = open_store(&[cut]);
+    let mut cases = 0;
+    each_damage(&disk, |name, size, damaged_disk| {
+        let (mut engine, recovery) = open_store(&[damaged_disk]);
         let found = read_all(&mut engine);
         let missing = original
             .iter()
@@ -204,46 +204,46 @@
             .count();
         assert!(
             found.keys().all(|key| original.contains_key(key)),
-            "{name} {size}: something new"
+            "{name} {size}: a key that was never written"
         );
         let last = disk
             .list()
-            .expect("names")
+            .expect("list the files")
             .last()
             .is_some_and(|last| last == name);
         assert!(
             missing == 0 || last || !recovery.lost.is_empty(),
             "{name} {size}: {missing} lost without a report"
         );
-        cuts += 1;
+        cases += 1;
     });
-    assert!(cuts > 4000, "{cuts} cuts");
+    assert!(cases > 4000, "{cases} cases");
 }
 
-/// Guards against any loss where every file has a copy, whichever single file is cut, emptied,
-/// removed or overwritten; and against a copy that is not repaired.
+/// Guards against any loss in a store with a mirror, whichever single file is truncated, removed or
+/// overwritten, and against a copy that is not repaired.
 #[test]
 fn mirror_survives_damage_of_any_single_file() {
     let left = SimDisk::new(Faults::default(), 3);
     let right = SimDisk::new(Faults::default(), 4);
-    let original = jobs(&[left.clone(), right.clone()], 40);
+    let original = write_records(&[left.clone(), right.clone()], 40);
     for side in 0..2 {
         let (damaged, intact) = if side == 0 {
             (&left, &right)
         } else {
             (&right, &left)
         };
-        each_damage(damaged, |name, size, cut| {
+        each_damage(damaged, |name, size, damaged_disk| {
             let other = intact.after_crash();
             let disks = if side == 0 {
-                [cut.clone(), other.clone()]
+                [damaged_disk.clone(), other.clone()]
             } else {
-                [other.clone(), cut.clone()]
+                [other.clone(), damaged_disk.clone()]
             };
             let (mut engine, recovery) = open_store(&disks);
             assert_eq!(read_all(&mut engine), original, "{name} {size}");
-            // Zeros that were written ahead need not be equal.
-            let counts = |disk: &SimDisk| {
+            // The preallocated zeros need not be equal.
+            let without_zeros = |disk: &SimDisk| {
                 let mut bytes = disk.content(name);
                 bytes.truncate(
                     bytes
@@ -254,10 +254,10 @@
                 bytes
             };
             assert!(
-                counts(&cut) == counts(&other),
+                without_zeros(&damaged_disk) == without_zeros(&other),
                 "{name} {size}: the copies differ"
             );
-            let repaired = usize::from(size == usize::MAX || size < counts(&other).len());
+            let repaired = usize::from(size == usize::MAX || size < without_zeros(&other).len());
             assert_eq!(
                 (recovery.lost.len(), recovery.repaired.len()),
                 (0, repaired),
@@ -267,13 +267,13 @@
     }
 }
 
-/// Guards against a record lost by a flipped bit outside its frame, and against one that is read
-/// though it was changed.
+/// Guards against a flipped bit that costs records outside its frame, or whose damaged record is
+/// returned by a read.
 #[test]
 fn flipped_bit_costs_at_most_one_frame() {
     let disk = SimDisk::new(Faults::default(), 3);
-    let original = jobs(std::slice::from_ref(&disk), 12);
-    for name in disk.list().expect("names") {
+    let original = write_records(std::slice::from_ref(&disk), 12);
+    for name in disk.list().expect("list the files") {
         let bytes = disk.content(&name);
         for bit in (0..bytes.len() * 8).step_by(3) {
             let flipped = disk.after_crash();
@@ -294,22 +294,22 @@
     }
 }
 
-/// Guards against a torn write whose later part alone reached the disk: the sound records behind
-/// the hole were never acknowledged and do not come back, not even at the start after the next.
+/// Guards against recovering unacknowledged records after a torn write of which only the later part
+/// reached the disk: the intact frames after the gap must not reappear at this start or a later one.
 #[test]
-fn records_behind_a_torn_write_do_not_come_back() {
+fn records_after_a_torn_write_do_not_reappear() {
     let disk = SimDisk::new(Faults::default(), 3);
     let (mut engine, _) = open_store(std::slice::from_ref(&disk));
-    engine.append(&[put(b"kept", b"1")]).expect("accepted");
-    engine.commit().expect("durable");
+    engine.append(&[put(b"kept", b"1")]).expect("append");
+    engine.commit().expect("commit");
     for n in 0..3u8 {
         engine
             .append(&[put(&[b'u', n], &[n; 600])])
-            .expect("accepted");
+            .expect("append");
     }
-    engine.commit().expect("durable");
+    engine.commit().expect("commit");
     drop(engine);
-    let name = disk.list().expect("names").remove(0);
+    let name = disk.list().expect("list the files").remove(0);
     let mut bytes = disk.content(&name);
     bytes[64 + 24 + 20 + 30] ^= 1; // inside the first of the three
     disk.set_content(&name, Some(bytes));
@@ -320,13 +320,13 @@
             [b"kept".to_vec()]
         );
         assert_eq!(recovery.lost, []);
-        engine.append(&[put(b"kept", b"1")]).expect("accepted");
-        engine.commit().expect("durable");
+        engine.append(&[put(b"kept", b"1")]).expect("append");
+        engine.commit().expect("commit");
     }
 }
 
-/// Crashes after each operation of a run in turn, then during the recovery, and goes on from there
-/// with another run.
+/// For each operation of a run, crashes at that operation and then during recovery, and checks the
+/// recovered state and that another run on it succeeds.
 fn crash_everywhere(copies: usize, seed: u64) {
     let fresh = |faults: &Faults| -> Vec<SimDisk> {
         (0..copies as u64)
@@ -350,7 +350,7 @@
             },
         };
         let mut disks: Vec<SimDisk> = disks.iter().map(SimDisk::after_crash).collect();
-        // Crashes during the recovery itself, five in a row.
+        // Five consecutive crashes during recovery.
         for operation in 0..5 {
             disks
                 .iter()
@@ -363,21 +363,23 @@
         let allowed_states = &done.states[done.acknowledged..];
         assert!(
             allowed_states.contains(&found),
-            "after {at} operations: neither acknowledged nor appended"
+            "after {at} operations: not the acknowledged or a later state"
         );
         assert_eq!(recovery.lost, [], "after {at} operations");
-        // The store goes on from there.
+        // The store remains usable.
         let further = run(&mut engine, found, seed + at, 20);
-        assert_eq!(further.acknowledged, 20, "after {at} operations it goes on");
+        assert_eq!(
+            further.acknowledged, 20,
+            "after {at} operations: a commit failed"
+        );
         drop(engine);
         let (mut engine, _) = open_store(&disks);
         assert_eq!(read_all(&mut engine), further.states[20]);
     }
 }
 
-/// Guards against a crash at any operation (of an append, a commit, a new segment, or any step of
-/// cleaning) that loses what was acknowledged, brings back what was deleted, or counts half a
-/// batch.
+/// Guards against a crash at any operation (of a commit, of beginning a segment, or of a step of
+/// compaction) that loses acknowledged records, brings back deleted ones, or applies half a batch.
 #[test]
 fn acknowledged_records_survive_a_crash_at_any_operation() {
     for seed in [11, 12] {
@@ -385,16 +387,16 @@
     }
 }
 
-/// The same with a mirror, whose two folders crash at different places.
+/// The same with a mirror, whose two disks crash at different points of the run.
 #[test]
 fn acknowledged_records_survive_a_crash_at_any_operation_with_a_mirror() {
     crash_everywhere(2, 13);
 }
 
-/// Guards against a failed sync of a file or of the folder that counts as successful later: all
-/// that is acknowledged after it, and all that was before it, is there after a crash.
+/// Guards against treating data as durable after a failed sync of a file or of the folder: all
+/// records that were acknowledged before and after the failure must survive a crash.
 #[test]
-fn failed_sync_is_never_trusted() {
+fn acknowledged_records_survive_failed_syncs() {
     for failing in 0..40u64 {
         let faults = [
             Faults {
@@ -417,13 +419,13 @@
             for step in 0..120u32 {
                 let key = format!("k{}", step % 9).into_bytes();
                 let value = step.to_be_bytes().repeat(9);
-                engine.append(&[put(&key, &value)]).expect("accepted");
+                engine.append(&[put(&key, &value)]).expect("append");
                 // A failed commit has no effect.
                 if engine.commit().is_ok() {
                     model.insert(key, value);
                 }
-                if engine.needs_cleaning() {
-                    let _ = engine.clean();
+                if engine.needs_compaction() {
+                    let _ = engine.compact_step();
                 }
             }
             assert_eq!(read_all(&mut engine), model);
@@ -435,8 +437,8 @@
     }
 }
 
-/// Guards against a full disk that costs more than the records which did not fit, of which a part
-/// was written.
+/// Guards against a full disk that costs more than the records that did not fit, although a part of
+/// them was written.
 #[test]
 fn full_disk_rejects_commits_until_it_has_room() {
     let disk = SimDisk::new(
@@ -452,7 +454,7 @@
     for n in 0..40u8 {
         let key = vec![n];
         let value = vec![n; 150];
-        engine.append(&[put(&key, &value)]).expect("accepted");
+        engine.append(&[put(&key, &value)]).expect("append");
         match engine.commit() {
             Ok(_) => _ = model.insert(key, value),
             Err(_) => rejected += 1,
@@ -464,11 +466,11 @@
         model.len()
     );
     assert_eq!(read_all(&mut engine), model);
-    assert!(engine.probe().is_err(), "it is full still");
+    assert!(engine.probe().is_err(), "the disk is still full");
     disk.set_faults(|faults| faults.capacity = None);
-    engine.probe().expect("it takes writes again");
-    engine.append(&[put(b"more", b"m")]).expect("accepted");
-    engine.commit().expect("durable");
+    engine.probe().expect("probe");
+    engine.append(&[put(b"more", b"m")]).expect("append");
+    engine.commit().expect("commit");
     model.insert(b"more".to_vec(), b"m".to_vec());
     drop(engine);
     let (mut engine, recovery) = open_store(&[disk.after_crash()]);
@@ -476,8 +478,8 @@
     assert_eq!(recovery.lost, []);
 }
 
-/// Guards against files that grow without end under steady overwriting, and against a limit that is
-/// exceeded.
+/// Guards against files that grow without bound under steady overwriting, and against exceeding the
+/// size limit.
 #[test]
 fn overwriting_uses_bounded_space() {
     let disk = SimDisk::new(Faults::default(), 1);
@@ -488,7 +490,7 @@
     };
     let open = || {
         Engine::open(vec![disk.clone()], options, "a test", 7, 1_000)
-            .expect("a store")
+            .expect("open the store")
             .0
     };
     let mut engine = open();
@@ -498,12 +500,12 @@
         let key = format!("key-{}", random.below(500));
         engine
             .append(&[put(key.as_bytes(), &[7; 200])])
-            .expect("there is room");
+            .expect("append");
         if step % 8 == 0 {
-            engine.commit().expect("durable");
-            while engine.needs_cleaning() {
-                engine.clean().expect("cleaned");
-                engine.commit().expect("durable");
+            engine.commit().expect("commit");
+            while engine.needs_compaction() {
+                engine.compact_step().expect("compact");
+                engine.commit().expect("commit");
             }
         }
         let stat = engine.statistics();
@@ -511,10 +513,13 @@
             max_ratio = max_ratio.max(stat.file_bytes as f64 / stat.live_bytes as f64);
         }
     }
-    assert!(max_ratio <= 2.0, "{max_ratio} times what is live");
+    assert!(
+        max_ratio <= 2.0,
+        "the files take {max_ratio} times the live bytes"
+    );
     let stat = engine.statistics();
     assert_eq!(stat.live_keys, 500);
-    engine.compact().expect("compacted");
+    engine.compact().expect("compact");
     assert!(
         engine.statistics().file_bytes
             <= stat.live_bytes + 500 + 150 * engine.statistics().segments as u64,
@@ -523,9 +528,9 @@
     );
     for n in 0.. {
         match engine.append(&[put(format!("more-{n}").as_bytes(), &[7; 2000])]) {
-            Ok(_) => _ = engine.commit().expect("durable"),
+            Ok(_) => _ = engine.commit().expect("commit"),
             Err(error) => {
-                assert_eq!(error, Rejected::Full);
+                assert_eq!(error, AppendError::Full);
                 break;
             }
         }
@@ -533,22 +538,22 @@
     assert!(engine.statistics().file_bytes <= options.max_bytes);
     engine
         .append(&[Change::Delete { key: b"more-0" }])
-        .expect("deletes make room");
-    assert!(open_fails_with_io_error(&disk), "it is locked");
+        .expect("append a delete to a full store");
+    assert!(open_fails_with_io_error(&disk), "the store is locked");
 }
 
 fn open_fails_with_io_error(disk: &SimDisk) -> bool {
     matches!(open(std::slice::from_ref(disk)), Err(OpenError::Io(..)))
 }
 
-/// Guards against an expired record that stays for ever, comes back, or is removed early because
-/// the clock was set back between two starts.
+/// Guards against an expired record that is never removed, that reappears, or that is removed early
+/// because the clock was set back between two starts.
 #[test]
 fn expired_records_are_removed() {
     let disk = SimDisk::new(Faults::default(), 1);
     let at = |now| {
         Engine::open(vec![disk.clone()], SMALL_SEGMENTS, "a test", 7, now)
-            .expect("a store")
+            .expect("open the store")
             .0
     };
     let mut engine = at(1_000);
@@ -558,25 +563,25 @@
             value: b"first",
             expires_at_ms: 0,
         }])
-        .expect("accepted");
+        .expect("append");
     engine
         .append(&[Change::Put {
             key: b"old",
             value: b"second",
             expires_at_ms: 5_000,
         }])
-        .expect("accepted");
-    engine.append(&[put(b"kept", b"k")]).expect("accepted");
-    engine.commit().expect("durable");
+        .expect("append");
+    engine.append(&[put(b"kept", b"k")]).expect("append");
+    engine.commit().expect("commit");
     drop(engine);
-    let mut engine = at(200); // set back
+    let mut engine = at(200); // the clock was set back
     assert_eq!(
-        engine.get(b"old").expect("a read").as_deref(),
+        engine.get(b"old").expect("read").as_deref(),
         Some(&b"second"[..])
     );
     engine.set_time(5_000);
-    engine.compact().expect("compacted");
-    assert!(!engine.has(b"old") && engine.has(b"kept"));
+    engine.compact().expect("compact");
+    assert!(!engine.contains_key(b"old") && engine.contains_key(b"kept"));
     drop(engine);
     let mut engine = at(200);
     assert_eq!(
@@ -585,41 +590,41 @@
     );
 }
 
-/// Guards against overwriting files of a newer format, or of another store.
+/// Guards against overwriting files of a newer format version or of another store.
 #[test]
 fn files_of_other_formats_and_stores_are_left_alone() {
     let disk = SimDisk::new(Faults::default(), 1);
-    jobs(std::slice::from_ref(&disk), 3);
-    let names: BTreeSet<String> = disk.list().expect("names").into_iter().collect();
-    let name = names.first().expect("a file");
+    write_records(std::slice::from_ref(&disk), 3);
+    let names: BTreeSet<String> = disk.list().expect("list the files").into_iter().collect();
+    let name = names.first().expect("at least one file");
     let mut bytes = disk.content(name);
     bytes[8] = 9;
     let sum = crc32c::crc32c_append(crc32c::crc32c(&bytes[..12]), &bytes[16..64]);
     bytes[12..16].copy_from_slice(&sum.to_le_bytes());
     disk.set_content(name, Some(bytes.clone()));
     match open(std::slice::from_ref(&disk)) {
-        Err(error @ OpenError::Version { version: 9, .. }) => {
+        Err(error @ OpenError::UnsupportedVersion { version: 9, .. }) => {
             assert!(error.to_string().contains("version 9"), "{error}");
         }
         Err(error) => panic!("{error}"),
-        Ok(_) => panic!("it was opened"),
+        Ok(_) => panic!("the store was opened"),
     }
     assert_eq!(disk.content(name), bytes);
     assert_eq!(
         disk.list()
-            .expect("names")
+            .expect("list the files")
             .into_iter()
             .collect::<BTreeSet<_>>(),
         names
     );
     let other = SimDisk::new(Faults::default(), 2);
     let mut engine = Engine::open(vec![other.clone()], SMALL_SEGMENTS, "a test", 78, 0)
-        .expect("a store")
+        .expect("open the store")
         .0;
-    engine.append(&[put(b"a", b"b")]).expect("accepted");
-    engine.commit().expect("durable");
+    engine.append(&[put(b"a", b"b")]).expect("append");
+    engine.commit().expect("commit");
     drop(engine);
     let mixed = [other, SimDisk::new(Faults::default(), 3)];
-    jobs(&mixed[1..], 1);
-    assert!(matches!(open(&mixed), Err(OpenError::Mixed(_))));
+    write_records(&mixed[1..], 1);
+    assert!(matches!(open(&mixed), Err(OpenError::StoreMismatch(_))));
 }
--- a/crates/store/tests/frame.rs
+++ b/crates/store/tests/frame.rs
@@ -1,8 +1,8 @@
-//! Decoding of headers and frames: a change of any bit, or a cut at any byte, is noticed.
+//! Decoding of headers and frames: any flipped bit and any truncation is detected.
 
 use postproxy_store::Change;
 use postproxy_store::frame::{
-    Frame, HEADER_BYTES, Header, HeaderError, changes, encode, readdress,
+    Frame, HEADER_BYTES, Header, HeaderError, changes, encode, update_checksums,
 };
 
 /// Returns the encoded frame of these changes.
@@ -14,10 +14,10 @@
     out
 }
 
-/// Guards against a header that is accepted though a bit of it is wrong, or a version that is
-/// passed over.
+/// Guards against accepting a header that is truncated, has a flipped bit, or has an unsupported
+/// version.
 #[test]
-fn header_with_a_flipped_bit_or_a_cut_is_rejected() {
+fn header_that_is_truncated_or_has_a_flipped_bit_is_rejected() {
     let header = Header {
         store_id: 9,
         segment: 3,
@@ -43,13 +43,16 @@
     newer[8] = 2;
     let checksum = crc32c::crc32c_append(crc32c::crc32c(&newer[..12]), &newer[16..HEADER_BYTES]);
     newer[12..16].copy_from_slice(&checksum.to_le_bytes());
-    assert_eq!(Header::decode(&newer), Err(HeaderError::Version(2)));
+    assert_eq!(
+        Header::decode(&newer),
+        Err(HeaderError::UnsupportedVersion(2))
+    );
 }
 
-/// Guards against a frame that is accepted though it is cut, changed in any bit, or of another
+/// Guards against accepting a frame that is truncated, has a flipped bit, or is from another
 /// segment.
 #[test]
-fn frame_with_a_flipped_bit_or_a_cut_is_rejected() {
+fn frame_that_is_truncated_or_has_a_flipped_bit_is_rejected() {
     let batch = [
         Change::Put {
             key: b"a",
@@ -64,7 +67,7 @@
         },
     ];
     let bytes = encoded_frame(5, 40, &batch);
-    let frame = Frame::decode(5, &bytes, 0).expect("a frame");
+    let frame = Frame::decode(5, &bytes, 0).expect("decode the frame");
     assert_eq!(
         (frame.seq, frame.durable_seq, frame.size()),
         (40, 39, bytes.len())
@@ -78,10 +81,10 @@
         assert_eq!(Frame::decode(5, &bytes, 0), None, "bit {bit}");
     }
     assert!((0..bytes.len()).all(|size| Frame::decode(5, &bytes[..size], 0).is_none()));
-    let mut readdressed = [bytes.clone(), encoded_frame(5, 41, &batch)].concat();
-    readdress(6, &mut readdressed);
+    let mut updated = [bytes.clone(), encoded_frame(5, 41, &batch)].concat();
+    update_checksums(6, &mut updated);
     assert!(
-        Frame::decode(6, &readdressed, 0).is_some()
-            && Frame::decode(6, &readdressed, bytes.len()).is_some()
+        Frame::decode(6, &updated, 0).is_some()
+            && Frame::decode(6, &updated, bytes.len()).is_some()
     );
 }
--- a/crates/store/tests/surface_bytes.rs
+++ b/crates/store/tests/surface_bytes.rs
@@ -1,7 +1,7 @@
-//! Pins the files of the store: their names, the segment header, frames and changes, as bytes
-//! written by the engine to a simulated disk and read back from literal bytes. A data directory of
-//! an older version of the program must be readable. The literals were written by the version
-//! before the renames.
+//! Pins the files of the store: their names, the segment header, frames and changes. The engine
+//! must write the literal bytes below to a simulated disk, and read them back, so that the program
+//! can read the data directory of an older version. The literals were recorded from an earlier
+//! version of the program.
 
 use postproxy_store::frame::{self, Frame, Header, HeaderError};
 use postproxy_store::sim::{Faults, SimDisk};
@@ -12,15 +12,17 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns the bytes that the hexadecimal digits stand for.
+/// Decodes hexadecimal digits.
 fn unhex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
-    let byte =
-        |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    let byte = |pair| {
+        u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII digits"), 16)
+            .expect("two hexadecimal digits")
+    };
     pairs.map(byte).collect()
 }
 
-/// Asserts that the change is written as this literal, and read from it.
+/// Asserts that the change is encoded as this literal and decoded from it.
 #[track_caller]
 fn pin(change: Change<'_>, literal: &str) {
     let mut bytes = Vec::new();
@@ -79,7 +81,7 @@
     assert_eq!(Batch::new().put(b"a", b"bc", 1).delete(b"d").size(), 22);
 }
 
-/// A header in which every field differs.
+/// A header whose fields all have different values.
 const HEADER: Header = Header {
     store_id: 0x0102_0304_0506_0708,
     segment: 0x1112_1314_1516_1718,
@@ -98,12 +100,15 @@
 
 #[test]
 fn headers_of_other_versions_and_damaged_headers_keep_their_errors() {
-    // The same header with format version 2 and the checksum that goes with it.
+    // The same header with format version 2 and a matching checksum.
     let newer = "50505853544f5245020000004d9aa4b1080706050403020118171615141312112827262524232221383736353433323148474645444342410000000000000000";
-    assert_eq!(Header::decode(&unhex(newer)), Err(HeaderError::Version(2)));
-    let mut foreign = unhex(HEADER_BYTES);
-    foreign[0] = b'Q';
-    assert_eq!(Header::decode(&foreign), Err(HeaderError::Damaged));
+    assert_eq!(
+        Header::decode(&unhex(newer)),
+        Err(HeaderError::UnsupportedVersion(2))
+    );
+    let mut wrong_magic = unhex(HEADER_BYTES);
+    wrong_magic[0] = b'Q';
+    assert_eq!(Header::decode(&wrong_magic), Err(HeaderError::Damaged));
 }
 
 /// A frame of segment 9 with a put and a delete.
@@ -125,7 +130,7 @@
     });
     assert_eq!(hex(&bytes), FRAME_BYTES);
     let read = unhex(FRAME_BYTES);
-    let read = Frame::decode(9, &read, 0).expect("a frame");
+    let read = Frame::decode(9, &read, 0).expect("decode the frame");
     assert_eq!((read.seq, read.durable_seq), (0x0203, 0x0201));
     assert!(
         frame::changes(read.content)
@@ -139,7 +144,7 @@
     );
 }
 
-/// Opens a store on this disk; a new one gets the number 77.
+/// Opens a store on this disk; a new one gets the id 77.
 fn open(disk: &SimDisk) -> Result<(Engine<SimDisk>, Recovery), OpenError> {
     let options = Options {
         segment_bytes: 192,
@@ -149,7 +154,7 @@
     Engine::open(vec![disk.clone()], options, "a test", 77, 1_000)
 }
 
-/// The files of a store that the engine has written: names and content.
+/// Names and contents of the files that the engine writes in the test below.
 const FILES: &[(&str, &str)] = &[
     (
         "0000000000000001.seg",
@@ -164,7 +169,7 @@
 #[test]
 fn engine_writes_the_recorded_files() {
     let disk = SimDisk::new(Faults::default(), 1);
-    let (mut engine, _) = open(&disk).expect("a store");
+    let (mut engine, _) = open(&disk).expect("open the store");
     let batches: [&[Change<'_>]; 4] = [
         &[Change::Put {
             key: b"j/a",
@@ -191,10 +196,10 @@
         }],
     ];
     for batch in batches {
-        engine.append(batch).expect("room");
-        engine.commit().expect("a sound disk");
+        engine.append(batch).expect("append");
+        engine.commit().expect("commit");
     }
-    let names = disk.list().expect("names");
+    let names = disk.list().expect("list the files");
     let files: Vec<(String, String)> = names
         .into_iter()
         .map(|name| (name.clone(), hex(&disk.content(&name))))
@@ -209,35 +214,39 @@
     for (name, content) in FILES {
         disk.set_content(name, Some(unhex(content)));
     }
-    let (mut engine, _) = open(&disk).expect("a store");
+    let (mut engine, _) = open(&disk).expect("open the store");
     assert_eq!(engine.statistics().live_keys, 3);
-    assert_eq!(engine.get(b"j/a").expect("a read"), None);
-    assert_eq!(engine.get(b"r/a").expect("a read"), Some(b"two".to_vec()));
-    assert_eq!(engine.get(b"f/list").expect("a read"), Some(vec![7; 40]));
+    assert_eq!(engine.get(b"j/a").expect("read"), None);
+    assert_eq!(engine.get(b"r/a").expect("read"), Some(b"two".to_vec()));
+    assert_eq!(engine.get(b"f/list").expect("read"), Some(vec![7; 40]));
     assert_eq!(
-        engine.get(b"f/bans").expect("a read"),
+        engine.get(b"f/bans").expect("read"),
         Some(b"three".to_vec())
     );
     drop(engine);
     let (mut engine, _) =
-        Engine::open(vec![disk], Options::default(), "a test", 77, 9_001).expect("a store");
-    assert_eq!(engine.statistics().live_keys, 2, "what has expired is gone");
-    assert_eq!(engine.get(b"r/a").expect("a read"), None);
+        Engine::open(vec![disk], Options::default(), "a test", 77, 9_001).expect("open the store");
+    assert_eq!(
+        engine.statistics().live_keys,
+        2,
+        "the expired record is removed"
+    );
+    assert_eq!(engine.get(b"r/a").expect("read"), None);
 }
 
 #[test]
 fn files_in_a_folder_keep_their_names() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let disk = OsDisk::new(folder.path()).expect("a disk");
+    let folder = tempfile::tempdir().expect("create a folder");
+    let disk = OsDisk::new(folder.path()).expect("open the folder");
     let (mut engine, _) =
-        Engine::open(vec![disk], Options::default(), "a test", 77, 1_000).expect("a store");
+        Engine::open(vec![disk], Options::default(), "a test", 77, 1_000).expect("open the store");
     engine
         .append(&[Change::Delete { key: b"k" }])
-        .expect("room");
-    engine.commit().expect("a sound disk");
-    let names = std::fs::read_dir(folder.path()).expect("a folder");
+        .expect("append");
+    engine.commit().expect("commit");
+    let names = std::fs::read_dir(folder.path()).expect("read the folder");
     let mut names: Vec<_> = names
-        .map(|entry| entry.expect("an entry").file_name())
+        .map(|entry| entry.expect("read the folder").file_name())
         .collect();
     names.sort();
     assert_eq!(names, ["0000000000000001.seg", "LOCK"]);
--- a/crates/store/tests/surface_errors.rs
+++ b/crates/store/tests/surface_errors.rs
@@ -1,26 +1,26 @@
-//! Pins the messages with which the program says that a store can't be opened. They must not change
-//! with a name in the code.
+//! Pins the error messages for a store that can't be opened, so that a rename in the code does not
+//! change them.
 
 use postproxy_store::OpenError;
 use std::io;
 
 #[test]
-fn every_reason_not_to_open_has_its_message() {
+fn open_errors_have_the_documented_messages() {
     let cases = [
         (
             OpenError::Io("data".into(), io::Error::other("gone")),
             "data: gone",
         ),
         (
-            OpenError::Version {
+            OpenError::UnsupportedVersion {
                 file: "data/0000000000000001.seg".into(),
                 version: 9,
             },
-            "data/0000000000000001.seg: format version 9; this program knows version 1",
+            "data/0000000000000001.seg: format version 9 is not supported; this program supports version 1",
         ),
         (
-            OpenError::Mixed("data/0000000000000001.seg".into()),
-            "data/0000000000000001.seg: belongs to another store than the files beside it",
+            OpenError::StoreMismatch("data/0000000000000001.seg".into()),
+            "data/0000000000000001.seg: belongs to a different store than the other files",
         ),
     ];
     for (error, message) in cases {
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The store behind its queues: order of acknowledgements, failures and recovery, a disk that
+//! The store on its own thread: order of acknowledgements, failures and recovery, and a disk that
 //! hangs.
 
 use postproxy_store::sim::{Faults, SimDisk, SimFile, SimLock};
@@ -8,31 +8,31 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Longest time that a test waits for an event.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A gate at which syncs wait while it is closed.
+/// A gate that blocks syncs while it is closed.
 #[derive(Clone, Default)]
 struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
 impl Gate {
     fn set_closed(&self, closed: bool) {
-        *self.0.0.lock().expect("a lock") = closed;
+        *self.0.0.lock().expect("lock the mutex") = closed;
         self.0.1.notify_all();
     }
 
     fn wait_until_open(&self) {
-        let closed = self.0.0.lock().expect("a lock");
+        let closed = self.0.0.lock().expect("lock the mutex");
         drop(
             self.0
                 .1
                 .wait_while(closed, |closed| *closed)
-                .expect("a lock"),
+                .expect("lock the mutex"),
         );
     }
 }
 
-/// A disk whose syncs wait while the gate is closed.
+/// A disk whose syncs block while the gate is closed.
 #[derive(Clone)]
 struct GatedDisk {
     disk: SimDisk,
@@ -106,14 +106,15 @@
         segment_bytes: 4096,
         ..Options::default()
     };
-    let (engine, _) = Engine::open(vec![disk.clone()], options, "a test", 7, 0).expect("a store");
+    let (engine, _) =
+        Engine::open(vec![disk.clone()], options, "a test", 7, 0).expect("open the store");
     let writer_options = WriterOptions {
         max_queued_bytes,
         retry_interval: Duration::from_millis(2),
         clock: Box::new(|| 1),
         wake: Box::new(|| {}),
     };
-    Store::start(engine, writer_options).expect("a thread")
+    Store::start(engine, writer_options).expect("start the thread")
 }
 
 fn disk(faults: Faults) -> GatedDisk {
@@ -128,7 +129,7 @@
 }
 
 /// Guards against an acknowledgement that comes before its sync, out of order, or never; against an
-/// append that waits for a disk which hangs, and a queue without a bound.
+/// append that blocks while the disk hangs; and against an unbounded queue.
 #[test]
 fn hanging_disk_does_not_block_appends() {
     let disk = disk(Faults::default());
@@ -136,7 +137,7 @@
     let (mut store, events) = start(&disk, 20_000);
     let mut accepted = 0;
     let mut last = 0;
-    // More than the queue holds: if an append waited, this would not end.
+    // More than fits into the queue: if an append blocked, this loop would not end.
     for n in 1..=400 {
         let ticket = store.append(batch(n));
         if ticket != Err(QueueFull) {
@@ -145,11 +146,14 @@
         }
     }
     assert!((100..400).contains(&accepted), "{accepted} accepted");
-    assert!(events.try_recv().is_err(), "nothing is durable");
+    assert!(events.try_recv().is_err(), "an event before the first sync");
     disk.gate.set_closed(false);
     let mut durable = 0;
     while durable < accepted {
-        match events.recv_timeout(LIMIT).expect("an event") {
+        match events
+            .recv_timeout(EVENT_TIMEOUT)
+            .expect("receive an event")
+        {
             Event::Durable(ticket) => {
                 assert!(ticket > durable);
                 durable = ticket;
@@ -158,7 +162,10 @@
         }
     }
     store.read(9, last.to_be_bytes().to_vec());
-    match events.recv_timeout(LIMIT).expect("an event") {
+    match events
+        .recv_timeout(EVENT_TIMEOUT)
+        .expect("receive an event")
+    {
         Event::Value {
             token: 9,
             value: Ok(Some(value)),
@@ -168,8 +175,8 @@
     assert_eq!(store.queued_bytes(), 0);
 }
 
-/// Guards against a full disk that is reported as anything but rejections, against no report when
-/// it has room again, and against a stop that loses what was accepted.
+/// Guards against a full disk that does not lead to rejections, against a missing report when it has
+/// room again, and against a stop that loses accepted appends.
 #[test]
 fn failing_disk_rejects_appends_until_it_recovers() {
     let disk = disk(Faults {
@@ -177,32 +184,35 @@
         ..Faults::default()
     });
     let (mut store, events) = start(&disk, 1 << 20);
-    store.append(batch(1)).expect("it is accepted");
+    store.append(batch(1)).expect("append");
     let mut rejected = false;
     let mut writes_failed = false;
     while !(rejected && writes_failed) {
-        match events.recv_timeout(LIMIT).expect("an event") {
+        match events
+            .recv_timeout(EVENT_TIMEOUT)
+            .expect("receive an event")
+        {
             Event::Rejected {
                 from: 1,
                 to: 1,
-                why,
-            } => rejected = !why.is_empty(),
+                reason,
+            } => rejected = !reason.is_empty(),
             Event::WritesFailed(_) => writes_failed = true,
             other => panic!("{other:?}"),
         }
     }
-    store.append(batch(2)).expect("it is accepted");
+    store.append(batch(2)).expect("append");
     assert!(matches!(
-        events.recv_timeout(LIMIT),
+        events.recv_timeout(EVENT_TIMEOUT),
         Ok(Event::Rejected { from: 2, to: 2, .. })
     ));
     disk.disk.set_faults(|faults| faults.capacity = None);
     assert!(matches!(
-        events.recv_timeout(LIMIT),
+        events.recv_timeout(EVENT_TIMEOUT),
         Ok(Event::WritesRecovered)
     ));
     for n in 3..200 {
-        store.append(batch(n)).expect("it is accepted");
+        store.append(batch(n)).expect("append");
     }
     drop(store);
     let last = events.iter().fold(0, |last, event| {
@@ -220,7 +230,7 @@
         7,
         0,
     )
-    .expect("a store");
+    .expect("open the store");
     assert_eq!(
         (engine.statistics().live_keys, recovery.lost.len()),
         (197, 0)
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -354,8 +354,8 @@
     fn handle_event(&mut self, reactor: &mut Reactor, event: Event) {
         match event {
             Event::Durable(last) => self.handle_durable(reactor, last),
-            Event::Rejected { from, to, why } => {
-                tracing::debug!(from, to, why, "store write rejected");
+            Event::Rejected { from, to, reason } => {
+                tracing::debug!(from, to, why = reason, "store write rejected");
                 self.handle_rejected(reactor, from, to);
             }
             Event::Value { token, value } => self.handle_value(reactor, token, value),
