--- a/crates/store/src/engine/compaction.rs
+++ b/crates/store/src/engine/compaction.rs
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Ends the compaction of a segment whose live records have been copied: removes it if it is the
-    /// oldest.
+    /// Ends the compaction of a segment whose live records have been copied: removes it if it is
+    /// the oldest.
     fn finish_compaction(&mut self, number: u64) -> io::Result<()> {
         let is_oldest = self.first_segment() == Some(number);
         let Some(segment) = self.segments.get_mut(&number) else {
--- a/crates/store/src/engine/read.rs
+++ b/crates/store/src/engine/read.rs
@@ -22,8 +22,8 @@
         self.index.get(key).is_some()
     }
 
-    /// Returns the acknowledged value of a key. If the first copy is damaged, the value is read from
-    /// the mirror and the copy is repaired.
+    /// Returns the acknowledged value of a key. If the first copy is damaged, the value is read
+    /// from the mirror and the copy is repaired.
     ///
     /// # Errors
     ///
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -22,7 +22,7 @@
 //! | 0 | 4 | length of the content that follows these 24 bytes |
 //! | 4 | 4 | CRC32C of the segment's number, bytes 0 to 4, bytes 8 to 24 and the content |
 //! | 8 | 8 | sequence number, one higher than that of the previous frame |
-//! | 16 | 4 | sequence number minus that of the last frame that was durable when this one was made |
+//! | 16 | 4 | sequence number minus that of the last durable frame when this one was made |
 //! | 20 | 1 | kind: 1, a batch |
 //! | 21 | 1 | version of the kind: 1 |
 //! | 22 | 2 | 0 |
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -9,8 +9,8 @@
 /// Size of a sector in bytes. At a crash, each sector of a write is kept or lost as a whole.
 const SECTOR_BYTES: usize = 512;
 
-/// The faults of a disk. Operations that change something (writes, syncs, truncations, and creating,
-/// renaming and removing files) are counted from 0.
+/// The faults of a disk. Operations that change something (writes, syncs, truncations, and
+/// creating, renaming and removing files) are counted from 0.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// The number of the operation at which the machine crashes; it and everything after it fails.
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -142,9 +142,9 @@
     );
 }
 
-/// Calls `check` with a copy of the disk for each way to truncate, remove or overwrite one file: the
-/// name of the file, its new size, and the disk. The size is `usize::MAX` if the file was removed or
-/// overwritten.
+/// Calls `check` with a copy of the disk for each way to truncate, remove or overwrite one file:
+/// the name of the file, its new size, and the disk. The size is `usize::MAX` if the file was
+/// removed or overwritten.
 fn each_damage(disk: &SimDisk, mut check: impl FnMut(&str, usize, SimDisk)) {
     for name in disk.list().expect("list the files") {
         let original = disk.content(&name);
@@ -295,7 +295,8 @@
 }
 
 /// Guards against recovering unacknowledged records after a torn write of which only the later part
-/// reached the disk: the intact frames after the gap must not reappear at this start or a later one.
+/// reached the disk: the intact frames after the gap must not reappear at this start or a later
+/// one.
 #[test]
 fn records_after_a_torn_write_do_not_reappear() {
     let disk = SimDisk::new(Faults::default(), 3);
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -175,8 +175,8 @@
     assert_eq!(store.queued_bytes(), 0);
 }
 
-/// Guards against a full disk that does not lead to rejections, against a missing report when it has
-/// room again, and against a stop that loses accepted appends.
+/// Guards against a full disk that does not lead to rejections, against a missing report when it
+/// has room again, and against a stop that loses accepted appends.
 #[test]
 fn failing_disk_rejects_appends_until_it_recovers() {
     let disk = disk(Faults {
--- a/crates/streams/src/codec.rs
+++ b/crates/streams/src/codec.rs
@@ -1,50 +1,50 @@
-//! The bytes on a connection: a preamble with the version, then frames of a length, a checksum and
-//! a packet.
+//! The wire format: a preamble with the protocol version, then frames that consist of a length, a
+//! checksum and a packet.
 
 use crate::error::ConnectionError;
 use serde::{Deserialize, Serialize};
 
-/// First bytes of each connection in either direction. The last two are the version.
+/// The first bytes in each direction of a connection. The last two are the protocol version.
 pub const PREAMBLE: &[u8; 8] = b"ppfl\r\n\x00\x01";
-/// Bytes of the version at the end of the preamble.
+/// Size of the version at the end of the preamble, in bytes.
 const VERSION_BYTES: usize = 2;
-/// Longest message in bytes.
+/// Maximum length of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Bytes of a packet beside its message, at most.
+/// Maximum size of a packet in bytes, not counting its message.
 const MAX_PACKET_OVERHEAD_BYTES: usize = 256;
-/// Bytes of a frame before its packet: length and checksum, 4 bytes each, big-endian.
+/// Size of a frame's header in bytes: length and checksum, 4 bytes each, big-endian.
 const FRAME_HEADER_BYTES: usize = 8;
-/// Longest name of a node in bytes.
+/// Maximum length of a node's name in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// What a frame carries, in postcard encoding.
+/// The content of a frame, in postcard encoding.
 ///
-/// The order of the variants and of their fields is that of the encoding.
+/// The order of the variants and of their fields is part of the wire format.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Packet {
-    /// First packet of the connecting node.
+    /// The first packet from the connecting node.
     Greeting {
-        /// Number of the cluster.
+        /// Number of the connecting node's cluster.
         cluster: u32,
         /// Name of the connecting node.
         from: String,
         /// Nonce of its process.
         process_nonce: u64,
-        /// Number of its session with this node; it grows within a process.
+        /// Number of the session; a later session of the same process has a higher number.
         session: u64,
-        /// Name of the node that is meant.
+        /// Name of the node to which the connection is addressed.
         to: String,
     },
-    /// Answer to a greeting.
+    /// The answer to a greeting, sent by the accepting node.
     GreetingAccepted {
-        /// Nonce of the answering node's process.
+        /// Nonce of the accepting node's process.
         process_nonce: u64,
-        /// Sequence number of the last message of this session that it has received, 0 for none.
+        /// Sequence number of the last message that it has received in this session, 0 for none.
         last_received: u64,
     },
     /// A message.
     Data {
-        /// Sequence number in the session, from 1.
+        /// Sequence number in the session, starting at 1.
         sequence: u64,
         /// The message.
         message: Vec<u8>,
@@ -70,7 +70,7 @@
 
 /// Encodes a packet as a frame.
 pub fn encode_frame(packet: &Packet) -> Vec<u8> {
-    // Encoding to memory can't fail for these types.
+    // Serializing these types to memory can't fail.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend(crc32fast::hash(&body).to_be_bytes());
@@ -78,18 +78,18 @@
     frame
 }
 
-/// Encodes the preamble with the first packet of a connection.
+/// Encodes the preamble followed by the first packet of a connection.
 pub(crate) fn encode_opening(packet: &Packet) -> Vec<u8> {
     [&PREAMBLE[..], &encode_frame(packet)].concat()
 }
 
-/// Decodes packets from bytes that come in pieces of any size. It allocates for bytes that have
-/// come, never for those that a length claims.
+/// Decodes packets from received bytes, which may be split anywhere. It allocates memory for bytes
+/// that were received, never for a length that a frame claims.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     preamble_read: bool,
     bytes: Vec<u8>,
-    /// Number of bytes at the start that are decoded.
+    /// Number of bytes at the start that have been decoded.
     consumed: usize,
 }
 
@@ -101,16 +101,16 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Returns the number of bytes that wait for the rest of their packet.
+    /// Returns the number of received bytes that have not been decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() - self.consumed
     }
 
-    /// Returns the next packet, or `None` if it isn't complete yet.
+    /// Returns the next packet, or `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns why the connection is to be dropped.
+    /// The reason for which the connection must be dropped.
     pub fn next_packet(&mut self) -> Result<Option<Packet>, ConnectionError> {
         if !self.preamble_read {
             self.preamble_read = self.read_preamble()?;
@@ -134,7 +134,7 @@
             return Ok(None);
         };
         if crc32fast::hash(body) != checksum {
-            return Err(ConnectionError::Damaged);
+            return Err(ConnectionError::ChecksumMismatch);
         }
         let (packet, rest): (Packet, _) =
             postcard::take_from_bytes(body).map_err(|_| ConnectionError::Malformed)?;
@@ -145,20 +145,20 @@
         Ok(Some(packet))
     }
 
-    /// Reads the preamble. Returns whether it is complete. A wrong one is rejected at its first
-    /// wrong byte.
+    /// Reads the preamble and returns whether it is complete. A preamble of another protocol is
+    /// rejected at its first wrong byte.
     fn read_preamble(&mut self) -> Result<bool, ConnectionError> {
         let rest = &self.bytes[self.consumed..];
         let available = rest.len().min(PREAMBLE.len());
         let magic = available.min(PREAMBLE.len() - VERSION_BYTES);
         if rest[..magic] != PREAMBLE[..magic] {
-            return Err(ConnectionError::Foreign);
+            return Err(ConnectionError::UnknownProtocol);
         }
         if available < PREAMBLE.len() {
             return Ok(false);
         }
         if rest[..available] != *PREAMBLE {
-            return Err(ConnectionError::Version);
+            return Err(ConnectionError::VersionMismatch);
         }
         self.consumed += available;
         Ok(true)
--- a/crates/streams/src/error.rs
+++ b/crates/streams/src/error.rs
@@ -1,39 +1,39 @@
-//! Why a connection is dropped.
+//! The reasons for dropping a connection.
 
-/// Why a connection is dropped.
+/// The reason for which a connection is dropped.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ConnectionError {
-    /// The other side doesn't speak this protocol.
-    Foreign,
-    /// The other side speaks another version of the protocol.
-    Version,
-    /// The other side is of another cluster, or means another node.
+    /// The peer uses another protocol.
+    UnknownProtocol,
+    /// The peer uses another version of the protocol.
+    VersionMismatch,
+    /// The greeting is from another cluster, addressed to another node, or has an invalid sender.
     WrongReceiver,
-    /// A frame claims to be longer than the limit.
+    /// The length in a frame's header exceeds the limit.
     TooLong,
-    /// A frame's checksum is wrong.
-    Damaged,
-    /// A packet can't be decoded, or isn't allowed in this state.
+    /// The checksum of a frame is wrong.
+    ChecksumMismatch,
+    /// A packet can't be decoded, or is not allowed in this state.
     Malformed,
-    /// The other side fell silent in a greeting or a frame, or doesn't acknowledge.
+    /// Connecting and the greeting, the rest of a packet, or an acknowledgement took too long.
     Stalled,
-    /// A limit on connections or buffered bytes is reached.
-    TooMany,
+    /// A limit on connections or buffered bytes is exceeded.
+    LimitExceeded,
 }
 
 impl ConnectionError {
-    /// Returns the text by which logs and the management API name the error. Programs compare it:
-    /// it must not change.
+    /// Returns the text for the error in logs and in the management API. Programs compare it, so it
+    /// must not change.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Foreign => "stream: foreign",
-            Self::Version => "stream: another version",
+            Self::UnknownProtocol => "stream: foreign",
+            Self::VersionMismatch => "stream: another version",
             Self::WrongReceiver => "stream: for another node",
             Self::TooLong => "stream: too long",
-            Self::Damaged => "stream: damaged",
+            Self::ChecksumMismatch => "stream: damaged",
             Self::Malformed => "stream: not understood",
             Self::Stalled => "stream: stalled",
-            Self::TooMany => "stream: too many",
+            Self::LimitExceeded => "stream: too many",
         }
     }
 }
--- a/crates/streams/src/incoming.rs
+++ b/crates/streams/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other nodes have made: messages are received in order, each once, and
+//! Connections that other nodes have made: messages are delivered once and in order, and
 //! acknowledged.
 
 use crate::codec::{FrameReader, Packet, encode_frame, encode_opening};
@@ -7,30 +7,31 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Connections that other nodes have made, at most.
+/// Maximum number of connections that other nodes have made.
 pub const MAX_INCOMING_CONNECTIONS: usize = 64;
-/// Bytes of incomplete packets of all connections together, at most.
+/// Maximum number of bytes of incomplete packets, over all connections.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
-/// Time until a connection is made and the greeting exchanged, in seconds.
+/// Timeout for establishing a connection, and for the greeting on it, in seconds.
 pub(crate) const GREETING_TIMEOUT_SECONDS: f64 = 1.0;
-/// Time without an acknowledgement, or without the rest of a packet, after which a connection is
-/// stalled, in seconds.
+/// Time without progress (an acknowledgement, or the rest of a packet) after which a connection is
+/// stalled, in seconds, not counting the time to transfer the outstanding bytes.
 const STALL_TIMEOUT_SECONDS: f64 = 2.0;
-/// Slowest link that isn't taken for a stalled one, in bytes per second.
+/// Lowest throughput at which a connection is not considered stalled, in bytes per second.
 const MIN_BYTES_PER_SECOND: f64 = (64 << 10) as f64;
 /// Time without a message after which the connecting side closes a connection, in seconds. The
-/// other side waits twice as long, so that it doesn't close a connection that is about to be used.
+/// accepting side waits twice as long, so that it doesn't close a connection that is about to be
+/// used.
 pub(crate) const IDLE_TIMEOUT_SECONDS: f64 = 30.0;
-/// Sessions of which it is remembered what has been received, at most. The least recently used one
-/// is forgotten first.
+/// Maximum number of processes whose sessions are remembered. Beyond that, the least recently used
+/// one is evicted.
 const MAX_REMEMBERED_SESSIONS: usize = 4096;
 
-/// Returns the time in which these bytes must make progress, in seconds.
+/// Returns the time within which the transfer of this many bytes must make progress, in seconds.
 pub(crate) fn stall_timeout(bytes: usize) -> f64 {
     STALL_TIMEOUT_SECONDS + bytes as f64 / MIN_BYTES_PER_SECOND
 }
 
-/// A process of another node, and its session.
+/// A process of another node and its session.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct Sender {
     name: String,
@@ -38,29 +39,31 @@
     session: u64,
 }
 
-/// What has been received in the session of a process.
+/// The current session of a process, and what has been received in it.
 #[derive(Debug)]
 struct ReceivedSession {
     session: u64,
     /// Sequence number of the last message, 0 for none.
     last_received: u64,
-    /// Number of the latest greeting, to find the least recently used one.
+    /// Value of [`ReceivedSessions::greetings`] at the session's latest greeting, to find the least
+    /// recently used session.
     last_used: u64,
 }
 
 /// The name and the process nonce of a node.
 type ProcessKey = (String, u64);
 
-/// The sessions of other nodes, over all their connections.
+/// The sessions of other nodes. They continue over reconnections.
 #[derive(Debug, Default)]
 pub(crate) struct ReceivedSessions {
     by_process: BTreeMap<ProcessKey, ReceivedSession>,
+    /// Number of greetings so far.
     greetings: u64,
 }
 
 impl ReceivedSessions {
-    /// Opens or continues a session. Returns the sequence number of the last message received in
-    /// it.
+    /// Begins or continues a session, and returns the sequence number of the last message received
+    /// in it, 0 for none.
     fn open(&mut self, sender: &Sender) -> Result<u64, ConnectionError> {
         self.greetings += 1;
         let received = self
@@ -73,7 +76,7 @@
             });
         received.last_used = self.greetings;
         match sender.session.cmp(&received.session) {
-            // A greeting of a session that has ended, which came late.
+            // A late greeting from a session that has ended.
             Ordering::Less => return Err(ConnectionError::Malformed),
             Ordering::Equal => {}
             Ordering::Greater => {
@@ -84,14 +87,14 @@
         Ok(received.last_received)
     }
 
-    /// Returns what has been received in a session, if it is the current one of its process.
+    /// Returns the state of a session if it is the current one of its process.
     fn current(&mut self, sender: &Sender) -> Option<&mut ReceivedSession> {
         self.by_process
             .get_mut(&(sender.name.clone(), sender.process_nonce))
             .filter(|received| received.session == sender.session)
     }
 
-    /// Forgets the least recently used session if there are too many.
+    /// Removes the least recently used session if there are too many.
     fn evict(&mut self) {
         if self.by_process.len() <= MAX_REMEMBERED_SESSIONS {
             return;
@@ -111,11 +114,11 @@
 #[derive(Debug)]
 pub(crate) struct IncomingConnection {
     pub(crate) reader: FrameReader,
-    /// Who has connected, once it has greeted.
+    /// The connected process, once its greeting has been received.
     sender: Option<Sender>,
-    /// Time at which bytes were received last.
+    /// Time at which bytes were last received.
     last_received_at: f64,
-    /// Time since which a greeting or a packet is incomplete.
+    /// Time since which the greeting or a packet has been incomplete.
     incomplete_since: Option<f64>,
 }
 
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Updates since when a packet is incomplete, after received bytes gave `packets` packets. A
-    /// sender that adds a byte to a packet now and then makes no progress.
+    /// Updates `incomplete_since` after received bytes have completed `packets` packets. Bytes that
+    /// complete no packet don't reset it: a sender that trickles bytes makes no progress.
     fn update_incomplete_since(&mut self, now: f64, packets: usize) {
         if self.sender.is_none() {
             return;
@@ -152,24 +155,24 @@
 }
 
 impl Streams {
-    /// Handles that another node has connected. If there are too many connections another one is
-    /// closed.
+    /// Handles a connection that another node has made. If there are too many, another incoming
+    /// connection is closed.
     pub fn handle_accepted(&mut self, now: f64, connection: usize, out: &mut Vec<Effect>) {
         if self.incoming.len() >= MAX_INCOMING_CONNECTIONS
-            && let Some(least_useful) = self.least_useful_incoming()
+            && let Some(candidate) = self.eviction_candidate()
         {
-            self.drop_incoming(least_useful, Some(ConnectionError::TooMany), out);
+            self.drop_incoming(candidate, Some(ConnectionError::LimitExceeded), out);
         }
         self.incoming
             .insert(connection, IncomingConnection::new(now));
     }
 
-    /// Returns a connection that hasn't greeted, or else the one that has been silent for the
-    /// longest.
-    fn least_useful_incoming(&self) -> Option<usize> {
+    /// Returns the connection to close if there are too many: among those without a greeting, or
+    /// else among all, the one that has been silent for the longest.
+    fn eviction_candidate(&self) -> Option<usize> {
         let rank = |connection: &IncomingConnection| {
-            let has_greeted = connection.sender.is_some();
-            (has_greeted, connection.last_received_at)
+            let has_greeting = connection.sender.is_some();
+            (has_greeting, connection.last_received_at)
         };
         self.incoming
             .iter()
@@ -177,12 +180,12 @@
             .map(|(key, _)| *key)
     }
 
-    /// Returns whether another node has made this connection.
+    /// Returns whether this connection was made by another node.
     pub fn is_incoming(&self, connection: usize) -> bool {
         self.incoming.contains_key(&connection)
     }
 
-    /// Handles bytes of a node that has connected.
+    /// Handles bytes received on an incoming connection.
     pub(crate) fn handle_incoming_bytes(
         &mut self,
         now: f64,
@@ -229,7 +232,7 @@
         Ok(())
     }
 
-    /// Answers a greeting. Returns the name of the node that has greeted.
+    /// Answers a greeting, and returns the name of the node that sent it.
     fn handle_greeting(
         &mut self,
         connection: usize,
@@ -269,8 +272,7 @@
         Ok(from)
     }
 
-    /// Delivers a message unless it was received before. Returns the sequence number to
-    /// acknowledge.
+    /// Delivers a message unless it is a duplicate, and returns the sequence number to acknowledge.
     fn handle_data(
         &mut self,
         sender: Sender,
@@ -296,7 +298,7 @@
         Ok(received.last_received)
     }
 
-    /// Drops earlier connections of a node that has connected again.
+    /// Closes the earlier connections of a node that has connected again.
     fn drop_other_connections(&mut self, current: usize, node: &str, out: &mut Vec<Effect>) {
         let is_of_node = |incoming: &IncomingConnection| {
             let sender = incoming.sender.as_ref();
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Drops the connection with the most buffered bytes if all together have too many.
+    /// Drops the connection with the most buffered bytes if the total exceeds the limit.
     fn limit_buffered_bytes(&mut self, out: &mut Vec<Effect>) {
         if self.buffered_bytes() <= MAX_BUFFERED_BYTES {
             return;
@@ -324,7 +326,7 @@
             .max_by_key(|(_, incoming)| incoming.reader.buffered_bytes())
             .map(|(key, _)| *key);
         if let Some(connection) = largest {
-            self.drop_incoming(connection, Some(ConnectionError::TooMany), out);
+            self.drop_incoming(connection, Some(ConnectionError::LimitExceeded), out);
         }
     }
 
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -1,15 +1,16 @@
-//! Reliable ordered messages between nodes. A node connects to each node that it has messages for;
-//! the other one acknowledges on the same connection, and sends its own messages on a connection
-//! that it makes itself.
+//! Reliable ordered messages between nodes. A node connects to each node that it has messages for.
+//! The receiver acknowledges on the same connection; to send messages of its own it makes another
+//! connection.
 //!
-//! Guaranteed between two processes and within one session: each message is delivered at most once
-//! and in order, and it is delivered if connections can be made again and again until it is. A
-//! session ends, and with it what is queued, when either process ends or the owner gives the other
-//! node up; the owner is notified and sends again what still matters. Not guaranteed: who the other
-//! side is. Nothing here signs or encrypts.
+//! Within one session between two processes, messages are delivered in order and at most once, and
+//! every queued message is delivered provided that reconnecting keeps succeeding until then. A
+//! session ends when either process ends or when [`Streams::forget`] is called for the other node;
+//! messages still queued are then dropped. [`Effect::PeerRestarted`] reports that the
+//! other node's process was restarted, so that the caller can send again what still matters.
+//! Connections are neither authenticated nor encrypted.
 //!
-//! [`Streams`] has no socket and no clock: it is notified of what happens on connections, and
-//! returns what to do.
+//! [`Streams`] does no I/O and reads no clock: its caller reports the events of connections and
+//! carries out the returned effects.
 
 mod codec;
 mod error;
--- a/crates/streams/src/outgoing.rs
+++ b/crates/streams/src/outgoing.rs
@@ -1,5 +1,5 @@
-//! Sessions with other nodes: messages are queued, sent on a connection to the node, and removed
-//! when acknowledged.
+//! Outgoing sessions: messages to a node are queued, sent on a connection to it, and removed from
+//! the queue when acknowledged.
 
 use crate::codec::{FrameReader, MAX_MESSAGE_BYTES, Packet, encode_frame, encode_opening};
 use crate::error::ConnectionError;
@@ -8,78 +8,79 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Connections to other nodes, at most. Further nodes wait until one is idle.
+/// Maximum number of connections to other nodes. Further sessions wait until one is closed.
 pub const MAX_OUTGOING_CONNECTIONS: usize = 64;
-/// Bytes of messages queued for one node, at most.
+/// Maximum number of bytes in the queue for one node.
 pub const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// Messages queued for one node, at most.
+/// Maximum number of messages in the queue for one node.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
-/// Bytes that may be sent without an acknowledgement. The buffer of a connection holds no more than
-/// these and a message.
+/// Messages are sent while fewer bytes than this are unacknowledged. The write buffer of a
+/// connection holds at most this many bytes and one message, not counting packet overhead.
 const SEND_WINDOW_BYTES: usize = 256 << 10;
-/// First pause between two attempts to connect, in seconds. The pause doubles with each attempt.
-const MIN_RECONNECT_SECONDS: f64 = 0.05;
-/// Longest pause between two attempts to connect, in seconds.
-const MAX_RECONNECT_SECONDS: f64 = 1.0;
+/// First delay before reconnecting, in seconds. It doubles with each failed attempt.
+const MIN_RECONNECT_DELAY_SECONDS: f64 = 0.05;
+/// Maximum delay before reconnecting, in seconds.
+const MAX_RECONNECT_DELAY_SECONDS: f64 = 1.0;
 
-/// The message isn't queued: too much is queued for the node, or the message is too long.
+/// The message was not queued, since the queue for the node is full or the message is too long.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QueueFull;
 
-/// What is queued for a node: sent without an acknowledgement, or not sent yet.
+/// The length of the queue for a node: messages that are not sent or not acknowledged.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct QueueLength {
     /// Number of messages.
     pub messages: usize,
-    /// Their bytes.
+    /// Their total size in bytes.
     pub bytes: usize,
 }
 
-/// State of the connection to a node.
+/// The state of the connection to a node.
 #[derive(Debug, PartialEq)]
 enum ConnectionState {
-    /// There is none; the next attempt may begin at this time.
+    /// There is no connection. The next attempt may begin at `retry_at`.
     Disconnected { retry_at: f64 },
-    /// It is being made. `connection` is unknown until the owner of the sockets reports it.
+    /// The connection is being established. `connection` is `None` until the owner of the sockets
+    /// reports the key.
     Connecting {
         connection: Option<usize>,
         since: f64,
     },
-    /// It is made, and the other side is to answer the greeting.
+    /// The connection is established, and the greeting has not been answered.
     Greeting { connection: usize, since: f64 },
-    /// Messages may be sent.
+    /// The greeting has been answered; messages may be sent.
     Open { connection: usize },
 }
 
-/// A session with another node. It lasts over connections, until either process ends.
+/// A session with another node. It continues over reconnections until either process ends.
 #[derive(Debug)]
 pub(crate) struct OutgoingSession {
     address: SocketAddr,
     state: ConnectionState,
     reader: FrameReader,
     session: u64,
-    /// Nonce of the other node's process, once it has answered a greeting.
+    /// Nonce of the other node's process, once it has answered a greeting of this session.
     peer_nonce: Option<u64>,
-    /// Messages without an acknowledgement.
+    /// Messages that are not acknowledged, sent or not.
     queue: VecDeque<Vec<u8>>,
     /// Sequence number of the first message in the queue.
     first_sequence: u64,
     queued_bytes: usize,
-    /// Number of messages at the start of the queue that are sent on this connection.
+    /// Number of messages at the start of the queue that have been sent on the current connection.
     sent: usize,
-    /// Bytes of these.
+    /// Total size of these in bytes.
     sent_bytes: usize,
-    /// Time since which there was no progress: the latest acknowledgement, or the first message
-    /// sent after it.
+    /// Time of the latest progress: an accepted greeting, an acknowledgement, or sending a message
+    /// when none was outstanding.
     last_progress: f64,
-    /// Pause before the next attempt to connect, in seconds.
-    reconnect_pause: f64,
+    /// Delay before the next attempt to connect, in seconds.
+    reconnect_delay: f64,
 }
 
-/// What a packet of the other node means for the session.
+/// The effect of a received packet on the session.
 enum SessionOutcome {
     Continues,
-    /// The other node has another process than before.
+    /// The greeting was answered by another process than before.
     PeerRestarted {
         process_nonce: u64,
     },
@@ -99,11 +100,11 @@
             sent: 0,
             sent_bytes: 0,
             last_progress: now,
-            reconnect_pause: MIN_RECONNECT_SECONDS,
+            reconnect_delay: MIN_RECONNECT_DELAY_SECONDS,
         }
     }
 
-    /// Returns the key of the connection, if there is one.
+    /// Returns the key of the connection, if there is one and its key is known.
     fn connection(&self) -> Option<usize> {
         match self.state {
             ConnectionState::Disconnected { .. } => None,
@@ -129,20 +130,20 @@
         self.queue.push_back(message);
     }
 
-    /// Handles that the connection is gone: what isn't acknowledged is sent again on the next one.
+    /// Handles the loss of the connection. Unacknowledged messages are sent again on the next one.
     pub(crate) fn disconnect(&mut self, now: f64) {
         self.state = ConnectionState::Disconnected {
-            retry_at: now + self.reconnect_pause,
+            retry_at: now + self.reconnect_delay,
         };
-        self.reconnect_pause = (self.reconnect_pause * 2.0).min(MAX_RECONNECT_SECONDS);
+        self.reconnect_delay = (self.reconnect_delay * 2.0).min(MAX_RECONNECT_DELAY_SECONDS);
         self.sent = 0;
         self.sent_bytes = 0;
         self.last_progress = now;
         self.reader = FrameReader::default();
     }
 
-    /// Begins a new session, as the other node's process was restarted. What was queued for the
-    /// earlier one is dropped.
+    /// Begins a new session after a restart of the other node's process. The messages queued for
+    /// the earlier process are dropped.
     fn restart(&mut self, now: f64, session: u64) {
         self.queue.clear();
         self.queued_bytes = 0;
@@ -151,10 +152,10 @@
         self.first_sequence = 1;
         self.disconnect(now);
         self.state = ConnectionState::Disconnected { retry_at: now };
-        self.reconnect_pause = MIN_RECONNECT_SECONDS;
+        self.reconnect_delay = MIN_RECONNECT_DELAY_SECONDS;
     }
 
-    /// Returns the time at which messages that are sent count as stalled.
+    /// Returns the time at which the connection is stalled if no acknowledgement is received.
     fn stalled_at(&self) -> f64 {
         self.last_progress + stall_timeout(self.sent_bytes)
     }
@@ -191,7 +192,7 @@
                 self.handle_acknowledgement(now, last_received)?;
                 self.peer_nonce = Some(process_nonce);
                 self.state = ConnectionState::Open { connection };
-                self.reconnect_pause = MIN_RECONNECT_SECONDS;
+                self.reconnect_delay = MIN_RECONNECT_DELAY_SECONDS;
                 self.last_progress = now;
             }
             (ConnectionState::Open { .. }, Packet::Acknowledgement { sequence }) => {
@@ -202,7 +203,7 @@
         Ok(SessionOutcome::Continues)
     }
 
-    /// Removes the messages up to a sequence number from the queue.
+    /// Removes the messages up to this sequence number from the queue.
     fn handle_acknowledgement(&mut self, now: f64, sequence: u64) -> Result<(), ConnectionError> {
         let count = (sequence + 1)
             .checked_sub(self.first_sequence)
@@ -212,7 +213,7 @@
         }
         for message in self.queue.drain(..count) {
             self.queued_bytes -= message.len();
-            // After a reconnection more may be acknowledged than was sent on this connection.
+            // After a reconnection, messages sent on an earlier connection may be acknowledged.
             if self.sent > 0 {
                 self.sent -= 1;
                 self.sent_bytes -= message.len();
@@ -248,7 +249,7 @@
 }
 
 impl Streams {
-    /// Returns what is queued for a node.
+    /// Returns the length of the queue for a node.
     pub fn queue_length(&self, to: &str) -> QueueLength {
         self.outgoing
             .get(to)
@@ -258,11 +259,11 @@
             })
     }
 
-    /// Sends a message to a node at this address.
+    /// Queues a message to a node at this address, and sends it if possible.
     ///
     /// # Errors
     ///
-    /// If too much is queued for that node, or the message is too long, it is not queued.
+    /// If the queue for the node is full or the message is too long; it is then not queued.
     pub fn send(
         &mut self,
         now: f64,
@@ -286,7 +287,7 @@
         Ok(())
     }
 
-    /// Gives a node up: what is queued for it is dropped.
+    /// Ends the session with a node: closes the connection to it and drops the queued messages.
     pub fn forget(&mut self, to: &str, out: &mut Vec<Effect>) {
         let connection = self
             .outgoing
@@ -298,8 +299,8 @@
         }
     }
 
-    /// Handles that a connection to a node is being made under this key, or that it couldn't be
-    /// started.
+    /// Handles the start of an attempt to connect to a node, whose connection has this key; `None`
+    /// if the attempt failed at once.
     pub fn handle_connecting(
         &mut self,
         now: f64,
@@ -317,7 +318,7 @@
             )
         };
         let Some(session) = self.outgoing.get_mut(to).filter(is_expected) else {
-            // The node was given up in the meantime.
+            // The session was ended in the meantime.
             out.extend(connection.map(|connection| Effect::Close { connection }));
             return;
         };
@@ -333,7 +334,7 @@
         }
     }
 
-    /// Handles that a connection to a node has been made.
+    /// Handles that a connection to a node is established: sends the greeting.
     pub fn handle_connected(&mut self, now: f64, connection: usize, out: &mut Vec<Effect>) {
         let Some(to) = self.outgoing_connections.get(&connection) else {
             return;
@@ -361,7 +362,7 @@
         }
     }
 
-    /// Handles bytes of a node that this one has connected to.
+    /// Handles bytes received on a connection that this node has made.
     pub(crate) fn handle_outgoing_bytes(
         &mut self,
         now: f64,
@@ -410,8 +411,8 @@
         }
     }
 
-    /// Does what is due for a node: begins to connect, sends messages, or drops a connection that
-    /// is stalled or idle.
+    /// Does what is due for a session: begins to connect, sends messages, or closes a connection
+    /// that is stalled or idle.
     fn advance_session(&mut self, now: f64, to: &str, out: &mut Vec<Effect>) {
         let connected = self
             .outgoing
@@ -428,7 +429,7 @@
                 }
                 if connected >= MAX_OUTGOING_CONNECTIONS {
                     session.state = ConnectionState::Disconnected {
-                        retry_at: now + MAX_RECONNECT_SECONDS,
+                        retry_at: now + MAX_RECONNECT_DELAY_SECONDS,
                     };
                     return;
                 }
@@ -461,7 +462,7 @@
         }
     }
 
-    /// Closes the connection to a node. What is queued stays queued.
+    /// Closes the connection to a node. Queued messages are kept.
     fn drop_outgoing(
         &mut self,
         now: f64,
--- a/crates/streams/src/streams.rs
+++ b/crates/streams/src/streams.rs
@@ -1,5 +1,5 @@
-//! All streams of a node: the interface for the owner of the sockets, and the dispatch to outgoing
-//! and incoming ones.
+//! All streams of a node: the interface to the owner of the sockets, and the dispatch to outgoing
+//! sessions and incoming connections.
 
 use crate::error::ConnectionError;
 use crate::incoming::{IncomingConnection, ReceivedSessions};
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the owner of the sockets has to do, or is notified of.
+/// An action for the owner of the sockets, or a notification.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Connect to a node. [`Streams::handle_connecting`] and [`Streams::handle_connected`] are to
-    /// be called for it.
+    /// Connect to a node. Call [`Streams::handle_connecting`] when the attempt has been started or
+    /// has failed to start, and [`Streams::handle_connected`] when the connection is established.
     Connect {
         /// Name of the node.
         node: String,
@@ -22,15 +22,15 @@
     Write {
         /// Key of the connection.
         connection: usize,
-        /// What to write.
+        /// The bytes to write.
         bytes: Vec<u8>,
     },
-    /// Close a connection. Nothing more is to be reported of it.
+    /// Close a connection. No further events of it may be reported.
     Close {
         /// Key of the connection.
         connection: usize,
     },
-    /// A message has been received.
+    /// Notification: a message has been received.
     Deliver {
         /// Name of the sending node.
         from: String,
@@ -39,7 +39,8 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// A node's process was restarted: what was queued for the earlier one is dropped.
+    /// Notification: a node's process was restarted, and the messages queued for the earlier
+    /// process are dropped.
     PeerRestarted {
         /// Name of the node.
         node: String,
@@ -48,17 +49,17 @@
     },
 }
 
-/// All streams of one process of a node. All times are in seconds of one clock.
+/// All streams of one process of a node. All times are in seconds and from the same clock.
 #[derive(Debug)]
 pub struct Streams {
     pub(crate) cluster: u32,
     pub(crate) name: String,
     pub(crate) process_nonce: u64,
-    /// By the name of the other node.
+    /// Sessions by the name of the other node.
     pub(crate) outgoing: BTreeMap<String, OutgoingSession>,
-    /// The other node by the key of the connection to it.
+    /// Names of the other nodes by the key of the connection to them.
     pub(crate) outgoing_connections: BTreeMap<usize, String>,
-    /// By the key of the connection.
+    /// Connections that other nodes have made, by key.
     pub(crate) incoming: BTreeMap<usize, IncomingConnection>,
     pub(crate) received_sessions: ReceivedSessions,
     pub(crate) next_session: u64,
@@ -66,7 +67,7 @@
 }
 
 impl Streams {
-    /// Creates the streams of a process, without any connection.
+    /// Creates the streams of a process, with no connections.
     pub fn new(cluster: u32, name: &str, process_nonce: u64) -> Self {
         Self {
             cluster,
@@ -81,12 +82,13 @@
         }
     }
 
-    /// Returns the numbers of connections dropped, by reason.
+    /// Returns the number of dropped connections by reason.
     pub fn dropped(&self) -> &BTreeMap<ConnectionError, u64> {
         &self.dropped
     }
 
-    /// Returns the number of received bytes that wait for the rest of their packets.
+    /// Returns the number of bytes of incomplete packets that are buffered for all incoming
+    /// connections.
     pub fn buffered_bytes(&self) -> usize {
         self.incoming
             .values()
@@ -94,7 +96,7 @@
             .sum()
     }
 
-    /// Handles bytes that were received on a connection.
+    /// Handles bytes received on a connection.
     pub fn handle_bytes(
         &mut self,
         now: f64,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Handles that a connection has ended, on either side.
+    /// Handles the end of a connection, by whichever side.
     pub fn handle_closed(&mut self, now: f64, connection: usize) {
         self.incoming.remove(&connection);
         if let Some(node) = self.outgoing_connections.remove(&connection)
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Returns the time at which to call [`Self::handle_timeout`] next.
+    /// Returns the time at which [`Self::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Option<f64> {
         let outgoing = self
             .outgoing
@@ -134,7 +136,7 @@
         outgoing.chain(incoming).min_by(f64::total_cmp)
     }
 
-    /// Handles the timeouts that are due. It may be called at any time.
+    /// Handles all timeouts that are due. May be called at any time.
     pub fn handle_timeout(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.handle_outgoing_timeouts(now, out);
         self.handle_incoming_timeouts(now, out);
--- a/crates/streams/tests/invalid_bytes.rs
+++ b/crates/streams/tests/invalid_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that no valid node sends end their connection and nothing else.
+//! Invalid bytes end the connection on which they are received, and have no other effect.
 
 mod support;
 
@@ -8,7 +8,7 @@
 };
 use support::{CLUSTER, address, data, greeting, greeting_accepted, greeting_of_n1};
 
-/// What a node does with the bytes of one connection.
+/// The effects of the bytes received on one connection.
 #[derive(Debug, PartialEq)]
 struct Received {
     messages: Vec<Vec<u8>>,
@@ -16,7 +16,7 @@
     error: Option<ConnectionError>,
 }
 
-/// Has a node receive bytes in these pieces.
+/// Passes these pieces to a node on one connection.
 fn receive(pieces: &[&[u8]]) -> Received {
     let mut streams = Streams::new(CLUSTER, "n0", 1);
     let mut out = Vec::new();
@@ -36,17 +36,17 @@
     }
 }
 
-/// Returns a frame with a valid checksum and a packet that doesn't exist.
+/// Returns a frame with a valid checksum and an unknown packet variant.
 fn frame_of_unknown_packet() -> Vec<u8> {
-    let mut body = postcard::to_stdvec(&(9u32, 1u64)).expect("encoded bytes");
+    let mut body = postcard::to_stdvec(&(9u32, 1u64)).expect("encode the packet");
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend(crc32fast::hash(&body).to_be_bytes());
     frame.append(&mut body);
     frame
 }
 
-/// Returns names, bytes and the errors that they end their connections with. It is long as it is
-/// one table.
+/// Returns a table of cases: name, received bytes, and the error with which the connection is
+/// dropped.
 fn invalid_bytes() -> Vec<(&'static str, Vec<u8>, ConnectionError)> {
     let valid = greeting_of_n1(1);
     let after_greeting = |bytes: &[u8]| [&valid[..], bytes].concat();
@@ -59,9 +59,13 @@
         (
             "HTTP",
             b"GET / HTTP/1.1\r\n\r\n".to_vec(),
-            ConnectionError::Foreign,
+            ConnectionError::UnknownProtocol,
+        ),
+        (
+            "another version",
+            other_version,
+            ConnectionError::VersionMismatch,
         ),
-        ("another version", other_version, ConnectionError::Version),
         (
             "another cluster",
             greeting(8, "n1", "n0", 1),
@@ -73,38 +77,42 @@
             ConnectionError::WrongReceiver,
         ),
         (
-            "from itself",
+            "from the receiver itself",
             greeting(7, "n0", "n0", 1),
             ConnectionError::WrongReceiver,
         ),
         (
-            "from nobody",
+            "empty sender name",
             greeting(7, "", "n0", 1),
             ConnectionError::WrongReceiver,
         ),
         (
-            "a name too long",
+            "a sender name that is too long",
             greeting(7, &"x".repeat(65), "n0", 1),
             ConnectionError::Malformed,
         ),
-        ("4 GiB", after_greeting(&four_gib), ConnectionError::TooLong),
         (
-            "4 GiB at once",
+            "a claimed length of 4 GiB",
+            after_greeting(&four_gib),
+            ConnectionError::TooLong,
+        ),
+        (
+            "a claimed length of 4 GiB without a greeting",
             after_preamble(&four_gib),
             ConnectionError::TooLong,
         ),
         (
-            "a message first",
+            "a message before the greeting",
             after_preamble(&data(1, b"hi")),
             ConnectionError::Malformed,
         ),
         (
-            "a gap",
+            "a gap in the sequence numbers",
             after_greeting(&data(2, b"")),
             ConnectionError::Malformed,
         ),
         (
-            "greeting twice",
+            "a second greeting",
             after_greeting(&valid[8..]),
             ConnectionError::Malformed,
         ),
@@ -114,12 +122,12 @@
             ConnectionError::Malformed,
         ),
         (
-            "no packet",
+            "an unknown packet variant",
             after_greeting(&frame_of_unknown_packet()),
             ConnectionError::Malformed,
         ),
         (
-            "a message too long",
+            "a message that is too long",
             after_greeting(&data(1, &vec![0; MAX_MESSAGE_BYTES + 1])),
             ConnectionError::Malformed,
         ),
@@ -145,7 +153,7 @@
             error: Some(error),
         };
         assert_eq!(receive(&[&bytes]), expected, "{name}");
-        // The same in pieces, most in single bytes.
+        // The same in pieces: single bytes, except for long inputs.
         let piece_size = if bytes.len() > 1000 { 1000 } else { 1 };
         let pieces: Vec<&[u8]> = bytes.chunks(piece_size).collect();
         assert_eq!(receive(&pieces).error, Some(error), "{name}, in pieces");
@@ -167,17 +175,17 @@
     }
 }
 
-/// The queued message must not count as acknowledged, either: it is sent again.
+/// The queued message must not be treated as acknowledged: it is sent again.
 #[test]
 fn invalid_answers_end_their_connection_and_lose_no_message() {
     let cases = [
         ("a message", data(1, b"")),
         (
-            "acknowledgement of what wasn't sent",
+            "an acknowledgement of a message that was not sent",
             encode_frame(&Packet::Acknowledgement { sequence: 2 }),
         ),
         (
-            "greeting accepted twice",
+            "a second answer to the greeting",
             encode_frame(&Packet::GreetingAccepted {
                 process_nonce: 9,
                 last_received: 0,
@@ -193,7 +201,7 @@
         let mut out = Vec::new();
         streams
             .send(0.0, "n1", address(1), b"hi".to_vec(), &mut out)
-            .expect("room");
+            .expect("queue the message");
         assert_eq!(out, std::slice::from_ref(&connect));
         streams.handle_connecting(0.0, "n1", Some(3), &mut out);
         streams.handle_connected(0.0, 3, &mut out);
@@ -206,7 +214,7 @@
             bytes: 2,
         };
         assert_eq!(streams.queue_length("n1"), queued, "{name}");
-        let retry_at = streams.next_timeout().expect("an attempt to connect");
+        let retry_at = streams.next_timeout().expect("a timeout to reconnect");
         streams.handle_timeout(retry_at, &mut out);
         assert_eq!(out.last(), Some(&connect), "{name}");
     }
--- a/crates/streams/tests/limits.rs
+++ b/crates/streams/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Queues, windows, connections and incomplete packets are bounded.
+//! Limits on queues, unacknowledged bytes, connections and incomplete packets.
 
 mod support;
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn silent_connections_make_room_for_others() {
+fn incoming_connections_are_bounded() {
     let mut streams = Streams::new(CLUSTER, "n0", 1);
     let mut out = Vec::new();
     for key in 0..10 * MAX_INCOMING_CONNECTIONS {
@@ -54,7 +54,7 @@
     assert_eq!(
         out.len(),
         9 * MAX_INCOMING_CONNECTIONS,
-        "the others were closed"
+        "all connections over the limit must be closed"
     );
 }
 
@@ -74,5 +74,5 @@
         "{}",
         streams.buffered_bytes()
     );
-    assert!(streams.dropped()[&ConnectionError::TooMany] >= 40);
+    assert!(streams.dropped()[&ConnectionError::LimitExceeded] >= 40);
 }
--- a/crates/streams/tests/sessions.rs
+++ b/crates/streams/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions continue over connections, and end when a later one begins.
+//! Sessions continue over reconnections, and end when a newer session of the same process begins.
 
 mod support;
 
@@ -29,7 +29,7 @@
     assert!(out.contains(&Effect::Close { connection: 1 }));
     let out = receive(3, &[greeting_of_n1(4), data(2, b"c")].concat());
     assert_eq!(out, [Effect::Close { connection: 3 }]);
-    // The same session on another connection continues where it was.
+    // The current session continues on another connection: only the new message is delivered.
     let repeated = [greeting_of_n1(5), data(1, b"b"), data(2, b"d")].concat();
     let out = receive(4, &repeated);
     let delivered_again: Vec<&Effect> = out
--- a/crates/streams/tests/simulation.rs
+++ b/crates/streams/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Streams between simulated nodes, over connections that break at any byte and with processes that
-//! are restarted. Time and all random numbers are simulated.
+//! Streams between simulated nodes, over connections that break at any byte, while processes are
+//! restarted. The clock is simulated, and all random numbers come from a seed.
 
 mod support;
 
@@ -13,20 +13,20 @@
 #[derive(Clone, Copy, PartialEq)]
 struct End {
     node: usize,
-    /// Key of the connection at this node; the accepting node has none until the connection is
-    /// made.
+    /// Key of the connection at this node. The accepting node has none until the connection is
+    /// established.
     key: Option<usize>,
 }
 
-/// A connection. Its first end is that of the connecting node.
+/// A connection. The first end is that of the connecting node.
 struct Connection {
     ends: [End; 2],
-    /// Bytes on their way from each end.
+    /// Bytes in transit from each end.
     in_transit: [VecDeque<u8>; 2],
-    is_made: bool,
+    is_established: bool,
 }
 
-/// A process that receives, and one that sends.
+/// A receiving process and a sending process.
 #[derive(Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Direction {
     receiver: usize,
@@ -42,9 +42,9 @@
     connections: Vec<Connection>,
     next_key: usize,
     rng: Pcg64Mcg,
-    /// Numbers of the messages delivered, in order.
+    /// Numbers of the delivered messages in order of delivery.
     delivered: BTreeMap<Direction, Vec<u64>>,
-    /// Number of notifications that another node's process was restarted.
+    /// Number of [`Effect::PeerRestarted`] notifications.
     restarts_noticed: usize,
 }
 
@@ -76,7 +76,7 @@
         (self.rng.next_u64() % limit.max(1) as u64) as usize
     }
 
-    /// Sends a message that begins with this number. Returns whether it was queued.
+    /// Sends a message that begins with this number, and returns whether it was queued.
     fn send(&mut self, from: usize, to: usize, number: u64) -> bool {
         let size = [8, 8, 60, 5000][self.random_below(4)];
         let mut message = number.to_be_bytes().to_vec();
@@ -104,7 +104,7 @@
                 Effect::Connect { node, address: to } => {
                     let peer = (0..self.nodes.len())
                         .find(|n| address(*n) == to)
-                        .expect("a node");
+                        .expect("a node with this address");
                     assert_eq!(node, node_name(peer));
                     let key = self.begin_connection(n, peer);
                     let mut out = Vec::new();
@@ -131,7 +131,8 @@
                     process_nonce,
                     message,
                 } => {
-                    let number = u64::from_be_bytes(message[..8].try_into().expect("eight bytes"));
+                    let number =
+                        u64::from_be_bytes(message[..8].try_into().expect("at least eight bytes"));
                     let direction = Direction {
                         receiver: n,
                         receiver_nonce: self.process_nonces[n],
@@ -159,12 +160,12 @@
         self.connections.push(Connection {
             ends: [connecting, accepting],
             in_transit: Default::default(),
-            is_made: false,
+            is_established: false,
         });
         key
     }
 
-    /// Ends a connection. A node that ended it itself isn't notified.
+    /// Ends a connection. The node that ended it, if any, is not notified.
     fn end_connection(&mut self, at: usize, ended_by: Option<usize>) {
         let connection = self.connections.remove(at);
         for end in connection.ends {
@@ -174,31 +175,31 @@
         }
     }
 
-    /// Makes a random connection, or moves some bytes on it.
+    /// Picks a random connection, and establishes it or transfers some bytes on it.
     fn step(&mut self) {
         if self.connections.is_empty() {
             return;
         }
         let at = self.random_below(self.connections.len());
-        if self.connections[at].is_made {
+        if self.connections[at].is_established {
             self.move_bytes(at);
         } else {
-            self.make_connection(at);
+            self.establish_connection(at);
         }
     }
 
-    fn make_connection(&mut self, at: usize) {
+    fn establish_connection(&mut self, at: usize) {
         let accepting_key = self.next_key;
         self.next_key += 2;
         let connection = &mut self.connections[at];
-        connection.is_made = true;
+        connection.is_established = true;
         connection.ends[1].key = Some(accepting_key);
         let [connecting, accepting] = connection.ends;
         let mut out = Vec::new();
         self.nodes[accepting.node].handle_accepted(self.now, accepting_key, &mut out);
         self.carry_out(accepting.node, out);
         let mut out = Vec::new();
-        let connecting_key = connecting.key.expect("a key");
+        let connecting_key = connecting.key.expect("the key of the connection");
         self.nodes[connecting.node].handle_connected(self.now, connecting_key, &mut out);
         self.carry_out(connecting.node, out);
     }
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Ends a random connection, if there is one. Returns whether there was.
+    /// Ends a random connection, and returns whether there was one.
     fn break_random_connection(&mut self) -> bool {
         if self.connections.is_empty() {
             return false;
@@ -255,11 +256,11 @@
     }
 }
 
-/// Messages sent, by sender, its process and receiver.
+/// Numbers of the sent messages, by sender, nonce of the sender's process, and receiver.
 type Sent = BTreeMap<(usize, u64, usize), Vec<u64>>;
 
-/// Checks what was delivered. `restarted` are the nodes of which a process was restarted: what was
-/// on its way to or from these may be lost, but not the last message.
+/// Checks the delivered messages. `restarted` are the nodes whose process was restarted: messages
+/// to or from these may be lost, except the last one.
 fn check_delivery(simulation: &Simulation, sent: &Sent, restarted: &[usize], seed: u64) {
     for (direction, numbers) in &simulation.delivered {
         assert!(
@@ -283,9 +284,10 @@
     }
 }
 
-/// A message for an earlier process must not be delivered to a later one, either.
+/// Guards against lost, duplicated and reordered messages when connections break and processes are
+/// restarted, and against a message that is delivered to a later process than it was sent to.
 #[test]
-fn messages_are_delivered_once_and_in_order_whatever_breaks() {
+fn messages_are_delivered_once_and_in_order_despite_faults() {
     let (mut breaks, mut restarts, mut restarts_noticed) = (0, 0, 0);
     for seed in 0..120 {
         let mut simulation = Simulation::new(3, seed);
@@ -313,8 +315,9 @@
             }
             simulation.advance_time(0.01);
         }
-        // After the last fault each node sends each other one two last messages. The second must be
-        // delivered: the first may be dropped when the restart of a process is noticed.
+        // After the last fault, each node sends two final messages to each other node. Only the
+        // second must be delivered, since the first may be dropped when the sender learns of a
+        // restart.
         for round in 0..2 {
             for (from, to) in (0..9).map(|p| (p / 3, p % 3)).filter(|(a, b)| a != b) {
                 let number = 10_000 + round;
@@ -332,6 +335,6 @@
     }
     assert!(
         breaks > 400 && restarts > 30 && restarts_noticed > 15,
-        "{breaks} {restarts} {restarts_noticed}: the faults did happen"
+        "too few faults: {breaks} broken connections, {restarts} restarts, {restarts_noticed} noticed"
     );
 }
--- a/crates/streams/tests/support/mod.rs
+++ b/crates/streams/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Packets and addresses that the tests share.
+//! Packets and addresses shared by the tests.
 
 #![allow(dead_code)]
 
 use postproxy_streams::{PREAMBLE, Packet, encode_frame};
 use std::net::SocketAddr;
 
-/// Number of the cluster of all nodes.
+/// Number of the cluster to which all nodes belong.
 pub const CLUSTER: u32 = 7;
 
 /// Returns the address of node `n`.
@@ -13,7 +13,7 @@
     SocketAddr::from(([10, 0, 0, n as u8 + 1], 7000))
 }
 
-/// Returns the preamble with a packet.
+/// Returns the preamble followed by a packet.
 pub fn opening(packet: &Packet) -> Vec<u8> {
     [&PREAMBLE[..], &encode_frame(packet)].concat()
 }
--- a/crates/streams/tests/surface_bytes.rs
+++ b/crates/streams/tests/surface_bytes.rs
@@ -1,6 +1,6 @@
-//! Pins the streams between nodes: the preamble, the frames, and every packet. Nodes of a fleet may
-//! run different versions, so these bytes must not change with a rename. The literals were written
-//! by the version before the renames.
+//! Pins the wire format between nodes: the preamble, the frames and every packet. Nodes of a
+//! cluster may run different versions of the program, so these bytes must not change. The literals
+//! were recorded from an earlier version.
 
 use postproxy_streams::{
     ConnectionError, Effect, FrameReader, MAX_MESSAGE_BYTES, PREAMBLE, Packet, QueueLength,
@@ -12,16 +12,18 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Returns the bytes that the hexadecimal digits stand for.
+/// Decodes hexadecimal digits.
 fn unhex(digits: &str) -> Vec<u8> {
     let pairs = digits.as_bytes().chunks(2);
-    let byte =
-        |pair| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    let byte = |pair| {
+        u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII digits"), 16)
+            .expect("two hexadecimal digits")
+    };
     pairs.map(byte).collect()
 }
 
-/// Asserts that the frame of the packet (length, checksum, body) is this literal, and that the
-/// packet is read from it.
+/// Asserts that the packet is encoded as this literal frame (length, checksum, body) and decoded
+/// from it.
 #[track_caller]
 fn pin(packet: Packet, literal: &str) {
     let bytes = encode_frame(&packet);
@@ -93,29 +95,35 @@
     );
 }
 
-/// The error that comes of these bytes.
+/// Returns the error of decoding these bytes.
 #[track_caller]
 fn decode_error(digits: &str) -> ConnectionError {
     let mut reader = FrameReader::default();
     reader.push(&unhex(digits));
-    reader.next_packet().expect_err("an error")
+    reader.next_packet().expect_err("a decoding error")
 }
 
 #[test]
 fn damaged_bytes_keep_their_errors() {
-    assert_eq!(decode_error("70706870"), ConnectionError::Foreign);
-    assert_eq!(decode_error("7070666c0d0a0002"), ConnectionError::Version);
-    assert_eq!(decode_error("7070666c0d0a0100"), ConnectionError::Version);
-    // The longest message and 256 bytes beside it may come.
+    assert_eq!(decode_error("70706870"), ConnectionError::UnknownProtocol);
+    assert_eq!(
+        decode_error("7070666c0d0a0002"),
+        ConnectionError::VersionMismatch
+    );
+    assert_eq!(
+        decode_error("7070666c0d0a0100"),
+        ConnectionError::VersionMismatch
+    );
+    // One byte more than the maximum message length plus 256 bytes for the rest of the packet.
     assert_eq!(
         decode_error("7070666c0d0a00010010010100000000"),
         ConnectionError::TooLong
     );
     assert_eq!(
         decode_error("7070666c0d0a0001000000020000000003ae"),
-        ConnectionError::Damaged
+        ConnectionError::ChecksumMismatch
     );
-    // Sound checksums: no body, a variant that does not exist, a byte too many.
+    // Correct checksums: an empty body, an unknown variant, and trailing bytes.
     assert_eq!(
         decode_error("7070666c0d0a00010000000000000000"),
         ConnectionError::Malformed
@@ -128,31 +136,31 @@
     assert_eq!(decode_error(&framed("030100")), ConnectionError::Malformed);
 }
 
-/// The bytes that are written to this connection.
+/// Returns the bytes written to this connection.
 fn written(out: &[Effect], key: usize) -> String {
-    let written = |one: &Effect| match one {
+    let written = |effect: &Effect| match effect {
         Effect::Write { connection, bytes } if *connection == key => Some(hex(bytes)),
         _ => None,
     };
     out.iter().filter_map(written).collect()
 }
 
-/// What the dialing node writes at first: the preamble and `Greeting`.
+/// The first bytes from the connecting node: the preamble and `Greeting`.
 const GREETING: &str = "7070666c0d0a0001000000108b23ed820084868808036e2d31ac0201036e2d32";
-/// What the other node answers: the preamble and `GreetingAccepted`.
+/// The answer of the accepting node: the preamble and `GreetingAccepted`.
 const GREETING_ACCEPTED: &str = "7070666c0d0a0001000000047a6e14c801ad0200";
-/// The message that the dialing node has queued.
+/// The message of the connecting node.
 const DATA: &str = "00000007d69a113f020104776f7264";
-/// The acknowledgement.
+/// The acknowledgement of the message.
 const ACKNOWLEDGEMENT: &str = "000000021df371aa0301";
 
 #[test]
-fn dialing_node_keeps_its_side_of_the_conversation() {
+fn connecting_node_writes_the_recorded_bytes() {
     let (mut streams, mut out) = (Streams::new(0x0102_0304, "n-1", 300), Vec::new());
-    let address = "127.0.0.1:7070".parse().expect("an address");
+    let address = "127.0.0.1:7070".parse().expect("parse the address");
     streams
         .send(0.0, "n-2", address, b"word".to_vec(), &mut out)
-        .expect("room");
+        .expect("queue the message");
     assert_eq!(
         out,
         [Effect::Connect {
@@ -185,7 +193,7 @@
 }
 
 #[test]
-fn answering_node_keeps_its_side_of_the_conversation() {
+fn accepting_node_writes_the_recorded_bytes() {
     let (mut streams, mut out) = (Streams::new(0x0102_0304, "n-2", 301), Vec::new());
     streams.handle_accepted(0.0, 6, &mut out);
     streams.handle_bytes(0.0, 6, &unhex(GREETING), &mut out);
--- a/crates/streams/tests/surface_errors.rs
+++ b/crates/streams/tests/surface_errors.rs
@@ -1,19 +1,19 @@
-//! Pins the words with which the log and the management API name streams that were closed for their
-//! bytes. They must not change with a name in the code.
+//! Pins the texts by which the log and the management API name the reasons for dropping a
+//! connection, so that a rename in the code does not change them.
 
 use postproxy_streams::ConnectionError;
 
 #[test]
-fn reasons_to_drop_a_stream_have_their_words() {
+fn connection_errors_have_the_documented_texts() {
     let cases = [
-        (ConnectionError::Foreign, "stream: foreign"),
-        (ConnectionError::Version, "stream: another version"),
+        (ConnectionError::UnknownProtocol, "stream: foreign"),
+        (ConnectionError::VersionMismatch, "stream: another version"),
         (ConnectionError::WrongReceiver, "stream: for another node"),
         (ConnectionError::TooLong, "stream: too long"),
-        (ConnectionError::Damaged, "stream: damaged"),
+        (ConnectionError::ChecksumMismatch, "stream: damaged"),
         (ConnectionError::Malformed, "stream: not understood"),
         (ConnectionError::Stalled, "stream: stalled"),
-        (ConnectionError::TooMany, "stream: too many"),
+        (ConnectionError::LimitExceeded, "stream: too many"),
     ];
     for (error, text) in cases {
         assert_eq!(error.as_str(), text);
--- a/crates/streams/tests/surface_json.rs
+++ b/crates/streams/tests/surface_json.rs
@@ -1,25 +1,25 @@
-//! Pins the words of this crate that stand in the JSON body of `GET /v1/fleet/members`: the keys of
+//! Pins the strings of this crate in the JSON body of `GET /v1/fleet/members`: the keys of
 //! `dropped`.
 //!
-//! Programs compare them as text: they are literal here, so that renaming the type and its variants
-//! can't change them unseen.
+//! Programs compare these strings. They are literals here, so that renaming the type or its
+//! variants does not change them unnoticed.
 
 use postproxy_streams::ConnectionError;
 
 #[test]
-fn each_reason_for_dropping_a_stream_has_this_word() {
-    let flaws = [
-        ConnectionError::Foreign,
-        ConnectionError::Version,
+fn connection_errors_have_the_documented_json_keys() {
+    let errors = [
+        ConnectionError::UnknownProtocol,
+        ConnectionError::VersionMismatch,
         ConnectionError::WrongReceiver,
         ConnectionError::TooLong,
-        ConnectionError::Damaged,
+        ConnectionError::ChecksumMismatch,
         ConnectionError::Malformed,
         ConnectionError::Stalled,
-        ConnectionError::TooMany,
+        ConnectionError::LimitExceeded,
     ];
     assert_eq!(
-        flaws.map(ConnectionError::as_str),
+        errors.map(ConnectionError::as_str),
         [
             "stream: foreign",
             "stream: another version",
--- a/crates/streams/tests/timeouts.rs
+++ b/crates/streams/tests/timeouts.rs
@@ -1,11 +1,12 @@
-//! Connections that stall are dropped, in either direction; slow ones aren't.
+//! Stalled connections are dropped, incoming and outgoing ones; slow ones are not.
 
 mod support;
 
 use postproxy_streams::{Effect, MAX_MESSAGE_BYTES, Streams};
 use support::{CLUSTER, address, data, greeting_accepted, greeting_of_n1};
 
-/// Returns the streams of node `n0`, and its effects, after another node has connected with key 1.
+/// Returns the streams of node `n0` and the effects so far, after another node has made connection
+/// 1.
 fn accepted() -> (Streams, Vec<Effect>) {
     let mut streams = Streams::new(CLUSTER, "n0", 1);
     let mut out = Vec::new();
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn greeting_that_trickles_is_dropped() {
+fn trickling_greeting_is_dropped() {
     let greeting = greeting_of_n1(1);
     let (mut streams, mut out) = accepted();
     for n in 0..8 {
@@ -61,26 +62,29 @@
 }
 
 #[test]
-fn node_that_does_not_greet_or_acknowledge_is_connected_again() {
+fn stalled_outgoing_connection_is_closed_and_made_again() {
     let mut streams = Streams::new(CLUSTER, "n0", 1);
     let mut out = Vec::new();
     streams
         .send(0.0, "n1", address(1), b"hi".to_vec(), &mut out)
-        .expect("room");
+        .expect("queue the message");
     streams.handle_connecting(0.0, "n1", Some(3), &mut out);
     streams.handle_timeout(1.0, &mut out);
-    assert!(is_closed(&out, 3), "no connection");
+    assert!(is_closed(&out, 3), "the connection was not established");
     streams.handle_timeout(1.1, &mut out);
     streams.handle_connecting(1.1, "n1", Some(5), &mut out);
     streams.handle_connected(1.1, 5, &mut out);
     streams.handle_timeout(2.2, &mut out);
-    assert!(is_closed(&out, 5), "no greeting");
+    assert!(is_closed(&out, 5), "the greeting was not answered");
     streams.handle_timeout(2.5, &mut out);
     streams.handle_connecting(2.5, "n1", Some(7), &mut out);
     streams.handle_connected(2.5, 7, &mut out);
     streams.handle_bytes(2.6, 7, &greeting_accepted(), &mut out);
     streams.handle_timeout(4.0, &mut out);
-    assert!(!is_closed(&out, 7), "it has time to acknowledge");
+    assert!(
+        !is_closed(&out, 7),
+        "closed before the acknowledgement timeout"
+    );
     streams.handle_timeout(4.7, &mut out);
-    assert!(is_closed(&out, 7), "no acknowledgement");
+    assert!(is_closed(&out, 7), "the message was not acknowledged");
 }
