--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -1,5 +1,5 @@
-//! The adapter between the node's event loop and its store: it hands writes and reads to the
-//! store's thread, which waits for the disk, and reports what became of them to the request core.
+//! The adapter between the node's event loop and its store: it passes writes and reads to the
+//! store's thread, which blocks on the disk, and queues their outcomes as inputs of the event loop.
 
 use super::upstream::worker_list::WorkerListSnapshot;
 use crate::net::messages::{ClientId, Input, WriteWaiter};
@@ -17,15 +17,16 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, SystemTime};
 
-/// The most bytes that may wait for the disk; a write beyond that is rejected at once.
+/// Maximum number of bytes queued for the disk. A write beyond it is rejected at once.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
-/// The store's key of the worker list.
+/// Key of the worker list in the store.
 const WORKER_LIST_KEY: &[u8] = b"f/list";
-/// The store's key of the suspended workers.
+/// Key of the suspended workers in the store.
 const SUSPENSIONS_KEY: &[u8] = b"f/bans";
-/// Prefixes of the coordination service's keys: the replicated log, the voter, the starts.
+/// Prefixes of the coordination service's keys: the replicated log, the replica's number, and the
+/// latest starts of the voters.
 const COORDINATION_PREFIXES: [&[u8]; 3] = [b"a/", b"c/", b"s/"];
-/// How long after a failure the disk is tried again.
+/// How long after a failed write the disk is probed again.
 const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 fn unix_ms() -> u64 {
@@ -35,14 +36,14 @@
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What a store holds beside the request log.
+/// The content of a store, except for the request log.
 #[derive(Default)]
 pub struct RecoveredState {
     /// The worker list.
     pub worker_list: Option<WorkerListSnapshot>,
     /// The suspended workers, as the cluster service encodes them.
     pub suspensions: Vec<u8>,
-    /// Keys and values of the coordination service.
+    /// Keys and values of the coordination service's records.
     pub coordination_records: Vec<(Vec<u8>, Vec<u8>)>,
 }
 
@@ -50,18 +51,18 @@
 pub struct StartedStore {
     /// The adapter to the running store.
     pub adapter: StoreAdapter,
-    /// The request log as it was stored.
+    /// The recovered request log.
     pub request_log: RequestLog,
-    /// All else that was stored.
+    /// The rest of the recovered content.
     pub recovered: RecoveredState,
 }
 
-/// Whether the coordination service's write became durable.
+/// The outcome of the coordination service's write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CoordinationWriteOutcome {
-    /// It is durable.
+    /// The write is durable.
     Durable,
-    /// The store rejected it; nothing of it is stored.
+    /// The store rejected the write, which has no effect.
     Rejected,
 }
 
@@ -69,25 +70,27 @@
 pub struct StoreAdapter {
     store: Store,
     events: Receiver<Event>,
-    /// Readable when there are events.
+    /// Becomes readable when the store's thread has queued events.
     wake_receiver: UnixStream,
-    /// Whether the store's thread has made `wake_receiver` readable and it hasn't been read since.
+    /// Whether the store's thread has made `wake_receiver` readable and the event loop has not read
+    /// it since.
     wake_pending: Arc<AtomicBool>,
     reactor_key: usize,
-    /// Who waits for which write, in the order of the tickets.
-    waiting: VecDeque<(u64, WriteWaiter)>,
-    /// The clients that wait for the result of a read.
-    reads: HashMap<u64, ClientId>,
-    last_read: u64,
-    /// Writes of the worker list and the suspended workers on their way.
+    /// The tickets of pending writes with what waits for them, in ascending order.
+    write_waiters: VecDeque<(u64, WriteWaiter)>,
+    /// The clients that wait for a stored result, by the token of the read.
+    read_clients: HashMap<u64, ClientId>,
+    last_read_token: u64,
+    /// Tickets of pending writes of the worker list and the suspended workers.
     snapshot_writes: VecDeque<u64>,
-    /// One of these was rejected.
+    /// Whether such a write was rejected and has not been reported yet.
     snapshot_write_failed: bool,
-    /// The coordination service's write on its way.
+    /// Ticket of the pending write of the coordination service.
     coordination_write: Option<u64>,
 }
 
-/// Opens the store of a section, which has one folder or two.
+/// Opens the store that a section of the operator's file configures, in one folder or, with a
+/// mirror, in two.
 ///
 /// # Errors
 ///
@@ -102,7 +105,7 @@
         max_bytes: section.most_mb << 20,
         ..Options::default()
     };
-    // The id of a new store only has to differ from those of other stores.
+    // The id only has to be different from those of other stores.
     let new_store_id = unix_ms() << 20 | u64::from(std::process::id());
     Engine::open(disks, options, holder, new_store_id, unix_ms()).map_err(store_error)
 }
@@ -122,7 +125,7 @@
     format!("store: {error}")
 }
 
-/// Reads all that the store holds.
+/// Reads the whole content of the store.
 fn recover(
     engine: &mut Engine<OsDisk>,
     section: &StoreSection,
@@ -172,7 +175,7 @@
     }
 }
 
-/// Returns a pair of connected streams that don't block.
+/// Returns a pair of connected, non-blocking sockets.
 fn wake_pair() -> std::io::Result<(UnixStream, UnixStream)> {
     let (receiver, sender) = UnixStream::pair()?;
     receiver.set_nonblocking(true)?;
@@ -181,7 +184,7 @@
 }
 
 impl StoreAdapter {
-    /// Opens the store, reads what it holds, and starts its thread.
+    /// Opens the store, reads its content, and starts its thread.
     ///
     /// # Errors
     ///
@@ -201,29 +204,29 @@
             .map_err(store_error)?;
         reactor.rearm(&wake_receiver, reactor_key, (true, false));
         let wake_pending = Arc::new(AtomicBool::new(false));
-        let is_pending = wake_pending.clone();
+        let sender_wake_pending = wake_pending.clone();
         let wake = move || {
-            if !is_pending.swap(true, Ordering::AcqRel) {
-                // If the pipe is full, the event loop wakes anyway.
+            if !sender_wake_pending.swap(true, Ordering::AcqRel) {
+                // If the socket's buffer is full, the event loop will wake up anyway.
                 let _ = (&wake_sender).write(&[1]);
             }
         };
-        let work = WriterOptions {
+        let writer_options = WriterOptions {
             max_queued_bytes: MAX_QUEUED_BYTES,
             retry_interval: DISK_RETRY_INTERVAL,
             clock: Box::new(unix_ms),
             wake: Box::new(wake),
         };
-        let (store, events) = Store::start(engine, work).map_err(store_error)?;
+        let (store, events) = Store::start(engine, writer_options).map_err(store_error)?;
         let adapter = Self {
             store,
             events,
             wake_receiver,
             wake_pending,
             reactor_key,
-            waiting: VecDeque::new(),
-            reads: HashMap::new(),
-            last_read: 0,
+            write_waiters: VecDeque::new(),
+            read_clients: HashMap::new(),
+            last_read_token: 0,
             snapshot_writes: VecDeque::new(),
             snapshot_write_failed: false,
             coordination_write: None,
@@ -235,8 +238,8 @@
         })
     }
 
-    /// Writes these changes together. Their outcome comes later as [`Input::WriteCompleted`].
-    pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, wait: WriteWaiter) {
+    /// Writes these changes atomically. [`Input::WriteCompleted`] reports the outcome to `waiter`.
+    pub fn write(&mut self, reactor: &mut Reactor, writes: Vec<Write>, waiter: WriteWaiter) {
         let batch = writes
             .into_iter()
             .fold(Batch::new(), |batch, write| match write {
@@ -248,16 +251,16 @@
                 Write::Delete { key } => batch.delete(&key),
             });
         match self.store.append(batch) {
-            Ok(ticket) => self.waiting.push_back((ticket, wait)),
+            Ok(ticket) => self.write_waiters.push_back((ticket, waiter)),
             Err(_) => reactor.queue.push_back(Input::WriteCompleted {
-                waiter: wait,
+                waiter,
                 durable: false,
             }),
         }
     }
 
-    /// Whether a write of the worker list or the suspended workers was rejected since the last
-    /// call: both are to be saved again.
+    /// Returns whether a write of the worker list or the suspended workers was rejected since the
+    /// last call. Both must then be saved again.
     pub fn has_failed_snapshots(&mut self) -> bool {
         std::mem::take(&mut self.snapshot_write_failed)
     }
@@ -275,7 +278,7 @@
     fn save_snapshot(&mut self, key: &[u8], value: &[u8]) {
         match self.store.append(Batch::new().put(key, value, 0)) {
             Ok(ticket) => {
-                self.waiting.push_back((
+                self.write_waiters.push_back((
                     ticket,
                     WriteWaiter::NoWaiter {
                         request_id: String::new(),
@@ -287,8 +290,8 @@
         }
     }
 
-    /// Writes the coordination service's changes together; only one such write may be on its way.
-    /// Returns `false` if it is rejected at once.
+    /// Writes the coordination service's changes atomically. Only one such write may be pending at
+    /// a time. Returns `false` if it is rejected at once.
     pub fn write_coordination_records(&mut self, changes: &[StorageChange]) -> bool {
         let batch = changes
             .iter()
@@ -299,7 +302,7 @@
         let Ok(ticket) = self.store.append(batch) else {
             return false;
         };
-        self.waiting.push_back((
+        self.write_waiters.push_back((
             ticket,
             WriteWaiter::NoWaiter {
                 request_id: String::new(),
@@ -309,15 +312,15 @@
         true
     }
 
-    /// Reads the stored result of a request. It comes later as [`Input::ResultRead`].
+    /// Reads the stored result of a request for a client. [`Input::ResultRead`] reports it.
     pub fn read_result(&mut self, client: ClientId, id: &str) {
-        self.last_read += 1;
-        self.reads.insert(self.last_read, client);
-        self.store.read(self.last_read, result_key(id));
+        self.last_read_token += 1;
+        self.read_clients.insert(self.last_read_token, client);
+        self.store.read(self.last_read_token, result_key(id));
     }
 
     /// Handles the events of the store's thread. Returns the outcome of the coordination service's
-    /// write if it is among them.
+    /// pending write if an event reports it.
     pub fn handle_ready(&mut self, reactor: &mut Reactor) -> Option<CoordinationWriteOutcome> {
         let mut bytes = [0; 64];
         while self
@@ -325,7 +328,7 @@
             .read(&mut bytes)
             .is_ok_and(|size| size > 0)
         {}
-        // Reset before the events are read: one that comes after this wakes the loop again.
+        // Reset before the events are taken, so that any later event wakes the event loop again.
         self.wake_pending.store(false, Ordering::Release);
         let mut outcome = None;
         while let Ok(event) = self.events.try_recv() {
@@ -339,7 +342,7 @@
         outcome
     }
 
-    /// Returns what the event says of the coordination service's write.
+    /// Returns the outcome of the coordination service's pending write if this event reports it.
     fn coordination_write_outcome(&self, event: &Event) -> Option<CoordinationWriteOutcome> {
         let ticket = self.coordination_write?;
         match event {
@@ -378,14 +381,18 @@
         }
     }
 
-    /// Handles that all writes up to the ticket `last` are durable, but for those rejected before.
+    /// Handles that all writes up to the ticket `last` are durable, except for those rejected
+    /// earlier.
     fn handle_durable(&mut self, reactor: &mut Reactor, last: u64) {
         while self
             .snapshot_writes
             .pop_front_if(|ticket| *ticket <= last)
             .is_some()
         {}
-        while let Some((_, waiter)) = self.waiting.pop_front_if(|(ticket, _)| *ticket <= last) {
+        while let Some((_, waiter)) = self
+            .write_waiters
+            .pop_front_if(|(ticket, _)| *ticket <= last)
+        {
             reactor.queue.push_back(Input::WriteCompleted {
                 waiter,
                 durable: true,
@@ -393,7 +400,7 @@
         }
     }
 
-    /// Handles that the writes with these tickets were rejected.
+    /// Handles the rejection of the writes with the tickets from `first` to `last`.
     fn handle_rejected(&mut self, reactor: &mut Reactor, first: u64, last: u64) {
         let rejected = first..=last;
         let snapshot_writes_before = self.snapshot_writes.len();
@@ -401,10 +408,10 @@
             .retain(|ticket| !rejected.contains(ticket));
         self.snapshot_write_failed |= self.snapshot_writes.len() < snapshot_writes_before;
         let (failed, remaining): (VecDeque<_>, VecDeque<_>) = self
-            .waiting
+            .write_waiters
             .drain(..)
             .partition(|(ticket, _)| rejected.contains(ticket));
-        self.waiting = remaining;
+        self.write_waiters = remaining;
         for (_, waiter) in failed {
             reactor.queue.push_back(Input::WriteCompleted {
                 waiter,
@@ -413,17 +420,17 @@
         }
     }
 
-    /// Handles the value that was read under this number.
+    /// Handles the result of the read with this token.
     fn handle_value(
         &mut self,
         reactor: &mut Reactor,
-        read: u64,
+        token: u64,
         value: Result<Option<Vec<u8>>, String>,
     ) {
         if let Err(error) = &value {
             tracing::error!(error, "stored result unreadable");
         }
-        if let Some(client) = self.reads.remove(&read) {
+        if let Some(client) = self.read_clients.remove(&token) {
             reactor.queue.push_back(Input::ResultRead {
                 client,
                 result: value.ok().flatten(),
