--- a/src/net/node/timers.rs
+++ b/src/net/node/timers.rs
@@ -41,7 +41,7 @@
         let Some(store) = &mut self.store else {
             return;
         };
-        let retry = store.has_failed_snapshots();
+        let retry = store.take_snapshot_write_failure();
         let list = self
             .worker_list
             .take_changed_snapshot()
--- a/src/net/store_adapter.rs
+++ b/src/net/store_adapter.rs
@@ -261,7 +261,7 @@
 
     /// Returns whether a write of the worker list or the suspended workers was rejected since the
     /// last call. Both must then be saved again.
-    pub fn has_failed_snapshots(&mut self) -> bool {
+    pub fn take_snapshot_write_failure(&mut self) -> bool {
         std::mem::take(&mut self.snapshot_write_failed)
     }
 
