--- a/crates/store/benches/durable.rs
+++ b/crates/store/benches/durable.rs
@@ -52,7 +52,7 @@
 }
 
 fn engine(folder: &Path) -> Engine<OsDisk> {
-    let disk = OsDisk::new(folder).expect("create a folder");
+    let disk = OsDisk::new(folder).expect("open the folder");
     Engine::open(vec![disk], Options::default(), "a bench", 1, 0)
         .expect("open the store")
         .0
@@ -198,7 +198,7 @@
 fn measure_space(writes: u64) {
     const KEYS: u64 = 50_000;
     let folder = tempfile::tempdir_in(target_folder()).expect("create a folder");
-    let disk = OsDisk::new(folder.path()).expect("create a folder");
+    let disk = OsDisk::new(folder.path()).expect("open the folder");
     let options = Options {
         segment_bytes: 1 << 20,
         ..Options::default()
--- a/crates/store/src/engine/types.rs
+++ b/crates/store/src/engine/types.rs
@@ -13,7 +13,7 @@
     /// that would exceed it are rejected.
     pub max_bytes: u64,
     /// Space amplification (file bytes divided by live bytes) above which the oldest segments are
-    /// compacted. One segment more is allowed.
+    /// compacted. An excess of up to one segment is always allowed.
     pub max_space_ratio: f64,
 }
 
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// The number of the operation at which the machine crashes; it and everything after it fails.
-    /// A write is done in part first.
+    /// If it is a write, a random part of the bytes is written first.
     pub crash_at: Option<u64>,
     /// Capacity of the disk in bytes; `None` for no limit.
     pub capacity: Option<u64>,
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -48,7 +48,8 @@
     },
     /// The result of a request for statistics or compaction.
     Statistics(Statistics),
-    /// A write has failed; appends are rejected until [`Event::WritesRecovered`].
+    /// A commit or a requested compaction has failed; appends are rejected until
+    /// [`Event::WritesRecovered`].
     WritesFailed(String),
     /// The disk accepts writes again.
     WritesRecovered,
@@ -371,7 +372,8 @@
         });
     }
 
-    /// Reports that a write has failed, unless that was reported since writes last succeeded.
+    /// Reports that a commit or a compaction has failed, unless writes have not recovered since the
+    /// last such report.
     fn report_failure(&mut self, error: &io::Error) {
         if !std::mem::replace(&mut self.writes_failed, true) {
             self.send(Event::WritesFailed(error.to_string()));
--- a/crates/store/tests/engine.rs
+++ b/crates/store/tests/engine.rs
@@ -312,7 +312,7 @@
     drop(engine);
     let name = disk.list().expect("list the files").remove(0);
     let mut bytes = disk.content(&name);
-    bytes[64 + 24 + 20 + 30] ^= 1; // inside the first of the three
+    bytes[64 + 24 + 20 + 30] ^= 1; // damages the first of the three frames
     disk.set_content(&name, Some(bytes));
     for _ in 0..3 {
         let (mut engine, recovery) = open_store(std::slice::from_ref(&disk));
--- a/crates/store/tests/surface_errors.rs
+++ b/crates/store/tests/surface_errors.rs
@@ -5,7 +5,7 @@
 use std::io;
 
 #[test]
-fn open_errors_have_the_documented_messages() {
+fn open_errors_keep_their_messages() {
     let cases = [
         (
             OpenError::Io("data".into(), io::Error::other("gone")),
--- a/crates/streams/src/incoming.rs
+++ b/crates/streams/src/incoming.rs
@@ -7,11 +7,11 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Maximum number of connections that other nodes have made.
+/// Maximum number of open connections that other nodes have made.
 pub const MAX_INCOMING_CONNECTIONS: usize = 64;
-/// Maximum number of bytes of incomplete packets, over all connections.
+/// Maximum number of bytes of incomplete packets, over all incoming connections.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
-/// Timeout for establishing a connection, and for the greeting on it, in seconds.
+/// Timeout for establishing a connection, and again for the greeting on it, in seconds.
 pub(crate) const GREETING_TIMEOUT_SECONDS: f64 = 1.0;
 /// Time without progress (an acknowledgement, or the rest of a packet) after which a connection is
 /// stalled, in seconds, not counting the time to transfer the outstanding bytes.
--- a/crates/streams/src/lib.rs
+++ b/crates/streams/src/lib.rs
@@ -5,9 +5,9 @@
 //! Within one session between two processes, messages are delivered in order and at most once, and
 //! every queued message is delivered provided that reconnecting keeps succeeding until then. A
 //! session ends when either process ends or when [`Streams::forget`] is called for the other node;
-//! messages still queued are then dropped. [`Effect::PeerRestarted`] reports that the
-//! other node's process was restarted, so that the caller can send again what still matters.
-//! Connections are neither authenticated nor encrypted.
+//! messages still queued are then dropped. [`Effect::PeerRestarted`] reports that the other node's
+//! process was restarted, so that the caller can send again what still matters. Connections are
+//! neither authenticated nor encrypted.
 //!
 //! [`Streams`] does no I/O and reads no clock: its caller reports the events of connections and
 //! carries out the returned effects.
--- a/crates/streams/tests/surface_errors.rs
+++ b/crates/streams/tests/surface_errors.rs
@@ -4,7 +4,7 @@
 use postproxy_streams::ConnectionError;
 
 #[test]
-fn connection_errors_have_the_documented_texts() {
+fn connection_errors_keep_their_texts() {
     let cases = [
         (ConnectionError::UnknownProtocol, "stream: foreign"),
         (ConnectionError::VersionMismatch, "stream: another version"),
--- a/crates/streams/tests/surface_json.rs
+++ b/crates/streams/tests/surface_json.rs
@@ -7,7 +7,7 @@
 use postproxy_streams::ConnectionError;
 
 #[test]
-fn connection_errors_have_the_documented_json_keys() {
+fn connection_errors_keep_their_json_keys() {
     let errors = [
         ConnectionError::UnknownProtocol,
         ConnectionError::VersionMismatch,
