--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -8,24 +8,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long `members --watch` waits between two queries.
+/// Interval between two queries of `members --watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The subcommands of `fleet`.
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
-    /// Who is there, who has failed or left, and how things stand, as one node sees it
+    /// Show the cluster's members and its health as one node sees them
     Members(MembersArgs),
-    /// Counts a node that has failed no more, at all nodes: it will not come back
+    /// Mark a failed node that will not come back as left, at all nodes
     Forget(ForgetArgs),
 }
 
 /// The arguments of `fleet forget`.
 #[derive(Args, Debug)]
 pub struct ForgetArgs {
-    /// The name of the node that will not come back
+    /// The name of the failed node
     name: String,
-    /// Where the operators of some other node call
+    /// The management address of any other node
     #[arg(long, value_name = "ADDR")]
     mgmt: SocketAddr,
 }
@@ -33,13 +33,13 @@
 /// The arguments of `fleet members`.
 #[derive(Args, Debug)]
 pub struct MembersArgs {
-    /// Where the node's operators call
+    /// The management address of the node
     #[arg(long, value_name = "ADDR")]
     mgmt: SocketAddr,
-    /// As the node tells it, in JSON
+    /// Print the status in JSON, as the node returns it
     #[arg(long)]
     json: bool,
-    /// Again every second, until this program is ended
+    /// Print the status again every second until interrupted
     #[arg(long)]
     watch: bool,
 }
@@ -80,10 +80,14 @@
         .map_err(|error| format!("{}: {error}", args.mgmt))?;
     match response.status {
         200 => {
-            println!("{} is forgotten", args.name);
+            println!("{}: forgotten", args.name);
             Ok(())
         }
-        409 => Err(format!("{}: it has not failed; end it, then ask again", args.name).into()),
+        409 => Err(format!(
+            "{}: the node has not failed; stop it and try again",
+            args.name
+        )
+        .into()),
         _ => {
             let text = String::from_utf8_lossy(&response.body);
             Err(format!("{}: {}", args.name, text.trim_end()).into())
@@ -103,13 +107,13 @@
     }
 }
 
-/// Returns the cluster's status as one node sees it, as text for people.
+/// Formats the cluster's status as one node sees it for output on a terminal.
 pub fn table(status: &ClusterStatus) -> String {
     let mut out = String::new();
     // Writing to a string can't fail.
     let _ = write_summary(&mut out, status);
     let _ = write_members(&mut out, status);
-    let _ = write_remarks(&mut out, status);
+    let _ = write_warnings(&mut out, status);
     out
 }
 
@@ -125,9 +129,9 @@
     match status.name_conflict {
         Some(address) => writeln!(
             out,
-            "  no member: the process at {address} has this name, too"
+            "  not a member: the process at {address} has the same name"
         ),
-        None if !status.is_member => writeln!(out, "  no member yet"),
+        None if !status.is_member => writeln!(out, "  not a member yet"),
         None => Ok(()),
     }
 }
@@ -150,25 +154,25 @@
     Ok(())
 }
 
-fn write_remarks(out: &mut String, status: &ClusterStatus) -> std::fmt::Result {
+fn write_warnings(out: &mut String, status: &ClusterStatus) -> std::fmt::Result {
     if !status.unreachable_peers.is_empty() {
         writeln!(
             out,
-            "not heard directly: {}",
+            "not heard from directly: {}",
             status.unreachable_peers.join(", ")
         )?;
     }
     if !status.suspended_workers.is_empty() {
         writeln!(
             out,
-            "out of use for the fleet: {}",
+            "suspended workers: {}",
             status.suspended_workers.join(", ")
         )?;
     }
     if status.skipped_seconds > 0.0 {
         writeln!(
             out,
-            "this process missed {:.1} s; {:.1} of 8 from well",
+            "this process did not run for {:.1} s; clock slowdown {:.1} (maximum 8)",
             status.skipped_seconds, status.clock_slowdown
         )?;
     }
@@ -178,7 +182,7 @@
             .iter()
             .map(|(reason, count)| format!("{reason} {count}"))
             .collect();
-        writeln!(out, "datagrams and streams dropped: {}", counts.join(", "))?;
+        writeln!(out, "dropped datagrams and streams: {}", counts.join(", "))?;
     }
     Ok(())
 }
--- a/src/cli/fleet_trial/clients.rs
+++ b/src/cli/fleet_trial/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of the trial: they send requests to all nodes until they are stopped.
+//! The clients of the cluster trial, which send requests to all nodes until they are stopped.
 
 use super::Failure;
 use postproxy::stand_ins::send_request;
@@ -7,13 +7,13 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::{self, JoinHandle};
 
-/// What became of the clients' requests.
+/// Number of requests by outcome.
 #[derive(Default)]
 pub(super) struct RequestCounts {
     pub(super) served: AtomicU64,
     pub(super) rejected: AtomicU64,
     pub(super) failed: AtomicU64,
-    /// Attempts at a node that didn't answer, after which the client went to the next one.
+    /// Attempts to reach a node that didn't respond; the client then tried the next node.
     pub(super) unreachable: AtomicU64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Clients {
-    /// Starts a client for each node; each sends its requests to all of them in turn.
+    /// Starts as many clients as there are nodes; each sends its requests to all nodes in turn.
     pub(super) fn start(nodes: &[SocketAddr]) -> Self {
         let counts = Arc::new(RequestCounts::default());
         let stopped = Arc::new(AtomicBool::new(false));
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Sends a request to the next node that answers, and returns the status of the response.
+    /// Sends a request to the next node that responds, and returns the status of the response;
+    /// `None` if no node responds.
     fn send(&mut self, id: &str) -> Option<u16> {
         let fields = [
             ("X-Request-Id", id),
--- a/src/cli/fleet_trial/mod.rs
+++ b/src/cli/fleet_trial/mod.rs
@@ -1,7 +1,8 @@
-//! `postproxy try --fleet N`: runs discovery, workers and a cluster of N nodes, each a process.
+//! `postproxy try --fleet N`: runs discovery, workers and a cluster of N nodes, each in its own
+//! process.
 //!
 //! While clients send requests, a worker is suspended, a node is killed and started again, and
-//! another is paused. In the end all nodes leave.
+//! another is paused. At the end all nodes shut down gracefully.
 
 mod clients;
 mod node;
@@ -18,15 +19,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that a step may take.
+/// Timeout of each step.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often the state of the nodes is queried during a step.
+/// Interval between two queries of the nodes' status during a step.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// For how long a node is paused.
-const PAUSE: Duration = Duration::from_secs(4);
+/// How long a node is paused.
+const PAUSE_DURATION: Duration = Duration::from_secs(4);
 /// The number of workers.
 const WORKERS: u32 = 4;
-/// How long a request takes at a worker.
+/// Service time of a worker.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 /// The worker that is suspended.
 const SUSPENDED_WORKER: &str = "s-1";
@@ -55,7 +56,9 @@
                 .iter()
                 .filter_map(|node| Some(fleet::table(&node.status()?)))
                 .collect();
-            return Err(format!("not within {STEP_TIMEOUT:?}: {description}\n{tables}").into());
+            return Err(
+                format!("timed out after {STEP_TIMEOUT:?}: {description}\n{tables}").into(),
+            );
         }
         thread::sleep(POLL_INTERVAL);
     }
@@ -63,11 +66,11 @@
     Ok(())
 }
 
-/// Waits until every node sees all others as alive and reaches them.
+/// Waits until every node sees all others as alive and hears from them directly.
 fn wait_until_healthy(nodes: &[Node]) -> Result<(), Failure> {
     let all: Vec<&Node> = nodes.iter().collect();
     let is_alive = |state: &str| ["here", "alive"].contains(&state);
-    wait_until("all know all, and hear them", &all, |status| {
+    wait_until("every node sees all others as alive", &all, |status| {
         let alive = status
             .members
             .iter()
@@ -94,7 +97,7 @@
         .iter()
         .for_each(|worker| worker.report_to_all(&client_addresses));
     println!(
-        "{node_count} nodes, each a process; they know each other by {} seeds",
+        "{node_count} nodes, each in its own process; they join the cluster through {} seeds",
         node_count.min(3)
     );
     for node in &mut nodes {
@@ -106,7 +109,7 @@
     let counts = clients.stop()?;
     workers.iter().for_each(Worker::stop);
     result?;
-    println!("all leave");
+    println!("shutting down all nodes");
     leave(&mut nodes)?;
     report(&counts)
 }
@@ -119,33 +122,30 @@
     resume_worker(nodes)
 }
 
-/// Posts a call without a body to a node's management API, and returns the text of the response.
+/// Sends a POST request without a body to a node's management API, and returns the response body.
 fn post(node: &Node, target: &str) -> Result<String, Failure> {
     let response = send_request(node.management_address, "POST", target, &[], b"")?;
     Ok(String::from_utf8_lossy(&response.body).into_owned())
 }
 
 fn suspend_worker(nodes: &[Node]) -> Result<(), Failure> {
-    println!("{SUSPENDED_WORKER} is taken out of use at node-1");
+    println!("suspending worker {SUSPENDED_WORKER} through node-1");
     let target = format!("/v1/route-workers/{SUSPENDED_WORKER}/suspend");
-    let answer = post(&nodes[0], &target)?;
-    println!("  the door says: {}", answer.trim_end());
+    let response = post(&nodes[0], &target)?;
+    println!("  response: {}", response.trim_end());
     let all: Vec<&Node> = nodes.iter().collect();
-    wait_until("it is out of use at all", &all, |status| {
+    wait_until("all nodes have suspended it", &all, |status| {
         status.suspended_workers == [SUSPENDED_WORKER]
     })
 }
 
 fn resume_worker(nodes: &[Node]) -> Result<(), Failure> {
     let last = &nodes[nodes.len() - 1];
-    println!(
-        "{SUSPENDED_WORKER} is used again, by a word at {}",
-        last.name
-    );
+    println!("resuming worker {SUSPENDED_WORKER} through {}", last.name);
     let target = format!("/v1/route-workers/{SUSPENDED_WORKER}/resume");
     post(last, &target)?;
     let all: Vec<&Node> = nodes.iter().collect();
-    wait_until("it is in use at all", &all, |status| {
+    wait_until("all nodes have resumed it", &all, |status| {
         status.suspended_workers.is_empty()
     })
 }
@@ -153,10 +153,10 @@
 fn kill_last_node(nodes: &mut [Node]) -> Result<(), Failure> {
     let last = nodes.len() - 1;
     let name = nodes[last].name.clone();
-    println!("{name} is killed");
+    println!("killing {name}");
     nodes[last].end(Signal::KILL)?;
     let others: Vec<&Node> = nodes[..last].iter().collect();
-    wait_until("the others know", &others, |status| {
+    wait_until("all other nodes see it as failed", &others, |status| {
         member_state(status, &name) == "failed" && status.health != "whole"
     })?;
     if let Some(status) = nodes[0].status() {
@@ -167,30 +167,33 @@
 
 fn restart_last_node(nodes: &mut [Node]) -> Result<(), Failure> {
     let last = nodes.len() - 1;
-    println!("{} is started again", nodes[last].name);
+    println!("restarting {}", nodes[last].name);
     nodes[last].start()?;
     wait_until_healthy(nodes)?;
-    wait_until("it knows what is out of use", &[&nodes[last]], |status| {
+    wait_until("it knows the suspended worker", &[&nodes[last]], |status| {
         status.suspended_workers == [SUSPENDED_WORKER]
     })
 }
 
 fn pause_second_node(nodes: &[Node]) -> Result<(), Failure> {
     let paused = &nodes[1];
-    println!("node-2 is stopped for {} s, and wakes", PAUSE.as_secs());
+    println!("pausing {} for {} s", paused.name, PAUSE_DURATION.as_secs());
     paused.signal(Signal::STOP);
-    thread::sleep(PAUSE);
-    let others_gave_up = nodes[0].sees_failed(&paused.name);
+    thread::sleep(PAUSE_DURATION);
+    let is_seen_failed = nodes[0].sees_failed(&paused.name);
     paused.signal(Signal::CONT);
-    let reaction = if others_gave_up {
-        "gave it up"
+    let state = if is_seen_failed {
+        "failed"
     } else {
-        "waited for it"
+        "not failed"
     };
-    println!("  the others {reaction} meanwhile");
+    println!(
+        "  {} saw it as {state} at the end of the pause",
+        nodes[0].name
+    );
     wait_until_healthy(nodes)?;
-    let missed = paused.status().map_or(0.0, |status| status.skipped_seconds);
-    println!("  it knows that it missed {missed:.1} s");
+    let skipped = paused.status().map_or(0.0, |status| status.skipped_seconds);
+    println!("  it reports that it did not run for {skipped:.1} s");
     Ok(())
 }
 
@@ -200,7 +203,7 @@
         nodes[index].end(Signal::TERM)?;
         let name = &nodes[index].name;
         wait_until(
-            &format!("node-1 knows that {name} has left"),
+            &format!("node-1 sees that {name} has left"),
             &[&nodes[0]],
             |status| member_state(status, name) == "left",
         )?;
@@ -211,13 +214,13 @@
 fn report(counts: &RequestCounts) -> Result<(), Failure> {
     let served = counts.served.load(Ordering::SeqCst);
     println!(
-        "jobs: {served} served, {} refused, {} failed; {} tries found nobody and went to another node",
+        "requests: {served} served, {} rejected, {} failed; {} attempts at unreachable nodes went on to the next node",
         counts.rejected.load(Ordering::SeqCst),
         counts.failed.load(Ordering::SeqCst),
         counts.unreachable.load(Ordering::SeqCst)
     );
     if served == 0 {
-        return Err("no job was served".into());
+        return Err("no request was served".into());
     }
     Ok(())
 }
--- a/src/cli/fleet_trial/node.rs
+++ b/src/cli/fleet_trial/node.rs
@@ -1,4 +1,4 @@
-//! The nodes of the trial: their configuration and their processes.
+//! The nodes of the cluster trial: their configuration and processes.
 
 use super::Failure;
 use postproxy::net::cluster::service::ClusterStatus;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The most nodes of a trial: each has an address whose last byte is its number.
+/// The maximum number of nodes, which are numbered by the last byte of their addresses.
 const MAX_NODES: u8 = 254;
 /// The port at which a node's peers reach it.
 const PEER_PORT: u16 = 7946;
@@ -17,7 +17,7 @@
 /// The port of a node's management API.
 const MANAGEMENT_PORT: u16 = 8081;
 
-/// A node in a process of its own, which is killed when this is dropped.
+/// A node in its own process, which is killed on drop.
 pub(super) struct Node {
     pub(super) name: String,
     pub(super) client_address: SocketAddr,
@@ -27,11 +27,10 @@
 }
 
 impl Node {
-    /// Writes the configuration of the node `number` (from 1 on) of a cluster into a folder of its
-    /// own.
+    /// Writes the configuration of a node into its own folder. Nodes are numbered from 1.
     fn configure(number: u8, trial: &TrialSetup<'_>) -> Result<Self, Failure> {
         let name = node_name(number);
-        let ip = own_ip(number);
+        let ip = node_ip(number);
         let peer_address = SocketAddr::new(ip, PEER_PORT);
         let client_address = SocketAddr::new(ip, CLIENT_PORT);
         let management_address = SocketAddr::new(ip, MANAGEMENT_PORT);
@@ -70,8 +69,7 @@
     }
 
     pub(super) fn signal(&self, signal: Signal) {
-        // The process is our child and hasn't been waited for, so that its id can't be another
-        // process's.
+        // The process is a child that hasn't been waited for, so its id can't have been reused.
         let pid = self
             .process
             .as_ref()
@@ -82,7 +80,7 @@
         }
     }
 
-    /// Sends the signal and waits for the end of the process.
+    /// Sends the signal and waits for the process to exit.
     pub(super) fn end(&mut self, signal: Signal) -> Result<(), Failure> {
         self.signal(signal);
         if let Some(mut process) = self.process.take() {
@@ -91,7 +89,7 @@
         Ok(())
     }
 
-    /// Returns the cluster's status as this node sees it; `None` if it doesn't answer.
+    /// Returns the cluster's status as this node sees it; `None` if it doesn't respond.
     pub(super) fn status(&self) -> Option<ClusterStatus> {
         let address = self.management_address;
         let response = send_request(address, "GET", "/v1/fleet/members", &[], b"").ok()?;
@@ -123,10 +121,10 @@
     voters: Vec<String>,
 }
 
-/// Returns the loopback address of the node with this number. It differs from those of other trials
-/// and from the usual one, so that all ports at it are free, and datagrams and streams can have the
-/// same one.
-fn own_ip(number: u8) -> IpAddr {
+/// Returns the loopback address of the node with this number. It depends on the process id, so that
+/// trials at the same time don't share addresses: all ports of the address are free, and the node
+/// can use one port number for both datagrams and streams.
+fn node_ip(number: u8) -> IpAddr {
     let process = std::process::id();
     IpAddr::from([127, 128 + (process >> 8) as u8 % 64, process as u8, number])
 }
@@ -143,8 +141,8 @@
     let last = u8::try_from(node_count)
         .ok()
         .filter(|last| *last <= MAX_NODES)
-        .ok_or("a trial has 254 nodes at most")?;
-    let seeds = (1..=last.min(3)).map(|number| SocketAddr::new(own_ip(number), PEER_PORT));
+        .ok_or("a trial has at most 254 nodes")?;
+    let seeds = (1..=last.min(3)).map(|number| SocketAddr::new(node_ip(number), PEER_PORT));
     let voter_count = if node_count < 5 { 3 } else { 5 };
     let setup = TrialSetup {
         folder,
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -11,16 +11,12 @@
 use postproxy::net::Config;
 use postproxy::operator_config::OperatorConfig;
 
-/// The error of a command that fails; its text is printed to standard error.
+/// The error of a failed command; its text is printed to standard error.
 pub type Failure = Box<dyn std::error::Error>;
 
-/// Pushes jobs to workers by lottery. Without a command it serves, as RELAY_CONFIG says.
+/// Route requests from clients to workers; without a command, run a node as `serve` does
 #[derive(Debug, Parser)]
-#[command(
-    version,
-    about,
-    after_help = "Exit status: 0 done, 1 failed, 2 wrong usage."
-)]
+#[command(version, after_help = "Exit status: 0 done, 1 failed, 2 wrong usage.")]
 pub struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -30,25 +26,25 @@
 enum Command {
     /// Run a node until SIGTERM or SIGINT; RELAY_CONFIG names its configuration
     Serve(ServeArgs),
-    /// Say what is wrong with an operator's file, or that nothing is
+    /// Check an operator's file for errors
     Check {
         /// The operator's file
         file: String,
-        /// A node's configuration to check with it
+        /// A node's configuration file to check as well
         #[arg(long, value_name = "FILE")]
         config: Option<String>,
     },
-    /// Look at a store's files, with its node stopped
+    /// Inspect or compact a store's files while its node is stopped
     #[command(subcommand)]
     Store(store::StoreCommand),
-    /// Ask a running node about the other nodes
+    /// Show or change the cluster membership through a running node
     #[command(subcommand)]
     Fleet(fleet::FleetCommand),
-    /// Try it all in one process: discovery, four workers, a node, and jobs of two classes
+    /// Run a trial in one process: discovery, four workers, a node, and requests of two classes
     Try(trial::TrialArgs),
-    /// Print a script that completes this program's words in a shell
+    /// Print a shell completion script
     Completions {
-        /// The shell
+        /// The shell that the script is for
         shell: clap_complete::Shell,
     },
 }
@@ -56,23 +52,23 @@
 /// The arguments of `serve`.
 #[derive(Args, Debug, Default)]
 pub struct ServeArgs {
-    /// The operator's file: which parts of the program are on
+    /// The operator's file, which enables optional parts of the program
     #[arg(long, value_name = "FILE", env = "POSTPROXY_OPERATOR")]
     operator: Option<String>,
-    /// How lines of the log look; goes before the operator's file
+    /// Format of log lines; takes precedence over the operator's file
     #[arg(long, value_name = "FORMAT")]
     log_format: Option<LogFormat>,
-    /// Levels by module, such as info,postproxy::net::upstream::worker_list=debug; goes before the
-    /// operator's file
+    /// Log levels by module, such as info,postproxy::net::upstream::worker_list=debug; takes
+    /// precedence over the operator's file
     #[arg(long, value_name = "LEVELS")]
     log_levels: Option<String>,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum LogFormat {
-    /// For people
+    /// Human-readable text
     Text,
-    /// An object a line
+    /// One JSON object per line
     Json,
 }
 
@@ -106,7 +102,7 @@
     }
 }
 
-/// Checks an operator's file, and a node's configuration with it.
+/// Checks an operator's file and, if one is given, a node's configuration file.
 fn check(file: &str, config: Option<&str>) -> Result<(), Failure> {
     OperatorConfig::from_file(file)?;
     if let Some(path) = config {
@@ -114,6 +110,6 @@
             std::fs::read_to_string(path).map_err(|error| format!("reading {path}: {error}"))?;
         Config::from_json(&text, |_| None).map_err(|error| format!("{path}: {error}"))?;
     }
-    println!("{file}: sound");
+    println!("{file}: valid");
     Ok(())
 }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `postproxy serve`: runs a node in this process until a signal ends it.
+//! `postproxy serve`: runs a node in this process until SIGTERM or SIGINT.
 
 use super::{Failure, ServeArgs};
 use postproxy::logging;
@@ -11,10 +11,11 @@
 ///
 /// # Errors
 ///
-/// If the node can't be started, or the system's poller fails.
+/// If the node can't be started, or polling its sockets fails.
 pub fn run(args: ServeArgs) -> Result<(), Failure> {
     let mut config = Config::from_env()?;
-    // Before any file is opened: it could get the number of an inherited descriptor.
+    // Must precede every opening of a file, which could otherwise get the number of the inherited
+    // descriptor.
     config.adopt_inherited_listener()?;
     let stop = signal_stream(&[SIGINT, SIGTERM])?;
     let reload = signal_stream(&[SIGHUP])?;
@@ -26,15 +27,15 @@
     config.audit = operator_config.audit;
     let name = config.name.clone();
     let mut node = Node::new(config, stop)?;
-    let name_of_reloaded = name.clone();
-    node.reload_on(reload, move || reload_config(&name_of_reloaded))?;
+    let reloaded_name = name.clone();
+    node.reload_on(reload, move || reload_config(&reloaded_name))?;
     tracing::info!(node = name, address = %node.address(), "listening");
     node.run()?;
     tracing::info!(node = name, "stopped");
     Ok(())
 }
 
-/// Returns a stream that becomes readable when one of these signals comes.
+/// Returns a stream that becomes readable when the process receives one of these signals.
 fn signal_stream(signals: &[i32]) -> Result<UnixStream, Failure> {
     let (receiver, sender) = UnixStream::pair()?;
     for signal in signals {
@@ -43,8 +44,8 @@
     Ok(receiver)
 }
 
-/// Returns the operator's configuration, in which the command line's arguments take precedence over
-/// the file.
+/// Returns the operator's configuration. The arguments of the command line take precedence over the
+/// file.
 fn operator_config(args: ServeArgs) -> Result<OperatorConfig, Failure> {
     let mut config = match &args.operator {
         Some(path) => OperatorConfig::from_file(path)?,
@@ -59,7 +60,7 @@
     Ok(config)
 }
 
-/// Reads the node's configuration again; `None` if it can't be read.
+/// Reads the node's configuration again; logs an error and returns `None` if it is invalid.
 fn reload_config(node: &str) -> Option<Config> {
     match Config::from_env_for_reload() {
         Ok(config) => {
@@ -67,7 +68,11 @@
             Some(config)
         }
         Err(error) => {
-            tracing::error!(node, error, "configuration rejected: the old one stays");
+            tracing::error!(
+                node,
+                error,
+                "configuration rejected; keeping the previous one"
+            );
             None
         }
     }
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -11,35 +11,35 @@
 /// The subcommands of `store`. Their doc comments are the command's help texts.
 #[derive(Debug, Subcommand)]
 pub enum StoreCommand {
-    /// Read every record and say what is damaged, torn or lost; with a mirror, repair it
+    /// Read every record and report damaged, torn or lost ones; with a mirror, repair them
     Verify(StoreFolders),
-    /// Print every record as an object a line
+    /// Print every record as a JSON object, one per line
     Dump(StoreFolders),
-    /// Give back the space of all that is not live
+    /// Reclaim the space of records that are no longer live
     Compact(StoreFolders),
-    /// Print figures
+    /// Print statistics: records, bytes and segments
     Stat(StoreFolders),
 }
 
-/// The folders of the store. The doc comments are help texts.
+/// The folders of the store. The doc comments of the fields are help texts.
 #[derive(Args, Debug)]
 pub struct StoreFolders {
     /// The store's folder
     dir: String,
-    /// Its mirror's folder
+    /// The folder of the store's mirror
     #[arg(long, value_name = "DIR")]
     mirror: Option<String>,
 }
 
 impl StoreFolders {
-    /// Opens the store, which recovers it as the start of a node does; a missing folder is an error
-    /// and isn't created.
+    /// Opens and recovers the store as a starting node does. Unlike there, a missing folder is an
+    /// error and isn't created.
     fn open(&self) -> Result<(Engine<OsDisk>, Recovery), Failure> {
         if !std::fs::metadata(&self.dir)
             .map_err(|error| format!("{}: {error}", self.dir))?
             .is_dir()
         {
-            return Err(format!("{}: is no folder", self.dir).into());
+            return Err(format!("{}: not a folder", self.dir).into());
         }
         let section = StoreSection::of(&self.dir, self.mirror.as_deref());
         let holder = format!("process {} (postproxy store)", std::process::id());
@@ -79,7 +79,7 @@
     println!("live bytes   {}", stat.live_bytes);
     println!("file bytes   {}", stat.file_bytes);
     println!("segments     {}", stat.segments);
-    println!("index bytes  {} beside the keys", stat.index_bytes);
+    println!("index bytes  {} excluding the keys", stat.index_bytes);
     println!("torn bytes   {}", recovery.torn_bytes);
     Ok(())
 }
@@ -94,14 +94,14 @@
     );
     if recovery.torn_bytes > 0 {
         println!(
-            "{} bytes behind the last record, which nobody was promised",
+            "{} torn bytes after the last record, never acknowledged",
             recovery.torn_bytes
         );
     }
     recovery
         .repaired
         .iter()
-        .for_each(|file| println!("{file}: made whole from its copy"));
+        .for_each(|file| println!("{file}: repaired from its copy"));
     for lost in &recovery.lost {
         println!(
             "segment {:x}: frames {} to {} are lost",
@@ -117,8 +117,8 @@
     Err(format!("{}: acknowledged records are lost", store.dir).into())
 }
 
-/// Returns the word for an attempt's outcome in the output of `dump`. Scripts read it, so that it
-/// stays when the type is renamed.
+/// Returns the word for an attempt's outcome in the output of `dump`. Scripts read the words, so
+/// they must not change.
 fn outcome_word(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::InFlight => "Out",
@@ -127,8 +127,8 @@
     }
 }
 
-/// Returns the word for a request's stage in the output of `dump`. Scripts read it, so that it
-/// stays when the type is renamed.
+/// Returns the word for a request's stage in the output of `dump`. Scripts read the words, so they
+/// must not change.
 fn stage_word(stage: Stage) -> &'static str {
     match stage {
         Stage::Pending => "Open",
@@ -142,7 +142,7 @@
     }
 }
 
-/// Returns a record of the request log as `dump` prints it.
+/// Returns the JSON object that `dump` prints for a record of the request log.
 fn request_json(id: &str, record: &RequestRecord) -> serde_json::Value {
     let digest: String = record
         .digest
@@ -171,7 +171,7 @@
     })
 }
 
-/// Returns a key and its value as `dump` prints them.
+/// Returns the JSON object that `dump` prints for a key and its value.
 fn entry_json(key: &[u8], value: &[u8]) -> serde_json::Value {
     if let Some(id) = request_id(key)
         && let Some(record) = RequestRecord::decode(value)
@@ -196,7 +196,7 @@
         }
     })?;
     match write_error {
-        // The reader has closed the pipe, for example `head`: it has all that it wanted.
+        // The reader, such as `head`, has closed the pipe because it needs no more lines.
         Some(error) if error.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
         Some(error) => Err(error.into()),
         None => Ok(out.flush()?),
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -17,20 +17,20 @@
 /// The arguments of `try`.
 #[derive(Args, Debug)]
 pub struct TrialArgs {
-    /// How many jobs of each class
+    /// Number of requests of each class
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=10_000))]
     jobs: u32,
-    /// How many clients at once
+    /// Number of concurrent clients
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(1..=256))]
     clients: u32,
-    /// So many nodes, as processes that know each other: some are killed and stopped while jobs run
+    /// Run a cluster of this many nodes, each in its own process; kill and pause some under load
     #[arg(long, value_name = "NODES", value_parser = clap::value_parser!(u8).range(3..=9))]
     fleet: Option<u8>,
 }
 
 /// The classes of the trial's requests.
 const CLASSES: [&str; 2] = ["reroute", "day-plan"];
-/// How long a request takes at each of the workers, in milliseconds.
+/// Service time of each worker, in milliseconds.
 const SERVICE_TIMES_MS: [u64; 4] = [20, 30, 40, 60];
 
 /// The outcome of a request.
@@ -48,11 +48,11 @@
         self.status == Ok(status)
     }
 
-    /// Returns the name of the outcome in the output.
+    /// Returns the outcome as printed in the request's line.
     fn label(&self) -> &str {
         match &self.status {
             Ok(200) => "served",
-            Ok(503) => "refused",
+            Ok(503) => "rejected",
             Ok(_) => "failed",
             Err(error) => error,
         }
@@ -104,7 +104,10 @@
         discovery.address, node.address
     );
     for (worker, ms) in workers.iter().zip(SERVICE_TIMES_MS) {
-        println!("  {} at {}, {ms} ms a job", worker.name, worker.address);
+        println!(
+            "  {} at {}, {ms} ms per request",
+            worker.name, worker.address
+        );
     }
     let start = Instant::now();
     let outcomes = send_requests(args, node.address);
@@ -114,7 +117,7 @@
     report(&outcomes, &workers, duration)
 }
 
-/// A node that runs in a thread.
+/// A node that runs in its own thread.
 struct RunningNode {
     address: SocketAddr,
     /// A byte on this stream stops the node.
@@ -138,7 +141,7 @@
                 stop,
                 thread: Some(thread),
             }),
-            // The thread ended before it had an address: its result says why.
+            // The node failed to start: the thread's result has the error.
             Err(_) => Err(join(thread).err().unwrap_or_default().into()),
         }
     }
@@ -156,7 +159,7 @@
     thread.join().map_err(|_| "the node panicked")?
 }
 
-/// Sends all requests from several clients at once, and prints a line for each.
+/// Sends all requests from concurrent clients, and prints a line for each.
 fn send_requests(args: &TrialArgs, node: SocketAddr) -> Vec<Outcome> {
     let (outcome_sender, outcomes) = mpsc::channel();
     let requests: Vec<(usize, u32)> = (0..args.jobs)
@@ -222,18 +225,18 @@
         *runs.entry(id).or_default() += count;
     }
     println!();
-    println!("class     jobs  served  refused  failed  runs a job  p50 ms  p99 ms");
+    println!("class     sent  served  rejected  failed  runs/served  p50 ms  p99 ms");
     let mut failed = 0;
     for class in 0..CLASSES.len() {
         failed += report_class(class, outcomes, &runs)?;
     }
-    println!("{:.1} s in all", duration.as_secs_f64());
+    println!("total time: {:.1} s", duration.as_secs_f64());
     let is_run_twice = |(id, count): &(&String, &u32)| id.starts_with("day-plan") && **count > 1;
     if let Some((id, count)) = runs.iter().find(is_run_twice) {
         return Err(format!("{id} was run {count} times").into());
     }
     if failed > 0 {
-        return Err(format!("{failed} jobs failed").into());
+        return Err(format!("{failed} requests failed").into());
     }
     Ok(())
 }
@@ -262,14 +265,14 @@
         .iter()
         .filter_map(|outcome| runs.get(&outcome.id))
         .sum();
-    let runs_per_request = f64::from(run_count) / served.max(1) as f64;
+    let runs_per_served_request = f64::from(run_count) / served.max(1) as f64;
     let mut latency = Histogram::<u64>::new(3)?;
     for outcome in outcomes.iter().filter(|outcome| outcome.has_status(200)) {
         latency.record(outcome.latency.as_micros() as u64)?;
     }
     let quantile_ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1e3;
     println!(
-        "{:<9} {:>4}  {served:>6}  {rejected:>7}  {failed:>6}  {runs_per_request:>10.2}  {:>6.1}  {:>6.1}",
+        "{:<9} {:>4}  {served:>6}  {rejected:>8}  {failed:>6}  {runs_per_served_request:>11.2}  {:>6.1}  {:>6.1}",
         CLASSES[class],
         outcomes.len(),
         quantile_ms(0.5),
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,31 +1,30 @@
 //! Structured logs on standard error.
 //!
-//! A thread of its own writes the lines, so that an event loop that logs never waits for the
-//! reader. Lines that find the queue full are dropped.
+//! A dedicated thread writes the lines, so that logging never blocks an event loop when the reader
+//! of standard error is slow. Lines are dropped when the queue is full.
 
 use serde::Deserialize;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::format::FmtSpan;
 
-/// The most lines that wait to be written.
+/// Capacity of the queue of lines to be written.
 const MAX_QUEUED_LINES: usize = 16_384;
 
 /// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// The section `log` of the operator's configuration file.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
-// The type's name is part of error texts that operators read: it stays as it was when the type is
-// renamed.
+// Error texts that operators read contain this type name, so it must not change.
 #[serde(default, deny_unknown_fields, expecting = "struct Log")]
 pub struct LogSection {
     /// `text` or `json`.
@@ -49,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// A message that contains the levels, if they can't be read.
+    /// A message that contains the levels, if they can't be parsed.
     pub fn validate(&self) -> Result<(), String> {
         parse_levels(&self.levels).map(|_| ())
     }
@@ -58,15 +57,15 @@
 fn parse_levels(levels: &str) -> Result<EnvFilter, String> {
     EnvFilter::builder()
         .parse(levels)
-        .map_err(|error| format!("'{levels}' names no levels: {error}"))
+        .map_err(|error| format!("'{levels}' is not a valid list of log levels: {error}"))
 }
 
-/// Sends all logs of this process to standard error until the guard is dropped, which writes the
-/// lines in the queue.
+/// Sends all logs of this process to standard error until the guard is dropped. Dropping it flushes
+/// the queue.
 ///
 /// # Errors
 ///
-/// If the levels can't be read, or logging was started before.
+/// If the levels can't be parsed, or logging was already started.
 pub fn start(section: &LogSection) -> Result<WorkerGuard, String> {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_QUEUED_LINES)
--- a/src/operator_config/audit.rs
+++ b/src/operator_config/audit.rs
@@ -31,12 +31,10 @@
     }
 }
 
-/// Whether the file has a section `fleet`.
+/// Whether the operator's file has a section `fleet`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum FleetPresence {
-    /// It has one.
     Present,
-    /// It has none.
     Absent,
 }
 
--- a/src/operator_config/duties.rs
+++ b/src/operator_config/duties.rs
@@ -39,7 +39,7 @@
             None => error("duties", "needs the section fleet, which names the voters"),
             Some(fleet) if fleet.voters.len() < MIN_VOTERS => error(
                 "fleet.voters",
-                "must name 3, 5 or 7 nodes where duties is on",
+                "must name 3, 5 or 7 nodes when the section duties is present",
             ),
             Some(_) => Ok(()),
         }
--- a/src/operator_config/error.rs
+++ b/src/operator_config/error.rs
@@ -2,17 +2,17 @@
 
 use std::fmt;
 
-/// What is wrong with an operator's configuration file, and where.
+/// An error in an operator's configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorConfigError {
-    /// The path of the wrong value, such as `store.retention_s`; `.` for the whole document.
+    /// The path of the invalid value, such as `store.retention_s`; `.` for the whole document.
     pub path: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub what: String,
 }
 
 impl OperatorConfigError {
-    /// Returns the error that the value at `path` is wrong.
+    /// Returns an error in the value at `path`.
     pub(super) fn new(path: impl Into<String>, what: impl Into<String>) -> Self {
         Self {
             path: path.into(),
--- a/src/operator_config/fleet.rs
+++ b/src/operator_config/fleet.rs
@@ -20,7 +20,7 @@
 const DEFAULT_LOOK_BACK_MS: u64 = 1000;
 /// Allowed values of the section's times, in milliseconds.
 const TIME_MS_RANGE: RangeInclusive<u64> = 10..=600_000;
-/// The most voters: each more makes a majority slower to reach.
+/// The maximum number of voters. Each additional voter makes a majority slower to reach.
 const MAX_VOTERS: usize = 7;
 
 /// The section `fleet`: the cluster that the node is a member of.
@@ -29,15 +29,15 @@
 pub struct FleetSection {
     /// The cluster's name: messages of another cluster are dropped.
     pub cluster: String,
-    /// Where the messages of other nodes are received.
+    /// The address at which messages of other nodes are received.
     pub listen: SocketAddr,
     /// The address that other nodes are given; by default that of `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// The addresses of nodes to join by; the node's own may be among them.
+    /// The addresses of nodes through which to join the cluster; may include the node's own.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The names of the nodes whose majority decides which side of a partition goes on.
+    /// The names of the voters: in a partition, the side with a majority of them keeps working.
     #[serde(default)]
     pub voters: Vec<String>,
     /// Time between two probes of other nodes, in milliseconds.
@@ -86,13 +86,13 @@
     DEFAULT_LOOK_BACK_MS
 }
 
-/// A wrong value of the section, by its path below `fleet`.
-struct Mistake {
+/// An invalid value of the section, by its path below `fleet`.
+struct FieldError {
     path: String,
     what: &'static str,
 }
 
-impl Mistake {
+impl FieldError {
     fn new(path: impl Into<String>, what: &'static str) -> Self {
         Self {
             path: path.into(),
@@ -123,21 +123,21 @@
         }
     }
 
-    /// Checks the section; the error names all that is wrong with it.
+    /// Checks the section. The error lists all invalid values.
     pub(super) fn validate(&self) -> Result<(), OperatorConfigError> {
-        let mut mistakes = Vec::new();
+        let mut errors = Vec::new();
         if self.cluster.is_empty() {
-            mistakes.push(Mistake::new("cluster", "names no cluster"));
+            errors.push(FieldError::new("cluster", "must not be empty"));
         }
-        mistakes.extend(self.advertise_mistake());
-        mistakes.extend(self.seed_mistakes());
-        mistakes.extend(self.voter_mistakes());
-        mistakes.extend(self.time_mistakes());
-        let mut mistakes = mistakes.into_iter();
-        let Some(first) = mistakes.next() else {
+        errors.extend(self.advertise_error());
+        errors.extend(self.seed_errors());
+        errors.extend(self.voter_errors());
+        errors.extend(self.time_errors());
+        let mut errors = errors.into_iter();
+        let Some(first) = errors.next() else {
             return Ok(());
         };
-        let what = mistakes.fold(first.what.to_owned(), |text, Mistake { path, what }| {
+        let what = errors.fold(first.what.to_owned(), |text, FieldError { path, what }| {
             format!("{text}; fleet.{path}: {what}")
         });
         Err(OperatorConfigError::new(
@@ -146,53 +146,53 @@
         ))
     }
 
-    fn advertise_mistake(&self) -> Option<Mistake> {
+    fn advertise_error(&self) -> Option<FieldError> {
         let what = match self.advertise {
             Some(address) if address.is_ipv4() != self.listen.is_ipv4() => {
-                "is of another family of addresses than fleet.listen"
+                "must be of the same address family as fleet.listen"
             }
             Some(address) if address.ip().is_unspecified() || address.port() == 0 => {
-                "is no address that others could reach"
+                "must be an address that other nodes can reach"
             }
             None if self.listen.ip().is_unspecified() => {
-                "must be given where fleet.listen is no single address"
+                "is required when fleet.listen is a wildcard address"
             }
             _ => return None,
         };
-        Some(Mistake::new("advertise", what))
+        Some(FieldError::new("advertise", what))
     }
 
-    fn seed_mistakes(&self) -> impl Iterator<Item = Mistake> {
+    fn seed_errors(&self) -> impl Iterator<Item = FieldError> {
         self.seeds
             .iter()
             .enumerate()
             .filter(|(_, seed)| seed.is_ipv4() != self.listen.is_ipv4())
             .map(|(index, _)| {
-                Mistake::new(
+                FieldError::new(
                     format!("seeds[{index}]"),
-                    "is of another family of addresses than fleet.listen",
+                    "must be of the same address family as fleet.listen",
                 )
             })
     }
 
-    fn voter_mistakes(&self) -> Vec<Mistake> {
-        let mut mistakes = Vec::new();
+    fn voter_errors(&self) -> Vec<FieldError> {
+        let mut errors = Vec::new();
         if self.voters.len().is_multiple_of(2) || self.voters.len() > MAX_VOTERS {
-            mistakes.push(Mistake::new("voters", "must name 1, 3, 5 or 7 nodes"));
+            errors.push(FieldError::new("voters", "must name 1, 3, 5 or 7 nodes"));
         }
         for (index, voter) in self.voters.iter().enumerate() {
             let path = || format!("voters[{index}]");
             if voter.is_empty() || voter.len() > MAX_NAME_BYTES {
-                mistakes.push(Mistake::new(path(), "must be a name of 1 to 64 bytes"));
+                errors.push(FieldError::new(path(), "must be a name of 1 to 64 bytes"));
             }
             if self.voters[..index].contains(voter) {
-                mistakes.push(Mistake::new(path(), "is named twice"));
+                errors.push(FieldError::new(path(), "is listed twice"));
             }
         }
-        mistakes
+        errors
     }
 
-    fn time_mistakes(&self) -> Vec<Mistake> {
+    fn time_errors(&self) -> Vec<FieldError> {
         let times = [
             ("probe_ms", self.probe_ms),
             ("answer_ms", self.answer_ms),
@@ -201,17 +201,17 @@
             ("hello_ms", self.hello_ms),
             ("look_back_ms", self.look_back_ms),
         ];
-        let mut mistakes: Vec<Mistake> = times
+        let mut errors: Vec<FieldError> = times
             .into_iter()
             .filter(|(_, ms)| !TIME_MS_RANGE.contains(ms))
-            .map(|(key, _)| Mistake::new(key, "must be between 10 and 600000"))
+            .map(|(key, _)| FieldError::new(key, "must be between 10 and 600000"))
             .collect();
         if self.answer_ms * 2 > self.probe_ms {
-            mistakes.push(Mistake::new(
+            errors.push(FieldError::new(
                 "answer_ms",
                 "must be at most half of fleet.probe_ms",
             ));
         }
-        mistakes
+        errors
     }
 }
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -1,7 +1,6 @@
-//! The operator's configuration file: JSON with a section for each part of the program that can be
-//! switched on.
+//! The operator's configuration file: JSON with a section for each optional part of the program.
 //!
-//! A part whose section is absent is off. An unknown name is an error that gives the nearest known
+//! A part is enabled by its section. An unknown name is an error that suggests the nearest known
 //! one.
 
 mod audit;
@@ -22,8 +21,7 @@
 
 /// All sections.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-// The type's name is part of error texts that operators read: it stays as it was when the type is
-// renamed.
+// Error texts that operators read contain this type name, so it must not change.
 #[serde(default, deny_unknown_fields, expecting = "struct Operator")]
 pub struct OperatorConfig {
     /// Logging.
@@ -43,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// The first mistake, with its place.
+    /// The first error found, with the path of the value.
     pub fn from_json(text: &str) -> Result<Self, OperatorConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let config: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -92,8 +90,8 @@
     }
 }
 
-/// Replaces the list of all known names in a message of serde's on an unknown one by the nearest
-/// name.
+/// Rewrites serde's message on an unknown name, which lists all known names, to give only the
+/// nearest one; `None` for other messages.
 fn with_nearest_name(message: &str) -> Option<String> {
     let rest = message
         .strip_prefix("unknown field `")
@@ -105,6 +103,6 @@
         .max_by(|a, b| strsim::jaro_winkler(name, a).total_cmp(&strsim::jaro_winkler(name, b)))?;
     let place = message.rfind(" at line ").map_or("", |at| &message[at..]);
     Some(format!(
-        "'{name}' is not known here; the nearest name is '{nearest}'{place}"
+        "unknown name '{name}'{place}; the nearest known name is '{nearest}'"
     ))
 }
--- a/src/operator_config/store.rs
+++ b/src/operator_config/store.rs
@@ -1,4 +1,4 @@
-//! The section `store`: what the node stores of requests beyond the life of its process.
+//! The section `store`: the persistent store of requests and their results.
 
 use super::error::OperatorConfigError;
 use postproxy_idempotency::Limits;
@@ -20,17 +20,17 @@
 const SEGMENT_MB_RANGE: RangeInclusive<u64> = 1..=1024;
 /// Allowed retention times, in seconds.
 const RETENTION_S_RANGE: RangeInclusive<f64> = 1.0..=1e8;
-/// The fewest segments that [`StoreSection::most_mb`] must have room for, so that compaction can
-/// copy what is live.
+/// The minimum number of segments that [`StoreSection::most_mb`] must have room for, because
+/// compaction needs space to copy live records.
 const MIN_SEGMENTS: u64 = 4;
 
-/// The section `store`: what the node stores of requests beyond the life of its process.
+/// The section `store`: the persistent store of requests and their results.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSection {
-    /// The folder; it is created if it is missing.
+    /// The store's folder, created if missing.
     pub folder: String,
-    /// A second folder with the same content, best on another disk.
+    /// A second folder with a copy of all files, preferably on another disk.
     #[serde(default)]
     pub mirror: Option<String>,
     /// Size of a segment file, in MiB.
@@ -39,8 +39,8 @@
     /// Maximum size of all files, in MiB; 0 for no limit.
     #[serde(default)]
     pub most_mb: u64,
-    /// Whether the attempts of classes with idempotency keys, too, are only sent after their
-    /// intents are durable.
+    /// Whether attempts of classes with idempotency keys also wait until their intents are durable
+    /// before they are sent.
     #[serde(default)]
     pub keyed_durable: bool,
     /// How long an intent may take to become durable before its request is rejected, in
@@ -50,20 +50,20 @@
     /// How long the record of a request is kept after its last change, in seconds.
     #[serde(default = "default_retention_s")]
     pub retention_s: f64,
-    /// The same for classes with these names.
+    /// Overrides of `retention_s` by name of the request class.
     #[serde(default)]
     pub retention_of_s: HashMap<String, f64>,
-    /// The longest result that is stored, in KiB.
+    /// Maximum size of a stored result, in KiB.
     #[serde(default = "default_result_kb")]
     pub result_kb: usize,
-    /// How many requests are kept at most.
+    /// Maximum number of stored requests.
     #[serde(default = "default_most_jobs")]
     pub most_jobs: usize,
-    /// For trials: how much longer every sync takes, in milliseconds, as on a slow disk.
+    /// For tests: delay added to every sync, in milliseconds, to simulate a slow disk.
     #[serde(default)]
     pub sync_delay_ms: u64,
-    /// For trials: while this file contains `full`, writes fail as on a full disk; while it
-    /// contains `sync`, syncs fail.
+    /// For tests: while this file contains `full`, writes fail as on a full disk; while it contains
+    /// `sync`, syncs fail.
     #[serde(default)]
     pub trouble_file: Option<String>,
 }
@@ -89,7 +89,7 @@
 }
 
 impl StoreSection {
-    /// Returns the section of a store in these folders, with the defaults for all else.
+    /// Returns the section of a store in these folders, with defaults for all other values.
     pub fn of(folder: &str, mirror: Option<&str>) -> Self {
         Self {
             folder: folder.to_owned(),
@@ -121,10 +121,10 @@
     pub(super) fn validate(&self) -> Result<(), OperatorConfigError> {
         let error = |path, what| Err(OperatorConfigError::new(path, what));
         if self.folder.is_empty() {
-            return error("store.folder", "names no folder");
+            return error("store.folder", "must not be empty");
         }
         if self.mirror.as_ref() == Some(&self.folder) {
-            return error("store.mirror", "is the same folder as store.folder");
+            return error("store.mirror", "must differ from store.folder");
         }
         if !SEGMENT_MB_RANGE.contains(&self.segment_mb) {
             return error("store.segment_mb", "must be between 1 and 1024");
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,8 +1,8 @@
-//! Logging: the levels of the operator's configuration file.
+//! Log levels of the operator's configuration file.
 
 use postproxy::logging::LogSection;
 
-/// Levels that can't be read are an error that names the wrong word.
+/// Invalid levels are an error that contains the invalid word.
 #[test]
 fn levels_are_validated() {
     let section = |levels: &str| LogSection {
@@ -15,6 +15,6 @@
     );
     let error = section("info,postproxy=lound")
         .validate()
-        .expect_err("no level");
+        .expect_err("an invalid level");
     assert!(error.contains("lound"), "{error}");
 }
--- a/tests/operator_config.rs
+++ b/tests/operator_config.rs
@@ -1,45 +1,45 @@
-//! The operator's configuration file: errors name the place and the nearest known name, and absent
-//! sections are off.
+//! The operator's configuration file: errors name the path of the invalid value and the nearest
+//! known name, and absent sections disable their parts.
 
 use postproxy::operator_config::OperatorConfig;
 
-/// A misspelt name or a wrong value is an error that names its place and, for a name, the nearest
-/// known one.
+/// An unknown name or an invalid value is an error with its path and, for a name, the nearest known
+/// one.
 #[test]
-fn wrong_values_and_unknown_names_are_reported_with_their_place() {
+fn invalid_values_and_unknown_names_are_reported_with_their_path() {
     let cases = [
         (
             r#"{"lgo": {}}"#,
             "lgo",
-            "'lgo' is not known here; the nearest name is 'log' at line 1",
+            "unknown name 'lgo' at line 1 column 6; the nearest known name is 'log'",
         ),
         (
             r#"{"log": {"level": "info"}}"#,
             "log.level",
-            "nearest name is 'levels'",
+            "nearest known name is 'levels'",
         ),
         (
             r#"{"log": {"format": "jsn"}}"#,
             "log.format",
-            "nearest name is 'json'",
+            "nearest known name is 'json'",
         ),
         (r#"{"log": {"levels": 3}}"#, "log.levels", "invalid type"),
         (
             r#"{"log": {"levels": "a=b"}}"#,
             "log.levels",
-            "names no levels",
+            "is not a valid list of log levels",
         ),
         (r#"{"log": {}"#, ".", "EOF"),
         (
             r#"{"store": {"folder": "a", "retntion_s": 3}}"#,
             "store.retntion_s",
-            "'retention_s'",
+            "nearest known name is 'retention_s'",
         ),
         (r#"{"store": {}}"#, "store", "missing field `folder`"),
         (
             r#"{"store": {"folder": "a", "mirror": "a"}}"#,
             "store.mirror",
-            "same folder",
+            "must differ from store.folder",
         ),
         (
             r#"{"store": {"folder": "a", "most_mb": 20}}"#,
@@ -70,12 +70,12 @@
         (
             r#"{"fleet": {"cluster": "", "listen": "127.0.0.1:1", "advertise": "[::1]:1", "voters": ["a", "b", "a"]}}"#,
             "fleet.cluster",
-            "names no cluster; fleet.advertise: is of another family of addresses than fleet.listen; fleet.voters[2]: is named twice",
+            "must not be empty; fleet.advertise: must be of the same address family as fleet.listen; fleet.voters[2]: is listed twice",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "0.0.0.0:1", "voters": ["a"]}}"#,
             "fleet.advertise",
-            "must be",
+            "is required when fleet.listen is a wildcard address",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "answer_ms": 200}}"#,
@@ -107,9 +107,9 @@
     }
 }
 
-/// A part without a section is off.
+/// An absent section leaves its part disabled.
 #[test]
-fn absent_sections_are_off() {
+fn absent_sections_are_disabled() {
     assert_eq!(
         OperatorConfig::from_json("{}"),
         Ok(OperatorConfig::default())
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -199,7 +199,7 @@
     let rejected = next_line();
     assert!(
         rejected.contains("ERROR")
-            && rejected.contains("configuration rejected: the old one stays node=\"n0\""),
+            && rejected.contains("configuration rejected; keeping the previous one node=\"n0\""),
         "{rejected}"
     );
     std::fs::remove_file(&path).expect("it was there");
@@ -240,7 +240,7 @@
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
     let outcome = run(&["check", good, "--config", example]);
     assert!(
-        outcome.exit_code == Some(0) && outcome.stdout.contains("sound"),
+        outcome.exit_code == Some(0) && outcome.stdout.contains(": valid"),
         "{}",
         outcome.stderr
     );
--- a/tests/surface_cli.rs
+++ b/tests/surface_cli.rs
@@ -1,6 +1,6 @@
 //! Pins the command line as scripts and operators see it: help texts, exit statuses, messages on
-//! standard error, and the output of `check`, `store` and `fleet`. Every expected text is written
-//! out, so that no renaming in the code can change what the program prints.
+//! standard error, and the output of `check`, `store` and `fleet`. Every expected text is a
+//! literal, so renaming an identifier can't change what the program prints unnoticed.
 
 use postproxy_idempotency::{
     Attempt, AttemptOutcome, RequestRecord, Stage, request_key, result_key,
@@ -14,7 +14,7 @@
 use std::sync::{PoisonError, RwLock};
 use std::thread::{self, JoinHandle};
 
-/// What one run of the program came to.
+/// The outcome of one run of the program.
 #[derive(Debug, PartialEq)]
 struct Run {
     status: Option<i32>,
@@ -22,8 +22,8 @@
     stderr: String,
 }
 
-/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative
-/// paths only.
+/// The working directory of one test, removed on drop. The program runs in it, so that its messages
+/// contain relative paths only.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -74,19 +74,19 @@
     }
 }
 
-/// A child that another test starts inherits the lock on a store's folder until it executes its
-/// program. So no child is started while a test fills a store: else that store would still be held
-/// when the test looks at it.
-static STARTING: RwLock<()> = RwLock::new(());
+/// Keeps other tests from starting a child process while a test writes a store: between fork and
+/// exec the child would hold the inherited lock on the store's folder, and the test's next open of
+/// the store would fail.
+static SPAWN_LOCK: RwLock<()> = RwLock::new(());
 
 fn outcome(command: &mut Command) -> Run {
     command
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
-    let starting = STARTING.read().unwrap_or_else(PoisonError::into_inner);
+    let guard = SPAWN_LOCK.read().unwrap_or_else(PoisonError::into_inner);
     let child = command.spawn().expect("the program starts");
-    drop(starting);
+    drop(guard);
     let output = child.wait_with_output().expect("the program ends");
     Run {
         status: output.status.code(),
@@ -134,7 +134,7 @@
 /// 1 January 2100, in milliseconds of Unix time: no record expires before.
 const EXPIRES: u64 = 4_102_444_800_000;
 
-fn job(key: Option<&str>, stage: Stage, attempts: &[(&str, AttemptOutcome)]) -> Vec<u8> {
+fn request_record(key: Option<&str>, stage: Stage, attempts: &[(&str, AttemptOutcome)]) -> Vec<u8> {
     let attempt = |(worker, outcome): &(&str, AttemptOutcome)| Attempt {
         worker: (*worker).into(),
         outcome: *outcome,
@@ -162,11 +162,11 @@
     vec![
         (
             request_key("job-open"),
-            job(Some("key-1"), Stage::Pending, &all_outcomes),
+            request_record(Some("key-1"), Stage::Pending, &all_outcomes),
         ),
         (
             request_key("job-kept"),
-            job(
+            request_record(
                 None,
                 Stage::Served {
                     result_stored: true,
@@ -176,7 +176,7 @@
         ),
         (
             request_key("job-too-long"),
-            job(
+            request_record(
                 None,
                 Stage::Served {
                     result_stored: false,
@@ -184,7 +184,10 @@
                 &all_outcomes[2..],
             ),
         ),
-        (request_key("job-failed"), job(None, Stage::Failed, &[])),
+        (
+            request_key("job-failed"),
+            request_record(None, Stage::Failed, &[]),
+        ),
         (result_key("job-kept"), b"via cesis".to_vec()),
         (b"j/unreadable".to_vec(), vec![9, b'x']),
         (b"f/list".to_vec(), list.to_vec()),
@@ -217,9 +220,9 @@
     engine.commit().expect("durable");
 }
 
-/// Writes records to a store, which is closed and released at the end.
+/// Writes records to a store and closes it.
 fn write_store(folder: &Folder, names: &[&str], records: &[(Vec<u8>, Vec<u8>)]) {
-    let _no_child_starts = STARTING.write().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.write().unwrap_or_else(PoisonError::into_inner);
     let mut engine = open_store(folder, names);
     records
         .iter()
@@ -242,7 +245,7 @@
         .expect("a segment")
 }
 
-/// Changes one byte of a file, so that the frame around it is damaged.
+/// Flips a bit of a file, which damages the frame that contains it.
 fn damage(file: &Path, at: usize) {
     let mut bytes = fs::read(file).expect("the file is read");
     bytes[at] ^= 1;
@@ -273,7 +276,7 @@
 }
 
 #[test]
-fn store_stat_prints_figures() {
+fn store_stat_prints_statistics() {
     let folder = Folder::new("stat");
     fill_store(&folder, &["data"]);
     folder.assert_prints(
@@ -283,7 +286,7 @@
 live bytes   872
 file bytes   936
 segments     1
-index bytes  720 beside the keys
+index bytes  720 excluding the keys
 torn bytes   0
 ",
     );
@@ -311,7 +314,7 @@
         &["store", "verify", "data"],
         "\
 11 records in 1 segments, 936 bytes
-32028 bytes behind the last record, which nobody was promised
+32028 torn bytes after the last record, never acknowledged
 ",
     );
 }
@@ -343,7 +346,7 @@
         &["store", "verify", "data", "--mirror", "copy"],
         "\
 11 records in 1 segments, 936 bytes
-data/0000000000000001.seg: made whole from its copy
+data/0000000000000001.seg: repaired from its copy
 ",
     );
 }
@@ -370,7 +373,7 @@
 }
 
 #[test]
-fn store_that_is_not_there_is_not_made() {
+fn a_missing_store_is_not_created() {
     let folder = Folder::new("absent");
     let stderr = "postproxy: data: No such file or directory (os error 2)\n";
     folder.assert_fails(&["store", "stat", "data"], stderr);
@@ -383,24 +386,24 @@
     folder.write("data", "");
     folder.assert_fails(
         &["store", "stat", "data"],
-        "postproxy: data: is no folder\n",
+        "postproxy: data: not a folder\n",
     );
 }
 
 // The operator's file.
 
 #[test]
-fn check_says_that_a_good_file_is_sound() {
+fn check_reports_a_valid_file() {
     let folder = Folder::new("check-good");
     folder.write(
         "operator.json",
         r#"{"log": {"format": "json", "levels": "info"}}"#,
     );
     folder.write("config.json", include_str!("../examples/config.json"));
-    folder.assert_prints(&["check", "operator.json"], "operator.json: sound\n");
+    folder.assert_prints(&["check", "operator.json"], "operator.json: valid\n");
     folder.assert_prints(
         &["check", "operator.json", "--config", "config.json"],
-        "operator.json: sound\n",
+        "operator.json: valid\n",
     );
 }
 
@@ -408,7 +411,7 @@
 fn check_names_the_place_in_a_bad_operator_file() {
     let folder = Folder::new("check-bad");
     folder.write("operator.json", "{\n  \"log\": {\"fromat\": \"json\"}\n}");
-    let stderr = "postproxy: operator.json: log.fromat: 'fromat' is not known here; the nearest name is 'format' at line 2 column 18\n";
+    let stderr = "postproxy: operator.json: log.fromat: unknown name 'fromat' at line 2 column 18; the nearest known name is 'format'\n";
     folder.assert_fails(&["check", "operator.json"], stderr);
 }
 
@@ -442,12 +445,12 @@
 
 // The fleet.
 
-/// Answers one request as a node's management API would, and returns the head and body of that
+/// Responds to one request in place of a node's management API. The thread returns the head of the
 /// request.
 fn management_api(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
-    let answer = move || {
+    let respond = move || {
         let (mut stream, _) = listener.accept().expect("a caller");
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
@@ -463,7 +466,7 @@
         .expect("the response is written");
         String::from_utf8(request).expect("text")
     };
-    (address, thread::spawn(answer))
+    (address, thread::spawn(respond))
 }
 
 /// Runs a `fleet` command against a management API that gives this response; returns the run and
@@ -478,7 +481,7 @@
     (Run { stderr, ..run }, line)
 }
 
-const FULL_PICTURE: &str = r#"{"cluster":"yard","node":"n0","member":true,"namesake":null,"standing":"some pairs cut","reasons":["n0 does not hear n2"],"members":[{"name":"n0","address":"10.0.0.1:7946","incarnation":4,"state":"here","voter":true,"leads":true},{"name":"n1","address":"10.0.0.2:7946","incarnation":2,"state":"suspect","voter":true},{"name":"n2","address":"[fd00::3]:7946","incarnation":1,"state":"left","voter":false,"leads":false}],"unheard":["n2"],"ill":1.25,"missed_s":3.04,"bans":["s-1","s-2"],"dropped":{"cluster":2,"length":1}}
+const FULL_STATUS: &str = r#"{"cluster":"yard","node":"n0","member":true,"namesake":null,"standing":"some pairs cut","reasons":["n0 does not hear n2"],"members":[{"name":"n0","address":"10.0.0.1:7946","incarnation":4,"state":"here","voter":true,"leads":true},{"name":"n1","address":"10.0.0.2:7946","incarnation":2,"state":"suspect","voter":true},{"name":"n2","address":"[fd00::3]:7946","incarnation":1,"state":"left","voter":false,"leads":false}],"unheard":["n2"],"ill":1.25,"missed_s":3.04,"bans":["s-1","s-2"],"dropped":{"cluster":2,"length":1}}
 "#;
 
 #[test]
@@ -490,12 +493,12 @@
 n0                   here     yes    10.0.0.1:7946          4
 n1                   suspect  yes    10.0.0.2:7946          2
 n2                   left            [fd00::3]:7946         1
-not heard directly: n2
-out of use for the fleet: s-1, s-2
-this process missed 3.0 s; 1.2 of 8 from well
-datagrams and streams dropped: cluster 2, length 1
+not heard from directly: n2
+suspended workers: s-1, s-2
+this process did not run for 3.0 s; clock slowdown 1.2 (maximum 8)
+dropped datagrams and streams: cluster 2, length 1
 ";
-    let (run, request) = fleet("members-table", &["members"], "200 OK", FULL_PICTURE);
+    let (run, request) = fleet("members-table", &["members"], "200 OK", FULL_STATUS);
     assert_eq!(run, done(expected));
     assert_eq!(request, "GET /v1/fleet/members HTTP/1.1");
 }
@@ -506,18 +509,18 @@
         "members-json",
         &["members", "--json"],
         "200 OK",
-        FULL_PICTURE,
+        FULL_STATUS,
     );
-    assert_eq!(run, done(FULL_PICTURE));
+    assert_eq!(run, done(FULL_STATUS));
     assert_eq!(request, "GET /v1/fleet/members HTTP/1.1");
 }
 
 #[test]
-fn fleet_members_says_that_the_node_is_no_member_yet() {
+fn fleet_members_reports_a_node_that_is_not_a_member_yet() {
     let body = r#"{"cluster":"yard","node":"n0","member":false,"namesake":null,"standing":"alone","reasons":[],"members":[],"unheard":[],"ill":0.0,"missed_s":0.0,"bans":[],"dropped":{}}"#;
     let expected = "\
 n0 of yard: alone
-  no member yet
+  not a member yet
 node                 state    votes  address                incarnation
 ";
     assert_eq!(
@@ -527,11 +530,11 @@
 }
 
 #[test]
-fn fleet_members_names_the_process_that_has_the_same_name() {
+fn fleet_members_names_the_process_with_the_same_name() {
     let body = r#"{"cluster":"yard","node":"n0","member":false,"namesake":"10.0.0.9:7946","standing":"alone","reasons":[],"members":[],"unheard":[],"ill":0.0,"missed_s":0.0,"bans":[],"dropped":{}}"#;
     let expected = "\
 n0 of yard: alone
-  no member: the process at 10.0.0.9:7946 has this name, too
+  not a member: the process at 10.0.0.9:7946 has the same name
 node                 state    votes  address                incarnation
 ";
     assert_eq!(
@@ -547,7 +550,7 @@
 }
 
 #[test]
-fn fleet_members_rejects_a_picture_that_lacks_a_key() {
+fn fleet_members_rejects_a_status_without_a_required_key() {
     let (run, _) = fleet(
         "members-short",
         &["members"],
@@ -561,7 +564,7 @@
 }
 
 #[test]
-fn fleet_members_names_the_address_that_nobody_listens_at() {
+fn fleet_members_names_an_address_without_a_listener() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
@@ -574,12 +577,12 @@
 fn fleet_forget_prints_the_outcome() {
     let forget = ["forget", "n 2"];
     let (run, request) = fleet("forget-200", &forget, "200 OK", "{}");
-    assert_eq!(run, done("n 2 is forgotten\n"));
+    assert_eq!(run, done("n 2: forgotten\n"));
     assert_eq!(request, "POST /v1/fleet/members/n%202/forget HTTP/1.1");
     let (run, _) = fleet("forget-409", &forget, "409 Conflict", "");
     assert_eq!(
         run,
-        failed("postproxy: n 2: it has not failed; end it, then ask again\n")
+        failed("postproxy: n 2: the node has not failed; stop it and try again\n")
     );
     let (run, _) = fleet("forget-404", &forget, "404 Not Found", "no such node\n");
     assert_eq!(run, failed("postproxy: n 2: no such node\n"));
@@ -587,7 +590,7 @@
 
 // Starting a node.
 
-/// A configuration of a node on free ports of loopback, with more keys in front.
+/// A configuration of a node on free ports of loopback, preceded by these keys.
 fn config(more: &str) -> String {
     format!(
         r#"{{{more}"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7", "settings": {{}}}}"#
@@ -616,8 +619,8 @@
 }
 
 #[test]
-fn serve_rejects_log_levels_that_name_none() {
-    let stderr = "postproxy: 'info,postproxy=lound' names no levels: error parsing level filter: expected one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\", or a number 0-5\n";
+fn serve_rejects_invalid_log_levels() {
+    let stderr = "postproxy: 'info,postproxy=lound' is not a valid list of log levels: error parsing level filter: expected one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\", or a number 0-5\n";
     let folder = Folder::new("serve-levels");
     folder.assert_serve_fails(
         &["--log-levels", "info,postproxy=lound"],
@@ -627,7 +630,7 @@
 }
 
 #[test]
-fn serve_names_the_address_that_is_taken() {
+fn serve_names_an_address_in_use() {
     let folder = Folder::new("serve-taken");
     let taken = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = taken.local_addr().expect("an address");
@@ -639,7 +642,7 @@
 }
 
 #[test]
-fn serve_names_the_fleet_address_that_is_taken() {
+fn serve_names_a_fleet_address_in_use() {
     let folder = Folder::new("serve-fleet-taken");
     let taken = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = taken.local_addr().expect("an address");
@@ -656,7 +659,7 @@
 }
 
 #[test]
-fn serve_rejects_a_node_name_that_is_no_member_name() {
+fn serve_rejects_a_node_name_that_is_not_a_member_name() {
     let folder = Folder::new("serve-name");
     let operator = r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:0", "voters": ["n0"]}}"#;
     folder.write("operator.json", operator);
@@ -726,7 +729,7 @@
 }
 
 #[test]
-fn figures_of_a_trial_have_a_range() {
+fn arguments_of_a_trial_have_a_range() {
     let jobs = "error: invalid value '0' for '--jobs <JOBS>': 0 is not in 1..=10000
 
 For more information, try '--help'.
@@ -746,17 +749,17 @@
 
 #[test]
 fn help_of_the_program() {
-    let text = r"A node that sits beside each submitter and pushes its jobs to workers by lottery, and the module that decides
+    let text = r"Route requests from clients to workers; without a command, run a node as `serve` does
 
 Usage: postproxy [COMMAND]
 
 Commands:
   serve        Run a node until SIGTERM or SIGINT; RELAY_CONFIG names its configuration
-  check        Say what is wrong with an operator's file, or that nothing is
-  store        Look at a store's files, with its node stopped
-  fleet        Ask a running node about the other nodes
-  try          Try it all in one process: discovery, four workers, a node, and jobs of two classes
-  completions  Print a script that completes this program's words in a shell
+  check        Check an operator's file for errors
+  store        Inspect or compact a store's files while its node is stopped
+  fleet        Show or change the cluster membership through a running node
+  try          Run a trial in one process: discovery, four workers, a node, and requests of two classes
+  completions  Print a shell completion script
   help         Print this message or the help of the given subcommand(s)
 
 Options:
@@ -776,19 +779,19 @@
 
 Options:
       --operator <FILE>
-          The operator's file: which parts of the program are on
+          The operator's file, which enables optional parts of the program
           
           [env: POSTPROXY_OPERATOR=]
 
       --log-format <FORMAT>
-          How lines of the log look; goes before the operator's file
+          Format of log lines; takes precedence over the operator's file
 
           Possible values:
-          - text: For people
-          - json: An object a line
+          - text: Human-readable text
+          - json: One JSON object per line
 
       --log-levels <LEVELS>
-          Levels by module, such as info,postproxy::net::upstream::worker_list=debug; goes before the operator's file
+          Log levels by module, such as info,postproxy::net::upstream::worker_list=debug; takes precedence over the operator's file
 
   -h, --help
           Print help (see a summary with '-h')
@@ -798,7 +801,7 @@
 
 #[test]
 fn help_of_check() {
-    let text = r"Say what is wrong with an operator's file, or that nothing is
+    let text = r"Check an operator's file for errors
 
 Usage: postproxy check [OPTIONS] <FILE>
 
@@ -806,7 +809,7 @@
   <FILE>  The operator's file
 
 Options:
-      --config <FILE>  A node's configuration to check with it
+      --config <FILE>  A node's configuration file to check as well
   -h, --help           Print help
 ";
     assert_prints(&["check", "--help"], text);
@@ -814,15 +817,15 @@
 
 #[test]
 fn help_of_store() {
-    let text = r"Look at a store's files, with its node stopped
+    let text = r"Inspect or compact a store's files while its node is stopped
 
 Usage: postproxy store <COMMAND>
 
 Commands:
-  verify   Read every record and say what is damaged, torn or lost; with a mirror, repair it
-  dump     Print every record as an object a line
-  compact  Give back the space of all that is not live
-  stat     Print figures
+  verify   Read every record and report damaged, torn or lost ones; with a mirror, repair them
+  dump     Print every record as a JSON object, one per line
+  compact  Reclaim the space of records that are no longer live
+  stat     Print statistics: records, bytes and segments
   help     Print this message or the help of the given subcommand(s)
 
 Options:
@@ -833,7 +836,7 @@
 
 #[test]
 fn help_of_store_verify() {
-    let text = r"Read every record and say what is damaged, torn or lost; with a mirror, repair it
+    let text = r"Read every record and report damaged, torn or lost ones; with a mirror, repair them
 
 Usage: postproxy store verify [OPTIONS] <DIR>
 
@@ -841,7 +844,7 @@
   <DIR>  The store's folder
 
 Options:
-      --mirror <DIR>  Its mirror's folder
+      --mirror <DIR>  The folder of the store's mirror
   -h, --help          Print help
 ";
     assert_prints(&["store", "verify", "--help"], text);
@@ -849,7 +852,7 @@
 
 #[test]
 fn help_of_store_dump() {
-    let text = r"Print every record as an object a line
+    let text = r"Print every record as a JSON object, one per line
 
 Usage: postproxy store dump [OPTIONS] <DIR>
 
@@ -857,7 +860,7 @@
   <DIR>  The store's folder
 
 Options:
-      --mirror <DIR>  Its mirror's folder
+      --mirror <DIR>  The folder of the store's mirror
   -h, --help          Print help
 ";
     assert_prints(&["store", "dump", "--help"], text);
@@ -865,7 +868,7 @@
 
 #[test]
 fn help_of_store_compact() {
-    let text = r"Give back the space of all that is not live
+    let text = r"Reclaim the space of records that are no longer live
 
 Usage: postproxy store compact [OPTIONS] <DIR>
 
@@ -873,7 +876,7 @@
   <DIR>  The store's folder
 
 Options:
-      --mirror <DIR>  Its mirror's folder
+      --mirror <DIR>  The folder of the store's mirror
   -h, --help          Print help
 ";
     assert_prints(&["store", "compact", "--help"], text);
@@ -881,7 +884,7 @@
 
 #[test]
 fn help_of_store_stat() {
-    let text = r"Print figures
+    let text = r"Print statistics: records, bytes and segments
 
 Usage: postproxy store stat [OPTIONS] <DIR>
 
@@ -889,7 +892,7 @@
   <DIR>  The store's folder
 
 Options:
-      --mirror <DIR>  Its mirror's folder
+      --mirror <DIR>  The folder of the store's mirror
   -h, --help          Print help
 ";
     assert_prints(&["store", "stat", "--help"], text);
@@ -897,13 +900,13 @@
 
 #[test]
 fn help_of_fleet() {
-    let text = r"Ask a running node about the other nodes
+    let text = r"Show or change the cluster membership through a running node
 
 Usage: postproxy fleet <COMMAND>
 
 Commands:
-  members  Who is there, who has failed or left, and how things stand, as one node sees it
-  forget   Counts a node that has failed no more, at all nodes: it will not come back
+  members  Show the cluster's members and its health as one node sees them
+  forget   Mark a failed node that will not come back as left, at all nodes
   help     Print this message or the help of the given subcommand(s)
 
 Options:
@@ -914,14 +917,14 @@
 
 #[test]
 fn help_of_fleet_members() {
-    let text = r"Who is there, who has failed or left, and how things stand, as one node sees it
+    let text = r"Show the cluster's members and its health as one node sees them
 
 Usage: postproxy fleet members [OPTIONS] --mgmt <ADDR>
 
 Options:
-      --mgmt <ADDR>  Where the node's operators call
-      --json         As the node tells it, in JSON
-      --watch        Again every second, until this program is ended
+      --mgmt <ADDR>  The management address of the node
+      --json         Print the status in JSON, as the node returns it
+      --watch        Print the status again every second until interrupted
   -h, --help         Print help
 ";
     assert_prints(&["fleet", "members", "--help"], text);
@@ -929,15 +932,15 @@
 
 #[test]
 fn help_of_fleet_forget() {
-    let text = r"Counts a node that has failed no more, at all nodes: it will not come back
+    let text = r"Mark a failed node that will not come back as left, at all nodes
 
 Usage: postproxy fleet forget --mgmt <ADDR> <NAME>
 
 Arguments:
-  <NAME>  The name of the node that will not come back
+  <NAME>  The name of the failed node
 
 Options:
-      --mgmt <ADDR>  Where the operators of some other node call
+      --mgmt <ADDR>  The management address of any other node
   -h, --help         Print help
 ";
     assert_prints(&["fleet", "forget", "--help"], text);
@@ -945,14 +948,14 @@
 
 #[test]
 fn help_of_try() {
-    let text = r"Try it all in one process: discovery, four workers, a node, and jobs of two classes
+    let text = r"Run a trial in one process: discovery, four workers, a node, and requests of two classes
 
 Usage: postproxy try [OPTIONS]
 
 Options:
-      --jobs <JOBS>        How many jobs of each class [default: 20]
-      --clients <CLIENTS>  How many clients at once [default: 4]
-      --fleet <NODES>      So many nodes, as processes that know each other: some are killed and stopped while jobs run
+      --jobs <JOBS>        Number of requests of each class [default: 20]
+      --clients <CLIENTS>  Number of concurrent clients [default: 4]
+      --fleet <NODES>      Run a cluster of this many nodes, each in its own process; kill and pause some under load
   -h, --help               Print help
 ";
     assert_prints(&["try", "--help"], text);
@@ -960,12 +963,12 @@
 
 #[test]
 fn help_of_completions() {
-    let text = r"Print a script that completes this program's words in a shell
+    let text = r"Print a shell completion script
 
 Usage: postproxy completions <SHELL>
 
 Arguments:
-  <SHELL>  The shell [possible values: bash, elvish, fish, powershell, zsh]
+  <SHELL>  The shell that the script is for [possible values: bash, elvish, fish, powershell, zsh]
 
 Options:
   -h, --help  Print help
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -148,11 +148,11 @@
 }"#;
 
 #[test]
-fn an_operator_file_with_every_key_is_sound() {
+fn an_operator_file_with_every_key_is_valid() {
     let folder = Folder::new(&test_name());
     folder.write("operator.json", FULL_OPERATOR_FILE);
-    let sound = (Some(0), "operator.json: sound\n".to_owned(), String::new());
-    assert_eq!(folder.run(&["check", "operator.json"], &[]), sound);
+    let valid = (Some(0), "operator.json: valid\n".to_owned(), String::new());
+    assert_eq!(folder.run(&["check", "operator.json"], &[]), valid);
 }
 
 #[test]
@@ -277,23 +277,23 @@
     let cases = [
         (
             r#"{"lgo": {}}"#,
-            "lgo: 'lgo' is not known here; the nearest name is 'log' at line 1 column 6",
+            "lgo: unknown name 'lgo' at line 1 column 6; the nearest known name is 'log'",
         ),
         (
             r#"{"stor": {}}"#,
-            "stor: 'stor' is not known here; the nearest name is 'store' at line 1 column 7",
+            "stor: unknown name 'stor' at line 1 column 7; the nearest known name is 'store'",
         ),
         (
             r#"{"fleets": {}}"#,
-            "fleets: 'fleets' is not known here; the nearest name is 'fleet' at line 1 column 9",
+            "fleets: unknown name 'fleets' at line 1 column 9; the nearest known name is 'fleet'",
         ),
         (
             r#"{"duty": {}}"#,
-            "duty: 'duty' is not known here; the nearest name is 'duties' at line 1 column 7",
+            "duty: unknown name 'duty' at line 1 column 7; the nearest known name is 'duties'",
         ),
         (
             r#"{"audits": {}}"#,
-            "audits: 'audits' is not known here; the nearest name is 'audit' at line 1 column 9",
+            "audits: unknown name 'audits' at line 1 column 9; the nearest known name is 'audit'",
         ),
     ];
     assert_operator_file_errors(&cases);
@@ -304,11 +304,11 @@
     let cases = [
         (
             r#"{"log": {"fromat": "json"}}"#,
-            "log.fromat: 'fromat' is not known here; the nearest name is 'format' at line 1 column 17",
+            "log.fromat: unknown name 'fromat' at line 1 column 17; the nearest known name is 'format'",
         ),
         (
             r#"{"log": {"level": "info"}}"#,
-            "log.level: 'level' is not known here; the nearest name is 'levels' at line 1 column 16",
+            "log.level: unknown name 'level' at line 1 column 16; the nearest known name is 'levels'",
         ),
     ];
     assert_operator_file_errors(&cases);
@@ -319,7 +319,7 @@
     let cases = [
         (
             r#"{"log": {"format": "jsn"}}"#,
-            "log.format: 'jsn' is not known here; the nearest name is 'json' at line 1 column 24",
+            "log.format: unknown name 'jsn' at line 1 column 24; the nearest known name is 'json'",
         ),
         (
             r#"{"log": {"format": 3}}"#,
@@ -331,7 +331,7 @@
         ),
         (
             r#"{"log": {"levels": "a=b"}}"#,
-            r#"log.levels: 'a=b' names no levels: error parsing level filter: expected one of "off", "error", "warn", "info", "debug", "trace", or a number 0-5"#,
+            r#"log.levels: 'a=b' is not a valid list of log levels: error parsing level filter: expected one of "off", "error", "warn", "info", "debug", "trace", or a number 0-5"#,
         ),
         (
             r#"{"log": 3}"#,
@@ -346,51 +346,51 @@
     let cases = [
         (
             r#"{"store": {"foldr": 1}}"#,
-            "store.foldr: 'foldr' is not known here; the nearest name is 'folder' at line 1 column 18",
+            "store.foldr: unknown name 'foldr' at line 1 column 18; the nearest known name is 'folder'",
         ),
         (
             r#"{"store": {"miror": 1}}"#,
-            "store.miror: 'miror' is not known here; the nearest name is 'mirror' at line 1 column 18",
+            "store.miror: unknown name 'miror' at line 1 column 18; the nearest known name is 'mirror'",
         ),
         (
             r#"{"store": {"segment_md": 1}}"#,
-            "store.segment_md: 'segment_md' is not known here; the nearest name is 'segment_mb' at line 1 column 23",
+            "store.segment_md: unknown name 'segment_md' at line 1 column 23; the nearest known name is 'segment_mb'",
         ),
         (
             r#"{"store": {"most_bm": 1}}"#,
-            "store.most_bm: 'most_bm' is not known here; the nearest name is 'most_mb' at line 1 column 20",
+            "store.most_bm: unknown name 'most_bm' at line 1 column 20; the nearest known name is 'most_mb'",
         ),
         (
             r#"{"store": {"keyed_durabel": 1}}"#,
-            "store.keyed_durabel: 'keyed_durabel' is not known here; the nearest name is 'keyed_durable' at line 1 column 26",
+            "store.keyed_durabel: unknown name 'keyed_durabel' at line 1 column 26; the nearest known name is 'keyed_durable'",
         ),
         (
             r#"{"store": {"patience": 1}}"#,
-            "store.patience: 'patience' is not known here; the nearest name is 'patience_ms' at line 1 column 21",
+            "store.patience: unknown name 'patience' at line 1 column 21; the nearest known name is 'patience_ms'",
         ),
         (
             r#"{"store": {"retention_ms": 1}}"#,
-            "store.retention_ms: 'retention_ms' is not known here; the nearest name is 'retention_s' at line 1 column 25",
+            "store.retention_ms: unknown name 'retention_ms' at line 1 column 25; the nearest known name is 'retention_s'",
         ),
         (
             r#"{"store": {"retention_of": 1}}"#,
-            "store.retention_of: 'retention_of' is not known here; the nearest name is 'retention_of_s' at line 1 column 25",
+            "store.retention_of: unknown name 'retention_of' at line 1 column 25; the nearest known name is 'retention_of_s'",
         ),
         (
             r#"{"store": {"result_bk": 1}}"#,
-            "store.result_bk: 'result_bk' is not known here; the nearest name is 'result_kb' at line 1 column 22",
+            "store.result_bk: unknown name 'result_bk' at line 1 column 22; the nearest known name is 'result_kb'",
         ),
         (
             r#"{"store": {"most_job": 1}}"#,
-            "store.most_job: 'most_job' is not known here; the nearest name is 'most_jobs' at line 1 column 21",
+            "store.most_job: unknown name 'most_job' at line 1 column 21; the nearest known name is 'most_jobs'",
         ),
         (
             r#"{"store": {"sync_delay": 1}}"#,
-            "store.sync_delay: 'sync_delay' is not known here; the nearest name is 'sync_delay_ms' at line 1 column 23",
+            "store.sync_delay: unknown name 'sync_delay' at line 1 column 23; the nearest known name is 'sync_delay_ms'",
         ),
         (
             r#"{"store": {"trouble": 1}}"#,
-            "store.trouble: 'trouble' is not known here; the nearest name is 'trouble_file' at line 1 column 20",
+            "store.trouble: unknown name 'trouble' at line 1 column 20; the nearest known name is 'trouble_file'",
         ),
     ];
     assert_operator_file_errors(&cases);
@@ -476,11 +476,11 @@
     let cases = [
         (
             r#"{"store": {"folder": ""}}"#,
-            "store.folder: names no folder",
+            "store.folder: must not be empty",
         ),
         (
             r#"{"store": {"folder": "a", "mirror": "a"}}"#,
-            "store.mirror: is the same folder as store.folder",
+            "store.mirror: must differ from store.folder",
         ),
         (
             r#"{"store": {"folder": "a", "segment_mb": 0}}"#,
@@ -523,47 +523,47 @@
     let cases = [
         (
             r#"{"fleet": {"clutser": 1}}"#,
-            "fleet.clutser: 'clutser' is not known here; the nearest name is 'cluster' at line 1 column 20",
+            "fleet.clutser: unknown name 'clutser' at line 1 column 20; the nearest known name is 'cluster'",
         ),
         (
             r#"{"fleet": {"listn": 1}}"#,
-            "fleet.listn: 'listn' is not known here; the nearest name is 'listen' at line 1 column 18",
+            "fleet.listn: unknown name 'listn' at line 1 column 18; the nearest known name is 'listen'",
         ),
         (
             r#"{"fleet": {"advertized": 1}}"#,
-            "fleet.advertized: 'advertized' is not known here; the nearest name is 'advertise' at line 1 column 23",
+            "fleet.advertized: unknown name 'advertized' at line 1 column 23; the nearest known name is 'advertise'",
         ),
         (
             r#"{"fleet": {"seed": 1}}"#,
-            "fleet.seed: 'seed' is not known here; the nearest name is 'seeds' at line 1 column 17",
+            "fleet.seed: unknown name 'seed' at line 1 column 17; the nearest known name is 'seeds'",
         ),
         (
             r#"{"fleet": {"voter": 1}}"#,
-            "fleet.voter: 'voter' is not known here; the nearest name is 'voters' at line 1 column 18",
+            "fleet.voter: unknown name 'voter' at line 1 column 18; the nearest known name is 'voters'",
         ),
         (
             r#"{"fleet": {"probe": 1}}"#,
-            "fleet.probe: 'probe' is not known here; the nearest name is 'probe_ms' at line 1 column 18",
+            "fleet.probe: unknown name 'probe' at line 1 column 18; the nearest known name is 'probe_ms'",
         ),
         (
             r#"{"fleet": {"answer": 1}}"#,
-            "fleet.answer: 'answer' is not known here; the nearest name is 'answer_ms' at line 1 column 19",
+            "fleet.answer: unknown name 'answer' at line 1 column 19; the nearest known name is 'answer_ms'",
         ),
         (
             r#"{"fleet": {"suspicion": 1}}"#,
-            "fleet.suspicion: 'suspicion' is not known here; the nearest name is 'suspicion_ms' at line 1 column 22",
+            "fleet.suspicion: unknown name 'suspicion' at line 1 column 22; the nearest known name is 'suspicion_ms'",
         ),
         (
             r#"{"fleet": {"gossip": 1}}"#,
-            "fleet.gossip: 'gossip' is not known here; the nearest name is 'gossip_ms' at line 1 column 19",
+            "fleet.gossip: unknown name 'gossip' at line 1 column 19; the nearest known name is 'gossip_ms'",
         ),
         (
             r#"{"fleet": {"helo": 1}}"#,
-            "fleet.helo: 'helo' is not known here; the nearest name is 'hello_ms' at line 1 column 17",
+            "fleet.helo: unknown name 'helo' at line 1 column 17; the nearest known name is 'hello_ms'",
         ),
         (
             r#"{"fleet": {"look_back": 1}}"#,
-            "fleet.look_back: 'look_back' is not known here; the nearest name is 'look_back_ms' at line 1 column 22",
+            "fleet.look_back: unknown name 'look_back' at line 1 column 22; the nearest known name is 'look_back_ms'",
         ),
     ];
     assert_operator_file_errors(&cases);
@@ -645,27 +645,27 @@
     let cases = [
         (
             r#"{"fleet": {"cluster": "", "listen": "127.0.0.1:1", "voters": ["a"]}}"#,
-            "fleet.cluster: names no cluster",
+            "fleet.cluster: must not be empty",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "advertise": "[::1]:1"}}"#,
-            "fleet.advertise: is of another family of addresses than fleet.listen",
+            "fleet.advertise: must be of the same address family as fleet.listen",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "advertise": "0.0.0.0:1"}}"#,
-            "fleet.advertise: is no address that others could reach",
+            "fleet.advertise: must be an address that other nodes can reach",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "advertise": "10.0.0.1:0"}}"#,
-            "fleet.advertise: is no address that others could reach",
+            "fleet.advertise: must be an address that other nodes can reach",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "0.0.0.0:1", "voters": ["a"]}}"#,
-            "fleet.advertise: must be given where fleet.listen is no single address",
+            "fleet.advertise: is required when fleet.listen is a wildcard address",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "seeds": ["127.0.0.1:1", "[::1]:1"]}}"#,
-            "fleet.seeds[1]: is of another family of addresses than fleet.listen",
+            "fleet.seeds[1]: must be of the same address family as fleet.listen",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": []}}"#,
@@ -685,7 +685,7 @@
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a", "b", "a"]}}"#,
-            "fleet.voters[2]: is named twice",
+            "fleet.voters[2]: is listed twice",
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"], "probe_ms": 9}}"#,
@@ -727,7 +727,7 @@
 fn all_that_is_wrong_with_fleet_is_named_at_once() {
     let cases = [(
         r#"{"fleet": {"cluster": "", "listen": "127.0.0.1:1", "advertise": "[::1]:1", "voters": ["a", "b", "a"]}}"#,
-        "fleet.cluster: names no cluster; fleet.advertise: is of another family of addresses than fleet.listen; fleet.voters[2]: is named twice",
+        "fleet.cluster: must not be empty; fleet.advertise: must be of the same address family as fleet.listen; fleet.voters[2]: is listed twice",
     )];
     assert_operator_file_errors(&cases);
 }
@@ -737,11 +737,11 @@
     let cases = [
         (
             r#"{"audit": {"beat": 1}}"#,
-            "audit.beat: 'beat' is not known here; the nearest name is 'beat_ms' at line 1 column 17",
+            "audit.beat: unknown name 'beat' at line 1 column 17; the nearest known name is 'beat_ms'",
         ),
         (
             r#"{"audit": {"discovry": "x"}}"#,
-            "audit.discovry: 'discovry' is not known here; the nearest name is 'discovery' at line 1 column 21",
+            "audit.discovry: unknown name 'discovry' at line 1 column 21; the nearest known name is 'discovery'",
         ),
         (
             r#"{"audit": 3}"#,
@@ -777,7 +777,7 @@
     let cases = [
         (
             r#"{"duties": {"lease": 1}}"#,
-            "duties.lease: 'lease' is not known here; the nearest name is 'lease_ms' at line 1 column 19",
+            "duties.lease: unknown name 'lease' at line 1 column 19; the nearest known name is 'lease_ms'",
         ),
         (
             r#"{"duties": 3}"#,
@@ -801,7 +801,7 @@
         ),
         (
             r#"{"fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a"]}, "duties": {}}"#,
-            "fleet.voters: must name 3, 5 or 7 nodes where duties is on",
+            "fleet.voters: must name 3, 5 or 7 nodes when the section duties is present",
         ),
     ];
     assert_operator_file_errors(&cases);
