--- a/src/bin/postproxy-drill.rs
+++ b/src/bin/postproxy-drill.rs
@@ -1,5 +1,5 @@
-//! Runs dispatchers for a simulator: reads batches of events from standard input and writes a reply
-//! with the actions to each batch to standard output.
+//! Runs dispatchers for a simulator: reads batches of events from standard input and, for each
+//! batch, writes a reply with the dispatchers' actions to standard output.
 #![forbid(unsafe_code)]
 
 use postproxy::simulator_protocol::{InstanceId, InstanceRecord, Record, Reply, read_batch};
@@ -41,13 +41,13 @@
 #[derive(Default)]
 struct Simulation {
     dispatchers: BTreeMap<InstanceId, Dispatcher>,
-    /// Actions of the current event, kept between events to reuse the memory.
+    /// Actions of the current event; a field so that events share one allocation.
     actions: Vec<Action>,
 }
 
 impl Simulation {
-    /// Applies a record and appends the resulting actions to the reply. Events of dispatchers that
-    /// don't run are ignored.
+    /// Applies a record and appends the resulting actions to the reply. Events for dispatchers that
+    /// aren't running are ignored.
     fn apply(
         &mut self,
         now: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! A routing node for jobs: it receives requests from clients and sends each to a suitable worker.
+//! A node that receives requests from clients and forwards each to a suitable worker.
 //!
 //! [`decision`] chooses the workers. Its [`Dispatcher`] is a deterministic state machine: the
 //! caller passes [`Event`]s with the current time to it and carries out the [`Action`]s that it
-//! returns. It owns no clock, socket or thread. [`net`] runs a dispatcher on sockets,
-//! [`simulator_protocol`] connects it to a simulator.
+//! returns. It owns no clock, socket or thread. [`net`] runs a dispatcher on sockets;
+//! [`simulator_protocol`] connects one to a simulator.
 //!
 //! ```
 //! use postproxy::{Action, Dispatcher, Entry, Event, Health, ListKind, NewRequest, Settings, WorkerId};
--- a/src/simulator_protocol/batch.rs
+++ b/src/simulator_protocol/batch.rs
@@ -5,16 +5,16 @@
 use super::records::{InstanceRecord, decode_record};
 use std::io::Read;
 
-/// Size of a batch's header: number, clock, size and count of the records.
+/// Size of a batch's header: batch number, clock, size and number of the records.
 const HEADER_BYTES: u64 = 20;
 
-/// Size of the count, which the stated size of a batch includes.
+/// Size of the header's record count, which is included in the stated size of a batch.
 const COUNT_BYTES: u64 = 4;
 
-/// A batch of records that happen at one time.
+/// A batch of records with the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Number of the batch, which the reply repeats.
+    /// Number of the batch, repeated in the reply.
     pub number: u32,
     /// Time of the records, in seconds.
     pub now: f64,
@@ -47,7 +47,7 @@
     let body_bytes = size
         .checked_sub(COUNT_BYTES)
         .ok_or(DecodeError::CountMismatch)?;
-    // `take` grows the buffer by what really arrives, so a hostile size costs nothing.
+    // `take` grows the buffer only by the bytes that arrive, so a forged size allocates nothing.
     let mut body = Vec::new();
     if input.by_ref().take(body_bytes).read_to_end(&mut body)? as u64 != body_bytes {
         return Err(DecodeError::Truncated);
--- a/src/simulator_protocol/cursor.rs
+++ b/src/simulator_protocol/cursor.rs
@@ -5,7 +5,7 @@
 /// The bytes of a record that have not been read yet.
 pub(super) struct Cursor<'a> {
     pub(super) remaining: &'a [u8],
-    /// Code of the record, which errors name.
+    /// Code of the record, for errors.
     pub(super) code: u8,
 }
 
--- a/src/simulator_protocol/error.rs
+++ b/src/simulator_protocol/error.rs
@@ -1,9 +1,9 @@
-//! Errors of decoding a batch.
+//! Errors in decoding a batch.
 
 use std::fmt;
 use std::io;
 
-/// A batch that can't be decoded.
+/// An error in reading or decoding a batch.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum DecodeError {
@@ -11,11 +11,11 @@
     Io(io::Error),
     /// The input ended within a batch.
     Truncated,
-    /// A record of this code ends before its fields do.
+    /// A record with this code is shorter than its fields.
     RecordTooShort(u8),
-    /// A record of this code has bytes after its fields.
+    /// A record with this code has bytes after its last field.
     RecordTooLong(u8),
-    /// No record has this code.
+    /// The code isn't that of any record.
     UnknownCode(u8),
     /// A field has a value that the protocol does not define.
     InvalidValue {
@@ -24,7 +24,8 @@
         /// The value.
         value: u32,
     },
-    /// The records don't fill the batch, or their number differs from the one that it states.
+    /// The stated size has no room for the record count, or the number of records differs from the
+    /// stated one.
     CountMismatch,
     /// The clock is not a finite number.
     InvalidClock,
@@ -36,15 +37,17 @@
             Self::Io(error) => write!(f, "reading a batch: {error}"),
             Self::Truncated => write!(f, "input ended within a batch"),
             Self::RecordTooShort(code) => {
-                write!(f, "record of code {code} is shorter than its fields")
+                write!(f, "record with code {code} is shorter than its fields")
             }
             Self::RecordTooLong(code) => {
-                write!(f, "record of code {code} is longer than its fields")
+                write!(f, "record with code {code} is longer than its fields")
+            }
+            Self::UnknownCode(code) => write!(f, "unknown record code {code}"),
+            Self::InvalidValue { field, value } => {
+                write!(f, "field {field} has the invalid value {value}")
             }
-            Self::UnknownCode(code) => write!(f, "unknown event code {code}"),
-            Self::InvalidValue { field, value } => write!(f, "field {field} can't be {value}"),
             Self::CountMismatch => {
-                write!(f, "a batch's count or size does not fit its records")
+                write!(f, "a batch's count or size does not match its records")
             }
             Self::InvalidClock => write!(f, "a batch's clock is not a finite number"),
         }
--- a/src/simulator_protocol/records.rs
+++ b/src/simulator_protocol/records.rs
@@ -11,14 +11,14 @@
 /// A record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A dispatcher starts with this seed and these settings.
+    /// Starts a dispatcher with this seed and these settings.
     Start {
         /// Seed of its random numbers.
         seed: u64,
         /// Settings as JSON text.
         settings: Vec<u8>,
     },
-    /// A dispatcher was stopped.
+    /// Stops a dispatcher.
     Stop,
     /// An event for a running dispatcher.
     Event(Event),
@@ -51,13 +51,13 @@
 /// Size of an entry of a worker list.
 const ENTRY_BYTES: usize = 24;
 
-/// Mark of a request that states its expected work.
-const STATES_WORK: u8 = 1;
+/// Flag of a request that states its expected work.
+const HAS_EXPECTED_WORK: u8 = 1;
 
-/// Mark of a request that is a retry of an earlier one.
+/// Flag of a request that is a retry of an earlier one.
 const IS_RETRY: u8 = 2;
 
-/// Decodes the fields of a record. Bytes that remain are the caller's to check.
+/// Decodes the fields of a record. The caller checks that no bytes remain.
 pub(super) fn decode_record(fields: &mut Cursor<'_>) -> Result<InstanceRecord, DecodeError> {
     if !(code::START..=code::ATTEMPT_PROGRESS).contains(&fields.code) {
         return Err(DecodeError::UnknownCode(fields.code));
@@ -98,7 +98,7 @@
 }
 
 fn decode_worker_list(fields: &mut Cursor<'_>) -> Result<Event, DecodeError> {
-    // A number of the list that the dispatcher does not use.
+    // The number of the list, which the dispatcher does not use.
     fields.read_u32()?;
     let kind = match fields.read_u8()? {
         0 => ListKind::Delta,
@@ -113,7 +113,7 @@
         }
     };
     let count = fields.read_u32()? as usize;
-    // The stated count is trusted only if all of its entries are there.
+    // Checked before any entry is decoded, so that a forged count allocates no memory.
     if count.checked_mul(ENTRY_BYTES) != Some(fields.remaining.len()) {
         return Err(if fields.remaining.len() / ENTRY_BYTES < count {
             DecodeError::RecordTooShort(fields.code)
@@ -136,17 +136,17 @@
     let expected_work = fields.read_f64()?;
     let slots = fields.read_f32()?;
     let memory = fields.read_f32()?;
-    let marks = fields.read_u8()?;
+    let flags = fields.read_u8()?;
     Ok(Event::RequestReceived(NewRequest {
         id,
         class,
         tenant,
         subject,
         time_limit,
-        expected_work: (marks & STATES_WORK != 0).then_some(expected_work),
+        expected_work: (flags & HAS_EXPECTED_WORK != 0).then_some(expected_work),
         slots: slots.into(),
         memory: memory.into(),
-        is_marked_retry: marks & IS_RETRY != 0,
+        is_marked_retry: flags & IS_RETRY != 0,
         without_key: false,
     }))
 }
@@ -205,7 +205,7 @@
 fn decode_attempt_progress(fields: &mut Cursor<'_>) -> Result<Event, DecodeError> {
     let request = fields.read_u64()?;
     let attempt = fields.read_u16()?;
-    // The worker, which the attempt's number gives already.
+    // The worker, which the attempt number already identifies.
     decode_worker(fields)?;
     let topic = fields.read_u8()?;
     let value = fields.read_f32()?;
--- a/src/simulator_protocol/reply.rs
+++ b/src/simulator_protocol/reply.rs
@@ -3,7 +3,7 @@
 use super::InstanceId;
 use crate::decision::interface::{Action, RequestId, WorkerId};
 
-/// Size of a reply's header: number of the batch and size of the actions.
+/// Size of a reply's header: batch number and size of the actions.
 const HEADER_BYTES: usize = 8;
 
 /// Size of an action's header: its code and the size of its fields.
@@ -20,7 +20,7 @@
     pub const CANCEL: u8 = 26;
 }
 
-/// A reply that is being encoded.
+/// Encoder of a reply.
 #[derive(Debug)]
 pub struct Reply {
     bytes: Vec<u8>,
@@ -50,7 +50,7 @@
     fn push_fields(&mut self, action: &Action) -> u8 {
         match *action {
             Action::WatchDiscovery => {
-                // The value that asks for a watch.
+                // The value that requests a watch.
                 self.bytes.push(1);
                 code::WATCH_DISCOVERY
             }
--- a/src/stand_ins/discovery.rs
+++ b/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! A simplified discovery service: a worker list whose workers are in service until they are
+//! A simplified discovery service with a fixed list of workers, which are in service until they are
 //! drained.
 
 use super::http_server::{ServerResponse, serve};
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a watch looks for a new revision, in milliseconds.
+/// How often a watch checks for a new revision, in milliseconds.
 const WATCH_POLL_INTERVAL_MS: u64 = 5;
-/// The revision of the list that all workers are in from the start.
+/// The revision of the initial list, in which all workers are in service.
 const FIRST_REVISION: u64 = 1;
 
 /// A discovery service on loopback.
@@ -24,11 +24,11 @@
     changes: Arc<Mutex<Changes>>,
 }
 
-/// What has changed since the first revision of the list.
+/// The changes since the first revision of the list.
 #[derive(Clone, Debug)]
 struct Changes {
     revision: u64,
-    /// The workers that are draining, each with the revision in which that began.
+    /// The draining workers, each with the revision that began its draining.
     draining: HashMap<String, u64>,
 }
 
@@ -65,7 +65,7 @@
         Ok(Self { address, changes })
     }
 
-    /// Begins to drain the worker with this name: it is to get no new requests.
+    /// Begins to drain the worker with this name, so that nodes send it no new requests.
     pub fn drain(&self, worker: &str) {
         let mut changes = lock(&self.changes);
         changes.revision += 1;
@@ -74,13 +74,13 @@
     }
 }
 
-/// Returns the worker as a member of the list, in service.
+/// Returns the worker's entry in the list, in service.
 fn member_json(worker: &Worker) -> Value {
     serde_json::json!({"id": worker.name, "host_port": worker.address.to_string(), "locality": "riga",
         "flavor": "std-4", "cell": 1, "phase": "in_service", "size": 1.0, "up_since_ms": 0})
 }
 
-/// The worker list as the server's threads see it.
+/// The worker list, shared by the server's threads.
 #[derive(Clone)]
 struct WorkerList {
     members: Vec<Value>,
@@ -88,8 +88,8 @@
 }
 
 impl WorkerList {
-    /// Returns the body of the response to a request for this target: the list, or for a watch the
-    /// changes after a revision, as soon as there are any or the watch's time is over.
+    /// Returns the body of the response to a request for this target: the whole list or, for a
+    /// watch, the changes after a revision. A watch waits for changes until its timeout.
     fn respond(&self, target: &str) -> String {
         let since = query_number(target, "since=");
         let timeout_ms = query_number(target, "timeout_ms=");
@@ -105,7 +105,7 @@
         self.to_json(Some(since))
     }
 
-    /// Returns the members that have changed after a revision, or all of them.
+    /// Returns the members that have changed after a revision; all members if there is none.
     fn to_json(&self, since: Option<u64>) -> String {
         let Changes { revision, draining } = lock(&self.changes).clone();
         let draining_since = |member: &Value| {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Returns the number after `name` in the target's query.
+/// Returns the number after `name`, such as `since=`, in the target's query.
 fn query_number(target: &str, name: &str) -> Option<u64> {
     let text = target.split(name).nth(1)?;
     text.split('&').next()?.parse().ok()
--- a/src/stand_ins/http_client.rs
+++ b/src/stand_ins/http_client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client that sends one request on a connection of its own.
+//! An HTTP client that opens a new connection for each request.
 
 use crate::net::transport::http::{self, ParseStatus};
 use std::io::{self, Read as _, Write};
@@ -12,8 +12,8 @@
 ///
 /// # Errors
 ///
-/// If the connection can't be made, ends before the response does, or is silent for 20 seconds; if
-/// the response can't be parsed.
+/// If the connection can't be made, closes before the response is complete, or is silent for
+/// 20 seconds; if the response can't be parsed.
 pub fn send_request(
     address: SocketAddr,
     method: &str,
--- a/src/stand_ins/http_server.rs
+++ b/src/stand_ins/http_server.rs
@@ -12,7 +12,7 @@
     pub(super) body: String,
 }
 
-/// Serves every connection in a thread of its own for as long as the process lives.
+/// Serves every connection in its own thread until the process exits.
 pub(super) fn serve(
     listener: TcpListener,
     handle_request: impl Fn(&Request) -> ServerResponse + Clone + Send + 'static,
@@ -21,7 +21,8 @@
         for stream in listener.incoming().flatten() {
             let handle_request = handle_request.clone();
             thread::spawn(move || {
-                // Clients close their connections whenever they like: that is no error.
+                // Clients may close their connections at any time, which is no failure of the
+                // server.
                 let _ = serve_connection(stream, handle_request);
             });
         }
--- a/src/stand_ins/mod.rs
+++ b/src/stand_ins/mod.rs
@@ -1,7 +1,8 @@
-//! Simplified peers of a node for trials and tests: discovery, workers, and an HTTP client.
+//! Stand-ins for the services around a node, for trials and tests: discovery, workers, and an HTTP
+//! client.
 //!
-//! They run in threads of this process on loopback, and speak the platform's protocol as far as a
-//! node sees it.
+//! They run in threads of this process on loopback, and implement the parts of their protocols that
+//! a node uses.
 
 mod discovery;
 mod http_client;
@@ -14,7 +15,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks the mutex, also after a thread has panicked with the lock.
+/// Locks the mutex, even if a thread has panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/stand_ins/worker.rs
+++ b/src/stand_ins/worker.rs
@@ -1,4 +1,5 @@
-//! A simplified worker: it accepts every request, and reports its end to the node some time later.
+//! A simplified worker: it accepts every request at once, and reports the result to the node in a
+//! callback after its service time.
 
 use super::http_client::send_request;
 use super::http_server::{ServerResponse, serve};
@@ -12,23 +13,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a call-back is sent until the node acknowledges it.
+/// Maximum number of attempts to deliver a callback.
 const MAX_CALLBACK_ATTEMPTS: u32 = 10;
-/// The pause after the first attempt of a call-back; it doubles after each further one.
+/// The backoff after the first attempt to deliver a callback; it doubles with each further attempt.
 const MIN_CALLBACK_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest pause between two attempts of a call-back.
+/// The maximum backoff between two attempts to deliver a callback.
 const MAX_CALLBACK_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What a worker has done.
+/// Record of a worker's requests.
 #[derive(Debug, Default)]
 struct Work {
-    /// How often each request was run, by its idempotency key or else its id.
+    /// Number of runs of each request, by its idempotency key or else its id.
     runs: HashMap<String, u32>,
-    /// The requests whose call-backs a node has acknowledged, each with its result.
+    /// The requests whose callbacks a node has acknowledged, by the same keys, with their results.
     acknowledged: Vec<(String, String)>,
 }
 
-/// A worker on loopback. The result of a request is its body in capitals.
+/// A worker on loopback. The result of a request is its body in upper case.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// Its name in the worker list.
@@ -41,18 +42,18 @@
     stopped: Arc<AtomicBool>,
 }
 
-/// A request that has run, and is to be reported.
+/// A finished request whose result is to be reported.
 #[derive(Clone)]
 struct FinishedRequest {
     /// Its idempotency key, or else its id.
     key: String,
     result: String,
-    /// The body of its call-back.
+    /// The body of its callback.
     callback: String,
 }
 
 impl Worker {
-    /// Starts a worker at which every request takes this long.
+    /// Starts a worker with this service time.
     ///
     /// # Errors
     ///
@@ -74,32 +75,34 @@
         Ok(worker)
     }
 
-    /// Sends its call-backs to this node.
+    /// Sets the node that receives its callbacks.
     pub fn report_to(&self, node: SocketAddr) {
         *lock(&self.nodes) = vec![node];
     }
 
-    /// Sends its call-backs to all of these nodes; each acknowledges also those that aren't for it.
+    /// Sets the nodes that receive its callbacks; each node acknowledges also callbacks for
+    /// requests of other nodes.
     pub fn report_to_all(&self, nodes: &[SocketAddr]) {
         *lock(&self.nodes) = nodes.to_vec();
     }
 
-    /// Returns how often each request was run, by its idempotency key or else its id.
+    /// Returns the number of runs of each request, by its idempotency key or else its id.
     pub fn runs(&self) -> HashMap<String, u32> {
         lock(&self.work).runs.clone()
     }
 
-    /// Returns the requests whose call-backs a node has acknowledged, each with its result.
+    /// Returns the requests whose callbacks a node has acknowledged, by the same keys, with their
+    /// results.
     pub fn acknowledged(&self) -> Vec<(String, String)> {
         lock(&self.work).acknowledged.clone()
     }
 
-    /// Returns the number of requests that it hasn't reported yet.
+    /// Returns the number of requests whose callbacks haven't been acknowledged or given up.
     pub fn in_flight_count(&self) -> u64 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Stops the call-backs.
+    /// Stops sending callbacks.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
@@ -134,8 +137,8 @@
         empty(202)
     }
 
-    /// Reports the end of a request to all nodes, and waits until the first of them has
-    /// acknowledged it.
+    /// Sends the callback of a finished request to all nodes, and waits for the delivery to the
+    /// first of them.
     fn report(&self, id: &str, key: String, result: String) {
         let queue = self.in_flight_count().saturating_sub(1);
         let callback = serde_json::json!({"id": id, "from": self.name, "state": "done", "result": result,
@@ -154,14 +157,14 @@
         self.send_callback(nodes.first().copied(), &request);
     }
 
-    /// Sends a call-back until the node acknowledges it.
+    /// Sends a callback until the node acknowledges it.
     fn send_callback(&self, mut node: Option<SocketAddr>, request: &FinishedRequest) {
         let mut backoff = MIN_CALLBACK_BACKOFF;
         for _ in 0..MAX_CALLBACK_ATTEMPTS {
             if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
-            // The node may have become known since the last attempt.
+            // The worker may have been given a node since the last attempt.
             node = node.or_else(|| lock(&self.nodes).first().copied());
             let response = node.map(|node| {
                 send_request(
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -278,23 +278,23 @@
         (DecodeError::Truncated, "input ended within a batch"),
         (
             DecodeError::RecordTooShort(3),
-            "record of code 3 is shorter than its fields",
+            "record with code 3 is shorter than its fields",
         ),
         (
             DecodeError::RecordTooLong(4),
-            "record of code 4 is longer than its fields",
+            "record with code 4 is longer than its fields",
         ),
-        (DecodeError::UnknownCode(99), "unknown event code 99"),
+        (DecodeError::UnknownCode(99), "unknown record code 99"),
         (
             DecodeError::InvalidValue {
                 field: "outcome",
                 value: 77,
             },
-            "field outcome can't be 77",
+            "field outcome has the invalid value 77",
         ),
         (
             DecodeError::CountMismatch,
-            "a batch's count or size does not fit its records",
+            "a batch's count or size does not match its records",
         ),
         (
             DecodeError::InvalidClock,
@@ -337,7 +337,7 @@
     assert_eq!(drill(b"\x01\0\0"), truncated);
     let count = (
         Some(1),
-        "postproxy-drill: a batch's count or size does not fit its records\n".to_owned(),
+        "postproxy-drill: a batch's count or size does not match its records\n".to_owned(),
     );
     assert_eq!(drill(&[0; 20]), count);
 }
