--- a/crates/diagnostics/src/lib.rs
+++ b/crates/diagnostics/src/lib.rs
@@ -1,20 +1,20 @@
-//! Diagnostics: errors that tell an operator what to do.
+//! Diagnostics: errors with a stable code, such as `duties.no_majority`, and a remedy for
+//! operators.
 //!
-//! Each has a stable code, such as `duties.no_majority`, and a remedy in plain words. The
-//! management API, the log and the command `check` show both; `docs/operate/errors.md` lists them
-//! all.
+//! The management API, the log and the command `check` show both; `docs/operate/errors.md` lists
+//! all of them.
 
 use serde::{Deserialize, Serialize};
 
 /// An error with a code and a remedy. [`diagnostics!`] implements it for an error type.
 pub trait Diagnostic: std::error::Error {
-    /// Returns the code, `SUBJECT.WORD`. The code of an error never changes.
+    /// Returns the code, in the form `SUBJECT.WORD`. The code of an error never changes.
     fn code(&self) -> &'static str;
 
-    /// Returns what an operator can do.
+    /// Returns what an operator can do about the error.
     fn remedy(&self) -> &'static str;
 
-    /// Returns the error as the management API shows it.
+    /// Returns the body of the management API's response for the error.
     fn error_body(&self) -> ErrorBody {
         let code = self.code();
         let subject = code.split('.').next().unwrap_or_default();
@@ -34,14 +34,14 @@
     pub error: String,
     /// The code.
     pub code: String,
-    /// What is wrong.
+    /// The error's message.
     pub what: String,
     /// What an operator can do.
     pub remedy: String,
 }
 
-/// Implements [`Diagnostic`] for an error type, from a list of patterns with the code and the
-/// remedy of each, and defines a constant that lists all codes with their remedies.
+/// Implements [`Diagnostic`] for an error type from a list of patterns, each with a code and a
+/// remedy, and defines a constant with all codes and their remedies.
 ///
 /// ```
 /// # #[derive(Debug)]
@@ -83,7 +83,7 @@
             }
         }
 
-        /// All codes of this type, each with what an operator can do.
+        /// All codes of this error type with their remedies.
         pub const $all: &[(&str, &str)] = &[$(($code, $remedy)),+];
     };
 }
--- a/crates/diagnostics/tests/surface.rs
+++ b/crates/diagnostics/tests/surface.rs
@@ -1,8 +1,7 @@
 //! Pins the JSON body of an error at the management API.
 //!
-//! Programs read these keys. They are the field names of a Rust struct, so that renaming a field
-//! would change them unseen: the text below is literal and does not follow a rename. Keep the key
-//! with `#[serde(rename)]` instead of changing the literal.
+//! Programs read these keys, which are the field names of a Rust struct. If a field is renamed,
+//! keep its key with `#[serde(rename)]` instead of changing the literal below.
 
 use postproxy_diagnostics::{Diagnostic, ErrorBody};
 
--- a/crates/fault-injection/src/check.rs
+++ b/crates/fault-injection/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a history and the nodes' logs after the fact, and names the first violation of a promise.
+//! Checks a recorded history and the nodes' logs, and reports the first violation of a guarantee.
 
 pub use crate::failure_reports::{NodeLog, check_failure_reports, parse_log_time};
 
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How long before a request a fault of its node still explains that the connection ended, in
-/// seconds: the node may have been back for less than that.
+/// How long before a request a fault of its node still explains a closed connection, in seconds: a
+/// node that came back this recently may still close connections.
 const FAULT_MARGIN_SECONDS: f64 = 1.0;
 
 /// A line of a log.
@@ -19,18 +19,18 @@
     pub line: usize,
 }
 
-/// A promise that was violated.
+/// A violation of a guarantee.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The promise.
-    pub promise: &'static str,
+    /// The guarantee.
+    pub guarantee: &'static str,
     /// When it was violated, in seconds from the history's start.
     pub at_seconds: f64,
-    /// What was seen.
-    pub seen: String,
-    /// The latest step before it.
+    /// What was observed.
+    pub observed: String,
+    /// The latest step or note before it.
     pub step: String,
-    /// Where it was seen, if in a log.
+    /// The log line that shows it, if any.
     pub position: Option<LogPosition>,
 }
 
@@ -38,8 +38,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "at {:.3} s: {}: {}; the step before: {}",
-            self.at_seconds, self.promise, self.seen, self.step
+            "at {:.3} s: {}: {}; preceding step: {}",
+            self.at_seconds, self.guarantee, self.observed, self.step
         )?;
         match &self.position {
             Some(LogPosition { path, line }) => write!(f, "; {path}:{line}"),
@@ -49,7 +49,7 @@
 }
 
 /// Returns the text of the latest step or note up to this time.
-pub(crate) fn step_before(entries: &[HistoryEntry], at_seconds: f64) -> String {
+pub(crate) fn preceding_step(entries: &[HistoryEntry], at_seconds: f64) -> String {
     let notes = entries
         .iter()
         .take_while(|entry| entry.at_seconds <= at_seconds)
@@ -60,11 +60,12 @@
     notes.last().unwrap_or("none").to_owned()
 }
 
-/// Checks what clients and workers saw:
+/// Checks the observations of clients and workers:
 ///
-/// - each request has one response;
-/// - a response that claims to be a worker's is one;
-/// - a node that wasn't killed, paused or shut down since it got a request responds to it;
+/// - each request has exactly one response;
+/// - each response body comes from a worker or from the node itself;
+/// - a node that wasn't killed, started, paused or resumed shortly before or after it received a
+///   request responds to it;
 /// - no request runs more often than `max_run_count` times.
 ///
 /// # Errors
@@ -82,20 +83,20 @@
         .iter()
         .try_for_each(|entry| check.apply(entry))
         .and_then(|()| check.finish());
-    result.map_err(|broken| Violation {
-        promise: broken.promise,
-        at_seconds: broken.at_seconds,
-        seen: broken.seen,
-        step: step_before(&entries, broken.at_seconds),
+    result.map_err(|violation| Violation {
+        guarantee: violation.guarantee,
+        at_seconds: violation.at_seconds,
+        observed: violation.observed,
+        step: preceding_step(&entries, violation.at_seconds),
         position: None,
     })
 }
 
-/// A violation without the step before it.
-struct BrokenPromise {
-    promise: &'static str,
+/// A violation whose preceding step hasn't been looked up yet.
+struct PartialViolation {
+    guarantee: &'static str,
     at_seconds: f64,
-    seen: String,
+    observed: String,
 }
 
 /// A request that a client has sent.
@@ -104,7 +105,7 @@
     node: usize,
 }
 
-/// What [`check_responses`] knows up to an entry of the history.
+/// State of [`check_responses`] after the entries that have been checked so far.
 struct ResponseCheck {
     max_run_count: u32,
     /// The requests by their ids.
@@ -115,18 +116,18 @@
     last_faults: BTreeMap<usize, f64>,
 }
 
-impl BrokenPromise {
-    fn new(promise: &'static str, at_seconds: f64, seen: String) -> Self {
+impl PartialViolation {
+    fn new(guarantee: &'static str, at_seconds: f64, observed: String) -> Self {
         Self {
-            promise,
+            guarantee,
             at_seconds,
-            seen,
+            observed,
         }
     }
 }
 
 impl ResponseCheck {
-    fn apply(&mut self, entry: &HistoryEntry) -> Result<(), BrokenPromise> {
+    fn apply(&mut self, entry: &HistoryEntry) -> Result<(), PartialViolation> {
         let at_seconds = entry.at_seconds;
         match &entry.event {
             Event::Note(text) => {
@@ -156,34 +157,47 @@
         }
     }
 
-    fn apply_sent(&mut self, at_seconds: f64, id: &str, node: usize) -> Result<(), BrokenPromise> {
+    fn apply_sent(
+        &mut self,
+        at_seconds: f64,
+        id: &str,
+        node: usize,
+    ) -> Result<(), PartialViolation> {
         let request = SentRequest { at_seconds, node };
         match self.sent.insert(id.to_owned(), request) {
             Some(_) => {
-                let seen = format!("{id} asked twice");
-                Err(BrokenPromise::new(
-                    "ids are a client's own",
+                let observed = format!("{id} sent twice");
+                Err(PartialViolation::new(
+                    "each request id is sent once",
                     at_seconds,
-                    seen,
+                    observed,
                 ))
             }
             None => Ok(()),
         }
     }
 
-    /// Checks that this is the only response, and to a request that was sent; returns the request.
-    fn apply_answer(&mut self, at_seconds: f64, id: &str) -> Result<&SentRequest, BrokenPromise> {
+    /// Checks that this is the first response to a request that was sent; returns the request.
+    fn record_response(
+        &mut self,
+        at_seconds: f64,
+        id: &str,
+    ) -> Result<&SentRequest, PartialViolation> {
         let Some(request) = self.sent.get(id) else {
-            let seen = format!("{id} was not asked");
-            return Err(BrokenPromise::new(
-                "an answer has a question",
+            let observed = format!("{id} was not sent");
+            return Err(PartialViolation::new(
+                "every response belongs to a request",
                 at_seconds,
-                seen,
+                observed,
             ));
         };
         if !self.answered.insert(id.to_owned()) {
-            let seen = format!("{id} answered twice");
-            return Err(BrokenPromise::new("one final answer", at_seconds, seen));
+            let observed = format!("{id} answered twice");
+            return Err(PartialViolation::new(
+                "a request has at most one response",
+                at_seconds,
+                observed,
+            ));
         }
         Ok(request)
     }
@@ -193,13 +207,13 @@
         at_seconds: f64,
         id: &str,
         status: Option<u16>,
-    ) -> Result<(), BrokenPromise> {
-        self.apply_answer(at_seconds, id)?;
-        let seen = format!("{id}: {status:?}");
-        Err(BrokenPromise::new(
-            "no body that no worker made",
+    ) -> Result<(), PartialViolation> {
+        self.record_response(at_seconds, id)?;
+        let observed = format!("{id}: {status:?}");
+        Err(PartialViolation::new(
+            "every response body comes from a worker or a node",
             at_seconds,
-            seen,
+            observed,
         ))
     }
 
@@ -208,41 +222,46 @@
         at_seconds: f64,
         id: &str,
         status: Option<u16>,
-    ) -> Result<(), BrokenPromise> {
-        let request = self.apply_answer(at_seconds, id)?;
+    ) -> Result<(), PartialViolation> {
+        let request = self.record_response(at_seconds, id)?;
         let node = request.node;
         let earliest_fault = request.at_seconds - FAULT_MARGIN_SECONDS;
         let last_fault = self.last_faults.get(&node);
         if status.is_none() && last_fault.is_none_or(|last| *last < earliest_fault) {
-            let seen = format!("{id} broken off by n{node}");
-            return Err(BrokenPromise::new(
-                "who serves on answers",
+            let observed = format!("n{node} closed the connection of {id} without a response");
+            return Err(PartialViolation::new(
+                "a running node responds to its requests",
                 at_seconds,
-                seen,
+                observed,
             ));
         }
         Ok(())
     }
 
-    fn apply_run(&self, at_seconds: f64, key: &str, run_count: u32) -> Result<(), BrokenPromise> {
+    fn apply_run(
+        &self,
+        at_seconds: f64,
+        key: &str,
+        run_count: u32,
+    ) -> Result<(), PartialViolation> {
         if run_count <= self.max_run_count {
             return Ok(());
         }
-        let seen = format!("{key} run {run_count} times");
-        let promise = "no more runs than its class allows";
-        Err(BrokenPromise::new(promise, at_seconds, seen))
+        let observed = format!("{key} run {run_count} times");
+        let guarantee = "a request runs no more often than its class allows";
+        Err(PartialViolation::new(guarantee, at_seconds, observed))
     }
 
     /// Checks that all requests have a response.
-    fn finish(&self) -> Result<(), BrokenPromise> {
+    fn finish(&self) -> Result<(), PartialViolation> {
         let mut sent = self.sent.iter();
         match sent.find(|(id, _)| !self.answered.contains(*id)) {
             Some((id, request)) => {
-                let seen = format!("{id} at n{} has none", request.node);
-                Err(BrokenPromise::new(
-                    "a final word for all",
+                let observed = format!("{id}, sent to n{}, has no response", request.node);
+                Err(PartialViolation::new(
+                    "every request has a response",
                     request.at_seconds,
-                    seen,
+                    observed,
                 ))
             }
             None => Ok(()),
--- a/crates/fault-injection/src/failure_reports.rs
+++ b/crates/fault-injection/src/failure_reports.rs
@@ -1,27 +1,27 @@
-//! Checks the failure reports in the nodes' logs: each must have a cause in the history.
+//! Checks the failure reports in the nodes' logs: each must be caused by a fault in the history.
 
-use crate::check::{LogPosition, Violation, step_before};
+use crate::check::{LogPosition, Violation, preceding_step};
 use crate::{Event, History, HistoryEntry, Step};
 use std::collections::BTreeMap;
 
 /// How long after the end of a fault nodes may still report a failure for it, in seconds: detection
-/// takes some time, and datagrams may be on their way.
+/// takes time, and datagrams may still be in transit.
 const DETECTION_MARGIN_SECONDS: f64 = 10.0;
-/// What stands in a log line before the number of the node that is reported as failed.
-const REPORT: &str = "peer failed name=\"n";
+/// The text before the index of the failed node in the log line that reports it.
+const REPORT_PREFIX: &str = "peer failed name=\"n";
 
 /// The log of a node.
 #[derive(Clone, Debug)]
 pub struct NodeLog {
     /// The index of the node.
     pub node: usize,
-    /// The log's path, for messages.
+    /// The log's path, for error messages.
     pub path: String,
-    /// The whole log.
+    /// The content of the log.
     pub text: String,
 }
 
-/// A line of a log that reports a node as failed.
+/// A log line in which a node reports another as failed.
 struct FailureReport {
     at_seconds: f64,
     reporter: usize,
@@ -49,10 +49,10 @@
     match first {
         None => Ok(()),
         Some(report) => Err(Violation {
-            promise: "nobody is blamed without a cause",
+            guarantee: "every failure report has a cause",
             at_seconds: report.at_seconds,
-            seen: format!("n{} calls n{} failed", report.reporter, report.failed),
-            step: step_before(&entries, report.at_seconds),
+            observed: format!("n{} reports n{} as failed", report.reporter, report.failed),
+            step: preceding_step(&entries, report.at_seconds),
             position: Some(report.position),
         }),
     }
@@ -61,7 +61,7 @@
 /// Returns the failure reports in a log.
 fn failure_reports(history: &History, log: &NodeLog) -> Vec<FailureReport> {
     let report = |(index, line): (usize, &str)| {
-        let (before, after) = line.split_once(REPORT)?;
+        let (before, after) = line.split_once(REPORT_PREFIX)?;
         let failed = after.split('"').next()?.parse().ok()?;
         let unix_seconds = parse_log_time(before.split_whitespace().next()?)?;
         Some(FailureReport {
@@ -80,7 +80,7 @@
 /// Whether a fault in the history explains the report.
 fn has_cause(entries: &[HistoryEntry], report: &FailureReport) -> bool {
     let at_seconds = report.at_seconds;
-    // Until when each node was down; infinite while it is.
+    // The time until which each node was down; infinite while it still is.
     let mut down_until: BTreeMap<usize, f64> = BTreeMap::new();
     let mut links_faulty = false;
     let mut link_faults_ended = f64::NEG_INFINITY;
@@ -112,15 +112,16 @@
             .get(&node)
             .is_some_and(|until| at_seconds - *until < DETECTION_MARGIN_SECONDS)
     };
-    // A fault of any link counts: gossip of others can carry a wrong suspicion to the reporter.
+    // A fault of any link counts: gossip can carry a wrong suspicion from other nodes to the
+    // reporting one.
     was_down(report.reporter)
         || was_down(report.failed)
         || links_faulty
         || at_seconds - link_faults_ended < DETECTION_MARGIN_SECONDS
 }
 
-/// Returns the Unix time of a log line, such as `2026-12-01T22:45:50.576671Z`, in seconds; `None`
-/// if it isn't one.
+/// Parses the timestamp of a log line, such as `2026-12-01T22:45:50.576671Z`, to a Unix time in
+/// seconds; `None` if the text is not a timestamp.
 pub fn parse_log_time(text: &str) -> Option<f64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let date: Vec<i64> = date
@@ -149,7 +150,7 @@
 
 /// Returns the number of days from 1 January 1970 in the proleptic Gregorian calendar.
 fn days_since_epoch(year: i64, month: i64, day: i64) -> i64 {
-    // Counted in years that begin in March, so that the leap day is the last one.
+    // Years are counted from March, so that the leap day is the last day of a year.
     let (year, month) = if month <= 2 {
         (year - 1, month + 9)
     } else {
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,13 +1,14 @@
-//! The history of a test: what was done to a cluster and seen of it, in order of time.
+//! The history of a test: the steps taken against a cluster and the observations, ordered by time.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What happened.
+/// An event of a history.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Something was done, or came to hold. The text of a [`crate::Step`] counts as that step.
+    /// A step was taken, or a condition was observed. The checks parse the text as a
+    /// [`crate::Step`] if it is one.
     Note(String),
     /// A client sent a request to a node.
     RequestSent {
@@ -16,20 +17,20 @@
         /// The index of the node.
         node: usize,
     },
-    /// A client got the response to its request, or the connection ended before that.
+    /// A client received the response to its request, or the connection closed without one.
     ResponseReceived {
         /// The request's id.
         id: String,
-        /// The status of the response; `None` if the connection ended.
+        /// The status of the response; `None` if the connection closed without one.
         status: Option<u16>,
-        /// Whether a worker made this response, or a node may give it.
+        /// Whether the response can come from a worker or from the node itself.
         plausible: bool,
     },
-    /// Workers have run a request.
+    /// Workers ran a request.
     RequestRun {
         /// The request's idempotency key, or else its id.
         key: String,
-        /// How often it was run at all workers together.
+        /// Number of runs at all workers.
         run_count: u32,
     },
 }
@@ -44,17 +45,17 @@
 }
 
 impl HistoryEntry {
-    /// Returns an entry.
+    /// Returns an entry for an event at this time.
     pub fn new(at_seconds: f64, event: Event) -> Self {
         Self { at_seconds, event }
     }
 }
 
-/// A history that all threads of a test record to.
+/// A history, shared by the threads of a test.
 #[derive(Clone, Debug)]
 pub struct History {
     start: Instant,
-    /// Unix time of the start, in seconds; the times in logs are Unix times.
+    /// Unix time of the start, in seconds, to which the timestamps in logs are compared.
     start_unix_seconds: f64,
     entries: Arc<Mutex<Vec<HistoryEntry>>>,
 }
@@ -89,12 +90,12 @@
     /// Records an event that happens now.
     pub fn record(&self, event: Event) {
         let mut entries = self.lock();
-        // The time is taken with the lock, so that the entries are in order of time.
+        // The time is taken while the lock is held, so that the entries are ordered by time.
         let at_seconds = self.start.elapsed().as_secs_f64();
         entries.push(HistoryEntry { at_seconds, event });
     }
 
-    /// Records what is done now, or seen to hold.
+    /// Records a step that is taken now, or a condition that is observed.
     pub fn note(&self, text: impl Into<String>) {
         self.record(Event::Note(text.into()));
     }
@@ -115,7 +116,7 @@
         write!(f, "{:8.3} ", self.at_seconds)?;
         match &self.event {
             Event::Note(text) => write!(f, "{text}"),
-            Event::RequestSent { id, node } => write!(f, "  {id} asked at n{node}"),
+            Event::RequestSent { id, node } => write!(f, "  {id} sent to n{node}"),
             Event::ResponseReceived {
                 id,
                 status: Some(status),
@@ -125,11 +126,13 @@
                 id,
                 status: Some(status),
                 plausible: false,
-            } => write!(f, "  {id} answered {status}, with what no worker made"),
+            } => write!(f, "  {id} answered {status}, with an implausible body"),
             Event::ResponseReceived {
                 id, status: None, ..
-            } => write!(f, "  {id} broken off"),
-            Event::RequestRun { key, run_count } => write!(f, "  {key} run, {run_count} in all"),
+            } => write!(f, "  {id} not answered: connection closed"),
+            Event::RequestRun { key, run_count } => {
+                write!(f, "  {key} run {run_count} times in total")
+            }
         }
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,12 +1,12 @@
-//! Fault injection for tests and trials; no part of the node.
+//! Fault injection for tests; not part of the node.
 //!
-//! - [`FaultyNetwork`]: proxies between nodes that lose, delay, cut and partition their traffic in
-//!   each direction.
-//! - [`Process`]: a process of the program, to be paused, resumed and killed.
-//! - [`Schedule`]: a random sequence of faults that can be written down and run again.
-//! - [`History`]: what was done and seen, for the message of a test that fails; [`check`] finds
-//!   violations in it.
-//! - [`Timeline`]: a drawing of what happened at several nodes.
+//! - [`FaultyNetwork`]: proxies between nodes that lose, duplicate, delay, reset and partition their
+//!   traffic, separately for each direction.
+//! - [`Process`]: a process of the program that can be paused, resumed and killed.
+//! - [`Schedule`]: a random sequence of faults that can be saved as text and run again.
+//! - [`History`]: the steps and observations of a test, printed when it fails; [`check`] finds
+//!   violations of the guarantees in it.
+//! - [`Timeline`]: a drawing of the events at several nodes.
 
 pub mod check;
 mod failure_reports;
@@ -25,7 +25,7 @@
 
 use std::time::{Duration, Instant};
 
-/// How often [`wait_until`] evaluates its condition.
+/// Interval between two evaluations of the condition of [`wait_until`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until the condition holds; returns whether it did within the timeout.
--- a/crates/fault-injection/src/network/connections.rs
+++ b/crates/fault-injection/src/network/connections.rs
@@ -1,4 +1,4 @@
-//! The proxy for the connections to one node.
+//! The proxy for connections to one node.
 
 use super::{LinkFaults, LinkId, ProxyTarget, uniform};
 use rand_core::SeedableRng;
@@ -8,21 +8,22 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often the proxy looks for new connections and bytes, and for the end of a partition.
+/// Interval at which the proxy checks for new connections and bytes, and for the end of a
+/// partition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The most bytes that are forwarded at once.
-const PIECE_BYTES: usize = 4096;
+/// Maximum size of a chunk that is forwarded at once.
+const MAX_CHUNK_BYTES: usize = 4096;
 
-/// Which way bytes go on a connection.
+/// The direction of bytes on a connection.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Way {
-    /// From the node that made the connection.
-    Out,
-    /// To the node that made the connection.
+    /// From the node that opened the connection.
+    Forth,
+    /// To the node that opened the connection.
     Back,
 }
 
-/// Forwards connections to one node, with the faults of their links.
+/// Forwards connections to one node, subject to the faults of their links.
 pub(super) struct ConnectionProxy {
     listener: TcpListener,
     target: ProxyTarget,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Accepts connections until the network is stopped, and forwards each in threads of its own.
+    /// Accepts connections until the network is stopped, and forwards each in its own threads.
     pub(super) fn run(self) {
         if self.listener.set_nonblocking(true).is_err() {
             return;
@@ -51,11 +52,11 @@
             };
             number += 1;
             let from = self.target.node_by_ip.get(&from.ip()).copied();
-            let out = self.direction(from, number, Way::Out);
+            let out = self.direction(from, number, Way::Forth);
             let back = self.direction(from, number, Way::Back);
             let address = self.target.address;
             thread::spawn(move || {
-                // A connection over a partitioned link is made when the partition is over.
+                // A connection over a partitioned link is opened when the partition ends.
                 out.wait_for_partition_end();
                 back.wait_for_partition_end();
                 if let Ok(target_stream) = TcpStream::connect(address) {
@@ -69,10 +70,10 @@
     fn direction(&self, from: Option<usize>, number: u64, way: Way) -> Direction {
         let to = self.target.node;
         let link = from.map(|from| match way {
-            Way::Out => LinkId { from, to },
+            Way::Forth => LinkId { from, to },
             Way::Back => LinkId { from: to, to: from },
         });
-        let seed = self.seed ^ number << 8 ^ u64::from(way == Way::Out);
+        let seed = self.seed ^ number << 8 ^ u64::from(way == Way::Forth);
         Direction {
             link,
             target: self.target.clone(),
@@ -83,11 +84,11 @@
 
 fn forward_both_ways(source: TcpStream, target: TcpStream, out: Direction, back: Direction) {
     let _ = source.set_nonblocking(false);
-    let (Ok(source_too), Ok(target_too)) = (source.try_clone(), target.try_clone()) else {
+    let (Ok(source_clone), Ok(target_clone)) = (source.try_clone(), target.try_clone()) else {
         return;
     };
     thread::spawn(move || out.forward(source, target));
-    back.forward(target_too, source_too);
+    back.forward(target_clone, source_clone);
 }
 
 /// One direction of a connection.
@@ -111,7 +112,7 @@
     /// Forwards bytes until the connection ends or the network is stopped.
     fn forward(mut self, mut from: TcpStream, mut to: TcpStream) {
         let _ = from.set_read_timeout(Some(POLL_INTERVAL));
-        let mut bytes = [0; PIECE_BYTES];
+        let mut bytes = [0; MAX_CHUNK_BYTES];
         while !self.target.is_stopped() {
             let size = match from.read(&mut bytes) {
                 Ok(size) => size,
@@ -123,16 +124,15 @@
                 let _ = to.shutdown(Shutdown::Write);
                 return;
             }
-            if self.forward_piece(&bytes[..size], &from, &mut to).is_err() {
+            if self.forward_chunk(&bytes[..size], &from, &mut to).is_err() {
                 let _ = from.shutdown(Shutdown::Both);
                 return;
             }
         }
     }
 
-    /// Forwards these bytes with the faults of the link. An error means that the connection has
-    /// ended.
-    fn forward_piece(
+    /// Forwards a chunk with the faults of the link; fails if the connection has closed.
+    fn forward_chunk(
         &mut self,
         bytes: &[u8],
         from: &TcpStream,
--- a/crates/fault-injection/src/network/datagrams.rs
+++ b/crates/fault-injection/src/network/datagrams.rs
@@ -1,4 +1,4 @@
-//! The proxy for the datagrams to one node.
+//! The proxy for datagrams to one node.
 
 use super::{LinkId, ProxyTarget, uniform};
 use rand_core::SeedableRng;
@@ -7,18 +7,18 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// How long the proxy waits for a datagram before it looks for delayed ones that are due.
+/// How long the proxy waits for a datagram before it checks for delayed datagrams that are due.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2);
-/// The longest datagram, in bytes.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// A datagram that is delayed.
+/// A delayed datagram.
 struct Delayed {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// Forwards datagrams to one node, with the faults of their links.
+/// Forwards datagrams to one node, subject to the faults of their links.
 pub(super) struct DatagramProxy {
     socket: UdpSocket,
     target: ProxyTarget,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Loses, duplicates and delays a datagram by the faults of its link.
+    /// Loses, duplicates or delays a datagram according to the faults of its link.
     fn receive(&mut self, bytes: &[u8], from: SocketAddr) {
         let to = self.target.node;
         let from = self.target.node_by_ip.get(&from.ip()).copied();
--- a/crates/fault-injection/src/network/mod.rs
+++ b/crates/fault-injection/src/network/mod.rs
@@ -1,8 +1,8 @@
-//! The network between nodes: a proxy stands before each node, and applies the faults of the link
-//! to what it forwards.
+//! The network between nodes: a proxy in front of each node forwards datagrams and connections to
+//! it with the faults of the link.
 //!
-//! A proxy knows by the sender's address on which link a datagram or a connection is. Random faults
-//! come from a seed.
+//! A proxy identifies the link of a datagram or a connection by the sender's address. Random faults
+//! are derived from a seed.
 
 mod connections;
 mod datagrams;
@@ -19,29 +19,30 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often another port is tried if a port is free for datagrams but not for connections.
+/// Maximum number of ports that are tried until one is free for both datagrams and connections.
 const MAX_PORT_ATTEMPTS: u32 = 32;
 
-/// The faults of a link: of the datagrams and connections in one direction between two nodes.
+/// The faults of a link, which carries the datagrams and connections in one direction between two
+/// nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// All datagrams are lost. The bytes of a connection, and its end, wait until the partition is
-    /// over.
+    /// Whether the link is partitioned: all datagrams are lost, and the bytes and the closing of
+    /// connections are held back until the partition ends.
     pub partitioned: bool,
     /// Share of datagrams that are lost, from 0 to 1.
     pub loss_rate: f64,
     /// Share of datagrams that are sent twice, from 0 to 1.
     pub duplication_rate: f64,
-    /// The longest delay. Each datagram has a random one, so that they arrive out of order.
+    /// Maximum delay. Each datagram has a random delay, so that datagrams arrive out of order.
     pub max_delay: Duration,
-    /// Share of the pieces of a connection in whose middle it is closed on both sides, from 0 to 1.
+    /// Probability, from 0 to 1, that a connection is closed on both sides within a forwarded
+    /// chunk.
     pub reset_rate: f64,
-    /// The most bytes a second of a connection; 0 for no limit.
+    /// Maximum throughput of a connection, in bytes per second; 0 for no limit.
     pub max_bytes_per_second: u32,
 }
 
-/// Returns this many addresses of the loopback network that no other test process uses, and that no
-/// other call returns.
+/// Returns this many loopback addresses that neither another test process nor another call uses.
 pub fn loopback_addresses(count: u8) -> Vec<IpAddr> {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -57,19 +58,19 @@
     (0..count).map(address).collect()
 }
 
-/// A link: one direction between two nodes, which are given by their indexes.
+/// One direction between two nodes, given by their indexes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct LinkId {
     from: usize,
     to: usize,
 }
 
-/// The faults of all links; a link without an entry has none.
+/// The faults of all links. A link without an entry has no faults.
 #[derive(Clone, Debug, Default)]
 struct LinkTable(Arc<Mutex<HashMap<LinkId, LinkFaults>>>);
 
 impl LinkTable {
-    /// Returns the faults of a link. Senders that are no nodes of the network have no link, and no
+    /// Returns the faults of a link. Senders that are not nodes of the network have no link and no
     /// faults.
     fn faults(&self, link: Option<LinkId>) -> LinkFaults {
         let links = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -92,7 +93,7 @@
     }
 }
 
-/// What the proxies of a node have in common.
+/// State that is shared by the proxies of a node.
 #[derive(Clone, Debug)]
 struct ProxyTarget {
     /// The index of the node.
@@ -156,7 +157,7 @@
         })
     }
 
-    /// Returns the address of this node's proxy, which the other nodes are to be given.
+    /// Returns the address of this node's proxy, which the node must advertise.
     pub fn proxy_address(&self, node: usize) -> SocketAddr {
         self.proxy_addresses[node]
     }
@@ -202,7 +203,7 @@
     }
 }
 
-/// Returns a socket for datagrams and a listener for connections at the same port.
+/// Binds a socket for datagrams and a listener for connections to the same port.
 fn bind_same_port(ip: IpAddr) -> io::Result<(UdpSocket, TcpListener)> {
     let mut attempts_left = MAX_PORT_ATTEMPTS;
     loop {
@@ -215,7 +216,7 @@
     }
 }
 
-/// Returns a random number from 0 up to, but not including, 1.
+/// Returns a random number from 0 (inclusive) to 1 (exclusive).
 fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,5 @@
-//! A process of the program under test: it can be paused, resumed, reloaded, shut down and killed.
+//! A process of the program under test, which can be paused, resumed, reloaded, shut down and
+//! killed.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -6,17 +7,17 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A process. It is killed when this is dropped.
+/// A process, which is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// The file that it logs to; empty if the caller has set up its output.
+    /// Path of its log file; empty if the caller has configured its output.
     log: PathBuf,
     paused: bool,
 }
 
 impl Process {
-    /// Starts the program; what it logs is appended to the file `log`.
+    /// Starts the program and appends its log to the file `log`.
     ///
     /// # Errors
     ///
@@ -41,7 +42,7 @@
         })
     }
 
-    /// Starts a command as it is.
+    /// Starts a command whose output the caller has configured.
     ///
     /// # Errors
     ///
@@ -54,12 +55,12 @@
         })
     }
 
-    /// Has it reload its configuration (SIGHUP).
+    /// Makes it reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Kills it and waits for its end (SIGKILL).
+    /// Kills it (SIGKILL) and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -77,24 +78,23 @@
         self.paused = false;
     }
 
-    /// Has it shut down gracefully (SIGTERM).
+    /// Makes it shut down gracefully (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Returns whether it has exited with success; `None` while it runs.
+    /// Returns whether it exited with success; `None` while it is running.
     pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().ok()?.map(|status| status.success())
     }
 
-    /// Returns all text in its log file, also that of earlier processes with the same file.
+    /// Returns the content of its log file, including that of earlier processes with the same file.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
     fn signal(&self, signal: Signal) {
-        // The process is our child and hasn't been waited for, so that its id can't be another
-        // process's.
+        // The process is a child that hasn't been waited for, so its id can't have been reused.
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules: the steps that are taken against a cluster, drawn from a seed, written down a line a
-//! step, and run again from that text.
+//! Schedules: sequences of steps against a cluster. They are generated from a seed, printed with
+//! one step per line, and can be run again from that text.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,11 +7,11 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// The shares of lost datagrams that a random step can set, in percent.
+/// The shares of lost datagrams, in percent, from which a random step chooses.
 const LOSS_PERCENT: [u8; 3] = [0, 5, 30];
-/// The shortest rest after a random step, and the unit in which it is prolonged, in milliseconds.
+/// The shortest rest after a random step, and the unit of longer ones, in milliseconds.
 const REST_UNIT_MS: u64 = 50;
-/// By how many units a rest is prolonged at most, exclusive.
+/// Exclusive upper bound of the number of units that are added to the shortest rest.
 const MAX_REST_UNITS: usize = 40;
 
 /// A step. Nodes and workers are given by their indexes.
@@ -27,9 +27,9 @@
     Wake(usize),
     /// Partition one direction between two nodes.
     Cut {
-        /// The node whose messages don't arrive.
+        /// The sending node.
         from: usize,
-        /// The node that doesn't get them.
+        /// The receiving node.
         to: usize,
     },
     /// Partition this node from all others.
@@ -43,14 +43,14 @@
     },
     /// Suspend a worker.
     Suspend {
-        /// The node at which an operator does that.
+        /// The node whose management API is called.
         node: usize,
         /// The worker.
         worker: usize,
     },
     /// Resume a suspended worker.
     Resume {
-        /// The node at which an operator does that.
+        /// The node whose management API is called.
         node: usize,
         /// The worker.
         worker: usize,
@@ -59,15 +59,15 @@
     Rest(u64),
 }
 
-/// Steps in their order.
+/// A sequence of steps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// The steps.
+    /// The steps, in order.
     pub steps: Vec<Step>,
 }
 
-/// Draws random steps that fit each other: only a running node is killed or paused, only a paused
-/// one resumed, and at least one runs at any time.
+/// Generates random steps that are valid in sequence: only running nodes are killed or paused, only
+/// paused nodes are resumed, and at least one node is running at any time.
 struct Generator {
     rng: Pcg64Mcg,
     node_count: usize,
@@ -77,11 +77,11 @@
 }
 
 impl Generator {
-    fn random_below(&mut self, below: usize) -> usize {
-        (self.rng.next_u64() % below.max(1) as u64) as usize
+    fn random_below(&mut self, bound: usize) -> usize {
+        (self.rng.next_u64() % bound.max(1) as u64) as usize
     }
 
-    /// Returns a random step; `None` if the one that was drawn doesn't fit.
+    /// Returns a random step; `None` if the chosen step is not valid now.
     fn next_step(&mut self) -> Option<Step> {
         let node = self.random_below(self.node_count);
         let down_count = self.killed.len() + self.paused.len();
@@ -168,7 +168,7 @@
     type Err = String;
 
     fn from_str(line: &str) -> Result<Self, String> {
-        let error = || format!("'{line}' is no step");
+        let error = || format!("'{line}' is not a step");
         let mut words = line.split_whitespace();
         let name = words.next().ok_or_else(error)?;
         let numbers = words
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -1,27 +1,27 @@
-//! Timelines: a history drawn as text. Time runs down, each node or worker has a column, and
-//! messages cross from one column to another.
+//! Timelines: events drawn as text. Time runs downwards, each node or worker has a column, and
+//! messages are arrows from one column to another.
 
 use std::fmt::Write;
 
-/// The widest drawing, in characters.
+/// Maximum width of a drawing, in characters.
 pub const MAX_WIDTH: usize = 160;
-/// The least width of a column, in characters.
+/// Minimum width of a column, in characters.
 const MIN_COLUMN_WIDTH: usize = 8;
-/// The greatest width of a column, in characters.
+/// Maximum width of a column, in characters.
 const MAX_COLUMN_WIDTH: usize = 24;
-/// The width of the column with the times, in characters.
+/// Width of the time column, in characters.
 const TIME_WIDTH: usize = 9;
-/// A stretch without marks that is longer than this many rounding units is drawn as one line.
-const MAX_GAP_UNITS: u64 = 10;
-/// The least rounding unit that counts for the length of such a stretch, in milliseconds.
-const MIN_GAP_UNIT_MS: u64 = 50;
+/// A gap between marks of at least this many rounding units is drawn as a line without a time.
+const MIN_GAP_UNITS: u64 = 10;
+/// Minimum rounding unit for the length of such a gap, in milliseconds.
+const MIN_ROUNDING_UNIT_MS: u64 = 50;
 
-/// What is drawn at a time.
+/// Something that is drawn at a point in time.
 #[derive(Clone, Debug, PartialEq)]
 enum Mark {
-    /// The state of a column from now on; empty for none in particular.
+    /// A column's state from then on; empty for the normal state.
     State { column: usize, state: String },
-    /// Something that happens in a column.
+    /// An event in a column.
     Event { column: usize, text: String },
     /// A message from one column to another.
     Message {
@@ -29,7 +29,7 @@
         to: usize,
         text: String,
     },
-    /// Something that happens to all columns.
+    /// An event that concerns all columns.
     GlobalEvent { text: String },
 }
 
@@ -40,7 +40,7 @@
     mark: Mark,
 }
 
-/// A history to be drawn.
+/// A sequence of marks to be drawn.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     columns: Vec<String>,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Sets the state of a column from this time on, in milliseconds. The state that it has already
-    /// is drawn once.
+    /// Sets the state of a column from this time on, in milliseconds. Has no effect if the column
+    /// has this state already.
     pub fn set_state(&mut self, at_ms: u64, column: usize, state: impl Into<String>) {
         let state = state.into();
         if last_state(&self.marks, column) != state {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Adds something that happens in a column.
+    /// Adds an event in a column.
     pub fn add_event(&mut self, at_ms: u64, column: usize, text: impl Into<String>) {
         let text = text.into();
         self.add(at_ms, Mark::Event { column, text });
@@ -77,7 +77,7 @@
         self.add(at_ms, Mark::Message { from, to, text });
     }
 
-    /// Adds something that happens to all columns.
+    /// Adds an event that concerns all columns.
     pub fn add_global_event(&mut self, at_ms: u64, text: impl Into<String>) {
         let text = text.into();
         self.add(at_ms, Mark::GlobalEvent { text });
@@ -87,8 +87,8 @@
         self.marks.push(TimedMark { at_ms, mark });
     }
 
-    /// Returns the part of the timeline from this time on; it begins with the states that the
-    /// columns had then.
+    /// Returns the part of the timeline from this time on, which begins with the states of the
+    /// columns at this time.
     pub fn since(&self, at_ms: u64) -> Self {
         let (before, after): (Vec<TimedMark>, Vec<TimedMark>) = self
             .marks
@@ -104,19 +104,20 @@
     }
 
     /// Returns the drawing. Times are in milliseconds from the first mark, rounded down to a
-    /// multiple of `round_ms`; a long stretch without marks is drawn as one line without a time.
+    /// multiple of `round_ms`; a long gap between marks is drawn as one line without a time.
     pub fn draw(&self, round_ms: u64) -> String {
         let round_ms = round_ms.max(1);
         let mut marks = self.marks.clone();
-        // The sort is stable: marks of one time stay in the order in which they were added.
+        // The sort is stable: marks with the same rounded time keep the order in which they were
+        // added.
         marks.sort_by_key(|mark| mark.at_ms / round_ms);
         let first_ms = marks.first().map_or(0, |mark| mark.at_ms);
         let mut drawing = Drawing::new(&self.columns);
         let mut last_ms: Option<u64> = None;
         for TimedMark { at_ms, mark } in marks {
             let time_ms = (at_ms - first_ms) / round_ms * round_ms;
-            let max_gap_ms = MAX_GAP_UNITS * round_ms.max(MIN_GAP_UNIT_MS);
-            if last_ms.is_some_and(|last_ms| time_ms >= last_ms + max_gap_ms) {
+            let min_gap_ms = MIN_GAP_UNITS * round_ms.max(MIN_ROUNDING_UNIT_MS);
+            if last_ms.is_some_and(|last_ms| time_ms >= last_ms + min_gap_ms) {
                 drawing.draw_gap();
             }
             let label = (last_ms != Some(time_ms)).then_some(time_ms);
@@ -136,7 +137,7 @@
     last.unwrap_or_default()
 }
 
-/// A drawing in the making.
+/// A drawing under construction.
 struct Drawing {
     text: String,
     /// The width of a column, in characters.
@@ -146,7 +147,7 @@
 }
 
 impl Drawing {
-    /// Returns a drawing with the names of the columns.
+    /// Returns a drawing that consists of the header line with the names of the columns.
     fn new(columns: &[String]) -> Self {
         let width = (MAX_WIDTH - TIME_WIDTH) / columns.len().max(1);
         let width = width.clamp(MIN_COLUMN_WIDTH, MAX_COLUMN_WIDTH);
@@ -160,12 +161,12 @@
     }
 
     fn draw_gap(&mut self) {
-        let cells = self.resting_cells();
+        let cells = self.idle_cells();
         self.draw_line(None, &cells);
     }
 
     fn draw_mark(&mut self, time_ms: Option<u64>, mark: Mark) {
-        let mut cells = self.resting_cells();
+        let mut cells = self.idle_cells();
         match mark {
             Mark::State { column, state } => {
                 if let Some(cell) = cells.get_mut(column) {
@@ -188,15 +189,15 @@
                 self.draw_message(time_ms, &cells, from, to, &text);
             }
             Mark::GlobalEvent { text } => {
-                let text = fit(&format!("== {text} =="), MAX_WIDTH - TIME_WIDTH);
+                let text = truncate(&format!("== {text} =="), MAX_WIDTH - TIME_WIDTH);
                 self.text += &(time_cell(time_ms) + &text + "\n");
             }
         }
     }
 
-    /// Returns what stands in each column while nothing happens there: a sign for its state.
-    fn resting_cells(&self) -> Vec<String> {
-        let sign = |state: &String| match state.split(' ').next().unwrap_or_default() {
+    /// Returns the cells of a line without marks: a symbol for the state of each column.
+    fn idle_cells(&self) -> Vec<String> {
+        let symbol = |state: &String| match state.split(' ').next().unwrap_or_default() {
             "" => "|",
             "gone" | "dead" => "",
             "stopped" => ":",
@@ -204,7 +205,7 @@
         };
         self.states
             .iter()
-            .map(|state| sign(state).to_owned())
+            .map(|state| symbol(state).to_owned())
             .collect()
     }
 
@@ -230,7 +231,7 @@
             return self.draw_line(time_ms, cells);
         }
         let arrow_width = (right - left) * self.width - 1;
-        let label = fit(text, arrow_width.saturating_sub(4));
+        let label = truncate(text, arrow_width.saturating_sub(4));
         let dash_count = arrow_width.saturating_sub(label.chars().count() + 2);
         let before = "-".repeat(dash_count / 2);
         let after = "-".repeat(dash_count - dash_count / 2);
@@ -249,7 +250,7 @@
     }
 }
 
-/// Returns the column with the time.
+/// Returns the cell of the time column.
 fn time_cell(time_ms: Option<u64>) -> String {
     let time = time_ms.map_or(String::new(), |time_ms| time_ms.to_string());
     format!("{time:>7}  ")
@@ -259,12 +260,12 @@
 fn write_cells(line: &mut String, cells: &[String], width: usize) {
     for cell in cells {
         // Writing to a string can't fail.
-        let _ = write!(line, "{:<width$}", fit(cell, width - 1));
+        let _ = write!(line, "{:<width$}", truncate(cell, width - 1));
     }
 }
 
-/// Cuts a text off so that it has at most this many characters.
-fn fit(text: &str, max_chars: usize) -> String {
+/// Truncates a text to at most this many characters.
+fn truncate(text: &str, max_chars: usize) -> String {
     if text.chars().count() <= max_chars {
         return text.to_owned();
     }
--- a/crates/fault-injection/tests/check.rs
+++ b/crates/fault-injection/tests/check.rs
@@ -1,4 +1,4 @@
-//! Checks of histories: which violations they find, and what explains a failure report.
+//! Checks of histories: which violations they find, and which faults explain a failure report.
 
 use postproxy_fault_injection::check::{
     NodeLog, check_failure_reports, check_responses, parse_log_time,
@@ -30,12 +30,12 @@
     )
 }
 
-/// Each property that a history violates is named.
+/// A violation names the guarantee that a history violates; a valid history has no violation.
 #[test]
 fn each_violation_in_a_history_is_named() {
     let cases: Vec<(&str, Vec<HistoryEntry>)> = vec![
         (
-            "one final answer",
+            "a request has at most one response",
             vec![
                 sent(1.0, "a", 0),
                 received(2.0, "a", Some(200), true),
@@ -43,19 +43,19 @@
             ],
         ),
         (
-            "no body that no worker made",
+            "every response body comes from a worker or a node",
             vec![sent(1.0, "a", 0), received(2.0, "a", Some(200), false)],
         ),
         (
-            "an answer has a question",
+            "every response belongs to a request",
             vec![received(2.0, "a", Some(200), true)],
         ),
         (
-            "ids are a client's own",
+            "each request id is sent once",
             vec![sent(1.0, "a", 0), sent(1.5, "a", 1)],
         ),
         (
-            "who serves on answers",
+            "a running node responds to its requests",
             vec![
                 note(0.5, "kill 1"),
                 sent(1.0, "a", 0),
@@ -63,7 +63,7 @@
             ],
         ),
         (
-            "who serves on answers",
+            "a running node responds to its requests",
             vec![
                 note(0.5, "kill 0"),
                 sent(3.0, "a", 0),
@@ -71,11 +71,11 @@
             ],
         ),
         (
-            "a final word for all",
+            "every request has a response",
             vec![note(0.1, "heal"), sent(1.0, "a", 0)],
         ),
         (
-            "no more runs than its class allows",
+            "a request runs no more often than its class allows",
             vec![HistoryEntry::new(
                 1.0,
                 Event::RequestRun {
@@ -85,12 +85,12 @@
             )],
         ),
     ];
-    for (promise, events) in cases {
+    for (guarantee, events) in cases {
         let violation =
-            check_responses(&History::with_entries(0.0, events.clone()), 1).expect_err(promise);
-        assert_eq!(violation.promise, promise, "{events:?}");
+            check_responses(&History::with_entries(0.0, events.clone()), 1).expect_err(guarantee);
+        assert_eq!(violation.guarantee, guarantee, "{events:?}");
     }
-    let sound_history = vec![
+    let valid_history = vec![
         sent(1.0, "a", 0),
         note(1.5, "kill 0"),
         received(2.0, "a", None, true),
@@ -105,13 +105,13 @@
         ),
     ];
     assert_eq!(
-        check_responses(&History::with_entries(0.0, sound_history), 1),
+        check_responses(&History::with_entries(0.0, valid_history), 1),
         Ok(())
     );
 }
 
-/// A failure report without a cause is a violation that names its log line; one with a cause is
-/// none.
+/// A failure report without a cause is a violation that names the report's log line. A fault of the
+/// reporting or the reported node or of a link, shortly before the report, is a cause.
 #[test]
 fn a_failure_report_without_a_cause_is_named_with_its_log_line() {
     let start = parse_log_time("2026-12-01T22:45:50.5Z").expect("a time");
@@ -142,7 +142,7 @@
         )
     );
     assert_eq!(violation.step, "kill 1");
-    for (cause, innocent) in [
+    for (step, is_violation) in [
         ("kill 2", false),
         ("pause 2", false),
         ("pause 0", false),
@@ -153,14 +153,22 @@
         ("loss 0", true),
         ("suspend 0 2", true),
     ] {
-        assert_eq!(check(vec![note(8.0, cause)]).is_err(), innocent, "{cause}");
+        assert_eq!(
+            check(vec![note(8.0, step)]).is_err(),
+            is_violation,
+            "{step}"
+        );
     }
-    let over =
+    let ended_fault_is_violation =
         |ended: f64, end: &str| check(vec![note(-40.0, "isolate 2"), note(ended, end)]).is_err();
-    assert!(!over(5.0, "heal") && over(-5.0, "heal") && !over(-5.0, "suspend 0 1"));
+    assert!(
+        !ended_fault_is_violation(5.0, "heal")
+            && ended_fault_is_violation(-5.0, "heal")
+            && !ended_fault_is_violation(-5.0, "suspend 0 1")
+    );
     assert!(check(vec![note(-40.0, "kill 2"), note(-5.0, "start 2")]).is_err());
     assert!(
         check(vec![note(10.5, "kill 2")]).is_err(),
-        "a cause comes before"
+        "a cause precedes the report"
     );
 }
--- a/crates/fault-injection/tests/surface_errors.rs
+++ b/crates/fault-injection/tests/surface_errors.rs
@@ -1,5 +1,5 @@
-//! Pins the text of schedules, which are kept in files and run again, and of violations. They must
-//! not change with a name in the code.
+//! Pins the text of schedules, which are saved in files and run again, and of violations. Renaming
+//! an identifier must not change them.
 
 use postproxy_fault_injection::{LogPosition, Schedule, Step, Violation};
 
@@ -36,39 +36,39 @@
 }
 
 #[test]
-fn every_step_is_written_and_read_in_its_words() {
+fn every_step_is_printed_and_parsed() {
     assert_eq!(schedule().to_string(), TEXT);
     assert_eq!(TEXT.parse(), Ok(schedule()));
 }
 
 #[test]
-fn a_line_that_is_no_step_is_named() {
+fn a_line_that_is_not_a_step_is_rejected() {
     assert_eq!(
         "halt 1".parse::<Step>(),
-        Err("'halt 1' is no step".to_owned())
+        Err("'halt 1' is not a step".to_owned())
     );
 }
 
 #[test]
 fn a_violation_names_its_time_step_and_position() {
     let violation = Violation {
-        promise: "one answer",
+        guarantee: "one answer",
         at_seconds: 1.5,
-        seen: "two".into(),
+        observed: "two".into(),
         step: "kill 1".into(),
         position: Some(LogPosition {
             path: "n0.log".into(),
             line: 12,
         }),
     };
-    let expected = "at 1.500 s: one answer: two; the step before: kill 1; n0.log:12";
+    let expected = "at 1.500 s: one answer: two; preceding step: kill 1; n0.log:12";
     assert_eq!(violation.to_string(), expected);
-    let nowhere = Violation {
+    let without_position = Violation {
         position: None,
         ..violation
     };
     assert_eq!(
-        nowhere.to_string(),
-        "at 1.500 s: one answer: two; the step before: kill 1"
+        without_position.to_string(),
+        "at 1.500 s: one answer: two; preceding step: kill 1"
     );
 }
--- a/crates/fault-injection/tests/timeline.rs
+++ b/crates/fault-injection/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Timelines: what is drawn of a history.
+//! Drawings of timelines.
 
 use postproxy_fault_injection::{MAX_WIDTH, Timeline};
 
@@ -15,12 +15,12 @@
     timeline
 }
 
-/// A drawing shows a known fault: the effect of the old lease holder comes after that of the new
-/// one.
+/// A drawing makes a known fault visible: a message of the old lease owner takes effect after that
+/// of the new one.
 #[test]
 fn a_known_fault_is_visible_in_the_drawing() {
     let drawn = timeline_with_a_known_fault().draw(10);
-    let wanted = "         \
+    let expected = "         \
          n0                      n1                      worker
       0  [owner 7]               |                       |
     200  o--------------------do 7---------------------->
@@ -33,28 +33,28 @@
    4010  o--------------------do 7---------------------->
          |                       #                       *refused 7
 ";
-    assert_eq!(drawn, wanted, "\n{drawn}\n{wanted}");
+    assert_eq!(drawn, expected, "\n{drawn}\n{expected}");
     let order = |what: &str| drawn.find(what).unwrap_or(usize::MAX);
     assert!(
         order("do 8") < drawn.rfind("do 7").unwrap_or(0),
-        "the late effect is below that of the new lease holder"
+        "the late message is drawn below that of the new lease owner"
     );
 }
 
-/// A drawing is no wider than a page, a cut one keeps the states from before the cut, and a state
-/// is drawn once.
+/// A drawing is at most `MAX_WIDTH` wide, a part of a timeline keeps the states from before its
+/// start, and an unchanged state is drawn once.
 #[test]
-fn a_drawing_is_bounded_keeps_states_over_a_cut_and_draws_a_state_once() {
-    let cut = timeline_with_a_known_fault().since(4350).draw(10);
+fn a_drawing_has_a_bounded_width_keeps_earlier_states_and_draws_a_state_once() {
+    let part = timeline_with_a_known_fault().since(4350).draw(10);
     assert!(
-        cut.lines()
+        part.lines()
             .nth(1)
             .is_some_and(|line| line.contains("[stopped]")),
-        "{cut}"
+        "{part}"
     );
     assert!(
-        !cut.contains("[owner 7]") && cut.contains("[owner 8]"),
-        "{cut}"
+        !part.contains("[owner 7]") && part.contains("[owner 8]"),
+        "{part}"
     );
     let mut wide = Timeline::new((0..18).map(|n| format!("a-node-with-a-long-name-{n}")));
     wide.add_message(
