--- a/benches/node.rs
+++ b/benches/node.rs
@@ -1,17 +1,18 @@
-//! A whole node with and without a store: requests a second, their latency, and the longest turn of
-//! the loop, also on a disk whose syncs take half a second.
+//! Throughput, latency and longest event loop iteration of a whole node.
 //!
 //!     cargo bench --bench node
 //!     cargo bench --bench node -- fleet
-//!
 //!     cargo bench --bench node -- mass 30
 //!
-//! With `fleet`, without a store: the node alone, and as one of three in a cluster, in turn, and
-//! the ratio of each pair. With `mass`: so many processes of the program started at once, with the
-//! section `fleet` and without, and their calls to a discovery that gives no list for 5 s.
+//! - Without arguments: without a store, with a store, and with a store whose syncs take half a
+//!   second.
+//! - `fleet`: pairs of measurements of a node alone and as one of three in a cluster, without a
+//!   store, and the ratio of each pair.
+//! - `mass`: that many processes of the program are started at once, with the section `fleet` and
+//!   without. Measures their calls to a discovery service that returns no list for 5 s.
 //!
-//! Clients in closed loop, stand-in workers that answer at once; all of it in this process, so that
-//! the figures compare only with each other.
+//! The clients run in a closed loop, and stand-in workers respond at once. Except in a mass start,
+//! everything runs in this process, so results are comparable only with each other.
 
 use hdrhistogram::Histogram;
 use postproxy::net::{Config, Node};
@@ -26,25 +27,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients that send at the same time, each one request after the other.
+/// Concurrent clients, each with one request at a time.
 const CLIENTS: usize = 16;
-/// How long each measurement lasts.
+/// Duration of each measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
-/// Pairs of measurements with and without a cluster.
+/// Number of pairs of measurements with and without a cluster.
 const CLUSTER_ROUNDS: usize = 16;
-/// Rounds of measurements with and without a store, and of mass starts.
+/// Rounds of measurements with and without a store.
 const STORE_ROUNDS: usize = 2;
+/// Rounds of mass starts with and without a cluster.
 const MASS_START_ROUNDS: usize = 3;
-/// How long discovery gives no list in a mass start.
+/// How long discovery returns no list in a mass start.
 const NO_LIST_TIME: Duration = Duration::from_secs(5);
-/// How long a mass start is watched.
+/// Duration of a mass start.
 const MASS_START_TIME: Duration = Duration::from_secs(12);
-/// Calls are counted in windows of this length, in seconds.
+/// Length of the windows in which calls are counted, in seconds.
 const BURST_WINDOW_SECONDS: f64 = 0.1;
 
 fn example_config() -> serde_json::Value {
     let mut json: serde_json::Value =
-        serde_json::from_str(include_str!("../examples/config.json")).expect("the example");
+        serde_json::from_str(include_str!("../examples/config.json")).expect("a valid example");
     json["known"] = serde_json::Value::Null;
     json
 }
@@ -58,9 +60,10 @@
     config
 }
 
-/// The sections of three nodes of one cluster.
+/// Returns the sections `fleet` of three nodes of one cluster.
 fn cluster_of_three() -> Vec<FleetSection> {
-    // Addresses of their own: a port that is free for datagrams may be in use for streams.
+    // Each node has its own address, because a port that is free for datagrams at a shared address
+    // may be in use for streams.
     let seeds: Vec<String> = postproxy_fault_injection::loopback_addresses(3)
         .into_iter()
         .map(|ip| format!("{ip}:7946"))
@@ -71,29 +74,29 @@
         OperatorConfig::from_json(&text)
             .expect("a section")
             .fleet
-            .expect("it is there")
+            .expect("the section fleet")
     };
     seeds.iter().map(section).collect()
 }
 
-/// A node that runs in a thread of its own.
+/// A node that runs in its own thread.
 struct RunningNode {
     address: SocketAddr,
     stop: UnixStream,
-    /// Returns the longest turn of the loop, in seconds.
+    /// Returns the duration of the longest event loop iteration, in seconds.
     thread: thread::JoinHandle<f64>,
 }
 
 impl RunningNode {
     fn start(config: Config) -> Self {
-        let (stop, signal) = UnixStream::pair().expect("a pair");
+        let (stop, signal) = UnixStream::pair().expect("a socket pair");
         let (address_sender, address) = mpsc::channel();
         let thread = thread::spawn(move || {
             let mut node = Node::new(config, signal).expect("a node");
             address_sender
                 .send(node.address())
-                .expect("it is waited for");
-            node.run().expect("it runs");
+                .expect("a receiver of the address");
+            node.run().expect("the node stops without an error");
             node.longest_turn()
         });
         Self {
@@ -103,14 +106,16 @@
         }
     }
 
-    /// Stops the node, and returns the longest turn of its loop, in seconds.
+    /// Stops the node, and returns the duration of its longest event loop iteration, in seconds.
     fn stop(mut self) -> f64 {
-        self.stop.write_all(b"x").expect("a signal");
-        self.thread.join().expect("it ends well")
+        self.stop
+            .write_all(b"x")
+            .expect("the stop signal is written");
+        self.thread.join().expect("the node did not panic")
     }
 }
 
-/// What clients have seen.
+/// Outcomes of requests.
 struct ClientResults {
     served: u64,
     not_served: u64,
@@ -134,12 +139,12 @@
     }
 }
 
-/// Sends requests one after the other until `end`.
+/// Sends requests one after another until `end`.
 fn run_client(client: usize, node: SocketAddr, end: Instant) -> ClientResults {
     let mut results = ClientResults::new();
     for request in 0.. {
-        let began = Instant::now();
-        if began >= end {
+        let start = Instant::now();
+        if start >= end {
             break;
         }
         let id = format!("id-{client}-{request}");
@@ -149,9 +154,9 @@
             ("Connection", "close"),
         ];
         match send_request(node, "POST", "/day-plan/x", &fields, b"work") {
-            Ok(answer) if answer.status == 200 => {
+            Ok(response) if response.status == 200 => {
                 results.served += 1;
-                let micros = began.elapsed().as_micros() as u64;
+                let micros = start.elapsed().as_micros() as u64;
                 results.latency.record(micros).expect("in range");
             }
             _ => results.not_served += 1,
@@ -160,8 +165,8 @@
     results
 }
 
-/// Measures one node, alone or in a cluster, prints its line of the table, and returns its requests
-/// a second.
+/// Measures one node, alone or in a cluster, prints a row of the table, and returns the number of
+/// served requests per second.
 fn measure(name: &str, store: Option<StoreSection>, cluster: Vec<FleetSection>) -> f64 {
     let workers: Vec<Worker> = (0..4)
         .map(|number| Worker::start(&format!("s-{number}"), Duration::ZERO).expect("a worker"))
@@ -194,7 +199,7 @@
         results.add(client.join().expect("a client"));
     }
     let rate = results.served as f64 / start.elapsed().as_secs_f64();
-    let longest_turn = node.stop();
+    let longest_iteration = node.stop();
     for other in others {
         other.stop();
     }
@@ -205,13 +210,13 @@
         results.not_served,
         latency_ms(0.5),
         latency_ms(0.99),
-        longest_turn * 1e3
+        longest_iteration * 1e3
     );
     rate
 }
 
-/// A discovery that gives no list at first, and reports the time of each call, in seconds since its
-/// start.
+/// A discovery service that returns no list at first, and reports the time of each call, in seconds
+/// since its start.
 struct SilentDiscovery {
     address: SocketAddr,
     calls: mpsc::Receiver<f64>,
@@ -226,17 +231,17 @@
         thread::spawn(move || {
             while let Ok((mut stream, _)) = listener.accept() {
                 let now = start.elapsed();
-                // Nobody receives the times any more: the measurement is over.
+                // The receiver is gone: the measurement is over.
                 if call_times.send(now.as_secs_f64()).is_err() {
                     return;
                 }
                 if now > NO_LIST_TIME {
                     let list = r#"{"revision": 1, "complete": true, "targets": []}"#;
-                    let answer = format!(
+                    let response = format!(
                         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
                         list.len()
                     );
-                    let _ = stream.write_all(answer.as_bytes());
+                    let _ = stream.write_all(response.as_bytes());
                 }
             }
         });
@@ -267,18 +272,18 @@
     };
     let config = folder.join(format!("{number}.json"));
     let operator = folder.join(format!("{number}.op.json"));
-    std::fs::write(&config, json.to_string()).expect("it is written");
-    std::fs::write(&operator, operator_json.to_string()).expect("it is written");
+    std::fs::write(&config, json.to_string()).expect("the file is written");
+    std::fs::write(&operator, operator_json.to_string()).expect("the file is written");
     Process::start(
         env!("CARGO_BIN_EXE_postproxy").as_ref(),
         &["serve", "--operator", &operator.display().to_string()],
         &[("RELAY_CONFIG", &config.display().to_string())],
         &folder.join("log"),
     )
-    .expect("it starts")
+    .expect("the program starts")
 }
 
-/// Returns the most calls in any window of a tenth of a second that begins between the two times.
+/// Returns the maximum number of calls in a window of a tenth of a second between the two times.
 fn busiest_window(calls: &[f64], from: f64, to: f64) -> usize {
     let within: Vec<f64> = calls
         .iter()
@@ -292,8 +297,9 @@
     within.iter().map(|at| calls_from(*at)).max().unwrap_or(0)
 }
 
-/// Starts so many processes at once and prints their calls to discovery: all in 5 s without a list,
-/// the most in a tenth of a second in the first second, from then on, and after there is a list.
+/// Starts this many processes at once and prints a row about their calls to discovery: the total in
+/// the 5 s without a list, and the maximum in a tenth of a second during the first second, during
+/// the rest of the 5 s, and after discovery has returned a list.
 fn measure_mass_start(count: usize, cluster: bool) {
     let addresses = postproxy_fault_injection::loopback_addresses(count as u8);
     let discovery = SilentDiscovery::start();
@@ -329,7 +335,7 @@
 
 fn compare_mass_starts(count: usize) {
     println!(
-        "| processes | fleet | calls in 5 s without a list | busiest 0.1 s of the first second | of the next | after |"
+        "| processes | fleet | calls in 5 s without a list | most calls in 0.1 s, first second | until a list | after a list |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for _ in 0..MASS_START_ROUNDS {
@@ -339,13 +345,13 @@
 }
 
 fn compare_with_cluster() {
-    println!("| fleet | jobs/s | not served | p50 ms | p99 ms | longest turn of the loop ms |");
+    println!("| fleet | requests/s | not served | p50 ms | p99 ms | longest loop iteration ms |");
     println!("| --- | --- | --- | --- | --- | --- |");
     let without = || measure("off", None, Vec::new());
     let with = || measure("one of three", None, cluster_of_three());
     let mut ratios: Vec<f64> = Vec::new();
     for round in 0..CLUSTER_ROUNDS {
-        // Each goes first as often as the other.
+        // The order alternates, so that effects of the order cancel out.
         if round % 2 == 0 {
             let off = without();
             let on = with();
@@ -357,17 +363,17 @@
         }
     }
     ratios.sort_by(f64::total_cmp);
-    let at = |share: f64| ratios[(share * (ratios.len() - 1) as f64).round() as usize];
+    let quantile = |share: f64| ratios[(share * (ratios.len() - 1) as f64).round() as usize];
     println!(
-        "jobs/s with / without, of pairs: median {:.3}, quarters {:.3} to {:.3}",
-        at(0.5),
-        at(0.25),
-        at(0.75)
+        "ratio of requests/s with to without a cluster: median {:.3}, quartiles {:.3} and {:.3}",
+        quantile(0.5),
+        quantile(0.25),
+        quantile(0.75)
     );
 }
 
 fn compare_with_store() {
-    println!("| store | jobs/s | not served | p50 ms | p99 ms | longest turn of the loop ms |");
+    println!("| store | requests/s | not served | p50 ms | p99 ms | longest loop iteration ms |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for round in 0..STORE_ROUNDS {
         let section = |name: &str| {
@@ -386,9 +392,9 @@
         let folders = [on.folder.clone(), slow.folder.clone()];
         measure("off", None, Vec::new());
         measure("on", Some(on), Vec::new());
-        measure("on, 500 ms a sync", Some(slow), Vec::new());
+        measure("on, 500 ms per sync", Some(slow), Vec::new());
         for folder in &folders {
-            std::fs::remove_dir_all(folder).expect("it was there");
+            std::fs::remove_dir_all(folder).expect("the store's folder is removed");
         }
     }
 }
--- a/benches/request_manager.rs
+++ b/benches/request_manager.rs
@@ -1,4 +1,4 @@
-//! Cost of a request in the request manager, from its arrival to its end, and what logs add to it.
+//! Cost of a request in the request manager, from its arrival to its end, with and without logging.
 //!
 //!     cargo bench --bench request_manager
 
@@ -22,11 +22,12 @@
     "report": {"fields": ["backlog", "x0"], "via": "answers"},
     "extra": {"report-x0": "free slots"}}"#;
 
-/// Number of the listed workers.
+/// Number of workers in the list.
 const WORKERS: u16 = 9;
-/// Time that passes with each client number, in seconds.
+/// Simulated time per client number, in seconds.
 const CLIENT_NUMBER_SECONDS: f64 = 0.001;
-/// Connections of a request: the client's, and the next one is the call-back's.
+/// Number of client numbers per request: one for the client's connection and one for the
+/// callback's.
 const CONNECTIONS_PER_REQUEST: u64 = 2;
 
 fn manager_with_workers() -> RequestManager {
@@ -74,8 +75,8 @@
 fn request_at_each_log_level(criterion: &mut Criterion) {
     let levels = [
         ("no subscriber", None),
-        ("info, the default", Some("info")),
-        ("debug, every span", Some("debug")),
+        ("info (default)", Some("info")),
+        ("debug (with all spans)", Some("debug")),
     ];
     for (name, level) in levels {
         let (writer, _guard) = tracing_appender::non_blocking(std::io::sink());
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,4 +1,4 @@
-//! The program `postproxy-drill`, driven through pipes.
+//! The program `postproxy-drill`, run with piped input and output.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -9,16 +9,16 @@
 const SETTINGS: &str =
     r#"{"services": [{"effect": "pure", "deadline": 5.0}], "discovery": "on_request"}"#;
 
-fn drill(input: &[u8]) -> Output {
+fn run_drill(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_postproxy-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
-    // The program may end before it has read everything.
+        .expect("the program starts");
+    // The program may exit before it has read all of its input.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
-    child.wait_with_output().expect("the binary ends")
+    child.wait_with_output().expect("the program ends")
 }
 
 fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
@@ -52,7 +52,7 @@
     )
 }
 
-fn list(instance: u32) -> Vec<u8> {
+fn worker_list(instance: u32) -> Vec<u8> {
     let mut entries = Vec::new();
     for n in 1..=20u8 {
         entries.extend([10, 0, 0, n, 80, 0, 0, 0, 0, 0, 0, 1]);
@@ -87,15 +87,18 @@
     )
 }
 
-/// Returns the actions of all replies, as instance and bytes.
+/// Returns the actions of all replies, each as its instance and its code and fields.
 fn actions(mut bytes: &[u8]) -> Vec<(u32, Vec<u8>)> {
-    let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
+    let read_u32 = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
     let mut all = Vec::new();
     while !bytes.is_empty() {
-        let (mut body, rest) = bytes[8..].split_at(word(&bytes[4..]) as usize);
+        let (mut body, rest) = bytes[8..].split_at(read_u32(&bytes[4..]) as usize);
         while !body.is_empty() {
-            let (action, more) = body.split_at(5 + word(&body[1..]) as usize);
-            all.push((word(&action[5..]), [&action[..1], &action[9..]].concat()));
+            let (action, more) = body.split_at(5 + read_u32(&body[1..]) as usize);
+            all.push((
+                read_u32(&action[5..]),
+                [&action[..1], &action[9..]].concat(),
+            ));
             body = more;
         }
         bytes = rest;
@@ -103,14 +106,16 @@
     all
 }
 
-fn day(instances: &[u32]) -> Vec<u8> {
+/// Returns batches that start these instances, give each a worker list, and then send each 30
+/// requests.
+fn input_for(instances: &[u32]) -> Vec<u8> {
     let mut input = batch(0, 10.0, &[]);
     input.extend(batch(
         1,
         10.1,
         &instances
             .iter()
-            .flat_map(|&i| [start(i, SETTINGS), list(i)])
+            .flat_map(|&i| [start(i, SETTINGS), worker_list(i)])
             .collect::<Vec<_>>(),
     ));
     for n in 0..30 {
@@ -124,28 +129,28 @@
 }
 
 #[test]
-fn instance_acts_the_same_alone_and_among_others() {
-    let together = drill(&day(&[1, 2, 3]));
+fn an_instance_acts_the_same_alone_and_among_others() {
+    let together = run_drill(&input_for(&[1, 2, 3]));
     assert!(together.status.success());
     let together = actions(&together.stdout);
     for instance in [1, 2, 3] {
-        let alone = actions(&drill(&day(&[instance])).stdout);
+        let alone = actions(&run_drill(&input_for(&[instance])).stdout);
         assert!(
             alone.iter().filter(|(_, a)| a[0] == 24).count() == 30,
-            "a send for each request"
+            "each request is sent once"
         );
-        let among: Vec<_> = together
+        let own_actions: Vec<_> = together
             .iter()
             .filter(|(i, _)| *i == instance)
             .cloned()
             .collect();
-        assert_eq!(alone, among);
+        assert_eq!(alone, own_actions);
     }
 }
 
 #[test]
 fn end_of_input_ends_the_program_successfully() {
-    let output = drill(&batch(7, 1.0, &[]));
+    let output = run_drill(&batch(7, 1.0, &[]));
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [7, 0, 0, 0, 0, 0, 0, 0]);
 }
@@ -155,24 +160,24 @@
     let stop = record(25, &[&1u32.to_le_bytes()]);
     let records = [
         start(1, SETTINGS),
-        list(1),
+        worker_list(1),
         request(9, 5),
         stop,
         request(1, 6),
     ];
-    let output = drill(&batch(1, 1.0, &records));
+    let output = run_drill(&batch(1, 1.0, &records));
     assert!(output.status.success());
     assert!(
         actions(&output.stdout)
             .iter()
             .all(|(i, a)| *i == 1 && a[0] == 21),
-        "timers of the start alone"
+        "only the timers of the start"
     );
 }
 
 #[test]
 fn malformed_input_fails_with_a_one_line_error() {
-    for (input, word) in [
+    for (input, fragment) in [
         (batch(1, 1.0, &[record(99, &[&[0; 4]])]), "99"),
         (batch(1, 1.0, &[])[..15].to_vec(), "ended"),
         (batch(1, 1.0, &[start(1, "{")]), "settings"),
@@ -182,18 +187,19 @@
         ),
         (batch(1, f64::NAN, &[]), "clock"),
     ] {
-        let output = drill(&input);
+        let output = run_drill(&input);
         let text = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{text}");
         assert!(
-            text.lines().count() == 1 && text.contains(word) && !text.contains("panicked"),
+            text.lines().count() == 1 && text.contains(fragment) && !text.contains("panicked"),
             "{text}"
         );
     }
 }
 
-/// The deployment file lists all files with decisions under `policy`, and they stay short enough to
-/// be read.
+/// The deployment file lists all files of the decision module under `policy`. Each file starts with
+/// a module comment and is at most 600 lines long and 100 characters wide, so that it stays
+/// readable.
 #[test]
 fn every_file_of_the_decision_module_is_listed_and_short() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -221,10 +227,10 @@
         );
         assert!(
             text.starts_with("//! "),
-            "{name} begins with what it is for"
+            "{name} starts with a module comment"
         );
         found.insert(name);
     }
-    assert!(found.len() > 10, "the files are read: {found:?}");
+    assert!(found.len() > 10, "the files are found: {found:?}");
     assert_eq!(listed, found.iter().map(String::as_str).collect());
 }
--- a/tests/errors.rs
+++ b/tests/errors.rs
@@ -1,11 +1,11 @@
-//! Every error code has a remedy and is listed on the operators' page.
+//! Every error code has a remedy and is listed in the operators' documentation.
 
 use std::collections::BTreeSet;
 
-/// The shortest text that can be a remedy, in bytes.
+/// Minimum length of a remedy, in bytes.
 const MIN_REMEDY_BYTES: usize = 16;
 
-/// Codes are unique, each has a remedy, and the page for operators lists exactly these codes.
+/// Codes are unique, each has a remedy, and `docs/operate/errors.md` lists exactly these codes.
 #[test]
 fn every_code_has_a_remedy_and_is_listed_on_the_operators_page() {
     let page = include_str!("../docs/operate/errors.md");
@@ -21,7 +21,7 @@
             !subject.is_empty() && !word.is_empty() && remedy.len() >= MIN_REMEDY_BYTES,
             "{code}: {remedy}"
         );
-        assert!(codes.insert(code), "{code} stands for two errors");
+        assert!(codes.insert(code), "{code} is the code of two errors");
         assert!(
             page.contains(&format!("| `{code}` |")),
             "{code} is not on the page"
@@ -30,11 +30,11 @@
     assert_eq!(
         codes_of_page(page),
         codes,
-        "the page lists codes that no error has"
+        "the page lists exactly the codes of all errors"
     );
 }
 
-/// Returns the codes in the first column of the page's table.
+/// Returns the codes in the first column of the page's tables.
 fn codes_of_page(page: &str) -> BTreeSet<&str> {
     page.lines()
         .filter_map(|line| {
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,4 +1,4 @@
-//! The modules of the program import each other in one direction: there are no cycles.
+//! The modules of the program don't import each other in cycles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -9,7 +9,7 @@
 /// The modules that each module imports.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// Collects the sources of all modules below a folder, each up to its tests.
+/// Collects the sources of all modules below a folder, each without its tests.
 fn collect_sources(folder: &Path, module: &str, sources: &mut Sources) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let file = entry.expect("an entry").path();
@@ -54,7 +54,7 @@
         .map(|path| join_path(parent, path))
 }
 
-/// Returns the module in which an imported item is: the longest part of its path that is a module.
+/// Returns the module of an imported item: the longest prefix of its path that is a module.
 fn module_of(path: &str, sources: &Sources) -> Option<String> {
     let segments: Vec<&str> = path.split("::").collect();
     (1..=segments.len())
@@ -63,7 +63,7 @@
         .find(|path| sources.contains_key(path))
 }
 
-/// Finds the imports by the lines that begin with `use`.
+/// Finds the imports of each module in the lines that begin with `use`.
 fn find_imports(sources: &Sources) -> Imports {
     let imports_of = |(module, text): (&String, &String)| {
         let parent = module.rsplit_once("::").map_or("", |(parent, _)| parent);
@@ -78,9 +78,9 @@
     sources.iter().map(imports_of).collect()
 }
 
-/// Removes modules that import none of the others until none can be removed; those that are left
-/// are in a cycle or import one that is.
-fn modules_above_cycles(mut imports: Imports) -> Vec<String> {
+/// Removes modules without remaining imports until no more can be removed. The rest are in a cycle
+/// or import, possibly indirectly, a module in a cycle.
+fn modules_with_cyclic_imports(mut imports: Imports) -> Vec<String> {
     while let Some(lowest) = imports
         .iter()
         .find(|(_, imported)| imported.is_empty())
@@ -105,10 +105,10 @@
         imports["net::node"].contains("net::requests::manager"),
         "imports are found: {imports:?}"
     );
-    assert_eq!(modules_above_cycles(imports), Vec::<String>::new());
+    assert_eq!(modules_with_cyclic_imports(imports), Vec::<String>::new());
 }
 
-/// Guards against a check that finds nothing.
+/// Guards against a check that never finds a cycle.
 #[test]
 fn a_cycle_is_found() {
     let sources = [
@@ -122,7 +122,7 @@
         .map(|(module, text)| ((*module).to_owned(), (*text).to_owned()))
         .collect();
     assert_eq!(
-        modules_above_cycles(find_imports(&sources)),
+        modules_with_cyclic_imports(find_imports(&sources)),
         ["a", "b", "c", "d"]
     );
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -114,7 +114,7 @@
 #[test]
 fn requests_in_flight_survive_replacements_of_the_process() {
     const JOBS: usize = 12;
-    let harness = ProgramHarness::with_job_times("long", &[2500]);
+    let harness = ProgramHarness::with_service_times("long", &[2500]);
     let first = harness.start();
     let clients: Vec<JoinHandle<Option<u16>>> = (0..JOBS)
         .map(|number| submit_long_job(harness.address, number))
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,5 +1,4 @@
-//! The program `postproxy`: its start, its end, its commands, and its messages on a wrong
-//! configuration.
+//! The program `postproxy`: start, shutdown, reload, commands, and errors in the configuration.
 
 use postproxy::net::Config;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,7 +9,7 @@
 
 const EXAMPLE: &str = include_str!("../examples/config.json");
 
-/// A running program, which is killed when this is dropped.
+/// A running program, which is killed on drop.
 struct RunningProgram(Child);
 
 impl Drop for RunningProgram {
@@ -25,31 +24,31 @@
     None
 }
 
-/// The outcome of a command that has ended.
+/// The outcome of a command that has exited.
 struct CommandOutcome {
     exit_code: Option<i32>,
     stdout: String,
     stderr: String,
 }
 
-/// A child inherits the lock on a store's folder until it executes its program. So no other child
-/// is started while a test holds a store: else that store would still be held when the test looks
-/// at it.
-static STARTING: RwLock<()> = RwLock::new(());
+/// Keeps other tests from starting a child process while a test holds a store: between fork and
+/// exec the child would hold the inherited lock on the store's folder, and the test's next open of
+/// the store would fail.
+static SPAWN_LOCK: RwLock<()> = RwLock::new(());
 
-/// Starts a child, unless a test holds a store: then after that.
+/// Starts a child process; waits while a test holds a store.
 fn spawn(command: &mut Command) -> Child {
-    let _starting = STARTING.read().unwrap_or_else(PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.read().unwrap_or_else(PoisonError::into_inner);
     command.spawn().expect("the program starts")
 }
 
-/// Starts a child with its output piped, and waits for its end.
+/// Starts a child process with piped output, and waits for it to exit.
 fn output_of(command: &mut Command) -> Output {
     let child = spawn(command.stdout(Stdio::piped()).stderr(Stdio::piped()));
     child.wait_with_output().expect("the program ends")
 }
 
-/// Runs the program with these arguments until it ends.
+/// Runs the program with these arguments until it exits.
 fn run(args: &[&str]) -> CommandOutcome {
     outcome(output_of(program().args(args)))
 }
@@ -72,7 +71,7 @@
     }
 }
 
-/// The example is a valid configuration, and its names reach the settings.
+/// The example is a valid configuration, and its values reach the settings.
 #[test]
 fn the_example_is_a_valid_configuration() {
     let config = Config::from_json(EXAMPLE, empty_environment).expect("a configuration");
@@ -99,7 +98,7 @@
     assert_eq!(config.cached_list.map(|list| list.revision), Some(1));
 }
 
-/// Variables of the environment take precedence over the file.
+/// Environment variables take precedence over the file.
 #[test]
 fn the_environment_takes_precedence_over_the_file() {
     let environment = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:81".to_owned());
@@ -108,9 +107,9 @@
     assert_eq!(config.discovery.to_string(), "127.0.0.1:8500");
 }
 
-/// A wrong or incomplete configuration is an error whose message names the wrong place.
+/// An invalid or incomplete configuration is an error whose message names the invalid value.
 #[test]
-fn an_error_names_the_wrong_place_of_a_configuration() {
+fn an_error_names_the_invalid_value_of_a_configuration() {
     let cases = [
         (
             "\"listen\": \"127.0.0.1:8080\"",
@@ -122,17 +121,17 @@
         ("\"deadline\": 6.0", "\"deadline\": \"long\"", "string"),
         ("{", "", "expected"),
     ];
-    for (old, new, word) in cases {
+    for (old, new, fragment) in cases {
         let text = EXAMPLE.replacen(old, new, 1);
         assert_ne!(text, EXAMPLE);
         let message = Config::from_json(&text, empty_environment)
             .err()
             .expect("an error");
-        assert!(message.contains(word), "{message}");
+        assert!(message.contains(fragment), "{message}");
     }
 }
 
-/// Without a configuration the program ends with a message.
+/// Without a configuration the program exits with an error message.
 #[test]
 fn the_program_fails_without_a_configuration() {
     let output = output_of(program().env_remove("RELAY_CONFIG"));
@@ -143,8 +142,9 @@
     );
 }
 
-/// SIGHUP reloads the configuration, also a discovery that the environment named at the start; a
-/// file that can't be read leaves the old configuration; SIGTERM ends the program with success.
+/// SIGHUP reloads the configuration, including a discovery address that an environment variable
+/// replaced at the start; after an invalid file the previous configuration remains; SIGTERM ends
+/// the program with success.
 #[test]
 fn the_program_serves_reloads_and_ends_at_sigterm() {
     let path = std::env::temp_dir().join(format!("postproxy-{}.json", std::process::id()));
@@ -165,10 +165,10 @@
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream
         .write_all(b"GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n")
-        .expect("it is written");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
+        .expect("the file is written");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
     drop(stream);
     let signal = |name: &str| {
         let mut shell = Command::new("sh");
@@ -182,7 +182,7 @@
                 log.read_line(&mut line).expect("a line") > 0,
                 "the log ended"
             );
-            // The node logs that discovery can't be reached whenever it notices that.
+            // The node repeatedly logs that it can't reach discovery.
             if !line.contains("postproxy::net::upstream::worker_list") {
                 return line.trim().to_owned();
             }
@@ -202,18 +202,18 @@
             && rejected.contains("configuration rejected; keeping the previous one node=\"n0\""),
         "{rejected}"
     );
-    std::fs::remove_file(&path).expect("it was there");
+    std::fs::remove_file(&path).expect("it is removed");
     signal("HUP");
     assert!(next_line().contains("reading"), "the file is named");
     signal("TERM");
     assert!(next_line().ends_with("stopped node=\"n0\""));
-    assert!(child.wait().expect("it ends").success());
+    assert!(child.wait().expect("the program ends").success());
 }
 
-/// Wrong usage has an exit status of its own, the version is shown, and `check` names what is wrong
-/// in an operator's file.
+/// Wrong usage has its own exit status, the version is printed, and `check` names the error in an
+/// operator's file.
 #[test]
-fn the_command_line_reports_wrong_usage_and_wrong_files() {
+fn the_command_line_reports_wrong_usage_and_invalid_files() {
     assert_eq!(
         run(&["--version"]).stdout.trim(),
         format!("postproxy {}", env!("CARGO_PKG_VERSION"))
@@ -246,25 +246,26 @@
     );
 }
 
-/// A trial needs nothing else to run, serves all requests, and runs each of them once.
+/// A trial needs no setup, serves all requests, and runs each of them once.
 #[test]
-fn a_trial_runs_without_any_set_up_and_runs_each_request_once() {
+fn a_trial_needs_no_setup_and_runs_each_request_once() {
     let output = output_of(program().args(["try", "--jobs", "5"]).env_clear());
-    let said = String::from_utf8_lossy(&output.stdout);
+    let stdout = String::from_utf8_lossy(&output.stdout);
     assert!(
         output.status.success(),
-        "{said}{}",
+        "{stdout}{}",
         String::from_utf8_lossy(&output.stderr)
     );
     assert_eq!(
-        said.lines()
+        stdout
+            .lines()
             .filter(|line| line.ends_with(" served"))
             .count(),
         10,
-        "{said}"
+        "{stdout}"
     );
     for class in ["reroute", "day-plan"] {
-        let line = said
+        let line = stdout
             .lines()
             .rfind(|line| line.starts_with(class))
             .expect("a line of the table");
@@ -273,7 +274,7 @@
     }
 }
 
-/// The store's folder of a test, which is removed in the end.
+/// The store's folder of a test, which is removed on drop.
 struct StoreFolder(PathBuf);
 
 impl StoreFolder {
@@ -341,22 +342,22 @@
         .expect("a file")
 }
 
-/// `store` reads what the node has written, names the holder of a store in use, doesn't create a
-/// missing folder, and reports damage.
+/// `store` reads the records that a node has written, names the holder of a store in use, doesn't
+/// create a missing folder, and reports damage.
 #[test]
 fn store_commands_read_verify_and_compact_a_store() {
     let folder = StoreFolder(
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("tools-{}", std::process::id())),
     );
     assert!(folder.run("stat").exit_code == Some(1) && !folder.path().exists());
-    let alone = STARTING.write().unwrap_or_else(PoisonError::into_inner);
+    let guard = SPAWN_LOCK.write().unwrap_or_else(PoisonError::into_inner);
     let engine = write_three_requests(folder.path());
     let mut stat = program();
     let output = stat.arg("store").arg("stat").arg(folder.path()).output();
     let stderr = outcome(output.expect("the program starts")).stderr;
     assert!(stderr.contains("is held by a test"), "{stderr}");
     drop(engine);
-    drop(alone);
+    drop(guard);
     let dump = folder.run("dump");
     assert_eq!((dump.exit_code, dump.stdout.lines().count()), (Some(0), 3));
     assert!(
@@ -366,12 +367,12 @@
     );
     assert!(folder.run("stat").stdout.contains("records      3"));
     assert_eq!(folder.run("verify").exit_code, Some(0));
-    // The first frame after the header is damaged.
+    // Damage the first frame after the header.
     let file = segment_file(folder.path());
-    let sound_bytes = std::fs::read(&file).expect("a file");
-    let mut damaged_bytes = sound_bytes.clone();
+    let original_bytes = std::fs::read(&file).expect("a file");
+    let mut damaged_bytes = original_bytes.clone();
     damaged_bytes[70] ^= 1;
-    std::fs::write(&file, damaged_bytes).expect("it is written");
+    std::fs::write(&file, damaged_bytes).expect("the file is written");
     let verify = folder.run("verify");
     assert!(
         verify.exit_code == Some(1)
@@ -381,8 +382,8 @@
         verify.stdout,
         verify.stderr
     );
-    std::fs::write(&file, sound_bytes).expect("it is written");
+    std::fs::write(&file, original_bytes).expect("the file is written");
     assert_eq!(folder.run("compact").exit_code, Some(0));
     assert!(folder.run("verify").stdout.contains("3 records"));
-    std::fs::remove_dir_all(folder.path()).expect("it was there");
+    std::fs::remove_dir_all(folder.path()).expect("it is removed");
 }
--- a/tests/simulator_protocol.rs
+++ b/tests/simulator_protocol.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol: the worked examples of its description, and malformed input.
+//! The simulator's protocol: the examples of its documentation, and malformed input.
 
 use postproxy::simulator_protocol::{Batch, DecodeError, Record, Reply, read_batch};
 use postproxy::{Action, Event, Health, ListKind, Outcome, ProgressNote, Settings, WorkerId};
@@ -10,7 +10,7 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// A batch of these records, with the header computed.
+/// Returns a batch of these records with a matching header.
 fn batch_of(records: &[&str]) -> Vec<u8> {
     let body: Vec<u8> = records.iter().flat_map(|record| hex(record)).collect();
     let mut frame = hex("0c000000 508d976e12d32040");
@@ -26,7 +26,7 @@
 
 fn decode_instance(record: &str) -> (u32, Record) {
     let batch = decode(&batch_of(&[record]))
-        .expect("a sound frame")
+        .expect("a valid frame")
         .expect("a batch");
     let first = batch.records.into_iter().next().expect("a record");
     (first.instance, first.record)
@@ -45,11 +45,11 @@
 #[test]
 fn empty_batch_has_the_documented_bytes() {
     let bytes = hex("01000000 508d976e12d32040 04000000 00000000");
-    let batch = decode(&bytes).expect("sound").expect("there");
+    let batch = decode(&bytes).expect("a valid frame").expect("a batch");
     assert_eq!((batch.number, batch.records.len()), (1, 0));
     assert!((batch.now - 8.412_25).abs() < 1e-3, "{}", batch.now);
     assert_eq!(Reply::new(1).into_bytes(), hex("01000000 00000000"));
-    assert!(decode(&[]).expect("sound").is_none());
+    assert!(decode(&[]).expect("no error").is_none());
 }
 
 #[test]
@@ -58,7 +58,7 @@
         12 30000000 03000000 c4913a5d9f9a0900 00 0000 640ad2557c3bf091 b81e85eb51b8ce3f fa7e6abc7493883f 00000040 00000000 01
         16 0c000000 03000000 4d00000000000000
         15 0c000000 05000000 192b6f0e84030a00");
-    let batch = decode(&bytes).expect("sound").expect("there");
+    let batch = decode(&bytes).expect("a valid frame").expect("a batch");
     let instances: Vec<u32> = batch.records.iter().map(|record| record.instance).collect();
     assert_eq!(instances, [3, 3, 5]);
     let records: Vec<&Record> = batch.records.iter().map(|record| &record.record).collect();
@@ -242,7 +242,7 @@
 
 #[test]
 fn each_outcome_code_decodes_to_its_outcome() {
-    for (code, want) in [
+    for (code, expected) in [
         (200, Outcome::Succeeded),
         (502, Outcome::Error),
         (429, Outcome::Rejected),
@@ -260,16 +260,16 @@
         let Record::Event(Event::AttemptEnded { outcome, .. }) = record else {
             panic!("{record:?}")
         };
-        assert_eq!(outcome, want, "{code}");
+        assert_eq!(outcome, expected, "{code}");
     }
 }
 
 #[test]
 fn malformed_batches_are_rejected() {
-    let sound = batch_of(&["16 0c000000 03000000 4d00000000000000"]);
-    for cut in 1..sound.len() {
+    let valid = batch_of(&["16 0c000000 03000000 4d00000000000000"]);
+    for cut in 1..valid.len() {
         assert!(
-            matches!(decode(&sound[..cut]), Err(DecodeError::Truncated)),
+            matches!(decode(&valid[..cut]), Err(DecodeError::Truncated)),
             "cut at {cut}"
         );
     }
@@ -303,8 +303,8 @@
         ])),
         Err(DecodeError::RecordTooShort(16))
     ));
-    // A size of four gigabytes with nothing behind it, a size without room for the count, a wrong
-    // count.
+    // A size of four gigabytes with no records after it, a size without room for the record count,
+    // and a record count that doesn't match.
     assert!(matches!(
         decode(&hex("01000000 508d976e12d32040 ffffffff 00000000")),
         Err(DecodeError::Truncated)
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn settings_have_defaults_and_name_the_bad_key() {
+fn settings_have_defaults_and_errors_name_the_invalid_key() {
     let settings =
         Settings::from_json(r#"{"new-key": {"x": [1]}, "services": [{}]}"#).expect("defaults");
     assert_eq!(
@@ -339,7 +339,7 @@
         (1, 3, false, false)
     );
     assert_eq!(settings.classes[0].effect, postproxy::Effect::NotIdempotent);
-    for (bad, key) in [
+    for (invalid, key) in [
         (r#"{"services": [{"deadline": -1}]}"#, "deadline"),
         (r#"{"rules": {"cold-from": 7}}"#, "cold-from"),
         (r#"{"limits": {"max-attempts": 0}}"#, "max-attempts"),
@@ -347,7 +347,7 @@
         ("[1", "settings"),
         (r#"{"tick": "soon"}"#, "settings"),
     ] {
-        let error = Settings::from_json(bad).expect_err(bad).to_string();
+        let error = Settings::from_json(invalid).expect_err(invalid).to_string();
         assert!(error.contains(key) && error.lines().count() == 1, "{error}");
     }
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! Data that an earlier version has written: each version reads it, shows it alike, and serves from
-//! it. `WRITE_DATA_DIRECTORY=1` makes the fixtures anew, see
+//! Stores that an earlier version has written: every later version must read them, print the same
+//! about them, and serve requests from them. `WRITE_DATA_DIRECTORY=1` regenerates the fixtures, see
 //! `tests/fixtures/data-directory/README.md`.
 
 mod data_directory;
@@ -16,51 +16,51 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The stores: one of a node that serves alone, three of nodes that vote.
+/// The stores: one of a node without voters, and three of voters.
 const STORES: [&str; 4] = ["single", "voter-n0", "voter-n1", "voter-n2"];
 /// The highest fencing token in the stores of the voters.
 const STORED_TOKEN: u64 = 1;
-/// A node looks for what is to be kept that often, at the longest.
-const UNTIL_KEPT: Duration = Duration::from_secs(4);
+/// Upper bound of the interval at which a node stores its changes.
+const MAX_STORE_DELAY: Duration = Duration::from_secs(4);
 
 fn store_fixture(name: &str) -> PathBuf {
     fixtures().join(name)
 }
 
-/// What `postproxy store ACTION` writes about a copy of a store, and what it is to write.
-fn shown_and_expected(action: &str, name: &str) -> (String, String) {
+/// Returns the output of `postproxy store ACTION` for a copy of a store, and the expected output.
+fn actual_and_expected(action: &str, name: &str) -> (String, String) {
     let folder = TemporaryFolder::new();
     copy_store(&store_fixture(name), &folder.path("store"));
-    let shown = store_command(action, &folder.path("store"));
+    let actual = store_command(action, &folder.path("store"));
     let expected = std::fs::read_to_string(fixtures().join(format!("{name}.{action}.txt")));
-    (shown, expected.expect("the expected text"))
+    (actual, expected.expect("the expected text"))
 }
 
-fn assert_shown_as_expected(action: &str) {
+fn assert_expected_output(action: &str) {
     for name in STORES {
-        let (shown, expected) = shown_and_expected(action, name);
-        assert_eq!(shown, expected, "store {action} of {name}");
+        let (actual, expected) = actual_and_expected(action, name);
+        assert_eq!(actual, expected, "store {action} of {name}");
     }
 }
 
 #[test]
 fn store_verify_reads_every_record_of_an_earlier_version() {
-    assert_shown_as_expected("verify");
+    assert_expected_output("verify");
 }
 
 #[test]
-fn store_dump_shows_the_records_of_an_earlier_version_alike() {
-    assert_shown_as_expected("dump");
+fn store_dump_prints_the_records_of_an_earlier_version_unchanged() {
+    assert_expected_output("dump");
 }
 
 #[test]
-fn store_stat_counts_the_records_of_an_earlier_version_alike() {
-    assert_shown_as_expected("stat");
+fn store_stat_counts_the_records_of_an_earlier_version_unchanged() {
+    assert_expected_output("stat");
 }
 
 // ---- Serving from a copy ----
 
-/// A node on a copy of the store, without discovery, and the workers of its kept list.
+/// Starts a node on a copy of the store, without discovery, and the workers of the stored list.
 fn node_on_a_copy() -> (Node, Workers) {
     let workers = Workers::start();
     let node = Node::start(NO_DISCOVERY, |store| {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn answers_kept_by_an_earlier_version_are_given_again() {
+fn responses_stored_by_an_earlier_version_are_sent_again() {
     let (node, workers) = node_on_a_copy();
     let again = |job: &Job| {
         [
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn jobs_in_doubt_since_an_earlier_version_are_not_sent_again() {
+fn requests_in_doubt_since_an_earlier_version_are_not_sent_again() {
     let (node, workers) = node_on_a_copy();
     for job in [
         jobs::IN_DOUBT,
@@ -132,12 +132,12 @@
         );
     }
     assert_eq!(workers.received(), []);
-    // The worker's report settles it; a report of a worker that did not have it does not.
+    // A callback of the request's worker resolves the doubt; one of another worker does not.
     let (job, id) = (&jobs::IN_DOUBT_AT_SECOND, jobs::IN_DOUBT_AT_SECOND.id);
-    report_done(node.clients, id, 1, "FROM THE WRONG WORKER").expect("an answer");
+    report_done(node.clients, id, 1, "FROM THE WRONG WORKER").expect("a response");
     assert_eq!(node.ask("other-id", job.key, job, "0.5"), failed());
     assert_eq!(
-        report_done(node.clients, id, 0, "LATE PLAN").expect("an answer"),
+        report_done(node.clients, id, 0, "LATE PLAN").expect("a response"),
         200
     );
     assert_eq!(node.ask("other-id", job.key, job, "5"), served("LATE PLAN"));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_job_that_never_ran_in_an_earlier_version_runs() {
+fn a_request_that_never_ran_in_an_earlier_version_runs() {
     let (node, workers) = node_on_a_copy();
     let job = &jobs::NEVER_RAN;
     assert_eq!(
@@ -156,7 +156,7 @@
     assert_eq!(received, ["other-id"]);
 }
 
-/// The workers that received at least one of forty jobs.
+/// Returns the workers that received at least one of forty requests.
 fn receivers(node: &Node, workers: &Workers, prefix: &str) -> Vec<u8> {
     let before = workers.received().len();
     let job = Job {
@@ -181,29 +181,29 @@
 }
 
 #[test]
-fn the_kept_list_and_suspended_workers_of_an_earlier_version_count() {
+fn the_stored_list_and_suspended_workers_of_an_earlier_version_are_in_effect() {
     let (node, workers) = node_on_a_copy();
     assert_eq!(node.suspended(), ["s-2"]);
     assert_eq!(receivers(&node, &workers, "first"), [0, 1]);
     let path = "/v1/route-workers/s-2/resume";
     assert_eq!(
         send_request(node.management, "POST", path, &[], b"")
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
     assert!(wait_until(TEST_TIMEOUT, || node.suspended().is_empty()));
-    // The worker is warming up: it gets its first job within a few seconds.
+    // The worker is in slow start, so it may receive its first request only after some seconds.
     let mut round = 0;
     let resumed = wait_until(TEST_TIMEOUT, || {
         round += 1;
         receivers(&node, &workers, &format!("round-{round}")).contains(&2)
     });
-    assert!(resumed, "nothing went to s-2 after it was resumed");
+    assert!(resumed, "s-2 received no request after it was resumed");
 }
 
 #[test]
-fn voters_go_on_from_the_stores_of_an_earlier_version() {
+fn voters_continue_from_the_stores_of_an_earlier_version() {
     let mut fleet = voters();
     (0..3).for_each(|n| fleet.kill(n));
     for n in 0..3 {
@@ -211,17 +211,17 @@
     }
     (0..3).for_each(|n| fleet.start(n));
     fleet.wait_until_suspended("suspended", &["w-0", "w-2"]);
-    // A new fleet's first token is the stored one again; the next owner on these stores gets a
-    // higher one.
+    // A cluster without these stores would issue the stored token again; one that continues from
+    // them issues a higher one.
     let higher = wait_until(fleet_harness::MAX_WAIT, || {
         lease_token(&fleet).is_some_and(|token| token > STORED_TOKEN)
     });
     assert!(higher, "{:?}: {}", lease_token(&fleet), fleet.describe());
 }
 
-/// The fencing token of the lease on `bans`, as the first node tells it.
+/// Returns the fencing token of the lease on `bans` as the first node sees it.
 fn lease_token(fleet: &FleetHarness) -> Option<u64> {
-    let answer = send_request(
+    let response = send_request(
         fleet.nodes[0].management_address,
         "GET",
         "/v1/fleet/owners",
@@ -229,7 +229,7 @@
         b"",
     )
     .ok()?;
-    let view: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+    let view: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
     view["duties"]
         .as_array()?
         .iter()
@@ -237,13 +237,13 @@
         .as_u64()
 }
 
-// ---- Making the fixtures ----
+// ---- Generating the fixtures ----
 
 #[test]
-fn data_directories_are_made_anew_only_when_asked_for() {
+fn data_directories_are_regenerated_only_on_request() {
     if std::env::var("WRITE_DATA_DIRECTORY").is_ok_and(|value| value == "1") {
-        make_single();
-        make_voters();
+        generate_single();
+        generate_voters();
         for (name, action) in STORES
             .iter()
             .flat_map(|name| ["verify", "dump", "stat"].map(|a| (name, a)))
@@ -253,7 +253,7 @@
             let text = store_command(action, &folder.path("store"));
             std::fs::write(fixtures().join(format!("{name}.{action}.txt")), text).expect("a file");
         }
-        panic!("the data directories are made anew; run again without WRITE_DATA_DIRECTORY");
+        panic!("the data directories are regenerated; run again without WRITE_DATA_DIRECTORY");
     }
     assert!(
         STORES.iter().all(|name| store_fixture(name).is_dir()),
@@ -261,9 +261,9 @@
     );
 }
 
-/// A node takes in the list of workers and suspends one; the jobs are added to its store when it
-/// has ended.
-fn make_single() {
+/// Starts a node, which stores the worker list, suspends a worker, and adds the requests to the
+/// node's store after it has been killed.
+fn generate_single() {
     let worker = |number: u8| {
         let mut worker = Worker::start(&format!("s-{number}"), Duration::ZERO).expect("a worker");
         worker.address = worker_address(number);
@@ -275,24 +275,24 @@
     let path = "/v1/route-workers/s-2/suspend";
     assert_eq!(
         send_request(node.management, "POST", path, &[], b"")
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
-    std::thread::sleep(UNTIL_KEPT);
+    std::thread::sleep(MAX_STORE_DELAY);
     node.kill();
     jobs::add_to_store(&node.store);
     copy_store(&node.store, &store_fixture("single"));
 }
 
-/// Three nodes elect a leader, one of them gets a lease, and two workers are suspended.
-fn make_voters() {
+/// Starts three nodes, which elect a leader and grant a lease, and suspends two workers.
+fn generate_voters() {
     let mut fleet = voters();
-    std::thread::sleep(UNTIL_KEPT);
+    std::thread::sleep(MAX_STORE_DELAY);
     fleet.suspend(0, "w-0");
     fleet.suspend(1, "w-2");
     fleet.wait_until_suspended("suspended", &["w-0", "w-2"]);
-    std::thread::sleep(UNTIL_KEPT);
+    std::thread::sleep(MAX_STORE_DELAY);
     for n in 0..3 {
         fleet.kill(n);
         copy_store(&store(&fleet, n), &store_fixture(&format!("voter-n{n}")));
--- a/tests/support/program_harness.rs
+++ b/tests/support/program_harness.rs
@@ -1,5 +1,5 @@
-//! The real program as operators run it: processes of one node on a listener that all of them
-//! inherit, with stand-in workers and discovery, and clients that load it.
+//! The real program as operators run it: several processes of one node that share an inherited
+//! listener, with stand-in workers and discovery, and clients that put load on it.
 #![allow(dead_code)]
 
 use crate::node_harness::{TEST_TIMEOUT, TestSocket};
@@ -18,13 +18,13 @@
 use std::thread::{self, JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-/// How long the jobs of the usual workers take, in milliseconds.
-const USUAL_JOB_TIMES_MS: [u64; 4] = [15, 55, 95, 135];
-/// How long a process may take until it is ready.
+/// Service times of the default workers, in milliseconds.
+const DEFAULT_SERVICE_TIMES_MS: [u64; 4] = [15, 55, 95, 135];
+/// Timeout for a started process to become ready.
 const START_TIMEOUT: Duration = Duration::from_millis(6000);
-/// How long a management request may take.
+/// Maximum duration of a management request.
 const MANAGEMENT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pause between two looks at something that is awaited.
+/// Interval between two checks of an awaited condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// One process of the node, and the address of its management API.
@@ -49,10 +49,11 @@
         }
     }
 
-    /// The status code of its readiness check at the management API; `None` if it can't be reached.
+    /// Returns the status code of the readiness check at its management API; `None` if it can't be
+    /// reached.
     pub fn readiness(&self) -> Option<u16> {
-        let answer = send_request(self.management, "GET", "/v1/readyz", &[], b"");
-        answer.ok().map(|answer| answer.status)
+        let response = send_request(self.management, "GET", "/v1/readyz", &[], b"");
+        response.ok().map(|response| response.status)
     }
 
     /// Signals the process to stop.
@@ -70,12 +71,12 @@
         self.process.kill();
     }
 
-    /// Stops the execution of the process.
+    /// Pauses the process.
     pub fn pause(&mut self) {
         self.process.pause();
     }
 
-    /// Continues the execution of the process.
+    /// Resumes the process after a pause.
     pub fn resume(&mut self) {
         self.process.resume();
     }
@@ -84,7 +85,7 @@
     pub fn post(&self, path: &str) -> u16 {
         let start = Instant::now();
         let status = send_request(self.management, "POST", path, &[], b"")
-            .expect("an answer")
+            .expect("a response")
             .status;
         assert!(
             start.elapsed() < MANAGEMENT_TIMEOUT,
@@ -94,7 +95,7 @@
         status
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to exit.
     pub fn wait_for_end(&mut self) -> ProcessEnd {
         let start = Instant::now();
         let mut successful = None;
@@ -102,7 +103,10 @@
             successful = self.process.exit_success();
             successful.is_some()
         };
-        assert!(wait_until(TEST_TIMEOUT, has_ended), "it does not end");
+        assert!(
+            wait_until(TEST_TIMEOUT, has_ended),
+            "the process does not exit"
+        );
         ProcessEnd {
             after: start.elapsed(),
             successful: successful == Some(true),
@@ -110,7 +114,7 @@
     }
 }
 
-/// A process that is ready, and how long that took.
+/// A process that is ready, and how long it took to become ready.
 pub struct StartedProcess {
     pub process: NodeProcess,
     pub ready_after: Duration,
@@ -122,7 +126,7 @@
     pub management: SocketAddr,
 }
 
-/// The listener that all processes of the node inherit, its workers and its discovery.
+/// A node's shared listener, which its processes inherit, and its workers and discovery.
 pub struct ProgramHarness {
     listener: Socket,
     pub address: SocketAddr,
@@ -132,30 +136,32 @@
 }
 
 impl ProgramHarness {
-    /// A node with the usual workers; the name is that of its folder.
+    /// Sets up a node with the default workers; the name is part of its folder's name.
     pub fn new(name: &str) -> Self {
-        Self::with_job_times(name, &USUAL_JOB_TIMES_MS)
+        Self::with_service_times(name, &DEFAULT_SERVICE_TIMES_MS)
     }
 
-    /// A node with one worker for each of these job times, in milliseconds.
-    pub fn with_job_times(name: &str, job_times_ms: &[u64]) -> Self {
+    /// Sets up a node with one worker for each of these service times, in milliseconds.
+    pub fn with_service_times(name: &str, service_times_ms: &[u64]) -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         listener
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .expect("a port");
-        listener.listen(1024).expect("it listens");
-        listener.set_cloexec(false).expect("it is inherited");
+        listener.listen(1024).expect("the listener listens");
+        listener
+            .set_cloexec(false)
+            .expect("the listener is inheritable");
         let address = listener
             .local_addr()
             .ok()
             .and_then(|address| address.as_socket())
             .expect("an address");
-        let workers: Vec<Worker> = job_times_ms
+        let workers: Vec<Worker> = service_times_ms
             .iter()
             .enumerate()
-            .map(|(n, job_time_ms)| {
-                let job_time = Duration::from_millis(*job_time_ms);
-                Worker::start(&format!("s-{n}"), job_time).expect("a worker")
+            .map(|(n, service_time_ms)| {
+                let service_time = Duration::from_millis(*service_time_ms);
+                Worker::start(&format!("s-{n}"), service_time).expect("a worker")
             })
             .collect();
         workers.iter().for_each(|worker| worker.report_to(address));
@@ -165,7 +171,8 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(folder.join("tmp")).expect("a folder");
         let mut config: serde_json::Value =
-            serde_json::from_str(include_str!("../../examples/config.json")).expect("the example");
+            serde_json::from_str(include_str!("../../examples/config.json"))
+                .expect("a valid example");
         config["listen"] = address.to_string().into();
         config["discovery"] = discovery.address.to_string().into();
         config["known"] = serde_json::Value::Null;
@@ -179,7 +186,7 @@
         }
     }
 
-    /// The command of a further process, with a management address of its own.
+    /// Returns the command of another process of the node, with its own management address.
     pub fn command(&self) -> NodeCommand {
         let management = SocketAddr::new(loopback_addresses(1)[0], 8081);
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
@@ -207,7 +214,10 @@
         let start = Instant::now();
         let process = NodeProcess::spawn(command);
         while process.readiness() != Some(200) {
-            assert!(start.elapsed() < START_TIMEOUT, "it is ready too late");
+            assert!(
+                start.elapsed() < START_TIMEOUT,
+                "the process is not ready in time"
+            );
             sleep(POLL_INTERVAL);
         }
         StartedProcess {
@@ -216,32 +226,32 @@
         }
     }
 
-    /// The status code of the readiness check at the clients' address.
+    /// Returns the status code of the readiness check at the clients' address.
     pub fn readiness(&self) -> u16 {
         let fields = [("Connection", "close")];
         send_request(self.address, "GET", "/-/ready", &fields, b"")
-            .expect("an answer")
+            .expect("a response")
             .status
     }
 
-    /// Submits a request of this id, which is its idempotency key as well, with these further
+    /// Submits a request with this id, which is also its idempotency key, and these additional
     /// header fields.
     pub fn submit(&self, id: &str, fields: &[(&str, &str)]) -> Response {
         let mut all_fields = vec![("X-Request-Id", id), ("Idempotency-Key", id)];
         all_fields.extend(fields);
-        send_request(self.address, "POST", "/reroute/x", &all_fields, b"x").expect("an answer")
+        send_request(self.address, "POST", "/reroute/x", &all_fields, b"x").expect("a response")
     }
 
-    /// How often each job has been run, by all workers.
+    /// Returns the number of runs of each request at all workers, by idempotency key.
     pub fn run_counts(&self) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
-        for (job, times) in self.workers.iter().flat_map(Worker::runs) {
-            *counts.entry(job).or_default() += times;
+        for (key, runs) in self.workers.iter().flat_map(Worker::runs) {
+            *counts.entry(key).or_default() += runs;
         }
         counts
     }
 
-    /// How many jobs a worker has run.
+    /// Returns the number of runs at a worker.
     pub fn runs_of_worker(&self, worker: usize) -> u32 {
         self.workers[worker].runs().values().sum()
     }
@@ -254,29 +264,29 @@
     }
 }
 
-/// What the clients of a load have counted.
+/// The counters that the clients of a load share.
 #[derive(Default)]
 struct LoadCounters {
     served: AtomicU64,
     rejected: AtomicU64,
-    /// Requests whose connection ended in place of a response, or was refused.
+    /// Requests whose connection closed without a response or was refused.
     unanswered: AtomicU64,
-    /// How often a client has retried each job after that.
+    /// Number of retries after that, by idempotency key.
     retries: Mutex<HashMap<String, u32>>,
 }
 
-/// What has become of the requests of a load.
+/// The outcome of a load.
 #[derive(Debug)]
 pub struct LoadResult {
     pub served: u64,
     pub rejected: u64,
-    /// Requests whose connection ended in place of a response, or was refused.
+    /// Requests whose connection closed without a response or was refused.
     pub unanswered: u64,
-    /// How often a client has retried each job after that.
+    /// Number of retries after that, by idempotency key.
     pub retries: HashMap<String, u32>,
 }
 
-/// Clients that keep their connections open, each with one request after another.
+/// Clients that keep their connections open and each send one request after another.
 pub struct ClientLoad {
     stop: Arc<AtomicBool>,
     counters: Arc<LoadCounters>,
@@ -314,16 +324,19 @@
         let before = self.served();
         let start = Instant::now();
         while self.served() < before + requests {
-            assert!(start.elapsed() < TEST_TIMEOUT, "nothing is served any more");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "no more requests are served"
+            );
             sleep(POLL_INTERVAL);
         }
     }
 
-    /// Ends the load.
+    /// Stops the clients, and returns the outcome.
     pub fn finish(self) -> LoadResult {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
-            thread.join().expect("a client without an error");
+            thread.join().expect("the client did not panic");
         }
         let counters = &self.counters;
         LoadResult {
@@ -346,17 +359,17 @@
 impl LoadClient {
     fn run(&self) {
         let mut connection = None;
-        for job in 0.. {
-            if !self.run_job(job, &mut connection) {
+        for request in 0.. {
+            if !self.run_request(request, &mut connection) {
                 return;
             }
         }
     }
 
-    /// Tries a job until it is served; returns whether it was, and not the end of the load.
-    fn run_job(&self, job: u64, connection: &mut Option<TestSocket>) -> bool {
-        let key = format!("key-{}-{job}", self.number);
-        let body = format!("work {} {job}", self.number);
+    /// Retries a request until it is served; returns `false` if the load was stopped before.
+    fn run_request(&self, request: u64, connection: &mut Option<TestSocket>) -> bool {
+        let key = format!("key-{}-{request}", self.number);
+        let body = format!("work {} {request}", self.number);
         for attempt in 0.. {
             if self.stop.load(Ordering::SeqCst) {
                 return false;
@@ -364,12 +377,12 @@
             let mut socket = connection
                 .take()
                 .unwrap_or_else(|| TestSocket::connect(self.node));
-            match self.try_job(&mut socket, job, attempt, &key, &body) {
+            match self.try_request(&mut socket, request, attempt, &key, &body) {
                 Some(response) if response.status == 200 => {
                     assert_eq!(
                         response.body,
                         body.to_uppercase().as_bytes(),
-                        "a response that no worker made"
+                        "the response is not that of a worker"
                     );
                     self.counters.served.fetch_add(1, Ordering::SeqCst);
                     *connection = response.keep_alive.then_some(socket);
@@ -390,32 +403,32 @@
                 }
             }
         }
-        unreachable!("the attempts have no end")
+        unreachable!("the loop over attempts is endless")
     }
 
-    /// Sends a job in two pieces, so that processes change in the midst of requests as well; `None`
-    /// if the connection ends before the response.
-    fn try_job(
+    /// Sends a request in two pieces, so that handovers between processes also happen within
+    /// requests; `None` if the connection closes without a response.
+    fn try_request(
         &self,
         socket: &mut TestSocket,
-        job: u64,
+        request: u64,
         attempt: u64,
         key: &str,
         body: &str,
     ) -> Option<Response> {
-        let path = if job.is_multiple_of(2) {
+        let path = if request.is_multiple_of(2) {
             "/day-plan/x"
         } else {
             "/reroute/x"
         };
         let number = self.number;
         let head = format!(
-            "POST {path} HTTP/1.1\r\nX-Request-Id: id-{number}-{job}-{attempt}\r\nIdempotency-Key: {key}\r\n\
+            "POST {path} HTTP/1.1\r\nX-Request-Id: id-{number}-{request}-{attempt}\r\nIdempotency-Key: {key}\r\n\
              X-Deadline: 6\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
         socket.stream.write_all(head.as_bytes()).ok()?;
-        if job.is_multiple_of(3) {
+        if request.is_multiple_of(3) {
             sleep(Duration::from_millis(1));
         }
         socket.stream.write_all(body.as_bytes()).ok()?;
--- a/tests/surface_bytes.rs
+++ b/tests/surface_bytes.rs
@@ -1,7 +1,8 @@
-//! Pins the keys and values that a node itself stores (the list of workers, the workers out of use,
-//! what the coordination service has it keep), and the list of workers as nodes pass it on. A node
-//! reads what an older version stored, and other nodes may run other versions, so none of it must
-//! change with a rename. The literals were written by the version before the renames.
+//! Pins the keys and values that a node stores (the worker list, the suspended workers and the
+//! records of the coordination service), and the worker list as nodes send it to each other. A node
+//! reads what older versions have stored, and peers may run other versions, so renaming an
+//! identifier must not change any of it. The literals were written by the version before the
+//! renames.
 
 use postproxy::Settings;
 use postproxy::net::cluster::versions;
@@ -28,7 +29,7 @@
     pairs.map(byte).collect()
 }
 
-/// A folder that is removed at the end of its test.
+/// The folder of a test, which is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -39,10 +40,10 @@
         Self(folder)
     }
 
-    /// The settings of a store in this folder.
+    /// Returns the section of a store in this folder.
     fn store(&self) -> StoreSection {
         let text = format!(r#"{{"folder": {:?}}}"#, self.0);
-        serde_json::from_str(&text).expect("sound settings")
+        serde_json::from_str(&text).expect("valid settings")
     }
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// The list of workers as it is stored.
+/// The worker list as it is stored.
 const LIST: &str = concat!(
     r#"{"discovery":"127.0.0.1:8500","revision":7,"members":["#,
     r#"{"id":"w-1","host_port":"127.0.0.1:9001","locality":"here","flavor":"small","cell":2,"#,
@@ -61,7 +62,7 @@
     r#""phase":"terminated","size":0.0,"up_since_ms":0.0}]}"#,
 );
 
-/// The same list as discovery sends it, without what may be left out.
+/// The same list as discovery sends it, without the optional keys.
 const DISCOVERED: &str = concat!(
     r#"{"revision":7,"complete":true,"members":["#,
     r#"{"id":"w-1","host_port":"127.0.0.1:9001","locality":"here","flavor":"small","cell":2,"#,
@@ -69,8 +70,8 @@
     r#"{"id":"w-2","host_port":"127.0.0.1:9002","phase":"terminated"}]}"#,
 );
 
-/// The same list as nodes pass it on: its number, its digest, its members.
-const PASSED: &str = "07aabdc4c99ba4cad2e0010203772d310e3132372e302e302e313a39303031046865726505736d616c6c020a696e5f736572766963650000000000000c4000008056febc784203772d320e3132372e302e302e313a393030320000ffff030a7465726d696e6174656400000000000000000000000000000000";
+/// The same list as nodes send it to each other: its revision, its digest and its members.
+const PEER_LIST: &str = "07aabdc4c99ba4cad2e0010203772d310e3132372e302e302e313a39303031046865726505736d616c6c020a696e5f736572766963650000000000000c4000008056febc784203772d320e3132372e302e302e313a393030320000ffff030a7465726d696e6174656400000000000000000000000000000000";
 
 fn discovery() -> SocketAddr {
     "127.0.0.1:8500".parse().expect("an address")
@@ -78,10 +79,10 @@
 
 fn settings() -> Settings {
     Settings::from_json(r#"{"services": [{"name": "render", "effect": "pure"}]}"#)
-        .expect("sound settings")
+        .expect("valid settings")
 }
 
-/// A node's list of workers that begins with the list above.
+/// Returns a node's worker list that retains the list above.
 fn worker_list(text: &str, revision: u64) -> WorkerList {
     let list = DiscoveryList::from_json(text.as_bytes()).expect("a list");
     let mut workers = WorkerList::new(discovery(), settings(), Some(revision), 1);
@@ -90,9 +91,9 @@
 }
 
 #[test]
-fn stored_list_of_workers_keeps_its_text() {
-    let kept = worker_list(DISCOVERED, 7).snapshot().expect("a list");
-    assert_eq!(String::from_utf8(kept).expect("text"), LIST);
+fn stored_worker_list_keeps_its_text() {
+    let stored = worker_list(DISCOVERED, 7).snapshot().expect("a list");
+    assert_eq!(String::from_utf8(stored).expect("text"), LIST);
     let read = WorkerListSnapshot::from_json(LIST.as_bytes()).expect("a stored list");
     let list = read
         .select_initial_list(None, discovery())
@@ -104,32 +105,32 @@
 }
 
 #[test]
-fn passed_on_list_of_workers_keeps_its_bytes() {
+fn worker_list_for_peers_keeps_its_bytes() {
     let workers = worker_list(DISCOVERED, 7);
     let (number, digest) = workers.version().expect("a version");
     assert_eq!(
         (number, format!("{digest:016x}")),
         (7, "e0a52921b9311eaa".to_owned())
     );
-    assert_eq!(hex(&workers.encode_for_peer().expect("a list")), PASSED);
+    assert_eq!(hex(&workers.encode_for_peer().expect("a list")), PEER_LIST);
 }
 
 #[test]
-fn passed_on_list_of_workers_is_read() {
+fn worker_list_of_a_peer_is_read() {
     let mut reactor = Reactor::new(0.0).expect("a poller");
     let mut workers = worker_list(DISCOVERED, 6);
     let (number, digest) = workers
-        .apply_peer_list(&mut reactor, &unhex(PASSED))
+        .apply_peer_list(&mut reactor, &unhex(PEER_LIST))
         .expect("a newer list");
     assert_eq!(
         (number, format!("{digest:016x}")),
         (7, "e0a52921b9311eaa".to_owned())
     );
-    assert_eq!(reactor.queue.len(), 1, "the list is told to the core");
+    assert_eq!(reactor.queue.len(), 1, "the list is queued for the core");
 }
 
 #[test]
-fn prefix_and_generation_of_passed_on_lists_are_unchanged() {
+fn prefix_and_generation_of_worker_lists_for_peers_are_unchanged() {
     assert_eq!(versions::WORKER_LIST_PREFIX, [0x50, 0x41, 0x01]);
     assert_eq!(
         format!("{:016x}", versions::generation("127.0.0.1:8500")),
@@ -137,14 +138,14 @@
     );
 }
 
-/// All keys and values of a store.
+/// Returns all keys and values of a store.
 fn content(section: &StoreSection) -> BTreeMap<String, String> {
     let (mut engine, _) = open(section, "a test").expect("a store");
     let mut content = BTreeMap::new();
     let show = |key: &[u8], value: &[u8]| {
         content.insert(String::from_utf8_lossy(key).into_owned(), hex(value));
     };
-    engine.scan(show).expect("a sound disk");
+    engine.scan(show).expect("a healthy disk");
     content
 }
 
@@ -167,7 +168,8 @@
     ];
     assert!(adapter.write_coordination_records(&changes));
     assert!(adapter.write_coordination_records(&[change(b"s/start", None)]));
-    drop(adapter); // waits for its writes
+    // Waits for the pending writes.
+    drop(adapter);
     let expected = [
         ("a/hard", "05"),
         ("c/seat", "06"),
@@ -178,7 +180,7 @@
     assert_eq!(content(&folder.store()), BTreeMap::from(expected));
 }
 
-/// A record of a served job, as `crates/idempotency` pins it.
+/// The record of a served request, as pinned in `crates/idempotency`.
 const RECORD: &str = "01016301016b070707070707070707070707070707070707070707070707070707070707070701010203772d310203772d320080eb06d881e201";
 
 #[test]
@@ -201,7 +203,7 @@
         put(b"r/a", b"result"),
     ];
     engine.append(&puts).expect("room");
-    engine.commit().expect("a sound disk");
+    engine.commit().expect("a healthy disk");
     drop(engine);
     let mut reactor = Reactor::new(0.0).expect("a poller");
     let StartedStore {
--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -1,7 +1,7 @@
-//! Pins what errors look like outside of the program: every code with its remedy, the body and
-//! status with which the management API shows each error, the messages of the error types, and what
-//! the drill program prints. All are written out, so that no renaming in the code can change what
-//! operators and scripts read.
+//! Pins errors as operators and scripts see them: every code with its remedy, the status and body
+//! that the management API returns for each error, the messages of the error types, and the output
+//! of the drill program. All texts are literals, so renaming an identifier can't change them
+//! unnoticed.
 
 use postproxy::decision::interface::SettingsError;
 use postproxy::net::cluster::coordination::error_response;
@@ -89,7 +89,7 @@
     assert_eq!(postproxy::decision::interface::REMEDIES, expected);
 }
 
-/// Asserts the status and the body with which the management API rejects a call that came to this.
+/// Asserts the status and the body that the management API returns for this error.
 fn assert_rejection(error: Error, status: u16, body: &str) {
     let response = error_response(&error);
     assert_eq!(
@@ -306,7 +306,7 @@
     }
 }
 
-/// What the drill program comes to with this input: its exit status and standard error.
+/// Runs the drill program with this input; returns its exit status and standard error.
 fn drill(input: &[u8]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy-drill"));
     command
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn the_drill_program_prints_its_error_and_ends_with_status_1() {
+fn the_drill_program_prints_its_error_and_exits_with_status_1() {
     assert_eq!(drill(b""), (Some(0), String::new()));
     let truncated = (
         Some(1),
--- a/tests/surface_settings.rs
+++ b/tests/surface_settings.rs
@@ -1,7 +1,7 @@
-//! Pins what operators write and read: the operator's file, the node's configuration with its
-//! settings, and the environment. Every key is shown to be known, and every message on a wrong one
-//! is written out with its code, so that no renaming in the code can change a key, a word or a
-//! message.
+//! Pins the operator's file, the node's configuration with its settings, and the environment
+//! variables as operators see them. The tests cover every key and, with its code, every error
+//! message. All are literals, so renaming an identifier can't change a key, a value or a message
+//! unnoticed.
 
 use postproxy::decision::interface::{
     Class, DedupScope, Effect, Entry, Health, ReportField, ReportSource, RetryBudget, Settings,
@@ -17,15 +17,15 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A folder of one test, removed at its end. The program runs in it, so that messages hold relative
-/// paths only.
+/// The working directory of one test, removed on drop. The program runs in it, so that its messages
+/// contain relative paths only.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
         let name = format!("surface-settings-{name}-{}", std::process::id());
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        fs::create_dir_all(&folder).expect("the folder is made");
+        fs::create_dir_all(&folder).expect("the folder is created");
         Self(folder)
     }
 
@@ -33,7 +33,7 @@
         fs::write(self.0.join(file), text).expect("the file is written");
     }
 
-    /// Runs the program; returns its exit status and what it wrote to standard output and error.
+    /// Runs the program; returns its exit status, standard output and standard error.
     fn run(&self, args: &[&str], environment: &[(&str, &str)]) -> (Option<i32>, String, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_postproxy"));
         command
@@ -61,7 +61,7 @@
     (Some(1), String::new(), format!("postproxy: {text}\n"))
 }
 
-/// The name of the test that runs, which is the name of its thread.
+/// Returns the name of the running test, which is the name of its thread.
 fn test_name() -> String {
     std::thread::current()
         .name()
@@ -94,7 +94,7 @@
     }
 }
 
-/// A configuration with these settings.
+/// Returns a configuration with these settings.
 fn configuration(settings: &str) -> String {
     format!(
         r#"{{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7", "settings": {settings}}}"#
@@ -157,7 +157,7 @@
 
 #[test]
 fn every_key_of_the_operator_file_reaches_its_field() {
-    let operator = OperatorConfig::from_json(FULL_OPERATOR_FILE).expect("it is sound");
+    let operator = OperatorConfig::from_json(FULL_OPERATOR_FILE).expect("a valid file");
     assert_eq!(operator.log.levels, "warn,postproxy=debug");
     assert_eq!(operator.log.format, postproxy::logging::Format::Json);
     let store = operator.store.expect("a store");
@@ -209,7 +209,7 @@
 #[test]
 fn absent_keys_of_the_operator_file_have_their_defaults() {
     let text = r#"{"store": {"folder": "data"}, "fleet": {"cluster": "c", "listen": "127.0.0.1:1", "voters": ["a", "b", "c"]}, "duties": {}, "audit": {}}"#;
-    let operator = OperatorConfig::from_json(text).expect("it is sound");
+    let operator = OperatorConfig::from_json(text).expect("a valid file");
     assert_eq!(operator.log.levels, "info");
     assert_eq!(operator.log.format, postproxy::logging::Format::Text);
     let store = operator.store.expect("a store");
@@ -724,7 +724,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_with_fleet_is_named_at_once() {
+fn all_invalid_values_in_fleet_are_listed_at_once() {
     let cases = [(
         r#"{"fleet": {"cluster": "", "listen": "127.0.0.1:1", "advertise": "[::1]:1", "voters": ["a", "b", "a"]}}"#,
         "fleet.cluster: must not be empty; fleet.advertise: must be of the same address family as fleet.listen; fleet.voters[2]: is listed twice",
@@ -1411,7 +1411,7 @@
     assert_values_out_of_range(&cases);
 }
 
-// The configuration and its settings, where nothing is wrong.
+// Valid configurations and settings.
 
 fn unset(_: &str) -> Option<String> {
     None
@@ -1548,7 +1548,7 @@
 #[test]
 fn every_key_of_settings_reaches_its_field() {
     assert_eq!(
-        Settings::from_json(FULL_SETTINGS).expect("they are sound"),
+        Settings::from_json(FULL_SETTINGS).expect("valid settings"),
         full_settings()
     );
 }
@@ -1594,17 +1594,17 @@
         max_waiting_requests: 0,
     };
     assert_eq!(
-        Settings::from_json(r#"{"services": [{}]}"#).expect("they are sound"),
+        Settings::from_json(r#"{"services": [{}]}"#).expect("valid settings"),
         expected
     );
 }
 
 #[test]
-fn the_words_for_ways_of_reports_are_known() {
+fn every_source_of_load_reports_is_known() {
     let reports = |via: &str| {
         let text = format!(r#"{{"report": {{"via": "{via}"}}}}"#);
         Settings::from_json(&text)
-            .expect("they are sound")
+            .expect("valid settings")
             .report_source
     };
     assert_eq!(reports("answers"), ReportSource::Answers);
@@ -1625,7 +1625,7 @@
 
 #[test]
 fn every_key_of_the_configuration_reaches_its_field() {
-    let config = Config::from_json(FULL_CONFIGURATION, unset).expect("it is sound");
+    let config = Config::from_json(FULL_CONFIGURATION, unset).expect("a valid file");
     assert_eq!((&*config.name, config.seed), ("n7", 0x8c1f_30d2_7a5b_e964));
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 1], 8080)));
     assert_eq!(config.discovery, SocketAddr::from(([127, 0, 0, 2], 8500)));
@@ -1660,7 +1660,7 @@
 
 #[test]
 fn absent_keys_of_the_configuration_have_their_defaults() {
-    let config = Config::from_json(&configuration("{}"), unset).expect("it is sound");
+    let config = Config::from_json(&configuration("{}"), unset).expect("a valid file");
     assert_eq!((config.sockets, config.memory_mb), (1024, 192));
     assert!(
         config.management.is_none()
@@ -1672,7 +1672,7 @@
 // The environment.
 
 #[test]
-fn variables_go_before_the_configuration() {
+fn variables_take_precedence_over_the_configuration() {
     let variable = |name: &str| {
         let value = match name {
             "RELAY_NAME" => "n9",
@@ -1685,7 +1685,7 @@
         };
         Some(value.to_owned())
     };
-    let config = Config::from_json(FULL_CONFIGURATION, variable).expect("it is sound");
+    let config = Config::from_json(FULL_CONFIGURATION, variable).expect("a valid file");
     assert_eq!(config.name, "n9");
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 9], 1)));
     assert_eq!(config.discovery, SocketAddr::from(([127, 0, 0, 9], 2)));
@@ -1701,7 +1701,7 @@
 }
 
 #[test]
-fn wrong_variables_are_named() {
+fn invalid_variables_are_named() {
     let folder = Folder::new(&test_name());
     folder.write(
         "config.json",
@@ -1766,7 +1766,7 @@
 }
 
 #[test]
-fn the_name_of_the_environment_is_the_name_of_the_node() {
+fn the_name_in_the_environment_is_the_name_of_the_node() {
     let folder = Folder::new(&test_name());
     folder.write("config.json", &configuration("{}"));
     folder.write(
@@ -1783,7 +1783,7 @@
     assert_eq!(folder.run(&["serve"], &environment), message(&expected));
 }
 
-/// A node that does not outlive its test.
+/// A node, which is killed on drop.
 struct Node(Child);
 
 impl Drop for Node {
@@ -1793,15 +1793,15 @@
     }
 }
 
-/// A free address, on an address of loopback that only this process uses, so that nobody else takes
-/// the port.
+/// Returns a free address. Its loopback IP address is used only by this process, so that no other
+/// process takes the port.
 fn free_address() -> SocketAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let listener = TcpListener::bind((Ipv4Addr::new(127, 77, high, low), 0)).expect("a port");
     listener.local_addr().expect("an address")
 }
 
-/// Waits until somebody listens at this address.
+/// Connects to this address; retries until something listens there.
 fn connect(address: SocketAddr) -> TcpStream {
     let start = Instant::now();
     loop {
@@ -1813,7 +1813,7 @@
     }
 }
 
-/// The first line of the response to a request of this method for this path.
+/// Returns the status line of the response to a request with this method and path.
 fn status_line(address: SocketAddr, method: &str, path: &str) -> String {
     let mut stream = connect(address);
     write!(
@@ -1849,7 +1849,7 @@
         status_line(management, "POST", "/v1/readyz"),
         "HTTP/1.1 405 Method Not Allowed"
     );
-    // The node asks discovery for its list.
+    // The node requests the worker list from discovery.
     discovery.accept().expect("a connection");
 }
 
@@ -1862,7 +1862,7 @@
         "config.json",
         &configuration("{}").replace("127.0.0.1:0", &address.to_string()),
     );
-    // The shell passes its standard input on as descriptor 3.
+    // The shell passes its standard input to the node as descriptor 3.
     let mut command = Command::new("/bin/sh");
     command.args([
         "-c",
