--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fault injection for tests; not part of the node.
 //!
-//! - [`FaultyNetwork`]: proxies between nodes that lose, duplicate, delay, reset and partition their
+//! - [`FaultyNetwork`]: proxies between nodes that lose, duplicate, delay, reset and partition the
 //!   traffic, separately for each direction.
 //! - [`Process`]: a process of the program that can be paused, resumed and killed.
 //! - [`Schedule`]: a random sequence of faults that can be saved as text and run again.
--- a/src/cli/fleet_trial/mod.rs
+++ b/src/cli/fleet_trial/mod.rs
@@ -25,8 +25,8 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a node is paused.
 const PAUSE_DURATION: Duration = Duration::from_secs(4);
-/// The number of workers.
-const WORKERS: u32 = 4;
+/// Number of workers.
+const WORKER_COUNT: u32 = 4;
 /// Service time of a worker.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 /// The worker that is suspended.
@@ -85,7 +85,7 @@
 ///
 /// If a node can't be started, a step doesn't succeed in time, or no request was served.
 pub fn run(node_count: usize) -> Result<(), Failure> {
-    let workers = (0..WORKERS)
+    let workers = (0..WORKER_COUNT)
         .map(|number| Worker::start(&format!("s-{number}"), SERVICE_TIME))
         .collect::<Result<Vec<Worker>, _>>()?;
     let discovery = Discovery::start(&workers)?;
--- a/src/cli/fleet_trial/node.rs
+++ b/src/cli/fleet_trial/node.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// What the nodes of a trial have in common.
+/// The configuration that all nodes of a trial share.
 struct TrialSetup<'a> {
     folder: &'a Path,
     discovery: SocketAddr,
--- a/src/operator_config/audit.rs
+++ b/src/operator_config/audit.rs
@@ -8,7 +8,7 @@
 const DEFAULT_BEAT_MS: u64 = 400;
 /// Allowed values of [`AuditSection::beat_ms`].
 const BEAT_MS_RANGE: RangeInclusive<u64> = 50..=60_000;
-/// The longest name of a discovery, in bytes.
+/// Maximum length of the name of a discovery service, in bytes.
 const MAX_DISCOVERY_NAME_BYTES: usize = 256;
 
 /// The section `audit`: which node acts on which version of the configuration.
@@ -17,8 +17,8 @@
 pub struct AuditSection {
     /// Mean time between two messages with this node's versions, in milliseconds.
     pub beat_ms: u64,
-    /// Name of the discovery service: nodes that give the same name pass worker lists on to each
-    /// other. By default the discovery address in the node's configuration.
+    /// Name of the discovery service: nodes with the same name exchange worker lists. Defaults to
+    /// the discovery address in the node's configuration.
     pub discovery: Option<String>,
 }
 
@@ -41,7 +41,7 @@
 impl AuditSection {
     /// Checks the section.
     pub(super) fn validate(&self, fleet: FleetPresence) -> Result<(), OperatorConfigError> {
-        let error = |path, what| Err(OperatorConfigError::new(path, what));
+        let error = |path, message| Err(OperatorConfigError::new(path, message));
         if fleet == FleetPresence::Absent {
             return error("audit", "needs the section fleet");
         }
--- a/src/operator_config/duties.rs
+++ b/src/operator_config/duties.rs
@@ -9,7 +9,7 @@
 const DEFAULT_LEASE_MS: u64 = 3000;
 /// Allowed values of [`DutiesSection::lease_ms`].
 const LEASE_MS_RANGE: RangeInclusive<u64> = 1000..=60_000;
-/// The fewest voters with which the cluster can lose one and still grant leases.
+/// Minimum number of voters with which the cluster still grants leases after the loss of one.
 const MIN_VOTERS: usize = 3;
 
 /// The section `duties`: leases on tasks that one node does for the whole cluster.
@@ -31,7 +31,7 @@
 impl DutiesSection {
     /// Checks the section.
     pub(super) fn validate(&self, fleet: Option<&FleetSection>) -> Result<(), OperatorConfigError> {
-        let error = |path, what| Err(OperatorConfigError::new(path, what));
+        let error = |path, message| Err(OperatorConfigError::new(path, message));
         if !LEASE_MS_RANGE.contains(&self.lease_ms) {
             return error("duties.lease_ms", "must be between 1000 and 60000");
         }
--- a/src/operator_config/fleet.rs
+++ b/src/operator_config/fleet.rs
@@ -89,14 +89,14 @@
 /// An invalid value of the section, by its path below `fleet`.
 struct FieldError {
     path: String,
-    what: &'static str,
+    message: &'static str,
 }
 
 impl FieldError {
-    fn new(path: impl Into<String>, what: &'static str) -> Self {
+    fn new(path: impl Into<String>, message: &'static str) -> Self {
         Self {
             path: path.into(),
-            what,
+            message,
         }
     }
 }
@@ -137,17 +137,18 @@
         let Some(first) = errors.next() else {
             return Ok(());
         };
-        let what = errors.fold(first.what.to_owned(), |text, FieldError { path, what }| {
-            format!("{text}; fleet.{path}: {what}")
-        });
+        let message = errors.fold(
+            first.message.to_owned(),
+            |text, FieldError { path, message }| format!("{text}; fleet.{path}: {message}"),
+        );
         Err(OperatorConfigError::new(
             format!("fleet.{}", first.path),
-            what,
+            message,
         ))
     }
 
     fn advertise_error(&self) -> Option<FieldError> {
-        let what = match self.advertise {
+        let message = match self.advertise {
             Some(address) if address.is_ipv4() != self.listen.is_ipv4() => {
                 "must be of the same address family as fleet.listen"
             }
@@ -159,7 +160,7 @@
             }
             _ => return None,
         };
-        Some(FieldError::new("advertise", what))
+        Some(FieldError::new("advertise", message))
     }
 
     fn seed_errors(&self) -> impl Iterator<Item = FieldError> {
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -69,7 +69,7 @@
     fn validate(&self) -> Result<(), OperatorConfigError> {
         self.log
             .validate()
-            .map_err(|what| OperatorConfigError::new("log.levels", what))?;
+            .map_err(|message| OperatorConfigError::new("log.levels", message))?;
         if let Some(store) = &self.store {
             store.validate()?;
         }
--- a/src/operator_config/store.rs
+++ b/src/operator_config/store.rs
@@ -119,7 +119,7 @@
 
     /// Checks the section.
     pub(super) fn validate(&self) -> Result<(), OperatorConfigError> {
-        let error = |path, what| Err(OperatorConfigError::new(path, what));
+        let error = |path, message| Err(OperatorConfigError::new(path, message));
         if self.folder.is_empty() {
             return error("store.folder", "must not be empty");
         }
@@ -142,15 +142,15 @@
     }
 
     fn validate_retention(&self) -> Result<(), OperatorConfigError> {
-        let wrong = "must be between 1 and 1e8";
+        let message = "must be between 1 and 1e8";
         if !RETENTION_S_RANGE.contains(&self.retention_s) {
-            return Err(OperatorConfigError::new("store.retention_s", wrong));
+            return Err(OperatorConfigError::new("store.retention_s", message));
         }
         let mut by_class = self.retention_of_s.iter();
         match by_class.find(|(_, seconds)| !RETENTION_S_RANGE.contains(seconds)) {
             Some((class, _)) => Err(OperatorConfigError::new(
                 format!("store.retention_of_s.{class}"),
-                wrong,
+                message,
             )),
             None => Ok(()),
         }
--- a/tests/operator_config.rs
+++ b/tests/operator_config.rs
@@ -100,9 +100,9 @@
             "between",
         ),
     ];
-    for (text, path, what) in cases {
+    for (text, path, message) in cases {
         let error = OperatorConfig::from_json(text).expect_err(text);
-        assert!(error.what.contains(what), "{text}: {error}");
+        assert!(error.message.contains(message), "{text}: {error}");
         assert_eq!(error.path, path, "{text}");
     }
 }
