--- a/src/cli/fleet_trial/mod.rs
+++ b/src/cli/fleet_trial/mod.rs
@@ -214,7 +214,7 @@
 fn report(counts: &RequestCounts) -> Result<(), Failure> {
     let served = counts.served.load(Ordering::SeqCst);
     println!(
-        "requests: {served} served, {} rejected, {} failed; {} attempts at unreachable nodes went on to the next node",
+        "requests: {served} served, {} refused, {} failed; {} attempts at unreachable nodes went on to the next node",
         counts.rejected.load(Ordering::SeqCst),
         counts.failed.load(Ordering::SeqCst),
         counts.unreachable.load(Ordering::SeqCst)
--- a/src/cli/trial.rs
+++ b/src/cli/trial.rs
@@ -52,7 +52,7 @@
     fn label(&self) -> &str {
         match &self.status {
             Ok(200) => "served",
-            Ok(503) => "rejected",
+            Ok(503) => "refused",
             Ok(_) => "failed",
             Err(error) => error,
         }
@@ -225,7 +225,7 @@
         *runs.entry(id).or_default() += count;
     }
     println!();
-    println!("class     sent  served  rejected  failed  runs/served  p50 ms  p99 ms");
+    println!("class     sent  served  refused  failed  runs/served  p50 ms  p99 ms");
     let mut failed = 0;
     for class in 0..CLASSES.len() {
         failed += report_class(class, outcomes, &runs)?;
@@ -272,7 +272,7 @@
     }
     let quantile_ms = |quantile| latency.value_at_quantile(quantile) as f64 / 1e3;
     println!(
-        "{:<9} {:>4}  {served:>6}  {rejected:>8}  {failed:>6}  {runs_per_served_request:>11.2}  {:>6.1}  {:>6.1}",
+        "{:<9} {:>4}  {served:>6}  {rejected:>7}  {failed:>6}  {runs_per_served_request:>11.2}  {:>6.1}  {:>6.1}",
         CLASSES[class],
         outcomes.len(),
         quantile_ms(0.5),
