--- a/src/operator_config/error.rs
+++ b/src/operator_config/error.rs
@@ -2,28 +2,28 @@
 
 use std::fmt;
 
-/// What is wrong with an operator's configuration file, and where.
+/// An error in an operator's configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorConfigError {
-    /// The path of the wrong value, such as `store.retention_s`; `.` for the whole document.
+    /// The path of the invalid value, such as `store.retention_s`; `.` for the whole document.
     pub path: String,
-    /// What is wrong with it.
-    pub what: String,
+    /// What is wrong with the value.
+    pub message: String,
 }
 
 impl OperatorConfigError {
-    /// Returns the error that the value at `path` is wrong.
-    pub(super) fn new(path: impl Into<String>, what: impl Into<String>) -> Self {
+    /// Returns an error in the value at `path`.
+    pub(super) fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             path: path.into(),
-            what: what.into(),
+            message: message.into(),
         }
     }
 }
 
 impl fmt::Display for OperatorConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.what)
+        write!(f, "{}: {}", self.path, self.message)
     }
 }
 
