--- a/src/net/node/lifecycle.rs
+++ b/src/net/node/lifecycle.rs
@@ -60,7 +60,7 @@
     /// Drains the node, or continues a drain that a sibling process began `seconds_ago`.
     pub(super) fn drain(&mut self, link: Option<usize>, seconds_ago: f64) {
         if !self.lifecycle.is_draining() {
-            tracing::info!("drain started");
+            tracing::info!("draining");
             self.reactor
                 .set_timer(self.reactor.now + DRAIN_CHECK_SECONDS, Timer::Drain);
             let update = StateUpdate::DrainChanged {
@@ -83,7 +83,7 @@
             self.broadcast_to_siblings(None, &Message::StateUpdate(update));
         }
         let accepted = self.lifecycle.activate();
-        tracing::info!(accepted, "activation requested");
+        tracing::info!(accepted, "activated");
         self.apply_readiness();
         if accepted {
             ManagementReply::Done
