--- a/src/decision/parameters.rs
+++ b/src/decision/parameters.rs
@@ -1,5 +1,4 @@
-//! Tuning parameters of the decision module. `docs/design/deployments.md` documents the simulator
-//! runs and the runs over real sockets that they are based on.
+//! Tuning parameters of the decision module; see the design note `docs/design/deployments.md`.
 //!
 //! Unless another unit is given, times are multiples of the mean run time: the smoothed run time of
 //! a job at a worker, as observed by this dispatcher.
