--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -117,7 +117,7 @@
 }
 
 /// A node that was cut off when another one withdrew its reachability report must not keep that
-/// report for ever.
+/// report for ever. A schedule of processes with seed 30 found this fault.
 #[test]
 fn reachability_report_expires_if_its_withdrawal_was_lost() {
     for seed in 0..10 {
