--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 struct ForwardedCallback {
     caller: u64,
-    /// When it was forwarded, in seconds.
+    /// When the callback was forwarded, in seconds.
     since: f64,
 }
 
--- a/src/decision/interface.rs
+++ b/src/decision/interface.rs
@@ -48,7 +48,7 @@
     pub memory: f64,
     /// Whether the client marked it as a retry of an earlier request.
     pub is_marked_retry: bool,
-    /// Whether it has no idempotency key.
+    /// Whether the request has no idempotency key.
     pub without_key: bool,
 }
 
@@ -109,14 +109,14 @@
 /// the node as a whole, so both processes count it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiblingEvent {
-    /// The times at which it admitted requests and sent retries.
+    /// The times at which the sibling admitted requests and sent retries.
     BudgetHistory {
         /// When requests were admitted.
         admitted: Vec<f64>,
         /// When retries were sent.
         retries: Vec<f64>,
     },
-    /// It sent an attempt.
+    /// The sibling sent an attempt.
     AttemptSent {
         /// The request's id, which differs from those of all requests of this dispatcher.
         request: RequestId,
@@ -131,7 +131,7 @@
         /// When it was sent.
         sent: f64,
     },
-    /// One of its attempts ended.
+    /// An attempt that the sibling had sent ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
--- a/src/net/cluster/service/status.rs
+++ b/src/net/cluster/service/status.rs
@@ -50,7 +50,7 @@
     pub reasons: Vec<String>,
     /// All nodes that are or were members, the answering node first.
     pub members: Vec<MemberStatus>,
-    /// Peers that the answering node monitors and doesn't hear.
+    /// Peers that the answering node monitors and from which it has lately received no heartbeat.
     #[serde(rename = "unheard")]
     pub unreachable_peers: Vec<String>,
     /// Slowdown of the answering node's clock: 0 for a process that runs on time, at most 8.
--- a/src/net/handover/callbacks.rs
+++ b/src/net/handover/callbacks.rs
@@ -14,7 +14,7 @@
 pub struct CallbackOrigin {
     /// The link to the sibling.
     pub link: usize,
-    /// The number that the sibling has given the callback.
+    /// The number that identifies the callback on this link; the result is sent with it.
     pub number: u64,
 }
 
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -353,8 +353,8 @@
         self.requests.set_waiting_limit(limits.waiting);
     }
 
-    /// Handles a callback that a sibling has forwarded. One that can't be parsed is answered at
-    /// once as one for an unknown request.
+    /// Handles a callback that a sibling has forwarded. If the callback can't be parsed, the
+    /// sibling is told at once that its request is unknown here.
     fn receive_callback(&mut self, link: usize, number: u64, body: &[u8]) {
         match callback::parse(body) {
             Some(callback) => {
--- a/src/net/node/lifecycle.rs
+++ b/src/net/node/lifecycle.rs
@@ -7,8 +7,8 @@
 use crate::net::transport::reactor::Timer;
 use postproxy_handover::{Message, StateUpdate};
 
-/// How long new connections are still accepted after the stop signal, in seconds: clients may not
-/// have learned yet that this node shuts down.
+/// Time after the stop signal during which a node without a successor still accepts new
+/// connections, in seconds: clients may not have learned yet that the node shuts down.
 const ACCEPT_WINDOW_SECONDS: f64 = 0.6;
 /// Interval at which the node checks during its shutdown whether all requests have been answered,
 /// in seconds.
--- a/src/net/requests/coalescing.rs
+++ b/src/net/requests/coalescing.rs
@@ -124,7 +124,8 @@
                 in_flight.waiters.push(client);
                 Ok(CoalescedWaiter::InFlight(request))
             }
-            // That request has already been answered and gets no second answer.
+            // The request with this id is no longer in flight, or no client waits for it any more
+            // because it was answered or its client has disconnected: no answer will follow.
             None => Err(Answer::Failed),
         }
     }
