--- a/src/decision/settings_file.rs
+++ b/src/decision/settings_file.rs
@@ -1,8 +1,7 @@
 //! The sections of the settings file in their JSON form, with the defaults for missing keys.
 //! Unknown keys are ignored.
 //!
-//! Error messages contain names for these types. `expecting` sets these names, which are part of
-//! the interface.
+//! The texts of `expecting` name the objects in error messages that operators read.
 
 use super::configuration::RetryBudget;
 use super::settings_error::SettingsError;
@@ -11,7 +10,11 @@
 
 /// The settings file.
 #[derive(Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Raw")]
+#[serde(
+    default,
+    rename_all = "kebab-case",
+    expecting = "the object `settings`"
+)]
 pub(super) struct SettingsFile {
     pub(super) balancers: u32,
     pub(super) zone: u8,
@@ -33,14 +36,18 @@
 
 /// The behaviour of clients.
 #[derive(Default, Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Habits")]
+#[serde(
+    default,
+    rename_all = "kebab-case",
+    expecting = "the object `client-habits`"
+)]
 pub(super) struct ClientHabitsSection {
     pub(super) marks_retry: bool,
 }
 
 /// A tenant.
 #[derive(Default, Deserialize)]
-#[serde(default, expecting = "struct Org")]
+#[serde(default, expecting = "an object in `orgs`")]
 pub(super) struct TenantSection {
     pub(super) name: String,
 }
@@ -70,7 +77,11 @@
 
 /// A request class.
 #[derive(Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Service")]
+#[serde(
+    default,
+    rename_all = "kebab-case",
+    expecting = "an object in `services`"
+)]
 pub(super) struct ClassSection {
     pub(super) name: String,
     pub(super) effect: String,
@@ -108,7 +119,7 @@
 
 /// The load reports of workers.
 #[derive(Default, Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct RawReport")]
+#[serde(default, rename_all = "kebab-case", expecting = "the object `report`")]
 pub(super) struct ReportSection {
     pub(super) fields: Vec<String>,
     pub(super) via: String,
@@ -116,7 +127,7 @@
 
 /// The permissions and limits of a dispatcher.
 #[derive(Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Limits")]
+#[serde(default, rename_all = "kebab-case", expecting = "the object `limits`")]
 pub(super) struct LimitsSection {
     pub(super) cancel: bool,
     pub(super) conn_idle: f64,
@@ -159,7 +170,7 @@
 
 /// The prices of probes, of attempts across zones, of fetched data and of wasted work.
 #[derive(Default, Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Prices")]
+#[serde(default, rename_all = "kebab-case", expecting = "the object `prices`")]
 pub(super) struct PricesSection {
     pub(super) probe: f64,
     pub(super) cross_zone: f64,
@@ -169,7 +180,7 @@
 
 /// The rules for discovery, warm-up and retries.
 #[derive(Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Rules")]
+#[serde(default, rename_all = "kebab-case", expecting = "the object `rules`")]
 pub(super) struct RulesSection {
     pub(super) cold: f64,
     pub(super) cold_from: f64,
@@ -231,7 +242,7 @@
 
 /// Settings of optional extensions.
 #[derive(Default, Deserialize)]
-#[serde(default, rename_all = "kebab-case", expecting = "struct Extra")]
+#[serde(default, rename_all = "kebab-case", expecting = "the object `extra`")]
 pub(super) struct ExtraSection {
     pub(super) class_kind: Vec<i32>,
     pub(super) class_priority: Vec<i32>,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -24,8 +24,7 @@
 
 /// The section `log` of the operator's configuration file.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
-// Error texts that operators read contain this type name, so it must not change.
-#[serde(default, deny_unknown_fields, expecting = "struct Log")]
+#[serde(default, deny_unknown_fields, expecting = "the object `log`")]
 pub struct LogSection {
     /// `text` or `json`.
     pub format: Format,
--- a/src/net/cluster/service/status.rs
+++ b/src/net/cluster/service/status.rs
@@ -7,10 +7,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node in the response of the management API. The JSON keys, and the name in errors of
-/// deserialisation, are those of earlier versions.
+/// A node in the response of the management API. The JSON keys are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-#[serde(expecting = "struct Shown")]
+#[serde(expecting = "an object in `members`")]
 pub struct MemberStatus {
     /// Name of the node.
     pub name: String,
@@ -28,10 +27,9 @@
     pub is_leader: bool,
 }
 
-/// The cluster in the response of the management API. The JSON keys, and the name in errors of
-/// deserialisation, are those of earlier versions.
+/// The cluster in the response of the management API. The JSON keys are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-#[serde(expecting = "struct Picture")]
+#[serde(expecting = "a cluster status object")]
 pub struct ClusterStatus {
     /// Name of the cluster.
     pub cluster: String,
--- a/src/net/upstream/worker_list/list.rs
+++ b/src/net/upstream/worker_list/list.rs
@@ -22,7 +22,7 @@
 /// The field names are keys of discovery's JSON and of the stored snapshot; their order and types
 /// are those of the binary list between nodes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-#[serde(expecting = "struct RawMember")]
+#[serde(expecting = "an object in `members`")]
 pub(super) struct WorkerRecord {
     pub(super) id: String,
     host_port: String,
@@ -132,7 +132,7 @@
 
 /// A full list, or the changes since an earlier revision, in discovery's JSON format.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(expecting = "struct List")]
+#[serde(expecting = "a worker list object")]
 pub struct DiscoveryList {
     /// The revision that a node holds once it has applied this list.
     pub revision: u64,
--- a/src/net/upstream/worker_list/snapshot.rs
+++ b/src/net/upstream/worker_list/snapshot.rs
@@ -8,7 +8,7 @@
 
 /// The full list that a process last held, and the discovery that its revision belongs to.
 #[derive(Debug, Deserialize, Serialize)]
-#[serde(expecting = "struct Kept")]
+#[serde(expecting = "a stored worker list object")]
 pub struct WorkerListSnapshot {
     pub(super) discovery: SocketAddr,
     pub(super) revision: u64,
--- a/src/operator_config/audit.rs
+++ b/src/operator_config/audit.rs
@@ -13,7 +13,7 @@
 
 /// The section `audit`: which node acts on which version of the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(default, deny_unknown_fields)]
+#[serde(default, deny_unknown_fields, expecting = "the object `audit`")]
 pub struct AuditSection {
     /// Mean time between two messages with this node's versions, in milliseconds.
     pub beat_ms: u64,
--- a/src/operator_config/duties.rs
+++ b/src/operator_config/duties.rs
@@ -14,7 +14,7 @@
 
 /// The section `duties`: leases on tasks that one node does for the whole cluster.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(default, deny_unknown_fields)]
+#[serde(default, deny_unknown_fields, expecting = "the object `duties`")]
 pub struct DutiesSection {
     /// How long a lease lasts without renewal, in milliseconds; the same at all nodes.
     pub lease_ms: u64,
--- a/src/operator_config/fleet.rs
+++ b/src/operator_config/fleet.rs
@@ -25,7 +25,7 @@
 
 /// The section `fleet`: the cluster that the node is a member of.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "the object `fleet`")]
 pub struct FleetSection {
     /// The cluster's name: messages of another cluster are dropped.
     pub cluster: String,
--- a/src/operator_config/mod.rs
+++ b/src/operator_config/mod.rs
@@ -21,8 +21,11 @@
 
 /// All sections.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-// Error texts that operators read contain this type name, so it must not change.
-#[serde(default, deny_unknown_fields, expecting = "struct Operator")]
+#[serde(
+    default,
+    deny_unknown_fields,
+    expecting = "an object with the sections of the operator's file"
+)]
 pub struct OperatorConfig {
     /// Logging.
     pub log: LogSection,
--- a/src/operator_config/store.rs
+++ b/src/operator_config/store.rs
@@ -26,7 +26,7 @@
 
 /// The section `store`: the persistent store of requests and their results.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "the object `store`")]
 pub struct StoreSection {
     /// The store's folder, created if missing.
     pub folder: String,
