--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -53,7 +53,7 @@
         /// sibling are outstanding.
         pending_callers: Vec<u64>,
         /// Whether the sibling may still be running: `false` if it has closed its end of the link.
-        stalled: bool,
+        sibling_may_be_running: bool,
     },
 }
 
@@ -293,7 +293,7 @@
         Some(Event::Closed {
             link: key,
             pending_callers: session.link.pending_callers(),
-            stalled: !ended,
+            sibling_may_be_running: !ended,
         })
     }
 
--- a/src/net/management/response.rs
+++ b/src/net/management/response.rs
@@ -53,7 +53,7 @@
             ManagementReply::PartiallyApplied { applied, nodes } => {
                 Self::new(200, format!("yes, at {applied} of {nodes} nodes\n"))
             }
-            ManagementReply::NotNow => Self::new(503, "unavailable at the moment\n"),
+            ManagementReply::Unavailable => Self::new(503, "unavailable at the moment\n"),
             ManagementReply::NotFound => Self::new(404, "no worker or node has this name\n"),
             ManagementReply::StillAlive => Self::new(409, "the node has not failed\n"),
             ManagementReply::AuditDisabled => {
--- a/src/net/management/tests.rs
+++ b/src/net/management/tests.rs
@@ -254,7 +254,7 @@
         .shutdown(Shutdown::Write)
         .expect("the sending side is closed");
     assert_eq!(
-        harness.handle_requests(ManagementReply::NotNow),
+        harness.handle_requests(ManagementReply::Unavailable),
         [ManagementRequest::CheckReadiness]
     );
     assert!(
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -427,8 +427,8 @@
 pub enum ManagementReply {
     /// Done, or the requested state already holds.
     Done,
-    /// Currently not possible.
-    NotNow,
+    /// Not possible in the present state of the node or of its cluster.
+    Unavailable,
     /// There is no worker or node with the given name.
     NotFound,
     /// Done at this node, and confirmed by part of the cluster so far.
--- a/src/net/node/handover.rs
+++ b/src/net/node/handover.rs
@@ -55,8 +55,8 @@
                 Event::Closed {
                     link,
                     pending_callers,
-                    stalled,
-                } => self.handle_link_closed(link, pending_callers, stalled),
+                    sibling_may_be_running,
+                } => self.handle_link_closed(link, pending_callers, sibling_may_be_running),
             }
         }
     }
@@ -131,13 +131,18 @@
     }
 
     /// Handles the end of a link: the sibling's requests have ended, or can't be reached any more.
-    fn handle_link_closed(&mut self, link: usize, pending_callers: Vec<ClientId>, stalled: bool) {
+    fn handle_link_closed(
+        &mut self,
+        link: usize,
+        pending_callers: Vec<ClientId>,
+        sibling_may_be_running: bool,
+    ) {
         self.reactor.queue.push_back(Input::SiblingLost { link });
         self.descriptor_shares.forget_sibling(link);
         self.completed_snapshots.remove(&link);
         self.forwarded_callbacks.forget_link(link);
         for caller in pending_callers {
-            if stalled {
+            if sibling_may_be_running {
                 // The sibling may still hold the request. Without an acknowledgement the worker
                 // sends the callback again.
                 self.forwarded_callbacks.abandon(caller);
--- a/src/net/node/lifecycle.rs
+++ b/src/net/node/lifecycle.rs
@@ -88,7 +88,7 @@
         if accepted {
             ManagementReply::Done
         } else {
-            ManagementReply::NotNow
+            ManagementReply::Unavailable
         }
     }
 
--- a/src/net/node/management.rs
+++ b/src/net/node/management.rs
@@ -61,7 +61,7 @@
                     if ready {
                         ManagementReply::Done
                     } else {
-                        ManagementReply::NotNow
+                        ManagementReply::Unavailable
                     },
                 );
             }
@@ -180,7 +180,7 @@
             }
             Err(Some(ForgetError::UnknownNode)) => ManagementReply::NotFound,
             Err(Some(ForgetError::StillAlive)) => ManagementReply::StillAlive,
-            Err(Some(ForgetError::TooMany) | None) => ManagementReply::NotNow,
+            Err(Some(ForgetError::TooMany) | None) => ManagementReply::Unavailable,
         }
     }
 
--- a/src/net/requests/migration/tests.rs
+++ b/src/net/requests/migration/tests.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn subject_and_keyless_flag_are_not_encoded() {
+fn affinity_key_and_missing_idempotency_key_are_not_encoded() {
     let bytes = postcard::to_stdvec(&request()).expect("an encoded request");
     let marked = Request {
         affinity_key: Some(9),
