--- a/examples/fleet/start.sh
+++ b/examples/fleet/start.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts three nodes that know each other, from the project's root after `cargo build --release`; Ctrl-C ends them.
-# They look for discovery where examples/config.json says.
+# Starts a cluster of three nodes. Run it in the project's root after `cargo build --release`; Ctrl-C stops the nodes.
+# Their configuration, with the address of discovery, is examples/config.json.
 set -euo pipefail
 mkdir -p target/fleet
 for n in 1 2 3; do
