--- a/tests/surface_errors.rs
+++ b/tests/surface_errors.rs
@@ -254,9 +254,9 @@
 fn problems_of_the_operator_file_begin_with_their_place() {
     let problem = OperatorConfigError {
         path: "store.folder".into(),
-        message: "names no folder".into(),
+        message: "must not be empty".into(),
     };
-    assert_eq!(problem.to_string(), "store.folder: names no folder");
+    assert_eq!(problem.to_string(), "store.folder: must not be empty");
 }
 
 #[test]
