--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -7,7 +7,7 @@
 //! then determines what a client that repeats a request gets ([`Lookup`]), and how a worker's
 //! callback resolves a request of an earlier process ([`Resolution`]).
 //!
-//! Guarantees, at whatever point a process crashes:
+//! Guarantees, regardless of the point at which a process crashes:
 //!
 //! - A request of which an attempt may have run isn't started again under its id or its idempotency
 //!   key until its record expires.
--- a/crates/idempotency/tests/request_log.rs
+++ b/crates/idempotency/tests/request_log.rs
@@ -198,9 +198,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Guards against a request that is run twice, in whatever order attempts end, callbacks arrive
-    /// and the node restarts. A worker runs each attempt that is sent, and an attempt is sent only
-    /// after its intent is durable; all other writes may be lost at a restart.
+    /// Guards against a request that is run twice, for any order in which attempts end, callbacks
+    /// arrive and the node restarts. A worker runs each attempt that is sent, and an attempt is sent
+    /// only after its intent is durable; all other writes may be lost at a restart.
     #[test]
     fn a_request_that_may_have_run_never_runs_again(steps in steps()) {
         let (mut disk, mut log) = (Disk::default(), RequestLog::new(Limits::default()));
--- a/crates/membership/src/reachability.rs
+++ b/crates/membership/src/reachability.rs
@@ -24,8 +24,8 @@
 }
 
 /// Returns the peers that `node` monitors; the same peers monitor it. `sorted` are all members in
-/// the order of [`sort_by_hash`]; a node that isn't among them monitors nobody. Voters monitor each
-/// other in a cluster of any size.
+/// the order of [`sort_by_hash`]; a node that isn't among them monitors no peers. Voters
+/// monitor each other in a cluster of any size.
 pub fn monitored_peers<'a>(
     sorted: &'a [String],
     voters: &BTreeSet<String>,
--- a/crates/membership/src/suspended_workers.rs
+++ b/crates/membership/src/suspended_workers.rs
@@ -2,7 +2,7 @@
 //! data type.
 //!
 //! Merging is commutative, associative and idempotent, so nodes that have received the same
-//! suspensions agree, whatever the order. A resume undoes the suspends that its node has received
+//! suspensions in any order agree. A resume undoes the suspends that its node has received
 //! by then, and no others.
 
 use crate::fnv::Fnv;
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -129,7 +129,7 @@
 /// Promise 2, for a starved process: for a minute it runs for 1.5 ms at a time, between pauses of
 /// up to 3 s.
 #[test]
-fn starved_node_declares_nobody_failed() {
+fn starved_node_declares_no_node_failed() {
     for seed in 0..10 {
         let mut simulation = Simulation::new(6, seed, Settings::default());
         assert!(simulation.run_until(30.0, Simulation::all_agree));
@@ -154,7 +154,7 @@
 /// Promise 2: a node that continues after a pause doesn't declare others failed for the time in
 /// which it was stopped. Promise 3: it learns that it was declared failed, and rejoins at once.
 #[test]
-fn paused_node_declares_nobody_failed_and_rejoins() {
+fn paused_node_declares_no_node_failed_and_rejoins() {
     for (seed, pause) in [(1, 1.0), (2, 4.0), (3, 20.0), (4, 300.0)] {
         let mut simulation = Simulation::new(6, seed, Settings::default());
         assert!(simulation.run_until(30.0, Simulation::all_agree));
--- a/crates/membership/tests/partitions.rs
+++ b/crates/membership/tests/partitions.rs
@@ -76,7 +76,7 @@
 /// A link may be cut in one direction only. A node that is cut off from some nodes, but not from
 /// all, isn't declared failed.
 #[test]
-fn cut_links_are_reported_and_nobody_is_declared_failed() {
+fn cut_links_are_reported_and_no_node_is_declared_failed() {
     let one_way = |simulation: &mut Simulation| {
         simulation.cut_links.insert((0, 1));
         vec![("n1", "n0")]
--- a/crates/membership/tests/simulation/mod.rs
+++ b/crates/membership/tests/simulation/mod.rs
@@ -393,7 +393,7 @@
             .filter_map(|(n, node)| Some((n, node, node.membership.as_ref()?)))
     }
 
-    /// Returns whether the live nodes know each other as members, and nobody else.
+    /// Returns whether the live nodes know each other as members, and no other node.
     pub fn all_agree(&self) -> bool {
         let names: BTreeSet<&str> = self
             .live_nodes()
--- a/src/decision/budgets.rs
+++ b/src/decision/budgets.rs
@@ -14,7 +14,7 @@
     pub admitted: EventTimes,
     /// When attempts beyond a request's first were sent.
     pub retries: EventTimes,
-    /// When a draw for a slow-start permit was made, whatever its result.
+    /// When a draw for a slow-start permit was made, regardless of its result.
     pub permit_draws: EventTimes,
 }
 
--- a/src/net/cluster/coordination.rs
+++ b/src/net/cluster/coordination.rs
@@ -15,7 +15,7 @@
 /// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminRequest {
-    /// Release a lease, whoever owns it.
+    /// Release a lease, regardless of its owner.
     Release {
         /// The name of the lease.
         lease: String,
--- a/src/net/cluster/service/version_tracking.rs
+++ b/src/net/cluster/service/version_tracking.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the generation of worker lists from this discovery address. Nodes whose section
-    /// `audit` names the same discovery have the same generation, whatever the address.
+    /// `audit` names the same discovery have the same generation, even if its addresses differ.
     pub fn generation(&self, discovery: SocketAddr) -> u64 {
         let name = self
             .audit_section
--- a/src/net/management/server.rs
+++ b/src/net/management/server.rs
@@ -89,7 +89,7 @@
 
 impl Callbacks<TcpStream> for SessionState {
     fn received(&mut self, connection: &mut Connection<TcpStream>) {
-        // There is only one request per connection; whatever follows it is ignored.
+        // There is only one request per connection; bytes after it are ignored.
         if self.awaits_response || connection.state() == State::Closing {
             return;
         }
--- a/src/net/upstream/watch.rs
+++ b/src/net/upstream/watch.rs
@@ -4,10 +4,10 @@
 //! arrive as answers to calls.
 //!
 //! It guarantees that this node acts on a change within 6 s after discovery has the change and can
-//! be reached, whatever happens to calls. The node therefore waits for an unanswered watch for at
-//! most [`MAX_WATCH_SECONDS`] plus [`WATCH_GRACE_SECONDS`]; then a second call is made in parallel,
-//! and a third one replaces the first. A failed call is retried within `MAX_RETRY_WAIT_SECONDS`
-//! plus `MAX_RETRY_SPREAD_SECONDS`.
+//! be reached, regardless of how calls fail. The node therefore waits for an unanswered watch for
+//! at most [`MAX_WATCH_SECONDS`] plus [`WATCH_GRACE_SECONDS`]; then a second call is made in
+//! parallel, and a third one replaces the first. A failed call is retried within
+//! `MAX_RETRY_WAIT_SECONDS` plus `MAX_RETRY_SPREAD_SECONDS`.
 
 use super::backoff::{Backoff, ClusterPosition};
 use crate::decision::random::Random;
--- a/src/net/upstream/worker_list/mod.rs
+++ b/src/net/upstream/worker_list/mod.rs
@@ -302,7 +302,7 @@
     ) -> AnswerContent {
         // Changes can't be applied without a list to apply them to, and an older list must not
         // replace a newer one: in both cases the full list is requested at once. That answer is
-        // applied whatever its revision is, since discovery may have restarted its numbering.
+        // applied regardless of its revision, since discovery may have restarted its numbering.
         let stale = match self.revision {
             Some(held) => list.revision < held,
             None => !list.complete,
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -335,7 +335,7 @@
 ];
 
 /// Guards against accepting a malformed response or reading it forever: the attempt ends once, as
-/// one that may have run, and its connection is closed whatever else arrives.
+/// one that may have run, and its connection is closed regardless of further bytes.
 #[test]
 fn malformed_response_ends_the_attempt_and_closes_the_connection() {
     for MalformedResponse {
--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -38,7 +38,7 @@
 /// Guards against a paused node that declares the others failed when it is resumed. It learns at
 /// once that it was declared failed itself, and rejoins.
 #[test]
-fn paused_node_declares_nobody_failed_and_rejoins() {
+fn paused_node_declares_no_node_failed_and_rejoins() {
     let mut fleet = FleetHarness::new(3, 2);
     for seconds in [1, 4, 20] {
         fleet.pause(&[1], Duration::from_secs(seconds));
@@ -77,7 +77,7 @@
     (0..3).for_each(|n| fleet.assert_no_failure_logged(n));
 }
 
-/// Two nodes reach each other only through the third. However long one of them is paused, nobody
+/// Two nodes reach each other only through the third. However long one of them is paused, no node
 /// counts as failed once it is back; a killed one counts as failed.
 #[test]
 fn node_reached_through_another_is_paused_and_killed() {
@@ -91,8 +91,8 @@
     for seconds in [1, 4, 20] {
         fleet.pause(&[2], Duration::from_secs(seconds));
         fleet.wait_until("one pair is cut after the pause", &all, |_, status| {
-            let nobody_failed = status.members.iter().all(|member| member.state != "failed");
-            is_one_pair_cut(status) && nobody_failed
+            let none_failed = status.members.iter().all(|member| member.state != "failed");
+            is_one_pair_cut(status) && none_failed
         });
         fleet.assert_no_failure_logged(2);
     }
--- a/tests/cluster/identity.rs
+++ b/tests/cluster/identity.rs
@@ -110,7 +110,7 @@
     assert_eq!(
         before,
         departures_logged(&fleet),
-        "nobody failed or left: {}",
+        "no node failed or left: {}",
         fleet.describe()
     );
     assert_eq!(fleet.resume(1, "w-1"), "yes, at 3 of 3 nodes\n");
--- a/tests/cluster/partitions.rs
+++ b/tests/cluster/partitions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn cut_links_are_reported_and_nobody_is_declared_failed() {
+fn cut_links_are_reported_and_no_node_is_declared_failed() {
     let fleet = FleetHarness::new(3, 4);
     let cut = LinkFaults {
         partitioned: true,
--- a/tests/lifecycle.rs
+++ b/tests/lifecycle.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Guards against a stage that contradicts the calls, in whatever order they come. Compares the
+/// Guards against a stage that contradicts the calls, for any order of calls. Compares the
 /// lifecycle with a model of four flags under random calls. These include repeated calls, a drain
 /// during a stop and an activation without a drain.
 #[test]
--- a/tests/one_attempt_a_worker.rs
+++ b/tests/one_attempt_a_worker.rs
@@ -151,7 +151,7 @@
 
 /// Guards against a retry at the same worker in a whole node, on real connections: the worker has
 /// read the complete request, and its connection is reset before the 202. The request may run
-/// there, so the only worker is sent no second attempt, whatever the request's class allows.
+/// there, so the only worker is sent no second attempt, for any effect of the request's class.
 #[test]
 fn does_not_retry_at_a_worker_that_reset_the_connection() {
     for (effect, status) in [("pure", 503), ("token", 502)] {
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,5 @@
-//! A change must be applied within 6 s after discovery has it and can be reached, whatever happens
-//! to calls. This is tested in simulated time, over every way in which a call can fail, with the
+//! A change must be applied within 6 s after discovery has it and can be reached, regardless of how
+//! calls fail. This is tested in simulated time, over every way in which a call can fail, with the
 //! dispatcher that selects workers from the list.
 
 #[path = "support/dispatcher_harness.rs"]
