--- a/src/net/cluster/service/status.rs
+++ b/src/net/cluster/service/status.rs
@@ -7,10 +7,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A node in the response of the management API. The JSON keys, and the name in errors of
-/// deserialisation, are those of earlier versions.
+/// A node in the response of the management API. The JSON keys are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-#[serde(expecting = "struct Shown")]
+#[serde(expecting = "an object in `members`")]
 pub struct MemberStatus {
     /// Name of the node.
     pub name: String,
@@ -28,10 +27,9 @@
     pub is_leader: bool,
 }
 
-/// The cluster in the response of the management API. The JSON keys, and the name in errors of
-/// deserialisation, are those of earlier versions.
+/// The cluster in the response of the management API. The JSON keys are those of earlier versions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-#[serde(expecting = "struct Picture")]
+#[serde(expecting = "a cluster status object")]
 pub struct ClusterStatus {
     /// Name of the cluster.
     pub cluster: String,
@@ -50,7 +48,7 @@
     pub reasons: Vec<String>,
     /// All nodes that are or were members, the answering node first.
     pub members: Vec<MemberStatus>,
-    /// Peers that the answering node monitors and doesn't hear.
+    /// Peers that the answering node monitors and from which it has lately received no heartbeat.
     #[serde(rename = "unheard")]
     pub unreachable_peers: Vec<String>,
     /// Slowdown of the answering node's clock: 0 for a process that runs on time, at most 8.
